--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -19,7 +19,7 @@
 )
 
 // Answer of the service to one request.
-type Answer struct {
+type Response struct {
 	Status int
 	Body   any
 	// RetryAfter in seconds, with status 503.
@@ -30,10 +30,10 @@
 
 // Service is what the interface serves.
 type Service interface {
-	Submit(ctx context.Context, j *wire.Job) Answer
-	Poll(ctx context.Context, id string) Answer
-	Abort(ctx context.Context, id string) Answer
-	Report(ctx context.Context, r *wire.Report) Answer
+	Submit(ctx context.Context, j *wire.Job) Response
+	Poll(ctx context.Context, id string) Response
+	Cancel(ctx context.Context, id string) Response
+	Heartbeat(ctx context.Context, r *wire.Heartbeat) Response
 	// Ready must answer at once.
 	Ready() bool
 }
@@ -81,27 +81,27 @@
 func (h *server) routes() http.Handler {
 	r := httprouter.New()
 	r.RedirectTrailingSlash, r.RedirectFixedPath = false, false
-	r.POST("/v1/jobs", h.user(userTimeout, func(ctx context.Context, r *http.Request, _ httprouter.Params) Answer {
-		body, err := readBody(r, wire.MaxBody)
+	r.POST("/v1/jobs", h.user(userTimeout, func(ctx context.Context, r *http.Request, _ httprouter.Params) Response {
+		body, err := readBody(r, wire.MaxBodyBytes)
 		if err != nil {
-			return Answer{Status: http.StatusBadRequest, Reason: err.Error()}
+			return Response{Status: http.StatusBadRequest, Reason: err.Error()}
 		}
 		j, err := wire.ParseJob(body)
 		if err != nil {
-			return Answer{Status: http.StatusBadRequest, Reason: err.Error()}
+			return Response{Status: http.StatusBadRequest, Reason: err.Error()}
 		}
 		return h.s.Submit(ctx, j)
 	}))
-	r.GET("/v1/jobs/:id", h.user(pollTimeout, func(ctx context.Context, _ *http.Request, p httprouter.Params) Answer {
+	r.GET("/v1/jobs/:id", h.user(pollTimeout, func(ctx context.Context, _ *http.Request, p httprouter.Params) Response {
 		return h.s.Poll(ctx, p.ByName("id"))
 	}))
-	r.POST("/v1/jobs/:id/abort", h.user(userTimeout, func(ctx context.Context, _ *http.Request, p httprouter.Params) Answer {
-		return h.s.Abort(ctx, p.ByName("id"))
+	r.POST("/v1/jobs/:id/abort", h.user(userTimeout, func(ctx context.Context, _ *http.Request, p httprouter.Params) Response {
+		return h.s.Cancel(ctx, p.ByName("id"))
 	}))
 	r.GET("/ready", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-		a := Answer{Status: http.StatusServiceUnavailable, Reason: "not ready"}
+		a := Response{Status: http.StatusServiceUnavailable, Reason: "not ready"}
 		if h.s.Ready() {
-			a = Answer{Status: http.StatusOK, Body: struct{}{}}
+			a = Response{Status: http.StatusOK, Body: struct{}{}}
 		}
 		write(w, a)
 	})
@@ -110,28 +110,28 @@
 		defer cancel()
 		body, err := readBody(r, maxReport)
 		if err != nil {
-			write(w, Answer{Status: http.StatusBadRequest, Reason: err.Error()})
+			write(w, Response{Status: http.StatusBadRequest, Reason: err.Error()})
 			return
 		}
-		rep, err := wire.ParseReport(body)
+		rep, err := wire.ParseHeartbeat(body)
 		if err != nil {
-			write(w, Answer{Status: http.StatusBadRequest, Reason: err.Error()})
+			write(w, Response{Status: http.StatusBadRequest, Reason: err.Error()})
 			return
 		}
-		write(w, h.s.Report(ctx, rep))
+		write(w, h.s.Heartbeat(ctx, rep))
 	})
 	return r
 }
 
 // user wraps a handler of users' requests: no more than a bounded number are
 // in work, so that reports and lease renewals are served in a flood of users.
-func (h *server) user(limit time.Duration, f func(context.Context, *http.Request, httprouter.Params) Answer) httprouter.Handle {
+func (h *server) user(limit time.Duration, f func(context.Context, *http.Request, httprouter.Params) Response) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		select {
 		case h.slots <- struct{}{}:
 			defer func() { <-h.slots }()
 		default:
-			write(w, Answer{Status: http.StatusServiceUnavailable, RetryAfter: 1, Reason: "too many requests in work"})
+			write(w, Response{Status: http.StatusServiceUnavailable, RetryAfter: 1, Reason: "too many requests in work"})
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), limit)
@@ -154,7 +154,7 @@
 // contentType is shared by all answers: nobody changes it.
 var contentType = []string{"application/json"}
 
-func write(w http.ResponseWriter, a Answer) {
+func write(w http.ResponseWriter, a Response) {
 	body := a.Body
 	if body == nil {
 		body = struct {
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -17,12 +17,12 @@
 // idle answers without work.
 type idle struct{}
 
-func (idle) Submit(context.Context, *wire.Job) Answer { return Answer{Status: http.StatusCreated} }
-func (idle) Poll(context.Context, string) Answer      { return Answer{Status: http.StatusNotFound} }
-func (idle) Abort(context.Context, string) Answer     { return Answer{Status: http.StatusOK} }
+func (idle) Submit(context.Context, *wire.Job) Response { return Response{Status: http.StatusCreated} }
+func (idle) Poll(context.Context, string) Response      { return Response{Status: http.StatusNotFound} }
+func (idle) Cancel(context.Context, string) Response     { return Response{Status: http.StatusOK} }
 func (idle) Ready() bool                              { return true }
-func (idle) Report(context.Context, *wire.Report) Answer {
-	return Answer{Status: http.StatusOK, Body: wire.ReportAnswer{Token: 1, Commands: []wire.Command{}}}
+func (idle) Heartbeat(context.Context, *wire.Heartbeat) Response {
+	return Response{Status: http.StatusOK, Body: wire.HeartbeatResponse{Token: 1, Commands: []wire.Command{}}}
 }
 
 // What connections hold bounds how many may be open: see config.Limits.
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -87,7 +87,7 @@
 }
 
 // Types lists the machine types with current prices.
-func (c *Client) Types(ctx context.Context) ([]wire.MachineType, error) {
+func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var out wire.MachineTypes
 	if err := c.call(ctx, http.MethodGet, "/machine_types", nil, &out); err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 }
 
 // Rent asks for machines. Repeating a request that was granted rents nothing.
-func (c *Client) Rent(ctx context.Context, r wire.RentRequest) ([]string, error) {
+func (c *Client) Launch(ctx context.Context, r wire.LaunchRequest) ([]string, error) {
 	var out wire.MachineNames
 	if err := c.call(ctx, http.MethodPost, "/rentals", r, &out); err != nil {
 		return nil, err
@@ -105,10 +105,10 @@
 }
 
 // MaxRelease is how many machines one call may release.
-const MaxRelease = 100
+const MaxTerminate = 100
 
 // Release returns machines. Without an error they are gone, with all that was on them.
-func (c *Client) Release(ctx context.Context, names []string) error {
+func (c *Client) Terminate(ctx context.Context, names []string) error {
 	return c.call(ctx, http.MethodPost, "/rentals/release", wire.MachineNames{Machines: names}, nil)
 }
 
@@ -116,15 +116,15 @@
 const MaxList = 500
 
 // List reads the whole list of machines, which lags.
-func (c *Client) List(ctx context.Context) ([]wire.CloudMachine, error) {
-	var all []wire.CloudMachine
+func (c *Client) List(ctx context.Context) ([]wire.Instance, error) {
+	var all []wire.Instance
 	after := ""
 	for {
 		q := url.Values{"most": {strconv.Itoa(MaxList)}}
 		if after != "" {
 			q.Set("since", after)
 		}
-		var page wire.CloudList
+		var page wire.InstanceList
 		if err := c.call(ctx, http.MethodGet, "/rentals?"+q.Encode(), nil, &page); err != nil {
 			return nil, err
 		}
--- a/internal/controller/alloc_test.go
+++ b/internal/controller/alloc_test.go
@@ -12,12 +12,12 @@
 )
 
 // reportOf is what a machine of ours reports when all that is bound to it runs.
-func (b *brain) reportOf(m *machine) *wire.Report {
+func (b *brain) reportOf(m *machine) *wire.Heartbeat {
 	p := b.parts[m.home]
-	r := &wire.Report{Machine: m.name, Addr: m.addr, Type: m.typ, Zone: m.zone, Session: m.session, Seq: m.seq, Token: p.term}
+	r := &wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.typ, Zone: m.zone, Incarnation: m.session, Sequence: m.seq, Token: p.term}
 	for _, x := range m.bound {
 		t, rec := x.task, x.rec
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: taskName(rec.job.id, t.Num), Attempt: rec.find(t.Num).attempt, State: wire.Running})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: taskName(rec.job.id, t.Num), Attempt: rec.find(t.Num).attempt, State: wire.Running})
 	}
 	return r
 }
@@ -45,12 +45,12 @@
 		{"a report without news", 4, func(b *brain) func() {
 			m := b.ours()
 			r := b.reportOf(m)
-			return func() { r.Seq++; b.report(r) }
+			return func() { r.Sequence++; b.report(r) }
 		}},
 		{"a report decoded", 24, func(b *brain) func() {
 			raw := record.JSON(b.reportOf(b.ours()))
 			return func() {
-				if _, err := wire.ParseReport(raw); err != nil {
+				if _, err := wire.ParseHeartbeat(raw); err != nil {
 					t.Error(err)
 				}
 			}
@@ -140,12 +140,12 @@
 			r := c.reportOf(c.ours())
 			raw := record.JSON(r)
 			for b.Loop() {
-				x, err := wire.ParseReport(raw)
+				x, err := wire.ParseHeartbeat(raw)
 				if err != nil {
 					b.Fatal(err)
 				}
-				r.Seq++
-				x.Seq = r.Seq
+				r.Sequence++
+				x.Sequence = r.Sequence
 				c.report(x)
 			}
 		})
--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -69,7 +69,7 @@
 	}
 	// Thousands of tasks that are lost together are more than may queue. A write that is
 	// refused gives up its claims and has all be read again; what waits loses nothing.
-	if b.wr.Full(r.job.spec.Whole()) {
+	if b.wr.Full(r.job.spec.AllOrNothing()) {
 		return
 	}
 	r.endedAt, r.boundAt = time.Time{}, time.Time{}
@@ -151,7 +151,7 @@
 
 // updateWaits tells whether an array's update can wait for more to come.
 func (b *brain) updateWaits(r *rec, update *recordUpdate) bool {
-	if r.job.spec.Whole() {
+	if r.job.spec.AllOrNothing() {
 		return false
 	}
 	if len(update.bound) > 0 {
@@ -184,10 +184,10 @@
 	job := r.job
 	// Services first: when hundreds of machines are lost together, or all leases have
 	// ended in an outage, what is to be stored takes longer than users wait.
-	u := &store.Unit{Prompt: job.spec.Gang && len(update.bound) > 0, Early: job.spec.Whole(), If: []wire.Condition{{Key: p.key, Version: p.term}, {Key: r.key, Version: r.stamp}}}
+	u := &store.Unit{Prompt: job.spec.Gang && len(update.bound) > 0, Early: job.spec.AllOrNothing(), If: []wire.Condition{{Key: p.key, Revision: p.term}, {Key: r.key, Revision: r.stamp}}}
 	if job.fate == live {
 		// Binding and completing race with a cancellation: only one can hold.
-		u.If = append(u.If, wire.Condition{Key: jobKey(job.id), Version: job.stamp})
+		u.If = append(u.If, wire.Condition{Key: jobKey(job.id), Revision: job.stamp})
 	}
 	pieces := b.fit(r, update.done, update.entries)
 	var elsewhere []*machine // of tasks that are bound and move to another piece
--- a/internal/controller/brain_test.go
+++ b/internal/controller/brain_test.go
@@ -50,7 +50,7 @@
 	for _, how := range []string{"deleted", "moved"} {
 		b := lone(t)
 		p := b.parts[0]
-		b.takeReport(b.machine("host-1"), &wire.Report{Machine: "host-1", Type: "small", Zone: "a", Session: 1, Seq: 1}, p, true)
+		b.takeReport(b.machine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, true)
 		spec := &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}
 		b.put(jobKey("wk-1"), raw(t, record.Job{Job: spec}), 2)
 		key := groupKey("wk-1", 0)
@@ -143,7 +143,7 @@
 func TestClaimsOfAMovedRecord(t *testing.T) {
 	b := lone(t)
 	p := b.parts[0]
-	b.takeReport(b.machine("host-1"), &wire.Report{Machine: "host-1", Type: "small", Zone: "a", Session: 1, Seq: 1, Token: 1}, p, true)
+	b.takeReport(b.machine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
 	b.put(jobKey("wk-1"), raw(t, record.Job{Job: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}}), 2)
 	key := groupKey("wk-1", 0)
 	b.put(key, raw(t, record.Group{Tasks: []record.Task{{Num: 0}, {Num: 1}}}), 3)
@@ -166,7 +166,7 @@
 	b.put(jobKey("wk-1"), raw(t, record.Job{Job: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
 	key := groupKey("wk-1", 0)
 	b.put(key, raw(t, record.Group{Tasks: []record.Task{{Num: 0}}}), 3)
-	b.events(&wire.Events{Revision: 9, Events: []wire.Event{{Delete: key, Version: 9}}})
+	b.events(&wire.WatchResponse{Revision: 9, Events: []wire.Event{{Delete: key, Revision: 9}}})
 	b.put(key, raw(t, record.Group{Done: 1}), 5)
 	if b.recByKey[key] != nil || len(b.jobs["wk-1"].recs) != 0 {
 		t.Error("a deleted record is back")
@@ -244,7 +244,7 @@
 	}{{2 * time.Second, 0, false}, {4 * time.Second, 0, true}, {4 * time.Second, 50, false}, {7 * time.Second, 50, true}} {
 		b := lone(t)
 		p := b.parts[0]
-		b.takeReport(b.machine("host-1"), &wire.Report{Machine: "host-1", Type: "small", Zone: "a", Session: 1, Seq: 1, Token: 1}, p, true)
+		b.takeReport(b.machine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
 		for i, team := range []string{"blue", "red"} {
 			id := fmt.Sprintf("wk-%d", i+1)
 			b.put(jobKey(id), raw(t, record.Job{Job: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAM: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
@@ -340,17 +340,17 @@
 	gone := raw(t, record.Job{Fate: cancelled, Job: spec})
 	b.put(jobKey("wk-1"), gone, 20) // our own write's result
 	used("cancelled here:", 2)
-	b.events(&wire.Events{Revision: 21, Events: []wire.Event{
-		{Put: groupKey("wk-1", 0), Value: group("host-1"), Version: 15}, {Put: jobKey("wk-1"), Value: gone, Version: 20}}})
+	b.events(&wire.WatchResponse{Revision: 21, Events: []wire.Event{
+		{Put: groupKey("wk-1", 0), Value: group("host-1"), Revision: 15}, {Put: jobKey("wk-1"), Value: gone, Revision: 20}}})
 	used("its binding is known:", 2)
-	b.events(&wire.Events{Revision: 22, Events: []wire.Event{{Put: groupKey("wk-1", 0), Value: group(""), Version: 22}}})
+	b.events(&wire.WatchResponse{Revision: 22, Events: []wire.Event{{Put: groupKey("wk-1", 0), Value: group(""), Revision: 22}}})
 	used("proven gone:", 0)
 
 	// The same where not even the dealing is known yet.
 	b.put(jobKey("wk-2"), raw(t, record.Job{Job: spec}), 30)
 	b.cursor = 30
 	b.put(jobKey("wk-2"), gone, 40)
-	b.events(&wire.Events{Revision: 41, Events: []wire.Event{
-		{Put: groupKey("wk-2", 0), Value: group("host-2"), Version: 35}, {Put: jobKey("wk-2"), Value: gone, Version: 40}}})
+	b.events(&wire.WatchResponse{Revision: 41, Events: []wire.Event{
+		{Put: groupKey("wk-2", 0), Value: group("host-2"), Revision: 35}, {Put: jobKey("wk-2"), Value: gone, Revision: 40}}})
 	used("dealt and bound before it was cancelled here:", 2)
 }
--- a/internal/controller/caps.go
+++ b/internal/controller/caps.go
@@ -18,7 +18,7 @@
 	level := j.spec.Priority
 	var from []*rec
 	for r := range b.records() {
-		if r.job == j || r.job.spec == nil || r.job.team != j.team || r.job.fate != live || r.job.spec.Whole() || r.job.spec.Priority > level {
+		if r.job == j || r.job.spec == nil || r.job.team != j.team || r.job.fate != live || r.job.spec.AllOrNothing() || r.job.spec.Priority > level {
 			continue
 		}
 		if r.cap != 0 { // what is on its way out already
@@ -71,7 +71,7 @@
 	b.metrics.count(cCapped, 1)
 	b.lead.writes++
 	b.write(&store.Unit{Early: true, Contested: true,
-		If:   []wire.Condition{b.leaderCondition(), {Key: r.key, Version: r.stamp}},
+		If:   []wire.Condition{b.leaderCondition(), {Key: r.key, Revision: r.stamp}},
 		Then: []wire.Change{{Put: r.key, Value: b.content(&changed, r.done, r.entries).At(r.key)}},
 	}, func(err error) { r.writing = false; b.leadWrote(epoch, err) })
 }
--- a/internal/controller/causes_test.go
+++ b/internal/controller/causes_test.go
@@ -111,7 +111,7 @@
 	b := lone(t)
 	p := b.parts[0]
 	m := b.machine("host-1")
-	b.takeReport(m, &wire.Report{Machine: "host-1", Type: "small", Zone: "a", Session: 1, Seq: 1, Token: 1}, p, true)
+	b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
 	b.put(jobKey("wk-1"), raw(t, record.Job{Job: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
 	b.put(groupKey("wk-1", 0), raw(t, record.Group{Tasks: []record.Task{{Attempt: 1, Machine: "host-1", Session: 1}}}), 3)
 	if cmds := b.commands(m, p); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
@@ -137,8 +137,8 @@
 	bad, worse := job("wk-1"), job("wk-2")
 	for i := range 4 {
 		m := b.machine(fmt.Sprint("host-", i))
-		b.taskEnded(m, bad, wire.WhyError)
-		b.taskEnded(m, worse, wire.WhyError)
+		b.taskEnded(m, bad, wire.ReasonError)
+		b.taskEnded(m, worse, wire.ReasonError)
 	}
 	for i := range 4 {
 		if b.machine(fmt.Sprint("host-", i)).suspect {
@@ -147,11 +147,11 @@
 	}
 	sick := b.machine("host-9")
 	good, fine := job("wk-3"), job("wk-4")
-	b.taskEnded(sick, good, wire.WhyError)
+	b.taskEnded(sick, good, wire.ReasonError)
 	if sick.suspect {
 		t.Error("a machine is blamed for one failure")
 	}
-	b.taskEnded(sick, fine, wire.WhyError)
+	b.taskEnded(sick, fine, wire.ReasonError)
 	if !sick.suspect {
 		t.Error("a machine that fails several jobs is not found")
 	}
--- a/internal/controller/deal.go
+++ b/internal/controller/deal.go
@@ -78,7 +78,7 @@
 	places := map[string]bool{} // whether jobs of a kind find any room at all
 	placeable := func(j *job) bool {
 		kind := j.sig
-		if j.spec.OneZone {
+		if j.spec.SingleZone {
 			kind += "/" + b.pinned(j)
 		}
 		ok, known := places[kind]
@@ -99,7 +99,7 @@
 			b.dealRest(j, dealt)
 			continue
 		}
-		if b.now.Sub(j.dealtAt) < dealEvery && !j.spec.Whole() {
+		if b.now.Sub(j.dealtAt) < dealEvery && !j.spec.AllOrNothing() {
 			if left := j.spec.Tasks - dealt; left > 0 {
 				n := limits[j.team].Room(j.need, left)
 				short[j.team] = short[j.team] || n < left && placeable(j)
@@ -112,7 +112,7 @@
 			if must > 0 {
 				left = min(left, must)
 			}
-			if noRoom[j.sig] && !j.spec.Whole() && must == 0 {
+			if noRoom[j.sig] && !j.spec.AllOrNothing() && must == 0 {
 				// Jobs alike are decided as a class: where one found no room,
 				// none behind it will.
 				n := limits[j.team].Room(j.need, left)
@@ -132,13 +132,13 @@
 			}
 			w := b.dealJob(hosts, limits, j, portion{dealt, left, must > 0})
 			if w.Count > 0 {
-				if j.spec.Whole() && j.spec.Tasks == 1 && !b.lentFor(j) {
+				if j.spec.AllOrNothing() && j.spec.Tasks == 1 && !b.lentFor(j) {
 					alike[j.sig], w.Groups = len(wants), 1
 				}
 				wants = append(wants, w)
 				noRoom[j.sig] = true
 			}
-			if j.spec.Whole() && limits[j.team].Used == before && (b.now.Sub(j.at) < groupPatience || placeable(j)) {
+			if j.spec.AllOrNothing() && limits[j.team].Used == before && (b.now.Sub(j.at) < groupPatience || placeable(j)) {
 				// What a group waits for is not for those behind it, unless no machine
 				// has come for it in good time: none may ever.
 				limits[j.team].Used = before.Plus(j.need.Times(left))
@@ -158,7 +158,7 @@
 // second.
 func (b *brain) placeable(hosts []*core.Host, j *job) bool {
 	zone := ""
-	if j.spec.OneZone {
+	if j.spec.SingleZone {
 		zone = b.pinned(j)
 	}
 	can := func(h *core.Host) bool {
@@ -222,7 +222,7 @@
 	for _, r := range stuck {
 		n := lost[r]
 		c := class{r.job.sig, r.zone, r.part, r.claim()}
-		if !r.writing && b.now.Sub(r.since) > time.Second && (r.job.spec.Whole() || !nowhere[c]) {
+		if !r.writing && b.now.Sub(r.since) > time.Second && (r.job.spec.AllOrNothing() || !nowhere[c]) {
 			if b.moveStuck(hosts, r, n) {
 				continue
 			}
@@ -263,7 +263,7 @@
 // want is what a job's tasks that found no room ask of the fleet.
 func (b *brain) want(j *job, zone string, n int) core.Want {
 	spec, o := j.spec, b.order(j)
-	return core.Want{Class: spec.Class, Need: j.need, Count: n, Service: spec.Whole(), Estimate: spec.EstimateS, Window: o.Window(), Slack: b.slack(j),
+	return core.Want{Class: spec.Class, Need: j.need, Count: n, Service: spec.AllOrNothing(), Estimate: spec.EstimateS, Window: o.Window(), Slack: b.slack(j),
 		Allows: func(typ, zoneOf string, spot bool) bool { return allowed(spec, zone, typ, zoneOf, spot) }}
 }
 
@@ -282,7 +282,7 @@
 	ahead := make([]float64, len(b.parts))
 	t := b.turnaround().Seconds()
 	for r := range b.records() {
-		if r.job.spec != nil && !r.job.spec.Whole() {
+		if r.job.spec != nil && !r.job.spec.AllOrNothing() {
 			ahead[r.part] += core.Ahead(r.bound(), r.job.spec.EstimateS, t)
 		}
 	}
@@ -311,7 +311,7 @@
 	spec := j.spec
 	lim := &limits[j.team]
 	room := lim.Room(j.need, left)
-	if spec.Whole() && room < left {
+	if spec.AllOrNothing() && room < left {
 		room = 0 // it is dealt whole
 	}
 	if room == 0 {
@@ -358,7 +358,7 @@
 			return !h.Booting && (i >= pooled || b.poolOpen(j, h)) && allowed(spec, zone, h.Type, h.Zone, h.Spot)
 		}
 		d := core.Dealing{Need: j.need, Count: n, Claim: claim, Can: can, Tight: tight, Must: ask.must}
-		if spec.Whole() {
+		if spec.AllOrNothing() {
 			// The whole group in one part, so that its cells are reserved
 			// together; its part's owner evicts where there is no free room.
 			part, ok := d.Whole(hosts, len(b.parts))
@@ -401,7 +401,7 @@
 	}
 	b.writeDealing(j, chunks)
 	zone := ""
-	if spec.OneZone {
+	if spec.SingleZone {
 		zone = b.pinned(j)
 	}
 	return b.want(j, zone, room-got)
@@ -451,7 +451,7 @@
 	if len(chunks) == 0 {
 		return
 	}
-	u := &store.Unit{Prompt: j.spec.Gang, Early: true, If: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Version: j.stamp}}}
+	u := &store.Unit{Prompt: j.spec.Gang, Early: true, If: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.stamp}}}
 	empty := j.emptyRecs()
 	var used []*rec
 	tasks := 0
@@ -465,7 +465,7 @@
 		} else {
 			key = groupKey(j.id, j.newRec())
 		}
-		u.If = append(u.If, wire.Condition{Key: key, Version: stamp})
+		u.If = append(u.If, wire.Condition{Key: key, Revision: stamp})
 		u.Then = append(u.Then, wire.Change{Put: key, Value: g.Encode(b.form()).At(key)})
 	}
 	j.dealtAt = b.now
@@ -507,10 +507,10 @@
 
 // zonesFor lists the zones to try; "" stands for any.
 func (b *brain) zonesFor(j *job, hosts []*core.Host) []string {
-	if !j.spec.OneZone && !j.spec.Spread {
+	if !j.spec.SingleZone && !j.spec.Spread {
 		return []string{""}
 	}
-	if z := b.pinned(j); z != "" && j.spec.OneZone {
+	if z := b.pinned(j); z != "" && j.spec.SingleZone {
 		return []string{z}
 	}
 	free := map[string]int{}
@@ -524,7 +524,7 @@
 		zones = append(zones, z)
 	}
 	slices.SortFunc(zones, func(x, y string) int { return cmp.Or(cmp.Compare(free[y], free[x]), cmp.Compare(x, y)) })
-	if j.spec.OneZone && len(zones) > 1 {
+	if j.spec.SingleZone && len(zones) > 1 {
 		return zones[:1]
 	}
 	return zones
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -100,17 +100,17 @@
 
 // gangSeen learns from the state of a gang's task. After a take-over the reports are all
 // there is to tell whether an attempt has run.
-func (j *job) gangSeen(t *wire.TaskReport) {
+func (j *job) gangSeen(t *wire.TaskStatus) {
 	switch t.State {
 	case wire.Running, wire.Saving:
 		j.ran = max(j.ran, t.Attempt)
 	case wire.Exited:
-		switch t.Why {
-		case wire.WhyDone:
+		switch t.Reason {
+		case wire.ReasonDone:
 			j.finished = true // they complete together
-		case wire.WhyAlone, wire.WhyError:
+		case wire.ReasonIncompleteGang, wire.ReasonError:
 			j.spoilt = max(j.spoilt, t.Attempt)
-		case wire.WhyPeers:
+		case wire.ReasonPeersGone:
 			j.ran = max(j.ran, t.Attempt)
 		}
 	}
@@ -119,7 +119,7 @@
 // grace is what a task is given to save when it is stopped: what it asks for, unless
 // there is nothing to save. A gang saves together or not at all.
 func (b *brain) grace(j *job) float64 {
-	if j.fate != live || j.spec == nil || j.spec.CheckS == 0 || j.spec.Gang && b.broken(j) {
+	if j.fate != live || j.spec == nil || j.spec.CheckpointS == 0 || j.spec.Gang && b.broken(j) {
 		return 0
 	}
 	return j.spec.SaveS
--- a/internal/controller/gang_clauses_test.go
+++ b/internal/controller/gang_clauses_test.go
@@ -245,7 +245,7 @@
 	m := b.machine("host-1")
 	j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2}}
 	b.jobs["wk-1"] = j
-	for _, why := range []string{wire.WhyPeers, wire.WhyAlone} {
+	for _, why := range []string{wire.ReasonPeersGone, wire.ReasonIncompleteGang} {
 		for range 5 {
 			b.taskEnded(m, j, why)
 		}
@@ -253,7 +253,7 @@
 	if len(m.failed) > 0 || len(j.failedOn) > 0 || !m.cooling.IsZero() || !j.retryAt.IsZero() || m.suspect {
 		t.Errorf("machine: %v %v %v, job: %v %v", m.failed, m.cooling, m.suspect, j.failedOn, j.retryAt)
 	}
-	b.taskEnded(m, j, wire.WhyError)
+	b.taskEnded(m, j, wire.ReasonError)
 	if len(m.failed) != 1 || len(j.failedOn) != 1 {
 		t.Error("a failure is not noted")
 	}
@@ -273,24 +273,24 @@
 		{"all wait", wire.Gathering, "", false, false}, {"one is lost while they wait", wire.Gathering, "", true, false},
 		{"all run", wire.Running, "", false, false}, {"one is lost while they run", wire.Running, "", true, true},
 		{"one is lost while they save", wire.Saving, "", true, true},
-		{"one was not joined in time", wire.Exited, wire.WhyAlone, false, true},
-		{"one has failed", wire.Exited, wire.WhyError, false, true},
-		{"one has found out", wire.Exited, wire.WhyPeers, false, true},
+		{"one was not joined in time", wire.Exited, wire.ReasonIncompleteGang, false, true},
+		{"one has failed", wire.Exited, wire.ReasonError, false, true},
+		{"one has found out", wire.Exited, wire.ReasonPeersGone, false, true},
 	} {
 		b := lone(t)
 		p := b.parts[0]
 		m := b.machine("host-1")
-		b.takeReport(m, &wire.Report{Machine: "host-1", Type: "small", Zone: "a", Session: 1, Seq: 1, Token: 1}, p, true)
-		b.put(jobKey("wk-1"), raw(t, record.Job{At: b.now.UnixMilli(), Job: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2, CPUs: 1, CheckS: 5, SaveS: 2, Team: "t"}}), 2)
+		b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+		b.put(jobKey("wk-1"), raw(t, record.Job{At: b.now.UnixMilli(), Job: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2, CPUs: 1, CheckpointS: 5, SaveS: 2, Team: "t"}}), 2)
 		tasks := []record.Task{{Num: 0, Attempt: 1, Machine: "host-1", Session: 1}, {Num: 1, Attempt: 1, Machine: "host-1", Session: 1}}
 		if x.lost {
 			tasks[1] = record.Task{Num: 1, Attempt: 1}
 		}
 		b.put(groupKey("wk-1", 0), raw(t, record.Group{Tasks: tasks}), 3)
-		r := &wire.Report{Machine: "host-1", Type: "small", Zone: "a", Session: 1, Seq: 2, Token: 1, Tasks: []wire.TaskReport{{Task: "wk-1/0", Attempt: 1, State: x.state, Why: x.why}}}
+		r := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, Token: 1, Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: x.state, Reason: x.why}}}
 		if !x.lost {
-			r.Tasks = append(r.Tasks, wire.TaskReport{Task: "wk-1/1", Attempt: 1, State: wire.Running})
-			if x.state == wire.Gathering || x.why == wire.WhyAlone {
+			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: "wk-1/1", Attempt: 1, State: wire.Running})
+			if x.state == wire.Gathering || x.why == wire.ReasonIncompleteGang {
 				r.Tasks[1].State = wire.Gathering
 			}
 		}
@@ -313,7 +313,7 @@
 		b := lone(t)
 		p := b.parts[0]
 		m := b.machine("host-1")
-		b.takeReport(m, &wire.Report{Machine: "host-1", Type: "small", Zone: "a", Session: 1, Seq: 1, Token: 1}, p, true)
+		b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
 		b.put(jobKey("wk-1"), raw(t, record.Job{At: b.now.UnixMilli(), Job: &wire.Job{ID: "wk-1", Gang: true, Tasks: 4, CPUs: 1, Team: "t"}}), 2)
 		var recs []*rec
 		for k := range records {
@@ -328,20 +328,20 @@
 		return b, p, recs
 	}
 	report := func(b *brain, p *part, seq uint64, whys map[int]string) {
-		r := &wire.Report{Machine: "host-1", Type: "small", Zone: "a", Session: 1, Seq: seq, Token: 1}
+		r := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, Token: 1}
 		for n := range 4 {
 			if why, ok := whys[n]; ok {
-				r.Tasks = append(r.Tasks, wire.TaskReport{Task: fmt.Sprint("wk-1/", n), Attempt: 1, State: wire.Exited, Why: why})
+				r.Tasks = append(r.Tasks, wire.TaskStatus{Task: fmt.Sprint("wk-1/", n), Attempt: 1, State: wire.Exited, Reason: why})
 			} else {
-				r.Tasks = append(r.Tasks, wire.TaskReport{Task: fmt.Sprint("wk-1/", n), Attempt: 1, State: wire.Running})
+				r.Tasks = append(r.Tasks, wire.TaskStatus{Task: fmt.Sprint("wk-1/", n), Attempt: 1, State: wire.Running})
 			}
 		}
 		b.takeReport(b.machine("host-1"), r, p, true)
 	}
 	for name, whys := range map[string]map[int]string{
-		"only one is heard":       {2: wire.WhyDone},
-		"others say mates_gone":   {0: wire.WhyPeers, 1: wire.WhyDone, 3: wire.WhyPeers},
-		"others are said stopped": {0: wire.WhyStopped, 3: wire.WhyDone},
+		"only one is heard":       {2: wire.ReasonDone},
+		"others say mates_gone":   {0: wire.ReasonPeersGone, 1: wire.ReasonDone, 3: wire.ReasonPeersGone},
+		"others are said stopped": {0: wire.ReasonStopped, 3: wire.ReasonDone},
 	} {
 		b, p, recs := setUp(t, 1)
 		report(b, p, 2, whys)
@@ -351,13 +351,13 @@
 		}
 	}
 	b, p, recs := setUp(t, 1)
-	report(b, p, 2, map[int]string{0: wire.WhyPeers, 1: wire.WhyPeers, 2: wire.WhyPeers, 3: wire.WhyPeers})
+	report(b, p, 2, map[int]string{0: wire.ReasonPeersGone, 1: wire.ReasonPeersGone, 2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
 	if update := b.planUpdate(p, recs[0]); update.done != 0 || len(update.entries) != 4 {
 		t.Errorf("none is done: %d done, %d left", update.done, len(update.entries))
 	}
 	b, p, recs = setUp(t, 2)
 	b.put(recs[0].key, raw(t, record.Group{Done: 2, Tasks: []record.Task{}}), 9) // by the owner before
-	report(b, p, 2, map[int]string{2: wire.WhyPeers, 3: wire.WhyPeers})
+	report(b, p, 2, map[int]string{2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
 	if update := b.planUpdate(p, recs[1]); update.done != 2 || !b.endsJob(recs[1], &update) {
 		t.Errorf("half is stored as done: %d more are", update.done)
 	}
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -79,7 +79,7 @@
 // kept for gangs there.
 func TestOtherZoneCountsRoomForGangs(t *testing.T) {
 	b := loneAmong(t, 3)
-	b.put(jobKey("wk-1"), raw(t, record.Job{At: b.now.UnixMilli(), Job: &wire.Job{ID: "wk-1", Team: "t", Gang: true, OneZone: true, Tasks: 3, CPUs: 2}}), 2)
+	b.put(jobKey("wk-1"), raw(t, record.Job{At: b.now.UnixMilli(), Job: &wire.Job{ID: "wk-1", Team: "t", Gang: true, SingleZone: true, Tasks: 3, CPUs: 2}}), 2)
 	b.put(groupKey("wk-1", 0), raw(t, record.Group{Part: 1, Zone: "a", Tasks: []record.Task{{Num: 0}, {Num: 1}, {Num: 2}}}), 3)
 	r := b.recByKey[groupKey("wk-1", 0)]
 	r.since = b.now.Add(-zonePatience - time.Second)
@@ -103,8 +103,8 @@
 	p := b.parts[0]
 	m := b.machine("host-1")
 	report := func(seq uint64, state, why string) {
-		b.takeReport(m, &wire.Report{Machine: "host-1", Type: "small", Zone: "a", Session: 1, Seq: seq, Token: 1,
-			Tasks: []wire.TaskReport{{Task: "wk-1/0", Attempt: 1, State: state, Why: why}, {Task: "wk-1/1", Attempt: 1, State: wire.Gathering}}}, p, true)
+		b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, Token: 1,
+			Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: state, Reason: why}, {Task: "wk-1/1", Attempt: 1, State: wire.Gathering}}}, p, true)
 	}
 	b.put(jobKey("wk-1"), raw(t, record.Job{At: b.now.UnixMilli(), Job: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAM: 1}}), 2)
 	bound := func(num int32) record.Task { return record.Task{Num: num, Attempt: 1, Machine: "host-1", Session: 1} }
@@ -114,7 +114,7 @@
 	if len(p.alloc) != 1 {
 		t.Fatalf("%d tasks have claimed cells, not the one that is lost", len(p.alloc))
 	}
-	report(3, wire.Exited, wire.WhyAlone)
+	report(3, wire.Exited, wire.ReasonIncompleteGang)
 	b.tellGangs(p)
 	if len(p.alloc) != 0 {
 		t.Errorf("%d claims are left", len(p.alloc))
@@ -208,7 +208,7 @@
 	m.token = p.term
 	for _, x := range m.bound {
 		e := x.rec.find(x.task.Num)
-		m.tasks = append(m.tasks, wire.TaskReport{Task: taskName(x.rec.job.id, e.num), Attempt: e.attempt, State: wire.Running})
+		m.tasks = append(m.tasks, wire.TaskStatus{Task: taskName(x.rec.job.id, e.num), Attempt: e.attempt, State: wire.Running})
 	}
 	if !b.onlyServes(m, p) {
 		t.Fatal("services that run keep a machine")
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -168,7 +168,7 @@
 // may be the last of its leader: the other records follow the first one.
 func TestGangMovesWhole(t *testing.T) {
 	b := loneAmong(t, 3)
-	spec := &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 2, Priority: 1, OneZone: true}
+	spec := &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 2, Priority: 1, SingleZone: true}
 	b.put(jobKey("wk-1"), raw(t, record.Job{At: b.now.UnixMilli(), Job: spec}), 2)
 	b.put(groupKey("wk-1", 0), raw(t, record.Group{Part: 1, Zone: "a", Tasks: []record.Task{{Num: 0}, {Num: 1}}}), 3)
 	b.put(groupKey("wk-1", 1), raw(t, record.Group{Part: 0, Zone: "a", Tasks: []record.Task{{Num: 2}, {Num: 3}}}), 4)
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -44,7 +44,7 @@
 			}
 			h.Free = h.Free.Minus(r.job.need)
 			h.Claims = append(h.Claims, core.HeldCell{Claim: r.claim(), Size: r.job.need})
-			h.Pinned = h.Pinned || r.job.spec.Whole()
+			h.Pinned = h.Pinned || r.job.spec.AllOrNothing()
 		}
 		if b.lead.closing[m.name] {
 			h.Free, h.Claims = core.Res{}, nil // no room for anybody
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -133,7 +133,7 @@
 				budget--
 				j.ending = true
 				b.write(&store.Unit{
-					If:   []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Version: j.stamp}},
+					If:   []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.stamp}},
 					Then: []wire.Change{{Put: jobKey(j.id), Value: record.JSON(record.Job{Fate: done})}},
 				}, func(error) { j.ending = false })
 			}
@@ -146,7 +146,7 @@
 			budget--
 			r.writing = true
 			b.write(&store.Unit{
-				If:   []wire.Condition{b.leaderCondition(), {Key: r.key, Version: r.stamp}},
+				If:   []wire.Condition{b.leaderCondition(), {Key: r.key, Revision: r.stamp}},
 				Then: []wire.Change{{Delete: r.key}},
 			}, func(err error) {
 				if err != nil { // its owner wrote it meanwhile: not before that is known
--- a/internal/controller/lend.go
+++ b/internal/controller/lend.go
@@ -106,7 +106,7 @@
 		v := l.Loan
 		v.Ack = true
 		b.write(&store.Unit{Prompt: true,
-			If:   []wire.Condition{{Key: p.key, Version: p.term}, {Key: preLend + name, Version: l.stamp}},
+			If:   []wire.Condition{{Key: p.key, Revision: p.term}, {Key: preLend + name, Revision: l.stamp}},
 			Then: []wire.Change{{Put: preLend + name, Value: record.JSON(v)}},
 		}, func(error) { l.writing = false })
 	}
@@ -148,7 +148,7 @@
 
 // runs tells whether a machine's newest report shows an attempt running.
 func (m *machine) runs(task string, e *entry) bool {
-	return slices.ContainsFunc(m.tasks, func(t wire.TaskReport) bool {
+	return slices.ContainsFunc(m.tasks, func(t wire.TaskStatus) bool {
 		return t.Task == task && t.Attempt == e.attempt && t.State == wire.Running && e.session == m.session
 	})
 }
@@ -206,7 +206,7 @@
 	// As many as one change can be; the others follow in the next steps.
 	chosen = chosen[:min(len(chosen), b.cfg.Settings.State.TxnOps)]
 	b.log.Info("machines are borrowed for a group", "job", j.id, "machines", len(chosen))
-	b.borrowMachines(chosen, []wire.Condition{{Key: jobKey(j.id), Version: j.stamp}}, record.Loan{Job: j.id, Level: c.Level, Own: c.Own, Team: j.spec.Team})
+	b.borrowMachines(chosen, []wire.Condition{{Key: jobKey(j.id), Revision: j.stamp}}, record.Loan{Job: j.id, Level: c.Level, Own: c.Own, Team: j.spec.Team})
 	return true
 }
 
@@ -298,7 +298,7 @@
 		u.If = append(u.If, wire.Condition{Key: key})
 		if !parts[h.Part] {
 			parts[h.Part] = true
-			u.If = append(u.If, wire.Condition{Key: b.parts[h.Part].key, Version: b.vers[b.parts[h.Part].key]})
+			u.If = append(u.If, wire.Condition{Key: b.parts[h.Part].key, Revision: b.vers[b.parts[h.Part].key]})
 		}
 		u.Then = append(u.Then, wire.Change{Put: key, Value: record.JSON(v)})
 	}
@@ -379,7 +379,7 @@
 func (b *brain) handBack(name string, l *lend) {
 	l.writing, l.leaving = true, true
 	b.write(&store.Unit{
-		If:   []wire.Condition{b.leaderCondition(), {Key: preLend + name, Version: l.stamp}},
+		If:   []wire.Condition{b.leaderCondition(), {Key: preLend + name, Revision: l.stamp}},
 		Then: []wire.Change{{Delete: preLend + name}},
 	}, func(error) { l.writing, l.leaving = false, false })
 }
--- a/internal/controller/levels.go
+++ b/internal/controller/levels.go
@@ -51,7 +51,7 @@
 
 // leaderCondition has a write fail if this controller does not lead any more.
 func (b *brain) leaderCondition() wire.Condition {
-	return wire.Condition{Key: b.leaderKey(), Version: b.lead.term}
+	return wire.Condition{Key: b.leaderKey(), Revision: b.lead.term}
 }
 
 // form is the form in which records are written.
@@ -244,9 +244,9 @@
 }
 
 // refuses is the answer of a controller that must not serve; false: it may.
-func (b *brain) refuses() (api.Answer, bool) {
+func (b *brain) refuses() (api.Response, bool) {
 	if b.levels.refusal == nil {
-		return api.Answer{}, false
+		return api.Response{}, false
 	}
 	return unavailable(b.levels.refusal.Error()), true
 }
--- a/internal/controller/levels_world_test.go
+++ b/internal/controller/levels_world_test.go
@@ -48,7 +48,7 @@
 	}
 	var answer any
 	if r.URL.Path == "/watch" {
-		var events wire.Events
+		var events wire.WatchResponse
 		_ = json.Unmarshal(raw, &events)
 		kept := events.Events[:0]
 		for _, e := range events.Events {
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -32,7 +32,7 @@
 	heard        time.Time // last report
 	answered     time.Time // last time we sent a 200, which may have renewed its lease
 	notice       time.Time // when the cloud takes it; zero: no notice
-	tasks        []wire.TaskReport
+	tasks        []wire.TaskStatus
 	images       map[string]bool
 	fetching     map[string]time.Time // images that are being fetched, since when
 	cooling      time.Time            // nothing is placed on it before then
@@ -221,12 +221,12 @@
 }
 
 // report takes a worker's report in and answers it.
-func (b *brain) report(r *wire.Report) api.Answer {
+func (b *brain) report(r *wire.Heartbeat) api.Response {
 	b.metrics.count(cReports, 1)
 	b.reportAt = b.now
 	defer b.metrics.spend(dReport, time.Now())
 	if !b.loaded {
-		return api.Answer{Status: http.StatusServiceUnavailable, Reason: "starting"}
+		return api.Response{Status: http.StatusServiceUnavailable, Reason: "starting"}
 	}
 	if refusal, refused := b.refuses(); refused {
 		return refusal
@@ -235,23 +235,23 @@
 	if p.term == 0 {
 		h, ok := b.holders[p.key]
 		if !ok || h.Node == b.cfg.Name {
-			return api.Answer{Status: http.StatusServiceUnavailable, Reason: "no owner"}
+			return api.Response{Status: http.StatusServiceUnavailable, Reason: "no owner"}
 		}
 		b.metrics.count(cRedirected, 1)
-		return api.Answer{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Node: h.Node}}
+		return api.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Node: h.Node}}
 	}
 	if r.Token > p.term {
 		// A later owner has spoken to it: we have been replaced.
-		return api.Answer{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{}}
+		return api.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{}}
 	}
 	if !b.fresh(b.hold) {
 		// See HoldTime: a user may have been told "cancelled" meanwhile.
-		return api.Answer{Status: http.StatusServiceUnavailable, Reason: "state service out of reach"}
+		return api.Response{Status: http.StatusServiceUnavailable, Reason: "state service out of reach"}
 	}
 	m := b.machine(r.Machine)
 	told := m.probeOK
 	newer := b.takeReport(m, r, p, true)
-	ans := wire.ReportAnswer{Token: p.term, Commands: []wire.Command{}}
+	ans := wire.HeartbeatResponse{Token: p.term, Commands: []wire.Command{}}
 	// The answer renews the lease from when the report was sent. One that is not
 	// new was sent before the newest came in; it may be a copy that comes long
 	// after its machine died, which must not put off the proof of that.
@@ -267,23 +267,23 @@
 			m.respOpen = m.respOpen || c.Op == wire.OpStart
 		}
 	}
-	return api.Answer{Status: http.StatusOK, Body: ans}
+	return api.Response{Status: http.StatusOK, Body: ans}
 }
 
 // takeReport takes in the newest that a machine told; false if it was not new.
-func (b *brain) takeReport(m *machine, r *wire.Report, p *part, viaReport bool) bool {
-	if r.Session < m.session || r.Session == m.session && r.Seq <= m.seq {
+func (b *brain) takeReport(m *machine, r *wire.Heartbeat, p *part, viaReport bool) bool {
+	if r.Incarnation < m.session || r.Incarnation == m.session && r.Sequence <= m.seq {
 		return false
 	}
-	if r.Session > m.session && m.session > 0 {
-		b.log.Info("machine begins a new session", "machine", m.name, "session", r.Session)
+	if r.Incarnation > m.session && m.session > 0 {
+		b.log.Info("machine begins a new session", "machine", m.name, "session", r.Incarnation)
 		m.images, m.fetching = map[string]bool{}, map[string]time.Time{}
 		m.openDo, m.respOpen = 0, false // commands of an earlier session are refused
 		m.lapsed = !m.answered.IsZero() // it lost its lease: did it hear us at all?
 	}
 	// Most reports say nothing that changes a decision: a tick comes soon enough.
-	news := r.Session != m.session || r.Token != m.token || (r.NoticeS == nil) != m.notice.IsZero() || viaReport && !b.up(m, p)
-	m.session, m.seq, m.token = r.Session, r.Seq, r.Token
+	news := r.Incarnation != m.session || r.Token != m.token || (r.NoticeS == nil) != m.notice.IsZero() || viaReport && !b.up(m, p)
+	m.session, m.seq, m.token = r.Incarnation, r.Sequence, r.Token
 	m.addr, m.typ, m.zone, m.spot = r.Addr, r.Type, r.Zone, r.Spot
 	first := m.heard.Before(p.since)
 	m.probeOK = b.now
@@ -345,9 +345,9 @@
 		if t.State != wire.Exited {
 			continue
 		}
-		o := outcome{attempt: e.attempt, done: t.Why == wire.WhyDone && j.spec != nil && !j.spec.Service, err: t.Why == wire.WhyError}
+		o := outcome{attempt: e.attempt, done: t.Reason == wire.ReasonDone && j.spec != nil && !j.spec.Service, err: t.Reason == wire.ReasonError}
 		if old, ok := b.outcomes[r.task(e.num)]; !ok || old.attempt != e.attempt {
-			b.taskEnded(m, j, t.Why)
+			b.taskEnded(m, j, t.Reason)
 		}
 		b.end(r, e, o)
 	}
@@ -402,9 +402,9 @@
 // taskEnded learns from how a task ended.
 func (b *brain) taskEnded(m *machine, j *job, why string) {
 	switch why {
-	case wire.WhyDone:
+	case wire.ReasonDone:
 		clear(m.failed)
-	case wire.WhyError:
+	case wire.ReasonError:
 		// A machine that fails tasks of several jobs is sick; a job that fails
 		// on several machines is its user's mistake. Until it is clear which,
 		// both rest a while: a sick machine fails what it gets at once and
@@ -425,7 +425,7 @@
 			}
 		}
 		b.log.Info("task failed", "job", j.id, "machine", m.name)
-	case wire.WhyNoRoom, wire.WhyBusy, wire.WhyUnknown:
+	case wire.ReasonNoRoom, wire.ReasonInUse, wire.ReasonUnknownTask:
 		m.cooling = b.now.Add(time.Second)
 		b.log.Info("start refused", "job", j.id, "machine", m.name, "why", why)
 	}
@@ -560,7 +560,7 @@
 		return true
 	}
 	// A task that can save is stopped before its machine is taken.
-	return !m.notice.IsZero() && r.job.spec != nil && r.job.spec.CheckS > 0 || m.suspect
+	return !m.notice.IsZero() && r.job.spec != nil && r.job.spec.CheckpointS > 0 || m.suspect
 }
 
 // commands are what a machine should do, by its newest report.
@@ -694,7 +694,7 @@
 		}
 	}
 	term, addr := p.term, m.addr
-	d := &wire.Direct{Token: term, Session: m.session, Commands: cmds}
+	d := &wire.CommandRequest{Token: term, Incarnation: m.session, Commands: cmds}
 	// Counted from the decision, not from when it is sent: a process that stood
 	// still in between has no right to send it any more.
 	limit := fleet.Timeout
@@ -705,7 +705,7 @@
 	ctx, cancel := context.WithDeadline(b.ctx, begun.Add(limit))
 	go func() {
 		defer cancel()
-		r, ok, err := b.fl.Do(ctx, addr, d)
+		r, ok, err := b.fl.Send(ctx, addr, d)
 		b.post(laneWorkers, func() {
 			b.doOpen--
 			defer b.doNext()
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -21,7 +21,7 @@
 // is in two zones; an owner that binds one meanwhile loses by its record's version.
 func (b *brain) otherZone(hosts []*core.Host, r *rec) bool {
 	j, spec := r.job, r.job.spec
-	if !spec.OneZone || r.zone == "" || b.now.Sub(r.since) < zonePatience || !spec.Gang && len(j.recs) > b.cfg.Settings.State.TxnOps {
+	if !spec.SingleZone || r.zone == "" || b.now.Sub(r.since) < zonePatience || !spec.Gang && len(j.recs) > b.cfg.Settings.State.TxnOps {
 		return false
 	}
 	need := 1
@@ -29,7 +29,7 @@
 		if o.writing || o.zone != r.zone || o.bound() > 0 {
 			return false // one has moved already in this step, and others follow it
 		}
-		if spec.Whole() {
+		if spec.AllOrNothing() {
 			need = max(need, len(o.entries))
 		}
 	}
@@ -52,11 +52,11 @@
 	if spec.Gang {
 		return b.relocate(j, j.firstRec().part, best)
 	}
-	u := &store.Unit{Early: true, Contested: true, If: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Version: j.stamp}}}
+	u := &store.Unit{Early: true, Contested: true, If: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.stamp}}}
 	for _, o := range j.recs {
 		moved := *o
 		moved.zone = best
-		u.If = append(u.If, wire.Condition{Key: o.key, Version: o.stamp})
+		u.If = append(u.If, wire.Condition{Key: o.key, Revision: o.stamp})
 		u.Then = append(u.Then, wire.Change{Put: o.key, Value: b.content(&moved, o.done, o.entries).At(o.key)})
 	}
 	b.lead.writes++
@@ -72,7 +72,7 @@
 	if spec.Gang {
 		return b.moveGang(hosts, r.job)
 	}
-	if spec.Whole() && n < len(r.entries) && r.bound() == 0 {
+	if spec.AllOrNothing() && n < len(r.entries) && r.bound() == 0 {
 		n = len(r.entries) // a group that has not started moves whole
 	}
 	perPart := make([]int, len(b.parts))
@@ -95,7 +95,7 @@
 		}
 	}
 	taken := false
-	if spec.Whole() && r.bound() == 0 && most < n {
+	if spec.AllOrNothing() && r.bound() == 0 && most < n {
 		// A group that has not started, or lost all, may evict where it goes.
 		if best, taken = (&core.Dealing{Need: r.job.need, Count: n, Claim: r.claim(), Can: can}).Whole(hosts, len(b.parts)); !taken {
 			return n > 1 && b.borrow(hosts, r.job, r.zone, n, r.claim())
@@ -120,7 +120,7 @@
 	if !taken {
 		core.Take(hosts, in, r.job.need, len(move))
 	}
-	u := &store.Unit{Early: true, Contested: true, If: []wire.Condition{b.leaderCondition(), {Key: jobKey(r.job.id), Version: r.job.stamp}, {Key: r.key, Version: r.stamp}}}
+	u := &store.Unit{Early: true, Contested: true, If: []wire.Condition{b.leaderCondition(), {Key: jobKey(r.job.id), Revision: r.job.stamp}, {Key: r.key, Revision: r.stamp}}}
 	left, moved := r.split(stay, move)
 	moved.part = best
 	if len(stay) == 0 {
@@ -170,7 +170,7 @@
 // as one transaction holds. The others follow (gatherGangs); the gang is reserved when
 // all are together. False if it can't be now.
 func (b *brain) relocate(j *job, part int, zone string) bool {
-	u := &store.Unit{Early: true, Contested: true, If: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Version: j.stamp}}}
+	u := &store.Unit{Early: true, Contested: true, If: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.stamp}}}
 	size := 0
 	for _, r := range j.recsInOrder() {
 		if r.part == part && r.zone == zone {
@@ -186,7 +186,7 @@
 		if n := len(u.Then); n > 0 && (n == b.cfg.Settings.State.TxnOps || size > store.MaxTxnBytes) {
 			break
 		}
-		u.If = append(u.If, wire.Condition{Key: r.key, Version: r.stamp})
+		u.If = append(u.If, wire.Condition{Key: r.key, Revision: r.stamp})
 		u.Then = append(u.Then, wire.Change{Put: r.key, Value: value})
 	}
 	if len(u.Then) == 0 {
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -82,7 +82,7 @@
 // order is what a job's place among others depends on.
 func (b *brain) order(j *job) *core.Job {
 	_, finished := j.dealt()
-	return &core.Job{Whole: j.spec.Whole(), NoDeadline: j.spec.NoDeadline, Begun: j.begun(), Turn: core.Turn(b.now.Unix()),
+	return &core.Job{Whole: j.spec.AllOrNothing(), NoDeadline: j.spec.NoDeadline, Begun: j.begun(), Turn: core.Turn(b.now.Unix()),
 		Age: b.now.Sub(j.at).Seconds(), Estimate: j.spec.EstimateS, Deadline: j.spec.DeadlineS, Within: b.within[j.spec.Class],
 		Left: float64(j.spec.Tasks-finished) * j.spec.EstimateS * j.spec.CPUs}
 }
@@ -148,10 +148,10 @@
 	score := b.scorer(p, r)
 	// An array's tasks wait a little before they stop others: cells come
 	// free all the time, and what is stopped has run for nothing.
-	s := shape{r.job.sig, r.zone, r.claim(), !spec.Whole() && b.now.Sub(r.since) < b.op.EvictAfter}
+	s := shape{r.job.sig, r.zone, r.claim(), !spec.AllOrNothing() && b.now.Sub(r.since) < b.op.EvictAfter}
 	// Where tasks end all the time, those at the head of the queue have a free cell
 	// before long; only what is behind them stops others, until all have waited.
-	patient := !spec.Whole() && b.now.Sub(r.since) < patience*b.op.EvictAfter
+	patient := !spec.AllOrNothing() && b.now.Sub(r.since) < patience*b.op.EvictAfter
 	request := func(tasks ...core.Task) bool {
 		if patient && !s.mild {
 			s.mild = p.queued < p.endsWithin(b.now, b.op.EvictAfter)
@@ -297,7 +297,7 @@
 		}
 	}
 	each := fetchArray
-	if j.Whole() {
+	if j.AllOrNothing() {
 		each = fetchWhole
 	}
 	return min(float64(each)*part*j.ImageGB*float64(1+others)/t.FetchGBPS, fetchMost)
@@ -321,7 +321,7 @@
 		m.pinnedAt, m.pinned = b.steps, false
 		for _, x := range m.bound {
 			r := x.rec
-			if r.job.spec != nil && r.job.spec.Whole() {
+			if r.job.spec != nil && r.job.spec.AllOrNothing() {
 				m.pinned = true
 				break
 			}
@@ -332,7 +332,7 @@
 
 // allowed tells whether a job's task may be on a machine at all.
 func allowed(j *wire.Job, pinned, typ, zone string, spot bool) bool {
-	return (len(j.Types) == 0 || slices.Contains(j.Types, typ)) && (j.Zone == "" || j.Zone == zone) &&
+	return (len(j.MachineTypes) == 0 || slices.Contains(j.MachineTypes, typ)) && (j.Zone == "" || j.Zone == zone) &&
 		(pinned == "" || pinned == zone) && (!spot || j.Spot)
 }
 
--- a/internal/controller/pool.go
+++ b/internal/controller/pool.go
@@ -287,7 +287,7 @@
 // poolZone is the zone in which the pool has the most room for a gang that must be in
 // one; "" for any.
 func (b *brain) poolZone(hosts []*core.Host, c *gangClass) string {
-	if !c.spec.OneZone {
+	if !c.spec.SingleZone {
 		return ""
 	}
 	room, all := map[string]int{}, map[string]int{}
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -325,7 +325,7 @@
 	out := record.JSON(v)
 	if len(out) > b.maxValue() {
 		short := *j.spec
-		short.Types, short.Image, short.Class = nil, "", ""
+		short.MachineTypes, short.Image, short.Class = nil, "", ""
 		v.Job = &short
 		out = record.JSON(v)
 	}
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -22,13 +22,13 @@
 	}
 	b.lead.rentals++
 	epoch := b.lead.epoch
-	req := wire.RentRequest{Request: fmt.Sprintf("r-%d-%d", epoch, b.lead.rentals), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: n}
+	req := wire.LaunchRequest{Request: fmt.Sprintf("r-%d-%d", epoch, b.lead.rentals), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: n}
 	b.lead.renting[o] = n
 	started := b.now
 	b.cloudCall(func() {
-		names, err := b.cl.Rent(b.ctx, req)
+		names, err := b.cl.Launch(b.ctx, req)
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) && !errors.Is(err, cloud.ErrRefused) {
-			names, err = b.cl.Rent(b.ctx, req) // unanswered: the same name rents nothing twice
+			names, err = b.cl.Launch(b.ctx, req) // unanswered: the same name rents nothing twice
 		}
 		b.post(laneWorkers, func() {
 			if b.lead.epoch != epoch {
@@ -83,10 +83,10 @@
 	if b.releasing || len(b.toRelease) == 0 {
 		return
 	}
-	batch := b.toRelease[:min(len(b.toRelease), cloud.MaxRelease)]
+	batch := b.toRelease[:min(len(b.toRelease), cloud.MaxTerminate)]
 	b.toRelease = b.toRelease[len(batch):]
 	b.releasing = b.cloudCall(func() {
-		err := b.cl.Release(b.ctx, batch)
+		err := b.cl.Terminate(b.ctx, batch)
 		b.post(laneWorkers, func() {
 			b.releasing = false
 			if err != nil {
@@ -141,9 +141,9 @@
 		}
 		right := b.leaderCondition()
 		if p := b.parts[m.home]; !b.lead.active && p.term != 0 {
-			right = wire.Condition{Key: p.key, Version: p.term}
+			right = wire.Condition{Key: p.key, Revision: p.term}
 		}
-		if right.Version == 0 {
+		if right.Revision == 0 {
 			b.stay([]string{n}) // whoever has the right by now asks again
 			continue
 		}
@@ -262,7 +262,7 @@
 }
 
 func (b *brain) fetchTypes() {
-	list, err := b.cl.Types(b.ctx)
+	list, err := b.cl.MachineTypes(b.ctx)
 	b.post(laneWorkers, func() {
 		if err != nil || len(list) == 0 {
 			b.log.Debug("machine types", "err", err)
@@ -278,7 +278,7 @@
 
 // takeList takes the cloud's list in: machines that failed are gone, ones that
 // nobody knows of are used.
-func (b *brain) takeList(list []wire.CloudMachine) {
+func (b *brain) takeList(list []wire.Instance) {
 	b.lead.listed = true
 	var failed []string
 	lag := config.Seconds(2 * b.cfg.Settings.Cloud.ListLagS)
@@ -289,7 +289,7 @@
 		if m := b.machines[x.Name]; m != nil && m.gone || b.leaving[x.Name] {
 			continue
 		}
-		if x.State == wire.MachineFailed {
+		if x.State == wire.InstanceFailed {
 			failed = append(failed, x.Name)
 			continue
 		}
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -21,7 +21,7 @@
 // reset takes a whole reading in: pages read at different revisions, and the
 // changes since the first. Only both together are a state that ever was; a count
 // of done tasks that moved between two pages would else be seen twice.
-func (b *brain) reset(items []wire.Item, rev uint64, since *wire.Events) {
+func (b *brain) reset(items []wire.Item, rev uint64, since *wire.WatchResponse) {
 	seen := make(map[string]bool, len(items))
 	for i := range items {
 		seen[items[i].Key] = true
@@ -32,7 +32,7 @@
 		}
 	}
 	for i := range items {
-		b.put(items[i].Key, items[i].Value, items[i].Version)
+		b.put(items[i].Key, items[i].Value, items[i].Revision)
 	}
 	b.cursor = max(b.cursor, rev)
 	b.events(since)
@@ -40,16 +40,16 @@
 	b.loaded = true
 }
 
-func (b *brain) events(ev *wire.Events) {
+func (b *brain) events(ev *wire.WatchResponse) {
 	defer b.metrics.spend(dReplica, time.Now())
 	if ev.Revision <= b.cursor {
 		return
 	}
 	for _, e := range ev.Events {
 		if e.Delete != "" {
-			b.drop(e.Delete, e.Version)
+			b.drop(e.Delete, e.Revision)
 		} else {
-			b.put(e.Put, e.Value, e.Version)
+			b.put(e.Put, e.Value, e.Revision)
 		}
 	}
 	b.cursor = ev.Revision
@@ -262,7 +262,7 @@
 		j.spec = v.Job
 		j.at = time.UnixMilli(v.At)
 		j.need = core.Amount(v.Job.CPUs, v.Job.GPUs, v.Job.RAM)
-		j.sig = fmt.Sprint(v.Job.CPUs, v.Job.GPUs, v.Job.RAM, v.Job.Types, v.Job.Zone, v.Job.Spot, v.Job.Priority, v.Job.Whole(), v.Job.Team)
+		j.sig = fmt.Sprint(v.Job.CPUs, v.Job.GPUs, v.Job.RAM, v.Job.MachineTypes, v.Job.Zone, v.Job.Spot, v.Job.Priority, v.Job.AllOrNothing(), v.Job.Team)
 		j.team = b.team(v.Job.Team)
 	}
 	if j.fate != live {
--- a/internal/controller/rights.go
+++ b/internal/controller/rights.go
@@ -107,10 +107,10 @@
 
 func (b *brain) take(r *right, key string, expect uint64) {
 	lease, err := b.st.Lease(b.ctx, b.op.RightTTL)
-	var ans *wire.TxnAnswer
+	var ans *wire.TxnResponse
 	if err == nil {
 		ans, err = b.st.Txn(b.ctx, &wire.Txn{
-			If:   []wire.Condition{{Key: key, Version: expect}},
+			If:   []wire.Condition{{Key: key, Revision: expect}},
 			Then: []wire.Change{{Put: key, Value: b.holderValue(), Lease: lease}},
 		})
 		if err != nil {
@@ -314,7 +314,7 @@
 	r.busy = true
 	stamp := r.stamp
 	b.write(&store.Unit{
-		If:   []wire.Condition{{Key: key, Version: stamp}},
+		If:   []wire.Condition{{Key: key, Revision: stamp}},
 		Then: []wire.Change{{Put: key, Value: b.holderValue(), Lease: r.lease}},
 	}, func(err error) {
 		r.busy = false
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -268,7 +268,7 @@
 			var items []wire.Item
 			var rev uint64
 			items, rev, err = b.st.All(b.ctx, prefix)
-			var ev *wire.Events
+			var ev *wire.WatchResponse
 			if err == nil {
 				ev, err = b.st.Watch(b.ctx, prefix, rev, 0)
 			}
--- a/internal/controller/shortage_test.go
+++ b/internal/controller/shortage_test.go
@@ -142,7 +142,7 @@
 				limit, done := context.WithTimeout(c.ctx, 1800*time.Millisecond)
 				defer done()
 				begun := time.Now()
-				var ans api.Answer
+				var ans api.Response
 				if i%2 == 0 {
 					ans = b.Poll(limit, "wk-1")
 				} else {
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -120,7 +120,7 @@
 		up                  bool
 	}{{0, 1, 7, false}, {12, 1, 8, false}, {20, 1, 9, true}, {12, 1, 8, true}, {12, 2, 1, false}, {21, 2, 2, true}} {
 		b.now = b.now.Add(time.Second)
-		b.takeReport(m, &wire.Report{Machine: "host-1", Type: "small", Zone: "a", Session: x.session, Seq: x.seq, Token: x.token}, p, true)
+		b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: x.session, Sequence: x.seq, Token: x.token}, p, true)
 		if b.up(m, p) != x.up {
 			t.Errorf("after report %+v the machine is usable: %v", x, !x.up)
 		}
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -15,12 +15,12 @@
 )
 
 // unavailable tells a user to come back.
-func unavailable(why string) api.Answer {
-	return api.Answer{Status: http.StatusServiceUnavailable, RetryAfter: 1, Reason: why}
+func unavailable(why string) api.Response {
+	return api.Response{Status: http.StatusServiceUnavailable, RetryAfter: 1, Reason: why}
 }
 
 // busy tells a user to come back once the actor has done what waits for it.
-func (b *brain) busy() api.Answer {
+func (b *brain) busy() api.Response {
 	a := unavailable("busy")
 	a.RetryAfter = b.inbox.backIn()
 	return a
@@ -45,7 +45,7 @@
 	start, cursor, loaded := b.now, b.cursor, b.loaded
 	go func() {
 		err := errors.New("replica is not loaded")
-		var ev *wire.Events
+		var ev *wire.WatchResponse
 		if loaded {
 			ev, err = b.st.Watch(b.ctx, prefix, cursor, 0)
 		}
@@ -137,7 +137,7 @@
 // impossible says why a job can never run, or "".
 func (b *brain) impossible(j *wire.Job) string {
 	tasks := 1
-	if j.Whole() {
+	if j.AllOrNothing() {
 		tasks = j.Tasks
 	}
 	if len(record.JSON(record.Job{Fate: cancelled, At: b.now.UnixMilli(), Job: j})) > b.maxValue() {
@@ -172,7 +172,7 @@
 }
 
 // Submit accepts a job.
-func (b *brain) Submit(ctx context.Context, j *wire.Job) api.Answer {
+func (b *brain) Submit(ctx context.Context, j *wire.Job) api.Response {
 	begun := time.Now()
 	ans := b.submit(ctx, j)
 	b.metrics.observe(lSubmit, time.Since(begun))
@@ -190,8 +190,8 @@
 	return ans
 }
 
-func (b *brain) submit(ctx context.Context, j *wire.Job) api.Answer {
-	var ans api.Answer
+func (b *brain) submit(ctx context.Context, j *wire.Job) api.Response {
+	var ans api.Response
 	var result chan error
 	check := false
 	if !b.ask(ctx, laneUsers, func() {
@@ -229,7 +229,7 @@
 	case err := <-result:
 		switch {
 		case err == nil:
-			return api.Answer{Status: http.StatusCreated, Body: wire.JobState{ID: j.ID, State: wire.Queued}}
+			return api.Response{Status: http.StatusCreated, Body: wire.JobState{ID: j.ID, State: wire.Queued}}
 		case errors.Is(err, store.ErrConflict):
 			return b.answerKnown(ctx, j)
 		}
@@ -241,7 +241,7 @@
 
 // answerKnown answers the submission of a job that is known already, or, if it
 // turns out not to be, of one that can never run.
-func (b *brain) answerKnown(ctx context.Context, j *wire.Job) api.Answer {
+func (b *brain) answerKnown(ctx context.Context, j *wire.Job) api.Response {
 	ans := b.Poll(ctx, j.ID)
 	if ans.Status != http.StatusNotFound {
 		return ans
@@ -251,20 +251,20 @@
 	if why == "" {
 		return unavailable("try again")
 	}
-	return api.Answer{Status: http.StatusUnprocessableEntity, Reason: why}
+	return api.Response{Status: http.StatusUnprocessableEntity, Reason: why}
 }
 
 // Poll tells a job's state. An answer that may still change is given only
 // after a read of the state service that began after the question came, so
 // that it is never older than what any controller has said.
-func (b *brain) Poll(ctx context.Context, id string) api.Answer {
+func (b *brain) Poll(ctx context.Context, id string) api.Response {
 	b.metrics.count(cPolls, 1)
 	if !wire.ValidID(id) {
-		return api.Answer{Status: http.StatusNotFound, Reason: "no such job"}
+		return api.Response{Status: http.StatusNotFound, Reason: "no such job"}
 	}
 	// One turn of the actor for the question and one for the result of the read: each
 	// may be long in coming when there is little processor time.
-	answer := make(chan api.Answer, 1)
+	answer := make(chan api.Response, 1)
 	if !b.ask(ctx, laneUsers, func() {
 		j := b.known(id)
 		refusal, refused := b.refuses()
@@ -274,7 +274,7 @@
 		case refused:
 			answer <- refusal
 		case j != nil && j.fate != live:
-			answer <- api.Answer{Status: http.StatusOK, Body: j.state()}
+			answer <- api.Response{Status: http.StatusOK, Body: j.state()}
 		case b.jobs[id] != nil && b.jobs[id].bad():
 			answer <- unavailable("a stored record of the job can't be decoded")
 		default:
@@ -286,9 +286,9 @@
 				} else if j := b.jobs[id]; j != nil && j.bad() && j.fate == live {
 					answer <- unavailable("a stored record of the job can't be decoded")
 				} else if j := b.known(id); j != nil {
-					answer <- api.Answer{Status: http.StatusOK, Body: j.state()}
+					answer <- api.Response{Status: http.StatusOK, Body: j.state()}
 				} else {
-					answer <- api.Answer{Status: http.StatusNotFound, Reason: "no such job"}
+					answer <- api.Response{Status: http.StatusNotFound, Reason: "no such job"}
 				}
 			})
 		}
@@ -304,7 +304,7 @@
 }
 
 // Abort cancels a job.
-func (b *brain) Abort(ctx context.Context, id string) api.Answer {
+func (b *brain) Cancel(ctx context.Context, id string) api.Response {
 	for {
 		ans := b.Poll(ctx, id)
 		s, ok := ans.Body.(wire.JobState)
@@ -322,7 +322,7 @@
 				return
 			}
 			b.write(&store.Unit{Urgent: true,
-				If:   []wire.Condition{{Key: jobKey(id), Version: j.stamp}},
+				If:   []wire.Condition{{Key: jobKey(id), Revision: j.stamp}},
 				Then: []wire.Change{{Put: jobKey(id), Value: b.cancelledValue(j)}},
 			}, func(err error) { result <- err })
 		}) {
@@ -331,7 +331,7 @@
 		select {
 		case err := <-result:
 			if err == nil {
-				return api.Answer{Status: http.StatusOK, Body: wire.JobState{ID: id, State: wire.Cancelled}}
+				return api.Response{Status: http.StatusOK, Body: wire.JobState{ID: id, State: wire.Cancelled}}
 			}
 			if !errors.Is(err, store.ErrConflict) {
 				return unavailable("state service: not stored")
@@ -346,8 +346,8 @@
 }
 
 // Report answers a worker.
-func (b *brain) Report(ctx context.Context, r *wire.Report) api.Answer {
-	var ans api.Answer
+func (b *brain) Heartbeat(ctx context.Context, r *wire.Heartbeat) api.Response {
+	var ans api.Response
 	if !b.ask(ctx, laneWorkers, func() { ans = b.report(r) }) {
 		return b.busy()
 	}
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -207,7 +207,7 @@
 	b.cfg.Settings.State.ValueKB = 0.5
 	m := b.machine("host-000231")
 	m.addr = "10.1.0.232:9000"
-	spec := &wire.Job{ID: "wk-2", Team: "t", Gang: true, Tasks: 3, CPUs: 2, CheckS: 4, Types: []string{"small"}}
+	spec := &wire.Job{ID: "wk-2", Team: "t", Gang: true, Tasks: 3, CPUs: 2, CheckpointS: 4, MachineTypes: []string{"small"}}
 	r := &rec{part: 1, zone: "a", own: true, cap: 3}
 	entries := []entry{{num: 0, attempt: 2, m: m, session: 2}, {num: 1, attempt: 2}, {num: 2, attempt: 2, m: m, session: 2}}
 	strict := func(key string, raw []byte) {
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -27,7 +27,7 @@
 
 // Do sends commands; the worker's report comes back whether it executed them
 // or not. An error means that they may yet be executed later.
-func (c *Client) Do(ctx context.Context, addr string, d *wire.Direct) (*wire.Report, bool, error) {
+func (c *Client) Send(ctx context.Context, addr string, d *wire.CommandRequest) (*wire.Heartbeat, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
 	if d.Commands == nil {
@@ -53,7 +53,7 @@
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusConflict {
 		return nil, false, fmt.Errorf("worker %s: status %d", addr, resp.StatusCode)
 	}
-	r, err := wire.ParseReport(body)
+	r, err := wire.ParseHeartbeat(body)
 	if err != nil {
 		return nil, false, fmt.Errorf("worker %s: %w", addr, err)
 	}
--- a/internal/rollout/operator.go
+++ b/internal/rollout/operator.go
@@ -17,7 +17,7 @@
 type Reader interface {
 	Get(ctx context.Context, key string) (*wire.Item, error)
 	All(ctx context.Context, prefix string) ([]wire.Item, uint64, error)
-	Txn(ctx context.Context, t *wire.Txn) (*wire.TxnAnswer, error)
+	Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error)
 }
 
 // Operator carries out an operator's commands.
@@ -97,7 +97,7 @@
 		return Initial, 0, nil
 	}
 	state, err := DecodeState(item.Value)
-	return state, item.Version, err
+	return state, item.Revision, err
 }
 
 func (o *Operator) controllers(ctx context.Context) (map[string]Registered, error) {
@@ -111,7 +111,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", items[i].Key, err)
 		}
-		out[strings.TrimPrefix(items[i].Key, ControllerPrefix)] = Registered{Controller: c, Version: items[i].Version}
+		out[strings.TrimPrefix(items[i].Key, ControllerPrefix)] = Registered{Controller: c, Version: items[i].Revision}
 	}
 	return out, nil
 }
@@ -160,7 +160,7 @@
 	next := state
 	next.Wish = wish
 	_, err = o.Store.Txn(ctx, &wire.Txn{
-		If:   []wire.Condition{{Key: StateKey, Version: version}},
+		If:   []wire.Condition{{Key: StateKey, Revision: version}},
 		Then: []wire.Change{{Put: StateKey, Value: next.Encode()}},
 	})
 	if errors.Is(err, store.ErrUnknown) {
--- a/internal/rollout/registrar.go
+++ b/internal/rollout/registrar.go
@@ -17,7 +17,7 @@
 	Lease(ctx context.Context, ttl time.Duration) (uint64, error)
 	Renew(ctx context.Context, id uint64) error
 	End(ctx context.Context, id uint64) error
-	Txn(ctx context.Context, t *wire.Txn) (*wire.TxnAnswer, error)
+	Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error)
 }
 
 // Registrar keeps a controller's record stored, under a lease, while the process lives.
@@ -71,7 +71,7 @@
 	c := r.Controller
 	c.StartedAt = time.Now().UnixMilli()
 	_, err = r.Store.Txn(ctx, &wire.Txn{
-		If:   []wire.Condition{{Key: key, Version: version}},
+		If:   []wire.Condition{{Key: key, Revision: version}},
 		Then: []wire.Change{{Put: key, Value: c.Encode(), Lease: lease}},
 	})
 	if err != nil {
--- a/internal/rollout/txn.go
+++ b/internal/rollout/txn.go
@@ -31,13 +31,13 @@
 // decision rests on: the leader's term, the state, or, for a level to come, the record
 // of any controller, so that a restart voids it.
 func Txn(s State, step Step, next State, v View, at Versions) *wire.Txn {
-	t := &wire.Txn{If: []wire.Condition{{Key: StateKey, Version: at.State}}}
+	t := &wire.Txn{If: []wire.Condition{{Key: StateKey, Revision: at.State}}}
 	if s.Phase != Closed {
-		t.If = append(t.If, wire.Condition{Key: s.Keys().Leader(), Version: at.Leader})
+		t.If = append(t.If, wire.Condition{Key: s.Keys().Leader(), Revision: at.Leader})
 	}
 	if step == Activate || step == Finalize {
 		for _, name := range v.Members {
-			t.If = append(t.If, wire.Condition{Key: ControllerKey(name), Version: v.Controllers[name].Version})
+			t.If = append(t.If, wire.Condition{Key: ControllerKey(name), Revision: v.Controllers[name].Version})
 		}
 	}
 	t.Then = append(t.Then, wire.Change{Put: StateKey, Value: next.Encode()})
--- a/internal/rollout/txn_test.go
+++ b/internal/rollout/txn_test.go
@@ -196,7 +196,7 @@
 }
 
 // Txn has the other change applied first.
-func (r *racing) Txn(ctx context.Context, t *wire.Txn) (*wire.TxnAnswer, error) {
+func (r *racing) Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error) {
 	r.first()
 	return r.Client.Txn(ctx, t)
 }
--- a/internal/standin/check.go
+++ b/internal/standin/check.go
@@ -242,7 +242,7 @@
 	}
 	c.on[e.Task] = p
 	c.checkCancelled(e.Task, e.At)
-	if p.spot && !s.Spot || s.Zone != "" && s.Zone != p.zone || len(s.Types) > 0 && !slices.Contains(s.Types, p.typ) {
+	if p.spot && !s.Spot || s.Zone != "" && s.Zone != p.zone || len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, p.typ) {
 		c.breach("wrong_place: %s on %s (%s in %s)", e.Task, p.name, p.typ, p.zone)
 	}
 	var team core.Res
@@ -259,7 +259,7 @@
 	if lim, ok := c.rules.Limits[s.Team]; ok && (lim.CPU > 0 && team.CPU > lim.CPU || lim.GPU > 0 && team.GPU > lim.GPU) {
 		c.breach("quota: %s uses %v of %v", s.Team, team, lim)
 	}
-	if s.OneZone && len(zones) > 1 || s.Spread && zones[p.zone] > (s.Tasks+1)/2 {
+	if s.SingleZone && len(zones) > 1 || s.Spread && zones[p.zone] > (s.Tasks+1)/2 {
 		c.breach("wrong_place: %s among %v", e.Task, zones)
 	}
 }
@@ -388,7 +388,7 @@
 	if missing <= 0 {
 		return false
 	}
-	if !s.Whole() || there > 0 {
+	if !s.AllOrNothing() || there > 0 {
 		missing = 1
 	}
 	need := needOf(s)
@@ -404,14 +404,14 @@
 	}
 	room := map[string]int{}
 	for _, p := range c.machines {
-		if p.spot && !s.Spot || s.Zone != "" && s.Zone != p.zone || len(s.Types) > 0 && !slices.Contains(s.Types, p.typ) {
+		if p.spot && !s.Spot || s.Zone != "" && s.Zone != p.zone || len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, p.typ) {
 			continue
 		}
-		if s.OneZone && len(perZone) > 0 && perZone[p.zone] == 0 {
+		if s.SingleZone && len(perZone) > 0 && perZone[p.zone] == 0 {
 			continue
 		}
 		zone := ""
-		if s.OneZone || s.Spread {
+		if s.SingleZone || s.Spread {
 			zone = p.zone
 		}
 		room[zone] += p.size.Minus(c.used[p]).Fits(need, missing)
@@ -421,7 +421,7 @@
 		if s.Spread {
 			n = min(n, (s.Tasks+1)/2-perZone[z])
 		}
-		if s.OneZone && n < missing {
+		if s.SingleZone && n < missing {
 			n = 0
 		}
 		total += n
--- a/internal/standin/check_test.go
+++ b/internal/standin/check_test.go
@@ -117,11 +117,11 @@
 		tasks  []Event
 		bad    bool
 	}{
-		"type":              {func(j *wire.Job) { j.Types = []string{"large"} }, run(2, 3, "wk-1/0", "m1"), true},
-		"type allowed":      {func(j *wire.Job) { j.Types = []string{"large"} }, run(2, 3, "wk-1/0", "m3"), false},
+		"type":              {func(j *wire.Job) { j.MachineTypes = []string{"large"} }, run(2, 3, "wk-1/0", "m1"), true},
+		"type allowed":      {func(j *wire.Job) { j.MachineTypes = []string{"large"} }, run(2, 3, "wk-1/0", "m3"), false},
 		"zone":              {func(j *wire.Job) { j.Spot, j.Zone = true, "a" }, run(2, 3, "wk-1/0", "m2"), true},
-		"same place":        {func(j *wire.Job) { j.Spot, j.OneZone = true, true }, append(run(2, 9, "wk-1/0", "m1"), run(3, 9, "wk-1/1", "m2")...), true},
-		"same place, later": {func(j *wire.Job) { j.Spot, j.OneZone = true, true }, append(run(2, 3, "wk-1/0", "m1"), run(4, 9, "wk-1/1", "m2")...), false},
+		"same place":        {func(j *wire.Job) { j.Spot, j.SingleZone = true, true }, append(run(2, 9, "wk-1/0", "m1"), run(3, 9, "wk-1/1", "m2")...), true},
+		"same place, later": {func(j *wire.Job) { j.Spot, j.SingleZone = true, true }, append(run(2, 3, "wk-1/0", "m1"), run(4, 9, "wk-1/1", "m2")...), false},
 		"spread":            {func(j *wire.Job) { j.Spot, j.Spread = true, true }, append(run(2, 9, "wk-1/0", "m1"), run(3, 9, "wk-1/1", "m3")...), true},
 		"spread out":        {func(j *wire.Job) { j.Spot, j.Spread = true, true }, append(run(2, 9, "wk-1/0", "m1"), run(3, 9, "wk-1/1", "m2")...), false},
 	} {
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -12,7 +12,7 @@
 )
 
 type rental struct {
-	wire.CloudMachine
+	wire.Instance
 	since  time.Time
 	worker *Worker
 }
@@ -58,7 +58,7 @@
 	case "GET/machine_types":
 		reply(w, http.StatusOK, wire.MachineTypes{Types: c.types})
 	case "POST/rentals":
-		var q wire.RentRequest
+		var q wire.LaunchRequest
 		_ = json.Unmarshal(body, &q)
 		if names, ok := c.answered[q.Request]; ok {
 			reply(w, http.StatusOK, wire.MachineNames{Machines: names})
@@ -78,15 +78,15 @@
 		names := []string{}
 		for range n {
 			id := len(c.rentals) + 1
-			x := &rental{CloudMachine: wire.CloudMachine{Name: fmt.Sprintf("host-%06d", id), Addr: c.world.machineAddr(id),
-				Type: q.Type, Zone: q.Zone, Spot: q.Spot, State: wire.MachineStarting}, since: time.Now()}
+			x := &rental{Instance: wire.Instance{Name: fmt.Sprintf("host-%06d", id), Addr: c.world.machineAddr(id),
+				Type: q.Type, Zone: q.Zone, Spot: q.Spot, State: wire.InstanceStarting}, since: time.Now()}
 			var t wire.MachineType
 			for _, y := range c.types {
 				if y.Name == q.Type {
 					t = y
 				}
 			}
-			x.worker = newWorker(c.world, x.CloudMachine, t)
+			x.worker = newWorker(c.world, x.Instance, t)
 			c.rentals = append(c.rentals, x)
 			names = append(names, x.Name)
 		}
@@ -105,10 +105,10 @@
 		}
 		reply(w, http.StatusOK, struct{}{})
 	case "GET/rentals":
-		out := wire.CloudList{Machines: []wire.CloudMachine{}}
+		out := wire.InstanceList{Machines: []wire.Instance{}}
 		for _, x := range c.rentals {
 			if x != nil && x.Name > r.URL.Query().Get("since") {
-				m := x.CloudMachine
+				m := x.Instance
 				m.AgeS = time.Since(x.since).Seconds()
 				if x.worker.running() {
 					m.State = "running"
--- a/internal/standin/gang.go
+++ b/internal/standin/gang.go
@@ -111,14 +111,14 @@
 	switch {
 	case t.state == wire.Gathering && g.started.IsZero():
 		if now.Sub(t.from) >= time.Duration(w.GangWaitS*float64(time.Second)) {
-			return wire.Exited, wire.WhyAlone
+			return wire.Exited, wire.ReasonIncompleteGang
 		}
 		return wire.Gathering, ""
 	case g.done:
-		return wire.Exited, wire.WhyDone
+		return wire.Exited, wire.ReasonDone
 	case !g.broken.IsZero():
 		if now.Sub(g.broken) >= w.gangPeer()/2 {
-			return wire.Exited, wire.WhyPeers
+			return wire.Exited, wire.ReasonPeersGone
 		}
 		return t.state, ""
 	case !g.stopped.IsZero():
@@ -128,9 +128,9 @@
 				g.kept = true
 				w.progress[id] += g.stopped.Sub(g.started)
 			}
-			return wire.Exited, wire.WhyStopped
+			return wire.Exited, wire.ReasonStopped
 		case len(g.told) < t.spec.Tasks && late:
-			return wire.Exited, wire.WhyPeers
+			return wire.Exited, wire.ReasonPeersGone
 		}
 		return t.state, ""
 	case now.Sub(g.started)+w.progress[id] >= time.Duration(t.spec.EstimateS*float64(time.Second)):
@@ -138,7 +138,7 @@
 		for name := range g.waiting { // all of them are
 			w.finishedLocked(name)
 		}
-		return wire.Exited, wire.WhyDone
+		return wire.Exited, wire.ReasonDone
 	}
 	return wire.Running, ""
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -158,7 +158,7 @@
 				first = false
 			}
 			delete(s.keys, k)
-			s.log = append(s.log, wire.Event{Delete: k, Version: s.rev})
+			s.log = append(s.log, wire.Event{Delete: k, Revision: s.rev})
 		}
 	}
 	if !first {
@@ -203,7 +203,7 @@
 		s.nextID++
 		ttl := time.Duration(q.TTLMS) * time.Millisecond
 		s.leases[s.nextID] = &leaseState{ttl: ttl, ends: time.Now().Add(ttl)}
-		reply(w, http.StatusOK, wire.LeaseAnswer{Lease: s.nextID})
+		reply(w, http.StatusOK, wire.LeaseResponse{Lease: s.nextID})
 	case strings.HasPrefix(r.URL.Path, "/leases/"):
 		part := strings.Split(strings.TrimPrefix(r.URL.Path, "/leases/"), "/")
 		id, _ := strconv.ParseUint(part[0], 10, 64)
@@ -226,10 +226,10 @@
 func (s *State) get(w http.ResponseWriter, key string) {
 	v, ok := s.keys[key]
 	if !ok {
-		reply(w, http.StatusNotFound, wire.TxnAnswer{Revision: s.rev})
+		reply(w, http.StatusNotFound, wire.TxnResponse{Revision: s.rev})
 		return
 	}
-	reply(w, http.StatusOK, wire.Item{Key: key, Value: v.raw, Version: v.stamp})
+	reply(w, http.StatusOK, wire.Item{Key: key, Value: v.raw, Revision: v.stamp})
 }
 
 func (s *State) list(w http.ResponseWriter, r *http.Request) {
@@ -244,7 +244,7 @@
 	sort.Strings(keys)
 	page := wire.Page{Revision: s.rev, More: len(keys) > most}
 	for _, k := range keys[:min(len(keys), most)] {
-		page.Items = append(page.Items, wire.Item{Key: k, Value: s.keys[k].raw, Version: s.keys[k].stamp})
+		page.Items = append(page.Items, wire.Item{Key: k, Value: s.keys[k].raw, Revision: s.keys[k].stamp})
 	}
 	reply(w, http.StatusOK, page)
 }
@@ -278,9 +278,9 @@
 			return
 		}
 	}
-	ans := wire.TxnAnswer{Revision: s.rev}
+	ans := wire.TxnResponse{Revision: s.rev}
 	for _, c := range t.If {
-		if s.keys[c.Key].stamp != c.Version {
+		if s.keys[c.Key].stamp != c.Revision {
 			ans.Failed = append(ans.Failed, c.Key)
 		}
 	}
@@ -295,12 +295,12 @@
 		if c.Delete != "" {
 			if _, ok := s.keys[c.Delete]; ok {
 				delete(s.keys, c.Delete)
-				s.log = append(s.log, wire.Event{Delete: c.Delete, Version: s.rev})
+				s.log = append(s.log, wire.Event{Delete: c.Delete, Revision: s.rev})
 			}
 			continue
 		}
 		s.keys[c.Put] = stored{c.Value, s.rev, c.Lease}
-		s.log = append(s.log, wire.Event{Put: c.Put, Value: c.Value, Version: s.rev})
+		s.log = append(s.log, wire.Event{Put: c.Put, Value: c.Value, Revision: s.rev})
 	}
 	s.wake()
 	ans.Revision = s.rev
@@ -338,9 +338,9 @@
 			return
 		}
 		if !s.down {
-			out := wire.Events{Revision: s.rev, Events: []wire.Event{}}
+			out := wire.WatchResponse{Revision: s.rev, Events: []wire.Event{}}
 			for _, e := range s.log {
-				if e.Version > since && strings.HasPrefix(e.Put+e.Delete, q.Get("starts")) {
+				if e.Revision > since && strings.HasPrefix(e.Put+e.Delete, q.Get("starts")) {
 					out.Events = append(out.Events, e)
 				}
 			}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -30,7 +30,7 @@
 type Worker struct {
 	mu      sync.Mutex
 	w       *World
-	m       wire.CloudMachine
+	m       wire.Instance
 	typ     wire.MachineType
 	session uint64
 	seq     uint64
@@ -65,7 +65,7 @@
 	nudge     chan struct{}
 }
 
-func newWorker(w *World, m wire.CloudMachine, t wire.MachineType) *Worker {
+func newWorker(w *World, m wire.Instance, t wire.MachineType) *Worker {
 	k := &Worker{w: w, m: m, typ: t, session: 1, tasks: map[string]*workerTask{}, nudge: make(chan struct{}, 1), net: w.Net()}
 	w.serve(m.Addr, k)
 	go k.run()
@@ -325,14 +325,14 @@
 			continue
 		}
 		if t.state == wire.Running && !t.spec.Service && now.Sub(t.from) >= time.Duration(t.spec.EstimateS*float64(time.Second)) {
-			why := wire.WhyDone
+			why := wire.ReasonDone
 			if k.sick {
-				why = wire.WhyError
+				why = wire.ReasonError
 			}
 			k.exit(t, why)
 		}
 		if t.state == wire.Saving && now.Sub(t.from) >= time.Duration(t.spec.SaveS*float64(time.Second)) {
-			k.exit(t, wire.WhyStopped)
+			k.exit(t, wire.ReasonStopped)
 		}
 	}
 }
@@ -344,7 +344,7 @@
 	}
 	state, why := k.w.next(t)
 	if state == wire.Running && k.sick {
-		state, why = wire.Exited, wire.WhyError
+		state, why = wire.Exited, wire.ReasonError
 	}
 	switch {
 	case state == wire.Exited:
@@ -361,23 +361,23 @@
 		k.w.leave(t)
 	}
 	t.state, t.why, t.from = wire.Exited, why, time.Now()
-	if why == wire.WhyDone {
+	if why == wire.ReasonDone {
 		k.w.finished(t)
 	}
 	k.changed()
 }
 
-func (k *Worker) snapshot() wire.Report {
+func (k *Worker) snapshot() wire.Heartbeat {
 	k.advance()
 	k.seq++
-	r := wire.Report{Machine: k.m.Name, Addr: k.m.Addr, Type: k.m.Type, Zone: k.m.Zone, Spot: k.m.Spot, Session: k.session, Seq: k.seq, Token: k.token,
-		Tasks: []wire.TaskReport{}}
+	r := wire.Heartbeat{Machine: k.m.Name, Addr: k.m.Addr, Type: k.m.Type, Zone: k.m.Zone, Spot: k.m.Spot, Incarnation: k.session, Sequence: k.seq, Token: k.token,
+		Tasks: []wire.TaskStatus{}}
 	if !k.takenAt.IsZero() {
 		left := max(0, time.Until(k.takenAt).Seconds())
 		r.NoticeS = &left
 	}
 	for _, t := range k.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.why})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Reason: t.why})
 	}
 	sort.Slice(r.Tasks, func(i, j int) bool { return r.Tasks[i].Task < r.Tasks[j].Task })
 	return r
@@ -429,8 +429,8 @@
 	body, _ := io.ReadAll(resp.Body)
 	switch resp.StatusCode {
 	case http.StatusOK:
-		var a wire.ReportAnswer
-		if json.Unmarshal(body, &a) != nil || a.Token < k.token || r.Session != k.session {
+		var a wire.HeartbeatResponse
+		if json.Unmarshal(body, &a) != nil || a.Token < k.token || r.Incarnation != k.session {
 			return
 		}
 		if a.Token > k.token {
@@ -487,11 +487,11 @@
 				grace = *c.GraceS
 			}
 			switch {
-			case t.state == wire.Running && t.spec.CheckS > 0 && grace >= t.spec.SaveS && (!t.spec.Gang || k.w.tell(t)):
+			case t.state == wire.Running && t.spec.CheckpointS > 0 && grace >= t.spec.SaveS && (!t.spec.Gang || k.w.tell(t)):
 				t.state, t.from = wire.Saving, time.Now()
 				k.changed()
 			case t.state != wire.Saving || grace == 0:
-				k.exit(t, wire.WhyStopped)
+				k.exit(t, wire.ReasonStopped)
 			}
 		case wire.OpForget:
 			if t != nil && t.attempt == c.Attempt && t.state == wire.Exited {
@@ -516,10 +516,10 @@
 	if !k.wait() || k.dead {
 		return
 	}
-	var d wire.Direct
+	var d wire.CommandRequest
 	_ = json.Unmarshal(body, &d)
 	k.advance()
-	if d.Token < k.token || d.Session != k.session {
+	if d.Token < k.token || d.Incarnation != k.session {
 		reply(w, http.StatusConflict, k.snapshot())
 		return
 	}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -123,13 +123,13 @@
 }
 
 // Txn runs one transaction. On ErrConflict the answer names the failed keys.
-func (c *Client) Txn(ctx context.Context, t *wire.Txn) (*wire.TxnAnswer, error) {
+func (c *Client) Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error) {
 	if t.If == nil {
 		t.If = []wire.Condition{}
 	}
 	c.txns.Add(1)
 	c.changes.Add(int64(len(t.Then)))
-	var out wire.TxnAnswer
+	var out wire.TxnResponse
 	status, err := c.call(ctx, request{http.MethodPost, "/txn", t, callTimeout}, &out)
 	switch {
 	case err != nil:
@@ -179,7 +179,7 @@
 	if err != nil || item == nil {
 		return 0, err
 	}
-	return item.Version, nil
+	return item.Revision, nil
 }
 
 // Get reads a key; nil: it does not exist.
@@ -199,11 +199,11 @@
 }
 
 // Watch returns the changes below prefix after revision since, waiting for one.
-func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (*wire.Events, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (*wire.WatchResponse, error) {
 	q := url.Values{"starts": {prefix}, "since": {strconv.FormatUint(since, 10)},
 		"waitMs": {strconv.FormatInt(wait.Milliseconds(), 10)}}
 	c.watches.Add(1)
-	var out wire.Events
+	var out wire.WatchResponse
 	status, err := c.call(ctx, request{http.MethodGet, "/watch?" + q.Encode(), nil, wait + callTimeout}, &out)
 	if err != nil {
 		return nil, err
@@ -219,7 +219,7 @@
 
 // Lease obtains a lease.
 func (c *Client) Lease(ctx context.Context, ttl time.Duration) (uint64, error) {
-	var out wire.LeaseAnswer
+	var out wire.LeaseResponse
 	status, err := c.call(ctx, request{http.MethodPost, "/leases", wire.LeaseRequest{TTLMS: ttl.Milliseconds()}, callTimeout}, &out)
 	if err != nil {
 		return 0, err
--- a/internal/store/writer_test.go
+++ b/internal/store/writer_test.go
@@ -33,7 +33,7 @@
 }
 
 func put(key string, stamp uint64) ([]wire.Condition, []wire.Change) {
-	return []wire.Condition{{Key: key, Version: stamp}}, []wire.Change{{Put: key, Value: json.RawMessage("1")}}
+	return []wire.Condition{{Key: key, Revision: stamp}}, []wire.Change{{Put: key, Value: json.RawMessage("1")}}
 }
 
 // Every unit gets one result, whatever else shares its transaction, and the
@@ -114,7 +114,7 @@
 		}
 		time.Sleep(10 * time.Second)
 		items, _, err := c.All(t.Context(), "k")
-		if err != nil || len(items) != 1 || items[0].Version != 1 {
+		if err != nil || len(items) != 1 || items[0].Revision != 1 {
 			t.Fatalf("%v %v", items, err)
 		}
 		w.State.SetDown(true)
@@ -242,7 +242,7 @@
 			}}
 			u.If, u.Then = put(fmt.Sprintf("k%d", i), 0)
 			if bad {
-				u.If[0].Version = 99 // would fail
+				u.If[0].Revision = 99 // would fail
 				units = append(units, u)
 			}
 			wr.Submit(u)
--- a/internal/wire/decode_test.go
+++ b/internal/wire/decode_test.go
@@ -8,17 +8,17 @@
 	"pgregory.net/rapid"
 )
 
-func report(t *rapid.T) Report {
+func report(t *rapid.T) Heartbeat {
 	text := rapid.OneOf(rapid.StringMatching(`[a-z]{1,6}-[0-9]{1,6}`), rapid.String())
-	r := Report{Machine: text.Draw(t, "machine"), Addr: "10.0.0.1:9000", Type: text.Draw(t, "type"), Zone: text.Draw(t, "zone"),
-		Spot: rapid.Bool().Draw(t, "spot"), Session: rapid.Uint64().Draw(t, "session"), Seq: rapid.Uint64().Draw(t, "seq"), Token: rapid.Uint64().Draw(t, "token")}
+	r := Heartbeat{Machine: text.Draw(t, "machine"), Addr: "10.0.0.1:9000", Type: text.Draw(t, "type"), Zone: text.Draw(t, "zone"),
+		Spot: rapid.Bool().Draw(t, "spot"), Incarnation: rapid.Uint64().Draw(t, "session"), Sequence: rapid.Uint64().Draw(t, "seq"), Token: rapid.Uint64().Draw(t, "token")}
 	if rapid.Bool().Draw(t, "noticed") {
 		n := rapid.Float64Range(0, 1e6).Draw(t, "notice")
 		r.NoticeS = &n
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "tasks") {
-		r.Tasks = append(r.Tasks, TaskReport{Task: text.Draw(t, "task"), Attempt: rapid.Uint64().Draw(t, "attempt"),
-			State: rapid.SampledFrom([]string{Fetching, Running, Saving, Exited}).Draw(t, "state"), Why: text.Draw(t, "why"), Saved: rapid.Bool().Draw(t, "saved")})
+		r.Tasks = append(r.Tasks, TaskStatus{Task: text.Draw(t, "task"), Attempt: rapid.Uint64().Draw(t, "attempt"),
+			State: rapid.SampledFrom([]string{Fetching, Running, Saving, Exited}).Draw(t, "state"), Reason: text.Draw(t, "why"), Saved: rapid.Bool().Draw(t, "saved")})
 	}
 	return r
 }
@@ -36,7 +36,7 @@
 			at := rapid.IntRange(0, len(raw)-1).Draw(t, "at")
 			raw[at] = rapid.SampledFrom([]byte(`{}[]",:x0-. \n`)).Draw(t, "byte")
 		}
-		var want, got Report
+		var want, got Heartbeat
 		wantErr, gotErr := json.Unmarshal(raw, &want), Decode(raw, &got)
 		if (wantErr == nil) != (gotErr == nil) {
 			t.Fatalf("%s: %v, standard: %v", raw, gotErr, wantErr)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -22,15 +22,15 @@
 	Saving    = "flushing"
 	Exited    = "ended"
 
-	WhyDone    = "done"
-	WhyStopped = "halted"
-	WhyError   = "error"
-	WhyNoRoom  = "no_room"
-	WhyBusy    = "in_use"
-	WhyUnknown = "no_such"
+	ReasonDone    = "done"
+	ReasonStopped = "halted"
+	ReasonError   = "error"
+	ReasonNoRoom  = "no_room"
+	ReasonInUse    = "in_use"
+	ReasonUnknownTask = "no_such"
 	// Of a gang's tasks: another is gone; not all came in time.
-	WhyPeers = "mates_gone"
-	WhyAlone = "incomplete"
+	ReasonPeersGone = "mates_gone"
+	ReasonIncompleteGang = "incomplete"
 
 	OpStart  = "start"
 	OpStop   = "stop"
@@ -40,42 +40,43 @@
 	Service = "daemon"
 	Gang    = "gang"
 
-	MachineStarting = "starting"
-	MachineFailed   = "failed"
+	InstanceStarting = "starting"
+	InstanceFailed   = "failed"
 )
 
 // MaxTasks is how many tasks a job may have.
 const MaxTasks = 100_000
 
 // MaxBody is how large a request's body may be.
-const MaxBody = 64 << 10
+const MaxBodyBytes = 64 << 10
 
 var priorities = map[string]int{"low": 0, "normal": 1, "urgent": 2, "production": 3}
 
-// Job is a validated submission.
+// Job is a validated submission. It is also stored with the job, under the names in the
+// tags: these must not change.
 type Job struct {
-	ID         string
-	Class      string
-	Team       string
-	Service    bool
-	Gang       bool
-	Priority   int
-	Tasks      int
-	CPUs       float64
-	GPUs       float64
-	RAM        float64
-	Image      string
-	ImageGB    float64
-	Types      []string
-	Zone       string
-	OneZone    bool
-	Spread     bool
-	Spot       bool
-	EstimateS  float64
-	CheckS     float64
-	SaveS      float64
-	DeadlineS  float64
-	NoDeadline bool
+	ID         string   `json:"ID"`
+	Class      string   `json:"Class"`
+	Team       string   `json:"Team"`
+	Service    bool     `json:"Service"`
+	Gang       bool     `json:"Gang"`
+	Priority   int      `json:"Priority"`
+	Tasks      int      `json:"Tasks"`
+	CPUs       float64  `json:"CPUs"`
+	GPUs       float64  `json:"GPUs"`
+	RAM        float64  `json:"RAM"`
+	Image      string   `json:"Image"`
+	ImageGB    float64  `json:"ImageGB"`
+	MachineTypes      []string `json:"Types"`
+	Zone       string   `json:"Zone"`
+	SingleZone    bool     `json:"OneZone"`
+	Spread     bool     `json:"Spread"`
+	Spot       bool     `json:"Spot"`
+	EstimateS  float64  `json:"EstimateS"`
+	CheckpointS     float64  `json:"CheckS"`
+	SaveS      float64  `json:"SaveS"`
+	DeadlineS  float64  `json:"DeadlineS"`
+	NoDeadline bool     `json:"NoDeadline"`
 }
 
 type jobBody struct {
@@ -116,7 +117,7 @@
 	if err := json.Unmarshal(body, &b); err != nil {
 		return nil, fmt.Errorf("body: %w", err)
 	}
-	j := &Job{Types: b.Types, NoDeadline: b.DeadlineS == nil}
+	j := &Job{MachineTypes: b.Types, NoDeadline: b.DeadlineS == nil}
 	for _, f := range []struct {
 		name string
 		from *string
@@ -162,7 +163,7 @@
 		to   *float64
 	}{
 		{"cpus", b.CPUs, &j.CPUs}, {"cards", b.GPUs, &j.GPUs}, {"ramGb", b.RAM, &j.RAM}, {"imageGb", b.ImageGB, &j.ImageGB},
-		{"reckonS", b.EstimateS, &j.EstimateS}, {"moultS", b.CheckS, &j.CheckS}, {"stowS", b.SaveS, &j.SaveS}, {"dueS", due, &j.DeadlineS},
+		{"reckonS", b.EstimateS, &j.EstimateS}, {"moultS", b.CheckS, &j.CheckpointS}, {"stowS", b.SaveS, &j.SaveS}, {"dueS", due, &j.DeadlineS},
 	} {
 		if f.from == nil {
 			return nil, fmt.Errorf("%s: missing", f.name)
@@ -172,10 +173,10 @@
 		}
 		*f.to = *f.from
 	}
-	if len(j.Types) > 32 {
+	if len(j.MachineTypes) > 32 {
 		return nil, errors.New("hulls: more than 32")
 	}
-	for _, t := range j.Types {
+	for _, t := range j.MachineTypes {
 		if t == "" || len(t) > maxName {
 			return nil, fmt.Errorf("hulls: names must have 1 to %d bytes", maxName)
 		}
@@ -193,7 +194,7 @@
 		name string
 		from *bool
 		to   *bool
-	}{{"samePlace", b.OneZone, &j.OneZone}, {"spread", b.Spread, &j.Spread}, {"driftwood", b.Spot, &j.Spot}} {
+	}{{"samePlace", b.OneZone, &j.SingleZone}, {"spread", b.Spread, &j.Spread}, {"driftwood", b.Spot, &j.Spot}} {
 		if f.from == nil {
 			return nil, fmt.Errorf("%s: missing", f.name)
 		}
@@ -217,7 +218,7 @@
 }
 
 // Whole tells whether the job's tasks are started together or not at all.
-func (j *Job) Whole() bool { return j.Service || j.Gang }
+func (j *Job) AllOrNothing() bool { return j.Service || j.Gang }
 
 // JobState answers a user.
 type JobState struct {
@@ -228,35 +229,35 @@
 }
 
 // TaskReport is one task in a worker's report.
-type TaskReport struct {
+type TaskStatus struct {
 	Task    string `json:"egg"`
 	Attempt uint64 `json:"launch"`
 	State   string `json:"tide"`
-	Why     string `json:"cause"`
+	Reason     string `json:"cause"`
 	Saved   bool   `json:"kept"`
 }
 
 // Report is a worker's report, or the body of its answer to a command.
-type Report struct {
+type Heartbeat struct {
 	Machine string       `json:"perch"`
 	Addr    string       `json:"addr"`
 	Type    string       `json:"hull"`
 	Zone    string       `json:"shore"`
 	Spot    bool         `json:"driftwood"`
-	Session uint64       `json:"watch"`
-	Seq     uint64       `json:"tally"`
+	Incarnation uint64       `json:"watch"`
+	Sequence     uint64       `json:"tally"`
 	Token   uint64       `json:"baton"`
 	NoticeS *float64     `json:"warningS"`
-	Tasks   []TaskReport `json:"eggs"`
+	Tasks   []TaskStatus `json:"eggs"`
 }
 
 // ParseReport decodes and checks a report.
-func ParseReport(body []byte) (*Report, error) {
-	var r Report
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	var r Heartbeat
 	if err := Decode(body, &r); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
-	if r.Machine == "" || r.Session == 0 {
+	if r.Machine == "" || r.Incarnation == 0 {
 		return nil, errors.New("report: machine or session is missing")
 	}
 	return &r, nil
@@ -271,7 +272,7 @@
 }
 
 // ReportAnswer is the answer to a report.
-type ReportAnswer struct {
+type HeartbeatResponse struct {
 	Token    uint64    `json:"baton"`
 	Commands []Command `json:"calls"`
 }
@@ -282,9 +283,9 @@
 }
 
 // Direct is a request of commands sent straight to a worker.
-type Direct struct {
+type CommandRequest struct {
 	Token    uint64    `json:"baton"`
-	Session  uint64    `json:"watch"`
+	Incarnation  uint64    `json:"watch"`
 	Commands []Command `json:"calls"`
 }
 
@@ -308,7 +309,7 @@
 }
 
 // RentRequest asks the cloud for machines.
-type RentRequest struct {
+type LaunchRequest struct {
 	Request string `json:"charter"`
 	Type    string `json:"hull"`
 	Zone    string `json:"shore"`
@@ -322,7 +323,7 @@
 }
 
 // CloudMachine is one machine in the cloud's list.
-type CloudMachine struct {
+type Instance struct {
 	Name  string  `json:"nameId"`
 	Addr  string  `json:"addr"`
 	Type  string  `json:"hull"`
@@ -333,15 +334,15 @@
 }
 
 // CloudList is one page of the cloud's list.
-type CloudList struct {
-	Machines []CloudMachine `json:"perches"`
+type InstanceList struct {
+	Machines []Instance `json:"perches"`
 	More     bool           `json:"truncated"`
 }
 
 // Condition of a transaction.
 type Condition struct {
 	Key     string `json:"k"`
-	Version uint64 `json:"stamp"`
+	Revision uint64 `json:"stamp"`
 }
 
 // Change of a transaction: a put, or a delete.
@@ -362,7 +363,7 @@
 }
 
 // TxnAnswer is its answer.
-type TxnAnswer struct {
+type TxnResponse struct {
 	Revision uint64   `json:"logmark"`
 	Failed   []string `json:"failed"`
 }
@@ -371,7 +372,7 @@
 type Item struct {
 	Key     string          `json:"k"`
 	Value   json.RawMessage `json:"v"`
-	Version uint64          `json:"stamp"`
+	Revision uint64          `json:"stamp"`
 }
 
 // Page is one page of stored keys.
@@ -386,11 +387,11 @@
 	Put     string          `json:"write"`
 	Delete  string          `json:"drop"`
 	Value   json.RawMessage `json:"v"`
-	Version uint64          `json:"stamp"`
+	Revision uint64          `json:"stamp"`
 }
 
 // Events are the answer of a watch.
-type Events struct {
+type WatchResponse struct {
 	Revision uint64  `json:"logmark"`
 	Events   []Event `json:"news"`
 }
@@ -401,6 +402,6 @@
 }
 
 // LeaseAnswer names it.
-type LeaseAnswer struct {
+type LeaseResponse struct {
 	Lease uint64 `json:"mooring"`
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -92,7 +92,7 @@
 
 func TestReportsNeverPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r, err := ParseReport([]byte(rapid.String().Draw(t, "body")))
+		r, err := ParseHeartbeat([]byte(rapid.String().Draw(t, "body")))
 		if (r == nil) == (err == nil) {
 			t.Fatalf("%v, %v", r, err)
 		}
