--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -19,8 +19,8 @@
 
 func (idle) Submit(context.Context, *wire.Job) Response { return Response{Status: http.StatusCreated} }
 func (idle) Poll(context.Context, string) Response      { return Response{Status: http.StatusNotFound} }
-func (idle) Cancel(context.Context, string) Response     { return Response{Status: http.StatusOK} }
-func (idle) Ready() bool                              { return true }
+func (idle) Cancel(context.Context, string) Response    { return Response{Status: http.StatusOK} }
+func (idle) Ready() bool                                { return true }
 func (idle) Heartbeat(context.Context, *wire.Heartbeat) Response {
 	return Response{Status: http.StatusOK, Body: wire.HeartbeatResponse{Token: 1, Commands: []wire.Command{}}}
 }
--- a/internal/controller/brain.go
+++ b/internal/controller/brain.go
@@ -128,7 +128,7 @@
 	hoarse bool   // most of its machines seem not to hear us: see machine.deaf
 	since  time.Time
 	active bool // replica was read after the take-over
-	cells  *core.Part
+	cells  *core.Partition
 	alloc  map[core.Task]alloc
 	raise  bool
 	raised time.Time
--- a/internal/controller/brain_test.go
+++ b/internal/controller/brain_test.go
@@ -30,7 +30,7 @@
 	b.types = map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAM: 8}}
 	p := b.parts[0]
 	p.term, p.active, p.since = 1, true, b.now.Add(-time.Minute)
-	p.cells, p.alloc = core.NewPart(), map[core.Task]alloc{}
+	p.cells, p.alloc = core.NewPartition(), map[core.Task]alloc{}
 	return b
 }
 
@@ -116,7 +116,7 @@
 	r := b.recByKey[key]
 	changes, stamp := 0, uint64(8)
 	for free := 1; free <= 60; free++ { // a task of the team ends every 100 ms
-		lim := core.Limit{Max: core.Amount(float64(min(free, 9)), 0, 0)}
+		lim := core.Quota{Limit: core.NewResources(float64(min(free, 9)), 0, 0)}
 		lim.Used = r.job.need.Times(r.counts(b.cursor))
 		before := r.cappedAt
 		b.uncap(r.job, &lim)
@@ -255,7 +255,7 @@
 		r.since = b.now.Add(-x.waited)
 		p.endsBefore, p.endsSince = x.ends, b.now
 		b.place(p, r, map[shape]bool{})
-		if evicts := p.cells.Waiting(r.task(0)) != nil; evicts != x.evicts {
+		if evicts := p.cells.PreemptingGroup(r.task(0)) != nil; evicts != x.evicts {
 			t.Errorf("%+v: evicts: %v", x, evicts)
 		}
 	}
--- a/internal/controller/caps.go
+++ b/internal/controller/caps.go
@@ -14,7 +14,7 @@
 // the team's lower jobs are stopped, dealt ones that don't run yet, of equal jobs
 // too, stand back. Else what is dealt of an array would hold the limit against a
 // service for minutes.
-func (b *brain) squeeze(j *job, lack core.Res) {
+func (b *brain) squeeze(j *job, lack core.Resources) {
 	level := j.spec.Priority
 	var from []*rec
 	for r := range b.records() {
@@ -30,12 +30,12 @@
 	}
 	urgent := b.byUrgency()
 	slices.SortFunc(from, func(x, y *rec) int { return cmp.Or(urgent(y.job, x.job), cmp.Compare(y.k, x.k)) })
-	standing := make([]core.Standing, len(from))
+	standing := make([]core.QuotaUse, len(from))
 	for i, r := range from {
-		standing[i] = core.Standing{Level: r.job.spec.Priority, Running: r.bound(), May: r.may(), Need: r.job.need,
+		standing[i] = core.QuotaUse{Priority: r.job.spec.Priority, Running: r.bound(), Allowed: r.may(), TaskSize: r.job.need,
 			Fixed: r.job.spec.Priority == level && (urgent(j, r.job) >= 0 || b.now.Sub(r.cappedAt) < b.capEvery())}
 	}
-	for i, may := range core.Squeeze(standing, level, lack) {
+	for i, may := range core.Throttle(standing, level, lack) {
 		if may >= 0 {
 			b.setCap(from[i], may)
 		}
@@ -48,7 +48,7 @@
 func (b *brain) capEvery() time.Duration { return 2*time.Second + b.turnaround() }
 
 // uncap lets tasks run again that had to stand back, as the limit permits.
-func (b *brain) uncap(j *job, lim *core.Limit) {
+func (b *brain) uncap(j *job, lim *core.Quota) {
 	for _, r := range j.recs {
 		if r.cap == 0 || r.writing || r.may() == len(r.entries) || b.now.Sub(r.cappedAt) < b.capEvery() {
 			continue
--- a/internal/controller/claims.go
+++ b/internal/controller/claims.go
@@ -37,7 +37,7 @@
 	}
 	for i := range r.entries {
 		t := r.task(r.entries[i].num)
-		if g := p.cells.Waiting(t); g != nil {
+		if g := p.cells.PreemptingGroup(t); g != nil {
 			p.cells.Cancel(g)
 		}
 		if _, ok := p.alloc[t]; ok && all {
@@ -60,7 +60,7 @@
 			continue
 		}
 		t := r.task(r.entries[i].num)
-		if g := p.cells.Waiting(t); g != nil {
+		if g := p.cells.PreemptingGroup(t); g != nil {
 			p.cells.Cancel(g)
 		}
 		delete(p.alloc, t)
@@ -71,7 +71,7 @@
 // freeCell ends a task's use of its cell; a group that waited for it may now
 // be Allocated.
 func (b *brain) freeCell(p *part, t core.Task) {
-	if g := p.cells.Gone(t); g != nil {
+	if g := p.cells.Release(t); g != nil {
 		b.allocated(p, g)
 	}
 }
@@ -80,7 +80,7 @@
 	for i, t := range g.Tasks {
 		m := b.byIdx[g.Machines[i]]
 		p.alloc[t] = alloc{m, m.session}
-		b.willFetch(m, b.recs[t.Rec].job.spec.Image)
+		b.willFetch(m, b.recs[t.Group].job.spec.Image)
 	}
 	b.step()
 }
--- a/internal/controller/deal.go
+++ b/internal/controller/deal.go
@@ -12,11 +12,11 @@
 	"eiderhitch/internal/wire"
 )
 
-func (b *brain) limits() []core.Limit {
-	out := make([]core.Limit, len(b.teams))
+func (b *brain) limits() []core.Quota {
+	out := make([]core.Quota, len(b.teams))
 	for i := range b.cfg.Settings.Teams {
 		t := &b.cfg.Settings.Teams[i]
-		out[b.team(t.Name)] = core.Limit{Guarantee: core.Amount(t.CPUs, t.GPUs, 0), Max: core.Amount(t.CPUsMax, t.GPUsMax, 0)}
+		out[b.team(t.Name)] = core.Quota{Guaranteed: core.NewResources(t.CPUs, t.GPUs, 0), Limit: core.NewResources(t.CPUsMax, t.GPUsMax, 0)}
 	}
 	for r := range b.records() {
 		if r.job.spec == nil {
@@ -29,7 +29,7 @@
 		use := r.job.need.Times(n)
 		l.Used = l.Used.Plus(use)
 		if r.own {
-			l.OwnUsed = l.OwnUsed.Plus(use)
+			l.GuaranteedUsed = l.GuaranteedUsed.Plus(use)
 		}
 	}
 	// A gang that is dealt in several transactions counts whole from the first on: it
@@ -51,7 +51,7 @@
 			l, use := &out[j.team], j.need.Times(j.spec.Tasks-dealt)
 			l.Used = l.Used.Plus(use)
 			if j.firstRec().own {
-				l.OwnUsed = l.OwnUsed.Plus(use)
+				l.GuaranteedUsed = l.GuaranteedUsed.Plus(use)
 			}
 		}
 	}
@@ -60,7 +60,7 @@
 
 // deal gives waiting tasks to parts that have room for them, highest claims
 // first, and returns what found none.
-func (b *brain) deal(hosts []*core.Host) []core.Want {
+func (b *brain) deal(hosts []*core.MachineSummary) []core.Demand {
 	byUrgency := b.byUrgency()
 	wants, lost := b.settleDealt(hosts, byUrgency)
 	var jobs []*job
@@ -108,7 +108,7 @@
 			continue
 		}
 		if left := j.spec.Tasks - dealt; left > 0 {
-			must := b.order(j).MustDeal(j.pending())
+			must := b.order(j).ForcedTasks(j.pending())
 			if must > 0 {
 				left = min(left, must)
 			}
@@ -128,7 +128,7 @@
 			before := limits[j.team].Used
 			if limits[j.team].Room(j.need, left) < left && placeable(j) {
 				short[j.team] = true
-				b.squeeze(j, limits[j.team].Lack(j.need.Times(left)))
+				b.squeeze(j, limits[j.team].Shortfall(j.need.Times(left)))
 			}
 			w := b.dealJob(hosts, limits, j, portion{dealt, left, must > 0})
 			if w.Count > 0 {
@@ -156,26 +156,26 @@
 // make some. Where there is none, nothing of its team is held back or stopped for it: the
 // room that came of that went to others, who were stopped for it in turn, several times a
 // second.
-func (b *brain) placeable(hosts []*core.Host, j *job) bool {
+func (b *brain) placeable(hosts []*core.MachineSummary, j *job) bool {
 	zone := ""
 	if j.spec.SingleZone {
 		zone = b.pinned(j)
 	}
-	can := func(h *core.Host) bool {
+	can := func(h *core.MachineSummary) bool {
 		return !h.Booting && b.poolOpen(j, h) && allowed(j.spec, zone, h.Type, h.Zone, h.Spot)
 	}
 	for _, h := range hosts {
-		if can(h) && h.Free.Holds(j.need) {
+		if can(h) && h.Free.Contains(j.need) {
 			return true
 		}
 	}
-	return core.Evictable(core.Clone(hosts), can, j.need, core.Claim{Level: j.spec.Priority, Team: j.team}) != nil
+	return core.PlaceByPreemption(core.CloneSummaries(hosts), can, j.need, core.Claim{Priority: j.spec.Priority, Team: j.team}) != nil
 }
 
 // settleDealt has the tasks that are dealt and not placed yet take the room in
 // their parts, and moves those that find none to parts that have it. It returns
 // what found none anywhere, and how much of each record that is.
-func (b *brain) settleDealt(hosts []*core.Host, byUrgency func(x, y *job) int) (wants []core.Want, lost map[*rec]int) {
+func (b *brain) settleDealt(hosts []*core.MachineSummary, byUrgency func(x, y *job) int) (wants []core.Demand, lost map[*rec]int) {
 	var recs, stuck []*rec
 	for r := range b.records() {
 		if r.job.fate == live && r.job.spec != nil && r.job.stamp != 0 && r.may() > r.bound() {
@@ -197,18 +197,18 @@
 		n := r.may() - r.bound()
 		c := class{r.job.sig, r.zone, r.part, r.claim()}
 		if !full[c] {
-			in := func(h *core.Host) bool {
-				return h.Part == r.part && !h.Booting && allowed(spec, r.zone, h.Type, h.Zone, h.Spot)
+			in := func(h *core.MachineSummary) bool {
+				return h.Partition == r.part && !h.Booting && allowed(spec, r.zone, h.Type, h.Zone, h.Spot)
 			}
 			if spec.Gang && r.part == b.lentPart() && roomFor(hosts, in, r.job.need, n) < n {
 				// It gathers room there, but holds none for long that it can't use.
 				any := in
-				in = func(h *core.Host) bool { return any(h) && !b.unusedForLong(h) }
+				in = func(h *core.MachineSummary) bool { return any(h) && !b.unusedForLong(h) }
 			}
-			for _, k := range core.Take(hosts, in, r.job.need, n) {
+			for _, k := range core.PlaceInFreeRoom(hosts, in, r.job.need, n) {
 				n -= k
 			}
-			for n > 0 && spec.Priority > 0 && core.Evictable(hosts, in, r.job.need, r.claim()) != nil {
+			for n > 0 && spec.Priority > 0 && core.PlaceByPreemption(hosts, in, r.job.need, r.claim()) != nil {
 				n--
 			}
 			full[c] = n > 0
@@ -237,11 +237,11 @@
 }
 
 // roomFor is for how many of n tasks hosts have free room.
-func roomFor(hosts []*core.Host, in func(*core.Host) bool, need core.Res, n int) int {
+func roomFor(hosts []*core.MachineSummary, in func(*core.MachineSummary) bool, need core.Resources, n int) int {
 	room := 0
 	for _, h := range hosts {
 		if in(h) {
-			room += h.Free.Fits(need, n-room)
+			room += h.Free.CountFitting(need, n-room)
 		}
 	}
 	return room
@@ -261,9 +261,9 @@
 }
 
 // want is what a job's tasks that found no room ask of the fleet.
-func (b *brain) want(j *job, zone string, n int) core.Want {
+func (b *brain) want(j *job, zone string, n int) core.Demand {
 	spec, o := j.spec, b.order(j)
-	return core.Want{Class: spec.Class, Need: j.need, Count: n, Service: spec.AllOrNothing(), Estimate: spec.EstimateS, Window: o.Window(), Slack: b.slack(j),
+	return core.Demand{Class: spec.Class, TaskSize: j.need, Count: n, AllOrNothing: spec.AllOrNothing(), EstimateS: spec.EstimateS, WindowS: o.WindowS(), SlackS: b.slack(j),
 		Allows: func(typ, zoneOf string, spot bool) bool { return allowed(spec, zone, typ, zoneOf, spot) }}
 }
 
@@ -283,7 +283,7 @@
 	t := b.turnaround().Seconds()
 	for r := range b.records() {
 		if r.job.spec != nil && !r.job.spec.AllOrNothing() {
-			ahead[r.part] += core.Ahead(r.bound(), r.job.spec.EstimateS, t)
+			ahead[r.part] += core.AssignAhead(r.bound(), r.job.spec.EstimateS, t)
 		}
 	}
 	out := make([]int, len(b.parts))
@@ -306,7 +306,7 @@
 }
 
 // dealJob deals as many of a job's tasks as there is room for now.
-func (b *brain) dealJob(hosts []*core.Host, limits []core.Limit, j *job, ask portion) core.Want {
+func (b *brain) dealJob(hosts []*core.MachineSummary, limits []core.Quota, j *job, ask portion) core.Demand {
 	dealt, left := ask.dealt, ask.left
 	spec := j.spec
 	lim := &limits[j.team]
@@ -315,13 +315,13 @@
 		room = 0 // it is dealt whole
 	}
 	if room == 0 {
-		return core.Want{}
+		return core.Demand{}
 	}
-	own := lim.OwnRoom(j.need, room)
+	own := lim.GuaranteedRoom(j.need, room)
 	if spec.Gang && own < room {
 		own = 0 // one claim for all of it, and one record
 	}
-	claim := core.Claim{Level: spec.Priority, Own: own > 0, Team: j.team}
+	claim := core.Claim{Priority: spec.Priority, Guaranteed: own > 0, Team: j.team}
 	var chunks []record.Group
 	next := int32(dealt)
 	add := func(part int, zone string, n int) {
@@ -338,7 +338,7 @@
 	}
 	// Where a team's limit is short, what is dealt but can't run yet would hold
 	// the limit against others of the team, and would have to be held back again.
-	tight := lim.Room(j.need, left+core.LeastDealt*len(b.parts)) < left+core.LeastDealt*len(b.parts)
+	tight := lim.Room(j.need, left+core.MinAssigned*len(b.parts)) < left+core.MinAssigned*len(b.parts)
 	got := 0
 	// What is kept for gangs is for more urgent work only if there is nothing else.
 	zones := b.zonesFor(j, hosts)
@@ -354,17 +354,17 @@
 		if n <= 0 {
 			continue
 		}
-		can := func(h *core.Host) bool {
+		can := func(h *core.MachineSummary) bool {
 			return !h.Booting && (i >= pooled || b.poolOpen(j, h)) && allowed(spec, zone, h.Type, h.Zone, h.Spot)
 		}
-		d := core.Dealing{Need: j.need, Count: n, Claim: claim, Can: can, Tight: tight, Must: ask.must}
+		d := core.Assignment{TaskSize: j.need, Count: n, Claim: claim, Allowed: can, QuotaShort: tight, Forced: ask.must}
 		if spec.AllOrNothing() {
 			// The whole group in one part, so that its cells are reserved
 			// together; its part's owner evicts where there is no free room.
-			part, ok := d.Whole(hosts, len(b.parts))
+			part, ok := d.OnePartition(hosts, len(b.parts))
 			if !ok {
 				if n > 1 && b.borrow(hosts, j, zone, n, claim) {
-					return core.Want{}
+					return core.Demand{}
 				}
 				continue
 			}
@@ -372,7 +372,7 @@
 			got += n
 			continue
 		}
-		perPart := d.Spread(hosts, b.lead.ahead)
+		perPart := d.PerPartition(hosts, b.lead.ahead)
 		for part, k := range perPart {
 			k = min(k, room-got)
 			if k > 0 {
@@ -396,7 +396,7 @@
 	lim.Used = lim.Used.Plus(j.need.Times(got))
 	for _, g := range chunks {
 		if g.Own {
-			lim.OwnUsed = lim.OwnUsed.Plus(j.need.Times(len(g.Tasks)))
+			lim.GuaranteedUsed = lim.GuaranteedUsed.Plus(j.need.Times(len(g.Tasks)))
 		}
 	}
 	b.writeDealing(j, chunks)
@@ -506,7 +506,7 @@
 }
 
 // zonesFor lists the zones to try; "" stands for any.
-func (b *brain) zonesFor(j *job, hosts []*core.Host) []string {
+func (b *brain) zonesFor(j *job, hosts []*core.MachineSummary) []string {
 	if !j.spec.SingleZone && !j.spec.Spread {
 		return []string{""}
 	}
@@ -516,7 +516,7 @@
 	free := map[string]int{}
 	for _, h := range hosts {
 		if allowed(j.spec, "", h.Type, h.Zone, h.Spot) {
-			free[h.Zone] += h.Free.Fits(j.need, j.spec.Tasks)
+			free[h.Zone] += h.Free.CountFitting(j.need, j.spec.Tasks)
 		}
 	}
 	var zones []string
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -57,7 +57,7 @@
 		m := b.machine("host-1")
 		b.lends["host-1"] = &lend{Loan: record.Loan{Job: x.job, Ack: true}}
 		b.lead.since, m.homeAt, m.usedAt = b.now.Add(-time.Hour), b.now.Add(-time.Hour), b.now.Add(-x.unused)
-		h := &core.Host{ID: m.idx, Part: b.lentPart(), Type: "small", Zone: "a", Size: core.Amount(4, 0, 8), Free: core.Amount(4, 0, 8)}
+		h := &core.MachineSummary{ID: m.idx, Partition: b.lentPart(), Type: "small", Zone: "a", Size: core.NewResources(4, 0, 8), Free: core.NewResources(4, 0, 8)}
 		array := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 9}, at: b.now.Add(-time.Hour), dealtAt: b.now}
 		if got := b.poolOpen(array, h); got != x.open {
 			t.Errorf("%s: open is %v", x.name, got)
@@ -68,7 +68,7 @@
 		// A gang that has been dealt there and lacks room holds no more than is kept.
 		b.put(jobKey("wk-3"), raw(t, record.Job{At: b.now.UnixMilli(), Job: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
 		b.put(groupKey("wk-3", 0), raw(t, record.Group{Part: b.lentPart(), Tasks: []record.Task{{Num: 0}, {Num: 1}, {Num: 2}, {Num: 3}}}), 3)
-		b.settleDealt([]*core.Host{h}, b.byUrgency())
+		b.settleDealt([]*core.MachineSummary{h}, b.byUrgency())
 		if held := h.Free.CPU < 4000; held == x.open {
 			t.Errorf("%s: a gang without whole room holds it: %v", x.name, held)
 		}
@@ -83,10 +83,10 @@
 	b.put(groupKey("wk-1", 0), raw(t, record.Group{Part: 1, Zone: "a", Tasks: []record.Task{{Num: 0}, {Num: 1}, {Num: 2}}}), 3)
 	r := b.recByKey[groupKey("wk-1", 0)]
 	r.since = b.now.Add(-zonePatience - time.Second)
-	var hosts []*core.Host
+	var hosts []*core.MachineSummary
 	for i, part := range []int{0, b.lentPart()} {
 		m := b.machine([]string{"host-1", "host-2"}[i])
-		hosts = append(hosts, &core.Host{ID: m.idx, Part: part, Type: "small", Zone: "b", Size: core.Amount(4, 0, 8), Free: core.Amount(4, 0, 8)})
+		hosts = append(hosts, &core.MachineSummary{ID: m.idx, Partition: part, Type: "small", Zone: "b", Size: core.NewResources(4, 0, 8), Free: core.NewResources(4, 0, 8)})
 	}
 	if !b.otherZone(hosts, r) || b.lead.writes != 1 {
 		t.Errorf("it stays where there is no room for it (%d transactions)", b.lead.writes)
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -188,25 +188,25 @@
 	if b.lead.writes != 0 {
 		t.Error("records that are together move")
 	}
-	host := func(id int32, part int, free float64) *core.Host {
+	host := func(id int32, part int, free float64) *core.MachineSummary {
 		name := []string{"host-1", "host-2", "host-3"}[id]
 		if m := b.machine(name); m.idx != id {
 			t.Fatal("machines are numbered otherwise")
 		}
-		h := &core.Host{ID: id, Type: "small", Zone: "a", Part: part, Size: core.Amount(4, 0, 8), Free: core.Amount(free, 0, 8)}
+		h := &core.MachineSummary{ID: id, Type: "small", Zone: "a", Partition: part, Size: core.NewResources(4, 0, 8), Free: core.NewResources(free, 0, 8)}
 		if free < 4 {
-			h.Claims = []core.HeldCell{{Claim: core.Claim{Level: 3}, Size: h.Size.Minus(h.Free)}}
+			h.Usages = []core.Usage{{Claim: core.Claim{Priority: 3}, Size: h.Size.Minus(h.Free)}}
 		}
 		return h
 	}
-	if b.moveGang([]*core.Host{host(0, 0, 4), host(1, 1, 2), host(2, 1, 2)}, j) {
+	if b.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 1, 2), host(2, 1, 2)}, j) {
 		t.Error("it moves or borrows where there is no room for all of it")
 	}
-	if !b.moveGang([]*core.Host{host(0, 0, 4), host(1, 0, 4), host(2, 1, 0)}, j) || b.lead.writes != 1 {
+	if !b.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 0, 4), host(2, 1, 0)}, j) || b.lead.writes != 1 {
 		t.Error("it does not move to the part with room")
 	}
 	b.lead.writes = 0
-	if !b.moveGang([]*core.Host{host(0, 0, 4), host(1, 1, 4), host(2, 1, 0)}, j) || b.lead.writes != 1 {
+	if !b.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 1, 4), host(2, 1, 0)}, j) || b.lead.writes != 1 {
 		t.Error("no machines of two parts are borrowed for it")
 	}
 }
@@ -219,8 +219,8 @@
 		b.put(jobKey("wk-1"), raw(t, record.Job{At: b.now.UnixMilli(), Job: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 5, CPUs: 2}}), 2)
 		b.put(groupKey("wk-1", 0), raw(t, record.Group{Own: own, Tasks: []record.Task{{Num: 0}, {Num: 1}}}), 3)
 		l := b.limits()[b.team("t")]
-		if l.Used.CPU != 10_000 || (l.OwnUsed.CPU == 10_000) != own {
-			t.Errorf("it counts for %v, within the guarantee (%v) for %v", l.Used, own, l.OwnUsed)
+		if l.Used.CPU != 10_000 || (l.GuaranteedUsed.CPU == 10_000) != own {
+			t.Errorf("it counts for %v, within the guarantee (%v) for %v", l.Used, own, l.GuaranteedUsed)
 		}
 	}
 }
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -15,8 +15,8 @@
 const unheardOwner = 90 * time.Second
 
 // hosts are the machines that owners vouch for, with what is bound on them.
-func (b *brain) hosts() []*core.Host {
-	var out []*core.Host
+func (b *brain) hosts() []*core.MachineSummary {
+	var out []*core.MachineSummary
 	add := func(m *machine, flags uint8) {
 		t := b.types[m.typ]
 		if t == nil || m.gone || b.leaving[m.name] {
@@ -31,23 +31,23 @@
 		if flags&mesh.Up == 0 || flags&(mesh.Warned|mesh.Suspect|mesh.Silent) != 0 {
 			return
 		}
-		size := core.Amount(t.CPUs, t.GPUs, t.RAM)
+		size := core.NewResources(t.CPUs, t.GPUs, t.RAM)
 		if l := b.lends[m.name]; l != nil && !l.Ack {
 			return // on its way to the leader
 		}
-		h := &core.Host{ID: m.idx, Type: m.typ, Zone: m.zone, Spot: m.spot, Part: m.home, Size: size, Free: size}
-		h.Touched = b.lends[m.name] != nil // wanted, even before it is in use
+		h := &core.MachineSummary{ID: m.idx, Type: m.typ, Zone: m.zone, Spot: m.spot, Partition: m.home, Size: size, Free: size}
+		h.InUse = b.lends[m.name] != nil // wanted, even before it is in use
 		for _, x := range m.bound {
 			r := x.rec
 			if r.job.spec == nil {
 				continue
 			}
 			h.Free = h.Free.Minus(r.job.need)
-			h.Claims = append(h.Claims, core.HeldCell{Claim: r.claim(), Size: r.job.need})
-			h.Pinned = h.Pinned || r.job.spec.AllOrNothing()
+			h.Usages = append(h.Usages, core.Usage{Claim: r.claim(), Size: r.job.need})
+			h.RunsService = h.RunsService || r.job.spec.AllOrNothing()
 		}
 		if b.lead.closing[m.name] {
-			h.Free, h.Claims = core.Res{}, nil // no room for anybody
+			h.Free, h.Usages = core.Resources{}, nil // no room for anybody
 		}
 		out = append(out, h)
 	}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -21,8 +21,8 @@
 	// since when, and by whom, each part is vouched for without a gap
 	vouchedAt []time.Time
 	vouchedBy []string
-	closing   map[string]bool // being emptied
-	surplus   core.Surplus    // free CPUs of late
+	closing   map[string]bool  // being emptied
+	surplus   core.FreeHistory // free CPUs of late
 	rented    map[string]*rented
 	idle      map[string]time.Time
 	refused   map[core.Offer]time.Time // no requests before then
@@ -84,12 +84,12 @@
 }
 
 // logFleet logs now and then how full the machines are.
-func (b *brain) logFleet(hosts []*core.Host) {
+func (b *brain) logFleet(hosts []*core.MachineSummary) {
 	if b.now.Sub(b.lead.loggedAt) < fleetEvery {
 		return
 	}
 	b.lead.loggedAt = b.now
-	var size, free, spot, spotFree core.Res
+	var size, free, spot, spotFree core.Resources
 	for _, h := range hosts {
 		size, free = size.Plus(h.Size), free.Plus(h.Free)
 		if h.Spot {
--- a/internal/controller/lend.go
+++ b/internal/controller/lend.go
@@ -32,7 +32,7 @@
 }
 
 func (l *lend) claim(b *brain) core.Claim {
-	return core.Claim{Level: l.Level, Own: l.Own, Team: b.team(l.Team)}
+	return core.Claim{Priority: l.Level, Guaranteed: l.Own, Team: b.team(l.Team)}
 }
 
 // lentNames are the machines that are lent, in one order for all that is decided.
@@ -119,7 +119,7 @@
 		return false
 	}
 	for _, x := range m.bound {
-		if x.rec.stamp > l.lentAt || l.claim(b).Evicts(x.rec.claim()) {
+		if x.rec.stamp > l.lentAt || l.claim(b).CanPreempt(x.rec.claim()) {
 			return false
 		}
 	}
@@ -168,7 +168,7 @@
 
 // borrow takes machines from other parts for a whole group of n tasks. It
 // reports whether they are on their way.
-func (b *brain) borrow(hosts []*core.Host, j *job, zone string, n int, c core.Claim) bool {
+func (b *brain) borrow(hosts []*core.MachineSummary, j *job, zone string, n int, c core.Claim) bool {
 	coming := b.roomComing(hosts, j, zone, n)
 	if coming >= n {
 		return true
@@ -178,24 +178,24 @@
 	// it on which nothing is that stays, until they are empty (the paper leaves room for
 	// "reservation during waiting").
 	keep := b.now.Sub(j.at) > keepAfter
-	var can []*core.Host
+	var can []*core.MachineSummary
 	for _, h := range hosts {
-		if h.Booting || h.Part == b.lentPart() || h.Touched || b.lead.closing[b.byIdx[h.ID].name] || !allowed(j.spec, zone, h.Type, h.Zone, h.Spot) {
+		if h.Booting || h.Partition == b.lentPart() || h.InUse || b.lead.closing[b.byIdx[h.ID].name] || !allowed(j.spec, zone, h.Type, h.Zone, h.Spot) {
 			continue
 		}
-		if keep && !h.Pinned || !slices.ContainsFunc(h.Claims, func(x core.HeldCell) bool { return !c.Evicts(x.Claim) }) {
+		if keep && !h.RunsService || !slices.ContainsFunc(h.Usages, func(x core.Usage) bool { return !c.CanPreempt(x.Claim) }) {
 			can = append(can, h)
 		}
 	}
-	slices.SortFunc(can, func(x, y *core.Host) int {
-		return cmp.Or(cmp.Compare(len(x.Claims), len(y.Claims)), cmp.Compare(y.Size.Fits(j.need, n), x.Size.Fits(j.need, n)), cmp.Compare(x.ID, y.ID))
+	slices.SortFunc(can, func(x, y *core.MachineSummary) int {
+		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(y.Size.CountFitting(j.need, n), x.Size.CountFitting(j.need, n)), cmp.Compare(x.ID, y.ID))
 	})
-	var chosen []*core.Host
+	var chosen []*core.MachineSummary
 	for _, h := range can {
 		if coming >= n {
 			break
 		}
-		coming += h.Size.Fits(j.need, n)
+		coming += h.Size.CountFitting(j.need, n)
 		chosen = append(chosen, h)
 	}
 	if coming < n || len(chosen) == 0 {
@@ -206,7 +206,7 @@
 	// As many as one change can be; the others follow in the next steps.
 	chosen = chosen[:min(len(chosen), b.cfg.Settings.State.TxnOps)]
 	b.log.Info("machines are borrowed for a group", "job", j.id, "machines", len(chosen))
-	b.borrowMachines(chosen, []wire.Condition{{Key: jobKey(j.id), Revision: j.stamp}}, record.Loan{Job: j.id, Level: c.Level, Own: c.Own, Team: j.spec.Team})
+	b.borrowMachines(chosen, []wire.Condition{{Key: jobKey(j.id), Revision: j.stamp}}, record.Loan{Job: j.id, Level: c.Priority, Own: c.Guaranteed, Team: j.spec.Team})
 	return true
 }
 
@@ -217,33 +217,33 @@
 // besideServices are machines that together have room for a group beside services that
 // stay. They are in several parts, or the group would be dealt to one: it waited for ever
 // beside room, since no machine with a service was lent.
-func (b *brain) besideServices(hosts []*core.Host, j *job, zone string, n int) []*core.Host {
+func (b *brain) besideServices(hosts []*core.MachineSummary, j *job, zone string, n int) []*core.MachineSummary {
 	if b.now.Sub(j.at) < besideAfter {
 		return nil
 	}
-	var can []*core.Host
+	var can []*core.MachineSummary
 	coming := 0
 	for _, h := range hosts {
-		fits := h.Free.Fits(j.need, n)
+		fits := h.Free.CountFitting(j.need, n)
 		if h.Booting || fits == 0 || b.lead.closing[b.byIdx[h.ID].name] || !allowed(j.spec, zone, h.Type, h.Zone, h.Spot) {
 			continue
 		}
 		switch {
-		case h.Part == b.lentPart():
+		case h.Partition == b.lentPart():
 			coming += fits
-		case !h.Touched:
+		case !h.InUse:
 			can = append(can, h)
 		}
 	}
-	slices.SortFunc(can, func(x, y *core.Host) int {
-		return cmp.Or(cmp.Compare(y.Free.Fits(j.need, n), x.Free.Fits(j.need, n)), cmp.Compare(x.ID, y.ID))
+	slices.SortFunc(can, func(x, y *core.MachineSummary) int {
+		return cmp.Or(cmp.Compare(y.Free.CountFitting(j.need, n), x.Free.CountFitting(j.need, n)), cmp.Compare(x.ID, y.ID))
 	})
-	var chosen []*core.Host
+	var chosen []*core.MachineSummary
 	for _, h := range can {
 		if coming >= n {
 			break
 		}
-		coming += h.Free.Fits(j.need, n)
+		coming += h.Free.CountFitting(j.need, n)
 		chosen = append(chosen, h)
 	}
 	if coming < n {
@@ -254,16 +254,16 @@
 
 // roomComing is for how many of n tasks of a job there is room in the leader's part, or
 // will be once the machines that are being lent for it have come.
-func (b *brain) roomComing(hosts []*core.Host, j *job, zone string, n int) int {
+func (b *brain) roomComing(hosts []*core.MachineSummary, j *job, zone string, n int) int {
 	room := 0
 	listed := map[int32]bool{}
 	for _, h := range hosts {
 		listed[h.ID] = true
 		l := b.lends[b.byIdx[h.ID].name]
-		if h.Part != b.lentPart() || l == nil || l.Job != j.id && !j.spec.Gang || !allowed(j.spec, zone, h.Type, h.Zone, h.Spot) {
+		if h.Partition != b.lentPart() || l == nil || l.Job != j.id && !j.spec.Gang || !allowed(j.spec, zone, h.Type, h.Zone, h.Spot) {
 			continue
 		}
-		room += h.Free.Fits(j.need, n)
+		room += h.Free.CountFitting(j.need, n)
 	}
 	for name, l := range b.lends {
 		m := b.machine(name)
@@ -271,14 +271,14 @@
 		if l.Job != j.id || listed[m.idx] || t == nil || !allowed(j.spec, zone, m.typ, m.zone, m.spot) {
 			continue
 		}
-		room += core.Amount(t.CPUs, t.GPUs, t.RAM).Minus(m.serving()).Fits(j.need, n)
+		room += core.NewResources(t.CPUs, t.GPUs, t.RAM).Minus(m.serving()).CountFitting(j.need, n)
 	}
 	return room
 }
 
 // serving is what services have of a machine.
-func (m *machine) serving() core.Res {
-	var use core.Res
+func (m *machine) serving() core.Resources {
+	var use core.Resources
 	for _, x := range m.bound {
 		if spec := x.rec.job.spec; spec != nil && spec.Service {
 			use = use.Plus(x.rec.job.need)
@@ -289,16 +289,16 @@
 
 // borrowMachines lends machines to the leader's part, if the parts that they are in have
 // not changed hands meanwhile.
-func (b *brain) borrowMachines(chosen []*core.Host, cond []wire.Condition, v record.Loan) {
+func (b *brain) borrowMachines(chosen []*core.MachineSummary, cond []wire.Condition, v record.Loan) {
 	u := &store.Unit{Prompt: true, If: append([]wire.Condition{b.leaderCondition()}, cond...)}
 	parts := map[int]bool{}
 	for _, h := range chosen {
-		h.Touched, h.Free = true, core.Res{}
+		h.InUse, h.Free = true, core.Resources{}
 		key := preLend + b.byIdx[h.ID].name
 		u.If = append(u.If, wire.Condition{Key: key})
-		if !parts[h.Part] {
-			parts[h.Part] = true
-			u.If = append(u.If, wire.Condition{Key: b.parts[h.Part].key, Revision: b.vers[b.parts[h.Part].key]})
+		if !parts[h.Partition] {
+			parts[h.Partition] = true
+			u.If = append(u.If, wire.Condition{Key: b.parts[h.Partition].key, Revision: b.vers[b.parts[h.Partition].key]})
 		}
 		u.Then = append(u.Then, wire.Change{Put: key, Value: record.JSON(v)})
 	}
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -124,7 +124,7 @@
 	if p.term == 0 || t == nil || m.gone || m.heard.IsZero() {
 		return
 	}
-	p.cells.SetMachine(m.idx, core.Amount(t.CPUs, t.GPUs, t.RAM))
+	p.cells.SetMachine(m.idx, core.NewResources(t.CPUs, t.GPUs, t.RAM))
 }
 
 // homeOf is the part that a machine is in by what is stored.
@@ -517,7 +517,7 @@
 		b.log.Info("tasks of a machine are lost", "machine", m.name, "tasks", n, "why", why)
 	}
 	for t, a := range p.alloc {
-		if a.m == m && !b.recs[t.Rec].writing {
+		if a.m == m && !b.recs[t.Group].writing {
 			delete(p.alloc, t)
 			b.freeCell(p, t)
 		}
@@ -556,7 +556,7 @@
 	if c := p.cells.CellOf(t); c != nil && c.State == core.Reserving || r.excess(t.Num) {
 		return true
 	}
-	if l := b.lends[m.name]; l != nil && !l.Ack && l.claim(b).Evicts(r.claim()) {
+	if l := b.lends[m.name]; l != nil && !l.Ack && l.claim(b).CanPreempt(r.claim()) {
 		return true
 	}
 	// A task that can save is stopped before its machine is taken.
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -19,7 +19,7 @@
 // machines. Bound to it for good, the job waited beside other zones' empty machines
 // for as long as the first one had none. Its tasks are all proven gone, so that nothing
 // is in two zones; an owner that binds one meanwhile loses by its record's version.
-func (b *brain) otherZone(hosts []*core.Host, r *rec) bool {
+func (b *brain) otherZone(hosts []*core.MachineSummary, r *rec) bool {
 	j, spec := r.job, r.job.spec
 	if !spec.SingleZone || r.zone == "" || b.now.Sub(r.since) < zonePatience || !spec.Gang && len(j.recs) > b.cfg.Settings.State.TxnOps {
 		return false
@@ -36,7 +36,7 @@
 	room := map[string]int{}
 	for _, h := range hosts {
 		if !h.Booting && b.poolOpen(j, h) && allowed(spec, "", h.Type, h.Zone, h.Spot) {
-			room[h.Zone] += h.Free.Fits(j.need, need)
+			room[h.Zone] += h.Free.CountFitting(j.need, need)
 		}
 	}
 	best := r.zone
@@ -67,7 +67,7 @@
 
 // moveStuck gives waiting tasks of a record whose part has no room to a part
 // that has. Its owner's writes lose by the record's version.
-func (b *brain) moveStuck(hosts []*core.Host, r *rec, n int) bool {
+func (b *brain) moveStuck(hosts []*core.MachineSummary, r *rec, n int) bool {
 	spec := r.job.spec
 	if spec.Gang {
 		return b.moveGang(hosts, r.job)
@@ -76,12 +76,12 @@
 		n = len(r.entries) // a group that has not started moves whole
 	}
 	perPart := make([]int, len(b.parts))
-	can := func(h *core.Host) bool {
-		return !h.Booting && h.Part != r.part && (b.now.Sub(r.since) > poolYields || b.poolOpen(r.job, h)) && allowed(spec, r.zone, h.Type, h.Zone, h.Spot)
+	can := func(h *core.MachineSummary) bool {
+		return !h.Booting && h.Partition != r.part && (b.now.Sub(r.since) > poolYields || b.poolOpen(r.job, h)) && allowed(spec, r.zone, h.Type, h.Zone, h.Spot)
 	}
-	trial := core.Clone(hosts)
-	for h, k := range core.Take(trial, can, r.job.need, n) {
-		perPart[h.Part] += k
+	trial := core.CloneSummaries(hosts)
+	for h, k := range core.PlaceInFreeRoom(trial, can, r.job.need, n) {
+		perPart[h.Partition] += k
 	}
 	best, most := -1, 0
 	for p, k := range perPart {
@@ -90,14 +90,14 @@
 		}
 	}
 	if best < 0 && n == 1 {
-		if h := core.Evictable(trial, can, r.job.need, r.claim()); h != nil {
-			best, most = h.Part, 1
+		if h := core.PlaceByPreemption(trial, can, r.job.need, r.claim()); h != nil {
+			best, most = h.Partition, 1
 		}
 	}
 	taken := false
 	if spec.AllOrNothing() && r.bound() == 0 && most < n {
 		// A group that has not started, or lost all, may evict where it goes.
-		if best, taken = (&core.Dealing{Need: r.job.need, Count: n, Claim: r.claim(), Can: can}).Whole(hosts, len(b.parts)); !taken {
+		if best, taken = (&core.Assignment{TaskSize: r.job.need, Count: n, Claim: r.claim(), Allowed: can}).OnePartition(hosts, len(b.parts)); !taken {
 			return n > 1 && b.borrow(hosts, r.job, r.zone, n, r.claim())
 		}
 		most = n
@@ -116,9 +116,9 @@
 	if len(move) == 0 {
 		return false
 	}
-	in := func(h *core.Host) bool { return h.Part == best && can(h) }
+	in := func(h *core.MachineSummary) bool { return h.Partition == best && can(h) }
 	if !taken {
-		core.Take(hosts, in, r.job.need, len(move))
+		core.PlaceInFreeRoom(hosts, in, r.job.need, len(move))
 	}
 	u := &store.Unit{Early: true, Contested: true, If: []wire.Condition{b.leaderCondition(), {Key: jobKey(r.job.id), Revision: r.job.stamp}, {Key: r.key, Revision: r.stamp}}}
 	left, moved := r.split(stay, move)
@@ -142,7 +142,7 @@
 // Where none has, machines of several parts are borrowed for it: a gang that was dealt
 // to a part which then lost its room waited for ever beside machines that had room for
 // it together.
-func (b *brain) moveGang(hosts []*core.Host, j *job) bool {
+func (b *brain) moveGang(hosts []*core.MachineSummary, j *job) bool {
 	first, tasks := j.firstRec(), 0
 	for _, r := range j.recs {
 		if r.bound() > 0 {
@@ -153,11 +153,11 @@
 	if tasks < j.spec.Tasks {
 		return false // the rest is dealt first
 	}
-	can := func(h *core.Host) bool {
-		return !h.Booting && h.Part != first.part && allowed(j.spec, first.zone, h.Type, h.Zone, h.Spot)
+	can := func(h *core.MachineSummary) bool {
+		return !h.Booting && h.Partition != first.part && allowed(j.spec, first.zone, h.Type, h.Zone, h.Spot)
 	}
-	d := &core.Dealing{Need: j.need, Count: tasks, Claim: first.claim(), Can: can}
-	part, ok := d.Whole(hosts, len(b.parts))
+	d := &core.Assignment{TaskSize: j.need, Count: tasks, Claim: first.claim(), Allowed: can}
+	part, ok := d.OnePartition(hosts, len(b.parts))
 	if !ok {
 		return tasks > 1 && b.borrow(hosts, j, first.zone, tasks, first.claim())
 	}
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -42,7 +42,7 @@
 	}
 	slices.SortFunc(mine, func(x, y *rec) int {
 		cx, cy := x.claim(), y.claim()
-		return cmp.Or(cmp.Compare(cy.Level, cx.Level), boolCmp(cy.Own, cx.Own), byUrgency(x.job, y.job), cmp.Compare(x.k, y.k))
+		return cmp.Or(cmp.Compare(cy.Priority, cx.Priority), boolCmp(cy.Guaranteed, cx.Guaranteed), byUrgency(x.job, y.job), cmp.Compare(x.k, y.k))
 	})
 	full := map[shape]bool{}
 	p.queued = 0
@@ -80,11 +80,11 @@
 }
 
 // order is what a job's place among others depends on.
-func (b *brain) order(j *job) *core.Job {
+func (b *brain) order(j *job) *core.JobOrder {
 	_, finished := j.dealt()
-	return &core.Job{Whole: j.spec.AllOrNothing(), NoDeadline: j.spec.NoDeadline, Begun: j.begun(), Turn: core.Turn(b.now.Unix()),
-		Age: b.now.Sub(j.at).Seconds(), Estimate: j.spec.EstimateS, Deadline: j.spec.DeadlineS, Within: b.within[j.spec.Class],
-		Left: float64(j.spec.Tasks-finished) * j.spec.EstimateS * j.spec.CPUs}
+	return &core.JobOrder{AllOrNothing: j.spec.AllOrNothing(), NoDeadline: j.spec.NoDeadline, Started: j.begun(), OverdueTurn: core.IsOverdueTurn(b.now.Unix()),
+		AgeS: b.now.Sub(j.at).Seconds(), EstimateS: j.spec.EstimateS, DeadlineS: j.spec.DeadlineS, ObjectiveS: b.within[j.spec.Class],
+		RemainingWork: float64(j.spec.Tasks-finished) * j.spec.EstimateS * j.spec.CPUs}
 }
 
 // alikeS is within how many seconds jobs count as coming at the same time.
@@ -163,7 +163,7 @@
 			p.queued++
 			return false
 		}
-		g := &core.Group{Tasks: tasks, Need: r.job.need, Claim: s.claim, Mild: s.mild}
+		g := &core.Group{Tasks: tasks, TaskSize: r.job.need, Claim: s.claim, NoPreemption: s.mild}
 		p.cells.Request(g, score)
 		switch g.State {
 		case core.Allocated:
@@ -235,7 +235,7 @@
 			// wait twice for the state service.
 			there = false
 		}
-		if _, ok := p.alloc[t]; ok || there || p.cells.Waiting(t) != nil {
+		if _, ok := p.alloc[t]; ok || there || p.cells.PreemptingGroup(t) != nil {
 			busy = true
 			continue
 		}
@@ -245,9 +245,9 @@
 }
 
 // scorer rates machines for a record's tasks; negative: not allowed.
-func (b *brain) scorer(p *part, r *rec) core.Score {
+func (b *brain) scorer(p *part, r *rec) core.ScoreFunc {
 	j := r.job.spec
-	return func(mi int32, free core.Res) float64 {
+	return func(mi int32, free core.Resources) float64 {
 		m := b.byIdx[mi]
 		if !b.open(m, p) || !allowed(j, r.zone, m.typ, m.zone, m.spot) || len(m.failed) > 0 && b.barred(m, r.job) {
 			return -1
--- a/internal/controller/pool.go
+++ b/internal/controller/pool.go
@@ -43,14 +43,14 @@
 type pool struct {
 	classes map[string]*gangClass
 	// missing is what it lacks, to be rented if nothing comes free.
-	missing []core.Want
+	missing []core.Demand
 	keep    map[int32]bool // machines of it that are wanted
 }
 
 // gangClass is the largest gang of a class of late.
 type gangClass struct {
 	spec *wire.Job
-	need core.Res
+	need core.Resources
 	seen time.Time
 	live int // gangs of it that there are now
 }
@@ -74,13 +74,13 @@
 // poolOpen tells whether a job may be placed on a machine as far as that is kept for
 // others: one of the leader's own part is, until its room has been unused for long.
 // However long a job waits, it is dealt tasks now and then, and began to wait anew each time.
-func (b *brain) poolOpen(j *job, h *core.Host) bool {
-	return h.Part != b.lentPart() || b.mayUsePool(j) || b.unusedForLong(h)
+func (b *brain) poolOpen(j *job, h *core.MachineSummary) bool {
+	return h.Partition != b.lentPart() || b.mayUsePool(j) || b.unusedForLong(h)
 }
 
 // unusedForLong tells whether nothing has been placed for long on a machine of the
 // leader's own part.
-func (b *brain) unusedForLong(h *core.Host) bool {
+func (b *brain) unusedForLong(h *core.MachineSummary) bool {
 	m := b.byIdx[h.ID]
 	limit := poolUnused
 	if l := b.lends[m.name]; l != nil && l.Job != poolJob {
@@ -106,7 +106,7 @@
 }
 
 // notePool notes which gangs there are, and which machines of the pool are wanted.
-func (b *brain) notePool(hosts []*core.Host) {
+func (b *brain) notePool(hosts []*core.MachineSummary) {
 	p := &b.lead.pool
 	if p.classes == nil {
 		p.classes = map[string]*gangClass{}
@@ -139,9 +139,9 @@
 	// Room for one gang of each class, machine by machine, the fullest first, so that
 	// the others come free. Twice as much is kept as would be borrowed, or machines
 	// would go to and fro.
-	ours := slices.DeleteFunc(slices.Clone(hosts), func(h *core.Host) bool { return h.Part != b.lentPart() })
-	slices.SortFunc(ours, func(x, y *core.Host) int {
-		return cmp.Or(cmp.Compare(len(y.Claims), len(x.Claims)), cmp.Compare(x.ID, y.ID))
+	ours := slices.DeleteFunc(slices.Clone(hosts), func(h *core.MachineSummary) bool { return h.Partition != b.lentPart() })
+	slices.SortFunc(ours, func(x, y *core.MachineSummary) int {
+		return cmp.Or(cmp.Compare(len(y.Usages), len(x.Usages)), cmp.Compare(x.ID, y.ID))
 	})
 	for _, c := range p.sorted() {
 		n := 2 * c.room()
@@ -150,7 +150,7 @@
 				break
 			}
 			if allowed(c.spec, "", h.Type, h.Zone, h.Spot) {
-				n -= h.Free.Fits(c.need, n)
+				n -= h.Free.CountFitting(c.need, n)
 				p.keep[h.ID] = true
 			}
 		}
@@ -176,39 +176,39 @@
 
 // fillPool borrows machines for the pool while it lacks room: empty ones, or such as
 // will come empty soon.
-func (b *brain) fillPool(hosts []*core.Host) {
+func (b *brain) fillPool(hosts []*core.MachineSummary) {
 	p := &b.lead.pool
 	p.missing = nil
 	if len(p.classes) == 0 {
 		return
 	}
-	room := core.Clone(hosts) // what is left of it after the classes before
+	room := core.CloneSummaries(hosts) // what is left of it after the classes before
 	left := max(2, int(poolShare*float64(len(hosts)))) - len(b.lends)
-	var chosen []*core.Host
+	var chosen []*core.MachineSummary
 	for _, c := range p.sorted() {
 		spec, zone := c.spec, b.poolZone(room, c)
-		fits := func(h *core.Host) bool {
+		fits := func(h *core.MachineSummary) bool {
 			return !h.Booting && allowed(spec, zone, h.Type, h.Zone, h.Spot)
 		}
-		lacks := c.room() - takeRoom(room, c, func(h *core.Host) bool { return h.Part == b.lentPart() && fits(h) })
+		lacks := c.room() - takeRoom(room, c, func(h *core.MachineSummary) bool { return h.Partition == b.lentPart() && fits(h) })
 		empty, busy := b.roomLent(c, zone)
 		if lacks-empty <= 0 {
 			continue
 		}
 		if n := lacks - empty - busy; n > 0 {
-			p.missing = append(p.missing, core.Want{Class: spec.Class, Need: c.need, Count: n, Service: true, Estimate: spec.EstimateS, Slack: math.Inf(1),
+			p.missing = append(p.missing, core.Demand{Class: spec.Class, TaskSize: c.need, Count: n, AllOrNothing: true, EstimateS: spec.EstimateS, SlackS: math.Inf(1),
 				Allows: func(typ, zoneOf string, spot bool) bool { return allowed(spec, zone, typ, zoneOf, spot) }})
 		}
 		can := b.mayLend(room, fits)
 		// Machines that are empty are had at once, whatever else will come empty some time:
 		// arrays would fill them, and gangs wait for the others for most of a minute.
-		free := pickHosts(can, c, lacks-empty, left, func(h *core.Host) bool { return len(h.Claims) == 0 })
+		free := pickHosts(can, c, lacks-empty, left, func(h *core.MachineSummary) bool { return len(h.Usages) == 0 })
 		left -= len(free)
 		got := 0
 		for _, h := range free {
-			got += h.Size.Fits(c.need, spec.Tasks)
+			got += h.Size.CountFitting(c.need, spec.Tasks)
 		}
-		soon := pickHosts(can, c, lacks-empty-busy-got, left, func(h *core.Host) bool { return len(h.Claims) > 0 })
+		soon := pickHosts(can, c, lacks-empty-busy-got, left, func(h *core.MachineSummary) bool { return len(h.Usages) > 0 })
 		left -= len(soon)
 		chosen = append(append(chosen, free...), soon...)
 	}
@@ -222,11 +222,11 @@
 
 // takeRoom takes free room for the tasks of a class's next gangs from hosts, and returns for
 // how many there is.
-func takeRoom(hosts []*core.Host, c *gangClass, in func(*core.Host) bool) int {
+func takeRoom(hosts []*core.MachineSummary, c *gangClass, in func(*core.MachineSummary) bool) int {
 	got := 0
 	for _, h := range hosts {
 		if in(h) {
-			k := h.Free.Fits(c.need, c.room()-got)
+			k := h.Free.CountFitting(c.need, c.room()-got)
 			h.Free = h.Free.Minus(c.need.Times(k))
 			got += k
 		}
@@ -243,7 +243,7 @@
 		if l.Job != poolJob || l.Ack || t == nil || !allowed(c.spec, zone, m.typ, m.zone, m.spot) {
 			continue
 		}
-		n := core.Amount(t.CPUs, t.GPUs, t.RAM).Fits(c.need, c.spec.Tasks)
+		n := core.NewResources(t.CPUs, t.GPUs, t.RAM).CountFitting(c.need, c.spec.Tasks)
 		if len(m.bound) == 0 {
 			empty += n
 		} else {
@@ -254,31 +254,31 @@
 }
 
 // mayLend are hosts of other parts that may be lent, the emptiest and largest first.
-func (b *brain) mayLend(hosts []*core.Host, fits func(*core.Host) bool) []*core.Host {
-	var can []*core.Host
+func (b *brain) mayLend(hosts []*core.MachineSummary, fits func(*core.MachineSummary) bool) []*core.MachineSummary {
+	var can []*core.MachineSummary
 	for _, h := range hosts {
-		if fits(h) && h.Part != b.lentPart() && !h.Touched && !h.Pinned && !b.lead.closing[b.byIdx[h.ID].name] {
+		if fits(h) && h.Partition != b.lentPart() && !h.InUse && !h.RunsService && !b.lead.closing[b.byIdx[h.ID].name] {
 			can = append(can, h)
 		}
 	}
-	slices.SortFunc(can, func(x, y *core.Host) int {
-		return cmp.Or(cmp.Compare(len(x.Claims), len(y.Claims)), cmp.Compare(y.Size.CPU, x.Size.CPU), cmp.Compare(x.ID, y.ID))
+	slices.SortFunc(can, func(x, y *core.MachineSummary) int {
+		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(y.Size.CPU, x.Size.CPU), cmp.Compare(x.ID, y.ID))
 	})
 	return can
 }
 
 // pickHosts picks, of hosts in their order, at most so many as have room for n tasks.
-func pickHosts(hosts []*core.Host, c *gangClass, n, most int, in func(*core.Host) bool) []*core.Host {
-	var out []*core.Host
+func pickHosts(hosts []*core.MachineSummary, c *gangClass, n, most int, in func(*core.MachineSummary) bool) []*core.MachineSummary {
+	var out []*core.MachineSummary
 	for _, h := range hosts {
 		if n <= 0 || len(out) >= most {
 			break
 		}
-		if h.Touched || !in(h) {
+		if h.InUse || !in(h) {
 			continue
 		}
-		n -= h.Size.Fits(c.need, n)
-		h.Touched = true
+		n -= h.Size.CountFitting(c.need, n)
+		h.InUse = true
 		out = append(out, h)
 	}
 	return out
@@ -286,7 +286,7 @@
 
 // poolZone is the zone in which the pool has the most room for a gang that must be in
 // one; "" for any.
-func (b *brain) poolZone(hosts []*core.Host, c *gangClass) string {
+func (b *brain) poolZone(hosts []*core.MachineSummary, c *gangClass) string {
 	if !c.spec.SingleZone {
 		return ""
 	}
@@ -296,8 +296,8 @@
 			continue
 		}
 		all[h.Zone]++
-		if h.Part == b.lentPart() {
-			room[h.Zone] += h.Free.Fits(c.need, c.spec.Tasks)
+		if h.Partition == b.lentPart() {
+			room[h.Zone] += h.Free.CountFitting(c.need, c.spec.Tasks)
 		}
 	}
 	best := ""
--- a/internal/controller/provision.go
+++ b/internal/controller/provision.go
@@ -23,34 +23,34 @@
 }
 
 // provision rents for what found no room and returns what is not wanted.
-func (b *brain) provision(hosts []*core.Host, wants []core.Want) {
+func (b *brain) provision(hosts []*core.MachineSummary, wants []core.Demand) {
 	if len(b.types) == 0 {
 		return
 	}
-	plan := core.Fleet{All: append(slices.Clone(hosts), b.booting()...), Offers: b.offers(), Like: map[string]int{}, Plan: map[core.Offer]int{}}
+	plan := core.ScalingPlan{Machines: append(slices.Clone(hosts), b.booting()...), Offers: b.offers(), RunningByClass: map[string]int{}, Launches: map[core.Offer]int{}}
 	for r := range b.records() {
 		if r.job.spec != nil {
-			plan.Like[r.job.spec.Class] += r.bound()
+			plan.RunningByClass[r.job.spec.Class] += r.bound()
 		}
 	}
 	for _, w := range wants {
-		plan.Serve(w)
+		plan.Place(w)
 	}
 	for _, w := range b.lead.pool.missing {
-		plan.Serve(w)
+		plan.Place(w)
 	}
-	short := plan.Unmet
+	short := plan.Shortage
 	spare, level := b.headroom()
-	core.FreeBelow(plan.All, level)
+	core.CountLowerPriorityAsFree(plan.Machines, level)
 	for _, w := range spare {
-		plan.Serve(w)
+		plan.Place(w)
 	}
 	// A new leader does not know yet what is up or booting: it would rent all
 	// of it once more.
 	// Nor does one after a long outage, in which no reports were taken.
 	known := b.lead.listed && b.allVouched() || b.now.Sub(b.lead.since) > settleAfter
 	if known && b.now.Sub(b.resumedAt) > b.quietAfter()+2*time.Second {
-		for o, n := range plan.Plan {
+		for o, n := range plan.Launches {
 			b.rent(o, min(n, 50))
 		}
 	}
@@ -69,7 +69,7 @@
 
 // closeSpare empties machines that the fleet has not needed of late: one takes no
 // more work, and is returned when it is empty.
-func (b *brain) closeSpare(hosts []*core.Host, spare []core.Want, level int, short bool) {
+func (b *brain) closeSpare(hosts []*core.MachineSummary, spare []core.Demand, level int, short bool) {
 	if b.lead.closing == nil {
 		b.lead.closing = map[string]bool{}
 	}
@@ -88,29 +88,29 @@
 		window = max(window, b.idleFor(b.types[h.Type], false))
 	}
 	for _, w := range spare {
-		free -= w.Need.CPU * int64(w.Count)
+		free -= w.TaskSize.CPU * int64(w.Count)
 	}
 	age := b.now.Sub(b.lead.since)
-	least, ok := b.lead.surplus.Note(age.Seconds(), free, window.Seconds())
+	least, ok := b.lead.surplus.Add(age.Seconds(), free, window.Seconds())
 	if !ok || age < window {
 		return // not seen for long enough
 	}
-	best := core.Emptiest(hosts, least, level, func(h *core.Host) bool {
-		return h.Part != b.lentPart() && !b.lead.closing[b.byIdx[h.ID].name]
+	best := core.LeastUsed(hosts, least, level, func(h *core.MachineSummary) bool {
+		return h.Partition != b.lentPart() && !b.lead.closing[b.byIdx[h.ID].name]
 	})
 	if best == nil {
 		return
 	}
 	name := b.byIdx[best.ID].name
 	b.lead.closing[name] = true
-	b.lead.surplus.Spend(best.Size.CPU - best.Used().CPU)
+	b.lead.surplus.Subtract(best.Size.CPU - best.Used().CPU)
 	b.log.Info("machine is emptied to be returned", "machine", name, "spare_cpus", least/1000)
 }
 
 // headroom keeps room for services to come.
-func (b *brain) headroom() (out []core.Want, level int) {
+func (b *brain) headroom() (out []core.Demand, level int) {
 	level = math.MaxInt
-	byClass := map[string]*core.Want{}
+	byClass := map[string]*core.Demand{}
 	var order []string
 	for _, j := range b.atHand {
 		if j.fate != live || j.spec == nil || !j.spec.Service {
@@ -145,29 +145,29 @@
 const usualBoot = 1.6
 
 // booting are machines that are rented and have not reported yet.
-func (b *brain) booting() []*core.Host {
-	var out []*core.Host
+func (b *brain) booting() []*core.MachineSummary {
+	var out []*core.MachineSummary
 	for name, r := range b.lead.rented {
 		t := b.types[r.typ]
 		// One that is well past its usual time is not counted on any more.
 		if r.up || t == nil || b.leaving[name] || b.now.Sub(r.since) > config.Seconds(usualBoot*t.BootS) {
 			continue
 		}
-		size := core.Amount(t.CPUs, t.GPUs, t.RAM)
-		out = append(out, &core.Host{ID: -1, Type: r.typ, Zone: r.zone, Spot: r.spot, Size: size, Free: size, Booting: true})
+		size := core.NewResources(t.CPUs, t.GPUs, t.RAM)
+		out = append(out, &core.MachineSummary{ID: -1, Type: r.typ, Zone: r.zone, Spot: r.spot, Size: size, Free: size, Booting: true})
 	}
 	for o, n := range b.lead.renting {
 		t := b.types[o.Type]
 		for range n {
-			size := core.Amount(t.CPUs, t.GPUs, t.RAM)
-			out = append(out, &core.Host{ID: -1, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Size: size, Free: size, Booting: true})
+			size := core.NewResources(t.CPUs, t.GPUs, t.RAM)
+			out = append(out, &core.MachineSummary{ID: -1, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Size: size, Free: size, Booting: true})
 		}
 	}
 	return out
 }
 
-func (b *brain) offers() []core.Priced {
-	var out []core.Priced
+func (b *brain) offers() []core.PricedOffer {
+	var out []core.PricedOffer
 	for _, t := range b.types {
 		for _, z := range t.Zones {
 			if b.lead.cut[z] {
@@ -185,11 +185,11 @@
 				if spot {
 					price = t.SpotPrice
 				}
-				out = append(out, core.Priced{Offer: o, Size: core.Amount(t.CPUs, t.GPUs, t.RAM), Price: price, BootS: t.BootS})
+				out = append(out, core.PricedOffer{Offer: o, Size: core.NewResources(t.CPUs, t.GPUs, t.RAM), Price: price, BootS: t.BootS})
 			}
 		}
 	}
-	slices.SortFunc(out, func(x, y core.Priced) int {
+	slices.SortFunc(out, func(x, y core.PricedOffer) int {
 		return cmp.Or(cmp.Compare(x.Type, y.Type), cmp.Compare(x.Zone, y.Zone), boolCmp(x.Spot, y.Spot))
 	})
 	return out
@@ -207,12 +207,12 @@
 }
 
 // returnIdle releases machines that are idle.
-func (b *brain) returnIdle(hosts []*core.Host) {
+func (b *brain) returnIdle(hosts []*core.MachineSummary) {
 	var names []string
 	wanted := map[string]bool{}
 	for _, h := range hosts {
 		m := b.byIdx[h.ID]
-		if len(m.bound) > 0 || h.Touched {
+		if len(m.bound) > 0 || h.InUse {
 			wanted[m.name] = true
 			continue
 		}
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -63,7 +63,7 @@
 	fate  int
 	at    time.Time
 	spec  *wire.Job
-	need  core.Res
+	need  core.Resources
 	team  int32
 	recs  []*rec
 	loc   map[int32]*rec // of each task that is dealt and not done
@@ -172,7 +172,7 @@
 	barredTo time.Time   // not written before then: it was refused as invalid
 }
 
-func (r *rec) task(num int32) core.Task { return core.Task{Rec: r.idx, Num: num} }
+func (r *rec) task(num int32) core.Task { return core.Task{Group: r.idx, Num: num} }
 
 func (r *rec) find(num int32) *entry {
 	for i := range r.entries {
@@ -252,7 +252,7 @@
 }
 
 func (r *rec) claim() core.Claim {
-	return core.Claim{Level: r.job.spec.Priority, Own: r.own, Team: r.job.team}
+	return core.Claim{Priority: r.job.spec.Priority, Guaranteed: r.own, Team: r.job.team}
 }
 
 // group is the record's stored content with other entries.
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -261,7 +261,7 @@
 	if v.Job != nil {
 		j.spec = v.Job
 		j.at = time.UnixMilli(v.At)
-		j.need = core.Amount(v.Job.CPUs, v.Job.GPUs, v.Job.RAM)
+		j.need = core.NewResources(v.Job.CPUs, v.Job.GPUs, v.Job.RAM)
 		j.sig = fmt.Sprint(v.Job.CPUs, v.Job.GPUs, v.Job.RAM, v.Job.MachineTypes, v.Job.Zone, v.Job.Spot, v.Job.Priority, v.Job.AllOrNothing(), v.Job.Team)
 		j.team = b.team(v.Job.Team)
 	}
--- a/internal/controller/rights.go
+++ b/internal/controller/rights.go
@@ -246,7 +246,7 @@
 // all that former owners stored, then the cells are rebuilt from it.
 func (b *brain) partGained(p *part, stamp uint64) {
 	p.term, p.gained, p.since, p.active = stamp, stamp, b.now, false
-	p.cells, p.alloc = core.NewPart(), map[core.Task]alloc{}
+	p.cells, p.alloc = core.NewPartition(), map[core.Task]alloc{}
 	// A former owner's last read may have begun just before its key went; it
 	// may go on answering reports for the hold time after that. Whether there
 	// was one can't be told here, not even after our own restart: the process
@@ -261,7 +261,7 @@
 	}
 	p.active = true
 	for t := range b.outcomes {
-		if r := b.recs[t.Rec]; r == nil || r.part == p.n {
+		if r := b.recs[t.Group]; r == nil || r.part == p.n {
 			delete(b.outcomes, t)
 		}
 	}
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -52,7 +52,7 @@
 		n.brain.ask(c.ctx, laneState, func() {
 			if n.brain.leads() {
 				for _, h := range n.brain.hosts() {
-					parts[h.Part] = true
+					parts[h.Partition] = true
 				}
 			}
 		})
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -157,9 +157,9 @@
 	if !found {
 		return "unknown team"
 	}
-	need := core.Amount(j.CPUs, j.GPUs, j.RAM)
+	need := core.NewResources(j.CPUs, j.GPUs, j.RAM)
 	for _, t := range b.types {
-		if !core.Amount(t.CPUs, t.GPUs, t.RAM).Holds(need) {
+		if !core.NewResources(t.CPUs, t.GPUs, t.RAM).Contains(need) {
 			continue
 		}
 		for _, z := range t.Zones {
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -163,7 +163,7 @@
 				c.t.Errorf("node %d part %d: %v", i, p.n, err)
 			}
 			for _, t := range p.cells.Tasks() {
-				if r := b.recs[t.Rec]; r == nil || r.find(t.Num) == nil {
+				if r := b.recs[t.Group]; r == nil || r.find(t.Num) == nil {
 					c.t.Errorf("node %d part %d: cell of %v, which no record has", i, p.n, t)
 				}
 			}
--- a/internal/core/cell.go
+++ b/internal/core/cell.go
@@ -11,27 +11,35 @@
 )
 
 // Res is an amount of each resource, in thousandths.
-type Res struct{ CPU, GPU, RAM int64 }
+type Resources struct{ CPU, GPU, RAM int64 }
 
 // Amount builds a Res from decimal numbers.
-func Amount(cpu, gpu, ram float64) Res {
-	return Res{int64(cpu*1000 + 0.5), int64(gpu*1000 + 0.5), int64(ram*1000 + 0.5)}
+func NewResources(cpu, gpu, ram float64) Resources {
+	return Resources{int64(cpu*1000 + 0.5), int64(gpu*1000 + 0.5), int64(ram*1000 + 0.5)}
 }
 
 // Plus adds.
-func (a Res) Plus(b Res) Res { return Res{a.CPU + b.CPU, a.GPU + b.GPU, a.RAM + b.RAM} }
+func (a Resources) Plus(b Resources) Resources {
+	return Resources{a.CPU + b.CPU, a.GPU + b.GPU, a.RAM + b.RAM}
+}
 
 // Minus subtracts.
-func (a Res) Minus(b Res) Res { return Res{a.CPU - b.CPU, a.GPU - b.GPU, a.RAM - b.RAM} }
+func (a Resources) Minus(b Resources) Resources {
+	return Resources{a.CPU - b.CPU, a.GPU - b.GPU, a.RAM - b.RAM}
+}
 
 // Times multiplies.
-func (a Res) Times(n int) Res { return Res{a.CPU * int64(n), a.GPU * int64(n), a.RAM * int64(n)} }
+func (a Resources) Times(n int) Resources {
+	return Resources{a.CPU * int64(n), a.GPU * int64(n), a.RAM * int64(n)}
+}
 
 // Holds tells whether b fits into a.
-func (a Res) Holds(b Res) bool { return a.CPU >= b.CPU && a.GPU >= b.GPU && a.RAM >= b.RAM }
+func (a Resources) Contains(b Resources) bool {
+	return a.CPU >= b.CPU && a.GPU >= b.GPU && a.RAM >= b.RAM
+}
 
 // Fits is how many times b fits into a, at most most.
-func (a Res) Fits(b Res, most int) int {
+func (a Resources) CountFitting(b Resources, most int) int {
 	n := int64(most)
 	for _, p := range [][2]int64{{a.CPU, b.CPU}, {a.GPU, b.GPU}, {a.RAM, b.RAM}} {
 		if p[0] < 0 {
@@ -44,7 +52,9 @@
 	return int(n)
 }
 
-func (a Res) positive() Res { return Res{max(a.CPU, 0), max(a.GPU, 0), max(a.RAM, 0)} }
+func (a Resources) positive() Resources {
+	return Resources{max(a.CPU, 0), max(a.GPU, 0), max(a.RAM, 0)}
+}
 
 // CellState is a state of the paper's cell machine.
 type CellState uint8
@@ -76,86 +86,86 @@
 }
 
 // Task names a task by dense indices: its placement record and its number.
-type Task struct{ Rec, Num int32 }
+type Task struct{ Group, Num int32 }
 
 // Claim says on whose behalf cells are claimed.
 type Claim struct {
-	Level int
+	Priority int
 	// Own: the claim is within its team's guarantee.
-	Own  bool
-	Team int32
+	Guaranteed bool
+	Team       int32
 }
 
 // Evicts tells whether a claim may take another's cells: strictly higher
 // priority, or equal priority, within the guarantee, from a team above its
 // own. It is a strict partial order, so evictions can't go in circles.
-func (c Claim) Evicts(v Claim) bool {
-	return c.Level > v.Level || c.Level == v.Level && c.Own && !v.Own && c.Team != v.Team
+func (c Claim) CanPreempt(v Claim) bool {
+	return c.Priority > v.Priority || c.Priority == v.Priority && c.Guaranteed && !v.Guaranteed && c.Team != v.Team
 }
 
 // Cell is a claimed slice of a machine.
 type Cell struct {
 	Machine int32
-	Size    Res
+	Size    Resources
 	State   CellState
 	// User holds the cell in states Used and Reserving.
 	User      Task
 	userClaim Claim
 	age       int64 // cells claimed later have larger ones
 	// by reserves the cell in states Reserved and Reserving.
-	by *Group
+	reservedBy *Group
 }
 
 // Group is a gang: tasks that are started together or not at all.
 type Group struct {
 	Tasks    []Task
-	Need     Res
+	TaskSize Resources
 	Claim    Claim
 	State    GroupState
 	Machines []int32 // one for each task, once Preempting or Allocated
 	// Mild groups take free cells only.
-	Mild    bool
-	cells   []*Cell // reserved or being reserved, while Preempting
-	victims int
+	NoPreemption bool
+	cells        []*Cell // reserved or being reserved, while Preempting
+	victims      int
 }
 
 // Victims is how many tasks a Preempting group waits for.
 func (g *Group) Victims() int { return g.victims }
 
-type machine struct {
+type partitionMachine struct {
 	id    int32
 	place int // in the part's list
-	size  Res
-	free  Res
+	size  Resources
+	free  Resources
 	cells []*Cell
 	known bool
 }
 
 // Part is the cells of one part's machines.
-type Part struct {
-	machines map[int32]*machine
-	list     []*machine
+type Partition struct {
+	machines map[int32]*partitionMachine
+	list     []*partitionMachine
 	used     map[Task]*Cell  // Used and Reserving
 	waiting  map[Task]*Group // Preempting
 	claims   int64
 }
 
 // NewPart returns a part without machines.
-func NewPart() *Part {
-	return &Part{machines: map[int32]*machine{}, used: map[Task]*Cell{}, waiting: map[Task]*Group{}}
+func NewPartition() *Partition {
+	return &Partition{machines: map[int32]*partitionMachine{}, used: map[Task]*Cell{}, waiting: map[Task]*Group{}}
 }
 
 // SetMachine makes a machine and its size known.
-func (p *Part) SetMachine(m int32, size Res) {
+func (p *Partition) SetMachine(m int32, size Resources) {
 	x := p.machine(m)
 	x.free = x.free.Plus(size.Minus(x.size))
 	x.size, x.known = size, true
 }
 
-func (p *Part) machine(m int32) *machine {
+func (p *Partition) machine(m int32) *partitionMachine {
 	x := p.machines[m]
 	if x == nil {
-		x = &machine{id: m, place: len(p.list)}
+		x = &partitionMachine{id: m, place: len(p.list)}
 		p.machines[m] = x
 		p.list = append(p.list, x)
 	}
@@ -164,14 +174,14 @@
 
 // DropMachine forgets a machine. Reservations on it are cancelled; it must
 // hold no used cell any more.
-func (p *Part) DropMachine(m int32) {
+func (p *Partition) DropMachine(m int32) {
 	x := p.machines[m]
 	if x == nil {
 		return
 	}
 	for _, c := range append([]*Cell(nil), x.cells...) {
-		if c.by != nil {
-			p.Cancel(c.by)
+		if c.reservedBy != nil {
+			p.Cancel(c.reservedBy)
 		}
 	}
 	if len(x.cells) == 0 {
@@ -184,18 +194,18 @@
 }
 
 // FreeOf is what is free on a machine.
-func (p *Part) FreeOf(m int32) Res {
+func (p *Partition) Free(m int32) Resources {
 	if x := p.machines[m]; x != nil {
 		return x.free
 	}
-	return Res{}
+	return Resources{}
 }
 
 // CellOf is the cell that a task uses, or nil.
-func (p *Part) CellOf(t Task) *Cell { return p.used[t] }
+func (p *Partition) CellOf(t Task) *Cell { return p.used[t] }
 
 // Tasks lists the tasks that use a cell.
-func (p *Part) Tasks() []Task {
+func (p *Partition) Tasks() []Task {
 	out := make([]Task, 0, len(p.used))
 	for t := range p.used {
 		out = append(out, t)
@@ -204,16 +214,16 @@
 }
 
 // Waiting is the Preempting group that a task is in, or nil.
-func (p *Part) Waiting(t Task) *Group { return p.waiting[t] }
+func (p *Partition) PreemptingGroup(t Task) *Group { return p.waiting[t] }
 
 // Adopt takes a stored binding over: the task's cell is Used. It is how the
 // stored states are turned into cells again after a take-over.
-func (p *Part) Adopt(t Task, m int32, size Res, claim Claim) {
+func (p *Partition) Adopt(t Task, m int32, size Resources, claim Claim) {
 	if c := p.used[t]; c != nil {
 		if c.Machine == m {
 			return
 		}
-		p.Gone(t)
+		p.Release(t)
 	}
 	if g := p.waiting[t]; g != nil {
 		p.Cancel(g)
@@ -221,20 +231,20 @@
 	p.take(t, m, size, claim)
 }
 
-func (p *Part) take(t Task, m int32, size Res, claim Claim) {
+func (p *Partition) take(t Task, m int32, size Resources, claim Claim) {
 	p.claims++
 	c := &Cell{Machine: m, Size: size, State: Used, User: t, userClaim: claim, age: p.claims}
 	p.used[t] = c
 	p.attach(c)
 }
 
-func (p *Part) attach(c *Cell) {
+func (p *Partition) attach(c *Cell) {
 	x := p.machine(c.Machine)
 	x.cells = append(x.cells, c)
 	x.free = x.free.Minus(c.Size)
 }
 
-func (p *Part) detach(c *Cell) {
+func (p *Partition) detach(c *Cell) {
 	x := p.machines[c.Machine]
 	for i, o := range x.cells {
 		if o == c {
@@ -249,7 +259,7 @@
 // Gone tells that a task's use of its cell has ended on proof. A Used cell
 // becomes Free; a Reserving one Reserved. If that was the last one a group
 // waited for, the group is Allocated and returned.
-func (p *Part) Gone(t Task) *Group {
+func (p *Partition) Release(t Task) *Group {
 	c := p.used[t]
 	if c == nil {
 		return nil
@@ -260,7 +270,7 @@
 		return nil
 	}
 	c.State = Reserved
-	g := c.by
+	g := c.reservedBy
 	g.victims--
 	if g.victims > 0 {
 		return nil
@@ -272,7 +282,7 @@
 // allocate turns a Preempting group, all of whose cells are Reserved, into an
 // Allocated one (the paper's e2): its reserved slices become one Used cell for
 // each task, and what the victims held beyond that is Free again.
-func (p *Part) allocate(g *Group) {
+func (p *Partition) allocate(g *Group) {
 	for _, c := range g.cells {
 		p.detach(c)
 	}
@@ -280,20 +290,20 @@
 	g.State = Allocated
 	for i, t := range g.Tasks {
 		delete(p.waiting, t)
-		p.take(t, g.Machines[i], g.Need, g.Claim)
+		p.take(t, g.Machines[i], g.TaskSize, g.Claim)
 	}
 }
 
 // Cancel ends a reservation (e5, e7): Reserving cells return to their victims,
 // Reserved ones are freed, the group is Pending.
-func (p *Part) Cancel(g *Group) {
+func (p *Partition) Cancel(g *Group) {
 	if g.State != Preempting {
 		return
 	}
 	g.State = Pending
 	for _, c := range g.cells {
 		if c.State == Reserving {
-			c.State, c.by = Used, nil
+			c.State, c.reservedBy = Used, nil
 		} else {
 			p.detach(c)
 		}
@@ -306,31 +316,31 @@
 
 // Score tells how good a machine is for a group's task: lower is better,
 // negative means not allowed.
-type Score func(machine int32, free Res) float64
+type ScoreFunc func(machine int32, free Resources) float64
 
 // Request asks for cells for all tasks of g, which must be Pending. Free cells
 // are preferred; where there are none, the cells of the fewest victims of the
 // lowest priority are reserved. Afterwards g is Allocated (all cells were free
 // or reserved by lower groups), Preempting, or still Pending, in which case
 // nothing has changed.
-func (p *Part) Request(g *Group, score Score) {
+func (p *Partition) Request(g *Group, score ScoreFunc) {
 	type choice struct {
 		machine int32
 		victims []*Cell
 	}
 	var chosen []choice
-	taken := map[int32]Res{} // free room of machines promised to earlier tasks
-	mine := map[*Cell]bool{} // cells promised to earlier tasks
+	taken := map[int32]Resources{} // free room of machines promised to earlier tasks
+	mine := map[*Cell]bool{}       // cells promised to earlier tasks
 	for range g.Tasks {
 		best, bestScore, found := int32(0), 0.0, false
 		for _, x := range p.list {
 			m := x.id
-			if !x.known || !x.free.Holds(g.Need) {
+			if !x.known || !x.free.Contains(g.TaskSize) {
 				continue
 			}
 			free := x.free
 			if len(taken) > 0 {
-				if free = free.Minus(taken[m]); !free.Holds(g.Need) {
+				if free = free.Minus(taken[m]); !free.Contains(g.TaskSize) {
 					continue
 				}
 			}
@@ -342,10 +352,10 @@
 		}
 		if found {
 			chosen = append(chosen, choice{machine: best})
-			taken[best] = taken[best].Plus(g.Need)
+			taken[best] = taken[best].Plus(g.TaskSize)
 			continue
 		}
-		if g.Mild {
+		if g.NoPreemption {
 			return
 		}
 		var pick choice
@@ -353,7 +363,7 @@
 		for _, x := range p.list {
 			m := x.id
 			free := x.free.Minus(taken[m])
-			if !x.known || !evictable(x, g, free, mine) {
+			if !x.known || !fitsByPreemption(x, g, free, mine) {
 				continue
 			}
 			s := score(m, x.free)
@@ -369,12 +379,12 @@
 		if pickCost < 0 {
 			return
 		}
-		sum := Res{}
+		sum := Resources{}
 		for _, c := range pick.victims {
 			mine[c] = true
 			sum = sum.Plus(c.Size)
 		}
-		taken[pick.machine] = taken[pick.machine].Plus(g.Need.Minus(sum).positive())
+		taken[pick.machine] = taken[pick.machine].Plus(g.TaskSize.Minus(sum).positive())
 		chosen = append(chosen, pick)
 	}
 	g.Machines = g.Machines[:0]
@@ -384,8 +394,8 @@
 	// First send the overwritten preemptors back to Pending (e3, e6, e8).
 	for _, ch := range chosen {
 		for _, c := range ch.victims {
-			if c.by != nil {
-				p.Cancel(c.by)
+			if c.reservedBy != nil {
+				p.Cancel(c.reservedBy)
 			}
 		}
 	}
@@ -394,18 +404,18 @@
 		p.waiting[t] = g
 	}
 	for _, ch := range chosen {
-		sum := Res{}
+		sum := Resources{}
 		for _, c := range ch.victims {
 			if c.State != Used {
 				continue // it was only reserved: freed by Cancel above
 			}
-			c.State, c.by = Reserving, g
+			c.State, c.reservedBy = Reserving, g
 			g.cells = append(g.cells, c)
 			g.victims++
 			sum = sum.Plus(c.Size)
 		}
-		if rest := g.Need.Minus(sum).positive(); rest != (Res{}) {
-			c := &Cell{Machine: ch.machine, Size: rest, State: Reserved, by: g}
+		if rest := g.TaskSize.Minus(sum).positive(); rest != (Resources{}) {
+			c := &Cell{Machine: ch.machine, Size: rest, State: Reserved, reservedBy: g}
 			g.cells = append(g.cells, c)
 			p.attach(c)
 		}
@@ -416,19 +426,19 @@
 }
 
 // mayTake tells whether g may take a cell that others use or reserve.
-func mayTake(c *Cell, g *Group, mine map[*Cell]bool) bool {
-	return (c.by == nil || g.Claim.Evicts(c.by.Claim)) && (c.State == Reserved || g.Claim.Evicts(c.userClaim)) && !mine[c]
+func canTake(c *Cell, g *Group, mine map[*Cell]bool) bool {
+	return (c.reservedBy == nil || g.Claim.CanPreempt(c.reservedBy.Claim)) && (c.State == Reserved || g.Claim.CanPreempt(c.userClaim)) && !mine[c]
 }
 
 // evictable tells whether a machine has room for a task of g when all are evicted
 // that may be: most have not, and need no closer look.
-func evictable(x *machine, g *Group, free Res, mine map[*Cell]bool) bool {
-	if !x.size.Holds(g.Need) {
+func fitsByPreemption(x *partitionMachine, g *Group, free Resources, mine map[*Cell]bool) bool {
+	if !x.size.Contains(g.TaskSize) {
 		return false
 	}
 	for _, c := range x.cells {
-		if mayTake(c, g, mine) {
-			if free = free.Plus(c.Size); free.Holds(g.Need) {
+		if canTake(c, g, mine) {
+			if free = free.Plus(c.Size); free.Contains(g.TaskSize) {
 				return true
 			}
 		}
@@ -438,20 +448,20 @@
 
 // victims chooses cells of a machine for one task of g: the fewest, of the
 // lowest priority. The cost is negative if there aren't enough.
-func (p *Part) victims(x *machine, g *Group, free Res, mine map[*Cell]bool) ([]*Cell, float64) {
+func (p *Partition) victims(x *partitionMachine, g *Group, free Resources, mine map[*Cell]bool) ([]*Cell, float64) {
 	var can []*Cell
 	for _, c := range x.cells {
-		if mayTake(c, g, mine) {
+		if canTake(c, g, mine) {
 			can = append(can, c)
 		}
 	}
 	var out []*Cell
 	cost := 0.0
-	for !free.Holds(g.Need) {
+	for !free.Contains(g.TaskSize) {
 		best := -1
 		for i, c := range can {
-			if best < 0 || weight(c) < weight(can[best]) ||
-				weight(c) == weight(can[best]) && (c.Size.CPU > can[best].Size.CPU ||
+			if best < 0 || victimWeight(c) < victimWeight(can[best]) ||
+				victimWeight(c) == victimWeight(can[best]) && (c.Size.CPU > can[best].Size.CPU ||
 					c.Size.CPU == can[best].Size.CPU && c.age > can[best].age) { // the youngest loses least
 				best = i
 			}
@@ -463,7 +473,7 @@
 		can = append(can[:best], can[best+1:]...)
 		out = append(out, c)
 		free = free.Plus(c.Size)
-		cost += 1 + 1000*weight(c) + p.loss(c)
+		cost += 1 + 1000*victimWeight(c) + p.loss(c)
 	}
 	return out, cost
 }
@@ -471,7 +481,7 @@
 // loss is what stopping a cell's task loses beside others of its weight, below
 // one: those that were claimed before most others have run longest, and many are
 // about to end. In a few steps, so that among like ones the better machine wins.
-func (p *Part) loss(c *Cell) float64 {
+func (p *Partition) loss(c *Cell) float64 {
 	if c.State == Reserved {
 		return 0
 	}
@@ -481,19 +491,19 @@
 }
 
 // weight orders victims: reserved slices stop nobody, then by priority.
-func weight(c *Cell) float64 {
+func victimWeight(c *Cell) float64 {
 	if c.State == Reserved {
 		return 0
 	}
-	w := float64(1 + 2*c.userClaim.Level)
-	if c.userClaim.Own {
+	w := float64(1 + 2*c.userClaim.Priority)
+	if c.userClaim.Guaranteed {
 		w++
 	}
 	return w
 }
 
 // Check verifies the invariants; tests call it after every event.
-func (p *Part) Check() error {
+func (p *Partition) Check() error {
 	owned := map[Task]int{}
 	for m, x := range p.machines {
 		free := x.size
@@ -502,14 +512,14 @@
 			if (c.State == Used || c.State == Reserving) && p.used[c.User] != c {
 				return fmt.Errorf("machine %d: cell of %v is not its user's", m, c.User)
 			}
-			if (c.by != nil) != (c.State == Reserved || c.State == Reserving) {
-				return fmt.Errorf("machine %d: %v cell with reserver %v", m, c.State, c.by != nil)
+			if (c.reservedBy != nil) != (c.State == Reserved || c.State == Reserving) {
+				return fmt.Errorf("machine %d: %v cell with reserver %v", m, c.State, c.reservedBy != nil)
 			}
-			if c.by != nil && c.by.State != Preempting {
-				return fmt.Errorf("machine %d: reserved by a group in %v", m, c.by.State)
+			if c.reservedBy != nil && c.reservedBy.State != Preempting {
+				return fmt.Errorf("machine %d: reserved by a group in %v", m, c.reservedBy.State)
 			}
-			if c.State == Reserving && !c.by.Claim.Evicts(c.userClaim) {
-				return fmt.Errorf("machine %d: %v reserves from %v", m, c.by.Claim, c.userClaim)
+			if c.State == Reserving && !c.reservedBy.Claim.CanPreempt(c.userClaim) {
+				return fmt.Errorf("machine %d: %v reserves from %v", m, c.reservedBy.Claim, c.userClaim)
 			}
 			if c.State != Reserved {
 				owned[c.User]++
--- a/internal/core/cell_test.go
+++ b/internal/core/cell_test.go
@@ -6,17 +6,17 @@
 	"pgregory.net/rapid"
 )
 
-func anyMachine(int32, Res) float64 { return 0 }
+func anyMachine(int32, Resources) float64 { return 0 }
 
 // Any order of requests, endings, cancellations, adoptions and lost machines
 // keeps the invariants of Check: no cell owned twice, none over-committed,
 // every reservation strictly from lower claims.
 func TestCellsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := NewPart()
+		p := NewPartition()
 		machines := rapid.IntRange(1, 4).Draw(t, "machines")
 		for m := range machines {
-			p.SetMachine(int32(m), Amount(8, 0, 16))
+			p.SetMachine(int32(m), NewResources(8, 0, 16))
 		}
 		var next int32
 		var groups []*Group
@@ -32,11 +32,11 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"request": func(t *rapid.T) {
 				g := &Group{
-					Need: Amount(float64(rapid.IntRange(1, 5).Draw(t, "cpu")), 0, 1),
+					TaskSize: NewResources(float64(rapid.IntRange(1, 5).Draw(t, "cpu")), 0, 1),
 					Claim: Claim{
-						Level: rapid.IntRange(0, 3).Draw(t, "level"),
-						Own:   rapid.Bool().Draw(t, "own"),
-						Team:  int32(rapid.IntRange(0, 2).Draw(t, "team")),
+						Priority:   rapid.IntRange(0, 3).Draw(t, "level"),
+						Guaranteed: rapid.Bool().Draw(t, "own"),
+						Team:       int32(rapid.IntRange(0, 2).Draw(t, "team")),
 					},
 				}
 				for range rapid.IntRange(1, 4).Draw(t, "tasks") {
@@ -57,7 +57,7 @@
 			},
 			"gone": func(t *rapid.T) {
 				if r := running(); len(r) > 0 {
-					if g := p.Gone(rapid.SampledFrom(r).Draw(t, "task")); g != nil && g.State != Allocated {
+					if g := p.Release(rapid.SampledFrom(r).Draw(t, "task")); g != nil && g.State != Allocated {
 						t.Fatalf("a returned group is %v", g.State)
 					}
 				}
@@ -71,11 +71,11 @@
 				m := int32(rapid.IntRange(0, machines-1).Draw(t, "machine"))
 				for _, x := range running() {
 					if p.CellOf(x).Machine == m {
-						p.Gone(x)
+						p.Release(x)
 					}
 				}
 				p.DropMachine(m)
-				p.SetMachine(m, Amount(8, 0, 16))
+				p.SetMachine(m, NewResources(8, 0, 16))
 			},
 			"": func(t *rapid.T) {
 				if err := p.Check(); err != nil {
@@ -92,7 +92,7 @@
 }
 
 func group(level int, cpu float64, nums ...int32) *Group {
-	g := &Group{Need: Amount(cpu, 0, 1), Claim: Claim{Level: level}}
+	g := &Group{TaskSize: NewResources(cpu, 0, 1), Claim: Claim{Priority: level}}
 	for _, n := range nums {
 		g.Tasks = append(g.Tasks, Task{0, n})
 	}
@@ -101,8 +101,8 @@
 
 // A gang waits until every victim is gone and then gets all its cells.
 func TestPreemptorWaitsForAllVictims(t *testing.T) {
-	p := NewPart()
-	p.SetMachine(0, Amount(4, 0, 8))
+	p := NewPartition()
+	p.SetMachine(0, NewResources(4, 0, 8))
 	low := group(0, 2, 0, 1)
 	p.Request(low, anyMachine)
 	high := group(2, 4, 2)
@@ -113,31 +113,31 @@
 	if c := p.CellOf(Task{0, 0}); c.State != Reserving {
 		t.Fatalf("the victim's cell is %v", c.State)
 	}
-	if g := p.Gone(Task{0, 0}); g != nil {
+	if g := p.Release(Task{0, 0}); g != nil {
 		t.Fatal("allocated while a victim still runs")
 	}
-	if g := p.Gone(Task{0, 1}); g != high || high.State != Allocated {
+	if g := p.Release(Task{0, 1}); g != high || high.State != Allocated {
 		t.Fatalf("after the last victim: %v", high.State)
 	}
 }
 
 // Cancelling a preemptor returns the cells to its victims.
 func TestCancelReturnsCells(t *testing.T) {
-	p := NewPart()
-	p.SetMachine(0, Amount(4, 0, 8))
+	p := NewPartition()
+	p.SetMachine(0, NewResources(4, 0, 8))
 	p.Request(group(0, 3, 0), anyMachine)
 	high := group(2, 4, 1)
 	p.Request(high, anyMachine)
 	p.Cancel(high)
-	if c := p.CellOf(Task{0, 0}); c.State != Used || high.State != Pending || p.FreeOf(0) != Amount(1, 0, 7) {
-		t.Fatalf("victim %v, preemptor %v, free %v", c.State, high.State, p.FreeOf(0))
+	if c := p.CellOf(Task{0, 0}); c.State != Used || high.State != Pending || p.Free(0) != NewResources(1, 0, 7) {
+		t.Fatalf("victim %v, preemptor %v, free %v", c.State, high.State, p.Free(0))
 	}
 }
 
 // A still higher group overwrites a reservation: its preemptor is Pending again.
 func TestHigherGroupOverwritesReservation(t *testing.T) {
-	p := NewPart()
-	p.SetMachine(0, Amount(4, 0, 8))
+	p := NewPartition()
+	p.SetMachine(0, NewResources(4, 0, 8))
 	p.Request(group(0, 4, 0), anyMachine)
 	mid := group(1, 4, 1)
 	p.Request(mid, anyMachine)
@@ -146,7 +146,7 @@
 	if mid.State != Pending || top.State != Preempting {
 		t.Fatalf("mid %v, top %v", mid.State, top.State)
 	}
-	if g := p.Gone(Task{0, 0}); g != top {
+	if g := p.Release(Task{0, 0}); g != top {
 		t.Fatal("the cell did not go to the highest group")
 	}
 	equal := group(3, 4, 3)
@@ -160,9 +160,9 @@
 // before, but for reservations, which are volatile and given up.
 func TestRebuildFromBindings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := NewPart()
+		p := NewPartition()
 		for m := range int32(3) {
-			p.SetMachine(m, Amount(8, 0, 16))
+			p.SetMachine(m, NewResources(8, 0, 16))
 		}
 		type binding struct {
 			group   *Group
@@ -176,7 +176,7 @@
 			groups = append(groups, g)
 			if rapid.Bool().Draw(t, "end one") {
 				if used := p.Tasks(); len(used) > 0 {
-					p.Gone(used[0])
+					p.Release(used[0])
 				}
 			}
 		}
@@ -187,12 +187,12 @@
 				}
 			}
 		}
-		again := NewPart()
+		again := NewPartition()
 		for x, b := range stored {
-			again.Adopt(x, b.machine, b.group.Need, b.group.Claim)
+			again.Adopt(x, b.machine, b.group.TaskSize, b.group.Claim)
 		}
 		for m := range int32(3) {
-			again.SetMachine(m, Amount(8, 0, 16))
+			again.SetMachine(m, NewResources(8, 0, 16))
 		}
 		if err := again.Check(); err != nil {
 			t.Fatal(err)
@@ -204,8 +204,8 @@
 			p.Cancel(g) // what a crash does to Preempting groups
 		}
 		for m := range int32(3) {
-			if again.FreeOf(m) != p.FreeOf(m) {
-				t.Fatalf("machine %d: %v is free, %v before", m, again.FreeOf(m), p.FreeOf(m))
+			if again.Free(m) != p.Free(m) {
+				t.Fatalf("machine %d: %v is free, %v before", m, again.Free(m), p.Free(m))
 			}
 		}
 	})
--- a/internal/core/deal.go
+++ b/internal/core/deal.go
@@ -4,53 +4,53 @@
 // are that many: each record costs changes of its own, to deal it, to bind and
 // to end its tasks and to clear it up, and changes are what the state service
 // allows least of.
-const LeastDealt = 24
+const MinAssigned = 24
 
 // Dealing asks for room for like tasks of one job.
-type Dealing struct {
-	Need  Res
-	Count int
-	Claim Claim
-	Can   func(*Host) bool
+type Assignment struct {
+	TaskSize Resources
+	Count    int
+	Claim    Claim
+	Allowed  func(*MachineSummary) bool
 	// Tight: the team's limit is short. What is dealt but can't run yet would
 	// hold the limit against others of the team.
-	Tight bool
+	QuotaShort bool
 	// Must: the tasks are dealt where they may be, room or not, to take the next
 	// cells that come free.
-	Must bool
+	Forced bool
 }
 
 // Spread decides how many tasks of an array each part is dealt: what free room
 // there is, what ends soon (ahead, which it counts down), then what lower claims
 // hold. It takes that room from the hosts.
-func (d *Dealing) Spread(hosts []*Host, ahead []int) []int {
+func (d *Assignment) PerPartition(hosts []*MachineSummary, ahead []int) []int {
 	out := make([]int, len(ahead))
 	left := d.Count
 	give := func(p, k int) {
 		out[p] += k
 		left -= k
 	}
-	for h, k := range Take(hosts, d.Can, d.Need, left) {
-		give(h.Part, k)
+	for h, k := range PlaceInFreeRoom(hosts, d.Allowed, d.TaskSize, left) {
+		give(h.Partition, k)
 	}
 	for p := range ahead {
-		if left > 0 && !d.Tight && ahead[p] > 0 && partCan(hosts, p, d.Can) {
+		if left > 0 && !d.QuotaShort && ahead[p] > 0 && partitionAllows(hosts, p, d.Allowed) {
 			k := min(left, ahead[p])
 			ahead[p] -= k
 			give(p, k)
 		}
 	}
 	for left > 0 {
-		h := Evictable(hosts, d.Can, d.Need, d.Claim)
+		h := PlaceByPreemption(hosts, d.Allowed, d.TaskSize, d.Claim)
 		if h == nil {
 			break
 		}
-		give(h.Part, 1)
+		give(h.Partition, 1)
 	}
-	if d.Must && left == d.Count {
+	if d.Forced && left == d.Count {
 		best := -1
 		for p := range ahead {
-			if (best < 0 || ahead[p] > ahead[best]) && partCan(hosts, p, d.Can) {
+			if (best < 0 || ahead[p] > ahead[best]) && partitionAllows(hosts, p, d.Allowed) {
 				best = p
 			}
 		}
@@ -62,7 +62,7 @@
 	for p, k := range out {
 		// Few large records rather than many small ones; what is dealt too much
 		// now is dealt less ahead later.
-		if more := min(LeastDealt-k, left); k > 0 && more > 0 && !d.Tight {
+		if more := min(MinAssigned-k, left); k > 0 && more > 0 && !d.QuotaShort {
 			ahead[p] -= more
 			give(p, more)
 		}
@@ -71,9 +71,9 @@
 }
 
 // partCan tells whether a part has a machine that a task may be on.
-func partCan(hosts []*Host, p int, can func(*Host) bool) bool {
+func partitionAllows(hosts []*MachineSummary, p int, can func(*MachineSummary) bool) bool {
 	for _, h := range hosts {
-		if h.Part == p && can(h) {
+		if h.Partition == p && can(h) {
 			return true
 		}
 	}
@@ -82,21 +82,21 @@
 
 // Whole chooses the part for a group that is reserved together, one of parts,
 // and takes its room there; false if no part can hold it.
-func (d *Dealing) Whole(hosts []*Host, parts int) (int, bool) {
+func (d *Assignment) OnePartition(hosts []*MachineSummary, parts int) (int, bool) {
 	if d.Count == 1 {
 		// The part of the fullest machine that fits keeps machines packed.
-		for h := range Take(hosts, d.Can, d.Need, 1) {
-			return h.Part, true
+		for h := range PlaceInFreeRoom(hosts, d.Allowed, d.TaskSize, 1) {
+			return h.Partition, true
 		}
-		if h := Evictable(hosts, d.Can, d.Need, d.Claim); h != nil {
-			return h.Part, true
+		if h := PlaceByPreemption(hosts, d.Allowed, d.TaskSize, d.Claim); h != nil {
+			return h.Partition, true
 		}
 		return 0, false
 	}
 	free := make([]int, parts)
 	for _, h := range hosts {
-		if d.Can(h) {
-			free[h.Part] += h.Free.Fits(d.Need, d.Count)
+		if d.Allowed(h) {
+			free[h.Partition] += h.Free.CountFitting(d.TaskSize, d.Count)
 		}
 	}
 	best := 0
@@ -105,20 +105,20 @@
 			best = p
 		}
 	}
-	in := func(p int) func(*Host) bool {
-		return func(h *Host) bool { return h.Part == p && d.Can(h) }
+	in := func(p int) func(*MachineSummary) bool {
+		return func(h *MachineSummary) bool { return h.Partition == p && d.Allowed(h) }
 	}
 	if free[best] >= d.Count {
-		Take(hosts, in(best), d.Need, d.Count)
+		PlaceInFreeRoom(hosts, in(best), d.TaskSize, d.Count)
 		return best, true
 	}
 	for p := range free {
-		trial := Clone(hosts)
+		trial := CloneSummaries(hosts)
 		got := 0
-		for _, k := range Take(trial, in(p), d.Need, d.Count) {
+		for _, k := range PlaceInFreeRoom(trial, in(p), d.TaskSize, d.Count) {
 			got += k
 		}
-		for got < d.Count && Evictable(trial, in(p), d.Need, d.Claim) != nil {
+		for got < d.Count && PlaceByPreemption(trial, in(p), d.TaskSize, d.Claim) != nil {
 			got++
 		}
 		if got == d.Count {
@@ -132,9 +132,9 @@
 }
 
 // Clone copies hosts, so that a plan can be tried.
-func Clone(hosts []*Host) []*Host {
-	all := make([]Host, len(hosts))
-	out := make([]*Host, len(hosts))
+func CloneSummaries(hosts []*MachineSummary) []*MachineSummary {
+	all := make([]MachineSummary, len(hosts))
+	out := make([]*MachineSummary, len(hosts))
 	for i, h := range hosts {
 		all[i] = *h
 		out[i] = &all[i]
@@ -145,17 +145,17 @@
 // Ahead is how many tasks a part may be dealt beyond its free room: what ends
 // there while a cell would wait for its next task, twice over. bound tasks of the
 // given estimate run there.
-func Ahead(bound int, estimate, turnaround float64) float64 {
+func AssignAhead(bound int, estimate, turnaround float64) float64 {
 	return float64(bound) * min(0.5, 2*turnaround/max(estimate, 1))
 }
 
 // Standing is a record's tasks that count for its team's limit.
-type Standing struct {
-	Level int
+type QuotaUse struct {
+	Priority int
 	// Running tasks hold cells; May is how many may, at least those that do or
 	// are to.
-	Running, May int
-	Need         Res
+	Running, Allowed int
+	TaskSize         Resources
 	// Fixed: tasks that are dealt but don't run can't be held back now.
 	Fixed bool
 }
@@ -164,19 +164,19 @@
 // lacks some: dealt tasks that don't run yet stand back, then tasks of lower jobs
 // that run are stopped. from lists what there is, the least urgent first; the
 // result tells for each how many may run from now, or -1 where nothing changes.
-func Squeeze(from []Standing, level int, lack Res) []int {
+func Throttle(from []QuotaUse, level int, lack Resources) []int {
 	out := make([]int, len(from))
 	for i := range out {
 		out[i] = -1
 	}
 	for _, running := range []bool{false, true} {
 		for i, s := range from {
-			least, may := s.Running, s.May
+			least, may := s.Running, s.Allowed
 			if out[i] >= 0 {
 				may = out[i]
 			}
 			if running {
-				if s.Level >= level {
+				if s.Priority >= level {
 					continue
 				}
 				least = 0
@@ -185,7 +185,7 @@
 			}
 			for may > least && (lack.CPU > 0 || lack.GPU > 0) {
 				may--
-				lack = lack.Minus(s.Need)
+				lack = lack.Minus(s.TaskSize)
 				out[i] = may
 			}
 		}
--- a/internal/core/deal_test.go
+++ b/internal/core/deal_test.go
@@ -11,21 +11,21 @@
 const testParts = 3
 
 func drawClaim(t *rapid.T, name string) Claim {
-	return Claim{Level: rapid.IntRange(0, 3).Draw(t, name+" level"), Own: rapid.Bool().Draw(t, name+" own"), Team: int32(rapid.IntRange(0, 2).Draw(t, name+" team"))}
+	return Claim{Priority: rapid.IntRange(0, 3).Draw(t, name+" level"), Guaranteed: rapid.Bool().Draw(t, name+" own"), Team: int32(rapid.IntRange(0, 2).Draw(t, name+" team"))}
 }
 
 // drawHosts draws a fleet whose hosts hold no more than they have.
-func drawHosts(t *rapid.T) []*Host {
-	var hosts []*Host
+func drawHosts(t *rapid.T) []*MachineSummary {
+	var hosts []*MachineSummary
 	for i := range rapid.IntRange(0, 8).Draw(t, "hosts") {
-		size := Amount(float64(rapid.SampledFrom([]int{4, 16}).Draw(t, "cpus")), 0, 64)
-		h := &Host{ID: int32(i), Type: fmt.Sprint(size.CPU), Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
-			Part: rapid.IntRange(0, testParts-1).Draw(t, "part"), Size: size, Free: size}
+		size := NewResources(float64(rapid.SampledFrom([]int{4, 16}).Draw(t, "cpus")), 0, 64)
+		h := &MachineSummary{ID: int32(i), Type: fmt.Sprint(size.CPU), Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
+			Partition: rapid.IntRange(0, testParts-1).Draw(t, "part"), Size: size, Free: size}
 		for range rapid.IntRange(0, 6).Draw(t, "claims") {
-			c := HeldCell{Claim: drawClaim(t, "held"), Size: Amount(float64(rapid.IntRange(1, 4).Draw(t, "held cpus")), 0, 1)}
-			if h.Free.Holds(c.Size) {
+			c := Usage{Claim: drawClaim(t, "held"), Size: NewResources(float64(rapid.IntRange(1, 4).Draw(t, "held cpus")), 0, 1)}
+			if h.Free.Contains(c.Size) {
 				h.Free = h.Free.Minus(c.Size)
-				h.Claims = append(h.Claims, c)
+				h.Usages = append(h.Usages, c)
 			}
 		}
 		hosts = append(hosts, h)
@@ -35,28 +35,28 @@
 
 // room is how many tasks fit on the allowed hosts of each part at the most, when
 // all that the claim evicts is stopped.
-func (d *Dealing) room(hosts []*Host) []int {
+func (d *Assignment) room(hosts []*MachineSummary) []int {
 	out := make([]int, testParts)
 	for _, h := range hosts {
-		if !d.Can(h) {
+		if !d.Allowed(h) {
 			continue
 		}
 		free := h.Free
-		for _, c := range h.Claims {
-			if d.Claim.Evicts(c.Claim) {
+		for _, c := range h.Usages {
+			if d.Claim.CanPreempt(c.Claim) {
 				free = free.Plus(c.Size)
 			}
 		}
-		out[h.Part] += free.Fits(d.Need, 1000)
+		out[h.Partition] += free.CountFitting(d.TaskSize, 1000)
 	}
 	return out
 }
 
-func drawDealing(t *rapid.T) *Dealing {
+func drawDealing(t *rapid.T) *Assignment {
 	zone, spot := rapid.SampledFrom([]string{"", "a"}).Draw(t, "only zone"), rapid.Bool().Draw(t, "spot may be")
-	return &Dealing{Need: Amount(float64(rapid.IntRange(1, 5).Draw(t, "need")), 0, 1), Count: rapid.IntRange(1, 40).Draw(t, "count"),
-		Claim: drawClaim(t, "own"), Tight: rapid.Bool().Draw(t, "tight"), Must: rapid.Bool().Draw(t, "must"),
-		Can: func(h *Host) bool { return (zone == "" || h.Zone == zone) && (spot || !h.Spot) }}
+	return &Assignment{TaskSize: NewResources(float64(rapid.IntRange(1, 5).Draw(t, "need")), 0, 1), Count: rapid.IntRange(1, 40).Draw(t, "count"),
+		Claim: drawClaim(t, "own"), QuotaShort: rapid.Bool().Draw(t, "tight"), Forced: rapid.Bool().Draw(t, "must"),
+		Allowed: func(h *MachineSummary) bool { return (zone == "" || h.Zone == zone) && (spot || !h.Spot) }}
 }
 
 // What is dealt never exceeds what was asked, goes only to parts with a host that
@@ -71,28 +71,28 @@
 			ahead[p] = rapid.IntRange(-5, 10).Draw(t, "ahead")
 		}
 		room, allowance := d.room(hosts), append([]int(nil), ahead...)
-		again, aheadAgain := Clone(hosts), append([]int(nil), ahead...)
-		got := d.Spread(hosts, ahead)
-		if other := d.Spread(again, aheadAgain); !cmp.Equal(got, other) {
+		again, aheadAgain := CloneSummaries(hosts), append([]int(nil), ahead...)
+		got := d.PerPartition(hosts, ahead)
+		if other := d.PerPartition(again, aheadAgain); !cmp.Equal(got, other) {
 			t.Fatalf("%v, and again %v", got, other)
 		}
 		sum := 0
 		for p, n := range got {
 			sum += n
 			most := room[p]
-			if d.Must {
+			if d.Forced {
 				most = max(most, d.Count)
 			}
-			if !d.Tight {
-				most += max(allowance[p], 0) + LeastDealt
+			if !d.QuotaShort {
+				most += max(allowance[p], 0) + MinAssigned
 			}
-			if n > most || n > 0 && !partCan(hosts, p, d.Can) {
+			if n > most || n > 0 && !partitionAllows(hosts, p, d.Allowed) {
 				t.Fatalf("part %d with room for %d is dealt %d", p, room[p], n)
 			}
 		}
-		if d.Must && sum == 0 {
+		if d.Forced && sum == 0 {
 			for p := range got {
-				if partCan(hosts, p, d.Can) {
+				if partitionAllows(hosts, p, d.Allowed) {
 					t.Fatal("tasks that must begin are not dealt")
 				}
 			}
@@ -115,20 +115,20 @@
 		hosts, d := drawHosts(t), drawDealing(t)
 		d.Count = rapid.IntRange(1, 8).Draw(t, "members")
 		for _, h := range hosts {
-			h.victimsFirst() // the order of claims is no trace
+			h.sortVictimsFirst() // the order of claims is no trace
 		}
-		before, room := Clone(hosts), d.room(hosts)
+		before, room := CloneSummaries(hosts), d.room(hosts)
 		free := make([]int, testParts)
 		for _, h := range hosts {
-			if d.Can(h) {
-				free[h.Part] += h.Free.Fits(d.Need, 1000)
+			if d.Allowed(h) {
+				free[h.Partition] += h.Free.CountFitting(d.TaskSize, 1000)
 			}
 		}
-		p, ok := d.Whole(hosts, testParts)
+		p, ok := d.OnePartition(hosts, testParts)
 		switch {
 		case ok && room[p] < d.Count:
 			t.Fatalf("part %d has room for %d of %d", p, room[p], d.Count)
-		case !ok && !cmp.Equal(before, Clone(hosts), cmp.AllowUnexported(Host{})):
+		case !ok && !cmp.Equal(before, CloneSummaries(hosts), cmp.AllowUnexported(MachineSummary{})):
 			t.Fatal("a refused group leaves traces")
 		case !ok:
 			for p := range free {
@@ -138,8 +138,8 @@
 			}
 		}
 		for i, h := range hosts {
-			for _, c := range before[i].Claims {
-				if !d.Claim.Evicts(c.Claim) && !containsClaim(h.Claims, c) {
+			for _, c := range before[i].Usages {
+				if !d.Claim.CanPreempt(c.Claim) && !containsClaim(h.Usages, c) {
 					t.Fatalf("%v evicts %v", d.Claim, c.Claim)
 				}
 			}
@@ -147,7 +147,7 @@
 	})
 }
 
-func containsClaim(list []HeldCell, c HeldCell) bool {
+func containsClaim(list []Usage, c Usage) bool {
 	for _, x := range list {
 		if x == c {
 			return true
@@ -160,28 +160,28 @@
 // and leaves nothing lacking that it could have got.
 func TestSqueeze(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var from []Standing
+		var from []QuotaUse
 		for range rapid.IntRange(0, 6).Draw(t, "records") {
 			running := rapid.IntRange(0, 5).Draw(t, "running")
-			from = append(from, Standing{Level: rapid.IntRange(0, 3).Draw(t, "level"), Running: running,
-				May: running + rapid.IntRange(0, 5).Draw(t, "waiting"), Need: Amount(float64(rapid.IntRange(1, 3).Draw(t, "cpus")), 0, 1), Fixed: rapid.Bool().Draw(t, "fixed")})
+			from = append(from, QuotaUse{Priority: rapid.IntRange(0, 3).Draw(t, "level"), Running: running,
+				Allowed: running + rapid.IntRange(0, 5).Draw(t, "waiting"), TaskSize: NewResources(float64(rapid.IntRange(1, 3).Draw(t, "cpus")), 0, 1), Fixed: rapid.Bool().Draw(t, "fixed")})
 		}
-		level, lack := rapid.IntRange(0, 3).Draw(t, "own level"), Amount(float64(rapid.IntRange(0, 20).Draw(t, "lack")), 0, 0)
+		level, lack := rapid.IntRange(0, 3).Draw(t, "own level"), NewResources(float64(rapid.IntRange(0, 20).Draw(t, "lack")), 0, 0)
 		rest, largest, more := lack.CPU, int64(0), int64(0)
-		for i, may := range Squeeze(from, level, lack) {
+		for i, may := range Throttle(from, level, lack) {
 			s := from[i]
 			if may < 0 {
-				may = s.May
+				may = s.Allowed
 			}
-			if may > s.May || may < s.Running && s.Level >= level {
+			if may > s.Allowed || may < s.Running && s.Priority >= level {
 				t.Fatalf("%+v may run %d for level %d", s, may, level)
 			}
-			rest -= s.Need.CPU * int64(s.May-may)
-			largest = max(largest, s.Need.CPU)
-			if s.Level < level {
-				more += s.Need.CPU * int64(may)
+			rest -= s.TaskSize.CPU * int64(s.Allowed-may)
+			largest = max(largest, s.TaskSize.CPU)
+			if s.Priority < level {
+				more += s.TaskSize.CPU * int64(may)
 			} else if !s.Fixed {
-				more += s.Need.CPU * int64(max(0, may-s.Running))
+				more += s.TaskSize.CPU * int64(max(0, may-s.Running))
 			}
 		}
 		if rest <= -max(largest, 1) || rest > 0 && more > 0 {
@@ -196,23 +196,23 @@
 // others.
 func TestNothingWaitsForEver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func(name string) *Job {
-			return &Job{Deadline: rapid.Float64Range(1, 500).Draw(t, name+" deadline"), Estimate: rapid.Float64Range(1, 200).Draw(t, name+" estimate"),
-				Left: rapid.Float64Range(1, 1e6).Draw(t, name+" left"), Begun: rapid.Bool().Draw(t, name+" begun"), Age: rapid.Float64Range(0, 60).Draw(t, name+" age")}
+		draw := func(name string) *JobOrder {
+			return &JobOrder{DeadlineS: rapid.Float64Range(1, 500).Draw(t, name+" deadline"), EstimateS: rapid.Float64Range(1, 200).Draw(t, name+" estimate"),
+				RemainingWork: rapid.Float64Range(1, 1e6).Draw(t, name+" left"), Started: rapid.Bool().Draw(t, name+" begun"), AgeS: rapid.Float64Range(0, 60).Draw(t, name+" age")}
 		}
 		old, young := draw("old"), draw("young")
-		young.Begun = true
-		old.Begun, old.Turn, old.Age = true, true, waitFactor*old.Deadline+beginWithin+1
+		young.Started = true
+		old.Started, old.OverdueTurn, old.AgeS = true, true, waitFactor*old.DeadlineS+startWithinS+1
 		if old.Urgency().Compare(young.Urgency()) >= 0 {
 			t.Fatalf("%+v still stands back behind %+v", old, young)
 		}
-		old.Begun, old.Age = false, comeForward+1
+		old.Started, old.AgeS = false, forceStartAfterS+1
 		if old.Urgency().Compare(young.Urgency()) >= 0 {
 			t.Fatalf("%+v has not begun and stands back behind %+v", old, young)
 		}
 		from, turns := rapid.Int64Range(0, 1<<40).Draw(t, "from"), 0
 		for i := range int64(20) {
-			if Turn(from + i) {
+			if IsOverdueTurn(from + i) {
 				turns++
 			}
 		}
@@ -226,44 +226,44 @@
 // planned and what is there hold what is asked for where an offer can, and the
 // same input gives the same plan.
 func TestFleet(t *testing.T) {
-	offers := []Priced{
-		{Offer: Offer{Type: "4000", Zone: "a"}, Size: Amount(4, 0, 64), Price: 0.4, BootS: 50},
-		{Offer: Offer{Type: "16000", Zone: "a"}, Size: Amount(16, 0, 64), Price: 1, BootS: 25},
-		{Offer: Offer{Type: "16000", Zone: "b", Spot: true}, Size: Amount(16, 0, 64), Price: 0.3, BootS: 25},
+	offers := []PricedOffer{
+		{Offer: Offer{Type: "4000", Zone: "a"}, Size: NewResources(4, 0, 64), Price: 0.4, BootS: 50},
+		{Offer: Offer{Type: "16000", Zone: "a"}, Size: NewResources(16, 0, 64), Price: 1, BootS: 25},
+		{Offer: Offer{Type: "16000", Zone: "b", Spot: true}, Size: NewResources(16, 0, 64), Price: 0.3, BootS: 25},
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := drawHosts(t)
 		zone, spot := rapid.SampledFrom([]string{"", "a", "c"}).Draw(t, "only zone"), rapid.Bool().Draw(t, "spot may be")
-		w := Want{Class: "x", Need: Amount(float64(rapid.IntRange(1, 4).Draw(t, "need")), 0, 1), Count: rapid.IntRange(1, 60).Draw(t, "count"), Service: true,
+		w := Demand{Class: "x", TaskSize: NewResources(float64(rapid.IntRange(1, 4).Draw(t, "need")), 0, 1), Count: rapid.IntRange(1, 60).Draw(t, "count"), AllOrNothing: true,
 			Allows: func(_, z string, s bool) bool { return (zone == "" || z == zone) && (spot || !s) }}
-		plan := func() *Fleet {
-			f := &Fleet{All: Clone(hosts), Offers: offers, Like: map[string]int{}, Plan: map[Offer]int{}}
-			f.Serve(w)
+		plan := func() *ScalingPlan {
+			f := &ScalingPlan{Machines: CloneSummaries(hosts), Offers: offers, RunningByClass: map[string]int{}, Launches: map[Offer]int{}}
+			f.Place(w)
 			return f
 		}
 		f := plan()
-		if d := cmp.Diff(f.Plan, plan().Plan); d != "" {
+		if d := cmp.Diff(f.Launches, plan().Launches); d != "" {
 			t.Fatal(d)
 		}
 		room := 0
 		for _, h := range hosts {
 			if w.on(h) {
-				room += h.Free.Fits(w.Need, w.Count)
+				room += h.Free.CountFitting(w.TaskSize, w.Count)
 			}
 		}
 		rented := 0
-		for o, n := range f.Plan {
+		for o, n := range f.Launches {
 			if !w.Allows(o.Type, o.Zone, o.Spot) {
 				t.Fatalf("%d of %+v are rented", n, o)
 			}
 			for _, x := range offers {
 				if x.Offer == o {
-					rented += n * x.Size.Fits(w.Need, 1000)
+					rented += n * x.Size.CountFitting(w.TaskSize, 1000)
 				}
 			}
 		}
-		if f.Unmet != (room < w.Count) || zone != "c" && room+rented < w.Count || room >= w.Count && rented > 0 {
-			t.Fatalf("room for %d, rented for %d, asked %d, unmet %v", room, rented, w.Count, f.Unmet)
+		if f.Shortage != (room < w.Count) || zone != "c" && room+rented < w.Count || room >= w.Count && rented > 0 {
+			t.Fatalf("room for %d, rented for %d, asked %d, unmet %v", room, rented, w.Count, f.Shortage)
 		}
 	})
 }
@@ -271,14 +271,14 @@
 // Only what has been free for a whole window counts as surplus.
 func TestSurplus(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var s Surplus
+		var s FreeHistory
 		var at []float64
 		var free []int64
 		now := 0.0
 		for range 30 {
 			now += rapid.Float64Range(0.1, 3).Draw(t, "step")
 			at, free = append(at, now), append(free, rapid.Int64Range(-5, 50).Draw(t, "free"))
-			least, ok := s.Note(now, free[len(free)-1], 10)
+			least, ok := s.Add(now, free[len(free)-1], 10)
 			for i := range at {
 				if now-at[i] <= 10 && free[i] < least {
 					t.Fatalf("%d was free at %v, %d is the least at %v", free[i], at[i], least, now)
@@ -293,14 +293,14 @@
 
 // fleetOf is a fleet of n hosts of two types, a tenth with room, all running
 // arrays.
-func fleetOf(n int) []*Host {
-	hosts := make([]*Host, n)
+func fleetOf(n int) []*MachineSummary {
+	hosts := make([]*MachineSummary, n)
 	for i := range hosts {
-		size := Amount(float64(4+12*(i%2)), 0, 64)
-		h := &Host{ID: int32(i), Type: fmt.Sprint(i % 2), Zone: "a", Spot: i%3 == 0, Part: i % 5, Size: size, Free: size}
+		size := NewResources(float64(4+12*(i%2)), 0, 64)
+		h := &MachineSummary{ID: int32(i), Type: fmt.Sprint(i % 2), Zone: "a", Spot: i%3 == 0, Partition: i % 5, Size: size, Free: size}
 		for h.Free.CPU > 0 && i%10 != 0 {
-			h.Free = h.Free.Minus(Amount(2, 0, 1))
-			h.Claims = append(h.Claims, HeldCell{Claim: Claim{Level: 1}, Size: Amount(2, 0, 1)})
+			h.Free = h.Free.Minus(NewResources(2, 0, 1))
+			h.Usages = append(h.Usages, Usage{Claim: Claim{Priority: 1}, Size: NewResources(2, 0, 1)})
 		}
 		hosts[i] = h
 	}
@@ -313,11 +313,11 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			hosts := fleetOf(n)
 			for b.Loop() {
-				trial := Clone(hosts)
-				d := Dealing{Need: Amount(2, 0, 4), Count: 40, Claim: Claim{Level: 1}, Can: func(h *Host) bool { return !h.Booting }}
-				d.Spread(trial, make([]int, 5))
-				d.Count, d.Claim.Level = 1, 2
-				d.Whole(trial, 5)
+				trial := CloneSummaries(hosts)
+				d := Assignment{TaskSize: NewResources(2, 0, 4), Count: 40, Claim: Claim{Priority: 1}, Allowed: func(h *MachineSummary) bool { return !h.Booting }}
+				d.PerPartition(trial, make([]int, 5))
+				d.Count, d.Claim.Priority = 1, 2
+				d.OnePartition(trial, 5)
 			}
 		})
 	}
@@ -326,25 +326,25 @@
 // Many like services that come apart are planned for as if each were looked at by
 // itself: in bulk, larger machines would be chosen, which come up later.
 func TestServicesApart(t *testing.T) {
-	offers := []Priced{
-		{Offer: Offer{Type: "small", Zone: "a"}, Size: Amount(4, 0, 64), Price: 0.3, BootS: 25},
-		{Offer: Offer{Type: "large", Zone: "a"}, Size: Amount(16, 0, 64), Price: 1, BootS: 50},
+	offers := []PricedOffer{
+		{Offer: Offer{Type: "small", Zone: "a"}, Size: NewResources(4, 0, 64), Price: 0.3, BootS: 25},
+		{Offer: Offer{Type: "large", Zone: "a"}, Size: NewResources(16, 0, 64), Price: 1, BootS: 50},
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		hosts, n := drawHosts(t), rapid.IntRange(2, 40).Draw(t, "services")
 		like := rapid.IntRange(0, 100).Draw(t, "like")
-		w := Want{Class: "x", Need: Amount(float64(rapid.IntRange(1, 4).Draw(t, "need")), 0, 1), Count: 1, Service: true,
+		w := Demand{Class: "x", TaskSize: NewResources(float64(rapid.IntRange(1, 4).Draw(t, "need")), 0, 1), Count: 1, AllOrNothing: true,
 			Allows: func(string, string, bool) bool { return true }}
-		fleet := func() *Fleet {
-			return &Fleet{All: Clone(hosts), Offers: offers, Like: map[string]int{"x": like}, Plan: map[Offer]int{}}
+		fleet := func() *ScalingPlan {
+			return &ScalingPlan{Machines: CloneSummaries(hosts), Offers: offers, RunningByClass: map[string]int{"x": like}, Launches: map[Offer]int{}}
 		}
 		apart, together := fleet(), fleet()
 		for range n {
-			apart.Serve(w)
+			apart.Place(w)
 		}
 		w.Groups = n
-		together.Serve(w)
-		if d := cmp.Diff(apart.Plan, together.Plan); d != "" {
+		together.Place(w)
+		if d := cmp.Diff(apart.Launches, together.Launches); d != "" {
 			t.Fatal(d)
 		}
 	})
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -6,55 +6,55 @@
 )
 
 // Want is a number of like tasks that found no room: one decision for all.
-type Want struct {
-	Class    string
-	Need     Res
-	Count    int
-	Groups   int // of Count tasks each, that come apart from each other; 0: one
-	Service  bool
-	Estimate float64 // of one task's run time, seconds
-	Window   float64 // within which an array's tasks should be through
-	Slack    float64 // until the deadline
-	Allows   func(typ, zone string, spot bool) bool
+type Demand struct {
+	Class        string
+	TaskSize     Resources
+	Count        int
+	Groups       int // of Count tasks each, that come apart from each other; 0: one
+	AllOrNothing bool
+	EstimateS    float64 // of one task's run time, seconds
+	WindowS      float64 // within which an array's tasks should be through
+	SlackS       float64 // until the deadline
+	Allows       func(typ, zone string, spot bool) bool
 }
 
-func (w *Want) on(h *Host) bool { return w.Allows(h.Type, h.Zone, h.Spot) }
+func (w *Demand) on(h *MachineSummary) bool { return w.Allows(h.Type, h.Zone, h.Spot) }
 
 // bootPatience is the time over which a machine's boot is spread when offers are
 // compared, in seconds: about how long machines stay.
 const bootPatience = 100
 
 // Fleet plans what to rent.
-type Fleet struct {
+type ScalingPlan struct {
 	// All are the machines that are up or coming up; planned ones are added.
-	All    []*Host
-	Offers []Priced
+	Machines []*MachineSummary
+	Offers   []PricedOffer
 	// Like is how many tasks of each class run now.
-	Like map[string]int
+	RunningByClass map[string]int
 	// Plan is how many machines of each offer are to be rented.
-	Plan map[Offer]int
+	Launches map[Offer]int
 	// Unmet: some want found no room on what there is or comes up.
-	Unmet bool
+	Shortage bool
 }
 
 // Serve has a want take what room there is, and rents for what is left.
-func (f *Fleet) Serve(w Want) {
+func (f *ScalingPlan) Place(w Demand) {
 	n := w.Count * max(w.Groups, 1)
-	if !w.Service && w.Window > 0 {
-		n = min(n, int(math.Ceil(float64(n)*max(w.Estimate, 5)/w.Window)))
+	if !w.AllOrNothing && w.WindowS > 0 {
+		n = min(n, int(math.Ceil(float64(n)*max(w.EstimateS, 5)/w.WindowS)))
 	}
-	for _, k := range Take(f.All, w.on, w.Need, n) {
+	for _, k := range PlaceInFreeRoom(f.Machines, w.on, w.TaskSize, n) {
 		n -= k
 	}
 	if n <= 0 {
 		return
 	}
-	f.Unmet = true
-	var fitting, late []Priced
+	f.Shortage = true
+	var fitting, late []PricedOffer
 	for _, o := range f.Offers {
 		switch {
 		case !w.Allows(o.Type, o.Zone, o.Spot):
-		case !w.Service && !o.Spot && w.Slack < o.BootS+w.Estimate:
+		case !w.AllOrNothing && !o.Spot && w.SlackS < o.BootS+w.EstimateS:
 			// An ordinary machine that is up too late to help an array keep its
 			// deadline is dear for nothing; spot ones are worth having anyway.
 			late = append(late, o)
@@ -65,7 +65,7 @@
 	if len(fitting) == 0 {
 		// The work must be done some time, at leisure: once there are machines
 		// for such tasks it waits for them.
-		if slices.ContainsFunc(f.All, w.on) {
+		if slices.ContainsFunc(f.Machines, w.on) {
 			return
 		}
 		fitting, n = late, (n+7)/8
@@ -77,28 +77,28 @@
 		each = w.Count
 	}
 	for n > 0 {
-		o, k := Choose(fitting, w.Need, each, each+f.Like[w.Class]/4, bootPatience)
+		o, k := CheapestOffer(fitting, w.TaskSize, each, each+f.RunningByClass[w.Class]/4, bootPatience)
 		if k == 0 {
 			return
 		}
-		added := make([]*Host, k)
+		added := make([]*MachineSummary, k)
 		for i := range added {
-			added[i] = &Host{ID: -1, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Size: o.Size, Free: o.Size, Booting: true}
+			added[i] = &MachineSummary{ID: -1, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Size: o.Size, Free: o.Size, Booting: true}
 		}
-		f.All = append(f.All, added...)
-		for _, k := range Take(added, w.on, w.Need, n) {
+		f.Machines = append(f.Machines, added...)
+		for _, k := range PlaceInFreeRoom(added, w.on, w.TaskSize, n) {
 			n -= k
 		}
-		f.Plan[o.Offer] += k
+		f.Launches[o.Offer] += k
 	}
 }
 
 // FreeBelow counts room that claims below a level hold as free, since work of
 // that level would evict them.
-func FreeBelow(hosts []*Host, level int) {
+func CountLowerPriorityAsFree(hosts []*MachineSummary, level int) {
 	for _, h := range hosts {
-		for _, c := range h.Claims {
-			if c.Claim.Level < level {
+		for _, c := range h.Usages {
+			if c.Claim.Priority < level {
 				h.Free = h.Free.Plus(c.Size)
 			}
 		}
@@ -114,22 +114,22 @@
 // Surplus remembers how many CPUs were free of late. Arrays are spread over what
 // there is, so that few machines are ever idle by themselves: when more is free
 // all the time than a machine holds, one without services can be emptied.
-type Surplus struct {
-	samples []surplus
+type FreeHistory struct {
+	samples []freeSample
 }
 
-type surplus struct {
+type freeSample struct {
 	at  float64
 	cpu int64
 }
 
 // Reset forgets: something is short.
-func (s *Surplus) Reset() { s.samples = nil }
+func (s *FreeHistory) Reset() { s.samples = nil }
 
 // Note notes how much is free at a time, in seconds, and tells the least of the
 // last window; false if it has not been noted for as long yet.
-func (s *Surplus) Note(at float64, free int64, window float64) (least int64, ok bool) {
-	s.samples = append(s.samples, surplus{at, free})
+func (s *FreeHistory) Add(at float64, free int64, window float64) (least int64, ok bool) {
+	s.samples = append(s.samples, freeSample{at, free})
 	for at-s.samples[0].at > window {
 		s.samples = s.samples[1:]
 	}
@@ -141,16 +141,16 @@
 }
 
 // Spend counts down what was noted: a machine is being emptied.
-func (s *Surplus) Spend(cpu int64) {
+func (s *FreeHistory) Subtract(cpu int64) {
 	for i := range s.samples {
 		s.samples[i].cpu -= cpu
 	}
 }
 
 // Used is what claims hold of a host.
-func (h *Host) Used() Res {
-	used := Res{}
-	for _, c := range h.Claims {
+func (h *MachineSummary) Used() Resources {
+	used := Resources{}
+	for _, c := range h.Usages {
 		used = used.Plus(c.Size)
 	}
 	return used
@@ -158,12 +158,12 @@
 
 // Emptiest is the ordinary host that is used least, of those that hold no more
 // than the given CPUs and nothing of level or above; nil if there is none.
-func Emptiest(hosts []*Host, cpus int64, level int, can func(*Host) bool) *Host {
-	var best *Host
+func LeastUsed(hosts []*MachineSummary, cpus int64, level int, can func(*MachineSummary) bool) *MachineSummary {
+	var best *MachineSummary
 	bestUsed := int64(0)
 	for _, h := range hosts {
 		if h.Spot || h.Size.CPU > cpus || !can(h) ||
-			slices.ContainsFunc(h.Claims, func(c HeldCell) bool { return c.Claim.Level >= level }) {
+			slices.ContainsFunc(h.Usages, func(c Usage) bool { return c.Claim.Priority >= level }) {
 			continue
 		}
 		if used := h.Used().CPU; best == nil || used*best.Size.CPU < bestUsed*h.Size.CPU {
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -8,62 +8,62 @@
 
 // Host is a machine as the leader sees it: what is free on it, and what could
 // be had by preemption.
-type Host struct {
+type MachineSummary struct {
 	ID         int32
 	Type, Zone string
 	Spot       bool
-	Part       int
-	Size, Free Res
-	Claims     []HeldCell // of tasks that run on it
-	sorted     bool       // Claims are, see victimsFirst
+	Partition  int
+	Size, Free Resources
+	Usages     []Usage // of tasks that run on it
+	sorted     bool    // Claims are, see victimsFirst
 	Booting    bool
-	Touched    bool // by planning: it is wanted
+	InUse      bool // by planning: it is wanted
 	// Pinned: a service runs on it. It stays for as long as that does, so what
 	// is placed beside it keeps no other machine from being returned.
-	Pinned bool
+	RunsService bool
 }
 
 // HeldCell is a task's use of a host.
-type HeldCell struct {
+type Usage struct {
 	Claim Claim
-	Size  Res
+	Size  Resources
 }
 
 // Take lets up to n tasks of size need take free room on hosts, fullest hosts
 // first, and returns how many each host got.
-func Take(hosts []*Host, allowed func(*Host) bool, need Res, n int) map[*Host]int {
-	out := map[*Host]int{}
+func PlaceInFreeRoom(hosts []*MachineSummary, allowed func(*MachineSummary) bool, need Resources, n int) map[*MachineSummary]int {
+	out := map[*MachineSummary]int{}
 	for n > 0 {
-		var best *Host
+		var best *MachineSummary
 		for _, h := range hosts {
-			if !h.Free.Holds(need) || !allowed(h) {
+			if !h.Free.Contains(need) || !allowed(h) {
 				continue
 			}
-			if best == nil || better(h, best) {
+			if best == nil || packsBetter(h, best) {
 				best = h
 			}
 		}
 		if best == nil {
 			return out
 		}
-		k := best.Free.Fits(need, n)
+		k := best.Free.CountFitting(need, n)
 		best.Free = best.Free.Minus(need.Times(k))
-		best.Touched = true
+		best.InUse = true
 		out[best] += k
 		n -= k
 	}
 	return out
 }
 
-func better(a, b *Host) bool {
+func packsBetter(a, b *MachineSummary) bool {
 	if a.Booting != b.Booting {
 		return !a.Booting
 	}
 	if a.Spot != b.Spot {
 		return a.Spot
 	}
-	if a.Pinned != b.Pinned {
-		return a.Pinned
+	if a.RunsService != b.RunsService {
+		return a.RunsService
 	}
 	if ea, eb := a.Free == a.Size, b.Free == b.Size; ea != eb {
 		return eb
@@ -76,73 +76,73 @@
 
 // victimsFirst sorts a host's claims, those first that would be evicted first.
 // Once is enough: claims are only taken away from the front.
-func (h *Host) victimsFirst() {
+func (h *MachineSummary) sortVictimsFirst() {
 	if !h.sorted {
-		h.sorted, h.Claims = true, slices.Clone(h.Claims)
-		slices.SortStableFunc(h.Claims, func(x, y HeldCell) int {
-			return cmp.Or(cmp.Compare(x.Claim.Level, y.Claim.Level), cmp.Compare(y.Size.CPU, x.Size.CPU))
+		h.sorted, h.Usages = true, slices.Clone(h.Usages)
+		slices.SortStableFunc(h.Usages, func(x, y Usage) int {
+			return cmp.Or(cmp.Compare(x.Claim.Priority, y.Claim.Priority), cmp.Compare(y.Size.CPU, x.Size.CPU))
 		})
 	}
 }
 
 // Evictable finds the host on which a task could be placed by stopping the
 // fewest tasks of the lowest priority, and takes that room.
-func Evictable(hosts []*Host, allowed func(*Host) bool, need Res, c Claim) *Host {
-	var best *Host
+func PlaceByPreemption(hosts []*MachineSummary, allowed func(*MachineSummary) bool, need Resources, c Claim) *MachineSummary {
+	var best *MachineSummary
 	bestCost := math.Inf(1)
-	var bestRest []HeldCell
-	var bestFree Res
+	var bestRest []Usage
+	var bestFree Resources
 	for _, h := range hosts {
 		if h.Booting || !allowed(h) {
 			continue
 		}
-		h.victimsFirst()
-		held, free, cost := h.Claims, h.Free, 0.0
-		for len(held) > 0 && !free.Holds(need) && c.Evicts(held[0].Claim) {
+		h.sortVictimsFirst()
+		held, free, cost := h.Usages, h.Free, 0.0
+		for len(held) > 0 && !free.Contains(need) && c.CanPreempt(held[0].Claim) {
 			free = free.Plus(held[0].Size)
-			cost += 1 + 1000*float64(held[0].Claim.Level)
+			cost += 1 + 1000*float64(held[0].Claim.Priority)
 			held = held[1:]
 		}
-		if free.Holds(need) && (cost < bestCost || cost == bestCost && (h.Pinned && !best.Pinned || h.Pinned == best.Pinned && h.ID < best.ID)) {
+		if free.Contains(need) && (cost < bestCost || cost == bestCost && (h.RunsService && !best.RunsService || h.RunsService == best.RunsService && h.ID < best.ID)) {
 			best, bestCost, bestRest, bestFree = h, cost, held, free.Minus(need)
 		}
 	}
 	if best != nil {
-		best.Free, best.Claims, best.Touched = bestFree, bestRest, true
+		best.Free, best.Usages, best.InUse = bestFree, bestRest, true
 	}
 	return best
 }
 
 // Limit of a team and what its tasks use.
-type Limit struct {
-	Guarantee, Max Res // a zero resource: none
-	Used, OwnUsed  Res
+type Quota struct {
+	Guaranteed, Limit    Resources // a zero resource: none
+	Used, GuaranteedUsed Resources
 }
 
 // Room is how many more tasks of size need the limit permits, at most n.
-func (l *Limit) Room(need Res, n int) int { return under(l.Max, l.Used, need, n) }
+func (l *Quota) Room(need Resources, n int) int { return remaining(l.Limit, l.Used, need, n) }
 
 // Lack is by how much need exceeds what the limit leaves.
-func (l *Limit) Lack(need Res) Res {
-	var out Res
-	if l.Max.CPU > 0 {
-		out.CPU = max(0, l.Used.CPU+need.CPU-l.Max.CPU)
+func (l *Quota) Shortfall(need Resources) Resources {
+	var out Resources
+	if l.Limit.CPU > 0 {
+		out.CPU = max(0, l.Used.CPU+need.CPU-l.Limit.CPU)
 	}
-	if l.Max.GPU > 0 {
-		out.GPU = max(0, l.Used.GPU+need.GPU-l.Max.GPU)
+	if l.Limit.GPU > 0 {
+		out.GPU = max(0, l.Used.GPU+need.GPU-l.Limit.GPU)
 	}
 	return out
 }
 
 // OwnRoom is how many more fit into the guarantee, at most n.
-func (l *Limit) OwnRoom(need Res, n int) int {
-	if l.Guarantee == (Res{}) {
+func (l *Quota) GuaranteedRoom(need Resources, n int) int {
+	if l.Guaranteed == (Resources{}) {
 		return 0
 	}
-	return under(l.Guarantee, l.OwnUsed, need, n)
+	return remaining(l.Guaranteed, l.GuaranteedUsed, need, n)
 }
 
-func under(limit, used, need Res, n int) int {
+func remaining(limit, used, need Resources, n int) int {
 	for _, x := range [][3]int64{{limit.CPU, used.CPU, need.CPU}, {limit.GPU, used.GPU, need.GPU}} {
 		if x[0] > 0 && x[2] > 0 {
 			n = min(n, int(max(0, x[0]-x[1])/x[2]))
@@ -158,9 +158,9 @@
 }
 
 // Priced is an offer with what it costs and how long it takes to come up.
-type Priced struct {
+type PricedOffer struct {
 	Offer
-	Size  Res
+	Size  Resources
 	Price float64
 	BootS float64
 }
@@ -170,11 +170,11 @@
 // many such tasks may share the machines before long: it is that many that a
 // large machine's price is spread over. patience is the time over which a
 // machine's boot time is spread.
-func Choose(offers []Priced, need Res, n, likely int, patience float64) (best Priced, count int) {
+func CheapestOffer(offers []PricedOffer, need Resources, n, likely int, patience float64) (best PricedOffer, count int) {
 	bestCost := math.Inf(1)
 	likely = max(likely, n)
 	for _, o := range offers {
-		fit := o.Size.Fits(need, likely)
+		fit := o.Size.CountFitting(need, likely)
 		if fit == 0 {
 			continue
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -22,14 +22,14 @@
 	Saving    = "flushing"
 	Exited    = "ended"
 
-	ReasonDone    = "done"
-	ReasonStopped = "halted"
-	ReasonError   = "error"
-	ReasonNoRoom  = "no_room"
-	ReasonInUse    = "in_use"
+	ReasonDone        = "done"
+	ReasonStopped     = "halted"
+	ReasonError       = "error"
+	ReasonNoRoom      = "no_room"
+	ReasonInUse       = "in_use"
 	ReasonUnknownTask = "no_such"
 	// Of a gang's tasks: another is gone; not all came in time.
-	ReasonPeersGone = "mates_gone"
+	ReasonPeersGone      = "mates_gone"
 	ReasonIncompleteGang = "incomplete"
 
 	OpStart  = "start"
@@ -55,28 +55,28 @@
 // Job is a validated submission. It is also stored with the job, under the names in the
 // tags: these must not change.
 type Job struct {
-	ID         string   `json:"ID"`
-	Class      string   `json:"Class"`
-	Team       string   `json:"Team"`
-	Service    bool     `json:"Service"`
-	Gang       bool     `json:"Gang"`
-	Priority   int      `json:"Priority"`
-	Tasks      int      `json:"Tasks"`
-	CPUs       float64  `json:"CPUs"`
-	GPUs       float64  `json:"GPUs"`
-	RAM        float64  `json:"RAM"`
-	Image      string   `json:"Image"`
-	ImageGB    float64  `json:"ImageGB"`
-	MachineTypes      []string `json:"Types"`
-	Zone       string   `json:"Zone"`
-	SingleZone    bool     `json:"OneZone"`
-	Spread     bool     `json:"Spread"`
-	Spot       bool     `json:"Spot"`
-	EstimateS  float64  `json:"EstimateS"`
-	CheckpointS     float64  `json:"CheckS"`
-	SaveS      float64  `json:"SaveS"`
-	DeadlineS  float64  `json:"DeadlineS"`
-	NoDeadline bool     `json:"NoDeadline"`
+	ID           string   `json:"ID"`
+	Class        string   `json:"Class"`
+	Team         string   `json:"Team"`
+	Service      bool     `json:"Service"`
+	Gang         bool     `json:"Gang"`
+	Priority     int      `json:"Priority"`
+	Tasks        int      `json:"Tasks"`
+	CPUs         float64  `json:"CPUs"`
+	GPUs         float64  `json:"GPUs"`
+	RAM          float64  `json:"RAM"`
+	Image        string   `json:"Image"`
+	ImageGB      float64  `json:"ImageGB"`
+	MachineTypes []string `json:"Types"`
+	Zone         string   `json:"Zone"`
+	SingleZone   bool     `json:"OneZone"`
+	Spread       bool     `json:"Spread"`
+	Spot         bool     `json:"Spot"`
+	EstimateS    float64  `json:"EstimateS"`
+	CheckpointS  float64  `json:"CheckS"`
+	SaveS        float64  `json:"SaveS"`
+	DeadlineS    float64  `json:"DeadlineS"`
+	NoDeadline   bool     `json:"NoDeadline"`
 }
 
 type jobBody struct {
@@ -233,22 +233,22 @@
 	Task    string `json:"egg"`
 	Attempt uint64 `json:"launch"`
 	State   string `json:"tide"`
-	Reason     string `json:"cause"`
+	Reason  string `json:"cause"`
 	Saved   bool   `json:"kept"`
 }
 
 // Report is a worker's report, or the body of its answer to a command.
 type Heartbeat struct {
-	Machine string       `json:"perch"`
-	Addr    string       `json:"addr"`
-	Type    string       `json:"hull"`
-	Zone    string       `json:"shore"`
-	Spot    bool         `json:"driftwood"`
+	Machine     string       `json:"perch"`
+	Addr        string       `json:"addr"`
+	Type        string       `json:"hull"`
+	Zone        string       `json:"shore"`
+	Spot        bool         `json:"driftwood"`
 	Incarnation uint64       `json:"watch"`
-	Sequence     uint64       `json:"tally"`
-	Token   uint64       `json:"baton"`
-	NoticeS *float64     `json:"warningS"`
-	Tasks   []TaskStatus `json:"eggs"`
+	Sequence    uint64       `json:"tally"`
+	Token       uint64       `json:"baton"`
+	NoticeS     *float64     `json:"warningS"`
+	Tasks       []TaskStatus `json:"eggs"`
 }
 
 // ParseReport decodes and checks a report.
@@ -284,9 +284,9 @@
 
 // Direct is a request of commands sent straight to a worker.
 type CommandRequest struct {
-	Token    uint64    `json:"baton"`
-	Incarnation  uint64    `json:"watch"`
-	Commands []Command `json:"calls"`
+	Token       uint64    `json:"baton"`
+	Incarnation uint64    `json:"watch"`
+	Commands    []Command `json:"calls"`
 }
 
 // MachineType is one type of machine on offer.
@@ -336,12 +336,12 @@
 // CloudList is one page of the cloud's list.
 type InstanceList struct {
 	Machines []Instance `json:"perches"`
-	More     bool           `json:"truncated"`
+	More     bool       `json:"truncated"`
 }
 
 // Condition of a transaction.
 type Condition struct {
-	Key     string `json:"k"`
+	Key      string `json:"k"`
 	Revision uint64 `json:"stamp"`
 }
 
@@ -370,8 +370,8 @@
 
 // Item is one stored key.
 type Item struct {
-	Key     string          `json:"k"`
-	Value   json.RawMessage `json:"v"`
+	Key      string          `json:"k"`
+	Value    json.RawMessage `json:"v"`
 	Revision uint64          `json:"stamp"`
 }
 
@@ -384,9 +384,9 @@
 
 // Event is one change seen by a watch.
 type Event struct {
-	Put     string          `json:"write"`
-	Delete  string          `json:"drop"`
-	Value   json.RawMessage `json:"v"`
+	Put      string          `json:"write"`
+	Delete   string          `json:"drop"`
+	Value    json.RawMessage `json:"v"`
 	Revision uint64          `json:"stamp"`
 }
 
