--- a/cmd/eiderhitch/upgrade.go
+++ b/cmd/eiderhitch/upgrade.go
@@ -99,7 +99,7 @@
 
 // unreachable says what to do when the state service gives no usable answer.
 func unreachable(err error) error {
-	if errors.Is(err, store.ErrUnknown) || errors.Is(err, store.ErrRefused) {
+	if errors.Is(err, store.ErrOutcomeUnknown) || errors.Is(err, store.ErrNotExecuted) {
 		return fmt.Errorf("%w; nothing is known to be changed: see that external.state in the settings can be reached, and look at the status", err)
 	}
 	return err
--- a/cmd/eiderhitch/upgrade_test.go
+++ b/cmd/eiderhitch/upgrade_test.go
@@ -97,10 +97,10 @@
 func TestStatusIsShown(t *testing.T) {
 	s := newStateService(t)
 	s.register("n0")
-	g := &record.Group{Tasks: []record.Task{{Num: 1}}}
-	s.put("e/group/wk-1/0", g.Encode(record.Plain).At("e/group/wk-1/0"))
-	s.put("e/group/wk-2/0", g.Encode(record.Checked).At("e/group/wk-2/0"))
-	s.put("e/group/wk-3/0", g.Encode(record.Checked).At("e/group/wk-2/0"))
+	g := &record.TaskGroup{Tasks: []record.Binding{{Task: 1}}}
+	s.put("e/group/wk-1/0", g.Encode(record.PlainJSON).At("e/group/wk-1/0"))
+	s.put("e/group/wk-2/0", g.Encode(record.Checksummed).At("e/group/wk-2/0"))
+	s.put("e/group/wk-3/0", g.Encode(record.Checksummed).At("e/group/wk-2/0"))
 	flags := s.flags(false)
 	var out bytes.Buffer
 	if err := flags.show(&out); err != nil {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -20,7 +20,7 @@
 	// BootPatience: a machine that is not up after this many boot times is returned.
 	BootPatience float64
 	// RightTTL: how long parts and the lead outlive their holder.
-	RightTTL time.Duration
+	LeaseTTL time.Duration
 	// Spot: rent spot machines for jobs that may use them.
 	Spot bool
 	// FeatureLevels: this controller tells which levels it reads, and takes part in
@@ -46,7 +46,7 @@
 		EvictAfter:    3 * time.Second,
 		BootPatience:  2.5,
 		// The least that a process short of processor time renews safely.
-		RightTTL: 4 * time.Second,
+		LeaseTTL: 4 * time.Second,
 		Spot:     true,
 		// What users notice nothing of: their writes go first, and are few.
 		RewriteShare: 0.1,
@@ -111,9 +111,9 @@
 		case "evict-after":
 			err = span(e, &o.EvictAfter, 0, time.Hour)
 		case "right-ttl":
-			err = span(e, &o.RightTTL, time.Second, 5*time.Minute)
-			if hold := HoldTime(p.Settings.Workers.CancelS, p.Settings.Workers.LeaseS); err == nil && o.RightTTL > hold {
-				err = errorAt(e.Pos, "right-ttl %v is longer than the %v that an owner may go on without the state service", o.RightTTL, hold.Round(time.Millisecond))
+			err = span(e, &o.LeaseTTL, time.Second, 5*time.Minute)
+			if hold := MaxStaleness(p.Settings.Workers.CancelS, p.Settings.Workers.LeaseS); err == nil && o.LeaseTTL > hold {
+				err = errorAt(e.Pos, "right-ttl %v is longer than the %v that an owner may go on without the state service", o.LeaseTTL, hold.Round(time.Millisecond))
 			}
 		case "spot":
 			err = choice(e, &o.Spot)
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Operator{IdleBoots: 1, Headroom: 1.5, ClassHeadroom: map[string]float64{"feed": 2}, EvictAfter: 5 * time.Second, BootPatience: 3, RightTTL: 6 * time.Second,
+	want := &Operator{IdleBoots: 1, Headroom: 1.5, ClassHeadroom: map[string]float64{"feed": 2}, EvictAfter: 5 * time.Second, BootPatience: 3, LeaseTTL: 6 * time.Second,
 		FeatureLevels: true, HighestLevel: 1, FinalizeAfter: 10 * time.Minute, RewriteShare: 0.2}
 	if d := cmp.Diff(want, o); d != "" {
 		t.Error(d)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -179,7 +179,7 @@
 	if s.Workers.GangWaitS < 0 || s.Workers.GangPeerS < 0 {
 		return errors.New("settings.workers.gang_wait_s, gang_peer_s: must not be negative")
 	}
-	if HoldTime(s.Workers.CancelS, s.Workers.LeaseS) <= 0 {
+	if MaxStaleness(s.Workers.CancelS, s.Workers.LeaseS) <= 0 {
 		return fmt.Errorf("settings.workers.cancel_s: %v leaves no time beyond lease_s %v", s.Workers.CancelS, s.Workers.LeaseS)
 	}
 	names := map[string]bool{}
@@ -245,7 +245,7 @@
 
 // Within is, for each class that has such an objective, in how many seconds its
 // jobs should be done, whatever their deadlines.
-func (p *Platform) Within() map[string]float64 {
+func (p *Platform) ObjectiveSeconds() map[string]float64 {
 	within := map[string]float64{}
 	for _, o := range p.Settings.Objectives {
 		if o.Kind == "finished" {
@@ -269,7 +269,7 @@
 
 // LeaseEnd is how long after the last answer that could renew a worker's
 // lease all its tasks are surely gone, on any machine's clock.
-func LeaseEnd(cancelS, leaseS float64) time.Duration {
+func LeaseExpiry(cancelS, leaseS float64) time.Duration {
 	return Seconds(leaseS*(1+2*drift)) + leaseMargin(cancelS, leaseS)
 }
 
@@ -277,6 +277,6 @@
 // last successful read of the state service. Another controller may have told
 // a user "cancelled" right after that read, and all tasks must be gone within
 // cancelS of it, which for an unreachable worker means one whole lease later.
-func HoldTime(cancelS, leaseS float64) time.Duration {
-	return Seconds(cancelS*(1-2*drift)) - LeaseEnd(cancelS, leaseS) - leaseMargin(cancelS, leaseS)
+func MaxStaleness(cancelS, leaseS float64) time.Duration {
+	return Seconds(cancelS*(1-2*drift)) - LeaseExpiry(cancelS, leaseS) - leaseMargin(cancelS, leaseS)
 }
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -83,7 +83,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		lease := rapid.Float64Range(1, 60).Draw(t, "lease")
 		cancel := rapid.Float64Range(lease*1.1, lease+200).Draw(t, "cancel")
-		hold := HoldTime(cancel, lease)
+		hold := MaxStaleness(cancel, lease)
 		if hold <= 0 {
 			t.Skip("refused at the start")
 		}
@@ -93,7 +93,7 @@
 		if gone >= cancel {
 			t.Fatalf("held %v, gone after %v of %v", hold, gone, cancel)
 		}
-		if LeaseEnd(cancel, lease) <= time.Duration(lease*fast*float64(time.Second)) {
+		if LeaseExpiry(cancel, lease) <= time.Duration(lease*fast*float64(time.Second)) {
 			t.Fatal("a lease is taken for over while it may run")
 		}
 	})
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -49,7 +49,7 @@
 	for n := range count {
 		stamp++
 		node := fmt.Sprintf("n%d", n)
-		b.put(rollout.Initial.Keys().Partition(n), record.JSON(record.Holder{Node: node, Boot: "x"}), stamp)
+		b.put(rollout.Initial.Keys().Partition(n), record.JSON(record.LeaseHolder{Node: node, ProcessID: "x"}), stamp)
 		b.siblingsFor(node, n)
 	}
 	p := b.parts[0]
@@ -68,7 +68,7 @@
 		all = append(all, m)
 		if part := m.home; part != 0 {
 			st := b.siblings[fmt.Sprintf("n%d", part)].status
-			st.Machines = append(st.Machines, mesh.Machine{Name: name, Addr: m.addr, Type: m.typ, Zone: m.zone, Session: 1, Flags: mesh.Up})
+			st.Machines = append(st.Machines, mesh.Machine{Name: name, Addr: m.addr, Type: m.typ, Zone: m.zone, Incarnation: 1, Flags: mesh.Reachable})
 		}
 	}
 	id := 0
@@ -77,10 +77,10 @@
 		stamp++
 		j := &wire.Job{ID: fmt.Sprintf("wk-%06d", id), Class: class, Team: team, Service: kind == wire.Service, Priority: priority, Tasks: tasks,
 			CPUs: cpus, RAM: 2, Image: "img", EstimateS: 40, DeadlineS: 200}
-		b.put(jobKey(j.ID), record.JSON(record.Job{At: b.now.UnixMilli(), Job: j}), stamp)
+		b.put(jobKey(j.ID), record.JSON(record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: j}), stamp)
 		return j.ID
 	}
-	perPart := map[int][]record.Task{}
+	perPart := map[int][]record.Binding{}
 	array := job(wire.Array, "clean", "blue", 1, machines*4, 2)
 	num := int32(0)
 	for i, m := range all {
@@ -88,12 +88,12 @@
 			for range 8 {
 				stamp++
 				b.put(groupKey(job(wire.Service, "feed", "red", 2, 1, 2), 0),
-					record.JSON(record.Group{Part: m.home, Own: true, Tasks: []record.Task{{Attempt: 1, Machine: m.name, Session: 1}}}), stamp)
+					record.JSON(record.TaskGroup{Partition: m.home, Guaranteed: true, Tasks: []record.Binding{{Attempt: 1, Machine: m.name, Incarnation: 1}}}), stamp)
 			}
 			continue
 		}
 		for range 8 {
-			perPart[m.home] = append(perPart[m.home], record.Task{Num: num, Attempt: 1, Machine: m.name, Session: 1})
+			perPart[m.home] = append(perPart[m.home], record.Binding{Task: num, Attempt: 1, Machine: m.name, Incarnation: 1})
 			num++
 		}
 	}
@@ -102,7 +102,7 @@
 		for len(tasks) > 0 {
 			n := min(len(tasks), b.maxRec)
 			stamp++
-			b.put(groupKey(array, k), record.JSON(record.Group{Part: part, Tasks: tasks[:n]}), stamp)
+			b.put(groupKey(array, k), record.JSON(record.TaskGroup{Partition: part, Tasks: tasks[:n]}), stamp)
 			tasks, k = tasks[n:], k+1
 		}
 	}
@@ -116,7 +116,7 @@
 // siblingsFor has a sibling vouch for a part.
 func (b *brain) siblingsFor(node string, part int) {
 	if x := b.siblings[node]; x != nil {
-		x.status, x.at, x.since = &mesh.Status{Node: node, Fresh: true, Able: true, Parts: []uint64{uint64(part)}}, b.now.Add(time.Hour), b.now
+		x.status, x.at, x.since = &mesh.Status{Node: node, Fresh: true, Eligible: true, Partitions: []uint64{uint64(part)}}, b.now.Add(time.Hour), b.now
 	}
 }
 
--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -69,7 +69,7 @@
 	}
 	// Thousands of tasks that are lost together are more than may queue. A write that is
 	// refused gives up its claims and has all be read again; what waits loses nothing.
-	if b.wr.Full(r.job.spec.AllOrNothing()) {
+	if b.wr.NearlyFull(r.job.spec.AllOrNothing()) {
 		return
 	}
 	r.endedAt, r.boundAt = time.Time{}, time.Time{}
@@ -184,10 +184,10 @@
 	job := r.job
 	// Services first: when hundreds of machines are lost together, or all leases have
 	// ended in an outage, what is to be stored takes longer than users wait.
-	u := &store.Unit{Prompt: job.spec.Gang && len(update.bound) > 0, Early: job.spec.AllOrNothing(), If: []wire.Condition{{Key: p.key, Revision: p.term}, {Key: r.key, Revision: r.stamp}}}
+	u := &store.Write{Prompt: job.spec.Gang && len(update.bound) > 0, Early: job.spec.AllOrNothing(), Conditions: []wire.Condition{{Key: p.key, Revision: p.term}, {Key: r.key, Revision: r.stamp}}}
 	if job.fate == live {
 		// Binding and completing race with a cancellation: only one can hold.
-		u.If = append(u.If, wire.Condition{Key: jobKey(job.id), Revision: job.stamp})
+		u.Conditions = append(u.Conditions, wire.Condition{Key: jobKey(job.id), Revision: job.stamp})
 	}
 	pieces := b.fit(r, update.done, update.entries)
 	var elsewhere []*machine // of tasks that are bound and move to another piece
@@ -199,14 +199,14 @@
 	// New records first: what moves to them is adopted there before it is given up here.
 	for _, piece := range pieces[1:] {
 		key := groupKey(job.id, job.newRec())
-		u.If = append(u.If, wire.Condition{Key: key})
-		u.Then = append(u.Then, wire.Change{Put: key, Value: piece.At(key)})
+		u.Conditions = append(u.Conditions, wire.Condition{Key: key})
+		u.Changes = append(u.Changes, wire.Change{Put: key, Value: piece.At(key)})
 	}
-	u.Then = append(u.Then, wire.Change{Put: r.key, Value: pieces[0].At(r.key)})
+	u.Changes = append(u.Changes, wire.Change{Put: r.key, Value: pieces[0].At(r.key)})
 	ending := b.endsJob(r, update)
 	if ending {
 		job.ending = true
-		u.Then = append(u.Then, wire.Change{Put: jobKey(job.id), Value: record.JSON(record.Job{Fate: done})})
+		u.Changes = append(u.Changes, wire.Change{Put: jobKey(job.id), Value: record.JSON(record.Job{FinalState: done})})
 	}
 	r.writing, r.unit = true, u
 	b.metrics.count(cStored, 1)
--- a/internal/controller/brain.go
+++ b/internal/controller/brain.go
@@ -49,7 +49,7 @@
 	types     map[string]*wire.MachineType
 	typesKey  bool
 	levels    levels
-	holders   map[string]record.Holder
+	holders   map[string]record.LeaseHolder
 	gone      map[string]bool // machines that surely are, as long as a marker says so
 	goneKeys  map[string]gone
 	lends     map[string]*lend // by machine
@@ -204,7 +204,7 @@
 
 // write submits a unit; then runs in the actor with the result, after the
 // replica has taken the changes in.
-func (b *brain) write(u *store.Unit, then func(err error)) {
+func (b *brain) write(u *store.Write, then func(err error)) {
 	begun := b.now
 	u.Done = func(rev uint64, err error) {
 		// Never block the writer on a full inbox that waits for the writer.
@@ -218,6 +218,6 @@
 	}
 	if !b.wr.Submit(u) {
 		b.log.Error("write queue is full")
-		u.Done(0, store.ErrRefused)
+		u.Done(0, store.ErrNotExecuted)
 	}
 }
--- a/internal/controller/brain_test.go
+++ b/internal/controller/brain_test.go
@@ -52,9 +52,9 @@
 		p := b.parts[0]
 		b.takeReport(b.machine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, true)
 		spec := &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}
-		b.put(jobKey("wk-1"), raw(t, record.Job{Job: spec}), 2)
+		b.put(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 2)
 		key := groupKey("wk-1", 0)
-		b.put(key, raw(t, record.Group{Tasks: []record.Task{{Num: 0}, {Num: 1}}}), 3)
+		b.put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
 		b.place(p, b.recByKey[key], map[shape]bool{})
 		if len(p.alloc) != 2 {
 			t.Fatalf("%d tasks have claimed cells", len(p.alloc))
@@ -63,7 +63,7 @@
 		if how == "deleted" {
 			b.drop(key, 4)
 		} else {
-			b.put(key, raw(t, record.Group{Tasks: []record.Task{{Num: 1}}}), 4)
+			b.put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 1}}}), 4)
 			left = 1
 		}
 		if len(p.alloc) != left || len(p.cells.Tasks()) != left {
@@ -106,10 +106,10 @@
 	b := lone(t)
 	b.leaderGained(5)
 	b.lead.active = true
-	b.put(jobKey("wk-1"), raw(t, record.Job{Job: &wire.Job{ID: "wk-1", Tasks: 9, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
-	g := record.Group{Cap: 1}
+	b.put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 9, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
+	g := record.TaskGroup{Throttle: 1}
 	for i := range int32(9) {
-		g.Tasks = append(g.Tasks, record.Task{Num: i})
+		g.Tasks = append(g.Tasks, record.Binding{Task: i})
 	}
 	key := groupKey("wk-1", 0)
 	b.put(key, raw(t, g), 7)
@@ -123,9 +123,9 @@
 		if r.cappedAt != before { // stored at once
 			changes++
 			stamp++
-			g.Cap = min(free, 9) + 1
-			if g.Cap > 9 {
-				g.Cap = 0
+			g.Throttle = min(free, 9) + 1
+			if g.Throttle > 9 {
+				g.Throttle = 0
 			}
 			r.writing = false
 			b.put(key, raw(t, g), stamp)
@@ -144,16 +144,16 @@
 	b := lone(t)
 	p := b.parts[0]
 	b.takeReport(b.machine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-	b.put(jobKey("wk-1"), raw(t, record.Job{Job: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}}), 2)
+	b.put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}}), 2)
 	key := groupKey("wk-1", 0)
-	b.put(key, raw(t, record.Group{Tasks: []record.Task{{Num: 0}, {Num: 1}}}), 3)
+	b.put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
 	r := b.recByKey[key]
 	b.place(p, r, map[shape]bool{})
 	if len(p.alloc) != 2 {
 		t.Fatalf("%d tasks have claimed cells", len(p.alloc))
 	}
 	r.writing = true // the leader's move, of this very process
-	b.put(key, raw(t, record.Group{Part: 1, Tasks: []record.Task{{Num: 0}, {Num: 1}}}), 4)
+	b.put(key, raw(t, record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 4)
 	if len(p.alloc) != 0 || len(p.cells.Tasks()) != 0 {
 		t.Errorf("%d claims and %d cells are left", len(p.alloc), len(p.cells.Tasks()))
 	}
@@ -163,11 +163,11 @@
 // record must not come back to life.
 func TestLateResultOfADeletedRecord(t *testing.T) {
 	b := lone(t)
-	b.put(jobKey("wk-1"), raw(t, record.Job{Job: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
+	b.put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
 	key := groupKey("wk-1", 0)
-	b.put(key, raw(t, record.Group{Tasks: []record.Task{{Num: 0}}}), 3)
+	b.put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}}}), 3)
 	b.events(&wire.WatchResponse{Revision: 9, Events: []wire.Event{{Delete: key, Revision: 9}}})
-	b.put(key, raw(t, record.Group{Done: 1}), 5)
+	b.put(key, raw(t, record.TaskGroup{Done: 1}), 5)
 	if b.recByKey[key] != nil || len(b.jobs["wk-1"].recs) != 0 {
 		t.Error("a deleted record is back")
 	}
@@ -247,10 +247,10 @@
 		b.takeReport(b.machine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
 		for i, team := range []string{"blue", "red"} {
 			id := fmt.Sprintf("wk-%d", i+1)
-			b.put(jobKey(id), raw(t, record.Job{Job: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAM: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
+			b.put(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAM: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
 		}
-		b.put(groupKey("wk-1", 0), raw(t, record.Group{Tasks: []record.Task{{Attempt: 1, Machine: "host-1", Session: 1}}}), 10)
-		b.put(groupKey("wk-2", 0), raw(t, record.Group{Own: true, Tasks: []record.Task{{}}}), 11)
+		b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 10)
+		b.put(groupKey("wk-2", 0), raw(t, record.TaskGroup{Guaranteed: true, Tasks: []record.Binding{{}}}), 11)
 		r := b.recByKey[groupKey("wk-2", 0)]
 		r.since = b.now.Add(-x.waited)
 		p.endsBefore, p.endsSince = x.ends, b.now
@@ -278,9 +278,9 @@
 		spec.ID = fmt.Sprintf("wk-%08d", i)
 		stamp := uint64(2*i + 10)
 		if i%2 == 0 { // it ran while this controller did, else it is read after a start
-			b.put(jobKey(spec.ID), raw(t, record.Job{Job: spec}), stamp)
+			b.put(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), stamp)
 		}
-		b.put(jobKey(spec.ID), raw(t, record.Job{Fate: cancelled + i/2%2}), stamp+1)
+		b.put(jobKey(spec.ID), raw(t, record.Job{FinalState: cancelled + i/2%2}), stamp+1)
 		if i%500 != 499 {
 			continue
 		}
@@ -310,7 +310,7 @@
 	// A late copy of an older change does not bring it back.
 	spec.ID = "wk-00000002"
 	b.cursor = 0
-	b.put(jobKey(spec.ID), raw(t, record.Job{Job: spec}), 14)
+	b.put(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), 14)
 	if j := b.known(spec.ID); j.fate != done || len(b.jobs) != 0 {
 		t.Errorf("%s went back to %s", spec.ID, j.state().State)
 	}
@@ -331,13 +331,13 @@
 		}
 	}
 	group := func(machine string) json.RawMessage {
-		return raw(t, record.Group{Tasks: []record.Task{{Attempt: 1, Machine: machine, Session: 1}}})
+		return raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: machine, Incarnation: 1}}})
 	}
-	b.put(jobKey("wk-1"), raw(t, record.Job{Job: spec}), 10)
-	b.put(groupKey("wk-1", 0), raw(t, record.Group{Tasks: []record.Task{{}}}), 11)
+	b.put(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 10)
+	b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{}}}), 11)
 	b.cursor = 11
 	used("dealt:", 2)
-	gone := raw(t, record.Job{Fate: cancelled, Job: spec})
+	gone := raw(t, record.Job{FinalState: cancelled, Spec: spec})
 	b.put(jobKey("wk-1"), gone, 20) // our own write's result
 	used("cancelled here:", 2)
 	b.events(&wire.WatchResponse{Revision: 21, Events: []wire.Event{
@@ -347,7 +347,7 @@
 	used("proven gone:", 0)
 
 	// The same where not even the dealing is known yet.
-	b.put(jobKey("wk-2"), raw(t, record.Job{Job: spec}), 30)
+	b.put(jobKey("wk-2"), raw(t, record.Job{Spec: spec}), 30)
 	b.cursor = 30
 	b.put(jobKey("wk-2"), gone, 40)
 	b.events(&wire.WatchResponse{Revision: 41, Events: []wire.Event{
--- a/internal/controller/caps.go
+++ b/internal/controller/caps.go
@@ -70,8 +70,8 @@
 	r.writing, r.cappedAt = true, b.now
 	b.metrics.count(cCapped, 1)
 	b.lead.writes++
-	b.write(&store.Unit{Early: true, Contested: true,
-		If:   []wire.Condition{b.leaderCondition(), {Key: r.key, Revision: r.stamp}},
-		Then: []wire.Change{{Put: r.key, Value: b.content(&changed, r.done, r.entries).At(r.key)}},
+	b.write(&store.Write{Early: true, Contested: true,
+		Conditions: []wire.Condition{b.leaderCondition(), {Key: r.key, Revision: r.stamp}},
+		Changes:    []wire.Change{{Put: r.key, Value: b.content(&changed, r.done, r.entries).At(r.key)}},
 	}, func(err error) { r.writing = false; b.leadWrote(epoch, err) })
 }
--- a/internal/controller/causes_test.go
+++ b/internal/controller/causes_test.go
@@ -112,12 +112,12 @@
 	p := b.parts[0]
 	m := b.machine("host-1")
 	b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-	b.put(jobKey("wk-1"), raw(t, record.Job{Job: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
-	b.put(groupKey("wk-1", 0), raw(t, record.Group{Tasks: []record.Task{{Attempt: 1, Machine: "host-1", Session: 1}}}), 3)
+	b.put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
+	b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 3)
 	if cmds := b.commands(m, p); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
 		t.Fatalf("commands %v", cmds)
 	}
-	b.now = b.now.Add(b.op.RightTTL + time.Second)
+	b.now = b.now.Add(b.op.LeaseTTL + time.Second)
 	if cmds := b.commands(m, p); len(cmds) != 0 {
 		t.Errorf("commands %v on an old read", cmds)
 	}
@@ -131,7 +131,7 @@
 func TestWhoIsToBlameForFailures(t *testing.T) {
 	b := lone(t)
 	job := func(id string) *job {
-		b.put(jobKey(id), raw(t, record.Job{Job: &wire.Job{ID: id, Tasks: 9, CPUs: 1, Team: "t"}}), b.cursor+uint64(len(b.vers))+5)
+		b.put(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 9, CPUs: 1, Team: "t"}}), b.cursor+uint64(len(b.vers))+5)
 		return b.jobs[id]
 	}
 	bad, worse := job("wk-1"), job("wk-2")
@@ -197,7 +197,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		lease := rapid.Float64Range(0.5, 600).Draw(t, "lease")
 		cancel := lease + rapid.Float64Range(0.05, 600).Draw(t, "more")
-		hold := config.HoldTime(cancel, lease)
+		hold := config.MaxStaleness(cancel, lease)
 		if hold <= 0 {
 			return // refused as a setting
 		}
@@ -208,7 +208,7 @@
 		if end := last + lease*(1+drift); end >= cancel {
 			t.Fatalf("lease %v, cancel %v: gone %v after", lease, cancel, end)
 		}
-		if end := config.LeaseEnd(cancel, lease).Seconds() * (1 - drift); end <= lease*(1+drift) {
+		if end := config.LeaseExpiry(cancel, lease).Seconds() * (1 - drift); end <= lease*(1+drift) {
 			t.Fatalf("lease %v is taken to be over after %v", lease, end)
 		}
 	})
@@ -274,10 +274,10 @@
 	b := lone(t)
 	b.parts = append([]*part{b.parts[0], {n: 1, key: rollout.Initial.Keys().Partition(1)}}, &part{n: 2, key: rollout.Initial.Keys().Leader()})
 	p := b.parts[0]
-	b.put(jobKey("wk-1"), raw(t, record.Job{Job: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
+	b.put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
 	key := groupKey("wk-1", 0)
-	value := func(machine string) record.Group {
-		return record.Group{Part: 2, Tasks: []record.Task{{Attempt: 1, Machine: machine, Session: 1}, {Num: 1}}}
+	value := func(machine string) record.TaskGroup {
+		return record.TaskGroup{Partition: 2, Tasks: []record.Binding{{Attempt: 1, Machine: machine, Incarnation: 1}, {Task: 1}}}
 	}
 	b.put(key, raw(t, value("host-1")), 7)
 	r := b.recByKey[key]
--- a/internal/controller/deal.go
+++ b/internal/controller/deal.go
@@ -322,7 +322,7 @@
 		own = 0 // one claim for all of it, and one record
 	}
 	claim := core.Claim{Priority: spec.Priority, Guaranteed: own > 0, Team: j.team}
-	var chunks []record.Group
+	var chunks []record.TaskGroup
 	next := int32(dealt)
 	add := func(part int, zone string, n int) {
 		for n > 0 {
@@ -395,7 +395,7 @@
 	}
 	lim.Used = lim.Used.Plus(j.need.Times(got))
 	for _, g := range chunks {
-		if g.Own {
+		if g.Guaranteed {
 			lim.GuaranteedUsed = lim.GuaranteedUsed.Plus(j.need.Times(len(g.Tasks)))
 		}
 	}
@@ -408,16 +408,16 @@
 }
 
 // newGroup is a record of tasks that are dealt for the first time.
-func newGroup(part int, zone string, own bool, first int32, tasks int) record.Group {
-	g := record.Group{Part: part, Zone: zone, Own: own}
+func newGroup(part int, zone string, own bool, first int32, tasks int) record.TaskGroup {
+	g := record.TaskGroup{Partition: part, Zone: zone, Guaranteed: own}
 	for num := first; num < first+int32(tasks); num++ {
-		g.Tasks = append(g.Tasks, record.Task{Num: num})
+		g.Tasks = append(g.Tasks, record.Binding{Task: num})
 	}
 	return g
 }
 
 // inOneTxn is how much of a list of records one transaction can create.
-func (b *brain) inOneTxn(chunks []record.Group) []record.Group {
+func (b *brain) inOneTxn(chunks []record.TaskGroup) []record.TaskGroup {
 	size := 0
 	for i := range chunks {
 		size += chunks[i].Encode(b.form()).Size() + recordOverhead
@@ -437,7 +437,7 @@
 // transaction at a time; a new leader goes on where the last one stopped.
 func (b *brain) dealRest(j *job, dealt int) {
 	first := j.firstRec()
-	var chunks []record.Group
+	var chunks []record.TaskGroup
 	for next := dealt; next < j.spec.Tasks; next += b.maxRec {
 		chunks = append(chunks, newGroup(first.part, first.zone, first.own, int32(next), min(b.maxRec, j.spec.Tasks-next)))
 	}
@@ -447,11 +447,11 @@
 // writeDealing stores the records of one dealing. All of them are written together or
 // not at all: which tasks are dealt already is known by their number alone, so a gap,
 // left by one write that failed, would have a later dealing hand out tasks twice.
-func (b *brain) writeDealing(j *job, chunks []record.Group) {
+func (b *brain) writeDealing(j *job, chunks []record.TaskGroup) {
 	if len(chunks) == 0 {
 		return
 	}
-	u := &store.Unit{Prompt: j.spec.Gang, Early: true, If: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.stamp}}}
+	u := &store.Write{Prompt: j.spec.Gang, Early: true, Conditions: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.stamp}}}
 	empty := j.emptyRecs()
 	var used []*rec
 	tasks := 0
@@ -465,8 +465,8 @@
 		} else {
 			key = groupKey(j.id, j.newRec())
 		}
-		u.If = append(u.If, wire.Condition{Key: key, Revision: stamp})
-		u.Then = append(u.Then, wire.Change{Put: key, Value: g.Encode(b.form()).At(key)})
+		u.Conditions = append(u.Conditions, wire.Condition{Key: key, Revision: stamp})
+		u.Changes = append(u.Changes, wire.Change{Put: key, Value: g.Encode(b.form()).At(key)})
 	}
 	j.dealtAt = b.now
 	b.lead.writes++
@@ -531,7 +531,7 @@
 }
 
 // spreadRoom is how many more tasks may go to a zone: half of all, rounded up.
-func (b *brain) spreadRoom(j *job, zone string, more []record.Group) int {
+func (b *brain) spreadRoom(j *job, zone string, more []record.TaskGroup) int {
 	n := (j.spec.Tasks + 1) / 2
 	for _, r := range j.recs {
 		if r.zone == zone {
--- a/internal/controller/gang_clauses_test.go
+++ b/internal/controller/gang_clauses_test.go
@@ -281,12 +281,12 @@
 		p := b.parts[0]
 		m := b.machine("host-1")
 		b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-		b.put(jobKey("wk-1"), raw(t, record.Job{At: b.now.UnixMilli(), Job: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2, CPUs: 1, CheckpointS: 5, SaveS: 2, Team: "t"}}), 2)
-		tasks := []record.Task{{Num: 0, Attempt: 1, Machine: "host-1", Session: 1}, {Num: 1, Attempt: 1, Machine: "host-1", Session: 1}}
+		b.put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2, CPUs: 1, CheckpointS: 5, SaveS: 2, Team: "t"}}), 2)
+		tasks := []record.Binding{{Task: 0, Attempt: 1, Machine: "host-1", Incarnation: 1}, {Task: 1, Attempt: 1, Machine: "host-1", Incarnation: 1}}
 		if x.lost {
-			tasks[1] = record.Task{Num: 1, Attempt: 1}
+			tasks[1] = record.Binding{Task: 1, Attempt: 1}
 		}
-		b.put(groupKey("wk-1", 0), raw(t, record.Group{Tasks: tasks}), 3)
+		b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: tasks}), 3)
 		r := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, Token: 1, Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: x.state, Reason: x.why}}}
 		if !x.lost {
 			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: "wk-1/1", Attempt: 1, State: wire.Running})
@@ -314,15 +314,15 @@
 		p := b.parts[0]
 		m := b.machine("host-1")
 		b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-		b.put(jobKey("wk-1"), raw(t, record.Job{At: b.now.UnixMilli(), Job: &wire.Job{ID: "wk-1", Gang: true, Tasks: 4, CPUs: 1, Team: "t"}}), 2)
+		b.put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 4, CPUs: 1, Team: "t"}}), 2)
 		var recs []*rec
 		for k := range records {
-			var tasks []record.Task
+			var tasks []record.Binding
 			for n := k * 4 / records; n < (k+1)*4/records; n++ {
-				tasks = append(tasks, record.Task{Num: int32(n), Attempt: 1, Machine: "host-1", Session: 1})
+				tasks = append(tasks, record.Binding{Task: int32(n), Attempt: 1, Machine: "host-1", Incarnation: 1})
 			}
 			key := groupKey("wk-1", k)
-			b.put(key, raw(t, record.Group{Tasks: tasks}), uint64(3+k))
+			b.put(key, raw(t, record.TaskGroup{Tasks: tasks}), uint64(3+k))
 			recs = append(recs, b.recByKey[key])
 		}
 		return b, p, recs
@@ -356,7 +356,7 @@
 		t.Errorf("none is done: %d done, %d left", update.done, len(update.entries))
 	}
 	b, p, recs = setUp(t, 2)
-	b.put(recs[0].key, raw(t, record.Group{Done: 2, Tasks: []record.Task{}}), 9) // by the owner before
+	b.put(recs[0].key, raw(t, record.TaskGroup{Done: 2, Tasks: []record.Binding{}}), 9) // by the owner before
 	report(b, p, 2, map[int]string{2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
 	if update := b.planUpdate(p, recs[1]); update.done != 2 || !b.endsJob(recs[1], &update) {
 		t.Errorf("half is stored as done: %d more are", update.done)
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -13,20 +13,20 @@
 // A gang asks for cells when all of its tasks are dealt and all its records are in one part
 // and zone, and for what it lacks of an attempt that waits; else for nothing.
 func TestGangIsReservedWhole(t *testing.T) {
-	all := []record.Group{{Zone: "a", Tasks: []record.Task{{Num: 0}, {Num: 1}}}, {Zone: "a", Tasks: []record.Task{{Num: 2}, {Num: 3}}}}
+	all := []record.TaskGroup{{Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}}}, {Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}}
 	for _, x := range []struct {
 		name    string
-		records []record.Group
+		records []record.TaskGroup
 		asks    bool
 	}{
 		{"all are dealt", all, true},
 		{"some are not dealt", all[:1], false},
-		{"in two parts", []record.Group{all[0], {Part: 1, Zone: "a", Tasks: all[1].Tasks}}, false},
-		{"in two zones", []record.Group{all[0], {Zone: "b", Tasks: all[1].Tasks}}, false},
-		{"done already", []record.Group{all[0], {Zone: "a", Done: 2, Tasks: []record.Task{}}}, false},
+		{"in two parts", []record.TaskGroup{all[0], {Partition: 1, Zone: "a", Tasks: all[1].Tasks}}, false},
+		{"in two zones", []record.TaskGroup{all[0], {Zone: "b", Tasks: all[1].Tasks}}, false},
+		{"done already", []record.TaskGroup{all[0], {Zone: "a", Done: 2, Tasks: []record.Binding{}}}, false},
 	} {
 		b := lone(t)
-		b.put(jobKey("wk-1"), raw(t, record.Job{At: b.now.UnixMilli(), Job: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 1}}), 2)
+		b.put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 1}}), 2)
 		for k, v := range x.records {
 			b.put(groupKey("wk-1", k), raw(t, v), uint64(3+k))
 		}
@@ -55,7 +55,7 @@
 	} {
 		b := lone(t)
 		m := b.machine("host-1")
-		b.lends["host-1"] = &lend{Loan: record.Loan{Job: x.job, Ack: true}}
+		b.lends["host-1"] = &lend{MachineLoan: record.MachineLoan{Job: x.job, Acknowledged: true}}
 		b.lead.since, m.homeAt, m.usedAt = b.now.Add(-time.Hour), b.now.Add(-time.Hour), b.now.Add(-x.unused)
 		h := &core.MachineSummary{ID: m.idx, Partition: b.lentPart(), Type: "small", Zone: "a", Size: core.NewResources(4, 0, 8), Free: core.NewResources(4, 0, 8)}
 		array := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 9}, at: b.now.Add(-time.Hour), dealtAt: b.now}
@@ -66,8 +66,8 @@
 			t.Errorf("%s: it is not open to gangs", x.name)
 		}
 		// A gang that has been dealt there and lacks room holds no more than is kept.
-		b.put(jobKey("wk-3"), raw(t, record.Job{At: b.now.UnixMilli(), Job: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
-		b.put(groupKey("wk-3", 0), raw(t, record.Group{Part: b.lentPart(), Tasks: []record.Task{{Num: 0}, {Num: 1}, {Num: 2}, {Num: 3}}}), 3)
+		b.put(jobKey("wk-3"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
+		b.put(groupKey("wk-3", 0), raw(t, record.TaskGroup{Partition: b.lentPart(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
 		b.settleDealt([]*core.MachineSummary{h}, b.byUrgency())
 		if held := h.Free.CPU < 4000; held == x.open {
 			t.Errorf("%s: a gang without whole room holds it: %v", x.name, held)
@@ -79,8 +79,8 @@
 // kept for gangs there.
 func TestOtherZoneCountsRoomForGangs(t *testing.T) {
 	b := loneAmong(t, 3)
-	b.put(jobKey("wk-1"), raw(t, record.Job{At: b.now.UnixMilli(), Job: &wire.Job{ID: "wk-1", Team: "t", Gang: true, SingleZone: true, Tasks: 3, CPUs: 2}}), 2)
-	b.put(groupKey("wk-1", 0), raw(t, record.Group{Part: 1, Zone: "a", Tasks: []record.Task{{Num: 0}, {Num: 1}, {Num: 2}}}), 3)
+	b.put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, SingleZone: true, Tasks: 3, CPUs: 2}}), 2)
+	b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}}}), 3)
 	r := b.recByKey[groupKey("wk-1", 0)]
 	r.since = b.now.Add(-zonePatience - time.Second)
 	var hosts []*core.MachineSummary
@@ -106,9 +106,11 @@
 		b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, Token: 1,
 			Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: state, Reason: why}, {Task: "wk-1/1", Attempt: 1, State: wire.Gathering}}}, p, true)
 	}
-	b.put(jobKey("wk-1"), raw(t, record.Job{At: b.now.UnixMilli(), Job: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAM: 1}}), 2)
-	bound := func(num int32) record.Task { return record.Task{Num: num, Attempt: 1, Machine: "host-1", Session: 1} }
-	b.put(groupKey("wk-1", 0), raw(t, record.Group{Tasks: []record.Task{bound(0), bound(1), {Num: 2, Attempt: 1}}}), 3)
+	b.put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAM: 1}}), 2)
+	bound := func(num int32) record.Binding {
+		return record.Binding{Task: num, Attempt: 1, Machine: "host-1", Incarnation: 1}
+	}
+	b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{bound(0), bound(1), {Task: 2, Attempt: 1}}}), 3)
 	report(2, wire.Gathering, "")
 	b.place(p, b.recByKey[groupKey("wk-1", 0)], map[shape]bool{})
 	if len(p.alloc) != 1 {
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -14,7 +14,7 @@
 // those that are dealt.
 func (c *cluster) storedBindings(id string) (bound, dealt int) {
 	for _, raw := range c.world.State.Values(preGroup + id + "/") {
-		var v record.Group
+		var v record.TaskGroup
 		if err := json.Unmarshal(raw, &v); err != nil {
 			c.t.Error(err)
 		}
@@ -169,9 +169,9 @@
 func TestGangMovesWhole(t *testing.T) {
 	b := loneAmong(t, 3)
 	spec := &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 2, Priority: 1, SingleZone: true}
-	b.put(jobKey("wk-1"), raw(t, record.Job{At: b.now.UnixMilli(), Job: spec}), 2)
-	b.put(groupKey("wk-1", 0), raw(t, record.Group{Part: 1, Zone: "a", Tasks: []record.Task{{Num: 0}, {Num: 1}}}), 3)
-	b.put(groupKey("wk-1", 1), raw(t, record.Group{Part: 0, Zone: "a", Tasks: []record.Task{{Num: 2}, {Num: 3}}}), 4)
+	b.put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: spec}), 2)
+	b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+	b.put(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 0, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 4)
 	j := b.jobs["wk-1"]
 	if j.together(1, "a") {
 		t.Fatal("the records are together")
@@ -183,7 +183,7 @@
 		t.Errorf("%d transactions have the records follow the first", b.lead.writes)
 	}
 	b.lead.writes = 0
-	b.put(groupKey("wk-1", 1), raw(t, record.Group{Part: 1, Zone: "a", Tasks: []record.Task{{Num: 2}, {Num: 3}}}), 5)
+	b.put(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 5)
 	b.gatherGangs()
 	if b.lead.writes != 0 {
 		t.Error("records that are together move")
@@ -216,8 +216,8 @@
 func TestGangDealtInPartCountsWhole(t *testing.T) {
 	for _, own := range []bool{false, true} {
 		b := lone(t)
-		b.put(jobKey("wk-1"), raw(t, record.Job{At: b.now.UnixMilli(), Job: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 5, CPUs: 2}}), 2)
-		b.put(groupKey("wk-1", 0), raw(t, record.Group{Own: own, Tasks: []record.Task{{Num: 0}, {Num: 1}}}), 3)
+		b.put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 5, CPUs: 2}}), 2)
+		b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Guaranteed: own, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
 		l := b.limits()[b.team("t")]
 		if l.Used.CPU != 10_000 || (l.GuaranteedUsed.CPU == 10_000) != own {
 			t.Errorf("it counts for %v, within the guarantee (%v) for %v", l.Used, own, l.GuaranteedUsed)
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -28,11 +28,11 @@
 			b.lead.rented[m.name] = r
 		}
 		r.up, r.seen = true, b.now
-		if flags&mesh.Up == 0 || flags&(mesh.Warned|mesh.Suspect|mesh.Silent) != 0 {
+		if flags&mesh.Reachable == 0 || flags&(mesh.TerminationNotice|mesh.Cordoned|mesh.Unreachable) != 0 {
 			return
 		}
 		size := core.NewResources(t.CPUs, t.GPUs, t.RAM)
-		if l := b.lends[m.name]; l != nil && !l.Ack {
+		if l := b.lends[m.name]; l != nil && !l.Acknowledged {
 			return // on its way to the leader
 		}
 		h := &core.MachineSummary{ID: m.idx, Type: m.typ, Zone: m.zone, Spot: m.spot, Partition: m.home, Size: size, Free: size}
@@ -93,22 +93,22 @@
 func (b *brain) flags(m *machine, p *part) uint8 {
 	var f uint8
 	if b.up(m, p) {
-		f |= mesh.Up
+		f |= mesh.Reachable
 	}
 	if !m.notice.IsZero() {
-		f |= mesh.Warned
+		f |= mesh.TerminationNotice
 	}
 	if m.suspect {
-		f |= mesh.Suspect
+		f |= mesh.Cordoned
 	}
 	if m.spot {
 		f |= mesh.Spot
 	}
 	if b.silent(m, p) {
-		f |= mesh.Silent
+		f |= mesh.Unreachable
 	}
 	if !m.heard.After(p.took(m)) {
-		f |= mesh.Unheard
+		f |= mesh.NotHeardYet
 	}
 	return f
 }
@@ -178,21 +178,21 @@
 
 // status tells the siblings about this controller and its machines.
 func (b *brain) status() *mesh.Status {
-	s := &mesh.Status{Node: b.cfg.Name, Boot: b.boot, Fresh: b.fresh(b.op.RightTTL), Able: b.able()}
+	s := &mesh.Status{Node: b.cfg.Name, ProcessID: b.boot, Fresh: b.fresh(b.op.LeaseTTL), Eligible: b.able()}
 	for name := range b.lead.closing {
-		s.Closing = append(s.Closing, name)
+		s.Draining = append(s.Draining, name)
 	}
 	for _, p := range b.parts {
 		if p.term == 0 || !p.active {
 			continue
 		}
-		s.Parts = append(s.Parts, uint64(p.n))
+		s.Partitions = append(s.Partitions, uint64(p.n))
 		for _, m := range p.machines {
 			if m.gone || !m.heard.After(p.since) && len(m.bound) == 0 || m.session == 0 ||
 				b.now.Sub(b.heardSince(m, p)) > 3*time.Minute {
 				continue
 			}
-			s.Machines = append(s.Machines, mesh.Machine{Name: m.name, Addr: m.addr, Type: m.typ, Zone: m.zone, Session: m.session, Flags: b.flags(m, p)})
+			s.Machines = append(s.Machines, mesh.Machine{Name: m.name, Addr: m.addr, Type: m.typ, Zone: m.zone, Incarnation: m.session, Flags: b.flags(m, p)})
 		}
 	}
 	return s
@@ -204,11 +204,11 @@
 	if x == nil {
 		return // not one of ours
 	}
-	if x.status != nil && x.status.Boot != s.Boot {
-		if x.former == s.Boot {
+	if x.status != nil && x.status.ProcessID != s.ProcessID {
+		if x.former == s.ProcessID {
 			return // of a process that is dead
 		}
-		x.former = x.status.Boot
+		x.former = x.status.ProcessID
 	}
 	if b.now.Sub(x.at) > 2500*time.Millisecond {
 		x.since = b.now
@@ -216,7 +216,7 @@
 	x.status, x.at = s, b.now
 	if b.holders[b.leaderKey()].Node == s.Node {
 		b.closing = map[string]bool{}
-		for _, name := range s.Closing {
+		for _, name := range s.Draining {
 			b.closing[name] = true
 		}
 	}
@@ -252,7 +252,7 @@
 		ok := p.active
 		if p.term == 0 {
 			s := b.siblings[owner]
-			ok = s != nil && s.status != nil && b.now.Sub(s.at) < 3*time.Second && slices.Contains(s.status.Parts, uint64(i))
+			ok = s != nil && s.status != nil && b.now.Sub(s.at) < 3*time.Second && slices.Contains(s.status.Partitions, uint64(i))
 		}
 		if !ok || b.lead.vouchedBy[i] != owner {
 			b.lead.vouchedAt[i], b.lead.vouchedBy[i] = time.Time{}, owner
@@ -278,7 +278,7 @@
 			for i := range s.status.Machines {
 				x := &s.status.Machines[i]
 				if m := b.machine(x.Name); m.home == p.n && !m.gone {
-					if x.Flags&mesh.Suspect != 0 && m.suspectAt.IsZero() {
+					if x.Flags&mesh.Cordoned != 0 && m.suspectAt.IsZero() {
 						m.suspectAt = b.now
 					}
 					f(m, x.Flags)
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -53,7 +53,7 @@
 }
 
 // leads tells whether this controller acts as the leader now.
-func (b *brain) leads() bool { return b.lead.active && b.fresh(b.op.RightTTL) }
+func (b *brain) leads() bool { return b.lead.active && b.fresh(b.op.LeaseTTL) }
 
 // lead deals work to parts and rents and returns machines.
 func (b *brain) leadStep() {
@@ -132,9 +132,9 @@
 			if j.spec != nil && !j.spec.Service && !j.ending && n == finished && finished == j.spec.Tasks {
 				budget--
 				j.ending = true
-				b.write(&store.Unit{
-					If:   []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.stamp}},
-					Then: []wire.Change{{Put: jobKey(j.id), Value: record.JSON(record.Job{Fate: done})}},
+				b.write(&store.Write{
+					Conditions: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.stamp}},
+					Changes:    []wire.Change{{Put: jobKey(j.id), Value: record.JSON(record.Job{FinalState: done})}},
 				}, func(error) { j.ending = false })
 			}
 			continue
@@ -145,9 +145,9 @@
 			}
 			budget--
 			r.writing = true
-			b.write(&store.Unit{
-				If:   []wire.Condition{b.leaderCondition(), {Key: r.key, Revision: r.stamp}},
-				Then: []wire.Change{{Delete: r.key}},
+			b.write(&store.Write{
+				Conditions: []wire.Condition{b.leaderCondition(), {Key: r.key, Revision: r.stamp}},
+				Changes:    []wire.Change{{Delete: r.key}},
 			}, func(err error) {
 				if err != nil { // its owner wrote it meanwhile: not before that is known
 					b.readThen(func() { r.writing = false })
--- a/internal/controller/lend.go
+++ b/internal/controller/lend.go
@@ -23,7 +23,7 @@
 // the owner does the same when the machine is handed back.
 
 type lend struct {
-	record.Loan
+	record.MachineLoan
 	stamp   uint64
 	lentAt  uint64 // version of the write that lent it, as far as that was seen
 	writing bool
@@ -32,7 +32,7 @@
 }
 
 func (l *lend) claim(b *brain) core.Claim {
-	return core.Claim{Priority: l.Level, Guaranteed: l.Own, Team: b.team(l.Team)}
+	return core.Claim{Priority: l.Priority, Guaranteed: l.Guaranteed, Team: b.team(l.Team)}
 }
 
 // lentNames are the machines that are lent, in one order for all that is decided.
@@ -46,15 +46,15 @@
 // lentPart is the number of the leader's own part.
 func (b *brain) lentPart() int { return len(b.parts) - 1 }
 
-func (b *brain) putLend(name string, v *record.Loan, stamp uint64) {
+func (b *brain) putLend(name string, v *record.MachineLoan, stamp uint64) {
 	m := b.machine(name)
 	l := b.lends[name]
 	if l == nil {
 		l = &lend{since: b.now, lentAt: stamp}
 		b.lends[name] = l
 	}
-	l.Loan, l.stamp = *v, stamp
-	if !b.moved(m) && !l.Ack {
+	l.MachineLoan, l.stamp = *v, stamp
+	if !b.moved(m) && !l.Acknowledged {
 		b.kick(m) // stops what the group may evict
 	}
 }
@@ -96,18 +96,18 @@
 func (b *brain) acknowledge(p *part) {
 	for _, name := range b.lentNames() {
 		l, m := b.lends[name], b.machine(name)
-		if l.Ack || l.writing || m.hash != p.n || len(m.bound) > 0 && !b.goAlong(l, m, p) {
+		if l.Acknowledged || l.writing || m.hash != p.n || len(m.bound) > 0 && !b.goAlong(l, m, p) {
 			continue
 		}
 		if p.claimed(m) {
 			continue
 		}
 		l.writing = true
-		v := l.Loan
-		v.Ack = true
-		b.write(&store.Unit{Prompt: true,
-			If:   []wire.Condition{{Key: p.key, Revision: p.term}, {Key: preLend + name, Revision: l.stamp}},
-			Then: []wire.Change{{Put: preLend + name, Value: record.JSON(v)}},
+		v := l.MachineLoan
+		v.Acknowledged = true
+		b.write(&store.Write{Prompt: true,
+			Conditions: []wire.Condition{{Key: p.key, Revision: p.term}, {Key: preLend + name, Revision: l.stamp}},
+			Changes:    []wire.Change{{Put: preLend + name, Value: record.JSON(v)}},
 		}, func(error) { l.writing = false })
 	}
 }
@@ -206,7 +206,7 @@
 	// As many as one change can be; the others follow in the next steps.
 	chosen = chosen[:min(len(chosen), b.cfg.Settings.State.TxnOps)]
 	b.log.Info("machines are borrowed for a group", "job", j.id, "machines", len(chosen))
-	b.borrowMachines(chosen, []wire.Condition{{Key: jobKey(j.id), Revision: j.stamp}}, record.Loan{Job: j.id, Level: c.Priority, Own: c.Guaranteed, Team: j.spec.Team})
+	b.borrowMachines(chosen, []wire.Condition{{Key: jobKey(j.id), Revision: j.stamp}}, record.MachineLoan{Job: j.id, Priority: c.Priority, Guaranteed: c.Guaranteed, Team: j.spec.Team})
 	return true
 }
 
@@ -289,18 +289,18 @@
 
 // borrowMachines lends machines to the leader's part, if the parts that they are in have
 // not changed hands meanwhile.
-func (b *brain) borrowMachines(chosen []*core.MachineSummary, cond []wire.Condition, v record.Loan) {
-	u := &store.Unit{Prompt: true, If: append([]wire.Condition{b.leaderCondition()}, cond...)}
+func (b *brain) borrowMachines(chosen []*core.MachineSummary, cond []wire.Condition, v record.MachineLoan) {
+	u := &store.Write{Prompt: true, Conditions: append([]wire.Condition{b.leaderCondition()}, cond...)}
 	parts := map[int]bool{}
 	for _, h := range chosen {
 		h.InUse, h.Free = true, core.Resources{}
 		key := preLend + b.byIdx[h.ID].name
-		u.If = append(u.If, wire.Condition{Key: key})
+		u.Conditions = append(u.Conditions, wire.Condition{Key: key})
 		if !parts[h.Partition] {
 			parts[h.Partition] = true
-			u.If = append(u.If, wire.Condition{Key: b.parts[h.Partition].key, Revision: b.vers[b.parts[h.Partition].key]})
+			u.Conditions = append(u.Conditions, wire.Condition{Key: b.parts[h.Partition].key, Revision: b.vers[b.parts[h.Partition].key]})
 		}
-		u.Then = append(u.Then, wire.Change{Put: key, Value: record.JSON(v)})
+		u.Changes = append(u.Changes, wire.Change{Put: key, Value: record.JSON(v)})
 	}
 	b.lead.writes++
 	epoch := b.lead.epoch
@@ -313,14 +313,14 @@
 	p := b.parts[b.lentPart()]
 	for _, name := range b.lentNames() {
 		l, m := b.lends[name], b.machine(name)
-		if l.Ack && l.stamp > p.term {
+		if l.Acknowledged && l.stamp > p.term {
 			p.raise = true // the former owner's tokens are below this stamp
 		}
 		// What has claimed a cell there may be bound any moment: handed back meanwhile, the
 		// machine was its former owner's and the binding ours, and neither could end it.
 		// Services that were lent with it, or came since, go back with it.
 		stays := len(m.bound) > 0 && (l.Job == poolJob || !b.onlyServes(m, p))
-		if l.writing || l.Ack && (stays || p.claimed(m)) {
+		if l.writing || l.Acknowledged && (stays || p.claimed(m)) {
 			continue
 		}
 		if !b.staysLent(l, m, p) {
@@ -332,7 +332,7 @@
 // staysLent tells whether a machine is still wanted where it is lent to, and can be had.
 func (b *brain) staysLent(l *lend, m *machine, p *part) bool {
 	if l.Job == poolJob {
-		return l.Ack && b.poolKeeps(m) || !l.Ack && b.now.Sub(l.since) < poolPatience
+		return l.Acknowledged && b.poolKeeps(m) || !l.Acknowledged && b.now.Sub(l.since) < poolPatience
 	}
 	j := b.jobs[l.Job]
 	if j == nil || j.fate != live || j.spec == nil || m.gone || !b.needsLoan(j, p.n) {
@@ -341,7 +341,7 @@
 	if m.typ != "" && !allowed(j.spec, b.pinned(j), m.typ, m.zone, m.spot) {
 		return false
 	}
-	if l.Ack {
+	if l.Acknowledged {
 		// One that has not reported since it came died on the way: it is its
 		// owner's again, who finds out what has become of it.
 		return m.heard.After(p.took(m)) || b.now.Sub(p.took(m)) < b.silentAfter()+5*time.Second
@@ -378,8 +378,8 @@
 // handBack ends a lending.
 func (b *brain) handBack(name string, l *lend) {
 	l.writing, l.leaving = true, true
-	b.write(&store.Unit{
-		If:   []wire.Condition{b.leaderCondition(), {Key: preLend + name, Revision: l.stamp}},
-		Then: []wire.Change{{Delete: preLend + name}},
+	b.write(&store.Write{
+		Conditions: []wire.Condition{b.leaderCondition(), {Key: preLend + name, Revision: l.stamp}},
+		Changes:    []wire.Change{{Delete: preLend + name}},
 	}, func(error) { l.writing, l.leaving = false, false })
 }
--- a/internal/controller/levels.go
+++ b/internal/controller/levels.go
@@ -28,10 +28,10 @@
 	refusal     error
 	keys        rollout.Keys // of the rights
 	controllers map[string]rollout.Registered
-	forms       map[record.Form]int // records by the form they are stored in
-	unreadable  map[string]bool     // keys of groups that can't be decoded
-	writing     bool                // a step is on its way
-	rewrites    *rate.Limiter       // of records that are rewritten for their form alone
+	forms       map[record.Encoding]int // records by the form they are stored in
+	unreadable  map[string]bool         // keys of groups that can't be decoded
+	writing     bool                    // a step is on its way
+	rewrites    *rate.Limiter           // of records that are rewritten for their form alone
 }
 
 func newLevels(cfg *config.Platform, op *config.Operator) levels {
@@ -42,7 +42,7 @@
 		supported.High = min(supported.High, rollout.Level(op.HighestLevel))
 	}
 	return levels{supported: supported, state: rollout.Initial, keys: rollout.Initial.Keys(),
-		controllers: map[string]rollout.Registered{}, forms: map[record.Form]int{}, unreadable: map[string]bool{},
+		controllers: map[string]rollout.Registered{}, forms: map[record.Encoding]int{}, unreadable: map[string]bool{},
 		rewrites: rate.NewLimiter(rate.Limit(perSecond), 1)}
 }
 
@@ -55,14 +55,14 @@
 }
 
 // form is the form in which records are written.
-func (b *brain) form() record.Form { return formOf(b.levels.state.Writes()) }
+func (b *brain) form() record.Encoding { return formOf(b.levels.state.Writes()) }
 
 // formOf is the form of records at a feature level.
-func formOf(l rollout.Level) record.Form {
+func formOf(l rollout.Level) record.Encoding {
 	if l >= rollout.ChecksumLevel {
-		return record.Checked
+		return record.Checksummed
 	}
-	return record.Plain
+	return record.PlainJSON
 }
 
 // outdated counts the records that are not stored in the form in which they are written.
@@ -158,7 +158,7 @@
 		delete(b.levels.controllers, name) // unknown, as if it were not there
 		return err
 	}
-	b.levels.controllers[name] = rollout.Registered{Controller: c, Version: stamp}
+	b.levels.controllers[name] = rollout.Registered{Controller: c, Revision: stamp}
 	return nil
 }
 
@@ -173,7 +173,7 @@
 // tendLevels takes the next step of an upgrade or of the way back, if there is one.
 func (b *brain) tendLevels() {
 	l := &b.levels
-	if l.writing || l.version == 0 && !b.op.FeatureLevels || l.refusal != nil || !b.fresh(b.op.RightTTL) {
+	if l.writing || l.version == 0 && !b.op.FeatureLevels || l.refusal != nil || !b.fresh(b.op.LeaseTTL) {
 		return
 	}
 	view := b.levelView()
@@ -184,7 +184,7 @@
 	txn := rollout.Txn(l.state, step, next, view, rollout.Versions{State: l.version, Leader: b.lead.term})
 	l.writing = true
 	b.log.Info("feature level step", "step", step, "from", l.state.Level, "phase", l.state.Phase)
-	b.write(&store.Unit{Prompt: true, Contested: true, If: txn.If, Then: txn.Then}, func(err error) {
+	b.write(&store.Write{Prompt: true, Contested: true, Conditions: txn.If, Changes: txn.Then}, func(err error) {
 		if err == nil {
 			l.writing = false
 			return
@@ -205,7 +205,7 @@
 		if r.form == form || r.writing || r.job.spec == nil || b.now.Before(r.barredTo) {
 			continue
 		}
-		if r.group(r.done, r.entries).Encode(form).Form() != form {
+		if r.group(r.done, r.entries).Encode(form).Encoding() != form {
 			continue // the form can't hold it
 		}
 		if !b.levels.rewrites.AllowN(b.now, 1) {
@@ -224,7 +224,7 @@
 	if !ok || b.levels.state.Active() < rollout.ChecksumLevel || c.High < rollout.ChecksumLevel {
 		return mesh.Plain
 	}
-	if s := b.siblings[name]; s.status != nil && s.status.Boot != c.Boot {
+	if s := b.siblings[name]; s.status != nil && s.status.ProcessID != c.ProcessID {
 		return mesh.Plain
 	}
 	return mesh.Checked
@@ -253,8 +253,8 @@
 
 // register keeps this controller's range of levels stored while the process lives.
 func (b *brain) register() {
-	c := rollout.Controller{Node: b.cfg.Name, Boot: b.boot, Build: Build, Range: b.levels.supported}
-	r := &rollout.Registrar{Store: b.st, Controller: c, TTL: registrationTTLs * b.op.RightTTL, Log: b.log}
+	c := rollout.Controller{Node: b.cfg.Name, ProcessID: b.boot, Build: Build, Range: b.levels.supported}
+	r := &rollout.Registrar{Store: b.st, Controller: c, TTL: registrationTTLs * b.op.LeaseTTL, Log: b.log}
 	if err := r.Run(b.ctx); err != nil && !errors.Is(err, b.ctx.Err()) {
 		b.log.Error("registration ended", "err", err)
 	}
@@ -277,6 +277,6 @@
 	if l.version == 0 {
 		return
 	}
-	log.Info("levels", "level", l.state.Level, "phase", l.state.Phase, "plain_records", l.forms[record.Plain],
-		"checked_records", l.forms[record.Checked], "unreadable_records", len(l.unreadable), "controllers", len(l.controllers))
+	log.Info("levels", "level", l.state.Level, "phase", l.state.Phase, "plain_records", l.forms[record.PlainJSON],
+		"checked_records", l.forms[record.Checksummed], "unreadable_records", len(l.unreadable), "controllers", len(l.controllers))
 }
--- a/internal/controller/levels_processes_test.go
+++ b/internal/controller/levels_processes_test.go
@@ -214,13 +214,13 @@
 
 func (f *fleetUnderUpgrade) finalizeAndRewrite() {
 	f.t.Helper()
-	before := f.forms()[record.Plain]
+	before := f.forms()[record.PlainJSON]
 	begun := time.Now()
 	status := f.command("finalize")
 	if status.State.Level != 2 {
 		f.t.Fatalf("after finalize: %+v", status.State)
 	}
-	f.await("records are rewritten", time.Minute, func() bool { return f.forms()[record.Plain] == 0 })
+	f.await("records are rewritten", time.Minute, func() bool { return f.forms()[record.PlainJSON] == 0 })
 	f.t.Logf("%d records in the former form were rewritten, or done, within %v", before, time.Since(begun).Round(time.Millisecond))
 }
 
--- a/internal/controller/levels_rows_test.go
+++ b/internal/controller/levels_rows_test.go
@@ -68,7 +68,7 @@
 		time.Sleep(2 * time.Second)
 		return ready()
 	})
-	c.await("records are in its form", 2*time.Minute, func() bool { return c.forms()[record.Plain] == 0 })
+	c.await("records are in its form", 2*time.Minute, func() bool { return c.forms()[record.PlainJSON] == 0 })
 }
 
 // upgradeCombinations is how many generated schedules of upgrades are played.
--- a/internal/controller/levels_test.go
+++ b/internal/controller/levels_test.go
@@ -30,12 +30,12 @@
 		c.await("the service runs", 40*time.Second, func() bool { return c.world.Running("wk-1") == 3 })
 		c.wish(rollout.WishFinalize)
 		c.awaitLevel(2, rollout.Stable, 10*time.Second)
-		c.await("records are rewritten", time.Minute, func() bool { f := c.forms(); return f[record.Plain] == 0 && f[record.Checked] > 0 })
+		c.await("records are rewritten", time.Minute, func() bool { f := c.forms(); return f[record.PlainJSON] == 0 && f[record.Checksummed] > 0 })
 		c.submit(jobBody("wk-3", wire.Gang, "blue", "normal", 4, 2, 5))
 		c.awaitDone("wk-3", 2*time.Minute)
 		c.wish(rollout.WishAbort)
 		c.awaitLevel(1, rollout.Stable, time.Minute)
-		if f := c.forms(); f[record.Checked] > 0 {
+		if f := c.forms(); f[record.Checksummed] > 0 {
 			t.Errorf("records by form after the way back: %v", f)
 		}
 		if !c.level().Held {
@@ -57,13 +57,13 @@
 	c.awaitLevel(1, rollout.Activated, 30*time.Second)
 	c.wish(rollout.WishFinalize)
 	c.awaitLevel(2, rollout.Stable, 30*time.Second)
-	c.await("records are rewritten", time.Minute, func() bool { return c.forms()[record.Plain] == 0 })
+	c.await("records are rewritten", time.Minute, func() bool { return c.forms()[record.PlainJSON] == 0 })
 }
 
 // holdsRight tells whether a node is the holder of any right.
 func (c *cluster) holdsRight(i int) bool {
 	for key, raw := range c.world.State.Values(prefix) {
-		var h record.Holder
+		var h record.LeaseHolder
 		if isRight(key) && wire.Decode(raw, &h) == nil && h.Node == c.nodes[i].cfg.Name {
 			return true
 		}
@@ -208,7 +208,7 @@
 		c.final()
 		// Of a job that is not known: nobody rewrites it.
 		key := groupKey("wk-99", 0)
-		left := (&record.Group{Part: 1, Tasks: []record.Task{{Num: 1}}}).Encode(record.Checked).At(key)
+		left := (&record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 1}}}).Encode(record.Checksummed).At(key)
 		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Then: []wire.Change{{Put: key, Value: left}}}); err != nil {
 			t.Fatal(err)
 		}
@@ -235,7 +235,7 @@
 	inUpgrade(t, func(c *cluster) {
 		c.final()
 		key := groupKey("wk-99", 0)
-		left := (&record.Group{Part: 1, Tasks: []record.Task{{Num: 1}}}).Encode(record.Checked).At(key)
+		left := (&record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 1}}}).Encode(record.Checksummed).At(key)
 		// It is stored together with the change that closes the keys.
 		c.world.State.Before(func(t *wire.Txn) {
 			for _, change := range t.Then {
--- a/internal/controller/levels_world_test.go
+++ b/internal/controller/levels_world_test.go
@@ -82,7 +82,7 @@
 
 // asUnaware has a value fail to decode that would not be an object to an earlier version.
 func asUnaware(value json.RawMessage) json.RawMessage {
-	if record.FormOf(value) > record.Plain {
+	if record.EncodingOf(value) > record.PlainJSON {
 		return json.RawMessage("17")
 	}
 	return value
@@ -146,10 +146,10 @@
 }
 
 // forms counts the stored groups by form.
-func (c *cluster) forms() map[record.Form]int {
-	out := map[record.Form]int{}
+func (c *cluster) forms() map[record.Encoding]int {
+	out := map[record.Encoding]int{}
 	for _, raw := range c.world.State.Values(preGroup) {
-		out[record.FormOf(raw)]++
+		out[record.EncodingOf(raw)]++
 	}
 	return out
 }
@@ -238,8 +238,8 @@
 		h.checkState(e)
 	}
 	if strings.HasPrefix(key, preGroup) {
-		form := record.FormOf(e.Value)
-		h.checked[key] = form == record.Checked
+		form := record.EncodingOf(e.Value)
+		h.checked[key] = form == record.Checksummed
 		if rollout.Level(form) > h.state.Level {
 			h.t.Errorf("%s is stored in form %d at level %d", key, form, h.state.Level)
 		}
@@ -280,12 +280,12 @@
 // process that reads it.
 func (h *levelHistory) checkRight(e wire.Event) {
 	h.t.Helper()
-	var holder record.Holder
+	var holder record.LeaseHolder
 	if err := wire.Decode(e.Value, &holder); err != nil {
 		h.t.Error(err)
 	}
 	h.mu.Lock()
-	reads, isProcess := h.boots[holder.Boot]
+	reads, isProcess := h.boots[holder.ProcessID]
 	h.mu.Unlock()
 	if !isProcess {
 		return // it was closed
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -43,16 +43,16 @@
 		}
 		for _, piece := range b.fit(r, r.done, r.entries) {
 			raw := piece.At(groupKey("wk-1", 0))
-			if len(raw) > b.maxValue() || piece.Form() != b.form() {
-				t.Fatalf("%d bytes of %d, form %d", len(raw), b.maxValue(), piece.Form())
+			if len(raw) > b.maxValue() || piece.Encoding() != b.form() {
+				t.Fatalf("%d bytes of %d, form %d", len(raw), b.maxValue(), piece.Encoding())
 			}
-			v, _, err := record.DecodeGroup(groupKey("wk-1", 0), raw)
+			v, _, err := record.DecodeTaskGroup(groupKey("wk-1", 0), raw)
 			if err != nil {
 				t.Fatal(err)
 			}
-			x := rec{cap: v.Cap}
+			x := rec{cap: v.Throttle}
 			for _, e := range v.Tasks {
-				x.entries = append(x.entries, entry{num: e.Num})
+				x.entries = append(x.entries, entry{num: e.Task})
 				if e.Machine != "" {
 					there++
 				}
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -129,7 +129,7 @@
 
 // homeOf is the part that a machine is in by what is stored.
 func (b *brain) homeOf(m *machine) int {
-	if l := b.lends[m.name]; l != nil && l.Ack {
+	if l := b.lends[m.name]; l != nil && l.Acknowledged {
 		return b.lentPart()
 	}
 	return m.hash
@@ -556,7 +556,7 @@
 	if c := p.cells.CellOf(t); c != nil && c.State == core.Reserving || r.excess(t.Num) {
 		return true
 	}
-	if l := b.lends[m.name]; l != nil && !l.Ack && l.claim(b).CanPreempt(r.claim()) {
+	if l := b.lends[m.name]; l != nil && !l.Acknowledged && l.claim(b).CanPreempt(r.claim()) {
 		return true
 	}
 	// A task that can save is stopped before its machine is taken.
@@ -601,7 +601,7 @@
 	// Nothing starts on the strength of an old read: from the moment a user is told
 	// "cancelled", by whomever, no task of the job may. Reports are answered for longer
 	// than that (HoldTime), so that what runs goes on.
-	if len(shown) == len(m.bound) || !b.fresh(b.op.RightTTL) {
+	if len(shown) == len(m.bound) || !b.fresh(b.op.LeaseTTL) {
 		return stops
 	}
 	for _, x := range m.bound {
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -52,12 +52,12 @@
 	if spec.Gang {
 		return b.relocate(j, j.firstRec().part, best)
 	}
-	u := &store.Unit{Early: true, Contested: true, If: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.stamp}}}
+	u := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.stamp}}}
 	for _, o := range j.recs {
 		moved := *o
 		moved.zone = best
-		u.If = append(u.If, wire.Condition{Key: o.key, Revision: o.stamp})
-		u.Then = append(u.Then, wire.Change{Put: o.key, Value: b.content(&moved, o.done, o.entries).At(o.key)})
+		u.Conditions = append(u.Conditions, wire.Condition{Key: o.key, Revision: o.stamp})
+		u.Changes = append(u.Changes, wire.Change{Put: o.key, Value: b.content(&moved, o.done, o.entries).At(o.key)})
 	}
 	b.lead.writes++
 	epoch := b.lead.epoch
@@ -120,15 +120,15 @@
 	if !taken {
 		core.PlaceInFreeRoom(hosts, in, r.job.need, len(move))
 	}
-	u := &store.Unit{Early: true, Contested: true, If: []wire.Condition{b.leaderCondition(), {Key: jobKey(r.job.id), Revision: r.job.stamp}, {Key: r.key, Revision: r.stamp}}}
+	u := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{b.leaderCondition(), {Key: jobKey(r.job.id), Revision: r.job.stamp}, {Key: r.key, Revision: r.stamp}}}
 	left, moved := r.split(stay, move)
 	moved.part = best
 	if len(stay) == 0 {
-		u.Then = []wire.Change{{Put: r.key, Value: b.content(&moved, r.done, move).At(r.key)}}
+		u.Changes = []wire.Change{{Put: r.key, Value: b.content(&moved, r.done, move).At(r.key)}}
 	} else {
 		key := groupKey(r.job.id, r.job.newRec())
-		u.If = append(u.If, wire.Condition{Key: key})
-		u.Then = []wire.Change{{Put: r.key, Value: b.content(&left, r.done, stay).At(r.key)}, {Put: key, Value: b.content(&moved, 0, move).At(key)}}
+		u.Conditions = append(u.Conditions, wire.Condition{Key: key})
+		u.Changes = []wire.Change{{Put: r.key, Value: b.content(&left, r.done, stay).At(r.key)}, {Put: key, Value: b.content(&moved, 0, move).At(key)}}
 	}
 	b.metrics.count(cMoved, 1)
 	b.log.Debug("tasks move to another part", "job", r.job.id, "tasks", len(move), "part", best)
@@ -170,7 +170,7 @@
 // as one transaction holds. The others follow (gatherGangs); the gang is reserved when
 // all are together. False if it can't be now.
 func (b *brain) relocate(j *job, part int, zone string) bool {
-	u := &store.Unit{Early: true, Contested: true, If: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.stamp}}}
+	u := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.stamp}}}
 	size := 0
 	for _, r := range j.recsInOrder() {
 		if r.part == part && r.zone == zone {
@@ -183,13 +183,13 @@
 		moved.part, moved.zone = part, zone
 		value := b.content(&moved, r.done, r.entries).At(r.key)
 		size += len(value) + recordOverhead
-		if n := len(u.Then); n > 0 && (n == b.cfg.Settings.State.TxnOps || size > store.MaxTxnBytes) {
+		if n := len(u.Changes); n > 0 && (n == b.cfg.Settings.State.TxnOps || size > store.MaxTxnBytes) {
 			break
 		}
-		u.If = append(u.If, wire.Condition{Key: r.key, Revision: r.stamp})
-		u.Then = append(u.Then, wire.Change{Put: r.key, Value: value})
+		u.Conditions = append(u.Conditions, wire.Condition{Key: r.key, Revision: r.stamp})
+		u.Changes = append(u.Changes, wire.Change{Put: r.key, Value: value})
 	}
-	if len(u.Then) == 0 {
+	if len(u.Changes) == 0 {
 		return false
 	}
 	b.lead.writes++
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -16,7 +16,7 @@
 func (b *brain) stepParts() {
 	defer b.metrics.spend(dParts, time.Now())
 	for _, p := range b.parts {
-		if p.active && b.fresh(b.op.RightTTL) {
+		if p.active && b.fresh(b.op.LeaseTTL) {
 			b.stepPart(p)
 		}
 	}
--- a/internal/controller/pool.go
+++ b/internal/controller/pool.go
@@ -217,7 +217,7 @@
 	}
 	chosen = chosen[:min(len(chosen), b.cfg.Settings.State.TxnOps/2)]
 	b.log.Debug("machines are kept for gangs", "machines", len(chosen))
-	b.borrowMachines(chosen, nil, record.Loan{Job: poolJob})
+	b.borrowMachines(chosen, nil, record.MachineLoan{Job: poolJob})
 }
 
 // takeRoom takes free room for the tasks of a class's next gangs from hosts, and returns for
@@ -240,7 +240,7 @@
 	for name, l := range b.lends {
 		m := b.machine(name)
 		t := b.types[m.typ]
-		if l.Job != poolJob || l.Ack || t == nil || !allowed(c.spec, zone, m.typ, m.zone, m.spot) {
+		if l.Job != poolJob || l.Acknowledged || t == nil || !allowed(c.spec, zone, m.typ, m.zone, m.spot) {
 			continue
 		}
 		n := core.NewResources(t.CPUs, t.GPUs, t.RAM).CountFitting(c.need, c.spec.Tasks)
--- a/internal/controller/provision.go
+++ b/internal/controller/provision.go
@@ -249,7 +249,7 @@
 		}
 	}
 	bad := func(m *machine, flags uint8) {
-		if flags&mesh.Silent != 0 && b.lead.listed && !b.lead.cut[b.zoneOf(m)] || flags&mesh.Suspect != 0 && (len(m.bound) == 0 || b.now.Sub(m.suspectAt) > 15*time.Second) {
+		if flags&mesh.Unreachable != 0 && b.lead.listed && !b.lead.cut[b.zoneOf(m)] || flags&mesh.Cordoned != 0 && (len(m.bound) == 0 || b.now.Sub(m.suspectAt) > 15*time.Second) {
 			names = append(names, m.name)
 		}
 	}
@@ -278,12 +278,12 @@
 func (b *brain) cutZones() {
 	out, all := map[string]int{}, map[string]int{}
 	b.eachVouched(func(m *machine, flags uint8) {
-		if flags&mesh.Unheard != 0 && flags&mesh.Silent == 0 {
+		if flags&mesh.NotHeardYet != 0 && flags&mesh.Unreachable == 0 {
 			return // its owner has only just come; after a crash of all that is so everywhere
 		}
 		z := b.zoneOf(m)
 		all[z]++
-		if flags&mesh.Up == 0 {
+		if flags&mesh.Reachable == 0 {
 			out[z]++
 		}
 	})
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -161,15 +161,15 @@
 	placed   int // entries that name a machine
 	listed   int // one more than its place among its part's records; 0: in none
 	writing  bool
-	unit     *store.Unit // its owner's write, while that waits or is on its way
-	dirty    bool        // attempts have ended that are not stored as ended
-	endedAt  time.Time   // since when ended attempts wait to be stored
-	boundAt  time.Time   // since when new bindings wait to be stored
-	since    time.Time   // when it came to its part
-	cappedAt time.Time   // when the leader last changed its cap
-	size     int         // of its stored form
-	form     record.Form // in which it is stored
-	barredTo time.Time   // not written before then: it was refused as invalid
+	unit     *store.Write    // its owner's write, while that waits or is on its way
+	dirty    bool            // attempts have ended that are not stored as ended
+	endedAt  time.Time       // since when ended attempts wait to be stored
+	boundAt  time.Time       // since when new bindings wait to be stored
+	since    time.Time       // when it came to its part
+	cappedAt time.Time       // when the leader last changed its cap
+	size     int             // of its stored form
+	form     record.Encoding // in which it is stored
+	barredTo time.Time       // not written before then: it was refused as invalid
 }
 
 func (r *rec) task(num int32) core.Task { return core.Task{Group: r.idx, Num: num} }
@@ -192,7 +192,7 @@
 // void gives up a write of the record's owner whose conditions have changed.
 func (r *rec) void() {
 	if r.unit != nil {
-		r.unit.Void()
+		r.unit.Cancel()
 	}
 }
 
@@ -256,12 +256,12 @@
 }
 
 // group is the record's stored content with other entries.
-func (r *rec) group(done int, entries []entry) *record.Group {
-	v := &record.Group{Part: r.part, Zone: r.zone, Own: r.own, Done: done, Cap: r.cap, Tasks: make([]record.Task, 0, len(entries))}
+func (r *rec) group(done int, entries []entry) *record.TaskGroup {
+	v := &record.TaskGroup{Partition: r.part, Zone: r.zone, Guaranteed: r.own, Done: done, Throttle: r.cap, Tasks: make([]record.Binding, 0, len(entries))}
 	for _, e := range entries {
-		x := record.Task{Num: e.num, Attempt: e.attempt}
+		x := record.Binding{Task: e.num, Attempt: e.attempt}
 		if e.m != nil {
-			x.Machine, x.Session, x.Addr = e.m.name, e.session, e.m.addr
+			x.Machine, x.Incarnation, x.Addr = e.m.name, e.session, e.m.addr
 		}
 		v.Tasks = append(v.Tasks, x)
 	}
@@ -321,12 +321,12 @@
 // for the team's limit until they are gone, also for a controller that starts later. Of
 // one too large for that, what placing it would need is left out.
 func (b *brain) cancelledValue(j *job) json.RawMessage {
-	v := record.Job{Fate: cancelled, At: j.at.UnixMilli(), Job: j.spec}
+	v := record.Job{FinalState: cancelled, AcceptedAtMS: j.at.UnixMilli(), Spec: j.spec}
 	out := record.JSON(v)
 	if len(out) > b.maxValue() {
 		short := *j.spec
 		short.MachineTypes, short.Image, short.Class = nil, "", ""
-		v.Job = &short
+		v.Spec = &short
 		out = record.JSON(v)
 	}
 	return out
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -125,7 +125,7 @@
 		names := batches[right].names
 		delete(batches, right)
 		key := preGone + names[0]
-		b.write(&store.Unit{Early: true, If: []wire.Condition{right, {Key: key}}, Then: []wire.Change{{Put: key, Value: record.JSON(names)}}},
+		b.write(&store.Write{Early: true, Conditions: []wire.Condition{right, {Key: key}}, Changes: []wire.Change{{Put: key, Value: record.JSON(names)}}},
 			func(error) { b.stay(names) })
 	}
 	most := int(b.cfg.Settings.State.ValueKB*1024) / 2
@@ -174,7 +174,7 @@
 	}
 	var names []string
 	for _, p := range b.parts {
-		if !p.active || !b.fresh(b.op.RightTTL) {
+		if !p.active || !b.fresh(b.op.LeaseTTL) {
 			continue
 		}
 		for _, m := range p.machines {
@@ -235,10 +235,10 @@
 	if b.lead.clearing || b.wr.Backlog() > time.Second {
 		return
 	}
-	u := &store.Unit{If: []wire.Condition{b.leaderCondition()}}
+	u := &store.Write{Conditions: []wire.Condition{b.leaderCondition()}}
 	keep := 2*time.Minute + 4*config.Seconds(b.cfg.Settings.Cloud.ListLagS)
 	for key, g := range b.goneKeys {
-		if len(u.Then) == b.cfg.Settings.State.TxnOps/4 {
+		if len(u.Changes) == b.cfg.Settings.State.TxnOps/4 {
 			break
 		}
 		bound := slices.ContainsFunc(g.names, func(n string) bool {
@@ -246,10 +246,10 @@
 			return m != nil && len(m.bound) > 0
 		})
 		if b.now.Sub(g.at) > keep && !bound {
-			u.Then = append(u.Then, wire.Change{Delete: key})
+			u.Changes = append(u.Changes, wire.Change{Delete: key})
 		}
 	}
-	if len(u.Then) == 0 {
+	if len(u.Changes) == 0 {
 		return
 	}
 	epoch := b.lead.epoch
@@ -271,7 +271,7 @@
 		b.putTypes(list)
 		if !b.typesKey {
 			b.typesKey = true
-			b.write(&store.Unit{If: []wire.Condition{{Key: keyTypes}}, Then: []wire.Change{{Put: keyTypes, Value: record.JSON(list)}}}, func(error) {})
+			b.write(&store.Write{Conditions: []wire.Condition{{Key: keyTypes}}, Changes: []wire.Change{{Put: keyTypes, Value: record.JSON(list)}}}, func(error) {})
 		}
 	})
 }
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -61,8 +61,8 @@
 }
 
 // applied takes the changes of a successful transaction of ours into the replica.
-func (b *brain) applied(u *store.Unit, rev uint64) {
-	for _, c := range u.Then {
+func (b *brain) applied(u *store.Write, rev uint64) {
+	for _, c := range u.Changes {
 		if c.Delete != "" {
 			b.drop(c.Delete, rev)
 		} else {
@@ -91,7 +91,7 @@
 func (b *brain) putValue(key string, raw json.RawMessage, stamp uint64) error {
 	switch {
 	case strings.HasPrefix(key, preGroup):
-		v, form, err := record.DecodeGroup(key, raw)
+		v, form, err := record.DecodeTaskGroup(key, raw)
 		if err != nil {
 			return err
 		}
@@ -109,13 +109,13 @@
 		b.putGone(key, names)
 		return nil
 	case strings.HasPrefix(key, preLend):
-		return decoded(raw, func(v record.Loan) { b.putLend(strings.TrimPrefix(key, preLend), &v, stamp) })
+		return decoded(raw, func(v record.MachineLoan) { b.putLend(strings.TrimPrefix(key, preLend), &v, stamp) })
 	case key == rollout.StateKey:
 		return b.putLevel(raw, stamp)
 	case strings.HasPrefix(key, rollout.ControllerPrefix):
 		return b.putController(strings.TrimPrefix(key, rollout.ControllerPrefix), raw, stamp)
 	}
-	return decoded(raw, func(v record.Holder) {
+	return decoded(raw, func(v record.LeaseHolder) {
 		b.holders[key] = v
 		b.rightSeen(key, v, stamp)
 	})
@@ -253,17 +253,17 @@
 
 func (b *brain) putJob(id string, v *record.Job, stamp uint64) {
 	j := b.job(id)
-	if j.stamp != 0 && j.fate != v.Fate {
-		b.log.Info("job is over", "job", id, "fate", fateNames[v.Fate])
+	if j.stamp != 0 && j.fate != v.FinalState {
+		b.log.Info("job is over", "job", id, "fate", fateNames[v.FinalState])
 	}
 	before := j.fate
-	j.stamp, j.fate = stamp, v.Fate
-	if v.Job != nil {
-		j.spec = v.Job
-		j.at = time.UnixMilli(v.At)
-		j.need = core.NewResources(v.Job.CPUs, v.Job.GPUs, v.Job.RAM)
-		j.sig = fmt.Sprint(v.Job.CPUs, v.Job.GPUs, v.Job.RAM, v.Job.MachineTypes, v.Job.Zone, v.Job.Spot, v.Job.Priority, v.Job.AllOrNothing(), v.Job.Team)
-		j.team = b.team(v.Job.Team)
+	j.stamp, j.fate = stamp, v.FinalState
+	if v.Spec != nil {
+		j.spec = v.Spec
+		j.at = time.UnixMilli(v.AcceptedAtMS)
+		j.need = core.NewResources(v.Spec.CPUs, v.Spec.GPUs, v.Spec.RAM)
+		j.sig = fmt.Sprint(v.Spec.CPUs, v.Spec.GPUs, v.Spec.RAM, v.Spec.MachineTypes, v.Spec.Zone, v.Spec.Spot, v.Spec.Priority, v.Spec.AllOrNothing(), v.Spec.Team)
+		j.team = b.team(v.Spec.Team)
 	}
 	if j.fate != live {
 		b.retire(j)
@@ -332,7 +332,7 @@
 type stored struct {
 	stamp uint64
 	size  int
-	form  record.Form
+	form  record.Encoding
 }
 
 // groupReadable notes that a group's record can be decoded, or is gone.
@@ -360,36 +360,36 @@
 }
 
 // putEntries takes a record's tasks in, with the machines that they are bound to.
-func (b *brain) putEntries(r *rec, tasks []record.Task) {
+func (b *brain) putEntries(r *rec, tasks []record.Binding) {
 	entries := make([]entry, 0, len(tasks))
 	placed := 0
 	for _, x := range tasks {
-		e := entry{num: x.Num, attempt: x.Attempt, session: x.Session}
+		e := entry{num: x.Task, attempt: x.Attempt, session: x.Incarnation}
 		if x.Machine != "" {
 			e.m = b.machine(x.Machine)
-			if e.m.home == b.lentPart() && !r.binds(x.Num, x.Attempt, e.m) {
+			if e.m.home == b.lentPart() && !r.binds(x.Task, x.Attempt, e.m) {
 				e.m.usedAt = b.now
 			}
-			e.m.bound.add(r.task(x.Num), r)
-			e.m.introduce(x.Addr, x.Session)
+			e.m.bound.add(r.task(x.Task), r)
+			e.m.introduce(x.Addr, x.Incarnation)
 			b.enlist(e.m) // one that is gone may have been forgotten
 			placed++
 		}
 		entries = append(entries, e)
-		r.job.loc[x.Num] = r
+		r.job.loc[x.Task] = r
 	}
 	r.entries, r.placed = entries, placed
 }
 
 // putGroup takes a placement record in.
-func (b *brain) putGroup(key string, v *record.Group, as stored) error {
+func (b *brain) putGroup(key string, v *record.TaskGroup, as stored) error {
 	id, k, ok := splitGroupKey(key)
 	if !ok {
 		b.log.Error("stored key is malformed; it is left alone", "key", key)
 		return nil
 	}
-	if v.Part < 0 || v.Part >= len(b.parts) {
-		return fmt.Errorf("part %d does not exist", v.Part)
+	if v.Partition < 0 || v.Partition >= len(b.parts) {
+		return fmt.Errorf("part %d does not exist", v.Partition)
 	}
 	b.groupReadable(key)
 	r := b.recByKey[key]
@@ -399,7 +399,7 @@
 		b.levels.forms[r.form]--
 	}
 	b.levels.forms[as.form]++
-	if r.part != v.Part || r.zone != v.Zone {
+	if r.part != v.Partition || r.zone != v.Zone {
 		if r.part >= 0 {
 			// A binding of ours that is being stored fails, or came before. What waits
 			// for cells in another zone must not get them there.
@@ -410,14 +410,14 @@
 	if r.part >= 0 {
 		kept := make(map[int32]bool, len(v.Tasks))
 		for _, x := range v.Tasks {
-			kept[x.Num] = true
+			kept[x.Task] = true
 		}
 		b.releaseClaims(r, kept)
 	}
 	b.unlinkGroup(r)
-	b.file(r, v.Part)
+	b.file(r, v.Partition)
 	r.size, r.form = as.size, as.form
-	r.stamp, r.part, r.zone, r.own, r.done, r.cap = as.stamp, v.Part, v.Zone, v.Own, v.Done, v.Cap
+	r.stamp, r.part, r.zone, r.own, r.done, r.cap = as.stamp, v.Partition, v.Zone, v.Guaranteed, v.Done, v.Throttle
 	b.putEntries(r, v.Tasks)
 	b.adopt(r)
 	for i := range r.entries {
--- a/internal/controller/rights.go
+++ b/internal/controller/rights.go
@@ -25,12 +25,12 @@
 
 func (b *brain) siblingAble(name string) bool {
 	s := b.siblings[name]
-	return s != nil && s.status != nil && s.status.Able && b.now.Sub(s.at) < 2500*time.Millisecond
+	return s != nil && s.status != nil && s.status.Eligible && b.now.Sub(s.at) < 2500*time.Millisecond
 }
 
 // able tells whether this controller should hold rights.
 func (b *brain) able() bool {
-	return b.fresh(b.op.RightTTL) && !b.now.Before(b.yieldUntil) && b.levels.refusal == nil
+	return b.fresh(b.op.LeaseTTL) && !b.now.Before(b.yieldUntil) && b.levels.refusal == nil
 }
 
 // tendRights takes vacant rights and hands parts back to their preferred node.
@@ -102,11 +102,11 @@
 
 // holderValue is what this process stores at the key of a right that it holds.
 func (b *brain) holderValue() json.RawMessage {
-	return record.JSON(record.Holder{Node: b.cfg.Name, Boot: b.boot})
+	return record.JSON(record.LeaseHolder{Node: b.cfg.Name, ProcessID: b.boot})
 }
 
 func (b *brain) take(r *right, key string, expect uint64) {
-	lease, err := b.st.Lease(b.ctx, b.op.RightTTL)
+	lease, err := b.st.GrantLease(b.ctx, b.op.LeaseTTL)
 	var ans *wire.TxnResponse
 	if err == nil {
 		ans, err = b.st.Txn(b.ctx, &wire.Txn{
@@ -116,13 +116,13 @@
 		if err != nil {
 			// Perhaps it was applied: ending the lease takes the key along, and
 			// a late write under it is refused.
-			_ = b.st.End(b.ctx, lease)
+			_ = b.st.RevokeLease(b.ctx, lease)
 		}
 	}
 	b.post(laneState, func() {
 		r.busy = false
 		if b.rights[key] != r { // rights have other keys meanwhile
-			go func() { _ = b.st.End(b.ctx, lease) }()
+			go func() { _ = b.st.RevokeLease(b.ctx, lease) }()
 			return
 		}
 		if err != nil {
@@ -144,7 +144,7 @@
 // rights, since a sibling would hardly be faster and a change of hands costs both;
 // one that has not come round for a whole right-ttl can't serve, and lets them go.
 func (b *brain) keep(r *right, key string, lease uint64) {
-	t := time.NewTicker(b.op.RightTTL / 4)
+	t := time.NewTicker(b.op.LeaseTTL / 4)
 	defer t.Stop()
 	over := make(chan bool, 1)
 	asked := time.Time{} // since when the actor's answer is awaited; zero: it is not
@@ -160,11 +160,11 @@
 			continue
 		case <-t.C:
 		}
-		if !asked.IsZero() && time.Since(asked) > b.op.RightTTL {
+		if !asked.IsZero() && time.Since(asked) > b.op.LeaseTTL {
 			continue // not renewed before the actor is back
 		}
-		err := b.st.Renew(b.ctx, lease)
-		ended := errors.Is(err, store.ErrNoLease)
+		err := b.st.RenewLease(b.ctx, lease)
+		ended := errors.Is(err, store.ErrLeaseExpired)
 		if !asked.IsZero() && !ended {
 			continue
 		}
@@ -182,8 +182,8 @@
 }
 
 // rightSeen is told what the replica shows of a leased key.
-func (b *brain) rightSeen(key string, h record.Holder, stamp uint64) {
-	if r := b.rights[key]; r != nil && r.stamp != 0 && stamp > r.stamp && h.Boot != b.boot {
+func (b *brain) rightSeen(key string, h record.LeaseHolder, stamp uint64) {
+	if r := b.rights[key]; r != nil && r.stamp != 0 && stamp > r.stamp && h.ProcessID != b.boot {
 		b.lost(key, "taken by "+h.Node)
 	}
 }
@@ -239,7 +239,7 @@
 	lease := r.lease
 	b.lost(key, "given back")
 	r.rest = b.now.Add(2 * time.Second)
-	go func() { _ = b.st.End(b.ctx, lease) }()
+	go func() { _ = b.st.RevokeLease(b.ctx, lease) }()
 }
 
 // partGained takes a part over: the replica is read once more, so that it has
@@ -279,7 +279,7 @@
 			if m.typ == "" {
 				m.typ, m.zone, m.spot = x.Type, x.Zone, x.Flags&mesh.Spot != 0
 			}
-			m.introduce(x.Addr, x.Session)
+			m.introduce(x.Addr, x.Incarnation)
 		}
 	}
 	for _, m := range p.machines {
@@ -313,9 +313,9 @@
 	p.raise, p.raised = false, b.now
 	r.busy = true
 	stamp := r.stamp
-	b.write(&store.Unit{
-		If:   []wire.Condition{{Key: key, Revision: stamp}},
-		Then: []wire.Change{{Put: key, Value: b.holderValue(), Lease: r.lease}},
+	b.write(&store.Write{
+		Conditions: []wire.Condition{{Key: key, Revision: stamp}},
+		Changes:    []wire.Change{{Put: key, Value: b.holderValue(), Lease: r.lease}},
 	}, func(err error) {
 		r.busy = false
 		if r.stamp != stamp {
@@ -341,7 +341,7 @@
 }
 
 func (b *brain) termRaised(p *part, r *right, stamp uint64) {
-	if h := b.holders[p.key]; h.Boot != b.boot {
+	if h := b.holders[p.key]; h.ProcessID != b.boot {
 		return
 	}
 	r.stamp, p.term = stamp, stamp
@@ -412,7 +412,7 @@
 			continue
 		}
 		for i := range s.status.Machines {
-			if s.status.Machines[i].Flags&mesh.Up != 0 {
+			if s.status.Machines[i].Flags&mesh.Reachable != 0 {
 				return true
 			}
 		}
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -57,9 +57,9 @@
 		inbox: newInbox(), cloudQ: make(chan func(), cloudQueue),
 		st: st, wr: store.NewWriter(st, s.State.TxnOps, s.State.WriteRPS, s.Count, out.jitter),
 		cl: cloud.NewClient(cfg.External.Cloud, s.Cloud.RPS, out.cloud), fl: fleet.NewClient(out.workers), send: out.send, jitter: out.jitter,
-		hold: config.HoldTime(s.Workers.CancelS, s.Workers.LeaseS), lease: config.LeaseEnd(s.Workers.CancelS, s.Workers.LeaseS),
+		hold: config.MaxStaleness(s.Workers.CancelS, s.Workers.LeaseS), lease: config.LeaseExpiry(s.Workers.CancelS, s.Workers.LeaseS),
 		vers: map[string]uint64{}, dropped: map[string]uint64{}, jobs: map[string]*job{}, over: map[string]uint8{}, recByKey: map[string]*rec{},
-		holders: map[string]record.Holder{}, gone: map[string]bool{}, goneKeys: map[string]gone{}, lends: map[string]*lend{}, teams: map[string]int32{}, within: cfg.Within(), maxRec: maxEntries(s.State.ValueKB),
+		holders: map[string]record.LeaseHolder{}, gone: map[string]bool{}, goneKeys: map[string]gone{}, lends: map[string]*lend{}, teams: map[string]int32{}, within: cfg.ObjectiveSeconds(), maxRec: maxEntries(s.State.ValueKB),
 		rights: rightsUnder(rollout.Initial.Keys(), s.Count), machines: map[string]*machine{}, siblings: map[string]*sibling{}, leaving: map[string]bool{},
 		outcomes: map[core.Task]outcome{}, doMost: cfg.DirectCommands(), metrics: newMetrics(), steps: 1,
 	}
@@ -267,7 +267,7 @@
 		if !loaded {
 			var items []wire.Item
 			var rev uint64
-			items, rev, err = b.st.All(b.ctx, prefix)
+			items, rev, err = b.st.List(b.ctx, prefix)
 			var ev *wire.WatchResponse
 			if err == nil {
 				ev, err = b.st.Watch(b.ctx, prefix, rev, 0)
@@ -289,7 +289,7 @@
 					b.read(start)
 					cursor = b.cursor
 				})
-			} else if errors.Is(err, store.ErrTooOld) {
+			} else if errors.Is(err, store.ErrCompacted) {
 				loaded = false
 			}
 		}
--- a/internal/controller/shortage_test.go
+++ b/internal/controller/shortage_test.go
@@ -106,7 +106,7 @@
 		stuck := 2
 		c.nodes[stuck].brain.post(laneState, func() { time.Sleep(time.Minute) })
 		name := c.nodes[stuck].cfg.Name
-		time.Sleep(3*c.nodes[0].brain.op.RightTTL + time.Second)
+		time.Sleep(3*c.nodes[0].brain.op.LeaseTTL + time.Second)
 		for key, node := range c.owners() {
 			if lost[key] == name && node == name {
 				t.Errorf("%s is still with a controller that does not come round", key)
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -511,8 +511,8 @@
 	b := lone(t)
 	p := b.parts[0]
 	p.since, p.old, p.gained = b.now, b.hold, p.term
-	b.put(jobKey("wk-1"), raw(t, record.Job{Job: &wire.Job{ID: "wk-1", Service: true, Tasks: 1, CPUs: 1}}), 5)
-	b.put(groupKey("wk-1", 0), raw(t, record.Group{Tasks: []record.Task{{Attempt: 1, Machine: "host-1", Session: 1, Addr: "10.1.0.1:1"}}}), 6)
+	b.put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Service: true, Tasks: 1, CPUs: 1}}), 5)
+	b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1, Addr: "10.1.0.1:1"}}}), 6)
 	m := b.machine("host-1")
 	m.unanswered = deafAfter
 	for _, reached := range []bool{false, true} {
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -140,7 +140,7 @@
 	if j.AllOrNothing() {
 		tasks = j.Tasks
 	}
-	if len(record.JSON(record.Job{Fate: cancelled, At: b.now.UnixMilli(), Job: j})) > b.maxValue() {
+	if len(record.JSON(record.Job{FinalState: cancelled, AcceptedAtMS: b.now.UnixMilli(), Spec: j})) > b.maxValue() {
 		return "its description is larger than can be stored"
 	}
 	found := false
@@ -205,15 +205,15 @@
 			check = true
 		case len(b.types) == 0:
 			ans = unavailable("machine types are not known yet")
-		case !b.fresh(b.op.RightTTL):
+		case !b.fresh(b.op.LeaseTTL):
 			ans = unavailable("state service out of reach")
 		case b.impossible(j) != "":
 			check = true
 		default:
 			result = make(chan error, 1)
-			b.write(&store.Unit{Urgent: true,
-				If:   []wire.Condition{{Key: jobKey(j.ID)}},
-				Then: []wire.Change{{Put: jobKey(j.ID), Value: record.JSON(record.Job{At: b.now.UnixMilli(), Job: j})}},
+			b.write(&store.Write{Urgent: true,
+				Conditions: []wire.Condition{{Key: jobKey(j.ID)}},
+				Changes:    []wire.Change{{Put: jobKey(j.ID), Value: record.JSON(record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: j})}},
 			}, func(err error) { result <- err })
 		}
 	}) {
@@ -321,9 +321,9 @@
 				result <- store.ErrConflict
 				return
 			}
-			b.write(&store.Unit{Urgent: true,
-				If:   []wire.Condition{{Key: jobKey(id), Revision: j.stamp}},
-				Then: []wire.Change{{Put: jobKey(id), Value: b.cancelledValue(j)}},
+			b.write(&store.Write{Urgent: true,
+				Conditions: []wire.Condition{{Key: jobKey(id), Revision: j.stamp}},
+				Changes:    []wire.Change{{Put: jobKey(id), Value: b.cancelledValue(j)}},
 			}, func(err error) { result <- err })
 		}) {
 			return b.busy()
@@ -359,7 +359,7 @@
 // for a failure, and send the users of a controller that is slow to others as slow.
 func (b *brain) Ready() bool {
 	at := b.readyAt.Load()
-	return at != nil && time.Since(*at) < b.op.RightTTL
+	return at != nil && time.Since(*at) < b.op.LeaseTTL
 }
 
 // noteReady notes for Ready what the actor knows now. A controller that alone can't
@@ -370,7 +370,7 @@
 		b.readyAt.Store(nil)
 		return
 	}
-	ready := b.loaded && len(b.types) > 0 && b.fresh(b.op.RightTTL+2*time.Second)
+	ready := b.loaded && len(b.types) > 0 && b.fresh(b.op.LeaseTTL+2*time.Second)
 	if !ready {
 		heard, ok := false, false
 		for _, s := range b.siblings {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -74,11 +74,11 @@
 	case "job":
 		return &record.Job{}
 	case "group":
-		return &record.Group{}
+		return &record.TaskGroup{}
 	case "lend":
-		return &record.Loan{}
+		return &record.MachineLoan{}
 	case "holder":
-		return &record.Holder{}
+		return &record.LeaseHolder{}
 	case "gone":
 		return &[]string{}
 	case "types":
@@ -119,7 +119,7 @@
 	case ofLevels(key) || strings.HasPrefix(key, "e/epoch/"):
 		// It takes these for holders of rights that it has no use for, and never writes them.
 		return wire.Decode(raw, &oldHolder{})
-	case record.FormOf(raw) == record.Checked:
+	case record.EncodingOf(raw) == record.Checksummed:
 		if err := wire.Decode(raw, &oldGroup{}); err == nil {
 			return fmt.Errorf("%s: the version in production takes %s for a group", key, raw)
 		}
@@ -176,7 +176,7 @@
 		if !ok || !strings.HasPrefix(e.Put, preGroup) || !gangs[id] {
 			continue
 		}
-		if v, _, err := record.DecodeGroup(e.Put, e.Value); err == nil {
+		if v, _, err := record.DecodeTaskGroup(e.Put, e.Value); err == nil {
 			if err := oneAttempt(v); err != nil {
 				c.t.Errorf("%s: %v", e.Put, err)
 			}
@@ -185,7 +185,7 @@
 }
 
 // oneAttempt checks that bound tasks of a gang's record have one attempt.
-func oneAttempt(v *record.Group) error {
+func oneAttempt(v *record.TaskGroup) error {
 	attempt := uint64(0)
 	for _, task := range v.Tasks {
 		if task.Machine == "" {
@@ -216,12 +216,12 @@
 			t.Error(err)
 		}
 	}
-	strict(jobKey("wk-2"), record.JSON(record.Job{At: 5, Job: spec}))
+	strict(jobKey("wk-2"), record.JSON(record.Job{AcceptedAtMS: 5, Spec: spec}))
 	strict(jobKey("wk-2"), b.cancelledValue(&job{spec: spec, at: b.now}))
 	for _, piece := range b.fit(r, 2, append(entries, make([]entry, 60)...)) {
 		strict(groupKey("wk-2", 0), piece.At(groupKey("wk-2", 0)))
 	}
-	strict(preLend+"host-1", record.JSON(record.Loan{Job: poolJob, Ack: true}))
+	strict(preLend+"host-1", record.JSON(record.MachineLoan{Job: poolJob, Acknowledged: true}))
 }
 
 // Frames between controllers are the same in both versions, to the byte.
@@ -238,8 +238,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &mesh.Status{Node: "perch-0", Boot: "00ff00ff00ff00ff", Fresh: true, Able: true, Parts: []uint64{0, 3},
-		Machines: []mesh.Machine{{Name: "host-000231", Addr: "10.1.0.232:9000", Type: "small", Zone: "a", Session: 2, Flags: mesh.Up | mesh.Spot}}, Closing: []string{"host-000232"}}
+	want := &mesh.Status{Node: "perch-0", ProcessID: "00ff00ff00ff00ff", Fresh: true, Eligible: true, Partitions: []uint64{0, 3},
+		Machines: []mesh.Machine{{Name: "host-000231", Addr: "10.1.0.232:9000", Type: "small", Zone: "a", Incarnation: 2, Flags: mesh.Reachable | mesh.Spot}}, Draining: []string{"host-000232"}}
 	if d := cmp.Diff(want, s); d != "" {
 		t.Error(d)
 	}
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -701,7 +701,7 @@
 }
 
 func (n *node) brainHold() time.Duration {
-	return config.HoldTime(n.cfg.Settings.Workers.CancelS, n.cfg.Settings.Workers.LeaseS)
+	return config.MaxStaleness(n.cfg.Settings.Workers.CancelS, n.cfg.Settings.Workers.LeaseS)
 }
 
 // A group that no part can hold alone gets machines from several parts, runs
--- a/internal/mesh/frame.go
+++ b/internal/mesh/frame.go
@@ -38,23 +38,23 @@
 // Flags of a machine.
 const (
 	// Up: reports are arriving.
-	Up = 1 << iota
+	Reachable = 1 << iota
 	// Warned: the cloud is about to take it.
-	Warned
+	TerminationNotice
 	// Suspect: tasks of several jobs failed on it.
-	Suspect
+	Cordoned
 	// Silent: it neither reports nor answers its owner, who hears others.
-	Silent
+	Unreachable
 	// Spot machine.
 	Spot
 	// Unheard: it has not reported since its owner took it over.
-	Unheard
+	NotHeardYet
 )
 
 // Machine is what an owner knows of one of its machines.
 type Machine struct {
 	Name, Addr, Type, Zone string
-	Session                uint64
+	Incarnation            uint64
 	Flags                  uint8
 }
 
@@ -63,16 +63,16 @@
 	Node string
 	// Boot is drawn at the process's start: a restarted controller has the name
 	// of its former self, whose frames may still come late.
-	Boot string
+	ProcessID string
 	// Fresh: its replica of the state service is current.
 	Fresh bool
 	// Able: it would take parts over (it is fresh and workers reach it).
-	Able     bool
-	Parts    []uint64
-	Machines []Machine
+	Eligible   bool
+	Partitions []uint64
+	Machines   []Machine
 	// Closing: machines on which nothing should be placed any more, since the
 	// leader wants to return them.
-	Closing []string
+	Draining []string
 }
 
 // Errors of frames.
@@ -109,17 +109,17 @@
 // appendHead appends what a controller tells about itself.
 func appendHead(buf []byte, s *Status) []byte {
 	buf = codec.AppendString(buf, s.Node)
-	buf = codec.AppendString(buf, s.Boot)
+	buf = codec.AppendString(buf, s.ProcessID)
 	var flags uint8
 	if s.Fresh {
 		flags |= flagFresh
 	}
-	if s.Able {
+	if s.Eligible {
 		flags |= flagAble
 	}
 	buf = append(buf, flags)
-	buf = binary.AppendUvarint(buf, uint64(len(s.Parts)))
-	for _, p := range s.Parts {
+	buf = binary.AppendUvarint(buf, uint64(len(s.Partitions)))
+	for _, p := range s.Partitions {
 		buf = binary.AppendUvarint(buf, p)
 	}
 	return buf
@@ -139,11 +139,11 @@
 		buf = codec.AppendString(buf, m.Addr)
 		buf = codec.AppendString(buf, m.Type)
 		buf = codec.AppendString(buf, m.Zone)
-		buf = binary.AppendUvarint(buf, m.Session)
+		buf = binary.AppendUvarint(buf, m.Incarnation)
 		buf = append(buf, m.Flags)
 	}
-	buf = binary.AppendUvarint(buf, uint64(len(s.Closing)))
-	for _, name := range s.Closing {
+	buf = binary.AppendUvarint(buf, uint64(len(s.Draining)))
+	for _, name := range s.Draining {
 		buf = codec.AppendString(buf, name)
 	}
 	return buf
@@ -158,13 +158,13 @@
 		buf = codec.AppendSuffix(buf, before.Addr, m.Addr)
 		buf = codec.AppendSuffix(buf, before.Type, m.Type)
 		buf = codec.AppendSuffix(buf, before.Zone, m.Zone)
-		buf = binary.AppendUvarint(buf, m.Session)
+		buf = binary.AppendUvarint(buf, m.Incarnation)
 		buf = append(buf, m.Flags)
 		before = m
 	}
-	buf = binary.AppendUvarint(buf, uint64(len(s.Closing)))
+	buf = binary.AppendUvarint(buf, uint64(len(s.Draining)))
 	last := ""
-	for _, name := range s.Closing {
+	for _, name := range s.Draining {
 		buf = codec.AppendSuffix(buf, last, name)
 		last = name
 	}
@@ -215,11 +215,11 @@
 		payload = content
 	}
 	r := codec.NewReader(payload)
-	s := &Status{Node: r.Text(), Boot: r.Text()}
+	s := &Status{Node: r.Text(), ProcessID: r.Text()}
 	flags := r.Byte()
-	s.Fresh, s.Able = flags&flagFresh != 0, flags&flagAble != 0
+	s.Fresh, s.Eligible = flags&flagFresh != 0, flags&flagAble != 0
 	for range r.Count(1) {
-		s.Parts = append(s.Parts, r.Number())
+		s.Partitions = append(s.Partitions, r.Number())
 	}
 	if version == Checked {
 		readMachinesBySuffix(r, s)
@@ -235,13 +235,13 @@
 func readMachines(r *codec.Reader, s *Status) {
 	for range r.Count(leastMachine) {
 		s.Machines = append(s.Machines, Machine{Name: r.Text(), Addr: r.Text(), Type: r.Text(), Zone: r.Text(),
-			Session: r.Number(), Flags: r.Byte()})
+			Incarnation: r.Number(), Flags: r.Byte()})
 		if r.Bad() {
 			return
 		}
 	}
 	for range r.Count(1) {
-		s.Closing = append(s.Closing, r.Text())
+		s.Draining = append(s.Draining, r.Text())
 	}
 }
 
@@ -249,7 +249,7 @@
 	before := Machine{}
 	for range r.Count(leastMachine) {
 		before = Machine{Name: r.Suffix(before.Name), Addr: r.Suffix(before.Addr), Type: r.Suffix(before.Type), Zone: r.Suffix(before.Zone),
-			Session: r.Number(), Flags: r.Byte()}
+			Incarnation: r.Number(), Flags: r.Byte()}
 		if r.Bad() {
 			return
 		}
@@ -258,6 +258,6 @@
 	last := ""
 	for range r.Count(1) {
 		last = r.Suffix(last)
-		s.Closing = append(s.Closing, last)
+		s.Draining = append(s.Draining, last)
 	}
 }
--- a/internal/mesh/frame_test.go
+++ b/internal/mesh/frame_test.go
@@ -12,17 +12,17 @@
 
 func TestStatusRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &Status{Node: rapid.StringN(0, 20, 100).Draw(t, "node"), Boot: rapid.StringN(0, 20, 100).Draw(t, "boot"), Fresh: rapid.Bool().Draw(t, "fresh"), Able: rapid.Bool().Draw(t, "able"),
-			Parts: rapid.SliceOf(rapid.Uint64()).Draw(t, "parts")}
+		s := &Status{Node: rapid.StringN(0, 20, 100).Draw(t, "node"), ProcessID: rapid.StringN(0, 20, 100).Draw(t, "boot"), Fresh: rapid.Bool().Draw(t, "fresh"), Eligible: rapid.Bool().Draw(t, "able"),
+			Partitions: rapid.SliceOf(rapid.Uint64()).Draw(t, "parts")}
 		for range rapid.IntRange(0, 5).Draw(t, "n") {
 			s.Machines = append(s.Machines, Machine{Name: rapid.StringN(0, 20, 100).Draw(t, "name"), Addr: "10.1.0.2:9000", Type: "g8", Zone: "a",
-				Session: rapid.Uint64().Draw(t, "session"), Flags: rapid.Uint8().Draw(t, "flags")})
+				Incarnation: rapid.Uint64().Draw(t, "session"), Flags: rapid.Uint8().Draw(t, "flags")})
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "closing") {
-			s.Closing = append(s.Closing, rapid.StringN(0, 20, 100).Draw(t, "closes"))
+			s.Draining = append(s.Draining, rapid.StringN(0, 20, 100).Draw(t, "closes"))
 		}
-		if len(s.Parts) == 0 {
-			s.Parts = nil
+		if len(s.Partitions) == 0 {
+			s.Partitions = nil
 		}
 		for _, version := range versions {
 			got, err := ReadStatus(bytes.NewReader(AppendStatus(nil, s, version)))
@@ -41,7 +41,7 @@
 // A checked frame that is damaged is refused, whatever the damage would make of it.
 func TestDamagedFramesAreRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		frame := AppendStatus(nil, &Status{Node: "n", Boot: "b", Parts: []uint64{1}, Machines: []Machine{{Name: "m", Addr: "10.1.0.2:9000", Session: 3}}}, Checked)
+		frame := AppendStatus(nil, &Status{Node: "n", ProcessID: "b", Partitions: []uint64{1}, Machines: []Machine{{Name: "m", Addr: "10.1.0.2:9000", Incarnation: 3}}}, Checked)
 		at := rapid.IntRange(headerSize, len(frame)-1).Draw(t, "at")
 		frame[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
 		if s, err := ReadStatus(bytes.NewReader(frame)); !errors.Is(err, ErrChecksum) {
@@ -53,7 +53,7 @@
 // A bad frame is an error, never a panic and never a huge allocation.
 func TestBadFrames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		good := AppendStatus(nil, &Status{Node: "n", Parts: []uint64{1}, Machines: []Machine{{Name: "m"}}}, rapid.SampledFrom(versions).Draw(t, "version"))
+		good := AppendStatus(nil, &Status{Node: "n", Partitions: []uint64{1}, Machines: []Machine{{Name: "m"}}}, rapid.SampledFrom(versions).Draw(t, "version"))
 		for range rapid.IntRange(1, 4).Draw(t, "flips") {
 			good[rapid.IntRange(0, len(good)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
@@ -73,11 +73,11 @@
 // The status of the only owner of 4,000 machines, all of them being emptied, fits a frame
 // of either version.
 func TestStatusOfManyMachines(t *testing.T) {
-	s := &Status{Node: "perch-0", Boot: "0123456789abcdef", Parts: []uint64{0, 1, 2, 3, 4, 5}}
+	s := &Status{Node: "perch-0", ProcessID: "0123456789abcdef", Partitions: []uint64{0, 1, 2, 3, 4, 5}}
 	for i := range 4000 {
 		name := fmt.Sprintf("host-%06d-in-a-long-name", i)
-		s.Machines = append(s.Machines, Machine{Name: name, Addr: fmt.Sprintf("10.101.%d.%d:65535", i/250, i%250), Type: "a-large-type", Zone: "a-long-zone", Session: 1 << 40, Flags: Up})
-		s.Closing = append(s.Closing, name)
+		s.Machines = append(s.Machines, Machine{Name: name, Addr: fmt.Sprintf("10.101.%d.%d:65535", i/250, i%250), Type: "a-large-type", Zone: "a-long-zone", Incarnation: 1 << 40, Flags: Reachable})
+		s.Draining = append(s.Draining, name)
 	}
 	for _, version := range versions {
 		frame := AppendStatus(nil, s, version)
--- a/internal/record/group.go
+++ b/internal/record/group.go
@@ -14,13 +14,13 @@
 
 // Form is a stored form of a task group. The numbers are the feature levels that bring
 // them.
-type Form uint8
+type Encoding uint8
 
 const (
 	// Plain is JSON.
-	Plain Form = 1
+	PlainJSON Encoding = 1
 	// Checked is binary, with a checksum.
-	Checked Form = 2
+	Checksummed Encoding = 2
 )
 
 // groupDomain keeps groups' checksums apart from those of other values.
@@ -37,27 +37,27 @@
 	// ErrChecksum: the value is damaged, or was written for another key.
 	ErrChecksum = errors.New("checksum does not match: the value is damaged or stands at a wrong key")
 	// ErrForm: it is in a form that this version does not know.
-	ErrForm = errors.New("form is not known")
+	ErrUnknownEncoding = errors.New("form is not known")
 )
 
 // Content is an encoded group that still lacks the key it is for.
 type Content struct {
-	form Form
+	form Encoding
 	raw  []byte
 }
 
 // Encode is a group in a form. It is stored under the key that At names.
-func (g *Group) Encode(form Form) Content {
-	if form == Plain || !g.encodable() {
-		return Content{form: Plain, raw: JSON(g)}
+func (g *TaskGroup) Encode(form Encoding) Content {
+	if form == PlainJSON || !g.encodable() {
+		return Content{form: PlainJSON, raw: JSON(g)}
 	}
 	return Content{form: form, raw: g.appendContent(nil)}
 }
 
 // encodable tells whether the checked form holds all of the group. One with names longer
 // than any cloud gives stays in the plain form, which every version reads.
-func (g *Group) encodable() bool {
-	if g.Part < 0 || g.Done < 0 || g.Cap < 0 || g.Done > mostTasks || g.Cap > mostTasks || len(g.Zone) > codec.MaxString {
+func (g *TaskGroup) encodable() bool {
+	if g.Partition < 0 || g.Done < 0 || g.Throttle < 0 || g.Done > mostTasks || g.Throttle > mostTasks || len(g.Zone) > codec.MaxString {
 		return false
 	}
 	for i := range g.Tasks {
@@ -69,11 +69,11 @@
 }
 
 // Form is the form that the group was encoded in.
-func (c Content) Form() Form { return c.form }
+func (c Content) Encoding() Encoding { return c.form }
 
 // Size is how large the stored value is.
 func (c Content) Size() int {
-	if c.form == Plain {
+	if c.form == PlainJSON {
 		return len(c.raw)
 	}
 	return base64.RawStdEncoding.EncodedLen(headSize+len(c.raw)) + len(`""`)
@@ -81,7 +81,7 @@
 
 // At is the value that is stored at a key.
 func (c Content) At(key string) json.RawMessage {
-	if c.form == Plain {
+	if c.form == PlainJSON {
 		return c.raw
 	}
 	sum := codec.Checksum(groupDomain, key, uint8(c.form), c.raw)
@@ -96,13 +96,13 @@
 }
 
 // FormOf tells a stored value's form without reading it; 0: it is none.
-func FormOf(raw []byte) Form {
+func EncodingOf(raw []byte) Encoding {
 	if len(raw) == 0 {
 		return 0
 	}
 	switch raw[0] {
 	case '{':
-		return Plain
+		return PlainJSON
 	case '"':
 		var head [2]byte
 		if len(raw) < 4 {
@@ -111,36 +111,36 @@
 		if _, err := base64.RawStdEncoding.Decode(head[:], raw[1:3]); err != nil {
 			return 0
 		}
-		return Form(head[0])
+		return Encoding(head[0])
 	}
 	return 0
 }
 
 // DecodeGroup reads the value that is stored at a key, in whatever form.
-func DecodeGroup(key string, raw []byte) (*Group, Form, error) {
-	if form := FormOf(raw); form != Checked {
-		if form != Plain {
-			return nil, form, fmt.Errorf("%w: %d", ErrForm, form)
+func DecodeTaskGroup(key string, raw []byte) (*TaskGroup, Encoding, error) {
+	if form := EncodingOf(raw); form != Checksummed {
+		if form != PlainJSON {
+			return nil, form, fmt.Errorf("%w: %d", ErrUnknownEncoding, form)
 		}
-		var g Group
+		var g TaskGroup
 		if err := wire.Decode(raw, &g); err != nil {
-			return nil, Plain, err
+			return nil, PlainJSON, err
 		}
-		return &g, Plain, nil
+		return &g, PlainJSON, nil
 	}
 	if raw[len(raw)-1] != '"' {
-		return nil, Checked, ErrChecksum
+		return nil, Checksummed, ErrChecksum
 	}
 	value, err := base64.RawStdEncoding.AppendDecode(nil, raw[1:len(raw)-1])
 	if err != nil || len(value) < headSize {
-		return nil, Checked, ErrChecksum
+		return nil, Checksummed, ErrChecksum
 	}
 	sum, content := value[1:headSize], value[headSize:]
-	if !codec.ChecksumMatches(sum, groupDomain, key, uint8(Checked), content) {
-		return nil, Checked, ErrChecksum
+	if !codec.ChecksumMatches(sum, groupDomain, key, uint8(Checksummed), content) {
+		return nil, Checksummed, ErrChecksum
 	}
 	g, err := parseContent(content)
-	return g, Checked, err
+	return g, Checksummed, err
 }
 
 const flagOwn = 1
@@ -153,16 +153,16 @@
 
 // appendContent is the checked form's content: the group's fields, the places that tasks
 // are bound to, and the tasks, each with the distance of its number from the one before.
-func (g *Group) appendContent(buf []byte) []byte {
+func (g *TaskGroup) appendContent(buf []byte) []byte {
 	var flags uint8
-	if g.Own {
+	if g.Guaranteed {
 		flags |= flagOwn
 	}
-	buf = binary.AppendUvarint(buf, uint64(g.Part))
+	buf = binary.AppendUvarint(buf, uint64(g.Partition))
 	buf = append(buf, flags)
 	buf = codec.AppendString(buf, g.Zone)
 	buf = binary.AppendUvarint(buf, uint64(g.Done))
-	buf = binary.AppendUvarint(buf, uint64(g.Cap))
+	buf = binary.AppendUvarint(buf, uint64(g.Throttle))
 	index := map[place]uint64{} // 0 is for tasks that are not bound
 	var places []place
 	for i := range g.Tasks {
@@ -184,42 +184,42 @@
 	last := int32(0)
 	for i := range g.Tasks {
 		t := &g.Tasks[i]
-		buf = binary.AppendVarint(buf, int64(t.Num)-int64(last))
+		buf = binary.AppendVarint(buf, int64(t.Task)-int64(last))
 		buf = binary.AppendUvarint(buf, t.Attempt)
 		buf = binary.AppendUvarint(buf, index[t.place()])
-		last = t.Num
+		last = t.Task
 	}
 	return buf
 }
 
-func (t *Task) place() place { return place{t.Machine, t.Addr, t.Session} }
+func (t *Binding) place() place { return place{t.Machine, t.Addr, t.Incarnation} }
 
 // errContent: the checksum matches, and yet the content makes no sense.
 var errContent = errors.New("content is malformed")
 
-func parseContent(content []byte) (*Group, error) {
+func parseContent(content []byte) (*TaskGroup, error) {
 	r := codec.NewReader(content)
-	g := &Group{Part: int(min(r.Number(), math.MaxInt32))}
-	g.Own = r.Byte()&flagOwn != 0
+	g := &TaskGroup{Partition: int(min(r.Number(), math.MaxInt32))}
+	g.Guaranteed = r.Byte()&flagOwn != 0
 	g.Zone = r.Text()
 	g.Done = int(min(r.Number(), mostTasks))
-	g.Cap = int(min(r.Number(), mostTasks))
+	g.Throttle = int(min(r.Number(), mostTasks))
 	places := make([]place, 1, 1+r.Count(5))
 	for i := range cap(places) - 1 {
 		before := &places[i]
 		places = append(places, place{machine: r.Suffix(before.machine), addr: r.Suffix(before.addr), session: r.Number()})
 	}
 	tasks := r.Count(3)
-	g.Tasks = make([]Task, 0, tasks)
+	g.Tasks = make([]Binding, 0, tasks)
 	last := int64(0)
 	for range tasks {
 		last += r.Signed()
-		t := Task{Num: int32(last), Attempt: r.Number()}
+		t := Binding{Task: int32(last), Attempt: r.Number()}
 		at := r.Number()
-		if r.Bad() || at >= uint64(len(places)) || int64(t.Num) != last {
+		if r.Bad() || at >= uint64(len(places)) || int64(t.Task) != last {
 			return nil, errContent
 		}
-		t.Machine, t.Addr, t.Session = places[at].machine, places[at].addr, places[at].session
+		t.Machine, t.Addr, t.Incarnation = places[at].machine, places[at].addr, places[at].session
 		g.Tasks = append(g.Tasks, t)
 	}
 	if !r.Done() {
--- a/internal/record/group_test.go
+++ b/internal/record/group_test.go
@@ -14,15 +14,15 @@
 	"pgregory.net/rapid"
 )
 
-func drawGroup(t *rapid.T) *Group {
-	g := &Group{Part: rapid.IntRange(0, 40).Draw(t, "part"), Zone: rapid.SampledFrom([]string{"", "a", "sundarban"}).Draw(t, "zone"),
-		Own: rapid.Bool().Draw(t, "own"), Done: rapid.IntRange(0, 1000).Draw(t, "done"), Cap: rapid.IntRange(0, 1000).Draw(t, "cap"), Tasks: []Task{}}
+func drawGroup(t *rapid.T) *TaskGroup {
+	g := &TaskGroup{Partition: rapid.IntRange(0, 40).Draw(t, "part"), Zone: rapid.SampledFrom([]string{"", "a", "sundarban"}).Draw(t, "zone"),
+		Guaranteed: rapid.Bool().Draw(t, "own"), Done: rapid.IntRange(0, 1000).Draw(t, "done"), Throttle: rapid.IntRange(0, 1000).Draw(t, "cap"), Tasks: []Binding{}}
 	for range rapid.IntRange(0, 20).Draw(t, "tasks") {
-		task := Task{Num: rapid.Int32Range(0, 100_000).Draw(t, "num"), Attempt: rapid.Uint64().Draw(t, "attempt")}
+		task := Binding{Task: rapid.Int32Range(0, 100_000).Draw(t, "num"), Attempt: rapid.Uint64().Draw(t, "attempt")}
 		if rapid.Bool().Draw(t, "bound") {
 			n := rapid.IntRange(0, 5).Draw(t, "machine")
 			task.Machine, task.Addr = fmt.Sprintf("host-%06d", n), fmt.Sprintf("10.1.0.%d:9000", n)
-			task.Session = rapid.Uint64Range(1, 5).Draw(t, "session")
+			task.Incarnation = rapid.Uint64Range(1, 5).Draw(t, "session")
 		}
 		g.Tasks = append(g.Tasks, task)
 	}
@@ -32,16 +32,16 @@
 func TestGroupsAreReadAsTheyWereWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := drawGroup(t)
-		for _, form := range []Form{Plain, Checked} {
+		for _, form := range []Encoding{PlainJSON, Checksummed} {
 			content := g.Encode(form)
 			raw := content.At("e/group/wk-1/0")
 			if len(raw) != content.Size() || !json.Valid(raw) {
 				t.Fatalf("form %d: %d bytes, not %d, or no JSON: %s", form, len(raw), content.Size(), raw)
 			}
-			if FormOf(raw) != form {
-				t.Fatalf("form %d is taken for %d", form, FormOf(raw))
+			if EncodingOf(raw) != form {
+				t.Fatalf("form %d is taken for %d", form, EncodingOf(raw))
 			}
-			got, as, err := DecodeGroup("e/group/wk-1/0", raw)
+			got, as, err := DecodeTaskGroup("e/group/wk-1/0", raw)
 			if err != nil || as != form {
 				t.Fatalf("form %d: read as %d: %v", form, as, err)
 			}
@@ -57,17 +57,17 @@
 func TestDamagedAndMisplacedGroupsAreRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := drawGroup(t)
-		raw := g.Encode(Checked).At("e/group/wk-1/0")
-		if _, _, err := DecodeGroup("e/group/wk-1/1", raw); !errors.Is(err, ErrChecksum) {
+		raw := g.Encode(Checksummed).At("e/group/wk-1/0")
+		if _, _, err := DecodeTaskGroup("e/group/wk-1/1", raw); !errors.Is(err, ErrChecksum) {
 			t.Fatalf("at another key: %v", err)
 		}
 		bad := bytes.Clone(raw)
 		bad[rapid.IntRange(0, len(bad)-1).Draw(t, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
-		if got, _, err := DecodeGroup("e/group/wk-1/0", bad); err == nil && !cmp.Equal(g, got) {
+		if got, _, err := DecodeTaskGroup("e/group/wk-1/0", bad); err == nil && !cmp.Equal(g, got) {
 			t.Fatalf("%s is read as %+v", bad, got)
 		}
 		cut := raw[:rapid.IntRange(0, len(raw)-1).Draw(t, "cut")]
-		if _, _, err := DecodeGroup("e/group/wk-1/0", cut); err == nil {
+		if _, _, err := DecodeTaskGroup("e/group/wk-1/0", cut); err == nil {
 			t.Fatalf("%s is read", cut)
 		}
 	})
@@ -76,15 +76,15 @@
 // A version that knows form 1 alone can't decode a checked value: it leaves it alone,
 // rather than take it for a group without tasks.
 func TestCheckedGroupsAreNoPlainOnes(t *testing.T) {
-	var old Group
-	if err := wire.Decode((&Group{Part: 1}).Encode(Checked).At("e/group/wk-1/0"), &old); err == nil {
+	var old TaskGroup
+	if err := wire.Decode((&TaskGroup{Partition: 1}).Encode(Checksummed).At("e/group/wk-1/0"), &old); err == nil {
 		t.Error("a checked value is decoded as JSON")
 	}
 }
 
 func TestUnknownFormsAreNamed(t *testing.T) {
 	for _, raw := range []string{`"AwAAAAAAAAAAAAAAAAAAAAAAAAA"`, `[]`, `17`, ``, `"`, `""`, `"A"`} {
-		if g, _, err := DecodeGroup("e/group/wk-1/0", []byte(raw)); g != nil || !errors.Is(err, ErrForm) && !errors.Is(err, ErrChecksum) {
+		if g, _, err := DecodeTaskGroup("e/group/wk-1/0", []byte(raw)); g != nil || !errors.Is(err, ErrUnknownEncoding) && !errors.Is(err, ErrChecksum) {
 			t.Errorf("%s: %v, %v", raw, g, err)
 		}
 	}
@@ -92,10 +92,10 @@
 
 // What the checked form can't hold stays in the plain one; nothing is cut.
 func TestLongNamesStayPlain(t *testing.T) {
-	g := &Group{Tasks: []Task{{Machine: strings.Repeat("m", 2000)}}}
-	raw := g.Encode(Checked).At("e/group/wk-1/0")
-	got, form, err := DecodeGroup("e/group/wk-1/0", raw)
-	if err != nil || form != Plain {
+	g := &TaskGroup{Tasks: []Binding{{Machine: strings.Repeat("m", 2000)}}}
+	raw := g.Encode(Checksummed).At("e/group/wk-1/0")
+	got, form, err := DecodeTaskGroup("e/group/wk-1/0", raw)
+	if err != nil || form != PlainJSON {
 		t.Fatalf("form %d: %v", form, err)
 	}
 	if d := cmp.Diff(g, got); d != "" {
@@ -105,11 +105,11 @@
 
 // The checked form of a full record with a machine for each task is smaller.
 func TestCheckedFormIsSmaller(t *testing.T) {
-	g := &Group{Part: 3, Zone: "sundarban"}
+	g := &TaskGroup{Partition: 3, Zone: "sundarban"}
 	for i := range 100 {
-		g.Tasks = append(g.Tasks, Task{Num: int32(i), Attempt: 1, Machine: fmt.Sprintf("host-%06d", i), Session: 1, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
+		g.Tasks = append(g.Tasks, Binding{Task: int32(i), Attempt: 1, Machine: fmt.Sprintf("host-%06d", i), Incarnation: 1, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
 	}
-	plain, checked := g.Encode(Plain).Size(), g.Encode(Checked).Size()
+	plain, checked := g.Encode(PlainJSON).Size(), g.Encode(Checksummed).Size()
 	t.Logf("plain %d bytes, checked %d", plain, checked)
 	if checked*3 > plain*2 {
 		t.Errorf("plain %d bytes, checked %d", plain, checked)
@@ -117,11 +117,11 @@
 }
 
 func BenchmarkGroup(b *testing.B) {
-	g := &Group{Part: 3}
+	g := &TaskGroup{Partition: 3}
 	for i := range 24 {
-		g.Tasks = append(g.Tasks, Task{Num: int32(i), Attempt: 1, Machine: fmt.Sprintf("host-%06d", i), Session: 1, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
+		g.Tasks = append(g.Tasks, Binding{Task: int32(i), Attempt: 1, Machine: fmt.Sprintf("host-%06d", i), Incarnation: 1, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
 	}
-	for _, form := range []Form{Plain, Checked} {
+	for _, form := range []Encoding{PlainJSON, Checksummed} {
 		raw := g.Encode(form).At("e/group/wk-1/0")
 		b.Run(fmt.Sprintf("encode form %d", form), func(b *testing.B) {
 			for b.Loop() {
@@ -130,7 +130,7 @@
 		})
 		b.Run(fmt.Sprintf("decode form %d", form), func(b *testing.B) {
 			for b.Loop() {
-				if _, _, err := DecodeGroup("e/group/wk-1/0", raw); err != nil {
+				if _, _, err := DecodeTaskGroup("e/group/wk-1/0", raw); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -16,37 +16,37 @@
 
 // Holder is the value of a leased key: the process that holds a right. The boot tells a
 // restarted process from its former self.
-type Holder struct {
-	Node string `json:"n"`
-	Boot string `json:"b"`
+type LeaseHolder struct {
+	Node      string `json:"n"`
+	ProcessID string `json:"b"`
 }
 
 // Job is the stored form of a job. A final job keeps only its fate.
 type Job struct {
-	Fate int       `json:"f"`
-	At   int64     `json:"at,omitempty"` // time of day of its acceptance, ms
-	Job  *wire.Job `json:"j,omitempty"`
+	FinalState   int       `json:"f"`
+	AcceptedAtMS int64     `json:"at,omitempty"` // time of day of its acceptance, ms
+	Spec         *wire.Job `json:"j,omitempty"`
 }
 
 // Group is the stored form of a placement record: some tasks of a job that one partition
 // is in charge of. A task that is done leaves the record.
-type Group struct {
-	Part int    `json:"p"`
-	Zone string `json:"z,omitempty"`
-	Own  bool   `json:"o,omitempty"`
-	Done int    `json:"d,omitempty"`
+type TaskGroup struct {
+	Partition  int    `json:"p"`
+	Zone       string `json:"z,omitempty"`
+	Guaranteed bool   `json:"o,omitempty"`
+	Done       int    `json:"d,omitempty"`
 	// Cap is one more than the number of tasks that may be bound at a time; 0: all. The
 	// leader lowers it to make room within the team's limit.
-	Cap   int    `json:"c,omitempty"`
-	Tasks []Task `json:"t"`
+	Throttle int       `json:"c,omitempty"`
+	Tasks    []Binding `json:"t"`
 }
 
 // Task is one task of a group: Allocated if it names a machine, else Pending.
-type Task struct {
-	Num     int32  `json:"i"`
-	Attempt uint64 `json:"a,omitempty"`
-	Machine string `json:"m,omitempty"`
-	Session uint64 `json:"s,omitempty"`
+type Binding struct {
+	Task        int32  `json:"i"`
+	Attempt     uint64 `json:"a,omitempty"`
+	Machine     string `json:"m,omitempty"`
+	Incarnation uint64 `json:"s,omitempty"`
 	// Addr is where the machine takes direct commands. Who takes its partition over with
 	// no one left to ask can so tell a machine that is dead from one that reports late,
 	// without waiting for the longest pause that a report may have.
@@ -54,12 +54,12 @@
 }
 
 // Loan is the stored form of a machine's lending to the leader's partition.
-type Loan struct {
-	Job   string `json:"j"`
-	Level int    `json:"l"`
-	Own   bool   `json:"o,omitempty"`
-	Team  string `json:"t"`
-	Ack   bool   `json:"a,omitempty"`
+type MachineLoan struct {
+	Job          string `json:"j"`
+	Priority     int    `json:"l"`
+	Guaranteed   bool   `json:"o,omitempty"`
+	Team         string `json:"t"`
+	Acknowledged bool   `json:"a,omitempty"`
 }
 
 // JSON encodes plain data.
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -14,9 +14,9 @@
 // Controller is what a controller stores about itself under a lease of its own. A
 // version that does not know levels takes it for the holder of some right.
 type Controller struct {
-	Node  string `json:"n"`
-	Boot  string `json:"b"`
-	Build string `json:"build"`
+	Node      string `json:"n"`
+	ProcessID string `json:"b"`
+	Build     string `json:"build"`
 	Range
 	// StartedAt is when the process registered, in milliseconds of the time of day.
 	StartedAt int64 `json:"at"`
@@ -46,5 +46,5 @@
 // Registered is a controller with the version of its key.
 type Registered struct {
 	Controller
-	Version uint64
+	Revision uint64
 }
--- a/internal/rollout/operator.go
+++ b/internal/rollout/operator.go
@@ -16,7 +16,7 @@
 // Reader is what an operator's command needs of the state service.
 type Reader interface {
 	Get(ctx context.Context, key string) (*wire.Item, error)
-	All(ctx context.Context, prefix string) ([]wire.Item, uint64, error)
+	List(ctx context.Context, prefix string) ([]wire.Item, uint64, error)
 	Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error)
 }
 
@@ -57,14 +57,14 @@
 	if err != nil {
 		return nil, err
 	}
-	groups, _, err := o.Store.All(ctx, groupPrefix)
+	groups, _, err := o.Store.List(ctx, groupPrefix)
 	if err != nil {
 		return nil, err
 	}
 	s := &Status{State: state, Active: state.Active(), Writes: state.Writes(), Version: version, Records: map[string]int{}}
 	view := o.view(controllers)
 	for i := range groups {
-		_, form, err := record.DecodeGroup(groups[i].Key, groups[i].Value)
+		_, form, err := record.DecodeTaskGroup(groups[i].Key, groups[i].Value)
 		if err != nil {
 			s.Records["unreadable"]++
 			view.Unreadable++
@@ -101,7 +101,7 @@
 }
 
 func (o *Operator) controllers(ctx context.Context) (map[string]Registered, error) {
-	items, _, err := o.Store.All(ctx, ControllerPrefix)
+	items, _, err := o.Store.List(ctx, ControllerPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", items[i].Key, err)
 		}
-		out[strings.TrimPrefix(items[i].Key, ControllerPrefix)] = Registered{Controller: c, Version: items[i].Revision}
+		out[strings.TrimPrefix(items[i].Key, ControllerPrefix)] = Registered{Controller: c, Revision: items[i].Revision}
 	}
 	return out, nil
 }
@@ -163,7 +163,7 @@
 		If:   []wire.Condition{{Key: StateKey, Revision: version}},
 		Then: []wire.Change{{Put: StateKey, Value: next.Encode()}},
 	})
-	if errors.Is(err, store.ErrUnknown) {
+	if errors.Is(err, store.ErrOutcomeUnknown) {
 		// Perhaps it was applied: what is stored now tells.
 		if now, _, readErr := o.state(ctx); readErr == nil && now == next {
 			err = nil
--- a/internal/rollout/registrar.go
+++ b/internal/rollout/registrar.go
@@ -13,10 +13,10 @@
 
 // Store is what a registration needs of the state service.
 type Store interface {
-	Version(ctx context.Context, key string) (uint64, error)
-	Lease(ctx context.Context, ttl time.Duration) (uint64, error)
-	Renew(ctx context.Context, id uint64) error
-	End(ctx context.Context, id uint64) error
+	Revision(ctx context.Context, key string) (uint64, error)
+	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
+	RenewLease(ctx context.Context, id uint64) error
+	RevokeLease(ctx context.Context, id uint64) error
 	Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error)
 }
 
@@ -60,11 +60,11 @@
 // register stores the record in place of a former process's of the same name.
 func (r *Registrar) register(ctx context.Context) (uint64, error) {
 	key := ControllerKey(r.Controller.Node)
-	version, err := r.Store.Version(ctx, key)
+	version, err := r.Store.Revision(ctx, key)
 	if err != nil {
 		return 0, err
 	}
-	lease, err := r.Store.Lease(ctx, r.TTL)
+	lease, err := r.Store.GrantLease(ctx, r.TTL)
 	if err != nil {
 		return 0, err
 	}
@@ -90,7 +90,7 @@
 			r.leave(context.WithoutCancel(ctx), lease)
 			return ctx.Err()
 		}
-		if err := r.Store.Renew(ctx, lease); errors.Is(err, store.ErrNoLease) {
+		if err := r.Store.RenewLease(ctx, lease); errors.Is(err, store.ErrLeaseExpired) {
 			return err
 		}
 	}
@@ -99,7 +99,7 @@
 func (r *Registrar) leave(ctx context.Context, lease uint64) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
-	_ = r.Store.End(ctx, lease)
+	_ = r.Store.RevokeLease(ctx, lease)
 }
 
 // pause waits; false if ctx ended meanwhile.
--- a/internal/rollout/txn.go
+++ b/internal/rollout/txn.go
@@ -37,7 +37,7 @@
 	}
 	if step == Activate || step == Finalize {
 		for _, name := range v.Members {
-			t.If = append(t.If, wire.Condition{Key: ControllerKey(name), Revision: v.Controllers[name].Version})
+			t.If = append(t.If, wire.Condition{Key: ControllerKey(name), Revision: v.Controllers[name].Revision})
 		}
 	}
 	t.Then = append(t.Then, wire.Change{Put: StateKey, Value: next.Encode()})
--- a/internal/rollout/txn_test.go
+++ b/internal/rollout/txn_test.go
@@ -53,7 +53,7 @@
 	v := View{Now: time.UnixMilli(0), Members: []string{"n0", "n1"}, Controllers: map[string]Registered{}, Leading: true, Current: true, Partitions: 2, TransactionChanges: 10}
 	for _, name := range v.Members {
 		r := Controller{Node: name, Range: Supported}
-		v.Controllers[name] = Registered{Controller: r, Version: put(t, c, ControllerKey(name), r)}
+		v.Controllers[name] = Registered{Controller: r, Revision: put(t, c, ControllerKey(name), r)}
 	}
 	for n := range 2 {
 		put(t, c, s.Keys().Partition(n), "held")
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -20,19 +20,19 @@
 
 // Errors of the state service that callers decide on.
 var (
-	ErrConflict = errors.New("state service: a condition failed")
-	ErrNoLease  = errors.New("state service: no such lease")
-	ErrTooOld   = errors.New("state service: revision too old")
+	ErrConflict     = errors.New("state service: a condition failed")
+	ErrLeaseExpired = errors.New("state service: no such lease")
+	ErrCompacted    = errors.New("state service: revision too old")
 	// ErrInvalid: it is beyond a limit of the service, or malformed. The same again
 	// would be refused again.
 	ErrInvalid = errors.New("state service: refused as invalid")
 	// ErrRefused: surely not executed (429 and 503).
-	ErrRefused = errors.New("state service: refused")
+	ErrNotExecuted = errors.New("state service: refused")
 	// ErrTooMuch is an ErrRefused: the limits of all controllers together are
 	// reached.
-	ErrTooMuch = fmt.Errorf("%w: too much", ErrRefused)
+	ErrThrottled = fmt.Errorf("%w: too much", ErrNotExecuted)
 	// ErrUnknown: it may have been executed, or may be executed later.
-	ErrUnknown = errors.New("state service: no answer")
+	ErrOutcomeUnknown = errors.New("state service: no answer")
 )
 
 // noSuchLease is what a write under a lease that has ended is told.
@@ -87,37 +87,37 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	switch resp.StatusCode {
 	case http.StatusTooManyRequests:
 		c.refused.Add(1)
-		return resp.StatusCode, ErrTooMuch
+		return resp.StatusCode, ErrThrottled
 	case http.StatusServiceUnavailable:
 		c.refused.Add(1)
-		return resp.StatusCode, fmt.Errorf("%w: status %d", ErrRefused, resp.StatusCode)
+		return resp.StatusCode, fmt.Errorf("%w: status %d", ErrNotExecuted, resp.StatusCode)
 	case http.StatusBadRequest:
 		var why struct {
 			Error string `json:"error"`
 		}
 		if json.Unmarshal(raw, &why) == nil && why.Error == noSuchLease {
-			return resp.StatusCode, ErrNoLease
+			return resp.StatusCode, ErrLeaseExpired
 		}
 		return resp.StatusCode, ErrInvalid
 	case http.StatusOK, http.StatusConflict:
 		if out != nil {
 			if err := wire.Decode(raw, out); err != nil {
-				return resp.StatusCode, fmt.Errorf("%w: %w", ErrUnknown, err)
+				return resp.StatusCode, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 			}
 		}
 	}
 	if resp.StatusCode >= 500 {
-		return resp.StatusCode, fmt.Errorf("%w: status %d", ErrUnknown, resp.StatusCode)
+		return resp.StatusCode, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, resp.StatusCode)
 	}
 	return resp.StatusCode, nil
 }
@@ -145,7 +145,7 @@
 }
 
 // All reads every key below prefix and the revision to watch from.
-func (c *Client) All(ctx context.Context, prefix string) ([]wire.Item, uint64, error) {
+func (c *Client) List(ctx context.Context, prefix string) ([]wire.Item, uint64, error) {
 	var items []wire.Item
 	var first uint64
 	after := ""
@@ -174,7 +174,7 @@
 }
 
 // Version is the version of a key; 0: it does not exist.
-func (c *Client) Version(ctx context.Context, key string) (uint64, error) {
+func (c *Client) Revision(ctx context.Context, key string) (uint64, error) {
 	item, err := c.Get(ctx, key)
 	if err != nil || item == nil {
 		return 0, err
@@ -212,13 +212,13 @@
 	case http.StatusOK:
 		return &out, nil
 	case http.StatusGone:
-		return nil, ErrTooOld
+		return nil, ErrCompacted
 	}
 	return nil, fmt.Errorf("state service: watch: status %d", status)
 }
 
 // Lease obtains a lease.
-func (c *Client) Lease(ctx context.Context, ttl time.Duration) (uint64, error) {
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	var out wire.LeaseResponse
 	status, err := c.call(ctx, request{http.MethodPost, "/leases", wire.LeaseRequest{TTLMS: ttl.Milliseconds()}, callTimeout}, &out)
 	if err != nil {
@@ -231,14 +231,14 @@
 }
 
 // Renew extends a lease; ErrNoLease means that it has ended.
-func (c *Client) Renew(ctx context.Context, id uint64) error {
+func (c *Client) RenewLease(ctx context.Context, id uint64) error {
 	c.renewals.Add(1)
 	status, err := c.call(ctx, request{http.MethodPost, fmt.Sprintf("/leases/%d/extend", id), struct{}{}, callTimeout}, nil)
 	if err != nil {
 		return err
 	}
 	if status == http.StatusNotFound {
-		return ErrNoLease
+		return ErrLeaseExpired
 	}
 	if status != http.StatusOK {
 		return fmt.Errorf("state service: renew: status %d", status)
@@ -247,7 +247,7 @@
 }
 
 // End ends a lease at once.
-func (c *Client) End(ctx context.Context, id uint64) error {
+func (c *Client) RevokeLease(ctx context.Context, id uint64) error {
 	_, err := c.call(ctx, request{http.MethodDelete, fmt.Sprintf("/leases/%d", id), nil, callTimeout}, nil)
 	return err
 }
--- a/internal/store/writer_test.go
+++ b/internal/store/writer_test.go
@@ -44,8 +44,8 @@
 		got := map[int]error{}
 		var wg sync.WaitGroup
 		for i := range 200 {
-			u := &store.Unit{}
-			u.If, u.Then = put(fmt.Sprintf("k%d", i), uint64(i%5/4)) // each fifth must fail
+			u := &store.Write{}
+			u.Conditions, u.Changes = put(fmt.Sprintf("k%d", i), uint64(i%5/4)) // each fifth must fail
 			wg.Add(1)
 			u.Done = func(_ uint64, err error) {
 				defer wg.Done()
@@ -77,8 +77,8 @@
 	withWriter(t, nil, func(t *testing.T, _ *standin.World, wr *store.Writer, _ *store.Client) {
 		results := make(chan error, 8)
 		for range 8 {
-			u := &store.Unit{Done: func(_ uint64, err error) { results <- err }}
-			u.If, u.Then = put("job", 0)
+			u := &store.Write{Done: func(_ uint64, err error) { results <- err }}
+			u.Conditions, u.Changes = put("job", 0)
 			wr.Submit(u)
 		}
 		granted := 0
@@ -106,23 +106,23 @@
 		return standin.Deliver
 	}, func(t *testing.T, w *standin.World, wr *store.Writer, c *store.Client) {
 		results := make(chan error, 2)
-		u := &store.Unit{Done: func(_ uint64, err error) { results <- err }}
-		u.If, u.Then = put("k", 0)
+		u := &store.Write{Done: func(_ uint64, err error) { results <- err }}
+		u.Conditions, u.Changes = put("k", 0)
 		wr.Submit(u)
 		if err := <-results; err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Second)
-		items, _, err := c.All(t.Context(), "k")
+		items, _, err := c.List(t.Context(), "k")
 		if err != nil || len(items) != 1 || items[0].Revision != 1 {
 			t.Fatalf("%v %v", items, err)
 		}
 		w.State.SetDown(true)
 		start := time.Now()
-		u = &store.Unit{Urgent: true, Done: func(_ uint64, err error) { results <- err }}
-		u.If, u.Then = put("k2", 0)
+		u = &store.Write{Urgent: true, Done: func(_ uint64, err error) { results <- err }}
+		u.Conditions, u.Changes = put("k2", 0)
 		wr.Submit(u)
-		if err := <-results; !errors.Is(err, store.ErrRefused) || time.Since(start) > time.Second {
+		if err := <-results; !errors.Is(err, store.ErrNotExecuted) || time.Since(start) > time.Second {
 			t.Errorf("%v after %v", err, time.Since(start))
 		}
 	})
@@ -143,12 +143,12 @@
 			wg.Go(func() { wr.Run(ctx) })
 			wg.Go(func() {
 				for n := 0; ctx.Err() == nil; n++ {
-					u := &store.Unit{Done: func(_ uint64, err error) {
+					u := &store.Write{Done: func(_ uint64, err error) {
 						if err == nil {
 							stored[i].Add(1)
 						}
 					}}
-					u.If, u.Then = put(fmt.Sprintf("k%d/%d", i, n), 0)
+					u.Conditions, u.Changes = put(fmt.Sprintf("k%d/%d", i, n), 0)
 					if wr.Backlog() < 2*time.Second {
 						wr.Submit(u)
 					}
@@ -177,8 +177,8 @@
 		var wg sync.WaitGroup
 		for i := range 60 {
 			wg.Add(1)
-			u := &store.Unit{Contested: true, Done: func(uint64, error) { wg.Done() }}
-			u.If, u.Then = put(fmt.Sprintf("k%d", i), 0)
+			u := &store.Write{Contested: true, Done: func(uint64, error) { wg.Done() }}
+			u.Conditions, u.Changes = put(fmt.Sprintf("k%d", i), 0)
 			wr.Submit(u)
 		}
 		wg.Wait()
@@ -198,13 +198,13 @@
 		for i := range 400 {
 			early := i >= 350
 			wg.Add(1)
-			u := &store.Unit{Early: early, Done: func(uint64, error) {
+			u := &store.Write{Early: early, Done: func(uint64, error) {
 				defer wg.Done()
 				mu.Lock()
 				defer mu.Unlock()
 				order = append(order, early)
 			}}
-			u.If, u.Then = put(fmt.Sprintf("k%d", i), 0)
+			u.Conditions, u.Changes = put(fmt.Sprintf("k%d", i), 0)
 			wr.Submit(u)
 		}
 		wg.Wait()
@@ -227,11 +227,11 @@
 		w.State.WriteRPS = 60
 		var wg sync.WaitGroup
 		var stored, void atomic.Int64
-		var units []*store.Unit
+		var units []*store.Write
 		for i := range 300 {
 			wg.Add(1)
 			bad := i >= 100 && i%10 == 0
-			u := &store.Unit{Done: func(_ uint64, err error) {
+			u := &store.Write{Done: func(_ uint64, err error) {
 				defer wg.Done()
 				switch {
 				case err == nil:
@@ -240,15 +240,15 @@
 					void.Add(1)
 				}
 			}}
-			u.If, u.Then = put(fmt.Sprintf("k%d", i), 0)
+			u.Conditions, u.Changes = put(fmt.Sprintf("k%d", i), 0)
 			if bad {
-				u.If[0].Revision = 99 // would fail
+				u.Conditions[0].Revision = 99 // would fail
 				units = append(units, u)
 			}
 			wr.Submit(u)
 		}
 		for _, u := range units {
-			u.Void()
+			u.Cancel()
 		}
 		wg.Wait()
 		if stored.Load() != 280 || void.Load() != 20 {
