--- a/internal/controller/alloc_test.go
+++ b/internal/controller/alloc_test.go
@@ -13,18 +13,18 @@
 
 // reportOf is what a machine of ours reports when all that is bound to it runs.
 func (b *brain) reportOf(m *machine) *wire.Heartbeat {
-	p := b.parts[m.home]
-	r := &wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.typ, Zone: m.zone, Incarnation: m.session, Sequence: m.seq, Token: p.term}
+	p := b.partitions[m.home]
+	r := &wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.typ, Zone: m.zone, Incarnation: m.session, Sequence: m.seq, Token: p.token}
 	for _, x := range m.bound {
-		t, rec := x.task, x.rec
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: taskName(rec.job.id, t.Num), Attempt: rec.find(t.Num).attempt, State: wire.Running})
+		t, rec := x.task, x.group
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: taskName(rec.job.id, t.Num), Attempt: rec.binding(t.Num).attempt, State: wire.Running})
 	}
 	return r
 }
 
 // ours is the first of our machines in a crowded fleet on which something runs.
 func (b *brain) ours() *machine {
-	for _, m := range b.parts[0].machines {
+	for _, m := range b.partitions[0].machines {
 		if len(m.bound) > 0 {
 			return m
 		}
@@ -56,7 +56,7 @@
 			}
 		}},
 		{"a step of a part with nothing to do", 2, func(b *brain) func() {
-			for _, j := range b.atHand { // nothing waits
+			for _, j := range b.unfinished { // nothing waits
 				if j.spec.Class == "clean" {
 					j.retryAt = b.now.Add(time.Hour)
 				}
@@ -64,19 +64,19 @@
 			return func() { b.stepParts() }
 		}},
 		{"a record stored by another controller", 8, func(b *brain) func() {
-			var r *rec
-			for x := range b.records() {
-				if x.part != 0 && x.placed > 0 && len(x.entries) == 1 {
+			var r *taskGroup
+			for x := range b.allGroups() {
+				if x.partition != 0 && x.boundCount > 0 && len(x.bindings) == 1 {
 					r = x
 				}
 			}
-			raw, stamp := b.content(r, r.done, r.entries).At(r.key), r.stamp
-			return func() { stamp++; b.put(r.key, raw, stamp) }
+			raw, stamp := b.encodeGroup(r, r.done, r.bindings).At(r.key), r.revision
+			return func() { stamp++; b.putRecord(r.key, raw, stamp) }
 		}},
 		{"a poll of a job that is over", 2, func(b *brain) func() {
-			b.over["wk-1"] = done
+			b.finished["wk-1"] = doneJob
 			return func() {
-				if j := b.known("wk-1"); j.state().State != wire.Done {
+				if j := b.lookupJob("wk-1"); j.response().State != wire.Done {
 					t.Error("not done")
 				}
 			}
@@ -99,7 +99,7 @@
 func TestStatusFrameAllocatesLittle(t *testing.T) {
 	for _, machines := range []int{50, 500} {
 		b := crowded(t, machines)
-		n := float64(len(b.parts[0].machines))
+		n := float64(len(b.partitions[0].machines))
 		var frame []byte
 		if got := testing.AllocsPerRun(20, func() { frame = mesh.AppendStatus(nil, b.status(), mesh.Plain) }); got > 30 {
 			t.Errorf("%d machines: %v allocations to send a status", machines, got)
@@ -156,16 +156,16 @@
 	for _, n := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := crowded(b, n)
-			var r *rec
-			for x := range c.records() {
-				if r == nil || len(x.entries) > len(r.entries) {
+			var r *taskGroup
+			for x := range c.allGroups() {
+				if r == nil || len(x.bindings) > len(r.bindings) {
 					r = x
 				}
 			}
-			raw, stamp := c.content(r, r.done, r.entries).At(r.key), r.stamp+1<<32
+			raw, stamp := c.encodeGroup(r, r.done, r.bindings).At(r.key), r.revision+1<<32
 			for b.Loop() {
 				stamp++
-				c.put(r.key, raw, stamp)
+				c.putRecord(r.key, raw, stamp)
 			}
 		})
 	}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -44,20 +44,20 @@
 	s.Cloud.RPS, s.Cloud.ListLagS = 6, 3
 	b := newBrain(ctx, cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), outside{state: nowhere{}, cloud: nowhere{}, workers: nowhere{}, send: func(string, []byte) {}})
 	b.loaded, b.freshAt, b.startedAt = true, b.now, b.now.Add(-time.Hour)
-	b.putTypes(testTypes)
+	b.putMachineTypes(testTypes)
 	stamp := uint64(10)
 	for n := range count {
 		stamp++
 		node := fmt.Sprintf("n%d", n)
-		b.put(rollout.Initial.Keys().Partition(n), record.JSON(record.LeaseHolder{Node: node, ProcessID: "x"}), stamp)
+		b.putRecord(rollout.Initial.Keys().Partition(n), record.JSON(record.LeaseHolder{Node: node, ProcessID: "x"}), stamp)
 		b.siblingsFor(node, n)
 	}
-	p := b.parts[0]
-	b.rights[p.key].stamp = 11
-	b.partGained(p, 11)
-	p.active, p.since = true, b.now.Add(-time.Hour)
-	b.leaderGained(stamp)
-	b.lead.active, b.lead.since = true, b.now.Add(-time.Hour)
+	p := b.partitions[0]
+	b.leasedKeys[p.key].token = 11
+	b.takeOverPartition(p, 11)
+	p.active, p.ownedSince = true, b.now.Add(-time.Hour)
+	b.becomeLeader(stamp)
+	b.leadership.active, b.leadership.since = true, b.now.Add(-time.Hour)
 	var all []*machine
 	for i := range machines {
 		name := fmt.Sprintf("host-%06d", i)
@@ -67,7 +67,7 @@
 		b.sizeMachine(m)
 		all = append(all, m)
 		if part := m.home; part != 0 {
-			st := b.siblings[fmt.Sprintf("n%d", part)].status
+			st := b.peers[fmt.Sprintf("n%d", part)].status
 			st.Machines = append(st.Machines, mesh.Machine{Name: name, Addr: m.addr, Type: m.typ, Zone: m.zone, Incarnation: 1, Flags: mesh.Reachable})
 		}
 	}
@@ -77,7 +77,7 @@
 		stamp++
 		j := &wire.Job{ID: fmt.Sprintf("wk-%06d", id), Class: class, Team: team, Service: kind == wire.Service, Priority: priority, Tasks: tasks,
 			CPUs: cpus, RAM: 2, Image: "img", EstimateS: 40, DeadlineS: 200}
-		b.put(jobKey(j.ID), record.JSON(record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: j}), stamp)
+		b.putRecord(jobKey(j.ID), record.JSON(record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: j}), stamp)
 		return j.ID
 	}
 	perPart := map[int][]record.Binding{}
@@ -87,7 +87,7 @@
 		if i%2 == 0 {
 			for range 8 {
 				stamp++
-				b.put(groupKey(job(wire.Service, "feed", "red", 2, 1, 2), 0),
+				b.putRecord(groupKey(job(wire.Service, "feed", "red", 2, 1, 2), 0),
 					record.JSON(record.TaskGroup{Partition: m.home, Guaranteed: true, Tasks: []record.Binding{{Attempt: 1, Machine: m.name, Incarnation: 1}}}), stamp)
 			}
 			continue
@@ -100,9 +100,9 @@
 	k := 0
 	for part, tasks := range perPart {
 		for len(tasks) > 0 {
-			n := min(len(tasks), b.maxRec)
+			n := min(len(tasks), b.maxGroupTasks)
 			stamp++
-			b.put(groupKey(array, k), record.JSON(record.TaskGroup{Partition: part, Tasks: tasks[:n]}), stamp)
+			b.putRecord(groupKey(array, k), record.JSON(record.TaskGroup{Partition: part, Tasks: tasks[:n]}), stamp)
 			tasks, k = tasks[n:], k+1
 		}
 	}
@@ -115,8 +115,8 @@
 
 // siblingsFor has a sibling vouch for a part.
 func (b *brain) siblingsFor(node string, part int) {
-	if x := b.siblings[node]; x != nil {
-		x.status, x.at, x.since = &mesh.Status{Node: node, Fresh: true, Eligible: true, Partitions: []uint64{uint64(part)}}, b.now.Add(time.Hour), b.now
+	if x := b.peers[node]; x != nil {
+		x.status, x.heardAt, x.heardSince = &mesh.Status{Node: node, Fresh: true, Eligible: true, Partitions: []uint64{uint64(part)}}, b.now.Add(time.Hour), b.now
 	}
 }
 
@@ -125,8 +125,8 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := crowded(b, n)
 			for b.Loop() {
-				c.lead.writes = 0
-				c.leadStep()
+				c.leadership.writes = 0
+				c.runLeader()
 			}
 		})
 	}
--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -38,7 +38,7 @@
 
 // recordUpdate is what the next write of a record changes.
 type recordUpdate struct {
-	entries []entry     // as they will be stored
+	entries []binding   // as they will be stored
 	done    int         // tasks done, as it will be stored
 	ended   []endedTask // proven ends that are stored with it
 	bound   []core.Task // new bindings
@@ -54,14 +54,14 @@
 }
 
 // store writes what has changed of a record, if anything.
-func (b *brain) store(p *part, r *rec) {
+func (b *brain) store(p *partition, r *taskGroup) {
 	update := b.planUpdate(p, r)
-	if b.now.Before(r.barredTo) {
+	if b.now.Before(r.retryWriteAt) {
 		return
 	}
 	if !update.changed && !update.large {
-		r.dirty = false
-		r.endedAt, r.boundAt = time.Time{}, time.Time{}
+		r.hasUnstoredEnds = false
+		r.endsPendingSince, r.bindingsPendingSince = time.Time{}, time.Time{}
 		return
 	}
 	if !update.large && b.updateWaits(r, &update) {
@@ -72,19 +72,19 @@
 	if b.wr.NearlyFull(r.job.spec.AllOrNothing()) {
 		return
 	}
-	r.endedAt, r.boundAt = time.Time{}, time.Time{}
+	r.endsPendingSince, r.bindingsPendingSince = time.Time{}, time.Time{}
 	b.writeUpdate(p, r, &update)
 }
 
 // bindingAttempt is the attempt of the next bindings of a gang's record; 0: none may be
 // made, since not all of its tasks have cells.
-func (b *brain) bindingAttempt(p *part, r *rec) uint64 {
+func (b *brain) bindingAttempt(p *partition, r *taskGroup) uint64 {
 	attempt, there := b.gangAttempt(r.job)
 	if there {
 		return attempt // what is missing of it
 	}
-	for i := range r.entries {
-		if _, ok := p.alloc[r.task(r.entries[i].num)]; !ok {
+	for i := range r.bindings {
+		if _, ok := p.reservations[r.task(r.bindings[i].task)]; !ok {
 			return 0
 		}
 	}
@@ -92,11 +92,11 @@
 }
 
 // planUpdate works out what is to be stored of a record: ended attempts, new bindings.
-func (b *brain) planUpdate(p *part, r *rec) recordUpdate {
-	update := recordUpdate{done: r.done, large: r.size > b.maxValue()}
+func (b *brain) planUpdate(p *partition, r *taskGroup) recordUpdate {
+	update := recordUpdate{done: r.done, large: r.size > b.maxValueBytes()}
 	job := r.job
 	gang := job.spec.Gang
-	if gang && job.isFinished() && job.fate == live {
+	if gang && job.gangIsDone() && job.finalState == unfinishedJob {
 		b.planFinished(r, &update)
 		return update
 	}
@@ -104,23 +104,23 @@
 	if gang {
 		attempt = b.bindingAttempt(p, r)
 	}
-	for _, e := range r.entries {
-		t := r.task(e.num)
-		if o, ok := b.outcomes[t]; ok && e.m != nil && o.attempt == e.attempt {
+	for _, e := range r.bindings {
+		t := r.task(e.task)
+		if o, ok := b.outcomes[t]; ok && e.machine != nil && o.attempt == e.attempt {
 			update.ended = append(update.ended, endedTask{t, o})
 			update.changed = true
 			if o.done {
 				update.done++
 				continue
 			}
-			e.m, e.session = nil, 0
+			e.machine, e.incarnation = nil, 0
 		}
-		if a, ok := p.alloc[t]; ok && e.m == nil && job.fate == live && (!gang || attempt > 0) {
-			if a.m.gone || !b.up(a.m, p) {
-				delete(p.alloc, t)
+		if a, ok := p.reservations[t]; ok && e.machine == nil && job.finalState == unfinishedJob && (!gang || attempt > 0) {
+			if a.machine.gone || !b.up(a.machine, p) {
+				delete(p.reservations, t)
 				b.freeCell(p, t)
 			} else {
-				e.m, e.session = a.m, a.m.session
+				e.machine, e.incarnation = a.machine, a.machine.session
 				e.attempt++
 				if gang {
 					e.attempt = attempt
@@ -129,7 +129,7 @@
 				update.changed = true
 			}
 		}
-		if e.m == nil {
+		if e.machine == nil {
 			update.pending++
 		}
 		update.entries = append(update.entries, e)
@@ -138,19 +138,19 @@
 }
 
 // planFinished has all tasks of a gang's record done: one of the gang is.
-func (b *brain) planFinished(r *rec, update *recordUpdate) {
-	for i := range r.entries {
-		t := r.task(r.entries[i].num)
+func (b *brain) planFinished(r *taskGroup, update *recordUpdate) {
+	for i := range r.bindings {
+		t := r.task(r.bindings[i].task)
 		if o, ok := b.outcomes[t]; ok {
 			update.ended = append(update.ended, endedTask{t, o})
 		}
 	}
-	update.done += len(r.entries)
-	update.changed = len(r.entries) > 0
+	update.done += len(r.bindings)
+	update.changed = len(r.bindings) > 0
 }
 
 // updateWaits tells whether an array's update can wait for more to come.
-func (b *brain) updateWaits(r *rec, update *recordUpdate) bool {
+func (b *brain) updateWaits(r *taskGroup, update *recordUpdate) bool {
 	if r.job.spec.AllOrNothing() {
 		return false
 	}
@@ -158,17 +158,17 @@
 		if update.pending == 0 {
 			return false
 		}
-		if r.boundAt.IsZero() {
-			r.boundAt = b.now
+		if r.bindingsPendingSince.IsZero() {
+			r.bindingsPendingSince = b.now
 		}
-		return b.now.Sub(r.boundAt) < b.gatherBinds()
+		return b.now.Sub(r.bindingsPendingSince) < b.gatherBinds()
 	}
-	if len(update.entries) == 0 || r.job.fate != live {
+	if len(update.entries) == 0 || r.job.finalState != unfinishedJob {
 		return false
 	}
 	// Ends alone can wait a little for each other: writes are scarce.
-	if r.endedAt.IsZero() {
-		r.endedAt = b.now
+	if r.endsPendingSince.IsZero() {
+		r.endsPendingSince = b.now
 	}
 	gather := b.gatherEnds()
 	if update.done == r.done {
@@ -176,80 +176,80 @@
 		// their next bindings, or when there is nothing more urgent.
 		gather = max(gather, b.wr.Backlog())
 	}
-	return b.now.Sub(r.endedAt) < gather
+	return b.now.Sub(r.endsPendingSince) < gather
 }
 
 // writeUpdate has the state service carry an update out.
-func (b *brain) writeUpdate(p *part, r *rec, update *recordUpdate) {
+func (b *brain) writeUpdate(p *partition, r *taskGroup, update *recordUpdate) {
 	job := r.job
 	// Services first: when hundreds of machines are lost together, or all leases have
 	// ended in an outage, what is to be stored takes longer than users wait.
-	u := &store.Write{Prompt: job.spec.Gang && len(update.bound) > 0, Early: job.spec.AllOrNothing(), Conditions: []wire.Condition{{Key: p.key, Revision: p.term}, {Key: r.key, Revision: r.stamp}}}
-	if job.fate == live {
+	u := &store.Write{Prompt: job.spec.Gang && len(update.bound) > 0, Early: job.spec.AllOrNothing(), Conditions: []wire.Condition{{Key: p.key, Revision: p.token}, {Key: r.key, Revision: r.revision}}}
+	if job.finalState == unfinishedJob {
 		// Binding and completing race with a cancellation: only one can hold.
-		u.Conditions = append(u.Conditions, wire.Condition{Key: jobKey(job.id), Revision: job.stamp})
+		u.Conditions = append(u.Conditions, wire.Condition{Key: jobKey(job.id), Revision: job.revision})
 	}
-	pieces := b.fit(r, update.done, update.entries)
+	pieces := b.splitToFit(r, update.done, update.entries)
 	var elsewhere []*machine // of tasks that are bound and move to another piece
 	if len(pieces) > 1 {
 		for _, t := range update.bound {
-			elsewhere = append(elsewhere, p.alloc[t].m)
+			elsewhere = append(elsewhere, p.reservations[t].machine)
 		}
 	}
 	// New records first: what moves to them is adopted there before it is given up here.
 	for _, piece := range pieces[1:] {
-		key := groupKey(job.id, job.newRec())
+		key := groupKey(job.id, job.newGroupNumber())
 		u.Conditions = append(u.Conditions, wire.Condition{Key: key})
 		u.Changes = append(u.Changes, wire.Change{Put: key, Value: piece.At(key)})
 	}
 	u.Changes = append(u.Changes, wire.Change{Put: r.key, Value: pieces[0].At(r.key)})
 	ending := b.endsJob(r, update)
 	if ending {
-		job.ending = true
-		u.Changes = append(u.Changes, wire.Change{Put: jobKey(job.id), Value: record.JSON(record.Job{FinalState: done})})
+		job.finishing = true
+		u.Changes = append(u.Changes, wire.Change{Put: jobKey(job.id), Value: record.JSON(record.Job{FinalState: doneJob})})
 	}
-	r.writing, r.unit = true, u
+	r.writing, r.write = true, u
 	b.metrics.count(cStored, 1)
-	term := p.term
-	b.write(u, func(err error) {
-		r.writing, r.unit = false, nil
+	term := p.token
+	b.submitWrite(u, func(err error) {
+		r.writing, r.write = false, nil
 		if ending {
-			job.ending = false
+			job.finishing = false
 		}
-		if job.fate != live && r.part == p.n {
+		if job.finalState != unfinishedJob && r.partition == p.index {
 			b.cancelClaims(r, true) // what came to it while the write was on its way
 		}
 		switch {
 		case err != nil:
 			b.updateFailed(p, r, update, err)
-		case p.term == term:
+		case p.token == term:
 			b.updateStored(r, update, elsewhere)
 		}
 	})
 }
 
 // endsJob tells whether an update completes the last tasks of a job.
-func (b *brain) endsJob(r *rec, update *recordUpdate) bool {
+func (b *brain) endsJob(r *taskGroup, update *recordUpdate) bool {
 	job := r.job
-	if job.fate != live || job.ending || update.done == r.done {
+	if job.finalState != unfinishedJob || job.finishing || update.done == r.done {
 		return false
 	}
-	_, finished := job.dealt()
+	_, finished := job.assignedTasks()
 	return finished+update.done-r.done == job.spec.Tasks
 }
 
 // updateFailed gives up the claims of an update that is not stored as far as we know; what
 // the state service really has is read before anything else is done.
-func (b *brain) updateFailed(p *part, r *rec, update *recordUpdate, err error) {
+func (b *brain) updateFailed(p *partition, r *taskGroup, update *recordUpdate, err error) {
 	b.log.Debug("record write failed", "key", r.key, "err", err)
 	if errors.Is(err, store.ErrInvalid) {
 		b.log.Error("record is refused as invalid", "key", r.key, "entries", len(update.entries))
-		r.barredTo = b.now.Add(barredWrite)
+		r.retryWriteAt = b.now.Add(barredWrite)
 	}
-	if p.term != 0 {
+	if p.token != 0 {
 		for _, t := range update.bound {
-			if _, ok := p.alloc[t]; ok {
-				delete(p.alloc, t)
+			if _, ok := p.reservations[t]; ok {
+				delete(p.reservations, t)
 				b.freeCell(p, t)
 			}
 		}
@@ -259,14 +259,14 @@
 }
 
 // updateStored has what an update binds started, and forgets the ends that it stored.
-func (b *brain) updateStored(r *rec, update *recordUpdate, elsewhere []*machine) {
+func (b *brain) updateStored(r *taskGroup, update *recordUpdate, elsewhere []*machine) {
 	job := r.job
 	b.metrics.count(cBound, len(update.bound))
 	for _, t := range update.bound {
-		if e := r.find(t.Num); e != nil && e.m != nil {
-			b.log.Debug("task bound", "task", taskName(job.id, t.Num), "attempt", e.attempt, "machine", e.m.name)
+		if e := r.binding(t.Num); e != nil && e.machine != nil {
+			b.log.Debug("task bound", "task", taskName(job.id, t.Num), "attempt", e.attempt, "machine", e.machine.name)
 			if e.attempt == 1 {
-				b.metrics.observe(lBind, b.now.Sub(job.at))
+				b.metrics.observe(lBind, b.now.Sub(job.acceptedAt))
 			}
 		}
 	}
@@ -290,8 +290,8 @@
 			kickOnce(m)
 		}
 	}
-	for i := range r.entries {
-		if m := r.entries[i].m; m != nil && slices.Contains(update.bound, r.task(r.entries[i].num)) {
+	for i := range r.bindings {
+		if m := r.bindings[i].machine; m != nil && slices.Contains(update.bound, r.task(r.bindings[i].task)) {
 			kickOnce(m)
 		}
 	}
--- a/internal/controller/brain.go
+++ b/internal/controller/brain.go
@@ -18,63 +18,63 @@
 
 // brain is the actor's state. Only the actor's goroutine touches it.
 type brain struct {
-	cfg   *config.Platform
-	op    *config.Operator
-	log   *slog.Logger
-	boot  string
-	ctx   context.Context
-	inbox *inbox
+	cfg       *config.Platform
+	op        *config.Operator
+	log       *slog.Logger
+	processID string
+	ctx       context.Context
+	inbox     *inbox
 	// cloudQ holds calls to the cloud that wait for their turn.
-	cloudQ chan func()
-	st     *store.Client
-	wr     *store.Writer
-	cl     *cloud.Client
-	fl     *fleet.Client
-	now    time.Time // of the event in work
-	hold   time.Duration
-	lease  time.Duration // a worker's lease, with drift and margin
+	cloudQ       chan func()
+	st           *store.Client
+	wr           *store.Writer
+	cl           *cloud.Client
+	fl           *fleet.Client
+	now          time.Time // of the event in work
+	maxStaleness time.Duration
+	leaseExpiry  time.Duration // a worker's lease, with drift and margin
 
 	// The replica.
-	loaded    bool
-	cursor    uint64
-	freshAt   time.Time // start of the last successful read
-	startedAt time.Time
-	vers      map[string]uint64
-	dropped   map[string]uint64 // tombstones until the cursor has passed them
-	jobs      map[string]*job
-	over      map[string]uint8 // fates of jobs that are over and cleared up
-	atHand    []*job           // those that are not over and cleared up, and some that are
-	recs      []*rec           // by dense index; nil where deleted
-	recByKey  map[string]*rec
-	types     map[string]*wire.MachineType
-	typesKey  bool
-	levels    levels
-	holders   map[string]record.LeaseHolder
-	gone      map[string]bool // machines that surely are, as long as a marker says so
-	goneKeys  map[string]gone
-	lends     map[string]*lend // by machine
-	teams     map[string]int32
-	within    map[string]float64 // by class: seconds in which its jobs should be done
-	maxRec    int
+	loaded             bool
+	cursor             uint64
+	freshAt            time.Time // start of the last successful read
+	startedAt          time.Time
+	revisions          map[string]uint64
+	deletedRevisions   map[string]uint64 // tombstones until the cursor has passed them
+	jobs               map[string]*job
+	finished           map[string]uint8 // fates of jobs that are over and cleared up
+	unfinished         []*job           // those that are not over and cleared up, and some that are
+	groups             []*taskGroup     // by dense index; nil where deleted
+	groupByKey         map[string]*taskGroup
+	machineTypes       map[string]*wire.MachineType
+	machineTypesStored bool
+	levels             levels
+	holders            map[string]record.LeaseHolder
+	terminated         map[string]bool // machines that surely are, as long as a marker says so
+	tombstones         map[string]tombstone
+	lends              map[string]*lend // by machine
+	teamIndex          map[string]int32
+	objectiveSeconds   map[string]float64 // by class: seconds in which its jobs should be done
+	maxGroupTasks      int
 
 	// Reads on behalf of users.
-	reading   bool
-	lastRead  time.Time
-	readNext  []func(err error)
-	readTimer bool
+	readInFlight  bool
+	lastReadAt    time.Time
+	pendingReads  []func(err error)
+	readScheduled bool
 	// readyAt is when this controller last was ready; nil: it is not.
-	readyAt   atomic.Pointer[time.Time]
-	usersRead moment // the last one that succeeded
-
-	rights   map[string]*right
-	parts    []*part
-	machines map[string]*machine
-	byIdx    []*machine
-	siblings map[string]*sibling
-	send     func(sibling string, frame []byte)
-	jitter   func(time.Duration) time.Duration
-	lead     leader
-	closing  map[string]bool // machines that the leader wants to return
+	readyAt        atomic.Pointer[time.Time]
+	lastClientRead atomicTime // the last one that succeeded
+
+	leasedKeys map[string]*leasedKey
+	partitions []*partition
+	machines   map[string]*machine
+	byIdx      []*machine
+	peers      map[string]*peer
+	send       func(sibling string, frame []byte)
+	jitter     func(time.Duration) time.Duration
+	leadership leadership
+	closing    map[string]bool // machines that the leader wants to return
 	// Machines that are being released, and those of them not asked for yet.
 	leaving   map[string]bool
 	toRelease []string
@@ -86,8 +86,8 @@
 	stepDue        bool
 	steps          uint64 // decisions of parts taken so far
 	// yieldUntil: this controller gave its rights up and takes none before then.
-	yieldUntil time.Time
-	gaveUpAt   time.Time // when it last did
+	backoffUntil  time.Time
+	steppedDownAt time.Time // when it last did
 	// wokeAt: this process stood still until then.
 	wokeAt   time.Time
 	reportAt time.Time // of any worker's last report
@@ -102,62 +102,62 @@
 }
 
 // sibling is what another controller told last.
-type sibling struct {
-	status *mesh.Status
-	at     time.Time
-	since  time.Time // since when it has been heard without a gap
-	former string    // the process before the present one
+type peer struct {
+	status          *mesh.Status
+	heardAt         time.Time
+	heardSince      time.Time // since when it has been heard without a gap
+	formerProcessID string    // the process before the present one
 }
 
 // right is a leased key that this process holds or is about to.
-type right struct {
-	key    string
-	stamp  uint64 // of the write that gave it; 0: not held
-	lease  uint64
-	busy   bool
-	freeAt time.Time // since when the key is seen vacant
-	rest   time.Time // not taken before then: it was given back
+type leasedKey struct {
+	key          string
+	token        uint64 // of the write that gave it; 0: not held
+	lease        uint64
+	pending      bool
+	vacantSince  time.Time // since when the key is seen vacant
+	backoffUntil time.Time // not taken before then: it was given back
 }
 
 // part is one hash part of the machines.
-type part struct {
-	n      int
-	key    string
-	term   uint64 // stamp of our holding; 0: not ours
-	gained uint64 // the first of our terms since it was last taken
-	hoarse bool   // most of its machines seem not to hear us: see machine.deaf
-	since  time.Time
-	active bool // replica was read after the take-over
-	cells  *core.Partition
-	alloc  map[core.Task]alloc
-	raise  bool
-	raised time.Time
+type partition struct {
+	index            int
+	key              string
+	token            uint64 // stamp of our holding; 0: not ours
+	firstToken       uint64 // the first of our terms since it was last taken
+	mostNotReceiving bool   // most of its machines seem not to hear us: see machine.deaf
+	ownedSince       time.Time
+	active           bool // replica was read after the take-over
+	cells            *core.Partition
+	reservations     map[core.Task]reservation
+	tokenRaiseDue    bool
+	tokenRaisedAt    time.Time
 	// machines are those that are in the part, whoever owns it.
 	machines []*machine
-	recs     []*rec // that it is in charge of
+	groups   []*taskGroup // that it is in charge of
 	// foreign are records of other parts of which tasks have ended on a machine of this
 	// one, as on one that was lent and came back when its borrower ended: nobody else
 	// knows, and who is in charge of the record would wait for ever.
-	foreign map[*rec]bool
-	queued  int // tasks that found no cell in this step so far
+	foreignGroups map[*taskGroup]bool
+	unplaced      int // tasks that found no cell in this step so far
 	// Cells that came free since endsSince, and in the time before that.
-	ends, endsBefore int
-	endsSince        time.Time
+	freedCells, freedCellsBefore int
+	freedCellsSince              time.Time
 	// mostQuiet as counted at a time, see there.
-	mostQuiet bool
-	countedAt time.Time
+	mostUnreachable bool
+	countedAt       time.Time
 	// old is how long a former owner may go on answering reports.
-	old time.Duration
+	formerOwnerStaleness time.Duration
 }
 
 // alloc is a claimed cell whose binding is not stored yet.
-type alloc struct {
-	m       *machine
-	session uint64
+type reservation struct {
+	machine     *machine
+	incarnation uint64
 }
 
 // gone is a marker of machines that are gone, and since when it is known.
-type gone struct {
+type tombstone struct {
 	names []string
 	at    time.Time
 }
@@ -198,20 +198,20 @@
 }
 
 // fresh tells whether the replica is current enough to act on: see HoldTime.
-func (b *brain) fresh(limit time.Duration) bool {
+func (b *brain) isFresh(limit time.Duration) bool {
 	return b.loaded && b.now.Sub(b.freshAt) < limit
 }
 
 // write submits a unit; then runs in the actor with the result, after the
 // replica has taken the changes in.
-func (b *brain) write(u *store.Write, then func(err error)) {
+func (b *brain) submitWrite(u *store.Write, then func(err error)) {
 	begun := b.now
 	u.Done = func(rev uint64, err error) {
 		// Never block the writer on a full inbox that waits for the writer.
 		go b.post(laneState, func() {
 			b.metrics.observe(lCommit, b.now.Sub(begun))
 			if err == nil {
-				b.applied(u, rev)
+				b.applyWrite(u, rev)
 			}
 			then(err)
 		})
--- a/internal/controller/brain_test.go
+++ b/internal/controller/brain_test.go
@@ -27,10 +27,10 @@
 	cfg.Settings.Cloud.RPS = 1
 	b := newBrain(t.Context(), cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), outside{})
 	b.loaded, b.freshAt = true, b.now
-	b.types = map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAM: 8}}
-	p := b.parts[0]
-	p.term, p.active, p.since = 1, true, b.now.Add(-time.Minute)
-	p.cells, p.alloc = core.NewPartition(), map[core.Task]alloc{}
+	b.machineTypes = map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAM: 8}}
+	p := b.partitions[0]
+	p.token, p.active, p.ownedSince = 1, true, b.now.Add(-time.Minute)
+	p.cells, p.reservations = core.NewPartition(), map[core.Task]reservation{}
 	return b
 }
 
@@ -49,32 +49,32 @@
 func TestClaimsEndWithTheirRecord(t *testing.T) {
 	for _, how := range []string{"deleted", "moved"} {
 		b := lone(t)
-		p := b.parts[0]
+		p := b.partitions[0]
 		b.takeReport(b.machine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, true)
 		spec := &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}
-		b.put(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 2)
+		b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 2)
 		key := groupKey("wk-1", 0)
-		b.put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
-		b.place(p, b.recByKey[key], map[shape]bool{})
-		if len(p.alloc) != 2 {
-			t.Fatalf("%d tasks have claimed cells", len(p.alloc))
+		b.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+		b.place(p, b.groupByKey[key], map[shape]bool{})
+		if len(p.reservations) != 2 {
+			t.Fatalf("%d tasks have claimed cells", len(p.reservations))
 		}
 		left := 0
 		if how == "deleted" {
-			b.drop(key, 4)
+			b.deleteRecord(key, 4)
 		} else {
-			b.put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 1}}}), 4)
+			b.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 1}}}), 4)
 			left = 1
 		}
-		if len(p.alloc) != left || len(p.cells.Tasks()) != left {
-			t.Errorf("%s: %d claims and %d cells are left", how, len(p.alloc), len(p.cells.Tasks()))
+		if len(p.reservations) != left || len(p.cells.Tasks()) != left {
+			t.Errorf("%s: %d claims and %d cells are left", how, len(p.reservations), len(p.cells.Tasks()))
 		}
 		if err := p.cells.Check(); err != nil {
 			t.Error(err)
 		}
-		b.putGone(preGone+"host-1", []string{"host-1"})
-		if len(p.alloc) != 0 || len(p.cells.Tasks()) != 0 {
-			t.Errorf("%s: %d claims and %d cells on a lost machine", how, len(p.alloc), len(p.cells.Tasks()))
+		b.putTombstone(tombstonePrefix+"host-1", []string{"host-1"})
+		if len(p.reservations) != 0 || len(p.cells.Tasks()) != 0 {
+			t.Errorf("%s: %d claims and %d cells on a lost machine", how, len(p.reservations), len(p.cells.Tasks()))
 		}
 	}
 }
@@ -84,10 +84,10 @@
 // up all changes that the state service allows, and dealing waited for seconds.
 func TestGoneMarkersAreDeletedOnce(t *testing.T) {
 	b := lone(t)
-	b.leaderGained(5)
-	b.lead.active = true
+	b.becomeLeader(5)
+	b.leadership.active = true
 	for i := range 3 {
-		b.putGone(fmt.Sprint(preGone, "host-", i), []string{fmt.Sprint("host-", i)})
+		b.putTombstone(fmt.Sprint(tombstonePrefix, "host-", i), []string{fmt.Sprint("host-", i)})
 	}
 	b.now = b.now.Add(time.Hour)
 	b.clearGone()
@@ -104,23 +104,23 @@
 // a record that stood back is raised for several at once, not for each.
 func TestCapsRiseInSteps(t *testing.T) {
 	b := lone(t)
-	b.leaderGained(5)
-	b.lead.active = true
-	b.put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 9, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
+	b.becomeLeader(5)
+	b.leadership.active = true
+	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 9, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
 	g := record.TaskGroup{Throttle: 1}
 	for i := range int32(9) {
 		g.Tasks = append(g.Tasks, record.Binding{Task: i})
 	}
 	key := groupKey("wk-1", 0)
-	b.put(key, raw(t, g), 7)
-	r := b.recByKey[key]
+	b.putRecord(key, raw(t, g), 7)
+	r := b.groupByKey[key]
 	changes, stamp := 0, uint64(8)
 	for free := 1; free <= 60; free++ { // a task of the team ends every 100 ms
 		lim := core.Quota{Limit: core.NewResources(float64(min(free, 9)), 0, 0)}
-		lim.Used = r.job.need.Times(r.counts(b.cursor))
-		before := r.cappedAt
+		lim.Used = r.job.taskSize.Times(r.quotaTasks(b.cursor))
+		before := r.throttledAt
 		b.uncap(r.job, &lim)
-		if r.cappedAt != before { // stored at once
+		if r.throttledAt != before { // stored at once
 			changes++
 			stamp++
 			g.Throttle = min(free, 9) + 1
@@ -128,12 +128,12 @@
 				g.Throttle = 0
 			}
 			r.writing = false
-			b.put(key, raw(t, g), stamp)
+			b.putRecord(key, raw(t, g), stamp)
 		}
 		b.now = b.now.Add(100 * time.Millisecond)
 	}
-	if changes == 0 || changes > 3 || r.may() != 9 {
-		t.Errorf("%d changes, %d of 9 may run", changes, r.may())
+	if changes == 0 || changes > 3 || r.allowedTasks() != 9 {
+		t.Errorf("%d changes, %d of 9 may run", changes, r.allowedTasks())
 	}
 }
 
@@ -142,20 +142,20 @@
 // been lost until the part changed hands.
 func TestClaimsOfAMovedRecord(t *testing.T) {
 	b := lone(t)
-	p := b.parts[0]
+	p := b.partitions[0]
 	b.takeReport(b.machine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-	b.put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}}), 2)
+	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}}), 2)
 	key := groupKey("wk-1", 0)
-	b.put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
-	r := b.recByKey[key]
+	b.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+	r := b.groupByKey[key]
 	b.place(p, r, map[shape]bool{})
-	if len(p.alloc) != 2 {
-		t.Fatalf("%d tasks have claimed cells", len(p.alloc))
+	if len(p.reservations) != 2 {
+		t.Fatalf("%d tasks have claimed cells", len(p.reservations))
 	}
 	r.writing = true // the leader's move, of this very process
-	b.put(key, raw(t, record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 4)
-	if len(p.alloc) != 0 || len(p.cells.Tasks()) != 0 {
-		t.Errorf("%d claims and %d cells are left", len(p.alloc), len(p.cells.Tasks()))
+	b.putRecord(key, raw(t, record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 4)
+	if len(p.reservations) != 0 || len(p.cells.Tasks()) != 0 {
+		t.Errorf("%d claims and %d cells are left", len(p.reservations), len(p.cells.Tasks()))
 	}
 }
 
@@ -163,12 +163,12 @@
 // record must not come back to life.
 func TestLateResultOfADeletedRecord(t *testing.T) {
 	b := lone(t)
-	b.put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
+	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
 	key := groupKey("wk-1", 0)
-	b.put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}}}), 3)
-	b.events(&wire.WatchResponse{Revision: 9, Events: []wire.Event{{Delete: key, Revision: 9}}})
-	b.put(key, raw(t, record.TaskGroup{Done: 1}), 5)
-	if b.recByKey[key] != nil || len(b.jobs["wk-1"].recs) != 0 {
+	b.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}}}), 3)
+	b.applyEvents(&wire.WatchResponse{Revision: 9, Events: []wire.Event{{Delete: key, Revision: 9}}})
+	b.putRecord(key, raw(t, record.TaskGroup{Done: 1}), 5)
+	if b.groupByKey[key] != nil || len(b.jobs["wk-1"].groups) != 0 {
 		t.Error("a deleted record is back")
 	}
 }
@@ -178,8 +178,8 @@
 // the form of older versions is understood, and deleting it forgets them all.
 func TestGoneTogether(t *testing.T) {
 	b := lone(t)
-	b.leaderGained(5)
-	b.lead.active = true
+	b.becomeLeader(5)
+	b.leadership.active = true
 	var names []string
 	for i := range 240 {
 		names = append(names, fmt.Sprintf("host-%06d", i))
@@ -189,16 +189,16 @@
 	if n := b.wr.Backlog(); n > time.Second/10 {
 		t.Errorf("the backlog is %v", n)
 	}
-	b.put(preGone+"host-000001", record.JSON(names[1:4]), 20)
-	b.put(preGone+"host-000009", record.JSON(true), 21)
+	b.putRecord(tombstonePrefix+"host-000001", record.JSON(names[1:4]), 20)
+	b.putRecord(tombstonePrefix+"host-000009", record.JSON(true), 21)
 	for i, gone := range map[int]bool{0: false, 1: true, 2: true, 3: true, 4: false, 9: true} {
 		if b.machine(names[i]).gone != gone {
 			t.Errorf("%s is gone: %v", names[i], !gone)
 		}
 	}
-	b.drop(preGone+"host-000001", 22)
-	if len(b.gone) != 1 || len(b.goneKeys) != 1 {
-		t.Errorf("%d machines and %d markers are left", len(b.gone), len(b.goneKeys))
+	b.deleteRecord(tombstonePrefix+"host-000001", 22)
+	if len(b.terminated) != 1 || len(b.tombstones) != 1 {
+		t.Errorf("%d machines and %d markers are left", len(b.terminated), len(b.tombstones))
 	}
 }
 
@@ -217,8 +217,8 @@
 		{3, 4 * time.Second, false, false}, {3, 9 * time.Second, false, true},
 	} {
 		b := lone(t)
-		r := b.rights[b.parts[0].key]
-		r.stamp = 1
+		r := b.leasedKeys[b.partitions[0].key]
+		r.token = 1
 		for i := range x.machines {
 			b.machine(fmt.Sprintf("host-%d", i)).heard = b.now
 		}
@@ -226,8 +226,8 @@
 		if x.woke {
 			b.wokeAt = b.now
 		}
-		b.watchHearing()
-		if gave := r.stamp == 0; gave != x.gives {
+		b.stepDownIfUnheard()
+		if gave := r.token == 0; gave != x.gives {
 			t.Errorf("%+v: rights given up: %v", x, gave)
 		}
 	}
@@ -243,17 +243,17 @@
 		evicts bool
 	}{{2 * time.Second, 0, false}, {4 * time.Second, 0, true}, {4 * time.Second, 50, false}, {7 * time.Second, 50, true}} {
 		b := lone(t)
-		p := b.parts[0]
+		p := b.partitions[0]
 		b.takeReport(b.machine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
 		for i, team := range []string{"blue", "red"} {
 			id := fmt.Sprintf("wk-%d", i+1)
-			b.put(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAM: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
+			b.putRecord(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAM: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
 		}
-		b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 10)
-		b.put(groupKey("wk-2", 0), raw(t, record.TaskGroup{Guaranteed: true, Tasks: []record.Binding{{}}}), 11)
-		r := b.recByKey[groupKey("wk-2", 0)]
-		r.since = b.now.Add(-x.waited)
-		p.endsBefore, p.endsSince = x.ends, b.now
+		b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 10)
+		b.putRecord(groupKey("wk-2", 0), raw(t, record.TaskGroup{Guaranteed: true, Tasks: []record.Binding{{}}}), 11)
+		r := b.groupByKey[groupKey("wk-2", 0)]
+		r.inPartitionSince = b.now.Add(-x.waited)
+		p.freedCellsBefore, p.freedCellsSince = x.ends, b.now
 		b.place(p, r, map[shape]bool{})
 		if evicts := p.cells.PreemptingGroup(r.task(0)) != nil; evicts != x.evicts {
 			t.Errorf("%+v: evicts: %v", x, evicts)
@@ -278,20 +278,20 @@
 		spec.ID = fmt.Sprintf("wk-%08d", i)
 		stamp := uint64(2*i + 10)
 		if i%2 == 0 { // it ran while this controller did, else it is read after a start
-			b.put(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), stamp)
+			b.putRecord(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), stamp)
 		}
-		b.put(jobKey(spec.ID), raw(t, record.Job{FinalState: cancelled + i/2%2}), stamp+1)
+		b.putRecord(jobKey(spec.ID), raw(t, record.Job{FinalState: cancelledJob + i/2%2}), stamp+1)
 		if i%500 != 499 {
 			continue
 		}
 		// What was stored before the last change of a job may not be known yet.
-		n := len(b.over)
-		b.layDown()
-		if len(b.over) > n {
-			t.Fatalf("%d jobs are laid down before all of them is known", len(b.over)-n)
+		n := len(b.finished)
+		b.archiveFinished()
+		if len(b.finished) > n {
+			t.Fatalf("%d jobs are laid down before all of them is known", len(b.finished)-n)
 		}
 		b.cursor = stamp + 1
-		b.layDown()
+		b.archiveFinished()
 	}
 	if n := int(held()-before) / jobs; n > each {
 		t.Errorf("a job that is over holds %d bytes", n)
@@ -300,19 +300,19 @@
 		id    string
 		state string
 	}{{"wk-00000000", wire.Cancelled}, {"wk-00000001", wire.Cancelled}, {"wk-00000002", wire.Done}, {"wk-00000003", wire.Done}} {
-		if j := b.known(x.id); j == nil || j.state().State != x.state {
+		if j := b.lookupJob(x.id); j == nil || j.response().State != x.state {
 			t.Errorf("%s is %+v", x.id, j)
 		}
 	}
-	if b.known("wk-99999999") != nil {
+	if b.lookupJob("wk-99999999") != nil {
 		t.Error("a job that nobody submitted is known")
 	}
 	// A late copy of an older change does not bring it back.
 	spec.ID = "wk-00000002"
 	b.cursor = 0
-	b.put(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), 14)
-	if j := b.known(spec.ID); j.fate != done || len(b.jobs) != 0 {
-		t.Errorf("%s went back to %s", spec.ID, j.state().State)
+	b.putRecord(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), 14)
+	if j := b.lookupJob(spec.ID); j.finalState != doneJob || len(b.jobs) != 0 {
+		t.Errorf("%s went back to %s", spec.ID, j.response().State)
 	}
 }
 
@@ -333,24 +333,24 @@
 	group := func(machine string) json.RawMessage {
 		return raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: machine, Incarnation: 1}}})
 	}
-	b.put(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 10)
-	b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{}}}), 11)
+	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 10)
+	b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{}}}), 11)
 	b.cursor = 11
 	used("dealt:", 2)
-	gone := raw(t, record.Job{FinalState: cancelled, Spec: spec})
-	b.put(jobKey("wk-1"), gone, 20) // our own write's result
+	gone := raw(t, record.Job{FinalState: cancelledJob, Spec: spec})
+	b.putRecord(jobKey("wk-1"), gone, 20) // our own write's result
 	used("cancelled here:", 2)
-	b.events(&wire.WatchResponse{Revision: 21, Events: []wire.Event{
+	b.applyEvents(&wire.WatchResponse{Revision: 21, Events: []wire.Event{
 		{Put: groupKey("wk-1", 0), Value: group("host-1"), Revision: 15}, {Put: jobKey("wk-1"), Value: gone, Revision: 20}}})
 	used("its binding is known:", 2)
-	b.events(&wire.WatchResponse{Revision: 22, Events: []wire.Event{{Put: groupKey("wk-1", 0), Value: group(""), Revision: 22}}})
+	b.applyEvents(&wire.WatchResponse{Revision: 22, Events: []wire.Event{{Put: groupKey("wk-1", 0), Value: group(""), Revision: 22}}})
 	used("proven gone:", 0)
 
 	// The same where not even the dealing is known yet.
-	b.put(jobKey("wk-2"), raw(t, record.Job{Spec: spec}), 30)
+	b.putRecord(jobKey("wk-2"), raw(t, record.Job{Spec: spec}), 30)
 	b.cursor = 30
-	b.put(jobKey("wk-2"), gone, 40)
-	b.events(&wire.WatchResponse{Revision: 41, Events: []wire.Event{
+	b.putRecord(jobKey("wk-2"), gone, 40)
+	b.applyEvents(&wire.WatchResponse{Revision: 41, Events: []wire.Event{
 		{Put: groupKey("wk-2", 0), Value: group("host-2"), Revision: 35}, {Put: jobKey("wk-2"), Value: gone, Revision: 40}}})
 	used("dealt and bound before it was cancelled here:", 2)
 }
--- a/internal/controller/caps.go
+++ b/internal/controller/caps.go
@@ -16,24 +16,24 @@
 // service for minutes.
 func (b *brain) squeeze(j *job, lack core.Resources) {
 	level := j.spec.Priority
-	var from []*rec
-	for r := range b.records() {
-		if r.job == j || r.job.spec == nil || r.job.team != j.team || r.job.fate != live || r.job.spec.AllOrNothing() || r.job.spec.Priority > level {
+	var from []*taskGroup
+	for r := range b.allGroups() {
+		if r.job == j || r.job.spec == nil || r.job.team != j.team || r.job.finalState != unfinishedJob || r.job.spec.AllOrNothing() || r.job.spec.Priority > level {
 			continue
 		}
-		if r.cap != 0 { // what is on its way out already
-			lack = lack.Minus(r.job.need.Times(max(0, r.bound()-r.may())))
+		if r.throttle != 0 { // what is on its way out already
+			lack = lack.Minus(r.job.taskSize.Times(max(0, r.boundTasks()-r.allowedTasks())))
 		}
 		if !r.writing {
 			from = append(from, r)
 		}
 	}
 	urgent := b.byUrgency()
-	slices.SortFunc(from, func(x, y *rec) int { return cmp.Or(urgent(y.job, x.job), cmp.Compare(y.k, x.k)) })
+	slices.SortFunc(from, func(x, y *taskGroup) int { return cmp.Or(urgent(y.job, x.job), cmp.Compare(y.number, x.number)) })
 	standing := make([]core.QuotaUse, len(from))
 	for i, r := range from {
-		standing[i] = core.QuotaUse{Priority: r.job.spec.Priority, Running: r.bound(), Allowed: r.may(), TaskSize: r.job.need,
-			Fixed: r.job.spec.Priority == level && (urgent(j, r.job) >= 0 || b.now.Sub(r.cappedAt) < b.capEvery())}
+		standing[i] = core.QuotaUse{Priority: r.job.spec.Priority, Running: r.boundTasks(), Allowed: r.allowedTasks(), TaskSize: r.job.taskSize,
+			Fixed: r.job.spec.Priority == level && (urgent(j, r.job) >= 0 || b.now.Sub(r.throttledAt) < b.capEvery())}
 	}
 	for i, may := range core.Throttle(standing, level, lack) {
 		if may >= 0 {
@@ -49,29 +49,29 @@
 
 // uncap lets tasks run again that had to stand back, as the limit permits.
 func (b *brain) uncap(j *job, lim *core.Quota) {
-	for _, r := range j.recs {
-		if r.cap == 0 || r.writing || r.may() == len(r.entries) || b.now.Sub(r.cappedAt) < b.capEvery() {
+	for _, r := range j.groups {
+		if r.throttle == 0 || r.writing || r.allowedTasks() == len(r.bindings) || b.now.Sub(r.throttledAt) < b.capEvery() {
 			continue
 		}
-		if k := lim.Room(j.need, len(r.entries)-r.counts(b.cursor)); k > 0 {
-			lim.Used = lim.Used.Plus(j.need.Times(k))
-			b.setCap(r, r.counts(b.cursor)+k)
+		if k := lim.Room(j.taskSize, len(r.bindings)-r.quotaTasks(b.cursor)); k > 0 {
+			lim.Used = lim.Used.Plus(j.taskSize.Times(k))
+			b.setCap(r, r.quotaTasks(b.cursor)+k)
 		}
 	}
 }
 
-func (b *brain) setCap(r *rec, n int) {
+func (b *brain) setCap(r *taskGroup, n int) {
 	changed := *r
-	changed.cap = n + 1
-	if n >= len(r.entries) {
-		changed.cap = 0
+	changed.throttle = n + 1
+	if n >= len(r.bindings) {
+		changed.throttle = 0
 	}
-	epoch := b.lead.epoch
-	r.writing, r.cappedAt = true, b.now
+	epoch := b.leadership.epoch
+	r.writing, r.throttledAt = true, b.now
 	b.metrics.count(cCapped, 1)
-	b.lead.writes++
-	b.write(&store.Write{Early: true, Contested: true,
-		Conditions: []wire.Condition{b.leaderCondition(), {Key: r.key, Revision: r.stamp}},
-		Changes:    []wire.Change{{Put: r.key, Value: b.content(&changed, r.done, r.entries).At(r.key)}},
-	}, func(err error) { r.writing = false; b.leadWrote(epoch, err) })
+	b.leadership.writes++
+	b.submitWrite(&store.Write{Early: true, Contested: true,
+		Conditions: []wire.Condition{b.leaderCondition(), {Key: r.key, Revision: r.revision}},
+		Changes:    []wire.Change{{Put: r.key, Value: b.encodeGroup(&changed, r.done, r.bindings).At(r.key)}},
+	}, func(err error) { r.writing = false; b.leaderWriteDone(epoch, err) })
 }
--- a/internal/controller/causes_test.go
+++ b/internal/controller/causes_test.go
@@ -31,7 +31,7 @@
 		zone := map[string]bool{}
 		for _, n := range c.nodes {
 			n.brain.ask(c.ctx, laneState, func() {
-				for _, r := range n.brain.jobs["wk-9"].recs {
+				for _, r := range n.brain.jobs["wk-9"].groups {
 					zone[r.zone] = true
 				}
 			})
@@ -109,11 +109,11 @@
 // "cancelled" since. It goes on answering reports, so that what runs goes on.
 func TestNoStartAfterAnOldRead(t *testing.T) {
 	b := lone(t)
-	p := b.parts[0]
+	p := b.partitions[0]
 	m := b.machine("host-1")
 	b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-	b.put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
-	b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 3)
+	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
+	b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 3)
 	if cmds := b.commands(m, p); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
 		t.Fatalf("commands %v", cmds)
 	}
@@ -121,7 +121,7 @@
 	if cmds := b.commands(m, p); len(cmds) != 0 {
 		t.Errorf("commands %v on an old read", cmds)
 	}
-	if !b.fresh(b.hold) {
+	if !b.isFresh(b.maxStaleness) {
 		t.Error("reports are not answered any more")
 	}
 }
@@ -131,7 +131,7 @@
 func TestWhoIsToBlameForFailures(t *testing.T) {
 	b := lone(t)
 	job := func(id string) *job {
-		b.put(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 9, CPUs: 1, Team: "t"}}), b.cursor+uint64(len(b.vers))+5)
+		b.putRecord(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 9, CPUs: 1, Team: "t"}}), b.cursor+uint64(len(b.revisions))+5)
 		return b.jobs[id]
 	}
 	bad, worse := job("wk-1"), job("wk-2")
@@ -171,21 +171,21 @@
 		n := rapid.IntRange(1, 20).Draw(t, "tasks")
 		may := rapid.IntRange(1, n).Draw(t, "may run")
 		bound := rapid.IntRange(0, may-1).Draw(t, "are bound")
-		r := &rec{cap: may + 1, placed: bound}
+		r := &taskGroup{throttle: may + 1, boundCount: bound}
 		for i := range n {
-			e := entry{num: int32(i)}
+			e := binding{task: int32(i)}
 			if i < bound {
-				e.m = &machine{}
+				e.machine = &machine{}
 			}
-			r.entries = append(r.entries, e)
+			r.bindings = append(r.bindings, e)
 		}
 		leave := rapid.IntRange(1, may-bound).Draw(t, "leave")
-		left, moved := r.split(slices.Concat(r.entries[:bound], r.entries[bound+leave:]), r.entries[bound:bound+leave])
-		if len(left.entries) == 0 {
-			left.cap = 1 // it is the same record
+		left, moved := r.split(slices.Concat(r.bindings[:bound], r.bindings[bound+leave:]), r.bindings[bound:bound+leave])
+		if len(left.bindings) == 0 {
+			left.throttle = 1 // it is the same record
 		}
-		if left.may()+moved.may() != may || len(left.entries)+len(moved.entries) != n || moved.may() != leave || left.may() < bound {
-			t.Fatalf("%d and %d of %d may run", left.may(), moved.may(), may)
+		if left.allowedTasks()+moved.allowedTasks() != may || len(left.bindings)+len(moved.bindings) != n || moved.allowedTasks() != leave || left.allowedTasks() < bound {
+			t.Fatalf("%d and %d of %d may run", left.allowedTasks(), moved.allowedTasks(), may)
 		}
 	})
 }
@@ -272,15 +272,15 @@
 // else will ever know. Its job waited for ever.
 func TestEndOfAnotherPartsTask(t *testing.T) {
 	b := lone(t)
-	b.parts = append([]*part{b.parts[0], {n: 1, key: rollout.Initial.Keys().Partition(1)}}, &part{n: 2, key: rollout.Initial.Keys().Leader()})
-	p := b.parts[0]
-	b.put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
+	b.partitions = append([]*partition{b.partitions[0], {index: 1, key: rollout.Initial.Keys().Partition(1)}}, &partition{index: 2, key: rollout.Initial.Keys().Leader()})
+	p := b.partitions[0]
+	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
 	key := groupKey("wk-1", 0)
 	value := func(machine string) record.TaskGroup {
 		return record.TaskGroup{Partition: 2, Tasks: []record.Binding{{Attempt: 1, Machine: machine, Incarnation: 1}, {Task: 1}}}
 	}
-	b.put(key, raw(t, value("host-1")), 7)
-	r := b.recByKey[key]
+	b.putRecord(key, raw(t, value("host-1")), 7)
+	r := b.groupByKey[key]
 	m := b.machine("host-1")
 	if m.home != 0 || p.cells.CellOf(r.task(0)) == nil {
 		t.Fatalf("part %d, cell %v", m.home, p.cells.CellOf(r.task(0)))
@@ -296,8 +296,8 @@
 	// The same where the record's own part has stored the end.
 	r.writing = false
 	key = groupKey("wk-1", 1)
-	b.put(key, raw(t, value("host-2")), 8)
-	b.put(key, raw(t, value("")), 9)
+	b.putRecord(key, raw(t, value("host-2")), 8)
+	b.putRecord(key, raw(t, value("")), 9)
 	if len(p.cells.Tasks()) != 0 {
 		t.Errorf("cells %v are left", p.cells.Tasks())
 	}
--- a/internal/controller/claims.go
+++ b/internal/controller/claims.go
@@ -5,43 +5,43 @@
 // Claims of tasks on cells, kept in line with the stored records.
 
 // adopt brings the cells of a part of ours in line with a stored record.
-func (b *brain) adopt(r *rec) {
+func (b *brain) adopt(r *taskGroup) {
 	if r.job.spec == nil {
 		return
 	}
-	for i := range r.entries {
-		e := &r.entries[i]
-		if e.m == nil {
+	for i := range r.bindings {
+		e := &r.bindings[i]
+		if e.machine == nil {
 			continue
 		}
-		p := b.parts[e.m.home]
-		if p.term == 0 {
+		p := b.partitions[e.machine.home]
+		if p.token == 0 {
 			continue
 		}
-		t := r.task(e.num)
+		t := r.task(e.task)
 		if o, ok := b.outcomes[t]; ok && o.attempt == e.attempt {
 			continue // its cell is free already, on proof
 		}
-		delete(p.alloc, t)
-		p.cells.Adopt(t, e.m.idx, r.job.need, r.claim())
-		b.willFetch(e.m, r.job.spec.Image)
+		delete(p.reservations, t)
+		p.cells.Adopt(t, e.machine.idx, r.job.taskSize, r.claim())
+		b.willFetch(e.machine, r.job.spec.Image)
 	}
 }
 
 // cancelClaims gives up what a record's tasks claim without a stored binding; of
 // cells whose binding may be on its way only if those, too, are void.
-func (b *brain) cancelClaims(r *rec, all bool) {
-	p := b.parts[r.part]
-	if p.term == 0 {
+func (b *brain) cancelClaims(r *taskGroup, all bool) {
+	p := b.partitions[r.partition]
+	if p.token == 0 {
 		return
 	}
-	for i := range r.entries {
-		t := r.task(r.entries[i].num)
+	for i := range r.bindings {
+		t := r.task(r.bindings[i].task)
 		if g := p.cells.PreemptingGroup(t); g != nil {
 			p.cells.Cancel(g)
 		}
-		if _, ok := p.alloc[t]; ok && all {
-			delete(p.alloc, t)
+		if _, ok := p.reservations[t]; ok && all {
+			delete(p.reservations, t)
 			b.freeCell(p, t)
 		}
 	}
@@ -50,37 +50,37 @@
 // releaseClaims gives up whatever tasks hold in a part of ours that leave a
 // record. Left behind, their cells would never be free again, and a look at
 // their record would find none.
-func (b *brain) releaseClaims(r *rec, kept map[int32]bool) {
-	p := b.parts[r.part]
-	if p.term == 0 {
+func (b *brain) releaseClaims(r *taskGroup, kept map[int32]bool) {
+	p := b.partitions[r.partition]
+	if p.token == 0 {
 		return
 	}
-	for i := range r.entries {
-		if kept[r.entries[i].num] {
+	for i := range r.bindings {
+		if kept[r.bindings[i].task] {
 			continue
 		}
-		t := r.task(r.entries[i].num)
+		t := r.task(r.bindings[i].task)
 		if g := p.cells.PreemptingGroup(t); g != nil {
 			p.cells.Cancel(g)
 		}
-		delete(p.alloc, t)
+		delete(p.reservations, t)
 		b.freeCell(p, t)
 	}
 }
 
 // freeCell ends a task's use of its cell; a group that waited for it may now
 // be Allocated.
-func (b *brain) freeCell(p *part, t core.Task) {
+func (b *brain) freeCell(p *partition, t core.Task) {
 	if g := p.cells.Release(t); g != nil {
 		b.allocated(p, g)
 	}
 }
 
-func (b *brain) allocated(p *part, g *core.Group) {
+func (b *brain) allocated(p *partition, g *core.Group) {
 	for i, t := range g.Tasks {
 		m := b.byIdx[g.Machines[i]]
-		p.alloc[t] = alloc{m, m.session}
-		b.willFetch(m, b.recs[t.Group].job.spec.Image)
+		p.reservations[t] = reservation{m, m.session}
+		b.willFetch(m, b.groups[t.Group].job.spec.Image)
 	}
 	b.step()
 }
--- a/internal/controller/deal.go
+++ b/internal/controller/deal.go
@@ -13,44 +13,44 @@
 )
 
 func (b *brain) limits() []core.Quota {
-	out := make([]core.Quota, len(b.teams))
+	out := make([]core.Quota, len(b.teamIndex))
 	for i := range b.cfg.Settings.Teams {
 		t := &b.cfg.Settings.Teams[i]
 		out[b.team(t.Name)] = core.Quota{Guaranteed: core.NewResources(t.CPUs, t.GPUs, 0), Limit: core.NewResources(t.CPUsMax, t.GPUsMax, 0)}
 	}
-	for r := range b.records() {
+	for r := range b.allGroups() {
 		if r.job.spec == nil {
 			continue
 		}
 		// A dealt task counts for its team's limit whether it runs or not; one
 		// of a cancelled job until it is proven gone.
-		n := r.counts(b.cursor)
+		n := r.quotaTasks(b.cursor)
 		l := &out[r.job.team]
-		use := r.job.need.Times(n)
+		use := r.job.taskSize.Times(n)
 		l.Used = l.Used.Plus(use)
-		if r.own {
+		if r.guaranteed {
 			l.GuaranteedUsed = l.GuaranteedUsed.Plus(use)
 		}
 	}
 	// A gang that is dealt in several transactions counts whole from the first on: it
 	// can't be begun without the rest.
-	for _, j := range b.atHand {
-		if j.fate != live || j.spec == nil {
+	for _, j := range b.unfinished {
+		if j.finalState != unfinishedJob || j.spec == nil {
 			continue
 		}
 		// What a record that can't be decoded binds may run: it counts until it is known.
-		if j.bad() {
-			dealt, _ := j.dealt()
+		if j.hasUnreadableRecords() {
+			dealt, _ := j.assignedTasks()
 			l := &out[j.team]
-			l.Used = l.Used.Plus(j.need.Times(min(j.spec.Tasks-dealt, len(j.unreadable)*mostEntries)))
+			l.Used = l.Used.Plus(j.taskSize.Times(min(j.spec.Tasks-dealt, len(j.unreadable)*maxGroupBindings)))
 		}
 		if !j.spec.Gang {
 			continue
 		}
-		if dealt, _ := j.dealt(); dealt > 0 && dealt < j.spec.Tasks {
-			l, use := &out[j.team], j.need.Times(j.spec.Tasks-dealt)
+		if dealt, _ := j.assignedTasks(); dealt > 0 && dealt < j.spec.Tasks {
+			l, use := &out[j.team], j.taskSize.Times(j.spec.Tasks-dealt)
 			l.Used = l.Used.Plus(use)
-			if j.firstRec().own {
+			if j.firstGroup().guaranteed {
 				l.GuaranteedUsed = l.GuaranteedUsed.Plus(use)
 			}
 		}
@@ -64,8 +64,8 @@
 	byUrgency := b.byUrgency()
 	wants, lost := b.settleDealt(hosts, byUrgency)
 	var jobs []*job
-	for _, j := range b.atHand {
-		if j.fate == live && j.spec != nil && j.stamp != 0 && !j.bad() && j.waits() {
+	for _, j := range b.unfinished {
+		if j.finalState == unfinishedJob && j.spec != nil && j.revision != 0 && !j.hasUnreadableRecords() && j.hasWaitingTasks() {
 			jobs = append(jobs, j)
 		}
 	}
@@ -74,10 +74,10 @@
 	noRoom := map[string]bool{}
 	alike := map[string]int{} // where in wants the services of a kind are
 	short := map[int32]bool{} // teams in which somebody waits for the limit
-	b.lead.ahead = b.dealAhead(lost)
+	b.leadership.ahead = b.dealAhead(lost)
 	places := map[string]bool{} // whether jobs of a kind find any room at all
 	placeable := func(j *job) bool {
-		kind := j.sig
+		kind := j.equivalenceClass
 		if j.spec.SingleZone {
 			kind += "/" + b.pinned(j)
 		}
@@ -94,54 +94,54 @@
 		if !short[j.team] {
 			b.uncap(j, &limits[j.team])
 		}
-		dealt, _ := j.dealt()
+		dealt, _ := j.assignedTasks()
 		if j.spec.Gang && dealt > 0 && dealt < j.spec.Tasks {
 			b.dealRest(j, dealt)
 			continue
 		}
-		if b.now.Sub(j.dealtAt) < dealEvery && !j.spec.AllOrNothing() {
+		if b.now.Sub(j.assignedAt) < dealEvery && !j.spec.AllOrNothing() {
 			if left := j.spec.Tasks - dealt; left > 0 {
-				n := limits[j.team].Room(j.need, left)
+				n := limits[j.team].Room(j.taskSize, left)
 				short[j.team] = short[j.team] || n < left && placeable(j)
 				wants = append(wants, b.want(j, "", n))
 			}
 			continue
 		}
 		if left := j.spec.Tasks - dealt; left > 0 {
-			must := b.order(j).ForcedTasks(j.pending())
+			must := b.order(j).ForcedTasks(j.unplacedTasks())
 			if must > 0 {
 				left = min(left, must)
 			}
-			if noRoom[j.sig] && !j.spec.AllOrNothing() && must == 0 {
+			if noRoom[j.equivalenceClass] && !j.spec.AllOrNothing() && must == 0 {
 				// Jobs alike are decided as a class: where one found no room,
 				// none behind it will.
-				n := limits[j.team].Room(j.need, left)
+				n := limits[j.team].Room(j.taskSize, left)
 				wants = append(wants, b.want(j, "", n))
 				continue
 			}
-			if at, ok := alike[j.sig]; ok && j.spec.Tasks == 1 && limits[j.team].Room(j.need, 1) == 1 {
+			if at, ok := alike[j.equivalenceClass]; ok && j.spec.Tasks == 1 && limits[j.team].Room(j.taskSize, 1) == 1 {
 				// The same for services of one replica, that are many after a loss.
-				limits[j.team].Used = limits[j.team].Used.Plus(j.need)
+				limits[j.team].Used = limits[j.team].Used.Plus(j.taskSize)
 				wants[at].Groups++
 				continue
 			}
 			before := limits[j.team].Used
-			if limits[j.team].Room(j.need, left) < left && placeable(j) {
+			if limits[j.team].Room(j.taskSize, left) < left && placeable(j) {
 				short[j.team] = true
-				b.squeeze(j, limits[j.team].Shortfall(j.need.Times(left)))
+				b.squeeze(j, limits[j.team].Shortfall(j.taskSize.Times(left)))
 			}
 			w := b.dealJob(hosts, limits, j, portion{dealt, left, must > 0})
 			if w.Count > 0 {
 				if j.spec.AllOrNothing() && j.spec.Tasks == 1 && !b.lentFor(j) {
-					alike[j.sig], w.Groups = len(wants), 1
+					alike[j.equivalenceClass], w.Groups = len(wants), 1
 				}
 				wants = append(wants, w)
-				noRoom[j.sig] = true
+				noRoom[j.equivalenceClass] = true
 			}
-			if j.spec.AllOrNothing() && limits[j.team].Used == before && (b.now.Sub(j.at) < groupPatience || placeable(j)) {
+			if j.spec.AllOrNothing() && limits[j.team].Used == before && (b.now.Sub(j.acceptedAt) < groupPatience || placeable(j)) {
 				// What a group waits for is not for those behind it, unless no machine
 				// has come for it in good time: none may ever.
-				limits[j.team].Used = before.Plus(j.need.Times(left))
+				limits[j.team].Used = before.Plus(j.taskSize.Times(left))
 			}
 		}
 	}
@@ -165,25 +165,25 @@
 		return !h.Booting && b.poolOpen(j, h) && allowed(j.spec, zone, h.Type, h.Zone, h.Spot)
 	}
 	for _, h := range hosts {
-		if can(h) && h.Free.Contains(j.need) {
+		if can(h) && h.Free.Contains(j.taskSize) {
 			return true
 		}
 	}
-	return core.PlaceByPreemption(core.CloneSummaries(hosts), can, j.need, core.Claim{Priority: j.spec.Priority, Team: j.team}) != nil
+	return core.PlaceByPreemption(core.CloneSummaries(hosts), can, j.taskSize, core.Claim{Priority: j.spec.Priority, Team: j.team}) != nil
 }
 
 // settleDealt has the tasks that are dealt and not placed yet take the room in
 // their parts, and moves those that find none to parts that have it. It returns
 // what found none anywhere, and how much of each record that is.
-func (b *brain) settleDealt(hosts []*core.MachineSummary, byUrgency func(x, y *job) int) (wants []core.Demand, lost map[*rec]int) {
-	var recs, stuck []*rec
-	for r := range b.records() {
-		if r.job.fate == live && r.job.spec != nil && r.job.stamp != 0 && r.may() > r.bound() {
+func (b *brain) settleDealt(hosts []*core.MachineSummary, byUrgency func(x, y *job) int) (wants []core.Demand, lost map[*taskGroup]int) {
+	var recs, stuck []*taskGroup
+	for r := range b.allGroups() {
+		if r.job.finalState == unfinishedJob && r.job.spec != nil && r.job.revision != 0 && r.allowedTasks() > r.boundTasks() {
 			recs = append(recs, r)
 		}
 	}
-	slices.SortFunc(recs, func(x, y *rec) int { return cmp.Or(byUrgency(x.job, y.job), cmp.Compare(x.k, y.k)) })
-	lost = map[*rec]int{}
+	slices.SortFunc(recs, func(x, y *taskGroup) int { return cmp.Or(byUrgency(x.job, y.job), cmp.Compare(x.number, y.number)) })
+	lost = map[*taskGroup]int{}
 	// Room only gets less here, so where one of a class has found none, none
 	// behind it will.
 	type class struct {
@@ -194,21 +194,21 @@
 	full := map[class]bool{}
 	for _, r := range recs {
 		spec := r.job.spec
-		n := r.may() - r.bound()
-		c := class{r.job.sig, r.zone, r.part, r.claim()}
+		n := r.allowedTasks() - r.boundTasks()
+		c := class{r.job.equivalenceClass, r.zone, r.partition, r.claim()}
 		if !full[c] {
 			in := func(h *core.MachineSummary) bool {
-				return h.Partition == r.part && !h.Booting && allowed(spec, r.zone, h.Type, h.Zone, h.Spot)
+				return h.Partition == r.partition && !h.Booting && allowed(spec, r.zone, h.Type, h.Zone, h.Spot)
 			}
-			if spec.Gang && r.part == b.lentPart() && roomFor(hosts, in, r.job.need, n) < n {
+			if spec.Gang && r.partition == b.loanPartition() && roomFor(hosts, in, r.job.taskSize, n) < n {
 				// It gathers room there, but holds none for long that it can't use.
 				any := in
 				in = func(h *core.MachineSummary) bool { return any(h) && !b.unusedForLong(h) }
 			}
-			for _, k := range core.PlaceInFreeRoom(hosts, in, r.job.need, n) {
+			for _, k := range core.PlaceInFreeRoom(hosts, in, r.job.taskSize, n) {
 				n -= k
 			}
-			for n > 0 && spec.Priority > 0 && core.PlaceByPreemption(hosts, in, r.job.need, r.claim()) != nil {
+			for n > 0 && spec.Priority > 0 && core.PlaceByPreemption(hosts, in, r.job.taskSize, r.claim()) != nil {
 				n--
 			}
 			full[c] = n > 0
@@ -221,8 +221,8 @@
 	nowhere := map[class]bool{}
 	for _, r := range stuck {
 		n := lost[r]
-		c := class{r.job.sig, r.zone, r.part, r.claim()}
-		if !r.writing && b.now.Sub(r.since) > time.Second && (r.job.spec.AllOrNothing() || !nowhere[c]) {
+		c := class{r.job.equivalenceClass, r.zone, r.partition, r.claim()}
+		if !r.writing && b.now.Sub(r.inPartitionSince) > time.Second && (r.job.spec.AllOrNothing() || !nowhere[c]) {
 			if b.moveStuck(hosts, r, n) {
 				continue
 			}
@@ -252,10 +252,10 @@
 	if j.spec.NoDeadline {
 		return math.Inf(1)
 	}
-	age := b.now.Sub(j.at).Seconds()
+	age := b.now.Sub(j.acceptedAt).Seconds()
 	slack := j.spec.DeadlineS - age
 	if slack < j.spec.EstimateS { // too late for that, and perhaps not for its class's aim
-		slack = max(slack, b.within[j.spec.Class]-age)
+		slack = max(slack, b.objectiveSeconds[j.spec.Class]-age)
 	}
 	return slack
 }
@@ -263,7 +263,7 @@
 // want is what a job's tasks that found no room ask of the fleet.
 func (b *brain) want(j *job, zone string, n int) core.Demand {
 	spec, o := j.spec, b.order(j)
-	return core.Demand{Class: spec.Class, TaskSize: j.need, Count: n, AllOrNothing: spec.AllOrNothing(), EstimateS: spec.EstimateS, WindowS: o.WindowS(), SlackS: b.slack(j),
+	return core.Demand{Class: spec.Class, TaskSize: j.taskSize, Count: n, AllOrNothing: spec.AllOrNothing(), EstimateS: spec.EstimateS, WindowS: o.WindowS(), SlackS: b.slack(j),
 		Allows: func(typ, zoneOf string, spot bool) bool { return allowed(spec, zone, typ, zoneOf, spot) }}
 }
 
@@ -278,21 +278,21 @@
 
 // dealAhead is how many tasks each part may be dealt beyond its free room, so
 // that an ending task's cell is taken again without asking the leader.
-func (b *brain) dealAhead(lost map[*rec]int) []int {
-	ahead := make([]float64, len(b.parts))
+func (b *brain) dealAhead(lost map[*taskGroup]int) []int {
+	ahead := make([]float64, len(b.partitions))
 	t := b.turnaround().Seconds()
-	for r := range b.records() {
+	for r := range b.allGroups() {
 		if r.job.spec != nil && !r.job.spec.AllOrNothing() {
-			ahead[r.part] += core.AssignAhead(r.bound(), r.job.spec.EstimateS, t)
+			ahead[r.partition] += core.AssignAhead(r.boundTasks(), r.job.spec.EstimateS, t)
 		}
 	}
-	out := make([]int, len(b.parts))
+	out := make([]int, len(b.partitions))
 	for p := range out {
 		out[p] = int(math.Ceil(ahead[p]))
 	}
 	for r, n := range lost {
-		if r.part >= 0 && r.part < len(out) {
-			out[r.part] -= n
+		if r.partition >= 0 && r.partition < len(out) {
+			out[r.partition] -= n
 		}
 	}
 	return out
@@ -310,14 +310,14 @@
 	dealt, left := ask.dealt, ask.left
 	spec := j.spec
 	lim := &limits[j.team]
-	room := lim.Room(j.need, left)
+	room := lim.Room(j.taskSize, left)
 	if spec.AllOrNothing() && room < left {
 		room = 0 // it is dealt whole
 	}
 	if room == 0 {
 		return core.Demand{}
 	}
-	own := lim.GuaranteedRoom(j.need, room)
+	own := lim.GuaranteedRoom(j.taskSize, room)
 	if spec.Gang && own < room {
 		own = 0 // one claim for all of it, and one record
 	}
@@ -326,11 +326,11 @@
 	next := int32(dealt)
 	add := func(part int, zone string, n int) {
 		for n > 0 {
-			k := min(n, b.maxRec)
+			k := min(n, b.maxGroupTasks)
 			if own > 0 {
 				k = min(k, own)
 			}
-			chunks = append(chunks, newGroup(part, zone, own > 0, next, k))
+			chunks = append(chunks, newTaskGroupRecord(part, zone, own > 0, next, k))
 			own = max(0, own-k)
 			next += int32(k)
 			n -= k
@@ -338,7 +338,7 @@
 	}
 	// Where a team's limit is short, what is dealt but can't run yet would hold
 	// the limit against others of the team, and would have to be held back again.
-	tight := lim.Room(j.need, left+core.MinAssigned*len(b.parts)) < left+core.MinAssigned*len(b.parts)
+	tight := lim.Room(j.taskSize, left+core.MinAssigned*len(b.partitions)) < left+core.MinAssigned*len(b.partitions)
 	got := 0
 	// What is kept for gangs is for more urgent work only if there is nothing else.
 	zones := b.zonesFor(j, hosts)
@@ -357,11 +357,11 @@
 		can := func(h *core.MachineSummary) bool {
 			return !h.Booting && (i >= pooled || b.poolOpen(j, h)) && allowed(spec, zone, h.Type, h.Zone, h.Spot)
 		}
-		d := core.Assignment{TaskSize: j.need, Count: n, Claim: claim, Allowed: can, QuotaShort: tight, Forced: ask.must}
+		d := core.Assignment{TaskSize: j.taskSize, Count: n, Claim: claim, Allowed: can, QuotaShort: tight, Forced: ask.must}
 		if spec.AllOrNothing() {
 			// The whole group in one part, so that its cells are reserved
 			// together; its part's owner evicts where there is no free room.
-			part, ok := d.OnePartition(hosts, len(b.parts))
+			part, ok := d.OnePartition(hosts, len(b.partitions))
 			if !ok {
 				if n > 1 && b.borrow(hosts, j, zone, n, claim) {
 					return core.Demand{}
@@ -372,7 +372,7 @@
 			got += n
 			continue
 		}
-		perPart := d.PerPartition(hosts, b.lead.ahead)
+		perPart := d.PerPartition(hosts, b.leadership.ahead)
 		for part, k := range perPart {
 			k = min(k, room-got)
 			if k > 0 {
@@ -393,10 +393,10 @@
 		}
 		chunks = chunks[:most]
 	}
-	lim.Used = lim.Used.Plus(j.need.Times(got))
+	lim.Used = lim.Used.Plus(j.taskSize.Times(got))
 	for _, g := range chunks {
 		if g.Guaranteed {
-			lim.GuaranteedUsed = lim.GuaranteedUsed.Plus(j.need.Times(len(g.Tasks)))
+			lim.GuaranteedUsed = lim.GuaranteedUsed.Plus(j.taskSize.Times(len(g.Tasks)))
 		}
 	}
 	b.writeDealing(j, chunks)
@@ -408,7 +408,7 @@
 }
 
 // newGroup is a record of tasks that are dealt for the first time.
-func newGroup(part int, zone string, own bool, first int32, tasks int) record.TaskGroup {
+func newTaskGroupRecord(part int, zone string, own bool, first int32, tasks int) record.TaskGroup {
 	g := record.TaskGroup{Partition: part, Zone: zone, Guaranteed: own}
 	for num := first; num < first+int32(tasks); num++ {
 		g.Tasks = append(g.Tasks, record.Binding{Task: num})
@@ -420,7 +420,7 @@
 func (b *brain) inOneTxn(chunks []record.TaskGroup) []record.TaskGroup {
 	size := 0
 	for i := range chunks {
-		size += chunks[i].Encode(b.form()).Size() + recordOverhead
+		size += chunks[i].Encode(b.encoding()).Size() + recordOverhead
 		if i > 0 && (i == b.cfg.Settings.State.TxnOps || size > store.MaxTxnBytes) {
 			return chunks[:i]
 		}
@@ -436,10 +436,10 @@
 // where those are. Which tasks are dealt is known by number alone, so there is one
 // transaction at a time; a new leader goes on where the last one stopped.
 func (b *brain) dealRest(j *job, dealt int) {
-	first := j.firstRec()
+	first := j.firstGroup()
 	var chunks []record.TaskGroup
-	for next := dealt; next < j.spec.Tasks; next += b.maxRec {
-		chunks = append(chunks, newGroup(first.part, first.zone, first.own, int32(next), min(b.maxRec, j.spec.Tasks-next)))
+	for next := dealt; next < j.spec.Tasks; next += b.maxGroupTasks {
+		chunks = append(chunks, newTaskGroupRecord(first.partition, first.zone, first.guaranteed, int32(next), min(b.maxGroupTasks, j.spec.Tasks-next)))
 	}
 	b.writeDealing(j, b.inOneTxn(chunks))
 }
@@ -451,31 +451,31 @@
 	if len(chunks) == 0 {
 		return
 	}
-	u := &store.Write{Prompt: j.spec.Gang, Early: true, Conditions: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.stamp}}}
+	u := &store.Write{Prompt: j.spec.Gang, Early: true, Conditions: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
 	empty := j.emptyRecs()
-	var used []*rec
+	var used []*taskGroup
 	tasks := 0
 	for _, g := range chunks {
 		tasks += len(g.Tasks)
 		key, stamp := "", uint64(0)
 		if len(empty) > 0 {
-			key, stamp, g.Done = empty[0].key, empty[0].stamp, empty[0].done
+			key, stamp, g.Done = empty[0].key, empty[0].revision, empty[0].done
 			empty[0].writing = true
 			used, empty = append(used, empty[0]), empty[1:]
 		} else {
-			key = groupKey(j.id, j.newRec())
+			key = groupKey(j.id, j.newGroupNumber())
 		}
 		u.Conditions = append(u.Conditions, wire.Condition{Key: key, Revision: stamp})
-		u.Changes = append(u.Changes, wire.Change{Put: key, Value: g.Encode(b.form()).At(key)})
+		u.Changes = append(u.Changes, wire.Change{Put: key, Value: g.Encode(b.encoding()).At(key)})
 	}
-	j.dealtAt = b.now
-	b.lead.writes++
-	epoch := b.lead.epoch
-	b.write(u, func(err error) {
+	j.assignedAt = b.now
+	b.leadership.writes++
+	epoch := b.leadership.epoch
+	b.submitWrite(u, func(err error) {
 		for _, r := range used {
 			r.writing = false
 		}
-		b.leadWrote(epoch, err)
+		b.leaderWriteDone(epoch, err)
 	})
 	b.metrics.count(cDealt, len(chunks))
 	b.log.Debug("dealt", "job", j.id, "tasks", tasks, "records", len(chunks))
@@ -484,21 +484,21 @@
 // emptyRecs are records whose tasks are all done. They are used again, so that a large
 // array leaves few behind. None is deleted while its job lives: a dealing that is applied
 // minutes late must not find its key absent once more.
-func (j *job) emptyRecs() []*rec {
-	var empty []*rec
-	for _, r := range j.recs {
-		if len(r.entries) == 0 && !r.writing {
+func (j *job) emptyRecs() []*taskGroup {
+	var empty []*taskGroup
+	for _, r := range j.groups {
+		if len(r.bindings) == 0 && !r.writing {
 			empty = append(empty, r)
 		}
 	}
-	slices.SortFunc(empty, func(x, y *rec) int { return cmp.Compare(x.k, y.k) })
+	slices.SortFunc(empty, func(x, y *taskGroup) int { return cmp.Compare(x.number, y.number) })
 	return empty
 }
 
 // pinned is the zone that a samePlace job's tasks are in already, or are to be.
 func (b *brain) pinned(j *job) string {
-	for _, r := range j.recs {
-		if r.zone != "" && len(r.entries) > 0 {
+	for _, r := range j.groups {
+		if r.zone != "" && len(r.bindings) > 0 {
 			return r.zone
 		}
 	}
@@ -516,7 +516,7 @@
 	free := map[string]int{}
 	for _, h := range hosts {
 		if allowed(j.spec, "", h.Type, h.Zone, h.Spot) {
-			free[h.Zone] += h.Free.CountFitting(j.need, j.spec.Tasks)
+			free[h.Zone] += h.Free.CountFitting(j.taskSize, j.spec.Tasks)
 		}
 	}
 	var zones []string
@@ -533,9 +533,9 @@
 // spreadRoom is how many more tasks may go to a zone: half of all, rounded up.
 func (b *brain) spreadRoom(j *job, zone string, more []record.TaskGroup) int {
 	n := (j.spec.Tasks + 1) / 2
-	for _, r := range j.recs {
+	for _, r := range j.groups {
 		if r.zone == zone {
-			n -= len(r.entries)
+			n -= len(r.bindings)
 		}
 	}
 	for _, g := range more {
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -79,7 +79,7 @@
 	b := crowded(t, machines)
 	var log bytes.Buffer
 	b.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelError}))
-	p := b.parts[0]
+	p := b.partitions[0]
 	for _, m := range p.machines {
 		m.gone = true
 		b.endAll(m, "test")
@@ -92,8 +92,8 @@
 		t.Errorf("%d tasks are lost: %s", lost, log.String()[:min(log.Len(), 300)])
 	}
 	waiting := 0
-	for _, r := range p.recs {
-		if !r.writing && r.dirty {
+	for _, r := range p.groups {
+		if !r.writing && r.hasUnstoredEnds {
 			waiting++
 		}
 	}
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -19,11 +19,11 @@
 // gangAttempt is the present attempt of a gang, and whether any task of it may still be
 // on a machine. Without one the next binding is a new attempt.
 func (b *brain) gangAttempt(j *job) (attempt uint64, there bool) {
-	for _, r := range j.recs {
-		for i := range r.entries {
-			e := &r.entries[i]
+	for _, r := range j.groups {
+		for i := range r.bindings {
+			e := &r.bindings[i]
 			attempt = max(attempt, e.attempt)
-			there = there || e.m != nil
+			there = there || e.machine != nil
 		}
 	}
 	return attempt, there
@@ -32,11 +32,11 @@
 // missing counts the members of a gang's present attempt that are gone.
 func (b *brain) missing(j *job, attempt uint64) int {
 	n := 0
-	for _, r := range j.recs {
-		for i := range r.entries {
-			e := &r.entries[i]
-			o, ended := b.outcomes[r.task(e.num)]
-			if e.m == nil && e.attempt == attempt || e.m != nil && ended && o.attempt == e.attempt && !o.done {
+	for _, r := range j.groups {
+		for i := range r.bindings {
+			e := &r.bindings[i]
+			o, ended := b.outcomes[r.task(e.task)]
+			if e.machine == nil && e.attempt == attempt || e.machine != nil && ended && o.attempt == e.attempt && !o.done {
 				n++
 			}
 		}
@@ -48,24 +48,24 @@
 // completed: the others stop, and the gang starts whole again.
 func (b *brain) broken(j *job) bool {
 	attempt, there := b.gangAttempt(j)
-	if !there || attempt == 0 || j.ran != attempt && j.spoilt != attempt {
+	if !there || attempt == 0 || j.startedAttempt != attempt && j.failedAttempt != attempt {
 		return false
 	}
-	return j.spoilt == attempt || b.missing(j, attempt) > 0
+	return j.failedAttempt == attempt || b.missing(j, attempt) > 0
 }
 
 // gangStops tells whether a gang is to be stopped: one of its tasks has to go.
 func (b *brain) gangStops(j *job) bool {
-	if j.fate != live {
+	if j.finalState != unfinishedJob {
 		return true
 	}
-	for _, r := range j.recs {
-		for i := range r.entries {
-			m := r.entries[i].m
-			if m == nil || b.parts[m.home].term == 0 {
+	for _, r := range j.groups {
+		for i := range r.bindings {
+			m := r.bindings[i].machine
+			if m == nil || b.partitions[m.home].token == 0 {
 				continue // nowhere, or another's to say
 			}
-			if b.mustLeave(r, r.task(r.entries[i].num), m, b.parts[m.home]) {
+			if b.mustLeave(r, r.task(r.bindings[i].task), m, b.partitions[m.home]) {
 				return true
 			}
 		}
@@ -76,19 +76,19 @@
 // tellGangs has gangs that are to be stopped hear it at once, on all their machines: an
 // orderly stop has to reach every task within gang_peer_s of the first, and what runs on
 // without the others is of no use.
-func (b *brain) tellGangs(p *part) {
-	for _, r := range p.recs {
+func (b *brain) tellGangs(p *partition) {
+	for _, r := range p.groups {
 		j := r.job
-		if r.placed == 0 || j.spec == nil || !j.spec.Gang || j.fate != live {
+		if r.boundCount == 0 || j.spec == nil || !j.spec.Gang || j.finalState != unfinishedJob {
 			continue
 		}
 		b.giveUpIncomplete(j)
 		attempt, _ := b.gangAttempt(j)
-		if j.told == attempt || !b.gangStops(j) {
+		if j.stoppedAttempt == attempt || !b.gangStops(j) {
 			continue
 		}
-		j.told = attempt
-		for _, o := range j.recs {
+		j.stoppedAttempt = attempt
+		for _, o := range j.groups {
 			b.cancelClaims(o, !o.writing) // what was to replace a task of it
 		}
 		b.log.Debug("gang is stopped", "job", j.id, "attempt", attempt, "broken", b.broken(j))
@@ -103,15 +103,15 @@
 func (j *job) gangSeen(t *wire.TaskStatus) {
 	switch t.State {
 	case wire.Running, wire.Saving:
-		j.ran = max(j.ran, t.Attempt)
+		j.startedAttempt = max(j.startedAttempt, t.Attempt)
 	case wire.Exited:
 		switch t.Reason {
 		case wire.ReasonDone:
-			j.finished = true // they complete together
+			j.gangCompleted = true // they complete together
 		case wire.ReasonIncompleteGang, wire.ReasonError:
-			j.spoilt = max(j.spoilt, t.Attempt)
+			j.failedAttempt = max(j.failedAttempt, t.Attempt)
 		case wire.ReasonPeersGone:
-			j.ran = max(j.ran, t.Attempt)
+			j.startedAttempt = max(j.startedAttempt, t.Attempt)
 		}
 	}
 }
@@ -119,7 +119,7 @@
 // grace is what a task is given to save when it is stopped: what it asks for, unless
 // there is nothing to save. A gang saves together or not at all.
 func (b *brain) grace(j *job) float64 {
-	if j.fate != live || j.spec == nil || j.spec.CheckpointS == 0 || j.spec.Gang && b.broken(j) {
+	if j.finalState != unfinishedJob || j.spec == nil || j.spec.CheckpointS == 0 || j.spec.Gang && b.broken(j) {
 		return 0
 	}
 	return j.spec.SaveS
@@ -127,17 +127,17 @@
 
 // placeGang asks for cells for a gang: for all of its tasks, or for those that were lost
 // before it ran, which complete the attempt that waits for them.
-func (b *brain) placeGang(p *part, r *rec, pending []core.Task, request func(...core.Task) bool) {
+func (b *brain) placeGang(p *partition, r *taskGroup, pending []core.Task, request func(...core.Task) bool) {
 	j := r.job
-	if dealt, _ := j.dealt(); dealt < j.spec.Tasks || !j.together(p.n, r.zone) {
+	if dealt, _ := j.assignedTasks(); dealt < j.spec.Tasks || !j.groupsTogether(p.index, r.zone) {
 		return // a group is reserved whole, in one part
 	}
-	for _, o := range j.recs {
+	for _, o := range j.groups {
 		if o.writing {
 			return
 		}
 	}
-	if attempt, there := b.gangAttempt(j); there && (j.ran == attempt || j.spoilt == attempt || j.told == attempt) || j.isFinished() {
+	if attempt, there := b.gangAttempt(j); there && (j.startedAttempt == attempt || j.failedAttempt == attempt || j.stoppedAttempt == attempt) || j.gangIsDone() {
 		return // it starts again when all are back
 	}
 	request(pending...)
@@ -148,19 +148,19 @@
 // machines for tasks that can't run, if the rest fails.
 func (j *job) complete() bool {
 	n := 0
-	for _, r := range j.recs {
-		if r.placed < len(r.entries) {
+	for _, r := range j.groups {
+		if r.boundCount < len(r.bindings) {
 			return false
 		}
-		n += r.placed
+		n += r.boundCount
 	}
 	return n == j.spec.Tasks
 }
 
 // isFinished tells whether a gang is done. Its tasks complete together, so one that is
 // stored as done speaks for all, also to a controller that never saw its report.
-func (j *job) isFinished() bool {
-	return j.finished || slices.ContainsFunc(j.recs, func(r *rec) bool { return r.done > 0 })
+func (j *job) gangIsDone() bool {
+	return j.gangCompleted || slices.ContainsFunc(j.groups, func(r *taskGroup) bool { return r.done > 0 })
 }
 
 // giveUpIncomplete ends an attempt that was bound in part and can't be completed: without
@@ -174,7 +174,7 @@
 		j.incompleteSince = b.now
 	case b.now.Sub(j.incompleteSince) > config.Seconds(b.cfg.Settings.Workers.GangWaitS):
 		j.incompleteSince = time.Time{}
-		j.spoilt = max(j.spoilt, attempt)
+		j.failedAttempt = max(j.failedAttempt, attempt)
 		b.log.Info("gang can't be completed and is bound anew", "job", j.id, "attempt", attempt)
 	}
 }
@@ -182,9 +182,9 @@
 // machines goes through the machines that a job's tasks are bound to, one for each task.
 func (j *job) machines() iter.Seq[*machine] {
 	return func(yield func(*machine) bool) {
-		for _, r := range j.recs {
-			for i := range r.entries {
-				if m := r.entries[i].m; m != nil && !yield(m) {
+		for _, r := range j.groups {
+			for i := range r.bindings {
+				if m := r.bindings[i].machine; m != nil && !yield(m) {
 					return
 				}
 			}
--- a/internal/controller/gang_clauses_test.go
+++ b/internal/controller/gang_clauses_test.go
@@ -278,15 +278,15 @@
 		{"one has found out", wire.Exited, wire.ReasonPeersGone, false, true},
 	} {
 		b := lone(t)
-		p := b.parts[0]
+		p := b.partitions[0]
 		m := b.machine("host-1")
 		b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-		b.put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2, CPUs: 1, CheckpointS: 5, SaveS: 2, Team: "t"}}), 2)
+		b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2, CPUs: 1, CheckpointS: 5, SaveS: 2, Team: "t"}}), 2)
 		tasks := []record.Binding{{Task: 0, Attempt: 1, Machine: "host-1", Incarnation: 1}, {Task: 1, Attempt: 1, Machine: "host-1", Incarnation: 1}}
 		if x.lost {
 			tasks[1] = record.Binding{Task: 1, Attempt: 1}
 		}
-		b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: tasks}), 3)
+		b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: tasks}), 3)
 		r := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, Token: 1, Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: x.state, Reason: x.why}}}
 		if !x.lost {
 			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: "wk-1/1", Attempt: 1, State: wire.Running})
@@ -309,25 +309,25 @@
 // reports have come or say that others are gone; and a controller that takes over when
 // only a part of the records is stored as done ends the rest.
 func TestOneDoneIsAllDone(t *testing.T) {
-	setUp := func(t *testing.T, records int) (*brain, *part, []*rec) {
+	setUp := func(t *testing.T, records int) (*brain, *partition, []*taskGroup) {
 		b := lone(t)
-		p := b.parts[0]
+		p := b.partitions[0]
 		m := b.machine("host-1")
 		b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-		b.put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 4, CPUs: 1, Team: "t"}}), 2)
-		var recs []*rec
+		b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 4, CPUs: 1, Team: "t"}}), 2)
+		var recs []*taskGroup
 		for k := range records {
 			var tasks []record.Binding
 			for n := k * 4 / records; n < (k+1)*4/records; n++ {
 				tasks = append(tasks, record.Binding{Task: int32(n), Attempt: 1, Machine: "host-1", Incarnation: 1})
 			}
 			key := groupKey("wk-1", k)
-			b.put(key, raw(t, record.TaskGroup{Tasks: tasks}), uint64(3+k))
-			recs = append(recs, b.recByKey[key])
+			b.putRecord(key, raw(t, record.TaskGroup{Tasks: tasks}), uint64(3+k))
+			recs = append(recs, b.groupByKey[key])
 		}
 		return b, p, recs
 	}
-	report := func(b *brain, p *part, seq uint64, whys map[int]string) {
+	report := func(b *brain, p *partition, seq uint64, whys map[int]string) {
 		r := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, Token: 1}
 		for n := range 4 {
 			if why, ok := whys[n]; ok {
@@ -356,7 +356,7 @@
 		t.Errorf("none is done: %d done, %d left", update.done, len(update.entries))
 	}
 	b, p, recs = setUp(t, 2)
-	b.put(recs[0].key, raw(t, record.TaskGroup{Done: 2, Tasks: []record.Binding{}}), 9) // by the owner before
+	b.putRecord(recs[0].key, raw(t, record.TaskGroup{Done: 2, Tasks: []record.Binding{}}), 9) // by the owner before
 	report(b, p, 2, map[int]string{2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
 	if update := b.planUpdate(p, recs[1]); update.done != 2 || !b.endsJob(recs[1], &update) {
 		t.Errorf("half is stored as done: %d more are", update.done)
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -26,12 +26,12 @@
 		{"done already", []record.TaskGroup{all[0], {Zone: "a", Done: 2, Tasks: []record.Binding{}}}, false},
 	} {
 		b := lone(t)
-		b.put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 1}}), 2)
+		b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 1}}), 2)
 		for k, v := range x.records {
-			b.put(groupKey("wk-1", k), raw(t, v), uint64(3+k))
+			b.putRecord(groupKey("wk-1", k), raw(t, v), uint64(3+k))
 		}
 		asked := false
-		b.placeGang(b.parts[0], b.recByKey[groupKey("wk-1", 0)], nil, func(...core.Task) bool {
+		b.placeGang(b.partitions[0], b.groupByKey[groupKey("wk-1", 0)], nil, func(...core.Task) bool {
 			asked = true
 			return true
 		})
@@ -56,9 +56,9 @@
 		b := lone(t)
 		m := b.machine("host-1")
 		b.lends["host-1"] = &lend{MachineLoan: record.MachineLoan{Job: x.job, Acknowledged: true}}
-		b.lead.since, m.homeAt, m.usedAt = b.now.Add(-time.Hour), b.now.Add(-time.Hour), b.now.Add(-x.unused)
-		h := &core.MachineSummary{ID: m.idx, Partition: b.lentPart(), Type: "small", Zone: "a", Size: core.NewResources(4, 0, 8), Free: core.NewResources(4, 0, 8)}
-		array := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 9}, at: b.now.Add(-time.Hour), dealtAt: b.now}
+		b.leadership.since, m.homeAt, m.usedAt = b.now.Add(-time.Hour), b.now.Add(-time.Hour), b.now.Add(-x.unused)
+		h := &core.MachineSummary{ID: m.idx, Partition: b.loanPartition(), Type: "small", Zone: "a", Size: core.NewResources(4, 0, 8), Free: core.NewResources(4, 0, 8)}
+		array := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 9}, acceptedAt: b.now.Add(-time.Hour), assignedAt: b.now}
 		if got := b.poolOpen(array, h); got != x.open {
 			t.Errorf("%s: open is %v", x.name, got)
 		}
@@ -66,8 +66,8 @@
 			t.Errorf("%s: it is not open to gangs", x.name)
 		}
 		// A gang that has been dealt there and lacks room holds no more than is kept.
-		b.put(jobKey("wk-3"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
-		b.put(groupKey("wk-3", 0), raw(t, record.TaskGroup{Partition: b.lentPart(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
+		b.putRecord(jobKey("wk-3"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
+		b.putRecord(groupKey("wk-3", 0), raw(t, record.TaskGroup{Partition: b.loanPartition(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
 		b.settleDealt([]*core.MachineSummary{h}, b.byUrgency())
 		if held := h.Free.CPU < 4000; held == x.open {
 			t.Errorf("%s: a gang without whole room holds it: %v", x.name, held)
@@ -79,19 +79,19 @@
 // kept for gangs there.
 func TestOtherZoneCountsRoomForGangs(t *testing.T) {
 	b := loneAmong(t, 3)
-	b.put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, SingleZone: true, Tasks: 3, CPUs: 2}}), 2)
-	b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}}}), 3)
-	r := b.recByKey[groupKey("wk-1", 0)]
-	r.since = b.now.Add(-zonePatience - time.Second)
+	b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, SingleZone: true, Tasks: 3, CPUs: 2}}), 2)
+	b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}}}), 3)
+	r := b.groupByKey[groupKey("wk-1", 0)]
+	r.inPartitionSince = b.now.Add(-zonePatience - time.Second)
 	var hosts []*core.MachineSummary
-	for i, part := range []int{0, b.lentPart()} {
+	for i, part := range []int{0, b.loanPartition()} {
 		m := b.machine([]string{"host-1", "host-2"}[i])
 		hosts = append(hosts, &core.MachineSummary{ID: m.idx, Partition: part, Type: "small", Zone: "b", Size: core.NewResources(4, 0, 8), Free: core.NewResources(4, 0, 8)})
 	}
-	if !b.otherZone(hosts, r) || b.lead.writes != 1 {
-		t.Errorf("it stays where there is no room for it (%d transactions)", b.lead.writes)
+	if !b.otherZone(hosts, r) || b.leadership.writes != 1 {
+		t.Errorf("it stays where there is no room for it (%d transactions)", b.leadership.writes)
 	}
-	b.lead.writes = 0
+	b.leadership.writes = 0
 	if b.otherZone(hosts[:1], r) {
 		t.Error("it goes to where there is no room either")
 	}
@@ -100,26 +100,26 @@
 // What was claimed to replace a task of an attempt is given up when the attempt is.
 func TestReplacementIsGivenUpWithItsAttempt(t *testing.T) {
 	b := lone(t)
-	p := b.parts[0]
+	p := b.partitions[0]
 	m := b.machine("host-1")
 	report := func(seq uint64, state, why string) {
 		b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, Token: 1,
 			Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: state, Reason: why}, {Task: "wk-1/1", Attempt: 1, State: wire.Gathering}}}, p, true)
 	}
-	b.put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAM: 1}}), 2)
+	b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAM: 1}}), 2)
 	bound := func(num int32) record.Binding {
 		return record.Binding{Task: num, Attempt: 1, Machine: "host-1", Incarnation: 1}
 	}
-	b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{bound(0), bound(1), {Task: 2, Attempt: 1}}}), 3)
+	b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{bound(0), bound(1), {Task: 2, Attempt: 1}}}), 3)
 	report(2, wire.Gathering, "")
-	b.place(p, b.recByKey[groupKey("wk-1", 0)], map[shape]bool{})
-	if len(p.alloc) != 1 {
-		t.Fatalf("%d tasks have claimed cells, not the one that is lost", len(p.alloc))
+	b.place(p, b.groupByKey[groupKey("wk-1", 0)], map[shape]bool{})
+	if len(p.reservations) != 1 {
+		t.Fatalf("%d tasks have claimed cells, not the one that is lost", len(p.reservations))
 	}
 	report(3, wire.Exited, wire.ReasonIncompleteGang)
 	b.tellGangs(p)
-	if len(p.alloc) != 0 {
-		t.Errorf("%d claims are left", len(p.alloc))
+	if len(p.reservations) != 0 {
+		t.Errorf("%d claims are left", len(p.reservations))
 	}
 }
 
@@ -136,7 +136,7 @@
 		c.await("a service runs on each machine", time.Minute, func() bool { return c.serving() == 3 })
 		parts := map[int]bool{}
 		for _, w := range c.world.Cloud.Workers() {
-			parts[partOf(w.Name(), 3)] = true
+			parts[partitionOf(w.Name(), 3)] = true
 		}
 		if len(parts) < 2 {
 			t.Fatal("all machines are in one partition")
@@ -161,7 +161,7 @@
 	besideServices(t, func(c *cluster) {
 		starts := c.world.Starts()
 		c.awaitDone("wk-4", time.Minute)
-		c.await("the machines are handed back", time.Minute, func() bool { return len(c.world.State.Keys(preLend)) == 0 })
+		c.await("the machines are handed back", time.Minute, func() bool { return len(c.world.State.Keys(loanPrefix)) == 0 })
 		time.Sleep(15 * time.Second)
 		if c.serving() != 3 || c.world.Starts() != starts {
 			t.Errorf("%d of 3 services run, %d starts since the gang began", c.serving(), c.world.Starts()-starts)
@@ -192,7 +192,7 @@
 		}
 		c.await("a lost service runs again", 2*time.Minute, func() bool { return c.world.Running("wk-2") == 1 })
 		c.awaitDone("wk-4", 3*time.Minute)
-		c.await("nothing stays lent", 2*time.Minute, func() bool { return len(c.world.State.Keys(preLend)) == 0 })
+		c.await("nothing stays lent", 2*time.Minute, func() bool { return len(c.world.State.Keys(loanPrefix)) == 0 })
 	})
 }
 
@@ -200,30 +200,30 @@
 // changing hands.
 func TestOnlyServices(t *testing.T) {
 	b := crowded(t, 50)
-	p := b.parts[0]
+	p := b.partitions[0]
 	var m *machine
 	for _, x := range p.machines {
-		if len(x.bound) > 0 && x.bound[0].rec.job.spec.Service {
+		if len(x.bound) > 0 && x.bound[0].group.job.spec.Service {
 			m = x
 		}
 	}
-	m.token = p.term
+	m.token = p.token
 	for _, x := range m.bound {
-		e := x.rec.find(x.task.Num)
-		m.tasks = append(m.tasks, wire.TaskStatus{Task: taskName(x.rec.job.id, e.num), Attempt: e.attempt, State: wire.Running})
+		e := x.group.binding(x.task.Num)
+		m.tasks = append(m.tasks, wire.TaskStatus{Task: taskName(x.group.job.id, e.task), Attempt: e.attempt, State: wire.Running})
 	}
 	if !b.onlyServes(m, p) {
 		t.Fatal("services that run keep a machine")
 	}
-	spec := m.bound[0].rec.job.spec
+	spec := m.bound[0].group.job.spec
 	for name, change := range map[string]struct{ do, undo func() }{
-		"a command without an answer": {func() { m.openDo = p.term }, func() { m.openDo = 0 }},
+		"a command without an answer": {func() { m.openDo = p.token }, func() { m.openDo = 0 }},
 		"a command on its way":        {func() { m.doBusy = true }, func() { m.doBusy = false }},
 		"a start in an answer":        {func() { m.respOpen = true }, func() { m.respOpen = false }},
 		"an older token":              {func() { m.token-- }, func() { m.token++ }},
 		"a task that is no service":   {func() { spec.Service = false }, func() { spec.Service = true }},
-		"a job that is cancelled":     {func() { m.bound[0].rec.job.fate = cancelled }, func() { m.bound[0].rec.job.fate = live }},
-		"a record on its way":         {func() { m.bound[0].rec.writing = true }, func() { m.bound[0].rec.writing = false }},
+		"a job that is cancelled":     {func() { m.bound[0].group.job.finalState = cancelledJob }, func() { m.bound[0].group.job.finalState = unfinishedJob }},
+		"a record on its way":         {func() { m.bound[0].group.writing = true }, func() { m.bound[0].group.writing = false }},
 		"a task that fetches":         {func() { m.tasks[0].State = wire.Fetching }, func() { m.tasks[0].State = wire.Running }},
 		"an earlier session":          {func() { m.session++ }, func() { m.session-- }},
 	} {
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -13,7 +13,7 @@
 // storedBindings counts a job's tasks that are bound to a machine by what is stored, and
 // those that are dealt.
 func (c *cluster) storedBindings(id string) (bound, dealt int) {
-	for _, raw := range c.world.State.Values(preGroup + id + "/") {
+	for _, raw := range c.world.State.Values(groupPrefix + id + "/") {
 		var v record.TaskGroup
 		if err := json.Unmarshal(raw, &v); err != nil {
 			c.t.Error(err)
@@ -140,7 +140,7 @@
 					case "cancelled":
 						c.abort("wk-9")
 						started := c.world.Accepted("wk-9") // it may have been bound whole meanwhile
-						c.await("its records are gone", time.Minute, func() bool { return len(c.world.State.Keys(preGroup)) == 0 })
+						c.await("its records are gone", time.Minute, func() bool { return len(c.world.State.Keys(groupPrefix)) == 0 })
 						if n := c.world.Accepted("wk-9"); started == 0 && n > 0 || c.world.Running("wk-9") > 0 {
 							t.Errorf("%d tasks were started after its user was told, %d run", n-started, c.world.Running("wk-9"))
 						}
@@ -169,23 +169,23 @@
 func TestGangMovesWhole(t *testing.T) {
 	b := loneAmong(t, 3)
 	spec := &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 2, Priority: 1, SingleZone: true}
-	b.put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: spec}), 2)
-	b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
-	b.put(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 0, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 4)
+	b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: spec}), 2)
+	b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+	b.putRecord(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 0, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 4)
 	j := b.jobs["wk-1"]
-	if j.together(1, "a") {
+	if j.groupsTogether(1, "a") {
 		t.Fatal("the records are together")
 	}
-	b.leaderGained(1)
-	b.lead.active = true
-	b.leadStep()
-	if b.lead.writes != 1 {
-		t.Errorf("%d transactions have the records follow the first", b.lead.writes)
+	b.becomeLeader(1)
+	b.leadership.active = true
+	b.runLeader()
+	if b.leadership.writes != 1 {
+		t.Errorf("%d transactions have the records follow the first", b.leadership.writes)
 	}
-	b.lead.writes = 0
-	b.put(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 5)
+	b.leadership.writes = 0
+	b.putRecord(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 5)
 	b.gatherGangs()
-	if b.lead.writes != 0 {
+	if b.leadership.writes != 0 {
 		t.Error("records that are together move")
 	}
 	host := func(id int32, part int, free float64) *core.MachineSummary {
@@ -202,11 +202,11 @@
 	if b.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 1, 2), host(2, 1, 2)}, j) {
 		t.Error("it moves or borrows where there is no room for all of it")
 	}
-	if !b.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 0, 4), host(2, 1, 0)}, j) || b.lead.writes != 1 {
+	if !b.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 0, 4), host(2, 1, 0)}, j) || b.leadership.writes != 1 {
 		t.Error("it does not move to the part with room")
 	}
-	b.lead.writes = 0
-	if !b.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 1, 4), host(2, 1, 0)}, j) || b.lead.writes != 1 {
+	b.leadership.writes = 0
+	if !b.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 1, 4), host(2, 1, 0)}, j) || b.leadership.writes != 1 {
 		t.Error("no machines of two parts are borrowed for it")
 	}
 }
@@ -216,8 +216,8 @@
 func TestGangDealtInPartCountsWhole(t *testing.T) {
 	for _, own := range []bool{false, true} {
 		b := lone(t)
-		b.put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 5, CPUs: 2}}), 2)
-		b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Guaranteed: own, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+		b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 5, CPUs: 2}}), 2)
+		b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Guaranteed: own, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
 		l := b.limits()[b.team("t")]
 		if l.Used.CPU != 10_000 || (l.GuaranteedUsed.CPU == 10_000) != own {
 			t.Errorf("it counts for %v, within the guarantee (%v) for %v", l.Used, own, l.GuaranteedUsed)
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -27,9 +27,9 @@
 		}
 		n.brain.ask(c.ctx, laneState, func() {
 			if j := n.brain.jobs[id]; j != nil {
-				for _, r := range j.recs {
-					for i := range r.entries {
-						out[r.entries[i].attempt]++
+				for _, r := range j.groups {
+					for i := range r.bindings {
+						out[r.bindings[i].attempt]++
 					}
 				}
 			}
@@ -47,7 +47,7 @@
 			found := false
 			n.brain.ask(c.ctx, laneState, func() {
 				for _, x := range n.brain.machine(w.Name()).bound {
-					found = found || x.rec.job.id == id
+					found = found || x.group.job.id == id
 				}
 			})
 			if found {
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -18,14 +18,14 @@
 func (b *brain) hosts() []*core.MachineSummary {
 	var out []*core.MachineSummary
 	add := func(m *machine, flags uint8) {
-		t := b.types[m.typ]
+		t := b.machineTypes[m.typ]
 		if t == nil || m.gone || b.leaving[m.name] {
 			return
 		}
-		r := b.lead.rented[m.name]
+		r := b.leadership.rented[m.name]
 		if r == nil {
 			r = &rented{typ: m.typ, zone: m.zone, spot: m.spot, since: b.now}
-			b.lead.rented[m.name] = r
+			b.leadership.rented[m.name] = r
 		}
 		r.up, r.seen = true, b.now
 		if flags&mesh.Reachable == 0 || flags&(mesh.TerminationNotice|mesh.Cordoned|mesh.Unreachable) != 0 {
@@ -38,46 +38,46 @@
 		h := &core.MachineSummary{ID: m.idx, Type: m.typ, Zone: m.zone, Spot: m.spot, Partition: m.home, Size: size, Free: size}
 		h.InUse = b.lends[m.name] != nil // wanted, even before it is in use
 		for _, x := range m.bound {
-			r := x.rec
+			r := x.group
 			if r.job.spec == nil {
 				continue
 			}
-			h.Free = h.Free.Minus(r.job.need)
-			h.Usages = append(h.Usages, core.Usage{Claim: r.claim(), Size: r.job.need})
+			h.Free = h.Free.Minus(r.job.taskSize)
+			h.Usages = append(h.Usages, core.Usage{Claim: r.claim(), Size: r.job.taskSize})
 			h.RunsService = h.RunsService || r.job.spec.AllOrNothing()
 		}
-		if b.lead.closing[m.name] {
+		if b.leadership.closing[m.name] {
 			h.Free, h.Usages = core.Resources{}, nil // no room for anybody
 		}
 		out = append(out, h)
 	}
-	for _, p := range b.parts {
-		if p.term != 0 {
+	for _, p := range b.partitions {
+		if p.token != 0 {
 			if !p.active {
 				continue
 			}
 			for _, m := range p.machines {
-				if m.heard.After(p.since) {
+				if m.heard.After(p.ownedSince) {
 					add(m, b.flags(m, p))
 				}
 			}
 			continue
 		}
 		h := b.holders[p.key]
-		s := b.siblings[h.Node]
+		s := b.peers[h.Node]
 		if s == nil || s.status == nil {
 			continue
 		}
 		// An owner that we don't hear, though it holds its part, works on: the
 		// connections between controllers say nothing of who lives. Its machines
 		// are taken for what they were last, with what the records bind there.
-		if b.now.Sub(s.at) > unheardOwner {
+		if b.now.Sub(s.heardAt) > unheardOwner {
 			continue
 		}
 		for i := range s.status.Machines {
 			x := &s.status.Machines[i]
 			m := b.machine(x.Name)
-			if m.home != p.n {
+			if m.home != p.index {
 				continue
 			}
 			if x.Type != "" { // its owner has heard it
@@ -90,7 +90,7 @@
 }
 
 // flags are what an owner says of its machine.
-func (b *brain) flags(m *machine, p *part) uint8 {
+func (b *brain) flags(m *machine, p *partition) uint8 {
 	var f uint8
 	if b.up(m, p) {
 		f |= mesh.Reachable
@@ -107,7 +107,7 @@
 	if b.silent(m, p) {
 		f |= mesh.Unreachable
 	}
-	if !m.heard.After(p.took(m)) {
+	if !m.heard.After(p.ownsMachineSince(m)) {
 		f |= mesh.NotHeardYet
 	}
 	return f
@@ -115,10 +115,10 @@
 
 // silent: the machine neither reports nor answers direct commands, while most
 // others of the part do, or it reports and hears nothing.
-func (b *brain) silent(m *machine, p *part) bool {
+func (b *brain) silent(m *machine, p *partition) bool {
 	// While no reports are taken (HoldTime) all are quiet. The leader, back from the
 	// same outage a moment earlier, returned the machines of which a sibling said so.
-	if m.gone || !b.fresh(b.hold) || !b.quiet(m, p) {
+	if m.gone || !b.isFresh(b.maxStaleness) || !b.quiet(m, p) {
 		return false
 	}
 	// A machine whose lease is over has lost its tasks anyhow.
@@ -128,7 +128,7 @@
 // mostQuiet tells whether most of a part's machines are quiet. It is counted once
 // for all that is decided at a time: counted anew for each quiet machine, some
 // hundred of them that fall silent together would take up the processor.
-func (b *brain) mostQuiet(p *part) bool {
+func (b *brain) mostQuiet(p *partition) bool {
 	if p.countedAt != b.now {
 		p.countedAt = b.now
 		quiet, all := 0, 0
@@ -139,7 +139,7 @@
 			// Where workers reach us, of other parts too, one that has not reported
 			// since we came says nothing about us: a part of few machines may well
 			// have lost most of them.
-			if m.heard.IsZero() && b.reportAt.After(p.took(m)) {
+			if m.heard.IsZero() && b.reportAt.After(p.ownsMachineSince(m)) {
 				continue
 			}
 			all++
@@ -147,17 +147,17 @@
 				quiet++
 			}
 		}
-		p.mostQuiet = quiet*2 > all
+		p.mostUnreachable = quiet*2 > all
 	}
-	return p.mostQuiet
+	return p.mostUnreachable
 }
 
-func (b *brain) quiet(m *machine, p *part) bool {
-	if m.deaf(p) && b.now.Sub(p.took(m)) > b.silentAfter() && b.now.Sub(m.heard) < b.quietAfter() {
+func (b *brain) quiet(m *machine, p *partition) bool {
+	if m.deaf(p) && b.now.Sub(p.ownsMachineSince(m)) > b.silentAfter() && b.now.Sub(m.heard) < b.quietAfter() {
 		return true // it reports all the same, so that commands can't be late
 	}
 	since := b.heardSince(m, p)
-	if b.now.Sub(since) > b.lease+b.silentAfter() && b.now.Sub(b.wokeAt) > b.silentAfter() && b.now.Sub(b.reportAt) < b.quietAfter() {
+	if b.now.Sub(since) > b.leaseExpiry+b.silentAfter() && b.now.Sub(b.wokeAt) > b.silentAfter() && b.now.Sub(b.reportAt) < b.quietAfter() {
 		return true // whatever it answers: its lease is over, and it takes no work
 	}
 	if m.probeOK.After(since) {
@@ -165,7 +165,7 @@
 	}
 	if m.unanswered >= deafAfter {
 		after := b.quietAfter()
-		if !m.heard.After(p.took(m)) {
+		if !m.heard.After(p.ownsMachineSince(m)) {
 			// It is asked as soon as the part is taken over, and must not be found
 			// silent sooner than by an owner who goes on: whether its whole zone is
 			// out of reach shows no earlier.
@@ -178,17 +178,17 @@
 
 // status tells the siblings about this controller and its machines.
 func (b *brain) status() *mesh.Status {
-	s := &mesh.Status{Node: b.cfg.Name, ProcessID: b.boot, Fresh: b.fresh(b.op.LeaseTTL), Eligible: b.able()}
-	for name := range b.lead.closing {
+	s := &mesh.Status{Node: b.cfg.Name, ProcessID: b.processID, Fresh: b.isFresh(b.op.LeaseTTL), Eligible: b.eligible()}
+	for name := range b.leadership.closing {
 		s.Draining = append(s.Draining, name)
 	}
-	for _, p := range b.parts {
-		if p.term == 0 || !p.active {
+	for _, p := range b.partitions {
+		if p.token == 0 || !p.active {
 			continue
 		}
-		s.Partitions = append(s.Partitions, uint64(p.n))
+		s.Partitions = append(s.Partitions, uint64(p.index))
 		for _, m := range p.machines {
-			if m.gone || !m.heard.After(p.since) && len(m.bound) == 0 || m.session == 0 ||
+			if m.gone || !m.heard.After(p.ownedSince) && len(m.bound) == 0 || m.session == 0 ||
 				b.now.Sub(b.heardSince(m, p)) > 3*time.Minute {
 				continue
 			}
@@ -199,21 +199,21 @@
 }
 
 // takeStatus takes a sibling's status in.
-func (b *brain) takeStatus(s *mesh.Status) {
-	x := b.siblings[s.Node]
+func (b *brain) handlePeerStatus(s *mesh.Status) {
+	x := b.peers[s.Node]
 	if x == nil {
 		return // not one of ours
 	}
 	if x.status != nil && x.status.ProcessID != s.ProcessID {
-		if x.former == s.ProcessID {
+		if x.formerProcessID == s.ProcessID {
 			return // of a process that is dead
 		}
-		x.former = x.status.ProcessID
+		x.formerProcessID = x.status.ProcessID
 	}
-	if b.now.Sub(x.at) > 2500*time.Millisecond {
-		x.since = b.now
+	if b.now.Sub(x.heardAt) > 2500*time.Millisecond {
+		x.heardSince = b.now
 	}
-	x.status, x.at = s, b.now
+	x.status, x.heardAt = s, b.now
 	if b.holders[b.leaderKey()].Node == s.Node {
 		b.closing = map[string]bool{}
 		for _, name := range s.Draining {
@@ -225,7 +225,7 @@
 // vouched tells whether a part has had an owner in touch with the leader for
 // long enough that all machines of it must have reported.
 func (b *brain) vouched(p int) bool {
-	since := b.lead.vouchedAt[p]
+	since := b.leadership.vouchedAt[p]
 	if b.resumedAt.After(since) && !since.IsZero() {
 		since = b.resumedAt // machines could not report before
 	}
@@ -234,8 +234,8 @@
 
 // allVouched tells whether every part's owner is in touch.
 func (b *brain) allVouched() bool {
-	for i := range b.parts {
-		if b.lead.vouchedAt[i].IsZero() {
+	for i := range b.partitions {
+		if b.leadership.vouchedAt[i].IsZero() {
 			return false
 		}
 	}
@@ -244,29 +244,29 @@
 
 // noteVouching notes for each part since when its owner has been in touch.
 func (b *brain) noteVouching() {
-	if b.lead.vouchedAt == nil {
-		b.lead.vouchedAt, b.lead.vouchedBy = make([]time.Time, len(b.parts)), make([]string, len(b.parts))
+	if b.leadership.vouchedAt == nil {
+		b.leadership.vouchedAt, b.leadership.vouchedBy = make([]time.Time, len(b.partitions)), make([]string, len(b.partitions))
 	}
-	for i, p := range b.parts {
+	for i, p := range b.partitions {
 		owner := b.holders[p.key].Node
 		ok := p.active
-		if p.term == 0 {
-			s := b.siblings[owner]
-			ok = s != nil && s.status != nil && b.now.Sub(s.at) < 3*time.Second && slices.Contains(s.status.Partitions, uint64(i))
+		if p.token == 0 {
+			s := b.peers[owner]
+			ok = s != nil && s.status != nil && b.now.Sub(s.heardAt) < 3*time.Second && slices.Contains(s.status.Partitions, uint64(i))
 		}
-		if !ok || b.lead.vouchedBy[i] != owner {
-			b.lead.vouchedAt[i], b.lead.vouchedBy[i] = time.Time{}, owner
+		if !ok || b.leadership.vouchedBy[i] != owner {
+			b.leadership.vouchedAt[i], b.leadership.vouchedBy[i] = time.Time{}, owner
 		}
-		if ok && b.lead.vouchedAt[i].IsZero() {
-			b.lead.vouchedAt[i] = b.now
+		if ok && b.leadership.vouchedAt[i].IsZero() {
+			b.leadership.vouchedAt[i] = b.now
 		}
 	}
 }
 
 // eachVouched calls f for each machine that its owner tells about.
 func (b *brain) eachVouched(f func(*machine, uint8)) {
-	for _, p := range b.parts {
-		if p.term != 0 && p.active {
+	for _, p := range b.partitions {
+		if p.token != 0 && p.active {
 			for _, m := range p.machines {
 				if !m.gone && (!m.heard.IsZero() || len(m.bound) > 0) && b.now.Sub(b.heardSince(m, p)) < 3*time.Minute {
 					f(m, b.flags(m, p))
@@ -274,10 +274,10 @@
 			}
 			continue
 		}
-		if s := b.siblings[b.holders[p.key].Node]; s != nil && s.status != nil && b.now.Sub(s.at) < 3*time.Second {
+		if s := b.peers[b.holders[p.key].Node]; s != nil && s.status != nil && b.now.Sub(s.heardAt) < 3*time.Second {
 			for i := range s.status.Machines {
 				x := &s.status.Machines[i]
-				if m := b.machine(x.Name); m.home == p.n && !m.gone {
+				if m := b.machine(x.Name); m.home == p.index && !m.gone {
 					if x.Flags&mesh.Cordoned != 0 && m.suspectAt.IsZero() {
 						m.suspectAt = b.now
 					}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -10,9 +10,9 @@
 )
 
 // leader is what only the leader knows. It is rebuilt after a take-over.
-type leader struct {
+type leadership struct {
 	epoch    uint64 // version of the write that gave the lead: tells one lead from another
-	term     uint64 // present version of the key; rises with each new term
+	token    uint64 // present version of the key; rises with each new term
 	active   bool
 	since    time.Time
 	writes   int // in flight
@@ -40,24 +40,24 @@
 	cut        map[string]bool
 }
 
-func (b *brain) leaderGained(stamp uint64) {
-	b.lead = leader{epoch: stamp, term: stamp, since: b.now, rented: map[string]*rented{}, idle: map[string]time.Time{},
+func (b *brain) becomeLeader(stamp uint64) {
+	b.leadership = leadership{epoch: stamp, token: stamp, since: b.now, rented: map[string]*rented{}, idle: map[string]time.Time{},
 		refused: map[core.Offer]time.Time{}, backoff: map[core.Offer]time.Duration{}, renting: map[core.Offer]int{}, quietZones: map[string]time.Time{}}
 	// A former leader's late writes fail by its key's version; what it did
 	// store is read before anything is dealt.
 	b.readThen(func() {
-		if b.lead.epoch == stamp {
-			b.lead.active = true
+		if b.leadership.epoch == stamp {
+			b.leadership.active = true
 		}
 	})
 }
 
 // leads tells whether this controller acts as the leader now.
-func (b *brain) leads() bool { return b.lead.active && b.fresh(b.op.LeaseTTL) }
+func (b *brain) isLeader() bool { return b.leadership.active && b.isFresh(b.op.LeaseTTL) }
 
 // lead deals work to parts and rents and returns machines.
-func (b *brain) leadStep() {
-	if !b.leads() {
+func (b *brain) runLeader() {
+	if !b.isLeader() {
 		return
 	}
 	defer b.metrics.spend(dLead, time.Now())
@@ -68,7 +68,7 @@
 	// What is lost goes back at once, however long it takes until what is dealt is
 	// stored: others' tasks wait for the proof.
 	b.returnLost()
-	if b.lead.writes > 0 {
+	if b.leadership.writes > 0 {
 		return
 	}
 	b.logFleet(hosts)
@@ -76,7 +76,7 @@
 	b.tendLends()
 	b.fillPool(hosts)
 	b.gatherGangs()
-	if b.lead.writes > 0 {
+	if b.leadership.writes > 0 {
 		return
 	}
 	wants := b.deal(hosts)
@@ -85,10 +85,10 @@
 
 // logFleet logs now and then how full the machines are.
 func (b *brain) logFleet(hosts []*core.MachineSummary) {
-	if b.now.Sub(b.lead.loggedAt) < fleetEvery {
+	if b.now.Sub(b.leadership.loggedAt) < fleetEvery {
 		return
 	}
-	b.lead.loggedAt = b.now
+	b.leadership.loggedAt = b.now
 	var size, free, spot, spotFree core.Resources
 	for _, h := range hosts {
 		size, free = size.Plus(h.Size), free.Plus(h.Free)
@@ -97,56 +97,56 @@
 		}
 	}
 	waiting, dealt := 0, 0
-	for _, j := range b.atHand {
-		if j.fate == live && j.spec != nil {
-			n, _ := j.dealt()
+	for _, j := range b.unfinished {
+		if j.finalState == unfinishedJob && j.spec != nil {
+			n, _ := j.assignedTasks()
 			waiting += j.spec.Tasks - n
-			for _, r := range j.recs {
-				dealt += len(r.entries) - r.bound()
+			for _, r := range j.groups {
+				dealt += len(r.bindings) - r.boundTasks()
 			}
 		}
 	}
 	b.log.Info("fleet", "up", len(hosts), "booting", len(b.booting()), "cpus", size.CPU/1000, "free_cpus", free.CPU/1000,
-		"spot_cpus", spot.CPU/1000, "spot_free_cpus", spotFree.CPU/1000, "closing", len(b.lead.closing),
+		"spot_cpus", spot.CPU/1000, "spot_free_cpus", spotFree.CPU/1000, "closing", len(b.leadership.closing),
 		"tasks_waiting", waiting, "tasks_dealt", dealt)
 }
 
 // finishJobs ends jobs whose tasks are all done and clears up behind final ones.
 func (b *brain) finishJobs() {
-	b.layDown()
+	b.archiveFinished()
 	budget := 8
 	// What is over can wait while the state service has more to do.
 	clear := b.wr.Backlog() < time.Second
-	for _, j := range b.atHand {
+	for _, j := range b.unfinished {
 		if budget == 0 {
 			return
 		}
-		if j.stamp == 0 || len(j.recs) == 0 {
+		if j.revision == 0 || len(j.groups) == 0 {
 			continue
 		}
-		if j.fate == live && j.bad() {
+		if j.finalState == unfinishedJob && j.hasUnreadableRecords() {
 			continue
 		}
-		if j.fate == live {
-			n, finished := j.dealt()
-			if j.spec != nil && !j.spec.Service && !j.ending && n == finished && finished == j.spec.Tasks {
+		if j.finalState == unfinishedJob {
+			n, finished := j.assignedTasks()
+			if j.spec != nil && !j.spec.Service && !j.finishing && n == finished && finished == j.spec.Tasks {
 				budget--
-				j.ending = true
-				b.write(&store.Write{
-					Conditions: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.stamp}},
-					Changes:    []wire.Change{{Put: jobKey(j.id), Value: record.JSON(record.Job{FinalState: done})}},
-				}, func(error) { j.ending = false })
+				j.finishing = true
+				b.submitWrite(&store.Write{
+					Conditions: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}},
+					Changes:    []wire.Change{{Put: jobKey(j.id), Value: record.JSON(record.Job{FinalState: doneJob})}},
+				}, func(error) { j.finishing = false })
 			}
 			continue
 		}
-		for _, r := range j.recs {
-			if budget == 0 || !clear || r.writing || r.bound() > 0 {
+		for _, r := range j.groups {
+			if budget == 0 || !clear || r.writing || r.boundTasks() > 0 {
 				continue
 			}
 			budget--
 			r.writing = true
-			b.write(&store.Write{
-				Conditions: []wire.Condition{b.leaderCondition(), {Key: r.key, Revision: r.stamp}},
+			b.submitWrite(&store.Write{
+				Conditions: []wire.Condition{b.leaderCondition(), {Key: r.key, Revision: r.revision}},
 				Changes:    []wire.Change{{Delete: r.key}},
 			}, func(err error) {
 				if err != nil { // its owner wrote it meanwhile: not before that is known
@@ -154,7 +154,7 @@
 					return
 				}
 				r.writing = false
-				b.retire(j)
+				b.releaseJobDetails(j)
 			})
 		}
 	}
@@ -162,17 +162,17 @@
 
 // leadWrote counts a leader's write off. After a failed one the replica is
 // read before anything more is dealt: it may have been applied all the same.
-func (b *brain) leadWrote(epoch uint64, err error) {
-	if b.lead.epoch != epoch {
+func (b *brain) leaderWriteDone(epoch uint64, err error) {
+	if b.leadership.epoch != epoch {
 		return
 	}
 	if err == nil {
-		b.lead.writes--
+		b.leadership.writes--
 		return
 	}
 	b.readThen(func() {
-		if b.lead.epoch == epoch {
-			b.lead.writes--
+		if b.leadership.epoch == epoch {
+			b.leadership.writes--
 		}
 	})
 }
--- a/internal/controller/levels.go
+++ b/internal/controller/levels.go
@@ -51,14 +51,14 @@
 
 // leaderCondition has a write fail if this controller does not lead any more.
 func (b *brain) leaderCondition() wire.Condition {
-	return wire.Condition{Key: b.leaderKey(), Revision: b.lead.term}
+	return wire.Condition{Key: b.leaderKey(), Revision: b.leadership.token}
 }
 
 // form is the form in which records are written.
-func (b *brain) form() record.Encoding { return formOf(b.levels.state.Writes()) }
+func (b *brain) encoding() record.Encoding { return encodingOf(b.levels.state.Writes()) }
 
 // formOf is the form of records at a feature level.
-func formOf(l rollout.Level) record.Encoding {
+func encodingOf(l rollout.Level) record.Encoding {
 	if l >= rollout.ChecksumLevel {
 		return record.Checksummed
 	}
@@ -69,7 +69,7 @@
 func (l *levels) outdated() int {
 	n := 0
 	for form, count := range l.forms {
-		if form != formOf(l.state.Writes()) {
+		if form != encodingOf(l.state.Writes()) {
 			n += count
 		}
 	}
@@ -80,7 +80,7 @@
 func (l *levels) above() int {
 	n := 0
 	for form, count := range l.forms {
-		if form > formOf(l.state.Writes()) {
+		if form > encodingOf(l.state.Writes()) {
 			n += count
 		}
 	}
@@ -89,7 +89,7 @@
 
 // putLevel takes the stored state in. One that can't be read was written by a version
 // that knows more: this one must not serve.
-func (b *brain) putLevel(raw json.RawMessage, stamp uint64) error {
+func (b *brain) putRolloutState(raw json.RawMessage, stamp uint64) error {
 	state, err := rollout.DecodeState(raw)
 	if err != nil {
 		state = b.levels.state
@@ -116,8 +116,8 @@
 	}
 	l.refusal = refusal
 	if refusal != nil {
-		for key := range b.rights {
-			b.yield(key)
+		for key := range b.leasedKeys {
+			b.resign(key)
 		}
 	}
 	if keys := state.Keys(); keys != l.keys {
@@ -131,28 +131,28 @@
 // switchKeys gives all rights up, whose keys nobody may hold any more, and has them taken
 // under other keys from now on.
 func (b *brain) switchKeys(keys rollout.Keys) {
-	for key := range b.rights {
-		b.lost(key, "rights have other keys now")
+	for key := range b.leasedKeys {
+		b.onLost(key, "rights have other keys now")
 	}
 	b.levels.keys = keys
-	b.rights = rightsUnder(keys, b.lentPart())
-	for _, p := range b.parts {
-		p.key = keys.Partition(p.n)
+	b.leasedKeys = newLeasedKeys(keys, b.loanPartition())
+	for _, p := range b.partitions {
+		p.key = keys.Partition(p.index)
 	}
-	b.parts[b.lentPart()].key = keys.Leader()
+	b.partitions[b.loanPartition()].key = keys.Leader()
 }
 
 // rightsUnder are the rights of a cluster under a set of keys, none of them held.
-func rightsUnder(keys rollout.Keys, partitions int) map[string]*right {
-	rights := map[string]*right{keys.Leader(): {key: keys.Leader()}}
+func newLeasedKeys(keys rollout.Keys, partitions int) map[string]*leasedKey {
+	rights := map[string]*leasedKey{keys.Leader(): {key: keys.Leader()}}
 	for n := range partitions {
-		rights[keys.Partition(n)] = &right{key: keys.Partition(n)}
+		rights[keys.Partition(n)] = &leasedKey{key: keys.Partition(n)}
 	}
 	return rights
 }
 
 // putController takes in what a controller stores about itself.
-func (b *brain) putController(name string, raw json.RawMessage, stamp uint64) error {
+func (b *brain) putRegistration(name string, raw json.RawMessage, stamp uint64) error {
 	c, err := rollout.DecodeController(raw)
 	if err != nil {
 		delete(b.levels.controllers, name) // unknown, as if it were not there
@@ -165,15 +165,15 @@
 // levelView is what the next step rests on.
 func (b *brain) levelView() rollout.View {
 	l := &b.levels
-	return rollout.View{Now: b.now, Members: b.cfg.Nodes(), Controllers: l.controllers, Leading: b.leads(), Current: b.cursor >= l.version,
-		Above: l.above(), Unreadable: len(l.unreadable), Partitions: b.lentPart(), TransactionChanges: b.cfg.Settings.State.TxnOps,
+	return rollout.View{Now: b.now, Members: b.cfg.Nodes(), Controllers: l.controllers, Leading: b.isLeader(), Current: b.cursor >= l.version,
+		Above: l.above(), Unreadable: len(l.unreadable), Partitions: b.loanPartition(), TransactionChanges: b.cfg.Settings.State.TxnOps,
 		FinalizeAfter: b.op.FinalizeAfter}
 }
 
 // tendLevels takes the next step of an upgrade or of the way back, if there is one.
 func (b *brain) tendLevels() {
 	l := &b.levels
-	if l.writing || l.version == 0 && !b.op.FeatureLevels || l.refusal != nil || !b.fresh(b.op.LeaseTTL) {
+	if l.writing || l.version == 0 && !b.op.FeatureLevels || l.refusal != nil || !b.isFresh(b.op.LeaseTTL) {
 		return
 	}
 	view := b.levelView()
@@ -181,10 +181,10 @@
 	if step == rollout.NoStep {
 		return
 	}
-	txn := rollout.Txn(l.state, step, next, view, rollout.Versions{State: l.version, Leader: b.lead.term})
+	txn := rollout.Txn(l.state, step, next, view, rollout.Versions{State: l.version, Leader: b.leadership.token})
 	l.writing = true
 	b.log.Info("feature level step", "step", step, "from", l.state.Level, "phase", l.state.Phase)
-	b.write(&store.Write{Prompt: true, Contested: true, Conditions: txn.If, Changes: txn.Then}, func(err error) {
+	b.submitWrite(&store.Write{Prompt: true, Contested: true, Conditions: txn.If, Changes: txn.Then}, func(err error) {
 		if err == nil {
 			l.writing = false
 			return
@@ -196,16 +196,16 @@
 
 // rewriteRecords has records of a partition stored in the form that is written now, a
 // few at a time: users' writes go before, and so does all that has a backlog.
-func (b *brain) rewriteRecords(p *part) {
+func (b *brain) rewriteRecords(p *partition) {
 	if b.levels.outdated() == 0 || b.wr.Backlog() > rewriteBacklog {
 		return
 	}
-	form := b.form()
-	for _, r := range p.recs {
-		if r.form == form || r.writing || r.job.spec == nil || b.now.Before(r.barredTo) {
+	form := b.encoding()
+	for _, r := range p.groups {
+		if r.encoding == form || r.writing || r.job.spec == nil || b.now.Before(r.retryWriteAt) {
 			continue
 		}
-		if r.group(r.done, r.entries).Encode(form).Encoding() != form {
+		if r.record(r.done, r.bindings).Encode(form).Encoding() != form {
 			continue // the form can't hold it
 		}
 		if !b.levels.rewrites.AllowN(b.now, 1) {
@@ -224,14 +224,14 @@
 	if !ok || b.levels.state.Active() < rollout.ChecksumLevel || c.High < rollout.ChecksumLevel {
 		return mesh.Plain
 	}
-	if s := b.siblings[name]; s.status != nil && s.status.ProcessID != c.ProcessID {
+	if s := b.peers[name]; s.status != nil && s.status.ProcessID != c.ProcessID {
 		return mesh.Plain
 	}
 	return mesh.Checked
 }
 
 // tellSiblings sends this controller's status to all siblings.
-func (b *brain) tellSiblings() {
+func (b *brain) broadcastStatus() {
 	status := b.status()
 	frames := map[mesh.Version][]byte{}
 	for _, sibling := range b.cfg.Siblings {
@@ -244,16 +244,16 @@
 }
 
 // refuses is the answer of a controller that must not serve; false: it may.
-func (b *brain) refuses() (api.Response, bool) {
+func (b *brain) refusal() (api.Response, bool) {
 	if b.levels.refusal == nil {
 		return api.Response{}, false
 	}
-	return unavailable(b.levels.refusal.Error()), true
+	return unavailableResponse(b.levels.refusal.Error()), true
 }
 
 // register keeps this controller's range of levels stored while the process lives.
 func (b *brain) register() {
-	c := rollout.Controller{Node: b.cfg.Name, ProcessID: b.boot, Build: Build, Range: b.levels.supported}
+	c := rollout.Controller{Node: b.cfg.Name, ProcessID: b.processID, Build: Build, Range: b.levels.supported}
 	r := &rollout.Registrar{Store: b.st, Controller: c, TTL: registrationTTLs * b.op.LeaseTTL, Log: b.log}
 	if err := r.Run(b.ctx); err != nil && !errors.Is(err, b.ctx.Err()) {
 		b.log.Error("registration ended", "err", err)
--- a/internal/controller/levels_test.go
+++ b/internal/controller/levels_test.go
@@ -62,7 +62,7 @@
 
 // holdsRight tells whether a node is the holder of any right.
 func (c *cluster) holdsRight(i int) bool {
-	for key, raw := range c.world.State.Values(prefix) {
+	for key, raw := range c.world.State.Values(keyPrefix) {
 		var h record.LeaseHolder
 		if isRight(key) && wire.Decode(raw, &h) == nil && h.Node == c.nodes[i].cfg.Name {
 			return true
@@ -168,7 +168,7 @@
 		c.final()
 		starts := c.world.Accepted("wk-2")
 		var undo []func()
-		for key := range c.world.State.Values(preGroup + "wk-2/") {
+		for key := range c.world.State.Values(groupPrefix + "wk-2/") {
 			undo = append(undo, c.spoil(key))
 		}
 		for i := range c.nodes {
--- a/internal/controller/levels_world_test.go
+++ b/internal/controller/levels_world_test.go
@@ -148,7 +148,7 @@
 // forms counts the stored groups by form.
 func (c *cluster) forms() map[record.Encoding]int {
 	out := map[record.Encoding]int{}
-	for _, raw := range c.world.State.Values(preGroup) {
+	for _, raw := range c.world.State.Values(groupPrefix) {
 		out[record.EncodingOf(raw)]++
 	}
 	return out
@@ -214,9 +214,9 @@
 	if c.boots == nil {
 		c.boots = map[string]rollout.Range{}
 	}
-	c.boots[b.boot] = b.levels.supported
+	c.boots[b.processID] = b.levels.supported
 	if n.unaware {
-		c.boots[b.boot] = baseOnly
+		c.boots[b.processID] = baseOnly
 	}
 }
 
@@ -237,7 +237,7 @@
 	if key == rollout.StateKey {
 		h.checkState(e)
 	}
-	if strings.HasPrefix(key, preGroup) {
+	if strings.HasPrefix(key, groupPrefix) {
 		form := record.EncodingOf(e.Value)
 		h.checked[key] = form == record.Checksummed
 		if rollout.Level(form) > h.state.Level {
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -21,43 +21,43 @@
 	b := lone(t)
 	rapid.Check(t, func(t *rapid.T) {
 		b.cfg.Settings.State.ValueKB = rapid.Float64Range(0.5, 8).Draw(t, "value_kb")
-		r := &rec{key: "x", done: rapid.IntRange(0, 50).Draw(t, "done")}
+		r := &taskGroup{key: "x", done: rapid.IntRange(0, 50).Draw(t, "done")}
 		n := rapid.IntRange(1, 128).Draw(t, "tasks")
 		bound := 0
 		for i := range n {
-			e := entry{num: int32(i * 700), attempt: 3}
+			e := binding{task: int32(i * 700), attempt: 3}
 			if rapid.Bool().Draw(t, "bound") {
-				e.m = &machine{name: fmt.Sprint("host-", i, strings.Repeat("0", rapid.IntRange(1, 40).Draw(t, "name"))), addr: "10.1.200.200:9000"}
-				e.session = 12
+				e.machine = &machine{name: fmt.Sprint("host-", i, strings.Repeat("0", rapid.IntRange(1, 40).Draw(t, "name"))), addr: "10.1.200.200:9000"}
+				e.incarnation = 12
 				bound++
 			}
-			r.entries = append(r.entries, e)
+			r.bindings = append(r.bindings, e)
 		}
 		if rapid.Bool().Draw(t, "capped") {
-			r.cap = 1 + rapid.IntRange(bound, n).Draw(t, "may")
+			r.throttle = 1 + rapid.IntRange(bound, n).Draw(t, "may")
 		}
-		before := r.may()
+		before := r.allowedTasks()
 		tasks, may, done, there := 0, 0, 0, 0
 		if rapid.Bool().Draw(t, "checked") {
 			b.levels.state = rollout.State{Level: rollout.ChecksumLevel, Phase: rollout.Stable, Epoch: 1}
 		}
-		for _, piece := range b.fit(r, r.done, r.entries) {
+		for _, piece := range b.splitToFit(r, r.done, r.bindings) {
 			raw := piece.At(groupKey("wk-1", 0))
-			if len(raw) > b.maxValue() || piece.Encoding() != b.form() {
-				t.Fatalf("%d bytes of %d, form %d", len(raw), b.maxValue(), piece.Encoding())
+			if len(raw) > b.maxValueBytes() || piece.Encoding() != b.encoding() {
+				t.Fatalf("%d bytes of %d, form %d", len(raw), b.maxValueBytes(), piece.Encoding())
 			}
 			v, _, err := record.DecodeTaskGroup(groupKey("wk-1", 0), raw)
 			if err != nil {
 				t.Fatal(err)
 			}
-			x := rec{cap: v.Throttle}
+			x := taskGroup{throttle: v.Throttle}
 			for _, e := range v.Tasks {
-				x.entries = append(x.entries, entry{num: e.Task})
+				x.bindings = append(x.bindings, binding{task: e.Task})
 				if e.Machine != "" {
 					there++
 				}
 			}
-			tasks, may, done = tasks+len(v.Tasks), may+x.may(), done+v.Done
+			tasks, may, done = tasks+len(v.Tasks), may+x.allowedTasks(), done+v.Done
 		}
 		if tasks != n || may != before || done != r.done || there != bound {
 			t.Fatalf("%d of %d tasks, %d of %d may run, %d of %d done, %d of %d bound", tasks, n, may, before, done, r.done, there, bound)
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -18,12 +18,12 @@
 	name, addr, typ, zone string
 	spot                  bool
 	idx                   int32
-	hash                  int        // its part, unless it is lent
-	home                  int        // the part that it is in now
-	listed                bool       // among that part's machines
-	homeAt                time.Time  // when it last came to another part
-	usedAt                time.Time  // when a task was last bound to it there, of one that is lent
-	bound                 boundTasks // by stored bindings
+	hash                  int             // its part, unless it is lent
+	home                  int             // the part that it is in now
+	listed                bool            // among that part's machines
+	homeAt                time.Time       // when it last came to another part
+	usedAt                time.Time       // when a task was last bound to it there, of one that is lent
+	bound                 machineBindings // by stored bindings
 	gone                  bool
 
 	// Known to the owner, from reports.
@@ -68,27 +68,27 @@
 
 // boundTasks are the tasks that are bound to a machine: few, and gone through in every
 // step and with every report.
-type boundTasks []boundTask
+type machineBindings []machineBinding
 
-type boundTask struct {
-	task core.Task
-	rec  *rec
+type machineBinding struct {
+	task  core.Task
+	group *taskGroup
 }
 
-func (s *boundTasks) add(t core.Task, r *rec) {
+func (s *machineBindings) add(t core.Task, r *taskGroup) {
 	s.remove(t)
-	*s = append(*s, boundTask{t, r})
+	*s = append(*s, machineBinding{t, r})
 }
 
-func (s *boundTasks) remove(t core.Task) {
-	*s = slices.DeleteFunc(*s, func(x boundTask) bool { return x.task == t })
+func (s *machineBindings) remove(t core.Task) {
+	*s = slices.DeleteFunc(*s, func(x machineBinding) bool { return x.task == t })
 }
 
 func (b *brain) machine(name string) *machine {
 	m := b.machines[name]
 	if m == nil {
-		m = &machine{name: name, idx: int32(len(b.byIdx)), hash: partOf(name, b.cfg.Settings.Count), images: map[string]bool{}, fetching: map[string]time.Time{}, failed: map[string]time.Time{}}
-		m.gone = b.gone[name]
+		m = &machine{name: name, idx: int32(len(b.byIdx)), hash: partitionOf(name, b.cfg.Settings.Count), images: map[string]bool{}, fetching: map[string]time.Time{}, failed: map[string]time.Time{}}
+		m.gone = b.terminated[name]
 		m.home = b.homeOf(m)
 		b.machines[name] = m
 		b.byIdx = append(b.byIdx, m)
@@ -119,9 +119,9 @@
 
 // sizeMachine makes a machine's cells known to its part once its type is.
 func (b *brain) sizeMachine(m *machine) {
-	p := b.parts[m.home]
-	t := b.types[m.typ]
-	if p.term == 0 || t == nil || m.gone || m.heard.IsZero() {
+	p := b.partitions[m.home]
+	t := b.machineTypes[m.typ]
+	if p.token == 0 || t == nil || m.gone || m.heard.IsZero() {
 		return
 	}
 	p.cells.SetMachine(m.idx, core.NewResources(t.CPUs, t.GPUs, t.RAM))
@@ -130,7 +130,7 @@
 // homeOf is the part that a machine is in by what is stored.
 func (b *brain) homeOf(m *machine) int {
 	if l := b.lends[m.name]; l != nil && l.Acknowledged {
-		return b.lentPart()
+		return b.loanPartition()
 	}
 	return m.hash
 }
@@ -139,13 +139,13 @@
 func (b *brain) enlist(m *machine) {
 	if !m.listed {
 		m.listed = true
-		p := b.parts[m.home]
+		p := b.partitions[m.home]
 		p.machines = append(p.machines, m)
 	}
 }
 
 // delist takes machines out of a part's list.
-func (p *part) delist(out func(*machine) bool) {
+func (p *partition) removeMachines(out func(*machine) bool) {
 	p.machines = slices.DeleteFunc(p.machines, func(m *machine) bool {
 		if !out(m) {
 			return false
@@ -156,11 +156,11 @@
 }
 
 // took is since when a part's owner has had a machine.
-func (p *part) took(m *machine) time.Time {
-	if m.homeAt.After(p.since) {
+func (p *partition) ownsMachineSince(m *machine) time.Time {
+	if m.homeAt.After(p.ownedSince) {
 		return m.homeAt
 	}
-	return p.since
+	return p.ownedSince
 }
 
 // quietAfter is how long a machine may be quiet before it is asked directly: the
@@ -184,15 +184,15 @@
 // deaf tells whether a machine seems to hear nothing of us, whatever it reports.
 // Nothing is placed on it, and it is replaced if it stays so. When that seems so
 // of most machines, it is we who can't be heard: they are all alike then.
-func (m *machine) deaf(p *part) bool {
-	return (m.lapsed || m.unanswered >= deafAfter) && !p.hoarse
+func (m *machine) deaf(p *partition) bool {
+	return (m.lapsed || m.unanswered >= deafAfter) && !p.mostNotReceiving
 }
 
 // heardSince is when a machine was last heard, or since when it could have been. While
 // this controller answers no reports (HoldTime) it hears none: after a long outage all
 // machines would else be found silent at once, and returned with all that they run.
-func (b *brain) heardSince(m *machine, p *part) time.Time {
-	t := p.took(m)
+func (b *brain) heardSince(m *machine, p *partition) time.Time {
+	t := p.ownsMachineSince(m)
 	if b.resumedAt.After(t) {
 		t = b.resumedAt
 	}
@@ -205,19 +205,19 @@
 // up tells whether an owner may place on its machine. It must have shown a token
 // of ours: a report without may be a copy that comes late, after a take-over even
 // of a machine that died long ago, and nothing is known yet to compare it with.
-func (b *brain) up(m *machine, p *part) bool {
-	return !m.gone && m.heard.After(p.took(m)) && m.session > 0 && m.token >= p.gained && !m.deaf(p) &&
+func (b *brain) up(m *machine, p *partition) bool {
+	return !m.gone && m.heard.After(p.ownsMachineSince(m)) && m.session > 0 && m.token >= p.firstToken && !m.deaf(p) &&
 		b.now.Sub(m.heard) < max(2*config.Seconds(b.cfg.Settings.Workers.ReportS), 3*time.Second)
 }
 
 // leaseOver tells whether a machine's lease has surely ended: nobody has sent
 // it an answer that could renew it for a whole lease, a former owner included.
-func (b *brain) leaseOver(m *machine, p *part) bool {
-	last := p.took(m).Add(p.old)
+func (b *brain) leaseOver(m *machine, p *partition) bool {
+	last := p.ownsMachineSince(m).Add(p.formerOwnerStaleness)
 	if m.answered.After(last) {
 		last = m.answered
 	}
-	return b.now.Sub(last) > b.lease
+	return b.now.Sub(last) > b.leaseExpiry
 }
 
 // report takes a worker's report in and answers it.
@@ -228,11 +228,11 @@
 	if !b.loaded {
 		return api.Response{Status: http.StatusServiceUnavailable, Reason: "starting"}
 	}
-	if refusal, refused := b.refuses(); refused {
+	if refusal, refused := b.refusal(); refused {
 		return refusal
 	}
-	p := b.parts[b.machine(r.Machine).home]
-	if p.term == 0 {
+	p := b.partitions[b.machine(r.Machine).home]
+	if p.token == 0 {
 		h, ok := b.holders[p.key]
 		if !ok || h.Node == b.cfg.Name {
 			return api.Response{Status: http.StatusServiceUnavailable, Reason: "no owner"}
@@ -240,18 +240,18 @@
 		b.metrics.count(cRedirected, 1)
 		return api.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Node: h.Node}}
 	}
-	if r.Token > p.term {
+	if r.Token > p.token {
 		// A later owner has spoken to it: we have been replaced.
 		return api.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{}}
 	}
-	if !b.fresh(b.hold) {
+	if !b.isFresh(b.maxStaleness) {
 		// See HoldTime: a user may have been told "cancelled" meanwhile.
 		return api.Response{Status: http.StatusServiceUnavailable, Reason: "state service out of reach"}
 	}
 	m := b.machine(r.Machine)
 	told := m.probeOK
 	newer := b.takeReport(m, r, p, true)
-	ans := wire.HeartbeatResponse{Token: p.term, Commands: []wire.Command{}}
+	ans := wire.HeartbeatResponse{Token: p.token, Commands: []wire.Command{}}
 	// The answer renews the lease from when the report was sent. One that is not
 	// new was sent before the newest came in; it may be a copy that comes long
 	// after its machine died, which must not put off the proof of that.
@@ -271,7 +271,7 @@
 }
 
 // takeReport takes in the newest that a machine told; false if it was not new.
-func (b *brain) takeReport(m *machine, r *wire.Heartbeat, p *part, viaReport bool) bool {
+func (b *brain) takeReport(m *machine, r *wire.Heartbeat, p *partition, viaReport bool) bool {
 	if r.Incarnation < m.session || r.Incarnation == m.session && r.Sequence <= m.seq {
 		return false
 	}
@@ -285,7 +285,7 @@
 	news := r.Incarnation != m.session || r.Token != m.token || (r.NoticeS == nil) != m.notice.IsZero() || viaReport && !b.up(m, p)
 	m.session, m.seq, m.token = r.Incarnation, r.Sequence, r.Token
 	m.addr, m.typ, m.zone, m.spot = r.Addr, r.Type, r.Zone, r.Spot
-	first := m.heard.Before(p.since)
+	first := m.heard.Before(p.ownedSince)
 	m.probeOK = b.now
 	if !viaReport {
 		m.lapsed, m.unanswered = false, 0
@@ -296,7 +296,7 @@
 		b.sizeMachine(m)
 	}
 	if first && viaReport {
-		b.log.Debug("machine reports", "machine", m.name, "type", m.typ, "part", p.n)
+		b.log.Debug("machine reports", "machine", m.name, "type", m.typ, "part", p.index)
 	}
 	if r.NoticeS == nil {
 		m.notice = time.Time{}
@@ -310,7 +310,7 @@
 	if p.active && !m.gone {
 		b.judge(m, p)
 	}
-	if viaReport && (m.lapsed || m.token < p.gained) {
+	if viaReport && (m.lapsed || m.token < p.firstToken) {
 		b.ping(m, p) // it answers, and shows our token, if it hears us
 	}
 	if news {
@@ -320,21 +320,21 @@
 }
 
 // judge draws proofs from a machine's newest report.
-func (b *brain) judge(m *machine, p *part) {
+func (b *brain) judge(m *machine, p *partition) {
 	// An older owner's start may still be under way until the machine has
 	// shown our token; one of ours while a direct command is unanswered.
-	settled := m.token == p.term && m.openDo != p.term && !m.doStart && !m.respOpen
-	if m.openDo == p.term && m.openDo != 0 && !m.doBusy {
-		p.raise = true
+	settled := m.token == p.token && m.openDo != p.token && !m.doStart && !m.respOpen
+	if m.openDo == p.token && m.openDo != 0 && !m.doBusy {
+		p.tokenRaiseDue = true
 	}
 	shown := make(shownTasks, 0, len(m.tasks))
 	for i := range m.tasks {
 		t := &m.tasks[i]
 		j, r, e := b.lookup(t.Task)
-		if e == nil || e.m != m || e.attempt != t.Attempt || e.session != m.session {
+		if e == nil || e.machine != m || e.attempt != t.Attempt || e.incarnation != m.session {
 			continue
 		}
-		shown.add(r.task(e.num))
+		shown.add(r.task(e.task))
 		if j.spec != nil && j.spec.Gang {
 			j.gangSeen(t)
 		}
@@ -346,7 +346,7 @@
 			continue
 		}
 		o := outcome{attempt: e.attempt, done: t.Reason == wire.ReasonDone && j.spec != nil && !j.spec.Service, err: t.Reason == wire.ReasonError}
-		if old, ok := b.outcomes[r.task(e.num)]; !ok || old.attempt != e.attempt {
+		if old, ok := b.outcomes[r.task(e.task)]; !ok || old.attempt != e.attempt {
 			b.taskEnded(m, j, t.Reason)
 		}
 		b.end(r, e, o)
@@ -356,12 +356,12 @@
 	}
 	stop := stopCheck{b: b}
 	for _, x := range m.bound {
-		t, r := x.task, x.rec
-		e := r.find(t.Num)
-		if e == nil || e.m != m {
+		t, r := x.task, x.group
+		e := r.binding(t.Num)
+		if e == nil || e.machine != m {
 			continue
 		}
-		if e.session < m.session {
+		if e.incarnation < m.session {
 			b.end(r, e, outcome{attempt: e.attempt}) // the earlier session killed all
 			continue
 		}
@@ -383,7 +383,7 @@
 
 func (s shownTasks) has(t core.Task) bool { return slices.Contains(s, t) }
 
-func (b *brain) lookup(name string) (*job, *rec, *entry) {
+func (b *brain) lookup(name string) (*job, *taskGroup, *binding) {
 	id, num, ok := parseTask(name)
 	if !ok {
 		return nil, nil, nil
@@ -392,11 +392,11 @@
 	if j == nil {
 		return nil, nil, nil
 	}
-	r := j.loc[num]
+	r := j.groupOfTask[num]
 	if r == nil {
 		return j, nil, nil
 	}
-	return j, r, r.find(num)
+	return j, r, r.binding(num)
 }
 
 // taskEnded learns from how a task ended.
@@ -419,7 +419,7 @@
 		}
 		m.cooling = b.now.Add(5 * time.Second)
 		b.weighFailures(m)
-		if j.mistaken() {
+		if j.failsEverywhere() {
 			for name := range j.failedOn {
 				b.weighFailures(b.machine(name))
 			}
@@ -442,11 +442,11 @@
 
 // mistaken tells whether a job fails wherever it is put, as one does that its user
 // submitted with a mistake. Nothing of it has ever got done.
-func (j *job) mistaken() bool {
+func (j *job) failsEverywhere() bool {
 	if len(j.failedOn) < manyFailed {
 		return false
 	}
-	_, finished := j.dealt()
+	_, finished := j.assignedTasks()
 	return finished == 0
 }
 
@@ -458,7 +458,7 @@
 	for id, at := range m.failed {
 		if j := b.jobs[id]; j == nil || b.now.Sub(at) > barredFor {
 			delete(m.failed, id)
-		} else if !j.mistaken() {
+		} else if !j.failsEverywhere() {
 			n++
 		}
 	}
@@ -475,50 +475,50 @@
 }
 
 // end notes the proven end of an attempt; the record is rewritten in step.
-func (b *brain) end(r *rec, e *entry, o outcome) {
-	t := r.task(e.num)
+func (b *brain) end(r *taskGroup, e *binding, o outcome) {
+	t := r.task(e.task)
 	if old, ok := b.outcomes[t]; ok && old.attempt == e.attempt {
 		return
 	}
 	b.outcomes[t] = o
-	r.dirty = true
+	r.hasUnstoredEnds = true
 	if o.done {
 		b.metrics.count(cDone, 1)
 	} else {
 		b.metrics.count(cLost, 1)
 	}
-	b.log.Debug("attempt over", "task", taskName(r.job.id, e.num), "attempt", e.attempt, "machine", e.m.name, "done", o.done)
-	p := b.parts[e.m.home]
-	if p.n != r.part {
-		if p.foreign == nil {
-			p.foreign = map[*rec]bool{}
+	b.log.Debug("attempt over", "task", taskName(r.job.id, e.task), "attempt", e.attempt, "machine", e.machine.name, "done", o.done)
+	p := b.partitions[e.machine.home]
+	if p.index != r.partition {
+		if p.foreignGroups == nil {
+			p.foreignGroups = map[*taskGroup]bool{}
 		}
-		p.foreign[r] = true
+		p.foreignGroups[r] = true
 	}
-	p.ended(b.now)
+	p.countFreedCell(b.now)
 	b.freeCell(p, t)
 	b.step()
 }
 
 // endAll ends every attempt on a machine that is gone or whose lease is over.
 func (b *brain) endAll(m *machine, why string) {
-	p := b.parts[m.home]
-	if p.term == 0 {
+	p := b.partitions[m.home]
+	if p.token == 0 {
 		return
 	}
 	before := len(b.outcomes)
 	for _, x := range m.bound {
-		t, r := x.task, x.rec
-		if e := r.find(t.Num); e != nil && e.m == m {
+		t, r := x.task, x.group
+		if e := r.binding(t.Num); e != nil && e.machine == m {
 			b.end(r, e, outcome{attempt: e.attempt})
 		}
 	}
 	if n := len(b.outcomes) - before; n > 0 {
 		b.log.Info("tasks of a machine are lost", "machine", m.name, "tasks", n, "why", why)
 	}
-	for t, a := range p.alloc {
-		if a.m == m && !b.recs[t.Group].writing {
-			delete(p.alloc, t)
+	for t, a := range p.reservations {
+		if a.machine == m && !b.groups[t.Group].writing {
+			delete(p.reservations, t)
 			b.freeCell(p, t)
 		}
 	}
@@ -526,11 +526,11 @@
 }
 
 // wantStop tells whether a bound task should not be there.
-func (b *brain) wantStop(r *rec, t core.Task, m *machine, p *part) bool {
+func (b *brain) wantStop(r *taskGroup, t core.Task, m *machine, p *partition) bool {
 	if r.job.spec != nil && r.job.spec.Gang {
 		return b.gangStops(r.job)
 	}
-	return r.job.fate != live || b.mustLeave(r, t, m, p)
+	return r.job.finalState != unfinishedJob || b.mustLeave(r, t, m, p)
 }
 
 // stopCheck asks wantStop for the tasks of one machine, and once for all those of a gang:
@@ -541,7 +541,7 @@
 	stops bool
 }
 
-func (c *stopCheck) wants(r *rec, t core.Task, m *machine, p *part) bool {
+func (c *stopCheck) wants(r *taskGroup, t core.Task, m *machine, p *partition) bool {
 	if r.job.spec == nil || !r.job.spec.Gang {
 		return c.b.wantStop(r, t, m, p)
 	}
@@ -552,8 +552,8 @@
 }
 
 // mustLeave tells whether a task has to leave its machine.
-func (b *brain) mustLeave(r *rec, t core.Task, m *machine, p *part) bool {
-	if c := p.cells.CellOf(t); c != nil && c.State == core.Reserving || r.excess(t.Num) {
+func (b *brain) mustLeave(r *taskGroup, t core.Task, m *machine, p *partition) bool {
+	if c := p.cells.CellOf(t); c != nil && c.State == core.Reserving || r.exceedsThrottle(t.Num) {
 		return true
 	}
 	if l := b.lends[m.name]; l != nil && !l.Acknowledged && l.claim(b).CanPreempt(r.claim()) {
@@ -564,23 +564,23 @@
 }
 
 // commands are what a machine should do, by its newest report.
-func (b *brain) commands(m *machine, p *part) []wire.Command {
+func (b *brain) commands(m *machine, p *partition) []wire.Command {
 	var stops, starts []wire.Command
 	var there []string // tasks with an attempt that can't be reaped yet
 	shown := make(shownTasks, 0, len(m.tasks))
-	open := m.openDo == p.term || m.doStart || m.respOpen
+	open := m.openDo == p.token || m.doStart || m.respOpen
 	stop := stopCheck{b: b}
 	for i := range m.tasks {
 		t := &m.tasks[i]
 		j, r, e := b.lookup(t.Task)
-		if e == nil && j != nil && j.bad() && j.fate == live {
+		if e == nil && j != nil && j.hasUnreadableRecords() && j.finalState == unfinishedJob {
 			continue // it may well be bound there, in the record that can't be decoded
 		}
-		if e == nil || e.m != m || e.attempt != t.Attempt || e.session != m.session {
+		if e == nil || e.machine != m || e.attempt != t.Attempt || e.incarnation != m.session {
 			if t.State != wire.Exited {
 				zero := 0.0
 				stops = append(stops, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
-			} else if open || m.token != p.term {
+			} else if open || m.token != p.token {
 				there = append(there, t.Task)
 			} else {
 				// After a reap the worker knows the attempt no more, and a
@@ -589,8 +589,8 @@
 			}
 			continue
 		}
-		shown.add(r.task(e.num))
-		if t.State == wire.Exited || !stop.wants(r, r.task(e.num), m, p) {
+		shown.add(r.task(e.task))
+		if t.State == wire.Exited || !stop.wants(r, r.task(e.task), m, p) {
 			continue
 		}
 		grace := b.grace(r.job)
@@ -601,13 +601,13 @@
 	// Nothing starts on the strength of an old read: from the moment a user is told
 	// "cancelled", by whomever, no task of the job may. Reports are answered for longer
 	// than that (HoldTime), so that what runs goes on.
-	if len(shown) == len(m.bound) || !b.fresh(b.op.LeaseTTL) {
+	if len(shown) == len(m.bound) || !b.isFresh(b.op.LeaseTTL) {
 		return stops
 	}
 	for _, x := range m.bound {
-		t, r := x.task, x.rec
-		e := r.find(t.Num)
-		if e == nil || shown.has(t) || e.session != m.session || stop.wants(r, t, m, p) {
+		t, r := x.task, x.group
+		e := r.binding(t.Num)
+		if e == nil || shown.has(t) || e.incarnation != m.session || stop.wants(r, t, m, p) {
 			continue
 		}
 		if o, ok := b.outcomes[t]; ok && o.attempt == e.attempt {
@@ -625,15 +625,15 @@
 
 // kick sends a machine's commands at once, without waiting for its report.
 func (b *brain) kick(m *machine) {
-	p := b.parts[m.home]
-	if p.term == 0 || !p.active || m.gone || m.addr == "" || !m.heard.After(p.since) {
+	p := b.partitions[m.home]
+	if p.token == 0 || !p.active || m.gone || m.addr == "" || !m.heard.After(p.ownedSince) {
 		return
 	}
 	if m.doBusy {
 		m.doAgain = true
 		return
 	}
-	if b.now.Before(m.doRest) || !b.fresh(b.hold) {
+	if b.now.Before(m.doRest) || !b.isFresh(b.maxStaleness) {
 		return
 	}
 	if b.doOpen >= b.doMost {
@@ -663,7 +663,7 @@
 		m.doWaits = false
 		if ping := m.doPing; ping {
 			m.doPing = false
-			if p := b.parts[m.home]; p.term != 0 && !m.gone {
+			if p := b.partitions[m.home]; p.token != 0 && !m.gone {
 				b.ping(m, p)
 			}
 			continue
@@ -673,8 +673,8 @@
 }
 
 // ping tells a machine our token, whether it has something to do or not.
-func (b *brain) ping(m *machine, p *part) {
-	if m.doBusy || b.now.Before(m.doRest) || m.session == 0 || m.addr == "" || !b.fresh(b.hold) {
+func (b *brain) ping(m *machine, p *partition) {
+	if m.doBusy || b.now.Before(m.doRest) || m.session == 0 || m.addr == "" || !b.isFresh(b.maxStaleness) {
 		return
 	}
 	if b.doOpen >= b.doMost/2 { // the rest is for commands
@@ -685,7 +685,7 @@
 	b.direct(m, p, nil)
 }
 
-func (b *brain) direct(m *machine, p *part, cmds []wire.Command) {
+func (b *brain) direct(m *machine, p *partition, cmds []wire.Command) {
 	m.doBusy, m.doAgain, m.doPing = true, false, false
 	b.doOpen++
 	for _, c := range cmds {
@@ -693,7 +693,7 @@
 			m.doStart = true
 		}
 	}
-	term, addr := p.term, m.addr
+	term, addr := p.token, m.addr
 	d := &wire.CommandRequest{Token: term, Incarnation: m.session, Commands: cmds}
 	// Counted from the decision, not from when it is sent: a process that stood
 	// still in between has no right to send it any more.
@@ -732,7 +732,7 @@
 			if r.Machine != m.name {
 				return
 			}
-			if p.term != 0 && r.Token <= p.term {
+			if p.token != 0 && r.Token <= p.token {
 				b.takeReport(m, r, p, false)
 			}
 			if m.doAgain || !ok {
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -15,8 +15,8 @@
 // stepParts takes the decisions of all parts that are ours.
 func (b *brain) stepParts() {
 	defer b.metrics.spend(dParts, time.Now())
-	for _, p := range b.parts {
-		if p.active && b.fresh(b.op.LeaseTTL) {
+	for _, p := range b.partitions {
+		if p.active && b.isFresh(b.op.LeaseTTL) {
 			b.stepPart(p)
 		}
 	}
@@ -24,8 +24,8 @@
 
 // stepPart lets the pending tasks of a part claim cells, highest claims first,
 // and stores what changed: ended attempts and new bindings.
-func (b *brain) stepPart(p *part) {
-	p.delist(func(m *machine) bool { return m.gone && len(m.bound) == 0 })
+func (b *brain) stepPart(p *partition) {
+	p.removeMachines(func(m *machine) bool { return m.gone && len(m.bound) == 0 })
 	for _, m := range p.machines {
 		if len(m.bound) > 0 && (m.gone || b.leaseOver(m, p)) {
 			b.endAll(m, "its lease is over")
@@ -34,20 +34,20 @@
 	b.steps++
 	byUrgency := b.byUrgency()
 	// Most records have nothing to do: all their tasks run.
-	var mine []*rec
-	for _, r := range p.recs {
-		if r.job.spec != nil && (r.dirty || r.size > b.maxValue() || r.job.fate == live && r.placed < len(r.entries)) {
+	var mine []*taskGroup
+	for _, r := range p.groups {
+		if r.job.spec != nil && (r.hasUnstoredEnds || r.size > b.maxValueBytes() || r.job.finalState == unfinishedJob && r.boundCount < len(r.bindings)) {
 			mine = append(mine, r)
 		}
 	}
-	slices.SortFunc(mine, func(x, y *rec) int {
+	slices.SortFunc(mine, func(x, y *taskGroup) int {
 		cx, cy := x.claim(), y.claim()
-		return cmp.Or(cmp.Compare(cy.Priority, cx.Priority), boolCmp(cy.Guaranteed, cx.Guaranteed), byUrgency(x.job, y.job), cmp.Compare(x.k, y.k))
+		return cmp.Or(cmp.Compare(cy.Priority, cx.Priority), boolCmp(cy.Guaranteed, cx.Guaranteed), byUrgency(x.job, y.job), cmp.Compare(x.number, y.number))
 	})
 	full := map[shape]bool{}
-	p.queued = 0
+	p.unplaced = 0
 	for _, r := range mine {
-		if !r.writing && r.job.fate == live && !b.now.Before(r.job.retryAt) {
+		if !r.writing && r.job.finalState == unfinishedJob && !b.now.Before(r.job.retryAt) {
 			b.place(p, r, full)
 		}
 	}
@@ -56,9 +56,9 @@
 			b.store(p, r)
 		}
 	}
-	for r := range p.foreign {
-		if b.recs[r.idx] != r || !r.dirty || r.part == p.n {
-			delete(p.foreign, r)
+	for r := range p.foreignGroups {
+		if b.groups[r.index] != r || !r.hasUnstoredEnds || r.partition == p.index {
+			delete(p.foreignGroups, r)
 		} else if !r.writing && r.job.spec != nil {
 			b.store(p, r)
 		}
@@ -66,8 +66,8 @@
 	b.rewriteRecords(p)
 	b.tellGangs(p)
 	b.acknowledge(p)
-	if p.raise {
-		b.raiseTerm(p)
+	if p.tokenRaiseDue {
+		b.raiseToken(p)
 	}
 }
 
@@ -81,9 +81,9 @@
 
 // order is what a job's place among others depends on.
 func (b *brain) order(j *job) *core.JobOrder {
-	_, finished := j.dealt()
-	return &core.JobOrder{AllOrNothing: j.spec.AllOrNothing(), NoDeadline: j.spec.NoDeadline, Started: j.begun(), OverdueTurn: core.IsOverdueTurn(b.now.Unix()),
-		AgeS: b.now.Sub(j.at).Seconds(), EstimateS: j.spec.EstimateS, DeadlineS: j.spec.DeadlineS, ObjectiveS: b.within[j.spec.Class],
+	_, finished := j.assignedTasks()
+	return &core.JobOrder{AllOrNothing: j.spec.AllOrNothing(), NoDeadline: j.spec.NoDeadline, Started: j.hasStarted(), OverdueTurn: core.IsOverdueTurn(b.now.Unix()),
+		AgeS: b.now.Sub(j.acceptedAt).Seconds(), EstimateS: j.spec.EstimateS, DeadlineS: j.spec.DeadlineS, ObjectiveS: b.objectiveSeconds[j.spec.Class],
 		RemainingWork: float64(j.spec.Tasks-finished) * j.spec.EstimateS * j.spec.CPUs}
 }
 
@@ -104,8 +104,8 @@
 	return func(x, y *job) int {
 		// Of those that come at about the same time the ones with one image go
 		// together: a machine that comes up fetches one for all that it takes.
-		return cmp.Or(cmp.Compare(y.spec.Priority, x.spec.Priority), of(x).Compare(of(y)), cmp.Compare(x.at.Unix()/alikeS, y.at.Unix()/alikeS),
-			cmp.Compare(x.spec.Image, y.spec.Image), x.at.Compare(y.at), cmp.Compare(x.id, y.id))
+		return cmp.Or(cmp.Compare(y.spec.Priority, x.spec.Priority), of(x).Compare(of(y)), cmp.Compare(x.acceptedAt.Unix()/alikeS, y.acceptedAt.Unix()/alikeS),
+			cmp.Compare(x.spec.Image, y.spec.Image), x.acceptedAt.Compare(y.acceptedAt), cmp.Compare(x.id, y.id))
 	}
 }
 
@@ -123,9 +123,9 @@
 // start together, everything else one by one. Tasks of one shape are alike, so
 // the first that finds no room speaks for all behind it; full is what has found
 // none in this step.
-func (b *brain) place(p *part, r *rec, full map[shape]bool) {
+func (b *brain) place(p *partition, r *taskGroup, full map[shape]bool) {
 	pending, busy, started := b.pending(p, r)
-	if over := len(pending) - max(0, r.may()-(len(r.entries)-len(pending))); over > 0 {
+	if over := len(pending) - max(0, r.allowedTasks()-(len(r.bindings)-len(pending))); over > 0 {
 		pending = pending[:len(pending)-over]
 	}
 	if len(pending) == 0 {
@@ -134,11 +134,11 @@
 	spec := r.job.spec
 	if spec.Gang || spec.Service && !started {
 		// All records of the job in this part are one group.
-		for _, o := range r.job.recs {
-			if o == r || o.part != p.n {
+		for _, o := range r.job.groups {
+			if o == r || o.partition != p.index {
 				continue
 			}
-			if o.k < r.k {
+			if o.number < r.number {
 				return // asked for with the first record
 			}
 			more, otherBusy, otherStarted := b.pending(p, o)
@@ -148,22 +148,22 @@
 	score := b.scorer(p, r)
 	// An array's tasks wait a little before they stop others: cells come
 	// free all the time, and what is stopped has run for nothing.
-	s := shape{r.job.sig, r.zone, r.claim(), !spec.AllOrNothing() && b.now.Sub(r.since) < b.op.EvictAfter}
+	s := shape{r.job.equivalenceClass, r.zone, r.claim(), !spec.AllOrNothing() && b.now.Sub(r.inPartitionSince) < b.op.EvictAfter}
 	// Where tasks end all the time, those at the head of the queue have a free cell
 	// before long; only what is behind them stops others, until all have waited.
-	patient := !spec.AllOrNothing() && b.now.Sub(r.since) < patience*b.op.EvictAfter
+	patient := !spec.AllOrNothing() && b.now.Sub(r.inPartitionSince) < patience*b.op.EvictAfter
 	request := func(tasks ...core.Task) bool {
 		if patient && !s.mild {
-			s.mild = p.queued < p.endsWithin(b.now, b.op.EvictAfter)
+			s.mild = p.unplaced < p.freedCellsWithin(b.now, b.op.EvictAfter)
 			defer func() { s.mild = false }()
 		}
 		// Machines that failed a job are barred to it alone.
 		alike := len(tasks) == 1 && len(r.job.failedOn) == 0
 		if alike && full[s] {
-			p.queued++
+			p.unplaced++
 			return false
 		}
-		g := &core.Group{Tasks: tasks, TaskSize: r.job.need, Claim: s.claim, NoPreemption: s.mild}
+		g := &core.Group{Tasks: tasks, TaskSize: r.job.taskSize, Claim: s.claim, NoPreemption: s.mild}
 		p.cells.Request(g, score)
 		switch g.State {
 		case core.Allocated:
@@ -176,7 +176,7 @@
 			}
 		case core.Pending:
 			full[s] = full[s] || alike
-			p.queued++
+			p.unplaced++
 		}
 		return g.State != core.Pending
 	}
@@ -189,7 +189,7 @@
 		return
 	}
 	for i, t := range pending {
-		if !request(t) && (!patient || s.mild || i >= p.endsWithin(b.now, b.op.EvictAfter)) {
+		if !request(t) && (!patient || s.mild || i >= p.freedCellsWithin(b.now, b.op.EvictAfter)) {
 			return
 		}
 	}
@@ -202,40 +202,40 @@
 const rateOver = 5 * time.Second
 
 // ended counts a cell that came free.
-func (p *part) ended(now time.Time) {
-	if now.Sub(p.endsSince) > rateOver {
-		p.endsBefore, p.ends = p.ends, 0
-		if now.Sub(p.endsSince) > 2*rateOver {
-			p.endsBefore = 0
+func (p *partition) countFreedCell(now time.Time) {
+	if now.Sub(p.freedCellsSince) > rateOver {
+		p.freedCellsBefore, p.freedCells = p.freedCells, 0
+		if now.Sub(p.freedCellsSince) > 2*rateOver {
+			p.freedCellsBefore = 0
 		}
-		p.endsSince = now
+		p.freedCellsSince = now
 	}
-	p.ends++
+	p.freedCells++
 }
 
 // endsWithin is about how many cells come free in d.
-func (p *part) endsWithin(now time.Time, d time.Duration) int {
-	if now.Sub(p.endsSince) > 2*rateOver {
+func (p *partition) freedCellsWithin(now time.Time, d time.Duration) int {
+	if now.Sub(p.freedCellsSince) > 2*rateOver {
 		return 0
 	}
-	return int(int64(p.endsBefore) * int64(d) / int64(rateOver))
+	return int(int64(p.freedCellsBefore) * int64(d) / int64(rateOver))
 }
 
 // pending lists a record's tasks that neither are nor claim to be anywhere;
 // busy: others do; started: some have run before.
-func (b *brain) pending(p *part, r *rec) (out []core.Task, busy, started bool) {
-	for i := range r.entries {
-		e := &r.entries[i]
-		t := r.task(e.num)
+func (b *brain) pending(p *partition, r *taskGroup) (out []core.Task, busy, started bool) {
+	for i := range r.bindings {
+		e := &r.bindings[i]
+		t := r.task(e.task)
 		started = started || e.attempt > 0
-		there := e.m != nil
+		there := e.machine != nil
 		if o, ok := b.outcomes[t]; there && ok && o.attempt == e.attempt && !o.done && !r.job.spec.Gang {
 			// Proven gone: its end and its next cell are stored together. Stored one
 			// after the other, they had the replicas of some hundred dead machines
 			// wait twice for the state service.
 			there = false
 		}
-		if _, ok := p.alloc[t]; ok || there || p.cells.PreemptingGroup(t) != nil {
+		if _, ok := p.reservations[t]; ok || there || p.cells.PreemptingGroup(t) != nil {
 			busy = true
 			continue
 		}
@@ -245,7 +245,7 @@
 }
 
 // scorer rates machines for a record's tasks; negative: not allowed.
-func (b *brain) scorer(p *part, r *rec) core.ScoreFunc {
+func (b *brain) scorer(p *partition, r *taskGroup) core.ScoreFunc {
 	j := r.job.spec
 	return func(mi int32, free core.Resources) float64 {
 		m := b.byIdx[mi]
@@ -281,7 +281,7 @@
 	if m.images[j.Image] {
 		return imageThere
 	}
-	t := b.types[m.typ]
+	t := b.machineTypes[m.typ]
 	if t == nil || !(t.FetchGBPS > 0) {
 		return 0
 	}
@@ -305,11 +305,11 @@
 
 // open tells whether anything may be placed on a machine now. It is looked up
 // once in a step, not for each task.
-func (b *brain) open(m *machine, p *part) bool {
+func (b *brain) open(m *machine, p *partition) bool {
 	if m.openAt != b.steps {
 		m.openAt = b.steps
 		m.open = b.up(m, p) && m.notice.IsZero() && !m.suspect && !b.now.Before(m.cooling) &&
-			(!b.closing[m.name] || p.n == b.lentPart()) && !b.leaving[m.name] && (b.lends[m.name] == nil || p.n == b.lentPart() && !b.lends[m.name].leaving)
+			(!b.closing[m.name] || p.index == b.loanPartition()) && !b.leaving[m.name] && (b.lends[m.name] == nil || p.index == b.loanPartition() && !b.lends[m.name].leaving)
 	}
 	return m.open
 }
@@ -320,7 +320,7 @@
 	if m.pinnedAt != b.steps {
 		m.pinnedAt, m.pinned = b.steps, false
 		for _, x := range m.bound {
-			r := x.rec
+			r := x.group
 			if r.job.spec != nil && r.job.spec.AllOrNothing() {
 				m.pinned = true
 				break
@@ -339,7 +339,7 @@
 // probeSilent asks machines directly that have not reported in time, or seem not
 // to hear us.
 func (b *brain) probeSilent() {
-	for _, p := range b.parts {
+	for _, p := range b.partitions {
 		if !p.active {
 			continue
 		}
@@ -356,6 +356,6 @@
 				b.ping(m, p)
 			}
 		}
-		p.hoarse = deaf*2 > all
+		p.mostNotReceiving = deaf*2 > all
 	}
 }
--- a/internal/controller/pool.go
+++ b/internal/controller/pool.go
@@ -64,18 +64,18 @@
 // mayUsePool tells whether a job may be placed on machines that the leader has in its
 // own part: those that are there for it, and gangs; others only after a long wait.
 func (b *brain) mayUsePool(j *job) bool {
-	since := j.at
-	if j.dealtAt.After(since) {
-		since = j.dealtAt
+	since := j.acceptedAt
+	if j.assignedAt.After(since) {
+		since = j.assignedAt
 	}
-	return j.spec.Gang || b.lentFor(j) || b.now.Sub(since) > poolYields && b.now.Sub(b.lead.since) > poolYields
+	return j.spec.Gang || b.lentFor(j) || b.now.Sub(since) > poolYields && b.now.Sub(b.leadership.since) > poolYields
 }
 
 // poolOpen tells whether a job may be placed on a machine as far as that is kept for
 // others: one of the leader's own part is, until its room has been unused for long.
 // However long a job waits, it is dealt tasks now and then, and began to wait anew each time.
 func (b *brain) poolOpen(j *job, h *core.MachineSummary) bool {
-	return h.Partition != b.lentPart() || b.mayUsePool(j) || b.unusedForLong(h)
+	return h.Partition != b.loanPartition() || b.mayUsePool(j) || b.unusedForLong(h)
 }
 
 // unusedForLong tells whether nothing has been placed for long on a machine of the
@@ -86,7 +86,7 @@
 	if l := b.lends[m.name]; l != nil && l.Job != poolJob {
 		limit = lentUnused
 	}
-	unused := b.lead.since
+	unused := b.leadership.since
 	for _, at := range []time.Time{m.homeAt, m.usedAt} {
 		if at.After(unused) {
 			unused = at
@@ -97,7 +97,7 @@
 
 // outranksPool tells whether a job goes before gangs.
 func (b *brain) outranksPool(j *job) bool {
-	for _, c := range b.lead.pool.classes {
+	for _, c := range b.leadership.pool.classes {
 		if j.spec.Priority > c.spec.Priority {
 			return true
 		}
@@ -107,15 +107,15 @@
 
 // notePool notes which gangs there are, and which machines of the pool are wanted.
 func (b *brain) notePool(hosts []*core.MachineSummary) {
-	p := &b.lead.pool
+	p := &b.leadership.pool
 	if p.classes == nil {
 		p.classes = map[string]*gangClass{}
 	}
 	for _, c := range p.classes {
 		c.live = 0
 	}
-	for _, j := range b.atHand {
-		if j.spec == nil || !j.spec.Gang || j.fate != live {
+	for _, j := range b.unfinished {
+		if j.spec == nil || !j.spec.Gang || j.finalState != unfinishedJob {
 			continue
 		}
 		c := p.classes[j.spec.Class]
@@ -124,7 +124,7 @@
 			if c != nil {
 				live = c.live
 			}
-			c = &gangClass{spec: j.spec, need: j.need, live: live}
+			c = &gangClass{spec: j.spec, need: j.taskSize, live: live}
 			p.classes[j.spec.Class] = c
 		}
 		c.seen = b.now
@@ -139,7 +139,7 @@
 	// Room for one gang of each class, machine by machine, the fullest first, so that
 	// the others come free. Twice as much is kept as would be borrowed, or machines
 	// would go to and fro.
-	ours := slices.DeleteFunc(slices.Clone(hosts), func(h *core.MachineSummary) bool { return h.Partition != b.lentPart() })
+	ours := slices.DeleteFunc(slices.Clone(hosts), func(h *core.MachineSummary) bool { return h.Partition != b.loanPartition() })
 	slices.SortFunc(ours, func(x, y *core.MachineSummary) int {
 		return cmp.Or(cmp.Compare(len(y.Usages), len(x.Usages)), cmp.Compare(x.ID, y.ID))
 	})
@@ -171,13 +171,13 @@
 
 // poolKeeps tells whether a machine of the pool stays there.
 func (b *brain) poolKeeps(m *machine) bool {
-	return len(m.bound) > 0 || b.lead.pool.keep[m.idx] || b.now.Sub(m.homeAt) < poolSettles
+	return len(m.bound) > 0 || b.leadership.pool.keep[m.idx] || b.now.Sub(m.homeAt) < poolSettles
 }
 
 // fillPool borrows machines for the pool while it lacks room: empty ones, or such as
 // will come empty soon.
 func (b *brain) fillPool(hosts []*core.MachineSummary) {
-	p := &b.lead.pool
+	p := &b.leadership.pool
 	p.missing = nil
 	if len(p.classes) == 0 {
 		return
@@ -190,7 +190,7 @@
 		fits := func(h *core.MachineSummary) bool {
 			return !h.Booting && allowed(spec, zone, h.Type, h.Zone, h.Spot)
 		}
-		lacks := c.room() - takeRoom(room, c, func(h *core.MachineSummary) bool { return h.Partition == b.lentPart() && fits(h) })
+		lacks := c.room() - takeRoom(room, c, func(h *core.MachineSummary) bool { return h.Partition == b.loanPartition() && fits(h) })
 		empty, busy := b.roomLent(c, zone)
 		if lacks-empty <= 0 {
 			continue
@@ -239,7 +239,7 @@
 func (b *brain) roomLent(c *gangClass, zone string) (empty, busy int) {
 	for name, l := range b.lends {
 		m := b.machine(name)
-		t := b.types[m.typ]
+		t := b.machineTypes[m.typ]
 		if l.Job != poolJob || l.Acknowledged || t == nil || !allowed(c.spec, zone, m.typ, m.zone, m.spot) {
 			continue
 		}
@@ -257,7 +257,7 @@
 func (b *brain) mayLend(hosts []*core.MachineSummary, fits func(*core.MachineSummary) bool) []*core.MachineSummary {
 	var can []*core.MachineSummary
 	for _, h := range hosts {
-		if fits(h) && h.Partition != b.lentPart() && !h.InUse && !h.RunsService && !b.lead.closing[b.byIdx[h.ID].name] {
+		if fits(h) && h.Partition != b.loanPartition() && !h.InUse && !h.RunsService && !b.leadership.closing[b.byIdx[h.ID].name] {
 			can = append(can, h)
 		}
 	}
@@ -296,7 +296,7 @@
 			continue
 		}
 		all[h.Zone]++
-		if h.Partition == b.lentPart() {
+		if h.Partition == b.loanPartition() {
 			room[h.Zone] += h.Free.CountFitting(c.need, c.spec.Tasks)
 		}
 	}
--- a/internal/controller/provision.go
+++ b/internal/controller/provision.go
@@ -24,19 +24,19 @@
 
 // provision rents for what found no room and returns what is not wanted.
 func (b *brain) provision(hosts []*core.MachineSummary, wants []core.Demand) {
-	if len(b.types) == 0 {
+	if len(b.machineTypes) == 0 {
 		return
 	}
 	plan := core.ScalingPlan{Machines: append(slices.Clone(hosts), b.booting()...), Offers: b.offers(), RunningByClass: map[string]int{}, Launches: map[core.Offer]int{}}
-	for r := range b.records() {
+	for r := range b.allGroups() {
 		if r.job.spec != nil {
-			plan.RunningByClass[r.job.spec.Class] += r.bound()
+			plan.RunningByClass[r.job.spec.Class] += r.boundTasks()
 		}
 	}
 	for _, w := range wants {
 		plan.Place(w)
 	}
-	for _, w := range b.lead.pool.missing {
+	for _, w := range b.leadership.pool.missing {
 		plan.Place(w)
 	}
 	short := plan.Shortage
@@ -48,7 +48,7 @@
 	// A new leader does not know yet what is up or booting: it would rent all
 	// of it once more.
 	// Nor does one after a long outage, in which no reports were taken.
-	known := b.lead.listed && b.allVouched() || b.now.Sub(b.lead.since) > settleAfter
+	known := b.leadership.listed && b.allVouched() || b.now.Sub(b.leadership.since) > settleAfter
 	if known && b.now.Sub(b.resumedAt) > b.quietAfter()+2*time.Second {
 		for o, n := range plan.Launches {
 			b.rent(o, min(n, 50))
@@ -70,40 +70,40 @@
 // closeSpare empties machines that the fleet has not needed of late: one takes no
 // more work, and is returned when it is empty.
 func (b *brain) closeSpare(hosts []*core.MachineSummary, spare []core.Demand, level int, short bool) {
-	if b.lead.closing == nil {
-		b.lead.closing = map[string]bool{}
+	if b.leadership.closing == nil {
+		b.leadership.closing = map[string]bool{}
 	}
-	b.closing = b.lead.closing
+	b.closing = b.leadership.closing
 	if short {
-		clear(b.lead.closing)
-		b.lead.surplus.Reset()
+		clear(b.leadership.closing)
+		b.leadership.surplus.Reset()
 		return
 	}
 	free := int64(0)
 	window := time.Duration(0)
 	for _, h := range hosts {
-		if !b.lead.closing[b.byIdx[h.ID].name] {
+		if !b.leadership.closing[b.byIdx[h.ID].name] {
 			free += h.Size.CPU - h.Used().CPU
 		}
-		window = max(window, b.idleFor(b.types[h.Type], false))
+		window = max(window, b.idleFor(b.machineTypes[h.Type], false))
 	}
 	for _, w := range spare {
 		free -= w.TaskSize.CPU * int64(w.Count)
 	}
-	age := b.now.Sub(b.lead.since)
-	least, ok := b.lead.surplus.Add(age.Seconds(), free, window.Seconds())
+	age := b.now.Sub(b.leadership.since)
+	least, ok := b.leadership.surplus.Add(age.Seconds(), free, window.Seconds())
 	if !ok || age < window {
 		return // not seen for long enough
 	}
 	best := core.LeastUsed(hosts, least, level, func(h *core.MachineSummary) bool {
-		return h.Partition != b.lentPart() && !b.lead.closing[b.byIdx[h.ID].name]
+		return h.Partition != b.loanPartition() && !b.leadership.closing[b.byIdx[h.ID].name]
 	})
 	if best == nil {
 		return
 	}
 	name := b.byIdx[best.ID].name
-	b.lead.closing[name] = true
-	b.lead.surplus.Subtract(best.Size.CPU - best.Used().CPU)
+	b.leadership.closing[name] = true
+	b.leadership.surplus.Subtract(best.Size.CPU - best.Used().CPU)
 	b.log.Info("machine is emptied to be returned", "machine", name, "spare_cpus", least/1000)
 }
 
@@ -112,8 +112,8 @@
 	level = math.MaxInt
 	byClass := map[string]*core.Demand{}
 	var order []string
-	for _, j := range b.atHand {
-		if j.fate != live || j.spec == nil || !j.spec.Service {
+	for _, j := range b.unfinished {
+		if j.finalState != unfinishedJob || j.spec == nil || !j.spec.Service {
 			continue
 		}
 		w := byClass[j.spec.Class]
@@ -147,8 +147,8 @@
 // booting are machines that are rented and have not reported yet.
 func (b *brain) booting() []*core.MachineSummary {
 	var out []*core.MachineSummary
-	for name, r := range b.lead.rented {
-		t := b.types[r.typ]
+	for name, r := range b.leadership.rented {
+		t := b.machineTypes[r.typ]
 		// One that is well past its usual time is not counted on any more.
 		if r.up || t == nil || b.leaving[name] || b.now.Sub(r.since) > config.Seconds(usualBoot*t.BootS) {
 			continue
@@ -156,8 +156,8 @@
 		size := core.NewResources(t.CPUs, t.GPUs, t.RAM)
 		out = append(out, &core.MachineSummary{ID: -1, Type: r.typ, Zone: r.zone, Spot: r.spot, Size: size, Free: size, Booting: true})
 	}
-	for o, n := range b.lead.renting {
-		t := b.types[o.Type]
+	for o, n := range b.leadership.renting {
+		t := b.machineTypes[o.Type]
 		for range n {
 			size := core.NewResources(t.CPUs, t.GPUs, t.RAM)
 			out = append(out, &core.MachineSummary{ID: -1, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Size: size, Free: size, Booting: true})
@@ -168,9 +168,9 @@
 
 func (b *brain) offers() []core.PricedOffer {
 	var out []core.PricedOffer
-	for _, t := range b.types {
+	for _, t := range b.machineTypes {
 		for _, z := range t.Zones {
-			if b.lead.cut[z] {
+			if b.leadership.cut[z] {
 				continue // what comes up there can't be reached either
 			}
 			for _, spot := range []bool{false, true} {
@@ -178,7 +178,7 @@
 					continue
 				}
 				o := core.Offer{Type: t.Name, Zone: z, Spot: spot}
-				if b.now.Before(b.lead.refused[o]) {
+				if b.now.Before(b.leadership.refused[o]) {
 					continue
 				}
 				price := t.Price
@@ -216,15 +216,15 @@
 			wanted[m.name] = true
 			continue
 		}
-		t := b.lead.idle[m.name]
+		t := b.leadership.idle[m.name]
 		if t.IsZero() || t.Before(b.resumedAt) { // an outage tells nothing of what is needed
-			b.lead.idle[m.name] = b.now
-		} else if b.closing[m.name] || b.now.Sub(t) > b.idleFor(b.types[m.typ], m.spot) {
+			b.leadership.idle[m.name] = b.now
+		} else if b.closing[m.name] || b.now.Sub(t) > b.idleFor(b.machineTypes[m.typ], m.spot) {
 			names = append(names, m.name)
 		}
 	}
 	for name := range wanted {
-		delete(b.lead.idle, name)
+		delete(b.leadership.idle, name)
 	}
 	b.release(names)
 }
@@ -234,8 +234,8 @@
 // has not reported since a take-over, and its zone may be cut off.
 func (b *brain) returnLost() {
 	var names []string
-	for name, r := range b.lead.rented {
-		t := b.types[r.typ]
+	for name, r := range b.leadership.rented {
+		t := b.machineTypes[r.typ]
 		// Only its part's owner can tell whether a machine is up: after a
 		// take-over a machine may be old and busy and not have reported yet.
 		// One that no owner tells of any more died while its part, or itself,
@@ -244,12 +244,12 @@
 		if r.up {
 			since = r.seen
 		}
-		if t != nil && !b.lead.cut[r.zone] && b.now.Sub(since) > b.bootLimit(t) && b.vouched(b.machine(name).home) {
+		if t != nil && !b.leadership.cut[r.zone] && b.now.Sub(since) > b.bootLimit(t) && b.vouched(b.machine(name).home) {
 			names = append(names, name)
 		}
 	}
 	bad := func(m *machine, flags uint8) {
-		if flags&mesh.Unreachable != 0 && b.lead.listed && !b.lead.cut[b.zoneOf(m)] || flags&mesh.Cordoned != 0 && (len(m.bound) == 0 || b.now.Sub(m.suspectAt) > 15*time.Second) {
+		if flags&mesh.Unreachable != 0 && b.leadership.listed && !b.leadership.cut[b.zoneOf(m)] || flags&mesh.Cordoned != 0 && (len(m.bound) == 0 || b.now.Sub(m.suspectAt) > 15*time.Second) {
 			names = append(names, m.name)
 		}
 	}
@@ -263,7 +263,7 @@
 
 // zoneOf is a machine's zone, if anybody has told it.
 func (b *brain) zoneOf(m *machine) string {
-	if r := b.lead.rented[m.name]; m.zone == "" && r != nil {
+	if r := b.leadership.rented[m.name]; m.zone == "" && r != nil {
 		return r.zone
 	}
 	return m.zone
@@ -291,18 +291,18 @@
 	for z, n := range all {
 		heard = heard || z != "" && out[z]*2 <= n
 	}
-	b.lead.cut = map[string]bool{}
+	b.leadership.cut = map[string]bool{}
 	for z, n := range all {
 		if z == "" || !heard || out[z]*2 <= n || out[z] < fewestCut {
-			delete(b.lead.quietZones, z)
+			delete(b.leadership.quietZones, z)
 			continue
 		}
-		since, ok := b.lead.quietZones[z]
+		since, ok := b.leadership.quietZones[z]
 		if !ok {
 			since = b.now
-			b.lead.quietZones[z] = since
+			b.leadership.quietZones[z] = since
 			b.log.Info("zone seems to be cut off", "zone", z, "machines", n, "out_of_reach", out[z])
 		}
-		b.lead.cut[z] = b.now.Sub(since) < b.hold+b.lease
+		b.leadership.cut[z] = b.now.Sub(since) < b.maxStaleness+b.leaseExpiry
 	}
 }
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -18,16 +18,16 @@
 
 // Keys of the stored records.
 const (
-	prefix   = "e/"
-	keyTypes = "e/types"
-	preJob   = "e/job/"
-	preGroup = "e/group/"
-	preGone  = "e/gone/"
-	preLend  = "e/lend/"
+	keyPrefix       = "e/"
+	machineTypesKey = "e/types"
+	jobPrefix       = "e/job/"
+	groupPrefix     = "e/group/"
+	tombstonePrefix = "e/gone/"
+	loanPrefix      = "e/lend/"
 )
 
-func jobKey(id string) string            { return preJob + id }
-func groupKey(id string, k int) string   { return preGroup + id + "/" + strconv.Itoa(k) }
+func jobKey(id string) string            { return jobPrefix + id }
+func groupKey(id string, k int) string   { return groupPrefix + id + "/" + strconv.Itoa(k) }
 func taskName(id string, n int32) string { return id + "/" + strconv.Itoa(int(n)) }
 
 func parseTask(s string) (id string, num int32, ok bool) {
@@ -37,7 +37,7 @@
 }
 
 // partOf is the part that a machine belongs to.
-func partOf(machine string, parts int) int {
+func partitionOf(machine string, parts int) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(machine))
 	// FNV's low bits alone are uneven for names that differ in a digit.
@@ -50,88 +50,88 @@
 
 // Fates of a job.
 const (
-	live = iota
-	cancelled
-	done
+	unfinishedJob = iota
+	cancelledJob
+	doneJob
 )
 
-var fateNames = map[int]string{live: "live", cancelled: "cancelled", done: "done"}
+var finalStateNames = map[int]string{unfinishedJob: "live", cancelledJob: "cancelled", doneJob: "done"}
 
 type job struct {
-	id    string
-	stamp uint64
-	fate  int
-	at    time.Time
-	spec  *wire.Job
-	need  core.Resources
-	team  int32
-	recs  []*rec
-	loc   map[int32]*rec // of each task that is dealt and not done
-
-	atHand bool // among brain.atHand
+	id          string
+	revision    uint64
+	finalState  int
+	acceptedAt  time.Time
+	spec        *wire.Job
+	taskSize    core.Resources
+	team        int32
+	groups      []*taskGroup
+	groupOfTask map[int32]*taskGroup // of each task that is dealt and not done
+
+	inUnfinished bool // among brain.atHand
 	// unreadable are the keys of its records that can't be decoded.
-	unreadable map[string]bool
-	sig        string // what jobs alike in need and permissions share
-	nextRec    int
-	dealtAt    time.Time
-	ending     bool            // a write of the fate is in flight
-	failedOn   map[string]bool // machines on which tasks of it failed
-	retryAt    time.Time       // nothing of it is placed before then
+	unreadable       map[string]bool
+	equivalenceClass string // what jobs alike in need and permissions share
+	nextGroupNumber  int
+	assignedAt       time.Time
+	finishing        bool            // a write of the fate is in flight
+	failedOn         map[string]bool // machines on which tasks of it failed
+	retryAt          time.Time       // nothing of it is placed before then
 
 	// Of a gang: the last attempt that was seen to run, that can't be completed, that
 	// was told to stop; and whether a task of it, and so all, got done.
-	ran, spoilt, told uint64
-	finished          bool
+	startedAttempt, failedAttempt, stoppedAttempt uint64
+	gangCompleted                                 bool
 	// incompleteSince is since when only some tasks of a gang's attempt have been bound.
 	incompleteSince time.Time
 }
 
 // newRec is the number of a record that the job has never had.
-func (j *job) newRec() int {
-	for _, r := range j.recs {
-		j.nextRec = max(j.nextRec, r.k+1)
+func (j *job) newGroupNumber() int {
+	for _, r := range j.groups {
+		j.nextGroupNumber = max(j.nextGroupNumber, r.number+1)
 	}
-	j.nextRec++
-	return j.nextRec - 1
+	j.nextGroupNumber++
+	return j.nextGroupNumber - 1
 }
 
-func (j *job) dealt() (n, finished int) {
-	for _, r := range j.recs {
-		n += len(r.entries) + r.done
+func (j *job) assignedTasks() (n, finished int) {
+	for _, r := range j.groups {
+		n += len(r.bindings) + r.done
 		finished += r.done
 	}
 	return n, finished
 }
 
 // waits tells whether tasks of the job have not been dealt yet, or stand back.
-func (j *job) waits() bool {
+func (j *job) hasWaitingTasks() bool {
 	n := 0
-	for _, r := range j.recs {
-		if r.cap != 0 {
+	for _, r := range j.groups {
+		if r.throttle != 0 {
 			return true
 		}
-		n += len(r.entries) + r.done
+		n += len(r.bindings) + r.done
 	}
 	return n < j.spec.Tasks
 }
 
 // pending counts the tasks that are dealt and neither placed nor done.
-func (j *job) pending() int {
+func (j *job) unplacedTasks() int {
 	n := 0
-	for _, r := range j.recs {
-		n += len(r.entries) - r.bound()
+	for _, r := range j.groups {
+		n += len(r.bindings) - r.boundTasks()
 	}
 	return n
 }
 
 // begun tells whether a task of the job has ever been placed.
-func (j *job) begun() bool {
-	for _, r := range j.recs {
+func (j *job) hasStarted() bool {
+	for _, r := range j.groups {
 		if r.done > 0 {
 			return true
 		}
-		for i := range r.entries {
-			if r.entries[i].attempt > 0 {
+		for i := range r.bindings {
+			if r.bindings[i].attempt > 0 {
 				return true
 			}
 		}
@@ -139,74 +139,74 @@
 	return false
 }
 
-type entry struct {
-	num     int32
-	attempt uint64
-	m       *machine // nil: Pending
-	session uint64
+type binding struct {
+	task        int32
+	attempt     uint64
+	machine     *machine // nil: Pending
+	incarnation uint64
 }
 
-type rec struct {
-	key      string
-	idx      int32
-	k        int
-	job      *job
-	stamp    uint64
-	part     int
-	zone     string
-	own      bool
-	done     int
-	cap      int // see record.Group
-	entries  []entry
-	placed   int // entries that name a machine
-	listed   int // one more than its place among its part's records; 0: in none
-	writing  bool
-	unit     *store.Write    // its owner's write, while that waits or is on its way
-	dirty    bool            // attempts have ended that are not stored as ended
-	endedAt  time.Time       // since when ended attempts wait to be stored
-	boundAt  time.Time       // since when new bindings wait to be stored
-	since    time.Time       // when it came to its part
-	cappedAt time.Time       // when the leader last changed its cap
-	size     int             // of its stored form
-	form     record.Encoding // in which it is stored
-	barredTo time.Time       // not written before then: it was refused as invalid
+type taskGroup struct {
+	key                  string
+	index                int32
+	number               int
+	job                  *job
+	revision             uint64
+	partition            int
+	zone                 string
+	guaranteed           bool
+	done                 int
+	throttle             int // see record.Group
+	bindings             []binding
+	boundCount           int // entries that name a machine
+	listPosition         int // one more than its place among its part's records; 0: in none
+	writing              bool
+	write                *store.Write    // its owner's write, while that waits or is on its way
+	hasUnstoredEnds      bool            // attempts have ended that are not stored as ended
+	endsPendingSince     time.Time       // since when ended attempts wait to be stored
+	bindingsPendingSince time.Time       // since when new bindings wait to be stored
+	inPartitionSince     time.Time       // when it came to its part
+	throttledAt          time.Time       // when the leader last changed its cap
+	size                 int             // of its stored form
+	encoding             record.Encoding // in which it is stored
+	retryWriteAt         time.Time       // not written before then: it was refused as invalid
 }
 
-func (r *rec) task(num int32) core.Task { return core.Task{Group: r.idx, Num: num} }
+func (r *taskGroup) task(num int32) core.Task { return core.Task{Group: r.index, Num: num} }
 
-func (r *rec) find(num int32) *entry {
-	for i := range r.entries {
-		if r.entries[i].num == num {
-			return &r.entries[i]
+func (r *taskGroup) binding(num int32) *binding {
+	for i := range r.bindings {
+		if r.bindings[i].task == num {
+			return &r.bindings[i]
 		}
 	}
 	return nil
 }
 
 // binds tells whether an attempt of a task is bound to a machine already.
-func (r *rec) binds(num int32, attempt uint64, m *machine) bool {
-	e := r.find(num)
-	return e != nil && e.m == m && e.attempt == attempt
+func (r *taskGroup) binds(num int32, attempt uint64, m *machine) bool {
+	e := r.binding(num)
+	return e != nil && e.machine == m && e.attempt == attempt
 }
 
 // void gives up a write of the record's owner whose conditions have changed.
-func (r *rec) void() {
-	if r.unit != nil {
-		r.unit.Cancel()
+func (r *taskGroup) cancelWrite() {
+	if r.write != nil {
+		r.write.Cancel()
 	}
 }
 
 // bound counts the tasks that are on machines by what is stored.
-func (r *rec) bound() int {
-	return r.placed
+func (r *taskGroup) boundTasks() int {
+	return r.boundCount
 }
 
 // may is how many tasks may be bound at a time.
-func (r *rec) may() int {
-	if r.cap == 0 {
-		return len(r.entries)
+func (r *taskGroup) allowedTasks() int {
+	if r.throttle == 0 {
+		return len(r.bindings)
 	}
-	return min(r.cap-1, len(r.entries))
+	return min(r.throttle-1, len(r.bindings))
 }
 
 // counts is how many tasks count for the team's limit: those that may be bound
@@ -214,26 +214,26 @@
 // up to its end are known (to cursor). A cancellation of our own is known before a
 // binding that was stored just before it: counted for nothing until then, the task
 // ran beside what its room was given to.
-func (r *rec) counts(cursor uint64) int {
-	if r.job.fate != live && r.job.stamp <= cursor {
-		return r.bound()
+func (r *taskGroup) quotaTasks(cursor uint64) int {
+	if r.job.finalState != unfinishedJob && r.job.revision <= cursor {
+		return r.boundTasks()
 	}
-	return max(r.bound(), r.may())
+	return max(r.boundTasks(), r.allowedTasks())
 }
 
 // excess tells whether a bound task is beyond what may be bound.
-func (r *rec) excess(num int32) bool {
-	if r.cap == 0 {
+func (r *taskGroup) exceedsThrottle(num int32) bool {
+	if r.throttle == 0 {
 		return false
 	}
 	n := 0
-	for i := range r.entries {
-		if r.entries[i].m == nil {
+	for i := range r.bindings {
+		if r.bindings[i].machine == nil {
 			continue
 		}
 		n++
-		if r.entries[i].num == num {
-			return n > r.cap-1
+		if r.bindings[i].task == num {
+			return n > r.throttle-1
 		}
 	}
 	return false
@@ -242,26 +242,26 @@
 // split is the record in two, by which tasks stay and which leave. Of a record that may
 // not run all of its tasks those leave that may, and with them so much of its cap: two
 // records with one's cap would count, and run, more than it allows.
-func (r *rec) split(stay, leave []entry) (left, moved rec) {
+func (r *taskGroup) split(stay, leave []binding) (left, moved taskGroup) {
 	left, moved = *r, *r
-	left.entries, moved.entries = stay, leave
-	if r.cap != 0 && len(stay) > 0 {
-		left.cap, moved.cap = r.cap-len(leave), 0
+	left.bindings, moved.bindings = stay, leave
+	if r.throttle != 0 && len(stay) > 0 {
+		left.throttle, moved.throttle = r.throttle-len(leave), 0
 	}
 	return left, moved
 }
 
-func (r *rec) claim() core.Claim {
-	return core.Claim{Priority: r.job.spec.Priority, Guaranteed: r.own, Team: r.job.team}
+func (r *taskGroup) claim() core.Claim {
+	return core.Claim{Priority: r.job.spec.Priority, Guaranteed: r.guaranteed, Team: r.job.team}
 }
 
 // group is the record's stored content with other entries.
-func (r *rec) group(done int, entries []entry) *record.TaskGroup {
-	v := &record.TaskGroup{Partition: r.part, Zone: r.zone, Guaranteed: r.own, Done: done, Throttle: r.cap, Tasks: make([]record.Binding, 0, len(entries))}
+func (r *taskGroup) record(done int, entries []binding) *record.TaskGroup {
+	v := &record.TaskGroup{Partition: r.partition, Zone: r.zone, Guaranteed: r.guaranteed, Done: done, Throttle: r.throttle, Tasks: make([]record.Binding, 0, len(entries))}
 	for _, e := range entries {
-		x := record.Binding{Task: e.num, Attempt: e.attempt}
-		if e.m != nil {
-			x.Machine, x.Incarnation, x.Addr = e.m.name, e.session, e.m.addr
+		x := record.Binding{Task: e.task, Attempt: e.attempt}
+		if e.machine != nil {
+			x.Machine, x.Incarnation, x.Addr = e.machine.name, e.incarnation, e.machine.addr
 		}
 		v.Tasks = append(v.Tasks, x)
 	}
@@ -269,61 +269,61 @@
 }
 
 // content is a record with other entries, in the form that records are written in now.
-func (b *brain) content(r *rec, done int, entries []entry) record.Content {
-	return r.group(done, entries).Encode(b.form())
+func (b *brain) encodeGroup(r *taskGroup, done int, entries []binding) record.Content {
+	return r.record(done, entries).Encode(b.encoding())
 }
 
 // mostEntries is how many tasks a record has at the most.
-const mostEntries = 128
+const maxGroupBindings = 128
 
 // maxEntries keeps a record within the state service's limit of a value, by the usual
 // form of an entry. One that gets larger all the same is split (brain.fit).
-func maxEntries(valueKB float64) int {
+func maxBindingsFor(valueKB float64) int {
 	const perEntry = 72
-	return max(1, min(mostEntries, int(valueKB*1024-128)/perEntry))
+	return max(1, min(maxGroupBindings, int(valueKB*1024-128)/perEntry))
 }
 
 // maxValue is how large a stored value may be.
-func (b *brain) maxValue() int { return int(b.cfg.Settings.State.ValueKB * 1024) }
+func (b *brain) maxValueBytes() int { return int(b.cfg.Settings.State.ValueKB * 1024) }
 
 // fit is a record's stored form, in as many pieces as the limit of a value asks for: one
 // that was written while more was allowed, or whose names are long, is split when it is
 // written again. The first piece is the record itself.
-func (b *brain) fit(r *rec, done int, entries []entry) []record.Content {
-	v := b.content(r, done, entries)
-	if v.Size() <= b.maxValue() || len(entries) < 2 {
+func (b *brain) splitToFit(r *taskGroup, done int, entries []binding) []record.Content {
+	v := b.encodeGroup(r, done, entries)
+	if v.Size() <= b.maxValueBytes() || len(entries) < 2 {
 		return []record.Content{v}
 	}
 	half := len(entries) / 2
 	stay, leave := entries[:half], entries[half:]
 	first, second := *r, *r
-	if r.cap != 0 { // together no more than before: each keeps what is bound
+	if r.throttle != 0 { // together no more than before: each keeps what is bound
 		bound := 0
 		for i := range stay {
-			if stay[i].m != nil {
+			if stay[i].machine != nil {
 				bound++
 			}
 		}
 		rest := 0
 		for i := range leave {
-			if leave[i].m != nil {
+			if leave[i].machine != nil {
 				rest++
 			}
 		}
-		free := max(0, r.cap-1-bound-rest)
+		free := max(0, r.throttle-1-bound-rest)
 		here := min(free, len(stay)-bound)
-		first.cap, second.cap = 1+bound+here, 1+rest+min(free-here, len(leave)-rest)
+		first.throttle, second.throttle = 1+bound+here, 1+rest+min(free-here, len(leave)-rest)
 	}
-	return append(b.fit(&first, done, stay), b.fit(&second, 0, leave)...)
+	return append(b.splitToFit(&first, done, stay), b.splitToFit(&second, 0, leave)...)
 }
 
 // cancelledValue is a cancelled job's stored form. The description stays: its tasks count
 // for the team's limit until they are gone, also for a controller that starts later. Of
 // one too large for that, what placing it would need is left out.
 func (b *brain) cancelledValue(j *job) json.RawMessage {
-	v := record.Job{FinalState: cancelled, AcceptedAtMS: j.at.UnixMilli(), Spec: j.spec}
+	v := record.Job{FinalState: cancelledJob, AcceptedAtMS: j.acceptedAt.UnixMilli(), Spec: j.spec}
 	out := record.JSON(v)
-	if len(out) > b.maxValue() {
+	if len(out) > b.maxValueBytes() {
 		short := *j.spec
 		short.MachineTypes, short.Image, short.Class = nil, "", ""
 		v.Spec = &short
