--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -17,13 +17,13 @@
 // rent asks the cloud for machines. The name is unique for all time: the
 // leader's term never comes again.
 func (b *brain) rent(o core.Offer, n int) {
-	if b.lead.renting[o] > 0 {
+	if b.leadership.renting[o] > 0 {
 		return
 	}
-	b.lead.rentals++
-	epoch := b.lead.epoch
-	req := wire.LaunchRequest{Request: fmt.Sprintf("r-%d-%d", epoch, b.lead.rentals), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: n}
-	b.lead.renting[o] = n
+	b.leadership.rentals++
+	epoch := b.leadership.epoch
+	req := wire.LaunchRequest{Request: fmt.Sprintf("r-%d-%d", epoch, b.leadership.rentals), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: n}
+	b.leadership.renting[o] = n
 	started := b.now
 	b.cloudCall(func() {
 		names, err := b.cl.Launch(b.ctx, req)
@@ -31,28 +31,28 @@
 			names, err = b.cl.Launch(b.ctx, req) // unanswered: the same name rents nothing twice
 		}
 		b.post(laneWorkers, func() {
-			if b.lead.epoch != epoch {
+			if b.leadership.epoch != epoch {
 				return
 			}
-			delete(b.lead.renting, o)
+			delete(b.leadership.renting, o)
 			if err == nil {
 				for _, name := range names {
-					if b.lead.rented[name] == nil {
-						b.lead.rented[name] = &rented{typ: o.Type, zone: o.Zone, spot: o.Spot, since: started}
+					if b.leadership.rented[name] == nil {
+						b.leadership.rented[name] = &rented{typ: o.Type, zone: o.Zone, spot: o.Spot, since: started}
 					}
 				}
 				b.log.Info("machines rented", "type", o.Type, "zone", o.Zone, "spot", o.Spot, "asked", n, "got", len(names))
 			}
 			if err == nil && len(names) == n {
-				delete(b.lead.backoff, o)
+				delete(b.leadership.backoff, o)
 				return
 			}
 			// Each type, zone and kind is refused apart from the others.
-			d := min(max(2*b.lead.backoff[o], 5*time.Second), 40*time.Second)
+			d := min(max(2*b.leadership.backoff[o], 5*time.Second), 40*time.Second)
 			if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 				d = 3 * time.Second
 			}
-			b.lead.backoff[o], b.lead.refused[o] = d, b.now.Add(d)
+			b.leadership.backoff[o], b.leadership.refused[o] = d, b.now.Add(d)
 			b.log.Debug("rental not filled", "type", o.Type, "zone", o.Zone, "spot", o.Spot, "asked", n, "err", err)
 		})
 	})
@@ -124,24 +124,24 @@
 	flush := func(right wire.Condition) {
 		names := batches[right].names
 		delete(batches, right)
-		key := preGone + names[0]
-		b.write(&store.Write{Early: true, Conditions: []wire.Condition{right, {Key: key}}, Changes: []wire.Change{{Put: key, Value: record.JSON(names)}}},
+		key := tombstonePrefix + names[0]
+		b.submitWrite(&store.Write{Early: true, Conditions: []wire.Condition{right, {Key: key}}, Changes: []wire.Change{{Put: key, Value: record.JSON(names)}}},
 			func(error) { b.stay(names) })
 	}
 	most := int(b.cfg.Settings.State.ValueKB*1024) / 2
 	for _, n := range names {
-		r, m := b.lead.rented[n], b.machine(n)
-		delete(b.lead.rented, n)
-		delete(b.lead.idle, n)
-		delete(b.lead.closing, n)
+		r, m := b.leadership.rented[n], b.machine(n)
+		delete(b.leadership.rented, n)
+		delete(b.leadership.idle, n)
+		delete(b.leadership.closing, n)
 		if r != nil && !r.up && len(m.bound) == 0 {
 			m.gone = true // it never was: nobody needs to know
 			delete(b.leaving, n)
 			continue
 		}
 		right := b.leaderCondition()
-		if p := b.parts[m.home]; !b.lead.active && p.term != 0 {
-			right = wire.Condition{Key: p.key, Revision: p.term}
+		if p := b.partitions[m.home]; !b.leadership.active && p.token != 0 {
+			right = wire.Condition{Key: p.key, Revision: p.token}
 		}
 		if right.Revision == 0 {
 			b.stay([]string{n}) // whoever has the right by now asks again
@@ -166,15 +166,15 @@
 // machines itself. The leader could not know of them, and their tasks would wait
 // for the whole lease.
 func (b *brain) releaseSilent() {
-	if b.lead.active {
+	if b.leadership.active {
 		return
 	}
-	if s := b.siblings[b.holders[b.leaderKey()].Node]; s != nil && b.now.Sub(s.at) < 4*time.Second {
+	if s := b.peers[b.holders[b.leaderKey()].Node]; s != nil && b.now.Sub(s.heardAt) < 4*time.Second {
 		return
 	}
 	var names []string
-	for _, p := range b.parts {
-		if !p.active || !b.fresh(b.op.LeaseTTL) {
+	for _, p := range b.partitions {
+		if !p.active || !b.isFresh(b.op.LeaseTTL) {
 			continue
 		}
 		for _, m := range p.machines {
@@ -191,29 +191,29 @@
 
 // tendCloud keeps the list of machines and the types current.
 func (b *brain) tendCloud() {
-	if b.now.Sub(b.lead.typesAt) > time.Minute || len(b.types) == 0 && b.now.Sub(b.lead.typesAt) > 2*time.Second {
-		if b.leads() || len(b.types) == 0 && b.loaded {
-			b.lead.typesAt = b.now
+	if b.now.Sub(b.leadership.typesAt) > time.Minute || len(b.machineTypes) == 0 && b.now.Sub(b.leadership.typesAt) > 2*time.Second {
+		if b.isLeader() || len(b.machineTypes) == 0 && b.loaded {
+			b.leadership.typesAt = b.now
 			b.cloudCall(b.fetchTypes)
 		}
 	}
-	if !b.leads() {
+	if !b.isLeader() {
 		return
 	}
 	// A list of many machines is many calls, which must not crowd out rentals.
 	c := &b.cfg.Settings.Cloud
-	pages := 1 + len(b.lead.rented)/cloud.MaxList
+	pages := 1 + len(b.leadership.rented)/cloud.MaxList
 	every := max(config.Seconds(c.ListLagS/2), 2*time.Second, config.Seconds(float64(pages)/(listShare*c.RPS)))
-	if !b.lead.listBusy && b.now.Sub(b.lead.listAt) > every {
-		b.lead.listBusy, b.lead.listAt = true, b.now
-		epoch := b.lead.epoch
+	if !b.leadership.listBusy && b.now.Sub(b.leadership.listAt) > every {
+		b.leadership.listBusy, b.leadership.listAt = true, b.now
+		epoch := b.leadership.epoch
 		if !b.cloudCall(func() {
 			list, err := b.cl.List(b.ctx)
 			b.post(laneWorkers, func() {
-				if b.lead.epoch != epoch {
+				if b.leadership.epoch != epoch {
 					return
 				}
-				b.lead.listBusy = false
+				b.leadership.listBusy = false
 				if err != nil {
 					b.log.Debug("machine list", "err", err)
 					return
@@ -221,7 +221,7 @@
 				b.takeList(list)
 			})
 		}) {
-			b.lead.listBusy = false
+			b.leadership.listBusy = false
 		}
 	}
 	b.clearGone()
@@ -232,12 +232,12 @@
 // for again at each tick until the first was stored, a hundred markers took up
 // all that the state service allows.
 func (b *brain) clearGone() {
-	if b.lead.clearing || b.wr.Backlog() > time.Second {
+	if b.leadership.clearing || b.wr.Backlog() > time.Second {
 		return
 	}
 	u := &store.Write{Conditions: []wire.Condition{b.leaderCondition()}}
 	keep := 2*time.Minute + 4*config.Seconds(b.cfg.Settings.Cloud.ListLagS)
-	for key, g := range b.goneKeys {
+	for key, g := range b.tombstones {
 		if len(u.Changes) == b.cfg.Settings.State.TxnOps/4 {
 			break
 		}
@@ -252,11 +252,11 @@
 	if len(u.Changes) == 0 {
 		return
 	}
-	epoch := b.lead.epoch
-	b.lead.clearing = true
-	b.write(u, func(error) {
-		if b.lead.epoch == epoch {
-			b.lead.clearing = false
+	epoch := b.leadership.epoch
+	b.leadership.clearing = true
+	b.submitWrite(u, func(error) {
+		if b.leadership.epoch == epoch {
+			b.leadership.clearing = false
 		}
 	})
 }
@@ -268,10 +268,10 @@
 			b.log.Debug("machine types", "err", err)
 			return
 		}
-		b.putTypes(list)
-		if !b.typesKey {
-			b.typesKey = true
-			b.write(&store.Write{Conditions: []wire.Condition{{Key: keyTypes}}, Changes: []wire.Change{{Put: keyTypes, Value: record.JSON(list)}}}, func(error) {})
+		b.putMachineTypes(list)
+		if !b.machineTypesStored {
+			b.machineTypesStored = true
+			b.submitWrite(&store.Write{Conditions: []wire.Condition{{Key: machineTypesKey}}, Changes: []wire.Change{{Put: machineTypesKey, Value: record.JSON(list)}}}, func(error) {})
 		}
 	})
 }
@@ -279,7 +279,7 @@
 // takeList takes the cloud's list in: machines that failed are gone, ones that
 // nobody knows of are used.
 func (b *brain) takeList(list []wire.Instance) {
-	b.lead.listed = true
+	b.leadership.listed = true
 	var failed []string
 	lag := config.Seconds(2 * b.cfg.Settings.Cloud.ListLagS)
 	listed := map[string]bool{}
@@ -293,18 +293,18 @@
 			failed = append(failed, x.Name)
 			continue
 		}
-		r := b.lead.rented[x.Name]
+		r := b.leadership.rented[x.Name]
 		if r == nil {
 			r = &rented{typ: x.Type, zone: x.Zone, spot: x.Spot, since: b.now.Add(-config.Seconds(x.AgeS))}
-			b.lead.rented[x.Name] = r
+			b.leadership.rented[x.Name] = r
 		}
 		r.listed = true
 	}
-	for name, r := range b.lead.rented {
+	for name, r := range b.leadership.rented {
 		// One that was listed and is no more has been taken; one that never was
 		// after twice the lag does not exist.
 		if !listed[name] && (r.listed || b.now.Sub(r.since) > lag+10*time.Second) && !r.up {
-			delete(b.lead.rented, name)
+			delete(b.leadership.rented, name)
 		}
 	}
 	b.release(failed)
--- a/internal/controller/rights.go
+++ b/internal/controller/rights.go
@@ -15,60 +15,60 @@
 )
 
 // yieldFor is how long a controller that gave its rights up takes none.
-const yieldFor = 15 * time.Second
+const stepDownBackoff = 15 * time.Second
 
 // preferred is the node that a part should be with, so that parts spread evenly.
-func (b *brain) preferred(n int) string {
+func (b *brain) preferredOwner(n int) string {
 	names := b.cfg.Nodes()
 	return names[n%len(names)]
 }
 
-func (b *brain) siblingAble(name string) bool {
-	s := b.siblings[name]
-	return s != nil && s.status != nil && s.status.Eligible && b.now.Sub(s.at) < 2500*time.Millisecond
+func (b *brain) peerEligible(name string) bool {
+	s := b.peers[name]
+	return s != nil && s.status != nil && s.status.Eligible && b.now.Sub(s.heardAt) < 2500*time.Millisecond
 }
 
 // able tells whether this controller should hold rights.
-func (b *brain) able() bool {
-	return b.fresh(b.op.LeaseTTL) && !b.now.Before(b.yieldUntil) && b.levels.refusal == nil
+func (b *brain) eligible() bool {
+	return b.isFresh(b.op.LeaseTTL) && !b.now.Before(b.backoffUntil) && b.levels.refusal == nil
 }
 
 // tendRights takes vacant rights and hands parts back to their preferred node.
-func (b *brain) tendRights() {
-	if !b.able() {
+func (b *brain) campaign() {
+	if !b.eligible() {
 		return
 	}
-	for _, p := range b.parts[:b.lentPart()] {
+	for _, p := range b.partitions[:b.loanPartition()] {
 		key := p.key
-		pref := b.preferred(p.n)
-		if p.term == 0 {
+		pref := b.preferredOwner(p.index)
+		if p.token == 0 {
 			wait := 300 * time.Millisecond
 			if pref == b.cfg.Name {
 				wait = 0
-			} else if b.siblingAble(pref) || b.now.Sub(b.startedAt) < 2*time.Second {
+			} else if b.peerEligible(pref) || b.now.Sub(b.startedAt) < 2*time.Second {
 				wait = 2 * time.Second
 			}
-			b.tryTake(key, wait)
+			b.tryAcquire(key, wait)
 			continue
 		}
-		if pref != b.cfg.Name && b.siblingAble(pref) && b.now.Sub(p.since) > 5*time.Second {
-			if s := b.siblings[pref]; b.now.Sub(s.since) > 4*time.Second && p.settled() {
-				b.log.Info("part handed back", "part", p.n, "to", pref)
-				b.yield(key)
+		if pref != b.cfg.Name && b.peerEligible(pref) && b.now.Sub(p.ownedSince) > 5*time.Second {
+			if s := b.peers[pref]; b.now.Sub(s.heardSince) > 4*time.Second && p.allMachinesHeard() {
+				b.log.Info("part handed back", "part", p.index, "to", pref)
+				b.resign(key)
 			}
 		}
 	}
 	wait := 100 * time.Millisecond * time.Duration(slices.Index(b.cfg.Nodes(), b.cfg.Name))
-	b.tryTake(b.leaderKey(), wait)
+	b.tryAcquire(b.leaderKey(), wait)
 }
 
 // settled tells whether every machine of a part on which something is bound has been
 // heard since it was taken. Each change of hands begins the wait for leases anew: a part
 // whose machines had all died went back and forth between its preferred node, which
 // heard no worker, and another, and their tasks were never proven gone.
-func (p *part) settled() bool {
+func (p *partition) allMachinesHeard() bool {
 	for _, m := range p.machines {
-		if len(m.bound) > 0 && !m.heard.After(p.since) {
+		if len(m.bound) > 0 && !m.heard.After(p.ownedSince) {
 			return false
 		}
 	}
@@ -77,35 +77,35 @@
 
 // tryTake takes a right that is vacant since wait, or that our own former
 // process holds: that one is surely dead.
-func (b *brain) tryTake(key string, wait time.Duration) {
-	r := b.rights[key]
-	if r.busy || r.stamp != 0 || b.now.Before(r.rest) {
+func (b *brain) tryAcquire(key string, wait time.Duration) {
+	r := b.leasedKeys[key]
+	if r.pending || r.token != 0 || b.now.Before(r.backoffUntil) {
 		return
 	}
 	h, held := b.holders[key]
 	if held && h.Node != b.cfg.Name {
-		r.freeAt = time.Time{}
+		r.vacantSince = time.Time{}
 		return
 	}
 	if !held {
-		if r.freeAt.IsZero() {
-			r.freeAt = b.now
+		if r.vacantSince.IsZero() {
+			r.vacantSince = b.now
 		}
-		if b.now.Sub(r.freeAt) < wait {
+		if b.now.Sub(r.vacantSince) < wait {
 			return
 		}
 	}
-	r.busy = true
-	expect := b.vers[key]
-	go b.take(r, key, expect)
+	r.pending = true
+	expect := b.revisions[key]
+	go b.acquire(r, key, expect)
 }
 
 // holderValue is what this process stores at the key of a right that it holds.
 func (b *brain) holderValue() json.RawMessage {
-	return record.JSON(record.LeaseHolder{Node: b.cfg.Name, ProcessID: b.boot})
+	return record.JSON(record.LeaseHolder{Node: b.cfg.Name, ProcessID: b.processID})
 }
 
-func (b *brain) take(r *right, key string, expect uint64) {
+func (b *brain) acquire(r *leasedKey, key string, expect uint64) {
 	lease, err := b.st.GrantLease(b.ctx, b.op.LeaseTTL)
 	var ans *wire.TxnResponse
 	if err == nil {
@@ -120,30 +120,30 @@
 		}
 	}
 	b.post(laneState, func() {
-		r.busy = false
-		if b.rights[key] != r { // rights have other keys meanwhile
+		r.pending = false
+		if b.leasedKeys[key] != r { // rights have other keys meanwhile
 			go func() { _ = b.st.RevokeLease(b.ctx, lease) }()
 			return
 		}
 		if err != nil {
-			r.freeAt = b.now.Add(200 * time.Millisecond)
+			r.vacantSince = b.now.Add(200 * time.Millisecond)
 			return
 		}
-		r.stamp, r.lease, r.freeAt = ans.Revision, lease, time.Time{}
-		b.put(key, b.holderValue(), ans.Revision)
-		if b.vers[key] != ans.Revision { // lost again before the answer came
-			r.stamp, r.lease, r.freeAt = 0, 0, b.now
+		r.token, r.lease, r.vacantSince = ans.Revision, lease, time.Time{}
+		b.putRecord(key, b.holderValue(), ans.Revision)
+		if b.revisions[key] != ans.Revision { // lost again before the answer came
+			r.token, r.lease, r.vacantSince = 0, 0, b.now
 			return
 		}
-		b.gained(key, ans.Revision)
-		go b.keep(r, key, lease)
+		b.onAcquired(key, ans.Revision)
+		go b.keepAlive(r, key, lease)
 	})
 }
 
 // keep renews the lease of a right until it is lost. An actor that is slow keeps its
 // rights, since a sibling would hardly be faster and a change of hands costs both;
 // one that has not come round for a whole right-ttl can't serve, and lets them go.
-func (b *brain) keep(r *right, key string, lease uint64) {
+func (b *brain) keepAlive(r *leasedKey, key string, lease uint64) {
 	t := time.NewTicker(b.op.LeaseTTL / 4)
 	defer t.Stop()
 	over := make(chan bool, 1)
@@ -171,7 +171,7 @@
 		asked = time.Now()
 		go b.post(laneState, func() {
 			if r.lease == lease && ended {
-				b.lost(key, "lease ended")
+				b.onLost(key, "lease ended")
 			}
 			select {
 			case over <- r.lease != lease:
@@ -182,95 +182,95 @@
 }
 
 // rightSeen is told what the replica shows of a leased key.
-func (b *brain) rightSeen(key string, h record.LeaseHolder, stamp uint64) {
-	if r := b.rights[key]; r != nil && r.stamp != 0 && stamp > r.stamp && h.ProcessID != b.boot {
-		b.lost(key, "taken by "+h.Node)
+func (b *brain) observeHolder(key string, h record.LeaseHolder, stamp uint64) {
+	if r := b.leasedKeys[key]; r != nil && r.token != 0 && stamp > r.token && h.ProcessID != b.processID {
+		b.onLost(key, "taken by "+h.Node)
 	}
 }
 
-func (b *brain) rightDropped(key string) {
-	r := b.rights[key]
+func (b *brain) observeVacancy(key string) {
+	r := b.leasedKeys[key]
 	if r == nil {
 		return
 	}
-	if r.stamp != 0 {
-		b.lost(key, "lease ended")
+	if r.token != 0 {
+		b.onLost(key, "lease ended")
 	}
-	r.freeAt = b.now
+	r.vacantSince = b.now
 }
 
-func (b *brain) gained(key string, stamp uint64) {
+func (b *brain) onAcquired(key string, stamp uint64) {
 	b.log.Info("right taken", "key", key, "term", stamp)
 	if key == b.leaderKey() {
-		b.leaderGained(stamp)
+		b.becomeLeader(stamp)
 	}
-	for _, p := range b.parts {
+	for _, p := range b.partitions {
 		if p.key == key {
-			b.partGained(p, stamp)
+			b.takeOverPartition(p, stamp)
 		}
 	}
 }
 
-func (b *brain) lost(key, why string) {
-	r := b.rights[key]
-	if r.stamp == 0 {
+func (b *brain) onLost(key, why string) {
+	r := b.leasedKeys[key]
+	if r.token == 0 {
 		return
 	}
 	b.log.Info("right lost", "key", key, "why", why)
-	r.stamp, r.lease = 0, 0
+	r.token, r.lease = 0, 0
 	if key == b.leaderKey() {
-		b.lead = leader{}
+		b.leadership = leadership{}
 	}
-	for _, p := range b.parts {
+	for _, p := range b.partitions {
 		if p.key == key {
-			p.term, p.active = 0, false
-			p.cells, p.alloc = nil, nil
-			p.voidWrites()
+			p.token, p.active = 0, false
+			p.cells, p.reservations = nil, nil
+			p.cancelWrites()
 		}
 	}
 }
 
 // yield gives a right back at once.
-func (b *brain) yield(key string) {
-	r := b.rights[key]
-	if r.stamp == 0 {
+func (b *brain) resign(key string) {
+	r := b.leasedKeys[key]
+	if r.token == 0 {
 		return
 	}
 	lease := r.lease
-	b.lost(key, "given back")
-	r.rest = b.now.Add(2 * time.Second)
+	b.onLost(key, "given back")
+	r.backoffUntil = b.now.Add(2 * time.Second)
 	go func() { _ = b.st.RevokeLease(b.ctx, lease) }()
 }
 
 // partGained takes a part over: the replica is read once more, so that it has
 // all that former owners stored, then the cells are rebuilt from it.
-func (b *brain) partGained(p *part, stamp uint64) {
-	p.term, p.gained, p.since, p.active = stamp, stamp, b.now, false
-	p.cells, p.alloc = core.NewPartition(), map[core.Task]alloc{}
+func (b *brain) takeOverPartition(p *partition, stamp uint64) {
+	p.token, p.firstToken, p.ownedSince, p.active = stamp, stamp, b.now, false
+	p.cells, p.reservations = core.NewPartition(), map[core.Task]reservation{}
 	// A former owner's last read may have begun just before its key went; it
 	// may go on answering reports for the hold time after that. Whether there
 	// was one can't be told here, not even after our own restart: the process
 	// before it may have been a successor itself.
-	p.old = b.hold
-	b.readThen(func() { b.activate(p, stamp) })
+	p.formerOwnerStaleness = b.maxStaleness
+	b.readThen(func() { b.activatePartition(p, stamp) })
 }
 
-func (b *brain) activate(p *part, stamp uint64) {
-	if p.term != stamp {
+func (b *brain) activatePartition(p *partition, stamp uint64) {
+	if p.token != stamp {
 		return
 	}
 	p.active = true
 	for t := range b.outcomes {
-		if r := b.recs[t.Group]; r == nil || r.part == p.n {
+		if r := b.groups[t.Group]; r == nil || r.partition == p.index {
 			delete(b.outcomes, t)
 		}
 	}
-	for r := range b.records() {
+	for r := range b.allGroups() {
 		b.adopt(r)
 	}
 	// Machines that know us from before, or that siblings know, hear the new
 	// token at once, so that they turn to us.
-	for _, s := range b.siblings {
+	for _, s := range b.peers {
 		if s.status == nil {
 			continue
 		}
@@ -304,52 +304,52 @@
 
 // raiseTerm rewrites a part's key: a higher token, which fences commands that
 // may still be under way.
-func (b *brain) raiseTerm(p *part) {
+func (b *brain) raiseToken(p *partition) {
 	key := p.key
-	r := b.rights[key]
-	if r.busy || r.stamp == 0 || b.now.Sub(p.raised) < 4*time.Second {
+	r := b.leasedKeys[key]
+	if r.pending || r.token == 0 || b.now.Sub(p.tokenRaisedAt) < 4*time.Second {
 		return
 	}
-	p.raise, p.raised = false, b.now
-	r.busy = true
-	stamp := r.stamp
-	b.write(&store.Write{
+	p.tokenRaiseDue, p.tokenRaisedAt = false, b.now
+	r.pending = true
+	stamp := r.token
+	b.submitWrite(&store.Write{
 		Conditions: []wire.Condition{{Key: key, Revision: stamp}},
 		Changes:    []wire.Change{{Put: key, Value: b.holderValue(), Lease: r.lease}},
 	}, func(err error) {
-		r.busy = false
-		if r.stamp != stamp {
+		r.pending = false
+		if r.token != stamp {
 			return
 		}
 		if err != nil {
 			b.readThen(func() { // perhaps an unanswered try was applied
-				if r.stamp == stamp && b.vers[key] != stamp {
-					b.termRaised(p, r, b.vers[key])
+				if r.token == stamp && b.revisions[key] != stamp {
+					b.onTokenRaised(p, r, b.revisions[key])
 				}
 			})
 			return
 		}
-		b.termRaised(p, r, b.vers[key])
+		b.onTokenRaised(p, r, b.revisions[key])
 	})
 }
 
 // voidWrites gives up what waits to be stored under a term that has ended.
-func (p *part) voidWrites() {
-	for _, r := range p.recs {
-		r.void()
+func (p *partition) cancelWrites() {
+	for _, r := range p.groups {
+		r.cancelWrite()
 	}
 }
 
-func (b *brain) termRaised(p *part, r *right, stamp uint64) {
-	if h := b.holders[p.key]; h.ProcessID != b.boot {
+func (b *brain) onTokenRaised(p *partition, r *leasedKey, stamp uint64) {
+	if h := b.holders[p.key]; h.ProcessID != b.processID {
 		return
 	}
-	r.stamp, p.term = stamp, stamp
-	p.voidWrites()
+	r.token, p.token = stamp, stamp
+	p.cancelWrites()
 	if p.key == b.leaderKey() {
-		b.lead.term = stamp
+		b.leadership.token = stamp
 	}
-	b.log.Info("term raised", "part", p.n, "term", stamp)
+	b.log.Info("term raised", "part", p.index, "term", stamp)
 	for _, m := range p.machines {
 		if !m.gone {
 			b.ping(m, p)
@@ -359,7 +359,7 @@
 
 // watchHearing gives the rights up when no worker reaches this controller: the
 // siblings may well be reachable.
-func (b *brain) watchHearing() {
+func (b *brain) stepDownIfUnheard() {
 	report := config.Seconds(b.cfg.Settings.Workers.ReportS)
 	window := 2*report + 6*time.Second
 	known, heard, young := 0, false, false
@@ -367,18 +367,18 @@
 	// do in a long one: of n that report independently, none is heard for this
 	// long by chance once in e to the 20th. Their leases run meanwhile, and finding
 	// the successor takes them some seconds more.
-	if n := b.reporting(); n > 0 {
+	if n := b.reportingMachines(); n > 0 {
 		window = min(window, max(20*report/time.Duration(n), report/2+2*time.Second))
 	}
 	// What came while this process stood still waits in its sockets.
 	if b.now.Sub(b.wokeAt) < window {
 		return
 	}
-	for _, p := range b.parts {
-		if p.term == 0 {
+	for _, p := range b.partitions {
+		if p.token == 0 {
 			continue
 		}
-		young = young || b.now.Sub(p.since) < window
+		young = young || b.now.Sub(p.ownedSince) < window
 		for _, m := range p.machines {
 			if m.gone {
 				continue
@@ -386,15 +386,15 @@
 			if len(m.bound) > 0 || !m.heard.IsZero() && b.now.Sub(m.heard) < time.Minute {
 				known++
 			}
-			heard = heard || m.heard.After(p.since) && b.now.Sub(m.heard) < window
+			heard = heard || m.heard.After(p.ownedSince) && b.now.Sub(m.heard) < window
 		}
 	}
-	if known >= 2 && !heard && !young && b.othersMayHear() {
-		b.gaveUpAt = b.now
+	if known >= 2 && !heard && !young && b.peersMayBeHeard() {
+		b.steppedDownAt = b.now
 		b.log.Info("no worker reaches this controller: giving all rights up", "machines", known)
-		b.yieldUntil = b.now.Add(yieldFor)
-		for key := range b.rights {
-			b.yield(key)
+		b.backoffUntil = b.now.Add(stepDownBackoff)
+		for key := range b.leasedKeys {
+			b.resign(key)
 		}
 		return
 	}
@@ -404,10 +404,10 @@
 // has machines that report to it, or that is not known. Where all machines have died
 // everybody hears none, and rights that go round for ever have nobody wait for the
 // leases to end, so then each gives them up once in that time.
-func (b *brain) othersMayHear() bool {
-	known := len(b.siblings) > 0
-	for _, s := range b.siblings {
-		if s.status == nil || b.now.Sub(s.at) > 4*time.Second {
+func (b *brain) peersMayBeHeard() bool {
+	known := len(b.peers) > 0
+	for _, s := range b.peers {
+		if s.status == nil || b.now.Sub(s.heardAt) > 4*time.Second {
 			known = false
 			continue
 		}
@@ -417,31 +417,31 @@
 			}
 		}
 	}
-	return !known && (b.gaveUpAt.IsZero() || b.reportAt.After(b.gaveUpAt) || b.now.Sub(b.gaveUpAt) > 2*(b.hold+b.lease))
+	return !known && (b.steppedDownAt.IsZero() || b.reportAt.After(b.steppedDownAt) || b.now.Sub(b.steppedDownAt) > 2*(b.maxStaleness+b.leaseExpiry))
 }
 
 // watchFollowers gives the lead up when neither workers nor other owners reach
 // this controller. Siblings alone don't count: where connections between all
 // controllers are refused, the lead would be passed round for nothing.
-func (b *brain) watchFollowers() {
-	if b.rights[b.leaderKey()].stamp == 0 || b.now.Sub(b.lead.since) < 8*time.Second || !b.siblingsSilent(6*time.Second) || b.reporting() > 0 {
+func (b *brain) stepDownIfIsolatedLeader() {
+	if b.leasedKeys[b.leaderKey()].token == 0 || b.now.Sub(b.leadership.since) < 8*time.Second || !b.peersSilent(6*time.Second) || b.reportingMachines() > 0 {
 		return
 	}
-	for _, p := range b.parts[:b.lentPart()] {
+	for _, p := range b.partitions[:b.loanPartition()] {
 		if h, ok := b.holders[p.key]; ok && h.Node != b.cfg.Name {
 			b.log.Info("neither workers nor other owners reach this leader: giving the lead up")
-			b.yield(b.leaderKey())
-			b.rights[b.leaderKey()].rest = b.now.Add(yieldFor)
+			b.resign(b.leaderKey())
+			b.leasedKeys[b.leaderKey()].backoffUntil = b.now.Add(stepDownBackoff)
 			return
 		}
 	}
 }
 
 // reporting is how many machines of ours have reported of late.
-func (b *brain) reporting() int {
+func (b *brain) reportingMachines() int {
 	n := 0
-	for _, p := range b.parts {
-		if p.term == 0 {
+	for _, p := range b.partitions {
+		if p.token == 0 {
 			continue
 		}
 		for _, m := range p.machines {
@@ -454,11 +454,11 @@
 }
 
 // siblingsSilent tells whether there are siblings and none was heard for d.
-func (b *brain) siblingsSilent(d time.Duration) bool {
-	for _, s := range b.siblings {
-		if b.now.Sub(s.at) < d {
+func (b *brain) peersSilent(d time.Duration) bool {
+	for _, s := range b.peers {
+		if b.now.Sub(s.heardAt) < d {
 			return false
 		}
 	}
-	return len(b.siblings) > 0
+	return len(b.peers) > 0
 }
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -53,14 +53,14 @@
 	}
 	st := store.NewClient(cfg.External.State, out.state)
 	b := &brain{
-		cfg: cfg, op: op, log: log.With("node", cfg.Name), boot: fmt.Sprintf("%016x", rand.Uint64()), ctx: ctx,
+		cfg: cfg, op: op, log: log.With("node", cfg.Name), processID: fmt.Sprintf("%016x", rand.Uint64()), ctx: ctx,
 		inbox: newInbox(), cloudQ: make(chan func(), cloudQueue),
 		st: st, wr: store.NewWriter(st, s.State.TxnOps, s.State.WriteRPS, s.Count, out.jitter),
 		cl: cloud.NewClient(cfg.External.Cloud, s.Cloud.RPS, out.cloud), fl: fleet.NewClient(out.workers), send: out.send, jitter: out.jitter,
-		hold: config.MaxStaleness(s.Workers.CancelS, s.Workers.LeaseS), lease: config.LeaseExpiry(s.Workers.CancelS, s.Workers.LeaseS),
-		vers: map[string]uint64{}, dropped: map[string]uint64{}, jobs: map[string]*job{}, over: map[string]uint8{}, recByKey: map[string]*rec{},
-		holders: map[string]record.LeaseHolder{}, gone: map[string]bool{}, goneKeys: map[string]gone{}, lends: map[string]*lend{}, teams: map[string]int32{}, within: cfg.ObjectiveSeconds(), maxRec: maxEntries(s.State.ValueKB),
-		rights: rightsUnder(rollout.Initial.Keys(), s.Count), machines: map[string]*machine{}, siblings: map[string]*sibling{}, leaving: map[string]bool{},
+		maxStaleness: config.MaxStaleness(s.Workers.CancelS, s.Workers.LeaseS), leaseExpiry: config.LeaseExpiry(s.Workers.CancelS, s.Workers.LeaseS),
+		revisions: map[string]uint64{}, deletedRevisions: map[string]uint64{}, jobs: map[string]*job{}, finished: map[string]uint8{}, groupByKey: map[string]*taskGroup{},
+		holders: map[string]record.LeaseHolder{}, terminated: map[string]bool{}, tombstones: map[string]tombstone{}, lends: map[string]*lend{}, teamIndex: map[string]int32{}, objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.State.ValueKB),
+		leasedKeys: newLeasedKeys(rollout.Initial.Keys(), s.Count), machines: map[string]*machine{}, peers: map[string]*peer{}, leaving: map[string]bool{},
 		outcomes: map[core.Task]outcome{}, doMost: cfg.DirectCommands(), metrics: newMetrics(), steps: 1,
 	}
 	b.levels = newLevels(cfg, op)
@@ -70,12 +70,12 @@
 		b.team(t.Name)
 	}
 	for n := range s.Count {
-		b.parts = append(b.parts, &part{n: n, key: b.levels.keys.Partition(n)})
+		b.partitions = append(b.partitions, &partition{index: n, key: b.levels.keys.Partition(n)})
 	}
 	// The last one is the leader's: machines that other parts have lent.
-	b.parts = append(b.parts, &part{n: s.Count, key: b.leaderKey()})
+	b.partitions = append(b.partitions, &partition{index: s.Count, key: b.leaderKey()})
 	for _, x := range cfg.Siblings {
-		b.siblings[x.Name] = &sibling{}
+		b.peers[x.Name] = &peer{}
 	}
 	return b
 }
@@ -105,13 +105,13 @@
 	b := newBrain(ctx, cfg, op, log, outside{state: state, cloud: cl, workers: fl, send: func(sibling string, frame []byte) {
 		senders[sibling].Offer(frame)
 	}})
-	b.log.Info("controller starts", "boot", b.boot, "parts", s.Count, "hold", b.hold)
+	b.log.Info("controller starts", "boot", b.processID, "parts", s.Count, "hold", b.maxStaleness)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
 	defer func() { state.CloseIdleConnections(); cl.CloseIdleConnections(); fl.CloseIdleConnections() }()
 	wg.Go(func() {
-		mesh.Serve(ctx, meshL, b.log, func(s *mesh.Status) { b.post(laneWorkers, func() { b.takeStatus(s) }) })
+		mesh.Serve(ctx, meshL, b.log, func(s *mesh.Status) { b.post(laneWorkers, func() { b.handlePeerStatus(s) }) })
 	})
 	for _, s := range senders {
 		wg.Go(func() { s.Run(ctx) })
@@ -195,27 +195,27 @@
 		}
 	}
 	b.lastTick = b.now
-	if serves := b.fresh(b.hold); serves != b.serves {
+	if serves := b.isFresh(b.maxStaleness); serves != b.serves {
 		b.serves = serves
 		if serves && b.reportAt.After(b.startedAt) {
 			b.resumedAt = b.now
 		}
 	}
-	b.noteReady()
+	b.updateReadiness()
 	if !b.loaded {
 		return
 	}
-	b.tendRights()
+	b.campaign()
 	b.tendLevels()
-	b.watchHearing()
-	b.watchFollowers()
+	b.stepDownIfUnheard()
+	b.stepDownIfIsolatedLeader()
 	b.tendCloud()
 	if !b.now.Before(due.step) {
 		b.takeStep(due, b.now)
 	}
 	if wait := b.now.Sub(due.lead); wait >= 0 && (wait > planPatience || !b.inbox.pressed(laneUsers)) {
 		begun := time.Now()
-		b.leadStep()
+		b.runLeader()
 		due.lead = b.now.Add(max(2*tick, restFactor*time.Since(begun)))
 	}
 	if !b.now.Before(due.status) {
@@ -223,13 +223,13 @@
 		begun := time.Now()
 		b.probeSilent()
 		b.releaseSilent()
-		b.tellSiblings()
+		b.broadcastStatus()
 		b.metrics.spend(dStatus, begun)
 	}
 	if b.now.After(due.metrics) {
 		due.metrics = b.now.Add(metricsEvery)
-		b.layDown()
-		b.metrics.log(b.log, len(b.jobs)+len(b.over), len(b.machines), b.st.Stats())
+		b.archiveFinished()
+		b.metrics.log(b.log, len(b.jobs)+len(b.finished), len(b.machines), b.st.Stats())
 		b.logLevels(b.log)
 	}
 }
@@ -256,7 +256,7 @@
 	loaded := false
 	for b.ctx.Err() == nil {
 		start := time.Now()
-		if rest := b.usersRead.rest(start, 2*b.readGap()); loaded && rest > 0 {
+		if rest := b.lastClientRead.remaining(start, 2*b.readInterval()); loaded && rest > 0 {
 			select {
 			case <-b.ctx.Done():
 			case <-time.After(rest):
@@ -267,26 +267,26 @@
 		if !loaded {
 			var items []wire.Item
 			var rev uint64
-			items, rev, err = b.st.List(b.ctx, prefix)
+			items, rev, err = b.st.List(b.ctx, keyPrefix)
 			var ev *wire.WatchResponse
 			if err == nil {
-				ev, err = b.st.Watch(b.ctx, prefix, rev, 0)
+				ev, err = b.st.Watch(b.ctx, keyPrefix, rev, 0)
 			}
 			if err == nil {
 				loaded = true
 				b.ask(b.ctx, laneState, func() {
-					b.reset(items, rev, ev)
-					b.read(start)
+					b.resetReplica(items, rev, ev)
+					b.noteRead(start)
 					cursor = b.cursor
 				})
 			}
 		} else {
-			ev, werr := b.st.Watch(b.ctx, prefix, cursor, watchWait)
+			ev, werr := b.st.Watch(b.ctx, keyPrefix, cursor, watchWait)
 			err = werr
 			if err == nil {
 				b.ask(b.ctx, laneState, func() {
-					b.events(ev)
-					b.read(start)
+					b.applyEvents(ev)
+					b.noteRead(start)
 					cursor = b.cursor
 				})
 			} else if errors.Is(err, store.ErrCompacted) {
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -39,7 +39,7 @@
 	b := c.nodes[0].brain
 	b.ask(c.ctx, laneState, func() {
 		for key, h := range b.holders {
-			out[key] = fmt.Sprint(h.Node, b.vers[key])
+			out[key] = fmt.Sprint(h.Node, b.revisions[key])
 		}
 	})
 	return out
@@ -50,7 +50,7 @@
 	parts := map[int]bool{}
 	for _, n := range c.nodes {
 		n.brain.ask(c.ctx, laneState, func() {
-			if n.brain.leads() {
+			if n.brain.isLeader() {
 				for _, h := range n.brain.hosts() {
 					parts[h.Partition] = true
 				}
@@ -112,8 +112,8 @@
 // until one does, nothing is placed on its machine.
 func TestCopyFromBeforeATakeOver(t *testing.T) {
 	b := lone(t)
-	p := b.parts[0]
-	p.term, p.gained = 20, 20
+	p := b.partitions[0]
+	p.token, p.firstToken = 20, 20
 	m := b.machine("host-1")
 	for _, x := range []struct {
 		token, session, seq uint64
@@ -227,7 +227,7 @@
 			for _, n := range c.nodes {
 				n.brain.ask(c.ctx, laneState, func() {
 					m := n.brain.machine(w.Name())
-					if p := n.brain.parts[m.home]; p.term != 0 && !n.brain.leads() && len(m.bound) > 0 {
+					if p := n.brain.partitions[m.home]; p.token != 0 && !n.brain.isLeader() && len(m.bound) > 0 {
 						lost = w
 					}
 				})
@@ -348,7 +348,7 @@
 				}
 				for i, n := range c.nodes {
 					leads := false
-					n.brain.ask(c.ctx, laneState, func() { leads = n.brain.leads() })
+					n.brain.ask(c.ctx, laneState, func() { leads = n.brain.isLeader() })
 					if leaderGone && leads {
 						c.kill(i)
 						c.start(i)
@@ -376,9 +376,9 @@
 		terms := func(i int) (n int, sum uint64) {
 			b := c.nodes[i].brain
 			b.ask(c.ctx, laneState, func() {
-				for _, p := range b.parts {
-					if p.term != 0 && p.active {
-						n, sum = n+1, sum+p.term
+				for _, p := range b.partitions {
+					if p.token != 0 && p.active {
+						n, sum = n+1, sum+p.token
 					}
 				}
 			})
@@ -402,7 +402,7 @@
 // commands, and each machine has its turn.
 func TestDirectCommandsAreBounded(t *testing.T) {
 	b := crowded(t, 2000)
-	p := b.parts[0]
+	p := b.partitions[0]
 	b.doMost = 40
 	b.now = b.now.Add(20 * time.Second)
 	b.freshAt = b.now
@@ -455,7 +455,7 @@
 			if still {
 				time.Sleep(5 * time.Second) // b.now is when it was decided
 			}
-			b.direct(m, b.parts[0], []wire.Command{{Op: wire.OpStart, Task: "wk-1/0", Attempt: 1}})
+			b.direct(m, b.partitions[0], []wire.Command{{Op: wire.OpStart, Task: "wk-1/0", Attempt: 1}})
 			synctest.Wait()
 			if sent := out.sent.Load() > 0; sent == still {
 				t.Errorf("stood still %v: sent %v", still, sent)
@@ -492,8 +492,8 @@
 		for until := time.Now().Add(limit); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
 			for _, n := range c.nodes {
 				n.brain.ask(c.ctx, laneState, func() {
-					if n.brain.leads() && len(n.brain.lead.cut) > 0 {
-						t.Errorf("zones %v are taken to be cut off", n.brain.lead.cut)
+					if n.brain.isLeader() && len(n.brain.leadership.cut) > 0 {
+						t.Errorf("zones %v are taken to be cut off", n.brain.leadership.cut)
 					}
 				})
 			}
@@ -509,10 +509,10 @@
 // other parts' machines show that it is not we who can't be reached.
 func TestOnlyMachineOfAPartDied(t *testing.T) {
 	b := lone(t)
-	p := b.parts[0]
-	p.since, p.old, p.gained = b.now, b.hold, p.term
-	b.put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Service: true, Tasks: 1, CPUs: 1}}), 5)
-	b.put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1, Addr: "10.1.0.1:1"}}}), 6)
+	p := b.partitions[0]
+	p.ownedSince, p.formerOwnerStaleness, p.firstToken = b.now, b.maxStaleness, p.token
+	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Service: true, Tasks: 1, CPUs: 1}}), 5)
+	b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1, Addr: "10.1.0.1:1"}}}), 6)
 	m := b.machine("host-1")
 	m.unanswered = deafAfter
 	for _, reached := range []bool{false, true} {
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -15,69 +15,69 @@
 )
 
 // unavailable tells a user to come back.
-func unavailable(why string) api.Response {
+func unavailableResponse(why string) api.Response {
 	return api.Response{Status: http.StatusServiceUnavailable, RetryAfter: 1, Reason: why}
 }
 
 // busy tells a user to come back once the actor has done what waits for it.
-func (b *brain) busy() api.Response {
-	a := unavailable("busy")
+func (b *brain) busyResponse() api.Response {
+	a := unavailableResponse("busy")
 	a.RetryAfter = b.inbox.backIn()
 	return a
 }
 
 // startRead begins a read of the replica for everybody who waits, unless one
 // is under way or was just done: users' reads share calls.
-func (b *brain) startRead() {
-	if b.reading || len(b.readNext) == 0 || b.readTimer {
+func (b *brain) startSharedRead() {
+	if b.readInFlight || len(b.pendingReads) == 0 || b.readScheduled {
 		return
 	}
-	if gap := b.readGap() - b.now.Sub(b.lastRead); gap > 0 {
-		b.readTimer = true
+	if gap := b.readInterval() - b.now.Sub(b.lastReadAt); gap > 0 {
+		b.readScheduled = true
 		time.AfterFunc(gap, func() {
-			b.post(laneState, func() { b.readTimer = false; b.startRead() })
+			b.post(laneState, func() { b.readScheduled = false; b.startSharedRead() })
 		})
 		return
 	}
-	waiting := b.readNext
-	b.readNext = nil
-	b.reading, b.lastRead = true, b.now
+	waiting := b.pendingReads
+	b.pendingReads = nil
+	b.readInFlight, b.lastReadAt = true, b.now
 	start, cursor, loaded := b.now, b.cursor, b.loaded
 	go func() {
 		err := errors.New("replica is not loaded")
 		var ev *wire.WatchResponse
 		if loaded {
-			ev, err = b.st.Watch(b.ctx, prefix, cursor, 0)
+			ev, err = b.st.Watch(b.ctx, keyPrefix, cursor, 0)
 		}
 		b.post(laneState, func() {
-			b.reading = false
+			b.readInFlight = false
 			if err == nil {
-				b.events(ev)
-				b.read(start)
-				b.usersRead.note(b.now)
+				b.applyEvents(ev)
+				b.noteRead(start)
+				b.lastClientRead.store(b.now)
 			}
 			for _, f := range waiting {
 				f(err)
 			}
-			b.startRead()
+			b.startSharedRead()
 		})
 	}()
 }
 
 // read notes a successful read that began at start.
-func (b *brain) read(start time.Time) {
+func (b *brain) noteRead(start time.Time) {
 	if start.After(b.freshAt) {
 		b.freshAt = start
 	}
 }
 
 // moment is a time that one goroutine notes and others look at.
-type moment struct{ at atomic.Pointer[time.Time] }
+type atomicTime struct{ at atomic.Pointer[time.Time] }
 
-func (m *moment) note(t time.Time) { m.at.Store(&t) }
+func (m *atomicTime) store(t time.Time) { m.at.Store(&t) }
 
 // rest is how long it is until d has passed since the moment; 0 if there was none.
-func (m *moment) rest(now time.Time, d time.Duration) time.Duration {
+func (m *atomicTime) remaining(now time.Time, d time.Duration) time.Duration {
 	at := m.at.Load()
 	if at == nil {
 		return 0
@@ -88,7 +88,7 @@
 // readGap spaces reads so that all controllers together use a quarter of the
 // state service's limit for them, and each no more than it has use for: those
 // who ask wait up to 2 s.
-func (b *brain) readGap() time.Duration {
+func (b *brain) readInterval() time.Duration {
 	s := &b.cfg.Settings
 	return max(time.Duration(float64(time.Second)*float64(s.Count)/(s.State.RPS*0.25)), 200*time.Millisecond)
 }
@@ -96,23 +96,23 @@
 // afterRead has f run in the actor with the result of a read of the replica that
 // begins after now.
 func (b *brain) afterRead(f func(err error)) {
-	b.readNext = append(b.readNext, f)
-	b.startRead()
+	b.pendingReads = append(b.pendingReads, f)
+	b.startSharedRead()
 }
 
 // state is what a user is told of a known job.
-func (j *job) state() wire.JobState {
+func (j *job) response() wire.JobState {
 	s := wire.JobState{ID: j.id}
-	switch j.fate {
-	case done:
+	switch j.finalState {
+	case doneJob:
 		s.State = wire.Done
-	case cancelled:
+	case cancelledJob:
 		s.State = wire.Cancelled
 	default:
 		s.State = wire.Queued
 		running, finished := 0, 0
-		for _, r := range j.recs {
-			running += r.bound()
+		for _, r := range j.groups {
+			running += r.boundTasks()
 			finished += r.done
 		}
 		if running > 0 {
@@ -124,23 +124,23 @@
 }
 
 // known is the job of that name, if one was ever accepted.
-func (b *brain) known(id string) *job {
-	if j := b.jobs[id]; j != nil && j.stamp != 0 {
+func (b *brain) lookupJob(id string) *job {
+	if j := b.jobs[id]; j != nil && j.revision != 0 {
 		return j
 	}
-	if fate, ok := b.over[id]; ok {
-		return &job{id: id, stamp: 1, fate: int(fate)}
+	if fate, ok := b.finished[id]; ok {
+		return &job{id: id, revision: 1, finalState: int(fate)}
 	}
 	return nil
 }
 
 // impossible says why a job can never run, or "".
-func (b *brain) impossible(j *wire.Job) string {
+func (b *brain) unsatisfiable(j *wire.Job) string {
 	tasks := 1
 	if j.AllOrNothing() {
 		tasks = j.Tasks
 	}
-	if len(record.JSON(record.Job{FinalState: cancelled, AcceptedAtMS: b.now.UnixMilli(), Spec: j})) > b.maxValue() {
+	if len(record.JSON(record.Job{FinalState: cancelledJob, AcceptedAtMS: b.now.UnixMilli(), Spec: j})) > b.maxValueBytes() {
 		return "its description is larger than can be stored"
 	}
 	found := false
@@ -158,7 +158,7 @@
 		return "unknown team"
 	}
 	need := core.NewResources(j.CPUs, j.GPUs, j.RAM)
-	for _, t := range b.types {
+	for _, t := range b.machineTypes {
 		if !core.NewResources(t.CPUs, t.GPUs, t.RAM).Contains(need) {
 			continue
 		}
@@ -195,29 +195,29 @@
 	var result chan error
 	check := false
 	if !b.ask(ctx, laneUsers, func() {
-		refusal, refused := b.refuses()
+		refusal, refused := b.refusal()
 		switch {
 		case !b.loaded:
-			ans = unavailable("starting")
+			ans = unavailableResponse("starting")
 		case refused:
 			ans = refusal
-		case b.known(j.ID) != nil:
+		case b.lookupJob(j.ID) != nil:
 			check = true
-		case len(b.types) == 0:
-			ans = unavailable("machine types are not known yet")
-		case !b.fresh(b.op.LeaseTTL):
-			ans = unavailable("state service out of reach")
-		case b.impossible(j) != "":
+		case len(b.machineTypes) == 0:
+			ans = unavailableResponse("machine types are not known yet")
+		case !b.isFresh(b.op.LeaseTTL):
+			ans = unavailableResponse("state service out of reach")
+		case b.unsatisfiable(j) != "":
 			check = true
 		default:
 			result = make(chan error, 1)
-			b.write(&store.Write{Urgent: true,
+			b.submitWrite(&store.Write{Urgent: true,
 				Conditions: []wire.Condition{{Key: jobKey(j.ID)}},
 				Changes:    []wire.Change{{Put: jobKey(j.ID), Value: record.JSON(record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: j})}},
 			}, func(err error) { result <- err })
 		}
 	}) {
-		return b.busy()
+		return b.busyResponse()
 	}
 	if check {
 		return b.answerKnown(ctx, j)
@@ -233,9 +233,9 @@
 		case errors.Is(err, store.ErrConflict):
 			return b.answerKnown(ctx, j)
 		}
-		return unavailable("state service: not stored")
+		return unavailableResponse("state service: not stored")
 	case <-ctx.Done():
-		return unavailable("state service: no answer")
+		return unavailableResponse("state service: no answer")
 	}
 }
 
@@ -247,9 +247,9 @@
 		return ans
 	}
 	why := ""
-	b.ask(ctx, laneUsers, func() { why = b.impossible(j) })
+	b.ask(ctx, laneUsers, func() { why = b.unsatisfiable(j) })
 	if why == "" {
-		return unavailable("try again")
+		return unavailableResponse("try again")
 	}
 	return api.Response{Status: http.StatusUnprocessableEntity, Reason: why}
 }
@@ -266,40 +266,40 @@
 	// may be long in coming when there is little processor time.
 	answer := make(chan api.Response, 1)
 	if !b.ask(ctx, laneUsers, func() {
-		j := b.known(id)
-		refusal, refused := b.refuses()
+		j := b.lookupJob(id)
+		refusal, refused := b.refusal()
 		switch {
 		case !b.loaded:
-			answer <- unavailable("starting")
+			answer <- unavailableResponse("starting")
 		case refused:
 			answer <- refusal
-		case j != nil && j.fate != live:
-			answer <- api.Response{Status: http.StatusOK, Body: j.state()}
-		case b.jobs[id] != nil && b.jobs[id].bad():
-			answer <- unavailable("a stored record of the job can't be decoded")
+		case j != nil && j.finalState != unfinishedJob:
+			answer <- api.Response{Status: http.StatusOK, Body: j.response()}
+		case b.jobs[id] != nil && b.jobs[id].hasUnreadableRecords():
+			answer <- unavailableResponse("a stored record of the job can't be decoded")
 		default:
 			b.afterRead(func(err error) {
 				if err != nil {
-					answer <- unavailable("state service out of reach")
-				} else if refusal, refused := b.refuses(); refused {
+					answer <- unavailableResponse("state service out of reach")
+				} else if refusal, refused := b.refusal(); refused {
 					answer <- refusal
-				} else if j := b.jobs[id]; j != nil && j.bad() && j.fate == live {
-					answer <- unavailable("a stored record of the job can't be decoded")
-				} else if j := b.known(id); j != nil {
-					answer <- api.Response{Status: http.StatusOK, Body: j.state()}
+				} else if j := b.jobs[id]; j != nil && j.hasUnreadableRecords() && j.finalState == unfinishedJob {
+					answer <- unavailableResponse("a stored record of the job can't be decoded")
+				} else if j := b.lookupJob(id); j != nil {
+					answer <- api.Response{Status: http.StatusOK, Body: j.response()}
 				} else {
 					answer <- api.Response{Status: http.StatusNotFound, Reason: "no such job"}
 				}
 			})
 		}
 	}) {
-		return b.busy()
+		return b.busyResponse()
 	}
 	select {
 	case ans := <-answer:
 		return ans
 	case <-ctx.Done():
-		return unavailable("state service out of reach")
+		return unavailableResponse("state service out of reach")
 	}
 }
 
@@ -316,17 +316,17 @@
 		}
 		result := make(chan error, 1)
 		if !b.ask(ctx, laneUsers, func() {
-			j := b.known(id)
-			if j == nil || j.fate != live || j.spec == nil {
+			j := b.lookupJob(id)
+			if j == nil || j.finalState != unfinishedJob || j.spec == nil {
 				result <- store.ErrConflict
 				return
 			}
-			b.write(&store.Write{Urgent: true,
-				Conditions: []wire.Condition{{Key: jobKey(id), Revision: j.stamp}},
+			b.submitWrite(&store.Write{Urgent: true,
+				Conditions: []wire.Condition{{Key: jobKey(id), Revision: j.revision}},
 				Changes:    []wire.Change{{Put: jobKey(id), Value: b.cancelledValue(j)}},
 			}, func(err error) { result <- err })
 		}) {
-			return b.busy()
+			return b.busyResponse()
 		}
 		select {
 		case err := <-result:
@@ -334,13 +334,13 @@
 				return api.Response{Status: http.StatusOK, Body: wire.JobState{ID: id, State: wire.Cancelled}}
 			}
 			if !errors.Is(err, store.ErrConflict) {
-				return unavailable("state service: not stored")
+				return unavailableResponse("state service: not stored")
 			}
 		case <-ctx.Done():
-			return unavailable("state service: no answer")
+			return unavailableResponse("state service: no answer")
 		}
 		if ctx.Err() != nil {
-			return b.busy()
+			return b.busyResponse()
 		}
 	}
 }
@@ -349,7 +349,7 @@
 func (b *brain) Heartbeat(ctx context.Context, r *wire.Heartbeat) api.Response {
 	var ans api.Response
 	if !b.ask(ctx, laneWorkers, func() { ans = b.report(r) }) {
-		return b.busy()
+		return b.busyResponse()
 	}
 	return ans
 }
@@ -365,16 +365,16 @@
 // noteReady notes for Ready what the actor knows now. A controller that alone can't
 // reach the state service stands back; in an outage for all nobody does, since
 // leaving and coming back would only make it longer for users.
-func (b *brain) noteReady() {
+func (b *brain) updateReadiness() {
 	if b.levels.refusal != nil {
 		b.readyAt.Store(nil)
 		return
 	}
-	ready := b.loaded && len(b.types) > 0 && b.fresh(b.op.LeaseTTL+2*time.Second)
+	ready := b.loaded && len(b.machineTypes) > 0 && b.isFresh(b.op.LeaseTTL+2*time.Second)
 	if !ready {
 		heard, ok := false, false
-		for _, s := range b.siblings {
-			if s.status != nil && b.now.Sub(s.at) < 2500*time.Millisecond {
+		for _, s := range b.peers {
+			if s.status != nil && b.now.Sub(s.heardAt) < 2500*time.Millisecond {
 				heard = true
 				ok = ok || s.status.Fresh
 			}
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -124,15 +124,15 @@
 			return fmt.Errorf("%s: the version in production takes %s for a group", key, raw)
 		}
 		return nil
-	case strings.HasPrefix(key, preGroup):
+	case strings.HasPrefix(key, groupPrefix):
 		v = &oldGroup{}
-	case strings.HasPrefix(key, preJob):
+	case strings.HasPrefix(key, jobPrefix):
 		v = &oldJob{}
-	case strings.HasPrefix(key, preLend):
+	case strings.HasPrefix(key, loanPrefix):
 		v = &oldLend{}
-	case strings.HasPrefix(key, preGone):
+	case strings.HasPrefix(key, tombstonePrefix):
 		v = &[]string{}
-	case key == keyTypes:
+	case key == machineTypesKey:
 		v = &[]wire.MachineType{}
 	default:
 		v = &oldHolder{}
@@ -167,13 +167,13 @@
 			c.t.Error(err)
 			return
 		}
-		if id, ok := strings.CutPrefix(e.Put, preJob); ok {
+		if id, ok := strings.CutPrefix(e.Put, jobPrefix); ok {
 			var v oldJob
 			_ = json.Unmarshal(e.Value, &v)
 			gangs[id] = gangs[id] || v.Job != nil && v.Job.Gang
 		}
 		id, _, ok := splitGroupKey(e.Put)
-		if !ok || !strings.HasPrefix(e.Put, preGroup) || !gangs[id] {
+		if !ok || !strings.HasPrefix(e.Put, groupPrefix) || !gangs[id] {
 			continue
 		}
 		if v, _, err := record.DecodeTaskGroup(e.Put, e.Value); err == nil {
@@ -208,8 +208,8 @@
 	m := b.machine("host-000231")
 	m.addr = "10.1.0.232:9000"
 	spec := &wire.Job{ID: "wk-2", Team: "t", Gang: true, Tasks: 3, CPUs: 2, CheckpointS: 4, MachineTypes: []string{"small"}}
-	r := &rec{part: 1, zone: "a", own: true, cap: 3}
-	entries := []entry{{num: 0, attempt: 2, m: m, session: 2}, {num: 1, attempt: 2}, {num: 2, attempt: 2, m: m, session: 2}}
+	r := &taskGroup{partition: 1, zone: "a", guaranteed: true, throttle: 3}
+	entries := []binding{{task: 0, attempt: 2, machine: m, incarnation: 2}, {task: 1, attempt: 2}, {task: 2, attempt: 2, machine: m, incarnation: 2}}
 	strict := func(key string, raw []byte) {
 		t.Helper()
 		if err := readByProduction(key, raw); err != nil {
@@ -217,11 +217,11 @@
 		}
 	}
 	strict(jobKey("wk-2"), record.JSON(record.Job{AcceptedAtMS: 5, Spec: spec}))
-	strict(jobKey("wk-2"), b.cancelledValue(&job{spec: spec, at: b.now}))
-	for _, piece := range b.fit(r, 2, append(entries, make([]entry, 60)...)) {
+	strict(jobKey("wk-2"), b.cancelledValue(&job{spec: spec, acceptedAt: b.now}))
+	for _, piece := range b.splitToFit(r, 2, append(entries, make([]binding, 60)...)) {
 		strict(groupKey("wk-2", 0), piece.At(groupKey("wk-2", 0)))
 	}
-	strict(preLend+"host-1", record.JSON(record.MachineLoan{Job: poolJob, Acknowledged: true}))
+	strict(loanPrefix+"host-1", record.JSON(record.MachineLoan{Job: poolJob, Acknowledged: true}))
 }
 
 // Frames between controllers are the same in both versions, to the byte.
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -155,21 +155,21 @@
 	}
 	b := n.brain
 	if !b.ask(c.ctx, laneState, func() {
-		for _, p := range b.parts {
-			if p.term == 0 || !p.active {
+		for _, p := range b.partitions {
+			if p.token == 0 || !p.active {
 				continue
 			}
 			if err := p.cells.Check(); err != nil {
-				c.t.Errorf("node %d part %d: %v", i, p.n, err)
+				c.t.Errorf("node %d part %d: %v", i, p.index, err)
 			}
 			for _, t := range p.cells.Tasks() {
-				if r := b.recs[t.Group]; r == nil || r.find(t.Num) == nil {
-					c.t.Errorf("node %d part %d: cell of %v, which no record has", i, p.n, t)
+				if r := b.groups[t.Group]; r == nil || r.binding(t.Num) == nil {
+					c.t.Errorf("node %d part %d: cell of %v, which no record has", i, p.index, t)
 				}
 			}
-			for t := range p.alloc {
+			for t := range p.reservations {
 				if p.cells.CellOf(t) == nil {
-					c.t.Errorf("node %d part %d: %v is allocated without a cell", i, p.n, t)
+					c.t.Errorf("node %d part %d: %v is allocated without a cell", i, p.index, t)
 				}
 			}
 		}
@@ -210,7 +210,7 @@
 				c.t.Error(err)
 				return
 			}
-			go to.post(laneWorkers, func() { to.takeStatus(s) })
+			go to.post(laneWorkers, func() { to.handlePeerStatus(s) })
 		}
 	}})
 	if n.supported != nil {
@@ -373,7 +373,7 @@
 		c.awaitDone("wk-3", 2*time.Minute)
 		c.abort("wk-2")
 		c.await("the service is gone", 10*time.Second, func() bool { return c.world.Running("wk-2") == 0 })
-		c.await("records are cleared up", time.Minute, func() bool { return len(c.world.State.Keys(preGroup)) == 0 })
+		c.await("records are cleared up", time.Minute, func() bool { return len(c.world.State.Keys(groupPrefix)) == 0 })
 		c.await("machines are returned", time.Minute, func() bool { return len(c.world.Cloud.Workers()) == 0 })
 		if s := c.state("wk-2"); s != wire.Cancelled {
 			t.Errorf("the service is %s", s)
@@ -718,18 +718,18 @@
 				c.submit(b)
 				switch kill {
 				case 1, 2, 3:
-					c.await("machines are borrowed", 2*time.Minute, func() bool { return len(c.world.State.Keys(preLend)) > 0 })
+					c.await("machines are borrowed", 2*time.Minute, func() bool { return len(c.world.State.Keys(loanPrefix)) > 0 })
 					time.Sleep(time.Duration(kill*400) * time.Millisecond)
 					c.kill(kill - 1)
 					time.Sleep(9 * time.Second)
 					c.start(kill - 1)
 				case 4:
-					c.await("machines are borrowed", 2*time.Minute, func() bool { return len(c.world.State.Keys(preLend)) > 0 })
+					c.await("machines are borrowed", 2*time.Minute, func() bool { return len(c.world.State.Keys(loanPrefix)) > 0 })
 					c.world.Cloud.Workers()[0].Die()
 				}
 				c.await("the service runs whole", 3*time.Minute, func() bool { return c.world.Running("wk-2") == 6 })
 				c.abort("wk-2")
-				c.await("nothing stays lent", time.Minute, func() bool { return len(c.world.State.Keys(preLend)) == 0 })
+				c.await("nothing stays lent", time.Minute, func() bool { return len(c.world.State.Keys(loanPrefix)) == 0 })
 				c.awaitDone("wk-1", 10*time.Minute)
 			})
 		})
@@ -767,7 +767,7 @@
 		}
 		most := 0
 		c.await("all is done", 20*time.Minute, func() bool {
-			most = max(most, len(c.world.State.Keys(preGroup+"wk-1/")))
+			most = max(most, len(c.world.State.Keys(groupPrefix+"wk-1/")))
 			return c.state("wk-1") == wire.Done
 		})
 		if most > 120 {
@@ -834,6 +834,6 @@
 		c.submit(jobBody("wk-1", wire.Array, "blue", "low", 700, 1, 1))
 		c.awaitDone("wk-1", 20*time.Minute)
 		time.Sleep(time.Minute)
-		c.await("records are cleared up", 2*time.Minute, func() bool { return len(c.world.State.Keys(preGroup)) == 0 })
+		c.await("records are cleared up", 2*time.Minute, func() bool { return len(c.world.State.Keys(groupPrefix)) == 0 })
 	})
 }
