--- a/internal/controller/alloc_test.go
+++ b/internal/controller/alloc_test.go
@@ -12,10 +12,10 @@
 )
 
 // reportOf is what a machine of ours reports when all that is bound to it runs.
-func (b *brain) reportOf(m *machine) *wire.Heartbeat {
-	p := b.partitions[m.home]
-	r := &wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.typ, Zone: m.zone, Incarnation: m.session, Sequence: m.seq, Token: p.token}
-	for _, x := range m.bound {
+func (b *controller) reportOf(m *machine) *wire.Heartbeat {
+	p := b.partitions[m.partition]
+	r := &wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: m.incarnation, Sequence: m.sequence, Token: p.token}
+	for _, x := range m.bindings {
 		t, rec := x.task, x.group
 		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: taskName(rec.job.id, t.Num), Attempt: rec.binding(t.Num).attempt, State: wire.Running})
 	}
@@ -23,9 +23,9 @@
 }
 
 // ours is the first of our machines in a crowded fleet on which something runs.
-func (b *brain) ours() *machine {
+func (b *controller) ours() *machine {
 	for _, m := range b.partitions[0].machines {
-		if len(m.bound) > 0 {
+		if len(m.bindings) > 0 {
 			return m
 		}
 	}
@@ -39,15 +39,15 @@
 	type path struct {
 		name  string
 		bound float64
-		f     func(b *brain) func()
+		f     func(b *controller) func()
 	}
 	paths := []path{
-		{"a report without news", 4, func(b *brain) func() {
+		{"a report without news", 4, func(b *controller) func() {
 			m := b.ours()
 			r := b.reportOf(m)
-			return func() { r.Sequence++; b.report(r) }
+			return func() { r.Sequence++; b.handleHeartbeat(r) }
 		}},
-		{"a report decoded", 24, func(b *brain) func() {
+		{"a report decoded", 24, func(b *controller) func() {
 			raw := record.JSON(b.reportOf(b.ours()))
 			return func() {
 				if _, err := wire.ParseHeartbeat(raw); err != nil {
@@ -55,15 +55,15 @@
 				}
 			}
 		}},
-		{"a step of a part with nothing to do", 2, func(b *brain) func() {
+		{"a step of a part with nothing to do", 2, func(b *controller) func() {
 			for _, j := range b.unfinished { // nothing waits
 				if j.spec.Class == "clean" {
 					j.retryAt = b.now.Add(time.Hour)
 				}
 			}
-			return func() { b.stepParts() }
+			return func() { b.schedulePartitions() }
 		}},
-		{"a record stored by another controller", 8, func(b *brain) func() {
+		{"a record stored by another controller", 8, func(b *controller) func() {
 			var r *taskGroup
 			for x := range b.allGroups() {
 				if x.partition != 0 && x.boundCount > 0 && len(x.bindings) == 1 {
@@ -73,7 +73,7 @@
 			raw, stamp := b.encodeGroup(r, r.done, r.bindings).At(r.key), r.revision
 			return func() { stamp++; b.putRecord(r.key, raw, stamp) }
 		}},
-		{"a poll of a job that is over", 2, func(b *brain) func() {
+		{"a poll of a job that is over", 2, func(b *controller) func() {
 			b.finished["wk-1"] = doneJob
 			return func() {
 				if j := b.lookupJob("wk-1"); j.response().State != wire.Done {
@@ -101,11 +101,11 @@
 		b := crowded(t, machines)
 		n := float64(len(b.partitions[0].machines))
 		var frame []byte
-		if got := testing.AllocsPerRun(20, func() { frame = mesh.AppendStatus(nil, b.status(), mesh.Plain) }); got > 30 {
+		if got := testing.AllocsPerRun(20, func() { frame = mesh.AppendStatus(nil, b.peerStatus(), mesh.Plain) }); got > 30 {
 			t.Errorf("%d machines: %v allocations to send a status", machines, got)
 		}
 		s := &mesh.Status{}
-		if got := testing.AllocsPerRun(20, func() { *s = *b.status() }); got > 20 {
+		if got := testing.AllocsPerRun(20, func() { *s = *b.peerStatus() }); got > 20 {
 			t.Errorf("%d machines: %v allocations to make a status", machines, got)
 		}
 		if len(frame) > int(n)*64+64 {
@@ -123,7 +123,7 @@
 		c.awaitDone("wk-1", 10*time.Minute)
 		var all store.Stats
 		for _, n := range c.nodes {
-			s := n.brain.st.Stats()
+			s := n.brain.stateClient.Stats()
 			all.Changes, all.Txns = all.Changes+s.Changes, all.Txns+s.Txns
 		}
 		if all.Changes > tasks/4 || all.Txns > tasks/4 {
@@ -146,7 +146,7 @@
 				}
 				r.Sequence++
 				x.Sequence = r.Sequence
-				c.report(x)
+				c.handleHeartbeat(x)
 			}
 		})
 	}
@@ -176,7 +176,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := crowded(b, n)
 			for b.Loop() {
-				mesh.AppendStatus(nil, c.status(), mesh.Plain)
+				mesh.AppendStatus(nil, c.peerStatus(), mesh.Plain)
 			}
 		})
 	}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -27,7 +27,7 @@
 // crowded returns the leader, who also owns part 0 of five, of a fleet of the
 // given size: half of it runs services, half an array's tasks, all of it is
 // full, and more arrays of several classes wait.
-func crowded(tb testing.TB, machines int) *brain {
+func crowded(tb testing.TB, machines int) *controller {
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(cancel)
 	cfg := &config.Platform{Name: "n0", Zone: "a", APIAddr: "10.0.0.1:80"}
@@ -42,7 +42,7 @@
 	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 4, 24, 54
 	s.State.RPS, s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps = 150, 60, 8, 32
 	s.Cloud.RPS, s.Cloud.ListLagS = 6, 3
-	b := newBrain(ctx, cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), outside{state: nowhere{}, cloud: nowhere{}, workers: nowhere{}, send: func(string, []byte) {}})
+	b := newController(ctx, cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), clients{state: nowhere{}, cloud: nowhere{}, workers: nowhere{}, send: func(string, []byte) {}})
 	b.loaded, b.freshAt, b.startedAt = true, b.now, b.now.Add(-time.Hour)
 	b.putMachineTypes(testTypes)
 	stamp := uint64(10)
@@ -61,14 +61,14 @@
 	var all []*machine
 	for i := range machines {
 		name := fmt.Sprintf("host-%06d", i)
-		m := b.machine(name)
-		m.typ, m.zone, m.addr = "large", "a", "10.1.0.1:1"
-		m.session, m.seq, m.heard, m.answered, m.probeOK = 1, 1, b.now, b.now, b.now
-		b.sizeMachine(m)
+		m := b.machineNamed(name)
+		m.machineType, m.zone, m.addr = "large", "a", "10.1.0.1:1"
+		m.incarnation, m.sequence, m.heartbeatAt, m.leaseRenewedAt, m.answeredAt = 1, 1, b.now, b.now, b.now
+		b.setMachineSize(m)
 		all = append(all, m)
-		if part := m.home; part != 0 {
+		if part := m.partition; part != 0 {
 			st := b.peers[fmt.Sprintf("n%d", part)].status
-			st.Machines = append(st.Machines, mesh.Machine{Name: name, Addr: m.addr, Type: m.typ, Zone: m.zone, Incarnation: 1, Flags: mesh.Reachable})
+			st.Machines = append(st.Machines, mesh.Machine{Name: name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: 1, Flags: mesh.Reachable})
 		}
 	}
 	id := 0
@@ -88,12 +88,12 @@
 			for range 8 {
 				stamp++
 				b.putRecord(groupKey(job(wire.Service, "feed", "red", 2, 1, 2), 0),
-					record.JSON(record.TaskGroup{Partition: m.home, Guaranteed: true, Tasks: []record.Binding{{Attempt: 1, Machine: m.name, Incarnation: 1}}}), stamp)
+					record.JSON(record.TaskGroup{Partition: m.partition, Guaranteed: true, Tasks: []record.Binding{{Attempt: 1, Machine: m.name, Incarnation: 1}}}), stamp)
 			}
 			continue
 		}
 		for range 8 {
-			perPart[m.home] = append(perPart[m.home], record.Binding{Task: num, Attempt: 1, Machine: m.name, Incarnation: 1})
+			perPart[m.partition] = append(perPart[m.partition], record.Binding{Task: num, Attempt: 1, Machine: m.name, Incarnation: 1})
 			num++
 		}
 	}
@@ -114,7 +114,7 @@
 }
 
 // siblingsFor has a sibling vouch for a part.
-func (b *brain) siblingsFor(node string, part int) {
+func (b *controller) siblingsFor(node string, part int) {
 	if x := b.peers[node]; x != nil {
 		x.status, x.heardAt, x.heardSince = &mesh.Status{Node: node, Fresh: true, Eligible: true, Partitions: []uint64{uint64(part)}}, b.now.Add(time.Hour), b.now
 	}
@@ -125,7 +125,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := crowded(b, n)
 			for b.Loop() {
-				c.leadership.writes = 0
+				c.leadership.writesInFlight = 0
 				c.runLeader()
 			}
 		})
@@ -137,7 +137,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := crowded(b, n)
 			for b.Loop() {
-				c.stepParts()
+				c.schedulePartitions()
 			}
 		})
 	}
--- a/internal/controller/brain.go
+++ b/internal/controller/brain.go
@@ -17,19 +17,19 @@
 )
 
 // brain is the actor's state. Only the actor's goroutine touches it.
-type brain struct {
+type controller struct {
 	cfg       *config.Platform
-	op        *config.Operator
+	operator  *config.Operator
 	log       *slog.Logger
 	processID string
 	ctx       context.Context
-	inbox     *inbox
+	events    *eventQueue
 	// cloudQ holds calls to the cloud that wait for their turn.
-	cloudQ       chan func()
-	st           *store.Client
-	wr           *store.Writer
-	cl           *cloud.Client
-	fl           *fleet.Client
+	cloudCalls   chan func()
+	stateClient  *store.Client
+	stateWriter  *store.Writer
+	cloudClient  *cloud.Client
+	workerClient *fleet.Client
 	now          time.Time // of the event in work
 	maxStaleness time.Duration
 	leaseExpiry  time.Duration // a worker's lease, with drift and margin
@@ -48,11 +48,11 @@
 	groupByKey         map[string]*taskGroup
 	machineTypes       map[string]*wire.MachineType
 	machineTypesStored bool
-	levels             levels
+	rollout            rolloutState
 	holders            map[string]record.LeaseHolder
 	terminated         map[string]bool // machines that surely are, as long as a marker says so
 	tombstones         map[string]tombstone
-	lends              map[string]*lend // by machine
+	loans              map[string]*machineLoan // by machine
 	teamIndex          map[string]int32
 	objectiveSeconds   map[string]float64 // by class: seconds in which its jobs should be done
 	maxGroupTasks      int
@@ -66,39 +66,39 @@
 	readyAt        atomic.Pointer[time.Time]
 	lastClientRead atomicTime // the last one that succeeded
 
-	leasedKeys map[string]*leasedKey
-	partitions []*partition
-	machines   map[string]*machine
-	byIdx      []*machine
-	peers      map[string]*peer
-	send       func(sibling string, frame []byte)
-	jitter     func(time.Duration) time.Duration
-	leadership leadership
-	closing    map[string]bool // machines that the leader wants to return
+	leasedKeys     map[string]*leasedKey
+	partitions     []*partition
+	machines       map[string]*machine
+	machineByIndex []*machine
+	peers          map[string]*peer
+	send           func(sibling string, frame []byte)
+	jitter         func(time.Duration) time.Duration
+	leadership     leadership
+	draining       map[string]bool // machines that the leader wants to return
 	// Machines that are being released, and those of them not asked for yet.
-	leaving   map[string]bool
-	toRelease []string
-	releasing bool
-	outcomes  map[core.Task]outcome
+	terminating       map[string]bool
+	toTerminate       []string
+	terminateInFlight bool
+	attemptEnds       map[core.Task]attemptEnd
 	// Direct commands that are open, the most that may be, and who waits.
-	doOpen, doMost int
-	doQueue        []*machine
-	stepDue        bool
-	steps          uint64 // decisions of parts taken so far
+	directsInFlight, maxDirects int
+	directQueue                 []*machine
+	passDue                     bool
+	schedulingPass              uint64 // decisions of parts taken so far
 	// yieldUntil: this controller gave its rights up and takes none before then.
 	backoffUntil  time.Time
 	steppedDownAt time.Time // when it last did
 	// wokeAt: this process stood still until then.
-	wokeAt   time.Time
-	reportAt time.Time // of any worker's last report
+	resumedFromPauseAt time.Time
+	lastHeartbeatAt    time.Time // of any worker's last report
 	// serves: reports are taken (HoldTime). resumedAt is when they last were again after
 	// an outage: machines could not be heard before.
-	serves    bool
-	resumedAt time.Time
+	acceptsHeartbeats   bool
+	heartbeatsResumedAt time.Time
 	// lastTick is when the actor last came to its duties, laggedAt when it last
 	// came late to them: see lagging.
-	lastTick, laggedAt time.Time
-	metrics            *metrics
+	lastTick, lastLaggedAt time.Time
+	metrics                *metrics
 }
 
 // sibling is what another controller told last.
@@ -163,18 +163,18 @@
 }
 
 // outcome is the proven end of an attempt.
-type outcome struct {
+type attemptEnd struct {
 	attempt uint64
 	done    bool
-	err     bool
+	failed  bool
 }
 
 // post runs f in the actor; it blocks while the lane is full.
-func (b *brain) post(l lane, f func()) { b.inbox.put(b.ctx, l, f) }
+func (b *controller) enqueue(l priority, f func()) { b.events.put(b.ctx, l, f) }
 
 // ask runs f in the actor and waits for it. False means that f has not been run and
 // won't be, or that ctx ended meanwhile: nobody waits for what it says any more.
-func (b *brain) ask(ctx context.Context, l lane, f func()) bool {
+func (b *controller) call(ctx context.Context, l priority, f func()) bool {
 	ready := make(chan struct{})
 	g := func() {
 		if ctx.Err() == nil {
@@ -182,11 +182,11 @@
 			close(ready)
 		}
 	}
-	if l == laneUsers {
-		if !b.inbox.putUser(g) {
+	if l == priorityUsers {
+		if !b.events.putUserRequest(g) {
 			return false
 		}
-	} else if !b.inbox.put(ctx, l, g) {
+	} else if !b.events.put(ctx, l, g) {
 		return false
 	}
 	select {
@@ -198,25 +198,25 @@
 }
 
 // fresh tells whether the replica is current enough to act on: see HoldTime.
-func (b *brain) isFresh(limit time.Duration) bool {
+func (b *controller) isFresh(limit time.Duration) bool {
 	return b.loaded && b.now.Sub(b.freshAt) < limit
 }
 
 // write submits a unit; then runs in the actor with the result, after the
 // replica has taken the changes in.
-func (b *brain) submitWrite(u *store.Write, then func(err error)) {
+func (b *controller) submitWrite(u *store.Write, then func(err error)) {
 	begun := b.now
 	u.Done = func(rev uint64, err error) {
 		// Never block the writer on a full inbox that waits for the writer.
-		go b.post(laneState, func() {
-			b.metrics.observe(lCommit, b.now.Sub(begun))
+		go b.enqueue(priorityState, func() {
+			b.metrics.observe(latencyCommit, b.now.Sub(begun))
 			if err == nil {
 				b.applyWrite(u, rev)
 			}
 			then(err)
 		})
 	}
-	if !b.wr.Submit(u) {
+	if !b.stateWriter.Submit(u) {
 		b.log.Error("write queue is full")
 		u.Done(0, store.ErrNotExecuted)
 	}
--- a/internal/controller/brain_test.go
+++ b/internal/controller/brain_test.go
@@ -16,16 +16,16 @@
 )
 
 // lone is a brain that owns its only part, without any world around it.
-func lone(t *testing.T) *brain { return loneAmong(t, 1) }
+func lone(t *testing.T) *controller { return loneAmong(t, 1) }
 
 // loneAmong is the same in a cluster of several, of whose parts it owns the first.
-func loneAmong(t *testing.T, controllers int) *brain {
+func loneAmong(t *testing.T, controllers int) *controller {
 	cfg := &config.Platform{Name: "n0"}
 	cfg.Settings.Count = controllers
 	cfg.Settings.Workers.ReportS, cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS = 1, 10, 35
 	cfg.Settings.State.RPS, cfg.Settings.State.WriteRPS, cfg.Settings.State.ValueKB, cfg.Settings.State.TxnOps = 100, 40, 8, 32
 	cfg.Settings.Cloud.RPS = 1
-	b := newBrain(t.Context(), cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), outside{})
+	b := newController(t.Context(), cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), clients{})
 	b.loaded, b.freshAt = true, b.now
 	b.machineTypes = map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAM: 8}}
 	p := b.partitions[0]
@@ -50,12 +50,12 @@
 	for _, how := range []string{"deleted", "moved"} {
 		b := lone(t)
 		p := b.partitions[0]
-		b.takeReport(b.machine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, true)
+		b.applyHeartbeat(b.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, true)
 		spec := &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}
 		b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 2)
 		key := groupKey("wk-1", 0)
 		b.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
-		b.place(p, b.groupByKey[key], map[shape]bool{})
+		b.placeGroup(p, b.groupByKey[key], map[placementClass]bool{})
 		if len(p.reservations) != 2 {
 			t.Fatalf("%d tasks have claimed cells", len(p.reservations))
 		}
@@ -90,13 +90,13 @@
 		b.putTombstone(fmt.Sprint(tombstonePrefix, "host-", i), []string{fmt.Sprint("host-", i)})
 	}
 	b.now = b.now.Add(time.Hour)
-	b.clearGone()
-	queued := b.wr.Backlog()
+	b.deleteTombstones()
+	queued := b.stateWriter.Backlog()
 	for range 20 {
-		b.clearGone()
+		b.deleteTombstones()
 	}
-	if queued == 0 || b.wr.Backlog() != queued {
-		t.Errorf("the backlog is %v after one call, %v after many", queued, b.wr.Backlog())
+	if queued == 0 || b.stateWriter.Backlog() != queued {
+		t.Errorf("the backlog is %v after one call, %v after many", queued, b.stateWriter.Backlog())
 	}
 }
 
@@ -119,7 +119,7 @@
 		lim := core.Quota{Limit: core.NewResources(float64(min(free, 9)), 0, 0)}
 		lim.Used = r.job.taskSize.Times(r.quotaTasks(b.cursor))
 		before := r.throttledAt
-		b.uncap(r.job, &lim)
+		b.unthrottle(r.job, &lim)
 		if r.throttledAt != before { // stored at once
 			changes++
 			stamp++
@@ -143,12 +143,12 @@
 func TestClaimsOfAMovedRecord(t *testing.T) {
 	b := lone(t)
 	p := b.partitions[0]
-	b.takeReport(b.machine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+	b.applyHeartbeat(b.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
 	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}}), 2)
 	key := groupKey("wk-1", 0)
 	b.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
 	r := b.groupByKey[key]
-	b.place(p, r, map[shape]bool{})
+	b.placeGroup(p, r, map[placementClass]bool{})
 	if len(p.reservations) != 2 {
 		t.Fatalf("%d tasks have claimed cells", len(p.reservations))
 	}
@@ -183,16 +183,16 @@
 	var names []string
 	for i := range 240 {
 		names = append(names, fmt.Sprintf("host-%06d", i))
-		b.machine(names[i]).heard = b.now
+		b.machineNamed(names[i]).heartbeatAt = b.now
 	}
-	b.markGone(names)
-	if n := b.wr.Backlog(); n > time.Second/10 {
+	b.storeTombstones(names)
+	if n := b.stateWriter.Backlog(); n > time.Second/10 {
 		t.Errorf("the backlog is %v", n)
 	}
 	b.putRecord(tombstonePrefix+"host-000001", record.JSON(names[1:4]), 20)
 	b.putRecord(tombstonePrefix+"host-000009", record.JSON(true), 21)
 	for i, gone := range map[int]bool{0: false, 1: true, 2: true, 3: true, 4: false, 9: true} {
-		if b.machine(names[i]).gone != gone {
+		if b.machineNamed(names[i]).terminated != gone {
 			t.Errorf("%s is gone: %v", names[i], !gone)
 		}
 	}
@@ -220,11 +220,11 @@
 		r := b.leasedKeys[b.partitions[0].key]
 		r.token = 1
 		for i := range x.machines {
-			b.machine(fmt.Sprintf("host-%d", i)).heard = b.now
+			b.machineNamed(fmt.Sprintf("host-%d", i)).heartbeatAt = b.now
 		}
 		b.now = b.now.Add(x.after)
 		if x.woke {
-			b.wokeAt = b.now
+			b.resumedFromPauseAt = b.now
 		}
 		b.stepDownIfUnheard()
 		if gave := r.token == 0; gave != x.gives {
@@ -244,7 +244,7 @@
 	}{{2 * time.Second, 0, false}, {4 * time.Second, 0, true}, {4 * time.Second, 50, false}, {7 * time.Second, 50, true}} {
 		b := lone(t)
 		p := b.partitions[0]
-		b.takeReport(b.machine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+		b.applyHeartbeat(b.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
 		for i, team := range []string{"blue", "red"} {
 			id := fmt.Sprintf("wk-%d", i+1)
 			b.putRecord(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAM: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
@@ -254,7 +254,7 @@
 		r := b.groupByKey[groupKey("wk-2", 0)]
 		r.inPartitionSince = b.now.Add(-x.waited)
 		p.freedCellsBefore, p.freedCellsSince = x.ends, b.now
-		b.place(p, r, map[shape]bool{})
+		b.placeGroup(p, r, map[placementClass]bool{})
 		if evicts := p.cells.PreemptingGroup(r.task(0)) != nil; evicts != x.evicts {
 			t.Errorf("%+v: evicts: %v", x, evicts)
 		}
@@ -326,7 +326,7 @@
 	spec := &wire.Job{ID: "wk-1", Team: "t", Service: true, Tasks: 1, CPUs: 2, Image: "img"}
 	used := func(when string, want int64) {
 		t.Helper()
-		if got := b.limits()[team].Used.CPU; got != want*1000 {
+		if got := b.quotas()[team].Used.CPU; got != want*1000 {
 			t.Errorf("%s %d milli-CPUs count, not %d", when, got, want*1000)
 		}
 	}
--- a/internal/controller/caps.go
+++ b/internal/controller/caps.go
@@ -14,7 +14,7 @@
 // the team's lower jobs are stopped, dealt ones that don't run yet, of equal jobs
 // too, stand back. Else what is dealt of an array would hold the limit against a
 // service for minutes.
-func (b *brain) squeeze(j *job, lack core.Resources) {
+func (b *controller) throttleTeam(j *job, lack core.Resources) {
 	level := j.spec.Priority
 	var from []*taskGroup
 	for r := range b.allGroups() {
@@ -33,11 +33,11 @@
 	standing := make([]core.QuotaUse, len(from))
 	for i, r := range from {
 		standing[i] = core.QuotaUse{Priority: r.job.spec.Priority, Running: r.boundTasks(), Allowed: r.allowedTasks(), TaskSize: r.job.taskSize,
-			Fixed: r.job.spec.Priority == level && (urgent(j, r.job) >= 0 || b.now.Sub(r.throttledAt) < b.capEvery())}
+			Fixed: r.job.spec.Priority == level && (urgent(j, r.job) >= 0 || b.now.Sub(r.throttledAt) < b.throttleInterval())}
 	}
 	for i, may := range core.Throttle(standing, level, lack) {
 		if may >= 0 {
-			b.setCap(from[i], may)
+			b.setThrottle(from[i], may)
 		}
 	}
 }
@@ -45,22 +45,22 @@
 // capEvery spaces the changes of one record's cap that are not for more urgent
 // work: a team at its limit has a task end, and so room for one more, many times a
 // second, and a change for each of them would take up the state service's limit.
-func (b *brain) capEvery() time.Duration { return 2*time.Second + b.turnaround() }
+func (b *controller) throttleInterval() time.Duration { return 2*time.Second + b.turnaround() }
 
 // uncap lets tasks run again that had to stand back, as the limit permits.
-func (b *brain) uncap(j *job, lim *core.Quota) {
+func (b *controller) unthrottle(j *job, lim *core.Quota) {
 	for _, r := range j.groups {
-		if r.throttle == 0 || r.writing || r.allowedTasks() == len(r.bindings) || b.now.Sub(r.throttledAt) < b.capEvery() {
+		if r.throttle == 0 || r.writing || r.allowedTasks() == len(r.bindings) || b.now.Sub(r.throttledAt) < b.throttleInterval() {
 			continue
 		}
 		if k := lim.Room(j.taskSize, len(r.bindings)-r.quotaTasks(b.cursor)); k > 0 {
 			lim.Used = lim.Used.Plus(j.taskSize.Times(k))
-			b.setCap(r, r.quotaTasks(b.cursor)+k)
+			b.setThrottle(r, r.quotaTasks(b.cursor)+k)
 		}
 	}
 }
 
-func (b *brain) setCap(r *taskGroup, n int) {
+func (b *controller) setThrottle(r *taskGroup, n int) {
 	changed := *r
 	changed.throttle = n + 1
 	if n >= len(r.bindings) {
@@ -68,8 +68,8 @@
 	}
 	epoch := b.leadership.epoch
 	r.writing, r.throttledAt = true, b.now
-	b.metrics.count(cCapped, 1)
-	b.leadership.writes++
+	b.metrics.count(countThrottled, 1)
+	b.leadership.writesInFlight++
 	b.submitWrite(&store.Write{Early: true, Contested: true,
 		Conditions: []wire.Condition{b.leaderCondition(), {Key: r.key, Revision: r.revision}},
 		Changes:    []wire.Change{{Put: r.key, Value: b.encodeGroup(&changed, r.done, r.bindings).At(r.key)}},
--- a/internal/controller/causes_test.go
+++ b/internal/controller/causes_test.go
@@ -30,7 +30,7 @@
 		c.await("the job runs", time.Minute, func() bool { return c.world.Running("wk-9") == 2 })
 		zone := map[string]bool{}
 		for _, n := range c.nodes {
-			n.brain.ask(c.ctx, laneState, func() {
+			n.brain.call(c.ctx, priorityState, func() {
 				for _, r := range n.brain.jobs["wk-9"].groups {
 					zone[r.zone] = true
 				}
@@ -110,14 +110,14 @@
 func TestNoStartAfterAnOldRead(t *testing.T) {
 	b := lone(t)
 	p := b.partitions[0]
-	m := b.machine("host-1")
-	b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+	m := b.machineNamed("host-1")
+	b.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
 	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
 	b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 3)
 	if cmds := b.commands(m, p); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
 		t.Fatalf("commands %v", cmds)
 	}
-	b.now = b.now.Add(b.op.LeaseTTL + time.Second)
+	b.now = b.now.Add(b.operator.LeaseTTL + time.Second)
 	if cmds := b.commands(m, p); len(cmds) != 0 {
 		t.Errorf("commands %v on an old read", cmds)
 	}
@@ -136,30 +136,30 @@
 	}
 	bad, worse := job("wk-1"), job("wk-2")
 	for i := range 4 {
-		m := b.machine(fmt.Sprint("host-", i))
-		b.taskEnded(m, bad, wire.ReasonError)
-		b.taskEnded(m, worse, wire.ReasonError)
+		m := b.machineNamed(fmt.Sprint("host-", i))
+		b.noteTaskEnd(m, bad, wire.ReasonError)
+		b.noteTaskEnd(m, worse, wire.ReasonError)
 	}
 	for i := range 4 {
-		if b.machine(fmt.Sprint("host-", i)).suspect {
+		if b.machineNamed(fmt.Sprint("host-", i)).cordoned {
 			t.Errorf("machine %d is blamed for two mistaken jobs", i)
 		}
 	}
-	sick := b.machine("host-9")
+	sick := b.machineNamed("host-9")
 	good, fine := job("wk-3"), job("wk-4")
-	b.taskEnded(sick, good, wire.ReasonError)
-	if sick.suspect {
+	b.noteTaskEnd(sick, good, wire.ReasonError)
+	if sick.cordoned {
 		t.Error("a machine is blamed for one failure")
 	}
-	b.taskEnded(sick, fine, wire.ReasonError)
-	if !sick.suspect {
+	b.noteTaskEnd(sick, fine, wire.ReasonError)
+	if !sick.cordoned {
 		t.Error("a machine that fails several jobs is not found")
 	}
-	if !b.barred(sick, good) {
+	if !b.avoidsJob(sick, good) {
 		t.Error("the job is put there again at once")
 	}
-	b.now = b.now.Add(barredFor + time.Second)
-	if b.barred(sick, good) {
+	b.now = b.now.Add(jobAvoidance + time.Second)
+	if b.avoidsJob(sick, good) {
 		t.Error("the machine is barred to the job for good")
 	}
 }
@@ -281,16 +281,16 @@
 	}
 	b.putRecord(key, raw(t, value("host-1")), 7)
 	r := b.groupByKey[key]
-	m := b.machine("host-1")
-	if m.home != 0 || p.cells.CellOf(r.task(0)) == nil {
-		t.Fatalf("part %d, cell %v", m.home, p.cells.CellOf(r.task(0)))
+	m := b.machineNamed("host-1")
+	if m.partition != 0 || p.cells.CellOf(r.task(0)) == nil {
+		t.Fatalf("part %d, cell %v", m.partition, p.cells.CellOf(r.task(0)))
 	}
-	m.heard, m.session = b.now, 2 // a later session: the first one's task is gone
-	b.judge(m, p)
-	b.stepPart(p)
-	b.now = b.now.Add(mostGather + time.Second) // ends wait for each other
-	b.stepPart(p)
-	if !r.writing || b.wr.Backlog() == 0 {
+	m.heartbeatAt, m.incarnation = b.now, 2 // a later session: the first one's task is gone
+	b.reconcile(m, p)
+	b.schedulePartition(p)
+	b.now = b.now.Add(maxEndsDelay + time.Second) // ends wait for each other
+	b.schedulePartition(p)
+	if !r.writing || b.stateWriter.Backlog() == 0 {
 		t.Error("its end is not stored")
 	}
 	// The same where the record's own part has stored the end.
--- a/internal/controller/deal.go
+++ b/internal/controller/deal.go
@@ -12,7 +12,7 @@
 	"eiderhitch/internal/wire"
 )
 
-func (b *brain) limits() []core.Quota {
+func (b *controller) quotas() []core.Quota {
 	out := make([]core.Quota, len(b.teamIndex))
 	for i := range b.cfg.Settings.Teams {
 		t := &b.cfg.Settings.Teams[i]
@@ -60,9 +60,9 @@
 
 // deal gives waiting tasks to parts that have room for them, highest claims
 // first, and returns what found none.
-func (b *brain) deal(hosts []*core.MachineSummary) []core.Demand {
+func (b *controller) assign(hosts []*core.MachineSummary) []core.Demand {
 	byUrgency := b.byUrgency()
-	wants, lost := b.settleDealt(hosts, byUrgency)
+	wants, lost := b.placeAssigned(hosts, byUrgency)
 	var jobs []*job
 	for _, j := range b.unfinished {
 		if j.finalState == unfinishedJob && j.spec != nil && j.revision != 0 && !j.hasUnreadableRecords() && j.hasWaitingTasks() {
@@ -70,16 +70,16 @@
 		}
 	}
 	slices.SortFunc(jobs, byUrgency)
-	limits := b.limits()
+	limits := b.quotas()
 	noRoom := map[string]bool{}
 	alike := map[string]int{} // where in wants the services of a kind are
 	short := map[int32]bool{} // teams in which somebody waits for the limit
-	b.leadership.ahead = b.dealAhead(lost)
+	b.leadership.assignAhead = b.assignAhead(lost)
 	places := map[string]bool{} // whether jobs of a kind find any room at all
 	placeable := func(j *job) bool {
 		kind := j.equivalenceClass
 		if j.spec.SingleZone {
-			kind += "/" + b.pinned(j)
+			kind += "/" + b.zoneOfJob(j)
 		}
 		ok, known := places[kind]
 		if !known {
@@ -92,23 +92,23 @@
 		// While somebody more urgent waits within the team's limit, nothing that
 		// stood back comes forward: it would be stopped and started for ever.
 		if !short[j.team] {
-			b.uncap(j, &limits[j.team])
+			b.unthrottle(j, &limits[j.team])
 		}
 		dealt, _ := j.assignedTasks()
 		if j.spec.Gang && dealt > 0 && dealt < j.spec.Tasks {
-			b.dealRest(j, dealt)
+			b.assignRemainder(j, dealt)
 			continue
 		}
-		if b.now.Sub(j.assignedAt) < dealEvery && !j.spec.AllOrNothing() {
+		if b.now.Sub(j.assignedAt) < arrayAssignInterval && !j.spec.AllOrNothing() {
 			if left := j.spec.Tasks - dealt; left > 0 {
 				n := limits[j.team].Room(j.taskSize, left)
 				short[j.team] = short[j.team] || n < left && placeable(j)
-				wants = append(wants, b.want(j, "", n))
+				wants = append(wants, b.demand(j, "", n))
 			}
 			continue
 		}
 		if left := j.spec.Tasks - dealt; left > 0 {
-			must := b.order(j).ForcedTasks(j.unplacedTasks())
+			must := b.jobOrder(j).ForcedTasks(j.unplacedTasks())
 			if must > 0 {
 				left = min(left, must)
 			}
@@ -116,7 +116,7 @@
 				// Jobs alike are decided as a class: where one found no room,
 				// none behind it will.
 				n := limits[j.team].Room(j.taskSize, left)
-				wants = append(wants, b.want(j, "", n))
+				wants = append(wants, b.demand(j, "", n))
 				continue
 			}
 			if at, ok := alike[j.equivalenceClass]; ok && j.spec.Tasks == 1 && limits[j.team].Room(j.taskSize, 1) == 1 {
@@ -128,17 +128,17 @@
 			before := limits[j.team].Used
 			if limits[j.team].Room(j.taskSize, left) < left && placeable(j) {
 				short[j.team] = true
-				b.squeeze(j, limits[j.team].Shortfall(j.taskSize.Times(left)))
+				b.throttleTeam(j, limits[j.team].Shortfall(j.taskSize.Times(left)))
 			}
-			w := b.dealJob(hosts, limits, j, portion{dealt, left, must > 0})
+			w := b.assignJob(hosts, limits, j, assignmentRequest{dealt, left, must > 0})
 			if w.Count > 0 {
-				if j.spec.AllOrNothing() && j.spec.Tasks == 1 && !b.lentFor(j) {
+				if j.spec.AllOrNothing() && j.spec.Tasks == 1 && !b.hasLoanFor(j) {
 					alike[j.equivalenceClass], w.Groups = len(wants), 1
 				}
 				wants = append(wants, w)
 				noRoom[j.equivalenceClass] = true
 			}
-			if j.spec.AllOrNothing() && limits[j.team].Used == before && (b.now.Sub(j.acceptedAt) < groupPatience || placeable(j)) {
+			if j.spec.AllOrNothing() && limits[j.team].Used == before && (b.now.Sub(j.acceptedAt) < quotaHoldTime || placeable(j)) {
 				// What a group waits for is not for those behind it, unless no machine
 				// has come for it in good time: none may ever.
 				limits[j.team].Used = before.Plus(j.taskSize.Times(left))
@@ -150,19 +150,19 @@
 
 // groupPatience is how long a group for which there is no machine holds back its team's
 // limit for one that may come.
-const groupPatience = 45 * time.Second
+const quotaHoldTime = 45 * time.Second
 
 // placeable tells whether there is a machine on which a task of a job finds room, or may
 // make some. Where there is none, nothing of its team is held back or stopped for it: the
 // room that came of that went to others, who were stopped for it in turn, several times a
 // second.
-func (b *brain) placeable(hosts []*core.MachineSummary, j *job) bool {
+func (b *controller) placeable(hosts []*core.MachineSummary, j *job) bool {
 	zone := ""
 	if j.spec.SingleZone {
-		zone = b.pinned(j)
+		zone = b.zoneOfJob(j)
 	}
 	can := func(h *core.MachineSummary) bool {
-		return !h.Booting && b.poolOpen(j, h) && allowed(j.spec, zone, h.Type, h.Zone, h.Spot)
+		return !h.Booting && b.reserveAllows(j, h) && allowed(j.spec, zone, h.Type, h.Zone, h.Spot)
 	}
 	for _, h := range hosts {
 		if can(h) && h.Free.Contains(j.taskSize) {
@@ -175,7 +175,7 @@
 // settleDealt has the tasks that are dealt and not placed yet take the room in
 // their parts, and moves those that find none to parts that have it. It returns
 // what found none anywhere, and how much of each record that is.
-func (b *brain) settleDealt(hosts []*core.MachineSummary, byUrgency func(x, y *job) int) (wants []core.Demand, lost map[*taskGroup]int) {
+func (b *controller) placeAssigned(hosts []*core.MachineSummary, byUrgency func(x, y *job) int) (wants []core.Demand, lost map[*taskGroup]int) {
 	var recs, stuck []*taskGroup
 	for r := range b.allGroups() {
 		if r.job.finalState == unfinishedJob && r.job.spec != nil && r.job.revision != 0 && r.allowedTasks() > r.boundTasks() {
@@ -223,15 +223,15 @@
 		n := lost[r]
 		c := class{r.job.equivalenceClass, r.zone, r.partition, r.claim()}
 		if !r.writing && b.now.Sub(r.inPartitionSince) > time.Second && (r.job.spec.AllOrNothing() || !nowhere[c]) {
-			if b.moveStuck(hosts, r, n) {
+			if b.moveUnplaced(hosts, r, n) {
 				continue
 			}
 			nowhere[c] = true
 		}
-		if b.otherZone(hosts, r) {
+		if b.moveToOtherZone(hosts, r) {
 			continue
 		}
-		wants = append(wants, b.want(r.job, r.zone, n))
+		wants = append(wants, b.demand(r.job, r.zone, n))
 	}
 	return wants, lost
 }
@@ -248,7 +248,7 @@
 }
 
 // slack is the time until a job's deadline, or until it should be done all the same.
-func (b *brain) slack(j *job) float64 {
+func (b *controller) slackS(j *job) float64 {
 	if j.spec.NoDeadline {
 		return math.Inf(1)
 	}
@@ -261,24 +261,24 @@
 }
 
 // want is what a job's tasks that found no room ask of the fleet.
-func (b *brain) want(j *job, zone string, n int) core.Demand {
-	spec, o := j.spec, b.order(j)
-	return core.Demand{Class: spec.Class, TaskSize: j.taskSize, Count: n, AllOrNothing: spec.AllOrNothing(), EstimateS: spec.EstimateS, WindowS: o.WindowS(), SlackS: b.slack(j),
+func (b *controller) demand(j *job, zone string, n int) core.Demand {
+	spec, o := j.spec, b.jobOrder(j)
+	return core.Demand{Class: spec.Class, TaskSize: j.taskSize, Count: n, AllOrNothing: spec.AllOrNothing(), EstimateS: spec.EstimateS, WindowS: o.WindowS(), SlackS: b.slackS(j),
 		Allows: func(typ, zoneOf string, spot bool) bool { return allowed(spec, zone, typ, zoneOf, spot) }}
 }
 
 // dealEvery spaces the dealings of one array: it is dealt out in few records.
-const dealEvery = time.Second
+const arrayAssignInterval = time.Second
 
 // turnaround is about how long a cell stays empty when its next task has not
 // been dealt yet: the end is stored, the leader deals, the binding is stored.
-func (b *brain) turnaround() time.Duration {
-	return b.gatherEnds() + 2*min(b.wr.Backlog(), 5*time.Second) + time.Second
+func (b *controller) turnaround() time.Duration {
+	return b.endsDelay() + 2*min(b.stateWriter.Backlog(), 5*time.Second) + time.Second
 }
 
 // dealAhead is how many tasks each part may be dealt beyond its free room, so
 // that an ending task's cell is taken again without asking the leader.
-func (b *brain) dealAhead(lost map[*taskGroup]int) []int {
+func (b *controller) assignAhead(lost map[*taskGroup]int) []int {
 	ahead := make([]float64, len(b.partitions))
 	t := b.turnaround().Seconds()
 	for r := range b.allGroups() {
@@ -300,14 +300,14 @@
 
 // portion is what is asked of a dealing: so many tasks after those that are dealt, and
 // whether they are dealt even where there is no room.
-type portion struct {
-	dealt, left int
-	must        bool
+type assignmentRequest struct {
+	assigned, remaining int
+	forced              bool
 }
 
 // dealJob deals as many of a job's tasks as there is room for now.
-func (b *brain) dealJob(hosts []*core.MachineSummary, limits []core.Quota, j *job, ask portion) core.Demand {
-	dealt, left := ask.dealt, ask.left
+func (b *controller) assignJob(hosts []*core.MachineSummary, limits []core.Quota, j *job, ask assignmentRequest) core.Demand {
+	dealt, left := ask.assigned, ask.remaining
 	spec := j.spec
 	lim := &limits[j.team]
 	room := lim.Room(j.taskSize, left)
@@ -341,23 +341,23 @@
 	tight := lim.Room(j.taskSize, left+core.MinAssigned*len(b.partitions)) < left+core.MinAssigned*len(b.partitions)
 	got := 0
 	// What is kept for gangs is for more urgent work only if there is nothing else.
-	zones := b.zonesFor(j, hosts)
+	zones := b.candidateZones(j, hosts)
 	pooled := len(zones)
-	if b.outranksPool(j) {
+	if b.outranksReserve(j) {
 		zones = slices.Concat(zones, zones)
 	}
 	for i, zone := range zones {
 		n := room - got
 		if spec.Spread {
-			n = min(n, b.spreadRoom(j, zone, chunks))
+			n = min(n, b.zoneSpreadRoom(j, zone, chunks))
 		}
 		if n <= 0 {
 			continue
 		}
 		can := func(h *core.MachineSummary) bool {
-			return !h.Booting && (i >= pooled || b.poolOpen(j, h)) && allowed(spec, zone, h.Type, h.Zone, h.Spot)
+			return !h.Booting && (i >= pooled || b.reserveAllows(j, h)) && allowed(spec, zone, h.Type, h.Zone, h.Spot)
 		}
-		d := core.Assignment{TaskSize: j.taskSize, Count: n, Claim: claim, Allowed: can, QuotaShort: tight, Forced: ask.must}
+		d := core.Assignment{TaskSize: j.taskSize, Count: n, Claim: claim, Allowed: can, QuotaShort: tight, Forced: ask.forced}
 		if spec.AllOrNothing() {
 			// The whole group in one part, so that its cells are reserved
 			// together; its part's owner evicts where there is no free room.
@@ -372,7 +372,7 @@
 			got += n
 			continue
 		}
-		perPart := d.PerPartition(hosts, b.leadership.ahead)
+		perPart := d.PerPartition(hosts, b.leadership.assignAhead)
 		for part, k := range perPart {
 			k = min(k, room-got)
 			if k > 0 {
@@ -386,7 +386,7 @@
 	}
 	if spec.Gang {
 		// It counts whole, also if the rest of it is dealt later (dealRest).
-		chunks = b.inOneTxn(chunks)
+		chunks = b.fitTransaction(chunks)
 	} else if most := b.cfg.Settings.State.TxnOps / 2; len(chunks) > most {
 		for _, g := range chunks[most:] {
 			got -= len(g.Tasks)
@@ -399,12 +399,12 @@
 			lim.GuaranteedUsed = lim.GuaranteedUsed.Plus(j.taskSize.Times(len(g.Tasks)))
 		}
 	}
-	b.writeDealing(j, chunks)
+	b.writeAssignment(j, chunks)
 	zone := ""
 	if spec.SingleZone {
-		zone = b.pinned(j)
+		zone = b.zoneOfJob(j)
 	}
-	return b.want(j, zone, room-got)
+	return b.demand(j, zone, room-got)
 }
 
 // newGroup is a record of tasks that are dealt for the first time.
@@ -417,7 +417,7 @@
 }
 
 // inOneTxn is how much of a list of records one transaction can create.
-func (b *brain) inOneTxn(chunks []record.TaskGroup) []record.TaskGroup {
+func (b *controller) fitTransaction(chunks []record.TaskGroup) []record.TaskGroup {
 	size := 0
 	for i := range chunks {
 		size += chunks[i].Encode(b.encoding()).Size() + recordOverhead
@@ -435,24 +435,24 @@
 // dealRest deals the tasks of a gang that did not fit into the transactions before, to
 // where those are. Which tasks are dealt is known by number alone, so there is one
 // transaction at a time; a new leader goes on where the last one stopped.
-func (b *brain) dealRest(j *job, dealt int) {
+func (b *controller) assignRemainder(j *job, dealt int) {
 	first := j.firstGroup()
 	var chunks []record.TaskGroup
 	for next := dealt; next < j.spec.Tasks; next += b.maxGroupTasks {
 		chunks = append(chunks, newTaskGroupRecord(first.partition, first.zone, first.guaranteed, int32(next), min(b.maxGroupTasks, j.spec.Tasks-next)))
 	}
-	b.writeDealing(j, b.inOneTxn(chunks))
+	b.writeAssignment(j, b.fitTransaction(chunks))
 }
 
 // writeDealing stores the records of one dealing. All of them are written together or
 // not at all: which tasks are dealt already is known by their number alone, so a gap,
 // left by one write that failed, would have a later dealing hand out tasks twice.
-func (b *brain) writeDealing(j *job, chunks []record.TaskGroup) {
+func (b *controller) writeAssignment(j *job, chunks []record.TaskGroup) {
 	if len(chunks) == 0 {
 		return
 	}
 	u := &store.Write{Prompt: j.spec.Gang, Early: true, Conditions: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
-	empty := j.emptyRecs()
+	empty := j.emptyGroups()
 	var used []*taskGroup
 	tasks := 0
 	for _, g := range chunks {
@@ -469,7 +469,7 @@
 		u.Changes = append(u.Changes, wire.Change{Put: key, Value: g.Encode(b.encoding()).At(key)})
 	}
 	j.assignedAt = b.now
-	b.leadership.writes++
+	b.leadership.writesInFlight++
 	epoch := b.leadership.epoch
 	b.submitWrite(u, func(err error) {
 		for _, r := range used {
@@ -477,14 +477,14 @@
 		}
 		b.leaderWriteDone(epoch, err)
 	})
-	b.metrics.count(cDealt, len(chunks))
+	b.metrics.count(countAssigned, len(chunks))
 	b.log.Debug("dealt", "job", j.id, "tasks", tasks, "records", len(chunks))
 }
 
 // emptyRecs are records whose tasks are all done. They are used again, so that a large
 // array leaves few behind. None is deleted while its job lives: a dealing that is applied
 // minutes late must not find its key absent once more.
-func (j *job) emptyRecs() []*taskGroup {
+func (j *job) emptyGroups() []*taskGroup {
 	var empty []*taskGroup
 	for _, r := range j.groups {
 		if len(r.bindings) == 0 && !r.writing {
@@ -496,7 +496,7 @@
 }
 
 // pinned is the zone that a samePlace job's tasks are in already, or are to be.
-func (b *brain) pinned(j *job) string {
+func (b *controller) zoneOfJob(j *job) string {
 	for _, r := range j.groups {
 		if r.zone != "" && len(r.bindings) > 0 {
 			return r.zone
@@ -506,11 +506,11 @@
 }
 
 // zonesFor lists the zones to try; "" stands for any.
-func (b *brain) zonesFor(j *job, hosts []*core.MachineSummary) []string {
+func (b *controller) candidateZones(j *job, hosts []*core.MachineSummary) []string {
 	if !j.spec.SingleZone && !j.spec.Spread {
 		return []string{""}
 	}
-	if z := b.pinned(j); z != "" && j.spec.SingleZone {
+	if z := b.zoneOfJob(j); z != "" && j.spec.SingleZone {
 		return []string{z}
 	}
 	free := map[string]int{}
@@ -531,7 +531,7 @@
 }
 
 // spreadRoom is how many more tasks may go to a zone: half of all, rounded up.
-func (b *brain) spreadRoom(j *job, zone string, more []record.TaskGroup) int {
+func (b *controller) zoneSpreadRoom(j *job, zone string, more []record.TaskGroup) int {
 	n := (j.spec.Tasks + 1) / 2
 	for _, r := range j.groups {
 		if r.zone == zone {
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -81,12 +81,12 @@
 	b.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelError}))
 	p := b.partitions[0]
 	for _, m := range p.machines {
-		m.gone = true
-		b.endAll(m, "test")
+		m.terminated = true
+		b.endAllAttempts(m, "test")
 	}
-	lost := len(b.outcomes)
+	lost := len(b.attemptEnds)
 	for range 3 {
-		b.stepPart(p)
+		b.schedulePartition(p)
 	}
 	if lost < 5000 || log.Len() > 0 {
 		t.Errorf("%d tasks are lost: %s", lost, log.String()[:min(log.Len(), 300)])
@@ -97,7 +97,7 @@
 			waiting++
 		}
 	}
-	if waiting == 0 || len(b.outcomes) != lost {
-		t.Errorf("%d records wait, %d of %d ends are remembered", waiting, len(b.outcomes), lost)
+	if waiting == 0 || len(b.attemptEnds) != lost {
+		t.Errorf("%d records wait, %d of %d ends are remembered", waiting, len(b.attemptEnds), lost)
 	}
 }
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -18,7 +18,7 @@
 
 // gangAttempt is the present attempt of a gang, and whether any task of it may still be
 // on a machine. Without one the next binding is a new attempt.
-func (b *brain) gangAttempt(j *job) (attempt uint64, there bool) {
+func (b *controller) gangAttempt(j *job) (attempt uint64, there bool) {
 	for _, r := range j.groups {
 		for i := range r.bindings {
 			e := &r.bindings[i]
@@ -30,12 +30,12 @@
 }
 
 // missing counts the members of a gang's present attempt that are gone.
-func (b *brain) missing(j *job, attempt uint64) int {
+func (b *controller) missingMembers(j *job, attempt uint64) int {
 	n := 0
 	for _, r := range j.groups {
 		for i := range r.bindings {
 			e := &r.bindings[i]
-			o, ended := b.outcomes[r.task(e.task)]
+			o, ended := b.attemptEnds[r.task(e.task)]
 			if e.machine == nil && e.attempt == attempt || e.machine != nil && ended && o.attempt == e.attempt && !o.done {
 				n++
 			}
@@ -46,61 +46,61 @@
 
 // broken tells whether a gang has lost a member of an attempt that has run, or can't be
 // completed: the others stop, and the gang starts whole again.
-func (b *brain) broken(j *job) bool {
+func (b *controller) gangBroken(j *job) bool {
 	attempt, there := b.gangAttempt(j)
 	if !there || attempt == 0 || j.startedAttempt != attempt && j.failedAttempt != attempt {
 		return false
 	}
-	return j.failedAttempt == attempt || b.missing(j, attempt) > 0
+	return j.failedAttempt == attempt || b.missingMembers(j, attempt) > 0
 }
 
 // gangStops tells whether a gang is to be stopped: one of its tasks has to go.
-func (b *brain) gangStops(j *job) bool {
+func (b *controller) gangMustStop(j *job) bool {
 	if j.finalState != unfinishedJob {
 		return true
 	}
 	for _, r := range j.groups {
 		for i := range r.bindings {
 			m := r.bindings[i].machine
-			if m == nil || b.partitions[m.home].token == 0 {
+			if m == nil || b.partitions[m.partition].token == 0 {
 				continue // nowhere, or another's to say
 			}
-			if b.mustLeave(r, r.task(r.bindings[i].task), m, b.partitions[m.home]) {
+			if b.mustPreempt(r, r.task(r.bindings[i].task), m, b.partitions[m.partition]) {
 				return true
 			}
 		}
 	}
-	return b.broken(j)
+	return b.gangBroken(j)
 }
 
 // tellGangs has gangs that are to be stopped hear it at once, on all their machines: an
 // orderly stop has to reach every task within gang_peer_s of the first, and what runs on
 // without the others is of no use.
-func (b *brain) tellGangs(p *partition) {
+func (b *controller) stopGangs(p *partition) {
 	for _, r := range p.groups {
 		j := r.job
 		if r.boundCount == 0 || j.spec == nil || !j.spec.Gang || j.finalState != unfinishedJob {
 			continue
 		}
-		b.giveUpIncomplete(j)
+		b.failIncompleteGang(j)
 		attempt, _ := b.gangAttempt(j)
-		if j.stoppedAttempt == attempt || !b.gangStops(j) {
+		if j.stoppedAttempt == attempt || !b.gangMustStop(j) {
 			continue
 		}
 		j.stoppedAttempt = attempt
 		for _, o := range j.groups {
-			b.cancelClaims(o, !o.writing) // what was to replace a task of it
+			b.cancelReservations(o, !o.writing) // what was to replace a task of it
 		}
-		b.log.Debug("gang is stopped", "job", j.id, "attempt", attempt, "broken", b.broken(j))
+		b.log.Debug("gang is stopped", "job", j.id, "attempt", attempt, "broken", b.gangBroken(j))
 		for m := range j.machines() {
-			b.kick(m)
+			b.sendCommandsNow(m)
 		}
 	}
 }
 
 // gangSeen learns from the state of a gang's task. After a take-over the reports are all
 // there is to tell whether an attempt has run.
-func (j *job) gangSeen(t *wire.TaskStatus) {
+func (j *job) noteGangTask(t *wire.TaskStatus) {
 	switch t.State {
 	case wire.Running, wire.Saving:
 		j.startedAttempt = max(j.startedAttempt, t.Attempt)
@@ -118,8 +118,8 @@
 
 // grace is what a task is given to save when it is stopped: what it asks for, unless
 // there is nothing to save. A gang saves together or not at all.
-func (b *brain) grace(j *job) float64 {
-	if j.finalState != unfinishedJob || j.spec == nil || j.spec.CheckpointS == 0 || j.spec.Gang && b.broken(j) {
+func (b *controller) stopGraceS(j *job) float64 {
+	if j.finalState != unfinishedJob || j.spec == nil || j.spec.CheckpointS == 0 || j.spec.Gang && b.gangBroken(j) {
 		return 0
 	}
 	return j.spec.SaveS
@@ -127,7 +127,7 @@
 
 // placeGang asks for cells for a gang: for all of its tasks, or for those that were lost
 // before it ran, which complete the attempt that waits for them.
-func (b *brain) placeGang(p *partition, r *taskGroup, pending []core.Task, request func(...core.Task) bool) {
+func (b *controller) placeGang(p *partition, r *taskGroup, pending []core.Task, request func(...core.Task) bool) {
 	j := r.job
 	if dealt, _ := j.assignedTasks(); dealt < j.spec.Tasks || !j.groupsTogether(p.index, r.zone) {
 		return // a group is reserved whole, in one part
@@ -146,7 +146,7 @@
 // complete tells whether every task of a gang's present attempt has a stored binding.
 // None is started before: a gang that takes several transactions to bind would hold
 // machines for tasks that can't run, if the rest fails.
-func (j *job) complete() bool {
+func (j *job) gangBound() bool {
 	n := 0
 	for _, r := range j.groups {
 		if r.boundCount < len(r.bindings) {
@@ -165,10 +165,10 @@
 
 // giveUpIncomplete ends an attempt that was bound in part and can't be completed: without
 // room for the rest nothing would be started, nor given back.
-func (b *brain) giveUpIncomplete(j *job) {
+func (b *controller) failIncompleteGang(j *job) {
 	attempt, there := b.gangAttempt(j)
 	switch {
-	case !there || j.complete():
+	case !there || j.gangBound():
 		j.incompleteSince = time.Time{}
 	case j.incompleteSince.IsZero():
 		j.incompleteSince = b.now
--- a/internal/controller/gang_clauses_test.go
+++ b/internal/controller/gang_clauses_test.go
@@ -71,9 +71,9 @@
 // drain has a machine emptied, as one that seems to be sick is.
 func (c *cluster) drain(w *standin.Worker) {
 	for _, n := range c.nodes {
-		n.brain.ask(c.ctx, laneState, func() {
-			m := n.brain.machine(w.Name())
-			m.suspect, m.suspectAt = true, n.brain.now
+		n.brain.call(c.ctx, priorityState, func() {
+			m := n.brain.machineNamed(w.Name())
+			m.cordoned, m.cordonedAt = true, n.brain.now
 		})
 	}
 }
@@ -242,19 +242,19 @@
 // nor the job is barred, rested or counted as failing.
 func TestNobodyIsBlamedForMissingMembers(t *testing.T) {
 	b := lone(t)
-	m := b.machine("host-1")
+	m := b.machineNamed("host-1")
 	j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2}}
 	b.jobs["wk-1"] = j
 	for _, why := range []string{wire.ReasonPeersGone, wire.ReasonIncompleteGang} {
 		for range 5 {
-			b.taskEnded(m, j, why)
+			b.noteTaskEnd(m, j, why)
 		}
 	}
-	if len(m.failed) > 0 || len(j.failedOn) > 0 || !m.cooling.IsZero() || !j.retryAt.IsZero() || m.suspect {
-		t.Errorf("machine: %v %v %v, job: %v %v", m.failed, m.cooling, m.suspect, j.failedOn, j.retryAt)
+	if len(m.failedJobs) > 0 || len(j.failedOn) > 0 || !m.avoidUntil.IsZero() || !j.retryAt.IsZero() || m.cordoned {
+		t.Errorf("machine: %v %v %v, job: %v %v", m.failedJobs, m.avoidUntil, m.cordoned, j.failedOn, j.retryAt)
 	}
-	b.taskEnded(m, j, wire.ReasonError)
-	if len(m.failed) != 1 || len(j.failedOn) != 1 {
+	b.noteTaskEnd(m, j, wire.ReasonError)
+	if len(m.failedJobs) != 1 || len(j.failedOn) != 1 {
 		t.Error("a failure is not noted")
 	}
 }
@@ -279,8 +279,8 @@
 	} {
 		b := lone(t)
 		p := b.partitions[0]
-		m := b.machine("host-1")
-		b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+		m := b.machineNamed("host-1")
+		b.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
 		b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2, CPUs: 1, CheckpointS: 5, SaveS: 2, Team: "t"}}), 2)
 		tasks := []record.Binding{{Task: 0, Attempt: 1, Machine: "host-1", Incarnation: 1}, {Task: 1, Attempt: 1, Machine: "host-1", Incarnation: 1}}
 		if x.lost {
@@ -294,12 +294,12 @@
 				r.Tasks[1].State = wire.Gathering
 			}
 		}
-		b.takeReport(m, r, p, true)
+		b.applyHeartbeat(m, r, p, true)
 		j := b.jobs["wk-1"]
-		if got := b.broken(j); got != x.broken {
+		if got := b.gangBroken(j); got != x.broken {
 			t.Errorf("%s: broken is %v", x.name, got)
 		}
-		if grace := b.grace(j); (grace > 0) == x.broken {
+		if grace := b.stopGraceS(j); (grace > 0) == x.broken {
 			t.Errorf("%s: %v s to save", x.name, grace)
 		}
 	}
@@ -309,11 +309,11 @@
 // reports have come or say that others are gone; and a controller that takes over when
 // only a part of the records is stored as done ends the rest.
 func TestOneDoneIsAllDone(t *testing.T) {
-	setUp := func(t *testing.T, records int) (*brain, *partition, []*taskGroup) {
+	setUp := func(t *testing.T, records int) (*controller, *partition, []*taskGroup) {
 		b := lone(t)
 		p := b.partitions[0]
-		m := b.machine("host-1")
-		b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+		m := b.machineNamed("host-1")
+		b.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
 		b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 4, CPUs: 1, Team: "t"}}), 2)
 		var recs []*taskGroup
 		for k := range records {
@@ -327,7 +327,7 @@
 		}
 		return b, p, recs
 	}
-	report := func(b *brain, p *partition, seq uint64, whys map[int]string) {
+	report := func(b *controller, p *partition, seq uint64, whys map[int]string) {
 		r := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, Token: 1}
 		for n := range 4 {
 			if why, ok := whys[n]; ok {
@@ -336,7 +336,7 @@
 				r.Tasks = append(r.Tasks, wire.TaskStatus{Task: fmt.Sprint("wk-1/", n), Attempt: 1, State: wire.Running})
 			}
 		}
-		b.takeReport(b.machine("host-1"), r, p, true)
+		b.applyHeartbeat(b.machineNamed("host-1"), r, p, true)
 	}
 	for name, whys := range map[string]map[int]string{
 		"only one is heard":       {2: wire.ReasonDone},
@@ -346,14 +346,14 @@
 		b, p, recs := setUp(t, 1)
 		report(b, p, 2, whys)
 		update := b.planUpdate(p, recs[0])
-		if update.done != 4 || len(update.entries) != 0 || !b.endsJob(recs[0], &update) {
-			t.Errorf("%s: %d done, %d left", name, update.done, len(update.entries))
+		if update.done != 4 || len(update.bindings) != 0 || !b.endsJob(recs[0], &update) {
+			t.Errorf("%s: %d done, %d left", name, update.done, len(update.bindings))
 		}
 	}
 	b, p, recs := setUp(t, 1)
 	report(b, p, 2, map[int]string{0: wire.ReasonPeersGone, 1: wire.ReasonPeersGone, 2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
-	if update := b.planUpdate(p, recs[0]); update.done != 0 || len(update.entries) != 4 {
-		t.Errorf("none is done: %d done, %d left", update.done, len(update.entries))
+	if update := b.planUpdate(p, recs[0]); update.done != 0 || len(update.bindings) != 4 {
+		t.Errorf("none is done: %d done, %d left", update.done, len(update.bindings))
 	}
 	b, p, recs = setUp(t, 2)
 	b.putRecord(recs[0].key, raw(t, record.TaskGroup{Done: 2, Tasks: []record.Binding{}}), 9) // by the owner before
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -50,25 +50,25 @@
 		unused time.Duration
 		open   bool
 	}{
-		{"kept of late", poolJob, poolUnused - time.Second, false}, {"kept for long", poolJob, poolUnused + time.Second, true},
-		{"lent of late", "wk-2", poolUnused + time.Second, false}, {"lent for long", "wk-2", lentUnused + time.Second, true},
+		{"kept of late", reserveLoanJob, reserveMaxUnused - time.Second, false}, {"kept for long", reserveLoanJob, reserveMaxUnused + time.Second, true},
+		{"lent of late", "wk-2", reserveMaxUnused + time.Second, false}, {"lent for long", "wk-2", loanMaxUnused + time.Second, true},
 	} {
 		b := lone(t)
-		m := b.machine("host-1")
-		b.lends["host-1"] = &lend{MachineLoan: record.MachineLoan{Job: x.job, Acknowledged: true}}
-		b.leadership.since, m.homeAt, m.usedAt = b.now.Add(-time.Hour), b.now.Add(-time.Hour), b.now.Add(-x.unused)
-		h := &core.MachineSummary{ID: m.idx, Partition: b.loanPartition(), Type: "small", Zone: "a", Size: core.NewResources(4, 0, 8), Free: core.NewResources(4, 0, 8)}
+		m := b.machineNamed("host-1")
+		b.loans["host-1"] = &machineLoan{MachineLoan: record.MachineLoan{Job: x.job, Acknowledged: true}}
+		b.leadership.since, m.inPartitionSince, m.lastBoundAt = b.now.Add(-time.Hour), b.now.Add(-time.Hour), b.now.Add(-x.unused)
+		h := &core.MachineSummary{ID: m.index, Partition: b.loanPartition(), Type: "small", Zone: "a", Size: core.NewResources(4, 0, 8), Free: core.NewResources(4, 0, 8)}
 		array := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 9}, acceptedAt: b.now.Add(-time.Hour), assignedAt: b.now}
-		if got := b.poolOpen(array, h); got != x.open {
+		if got := b.reserveAllows(array, h); got != x.open {
 			t.Errorf("%s: open is %v", x.name, got)
 		}
-		if gang := (&job{id: "wk-3", spec: &wire.Job{ID: "wk-3", Gang: true}}); !b.poolOpen(gang, h) {
+		if gang := (&job{id: "wk-3", spec: &wire.Job{ID: "wk-3", Gang: true}}); !b.reserveAllows(gang, h) {
 			t.Errorf("%s: it is not open to gangs", x.name)
 		}
 		// A gang that has been dealt there and lacks room holds no more than is kept.
 		b.putRecord(jobKey("wk-3"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
 		b.putRecord(groupKey("wk-3", 0), raw(t, record.TaskGroup{Partition: b.loanPartition(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
-		b.settleDealt([]*core.MachineSummary{h}, b.byUrgency())
+		b.placeAssigned([]*core.MachineSummary{h}, b.byUrgency())
 		if held := h.Free.CPU < 4000; held == x.open {
 			t.Errorf("%s: a gang without whole room holds it: %v", x.name, held)
 		}
@@ -85,14 +85,14 @@
 	r.inPartitionSince = b.now.Add(-zonePatience - time.Second)
 	var hosts []*core.MachineSummary
 	for i, part := range []int{0, b.loanPartition()} {
-		m := b.machine([]string{"host-1", "host-2"}[i])
-		hosts = append(hosts, &core.MachineSummary{ID: m.idx, Partition: part, Type: "small", Zone: "b", Size: core.NewResources(4, 0, 8), Free: core.NewResources(4, 0, 8)})
+		m := b.machineNamed([]string{"host-1", "host-2"}[i])
+		hosts = append(hosts, &core.MachineSummary{ID: m.index, Partition: part, Type: "small", Zone: "b", Size: core.NewResources(4, 0, 8), Free: core.NewResources(4, 0, 8)})
 	}
-	if !b.otherZone(hosts, r) || b.leadership.writes != 1 {
-		t.Errorf("it stays where there is no room for it (%d transactions)", b.leadership.writes)
+	if !b.moveToOtherZone(hosts, r) || b.leadership.writesInFlight != 1 {
+		t.Errorf("it stays where there is no room for it (%d transactions)", b.leadership.writesInFlight)
 	}
-	b.leadership.writes = 0
-	if b.otherZone(hosts[:1], r) {
+	b.leadership.writesInFlight = 0
+	if b.moveToOtherZone(hosts[:1], r) {
 		t.Error("it goes to where there is no room either")
 	}
 }
@@ -101,9 +101,9 @@
 func TestReplacementIsGivenUpWithItsAttempt(t *testing.T) {
 	b := lone(t)
 	p := b.partitions[0]
-	m := b.machine("host-1")
+	m := b.machineNamed("host-1")
 	report := func(seq uint64, state, why string) {
-		b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, Token: 1,
+		b.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, Token: 1,
 			Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: state, Reason: why}, {Task: "wk-1/1", Attempt: 1, State: wire.Gathering}}}, p, true)
 	}
 	b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAM: 1}}), 2)
@@ -112,12 +112,12 @@
 	}
 	b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{bound(0), bound(1), {Task: 2, Attempt: 1}}}), 3)
 	report(2, wire.Gathering, "")
-	b.place(p, b.groupByKey[groupKey("wk-1", 0)], map[shape]bool{})
+	b.placeGroup(p, b.groupByKey[groupKey("wk-1", 0)], map[placementClass]bool{})
 	if len(p.reservations) != 1 {
 		t.Fatalf("%d tasks have claimed cells, not the one that is lost", len(p.reservations))
 	}
 	report(3, wire.Exited, wire.ReasonIncompleteGang)
-	b.tellGangs(p)
+	b.stopGangs(p)
 	if len(p.reservations) != 0 {
 		t.Errorf("%d claims are left", len(p.reservations))
 	}
@@ -203,32 +203,32 @@
 	p := b.partitions[0]
 	var m *machine
 	for _, x := range p.machines {
-		if len(x.bound) > 0 && x.bound[0].group.job.spec.Service {
+		if len(x.bindings) > 0 && x.bindings[0].group.job.spec.Service {
 			m = x
 		}
 	}
 	m.token = p.token
-	for _, x := range m.bound {
+	for _, x := range m.bindings {
 		e := x.group.binding(x.task.Num)
 		m.tasks = append(m.tasks, wire.TaskStatus{Task: taskName(x.group.job.id, e.task), Attempt: e.attempt, State: wire.Running})
 	}
-	if !b.onlyServes(m, p) {
+	if !b.runsOnlyServices(m, p) {
 		t.Fatal("services that run keep a machine")
 	}
-	spec := m.bound[0].group.job.spec
+	spec := m.bindings[0].group.job.spec
 	for name, change := range map[string]struct{ do, undo func() }{
-		"a command without an answer": {func() { m.openDo = p.token }, func() { m.openDo = 0 }},
-		"a command on its way":        {func() { m.doBusy = true }, func() { m.doBusy = false }},
-		"a start in an answer":        {func() { m.respOpen = true }, func() { m.respOpen = false }},
+		"a command without an answer": {func() { m.unansweredStartToken = p.token }, func() { m.unansweredStartToken = 0 }},
+		"a command on its way":        {func() { m.directInFlight = true }, func() { m.directInFlight = false }},
+		"a start in an answer":        {func() { m.startInResponse = true }, func() { m.startInResponse = false }},
 		"an older token":              {func() { m.token-- }, func() { m.token++ }},
 		"a task that is no service":   {func() { spec.Service = false }, func() { spec.Service = true }},
-		"a job that is cancelled":     {func() { m.bound[0].group.job.finalState = cancelledJob }, func() { m.bound[0].group.job.finalState = unfinishedJob }},
-		"a record on its way":         {func() { m.bound[0].group.writing = true }, func() { m.bound[0].group.writing = false }},
+		"a job that is cancelled":     {func() { m.bindings[0].group.job.finalState = cancelledJob }, func() { m.bindings[0].group.job.finalState = unfinishedJob }},
+		"a record on its way":         {func() { m.bindings[0].group.writing = true }, func() { m.bindings[0].group.writing = false }},
 		"a task that fetches":         {func() { m.tasks[0].State = wire.Fetching }, func() { m.tasks[0].State = wire.Running }},
-		"an earlier session":          {func() { m.session++ }, func() { m.session-- }},
+		"an earlier session":          {func() { m.incarnation++ }, func() { m.incarnation-- }},
 	} {
 		change.do()
-		if b.onlyServes(m, p) {
+		if b.runsOnlyServices(m, p) {
 			t.Errorf("%s does not keep it", name)
 		}
 		change.undo()
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -179,18 +179,18 @@
 	b.becomeLeader(1)
 	b.leadership.active = true
 	b.runLeader()
-	if b.leadership.writes != 1 {
-		t.Errorf("%d transactions have the records follow the first", b.leadership.writes)
+	if b.leadership.writesInFlight != 1 {
+		t.Errorf("%d transactions have the records follow the first", b.leadership.writesInFlight)
 	}
-	b.leadership.writes = 0
+	b.leadership.writesInFlight = 0
 	b.putRecord(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 5)
-	b.gatherGangs()
-	if b.leadership.writes != 0 {
+	b.completeGangMoves()
+	if b.leadership.writesInFlight != 0 {
 		t.Error("records that are together move")
 	}
 	host := func(id int32, part int, free float64) *core.MachineSummary {
 		name := []string{"host-1", "host-2", "host-3"}[id]
-		if m := b.machine(name); m.idx != id {
+		if m := b.machineNamed(name); m.index != id {
 			t.Fatal("machines are numbered otherwise")
 		}
 		h := &core.MachineSummary{ID: id, Type: "small", Zone: "a", Partition: part, Size: core.NewResources(4, 0, 8), Free: core.NewResources(free, 0, 8)}
@@ -202,11 +202,11 @@
 	if b.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 1, 2), host(2, 1, 2)}, j) {
 		t.Error("it moves or borrows where there is no room for all of it")
 	}
-	if !b.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 0, 4), host(2, 1, 0)}, j) || b.leadership.writes != 1 {
+	if !b.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 0, 4), host(2, 1, 0)}, j) || b.leadership.writesInFlight != 1 {
 		t.Error("it does not move to the part with room")
 	}
-	b.leadership.writes = 0
-	if !b.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 1, 4), host(2, 1, 0)}, j) || b.leadership.writes != 1 {
+	b.leadership.writesInFlight = 0
+	if !b.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 1, 4), host(2, 1, 0)}, j) || b.leadership.writesInFlight != 1 {
 		t.Error("no machines of two parts are borrowed for it")
 	}
 }
@@ -218,7 +218,7 @@
 		b := lone(t)
 		b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 5, CPUs: 2}}), 2)
 		b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Guaranteed: own, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
-		l := b.limits()[b.team("t")]
+		l := b.quotas()[b.team("t")]
 		if l.Used.CPU != 10_000 || (l.GuaranteedUsed.CPU == 10_000) != own {
 			t.Errorf("it counts for %v, within the guarantee (%v) for %v", l.Used, own, l.GuaranteedUsed)
 		}
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -25,7 +25,7 @@
 		if n.cancel == nil {
 			continue
 		}
-		n.brain.ask(c.ctx, laneState, func() {
+		n.brain.call(c.ctx, priorityState, func() {
 			if j := n.brain.jobs[id]; j != nil {
 				for _, r := range j.groups {
 					for i := range r.bindings {
@@ -45,8 +45,8 @@
 	for _, w := range c.world.Cloud.Workers() {
 		for _, n := range c.nodes {
 			found := false
-			n.brain.ask(c.ctx, laneState, func() {
-				for _, x := range n.brain.machine(w.Name()).bound {
+			n.brain.call(c.ctx, priorityState, func() {
+				for _, x := range n.brain.machineNamed(w.Name()).bindings {
 					found = found || x.group.job.id == id
 				}
 			})
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -11,38 +11,38 @@
 
 // leader is what only the leader knows. It is rebuilt after a take-over.
 type leadership struct {
-	epoch    uint64 // version of the write that gave the lead: tells one lead from another
-	token    uint64 // present version of the key; rises with each new term
-	active   bool
-	since    time.Time
-	writes   int // in flight
-	ahead    []int
-	loggedAt time.Time
+	epoch          uint64 // version of the write that gave the lead: tells one lead from another
+	token          uint64 // present version of the key; rises with each new term
+	active         bool
+	since          time.Time
+	writesInFlight int // in flight
+	assignAhead    []int
+	usageLoggedAt  time.Time
 	// since when, and by whom, each part is vouched for without a gap
-	vouchedAt []time.Time
-	vouchedBy []string
-	closing   map[string]bool  // being emptied
-	surplus   core.FreeHistory // free CPUs of late
-	rented    map[string]*rented
-	idle      map[string]time.Time
-	refused   map[core.Offer]time.Time // no requests before then
-	backoff   map[core.Offer]time.Duration
-	renting   map[core.Offer]int
-	rentals   int
-	listAt    time.Time
-	listBusy  bool
-	clearing  bool // of gone markers
-	listed    bool // the list has been read since the lead was taken
-	typesAt   time.Time
-	pool      pool
+	ownerInTouchSince     []time.Time
+	ownerInTouch          []string
+	draining              map[string]bool  // being emptied
+	freeHistory           core.FreeHistory // free CPUs of late
+	instances             map[string]*instance
+	idleSince             map[string]time.Time
+	refusedUntil          map[core.Offer]time.Time // no requests before then
+	backoff               map[core.Offer]time.Duration
+	launching             map[core.Offer]int
+	launchRequests        int
+	listedAt              time.Time
+	listInFlight          bool
+	deletingTombstones    bool // of gone markers
+	listed                bool // the list has been read since the lead was taken
+	machineTypesFetchedAt time.Time
+	gangReserve           gangReserve
 	// since when most of a zone's machines are out of reach, see cutZones
-	quietZones map[string]time.Time
-	cut        map[string]bool
+	isolatedSince map[string]time.Time
+	isolatedZones map[string]bool
 }
 
-func (b *brain) becomeLeader(stamp uint64) {
-	b.leadership = leadership{epoch: stamp, token: stamp, since: b.now, rented: map[string]*rented{}, idle: map[string]time.Time{},
-		refused: map[core.Offer]time.Time{}, backoff: map[core.Offer]time.Duration{}, renting: map[core.Offer]int{}, quietZones: map[string]time.Time{}}
+func (b *controller) becomeLeader(stamp uint64) {
+	b.leadership = leadership{epoch: stamp, token: stamp, since: b.now, instances: map[string]*instance{}, idleSince: map[string]time.Time{},
+		refusedUntil: map[core.Offer]time.Time{}, backoff: map[core.Offer]time.Duration{}, launching: map[core.Offer]int{}, isolatedSince: map[string]time.Time{}}
 	// A former leader's late writes fail by its key's version; what it did
 	// store is read before anything is dealt.
 	b.readThen(func() {
@@ -53,42 +53,42 @@
 }
 
 // leads tells whether this controller acts as the leader now.
-func (b *brain) isLeader() bool { return b.leadership.active && b.isFresh(b.op.LeaseTTL) }
+func (b *controller) isLeader() bool { return b.leadership.active && b.isFresh(b.operator.LeaseTTL) }
 
 // lead deals work to parts and rents and returns machines.
-func (b *brain) runLeader() {
+func (b *controller) runLeader() {
 	if !b.isLeader() {
 		return
 	}
-	defer b.metrics.spend(dLead, time.Now())
+	defer b.metrics.addBusyTime(activityLeader, time.Now())
 	b.finishJobs()
-	b.noteVouching()
-	hosts := b.hosts() // first: it notes which machines are up
-	b.cutZones()
+	b.updateOwnersInTouch()
+	hosts := b.machineSummaries() // first: it notes which machines are up
+	b.detectIsolatedZones()
 	// What is lost goes back at once, however long it takes until what is dealt is
 	// stored: others' tasks wait for the proof.
-	b.returnLost()
-	if b.leadership.writes > 0 {
+	b.terminateLost()
+	if b.leadership.writesInFlight > 0 {
 		return
 	}
-	b.logFleet(hosts)
-	b.notePool(hosts)
-	b.tendLends()
-	b.fillPool(hosts)
-	b.gatherGangs()
-	if b.leadership.writes > 0 {
+	b.logUsage(hosts)
+	b.updateReserve(hosts)
+	b.reviewLoans()
+	b.fillReserve(hosts)
+	b.completeGangMoves()
+	if b.leadership.writesInFlight > 0 {
 		return
 	}
-	wants := b.deal(hosts)
-	b.provision(hosts, wants)
+	wants := b.assign(hosts)
+	b.scale(hosts, wants)
 }
 
 // logFleet logs now and then how full the machines are.
-func (b *brain) logFleet(hosts []*core.MachineSummary) {
-	if b.now.Sub(b.leadership.loggedAt) < fleetEvery {
+func (b *controller) logUsage(hosts []*core.MachineSummary) {
+	if b.now.Sub(b.leadership.usageLoggedAt) < usageLogInterval {
 		return
 	}
-	b.leadership.loggedAt = b.now
+	b.leadership.usageLoggedAt = b.now
 	var size, free, spot, spotFree core.Resources
 	for _, h := range hosts {
 		size, free = size.Plus(h.Size), free.Plus(h.Free)
@@ -107,16 +107,16 @@
 		}
 	}
 	b.log.Info("fleet", "up", len(hosts), "booting", len(b.booting()), "cpus", size.CPU/1000, "free_cpus", free.CPU/1000,
-		"spot_cpus", spot.CPU/1000, "spot_free_cpus", spotFree.CPU/1000, "closing", len(b.leadership.closing),
+		"spot_cpus", spot.CPU/1000, "spot_free_cpus", spotFree.CPU/1000, "closing", len(b.leadership.draining),
 		"tasks_waiting", waiting, "tasks_dealt", dealt)
 }
 
 // finishJobs ends jobs whose tasks are all done and clears up behind final ones.
-func (b *brain) finishJobs() {
+func (b *controller) finishJobs() {
 	b.archiveFinished()
 	budget := 8
 	// What is over can wait while the state service has more to do.
-	clear := b.wr.Backlog() < time.Second
+	clear := b.stateWriter.Backlog() < time.Second
 	for _, j := range b.unfinished {
 		if budget == 0 {
 			return
@@ -162,17 +162,17 @@
 
 // leadWrote counts a leader's write off. After a failed one the replica is
 // read before anything more is dealt: it may have been applied all the same.
-func (b *brain) leaderWriteDone(epoch uint64, err error) {
+func (b *controller) leaderWriteDone(epoch uint64, err error) {
 	if b.leadership.epoch != epoch {
 		return
 	}
 	if err == nil {
-		b.leadership.writes--
+		b.leadership.writesInFlight--
 		return
 	}
 	b.readThen(func() {
 		if b.leadership.epoch == epoch {
-			b.leadership.writes--
+			b.leadership.writesInFlight--
 		}
 	})
 }
--- a/internal/controller/lend.go
+++ b/internal/controller/lend.go
@@ -22,81 +22,81 @@
 // that the former owner has used, fences that owner's commands; a new term of
 // the owner does the same when the machine is handed back.
 
-type lend struct {
+type machineLoan struct {
 	record.MachineLoan
-	stamp   uint64
-	lentAt  uint64 // version of the write that lent it, as far as that was seen
-	writing bool
-	leaving bool // it is being handed back: nothing is placed on it any more
-	since   time.Time
+	revision     uint64
+	lentRevision uint64 // version of the write that lent it, as far as that was seen
+	writing      bool
+	returning    bool // it is being handed back: nothing is placed on it any more
+	since        time.Time
 }
 
-func (l *lend) claim(b *brain) core.Claim {
+func (l *machineLoan) claim(b *controller) core.Claim {
 	return core.Claim{Priority: l.Priority, Guaranteed: l.Guaranteed, Team: b.team(l.Team)}
 }
 
 // lentNames are the machines that are lent, in one order for all that is decided.
-func (b *brain) lentNames() []string {
-	if len(b.lends) == 0 {
+func (b *controller) loanedMachines() []string {
+	if len(b.loans) == 0 {
 		return nil
 	}
-	return slices.Sorted(maps.Keys(b.lends))
+	return slices.Sorted(maps.Keys(b.loans))
 }
 
 // lentPart is the number of the leader's own part.
-func (b *brain) loanPartition() int { return len(b.partitions) - 1 }
+func (b *controller) loanPartition() int { return len(b.partitions) - 1 }
 
-func (b *brain) putLoan(name string, v *record.MachineLoan, stamp uint64) {
-	m := b.machine(name)
-	l := b.lends[name]
+func (b *controller) putLoan(name string, v *record.MachineLoan, stamp uint64) {
+	m := b.machineNamed(name)
+	l := b.loans[name]
 	if l == nil {
-		l = &lend{since: b.now, lentAt: stamp}
-		b.lends[name] = l
+		l = &machineLoan{since: b.now, lentRevision: stamp}
+		b.loans[name] = l
 	}
-	l.MachineLoan, l.stamp = *v, stamp
-	if !b.moved(m) && !l.Acknowledged {
-		b.kick(m) // stops what the group may evict
+	l.MachineLoan, l.revision = *v, stamp
+	if !b.updatePartition(m) && !l.Acknowledged {
+		b.sendCommandsNow(m) // stops what the group may evict
 	}
 }
 
-func (b *brain) deleteLoan(name string) {
-	m := b.machine(name)
-	delete(b.lends, name)
-	if p := b.partitions[m.hash]; b.moved(m) && p.token != 0 {
+func (b *controller) deleteLoan(name string) {
+	m := b.machineNamed(name)
+	delete(b.loans, name)
+	if p := b.partitions[m.hashPartition]; b.updatePartition(m) && p.token != 0 {
 		p.tokenRaiseDue = true
 	}
 }
 
 // moved takes a machine out of the part that it was in, if it is in another now.
-func (b *brain) moved(m *machine) bool {
-	before, now := m.home, b.homeOf(m)
+func (b *controller) updatePartition(m *machine) bool {
+	before, now := m.partition, b.partitionOfMachine(m)
 	if now == before {
 		return false
 	}
 	b.log.Info("machine changes parts", "machine", m.name, "from", before, "to", now)
 	p := b.partitions[before]
 	p.removeMachines(func(o *machine) bool { return o == m })
-	m.home, m.homeAt = now, b.now
-	b.enlist(m)
+	m.partition, m.inPartitionSince = now, b.now
+	b.addToPartition(m)
 	if p.token != 0 {
-		for _, x := range m.bound { // services that go along
+		for _, x := range m.bindings { // services that go along
 			b.freeCell(p, x.task)
 		}
-		p.cells.DropMachine(m.idx)
+		p.cells.DropMachine(m.index)
 	}
-	for _, x := range m.bound {
-		b.adopt(x.group)
+	for _, x := range m.bindings {
+		b.adoptBindings(x.group)
 	}
-	b.step()
+	b.requestPass()
 	return true
 }
 
 // acknowledge hands over machines of a part of ours on which nothing is bound
 // or about to be, apart from services that go along.
-func (b *brain) acknowledge(p *partition) {
-	for _, name := range b.lentNames() {
-		l, m := b.lends[name], b.machine(name)
-		if l.Acknowledged || l.writing || m.hash != p.index || len(m.bound) > 0 && !b.goAlong(l, m, p) {
+func (b *controller) acknowledgeLoans(p *partition) {
+	for _, name := range b.loanedMachines() {
+		l, m := b.loans[name], b.machineNamed(name)
+		if l.Acknowledged || l.writing || m.hashPartition != p.index || len(m.bindings) > 0 && !b.movesWithServices(l, m, p) {
 			continue
 		}
 		if p.hasReservationOn(m) {
@@ -106,7 +106,7 @@
 		v := l.MachineLoan
 		v.Acknowledged = true
 		b.submitWrite(&store.Write{Prompt: true,
-			Conditions: []wire.Condition{{Key: p.key, Revision: p.token}, {Key: loanPrefix + name, Revision: l.stamp}},
+			Conditions: []wire.Condition{{Key: p.key, Revision: p.token}, {Key: loanPrefix + name, Revision: l.revision}},
 			Changes:    []wire.Change{{Put: loanPrefix + name, Value: record.JSON(v)}},
 		}, func(error) { l.writing = false })
 	}
@@ -114,12 +114,12 @@
 
 // goAlong tells whether all that is bound to a machine is services that go with it to the
 // leader's part: they stay, and were there before the machine was chosen.
-func (b *brain) goAlong(l *lend, m *machine, p *partition) bool {
-	if l.Job == poolJob || !b.onlyServes(m, p) {
+func (b *controller) movesWithServices(l *machineLoan, m *machine, p *partition) bool {
+	if l.Job == reserveLoanJob || !b.runsOnlyServices(m, p) {
 		return false
 	}
-	for _, x := range m.bound {
-		if x.group.revision > l.lentAt || l.claim(b).CanPreempt(x.group.claim()) {
+	for _, x := range m.bindings {
+		if x.group.revision > l.lentRevision || l.claim(b).CanPreempt(x.group.claim()) {
 			return false
 		}
 	}
@@ -129,11 +129,11 @@
 // onlyServes tells whether all that is bound to a machine of ours is services that run, and
 // no command of ours can still be under way there. Such a machine may change hands with
 // them: whatever ends them later is proven, and stored, as after any take-over.
-func (b *brain) onlyServes(m *machine, p *partition) bool {
-	if !b.up(m, p) || m.token != p.token || m.openDo == p.token || m.doBusy || m.doStart || m.respOpen {
+func (b *controller) runsOnlyServices(m *machine, p *partition) bool {
+	if !b.usable(m, p) || m.token != p.token || m.unansweredStartToken == p.token || m.directInFlight || m.directCarriesStart || m.startInResponse {
 		return false
 	}
-	for _, x := range m.bound {
+	for _, x := range m.bindings {
 		r := x.group
 		if r.job.spec == nil || !r.job.spec.Service || r.job.finalState != unfinishedJob || r.writing {
 			return false
@@ -149,13 +149,13 @@
 // runs tells whether a machine's newest report shows an attempt running.
 func (m *machine) runs(task string, e *binding) bool {
 	return slices.ContainsFunc(m.tasks, func(t wire.TaskStatus) bool {
-		return t.Task == task && t.Attempt == e.attempt && t.State == wire.Running && e.incarnation == m.session
+		return t.Task == task && t.Attempt == e.attempt && t.State == wire.Running && e.incarnation == m.incarnation
 	})
 }
 
 // lentFor tells whether machines are lent, or being lent, for a job.
-func (b *brain) lentFor(j *job) bool {
-	for _, l := range b.lends {
+func (b *controller) hasLoanFor(j *job) bool {
+	for _, l := range b.loans {
 		if l.Job == j.id {
 			return true
 		}
@@ -164,12 +164,12 @@
 }
 
 // keepAfter is how long a group waits for whole room before machines are kept for it.
-const keepAfter = 8 * time.Second
+const reserveMachinesAfter = 8 * time.Second
 
 // borrow takes machines from other parts for a whole group of n tasks. It
 // reports whether they are on their way.
-func (b *brain) borrow(hosts []*core.MachineSummary, j *job, zone string, n int, c core.Claim) bool {
-	coming := b.roomComing(hosts, j, zone, n)
+func (b *controller) borrow(hosts []*core.MachineSummary, j *job, zone string, n int, c core.Claim) bool {
+	coming := b.expectedRoom(hosts, j, zone, n)
 	if coming >= n {
 		return true
 	}
@@ -177,10 +177,10 @@
 	// comes free is taken one cell at a time. One that has waited has machines kept for
 	// it on which nothing is that stays, until they are empty (the paper leaves room for
 	// "reservation during waiting").
-	keep := b.now.Sub(j.acceptedAt) > keepAfter
+	keep := b.now.Sub(j.acceptedAt) > reserveMachinesAfter
 	var can []*core.MachineSummary
 	for _, h := range hosts {
-		if h.Booting || h.Partition == b.loanPartition() || h.InUse || b.leadership.closing[b.byIdx[h.ID].name] || !allowed(j.spec, zone, h.Type, h.Zone, h.Spot) {
+		if h.Booting || h.Partition == b.loanPartition() || h.InUse || b.leadership.draining[b.machineByIndex[h.ID].name] || !allowed(j.spec, zone, h.Type, h.Zone, h.Spot) {
 			continue
 		}
 		if keep && !h.RunsService || !slices.ContainsFunc(h.Usages, func(x core.Usage) bool { return !c.CanPreempt(x.Claim) }) {
@@ -199,7 +199,7 @@
 		chosen = append(chosen, h)
 	}
 	if coming < n || len(chosen) == 0 {
-		if chosen = b.besideServices(hosts, j, zone, n); len(chosen) == 0 {
+		if chosen = b.machinesBesideServices(hosts, j, zone, n); len(chosen) == 0 {
 			return false
 		}
 	}
@@ -212,20 +212,20 @@
 
 // besideAfter is how long a group waits for room until machines are borrowed with the
 // services on them: before that others may well come free.
-const besideAfter = 30 * time.Second
+const borrowServiceMachinesAfter = 30 * time.Second
 
 // besideServices are machines that together have room for a group beside services that
 // stay. They are in several parts, or the group would be dealt to one: it waited for ever
 // beside room, since no machine with a service was lent.
-func (b *brain) besideServices(hosts []*core.MachineSummary, j *job, zone string, n int) []*core.MachineSummary {
-	if b.now.Sub(j.acceptedAt) < besideAfter {
+func (b *controller) machinesBesideServices(hosts []*core.MachineSummary, j *job, zone string, n int) []*core.MachineSummary {
+	if b.now.Sub(j.acceptedAt) < borrowServiceMachinesAfter {
 		return nil
 	}
 	var can []*core.MachineSummary
 	coming := 0
 	for _, h := range hosts {
 		fits := h.Free.CountFitting(j.taskSize, n)
-		if h.Booting || fits == 0 || b.leadership.closing[b.byIdx[h.ID].name] || !allowed(j.spec, zone, h.Type, h.Zone, h.Spot) {
+		if h.Booting || fits == 0 || b.leadership.draining[b.machineByIndex[h.ID].name] || !allowed(j.spec, zone, h.Type, h.Zone, h.Spot) {
 			continue
 		}
 		switch {
@@ -254,32 +254,32 @@
 
 // roomComing is for how many of n tasks of a job there is room in the leader's part, or
 // will be once the machines that are being lent for it have come.
-func (b *brain) roomComing(hosts []*core.MachineSummary, j *job, zone string, n int) int {
+func (b *controller) expectedRoom(hosts []*core.MachineSummary, j *job, zone string, n int) int {
 	room := 0
 	listed := map[int32]bool{}
 	for _, h := range hosts {
 		listed[h.ID] = true
-		l := b.lends[b.byIdx[h.ID].name]
+		l := b.loans[b.machineByIndex[h.ID].name]
 		if h.Partition != b.loanPartition() || l == nil || l.Job != j.id && !j.spec.Gang || !allowed(j.spec, zone, h.Type, h.Zone, h.Spot) {
 			continue
 		}
 		room += h.Free.CountFitting(j.taskSize, n)
 	}
-	for name, l := range b.lends {
-		m := b.machine(name)
-		t := b.machineTypes[m.typ]
-		if l.Job != j.id || listed[m.idx] || t == nil || !allowed(j.spec, zone, m.typ, m.zone, m.spot) {
+	for name, l := range b.loans {
+		m := b.machineNamed(name)
+		t := b.machineTypes[m.machineType]
+		if l.Job != j.id || listed[m.index] || t == nil || !allowed(j.spec, zone, m.machineType, m.zone, m.spot) {
 			continue
 		}
-		room += core.NewResources(t.CPUs, t.GPUs, t.RAM).Minus(m.serving()).CountFitting(j.taskSize, n)
+		room += core.NewResources(t.CPUs, t.GPUs, t.RAM).Minus(m.serviceUse()).CountFitting(j.taskSize, n)
 	}
 	return room
 }
 
 // serving is what services have of a machine.
-func (m *machine) serving() core.Resources {
+func (m *machine) serviceUse() core.Resources {
 	var use core.Resources
-	for _, x := range m.bound {
+	for _, x := range m.bindings {
 		if spec := x.group.job.spec; spec != nil && spec.Service {
 			use = use.Plus(x.group.job.taskSize)
 		}
@@ -289,12 +289,12 @@
 
 // borrowMachines lends machines to the leader's part, if the parts that they are in have
 // not changed hands meanwhile.
-func (b *brain) borrowMachines(chosen []*core.MachineSummary, cond []wire.Condition, v record.MachineLoan) {
+func (b *controller) borrowMachines(chosen []*core.MachineSummary, cond []wire.Condition, v record.MachineLoan) {
 	u := &store.Write{Prompt: true, Conditions: append([]wire.Condition{b.leaderCondition()}, cond...)}
 	parts := map[int]bool{}
 	for _, h := range chosen {
 		h.InUse, h.Free = true, core.Resources{}
-		key := loanPrefix + b.byIdx[h.ID].name
+		key := loanPrefix + b.machineByIndex[h.ID].name
 		u.Conditions = append(u.Conditions, wire.Condition{Key: key})
 		if !parts[h.Partition] {
 			parts[h.Partition] = true
@@ -302,49 +302,49 @@
 		}
 		u.Changes = append(u.Changes, wire.Change{Put: key, Value: record.JSON(v)})
 	}
-	b.leadership.writes++
+	b.leadership.writesInFlight++
 	epoch := b.leadership.epoch
 	b.submitWrite(u, func(err error) { b.leaderWriteDone(epoch, err) })
 }
 
 // tendLends fences machines that came in and hands back those that are not
 // needed: nothing stays lent for ever.
-func (b *brain) tendLends() {
+func (b *controller) reviewLoans() {
 	p := b.partitions[b.loanPartition()]
-	for _, name := range b.lentNames() {
-		l, m := b.lends[name], b.machine(name)
-		if l.Acknowledged && l.stamp > p.token {
+	for _, name := range b.loanedMachines() {
+		l, m := b.loans[name], b.machineNamed(name)
+		if l.Acknowledged && l.revision > p.token {
 			p.tokenRaiseDue = true // the former owner's tokens are below this stamp
 		}
 		// What has claimed a cell there may be bound any moment: handed back meanwhile, the
 		// machine was its former owner's and the binding ours, and neither could end it.
 		// Services that were lent with it, or came since, go back with it.
-		stays := len(m.bound) > 0 && (l.Job == poolJob || !b.onlyServes(m, p))
+		stays := len(m.bindings) > 0 && (l.Job == reserveLoanJob || !b.runsOnlyServices(m, p))
 		if l.writing || l.Acknowledged && (stays || p.hasReservationOn(m)) {
 			continue
 		}
-		if !b.staysLent(l, m, p) {
-			b.handBack(name, l)
+		if !b.loanStillNeeded(l, m, p) {
+			b.returnLoan(name, l)
 		}
 	}
 }
 
 // staysLent tells whether a machine is still wanted where it is lent to, and can be had.
-func (b *brain) staysLent(l *lend, m *machine, p *partition) bool {
-	if l.Job == poolJob {
-		return l.Acknowledged && b.poolKeeps(m) || !l.Acknowledged && b.now.Sub(l.since) < poolPatience
+func (b *controller) loanStillNeeded(l *machineLoan, m *machine, p *partition) bool {
+	if l.Job == reserveLoanJob {
+		return l.Acknowledged && b.reserveKeeps(m) || !l.Acknowledged && b.now.Sub(l.since) < reserveLoanTimeout
 	}
 	j := b.jobs[l.Job]
-	if j == nil || j.finalState != unfinishedJob || j.spec == nil || m.gone || !b.needsLoan(j, p.index) {
+	if j == nil || j.finalState != unfinishedJob || j.spec == nil || m.terminated || !b.jobNeedsLoan(j, p.index) {
 		return false
 	}
-	if m.typ != "" && !allowed(j.spec, b.pinned(j), m.typ, m.zone, m.spot) {
+	if m.machineType != "" && !allowed(j.spec, b.zoneOfJob(j), m.machineType, m.zone, m.spot) {
 		return false
 	}
 	if l.Acknowledged {
 		// One that has not reported since it came died on the way: it is its
 		// owner's again, who finds out what has become of it.
-		return m.heard.After(p.ownsMachineSince(m)) || b.now.Sub(p.ownsMachineSince(m)) < b.silentAfter()+5*time.Second
+		return m.heartbeatAt.After(p.ownsMachineSince(m)) || b.now.Sub(p.ownsMachineSince(m)) < b.unreachableAfter()+5*time.Second
 	}
 	// An owner that does not let go in time may have higher work there by now.
 	patience := b.leaseExpiry + 2*config.Seconds(b.cfg.Settings.Workers.ReportS) + 10*time.Second
@@ -353,7 +353,7 @@
 
 // needsLoan tells whether a job has tasks that machines lent to a part are for: some that
 // wait there, or a whole group that waits and has found no room where it was dealt to.
-func (b *brain) needsLoan(j *job, part int) bool {
+func (b *controller) jobNeedsLoan(j *job, part int) bool {
 	waits, bound := len(j.groups) == 0, 0
 	for _, r := range j.groups {
 		waits = waits || r.boundTasks() < len(r.bindings)
@@ -376,10 +376,10 @@
 }
 
 // handBack ends a lending.
-func (b *brain) handBack(name string, l *lend) {
-	l.writing, l.leaving = true, true
+func (b *controller) returnLoan(name string, l *machineLoan) {
+	l.writing, l.returning = true, true
 	b.submitWrite(&store.Write{
-		Conditions: []wire.Condition{b.leaderCondition(), {Key: loanPrefix + name, Revision: l.stamp}},
+		Conditions: []wire.Condition{b.leaderCondition(), {Key: loanPrefix + name, Revision: l.revision}},
 		Changes:    []wire.Change{{Delete: loanPrefix + name}},
-	}, func(error) { l.writing, l.leaving = false, false })
+	}, func(error) { l.writing, l.returning = false, false })
 }
--- a/internal/controller/levels.go
+++ b/internal/controller/levels.go
@@ -20,42 +20,42 @@
 
 // levels is what a controller knows of feature levels: the stored state, who reads what,
 // and in which forms records are stored. The decisions are in internal/rollout.
-type levels struct {
+type rolloutState struct {
 	supported rollout.Range
 	state     rollout.State
 	version   uint64 // of the stored state; 0: none is stored
 	// refusal is why this process must not serve; nil: it may.
-	refusal     error
-	keys        rollout.Keys // of the rights
-	controllers map[string]rollout.Registered
-	forms       map[record.Encoding]int // records by the form they are stored in
-	unreadable  map[string]bool         // keys of groups that can't be decoded
-	writing     bool                    // a step is on its way
-	rewrites    *rate.Limiter           // of records that are rewritten for their form alone
+	refusal          error
+	keys             rollout.Keys // of the rights
+	controllers      map[string]rollout.Registered
+	groupsByEncoding map[record.Encoding]int // records by the form they are stored in
+	unreadable       map[string]bool         // keys of groups that can't be decoded
+	writing          bool                    // a step is on its way
+	rewrites         *rate.Limiter           // of records that are rewritten for their form alone
 }
 
-func newLevels(cfg *config.Platform, op *config.Operator) levels {
+func newRolloutState(cfg *config.Platform, op *config.Operator) rolloutState {
 	s := &cfg.Settings
 	perSecond := s.State.WriteRPS * op.RewriteShare / float64(s.Count)
 	supported := rollout.Supported
 	if op.HighestLevel > 0 {
 		supported.High = min(supported.High, rollout.Level(op.HighestLevel))
 	}
-	return levels{supported: supported, state: rollout.Initial, keys: rollout.Initial.Keys(),
-		controllers: map[string]rollout.Registered{}, forms: map[record.Encoding]int{}, unreadable: map[string]bool{},
+	return rolloutState{supported: supported, state: rollout.Initial, keys: rollout.Initial.Keys(),
+		controllers: map[string]rollout.Registered{}, groupsByEncoding: map[record.Encoding]int{}, unreadable: map[string]bool{},
 		rewrites: rate.NewLimiter(rate.Limit(perSecond), 1)}
 }
 
 // leaderKey is the key of the lead.
-func (b *brain) leaderKey() string { return b.levels.keys.Leader() }
+func (b *controller) leaderKey() string { return b.rollout.keys.Leader() }
 
 // leaderCondition has a write fail if this controller does not lead any more.
-func (b *brain) leaderCondition() wire.Condition {
+func (b *controller) leaderCondition() wire.Condition {
 	return wire.Condition{Key: b.leaderKey(), Revision: b.leadership.token}
 }
 
 // form is the form in which records are written.
-func (b *brain) encoding() record.Encoding { return encodingOf(b.levels.state.Writes()) }
+func (b *controller) encoding() record.Encoding { return encodingOf(b.rollout.state.Writes()) }
 
 // formOf is the form of records at a feature level.
 func encodingOf(l rollout.Level) record.Encoding {
@@ -66,9 +66,9 @@
 }
 
 // outdated counts the records that are not stored in the form in which they are written.
-func (l *levels) outdated() int {
+func (l *rolloutState) countOutdated() int {
 	n := 0
-	for form, count := range l.forms {
+	for form, count := range l.groupsByEncoding {
 		if form != encodingOf(l.state.Writes()) {
 			n += count
 		}
@@ -77,9 +77,9 @@
 }
 
 // above counts the records that are stored in a form above that in which they are written.
-func (l *levels) above() int {
+func (l *rolloutState) countNewer() int {
 	n := 0
-	for form, count := range l.forms {
+	for form, count := range l.groupsByEncoding {
 		if form > encodingOf(l.state.Writes()) {
 			n += count
 		}
@@ -89,19 +89,19 @@
 
 // putLevel takes the stored state in. One that can't be read was written by a version
 // that knows more: this one must not serve.
-func (b *brain) putRolloutState(raw json.RawMessage, stamp uint64) error {
+func (b *controller) putRolloutState(raw json.RawMessage, stamp uint64) error {
 	state, err := rollout.DecodeState(raw)
 	if err != nil {
-		state = b.levels.state
+		state = b.rollout.state
 	}
-	b.setLevel(state, stamp, err)
+	b.setRolloutState(state, stamp, err)
 	return nil
 }
 
 // setLevel follows a new state: rights are held under its keys, and by controllers alone
 // that read what it allows to be stored.
-func (b *brain) setLevel(state rollout.State, version uint64, unknown error) {
-	l := &b.levels
+func (b *controller) setRolloutState(state rollout.State, version uint64, unknown error) {
+	l := &b.rollout
 	before := l.state
 	l.state, l.version = state, version
 	refusal := unknown
@@ -121,7 +121,7 @@
 		}
 	}
 	if keys := state.Keys(); keys != l.keys {
-		b.switchKeys(keys)
+		b.switchLeaseKeys(keys)
 	}
 	if before != state {
 		b.log.Info("feature level", "level", state.Level, "phase", state.Phase, "epoch", state.Epoch, "held", state.Held, "wish", state.Wish)
@@ -130,11 +130,11 @@
 
 // switchKeys gives all rights up, whose keys nobody may hold any more, and has them taken
 // under other keys from now on.
-func (b *brain) switchKeys(keys rollout.Keys) {
+func (b *controller) switchLeaseKeys(keys rollout.Keys) {
 	for key := range b.leasedKeys {
 		b.onLost(key, "rights have other keys now")
 	}
-	b.levels.keys = keys
+	b.rollout.keys = keys
 	b.leasedKeys = newLeasedKeys(keys, b.loanPartition())
 	for _, p := range b.partitions {
 		p.key = keys.Partition(p.index)
@@ -152,31 +152,31 @@
 }
 
 // putController takes in what a controller stores about itself.
-func (b *brain) putRegistration(name string, raw json.RawMessage, stamp uint64) error {
+func (b *controller) putRegistration(name string, raw json.RawMessage, stamp uint64) error {
 	c, err := rollout.DecodeController(raw)
 	if err != nil {
-		delete(b.levels.controllers, name) // unknown, as if it were not there
+		delete(b.rollout.controllers, name) // unknown, as if it were not there
 		return err
 	}
-	b.levels.controllers[name] = rollout.Registered{Controller: c, Revision: stamp}
+	b.rollout.controllers[name] = rollout.Registered{Controller: c, Revision: stamp}
 	return nil
 }
 
 // levelView is what the next step rests on.
-func (b *brain) levelView() rollout.View {
-	l := &b.levels
+func (b *controller) rolloutView() rollout.View {
+	l := &b.rollout
 	return rollout.View{Now: b.now, Members: b.cfg.Nodes(), Controllers: l.controllers, Leading: b.isLeader(), Current: b.cursor >= l.version,
-		Above: l.above(), Unreadable: len(l.unreadable), Partitions: b.loanPartition(), TransactionChanges: b.cfg.Settings.State.TxnOps,
-		FinalizeAfter: b.op.FinalizeAfter}
+		Above: l.countNewer(), Unreadable: len(l.unreadable), Partitions: b.loanPartition(), TransactionChanges: b.cfg.Settings.State.TxnOps,
+		FinalizeAfter: b.operator.FinalizeAfter}
 }
 
 // tendLevels takes the next step of an upgrade or of the way back, if there is one.
-func (b *brain) tendLevels() {
-	l := &b.levels
-	if l.writing || l.version == 0 && !b.op.FeatureLevels || l.refusal != nil || !b.isFresh(b.op.LeaseTTL) {
+func (b *controller) advanceRollout() {
+	l := &b.rollout
+	if l.writing || l.version == 0 && !b.operator.FeatureLevels || l.refusal != nil || !b.isFresh(b.operator.LeaseTTL) {
 		return
 	}
-	view := b.levelView()
+	view := b.rolloutView()
 	step, next := rollout.Decide(l.state, view)
 	if step == rollout.NoStep {
 		return
@@ -196,8 +196,8 @@
 
 // rewriteRecords has records of a partition stored in the form that is written now, a
 // few at a time: users' writes go before, and so does all that has a backlog.
-func (b *brain) rewriteRecords(p *partition) {
-	if b.levels.outdated() == 0 || b.wr.Backlog() > rewriteBacklog {
+func (b *controller) rewriteGroups(p *partition) {
+	if b.rollout.countOutdated() == 0 || b.stateWriter.Backlog() > rewriteBacklog {
 		return
 	}
 	form := b.encoding()
@@ -208,10 +208,10 @@
 		if r.record(r.done, r.bindings).Encode(form).Encoding() != form {
 			continue // the form can't hold it
 		}
-		if !b.levels.rewrites.AllowN(b.now, 1) {
+		if !b.rollout.rewrites.AllowN(b.now, 1) {
 			return
 		}
-		b.metrics.count(cRewritten, 1)
+		b.metrics.count(countRewritten, 1)
 		update := b.planUpdate(p, r)
 		b.writeUpdate(p, r, &update)
 	}
@@ -219,9 +219,9 @@
 
 // frameVersion is the version of frames for a sibling: the checked one if it is active,
 // and the process that the sibling is now has said that it reads it.
-func (b *brain) frameVersion(name string) mesh.Version {
-	c, ok := b.levels.controllers[name]
-	if !ok || b.levels.state.Active() < rollout.ChecksumLevel || c.High < rollout.ChecksumLevel {
+func (b *controller) frameVersion(name string) mesh.Version {
+	c, ok := b.rollout.controllers[name]
+	if !ok || b.rollout.state.Active() < rollout.ChecksumLevel || c.High < rollout.ChecksumLevel {
 		return mesh.Plain
 	}
 	if s := b.peers[name]; s.status != nil && s.status.ProcessID != c.ProcessID {
@@ -231,8 +231,8 @@
 }
 
 // tellSiblings sends this controller's status to all siblings.
-func (b *brain) broadcastStatus() {
-	status := b.status()
+func (b *controller) broadcastStatus() {
+	status := b.peerStatus()
 	frames := map[mesh.Version][]byte{}
 	for _, sibling := range b.cfg.Siblings {
 		version := b.frameVersion(sibling.Name)
@@ -244,17 +244,17 @@
 }
 
 // refuses is the answer of a controller that must not serve; false: it may.
-func (b *brain) refusal() (api.Response, bool) {
-	if b.levels.refusal == nil {
+func (b *controller) refusal() (api.Response, bool) {
+	if b.rollout.refusal == nil {
 		return api.Response{}, false
 	}
-	return unavailableResponse(b.levels.refusal.Error()), true
+	return unavailableResponse(b.rollout.refusal.Error()), true
 }
 
 // register keeps this controller's range of levels stored while the process lives.
-func (b *brain) register() {
-	c := rollout.Controller{Node: b.cfg.Name, ProcessID: b.processID, Build: Build, Range: b.levels.supported}
-	r := &rollout.Registrar{Store: b.st, Controller: c, TTL: registrationTTLs * b.op.LeaseTTL, Log: b.log}
+func (b *controller) register() {
+	c := rollout.Controller{Node: b.cfg.Name, ProcessID: b.processID, Build: Build, Range: b.rollout.supported}
+	r := &rollout.Registrar{Store: b.stateClient, Controller: c, TTL: registrationTTLs * b.operator.LeaseTTL, Log: b.log}
 	if err := r.Run(b.ctx); err != nil && !errors.Is(err, b.ctx.Err()) {
 		b.log.Error("registration ended", "err", err)
 	}
@@ -272,11 +272,11 @@
 )
 
 // logLevels adds the levels to the regular counters.
-func (b *brain) logLevels(log *slog.Logger) {
-	l := &b.levels
+func (b *controller) logRollout(log *slog.Logger) {
+	l := &b.rollout
 	if l.version == 0 {
 		return
 	}
-	log.Info("levels", "level", l.state.Level, "phase", l.state.Phase, "plain_records", l.forms[record.PlainJSON],
-		"checked_records", l.forms[record.Checksummed], "unreadable_records", len(l.unreadable), "controllers", len(l.controllers))
+	log.Info("levels", "level", l.state.Level, "phase", l.state.Phase, "plain_records", l.groupsByEncoding[record.PlainJSON],
+		"checked_records", l.groupsByEncoding[record.Checksummed], "unreadable_records", len(l.unreadable), "controllers", len(l.controllers))
 }
--- a/internal/controller/levels_test.go
+++ b/internal/controller/levels_test.go
@@ -185,9 +185,9 @@
 			}
 		}
 		used := 0.0
-		c.nodes[0].brain.ask(c.ctx, laneState, func() {
+		c.nodes[0].brain.call(c.ctx, priorityState, func() {
 			b := c.nodes[0].brain
-			used = float64(b.limits()[b.team("blue")].Used.CPU) / 1000
+			used = float64(b.quotas()[b.team("blue")].Used.CPU) / 1000
 		})
 		if used < 12+6 {
 			t.Errorf("%v CPUs count for the team's limit", used)
--- a/internal/controller/levels_world_test.go
+++ b/internal/controller/levels_world_test.go
@@ -208,13 +208,13 @@
 }
 
 // noteBoot notes what a process reads, for levelHistory.
-func (c *cluster) noteBoot(n *node, b *brain) {
+func (c *cluster) noteBoot(n *node, b *controller) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.boots == nil {
 		c.boots = map[string]rollout.Range{}
 	}
-	c.boots[b.processID] = b.levels.supported
+	c.boots[b.processID] = b.rollout.supported
 	if n.unaware {
 		c.boots[b.processID] = baseOnly
 	}
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -39,7 +39,7 @@
 		before := r.allowedTasks()
 		tasks, may, done, there := 0, 0, 0, 0
 		if rapid.Bool().Draw(t, "checked") {
-			b.levels.state = rollout.State{Level: rollout.ChecksumLevel, Phase: rollout.Stable, Epoch: 1}
+			b.rollout.state = rollout.State{Level: rollout.ChecksumLevel, Phase: rollout.Stable, Epoch: 1}
 		}
 		for _, piece := range b.splitToFit(r, r.done, r.bindings) {
 			raw := piece.At(groupKey("wk-1", 0))
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -62,7 +62,7 @@
 	for i, n := range s.nodes {
 		leads := false
 		if who == leading && n.cancel != nil {
-			n.brain.ask(s.ctx, laneState, func() { leads = n.brain.isLeader() })
+			n.brain.call(s.ctx, priorityState, func() { leads = n.brain.isLeader() })
 		}
 		if who == all || who == i || leads {
 			out = append(out, i)
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -19,7 +19,7 @@
 // machines. Bound to it for good, the job waited beside other zones' empty machines
 // for as long as the first one had none. Its tasks are all proven gone, so that nothing
 // is in two zones; an owner that binds one meanwhile loses by its record's version.
-func (b *brain) otherZone(hosts []*core.MachineSummary, r *taskGroup) bool {
+func (b *controller) moveToOtherZone(hosts []*core.MachineSummary, r *taskGroup) bool {
 	j, spec := r.job, r.job.spec
 	if !spec.SingleZone || r.zone == "" || b.now.Sub(r.inPartitionSince) < zonePatience || !spec.Gang && len(j.groups) > b.cfg.Settings.State.TxnOps {
 		return false
@@ -35,7 +35,7 @@
 	}
 	room := map[string]int{}
 	for _, h := range hosts {
-		if !h.Booting && b.poolOpen(j, h) && allowed(spec, "", h.Type, h.Zone, h.Spot) {
+		if !h.Booting && b.reserveAllows(j, h) && allowed(spec, "", h.Type, h.Zone, h.Spot) {
 			room[h.Zone] += h.Free.CountFitting(j.taskSize, need)
 		}
 	}
@@ -59,7 +59,7 @@
 		u.Conditions = append(u.Conditions, wire.Condition{Key: o.key, Revision: o.revision})
 		u.Changes = append(u.Changes, wire.Change{Put: o.key, Value: b.encodeGroup(&moved, o.done, o.bindings).At(o.key)})
 	}
-	b.leadership.writes++
+	b.leadership.writesInFlight++
 	epoch := b.leadership.epoch
 	b.submitWrite(u, func(err error) { b.leaderWriteDone(epoch, err) })
 	return true
@@ -67,7 +67,7 @@
 
 // moveStuck gives waiting tasks of a record whose part has no room to a part
 // that has. Its owner's writes lose by the record's version.
-func (b *brain) moveStuck(hosts []*core.MachineSummary, r *taskGroup, n int) bool {
+func (b *controller) moveUnplaced(hosts []*core.MachineSummary, r *taskGroup, n int) bool {
 	spec := r.job.spec
 	if spec.Gang {
 		return b.moveGang(hosts, r.job)
@@ -77,7 +77,7 @@
 	}
 	perPart := make([]int, len(b.partitions))
 	can := func(h *core.MachineSummary) bool {
-		return !h.Booting && h.Partition != r.partition && (b.now.Sub(r.inPartitionSince) > poolYields || b.poolOpen(r.job, h)) && allowed(spec, r.zone, h.Type, h.Zone, h.Spot)
+		return !h.Booting && h.Partition != r.partition && (b.now.Sub(r.inPartitionSince) > reserveOpensAfter || b.reserveAllows(r.job, h)) && allowed(spec, r.zone, h.Type, h.Zone, h.Spot)
 	}
 	trial := core.CloneSummaries(hosts)
 	for h, k := range core.PlaceInFreeRoom(trial, can, r.job.taskSize, n) {
@@ -130,9 +130,9 @@
 		u.Conditions = append(u.Conditions, wire.Condition{Key: key})
 		u.Changes = []wire.Change{{Put: r.key, Value: b.encodeGroup(&left, r.done, stay).At(r.key)}, {Put: key, Value: b.encodeGroup(&moved, 0, move).At(key)}}
 	}
-	b.metrics.count(cMoved, 1)
+	b.metrics.count(countMoved, 1)
 	b.log.Debug("tasks move to another part", "job", r.job.id, "tasks", len(move), "part", best)
-	b.leadership.writes++
+	b.leadership.writesInFlight++
 	epoch := b.leadership.epoch
 	b.submitWrite(u, func(err error) { b.leaderWriteDone(epoch, err) })
 	return true
@@ -142,7 +142,7 @@
 // Where none has, machines of several parts are borrowed for it: a gang that was dealt
 // to a part which then lost its room waited for ever beside machines that had room for
 // it together.
-func (b *brain) moveGang(hosts []*core.MachineSummary, j *job) bool {
+func (b *controller) moveGang(hosts []*core.MachineSummary, j *job) bool {
 	first, tasks := j.firstGroup(), 0
 	for _, r := range j.groups {
 		if r.boundTasks() > 0 {
@@ -161,7 +161,7 @@
 	if !ok {
 		return tasks > 1 && b.borrow(hosts, j, first.zone, tasks, first.claim())
 	}
-	b.metrics.count(cMoved, 1)
+	b.metrics.count(countMoved, 1)
 	b.log.Debug("gang moves to another part", "job", j.id, "tasks", tasks, "part", part)
 	return b.relocate(j, part, first.zone)
 }
@@ -169,7 +169,7 @@
 // relocate has a gang's records go to a part and zone, the first record first and as many
 // as one transaction holds. The others follow (gatherGangs); the gang is reserved when
 // all are together. False if it can't be now.
-func (b *brain) relocate(j *job, part int, zone string) bool {
+func (b *controller) relocate(j *job, part int, zone string) bool {
 	u := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
 	size := 0
 	for _, r := range j.groupsInOrder() {
@@ -192,7 +192,7 @@
 	if len(u.Changes) == 0 {
 		return false
 	}
-	b.leadership.writes++
+	b.leadership.writesInFlight++
 	epoch := b.leadership.epoch
 	b.submitWrite(u, func(err error) { b.leaderWriteDone(epoch, err) })
 	return true
@@ -200,7 +200,7 @@
 
 // gatherGangs has the records of gangs that moved in part, by this leader or one before
 // it, follow their first one.
-func (b *brain) gatherGangs() {
+func (b *controller) completeGangMoves() {
 	for _, j := range b.unfinished {
 		if j.finalState != unfinishedJob || j.spec == nil || !j.spec.Gang || j.revision == 0 || len(j.groups) < 2 {
 			continue
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -10,28 +10,28 @@
 )
 
 // step has the decisions taken soon: events in a burst share one pass.
-func (b *brain) step() { b.stepDue = true }
+func (b *controller) requestPass() { b.passDue = true }
 
 // stepParts takes the decisions of all parts that are ours.
-func (b *brain) stepParts() {
-	defer b.metrics.spend(dParts, time.Now())
+func (b *controller) schedulePartitions() {
+	defer b.metrics.addBusyTime(activityPartitions, time.Now())
 	for _, p := range b.partitions {
-		if p.active && b.isFresh(b.op.LeaseTTL) {
-			b.stepPart(p)
+		if p.active && b.isFresh(b.operator.LeaseTTL) {
+			b.schedulePartition(p)
 		}
 	}
 }
 
 // stepPart lets the pending tasks of a part claim cells, highest claims first,
 // and stores what changed: ended attempts and new bindings.
-func (b *brain) stepPart(p *partition) {
-	p.removeMachines(func(m *machine) bool { return m.gone && len(m.bound) == 0 })
+func (b *controller) schedulePartition(p *partition) {
+	p.removeMachines(func(m *machine) bool { return m.terminated && len(m.bindings) == 0 })
 	for _, m := range p.machines {
-		if len(m.bound) > 0 && (m.gone || b.leaseOver(m, p)) {
-			b.endAll(m, "its lease is over")
+		if len(m.bindings) > 0 && (m.terminated || b.leaseExpired(m, p)) {
+			b.endAllAttempts(m, "its lease is over")
 		}
 	}
-	b.steps++
+	b.schedulingPass++
 	byUrgency := b.byUrgency()
 	// Most records have nothing to do: all their tasks run.
 	var mine []*taskGroup
@@ -42,30 +42,30 @@
 	}
 	slices.SortFunc(mine, func(x, y *taskGroup) int {
 		cx, cy := x.claim(), y.claim()
-		return cmp.Or(cmp.Compare(cy.Priority, cx.Priority), boolCmp(cy.Guaranteed, cx.Guaranteed), byUrgency(x.job, y.job), cmp.Compare(x.number, y.number))
+		return cmp.Or(cmp.Compare(cy.Priority, cx.Priority), compareBool(cy.Guaranteed, cx.Guaranteed), byUrgency(x.job, y.job), cmp.Compare(x.number, y.number))
 	})
-	full := map[shape]bool{}
+	full := map[placementClass]bool{}
 	p.unplaced = 0
 	for _, r := range mine {
 		if !r.writing && r.job.finalState == unfinishedJob && !b.now.Before(r.job.retryAt) {
-			b.place(p, r, full)
+			b.placeGroup(p, r, full)
 		}
 	}
 	for _, r := range mine {
 		if !r.writing {
-			b.store(p, r)
+			b.storeGroup(p, r)
 		}
 	}
 	for r := range p.foreignGroups {
 		if b.groups[r.index] != r || !r.hasUnstoredEnds || r.partition == p.index {
 			delete(p.foreignGroups, r)
 		} else if !r.writing && r.job.spec != nil {
-			b.store(p, r)
+			b.storeGroup(p, r)
 		}
 	}
-	b.rewriteRecords(p)
-	b.tellGangs(p)
-	b.acknowledge(p)
+	b.rewriteGroups(p)
+	b.stopGangs(p)
+	b.acknowledgeLoans(p)
 	if p.tokenRaiseDue {
 		b.raiseToken(p)
 	}
@@ -73,14 +73,14 @@
 
 // shape is what decides where tasks may be placed: where there is no room for one,
 // there is none for all others of the same shape.
-type shape struct {
-	sig, zone string
-	claim     core.Claim
-	mild      bool
+type placementClass struct {
+	equivalenceClass, zone string
+	claim                  core.Claim
+	noPreemption           bool
 }
 
 // order is what a job's place among others depends on.
-func (b *brain) order(j *job) *core.JobOrder {
+func (b *controller) jobOrder(j *job) *core.JobOrder {
 	_, finished := j.assignedTasks()
 	return &core.JobOrder{AllOrNothing: j.spec.AllOrNothing(), NoDeadline: j.spec.NoDeadline, Started: j.hasStarted(), OverdueTurn: core.IsOverdueTurn(b.now.Unix()),
 		AgeS: b.now.Sub(j.acceptedAt).Seconds(), EstimateS: j.spec.EstimateS, DeadlineS: j.spec.DeadlineS, ObjectiveS: b.objectiveSeconds[j.spec.Class],
@@ -88,15 +88,15 @@
 }
 
 // alikeS is within how many seconds jobs count as coming at the same time.
-const alikeS = 10
+const arrivalBucketS = 10
 
 // byUrgency compares jobs by priority and urgency, each looked at once.
-func (b *brain) byUrgency() func(x, y *job) int {
+func (b *controller) byUrgency() func(x, y *job) int {
 	known := map[*job]core.Urgency{}
 	of := func(j *job) core.Urgency {
 		u, ok := known[j]
 		if !ok {
-			u = b.order(j).Urgency()
+			u = b.jobOrder(j).Urgency()
 			known[j] = u
 		}
 		return u
@@ -104,12 +104,12 @@
 	return func(x, y *job) int {
 		// Of those that come at about the same time the ones with one image go
 		// together: a machine that comes up fetches one for all that it takes.
-		return cmp.Or(cmp.Compare(y.spec.Priority, x.spec.Priority), of(x).Compare(of(y)), cmp.Compare(x.acceptedAt.Unix()/alikeS, y.acceptedAt.Unix()/alikeS),
+		return cmp.Or(cmp.Compare(y.spec.Priority, x.spec.Priority), of(x).Compare(of(y)), cmp.Compare(x.acceptedAt.Unix()/arrivalBucketS, y.acceptedAt.Unix()/arrivalBucketS),
 			cmp.Compare(x.spec.Image, y.spec.Image), x.acceptedAt.Compare(y.acceptedAt), cmp.Compare(x.id, y.id))
 	}
 }
 
-func boolCmp(x, y bool) int {
+func compareBool(x, y bool) int {
 	if x == y {
 		return 0
 	}
@@ -123,8 +123,8 @@
 // start together, everything else one by one. Tasks of one shape are alike, so
 // the first that finds no room speaks for all behind it; full is what has found
 // none in this step.
-func (b *brain) place(p *partition, r *taskGroup, full map[shape]bool) {
-	pending, busy, started := b.pending(p, r)
+func (b *controller) placeGroup(p *partition, r *taskGroup, full map[placementClass]bool) {
+	pending, busy, started := b.unplacedTasks(p, r)
 	if over := len(pending) - max(0, r.allowedTasks()-(len(r.bindings)-len(pending))); over > 0 {
 		pending = pending[:len(pending)-over]
 	}
@@ -141,21 +141,21 @@
 			if o.number < r.number {
 				return // asked for with the first record
 			}
-			more, otherBusy, otherStarted := b.pending(p, o)
+			more, otherBusy, otherStarted := b.unplacedTasks(p, o)
 			pending, busy, started = append(pending, more...), busy || otherBusy, started || otherStarted
 		}
 	}
 	score := b.scorer(p, r)
 	// An array's tasks wait a little before they stop others: cells come
 	// free all the time, and what is stopped has run for nothing.
-	s := shape{r.job.equivalenceClass, r.zone, r.claim(), !spec.AllOrNothing() && b.now.Sub(r.inPartitionSince) < b.op.EvictAfter}
+	s := placementClass{r.job.equivalenceClass, r.zone, r.claim(), !spec.AllOrNothing() && b.now.Sub(r.inPartitionSince) < b.operator.EvictAfter}
 	// Where tasks end all the time, those at the head of the queue have a free cell
 	// before long; only what is behind them stops others, until all have waited.
-	patient := !spec.AllOrNothing() && b.now.Sub(r.inPartitionSince) < patience*b.op.EvictAfter
+	patient := !spec.AllOrNothing() && b.now.Sub(r.inPartitionSince) < evictionPatience*b.operator.EvictAfter
 	request := func(tasks ...core.Task) bool {
-		if patient && !s.mild {
-			s.mild = p.unplaced < p.freedCellsWithin(b.now, b.op.EvictAfter)
-			defer func() { s.mild = false }()
+		if patient && !s.noPreemption {
+			s.noPreemption = p.unplaced < p.freedCellsWithin(b.now, b.operator.EvictAfter)
+			defer func() { s.noPreemption = false }()
 		}
 		// Machines that failed a job are barred to it alone.
 		alike := len(tasks) == 1 && len(r.job.failedOn) == 0
@@ -163,16 +163,16 @@
 			p.unplaced++
 			return false
 		}
-		g := &core.Group{Tasks: tasks, TaskSize: r.job.taskSize, Claim: s.claim, NoPreemption: s.mild}
+		g := &core.Group{Tasks: tasks, TaskSize: r.job.taskSize, Claim: s.claim, NoPreemption: s.noPreemption}
 		p.cells.Request(g, score)
 		switch g.State {
 		case core.Allocated:
-			b.allocated(p, g)
+			b.reserveCells(p, g)
 		case core.Preempting:
-			b.metrics.count(cEvicted, g.Victims())
+			b.metrics.count(countPreempting, g.Victims())
 			b.log.Debug("group preempts", "job", r.job.id, "tasks", len(tasks))
 			for _, mi := range g.Machines {
-				b.kick(b.byIdx[mi])
+				b.sendCommandsNow(b.machineByIndex[mi])
 			}
 		case core.Pending:
 			full[s] = full[s] || alike
@@ -189,23 +189,23 @@
 		return
 	}
 	for i, t := range pending {
-		if !request(t) && (!patient || s.mild || i >= p.freedCellsWithin(b.now, b.op.EvictAfter)) {
+		if !request(t) && (!patient || s.noPreemption || i >= p.freedCellsWithin(b.now, b.operator.EvictAfter)) {
 			return
 		}
 	}
 }
 
 // patience is how many times evict-after a task at the head of the queue waits.
-const patience = 2
+const evictionPatience = 2
 
 // rateOver is the time over which a part's ends are counted.
-const rateOver = 5 * time.Second
+const freedCellsWindow = 5 * time.Second
 
 // ended counts a cell that came free.
 func (p *partition) countFreedCell(now time.Time) {
-	if now.Sub(p.freedCellsSince) > rateOver {
+	if now.Sub(p.freedCellsSince) > freedCellsWindow {
 		p.freedCellsBefore, p.freedCells = p.freedCells, 0
-		if now.Sub(p.freedCellsSince) > 2*rateOver {
+		if now.Sub(p.freedCellsSince) > 2*freedCellsWindow {
 			p.freedCellsBefore = 0
 		}
 		p.freedCellsSince = now
@@ -215,21 +215,21 @@
 
 // endsWithin is about how many cells come free in d.
 func (p *partition) freedCellsWithin(now time.Time, d time.Duration) int {
-	if now.Sub(p.freedCellsSince) > 2*rateOver {
+	if now.Sub(p.freedCellsSince) > 2*freedCellsWindow {
 		return 0
 	}
-	return int(int64(p.freedCellsBefore) * int64(d) / int64(rateOver))
+	return int(int64(p.freedCellsBefore) * int64(d) / int64(freedCellsWindow))
 }
 
 // pending lists a record's tasks that neither are nor claim to be anywhere;
 // busy: others do; started: some have run before.
-func (b *brain) pending(p *partition, r *taskGroup) (out []core.Task, busy, started bool) {
+func (b *controller) unplacedTasks(p *partition, r *taskGroup) (out []core.Task, busy, started bool) {
 	for i := range r.bindings {
 		e := &r.bindings[i]
 		t := r.task(e.task)
 		started = started || e.attempt > 0
 		there := e.machine != nil
-		if o, ok := b.outcomes[t]; there && ok && o.attempt == e.attempt && !o.done && !r.job.spec.Gang {
+		if o, ok := b.attemptEnds[t]; there && ok && o.attempt == e.attempt && !o.done && !r.job.spec.Gang {
 			// Proven gone: its end and its next cell are stored together. Stored one
 			// after the other, they had the replicas of some hundred dead machines
 			// wait twice for the state service.
@@ -245,18 +245,18 @@
 }
 
 // scorer rates machines for a record's tasks; negative: not allowed.
-func (b *brain) scorer(p *partition, r *taskGroup) core.ScoreFunc {
+func (b *controller) scorer(p *partition, r *taskGroup) core.ScoreFunc {
 	j := r.job.spec
 	return func(mi int32, free core.Resources) float64 {
-		m := b.byIdx[mi]
-		if !b.open(m, p) || !allowed(j, r.zone, m.typ, m.zone, m.spot) || len(m.failed) > 0 && b.barred(m, r.job) {
+		m := b.machineByIndex[mi]
+		if !b.schedulable(m, p) || !allowed(j, r.zone, m.machineType, m.zone, m.spot) || len(m.failedJobs) > 0 && b.avoidsJob(m, r.job) {
 			return -1
 		}
 		s := 1000.0 + b.fetchCost(m, j)
 		if m.spot {
 			s -= 500 // what is dear is left to those who need it
 		}
-		if b.pinnedBy(m) {
+		if b.runsService(m) {
 			s -= 150 // it stays anyhow
 		}
 		// Tight packing leaves whole machines free to be returned.
@@ -267,28 +267,28 @@
 // What a machine scores for an image that is there, and what it costs for each
 // second that a fetch takes. Users notice those of a service.
 const (
-	imageThere   = -400
-	fetchWhole   = 10
-	fetchArray   = 3
-	fetchMost    = 600
-	fetchForgets = time.Minute // a fetch that nobody waits for is given up
+	cachedImageScore  = -400
+	serviceFetchScore = 10
+	arrayFetchScore   = 3
+	maxFetchScore     = 600
+	fetchTimeout      = time.Minute // a fetch that nobody waits for is given up
 )
 
 // fetchCost is what the fetch of a job's image adds to a machine's score. Images
 // that are fetched at a time may share a machine's rate, so some hundred services
 // that come together start far later if each machine takes one of every image.
-func (b *brain) fetchCost(m *machine, j *wire.Job) float64 {
+func (b *controller) fetchCost(m *machine, j *wire.Job) float64 {
 	if m.images[j.Image] {
-		return imageThere
+		return cachedImageScore
 	}
-	t := b.machineTypes[m.typ]
+	t := b.machineTypes[m.machineType]
 	if t == nil || !(t.FetchGBPS > 0) {
 		return 0
 	}
 	others, part := 0, 1.0
 	for image, at := range m.fetching {
 		switch {
-		case b.now.Sub(at) > fetchForgets:
+		case b.now.Sub(at) > fetchTimeout:
 			delete(m.fetching, image)
 		case image == j.Image:
 			part = 0.5 // some of it is there
@@ -296,38 +296,38 @@
 			others++
 		}
 	}
-	each := fetchArray
+	each := arrayFetchScore
 	if j.AllOrNothing() {
-		each = fetchWhole
+		each = serviceFetchScore
 	}
-	return min(float64(each)*part*j.ImageGB*float64(1+others)/t.FetchGBPS, fetchMost)
+	return min(float64(each)*part*j.ImageGB*float64(1+others)/t.FetchGBPS, maxFetchScore)
 }
 
 // open tells whether anything may be placed on a machine now. It is looked up
 // once in a step, not for each task.
-func (b *brain) open(m *machine, p *partition) bool {
-	if m.openAt != b.steps {
-		m.openAt = b.steps
-		m.open = b.up(m, p) && m.notice.IsZero() && !m.suspect && !b.now.Before(m.cooling) &&
-			(!b.closing[m.name] || p.index == b.loanPartition()) && !b.leaving[m.name] && (b.lends[m.name] == nil || p.index == b.loanPartition() && !b.lends[m.name].leaving)
+func (b *controller) schedulable(m *machine, p *partition) bool {
+	if m.schedulableStep != b.schedulingPass {
+		m.schedulableStep = b.schedulingPass
+		m.schedulable = b.usable(m, p) && m.terminationAt.IsZero() && !m.cordoned && !b.now.Before(m.avoidUntil) &&
+			(!b.draining[m.name] || p.index == b.loanPartition()) && !b.terminating[m.name] && (b.loans[m.name] == nil || p.index == b.loanPartition() && !b.loans[m.name].returning)
 	}
-	return m.open
+	return m.schedulable
 }
 
 // pinnedBy tells whether a service is bound to a machine, see core.Host. It is
 // looked up once in a step.
-func (b *brain) pinnedBy(m *machine) bool {
-	if m.pinnedAt != b.steps {
-		m.pinnedAt, m.pinned = b.steps, false
-		for _, x := range m.bound {
+func (b *controller) runsService(m *machine) bool {
+	if m.runsServiceStep != b.schedulingPass {
+		m.runsServiceStep, m.runsService = b.schedulingPass, false
+		for _, x := range m.bindings {
 			r := x.group
 			if r.job.spec != nil && r.job.spec.AllOrNothing() {
-				m.pinned = true
+				m.runsService = true
 				break
 			}
 		}
 	}
-	return m.pinned
+	return m.runsService
 }
 
 // allowed tells whether a job's task may be on a machine at all.
@@ -338,21 +338,21 @@
 
 // probeSilent asks machines directly that have not reported in time, or seem not
 // to hear us.
-func (b *brain) probeSilent() {
+func (b *controller) probeUnreachable() {
 	for _, p := range b.partitions {
 		if !p.active {
 			continue
 		}
 		all, deaf := 0, 0
 		for _, m := range p.machines {
-			if m.gone || !b.expected(m, 3*time.Minute) {
+			if m.terminated || !b.expectsHeartbeat(m, 3*time.Minute) {
 				continue
 			}
 			all++
-			if m.lapsed || m.unanswered >= deafAfter {
+			if m.leaseExpiredUnheard || m.unanswered >= unansweredLimit {
 				deaf++
 			}
-			if m.lapsed || m.unanswered > 0 || b.now.Sub(b.heardSince(m, p)) > b.quietAfter() {
+			if m.leaseExpiredUnheard || m.unanswered > 0 || b.now.Sub(b.heardSince(m, p)) > b.heartbeatOverdueAfter() {
 				b.ping(m, p)
 			}
 		}
--- a/internal/controller/pool.go
+++ b/internal/controller/pool.go
@@ -18,33 +18,33 @@
 // as the largest of late. Only gangs are dealt there.
 
 // poolJob stands for the pool where a lending names the job that it is for.
-const poolJob = ""
+const reserveLoanJob = ""
 
 const (
 	// poolForgets is how long a class of gangs is reckoned with after its last one.
-	poolForgets = 30 * time.Second
+	reserveClassTTL = 30 * time.Second
 	// poolPatience is how long a machine may take to come empty.
-	poolPatience = 40 * time.Second
+	reserveLoanTimeout = 40 * time.Second
 	// poolSettles is how long one that has come is kept in any case.
-	poolSettles = 10 * time.Second
+	reserveMinHold = 10 * time.Second
 	// poolYields is how long others wait before they may use it all the same: nobody
 	// should wait much longer beside a machine that has room.
-	poolYields = time.Minute
+	reserveOpensAfter = time.Minute
 	// poolUnused is for how long room of it is kept that nothing uses: a third of the 90 s
 	// that nobody may wait beside a machine with room, since gangs may gather room one
 	// after the other. What is lent for one group is kept for longer, while that gathers.
-	poolUnused = 30 * time.Second
-	lentUnused = time.Minute
+	reserveMaxUnused = 30 * time.Second
+	loanMaxUnused    = time.Minute
 	// poolShare is the largest part of all machines that the pool may be.
-	poolShare = 0.15
+	reserveMaxShare = 0.15
 )
 
 // pool is what the leader keeps for gangs.
-type pool struct {
+type gangReserve struct {
 	classes map[string]*gangClass
 	// missing is what it lacks, to be rented if nothing comes free.
-	missing []core.Demand
-	keep    map[int32]bool // machines of it that are wanted
+	shortfall []core.Demand
+	keep      map[int32]bool // machines of it that are wanted
 }
 
 // gangClass is the largest gang of a class of late.
@@ -63,31 +63,31 @@
 
 // mayUsePool tells whether a job may be placed on machines that the leader has in its
 // own part: those that are there for it, and gangs; others only after a long wait.
-func (b *brain) mayUsePool(j *job) bool {
+func (b *controller) mayUseReserve(j *job) bool {
 	since := j.acceptedAt
 	if j.assignedAt.After(since) {
 		since = j.assignedAt
 	}
-	return j.spec.Gang || b.lentFor(j) || b.now.Sub(since) > poolYields && b.now.Sub(b.leadership.since) > poolYields
+	return j.spec.Gang || b.hasLoanFor(j) || b.now.Sub(since) > reserveOpensAfter && b.now.Sub(b.leadership.since) > reserveOpensAfter
 }
 
 // poolOpen tells whether a job may be placed on a machine as far as that is kept for
 // others: one of the leader's own part is, until its room has been unused for long.
 // However long a job waits, it is dealt tasks now and then, and began to wait anew each time.
-func (b *brain) poolOpen(j *job, h *core.MachineSummary) bool {
-	return h.Partition != b.loanPartition() || b.mayUsePool(j) || b.unusedForLong(h)
+func (b *controller) reserveAllows(j *job, h *core.MachineSummary) bool {
+	return h.Partition != b.loanPartition() || b.mayUseReserve(j) || b.unusedForLong(h)
 }
 
 // unusedForLong tells whether nothing has been placed for long on a machine of the
 // leader's own part.
-func (b *brain) unusedForLong(h *core.MachineSummary) bool {
-	m := b.byIdx[h.ID]
-	limit := poolUnused
-	if l := b.lends[m.name]; l != nil && l.Job != poolJob {
-		limit = lentUnused
+func (b *controller) unusedForLong(h *core.MachineSummary) bool {
+	m := b.machineByIndex[h.ID]
+	limit := reserveMaxUnused
+	if l := b.loans[m.name]; l != nil && l.Job != reserveLoanJob {
+		limit = loanMaxUnused
 	}
 	unused := b.leadership.since
-	for _, at := range []time.Time{m.homeAt, m.usedAt} {
+	for _, at := range []time.Time{m.inPartitionSince, m.lastBoundAt} {
 		if at.After(unused) {
 			unused = at
 		}
@@ -96,8 +96,8 @@
 }
 
 // outranksPool tells whether a job goes before gangs.
-func (b *brain) outranksPool(j *job) bool {
-	for _, c := range b.leadership.pool.classes {
+func (b *controller) outranksReserve(j *job) bool {
+	for _, c := range b.leadership.gangReserve.classes {
 		if j.spec.Priority > c.spec.Priority {
 			return true
 		}
@@ -106,8 +106,8 @@
 }
 
 // notePool notes which gangs there are, and which machines of the pool are wanted.
-func (b *brain) notePool(hosts []*core.MachineSummary) {
-	p := &b.leadership.pool
+func (b *controller) updateReserve(hosts []*core.MachineSummary) {
+	p := &b.leadership.gangReserve
 	if p.classes == nil {
 		p.classes = map[string]*gangClass{}
 	}
@@ -131,7 +131,7 @@
 		c.live++
 	}
 	for name, c := range p.classes {
-		if b.now.Sub(c.seen) > poolForgets {
+		if b.now.Sub(c.seen) > reserveClassTTL {
 			delete(p.classes, name)
 		}
 	}
@@ -158,7 +158,7 @@
 }
 
 // sorted are the classes, the largest gangs first.
-func (p *pool) sorted() []*gangClass {
+func (p *gangReserve) sorted() []*gangClass {
 	var out []*gangClass
 	for _, c := range p.classes {
 		out = append(out, c)
@@ -170,45 +170,45 @@
 }
 
 // poolKeeps tells whether a machine of the pool stays there.
-func (b *brain) poolKeeps(m *machine) bool {
-	return len(m.bound) > 0 || b.leadership.pool.keep[m.idx] || b.now.Sub(m.homeAt) < poolSettles
+func (b *controller) reserveKeeps(m *machine) bool {
+	return len(m.bindings) > 0 || b.leadership.gangReserve.keep[m.index] || b.now.Sub(m.inPartitionSince) < reserveMinHold
 }
 
 // fillPool borrows machines for the pool while it lacks room: empty ones, or such as
 // will come empty soon.
-func (b *brain) fillPool(hosts []*core.MachineSummary) {
-	p := &b.leadership.pool
-	p.missing = nil
+func (b *controller) fillReserve(hosts []*core.MachineSummary) {
+	p := &b.leadership.gangReserve
+	p.shortfall = nil
 	if len(p.classes) == 0 {
 		return
 	}
 	room := core.CloneSummaries(hosts) // what is left of it after the classes before
-	left := max(2, int(poolShare*float64(len(hosts)))) - len(b.lends)
+	left := max(2, int(reserveMaxShare*float64(len(hosts)))) - len(b.loans)
 	var chosen []*core.MachineSummary
 	for _, c := range p.sorted() {
-		spec, zone := c.spec, b.poolZone(room, c)
+		spec, zone := c.spec, b.reserveZone(room, c)
 		fits := func(h *core.MachineSummary) bool {
 			return !h.Booting && allowed(spec, zone, h.Type, h.Zone, h.Spot)
 		}
-		lacks := c.room() - takeRoom(room, c, func(h *core.MachineSummary) bool { return h.Partition == b.loanPartition() && fits(h) })
-		empty, busy := b.roomLent(c, zone)
+		lacks := c.room() - reserveFreeRoom(room, c, func(h *core.MachineSummary) bool { return h.Partition == b.loanPartition() && fits(h) })
+		empty, busy := b.incomingReserveRoom(c, zone)
 		if lacks-empty <= 0 {
 			continue
 		}
 		if n := lacks - empty - busy; n > 0 {
-			p.missing = append(p.missing, core.Demand{Class: spec.Class, TaskSize: c.need, Count: n, AllOrNothing: true, EstimateS: spec.EstimateS, SlackS: math.Inf(1),
+			p.shortfall = append(p.shortfall, core.Demand{Class: spec.Class, TaskSize: c.need, Count: n, AllOrNothing: true, EstimateS: spec.EstimateS, SlackS: math.Inf(1),
 				Allows: func(typ, zoneOf string, spot bool) bool { return allowed(spec, zone, typ, zoneOf, spot) }})
 		}
-		can := b.mayLend(room, fits)
+		can := b.loanCandidates(room, fits)
 		// Machines that are empty are had at once, whatever else will come empty some time:
 		// arrays would fill them, and gangs wait for the others for most of a minute.
-		free := pickHosts(can, c, lacks-empty, left, func(h *core.MachineSummary) bool { return len(h.Usages) == 0 })
+		free := pickMachines(can, c, lacks-empty, left, func(h *core.MachineSummary) bool { return len(h.Usages) == 0 })
 		left -= len(free)
 		got := 0
 		for _, h := range free {
 			got += h.Size.CountFitting(c.need, spec.Tasks)
 		}
-		soon := pickHosts(can, c, lacks-empty-busy-got, left, func(h *core.MachineSummary) bool { return len(h.Usages) > 0 })
+		soon := pickMachines(can, c, lacks-empty-busy-got, left, func(h *core.MachineSummary) bool { return len(h.Usages) > 0 })
 		left -= len(soon)
 		chosen = append(append(chosen, free...), soon...)
 	}
@@ -217,12 +217,12 @@
 	}
 	chosen = chosen[:min(len(chosen), b.cfg.Settings.State.TxnOps/2)]
 	b.log.Debug("machines are kept for gangs", "machines", len(chosen))
-	b.borrowMachines(chosen, nil, record.MachineLoan{Job: poolJob})
+	b.borrowMachines(chosen, nil, record.MachineLoan{Job: reserveLoanJob})
 }
 
 // takeRoom takes free room for the tasks of a class's next gangs from hosts, and returns for
 // how many there is.
-func takeRoom(hosts []*core.MachineSummary, c *gangClass, in func(*core.MachineSummary) bool) int {
+func reserveFreeRoom(hosts []*core.MachineSummary, c *gangClass, in func(*core.MachineSummary) bool) int {
 	got := 0
 	for _, h := range hosts {
 		if in(h) {
@@ -236,15 +236,15 @@
 
 // roomLent is for how many tasks of a class there will be room on machines that are on
 // their way to the pool: empty ones, and such as come empty some time.
-func (b *brain) roomLent(c *gangClass, zone string) (empty, busy int) {
-	for name, l := range b.lends {
-		m := b.machine(name)
-		t := b.machineTypes[m.typ]
-		if l.Job != poolJob || l.Acknowledged || t == nil || !allowed(c.spec, zone, m.typ, m.zone, m.spot) {
+func (b *controller) incomingReserveRoom(c *gangClass, zone string) (empty, busy int) {
+	for name, l := range b.loans {
+		m := b.machineNamed(name)
+		t := b.machineTypes[m.machineType]
+		if l.Job != reserveLoanJob || l.Acknowledged || t == nil || !allowed(c.spec, zone, m.machineType, m.zone, m.spot) {
 			continue
 		}
 		n := core.NewResources(t.CPUs, t.GPUs, t.RAM).CountFitting(c.need, c.spec.Tasks)
-		if len(m.bound) == 0 {
+		if len(m.bindings) == 0 {
 			empty += n
 		} else {
 			busy += n
@@ -254,10 +254,10 @@
 }
 
 // mayLend are hosts of other parts that may be lent, the emptiest and largest first.
-func (b *brain) mayLend(hosts []*core.MachineSummary, fits func(*core.MachineSummary) bool) []*core.MachineSummary {
+func (b *controller) loanCandidates(hosts []*core.MachineSummary, fits func(*core.MachineSummary) bool) []*core.MachineSummary {
 	var can []*core.MachineSummary
 	for _, h := range hosts {
-		if fits(h) && h.Partition != b.loanPartition() && !h.InUse && !h.RunsService && !b.leadership.closing[b.byIdx[h.ID].name] {
+		if fits(h) && h.Partition != b.loanPartition() && !h.InUse && !h.RunsService && !b.leadership.draining[b.machineByIndex[h.ID].name] {
 			can = append(can, h)
 		}
 	}
@@ -268,7 +268,7 @@
 }
 
 // pickHosts picks, of hosts in their order, at most so many as have room for n tasks.
-func pickHosts(hosts []*core.MachineSummary, c *gangClass, n, most int, in func(*core.MachineSummary) bool) []*core.MachineSummary {
+func pickMachines(hosts []*core.MachineSummary, c *gangClass, n, most int, in func(*core.MachineSummary) bool) []*core.MachineSummary {
 	var out []*core.MachineSummary
 	for _, h := range hosts {
 		if n <= 0 || len(out) >= most {
@@ -286,7 +286,7 @@
 
 // poolZone is the zone in which the pool has the most room for a gang that must be in
 // one; "" for any.
-func (b *brain) poolZone(hosts []*core.MachineSummary, c *gangClass) string {
+func (b *controller) reserveZone(hosts []*core.MachineSummary, c *gangClass) string {
 	if !c.spec.SingleZone {
 		return ""
 	}
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -269,7 +269,7 @@
 }
 
 // content is a record with other entries, in the form that records are written in now.
-func (b *brain) encodeGroup(r *taskGroup, done int, entries []binding) record.Content {
+func (b *controller) encodeGroup(r *taskGroup, done int, entries []binding) record.Content {
 	return r.record(done, entries).Encode(b.encoding())
 }
 
@@ -284,12 +284,12 @@
 }
 
 // maxValue is how large a stored value may be.
-func (b *brain) maxValueBytes() int { return int(b.cfg.Settings.State.ValueKB * 1024) }
+func (b *controller) maxValueBytes() int { return int(b.cfg.Settings.State.ValueKB * 1024) }
 
 // fit is a record's stored form, in as many pieces as the limit of a value asks for: one
 // that was written while more was allowed, or whose names are long, is split when it is
 // written again. The first piece is the record itself.
-func (b *brain) splitToFit(r *taskGroup, done int, entries []binding) []record.Content {
+func (b *controller) splitToFit(r *taskGroup, done int, entries []binding) []record.Content {
 	v := b.encodeGroup(r, done, entries)
 	if v.Size() <= b.maxValueBytes() || len(entries) < 2 {
 		return []record.Content{v}
@@ -320,7 +320,7 @@
 // cancelledValue is a cancelled job's stored form. The description stays: its tasks count
 // for the team's limit until they are gone, also for a controller that starts later. Of
 // one too large for that, what placing it would need is left out.
-func (b *brain) cancelledValue(j *job) json.RawMessage {
+func (b *controller) cancelledValue(j *job) json.RawMessage {
 	v := record.Job{FinalState: cancelledJob, AcceptedAtMS: j.acceptedAt.UnixMilli(), Spec: j.spec}
 	out := record.JSON(v)
 	if len(out) > b.maxValueBytes() {
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -16,29 +16,29 @@
 
 // rent asks the cloud for machines. The name is unique for all time: the
 // leader's term never comes again.
-func (b *brain) rent(o core.Offer, n int) {
-	if b.leadership.renting[o] > 0 {
+func (b *controller) launchInstances(o core.Offer, n int) {
+	if b.leadership.launching[o] > 0 {
 		return
 	}
-	b.leadership.rentals++
+	b.leadership.launchRequests++
 	epoch := b.leadership.epoch
-	req := wire.LaunchRequest{Request: fmt.Sprintf("r-%d-%d", epoch, b.leadership.rentals), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: n}
-	b.leadership.renting[o] = n
+	req := wire.LaunchRequest{Request: fmt.Sprintf("r-%d-%d", epoch, b.leadership.launchRequests), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: n}
+	b.leadership.launching[o] = n
 	started := b.now
-	b.cloudCall(func() {
-		names, err := b.cl.Launch(b.ctx, req)
+	b.queueCloudCall(func() {
+		names, err := b.cloudClient.Launch(b.ctx, req)
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) && !errors.Is(err, cloud.ErrRefused) {
-			names, err = b.cl.Launch(b.ctx, req) // unanswered: the same name rents nothing twice
+			names, err = b.cloudClient.Launch(b.ctx, req) // unanswered: the same name rents nothing twice
 		}
-		b.post(laneWorkers, func() {
+		b.enqueue(priorityWorkers, func() {
 			if b.leadership.epoch != epoch {
 				return
 			}
-			delete(b.leadership.renting, o)
+			delete(b.leadership.launching, o)
 			if err == nil {
 				for _, name := range names {
-					if b.leadership.rented[name] == nil {
-						b.leadership.rented[name] = &rented{typ: o.Type, zone: o.Zone, spot: o.Spot, since: started}
+					if b.leadership.instances[name] == nil {
+						b.leadership.instances[name] = &instance{machineType: o.Type, zone: o.Zone, spot: o.Spot, launchedAt: started}
 					}
 				}
 				b.log.Info("machines rented", "type", o.Type, "zone", o.Zone, "spot", o.Spot, "asked", n, "got", len(names))
@@ -52,16 +52,16 @@
 			if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 				d = 3 * time.Second
 			}
-			b.leadership.backoff[o], b.leadership.refused[o] = d, b.now.Add(d)
+			b.leadership.backoff[o], b.leadership.refusedUntil[o] = d, b.now.Add(d)
 			b.log.Debug("rental not filled", "type", o.Type, "zone", o.Zone, "spot", o.Spot, "asked", n, "err", err)
 		})
 	})
 }
 
 // cloudCall queues a call to the cloud; false if too many wait.
-func (b *brain) cloudCall(f func()) bool {
+func (b *controller) queueCloudCall(f func()) bool {
 	select {
-	case b.cloudQ <- f:
+	case b.cloudCalls <- f:
 		return true
 	default:
 		return false
@@ -73,41 +73,41 @@
 // is on its way at a time, and the next takes all that have come up meanwhile:
 // the cloud allows few calls, and a call for each machine had the last of forty
 // dead ones wait for twenty seconds.
-func (b *brain) release(names []string) {
+func (b *controller) terminateInstances(names []string) {
 	for _, n := range names {
-		if !b.leaving[n] {
-			b.leaving[n] = true
-			b.toRelease = append(b.toRelease, n)
+		if !b.terminating[n] {
+			b.terminating[n] = true
+			b.toTerminate = append(b.toTerminate, n)
 		}
 	}
-	if b.releasing || len(b.toRelease) == 0 {
+	if b.terminateInFlight || len(b.toTerminate) == 0 {
 		return
 	}
-	batch := b.toRelease[:min(len(b.toRelease), cloud.MaxTerminate)]
-	b.toRelease = b.toRelease[len(batch):]
-	b.releasing = b.cloudCall(func() {
-		err := b.cl.Terminate(b.ctx, batch)
-		b.post(laneWorkers, func() {
-			b.releasing = false
+	batch := b.toTerminate[:min(len(b.toTerminate), cloud.MaxTerminate)]
+	b.toTerminate = b.toTerminate[len(batch):]
+	b.terminateInFlight = b.queueCloudCall(func() {
+		err := b.cloudClient.Terminate(b.ctx, batch)
+		b.enqueue(priorityWorkers, func() {
+			b.terminateInFlight = false
 			if err != nil {
 				b.log.Debug("release failed", "machines", len(batch), "err", err)
-				b.stay(batch)
+				b.cancelTermination(batch)
 			} else {
 				b.log.Info("machines released", "machines", batch)
-				b.markGone(batch)
+				b.storeTombstones(batch)
 			}
-			b.release(nil)
+			b.terminateInstances(nil)
 		})
 	})
-	if !b.releasing {
-		b.stay(batch)
+	if !b.terminateInFlight {
+		b.cancelTermination(batch)
 	}
 }
 
 // stay forgets that machines were to be released: if need be they are again.
-func (b *brain) stay(names []string) {
+func (b *controller) cancelTermination(names []string) {
 	for _, n := range names {
-		delete(b.leaving, n)
+		delete(b.terminating, n)
 	}
 }
 
@@ -115,7 +115,7 @@
 // the machine's part. All of a release share a marker: with one for each, some
 // hundred machines that die together took up what the state service allows while
 // their tasks waited for it.
-func (b *brain) markGone(names []string) {
+func (b *controller) storeTombstones(names []string) {
 	type batch struct {
 		names []string
 		size  int
@@ -126,25 +126,25 @@
 		delete(batches, right)
 		key := tombstonePrefix + names[0]
 		b.submitWrite(&store.Write{Early: true, Conditions: []wire.Condition{right, {Key: key}}, Changes: []wire.Change{{Put: key, Value: record.JSON(names)}}},
-			func(error) { b.stay(names) })
+			func(error) { b.cancelTermination(names) })
 	}
 	most := int(b.cfg.Settings.State.ValueKB*1024) / 2
 	for _, n := range names {
-		r, m := b.leadership.rented[n], b.machine(n)
-		delete(b.leadership.rented, n)
-		delete(b.leadership.idle, n)
-		delete(b.leadership.closing, n)
-		if r != nil && !r.up && len(m.bound) == 0 {
-			m.gone = true // it never was: nobody needs to know
-			delete(b.leaving, n)
+		r, m := b.leadership.instances[n], b.machineNamed(n)
+		delete(b.leadership.instances, n)
+		delete(b.leadership.idleSince, n)
+		delete(b.leadership.draining, n)
+		if r != nil && !r.reported && len(m.bindings) == 0 {
+			m.terminated = true // it never was: nobody needs to know
+			delete(b.terminating, n)
 			continue
 		}
 		right := b.leaderCondition()
-		if p := b.partitions[m.home]; !b.leadership.active && p.token != 0 {
+		if p := b.partitions[m.partition]; !b.leadership.active && p.token != 0 {
 			right = wire.Condition{Key: p.key, Revision: p.token}
 		}
 		if right.Revision == 0 {
-			b.stay([]string{n}) // whoever has the right by now asks again
+			b.cancelTermination([]string{n}) // whoever has the right by now asks again
 			continue
 		}
 		x := batches[right]
@@ -165,7 +165,7 @@
 // releaseSilent has an owner that hears nothing of the leader return its silent
 // machines itself. The leader could not know of them, and their tasks would wait
 // for the whole lease.
-func (b *brain) releaseSilent() {
+func (b *controller) terminateUnreachable() {
 	if b.leadership.active {
 		return
 	}
@@ -174,27 +174,27 @@
 	}
 	var names []string
 	for _, p := range b.partitions {
-		if !p.active || !b.isFresh(b.op.LeaseTTL) {
+		if !p.active || !b.isFresh(b.operator.LeaseTTL) {
 			continue
 		}
 		for _, m := range p.machines {
-			if len(m.bound) > 0 && b.silent(m, p) {
+			if len(m.bindings) > 0 && b.unreachable(m, p) {
 				names = append(names, m.name)
 			}
 		}
 	}
-	b.release(names)
+	b.terminateInstances(names)
 }
 
 // listShare is the share of the cloud's calls that lists may take.
-const listShare = 0.15
+const listCallShare = 0.15
 
 // tendCloud keeps the list of machines and the types current.
-func (b *brain) tendCloud() {
-	if b.now.Sub(b.leadership.typesAt) > time.Minute || len(b.machineTypes) == 0 && b.now.Sub(b.leadership.typesAt) > 2*time.Second {
+func (b *controller) syncCloud() {
+	if b.now.Sub(b.leadership.machineTypesFetchedAt) > time.Minute || len(b.machineTypes) == 0 && b.now.Sub(b.leadership.machineTypesFetchedAt) > 2*time.Second {
 		if b.isLeader() || len(b.machineTypes) == 0 && b.loaded {
-			b.leadership.typesAt = b.now
-			b.cloudCall(b.fetchTypes)
+			b.leadership.machineTypesFetchedAt = b.now
+			b.queueCloudCall(b.fetchMachineTypes)
 		}
 	}
 	if !b.isLeader() {
@@ -202,37 +202,37 @@
 	}
 	// A list of many machines is many calls, which must not crowd out rentals.
 	c := &b.cfg.Settings.Cloud
-	pages := 1 + len(b.leadership.rented)/cloud.MaxList
-	every := max(config.Seconds(c.ListLagS/2), 2*time.Second, config.Seconds(float64(pages)/(listShare*c.RPS)))
-	if !b.leadership.listBusy && b.now.Sub(b.leadership.listAt) > every {
-		b.leadership.listBusy, b.leadership.listAt = true, b.now
+	pages := 1 + len(b.leadership.instances)/cloud.MaxList
+	every := max(config.Seconds(c.ListLagS/2), 2*time.Second, config.Seconds(float64(pages)/(listCallShare*c.RPS)))
+	if !b.leadership.listInFlight && b.now.Sub(b.leadership.listedAt) > every {
+		b.leadership.listInFlight, b.leadership.listedAt = true, b.now
 		epoch := b.leadership.epoch
-		if !b.cloudCall(func() {
-			list, err := b.cl.List(b.ctx)
-			b.post(laneWorkers, func() {
+		if !b.queueCloudCall(func() {
+			list, err := b.cloudClient.List(b.ctx)
+			b.enqueue(priorityWorkers, func() {
 				if b.leadership.epoch != epoch {
 					return
 				}
-				b.leadership.listBusy = false
+				b.leadership.listInFlight = false
 				if err != nil {
 					b.log.Debug("machine list", "err", err)
 					return
 				}
-				b.takeList(list)
+				b.applyInstanceList(list)
 			})
 		}) {
-			b.leadership.listBusy = false
+			b.leadership.listInFlight = false
 		}
 	}
-	b.clearGone()
+	b.deleteTombstones()
 }
 
 // clearGone deletes markers of machines that are gone, once nothing is bound to
 // the machine any more and no list can show it. One transaction at a time: asked
 // for again at each tick until the first was stored, a hundred markers took up
 // all that the state service allows.
-func (b *brain) clearGone() {
-	if b.leadership.clearing || b.wr.Backlog() > time.Second {
+func (b *controller) deleteTombstones() {
+	if b.leadership.deletingTombstones || b.stateWriter.Backlog() > time.Second {
 		return
 	}
 	u := &store.Write{Conditions: []wire.Condition{b.leaderCondition()}}
@@ -243,7 +243,7 @@
 		}
 		bound := slices.ContainsFunc(g.names, func(n string) bool {
 			m := b.machines[n]
-			return m != nil && len(m.bound) > 0
+			return m != nil && len(m.bindings) > 0
 		})
 		if b.now.Sub(g.at) > keep && !bound {
 			u.Changes = append(u.Changes, wire.Change{Delete: key})
@@ -253,17 +253,17 @@
 		return
 	}
 	epoch := b.leadership.epoch
-	b.leadership.clearing = true
+	b.leadership.deletingTombstones = true
 	b.submitWrite(u, func(error) {
 		if b.leadership.epoch == epoch {
-			b.leadership.clearing = false
+			b.leadership.deletingTombstones = false
 		}
 	})
 }
 
-func (b *brain) fetchTypes() {
-	list, err := b.cl.MachineTypes(b.ctx)
-	b.post(laneWorkers, func() {
+func (b *controller) fetchMachineTypes() {
+	list, err := b.cloudClient.MachineTypes(b.ctx)
+	b.enqueue(priorityWorkers, func() {
 		if err != nil || len(list) == 0 {
 			b.log.Debug("machine types", "err", err)
 			return
@@ -278,7 +278,7 @@
 
 // takeList takes the cloud's list in: machines that failed are gone, ones that
 // nobody knows of are used.
-func (b *brain) takeList(list []wire.Instance) {
+func (b *controller) applyInstanceList(list []wire.Instance) {
 	b.leadership.listed = true
 	var failed []string
 	lag := config.Seconds(2 * b.cfg.Settings.Cloud.ListLagS)
@@ -286,26 +286,26 @@
 	for i := range list {
 		x := &list[i]
 		listed[x.Name] = true
-		if m := b.machines[x.Name]; m != nil && m.gone || b.leaving[x.Name] {
+		if m := b.machines[x.Name]; m != nil && m.terminated || b.terminating[x.Name] {
 			continue
 		}
 		if x.State == wire.InstanceFailed {
 			failed = append(failed, x.Name)
 			continue
 		}
-		r := b.leadership.rented[x.Name]
+		r := b.leadership.instances[x.Name]
 		if r == nil {
-			r = &rented{typ: x.Type, zone: x.Zone, spot: x.Spot, since: b.now.Add(-config.Seconds(x.AgeS))}
-			b.leadership.rented[x.Name] = r
+			r = &instance{machineType: x.Type, zone: x.Zone, spot: x.Spot, launchedAt: b.now.Add(-config.Seconds(x.AgeS))}
+			b.leadership.instances[x.Name] = r
 		}
 		r.listed = true
 	}
-	for name, r := range b.leadership.rented {
+	for name, r := range b.leadership.instances {
 		// One that was listed and is no more has been taken; one that never was
 		// after twice the lag does not exist.
-		if !listed[name] && (r.listed || b.now.Sub(r.since) > lag+10*time.Second) && !r.up {
-			delete(b.leadership.rented, name)
+		if !listed[name] && (r.listed || b.now.Sub(r.launchedAt) > lag+10*time.Second) && !r.reported {
+			delete(b.leadership.instances, name)
 		}
 	}
-	b.release(failed)
+	b.terminateInstances(failed)
 }
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -21,7 +21,7 @@
 // reset takes a whole reading in: pages read at different revisions, and the
 // changes since the first. Only both together are a state that ever was; a count
 // of done tasks that moved between two pages would else be seen twice.
-func (b *brain) resetReplica(items []wire.Item, rev uint64, since *wire.WatchResponse) {
+func (b *controller) resetReplica(items []wire.Item, rev uint64, since *wire.WatchResponse) {
 	seen := make(map[string]bool, len(items))
 	for i := range items {
 		seen[items[i].Key] = true
@@ -40,8 +40,8 @@
 	b.loaded = true
 }
 
-func (b *brain) applyEvents(ev *wire.WatchResponse) {
-	defer b.metrics.spend(dReplica, time.Now())
+func (b *controller) applyEvents(ev *wire.WatchResponse) {
+	defer b.metrics.addBusyTime(activityReplica, time.Now())
 	if ev.Revision <= b.cursor {
 		return
 	}
@@ -61,7 +61,7 @@
 }
 
 // applied takes the changes of a successful transaction of ours into the replica.
-func (b *brain) applyWrite(u *store.Write, rev uint64) {
+func (b *controller) applyWrite(u *store.Write, rev uint64) {
 	for _, c := range u.Changes {
 		if c.Delete != "" {
 			b.deleteRecord(c.Delete, rev)
@@ -71,7 +71,7 @@
 	}
 }
 
-func (b *brain) putRecord(key string, raw json.RawMessage, stamp uint64) {
+func (b *controller) putRecord(key string, raw json.RawMessage, stamp uint64) {
 	if b.revisions[key] >= stamp || b.deletedRevisions[key] >= stamp {
 		return
 	}
@@ -82,13 +82,13 @@
 	}
 	b.revisions[key] = stamp
 	if err := b.decodeRecord(key, raw, stamp); err != nil {
-		b.undecodable(key, err)
+		b.noteUndecodable(key, err)
 	}
 }
 
 // putValue takes a stored value in by the kind of its key. An error means that the value
 // can't be read.
-func (b *brain) decodeRecord(key string, raw json.RawMessage, stamp uint64) error {
+func (b *controller) decodeRecord(key string, raw json.RawMessage, stamp uint64) error {
 	switch {
 	case strings.HasPrefix(key, groupPrefix):
 		v, form, err := record.DecodeTaskGroup(key, raw)
@@ -131,7 +131,7 @@
 	return nil
 }
 
-func (b *brain) putJobValue(key string, raw json.RawMessage, stamp uint64) error {
+func (b *controller) putJobValue(key string, raw json.RawMessage, stamp uint64) error {
 	var v record.Job
 	if err := wire.Decode(raw, &v); err != nil {
 		return err
@@ -148,13 +148,13 @@
 
 // undecodable names a record that this version can't read. Nothing is guessed:
 // its job is neither dealt nor ended, and its user is told to come back.
-func (b *brain) undecodable(key string, err error) {
+func (b *controller) noteUndecodable(key string, err error) {
 	b.log.Error("stored record can't be decoded; it is left alone", "key", key, "err", err)
-	b.metrics.count(cUndecodable, 1)
+	b.metrics.count(countUndecodable, 1)
 	id, ok := strings.CutPrefix(key, jobPrefix)
 	if strings.HasPrefix(key, groupPrefix) {
 		id, _, ok = splitGroupKey(key)
-		b.levels.unreadable[key] = true
+		b.rollout.unreadable[key] = true
 	}
 	if !ok {
 		return
@@ -172,7 +172,7 @@
 // bad tells whether a record of the job can't be decoded.
 func (j *job) hasUnreadableRecords() bool { return len(j.unreadable) > 0 }
 
-func (b *brain) deleteRecord(key string, stamp uint64) {
+func (b *controller) deleteRecord(key string, stamp uint64) {
 	if b.revisions[key] > stamp {
 		return
 	}
@@ -185,10 +185,10 @@
 	delete(b.revisions, key)
 	switch {
 	case strings.HasPrefix(key, groupPrefix):
-		b.groupReadable(key)
+		b.markGroupReadable(key)
 		if r := b.groupByKey[key]; r != nil {
-			b.levels.forms[r.encoding]--
-			b.releaseClaims(r, nil)
+			b.rollout.groupsByEncoding[r.encoding]--
+			b.releaseCells(r, nil)
 			b.unlinkBindings(r)
 			b.moveToPartition(r, -1)
 			r.job.groups = slices.DeleteFunc(r.job.groups, func(x *taskGroup) bool { return x == r })
@@ -203,16 +203,16 @@
 	case strings.HasPrefix(key, loanPrefix):
 		b.deleteLoan(strings.TrimPrefix(key, loanPrefix))
 	case key == rollout.StateKey:
-		b.setLevel(rollout.Initial, 0, nil)
+		b.setRolloutState(rollout.Initial, 0, nil)
 	case strings.HasPrefix(key, rollout.ControllerPrefix):
-		delete(b.levels.controllers, strings.TrimPrefix(key, rollout.ControllerPrefix))
+		delete(b.rollout.controllers, strings.TrimPrefix(key, rollout.ControllerPrefix))
 	default:
 		delete(b.holders, key)
 		b.observeVacancy(key)
 	}
 }
 
-func (b *brain) job(id string) *job {
+func (b *controller) job(id string) *job {
 	j := b.jobs[id]
 	if j == nil {
 		if j = b.lookupJob(id); j == nil {
@@ -226,7 +226,7 @@
 
 // takeUp puts a job among those that the leader goes through. Jobs are remembered
 // for ever: a step must not cost more for each that has ever been.
-func (b *brain) restoreJob(j *job) {
+func (b *controller) restoreJob(j *job) {
 	if !j.inUnfinished {
 		j.inUnfinished = true
 		b.unfinished = append(b.unfinished, j)
@@ -238,7 +238,7 @@
 // of it is left is known only once all changes before its last one are: a record that
 // was stored before a cancellation of ours may be seen after it, and its tasks count
 // for the team's limit.
-func (b *brain) archiveFinished() {
+func (b *controller) archiveFinished() {
 	b.unfinished = slices.DeleteFunc(b.unfinished, func(j *job) bool {
 		if j.finalState == unfinishedJob || len(j.groups) > 0 || j.revision > b.cursor || j.hasUnreadableRecords() {
 			return false
@@ -251,7 +251,7 @@
 	})
 }
 
-func (b *brain) putJob(id string, v *record.Job, stamp uint64) {
+func (b *controller) putJob(id string, v *record.Job, stamp uint64) {
 	j := b.job(id)
 	if j.revision != 0 && j.finalState != v.FinalState {
 		b.log.Info("job is over", "job", id, "fate", finalStateNames[v.FinalState])
@@ -271,25 +271,25 @@
 			if before == unfinishedJob {
 				r.cancelWrite() // it has the former version of the job among its conditions
 			}
-			b.cancelClaims(r, !r.writing)
+			b.cancelReservations(r, !r.writing)
 			for i := range r.bindings {
 				if m := r.bindings[i].machine; m != nil {
-					b.kick(m)
+					b.sendCommandsNow(m)
 				}
 			}
 		}
 	}
-	b.step()
+	b.requestPass()
 }
 
 // retire drops what a final job needs no more; its fate is kept for ever.
-func (b *brain) releaseJobDetails(j *job) {
+func (b *controller) releaseJobDetails(j *job) {
 	if j.finalState != unfinishedJob && len(j.groups) == 0 && j.revision <= b.cursor {
 		j.spec, j.groups, j.groupOfTask = nil, nil, nil
 	}
 }
 
-func (b *brain) team(name string) int32 {
+func (b *controller) team(name string) int32 {
 	t, ok := b.teamIndex[name]
 	if !ok {
 		t = int32(len(b.teamIndex))
@@ -298,27 +298,27 @@
 	return t
 }
 
-func (b *brain) putMachineTypes(list []wire.MachineType) {
+func (b *controller) putMachineTypes(list []wire.MachineType) {
 	b.machineTypes = map[string]*wire.MachineType{}
 	for i := range list {
 		b.machineTypes[list[i].Name] = &list[i]
 	}
 	for _, m := range b.machines {
-		b.sizeMachine(m)
+		b.setMachineSize(m)
 	}
-	b.step()
+	b.requestPass()
 }
 
-func (b *brain) putTombstone(key string, names []string) {
+func (b *controller) putTombstone(key string, names []string) {
 	b.tombstones[key] = tombstone{names, b.now}
 	for _, name := range names {
 		b.terminated[name] = true
 		if m := b.machines[name]; m != nil {
-			m.gone = true
-			b.endAll(m, "machine is gone")
+			m.terminated = true
+			b.endAllAttempts(m, "machine is gone")
 		}
 	}
-	b.step()
+	b.requestPass()
 }
 
 // splitGroupKey takes a group record's key apart.
@@ -336,8 +336,8 @@
 }
 
 // groupReadable notes that a group's record can be decoded, or is gone.
-func (b *brain) groupReadable(key string) {
-	delete(b.levels.unreadable, key)
+func (b *controller) markGroupReadable(key string) {
+	delete(b.rollout.unreadable, key)
 	if id, _, ok := splitGroupKey(key); ok {
 		if j := b.jobs[id]; j != nil {
 			j.markReadable(key)
@@ -346,7 +346,7 @@
 }
 
 // newRec begins a record that has not been seen before.
-func (b *brain) newGroup(key, id string, k int) *taskGroup {
+func (b *controller) newGroup(key, id string, k int) *taskGroup {
 	j := b.job(id)
 	r := &taskGroup{key: key, index: int32(len(b.groups)), number: k, job: j, inPartitionSince: b.now, partition: -1}
 	b.groups = append(b.groups, r)
@@ -360,19 +360,19 @@
 }
 
 // putEntries takes a record's tasks in, with the machines that they are bound to.
-func (b *brain) putBindings(r *taskGroup, tasks []record.Binding) {
+func (b *controller) putBindings(r *taskGroup, tasks []record.Binding) {
 	entries := make([]binding, 0, len(tasks))
 	placed := 0
 	for _, x := range tasks {
 		e := binding{task: x.Task, attempt: x.Attempt, incarnation: x.Incarnation}
 		if x.Machine != "" {
-			e.machine = b.machine(x.Machine)
-			if e.machine.home == b.loanPartition() && !r.binds(x.Task, x.Attempt, e.machine) {
-				e.machine.usedAt = b.now
+			e.machine = b.machineNamed(x.Machine)
+			if e.machine.partition == b.loanPartition() && !r.binds(x.Task, x.Attempt, e.machine) {
+				e.machine.lastBoundAt = b.now
 			}
-			e.machine.bound.add(r.task(x.Task), r)
+			e.machine.bindings.add(r.task(x.Task), r)
 			e.machine.introduce(x.Addr, x.Incarnation)
-			b.enlist(e.machine) // one that is gone may have been forgotten
+			b.addToPartition(e.machine) // one that is gone may have been forgotten
 			placed++
 		}
 		entries = append(entries, e)
@@ -382,7 +382,7 @@
 }
 
 // putGroup takes a placement record in.
-func (b *brain) putGroup(key string, v *record.TaskGroup, as storedValue) error {
+func (b *controller) putGroup(key string, v *record.TaskGroup, as storedValue) error {
 	id, k, ok := splitGroupKey(key)
 	if !ok {
 		b.log.Error("stored key is malformed; it is left alone", "key", key)
@@ -391,19 +391,19 @@
 	if v.Partition < 0 || v.Partition >= len(b.partitions) {
 		return fmt.Errorf("part %d does not exist", v.Partition)
 	}
-	b.groupReadable(key)
+	b.markGroupReadable(key)
 	r := b.groupByKey[key]
 	if r == nil {
 		r = b.newGroup(key, id, k)
 	} else {
-		b.levels.forms[r.encoding]--
+		b.rollout.groupsByEncoding[r.encoding]--
 	}
-	b.levels.forms[as.encoding]++
+	b.rollout.groupsByEncoding[as.encoding]++
 	if r.partition != v.Partition || r.zone != v.Zone {
 		if r.partition >= 0 {
 			// A binding of ours that is being stored fails, or came before. What waits
 			// for cells in another zone must not get them there.
-			b.cancelClaims(r, true)
+			b.cancelReservations(r, true)
 		}
 		r.inPartitionSince = b.now
 	}
@@ -412,25 +412,25 @@
 		for _, x := range v.Tasks {
 			kept[x.Task] = true
 		}
-		b.releaseClaims(r, kept)
+		b.releaseCells(r, kept)
 	}
 	b.unlinkBindings(r)
 	b.moveToPartition(r, v.Partition)
 	r.size, r.encoding = as.size, as.encoding
 	r.revision, r.partition, r.zone, r.guaranteed, r.done, r.throttle = as.revision, v.Partition, v.Zone, v.Guaranteed, v.Done, v.Throttle
 	b.putBindings(r, v.Tasks)
-	b.adopt(r)
+	b.adoptBindings(r)
 	for i := range r.bindings {
 		if m := r.bindings[i].machine; m != nil && r.exceedsThrottle(r.bindings[i].task) {
-			b.kick(m)
+			b.sendCommandsNow(m)
 		}
 	}
-	b.step()
+	b.requestPass()
 	return nil
 }
 
 // records goes through all records there are.
-func (b *brain) allGroups() iter.Seq[*taskGroup] {
+func (b *controller) allGroups() iter.Seq[*taskGroup] {
 	return func(yield func(*taskGroup) bool) {
 		for _, p := range b.partitions {
 			for _, r := range p.groups {
@@ -443,7 +443,7 @@
 }
 
 // file moves a record to another part's list; -1: to none.
-func (b *brain) moveToPartition(r *taskGroup, part int) {
+func (b *controller) moveToPartition(r *taskGroup, part int) {
 	if r.listPosition > 0 && r.partition == part {
 		return
 	}
@@ -460,14 +460,14 @@
 	}
 }
 
-func (b *brain) unlinkBindings(r *taskGroup) {
+func (b *controller) unlinkBindings(r *taskGroup) {
 	for i := range r.bindings {
 		e := &r.bindings[i]
 		if e.machine != nil {
-			e.machine.bound.remove(r.task(e.task))
+			e.machine.bindings.remove(r.task(e.task))
 			// Of a machine that is in another part than the record, as one that was lent
 			// and died: adopted there, the cell would stay taken for good.
-			if p := b.partitions[e.machine.home]; e.machine.home != r.partition && p.token != 0 {
+			if p := b.partitions[e.machine.partition]; e.machine.partition != r.partition && p.token != 0 {
 				b.freeCell(p, r.task(e.task))
 			}
 		}
--- a/internal/controller/rights.go
+++ b/internal/controller/rights.go
@@ -18,23 +18,23 @@
 const stepDownBackoff = 15 * time.Second
 
 // preferred is the node that a part should be with, so that parts spread evenly.
-func (b *brain) preferredOwner(n int) string {
+func (b *controller) preferredOwner(n int) string {
 	names := b.cfg.Nodes()
 	return names[n%len(names)]
 }
 
-func (b *brain) peerEligible(name string) bool {
+func (b *controller) peerEligible(name string) bool {
 	s := b.peers[name]
 	return s != nil && s.status != nil && s.status.Eligible && b.now.Sub(s.heardAt) < 2500*time.Millisecond
 }
 
 // able tells whether this controller should hold rights.
-func (b *brain) eligible() bool {
-	return b.isFresh(b.op.LeaseTTL) && !b.now.Before(b.backoffUntil) && b.levels.refusal == nil
+func (b *controller) eligible() bool {
+	return b.isFresh(b.operator.LeaseTTL) && !b.now.Before(b.backoffUntil) && b.rollout.refusal == nil
 }
 
 // tendRights takes vacant rights and hands parts back to their preferred node.
-func (b *brain) campaign() {
+func (b *controller) campaign() {
 	if !b.eligible() {
 		return
 	}
@@ -68,7 +68,7 @@
 // heard no worker, and another, and their tasks were never proven gone.
 func (p *partition) allMachinesHeard() bool {
 	for _, m := range p.machines {
-		if len(m.bound) > 0 && !m.heard.After(p.ownedSince) {
+		if len(m.bindings) > 0 && !m.heartbeatAt.After(p.ownedSince) {
 			return false
 		}
 	}
@@ -77,7 +77,7 @@
 
 // tryTake takes a right that is vacant since wait, or that our own former
 // process holds: that one is surely dead.
-func (b *brain) tryAcquire(key string, wait time.Duration) {
+func (b *controller) tryAcquire(key string, wait time.Duration) {
 	r := b.leasedKeys[key]
 	if r.pending || r.token != 0 || b.now.Before(r.backoffUntil) {
 		return
@@ -101,28 +101,28 @@
 }
 
 // holderValue is what this process stores at the key of a right that it holds.
-func (b *brain) holderValue() json.RawMessage {
+func (b *controller) holderValue() json.RawMessage {
 	return record.JSON(record.LeaseHolder{Node: b.cfg.Name, ProcessID: b.processID})
 }
 
-func (b *brain) acquire(r *leasedKey, key string, expect uint64) {
-	lease, err := b.st.GrantLease(b.ctx, b.op.LeaseTTL)
+func (b *controller) acquire(r *leasedKey, key string, expect uint64) {
+	lease, err := b.stateClient.GrantLease(b.ctx, b.operator.LeaseTTL)
 	var ans *wire.TxnResponse
 	if err == nil {
-		ans, err = b.st.Txn(b.ctx, &wire.Txn{
+		ans, err = b.stateClient.Txn(b.ctx, &wire.Txn{
 			If:   []wire.Condition{{Key: key, Revision: expect}},
 			Then: []wire.Change{{Put: key, Value: b.holderValue(), Lease: lease}},
 		})
 		if err != nil {
 			// Perhaps it was applied: ending the lease takes the key along, and
 			// a late write under it is refused.
-			_ = b.st.RevokeLease(b.ctx, lease)
+			_ = b.stateClient.RevokeLease(b.ctx, lease)
 		}
 	}
-	b.post(laneState, func() {
+	b.enqueue(priorityState, func() {
 		r.pending = false
 		if b.leasedKeys[key] != r { // rights have other keys meanwhile
-			go func() { _ = b.st.RevokeLease(b.ctx, lease) }()
+			go func() { _ = b.stateClient.RevokeLease(b.ctx, lease) }()
 			return
 		}
 		if err != nil {
@@ -143,8 +143,8 @@
 // keep renews the lease of a right until it is lost. An actor that is slow keeps its
 // rights, since a sibling would hardly be faster and a change of hands costs both;
 // one that has not come round for a whole right-ttl can't serve, and lets them go.
-func (b *brain) keepAlive(r *leasedKey, key string, lease uint64) {
-	t := time.NewTicker(b.op.LeaseTTL / 4)
+func (b *controller) keepAlive(r *leasedKey, key string, lease uint64) {
+	t := time.NewTicker(b.operator.LeaseTTL / 4)
 	defer t.Stop()
 	over := make(chan bool, 1)
 	asked := time.Time{} // since when the actor's answer is awaited; zero: it is not
@@ -160,16 +160,16 @@
 			continue
 		case <-t.C:
 		}
-		if !asked.IsZero() && time.Since(asked) > b.op.LeaseTTL {
+		if !asked.IsZero() && time.Since(asked) > b.operator.LeaseTTL {
 			continue // not renewed before the actor is back
 		}
-		err := b.st.RenewLease(b.ctx, lease)
+		err := b.stateClient.RenewLease(b.ctx, lease)
 		ended := errors.Is(err, store.ErrLeaseExpired)
 		if !asked.IsZero() && !ended {
 			continue
 		}
 		asked = time.Now()
-		go b.post(laneState, func() {
+		go b.enqueue(priorityState, func() {
 			if r.lease == lease && ended {
 				b.onLost(key, "lease ended")
 			}
@@ -182,13 +182,13 @@
 }
 
 // rightSeen is told what the replica shows of a leased key.
-func (b *brain) observeHolder(key string, h record.LeaseHolder, stamp uint64) {
+func (b *controller) observeHolder(key string, h record.LeaseHolder, stamp uint64) {
 	if r := b.leasedKeys[key]; r != nil && r.token != 0 && stamp > r.token && h.ProcessID != b.processID {
 		b.onLost(key, "taken by "+h.Node)
 	}
 }
 
-func (b *brain) observeVacancy(key string) {
+func (b *controller) observeVacancy(key string) {
 	r := b.leasedKeys[key]
 	if r == nil {
 		return
@@ -199,7 +199,7 @@
 	r.vacantSince = b.now
 }
 
-func (b *brain) onAcquired(key string, stamp uint64) {
+func (b *controller) onAcquired(key string, stamp uint64) {
 	b.log.Info("right taken", "key", key, "term", stamp)
 	if key == b.leaderKey() {
 		b.becomeLeader(stamp)
@@ -211,7 +211,7 @@
 	}
 }
 
-func (b *brain) onLost(key, why string) {
+func (b *controller) onLost(key, why string) {
 	r := b.leasedKeys[key]
 	if r.token == 0 {
 		return
@@ -231,7 +231,7 @@
 }
 
 // yield gives a right back at once.
-func (b *brain) resign(key string) {
+func (b *controller) resign(key string) {
 	r := b.leasedKeys[key]
 	if r.token == 0 {
 		return
@@ -239,12 +239,12 @@
 	lease := r.lease
 	b.onLost(key, "given back")
 	r.backoffUntil = b.now.Add(2 * time.Second)
-	go func() { _ = b.st.RevokeLease(b.ctx, lease) }()
+	go func() { _ = b.stateClient.RevokeLease(b.ctx, lease) }()
 }
 
 // partGained takes a part over: the replica is read once more, so that it has
 // all that former owners stored, then the cells are rebuilt from it.
-func (b *brain) takeOverPartition(p *partition, stamp uint64) {
+func (b *controller) takeOverPartition(p *partition, stamp uint64) {
 	p.token, p.firstToken, p.ownedSince, p.active = stamp, stamp, b.now, false
 	p.cells, p.reservations = core.NewPartition(), map[core.Task]reservation{}
 	// A former owner's last read may have begun just before its key went; it
@@ -255,18 +255,18 @@
 	b.readThen(func() { b.activatePartition(p, stamp) })
 }
 
-func (b *brain) activatePartition(p *partition, stamp uint64) {
+func (b *controller) activatePartition(p *partition, stamp uint64) {
 	if p.token != stamp {
 		return
 	}
 	p.active = true
-	for t := range b.outcomes {
+	for t := range b.attemptEnds {
 		if r := b.groups[t.Group]; r == nil || r.partition == p.index {
-			delete(b.outcomes, t)
+			delete(b.attemptEnds, t)
 		}
 	}
 	for r := range b.allGroups() {
-		b.adopt(r)
+		b.adoptBindings(r)
 	}
 	// Machines that know us from before, or that siblings know, hear the new
 	// token at once, so that they turn to us.
@@ -275,24 +275,24 @@
 			continue
 		}
 		for _, x := range s.status.Machines {
-			m := b.machine(x.Name)
-			if m.typ == "" {
-				m.typ, m.zone, m.spot = x.Type, x.Zone, x.Flags&mesh.Spot != 0
+			m := b.machineNamed(x.Name)
+			if m.machineType == "" {
+				m.machineType, m.zone, m.spot = x.Type, x.Zone, x.Flags&mesh.Spot != 0
 			}
 			m.introduce(x.Addr, x.Incarnation)
 		}
 	}
 	for _, m := range p.machines {
-		if !m.gone {
-			m.doRest = time.Time{}
+		if !m.terminated {
+			m.directBackoffUntil = time.Time{}
 			b.ping(m, p)
 		}
 	}
-	b.step()
+	b.requestPass()
 }
 
 // readThen runs f after a successful read of the replica that begins now.
-func (b *brain) readThen(f func()) {
+func (b *controller) readThen(f func()) {
 	b.afterRead(func(err error) {
 		if err != nil {
 			b.readThen(f)
@@ -304,7 +304,7 @@
 
 // raiseTerm rewrites a part's key: a higher token, which fences commands that
 // may still be under way.
-func (b *brain) raiseToken(p *partition) {
+func (b *controller) raiseToken(p *partition) {
 	key := p.key
 	r := b.leasedKeys[key]
 	if r.pending || r.token == 0 || b.now.Sub(p.tokenRaisedAt) < 4*time.Second {
@@ -340,7 +340,7 @@
 	}
 }
 
-func (b *brain) onTokenRaised(p *partition, r *leasedKey, stamp uint64) {
+func (b *controller) onTokenRaised(p *partition, r *leasedKey, stamp uint64) {
 	if h := b.holders[p.key]; h.ProcessID != b.processID {
 		return
 	}
@@ -351,7 +351,7 @@
 	}
 	b.log.Info("term raised", "part", p.index, "term", stamp)
 	for _, m := range p.machines {
-		if !m.gone {
+		if !m.terminated {
 			b.ping(m, p)
 		}
 	}
@@ -359,7 +359,7 @@
 
 // watchHearing gives the rights up when no worker reaches this controller: the
 // siblings may well be reachable.
-func (b *brain) stepDownIfUnheard() {
+func (b *controller) stepDownIfUnheard() {
 	report := config.Seconds(b.cfg.Settings.Workers.ReportS)
 	window := 2*report + 6*time.Second
 	known, heard, young := 0, false, false
@@ -371,7 +371,7 @@
 		window = min(window, max(20*report/time.Duration(n), report/2+2*time.Second))
 	}
 	// What came while this process stood still waits in its sockets.
-	if b.now.Sub(b.wokeAt) < window {
+	if b.now.Sub(b.resumedFromPauseAt) < window {
 		return
 	}
 	for _, p := range b.partitions {
@@ -380,13 +380,13 @@
 		}
 		young = young || b.now.Sub(p.ownedSince) < window
 		for _, m := range p.machines {
-			if m.gone {
+			if m.terminated {
 				continue
 			}
-			if len(m.bound) > 0 || !m.heard.IsZero() && b.now.Sub(m.heard) < time.Minute {
+			if len(m.bindings) > 0 || !m.heartbeatAt.IsZero() && b.now.Sub(m.heartbeatAt) < time.Minute {
 				known++
 			}
-			heard = heard || m.heard.After(p.ownedSince) && b.now.Sub(m.heard) < window
+			heard = heard || m.heartbeatAt.After(p.ownedSince) && b.now.Sub(m.heartbeatAt) < window
 		}
 	}
 	if known >= 2 && !heard && !young && b.peersMayBeHeard() {
@@ -404,7 +404,7 @@
 // has machines that report to it, or that is not known. Where all machines have died
 // everybody hears none, and rights that go round for ever have nobody wait for the
 // leases to end, so then each gives them up once in that time.
-func (b *brain) peersMayBeHeard() bool {
+func (b *controller) peersMayBeHeard() bool {
 	known := len(b.peers) > 0
 	for _, s := range b.peers {
 		if s.status == nil || b.now.Sub(s.heardAt) > 4*time.Second {
@@ -417,13 +417,13 @@
 			}
 		}
 	}
-	return !known && (b.steppedDownAt.IsZero() || b.reportAt.After(b.steppedDownAt) || b.now.Sub(b.steppedDownAt) > 2*(b.maxStaleness+b.leaseExpiry))
+	return !known && (b.steppedDownAt.IsZero() || b.lastHeartbeatAt.After(b.steppedDownAt) || b.now.Sub(b.steppedDownAt) > 2*(b.maxStaleness+b.leaseExpiry))
 }
 
 // watchFollowers gives the lead up when neither workers nor other owners reach
 // this controller. Siblings alone don't count: where connections between all
 // controllers are refused, the lead would be passed round for nothing.
-func (b *brain) stepDownIfIsolatedLeader() {
+func (b *controller) stepDownIfIsolatedLeader() {
 	if b.leasedKeys[b.leaderKey()].token == 0 || b.now.Sub(b.leadership.since) < 8*time.Second || !b.peersSilent(6*time.Second) || b.reportingMachines() > 0 {
 		return
 	}
@@ -438,14 +438,14 @@
 }
 
 // reporting is how many machines of ours have reported of late.
-func (b *brain) reportingMachines() int {
+func (b *controller) reportingMachines() int {
 	n := 0
 	for _, p := range b.partitions {
 		if p.token == 0 {
 			continue
 		}
 		for _, m := range p.machines {
-			if !m.gone && b.now.Sub(m.heard) < time.Minute {
+			if !m.terminated && b.now.Sub(m.heartbeatAt) < time.Minute {
 				n++
 			}
 		}
@@ -454,7 +454,7 @@
 }
 
 // siblingsSilent tells whether there are siblings and none was heard for d.
-func (b *brain) peersSilent(d time.Duration) bool {
+func (b *controller) peersSilent(d time.Duration) bool {
 	for _, s := range b.peers {
 		if b.now.Sub(s.heardAt) < d {
 			return false
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -24,21 +24,21 @@
 )
 
 const (
-	tick         = 100 * time.Millisecond
-	statusEvery  = 500 * time.Millisecond
-	metricsEvery = 30 * time.Second
-	fleetEvery   = 10 * time.Second
-	watchWait    = 1500 * time.Millisecond
-	cloudQueue   = 64
+	tickInterval     = 100 * time.Millisecond
+	statusInterval   = 500 * time.Millisecond
+	metricsInterval  = 30 * time.Second
+	usageLogInterval = 10 * time.Second
+	watchWait        = 1500 * time.Millisecond
+	cloudQueue       = 64
 	// stoodStill is how late a tick is when it is we who did not run.
-	stoodStill    = time.Second
-	minStepPeriod = 50 * time.Millisecond
+	pauseThreshold  = time.Second
+	minPassInterval = 50 * time.Millisecond
 	// restFactor is how many times a step's duration passes before the next.
-	restFactor = 5
+	passRestFactor = 5
 )
 
 // outside is how a controller reaches the world.
-type outside struct {
+type clients struct {
 	state, cloud, workers http.RoundTripper
 	// send hands a status frame to a sibling.
 	send func(sibling string, frame []byte)
@@ -46,31 +46,31 @@
 	jitter func(time.Duration) time.Duration
 }
 
-func newBrain(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger, out outside) *brain {
+func newController(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger, out clients) *controller {
 	s := &cfg.Settings
 	if out.jitter == nil {
 		out.jitter = rand.N[time.Duration]
 	}
 	st := store.NewClient(cfg.External.State, out.state)
-	b := &brain{
-		cfg: cfg, op: op, log: log.With("node", cfg.Name), processID: fmt.Sprintf("%016x", rand.Uint64()), ctx: ctx,
-		inbox: newInbox(), cloudQ: make(chan func(), cloudQueue),
-		st: st, wr: store.NewWriter(st, s.State.TxnOps, s.State.WriteRPS, s.Count, out.jitter),
-		cl: cloud.NewClient(cfg.External.Cloud, s.Cloud.RPS, out.cloud), fl: fleet.NewClient(out.workers), send: out.send, jitter: out.jitter,
+	b := &controller{
+		cfg: cfg, operator: op, log: log.With("node", cfg.Name), processID: fmt.Sprintf("%016x", rand.Uint64()), ctx: ctx,
+		events: newEventQueue(), cloudCalls: make(chan func(), cloudQueue),
+		stateClient: st, stateWriter: store.NewWriter(st, s.State.TxnOps, s.State.WriteRPS, s.Count, out.jitter),
+		cloudClient: cloud.NewClient(cfg.External.Cloud, s.Cloud.RPS, out.cloud), workerClient: fleet.NewClient(out.workers), send: out.send, jitter: out.jitter,
 		maxStaleness: config.MaxStaleness(s.Workers.CancelS, s.Workers.LeaseS), leaseExpiry: config.LeaseExpiry(s.Workers.CancelS, s.Workers.LeaseS),
 		revisions: map[string]uint64{}, deletedRevisions: map[string]uint64{}, jobs: map[string]*job{}, finished: map[string]uint8{}, groupByKey: map[string]*taskGroup{},
-		holders: map[string]record.LeaseHolder{}, terminated: map[string]bool{}, tombstones: map[string]tombstone{}, lends: map[string]*lend{}, teamIndex: map[string]int32{}, objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.State.ValueKB),
-		leasedKeys: newLeasedKeys(rollout.Initial.Keys(), s.Count), machines: map[string]*machine{}, peers: map[string]*peer{}, leaving: map[string]bool{},
-		outcomes: map[core.Task]outcome{}, doMost: cfg.DirectCommands(), metrics: newMetrics(), steps: 1,
+		holders: map[string]record.LeaseHolder{}, terminated: map[string]bool{}, tombstones: map[string]tombstone{}, loans: map[string]*machineLoan{}, teamIndex: map[string]int32{}, objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.State.ValueKB),
+		leasedKeys: newLeasedKeys(rollout.Initial.Keys(), s.Count), machines: map[string]*machine{}, peers: map[string]*peer{}, terminating: map[string]bool{},
+		attemptEnds: map[core.Task]attemptEnd{}, maxDirects: cfg.DirectCommands(), metrics: newMetrics(), schedulingPass: 1,
 	}
-	b.levels = newLevels(cfg, op)
+	b.rollout = newRolloutState(cfg, op)
 	b.now = time.Now()
 	b.startedAt = b.now
 	for _, t := range s.Teams {
 		b.team(t.Name)
 	}
 	for n := range s.Count {
-		b.partitions = append(b.partitions, &partition{index: n, key: b.levels.keys.Partition(n)})
+		b.partitions = append(b.partitions, &partition{index: n, key: b.rollout.keys.Partition(n)})
 	}
 	// The last one is the leader's: machines that other parts have lent.
 	b.partitions = append(b.partitions, &partition{index: s.Count, key: b.leaderKey()})
@@ -102,7 +102,7 @@
 	for _, x := range cfg.Siblings {
 		senders[x.Name] = mesh.NewSender(x.Addr)
 	}
-	b := newBrain(ctx, cfg, op, log, outside{state: state, cloud: cl, workers: fl, send: func(sibling string, frame []byte) {
+	b := newController(ctx, cfg, op, log, clients{state: state, cloud: cl, workers: fl, send: func(sibling string, frame []byte) {
 		senders[sibling].Offer(frame)
 	}})
 	b.log.Info("controller starts", "boot", b.processID, "parts", s.Count, "hold", b.maxStaleness)
@@ -111,7 +111,7 @@
 	defer cancel()
 	defer func() { state.CloseIdleConnections(); cl.CloseIdleConnections(); fl.CloseIdleConnections() }()
 	wg.Go(func() {
-		mesh.Serve(ctx, meshL, b.log, func(s *mesh.Status) { b.post(laneWorkers, func() { b.handlePeerStatus(s) }) })
+		mesh.Serve(ctx, meshL, b.log, func(s *mesh.Status) { b.enqueue(priorityWorkers, func() { b.handlePeerStatus(s) }) })
 	})
 	for _, s := range senders {
 		wg.Go(func() { s.Run(ctx) })
@@ -126,13 +126,13 @@
 }
 
 // start begins the long-lived duties.
-func (b *brain) start(wg *sync.WaitGroup) {
-	wg.Go(func() { b.wr.Run(b.ctx) })
+func (b *controller) start(wg *sync.WaitGroup) {
+	wg.Go(func() { b.stateWriter.Run(b.ctx) })
 	wg.Go(b.follow)
 	for range 2 {
-		wg.Go(b.workCloud)
+		wg.Go(b.runCloudCalls)
 	}
-	if b.op.FeatureLevels {
+	if b.operator.FeatureLevels {
 		wg.Go(b.register)
 	}
 	wg.Go(b.loop)
@@ -146,13 +146,13 @@
 // and last the leader's planning. Each decision rests for several times as long as
 // it took, so that with less processor time it is taken less often, and what comes
 // later in the order still gets a share.
-func (b *brain) loop() {
-	t := time.NewTicker(tick)
+func (b *controller) loop() {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
-	var due deadlines
-	due.metrics = time.Now().Add(metricsEvery)
+	var due schedule
+	due.metrics = time.Now().Add(metricsInterval)
 	for b.ctx.Err() == nil {
-		f, ticked := b.inbox.take(b.ctx.Done(), t.C)
+		f, ticked := b.events.take(b.ctx.Done(), t.C)
 		if ticked {
 			b.onTick(&due)
 		}
@@ -161,44 +161,44 @@
 		}
 		b.now = time.Now()
 		f()
-		b.metrics.observe(lEvent, time.Since(b.now))
-		if b.stepDue && b.now.After(due.step) && !b.inbox.pressed(laneUsers) {
-			b.takeStep(&due, time.Now())
+		b.metrics.observe(latencyEvent, time.Since(b.now))
+		if b.passDue && b.now.After(due.pass) && !b.events.hasBefore(priorityUsers) {
+			b.runPass(&due, time.Now())
 		}
 	}
 }
 
 // deadlines are when the actor's duties are next due.
-type deadlines struct{ status, metrics, lead, step time.Time }
+type schedule struct{ status, metrics, leader, pass time.Time }
 
 // takeStep has the parts decide. Steps that take long are taken less often: reports,
 // renewals and users must not wait for them.
-func (b *brain) takeStep(due *deadlines, now time.Time) {
-	b.stepDue = false
-	b.stepParts()
-	due.step = now.Add(max(minStepPeriod, restFactor*time.Since(now)))
+func (b *controller) runPass(due *schedule, now time.Time) {
+	b.passDue = false
+	b.schedulePartitions()
+	due.pass = now.Add(max(minPassInterval, passRestFactor*time.Since(now)))
 }
 
 // planPatience is how long the leader's planning waits for reports that wait.
-const planPatience = time.Second
+const maxPlanningDelay = time.Second
 
 // onTick does what is due by the time.
-func (b *brain) onTick(due *deadlines) {
+func (b *controller) onTick(due *schedule) {
 	b.now = time.Now()
 	if !b.lastTick.IsZero() {
-		b.metrics.late(b.now.Sub(b.lastTick) - tick)
-		if b.now.Sub(b.lastTick) > stoodStill {
-			b.wokeAt = b.now
+		b.metrics.noteLag(b.now.Sub(b.lastTick) - tickInterval)
+		if b.now.Sub(b.lastTick) > pauseThreshold {
+			b.resumedFromPauseAt = b.now
 		}
 		if b.lagging() {
-			b.laggedAt = b.now
+			b.lastLaggedAt = b.now
 		}
 	}
 	b.lastTick = b.now
-	if serves := b.isFresh(b.maxStaleness); serves != b.serves {
-		b.serves = serves
-		if serves && b.reportAt.After(b.startedAt) {
-			b.resumedAt = b.now
+	if serves := b.isFresh(b.maxStaleness); serves != b.acceptsHeartbeats {
+		b.acceptsHeartbeats = serves
+		if serves && b.lastHeartbeatAt.After(b.startedAt) {
+			b.heartbeatsResumedAt = b.now
 		}
 	}
 	b.updateReadiness()
@@ -206,50 +206,50 @@
 		return
 	}
 	b.campaign()
-	b.tendLevels()
+	b.advanceRollout()
 	b.stepDownIfUnheard()
 	b.stepDownIfIsolatedLeader()
-	b.tendCloud()
-	if !b.now.Before(due.step) {
-		b.takeStep(due, b.now)
+	b.syncCloud()
+	if !b.now.Before(due.pass) {
+		b.runPass(due, b.now)
 	}
-	if wait := b.now.Sub(due.lead); wait >= 0 && (wait > planPatience || !b.inbox.pressed(laneUsers)) {
+	if wait := b.now.Sub(due.leader); wait >= 0 && (wait > maxPlanningDelay || !b.events.hasBefore(priorityUsers)) {
 		begun := time.Now()
 		b.runLeader()
-		due.lead = b.now.Add(max(2*tick, restFactor*time.Since(begun)))
+		due.leader = b.now.Add(max(2*tickInterval, passRestFactor*time.Since(begun)))
 	}
 	if !b.now.Before(due.status) {
-		due.status = b.now.Add(statusEvery)
+		due.status = b.now.Add(statusInterval)
 		begun := time.Now()
-		b.probeSilent()
-		b.releaseSilent()
+		b.probeUnreachable()
+		b.terminateUnreachable()
 		b.broadcastStatus()
-		b.metrics.spend(dStatus, begun)
+		b.metrics.addBusyTime(activityStatus, begun)
 	}
 	if b.now.After(due.metrics) {
-		due.metrics = b.now.Add(metricsEvery)
+		due.metrics = b.now.Add(metricsInterval)
 		b.archiveFinished()
-		b.metrics.log(b.log, len(b.jobs)+len(b.finished), len(b.machines), b.st.Stats())
-		b.logLevels(b.log)
+		b.metrics.log(b.log, len(b.jobs)+len(b.finished), len(b.machines), b.stateClient.Stats())
+		b.logRollout(b.log)
 	}
 }
 
 // lagLimit is how late a tick is when answers to direct commands may well be here
 // and not be looked at yet.
-const lagLimit = fleet.PingTimeout / 4
+const maxLag = fleet.PingTimeout / 4
 
 // lagging tells whether this process gets so little processor time just now that it
 // can't tell who is late: others or itself.
-func (b *brain) lagging() bool {
-	return !b.lastTick.IsZero() && b.now.Sub(b.lastTick) > tick+lagLimit
+func (b *controller) lagging() bool {
+	return !b.lastTick.IsZero() && b.now.Sub(b.lastTick) > tickInterval+maxLag
 }
 
 // laggedSince tells whether it did at any time since t.
-func (b *brain) laggedSince(t time.Time) bool { return b.lagging() || b.laggedAt.After(t) }
+func (b *controller) laggedSince(t time.Time) bool { return b.lagging() || b.lastLaggedAt.After(t) }
 
 // follow keeps the replica current. While users' reads do so it stands back: both
 // would ask for, and decode, the same changes.
-func (b *brain) follow() {
+func (b *controller) follow() {
 	s := &b.cfg.Settings
 	pause := max(time.Duration(float64(time.Second)*float64(s.Count)/(s.State.RPS*0.25)), 100*time.Millisecond)
 	var cursor uint64
@@ -267,24 +267,24 @@
 		if !loaded {
 			var items []wire.Item
 			var rev uint64
-			items, rev, err = b.st.List(b.ctx, keyPrefix)
+			items, rev, err = b.stateClient.List(b.ctx, keyPrefix)
 			var ev *wire.WatchResponse
 			if err == nil {
-				ev, err = b.st.Watch(b.ctx, keyPrefix, rev, 0)
+				ev, err = b.stateClient.Watch(b.ctx, keyPrefix, rev, 0)
 			}
 			if err == nil {
 				loaded = true
-				b.ask(b.ctx, laneState, func() {
+				b.call(b.ctx, priorityState, func() {
 					b.resetReplica(items, rev, ev)
 					b.noteRead(start)
 					cursor = b.cursor
 				})
 			}
 		} else {
-			ev, werr := b.st.Watch(b.ctx, keyPrefix, cursor, watchWait)
+			ev, werr := b.stateClient.Watch(b.ctx, keyPrefix, cursor, watchWait)
 			err = werr
 			if err == nil {
-				b.ask(b.ctx, laneState, func() {
+				b.call(b.ctx, priorityState, func() {
 					b.applyEvents(ev)
 					b.noteRead(start)
 					cursor = b.cursor
@@ -305,12 +305,12 @@
 	}
 }
 
-func (b *brain) workCloud() {
+func (b *controller) runCloudCalls() {
 	for {
 		select {
 		case <-b.ctx.Done():
 			return
-		case f := <-b.cloudQ:
+		case f := <-b.cloudCalls:
 			f()
 		}
 	}
--- a/internal/controller/shortage_test.go
+++ b/internal/controller/shortage_test.go
@@ -23,7 +23,7 @@
 		wg.Go(func() {
 			time.Sleep(time.Duration(i) * (busy + free) / time.Duration(len(c.nodes)))
 			for ctx.Err() == nil {
-				b.post(laneState, func() { time.Sleep(busy) })
+				b.enqueue(priorityState, func() { time.Sleep(busy) })
 				time.Sleep(busy + free)
 			}
 		})
@@ -35,7 +35,7 @@
 func (c *cluster) owners() map[string]string {
 	out := map[string]string{}
 	b := c.nodes[0].brain
-	b.ask(c.ctx, laneState, func() {
+	b.call(c.ctx, priorityState, func() {
 		for key, h := range b.holders {
 			out[key] = h.Node
 		}
@@ -104,9 +104,9 @@
 		time.Sleep(10 * time.Second)
 		lost := c.owners()
 		stuck := 2
-		c.nodes[stuck].brain.post(laneState, func() { time.Sleep(time.Minute) })
+		c.nodes[stuck].brain.enqueue(priorityState, func() { time.Sleep(time.Minute) })
 		name := c.nodes[stuck].cfg.Name
-		time.Sleep(3*c.nodes[0].brain.op.LeaseTTL + time.Second)
+		time.Sleep(3*c.nodes[0].brain.operator.LeaseTTL + time.Second)
 		for key, node := range c.owners() {
 			if lost[key] == name && node == name {
 				t.Errorf("%s is still with a controller that does not come round", key)
@@ -130,7 +130,7 @@
 		var wg sync.WaitGroup
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				b.ask(c.ctx, laneState, func() { time.Sleep(900 * time.Millisecond) })
+				b.call(c.ctx, priorityState, func() { time.Sleep(900 * time.Millisecond) })
 				time.Sleep(time.Millisecond) // or it would be luck whether users have a turn
 			}
 		})
@@ -176,26 +176,26 @@
 
 // What comes first in the order of duties is done first, whatever came first in time.
 func TestLanesInOrder(t *testing.T) {
-	in := newInbox()
-	var got []lane
-	for _, l := range []lane{laneUsers, laneWorkers, laneState, laneUsers, laneState, laneWorkers} {
+	in := newEventQueue()
+	var got []priority
+	for _, l := range []priority{priorityUsers, priorityWorkers, priorityState, priorityUsers, priorityState, priorityWorkers} {
 		f := func() { got = append(got, l) }
-		if l == laneUsers {
-			in.putUser(f)
+		if l == priorityUsers {
+			in.putUserRequest(f)
 		} else {
 			in.put(t.Context(), l, f)
 		}
 	}
-	if !in.pressed(laneUsers) {
+	if !in.hasBefore(priorityUsers) {
 		t.Error("reports wait, and nothing is said of it")
 	}
 	for f := in.next(); f != nil; f = in.next() {
 		f()
 	}
-	if !slices.Equal(got, []lane{laneState, laneState, laneWorkers, laneWorkers, laneUsers, laneUsers}) {
+	if !slices.Equal(got, []priority{priorityState, priorityState, priorityWorkers, priorityWorkers, priorityUsers, priorityUsers}) {
 		t.Errorf("done in the order %v", got)
 	}
-	if in.pressed(lanes) {
+	if in.hasBefore(priorities) {
 		t.Error("something is left")
 	}
 }
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		bound := -1
-		if n.brain.ask(c.ctx, laneState, func() { bound = len(n.brain.machine(name).bound) }) {
+		if n.brain.call(c.ctx, priorityState, func() { bound = len(n.brain.machineNamed(name).bindings) }) {
 			return bound
 		}
 	}
@@ -37,7 +37,7 @@
 func (c *cluster) holdersOf() map[string]string {
 	out := map[string]string{}
 	b := c.nodes[0].brain
-	b.ask(c.ctx, laneState, func() {
+	b.call(c.ctx, priorityState, func() {
 		for key, h := range b.holders {
 			out[key] = fmt.Sprint(h.Node, b.revisions[key])
 		}
@@ -49,9 +49,9 @@
 func (c *cluster) dealtTo() int {
 	parts := map[int]bool{}
 	for _, n := range c.nodes {
-		n.brain.ask(c.ctx, laneState, func() {
+		n.brain.call(c.ctx, priorityState, func() {
 			if n.brain.isLeader() {
-				for _, h := range n.brain.hosts() {
+				for _, h := range n.brain.machineSummaries() {
 					parts[h.Partition] = true
 				}
 			}
@@ -114,14 +114,14 @@
 	b := lone(t)
 	p := b.partitions[0]
 	p.token, p.firstToken = 20, 20
-	m := b.machine("host-1")
+	m := b.machineNamed("host-1")
 	for _, x := range []struct {
 		token, session, seq uint64
 		up                  bool
 	}{{0, 1, 7, false}, {12, 1, 8, false}, {20, 1, 9, true}, {12, 1, 8, true}, {12, 2, 1, false}, {21, 2, 2, true}} {
 		b.now = b.now.Add(time.Second)
-		b.takeReport(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: x.session, Sequence: x.seq, Token: x.token}, p, true)
-		if b.up(m, p) != x.up {
+		b.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: x.session, Sequence: x.seq, Token: x.token}, p, true)
+		if b.usable(m, p) != x.up {
 			t.Errorf("after report %+v the machine is usable: %v", x, !x.up)
 		}
 	}
@@ -225,9 +225,9 @@
 		var lost *standin.Worker
 		for _, w := range c.world.Cloud.Workers() {
 			for _, n := range c.nodes {
-				n.brain.ask(c.ctx, laneState, func() {
-					m := n.brain.machine(w.Name())
-					if p := n.brain.partitions[m.home]; p.token != 0 && !n.brain.isLeader() && len(m.bound) > 0 {
+				n.brain.call(c.ctx, priorityState, func() {
+					m := n.brain.machineNamed(w.Name())
+					if p := n.brain.partitions[m.partition]; p.token != 0 && !n.brain.isLeader() && len(m.bindings) > 0 {
 						lost = w
 					}
 				})
@@ -348,7 +348,7 @@
 				}
 				for i, n := range c.nodes {
 					leads := false
-					n.brain.ask(c.ctx, laneState, func() { leads = n.brain.isLeader() })
+					n.brain.call(c.ctx, priorityState, func() { leads = n.brain.isLeader() })
 					if leaderGone && leads {
 						c.kill(i)
 						c.start(i)
@@ -375,7 +375,7 @@
 		time.Sleep(10 * time.Second)
 		terms := func(i int) (n int, sum uint64) {
 			b := c.nodes[i].brain
-			b.ask(c.ctx, laneState, func() {
+			b.call(c.ctx, priorityState, func() {
 				for _, p := range b.partitions {
 					if p.token != 0 && p.active {
 						n, sum = n+1, sum+p.token
@@ -403,26 +403,26 @@
 func TestDirectCommandsAreBounded(t *testing.T) {
 	b := crowded(t, 2000)
 	p := b.partitions[0]
-	b.doMost = 40
+	b.maxDirects = 40
 	b.now = b.now.Add(20 * time.Second)
 	b.freshAt = b.now
-	b.probeSilent()
-	if b.doOpen != 20 || b.doOpen+len(b.doQueue) != len(p.machines) || len(p.machines) < 300 {
-		t.Fatalf("%d commands are open and %d machines wait, of %d", b.doOpen, len(b.doQueue), len(p.machines))
+	b.probeUnreachable()
+	if b.directsInFlight != 20 || b.directsInFlight+len(b.directQueue) != len(p.machines) || len(p.machines) < 300 {
+		t.Fatalf("%d commands are open and %d machines wait, of %d", b.directsInFlight, len(b.directQueue), len(p.machines))
 	}
 	asked := map[string]bool{}
-	for rounds := 0; len(b.doQueue) > 0; rounds++ {
+	for rounds := 0; len(b.directQueue) > 0; rounds++ {
 		if rounds > len(p.machines)/20 {
 			t.Fatal("a machine never has its turn")
 		}
-		b.doOpen = 0
-		b.doNext()
-		if b.doOpen > 20 {
-			t.Fatalf("%d commands are open", b.doOpen)
+		b.directsInFlight = 0
+		b.sendQueuedDirect()
+		if b.directsInFlight > 20 {
+			t.Fatalf("%d commands are open", b.directsInFlight)
 		}
 	}
 	for _, m := range p.machines {
-		if m.doBusy {
+		if m.directInFlight {
 			asked[m.name] = true
 		}
 	}
@@ -449,13 +449,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			b := lone(t)
 			out := &counting{}
-			b.fl = fleet.NewClient(out)
-			m := b.machine("host-1")
-			m.addr, m.session, m.heard = "10.1.0.1:1", 1, b.now
+			b.workerClient = fleet.NewClient(out)
+			m := b.machineNamed("host-1")
+			m.addr, m.incarnation, m.heartbeatAt = "10.1.0.1:1", 1, b.now
 			if still {
 				time.Sleep(5 * time.Second) // b.now is when it was decided
 			}
-			b.direct(m, b.partitions[0], []wire.Command{{Op: wire.OpStart, Task: "wk-1/0", Attempt: 1}})
+			b.sendDirect(m, b.partitions[0], []wire.Command{{Op: wire.OpStart, Task: "wk-1/0", Attempt: 1}})
 			synctest.Wait()
 			if sent := out.sent.Load() > 0; sent == still {
 				t.Errorf("stood still %v: sent %v", still, sent)
@@ -488,12 +488,12 @@
 		for i := range c.nodes {
 			c.start(i)
 		}
-		limit := c.nodes[0].brain.quietAfter() + deafAfter*fleet.PingTimeout + 2*time.Second
+		limit := c.nodes[0].brain.heartbeatOverdueAfter() + unansweredLimit*fleet.PingTimeout + 2*time.Second
 		for until := time.Now().Add(limit); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
 			for _, n := range c.nodes {
-				n.brain.ask(c.ctx, laneState, func() {
-					if n.brain.isLeader() && len(n.brain.leadership.cut) > 0 {
-						t.Errorf("zones %v are taken to be cut off", n.brain.leadership.cut)
+				n.brain.call(c.ctx, priorityState, func() {
+					if n.brain.isLeader() && len(n.brain.leadership.isolatedZones) > 0 {
+						t.Errorf("zones %v are taken to be cut off", n.brain.leadership.isolatedZones)
 					}
 				})
 			}
@@ -513,14 +513,14 @@
 	p.ownedSince, p.formerOwnerStaleness, p.firstToken = b.now, b.maxStaleness, p.token
 	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Service: true, Tasks: 1, CPUs: 1}}), 5)
 	b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1, Addr: "10.1.0.1:1"}}}), 6)
-	m := b.machine("host-1")
-	m.unanswered = deafAfter
+	m := b.machineNamed("host-1")
+	m.unanswered = unansweredLimit
 	for _, reached := range []bool{false, true} {
 		b.now = b.now.Add(6 * time.Second)
 		if reached {
-			b.reportAt = b.now
+			b.lastHeartbeatAt = b.now
 		}
-		if b.silent(m, p) != reached {
+		if b.unreachable(m, p) != reached {
 			t.Errorf("workers reach us: %v, found silent: %v", reached, !reached)
 		}
 	}
--- a/internal/controller/usage.go
+++ b/internal/controller/usage.go
@@ -39,7 +39,7 @@
 
 // attrs are the log attributes of what was used since the last time: processor time
 // of the process and of its collector, and the memory that it holds now.
-func (u *usage) attrs() []any {
+func (u *usage) logAttributes() []any {
 	runtimemetrics.Read(u.samples)
 	kb := func(i int) uint64 { return u.samples[i].Value.Uint64() >> 10 }
 	cpu, gc := processTime(), time.Duration(u.samples[uGC].Value.Float64()*float64(time.Second))
