--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -20,22 +20,22 @@
 }
 
 // busy tells a user to come back once the actor has done what waits for it.
-func (b *brain) busyResponse() api.Response {
+func (b *controller) busyResponse() api.Response {
 	a := unavailableResponse("busy")
-	a.RetryAfter = b.inbox.backIn()
+	a.RetryAfter = b.events.retryAfterS()
 	return a
 }
 
 // startRead begins a read of the replica for everybody who waits, unless one
 // is under way or was just done: users' reads share calls.
-func (b *brain) startSharedRead() {
+func (b *controller) startSharedRead() {
 	if b.readInFlight || len(b.pendingReads) == 0 || b.readScheduled {
 		return
 	}
 	if gap := b.readInterval() - b.now.Sub(b.lastReadAt); gap > 0 {
 		b.readScheduled = true
 		time.AfterFunc(gap, func() {
-			b.post(laneState, func() { b.readScheduled = false; b.startSharedRead() })
+			b.enqueue(priorityState, func() { b.readScheduled = false; b.startSharedRead() })
 		})
 		return
 	}
@@ -47,9 +47,9 @@
 		err := errors.New("replica is not loaded")
 		var ev *wire.WatchResponse
 		if loaded {
-			ev, err = b.st.Watch(b.ctx, keyPrefix, cursor, 0)
+			ev, err = b.stateClient.Watch(b.ctx, keyPrefix, cursor, 0)
 		}
-		b.post(laneState, func() {
+		b.enqueue(priorityState, func() {
 			b.readInFlight = false
 			if err == nil {
 				b.applyEvents(ev)
@@ -65,7 +65,7 @@
 }
 
 // read notes a successful read that began at start.
-func (b *brain) noteRead(start time.Time) {
+func (b *controller) noteRead(start time.Time) {
 	if start.After(b.freshAt) {
 		b.freshAt = start
 	}
@@ -88,14 +88,14 @@
 // readGap spaces reads so that all controllers together use a quarter of the
 // state service's limit for them, and each no more than it has use for: those
 // who ask wait up to 2 s.
-func (b *brain) readInterval() time.Duration {
+func (b *controller) readInterval() time.Duration {
 	s := &b.cfg.Settings
 	return max(time.Duration(float64(time.Second)*float64(s.Count)/(s.State.RPS*0.25)), 200*time.Millisecond)
 }
 
 // afterRead has f run in the actor with the result of a read of the replica that
 // begins after now.
-func (b *brain) afterRead(f func(err error)) {
+func (b *controller) afterRead(f func(err error)) {
 	b.pendingReads = append(b.pendingReads, f)
 	b.startSharedRead()
 }
@@ -124,7 +124,7 @@
 }
 
 // known is the job of that name, if one was ever accepted.
-func (b *brain) lookupJob(id string) *job {
+func (b *controller) lookupJob(id string) *job {
 	if j := b.jobs[id]; j != nil && j.revision != 0 {
 		return j
 	}
@@ -135,7 +135,7 @@
 }
 
 // impossible says why a job can never run, or "".
-func (b *brain) unsatisfiable(j *wire.Job) string {
+func (b *controller) unsatisfiable(j *wire.Job) string {
 	tasks := 1
 	if j.AllOrNothing() {
 		tasks = j.Tasks
@@ -172,29 +172,29 @@
 }
 
 // Submit accepts a job.
-func (b *brain) Submit(ctx context.Context, j *wire.Job) api.Response {
+func (b *controller) Submit(ctx context.Context, j *wire.Job) api.Response {
 	begun := time.Now()
 	ans := b.submit(ctx, j)
-	b.metrics.observe(lSubmit, time.Since(begun))
+	b.metrics.observe(latencySubmit, time.Since(begun))
 	switch {
 	case ans.Status == http.StatusCreated:
-		b.metrics.count(cAccepted, 1)
+		b.metrics.count(countAccepted, 1)
 		b.log.Info("job accepted", "job", j.ID, "team", j.Team, "class", j.Class, "tasks", j.Tasks)
 	case ans.Status >= 500:
-		b.metrics.count(cUnavailable, 1)
+		b.metrics.count(countUnavailable, 1)
 		b.log.Debug("job not taken", "job", j.ID, "why", ans.Reason)
 	case ans.Status >= 400:
-		b.metrics.count(cRefused, 1)
+		b.metrics.count(countRefused, 1)
 		b.log.Info("job refused", "job", j.ID, "why", ans.Reason)
 	}
 	return ans
 }
 
-func (b *brain) submit(ctx context.Context, j *wire.Job) api.Response {
+func (b *controller) submit(ctx context.Context, j *wire.Job) api.Response {
 	var ans api.Response
 	var result chan error
 	check := false
-	if !b.ask(ctx, laneUsers, func() {
+	if !b.call(ctx, priorityUsers, func() {
 		refusal, refused := b.refusal()
 		switch {
 		case !b.loaded:
@@ -205,7 +205,7 @@
 			check = true
 		case len(b.machineTypes) == 0:
 			ans = unavailableResponse("machine types are not known yet")
-		case !b.isFresh(b.op.LeaseTTL):
+		case !b.isFresh(b.operator.LeaseTTL):
 			ans = unavailableResponse("state service out of reach")
 		case b.unsatisfiable(j) != "":
 			check = true
@@ -241,13 +241,13 @@
 
 // answerKnown answers the submission of a job that is known already, or, if it
 // turns out not to be, of one that can never run.
-func (b *brain) answerKnown(ctx context.Context, j *wire.Job) api.Response {
+func (b *controller) answerKnown(ctx context.Context, j *wire.Job) api.Response {
 	ans := b.Poll(ctx, j.ID)
 	if ans.Status != http.StatusNotFound {
 		return ans
 	}
 	why := ""
-	b.ask(ctx, laneUsers, func() { why = b.unsatisfiable(j) })
+	b.call(ctx, priorityUsers, func() { why = b.unsatisfiable(j) })
 	if why == "" {
 		return unavailableResponse("try again")
 	}
@@ -257,15 +257,15 @@
 // Poll tells a job's state. An answer that may still change is given only
 // after a read of the state service that began after the question came, so
 // that it is never older than what any controller has said.
-func (b *brain) Poll(ctx context.Context, id string) api.Response {
-	b.metrics.count(cPolls, 1)
+func (b *controller) Poll(ctx context.Context, id string) api.Response {
+	b.metrics.count(countPolls, 1)
 	if !wire.ValidID(id) {
 		return api.Response{Status: http.StatusNotFound, Reason: "no such job"}
 	}
 	// One turn of the actor for the question and one for the result of the read: each
 	// may be long in coming when there is little processor time.
 	answer := make(chan api.Response, 1)
-	if !b.ask(ctx, laneUsers, func() {
+	if !b.call(ctx, priorityUsers, func() {
 		j := b.lookupJob(id)
 		refusal, refused := b.refusal()
 		switch {
@@ -304,7 +304,7 @@
 }
 
 // Abort cancels a job.
-func (b *brain) Cancel(ctx context.Context, id string) api.Response {
+func (b *controller) Cancel(ctx context.Context, id string) api.Response {
 	for {
 		ans := b.Poll(ctx, id)
 		s, ok := ans.Body.(wire.JobState)
@@ -315,7 +315,7 @@
 			return ans
 		}
 		result := make(chan error, 1)
-		if !b.ask(ctx, laneUsers, func() {
+		if !b.call(ctx, priorityUsers, func() {
 			j := b.lookupJob(id)
 			if j == nil || j.finalState != unfinishedJob || j.spec == nil {
 				result <- store.ErrConflict
@@ -346,9 +346,9 @@
 }
 
 // Report answers a worker.
-func (b *brain) Heartbeat(ctx context.Context, r *wire.Heartbeat) api.Response {
+func (b *controller) Heartbeat(ctx context.Context, r *wire.Heartbeat) api.Response {
 	var ans api.Response
-	if !b.ask(ctx, laneWorkers, func() { ans = b.report(r) }) {
+	if !b.call(ctx, priorityWorkers, func() { ans = b.handleHeartbeat(r) }) {
 		return b.busyResponse()
 	}
 	return ans
@@ -357,20 +357,20 @@
 // Ready tells the load balancer whether to send users. It does not wait for the
 // actor, but goes by what that said last: the balancer would take a probe that waits
 // for a failure, and send the users of a controller that is slow to others as slow.
-func (b *brain) Ready() bool {
+func (b *controller) Ready() bool {
 	at := b.readyAt.Load()
-	return at != nil && time.Since(*at) < b.op.LeaseTTL
+	return at != nil && time.Since(*at) < b.operator.LeaseTTL
 }
 
 // noteReady notes for Ready what the actor knows now. A controller that alone can't
 // reach the state service stands back; in an outage for all nobody does, since
 // leaving and coming back would only make it longer for users.
-func (b *brain) updateReadiness() {
-	if b.levels.refusal != nil {
+func (b *controller) updateReadiness() {
+	if b.rollout.refusal != nil {
 		b.readyAt.Store(nil)
 		return
 	}
-	ready := b.loaded && len(b.machineTypes) > 0 && b.isFresh(b.op.LeaseTTL+2*time.Second)
+	ready := b.loaded && len(b.machineTypes) > 0 && b.isFresh(b.operator.LeaseTTL+2*time.Second)
 	if !ready {
 		heard, ok := false, false
 		for _, s := range b.peers {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -205,7 +205,7 @@
 func TestProductionReadsOurRecords(t *testing.T) {
 	b := lone(t)
 	b.cfg.Settings.State.ValueKB = 0.5
-	m := b.machine("host-000231")
+	m := b.machineNamed("host-000231")
 	m.addr = "10.1.0.232:9000"
 	spec := &wire.Job{ID: "wk-2", Team: "t", Gang: true, Tasks: 3, CPUs: 2, CheckpointS: 4, MachineTypes: []string{"small"}}
 	r := &taskGroup{partition: 1, zone: "a", guaranteed: true, throttle: 3}
@@ -221,7 +221,7 @@
 	for _, piece := range b.splitToFit(r, 2, append(entries, make([]binding, 60)...)) {
 		strict(groupKey("wk-2", 0), piece.At(groupKey("wk-2", 0)))
 	}
-	strict(loanPrefix+"host-1", record.JSON(record.MachineLoan{Job: poolJob, Acknowledged: true}))
+	strict(loanPrefix+"host-1", record.JSON(record.MachineLoan{Job: reserveLoanJob, Acknowledged: true}))
 }
 
 // Frames between controllers are the same in both versions, to the byte.
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -54,7 +54,7 @@
 	supported *rollout.Range
 	// unaware: the node's version does not know levels.
 	unaware bool
-	brain   *brain
+	brain   *controller
 	cancel  context.CancelFunc
 	wg      *sync.WaitGroup
 	meshCut atomic.Bool
@@ -154,7 +154,7 @@
 		return
 	}
 	b := n.brain
-	if !b.ask(c.ctx, laneState, func() {
+	if !b.call(c.ctx, priorityState, func() {
 		for _, p := range b.partitions {
 			if p.token == 0 || !p.active {
 				continue
@@ -189,7 +189,7 @@
 		out = os.Stderr
 	}
 	log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	b := newBrain(ctx, n.cfg, n.operator(), log, outside{state: n.stateTransport(), cloud: n.net, workers: n.net, jitter: func(most time.Duration) time.Duration {
+	b := newController(ctx, n.cfg, n.operator(), log, clients{state: n.stateTransport(), cloud: n.net, workers: n.net, jitter: func(most time.Duration) time.Duration {
 		return time.Duration(standin.Draw(uint64(i), n.cfg.Name) * float64(most))
 	}, send: func(sibling string, frame []byte) {
 		for _, o := range c.nodes {
@@ -210,11 +210,11 @@
 				c.t.Error(err)
 				return
 			}
-			go to.post(laneWorkers, func() { to.handlePeerStatus(s) })
+			go to.enqueue(priorityWorkers, func() { to.handlePeerStatus(s) })
 		}
 	}})
 	if n.supported != nil {
-		b.levels.supported = *n.supported
+		b.rollout.supported = *n.supported
 	}
 	c.noteBoot(n, b)
 	n.mu.Lock()
