--- a/internal/controller/alloc_test.go
+++ b/internal/controller/alloc_test.go
@@ -12,19 +12,19 @@
 )
 
 // reportOf is what a machine of ours reports when all that is bound to it runs.
-func (b *controller) reportOf(m *machine) *wire.Heartbeat {
-	p := b.partitions[m.partition]
-	r := &wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: m.incarnation, Sequence: m.sequence, Token: p.token}
+func (c *controller) reportOf(m *machine) *wire.Heartbeat {
+	p := c.partitions[m.partition]
+	heartbeat := &wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: m.incarnation, Sequence: m.sequence, Token: p.token}
 	for _, x := range m.bindings {
 		t, rec := x.task, x.group
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: taskName(rec.job.id, t.Num), Attempt: rec.binding(t.Num).attempt, State: wire.Running})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: taskName(rec.job.id, t.Num), Attempt: rec.binding(t.Num).attempt, State: wire.Running})
 	}
-	return r
+	return heartbeat
 }
 
 // ours is the first of our machines in a crowded fleet on which something runs.
-func (b *controller) ours() *machine {
-	for _, m := range b.partitions[0].machines {
+func (c *controller) ours() *machine {
+	for _, m := range c.partitions[0].machines {
 		if len(m.bindings) > 0 {
 			return m
 		}
@@ -39,44 +39,44 @@
 	type path struct {
 		name  string
 		bound float64
-		f     func(b *controller) func()
+		f     func(c *controller) func()
 	}
 	paths := []path{
-		{"a report without news", 4, func(b *controller) func() {
-			m := b.ours()
-			r := b.reportOf(m)
-			return func() { r.Sequence++; b.handleHeartbeat(r) }
+		{"a report without news", 4, func(c *controller) func() {
+			m := c.ours()
+			heartbeat := c.reportOf(m)
+			return func() { heartbeat.Sequence++; c.handleHeartbeat(heartbeat) }
 		}},
-		{"a report decoded", 24, func(b *controller) func() {
-			raw := record.JSON(b.reportOf(b.ours()))
+		{"a report decoded", 24, func(c *controller) func() {
+			raw := record.JSON(c.reportOf(c.ours()))
 			return func() {
 				if _, err := wire.ParseHeartbeat(raw); err != nil {
 					t.Error(err)
 				}
 			}
 		}},
-		{"a step of a part with nothing to do", 2, func(b *controller) func() {
-			for _, j := range b.unfinished { // nothing waits
-				if j.spec.Class == "clean" {
-					j.retryAt = b.now.Add(time.Hour)
+		{"a step of a part with nothing to do", 2, func(c *controller) func() {
+			for _, job := range c.unfinished { // nothing waits
+				if job.spec.Class == "clean" {
+					job.retryAt = c.now.Add(time.Hour)
 				}
 			}
-			return func() { b.schedulePartitions() }
+			return func() { c.schedulePartitions() }
 		}},
-		{"a record stored by another controller", 8, func(b *controller) func() {
-			var r *taskGroup
-			for x := range b.allGroups() {
-				if x.partition != 0 && x.boundCount > 0 && len(x.bindings) == 1 {
-					r = x
+		{"a record stored by another controller", 8, func(c *controller) func() {
+			var group *taskGroup
+			for first := range c.allGroups() {
+				if first.partition != 0 && first.boundCount > 0 && len(first.bindings) == 1 {
+					group = first
 				}
 			}
-			raw, stamp := b.encodeGroup(r, r.done, r.bindings).At(r.key), r.revision
-			return func() { stamp++; b.putRecord(r.key, raw, stamp) }
+			raw, stamp := c.encodeGroup(group, group.done, group.bindings).At(group.key), group.revision
+			return func() { stamp++; c.putRecord(group.key, raw, stamp) }
 		}},
-		{"a poll of a job that is over", 2, func(b *controller) func() {
-			b.finished["wk-1"] = doneJob
+		{"a poll of a job that is over", 2, func(c *controller) func() {
+			c.finished["wk-1"] = doneJob
 			return func() {
-				if j := b.lookupJob("wk-1"); j.response().State != wire.Done {
+				if job := c.lookupJob("wk-1"); job.response().State != wire.Done {
 					t.Error("not done")
 				}
 			}
@@ -84,8 +84,8 @@
 	}
 	for _, x := range paths {
 		for _, machines := range []int{50, 500} {
-			b := crowded(t, machines)
-			got := testing.AllocsPerRun(50, x.f(b))
+			c := crowded(t, machines)
+			got := testing.AllocsPerRun(50, x.f(c))
 			t.Logf("%s, %d machines: %v allocations", x.name, machines, got)
 			if got > x.bound {
 				t.Errorf("%s, %d machines: %v allocations, %v are the bound", x.name, machines, got, x.bound)
@@ -98,14 +98,14 @@
 // for each machine.
 func TestStatusFrameAllocatesLittle(t *testing.T) {
 	for _, machines := range []int{50, 500} {
-		b := crowded(t, machines)
-		n := float64(len(b.partitions[0].machines))
+		c := crowded(t, machines)
+		n := float64(len(c.partitions[0].machines))
 		var frame []byte
-		if got := testing.AllocsPerRun(20, func() { frame = mesh.AppendStatus(nil, b.peerStatus(), mesh.Plain) }); got > 30 {
+		if got := testing.AllocsPerRun(20, func() { frame = mesh.AppendStatus(nil, c.peerStatus(), mesh.Plain) }); got > 30 {
 			t.Errorf("%d machines: %v allocations to send a status", machines, got)
 		}
 		s := &mesh.Status{}
-		if got := testing.AllocsPerRun(20, func() { *s = *b.peerStatus() }); got > 20 {
+		if got := testing.AllocsPerRun(20, func() { *s = *c.peerStatus() }); got > 20 {
 			t.Errorf("%d machines: %v allocations to make a status", machines, got)
 		}
 		if len(frame) > int(n)*64+64 {
@@ -137,15 +137,15 @@
 	for _, n := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := crowded(b, n)
-			r := c.reportOf(c.ours())
-			raw := record.JSON(r)
+			heartbeat := c.reportOf(c.ours())
+			raw := record.JSON(heartbeat)
 			for b.Loop() {
 				x, err := wire.ParseHeartbeat(raw)
 				if err != nil {
 					b.Fatal(err)
 				}
-				r.Sequence++
-				x.Sequence = r.Sequence
+				heartbeat.Sequence++
+				x.Sequence = heartbeat.Sequence
 				c.handleHeartbeat(x)
 			}
 		})
@@ -156,16 +156,16 @@
 	for _, n := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := crowded(b, n)
-			var r *taskGroup
-			for x := range c.allGroups() {
-				if r == nil || len(x.bindings) > len(r.bindings) {
-					r = x
+			var group *taskGroup
+			for first := range c.allGroups() {
+				if group == nil || len(first.bindings) > len(group.bindings) {
+					group = first
 				}
 			}
-			raw, stamp := c.encodeGroup(r, r.done, r.bindings).At(r.key), r.revision+1<<32
+			raw, stamp := c.encodeGroup(group, group.done, group.bindings).At(group.key), group.revision+1<<32
 			for b.Loop() {
 				stamp++
-				c.putRecord(r.key, raw, stamp)
+				c.putRecord(group.key, raw, stamp)
 			}
 		})
 	}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -42,32 +42,32 @@
 	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 4, 24, 54
 	s.State.RPS, s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps = 150, 60, 8, 32
 	s.Cloud.RPS, s.Cloud.ListLagS = 6, 3
-	b := newController(ctx, cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), clients{state: nowhere{}, cloud: nowhere{}, workers: nowhere{}, send: func(string, []byte) {}})
-	b.loaded, b.freshAt, b.startedAt = true, b.now, b.now.Add(-time.Hour)
-	b.putMachineTypes(testTypes)
+	c := newController(ctx, cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), clients{state: nowhere{}, cloud: nowhere{}, workers: nowhere{}, send: func(string, []byte) {}})
+	c.loaded, c.freshAt, c.startedAt = true, c.now, c.now.Add(-time.Hour)
+	c.putMachineTypes(testTypes)
 	stamp := uint64(10)
 	for n := range count {
 		stamp++
 		node := fmt.Sprintf("n%d", n)
-		b.putRecord(rollout.Initial.Keys().Partition(n), record.JSON(record.LeaseHolder{Node: node, ProcessID: "x"}), stamp)
-		b.siblingsFor(node, n)
+		c.putRecord(rollout.Initial.Keys().Partition(n), record.JSON(record.LeaseHolder{Node: node, ProcessID: "x"}), stamp)
+		c.siblingsFor(node, n)
 	}
-	p := b.partitions[0]
-	b.leasedKeys[p.key].token = 11
-	b.takeOverPartition(p, 11)
-	p.active, p.ownedSince = true, b.now.Add(-time.Hour)
-	b.becomeLeader(stamp)
-	b.leadership.active, b.leadership.since = true, b.now.Add(-time.Hour)
+	p := c.partitions[0]
+	c.leasedKeys[p.key].token = 11
+	c.takeOverPartition(p, 11)
+	p.active, p.ownedSince = true, c.now.Add(-time.Hour)
+	c.becomeLeader(stamp)
+	c.leadership.active, c.leadership.since = true, c.now.Add(-time.Hour)
 	var all []*machine
 	for i := range machines {
 		name := fmt.Sprintf("host-%06d", i)
-		m := b.machineNamed(name)
+		m := c.machineNamed(name)
 		m.machineType, m.zone, m.addr = "large", "a", "10.1.0.1:1"
-		m.incarnation, m.sequence, m.heartbeatAt, m.leaseRenewedAt, m.answeredAt = 1, 1, b.now, b.now, b.now
-		b.setMachineSize(m)
+		m.incarnation, m.sequence, m.heartbeatAt, m.leaseRenewedAt, m.answeredAt = 1, 1, c.now, c.now, c.now
+		c.setMachineSize(m)
 		all = append(all, m)
 		if part := m.partition; part != 0 {
-			st := b.peers[fmt.Sprintf("n%d", part)].status
+			st := c.peers[fmt.Sprintf("n%d", part)].status
 			st.Machines = append(st.Machines, mesh.Machine{Name: name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: 1, Flags: mesh.Reachable})
 		}
 	}
@@ -75,10 +75,10 @@
 	job := func(kind, class, team string, priority, tasks int, cpus float64) string {
 		id++
 		stamp++
-		j := &wire.Job{ID: fmt.Sprintf("wk-%06d", id), Class: class, Team: team, Service: kind == wire.Service, Priority: priority, Tasks: tasks,
+		spec := &wire.Job{ID: fmt.Sprintf("wk-%06d", id), Class: class, Team: team, Service: kind == wire.Service, Priority: priority, Tasks: tasks,
 			CPUs: cpus, RAM: 2, Image: "img", EstimateS: 40, DeadlineS: 200}
-		b.putRecord(jobKey(j.ID), record.JSON(record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: j}), stamp)
-		return j.ID
+		c.putRecord(jobKey(spec.ID), record.JSON(record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: spec}), stamp)
+		return spec.ID
 	}
 	perPart := map[int][]record.Binding{}
 	array := job(wire.Array, "clean", "blue", 1, machines*4, 2)
@@ -87,7 +87,7 @@
 		if i%2 == 0 {
 			for range 8 {
 				stamp++
-				b.putRecord(groupKey(job(wire.Service, "feed", "red", 2, 1, 2), 0),
+				c.putRecord(groupKey(job(wire.Service, "feed", "red", 2, 1, 2), 0),
 					record.JSON(record.TaskGroup{Partition: m.partition, Guaranteed: true, Tasks: []record.Binding{{Attempt: 1, Machine: m.name, Incarnation: 1}}}), stamp)
 			}
 			continue
@@ -100,23 +100,23 @@
 	k := 0
 	for part, tasks := range perPart {
 		for len(tasks) > 0 {
-			n := min(len(tasks), b.maxGroupTasks)
+			n := min(len(tasks), c.maxGroupTasks)
 			stamp++
-			b.putRecord(groupKey(array, k), record.JSON(record.TaskGroup{Partition: part, Tasks: tasks[:n]}), stamp)
+			c.putRecord(groupKey(array, k), record.JSON(record.TaskGroup{Partition: part, Tasks: tasks[:n]}), stamp)
 			tasks, k = tasks[n:], k+1
 		}
 	}
 	for i := range machines / 10 {
 		job(wire.Array, "clean", []string{"red", "blue"}[i%2], 1, 40, []float64{1, 2}[i/2%2])
 	}
-	b.cursor = stamp
-	return b
+	c.cursor = stamp
+	return c
 }
 
 // siblingsFor has a sibling vouch for a part.
-func (b *controller) siblingsFor(node string, part int) {
-	if x := b.peers[node]; x != nil {
-		x.status, x.heardAt, x.heardSince = &mesh.Status{Node: node, Fresh: true, Eligible: true, Partitions: []uint64{uint64(part)}}, b.now.Add(time.Hour), b.now
+func (c *controller) siblingsFor(node string, part int) {
+	if x := c.peers[node]; x != nil {
+		x.status, x.heardAt, x.heardSince = &mesh.Status{Node: node, Fresh: true, Eligible: true, Partitions: []uint64{uint64(part)}}, c.now.Add(time.Hour), c.now
 	}
 }
 
--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -22,15 +22,15 @@
 // gatherEnds is how long ended attempts of a record wait for others now: writes
 // are scarce, and the more of them wait, the more one should carry. Their cells
 // are free meanwhile.
-func (b *controller) endsDelay() time.Duration {
-	return min(minEndsDelay+2*b.stateWriter.Backlog(), maxEndsDelay)
+func (c *controller) endsDelay() time.Duration {
+	return min(minEndsDelay+2*c.stateWriter.Backlog(), maxEndsDelay)
 }
 
 // gatherBinds is how long the new bindings of an array's record wait for others
 // while more of its tasks are to come: cells come free one by one, many times a
 // second, and a change for each would take up what the state service allows.
-func (b *controller) bindingsDelay() time.Duration {
-	return min(400*time.Millisecond+b.stateWriter.Backlog(), time.Second)
+func (c *controller) bindingsDelay() time.Duration {
+	return min(400*time.Millisecond+c.stateWriter.Backlog(), time.Second)
 }
 
 // barredWrite is how long a record that was refused as invalid is not written.
@@ -54,37 +54,37 @@
 }
 
 // store writes what has changed of a record, if anything.
-func (b *controller) storeGroup(p *partition, r *taskGroup) {
-	update := b.planUpdate(p, r)
-	if b.now.Before(r.retryWriteAt) {
+func (c *controller) storeGroup(p *partition, group *taskGroup) {
+	update := c.planUpdate(p, group)
+	if c.now.Before(group.retryWriteAt) {
 		return
 	}
 	if !update.changed && !update.oversized {
-		r.hasUnstoredEnds = false
-		r.endsPendingSince, r.bindingsPendingSince = time.Time{}, time.Time{}
+		group.hasUnstoredEnds = false
+		group.endsPendingSince, group.bindingsPendingSince = time.Time{}, time.Time{}
 		return
 	}
-	if !update.oversized && b.updateCanWait(r, &update) {
+	if !update.oversized && c.updateCanWait(group, &update) {
 		return
 	}
 	// Thousands of tasks that are lost together are more than may queue. A write that is
 	// refused gives up its claims and has all be read again; what waits loses nothing.
-	if b.stateWriter.NearlyFull(r.job.spec.AllOrNothing()) {
+	if c.stateWriter.NearlyFull(group.job.spec.AllOrNothing()) {
 		return
 	}
-	r.endsPendingSince, r.bindingsPendingSince = time.Time{}, time.Time{}
-	b.writeUpdate(p, r, &update)
+	group.endsPendingSince, group.bindingsPendingSince = time.Time{}, time.Time{}
+	c.writeUpdate(p, group, &update)
 }
 
 // bindingAttempt is the attempt of the next bindings of a gang's record; 0: none may be
 // made, since not all of its tasks have cells.
-func (b *controller) bindingAttempt(p *partition, r *taskGroup) uint64 {
-	attempt, there := b.gangAttempt(r.job)
+func (c *controller) bindingAttempt(p *partition, group *taskGroup) uint64 {
+	attempt, there := c.gangAttempt(group.job)
 	if there {
 		return attempt // what is missing of it
 	}
-	for i := range r.bindings {
-		if _, ok := p.reservations[r.task(r.bindings[i].task)]; !ok {
+	for i := range group.bindings {
+		if _, ok := p.reservations[group.task(group.bindings[i].task)]; !ok {
 			return 0
 		}
 	}
@@ -92,104 +92,104 @@
 }
 
 // planUpdate works out what is to be stored of a record: ended attempts, new bindings.
-func (b *controller) planUpdate(p *partition, r *taskGroup) groupUpdate {
-	update := groupUpdate{done: r.done, oversized: r.size > b.maxValueBytes()}
-	job := r.job
+func (c *controller) planUpdate(p *partition, group *taskGroup) groupUpdate {
+	update := groupUpdate{done: group.done, oversized: group.size > c.maxValueBytes()}
+	job := group.job
 	gang := job.spec.Gang
 	if gang && job.gangIsDone() && job.finalState == unfinishedJob {
-		b.planGangDone(r, &update)
+		c.planGangDone(group, &update)
 		return update
 	}
 	attempt := uint64(0)
 	if gang {
-		attempt = b.bindingAttempt(p, r)
+		attempt = c.bindingAttempt(p, group)
 	}
-	for _, e := range r.bindings {
-		t := r.task(e.task)
-		if o, ok := b.attemptEnds[t]; ok && e.machine != nil && o.attempt == e.attempt {
+	for _, bound := range group.bindings {
+		t := group.task(bound.task)
+		if o, ok := c.attemptEnds[t]; ok && bound.machine != nil && o.attempt == bound.attempt {
 			update.ended = append(update.ended, endedTask{t, o})
 			update.changed = true
 			if o.done {
 				update.done++
 				continue
 			}
-			e.machine, e.incarnation = nil, 0
+			bound.machine, bound.incarnation = nil, 0
 		}
-		if a, ok := p.reservations[t]; ok && e.machine == nil && job.finalState == unfinishedJob && (!gang || attempt > 0) {
-			if a.machine.terminated || !b.usable(a.machine, p) {
+		if a, ok := p.reservations[t]; ok && bound.machine == nil && job.finalState == unfinishedJob && (!gang || attempt > 0) {
+			if a.machine.terminated || !c.usable(a.machine, p) {
 				delete(p.reservations, t)
-				b.freeCell(p, t)
+				c.freeCell(p, t)
 			} else {
-				e.machine, e.incarnation = a.machine, a.machine.incarnation
-				e.attempt++
+				bound.machine, bound.incarnation = a.machine, a.machine.incarnation
+				bound.attempt++
 				if gang {
-					e.attempt = attempt
+					bound.attempt = attempt
 				}
 				update.newlyBound = append(update.newlyBound, t)
 				update.changed = true
 			}
 		}
-		if e.machine == nil {
+		if bound.machine == nil {
 			update.unplaced++
 		}
-		update.bindings = append(update.bindings, e)
+		update.bindings = append(update.bindings, bound)
 	}
 	return update
 }
 
 // planFinished has all tasks of a gang's record done: one of the gang is.
-func (b *controller) planGangDone(r *taskGroup, update *groupUpdate) {
-	for i := range r.bindings {
-		t := r.task(r.bindings[i].task)
-		if o, ok := b.attemptEnds[t]; ok {
+func (c *controller) planGangDone(group *taskGroup, update *groupUpdate) {
+	for i := range group.bindings {
+		t := group.task(group.bindings[i].task)
+		if o, ok := c.attemptEnds[t]; ok {
 			update.ended = append(update.ended, endedTask{t, o})
 		}
 	}
-	update.done += len(r.bindings)
-	update.changed = len(r.bindings) > 0
+	update.done += len(group.bindings)
+	update.changed = len(group.bindings) > 0
 }
 
 // updateWaits tells whether an array's update can wait for more to come.
-func (b *controller) updateCanWait(r *taskGroup, update *groupUpdate) bool {
-	if r.job.spec.AllOrNothing() {
+func (c *controller) updateCanWait(group *taskGroup, update *groupUpdate) bool {
+	if group.job.spec.AllOrNothing() {
 		return false
 	}
 	if len(update.newlyBound) > 0 {
 		if update.unplaced == 0 {
 			return false
 		}
-		if r.bindingsPendingSince.IsZero() {
-			r.bindingsPendingSince = b.now
+		if group.bindingsPendingSince.IsZero() {
+			group.bindingsPendingSince = c.now
 		}
-		return b.now.Sub(r.bindingsPendingSince) < b.bindingsDelay()
+		return c.now.Sub(group.bindingsPendingSince) < c.bindingsDelay()
 	}
-	if len(update.bindings) == 0 || r.job.finalState != unfinishedJob {
+	if len(update.bindings) == 0 || group.job.finalState != unfinishedJob {
 		return false
 	}
 	// Ends alone can wait a little for each other: writes are scarce.
-	if r.endsPendingSince.IsZero() {
-		r.endsPendingSince = b.now
+	if group.endsPendingSince.IsZero() {
+		group.endsPendingSince = c.now
 	}
-	gather := b.endsDelay()
-	if update.done == r.done {
+	gather := c.endsDelay()
+	if update.done == group.done {
 		// Of tasks that were lost nobody waits to hear: they are stored with
 		// their next bindings, or when there is nothing more urgent.
-		gather = max(gather, b.stateWriter.Backlog())
+		gather = max(gather, c.stateWriter.Backlog())
 	}
-	return b.now.Sub(r.endsPendingSince) < gather
+	return c.now.Sub(group.endsPendingSince) < gather
 }
 
 // writeUpdate has the state service carry an update out.
-func (b *controller) writeUpdate(p *partition, r *taskGroup, update *groupUpdate) {
-	job := r.job
+func (c *controller) writeUpdate(p *partition, group *taskGroup, update *groupUpdate) {
+	job := group.job
 	// Services first: when hundreds of machines are lost together, or all leases have
 	// ended in an outage, what is to be stored takes longer than users wait.
-	u := &store.Write{Prompt: job.spec.Gang && len(update.newlyBound) > 0, Early: job.spec.AllOrNothing(), Conditions: []wire.Condition{{Key: p.key, Revision: p.token}, {Key: r.key, Revision: r.revision}}}
+	write := &store.Write{Prompt: job.spec.Gang && len(update.newlyBound) > 0, Early: job.spec.AllOrNothing(), Conditions: []wire.Condition{{Key: p.key, Revision: p.token}, {Key: group.key, Revision: group.revision}}}
 	if job.finalState == unfinishedJob {
 		// Binding and completing race with a cancellation: only one can hold.
-		u.Conditions = append(u.Conditions, wire.Condition{Key: jobKey(job.id), Revision: job.revision})
+		write.Conditions = append(write.Conditions, wire.Condition{Key: jobKey(job.id), Revision: job.revision})
 	}
-	pieces := b.splitToFit(r, update.done, update.bindings)
+	pieces := c.splitToFit(group, update.done, update.bindings)
 	var elsewhere []*machine // of tasks that are bound and move to another piece
 	if len(pieces) > 1 {
 		for _, t := range update.newlyBound {
@@ -199,87 +199,87 @@
 	// New records first: what moves to them is adopted there before it is given up here.
 	for _, piece := range pieces[1:] {
 		key := groupKey(job.id, job.newGroupNumber())
-		u.Conditions = append(u.Conditions, wire.Condition{Key: key})
-		u.Changes = append(u.Changes, wire.Change{Put: key, Value: piece.At(key)})
+		write.Conditions = append(write.Conditions, wire.Condition{Key: key})
+		write.Changes = append(write.Changes, wire.Change{Put: key, Value: piece.At(key)})
 	}
-	u.Changes = append(u.Changes, wire.Change{Put: r.key, Value: pieces[0].At(r.key)})
-	ending := b.endsJob(r, update)
+	write.Changes = append(write.Changes, wire.Change{Put: group.key, Value: pieces[0].At(group.key)})
+	ending := c.endsJob(group, update)
 	if ending {
 		job.finishing = true
-		u.Changes = append(u.Changes, wire.Change{Put: jobKey(job.id), Value: record.JSON(record.Job{FinalState: doneJob})})
+		write.Changes = append(write.Changes, wire.Change{Put: jobKey(job.id), Value: record.JSON(record.Job{FinalState: doneJob})})
 	}
-	r.writing, r.write = true, u
-	b.metrics.count(countStored, 1)
+	group.writing, group.write = true, write
+	c.metrics.count(countStored, 1)
 	term := p.token
-	b.submitWrite(u, func(err error) {
-		r.writing, r.write = false, nil
+	c.submitWrite(write, func(err error) {
+		group.writing, group.write = false, nil
 		if ending {
 			job.finishing = false
 		}
-		if job.finalState != unfinishedJob && r.partition == p.index {
-			b.cancelReservations(r, true) // what came to it while the write was on its way
+		if job.finalState != unfinishedJob && group.partition == p.index {
+			c.cancelReservations(group, true) // what came to it while the write was on its way
 		}
 		switch {
 		case err != nil:
-			b.updateFailed(p, r, update, err)
+			c.updateFailed(p, group, update, err)
 		case p.token == term:
-			b.updateStored(r, update, elsewhere)
+			c.updateStored(group, update, elsewhere)
 		}
 	})
 }
 
 // endsJob tells whether an update completes the last tasks of a job.
-func (b *controller) endsJob(r *taskGroup, update *groupUpdate) bool {
-	job := r.job
-	if job.finalState != unfinishedJob || job.finishing || update.done == r.done {
+func (c *controller) endsJob(group *taskGroup, update *groupUpdate) bool {
+	job := group.job
+	if job.finalState != unfinishedJob || job.finishing || update.done == group.done {
 		return false
 	}
 	_, finished := job.assignedTasks()
-	return finished+update.done-r.done == job.spec.Tasks
+	return finished+update.done-group.done == job.spec.Tasks
 }
 
 // updateFailed gives up the claims of an update that is not stored as far as we know; what
 // the state service really has is read before anything else is done.
-func (b *controller) updateFailed(p *partition, r *taskGroup, update *groupUpdate, err error) {
-	b.log.Debug("record write failed", "key", r.key, "err", err)
+func (c *controller) updateFailed(p *partition, group *taskGroup, update *groupUpdate, err error) {
+	c.log.Debug("record write failed", "key", group.key, "err", err)
 	if errors.Is(err, store.ErrInvalid) {
-		b.log.Error("record is refused as invalid", "key", r.key, "entries", len(update.bindings))
-		r.retryWriteAt = b.now.Add(invalidWriteBackoff)
+		c.log.Error("record is refused as invalid", "key", group.key, "entries", len(update.bindings))
+		group.retryWriteAt = c.now.Add(invalidWriteBackoff)
 	}
 	if p.token != 0 {
 		for _, t := range update.newlyBound {
 			if _, ok := p.reservations[t]; ok {
 				delete(p.reservations, t)
-				b.freeCell(p, t)
+				c.freeCell(p, t)
 			}
 		}
 	}
-	r.writing = true
-	b.readThen(func() { r.writing = false; b.requestPass() })
+	group.writing = true
+	c.readThen(func() { group.writing = false; c.requestPass() })
 }
 
 // updateStored has what an update binds started, and forgets the ends that it stored.
-func (b *controller) updateStored(r *taskGroup, update *groupUpdate, elsewhere []*machine) {
-	job := r.job
-	b.metrics.count(countBound, len(update.newlyBound))
+func (c *controller) updateStored(group *taskGroup, update *groupUpdate, elsewhere []*machine) {
+	job := group.job
+	c.metrics.count(countBound, len(update.newlyBound))
 	for _, t := range update.newlyBound {
-		if e := r.binding(t.Num); e != nil && e.machine != nil {
-			b.log.Debug("task bound", "task", taskName(job.id, t.Num), "attempt", e.attempt, "machine", e.machine.name)
-			if e.attempt == 1 {
-				b.metrics.observe(latencyBind, b.now.Sub(job.acceptedAt))
+		if bound := group.binding(t.Num); bound != nil && bound.machine != nil {
+			c.log.Debug("task bound", "task", taskName(job.id, t.Num), "attempt", bound.attempt, "machine", bound.machine.name)
+			if bound.attempt == 1 {
+				c.metrics.observe(latencyBind, c.now.Sub(job.acceptedAt))
 			}
 		}
 	}
 	for _, x := range update.ended {
-		if b.attemptEnds[x.task] == x.end {
-			delete(b.attemptEnds, x.task)
+		if c.attemptEnds[x.task] == x.end {
+			delete(c.attemptEnds, x.task)
 		}
 	}
 	kicked := map[*machine]bool{}
 	kickOnce := func(m *machine) {
 		if !kicked[m] {
 			kicked[m] = true
-			b.sendCommandsNow(m)
+			c.sendCommandsNow(m)
 		}
 	}
 	for _, m := range elsewhere {
@@ -290,10 +290,10 @@
 			kickOnce(m)
 		}
 	}
-	for i := range r.bindings {
-		if m := r.bindings[i].machine; m != nil && slices.Contains(update.newlyBound, r.task(r.bindings[i].task)) {
+	for i := range group.bindings {
+		if m := group.bindings[i].machine; m != nil && slices.Contains(update.newlyBound, group.task(group.bindings[i].task)) {
 			kickOnce(m)
 		}
 	}
-	b.requestPass()
+	c.requestPass()
 }
--- a/internal/controller/brain.go
+++ b/internal/controller/brain.go
@@ -170,11 +170,11 @@
 }
 
 // post runs f in the actor; it blocks while the lane is full.
-func (b *controller) enqueue(l priority, f func()) { b.events.put(b.ctx, l, f) }
+func (c *controller) enqueue(l priority, f func()) { c.events.put(c.ctx, l, f) }
 
 // ask runs f in the actor and waits for it. False means that f has not been run and
 // won't be, or that ctx ended meanwhile: nobody waits for what it says any more.
-func (b *controller) call(ctx context.Context, l priority, f func()) bool {
+func (c *controller) call(ctx context.Context, l priority, f func()) bool {
 	ready := make(chan struct{})
 	g := func() {
 		if ctx.Err() == nil {
@@ -183,10 +183,10 @@
 		}
 	}
 	if l == priorityUsers {
-		if !b.events.putUserRequest(g) {
+		if !c.events.putUserRequest(g) {
 			return false
 		}
-	} else if !b.events.put(ctx, l, g) {
+	} else if !c.events.put(ctx, l, g) {
 		return false
 	}
 	select {
@@ -198,26 +198,26 @@
 }
 
 // fresh tells whether the replica is current enough to act on: see HoldTime.
-func (b *controller) isFresh(limit time.Duration) bool {
-	return b.loaded && b.now.Sub(b.freshAt) < limit
+func (c *controller) isFresh(limit time.Duration) bool {
+	return c.loaded && c.now.Sub(c.freshAt) < limit
 }
 
 // write submits a unit; then runs in the actor with the result, after the
 // replica has taken the changes in.
-func (b *controller) submitWrite(u *store.Write, then func(err error)) {
-	begun := b.now
-	u.Done = func(rev uint64, err error) {
+func (c *controller) submitWrite(write *store.Write, then func(err error)) {
+	begun := c.now
+	write.Done = func(rev uint64, err error) {
 		// Never block the writer on a full inbox that waits for the writer.
-		go b.enqueue(priorityState, func() {
-			b.metrics.observe(latencyCommit, b.now.Sub(begun))
+		go c.enqueue(priorityState, func() {
+			c.metrics.observe(latencyCommit, c.now.Sub(begun))
 			if err == nil {
-				b.applyWrite(u, rev)
+				c.applyWrite(write, rev)
 			}
 			then(err)
 		})
 	}
-	if !b.stateWriter.Submit(u) {
-		b.log.Error("write queue is full")
-		u.Done(0, store.ErrNotExecuted)
+	if !c.stateWriter.Submit(write) {
+		c.log.Error("write queue is full")
+		write.Done(0, store.ErrNotExecuted)
 	}
 }
--- a/internal/controller/brain_test.go
+++ b/internal/controller/brain_test.go
@@ -25,13 +25,13 @@
 	cfg.Settings.Workers.ReportS, cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS = 1, 10, 35
 	cfg.Settings.State.RPS, cfg.Settings.State.WriteRPS, cfg.Settings.State.ValueKB, cfg.Settings.State.TxnOps = 100, 40, 8, 32
 	cfg.Settings.Cloud.RPS = 1
-	b := newController(t.Context(), cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), clients{})
-	b.loaded, b.freshAt = true, b.now
-	b.machineTypes = map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAM: 8}}
-	p := b.partitions[0]
-	p.token, p.active, p.ownedSince = 1, true, b.now.Add(-time.Minute)
+	c := newController(t.Context(), cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), clients{})
+	c.loaded, c.freshAt = true, c.now
+	c.machineTypes = map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAM: 8}}
+	p := c.partitions[0]
+	p.token, p.active, p.ownedSince = 1, true, c.now.Add(-time.Minute)
 	p.cells, p.reservations = core.NewPartition(), map[core.Task]reservation{}
-	return b
+	return c
 }
 
 func raw(t *testing.T, v any) json.RawMessage {
@@ -48,22 +48,22 @@
 // controller), and no cell stays taken.
 func TestClaimsEndWithTheirRecord(t *testing.T) {
 	for _, how := range []string{"deleted", "moved"} {
-		b := lone(t)
-		p := b.partitions[0]
-		b.applyHeartbeat(b.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, true)
+		c := lone(t)
+		p := c.partitions[0]
+		c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, true)
 		spec := &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}
-		b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 2)
+		c.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 2)
 		key := groupKey("wk-1", 0)
-		b.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
-		b.placeGroup(p, b.groupByKey[key], map[placementClass]bool{})
+		c.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+		c.placeGroup(p, c.groupByKey[key], map[placementClass]bool{})
 		if len(p.reservations) != 2 {
 			t.Fatalf("%d tasks have claimed cells", len(p.reservations))
 		}
 		left := 0
 		if how == "deleted" {
-			b.deleteRecord(key, 4)
+			c.deleteRecord(key, 4)
 		} else {
-			b.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 1}}}), 4)
+			c.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 1}}}), 4)
 			left = 1
 		}
 		if len(p.reservations) != left || len(p.cells.Tasks()) != left {
@@ -72,7 +72,7 @@
 		if err := p.cells.Check(); err != nil {
 			t.Error(err)
 		}
-		b.putTombstone(tombstonePrefix+"host-1", []string{"host-1"})
+		c.putTombstone(tombstonePrefix+"host-1", []string{"host-1"})
 		if len(p.reservations) != 0 || len(p.cells.Tasks()) != 0 {
 			t.Errorf("%s: %d claims and %d cells on a lost machine", how, len(p.reservations), len(p.cells.Tasks()))
 		}
@@ -83,57 +83,57 @@
 // again at each tick until the first is stored: with a hundred of them that took
 // up all changes that the state service allows, and dealing waited for seconds.
 func TestGoneMarkersAreDeletedOnce(t *testing.T) {
-	b := lone(t)
-	b.becomeLeader(5)
-	b.leadership.active = true
+	c := lone(t)
+	c.becomeLeader(5)
+	c.leadership.active = true
 	for i := range 3 {
-		b.putTombstone(fmt.Sprint(tombstonePrefix, "host-", i), []string{fmt.Sprint("host-", i)})
+		c.putTombstone(fmt.Sprint(tombstonePrefix, "host-", i), []string{fmt.Sprint("host-", i)})
 	}
-	b.now = b.now.Add(time.Hour)
-	b.deleteTombstones()
-	queued := b.stateWriter.Backlog()
+	c.now = c.now.Add(time.Hour)
+	c.deleteTombstones()
+	queued := c.stateWriter.Backlog()
 	for range 20 {
-		b.deleteTombstones()
+		c.deleteTombstones()
 	}
-	if queued == 0 || b.stateWriter.Backlog() != queued {
-		t.Errorf("the backlog is %v after one call, %v after many", queued, b.stateWriter.Backlog())
+	if queued == 0 || c.stateWriter.Backlog() != queued {
+		t.Errorf("the backlog is %v after one call, %v after many", queued, c.stateWriter.Backlog())
 	}
 }
 
 // A team at its limit has room for one more task many times a second; the cap of
 // a record that stood back is raised for several at once, not for each.
 func TestCapsRiseInSteps(t *testing.T) {
-	b := lone(t)
-	b.becomeLeader(5)
-	b.leadership.active = true
-	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 9, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
+	c := lone(t)
+	c.becomeLeader(5)
+	c.leadership.active = true
+	c.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 9, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
 	g := record.TaskGroup{Throttle: 1}
 	for i := range int32(9) {
 		g.Tasks = append(g.Tasks, record.Binding{Task: i})
 	}
 	key := groupKey("wk-1", 0)
-	b.putRecord(key, raw(t, g), 7)
-	r := b.groupByKey[key]
+	c.putRecord(key, raw(t, g), 7)
+	group := c.groupByKey[key]
 	changes, stamp := 0, uint64(8)
 	for free := 1; free <= 60; free++ { // a task of the team ends every 100 ms
 		lim := core.Quota{Limit: core.NewResources(float64(min(free, 9)), 0, 0)}
-		lim.Used = r.job.taskSize.Times(r.quotaTasks(b.cursor))
-		before := r.throttledAt
-		b.unthrottle(r.job, &lim)
-		if r.throttledAt != before { // stored at once
+		lim.Used = group.job.taskSize.Times(group.quotaTasks(c.cursor))
+		before := group.throttledAt
+		c.unthrottle(group.job, &lim)
+		if group.throttledAt != before { // stored at once
 			changes++
 			stamp++
 			g.Throttle = min(free, 9) + 1
 			if g.Throttle > 9 {
 				g.Throttle = 0
 			}
-			r.writing = false
-			b.putRecord(key, raw(t, g), stamp)
+			group.writing = false
+			c.putRecord(key, raw(t, g), stamp)
 		}
-		b.now = b.now.Add(100 * time.Millisecond)
+		c.now = c.now.Add(100 * time.Millisecond)
 	}
-	if changes == 0 || changes > 3 || r.allowedTasks() != 9 {
-		t.Errorf("%d changes, %d of 9 may run", changes, r.allowedTasks())
+	if changes == 0 || changes > 3 || group.allowedTasks() != 9 {
+		t.Errorf("%d changes, %d of 9 may run", changes, group.allowedTasks())
 	}
 }
 
@@ -141,19 +141,19 @@
 // have claimed cells. No cell stays taken: one that no record knew of would have
 // been lost until the part changed hands.
 func TestClaimsOfAMovedRecord(t *testing.T) {
-	b := lone(t)
-	p := b.partitions[0]
-	b.applyHeartbeat(b.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}}), 2)
+	c := lone(t)
+	p := c.partitions[0]
+	c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+	c.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}}), 2)
 	key := groupKey("wk-1", 0)
-	b.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
-	r := b.groupByKey[key]
-	b.placeGroup(p, r, map[placementClass]bool{})
+	c.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+	group := c.groupByKey[key]
+	c.placeGroup(p, group, map[placementClass]bool{})
 	if len(p.reservations) != 2 {
 		t.Fatalf("%d tasks have claimed cells", len(p.reservations))
 	}
-	r.writing = true // the leader's move, of this very process
-	b.putRecord(key, raw(t, record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 4)
+	group.writing = true // the leader's move, of this very process
+	c.putRecord(key, raw(t, record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 4)
 	if len(p.reservations) != 0 || len(p.cells.Tasks()) != 0 {
 		t.Errorf("%d claims and %d cells are left", len(p.reservations), len(p.cells.Tasks()))
 	}
@@ -162,13 +162,13 @@
 // The result of a write of ours may come after a later deletion is known: the
 // record must not come back to life.
 func TestLateResultOfADeletedRecord(t *testing.T) {
-	b := lone(t)
-	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
+	c := lone(t)
+	c.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
 	key := groupKey("wk-1", 0)
-	b.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}}}), 3)
-	b.applyEvents(&wire.WatchResponse{Revision: 9, Events: []wire.Event{{Delete: key, Revision: 9}}})
-	b.putRecord(key, raw(t, record.TaskGroup{Done: 1}), 5)
-	if b.groupByKey[key] != nil || len(b.jobs["wk-1"].groups) != 0 {
+	c.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}}}), 3)
+	c.applyEvents(&wire.WatchResponse{Revision: 9, Events: []wire.Event{{Delete: key, Revision: 9}}})
+	c.putRecord(key, raw(t, record.TaskGroup{Done: 1}), 5)
+	if c.groupByKey[key] != nil || len(c.jobs["wk-1"].groups) != 0 {
 		t.Error("a deleted record is back")
 	}
 }
@@ -177,28 +177,28 @@
 // one change, not one for each: their tasks wait for it. The marker names them all,
 // the form of older versions is understood, and deleting it forgets them all.
 func TestGoneTogether(t *testing.T) {
-	b := lone(t)
-	b.becomeLeader(5)
-	b.leadership.active = true
+	c := lone(t)
+	c.becomeLeader(5)
+	c.leadership.active = true
 	var names []string
 	for i := range 240 {
 		names = append(names, fmt.Sprintf("host-%06d", i))
-		b.machineNamed(names[i]).heartbeatAt = b.now
+		c.machineNamed(names[i]).heartbeatAt = c.now
 	}
-	b.storeTombstones(names)
-	if n := b.stateWriter.Backlog(); n > time.Second/10 {
+	c.storeTombstones(names)
+	if n := c.stateWriter.Backlog(); n > time.Second/10 {
 		t.Errorf("the backlog is %v", n)
 	}
-	b.putRecord(tombstonePrefix+"host-000001", record.JSON(names[1:4]), 20)
-	b.putRecord(tombstonePrefix+"host-000009", record.JSON(true), 21)
+	c.putRecord(tombstonePrefix+"host-000001", record.JSON(names[1:4]), 20)
+	c.putRecord(tombstonePrefix+"host-000009", record.JSON(true), 21)
 	for i, gone := range map[int]bool{0: false, 1: true, 2: true, 3: true, 4: false, 9: true} {
-		if b.machineNamed(names[i]).terminated != gone {
+		if c.machineNamed(names[i]).terminated != gone {
 			t.Errorf("%s is gone: %v", names[i], !gone)
 		}
 	}
-	b.deleteRecord(tombstonePrefix+"host-000001", 22)
-	if len(b.terminated) != 1 || len(b.tombstones) != 1 {
-		t.Errorf("%d machines and %d markers are left", len(b.terminated), len(b.tombstones))
+	c.deleteRecord(tombstonePrefix+"host-000001", 22)
+	if len(c.terminated) != 1 || len(c.tombstones) != 1 {
+		t.Errorf("%d machines and %d markers are left", len(c.terminated), len(c.tombstones))
 	}
 }
 
@@ -216,18 +216,18 @@
 		{200, 4 * time.Second, false, true}, {200, time.Second, false, false}, {200, 4 * time.Second, true, false},
 		{3, 4 * time.Second, false, false}, {3, 9 * time.Second, false, true},
 	} {
-		b := lone(t)
-		r := b.leasedKeys[b.partitions[0].key]
-		r.token = 1
+		c := lone(t)
+		leased := c.leasedKeys[c.partitions[0].key]
+		leased.token = 1
 		for i := range x.machines {
-			b.machineNamed(fmt.Sprintf("host-%d", i)).heartbeatAt = b.now
+			c.machineNamed(fmt.Sprintf("host-%d", i)).heartbeatAt = c.now
 		}
-		b.now = b.now.Add(x.after)
+		c.now = c.now.Add(x.after)
 		if x.woke {
-			b.resumedFromPauseAt = b.now
+			c.resumedFromPauseAt = c.now
 		}
-		b.stepDownIfUnheard()
-		if gave := r.token == 0; gave != x.gives {
+		c.stepDownIfUnheard()
+		if gave := leased.token == 0; gave != x.gives {
 			t.Errorf("%+v: rights given up: %v", x, gave)
 		}
 	}
@@ -242,20 +242,20 @@
 		ends   int
 		evicts bool
 	}{{2 * time.Second, 0, false}, {4 * time.Second, 0, true}, {4 * time.Second, 50, false}, {7 * time.Second, 50, true}} {
-		b := lone(t)
-		p := b.partitions[0]
-		b.applyHeartbeat(b.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+		c := lone(t)
+		p := c.partitions[0]
+		c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
 		for i, team := range []string{"blue", "red"} {
 			id := fmt.Sprintf("wk-%d", i+1)
-			b.putRecord(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAM: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
+			c.putRecord(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAM: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
 		}
-		b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 10)
-		b.putRecord(groupKey("wk-2", 0), raw(t, record.TaskGroup{Guaranteed: true, Tasks: []record.Binding{{}}}), 11)
-		r := b.groupByKey[groupKey("wk-2", 0)]
-		r.inPartitionSince = b.now.Add(-x.waited)
-		p.freedCellsBefore, p.freedCellsSince = x.ends, b.now
-		b.placeGroup(p, r, map[placementClass]bool{})
-		if evicts := p.cells.PreemptingGroup(r.task(0)) != nil; evicts != x.evicts {
+		c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 10)
+		c.putRecord(groupKey("wk-2", 0), raw(t, record.TaskGroup{Guaranteed: true, Tasks: []record.Binding{{}}}), 11)
+		group := c.groupByKey[groupKey("wk-2", 0)]
+		group.inPartitionSince = c.now.Add(-x.waited)
+		p.freedCellsBefore, p.freedCellsSince = x.ends, c.now
+		c.placeGroup(p, group, map[placementClass]bool{})
+		if evicts := p.cells.PreemptingGroup(group.task(0)) != nil; evicts != x.evicts {
 			t.Errorf("%+v: evicts: %v", x, evicts)
 		}
 	}
@@ -265,7 +265,7 @@
 // answer that was given last, and each that is over costs what it is planned to.
 func TestJobsThatAreOver(t *testing.T) {
 	const jobs, each = 20_000, 100
-	b := lone(t)
+	c := lone(t)
 	held := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
@@ -278,20 +278,20 @@
 		spec.ID = fmt.Sprintf("wk-%08d", i)
 		stamp := uint64(2*i + 10)
 		if i%2 == 0 { // it ran while this controller did, else it is read after a start
-			b.putRecord(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), stamp)
+			c.putRecord(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), stamp)
 		}
-		b.putRecord(jobKey(spec.ID), raw(t, record.Job{FinalState: cancelledJob + i/2%2}), stamp+1)
+		c.putRecord(jobKey(spec.ID), raw(t, record.Job{FinalState: cancelledJob + i/2%2}), stamp+1)
 		if i%500 != 499 {
 			continue
 		}
 		// What was stored before the last change of a job may not be known yet.
-		n := len(b.finished)
-		b.archiveFinished()
-		if len(b.finished) > n {
-			t.Fatalf("%d jobs are laid down before all of them is known", len(b.finished)-n)
+		n := len(c.finished)
+		c.archiveFinished()
+		if len(c.finished) > n {
+			t.Fatalf("%d jobs are laid down before all of them is known", len(c.finished)-n)
 		}
-		b.cursor = stamp + 1
-		b.archiveFinished()
+		c.cursor = stamp + 1
+		c.archiveFinished()
 	}
 	if n := int(held()-before) / jobs; n > each {
 		t.Errorf("a job that is over holds %d bytes", n)
@@ -300,19 +300,19 @@
 		id    string
 		state string
 	}{{"wk-00000000", wire.Cancelled}, {"wk-00000001", wire.Cancelled}, {"wk-00000002", wire.Done}, {"wk-00000003", wire.Done}} {
-		if j := b.lookupJob(x.id); j == nil || j.response().State != x.state {
-			t.Errorf("%s is %+v", x.id, j)
+		if job := c.lookupJob(x.id); job == nil || job.response().State != x.state {
+			t.Errorf("%s is %+v", x.id, job)
 		}
 	}
-	if b.lookupJob("wk-99999999") != nil {
+	if c.lookupJob("wk-99999999") != nil {
 		t.Error("a job that nobody submitted is known")
 	}
 	// A late copy of an older change does not bring it back.
 	spec.ID = "wk-00000002"
-	b.cursor = 0
-	b.putRecord(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), 14)
-	if j := b.lookupJob(spec.ID); j.finalState != doneJob || len(b.jobs) != 0 {
-		t.Errorf("%s went back to %s", spec.ID, j.response().State)
+	c.cursor = 0
+	c.putRecord(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), 14)
+	if job := c.lookupJob(spec.ID); job.finalState != doneJob || len(c.jobs) != 0 {
+		t.Errorf("%s went back to %s", spec.ID, job.response().State)
 	}
 }
 
@@ -320,37 +320,37 @@
 // Until all changes up to it are known its tasks count for the team's limit as if the
 // job were not over: the leader once gave their room away while one of them ran.
 func TestCancelledBeforeItsBindingIsKnown(t *testing.T) {
-	b := lone(t)
-	b.cfg.Settings.Teams = []config.Team{{Name: "t", CPUsMax: 100}}
-	team := b.team("t")
+	c := lone(t)
+	c.cfg.Settings.Teams = []config.Team{{Name: "t", CPUsMax: 100}}
+	team := c.team("t")
 	spec := &wire.Job{ID: "wk-1", Team: "t", Service: true, Tasks: 1, CPUs: 2, Image: "img"}
 	used := func(when string, want int64) {
 		t.Helper()
-		if got := b.quotas()[team].Used.CPU; got != want*1000 {
+		if got := c.quotas()[team].Used.CPU; got != want*1000 {
 			t.Errorf("%s %d milli-CPUs count, not %d", when, got, want*1000)
 		}
 	}
 	group := func(machine string) json.RawMessage {
 		return raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: machine, Incarnation: 1}}})
 	}
-	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 10)
-	b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{}}}), 11)
-	b.cursor = 11
+	c.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 10)
+	c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{}}}), 11)
+	c.cursor = 11
 	used("dealt:", 2)
 	gone := raw(t, record.Job{FinalState: cancelledJob, Spec: spec})
-	b.putRecord(jobKey("wk-1"), gone, 20) // our own write's result
+	c.putRecord(jobKey("wk-1"), gone, 20) // our own write's result
 	used("cancelled here:", 2)
-	b.applyEvents(&wire.WatchResponse{Revision: 21, Events: []wire.Event{
+	c.applyEvents(&wire.WatchResponse{Revision: 21, Events: []wire.Event{
 		{Put: groupKey("wk-1", 0), Value: group("host-1"), Revision: 15}, {Put: jobKey("wk-1"), Value: gone, Revision: 20}}})
 	used("its binding is known:", 2)
-	b.applyEvents(&wire.WatchResponse{Revision: 22, Events: []wire.Event{{Put: groupKey("wk-1", 0), Value: group(""), Revision: 22}}})
+	c.applyEvents(&wire.WatchResponse{Revision: 22, Events: []wire.Event{{Put: groupKey("wk-1", 0), Value: group(""), Revision: 22}}})
 	used("proven gone:", 0)
 
 	// The same where not even the dealing is known yet.
-	b.putRecord(jobKey("wk-2"), raw(t, record.Job{Spec: spec}), 30)
-	b.cursor = 30
-	b.putRecord(jobKey("wk-2"), gone, 40)
-	b.applyEvents(&wire.WatchResponse{Revision: 41, Events: []wire.Event{
+	c.putRecord(jobKey("wk-2"), raw(t, record.Job{Spec: spec}), 30)
+	c.cursor = 30
+	c.putRecord(jobKey("wk-2"), gone, 40)
+	c.applyEvents(&wire.WatchResponse{Revision: 41, Events: []wire.Event{
 		{Put: groupKey("wk-2", 0), Value: group("host-2"), Revision: 35}, {Put: jobKey("wk-2"), Value: gone, Revision: 40}}})
 	used("dealt and bound before it was cancelled here:", 2)
 }
--- a/internal/controller/causes_test.go
+++ b/internal/controller/causes_test.go
@@ -31,8 +31,8 @@
 		zone := map[string]bool{}
 		for _, n := range c.nodes {
 			n.brain.call(c.ctx, priorityState, func() {
-				for _, r := range n.brain.jobs["wk-9"].groups {
-					zone[r.zone] = true
+				for _, group := range n.brain.jobs["wk-9"].groups {
+					zone[group.zone] = true
 				}
 			})
 		}
@@ -108,20 +108,20 @@
 // An owner starts nothing on the strength of an old read: somebody may have told a user
 // "cancelled" since. It goes on answering reports, so that what runs goes on.
 func TestNoStartAfterAnOldRead(t *testing.T) {
-	b := lone(t)
-	p := b.partitions[0]
-	m := b.machineNamed("host-1")
-	b.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
-	b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 3)
-	if cmds := b.commands(m, p); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
+	c := lone(t)
+	p := c.partitions[0]
+	m := c.machineNamed("host-1")
+	c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+	c.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
+	c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 3)
+	if cmds := c.commands(m, p); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
 		t.Fatalf("commands %v", cmds)
 	}
-	b.now = b.now.Add(b.operator.LeaseTTL + time.Second)
-	if cmds := b.commands(m, p); len(cmds) != 0 {
+	c.now = c.now.Add(c.operator.LeaseTTL + time.Second)
+	if cmds := c.commands(m, p); len(cmds) != 0 {
 		t.Errorf("commands %v on an old read", cmds)
 	}
-	if !b.isFresh(b.maxStaleness) {
+	if !c.isFresh(c.maxStaleness) {
 		t.Error("reports are not answered any more")
 	}
 }
@@ -129,37 +129,37 @@
 // Jobs that fail wherever they are put don't speak against machines; a machine that
 // fails others' tasks is sick; and neither is barred from the other for good.
 func TestWhoIsToBlameForFailures(t *testing.T) {
-	b := lone(t)
+	c := lone(t)
 	job := func(id string) *job {
-		b.putRecord(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 9, CPUs: 1, Team: "t"}}), b.cursor+uint64(len(b.revisions))+5)
-		return b.jobs[id]
+		c.putRecord(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 9, CPUs: 1, Team: "t"}}), c.cursor+uint64(len(c.revisions))+5)
+		return c.jobs[id]
 	}
 	bad, worse := job("wk-1"), job("wk-2")
 	for i := range 4 {
-		m := b.machineNamed(fmt.Sprint("host-", i))
-		b.noteTaskEnd(m, bad, wire.ReasonError)
-		b.noteTaskEnd(m, worse, wire.ReasonError)
+		m := c.machineNamed(fmt.Sprint("host-", i))
+		c.noteTaskEnd(m, bad, wire.ReasonError)
+		c.noteTaskEnd(m, worse, wire.ReasonError)
 	}
 	for i := range 4 {
-		if b.machineNamed(fmt.Sprint("host-", i)).cordoned {
+		if c.machineNamed(fmt.Sprint("host-", i)).cordoned {
 			t.Errorf("machine %d is blamed for two mistaken jobs", i)
 		}
 	}
-	sick := b.machineNamed("host-9")
+	sick := c.machineNamed("host-9")
 	good, fine := job("wk-3"), job("wk-4")
-	b.noteTaskEnd(sick, good, wire.ReasonError)
+	c.noteTaskEnd(sick, good, wire.ReasonError)
 	if sick.cordoned {
 		t.Error("a machine is blamed for one failure")
 	}
-	b.noteTaskEnd(sick, fine, wire.ReasonError)
+	c.noteTaskEnd(sick, fine, wire.ReasonError)
 	if !sick.cordoned {
 		t.Error("a machine that fails several jobs is not found")
 	}
-	if !b.avoidsJob(sick, good) {
+	if !c.avoidsJob(sick, good) {
 		t.Error("the job is put there again at once")
 	}
-	b.now = b.now.Add(jobAvoidance + time.Second)
-	if b.avoidsJob(sick, good) {
+	c.now = c.now.Add(jobAvoidance + time.Second)
+	if c.avoidsJob(sick, good) {
 		t.Error("the machine is barred to the job for good")
 	}
 }
@@ -171,16 +171,16 @@
 		n := rapid.IntRange(1, 20).Draw(t, "tasks")
 		may := rapid.IntRange(1, n).Draw(t, "may run")
 		bound := rapid.IntRange(0, may-1).Draw(t, "are bound")
-		r := &taskGroup{throttle: may + 1, boundCount: bound}
+		group := &taskGroup{throttle: may + 1, boundCount: bound}
 		for i := range n {
 			e := binding{task: int32(i)}
 			if i < bound {
 				e.machine = &machine{}
 			}
-			r.bindings = append(r.bindings, e)
+			group.bindings = append(group.bindings, e)
 		}
 		leave := rapid.IntRange(1, may-bound).Draw(t, "leave")
-		left, moved := r.split(slices.Concat(r.bindings[:bound], r.bindings[bound+leave:]), r.bindings[bound:bound+leave])
+		left, moved := group.split(slices.Concat(group.bindings[:bound], group.bindings[bound+leave:]), group.bindings[bound:bound+leave])
 		if len(left.bindings) == 0 {
 			left.throttle = 1 // it is the same record
 		}
@@ -271,33 +271,33 @@
 // was lent and is back: its cell is free again, and its end is stored by us, since nobody
 // else will ever know. Its job waited for ever.
 func TestEndOfAnotherPartsTask(t *testing.T) {
-	b := lone(t)
-	b.partitions = append([]*partition{b.partitions[0], {index: 1, key: rollout.Initial.Keys().Partition(1)}}, &partition{index: 2, key: rollout.Initial.Keys().Leader()})
-	p := b.partitions[0]
-	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
+	c := lone(t)
+	c.partitions = append([]*partition{c.partitions[0], {index: 1, key: rollout.Initial.Keys().Partition(1)}}, &partition{index: 2, key: rollout.Initial.Keys().Leader()})
+	p := c.partitions[0]
+	c.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
 	key := groupKey("wk-1", 0)
 	value := func(machine string) record.TaskGroup {
 		return record.TaskGroup{Partition: 2, Tasks: []record.Binding{{Attempt: 1, Machine: machine, Incarnation: 1}, {Task: 1}}}
 	}
-	b.putRecord(key, raw(t, value("host-1")), 7)
-	r := b.groupByKey[key]
-	m := b.machineNamed("host-1")
-	if m.partition != 0 || p.cells.CellOf(r.task(0)) == nil {
-		t.Fatalf("part %d, cell %v", m.partition, p.cells.CellOf(r.task(0)))
+	c.putRecord(key, raw(t, value("host-1")), 7)
+	group := c.groupByKey[key]
+	m := c.machineNamed("host-1")
+	if m.partition != 0 || p.cells.CellOf(group.task(0)) == nil {
+		t.Fatalf("part %d, cell %v", m.partition, p.cells.CellOf(group.task(0)))
 	}
-	m.heartbeatAt, m.incarnation = b.now, 2 // a later session: the first one's task is gone
-	b.reconcile(m, p)
-	b.schedulePartition(p)
-	b.now = b.now.Add(maxEndsDelay + time.Second) // ends wait for each other
-	b.schedulePartition(p)
-	if !r.writing || b.stateWriter.Backlog() == 0 {
+	m.heartbeatAt, m.incarnation = c.now, 2 // a later session: the first one's task is gone
+	c.reconcile(m, p)
+	c.schedulePartition(p)
+	c.now = c.now.Add(maxEndsDelay + time.Second) // ends wait for each other
+	c.schedulePartition(p)
+	if !group.writing || c.stateWriter.Backlog() == 0 {
 		t.Error("its end is not stored")
 	}
 	// The same where the record's own part has stored the end.
-	r.writing = false
+	group.writing = false
 	key = groupKey("wk-1", 1)
-	b.putRecord(key, raw(t, value("host-2")), 8)
-	b.putRecord(key, raw(t, value("")), 9)
+	c.putRecord(key, raw(t, value("host-2")), 8)
+	c.putRecord(key, raw(t, value("")), 9)
 	if len(p.cells.Tasks()) != 0 {
 		t.Errorf("cells %v are left", p.cells.Tasks())
 	}
--- a/internal/controller/deal.go
+++ b/internal/controller/deal.go
@@ -12,45 +12,45 @@
 	"eiderhitch/internal/wire"
 )
 
-func (b *controller) quotas() []core.Quota {
-	out := make([]core.Quota, len(b.teamIndex))
-	for i := range b.cfg.Settings.Teams {
-		t := &b.cfg.Settings.Teams[i]
-		out[b.team(t.Name)] = core.Quota{Guaranteed: core.NewResources(t.CPUs, t.GPUs, 0), Limit: core.NewResources(t.CPUsMax, t.GPUsMax, 0)}
-	}
-	for r := range b.allGroups() {
-		if r.job.spec == nil {
+func (c *controller) quotas() []core.Quota {
+	out := make([]core.Quota, len(c.teamIndex))
+	for i := range c.cfg.Settings.Teams {
+		t := &c.cfg.Settings.Teams[i]
+		out[c.team(t.Name)] = core.Quota{Guaranteed: core.NewResources(t.CPUs, t.GPUs, 0), Limit: core.NewResources(t.CPUsMax, t.GPUsMax, 0)}
+	}
+	for group := range c.allGroups() {
+		if group.job.spec == nil {
 			continue
 		}
 		// A dealt task counts for its team's limit whether it runs or not; one
 		// of a cancelled job until it is proven gone.
-		n := r.quotaTasks(b.cursor)
-		l := &out[r.job.team]
-		use := r.job.taskSize.Times(n)
+		n := group.quotaTasks(c.cursor)
+		l := &out[group.job.team]
+		use := group.job.taskSize.Times(n)
 		l.Used = l.Used.Plus(use)
-		if r.guaranteed {
+		if group.guaranteed {
 			l.GuaranteedUsed = l.GuaranteedUsed.Plus(use)
 		}
 	}
 	// A gang that is dealt in several transactions counts whole from the first on: it
 	// can't be begun without the rest.
-	for _, j := range b.unfinished {
-		if j.finalState != unfinishedJob || j.spec == nil {
+	for _, job := range c.unfinished {
+		if job.finalState != unfinishedJob || job.spec == nil {
 			continue
 		}
 		// What a record that can't be decoded binds may run: it counts until it is known.
-		if j.hasUnreadableRecords() {
-			dealt, _ := j.assignedTasks()
-			l := &out[j.team]
-			l.Used = l.Used.Plus(j.taskSize.Times(min(j.spec.Tasks-dealt, len(j.unreadable)*maxGroupBindings)))
+		if job.hasUnreadableRecords() {
+			dealt, _ := job.assignedTasks()
+			l := &out[job.team]
+			l.Used = l.Used.Plus(job.taskSize.Times(min(job.spec.Tasks-dealt, len(job.unreadable)*maxGroupBindings)))
 		}
-		if !j.spec.Gang {
+		if !job.spec.Gang {
 			continue
 		}
-		if dealt, _ := j.assignedTasks(); dealt > 0 && dealt < j.spec.Tasks {
-			l, use := &out[j.team], j.taskSize.Times(j.spec.Tasks-dealt)
+		if dealt, _ := job.assignedTasks(); dealt > 0 && dealt < job.spec.Tasks {
+			l, use := &out[job.team], job.taskSize.Times(job.spec.Tasks-dealt)
 			l.Used = l.Used.Plus(use)
-			if j.firstGroup().guaranteed {
+			if job.firstGroup().guaranteed {
 				l.GuaranteedUsed = l.GuaranteedUsed.Plus(use)
 			}
 		}
@@ -60,30 +60,30 @@
 
 // deal gives waiting tasks to parts that have room for them, highest claims
 // first, and returns what found none.
-func (b *controller) assign(hosts []*core.MachineSummary) []core.Demand {
-	byUrgency := b.byUrgency()
-	wants, lost := b.placeAssigned(hosts, byUrgency)
+func (c *controller) assign(summaries []*core.MachineSummary) []core.Demand {
+	byUrgency := c.byUrgency()
+	wants, lost := c.placeAssigned(summaries, byUrgency)
 	var jobs []*job
-	for _, j := range b.unfinished {
+	for _, j := range c.unfinished {
 		if j.finalState == unfinishedJob && j.spec != nil && j.revision != 0 && !j.hasUnreadableRecords() && j.hasWaitingTasks() {
 			jobs = append(jobs, j)
 		}
 	}
 	slices.SortFunc(jobs, byUrgency)
-	limits := b.quotas()
+	limits := c.quotas()
 	noRoom := map[string]bool{}
 	alike := map[string]int{} // where in wants the services of a kind are
 	short := map[int32]bool{} // teams in which somebody waits for the limit
-	b.leadership.assignAhead = b.assignAhead(lost)
+	c.leadership.assignAhead = c.assignAhead(lost)
 	places := map[string]bool{} // whether jobs of a kind find any room at all
 	placeable := func(j *job) bool {
 		kind := j.equivalenceClass
 		if j.spec.SingleZone {
-			kind += "/" + b.zoneOfJob(j)
+			kind += "/" + c.zoneOfJob(j)
 		}
 		ok, known := places[kind]
 		if !known {
-			ok = b.placeable(hosts, j)
+			ok = c.placeable(summaries, j)
 			places[kind] = ok
 		}
 		return ok
@@ -92,23 +92,23 @@
 		// While somebody more urgent waits within the team's limit, nothing that
 		// stood back comes forward: it would be stopped and started for ever.
 		if !short[j.team] {
-			b.unthrottle(j, &limits[j.team])
+			c.unthrottle(j, &limits[j.team])
 		}
 		dealt, _ := j.assignedTasks()
 		if j.spec.Gang && dealt > 0 && dealt < j.spec.Tasks {
-			b.assignRemainder(j, dealt)
+			c.assignRemainder(j, dealt)
 			continue
 		}
-		if b.now.Sub(j.assignedAt) < arrayAssignInterval && !j.spec.AllOrNothing() {
+		if c.now.Sub(j.assignedAt) < arrayAssignInterval && !j.spec.AllOrNothing() {
 			if left := j.spec.Tasks - dealt; left > 0 {
 				n := limits[j.team].Room(j.taskSize, left)
 				short[j.team] = short[j.team] || n < left && placeable(j)
-				wants = append(wants, b.demand(j, "", n))
+				wants = append(wants, c.demand(j, "", n))
 			}
 			continue
 		}
 		if left := j.spec.Tasks - dealt; left > 0 {
-			must := b.jobOrder(j).ForcedTasks(j.unplacedTasks())
+			must := c.jobOrder(j).ForcedTasks(j.unplacedTasks())
 			if must > 0 {
 				left = min(left, must)
 			}
@@ -116,7 +116,7 @@
 				// Jobs alike are decided as a class: where one found no room,
 				// none behind it will.
 				n := limits[j.team].Room(j.taskSize, left)
-				wants = append(wants, b.demand(j, "", n))
+				wants = append(wants, c.demand(j, "", n))
 				continue
 			}
 			if at, ok := alike[j.equivalenceClass]; ok && j.spec.Tasks == 1 && limits[j.team].Room(j.taskSize, 1) == 1 {
@@ -128,17 +128,17 @@
 			before := limits[j.team].Used
 			if limits[j.team].Room(j.taskSize, left) < left && placeable(j) {
 				short[j.team] = true
-				b.throttleTeam(j, limits[j.team].Shortfall(j.taskSize.Times(left)))
+				c.throttleTeam(j, limits[j.team].Shortfall(j.taskSize.Times(left)))
 			}
-			w := b.assignJob(hosts, limits, j, assignmentRequest{dealt, left, must > 0})
+			w := c.assignJob(summaries, limits, j, assignmentRequest{dealt, left, must > 0})
 			if w.Count > 0 {
-				if j.spec.AllOrNothing() && j.spec.Tasks == 1 && !b.hasLoanFor(j) {
+				if j.spec.AllOrNothing() && j.spec.Tasks == 1 && !c.hasLoanFor(j) {
 					alike[j.equivalenceClass], w.Groups = len(wants), 1
 				}
 				wants = append(wants, w)
 				noRoom[j.equivalenceClass] = true
 			}
-			if j.spec.AllOrNothing() && limits[j.team].Used == before && (b.now.Sub(j.acceptedAt) < quotaHoldTime || placeable(j)) {
+			if j.spec.AllOrNothing() && limits[j.team].Used == before && (c.now.Sub(j.acceptedAt) < quotaHoldTime || placeable(j)) {
 				// What a group waits for is not for those behind it, unless no machine
 				// has come for it in good time: none may ever.
 				limits[j.team].Used = before.Plus(j.taskSize.Times(left))
@@ -156,33 +156,35 @@
 // make some. Where there is none, nothing of its team is held back or stopped for it: the
 // room that came of that went to others, who were stopped for it in turn, several times a
 // second.
-func (b *controller) placeable(hosts []*core.MachineSummary, j *job) bool {
+func (c *controller) placeable(summaries []*core.MachineSummary, j *job) bool {
 	zone := ""
 	if j.spec.SingleZone {
-		zone = b.zoneOfJob(j)
+		zone = c.zoneOfJob(j)
 	}
-	can := func(h *core.MachineSummary) bool {
-		return !h.Booting && b.reserveAllows(j, h) && allowed(j.spec, zone, h.Type, h.Zone, h.Spot)
+	can := func(summary *core.MachineSummary) bool {
+		return !summary.Booting && c.reserveAllows(j, summary) && allowed(j.spec, zone, summary.Type, summary.Zone, summary.Spot)
 	}
-	for _, h := range hosts {
-		if can(h) && h.Free.Contains(j.taskSize) {
+	for _, summary := range summaries {
+		if can(summary) && summary.Free.Contains(j.taskSize) {
 			return true
 		}
 	}
-	return core.PlaceByPreemption(core.CloneSummaries(hosts), can, j.taskSize, core.Claim{Priority: j.spec.Priority, Team: j.team}) != nil
+	return core.PlaceByPreemption(core.CloneSummaries(summaries), can, j.taskSize, core.Claim{Priority: j.spec.Priority, Team: j.team}) != nil
 }
 
 // settleDealt has the tasks that are dealt and not placed yet take the room in
 // their parts, and moves those that find none to parts that have it. It returns
 // what found none anywhere, and how much of each record that is.
-func (b *controller) placeAssigned(hosts []*core.MachineSummary, byUrgency func(x, y *job) int) (wants []core.Demand, lost map[*taskGroup]int) {
-	var recs, stuck []*taskGroup
-	for r := range b.allGroups() {
-		if r.job.finalState == unfinishedJob && r.job.spec != nil && r.job.revision != 0 && r.allowedTasks() > r.boundTasks() {
-			recs = append(recs, r)
+func (c *controller) placeAssigned(summaries []*core.MachineSummary, byUrgency func(x, y *job) int) (wants []core.Demand, lost map[*taskGroup]int) {
+	var groups, stuck []*taskGroup
+	for group := range c.allGroups() {
+		if group.job.finalState == unfinishedJob && group.job.spec != nil && group.job.revision != 0 && group.allowedTasks() > group.boundTasks() {
+			groups = append(groups, group)
 		}
 	}
-	slices.SortFunc(recs, func(x, y *taskGroup) int { return cmp.Or(byUrgency(x.job, y.job), cmp.Compare(x.number, y.number)) })
+	slices.SortFunc(groups, func(first, second *taskGroup) int {
+		return cmp.Or(byUrgency(first.job, second.job), cmp.Compare(first.number, second.number))
+	})
 	lost = map[*taskGroup]int{}
 	// Room only gets less here, so where one of a class has found none, none
 	// behind it will.
@@ -192,78 +194,78 @@
 		claim     core.Claim
 	}
 	full := map[class]bool{}
-	for _, r := range recs {
-		spec := r.job.spec
-		n := r.allowedTasks() - r.boundTasks()
-		c := class{r.job.equivalenceClass, r.zone, r.partition, r.claim()}
-		if !full[c] {
-			in := func(h *core.MachineSummary) bool {
-				return h.Partition == r.partition && !h.Booting && allowed(spec, r.zone, h.Type, h.Zone, h.Spot)
+	for _, group := range groups {
+		spec := group.job.spec
+		n := group.allowedTasks() - group.boundTasks()
+		kind := class{group.job.equivalenceClass, group.zone, group.partition, group.claim()}
+		if !full[kind] {
+			in := func(summary *core.MachineSummary) bool {
+				return summary.Partition == group.partition && !summary.Booting && allowed(spec, group.zone, summary.Type, summary.Zone, summary.Spot)
 			}
-			if spec.Gang && r.partition == b.loanPartition() && roomFor(hosts, in, r.job.taskSize, n) < n {
+			if spec.Gang && group.partition == c.loanPartition() && roomFor(summaries, in, group.job.taskSize, n) < n {
 				// It gathers room there, but holds none for long that it can't use.
 				any := in
-				in = func(h *core.MachineSummary) bool { return any(h) && !b.unusedForLong(h) }
+				in = func(summary *core.MachineSummary) bool { return any(summary) && !c.unusedForLong(summary) }
 			}
-			for _, k := range core.PlaceInFreeRoom(hosts, in, r.job.taskSize, n) {
+			for _, k := range core.PlaceInFreeRoom(summaries, in, group.job.taskSize, n) {
 				n -= k
 			}
-			for n > 0 && spec.Priority > 0 && core.PlaceByPreemption(hosts, in, r.job.taskSize, r.claim()) != nil {
+			for n > 0 && spec.Priority > 0 && core.PlaceByPreemption(summaries, in, group.job.taskSize, group.claim()) != nil {
 				n--
 			}
-			full[c] = n > 0
+			full[kind] = n > 0
 		}
 		if n > 0 {
-			stuck = append(stuck, r)
-			lost[r] = n
+			stuck = append(stuck, group)
+			lost[group] = n
 		}
 	}
 	nowhere := map[class]bool{}
-	for _, r := range stuck {
-		n := lost[r]
-		c := class{r.job.equivalenceClass, r.zone, r.partition, r.claim()}
-		if !r.writing && b.now.Sub(r.inPartitionSince) > time.Second && (r.job.spec.AllOrNothing() || !nowhere[c]) {
-			if b.moveUnplaced(hosts, r, n) {
+	for _, group := range stuck {
+		n := lost[group]
+		kind := class{group.job.equivalenceClass, group.zone, group.partition, group.claim()}
+		if !group.writing && c.now.Sub(group.inPartitionSince) > time.Second && (group.job.spec.AllOrNothing() || !nowhere[kind]) {
+			if c.moveUnplaced(summaries, group, n) {
 				continue
 			}
-			nowhere[c] = true
+			nowhere[kind] = true
 		}
-		if b.moveToOtherZone(hosts, r) {
+		if c.moveToOtherZone(summaries, group) {
 			continue
 		}
-		wants = append(wants, b.demand(r.job, r.zone, n))
+		wants = append(wants, c.demand(group.job, group.zone, n))
 	}
 	return wants, lost
 }
 
 // roomFor is for how many of n tasks hosts have free room.
-func roomFor(hosts []*core.MachineSummary, in func(*core.MachineSummary) bool, need core.Resources, n int) int {
+func roomFor(summaries []*core.MachineSummary, in func(*core.MachineSummary) bool, need core.Resources, n int) int {
 	room := 0
-	for _, h := range hosts {
-		if in(h) {
-			room += h.Free.CountFitting(need, n-room)
+	for _, summary := range summaries {
+		if in(summary) {
+			room += summary.Free.CountFitting(need, n-room)
 		}
 	}
 	return room
 }
 
 // slack is the time until a job's deadline, or until it should be done all the same.
-func (b *controller) slackS(j *job) float64 {
+func (c *controller) slackS(j *job) float64 {
 	if j.spec.NoDeadline {
 		return math.Inf(1)
 	}
-	age := b.now.Sub(j.acceptedAt).Seconds()
+	age := c.now.Sub(j.acceptedAt).Seconds()
 	slack := j.spec.DeadlineS - age
 	if slack < j.spec.EstimateS { // too late for that, and perhaps not for its class's aim
-		slack = max(slack, b.objectiveSeconds[j.spec.Class]-age)
+		slack = max(slack, c.objectiveSeconds[j.spec.Class]-age)
 	}
 	return slack
 }
 
 // want is what a job's tasks that found no room ask of the fleet.
-func (b *controller) demand(j *job, zone string, n int) core.Demand {
-	spec, o := j.spec, b.jobOrder(j)
-	return core.Demand{Class: spec.Class, TaskSize: j.taskSize, Count: n, AllOrNothing: spec.AllOrNothing(), EstimateS: spec.EstimateS, WindowS: o.WindowS(), SlackS: b.slackS(j),
+func (c *controller) demand(j *job, zone string, n int) core.Demand {
+	spec, o := j.spec, c.jobOrder(j)
+	return core.Demand{Class: spec.Class, TaskSize: j.taskSize, Count: n, AllOrNothing: spec.AllOrNothing(), EstimateS: spec.EstimateS, WindowS: o.WindowS(), SlackS: c.slackS(j),
 		Allows: func(typ, zoneOf string, spot bool) bool { return allowed(spec, zone, typ, zoneOf, spot) }}
 }
 
@@ -272,27 +274,27 @@
 
 // turnaround is about how long a cell stays empty when its next task has not
 // been dealt yet: the end is stored, the leader deals, the binding is stored.
-func (b *controller) turnaround() time.Duration {
-	return b.endsDelay() + 2*min(b.stateWriter.Backlog(), 5*time.Second) + time.Second
+func (c *controller) turnaround() time.Duration {
+	return c.endsDelay() + 2*min(c.stateWriter.Backlog(), 5*time.Second) + time.Second
 }
 
 // dealAhead is how many tasks each part may be dealt beyond its free room, so
 // that an ending task's cell is taken again without asking the leader.
-func (b *controller) assignAhead(lost map[*taskGroup]int) []int {
-	ahead := make([]float64, len(b.partitions))
-	t := b.turnaround().Seconds()
-	for r := range b.allGroups() {
-		if r.job.spec != nil && !r.job.spec.AllOrNothing() {
-			ahead[r.partition] += core.AssignAhead(r.boundTasks(), r.job.spec.EstimateS, t)
+func (c *controller) assignAhead(lost map[*taskGroup]int) []int {
+	ahead := make([]float64, len(c.partitions))
+	t := c.turnaround().Seconds()
+	for group := range c.allGroups() {
+		if group.job.spec != nil && !group.job.spec.AllOrNothing() {
+			ahead[group.partition] += core.AssignAhead(group.boundTasks(), group.job.spec.EstimateS, t)
 		}
 	}
-	out := make([]int, len(b.partitions))
+	out := make([]int, len(c.partitions))
 	for p := range out {
 		out[p] = int(math.Ceil(ahead[p]))
 	}
-	for r, n := range lost {
-		if r.partition >= 0 && r.partition < len(out) {
-			out[r.partition] -= n
+	for group, n := range lost {
+		if group.partition >= 0 && group.partition < len(out) {
+			out[group.partition] -= n
 		}
 	}
 	return out
@@ -306,7 +308,7 @@
 }
 
 // dealJob deals as many of a job's tasks as there is room for now.
-func (b *controller) assignJob(hosts []*core.MachineSummary, limits []core.Quota, j *job, ask assignmentRequest) core.Demand {
+func (c *controller) assignJob(summaries []*core.MachineSummary, limits []core.Quota, j *job, ask assignmentRequest) core.Demand {
 	dealt, left := ask.assigned, ask.remaining
 	spec := j.spec
 	lim := &limits[j.team]
@@ -326,7 +328,7 @@
 	next := int32(dealt)
 	add := func(part int, zone string, n int) {
 		for n > 0 {
-			k := min(n, b.maxGroupTasks)
+			k := min(n, c.maxGroupTasks)
 			if own > 0 {
 				k = min(k, own)
 			}
@@ -338,32 +340,32 @@
 	}
 	// Where a team's limit is short, what is dealt but can't run yet would hold
 	// the limit against others of the team, and would have to be held back again.
-	tight := lim.Room(j.taskSize, left+core.MinAssigned*len(b.partitions)) < left+core.MinAssigned*len(b.partitions)
+	tight := lim.Room(j.taskSize, left+core.MinAssigned*len(c.partitions)) < left+core.MinAssigned*len(c.partitions)
 	got := 0
 	// What is kept for gangs is for more urgent work only if there is nothing else.
-	zones := b.candidateZones(j, hosts)
+	zones := c.candidateZones(j, summaries)
 	pooled := len(zones)
-	if b.outranksReserve(j) {
+	if c.outranksReserve(j) {
 		zones = slices.Concat(zones, zones)
 	}
 	for i, zone := range zones {
 		n := room - got
 		if spec.Spread {
-			n = min(n, b.zoneSpreadRoom(j, zone, chunks))
+			n = min(n, c.zoneSpreadRoom(j, zone, chunks))
 		}
 		if n <= 0 {
 			continue
 		}
-		can := func(h *core.MachineSummary) bool {
-			return !h.Booting && (i >= pooled || b.reserveAllows(j, h)) && allowed(spec, zone, h.Type, h.Zone, h.Spot)
+		can := func(summary *core.MachineSummary) bool {
+			return !summary.Booting && (i >= pooled || c.reserveAllows(j, summary)) && allowed(spec, zone, summary.Type, summary.Zone, summary.Spot)
 		}
 		d := core.Assignment{TaskSize: j.taskSize, Count: n, Claim: claim, Allowed: can, QuotaShort: tight, Forced: ask.forced}
 		if spec.AllOrNothing() {
 			// The whole group in one part, so that its cells are reserved
 			// together; its part's owner evicts where there is no free room.
-			part, ok := d.OnePartition(hosts, len(b.partitions))
+			part, ok := d.OnePartition(summaries, len(c.partitions))
 			if !ok {
-				if n > 1 && b.borrow(hosts, j, zone, n, claim) {
+				if n > 1 && c.borrow(summaries, j, zone, n, claim) {
 					return core.Demand{}
 				}
 				continue
@@ -372,7 +374,7 @@
 			got += n
 			continue
 		}
-		perPart := d.PerPartition(hosts, b.leadership.assignAhead)
+		perPart := d.PerPartition(summaries, c.leadership.assignAhead)
 		for part, k := range perPart {
 			k = min(k, room-got)
 			if k > 0 {
@@ -386,8 +388,8 @@
 	}
 	if spec.Gang {
 		// It counts whole, also if the rest of it is dealt later (dealRest).
-		chunks = b.fitTransaction(chunks)
-	} else if most := b.cfg.Settings.State.TxnOps / 2; len(chunks) > most {
+		chunks = c.fitTransaction(chunks)
+	} else if most := c.cfg.Settings.State.TxnOps / 2; len(chunks) > most {
 		for _, g := range chunks[most:] {
 			got -= len(g.Tasks)
 		}
@@ -399,12 +401,12 @@
 			lim.GuaranteedUsed = lim.GuaranteedUsed.Plus(j.taskSize.Times(len(g.Tasks)))
 		}
 	}
-	b.writeAssignment(j, chunks)
+	c.writeAssignment(j, chunks)
 	zone := ""
 	if spec.SingleZone {
-		zone = b.zoneOfJob(j)
+		zone = c.zoneOfJob(j)
 	}
-	return b.demand(j, zone, room-got)
+	return c.demand(j, zone, room-got)
 }
 
 // newGroup is a record of tasks that are dealt for the first time.
@@ -417,11 +419,11 @@
 }
 
 // inOneTxn is how much of a list of records one transaction can create.
-func (b *controller) fitTransaction(chunks []record.TaskGroup) []record.TaskGroup {
+func (c *controller) fitTransaction(chunks []record.TaskGroup) []record.TaskGroup {
 	size := 0
 	for i := range chunks {
-		size += chunks[i].Encode(b.encoding()).Size() + recordOverhead
-		if i > 0 && (i == b.cfg.Settings.State.TxnOps || size > store.MaxTxnBytes) {
+		size += chunks[i].Encode(c.encoding()).Size() + recordOverhead
+		if i > 0 && (i == c.cfg.Settings.State.TxnOps || size > store.MaxTxnBytes) {
 			return chunks[:i]
 		}
 	}
@@ -435,23 +437,23 @@
 // dealRest deals the tasks of a gang that did not fit into the transactions before, to
 // where those are. Which tasks are dealt is known by number alone, so there is one
 // transaction at a time; a new leader goes on where the last one stopped.
-func (b *controller) assignRemainder(j *job, dealt int) {
+func (c *controller) assignRemainder(j *job, dealt int) {
 	first := j.firstGroup()
 	var chunks []record.TaskGroup
-	for next := dealt; next < j.spec.Tasks; next += b.maxGroupTasks {
-		chunks = append(chunks, newTaskGroupRecord(first.partition, first.zone, first.guaranteed, int32(next), min(b.maxGroupTasks, j.spec.Tasks-next)))
+	for next := dealt; next < j.spec.Tasks; next += c.maxGroupTasks {
+		chunks = append(chunks, newTaskGroupRecord(first.partition, first.zone, first.guaranteed, int32(next), min(c.maxGroupTasks, j.spec.Tasks-next)))
 	}
-	b.writeAssignment(j, b.fitTransaction(chunks))
+	c.writeAssignment(j, c.fitTransaction(chunks))
 }
 
 // writeDealing stores the records of one dealing. All of them are written together or
 // not at all: which tasks are dealt already is known by their number alone, so a gap,
 // left by one write that failed, would have a later dealing hand out tasks twice.
-func (b *controller) writeAssignment(j *job, chunks []record.TaskGroup) {
+func (c *controller) writeAssignment(j *job, chunks []record.TaskGroup) {
 	if len(chunks) == 0 {
 		return
 	}
-	u := &store.Write{Prompt: j.spec.Gang, Early: true, Conditions: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
+	write := &store.Write{Prompt: j.spec.Gang, Early: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
 	empty := j.emptyGroups()
 	var used []*taskGroup
 	tasks := 0
@@ -465,20 +467,20 @@
 		} else {
 			key = groupKey(j.id, j.newGroupNumber())
 		}
-		u.Conditions = append(u.Conditions, wire.Condition{Key: key, Revision: stamp})
-		u.Changes = append(u.Changes, wire.Change{Put: key, Value: g.Encode(b.encoding()).At(key)})
+		write.Conditions = append(write.Conditions, wire.Condition{Key: key, Revision: stamp})
+		write.Changes = append(write.Changes, wire.Change{Put: key, Value: g.Encode(c.encoding()).At(key)})
 	}
-	j.assignedAt = b.now
-	b.leadership.writesInFlight++
-	epoch := b.leadership.epoch
-	b.submitWrite(u, func(err error) {
-		for _, r := range used {
-			r.writing = false
+	j.assignedAt = c.now
+	c.leadership.writesInFlight++
+	epoch := c.leadership.epoch
+	c.submitWrite(write, func(err error) {
+		for _, group := range used {
+			group.writing = false
 		}
-		b.leaderWriteDone(epoch, err)
+		c.leaderWriteDone(epoch, err)
 	})
-	b.metrics.count(countAssigned, len(chunks))
-	b.log.Debug("dealt", "job", j.id, "tasks", tasks, "records", len(chunks))
+	c.metrics.count(countAssigned, len(chunks))
+	c.log.Debug("dealt", "job", j.id, "tasks", tasks, "records", len(chunks))
 }
 
 // emptyRecs are records whose tasks are all done. They are used again, so that a large
@@ -486,37 +488,37 @@
 // minutes late must not find its key absent once more.
 func (j *job) emptyGroups() []*taskGroup {
 	var empty []*taskGroup
-	for _, r := range j.groups {
-		if len(r.bindings) == 0 && !r.writing {
-			empty = append(empty, r)
+	for _, group := range j.groups {
+		if len(group.bindings) == 0 && !group.writing {
+			empty = append(empty, group)
 		}
 	}
-	slices.SortFunc(empty, func(x, y *taskGroup) int { return cmp.Compare(x.number, y.number) })
+	slices.SortFunc(empty, func(first, second *taskGroup) int { return cmp.Compare(first.number, second.number) })
 	return empty
 }
 
 // pinned is the zone that a samePlace job's tasks are in already, or are to be.
-func (b *controller) zoneOfJob(j *job) string {
-	for _, r := range j.groups {
-		if r.zone != "" && len(r.bindings) > 0 {
-			return r.zone
+func (c *controller) zoneOfJob(j *job) string {
+	for _, group := range j.groups {
+		if group.zone != "" && len(group.bindings) > 0 {
+			return group.zone
 		}
 	}
 	return ""
 }
 
 // zonesFor lists the zones to try; "" stands for any.
-func (b *controller) candidateZones(j *job, hosts []*core.MachineSummary) []string {
+func (c *controller) candidateZones(j *job, summaries []*core.MachineSummary) []string {
 	if !j.spec.SingleZone && !j.spec.Spread {
 		return []string{""}
 	}
-	if z := b.zoneOfJob(j); z != "" && j.spec.SingleZone {
+	if z := c.zoneOfJob(j); z != "" && j.spec.SingleZone {
 		return []string{z}
 	}
 	free := map[string]int{}
-	for _, h := range hosts {
-		if allowed(j.spec, "", h.Type, h.Zone, h.Spot) {
-			free[h.Zone] += h.Free.CountFitting(j.taskSize, j.spec.Tasks)
+	for _, summary := range summaries {
+		if allowed(j.spec, "", summary.Type, summary.Zone, summary.Spot) {
+			free[summary.Zone] += summary.Free.CountFitting(j.taskSize, j.spec.Tasks)
 		}
 	}
 	var zones []string
@@ -531,11 +533,11 @@
 }
 
 // spreadRoom is how many more tasks may go to a zone: half of all, rounded up.
-func (b *controller) zoneSpreadRoom(j *job, zone string, more []record.TaskGroup) int {
+func (c *controller) zoneSpreadRoom(j *job, zone string, more []record.TaskGroup) int {
 	n := (j.spec.Tasks + 1) / 2
-	for _, r := range j.groups {
-		if r.zone == zone {
-			n -= len(r.bindings)
+	for _, group := range j.groups {
+		if group.zone == zone {
+			n -= len(group.bindings)
 		}
 	}
 	for _, g := range more {
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -76,28 +76,28 @@
 // rest waits for its turn, and what waits is neither refused nor given up.
 func TestMassLossFitsTheQueue(t *testing.T) {
 	const machines = 4000
-	b := crowded(t, machines)
+	c := crowded(t, machines)
 	var log bytes.Buffer
-	b.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelError}))
-	p := b.partitions[0]
+	c.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelError}))
+	p := c.partitions[0]
 	for _, m := range p.machines {
 		m.terminated = true
-		b.endAllAttempts(m, "test")
+		c.endAllAttempts(m, "test")
 	}
-	lost := len(b.attemptEnds)
+	lost := len(c.attemptEnds)
 	for range 3 {
-		b.schedulePartition(p)
+		c.schedulePartition(p)
 	}
 	if lost < 5000 || log.Len() > 0 {
 		t.Errorf("%d tasks are lost: %s", lost, log.String()[:min(log.Len(), 300)])
 	}
 	waiting := 0
-	for _, r := range p.groups {
-		if !r.writing && r.hasUnstoredEnds {
+	for _, group := range p.groups {
+		if !group.writing && group.hasUnstoredEnds {
 			waiting++
 		}
 	}
-	if waiting == 0 || len(b.attemptEnds) != lost {
-		t.Errorf("%d records wait, %d of %d ends are remembered", waiting, len(b.attemptEnds), lost)
+	if waiting == 0 || len(c.attemptEnds) != lost {
+		t.Errorf("%d records wait, %d of %d ends are remembered", waiting, len(c.attemptEnds), lost)
 	}
 }
--- a/internal/controller/gang_clauses_test.go
+++ b/internal/controller/gang_clauses_test.go
@@ -241,19 +241,19 @@
 // Who is told that others are gone, or never came, is not to blame: neither the machine
 // nor the job is barred, rested or counted as failing.
 func TestNobodyIsBlamedForMissingMembers(t *testing.T) {
-	b := lone(t)
-	m := b.machineNamed("host-1")
+	c := lone(t)
+	m := c.machineNamed("host-1")
 	j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2}}
-	b.jobs["wk-1"] = j
+	c.jobs["wk-1"] = j
 	for _, why := range []string{wire.ReasonPeersGone, wire.ReasonIncompleteGang} {
 		for range 5 {
-			b.noteTaskEnd(m, j, why)
+			c.noteTaskEnd(m, j, why)
 		}
 	}
 	if len(m.failedJobs) > 0 || len(j.failedOn) > 0 || !m.avoidUntil.IsZero() || !j.retryAt.IsZero() || m.cordoned {
 		t.Errorf("machine: %v %v %v, job: %v %v", m.failedJobs, m.avoidUntil, m.cordoned, j.failedOn, j.retryAt)
 	}
-	b.noteTaskEnd(m, j, wire.ReasonError)
+	c.noteTaskEnd(m, j, wire.ReasonError)
 	if len(m.failedJobs) != 1 || len(j.failedOn) != 1 {
 		t.Error("a failure is not noted")
 	}
@@ -277,29 +277,29 @@
 		{"one has failed", wire.Exited, wire.ReasonError, false, true},
 		{"one has found out", wire.Exited, wire.ReasonPeersGone, false, true},
 	} {
-		b := lone(t)
-		p := b.partitions[0]
-		m := b.machineNamed("host-1")
-		b.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-		b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2, CPUs: 1, CheckpointS: 5, SaveS: 2, Team: "t"}}), 2)
+		c := lone(t)
+		p := c.partitions[0]
+		m := c.machineNamed("host-1")
+		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+		c.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2, CPUs: 1, CheckpointS: 5, SaveS: 2, Team: "t"}}), 2)
 		tasks := []record.Binding{{Task: 0, Attempt: 1, Machine: "host-1", Incarnation: 1}, {Task: 1, Attempt: 1, Machine: "host-1", Incarnation: 1}}
 		if x.lost {
 			tasks[1] = record.Binding{Task: 1, Attempt: 1}
 		}
-		b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: tasks}), 3)
-		r := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, Token: 1, Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: x.state, Reason: x.why}}}
+		c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: tasks}), 3)
+		heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, Token: 1, Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: x.state, Reason: x.why}}}
 		if !x.lost {
-			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: "wk-1/1", Attempt: 1, State: wire.Running})
+			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: "wk-1/1", Attempt: 1, State: wire.Running})
 			if x.state == wire.Gathering || x.why == wire.ReasonIncompleteGang {
-				r.Tasks[1].State = wire.Gathering
+				heartbeat.Tasks[1].State = wire.Gathering
 			}
 		}
-		b.applyHeartbeat(m, r, p, true)
-		j := b.jobs["wk-1"]
-		if got := b.gangBroken(j); got != x.broken {
+		c.applyHeartbeat(m, heartbeat, p, true)
+		job := c.jobs["wk-1"]
+		if got := c.gangBroken(job); got != x.broken {
 			t.Errorf("%s: broken is %v", x.name, got)
 		}
-		if grace := b.stopGraceS(j); (grace > 0) == x.broken {
+		if grace := c.stopGraceS(job); (grace > 0) == x.broken {
 			t.Errorf("%s: %v s to save", x.name, grace)
 		}
 	}
@@ -310,55 +310,55 @@
 // only a part of the records is stored as done ends the rest.
 func TestOneDoneIsAllDone(t *testing.T) {
 	setUp := func(t *testing.T, records int) (*controller, *partition, []*taskGroup) {
-		b := lone(t)
-		p := b.partitions[0]
-		m := b.machineNamed("host-1")
-		b.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-		b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 4, CPUs: 1, Team: "t"}}), 2)
-		var recs []*taskGroup
+		ctl := lone(t)
+		p := ctl.partitions[0]
+		m := ctl.machineNamed("host-1")
+		ctl.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+		ctl.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: ctl.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 4, CPUs: 1, Team: "t"}}), 2)
+		var groups []*taskGroup
 		for k := range records {
 			var tasks []record.Binding
 			for n := k * 4 / records; n < (k+1)*4/records; n++ {
 				tasks = append(tasks, record.Binding{Task: int32(n), Attempt: 1, Machine: "host-1", Incarnation: 1})
 			}
 			key := groupKey("wk-1", k)
-			b.putRecord(key, raw(t, record.TaskGroup{Tasks: tasks}), uint64(3+k))
-			recs = append(recs, b.groupByKey[key])
+			ctl.putRecord(key, raw(t, record.TaskGroup{Tasks: tasks}), uint64(3+k))
+			groups = append(groups, ctl.groupByKey[key])
 		}
-		return b, p, recs
+		return ctl, p, groups
 	}
-	report := func(b *controller, p *partition, seq uint64, whys map[int]string) {
-		r := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, Token: 1}
+	report := func(ctl *controller, p *partition, seq uint64, whys map[int]string) {
+		heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, Token: 1}
 		for n := range 4 {
 			if why, ok := whys[n]; ok {
-				r.Tasks = append(r.Tasks, wire.TaskStatus{Task: fmt.Sprint("wk-1/", n), Attempt: 1, State: wire.Exited, Reason: why})
+				heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: fmt.Sprint("wk-1/", n), Attempt: 1, State: wire.Exited, Reason: why})
 			} else {
-				r.Tasks = append(r.Tasks, wire.TaskStatus{Task: fmt.Sprint("wk-1/", n), Attempt: 1, State: wire.Running})
+				heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: fmt.Sprint("wk-1/", n), Attempt: 1, State: wire.Running})
 			}
 		}
-		b.applyHeartbeat(b.machineNamed("host-1"), r, p, true)
+		ctl.applyHeartbeat(ctl.machineNamed("host-1"), heartbeat, p, true)
 	}
 	for name, whys := range map[string]map[int]string{
 		"only one is heard":       {2: wire.ReasonDone},
 		"others say mates_gone":   {0: wire.ReasonPeersGone, 1: wire.ReasonDone, 3: wire.ReasonPeersGone},
 		"others are said stopped": {0: wire.ReasonStopped, 3: wire.ReasonDone},
 	} {
-		b, p, recs := setUp(t, 1)
-		report(b, p, 2, whys)
-		update := b.planUpdate(p, recs[0])
-		if update.done != 4 || len(update.bindings) != 0 || !b.endsJob(recs[0], &update) {
+		ctl, p, groups := setUp(t, 1)
+		report(ctl, p, 2, whys)
+		update := ctl.planUpdate(p, groups[0])
+		if update.done != 4 || len(update.bindings) != 0 || !ctl.endsJob(groups[0], &update) {
 			t.Errorf("%s: %d done, %d left", name, update.done, len(update.bindings))
 		}
 	}
-	b, p, recs := setUp(t, 1)
-	report(b, p, 2, map[int]string{0: wire.ReasonPeersGone, 1: wire.ReasonPeersGone, 2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
-	if update := b.planUpdate(p, recs[0]); update.done != 0 || len(update.bindings) != 4 {
+	c, part, recs := setUp(t, 1)
+	report(c, part, 2, map[int]string{0: wire.ReasonPeersGone, 1: wire.ReasonPeersGone, 2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
+	if update := c.planUpdate(part, recs[0]); update.done != 0 || len(update.bindings) != 4 {
 		t.Errorf("none is done: %d done, %d left", update.done, len(update.bindings))
 	}
-	b, p, recs = setUp(t, 2)
-	b.putRecord(recs[0].key, raw(t, record.TaskGroup{Done: 2, Tasks: []record.Binding{}}), 9) // by the owner before
-	report(b, p, 2, map[int]string{2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
-	if update := b.planUpdate(p, recs[1]); update.done != 2 || !b.endsJob(recs[1], &update) {
+	c, part, recs = setUp(t, 2)
+	c.putRecord(recs[0].key, raw(t, record.TaskGroup{Done: 2, Tasks: []record.Binding{}}), 9) // by the owner before
+	report(c, part, 2, map[int]string{2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
+	if update := c.planUpdate(part, recs[1]); update.done != 2 || !c.endsJob(recs[1], &update) {
 		t.Errorf("half is stored as done: %d more are", update.done)
 	}
 }
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -25,13 +25,13 @@
 		{"in two zones", []record.TaskGroup{all[0], {Zone: "b", Tasks: all[1].Tasks}}, false},
 		{"done already", []record.TaskGroup{all[0], {Zone: "a", Done: 2, Tasks: []record.Binding{}}}, false},
 	} {
-		b := lone(t)
-		b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 1}}), 2)
+		c := lone(t)
+		c.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 1}}), 2)
 		for k, v := range x.records {
-			b.putRecord(groupKey("wk-1", k), raw(t, v), uint64(3+k))
+			c.putRecord(groupKey("wk-1", k), raw(t, v), uint64(3+k))
 		}
 		asked := false
-		b.placeGang(b.partitions[0], b.groupByKey[groupKey("wk-1", 0)], nil, func(...core.Task) bool {
+		c.placeGang(c.partitions[0], c.groupByKey[groupKey("wk-1", 0)], nil, func(...core.Task) bool {
 			asked = true
 			return true
 		})
@@ -53,23 +53,23 @@
 		{"kept of late", reserveLoanJob, reserveMaxUnused - time.Second, false}, {"kept for long", reserveLoanJob, reserveMaxUnused + time.Second, true},
 		{"lent of late", "wk-2", reserveMaxUnused + time.Second, false}, {"lent for long", "wk-2", loanMaxUnused + time.Second, true},
 	} {
-		b := lone(t)
-		m := b.machineNamed("host-1")
-		b.loans["host-1"] = &machineLoan{MachineLoan: record.MachineLoan{Job: x.job, Acknowledged: true}}
-		b.leadership.since, m.inPartitionSince, m.lastBoundAt = b.now.Add(-time.Hour), b.now.Add(-time.Hour), b.now.Add(-x.unused)
-		h := &core.MachineSummary{ID: m.index, Partition: b.loanPartition(), Type: "small", Zone: "a", Size: core.NewResources(4, 0, 8), Free: core.NewResources(4, 0, 8)}
-		array := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 9}, acceptedAt: b.now.Add(-time.Hour), assignedAt: b.now}
-		if got := b.reserveAllows(array, h); got != x.open {
+		c := lone(t)
+		m := c.machineNamed("host-1")
+		c.loans["host-1"] = &machineLoan{MachineLoan: record.MachineLoan{Job: x.job, Acknowledged: true}}
+		c.leadership.since, m.inPartitionSince, m.lastBoundAt = c.now.Add(-time.Hour), c.now.Add(-time.Hour), c.now.Add(-x.unused)
+		summary := &core.MachineSummary{ID: m.index, Partition: c.loanPartition(), Type: "small", Zone: "a", Size: core.NewResources(4, 0, 8), Free: core.NewResources(4, 0, 8)}
+		array := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 9}, acceptedAt: c.now.Add(-time.Hour), assignedAt: c.now}
+		if got := c.reserveAllows(array, summary); got != x.open {
 			t.Errorf("%s: open is %v", x.name, got)
 		}
-		if gang := (&job{id: "wk-3", spec: &wire.Job{ID: "wk-3", Gang: true}}); !b.reserveAllows(gang, h) {
+		if gang := (&job{id: "wk-3", spec: &wire.Job{ID: "wk-3", Gang: true}}); !c.reserveAllows(gang, summary) {
 			t.Errorf("%s: it is not open to gangs", x.name)
 		}
 		// A gang that has been dealt there and lacks room holds no more than is kept.
-		b.putRecord(jobKey("wk-3"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
-		b.putRecord(groupKey("wk-3", 0), raw(t, record.TaskGroup{Partition: b.loanPartition(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
-		b.placeAssigned([]*core.MachineSummary{h}, b.byUrgency())
-		if held := h.Free.CPU < 4000; held == x.open {
+		c.putRecord(jobKey("wk-3"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
+		c.putRecord(groupKey("wk-3", 0), raw(t, record.TaskGroup{Partition: c.loanPartition(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
+		c.placeAssigned([]*core.MachineSummary{summary}, c.byUrgency())
+		if held := summary.Free.CPU < 4000; held == x.open {
 			t.Errorf("%s: a gang without whole room holds it: %v", x.name, held)
 		}
 	}
@@ -78,46 +78,46 @@
 // A samePlace gang goes to another zone where there is room for it together with what is
 // kept for gangs there.
 func TestOtherZoneCountsRoomForGangs(t *testing.T) {
-	b := loneAmong(t, 3)
-	b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, SingleZone: true, Tasks: 3, CPUs: 2}}), 2)
-	b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}}}), 3)
-	r := b.groupByKey[groupKey("wk-1", 0)]
-	r.inPartitionSince = b.now.Add(-zonePatience - time.Second)
-	var hosts []*core.MachineSummary
-	for i, part := range []int{0, b.loanPartition()} {
-		m := b.machineNamed([]string{"host-1", "host-2"}[i])
-		hosts = append(hosts, &core.MachineSummary{ID: m.index, Partition: part, Type: "small", Zone: "b", Size: core.NewResources(4, 0, 8), Free: core.NewResources(4, 0, 8)})
+	c := loneAmong(t, 3)
+	c.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, SingleZone: true, Tasks: 3, CPUs: 2}}), 2)
+	c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}}}), 3)
+	group := c.groupByKey[groupKey("wk-1", 0)]
+	group.inPartitionSince = c.now.Add(-zonePatience - time.Second)
+	var summaries []*core.MachineSummary
+	for i, part := range []int{0, c.loanPartition()} {
+		m := c.machineNamed([]string{"host-1", "host-2"}[i])
+		summaries = append(summaries, &core.MachineSummary{ID: m.index, Partition: part, Type: "small", Zone: "b", Size: core.NewResources(4, 0, 8), Free: core.NewResources(4, 0, 8)})
 	}
-	if !b.moveToOtherZone(hosts, r) || b.leadership.writesInFlight != 1 {
-		t.Errorf("it stays where there is no room for it (%d transactions)", b.leadership.writesInFlight)
+	if !c.moveToOtherZone(summaries, group) || c.leadership.writesInFlight != 1 {
+		t.Errorf("it stays where there is no room for it (%d transactions)", c.leadership.writesInFlight)
 	}
-	b.leadership.writesInFlight = 0
-	if b.moveToOtherZone(hosts[:1], r) {
+	c.leadership.writesInFlight = 0
+	if c.moveToOtherZone(summaries[:1], group) {
 		t.Error("it goes to where there is no room either")
 	}
 }
 
 // What was claimed to replace a task of an attempt is given up when the attempt is.
 func TestReplacementIsGivenUpWithItsAttempt(t *testing.T) {
-	b := lone(t)
-	p := b.partitions[0]
-	m := b.machineNamed("host-1")
+	c := lone(t)
+	p := c.partitions[0]
+	m := c.machineNamed("host-1")
 	report := func(seq uint64, state, why string) {
-		b.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, Token: 1,
+		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, Token: 1,
 			Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: state, Reason: why}, {Task: "wk-1/1", Attempt: 1, State: wire.Gathering}}}, p, true)
 	}
-	b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAM: 1}}), 2)
+	c.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAM: 1}}), 2)
 	bound := func(num int32) record.Binding {
 		return record.Binding{Task: num, Attempt: 1, Machine: "host-1", Incarnation: 1}
 	}
-	b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{bound(0), bound(1), {Task: 2, Attempt: 1}}}), 3)
+	c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{bound(0), bound(1), {Task: 2, Attempt: 1}}}), 3)
 	report(2, wire.Gathering, "")
-	b.placeGroup(p, b.groupByKey[groupKey("wk-1", 0)], map[placementClass]bool{})
+	c.placeGroup(p, c.groupByKey[groupKey("wk-1", 0)], map[placementClass]bool{})
 	if len(p.reservations) != 1 {
 		t.Fatalf("%d tasks have claimed cells, not the one that is lost", len(p.reservations))
 	}
 	report(3, wire.Exited, wire.ReasonIncompleteGang)
-	b.stopGangs(p)
+	c.stopGangs(p)
 	if len(p.reservations) != 0 {
 		t.Errorf("%d claims are left", len(p.reservations))
 	}
@@ -199,8 +199,8 @@
 // What runs on a machine and is no service, or has just been told something, keeps it from
 // changing hands.
 func TestOnlyServices(t *testing.T) {
-	b := crowded(t, 50)
-	p := b.partitions[0]
+	c := crowded(t, 50)
+	p := c.partitions[0]
 	var m *machine
 	for _, x := range p.machines {
 		if len(x.bindings) > 0 && x.bindings[0].group.job.spec.Service {
@@ -209,10 +209,10 @@
 	}
 	m.token = p.token
 	for _, x := range m.bindings {
-		e := x.group.binding(x.task.Num)
-		m.tasks = append(m.tasks, wire.TaskStatus{Task: taskName(x.group.job.id, e.task), Attempt: e.attempt, State: wire.Running})
+		bound := x.group.binding(x.task.Num)
+		m.tasks = append(m.tasks, wire.TaskStatus{Task: taskName(x.group.job.id, bound.task), Attempt: bound.attempt, State: wire.Running})
 	}
-	if !b.runsOnlyServices(m, p) {
+	if !c.runsOnlyServices(m, p) {
 		t.Fatal("services that run keep a machine")
 	}
 	spec := m.bindings[0].group.job.spec
@@ -228,7 +228,7 @@
 		"an earlier session":          {func() { m.incarnation++ }, func() { m.incarnation-- }},
 	} {
 		change.do()
-		if b.runsOnlyServices(m, p) {
+		if c.runsOnlyServices(m, p) {
 			t.Errorf("%s does not keep it", name)
 		}
 		change.undo()
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -167,46 +167,46 @@
 // part, or machines of several that are borrowed for it. The first transaction of a move
 // may be the last of its leader: the other records follow the first one.
 func TestGangMovesWhole(t *testing.T) {
-	b := loneAmong(t, 3)
+	c := loneAmong(t, 3)
 	spec := &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 2, Priority: 1, SingleZone: true}
-	b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: spec}), 2)
-	b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
-	b.putRecord(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 0, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 4)
-	j := b.jobs["wk-1"]
-	if j.groupsTogether(1, "a") {
+	c.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: spec}), 2)
+	c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+	c.putRecord(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 0, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 4)
+	job := c.jobs["wk-1"]
+	if job.groupsTogether(1, "a") {
 		t.Fatal("the records are together")
 	}
-	b.becomeLeader(1)
-	b.leadership.active = true
-	b.runLeader()
-	if b.leadership.writesInFlight != 1 {
-		t.Errorf("%d transactions have the records follow the first", b.leadership.writesInFlight)
+	c.becomeLeader(1)
+	c.leadership.active = true
+	c.runLeader()
+	if c.leadership.writesInFlight != 1 {
+		t.Errorf("%d transactions have the records follow the first", c.leadership.writesInFlight)
 	}
-	b.leadership.writesInFlight = 0
-	b.putRecord(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 5)
-	b.completeGangMoves()
-	if b.leadership.writesInFlight != 0 {
+	c.leadership.writesInFlight = 0
+	c.putRecord(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 5)
+	c.completeGangMoves()
+	if c.leadership.writesInFlight != 0 {
 		t.Error("records that are together move")
 	}
 	host := func(id int32, part int, free float64) *core.MachineSummary {
 		name := []string{"host-1", "host-2", "host-3"}[id]
-		if m := b.machineNamed(name); m.index != id {
+		if m := c.machineNamed(name); m.index != id {
 			t.Fatal("machines are numbered otherwise")
 		}
-		h := &core.MachineSummary{ID: id, Type: "small", Zone: "a", Partition: part, Size: core.NewResources(4, 0, 8), Free: core.NewResources(free, 0, 8)}
+		summary := &core.MachineSummary{ID: id, Type: "small", Zone: "a", Partition: part, Size: core.NewResources(4, 0, 8), Free: core.NewResources(free, 0, 8)}
 		if free < 4 {
-			h.Usages = []core.Usage{{Claim: core.Claim{Priority: 3}, Size: h.Size.Minus(h.Free)}}
+			summary.Usages = []core.Usage{{Claim: core.Claim{Priority: 3}, Size: summary.Size.Minus(summary.Free)}}
 		}
-		return h
+		return summary
 	}
-	if b.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 1, 2), host(2, 1, 2)}, j) {
+	if c.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 1, 2), host(2, 1, 2)}, job) {
 		t.Error("it moves or borrows where there is no room for all of it")
 	}
-	if !b.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 0, 4), host(2, 1, 0)}, j) || b.leadership.writesInFlight != 1 {
+	if !c.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 0, 4), host(2, 1, 0)}, job) || c.leadership.writesInFlight != 1 {
 		t.Error("it does not move to the part with room")
 	}
-	b.leadership.writesInFlight = 0
-	if !b.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 1, 4), host(2, 1, 0)}, j) || b.leadership.writesInFlight != 1 {
+	c.leadership.writesInFlight = 0
+	if !c.moveGang([]*core.MachineSummary{host(0, 0, 4), host(1, 1, 4), host(2, 1, 0)}, job) || c.leadership.writesInFlight != 1 {
 		t.Error("no machines of two parts are borrowed for it")
 	}
 }
@@ -215,10 +215,10 @@
 // not: what it lacks is not given to others in between.
 func TestGangDealtInPartCountsWhole(t *testing.T) {
 	for _, own := range []bool{false, true} {
-		b := lone(t)
-		b.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: b.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 5, CPUs: 2}}), 2)
-		b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Guaranteed: own, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
-		l := b.quotas()[b.team("t")]
+		c := lone(t)
+		c.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 5, CPUs: 2}}), 2)
+		c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Guaranteed: own, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+		l := c.quotas()[c.team("t")]
 		if l.Used.CPU != 10_000 || (l.GuaranteedUsed.CPU == 10_000) != own {
 			t.Errorf("it counts for %v, within the guarantee (%v) for %v", l.Used, own, l.GuaranteedUsed)
 		}
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -26,10 +26,10 @@
 			continue
 		}
 		n.brain.call(c.ctx, priorityState, func() {
-			if j := n.brain.jobs[id]; j != nil {
-				for _, r := range j.groups {
-					for i := range r.bindings {
-						out[r.bindings[i].attempt]++
+			if job := n.brain.jobs[id]; job != nil {
+				for _, group := range job.groups {
+					for i := range group.bindings {
+						out[group.bindings[i].attempt]++
 					}
 				}
 			}
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -15,68 +15,68 @@
 const maxOwnerSilence = 90 * time.Second
 
 // hosts are the machines that owners vouch for, with what is bound on them.
-func (b *controller) machineSummaries() []*core.MachineSummary {
+func (c *controller) machineSummaries() []*core.MachineSummary {
 	var out []*core.MachineSummary
 	add := func(m *machine, flags uint8) {
-		t := b.machineTypes[m.machineType]
-		if t == nil || m.terminated || b.terminating[m.name] {
+		t := c.machineTypes[m.machineType]
+		if t == nil || m.terminated || c.terminating[m.name] {
 			return
 		}
-		r := b.leadership.instances[m.name]
-		if r == nil {
-			r = &instance{machineType: m.machineType, zone: m.zone, spot: m.spot, launchedAt: b.now}
-			b.leadership.instances[m.name] = r
+		inst := c.leadership.instances[m.name]
+		if inst == nil {
+			inst = &instance{machineType: m.machineType, zone: m.zone, spot: m.spot, launchedAt: c.now}
+			c.leadership.instances[m.name] = inst
 		}
-		r.reported, r.seenAt = true, b.now
+		inst.reported, inst.seenAt = true, c.now
 		if flags&mesh.Reachable == 0 || flags&(mesh.TerminationNotice|mesh.Cordoned|mesh.Unreachable) != 0 {
 			return
 		}
 		size := core.NewResources(t.CPUs, t.GPUs, t.RAM)
-		if l := b.loans[m.name]; l != nil && !l.Acknowledged {
+		if loan := c.loans[m.name]; loan != nil && !loan.Acknowledged {
 			return // on its way to the leader
 		}
-		h := &core.MachineSummary{ID: m.index, Type: m.machineType, Zone: m.zone, Spot: m.spot, Partition: m.partition, Size: size, Free: size}
-		h.InUse = b.loans[m.name] != nil // wanted, even before it is in use
+		summary := &core.MachineSummary{ID: m.index, Type: m.machineType, Zone: m.zone, Spot: m.spot, Partition: m.partition, Size: size, Free: size}
+		summary.InUse = c.loans[m.name] != nil // wanted, even before it is in use
 		for _, x := range m.bindings {
-			r := x.group
-			if r.job.spec == nil {
+			group := x.group
+			if group.job.spec == nil {
 				continue
 			}
-			h.Free = h.Free.Minus(r.job.taskSize)
-			h.Usages = append(h.Usages, core.Usage{Claim: r.claim(), Size: r.job.taskSize})
-			h.RunsService = h.RunsService || r.job.spec.AllOrNothing()
+			summary.Free = summary.Free.Minus(group.job.taskSize)
+			summary.Usages = append(summary.Usages, core.Usage{Claim: group.claim(), Size: group.job.taskSize})
+			summary.RunsService = summary.RunsService || group.job.spec.AllOrNothing()
 		}
-		if b.leadership.draining[m.name] {
-			h.Free, h.Usages = core.Resources{}, nil // no room for anybody
+		if c.leadership.draining[m.name] {
+			summary.Free, summary.Usages = core.Resources{}, nil // no room for anybody
 		}
-		out = append(out, h)
+		out = append(out, summary)
 	}
-	for _, p := range b.partitions {
+	for _, p := range c.partitions {
 		if p.token != 0 {
 			if !p.active {
 				continue
 			}
 			for _, m := range p.machines {
 				if m.heartbeatAt.After(p.ownedSince) {
-					add(m, b.machineFlags(m, p))
+					add(m, c.machineFlags(m, p))
 				}
 			}
 			continue
 		}
-		h := b.holders[p.key]
-		s := b.peers[h.Node]
+		h := c.holders[p.key]
+		s := c.peers[h.Node]
 		if s == nil || s.status == nil {
 			continue
 		}
 		// An owner that we don't hear, though it holds its part, works on: the
 		// connections between controllers say nothing of who lives. Its machines
 		// are taken for what they were last, with what the records bind there.
-		if b.now.Sub(s.heardAt) > maxOwnerSilence {
+		if c.now.Sub(s.heardAt) > maxOwnerSilence {
 			continue
 		}
 		for i := range s.status.Machines {
 			x := &s.status.Machines[i]
-			m := b.machineNamed(x.Name)
+			m := c.machineNamed(x.Name)
 			if m.partition != p.index {
 				continue
 			}
@@ -90,9 +90,9 @@
 }
 
 // flags are what an owner says of its machine.
-func (b *controller) machineFlags(m *machine, p *partition) uint8 {
+func (c *controller) machineFlags(m *machine, p *partition) uint8 {
 	var f uint8
-	if b.usable(m, p) {
+	if c.usable(m, p) {
 		f |= mesh.Reachable
 	}
 	if !m.terminationAt.IsZero() {
@@ -104,7 +104,7 @@
 	if m.spot {
 		f |= mesh.Spot
 	}
-	if b.unreachable(m, p) {
+	if c.unreachable(m, p) {
 		f |= mesh.Unreachable
 	}
 	if !m.heartbeatAt.After(p.ownsMachineSince(m)) {
@@ -115,35 +115,35 @@
 
 // silent: the machine neither reports nor answers direct commands, while most
 // others of the part do, or it reports and hears nothing.
-func (b *controller) unreachable(m *machine, p *partition) bool {
+func (c *controller) unreachable(m *machine, p *partition) bool {
 	// While no reports are taken (HoldTime) all are quiet. The leader, back from the
 	// same outage a moment earlier, returned the machines of which a sibling said so.
-	if m.terminated || !b.isFresh(b.maxStaleness) || !b.seemsUnreachable(m, p) {
+	if m.terminated || !c.isFresh(c.maxStaleness) || !c.seemsUnreachable(m, p) {
 		return false
 	}
 	// A machine whose lease is over has lost its tasks anyhow.
-	return !b.mostUnreachable(p) || b.leaseExpired(m, p)
+	return !c.mostUnreachable(p) || c.leaseExpired(m, p)
 }
 
 // mostQuiet tells whether most of a part's machines are quiet. It is counted once
 // for all that is decided at a time: counted anew for each quiet machine, some
 // hundred of them that fall silent together would take up the processor.
-func (b *controller) mostUnreachable(p *partition) bool {
-	if p.countedAt != b.now {
-		p.countedAt = b.now
+func (c *controller) mostUnreachable(p *partition) bool {
+	if p.countedAt != c.now {
+		p.countedAt = c.now
 		quiet, all := 0, 0
 		for _, m := range p.machines {
-			if m.terminated || !b.expectsHeartbeat(m, 2*time.Minute) {
+			if m.terminated || !c.expectsHeartbeat(m, 2*time.Minute) {
 				continue
 			}
 			// Where workers reach us, of other parts too, one that has not reported
 			// since we came says nothing about us: a part of few machines may well
 			// have lost most of them.
-			if m.heartbeatAt.IsZero() && b.lastHeartbeatAt.After(p.ownsMachineSince(m)) {
+			if m.heartbeatAt.IsZero() && c.lastHeartbeatAt.After(p.ownsMachineSince(m)) {
 				continue
 			}
 			all++
-			if b.seemsUnreachable(m, p) {
+			if c.seemsUnreachable(m, p) {
 				quiet++
 			}
 		}
@@ -152,55 +152,55 @@
 	return p.mostUnreachable
 }
 
-func (b *controller) seemsUnreachable(m *machine, p *partition) bool {
-	if m.notReceiving(p) && b.now.Sub(p.ownsMachineSince(m)) > b.unreachableAfter() && b.now.Sub(m.heartbeatAt) < b.heartbeatOverdueAfter() {
+func (c *controller) seemsUnreachable(m *machine, p *partition) bool {
+	if m.notReceiving(p) && c.now.Sub(p.ownsMachineSince(m)) > c.unreachableAfter() && c.now.Sub(m.heartbeatAt) < c.heartbeatOverdueAfter() {
 		return true // it reports all the same, so that commands can't be late
 	}
-	since := b.heardSince(m, p)
-	if b.now.Sub(since) > b.leaseExpiry+b.unreachableAfter() && b.now.Sub(b.resumedFromPauseAt) > b.unreachableAfter() && b.now.Sub(b.lastHeartbeatAt) < b.heartbeatOverdueAfter() {
+	since := c.heardSince(m, p)
+	if c.now.Sub(since) > c.leaseExpiry+c.unreachableAfter() && c.now.Sub(c.resumedFromPauseAt) > c.unreachableAfter() && c.now.Sub(c.lastHeartbeatAt) < c.heartbeatOverdueAfter() {
 		return true // whatever it answers: its lease is over, and it takes no work
 	}
 	if m.answeredAt.After(since) {
 		since = m.answeredAt
 	}
 	if m.unanswered >= unansweredLimit {
-		after := b.heartbeatOverdueAfter()
+		after := c.heartbeatOverdueAfter()
 		if !m.heartbeatAt.After(p.ownsMachineSince(m)) {
 			// It is asked as soon as the part is taken over, and must not be found
 			// silent sooner than by an owner who goes on: whether its whole zone is
 			// out of reach shows no earlier.
 			after += unansweredLimit * fleet.PingTimeout
 		}
-		return b.now.Sub(since) > after
+		return c.now.Sub(since) > after
 	}
-	return b.now.Sub(since) > b.unreachableAfter()
+	return c.now.Sub(since) > c.unreachableAfter()
 }
 
 // status tells the siblings about this controller and its machines.
-func (b *controller) peerStatus() *mesh.Status {
-	s := &mesh.Status{Node: b.cfg.Name, ProcessID: b.processID, Fresh: b.isFresh(b.operator.LeaseTTL), Eligible: b.eligible()}
-	for name := range b.leadership.draining {
+func (c *controller) peerStatus() *mesh.Status {
+	s := &mesh.Status{Node: c.cfg.Name, ProcessID: c.processID, Fresh: c.isFresh(c.operator.LeaseTTL), Eligible: c.eligible()}
+	for name := range c.leadership.draining {
 		s.Draining = append(s.Draining, name)
 	}
-	for _, p := range b.partitions {
+	for _, p := range c.partitions {
 		if p.token == 0 || !p.active {
 			continue
 		}
 		s.Partitions = append(s.Partitions, uint64(p.index))
 		for _, m := range p.machines {
 			if m.terminated || !m.heartbeatAt.After(p.ownedSince) && len(m.bindings) == 0 || m.incarnation == 0 ||
-				b.now.Sub(b.heardSince(m, p)) > 3*time.Minute {
+				c.now.Sub(c.heardSince(m, p)) > 3*time.Minute {
 				continue
 			}
-			s.Machines = append(s.Machines, mesh.Machine{Name: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: m.incarnation, Flags: b.machineFlags(m, p)})
+			s.Machines = append(s.Machines, mesh.Machine{Name: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: m.incarnation, Flags: c.machineFlags(m, p)})
 		}
 	}
 	return s
 }
 
 // takeStatus takes a sibling's status in.
-func (b *controller) handlePeerStatus(s *mesh.Status) {
-	x := b.peers[s.Node]
+func (c *controller) handlePeerStatus(s *mesh.Status) {
+	x := c.peers[s.Node]
 	if x == nil {
 		return // not one of ours
 	}
@@ -210,32 +210,32 @@
 		}
 		x.formerProcessID = x.status.ProcessID
 	}
-	if b.now.Sub(x.heardAt) > 2500*time.Millisecond {
-		x.heardSince = b.now
+	if c.now.Sub(x.heardAt) > 2500*time.Millisecond {
+		x.heardSince = c.now
 	}
-	x.status, x.heardAt = s, b.now
-	if b.holders[b.leaderKey()].Node == s.Node {
-		b.draining = map[string]bool{}
+	x.status, x.heardAt = s, c.now
+	if c.holders[c.leaderKey()].Node == s.Node {
+		c.draining = map[string]bool{}
 		for _, name := range s.Draining {
-			b.draining[name] = true
+			c.draining[name] = true
 		}
 	}
 }
 
 // vouched tells whether a part has had an owner in touch with the leader for
 // long enough that all machines of it must have reported.
-func (b *controller) ownerLongInTouch(p int) bool {
-	since := b.leadership.ownerInTouchSince[p]
-	if b.heartbeatsResumedAt.After(since) && !since.IsZero() {
-		since = b.heartbeatsResumedAt // machines could not report before
+func (c *controller) ownerLongInTouch(p int) bool {
+	since := c.leadership.ownerInTouchSince[p]
+	if c.heartbeatsResumedAt.After(since) && !since.IsZero() {
+		since = c.heartbeatsResumedAt // machines could not report before
 	}
-	return !since.IsZero() && b.now.Sub(since) > 2*config.Seconds(b.cfg.Settings.Workers.ReportS)+12*time.Second
+	return !since.IsZero() && c.now.Sub(since) > 2*config.Seconds(c.cfg.Settings.Workers.ReportS)+12*time.Second
 }
 
 // allVouched tells whether every part's owner is in touch.
-func (b *controller) allOwnersInTouch() bool {
-	for i := range b.partitions {
-		if b.leadership.ownerInTouchSince[i].IsZero() {
+func (c *controller) allOwnersInTouch() bool {
+	for i := range c.partitions {
+		if c.leadership.ownerInTouchSince[i].IsZero() {
 			return false
 		}
 	}
@@ -243,43 +243,43 @@
 }
 
 // noteVouching notes for each part since when its owner has been in touch.
-func (b *controller) updateOwnersInTouch() {
-	if b.leadership.ownerInTouchSince == nil {
-		b.leadership.ownerInTouchSince, b.leadership.ownerInTouch = make([]time.Time, len(b.partitions)), make([]string, len(b.partitions))
+func (c *controller) updateOwnersInTouch() {
+	if c.leadership.ownerInTouchSince == nil {
+		c.leadership.ownerInTouchSince, c.leadership.ownerInTouch = make([]time.Time, len(c.partitions)), make([]string, len(c.partitions))
 	}
-	for i, p := range b.partitions {
-		owner := b.holders[p.key].Node
+	for i, p := range c.partitions {
+		owner := c.holders[p.key].Node
 		ok := p.active
 		if p.token == 0 {
-			s := b.peers[owner]
-			ok = s != nil && s.status != nil && b.now.Sub(s.heardAt) < 3*time.Second && slices.Contains(s.status.Partitions, uint64(i))
+			s := c.peers[owner]
+			ok = s != nil && s.status != nil && c.now.Sub(s.heardAt) < 3*time.Second && slices.Contains(s.status.Partitions, uint64(i))
 		}
-		if !ok || b.leadership.ownerInTouch[i] != owner {
-			b.leadership.ownerInTouchSince[i], b.leadership.ownerInTouch[i] = time.Time{}, owner
+		if !ok || c.leadership.ownerInTouch[i] != owner {
+			c.leadership.ownerInTouchSince[i], c.leadership.ownerInTouch[i] = time.Time{}, owner
 		}
-		if ok && b.leadership.ownerInTouchSince[i].IsZero() {
-			b.leadership.ownerInTouchSince[i] = b.now
+		if ok && c.leadership.ownerInTouchSince[i].IsZero() {
+			c.leadership.ownerInTouchSince[i] = c.now
 		}
 	}
 }
 
 // eachVouched calls f for each machine that its owner tells about.
-func (b *controller) eachReportedMachine(f func(*machine, uint8)) {
-	for _, p := range b.partitions {
+func (c *controller) eachReportedMachine(f func(*machine, uint8)) {
+	for _, p := range c.partitions {
 		if p.token != 0 && p.active {
 			for _, m := range p.machines {
-				if !m.terminated && (!m.heartbeatAt.IsZero() || len(m.bindings) > 0) && b.now.Sub(b.heardSince(m, p)) < 3*time.Minute {
-					f(m, b.machineFlags(m, p))
+				if !m.terminated && (!m.heartbeatAt.IsZero() || len(m.bindings) > 0) && c.now.Sub(c.heardSince(m, p)) < 3*time.Minute {
+					f(m, c.machineFlags(m, p))
 				}
 			}
 			continue
 		}
-		if s := b.peers[b.holders[p.key].Node]; s != nil && s.status != nil && b.now.Sub(s.heardAt) < 3*time.Second {
+		if s := c.peers[c.holders[p.key].Node]; s != nil && s.status != nil && c.now.Sub(s.heardAt) < 3*time.Second {
 			for i := range s.status.Machines {
 				x := &s.status.Machines[i]
-				if m := b.machineNamed(x.Name); m.partition == p.index && !m.terminated {
+				if m := c.machineNamed(x.Name); m.partition == p.index && !m.terminated {
 					if x.Flags&mesh.Cordoned != 0 && m.cordonedAt.IsZero() {
-						m.cordonedAt = b.now
+						m.cordonedAt = c.now
 					}
 					f(m, x.Flags)
 				}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -40,121 +40,121 @@
 	isolatedZones map[string]bool
 }
 
-func (b *controller) becomeLeader(stamp uint64) {
-	b.leadership = leadership{epoch: stamp, token: stamp, since: b.now, instances: map[string]*instance{}, idleSince: map[string]time.Time{},
+func (c *controller) becomeLeader(stamp uint64) {
+	c.leadership = leadership{epoch: stamp, token: stamp, since: c.now, instances: map[string]*instance{}, idleSince: map[string]time.Time{},
 		refusedUntil: map[core.Offer]time.Time{}, backoff: map[core.Offer]time.Duration{}, launching: map[core.Offer]int{}, isolatedSince: map[string]time.Time{}}
 	// A former leader's late writes fail by its key's version; what it did
 	// store is read before anything is dealt.
-	b.readThen(func() {
-		if b.leadership.epoch == stamp {
-			b.leadership.active = true
+	c.readThen(func() {
+		if c.leadership.epoch == stamp {
+			c.leadership.active = true
 		}
 	})
 }
 
 // leads tells whether this controller acts as the leader now.
-func (b *controller) isLeader() bool { return b.leadership.active && b.isFresh(b.operator.LeaseTTL) }
+func (c *controller) isLeader() bool { return c.leadership.active && c.isFresh(c.operator.LeaseTTL) }
 
 // lead deals work to parts and rents and returns machines.
-func (b *controller) runLeader() {
-	if !b.isLeader() {
+func (c *controller) runLeader() {
+	if !c.isLeader() {
 		return
 	}
-	defer b.metrics.addBusyTime(activityLeader, time.Now())
-	b.finishJobs()
-	b.updateOwnersInTouch()
-	hosts := b.machineSummaries() // first: it notes which machines are up
-	b.detectIsolatedZones()
+	defer c.metrics.addBusyTime(activityLeader, time.Now())
+	c.finishJobs()
+	c.updateOwnersInTouch()
+	summaries := c.machineSummaries() // first: it notes which machines are up
+	c.detectIsolatedZones()
 	// What is lost goes back at once, however long it takes until what is dealt is
 	// stored: others' tasks wait for the proof.
-	b.terminateLost()
-	if b.leadership.writesInFlight > 0 {
+	c.terminateLost()
+	if c.leadership.writesInFlight > 0 {
 		return
 	}
-	b.logUsage(hosts)
-	b.updateReserve(hosts)
-	b.reviewLoans()
-	b.fillReserve(hosts)
-	b.completeGangMoves()
-	if b.leadership.writesInFlight > 0 {
+	c.logUsage(summaries)
+	c.updateReserve(summaries)
+	c.reviewLoans()
+	c.fillReserve(summaries)
+	c.completeGangMoves()
+	if c.leadership.writesInFlight > 0 {
 		return
 	}
-	wants := b.assign(hosts)
-	b.scale(hosts, wants)
+	wants := c.assign(summaries)
+	c.scale(summaries, wants)
 }
 
 // logFleet logs now and then how full the machines are.
-func (b *controller) logUsage(hosts []*core.MachineSummary) {
-	if b.now.Sub(b.leadership.usageLoggedAt) < usageLogInterval {
+func (c *controller) logUsage(summaries []*core.MachineSummary) {
+	if c.now.Sub(c.leadership.usageLoggedAt) < usageLogInterval {
 		return
 	}
-	b.leadership.usageLoggedAt = b.now
+	c.leadership.usageLoggedAt = c.now
 	var size, free, spot, spotFree core.Resources
-	for _, h := range hosts {
-		size, free = size.Plus(h.Size), free.Plus(h.Free)
-		if h.Spot {
-			spot, spotFree = spot.Plus(h.Size), spotFree.Plus(h.Free)
+	for _, summary := range summaries {
+		size, free = size.Plus(summary.Size), free.Plus(summary.Free)
+		if summary.Spot {
+			spot, spotFree = spot.Plus(summary.Size), spotFree.Plus(summary.Free)
 		}
 	}
 	waiting, dealt := 0, 0
-	for _, j := range b.unfinished {
-		if j.finalState == unfinishedJob && j.spec != nil {
-			n, _ := j.assignedTasks()
-			waiting += j.spec.Tasks - n
-			for _, r := range j.groups {
-				dealt += len(r.bindings) - r.boundTasks()
+	for _, job := range c.unfinished {
+		if job.finalState == unfinishedJob && job.spec != nil {
+			n, _ := job.assignedTasks()
+			waiting += job.spec.Tasks - n
+			for _, group := range job.groups {
+				dealt += len(group.bindings) - group.boundTasks()
 			}
 		}
 	}
-	b.log.Info("fleet", "up", len(hosts), "booting", len(b.booting()), "cpus", size.CPU/1000, "free_cpus", free.CPU/1000,
-		"spot_cpus", spot.CPU/1000, "spot_free_cpus", spotFree.CPU/1000, "closing", len(b.leadership.draining),
+	c.log.Info("fleet", "up", len(summaries), "booting", len(c.booting()), "cpus", size.CPU/1000, "free_cpus", free.CPU/1000,
+		"spot_cpus", spot.CPU/1000, "spot_free_cpus", spotFree.CPU/1000, "closing", len(c.leadership.draining),
 		"tasks_waiting", waiting, "tasks_dealt", dealt)
 }
 
 // finishJobs ends jobs whose tasks are all done and clears up behind final ones.
-func (b *controller) finishJobs() {
-	b.archiveFinished()
+func (c *controller) finishJobs() {
+	c.archiveFinished()
 	budget := 8
 	// What is over can wait while the state service has more to do.
-	clear := b.stateWriter.Backlog() < time.Second
-	for _, j := range b.unfinished {
+	clear := c.stateWriter.Backlog() < time.Second
+	for _, job := range c.unfinished {
 		if budget == 0 {
 			return
 		}
-		if j.revision == 0 || len(j.groups) == 0 {
+		if job.revision == 0 || len(job.groups) == 0 {
 			continue
 		}
-		if j.finalState == unfinishedJob && j.hasUnreadableRecords() {
+		if job.finalState == unfinishedJob && job.hasUnreadableRecords() {
 			continue
 		}
-		if j.finalState == unfinishedJob {
-			n, finished := j.assignedTasks()
-			if j.spec != nil && !j.spec.Service && !j.finishing && n == finished && finished == j.spec.Tasks {
+		if job.finalState == unfinishedJob {
+			n, finished := job.assignedTasks()
+			if job.spec != nil && !job.spec.Service && !job.finishing && n == finished && finished == job.spec.Tasks {
 				budget--
-				j.finishing = true
-				b.submitWrite(&store.Write{
-					Conditions: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}},
-					Changes:    []wire.Change{{Put: jobKey(j.id), Value: record.JSON(record.Job{FinalState: doneJob})}},
-				}, func(error) { j.finishing = false })
+				job.finishing = true
+				c.submitWrite(&store.Write{
+					Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(job.id), Revision: job.revision}},
+					Changes:    []wire.Change{{Put: jobKey(job.id), Value: record.JSON(record.Job{FinalState: doneJob})}},
+				}, func(error) { job.finishing = false })
 			}
 			continue
 		}
-		for _, r := range j.groups {
-			if budget == 0 || !clear || r.writing || r.boundTasks() > 0 {
+		for _, group := range job.groups {
+			if budget == 0 || !clear || group.writing || group.boundTasks() > 0 {
 				continue
 			}
 			budget--
-			r.writing = true
-			b.submitWrite(&store.Write{
-				Conditions: []wire.Condition{b.leaderCondition(), {Key: r.key, Revision: r.revision}},
-				Changes:    []wire.Change{{Delete: r.key}},
+			group.writing = true
+			c.submitWrite(&store.Write{
+				Conditions: []wire.Condition{c.leaderCondition(), {Key: group.key, Revision: group.revision}},
+				Changes:    []wire.Change{{Delete: group.key}},
 			}, func(err error) {
 				if err != nil { // its owner wrote it meanwhile: not before that is known
-					b.readThen(func() { r.writing = false })
+					c.readThen(func() { group.writing = false })
 					return
 				}
-				r.writing = false
-				b.releaseJobDetails(j)
+				group.writing = false
+				c.releaseJobDetails(job)
 			})
 		}
 	}
@@ -162,17 +162,17 @@
 
 // leadWrote counts a leader's write off. After a failed one the replica is
 // read before anything more is dealt: it may have been applied all the same.
-func (b *controller) leaderWriteDone(epoch uint64, err error) {
-	if b.leadership.epoch != epoch {
+func (c *controller) leaderWriteDone(epoch uint64, err error) {
+	if c.leadership.epoch != epoch {
 		return
 	}
 	if err == nil {
-		b.leadership.writesInFlight--
+		c.leadership.writesInFlight--
 		return
 	}
-	b.readThen(func() {
-		if b.leadership.epoch == epoch {
-			b.leadership.writesInFlight--
+	c.readThen(func() {
+		if c.leadership.epoch == epoch {
+			c.leadership.writesInFlight--
 		}
 	})
 }
--- a/internal/controller/lend.go
+++ b/internal/controller/lend.go
@@ -31,95 +31,95 @@
 	since        time.Time
 }
 
-func (l *machineLoan) claim(b *controller) core.Claim {
-	return core.Claim{Priority: l.Priority, Guaranteed: l.Guaranteed, Team: b.team(l.Team)}
+func (loan *machineLoan) claim(c *controller) core.Claim {
+	return core.Claim{Priority: loan.Priority, Guaranteed: loan.Guaranteed, Team: c.team(loan.Team)}
 }
 
 // lentNames are the machines that are lent, in one order for all that is decided.
-func (b *controller) loanedMachines() []string {
-	if len(b.loans) == 0 {
+func (c *controller) loanedMachines() []string {
+	if len(c.loans) == 0 {
 		return nil
 	}
-	return slices.Sorted(maps.Keys(b.loans))
+	return slices.Sorted(maps.Keys(c.loans))
 }
 
 // lentPart is the number of the leader's own part.
-func (b *controller) loanPartition() int { return len(b.partitions) - 1 }
+func (c *controller) loanPartition() int { return len(c.partitions) - 1 }
 
-func (b *controller) putLoan(name string, v *record.MachineLoan, stamp uint64) {
-	m := b.machineNamed(name)
-	l := b.loans[name]
-	if l == nil {
-		l = &machineLoan{since: b.now, lentRevision: stamp}
-		b.loans[name] = l
+func (c *controller) putLoan(name string, v *record.MachineLoan, stamp uint64) {
+	m := c.machineNamed(name)
+	loan := c.loans[name]
+	if loan == nil {
+		loan = &machineLoan{since: c.now, lentRevision: stamp}
+		c.loans[name] = loan
 	}
-	l.MachineLoan, l.revision = *v, stamp
-	if !b.updatePartition(m) && !l.Acknowledged {
-		b.sendCommandsNow(m) // stops what the group may evict
+	loan.MachineLoan, loan.revision = *v, stamp
+	if !c.updatePartition(m) && !loan.Acknowledged {
+		c.sendCommandsNow(m) // stops what the group may evict
 	}
 }
 
-func (b *controller) deleteLoan(name string) {
-	m := b.machineNamed(name)
-	delete(b.loans, name)
-	if p := b.partitions[m.hashPartition]; b.updatePartition(m) && p.token != 0 {
+func (c *controller) deleteLoan(name string) {
+	m := c.machineNamed(name)
+	delete(c.loans, name)
+	if p := c.partitions[m.hashPartition]; c.updatePartition(m) && p.token != 0 {
 		p.tokenRaiseDue = true
 	}
 }
 
 // moved takes a machine out of the part that it was in, if it is in another now.
-func (b *controller) updatePartition(m *machine) bool {
-	before, now := m.partition, b.partitionOfMachine(m)
+func (c *controller) updatePartition(m *machine) bool {
+	before, now := m.partition, c.partitionOfMachine(m)
 	if now == before {
 		return false
 	}
-	b.log.Info("machine changes parts", "machine", m.name, "from", before, "to", now)
-	p := b.partitions[before]
+	c.log.Info("machine changes parts", "machine", m.name, "from", before, "to", now)
+	p := c.partitions[before]
 	p.removeMachines(func(o *machine) bool { return o == m })
-	m.partition, m.inPartitionSince = now, b.now
-	b.addToPartition(m)
+	m.partition, m.inPartitionSince = now, c.now
+	c.addToPartition(m)
 	if p.token != 0 {
 		for _, x := range m.bindings { // services that go along
-			b.freeCell(p, x.task)
+			c.freeCell(p, x.task)
 		}
 		p.cells.DropMachine(m.index)
 	}
 	for _, x := range m.bindings {
-		b.adoptBindings(x.group)
+		c.adoptBindings(x.group)
 	}
-	b.requestPass()
+	c.requestPass()
 	return true
 }
 
 // acknowledge hands over machines of a part of ours on which nothing is bound
 // or about to be, apart from services that go along.
-func (b *controller) acknowledgeLoans(p *partition) {
-	for _, name := range b.loanedMachines() {
-		l, m := b.loans[name], b.machineNamed(name)
-		if l.Acknowledged || l.writing || m.hashPartition != p.index || len(m.bindings) > 0 && !b.movesWithServices(l, m, p) {
+func (c *controller) acknowledgeLoans(p *partition) {
+	for _, name := range c.loanedMachines() {
+		loan, m := c.loans[name], c.machineNamed(name)
+		if loan.Acknowledged || loan.writing || m.hashPartition != p.index || len(m.bindings) > 0 && !c.movesWithServices(loan, m, p) {
 			continue
 		}
 		if p.hasReservationOn(m) {
 			continue
 		}
-		l.writing = true
-		v := l.MachineLoan
+		loan.writing = true
+		v := loan.MachineLoan
 		v.Acknowledged = true
-		b.submitWrite(&store.Write{Prompt: true,
-			Conditions: []wire.Condition{{Key: p.key, Revision: p.token}, {Key: loanPrefix + name, Revision: l.revision}},
+		c.submitWrite(&store.Write{Prompt: true,
+			Conditions: []wire.Condition{{Key: p.key, Revision: p.token}, {Key: loanPrefix + name, Revision: loan.revision}},
 			Changes:    []wire.Change{{Put: loanPrefix + name, Value: record.JSON(v)}},
-		}, func(error) { l.writing = false })
+		}, func(error) { loan.writing = false })
 	}
 }
 
 // goAlong tells whether all that is bound to a machine is services that go with it to the
 // leader's part: they stay, and were there before the machine was chosen.
-func (b *controller) movesWithServices(l *machineLoan, m *machine, p *partition) bool {
-	if l.Job == reserveLoanJob || !b.runsOnlyServices(m, p) {
+func (c *controller) movesWithServices(loan *machineLoan, m *machine, p *partition) bool {
+	if loan.Job == reserveLoanJob || !c.runsOnlyServices(m, p) {
 		return false
 	}
 	for _, x := range m.bindings {
-		if x.group.revision > l.lentRevision || l.claim(b).CanPreempt(x.group.claim()) {
+		if x.group.revision > loan.lentRevision || loan.claim(c).CanPreempt(x.group.claim()) {
 			return false
 		}
 	}
@@ -129,17 +129,17 @@
 // onlyServes tells whether all that is bound to a machine of ours is services that run, and
 // no command of ours can still be under way there. Such a machine may change hands with
 // them: whatever ends them later is proven, and stored, as after any take-over.
-func (b *controller) runsOnlyServices(m *machine, p *partition) bool {
-	if !b.usable(m, p) || m.token != p.token || m.unansweredStartToken == p.token || m.directInFlight || m.directCarriesStart || m.startInResponse {
+func (c *controller) runsOnlyServices(m *machine, p *partition) bool {
+	if !c.usable(m, p) || m.token != p.token || m.unansweredStartToken == p.token || m.directInFlight || m.directCarriesStart || m.startInResponse {
 		return false
 	}
 	for _, x := range m.bindings {
-		r := x.group
-		if r.job.spec == nil || !r.job.spec.Service || r.job.finalState != unfinishedJob || r.writing {
+		group := x.group
+		if group.job.spec == nil || !group.job.spec.Service || group.job.finalState != unfinishedJob || group.writing {
 			return false
 		}
-		e, cell := r.binding(x.task.Num), p.cells.CellOf(x.task)
-		if e == nil || cell == nil || cell.State != core.Used || !m.runs(taskName(r.job.id, e.task), e) {
+		bound, cell := group.binding(x.task.Num), p.cells.CellOf(x.task)
+		if bound == nil || cell == nil || cell.State != core.Used || !m.runs(taskName(group.job.id, bound.task), bound) {
 			return false
 		}
 	}
@@ -147,16 +147,16 @@
 }
 
 // runs tells whether a machine's newest report shows an attempt running.
-func (m *machine) runs(task string, e *binding) bool {
+func (m *machine) runs(task string, bound *binding) bool {
 	return slices.ContainsFunc(m.tasks, func(t wire.TaskStatus) bool {
-		return t.Task == task && t.Attempt == e.attempt && t.State == wire.Running && e.incarnation == m.incarnation
+		return t.Task == task && t.Attempt == bound.attempt && t.State == wire.Running && bound.incarnation == m.incarnation
 	})
 }
 
 // lentFor tells whether machines are lent, or being lent, for a job.
-func (b *controller) hasLoanFor(j *job) bool {
-	for _, l := range b.loans {
-		if l.Job == j.id {
+func (c *controller) hasLoanFor(j *job) bool {
+	for _, loan := range c.loans {
+		if loan.Job == j.id {
 			return true
 		}
 	}
@@ -168,8 +168,8 @@
 
 // borrow takes machines from other parts for a whole group of n tasks. It
 // reports whether they are on their way.
-func (b *controller) borrow(hosts []*core.MachineSummary, j *job, zone string, n int, c core.Claim) bool {
-	coming := b.expectedRoom(hosts, j, zone, n)
+func (c *controller) borrow(summaries []*core.MachineSummary, j *job, zone string, n int, claim core.Claim) bool {
+	coming := c.expectedRoom(summaries, j, zone, n)
 	if coming >= n {
 		return true
 	}
@@ -177,36 +177,36 @@
 	// comes free is taken one cell at a time. One that has waited has machines kept for
 	// it on which nothing is that stays, until they are empty (the paper leaves room for
 	// "reservation during waiting").
-	keep := b.now.Sub(j.acceptedAt) > reserveMachinesAfter
+	keep := c.now.Sub(j.acceptedAt) > reserveMachinesAfter
 	var can []*core.MachineSummary
-	for _, h := range hosts {
-		if h.Booting || h.Partition == b.loanPartition() || h.InUse || b.leadership.draining[b.machineByIndex[h.ID].name] || !allowed(j.spec, zone, h.Type, h.Zone, h.Spot) {
+	for _, summary := range summaries {
+		if summary.Booting || summary.Partition == c.loanPartition() || summary.InUse || c.leadership.draining[c.machineByIndex[summary.ID].name] || !allowed(j.spec, zone, summary.Type, summary.Zone, summary.Spot) {
 			continue
 		}
-		if keep && !h.RunsService || !slices.ContainsFunc(h.Usages, func(x core.Usage) bool { return !c.CanPreempt(x.Claim) }) {
-			can = append(can, h)
+		if keep && !summary.RunsService || !slices.ContainsFunc(summary.Usages, func(x core.Usage) bool { return !claim.CanPreempt(x.Claim) }) {
+			can = append(can, summary)
 		}
 	}
 	slices.SortFunc(can, func(x, y *core.MachineSummary) int {
 		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(y.Size.CountFitting(j.taskSize, n), x.Size.CountFitting(j.taskSize, n)), cmp.Compare(x.ID, y.ID))
 	})
 	var chosen []*core.MachineSummary
-	for _, h := range can {
+	for _, summary := range can {
 		if coming >= n {
 			break
 		}
-		coming += h.Size.CountFitting(j.taskSize, n)
-		chosen = append(chosen, h)
+		coming += summary.Size.CountFitting(j.taskSize, n)
+		chosen = append(chosen, summary)
 	}
 	if coming < n || len(chosen) == 0 {
-		if chosen = b.machinesBesideServices(hosts, j, zone, n); len(chosen) == 0 {
+		if chosen = c.machinesBesideServices(summaries, j, zone, n); len(chosen) == 0 {
 			return false
 		}
 	}
 	// As many as one change can be; the others follow in the next steps.
-	chosen = chosen[:min(len(chosen), b.cfg.Settings.State.TxnOps)]
-	b.log.Info("machines are borrowed for a group", "job", j.id, "machines", len(chosen))
-	b.borrowMachines(chosen, []wire.Condition{{Key: jobKey(j.id), Revision: j.revision}}, record.MachineLoan{Job: j.id, Priority: c.Priority, Guaranteed: c.Guaranteed, Team: j.spec.Team})
+	chosen = chosen[:min(len(chosen), c.cfg.Settings.State.TxnOps)]
+	c.log.Info("machines are borrowed for a group", "job", j.id, "machines", len(chosen))
+	c.borrowMachines(chosen, []wire.Condition{{Key: jobKey(j.id), Revision: j.revision}}, record.MachineLoan{Job: j.id, Priority: claim.Priority, Guaranteed: claim.Guaranteed, Team: j.spec.Team})
 	return true
 }
 
@@ -217,34 +217,34 @@
 // besideServices are machines that together have room for a group beside services that
 // stay. They are in several parts, or the group would be dealt to one: it waited for ever
 // beside room, since no machine with a service was lent.
-func (b *controller) machinesBesideServices(hosts []*core.MachineSummary, j *job, zone string, n int) []*core.MachineSummary {
-	if b.now.Sub(j.acceptedAt) < borrowServiceMachinesAfter {
+func (c *controller) machinesBesideServices(summaries []*core.MachineSummary, j *job, zone string, n int) []*core.MachineSummary {
+	if c.now.Sub(j.acceptedAt) < borrowServiceMachinesAfter {
 		return nil
 	}
 	var can []*core.MachineSummary
 	coming := 0
-	for _, h := range hosts {
-		fits := h.Free.CountFitting(j.taskSize, n)
-		if h.Booting || fits == 0 || b.leadership.draining[b.machineByIndex[h.ID].name] || !allowed(j.spec, zone, h.Type, h.Zone, h.Spot) {
+	for _, summary := range summaries {
+		fits := summary.Free.CountFitting(j.taskSize, n)
+		if summary.Booting || fits == 0 || c.leadership.draining[c.machineByIndex[summary.ID].name] || !allowed(j.spec, zone, summary.Type, summary.Zone, summary.Spot) {
 			continue
 		}
 		switch {
-		case h.Partition == b.loanPartition():
+		case summary.Partition == c.loanPartition():
 			coming += fits
-		case !h.InUse:
-			can = append(can, h)
+		case !summary.InUse:
+			can = append(can, summary)
 		}
 	}
 	slices.SortFunc(can, func(x, y *core.MachineSummary) int {
 		return cmp.Or(cmp.Compare(y.Free.CountFitting(j.taskSize, n), x.Free.CountFitting(j.taskSize, n)), cmp.Compare(x.ID, y.ID))
 	})
 	var chosen []*core.MachineSummary
-	for _, h := range can {
+	for _, summary := range can {
 		if coming >= n {
 			break
 		}
-		coming += h.Free.CountFitting(j.taskSize, n)
-		chosen = append(chosen, h)
+		coming += summary.Free.CountFitting(j.taskSize, n)
+		chosen = append(chosen, summary)
 	}
 	if coming < n {
 		return nil
@@ -254,21 +254,21 @@
 
 // roomComing is for how many of n tasks of a job there is room in the leader's part, or
 // will be once the machines that are being lent for it have come.
-func (b *controller) expectedRoom(hosts []*core.MachineSummary, j *job, zone string, n int) int {
+func (c *controller) expectedRoom(summaries []*core.MachineSummary, j *job, zone string, n int) int {
 	room := 0
 	listed := map[int32]bool{}
-	for _, h := range hosts {
-		listed[h.ID] = true
-		l := b.loans[b.machineByIndex[h.ID].name]
-		if h.Partition != b.loanPartition() || l == nil || l.Job != j.id && !j.spec.Gang || !allowed(j.spec, zone, h.Type, h.Zone, h.Spot) {
+	for _, summary := range summaries {
+		listed[summary.ID] = true
+		loan := c.loans[c.machineByIndex[summary.ID].name]
+		if summary.Partition != c.loanPartition() || loan == nil || loan.Job != j.id && !j.spec.Gang || !allowed(j.spec, zone, summary.Type, summary.Zone, summary.Spot) {
 			continue
 		}
-		room += h.Free.CountFitting(j.taskSize, n)
+		room += summary.Free.CountFitting(j.taskSize, n)
 	}
-	for name, l := range b.loans {
-		m := b.machineNamed(name)
-		t := b.machineTypes[m.machineType]
-		if l.Job != j.id || listed[m.index] || t == nil || !allowed(j.spec, zone, m.machineType, m.zone, m.spot) {
+	for name, loan := range c.loans {
+		m := c.machineNamed(name)
+		t := c.machineTypes[m.machineType]
+		if loan.Job != j.id || listed[m.index] || t == nil || !allowed(j.spec, zone, m.machineType, m.zone, m.spot) {
 			continue
 		}
 		room += core.NewResources(t.CPUs, t.GPUs, t.RAM).Minus(m.serviceUse()).CountFitting(j.taskSize, n)
@@ -289,76 +289,76 @@
 
 // borrowMachines lends machines to the leader's part, if the parts that they are in have
 // not changed hands meanwhile.
-func (b *controller) borrowMachines(chosen []*core.MachineSummary, cond []wire.Condition, v record.MachineLoan) {
-	u := &store.Write{Prompt: true, Conditions: append([]wire.Condition{b.leaderCondition()}, cond...)}
+func (c *controller) borrowMachines(chosen []*core.MachineSummary, cond []wire.Condition, v record.MachineLoan) {
+	write := &store.Write{Prompt: true, Conditions: append([]wire.Condition{c.leaderCondition()}, cond...)}
 	parts := map[int]bool{}
-	for _, h := range chosen {
-		h.InUse, h.Free = true, core.Resources{}
-		key := loanPrefix + b.machineByIndex[h.ID].name
-		u.Conditions = append(u.Conditions, wire.Condition{Key: key})
-		if !parts[h.Partition] {
-			parts[h.Partition] = true
-			u.Conditions = append(u.Conditions, wire.Condition{Key: b.partitions[h.Partition].key, Revision: b.revisions[b.partitions[h.Partition].key]})
+	for _, summary := range chosen {
+		summary.InUse, summary.Free = true, core.Resources{}
+		key := loanPrefix + c.machineByIndex[summary.ID].name
+		write.Conditions = append(write.Conditions, wire.Condition{Key: key})
+		if !parts[summary.Partition] {
+			parts[summary.Partition] = true
+			write.Conditions = append(write.Conditions, wire.Condition{Key: c.partitions[summary.Partition].key, Revision: c.revisions[c.partitions[summary.Partition].key]})
 		}
-		u.Changes = append(u.Changes, wire.Change{Put: key, Value: record.JSON(v)})
+		write.Changes = append(write.Changes, wire.Change{Put: key, Value: record.JSON(v)})
 	}
-	b.leadership.writesInFlight++
-	epoch := b.leadership.epoch
-	b.submitWrite(u, func(err error) { b.leaderWriteDone(epoch, err) })
+	c.leadership.writesInFlight++
+	epoch := c.leadership.epoch
+	c.submitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
 }
 
 // tendLends fences machines that came in and hands back those that are not
 // needed: nothing stays lent for ever.
-func (b *controller) reviewLoans() {
-	p := b.partitions[b.loanPartition()]
-	for _, name := range b.loanedMachines() {
-		l, m := b.loans[name], b.machineNamed(name)
-		if l.Acknowledged && l.revision > p.token {
+func (c *controller) reviewLoans() {
+	p := c.partitions[c.loanPartition()]
+	for _, name := range c.loanedMachines() {
+		loan, m := c.loans[name], c.machineNamed(name)
+		if loan.Acknowledged && loan.revision > p.token {
 			p.tokenRaiseDue = true // the former owner's tokens are below this stamp
 		}
 		// What has claimed a cell there may be bound any moment: handed back meanwhile, the
 		// machine was its former owner's and the binding ours, and neither could end it.
 		// Services that were lent with it, or came since, go back with it.
-		stays := len(m.bindings) > 0 && (l.Job == reserveLoanJob || !b.runsOnlyServices(m, p))
-		if l.writing || l.Acknowledged && (stays || p.hasReservationOn(m)) {
+		stays := len(m.bindings) > 0 && (loan.Job == reserveLoanJob || !c.runsOnlyServices(m, p))
+		if loan.writing || loan.Acknowledged && (stays || p.hasReservationOn(m)) {
 			continue
 		}
-		if !b.loanStillNeeded(l, m, p) {
-			b.returnLoan(name, l)
+		if !c.loanStillNeeded(loan, m, p) {
+			c.returnLoan(name, loan)
 		}
 	}
 }
 
 // staysLent tells whether a machine is still wanted where it is lent to, and can be had.
-func (b *controller) loanStillNeeded(l *machineLoan, m *machine, p *partition) bool {
-	if l.Job == reserveLoanJob {
-		return l.Acknowledged && b.reserveKeeps(m) || !l.Acknowledged && b.now.Sub(l.since) < reserveLoanTimeout
+func (c *controller) loanStillNeeded(loan *machineLoan, m *machine, p *partition) bool {
+	if loan.Job == reserveLoanJob {
+		return loan.Acknowledged && c.reserveKeeps(m) || !loan.Acknowledged && c.now.Sub(loan.since) < reserveLoanTimeout
 	}
-	j := b.jobs[l.Job]
-	if j == nil || j.finalState != unfinishedJob || j.spec == nil || m.terminated || !b.jobNeedsLoan(j, p.index) {
+	job := c.jobs[loan.Job]
+	if job == nil || job.finalState != unfinishedJob || job.spec == nil || m.terminated || !c.jobNeedsLoan(job, p.index) {
 		return false
 	}
-	if m.machineType != "" && !allowed(j.spec, b.zoneOfJob(j), m.machineType, m.zone, m.spot) {
+	if m.machineType != "" && !allowed(job.spec, c.zoneOfJob(job), m.machineType, m.zone, m.spot) {
 		return false
 	}
-	if l.Acknowledged {
+	if loan.Acknowledged {
 		// One that has not reported since it came died on the way: it is its
 		// owner's again, who finds out what has become of it.
-		return m.heartbeatAt.After(p.ownsMachineSince(m)) || b.now.Sub(p.ownsMachineSince(m)) < b.unreachableAfter()+5*time.Second
+		return m.heartbeatAt.After(p.ownsMachineSince(m)) || c.now.Sub(p.ownsMachineSince(m)) < c.unreachableAfter()+5*time.Second
 	}
 	// An owner that does not let go in time may have higher work there by now.
-	patience := b.leaseExpiry + 2*config.Seconds(b.cfg.Settings.Workers.ReportS) + 10*time.Second
-	return b.now.Sub(l.since) < patience
+	patience := c.leaseExpiry + 2*config.Seconds(c.cfg.Settings.Workers.ReportS) + 10*time.Second
+	return c.now.Sub(loan.since) < patience
 }
 
 // needsLoan tells whether a job has tasks that machines lent to a part are for: some that
 // wait there, or a whole group that waits and has found no room where it was dealt to.
-func (b *controller) jobNeedsLoan(j *job, part int) bool {
+func (c *controller) jobNeedsLoan(j *job, part int) bool {
 	waits, bound := len(j.groups) == 0, 0
-	for _, r := range j.groups {
-		waits = waits || r.boundTasks() < len(r.bindings)
-		bound += r.boundTasks()
-		if r.partition == part && r.boundTasks() < len(r.bindings) {
+	for _, group := range j.groups {
+		waits = waits || group.boundTasks() < len(group.bindings)
+		bound += group.boundTasks()
+		if group.partition == part && group.boundTasks() < len(group.bindings) {
 			return true
 		}
 	}
@@ -376,10 +376,10 @@
 }
 
 // handBack ends a lending.
-func (b *controller) returnLoan(name string, l *machineLoan) {
-	l.writing, l.returning = true, true
-	b.submitWrite(&store.Write{
-		Conditions: []wire.Condition{b.leaderCondition(), {Key: loanPrefix + name, Revision: l.revision}},
+func (c *controller) returnLoan(name string, loan *machineLoan) {
+	loan.writing, loan.returning = true, true
+	c.submitWrite(&store.Write{
+		Conditions: []wire.Condition{c.leaderCondition(), {Key: loanPrefix + name, Revision: loan.revision}},
 		Changes:    []wire.Change{{Delete: loanPrefix + name}},
-	}, func(error) { l.writing, l.returning = false, false })
+	}, func(error) { loan.writing, loan.returning = false, false })
 }
--- a/internal/controller/levels.go
+++ b/internal/controller/levels.go
@@ -47,15 +47,15 @@
 }
 
 // leaderKey is the key of the lead.
-func (b *controller) leaderKey() string { return b.rollout.keys.Leader() }
+func (c *controller) leaderKey() string { return c.rollout.keys.Leader() }
 
 // leaderCondition has a write fail if this controller does not lead any more.
-func (b *controller) leaderCondition() wire.Condition {
-	return wire.Condition{Key: b.leaderKey(), Revision: b.leadership.token}
+func (c *controller) leaderCondition() wire.Condition {
+	return wire.Condition{Key: c.leaderKey(), Revision: c.leadership.token}
 }
 
 // form is the form in which records are written.
-func (b *controller) encoding() record.Encoding { return encodingOf(b.rollout.state.Writes()) }
+func (c *controller) encoding() record.Encoding { return encodingOf(c.rollout.state.Writes()) }
 
 // formOf is the form of records at a feature level.
 func encodingOf(l rollout.Level) record.Encoding {
@@ -89,19 +89,19 @@
 
 // putLevel takes the stored state in. One that can't be read was written by a version
 // that knows more: this one must not serve.
-func (b *controller) putRolloutState(raw json.RawMessage, stamp uint64) error {
+func (c *controller) putRolloutState(raw json.RawMessage, stamp uint64) error {
 	state, err := rollout.DecodeState(raw)
 	if err != nil {
-		state = b.rollout.state
+		state = c.rollout.state
 	}
-	b.setRolloutState(state, stamp, err)
+	c.setRolloutState(state, stamp, err)
 	return nil
 }
 
 // setLevel follows a new state: rights are held under its keys, and by controllers alone
 // that read what it allows to be stored.
-func (b *controller) setRolloutState(state rollout.State, version uint64, unknown error) {
-	l := &b.rollout
+func (c *controller) setRolloutState(state rollout.State, version uint64, unknown error) {
+	l := &c.rollout
 	before := l.state
 	l.state, l.version = state, version
 	refusal := unknown
@@ -109,37 +109,37 @@
 		refusal = fmt.Errorf("feature level %d is in force, this version reads %s", state.Level, l.supported)
 	}
 	if refusal != nil && (l.refusal == nil || l.refusal.Error() != refusal.Error()) {
-		b.log.Error("this controller must not serve", "why", refusal)
+		c.log.Error("this controller must not serve", "why", refusal)
 	}
 	if refusal == nil && l.refusal != nil {
-		b.log.Info("this controller may serve again", "level", state.Level)
+		c.log.Info("this controller may serve again", "level", state.Level)
 	}
 	l.refusal = refusal
 	if refusal != nil {
-		for key := range b.leasedKeys {
-			b.resign(key)
+		for key := range c.leasedKeys {
+			c.resign(key)
 		}
 	}
 	if keys := state.Keys(); keys != l.keys {
-		b.switchLeaseKeys(keys)
+		c.switchLeaseKeys(keys)
 	}
 	if before != state {
-		b.log.Info("feature level", "level", state.Level, "phase", state.Phase, "epoch", state.Epoch, "held", state.Held, "wish", state.Wish)
+		c.log.Info("feature level", "level", state.Level, "phase", state.Phase, "epoch", state.Epoch, "held", state.Held, "wish", state.Wish)
 	}
 }
 
 // switchKeys gives all rights up, whose keys nobody may hold any more, and has them taken
 // under other keys from now on.
-func (b *controller) switchLeaseKeys(keys rollout.Keys) {
-	for key := range b.leasedKeys {
-		b.onLost(key, "rights have other keys now")
+func (c *controller) switchLeaseKeys(keys rollout.Keys) {
+	for key := range c.leasedKeys {
+		c.onLost(key, "rights have other keys now")
 	}
-	b.rollout.keys = keys
-	b.leasedKeys = newLeasedKeys(keys, b.loanPartition())
-	for _, p := range b.partitions {
+	c.rollout.keys = keys
+	c.leasedKeys = newLeasedKeys(keys, c.loanPartition())
+	for _, p := range c.partitions {
 		p.key = keys.Partition(p.index)
 	}
-	b.partitions[b.loanPartition()].key = keys.Leader()
+	c.partitions[c.loanPartition()].key = keys.Leader()
 }
 
 // rightsUnder are the rights of a cluster under a set of keys, none of them held.
@@ -152,111 +152,111 @@
 }
 
 // putController takes in what a controller stores about itself.
-func (b *controller) putRegistration(name string, raw json.RawMessage, stamp uint64) error {
-	c, err := rollout.DecodeController(raw)
+func (c *controller) putRegistration(name string, raw json.RawMessage, stamp uint64) error {
+	registration, err := rollout.DecodeController(raw)
 	if err != nil {
-		delete(b.rollout.controllers, name) // unknown, as if it were not there
+		delete(c.rollout.controllers, name) // unknown, as if it were not there
 		return err
 	}
-	b.rollout.controllers[name] = rollout.Registered{Controller: c, Revision: stamp}
+	c.rollout.controllers[name] = rollout.Registered{Controller: registration, Revision: stamp}
 	return nil
 }
 
 // levelView is what the next step rests on.
-func (b *controller) rolloutView() rollout.View {
-	l := &b.rollout
-	return rollout.View{Now: b.now, Members: b.cfg.Nodes(), Controllers: l.controllers, Leading: b.isLeader(), Current: b.cursor >= l.version,
-		Above: l.countNewer(), Unreadable: len(l.unreadable), Partitions: b.loanPartition(), TransactionChanges: b.cfg.Settings.State.TxnOps,
-		FinalizeAfter: b.operator.FinalizeAfter}
+func (c *controller) rolloutView() rollout.View {
+	l := &c.rollout
+	return rollout.View{Now: c.now, Members: c.cfg.Nodes(), Controllers: l.controllers, Leading: c.isLeader(), Current: c.cursor >= l.version,
+		Above: l.countNewer(), Unreadable: len(l.unreadable), Partitions: c.loanPartition(), TransactionChanges: c.cfg.Settings.State.TxnOps,
+		FinalizeAfter: c.operator.FinalizeAfter}
 }
 
 // tendLevels takes the next step of an upgrade or of the way back, if there is one.
-func (b *controller) advanceRollout() {
-	l := &b.rollout
-	if l.writing || l.version == 0 && !b.operator.FeatureLevels || l.refusal != nil || !b.isFresh(b.operator.LeaseTTL) {
+func (c *controller) advanceRollout() {
+	l := &c.rollout
+	if l.writing || l.version == 0 && !c.operator.FeatureLevels || l.refusal != nil || !c.isFresh(c.operator.LeaseTTL) {
 		return
 	}
-	view := b.rolloutView()
+	view := c.rolloutView()
 	step, next := rollout.Decide(l.state, view)
 	if step == rollout.NoStep {
 		return
 	}
-	txn := rollout.Txn(l.state, step, next, view, rollout.Versions{State: l.version, Leader: b.leadership.token})
+	txn := rollout.Txn(l.state, step, next, view, rollout.Versions{State: l.version, Leader: c.leadership.token})
 	l.writing = true
-	b.log.Info("feature level step", "step", step, "from", l.state.Level, "phase", l.state.Phase)
-	b.submitWrite(&store.Write{Prompt: true, Contested: true, Conditions: txn.If, Changes: txn.Then}, func(err error) {
+	c.log.Info("feature level step", "step", step, "from", l.state.Level, "phase", l.state.Phase)
+	c.submitWrite(&store.Write{Prompt: true, Contested: true, Conditions: txn.If, Changes: txn.Then}, func(err error) {
 		if err == nil {
 			l.writing = false
 			return
 		}
-		b.log.Info("feature level step failed", "step", step, "err", err)
-		b.readThen(func() { l.writing = false }) // perhaps it was applied all the same
+		c.log.Info("feature level step failed", "step", step, "err", err)
+		c.readThen(func() { l.writing = false }) // perhaps it was applied all the same
 	})
 }
 
 // rewriteRecords has records of a partition stored in the form that is written now, a
 // few at a time: users' writes go before, and so does all that has a backlog.
-func (b *controller) rewriteGroups(p *partition) {
-	if b.rollout.countOutdated() == 0 || b.stateWriter.Backlog() > rewriteBacklog {
+func (c *controller) rewriteGroups(p *partition) {
+	if c.rollout.countOutdated() == 0 || c.stateWriter.Backlog() > rewriteBacklog {
 		return
 	}
-	form := b.encoding()
-	for _, r := range p.groups {
-		if r.encoding == form || r.writing || r.job.spec == nil || b.now.Before(r.retryWriteAt) {
+	form := c.encoding()
+	for _, group := range p.groups {
+		if group.encoding == form || group.writing || group.job.spec == nil || c.now.Before(group.retryWriteAt) {
 			continue
 		}
-		if r.record(r.done, r.bindings).Encode(form).Encoding() != form {
+		if group.record(group.done, group.bindings).Encode(form).Encoding() != form {
 			continue // the form can't hold it
 		}
-		if !b.rollout.rewrites.AllowN(b.now, 1) {
+		if !c.rollout.rewrites.AllowN(c.now, 1) {
 			return
 		}
-		b.metrics.count(countRewritten, 1)
-		update := b.planUpdate(p, r)
-		b.writeUpdate(p, r, &update)
+		c.metrics.count(countRewritten, 1)
+		update := c.planUpdate(p, group)
+		c.writeUpdate(p, group, &update)
 	}
 }
 
 // frameVersion is the version of frames for a sibling: the checked one if it is active,
 // and the process that the sibling is now has said that it reads it.
-func (b *controller) frameVersion(name string) mesh.Version {
-	c, ok := b.rollout.controllers[name]
-	if !ok || b.rollout.state.Active() < rollout.ChecksumLevel || c.High < rollout.ChecksumLevel {
+func (c *controller) frameVersion(name string) mesh.Version {
+	registration, ok := c.rollout.controllers[name]
+	if !ok || c.rollout.state.Active() < rollout.ChecksumLevel || registration.High < rollout.ChecksumLevel {
 		return mesh.Plain
 	}
-	if s := b.peers[name]; s.status != nil && s.status.ProcessID != c.ProcessID {
+	if s := c.peers[name]; s.status != nil && s.status.ProcessID != registration.ProcessID {
 		return mesh.Plain
 	}
 	return mesh.Checked
 }
 
 // tellSiblings sends this controller's status to all siblings.
-func (b *controller) broadcastStatus() {
-	status := b.peerStatus()
+func (c *controller) broadcastStatus() {
+	status := c.peerStatus()
 	frames := map[mesh.Version][]byte{}
-	for _, sibling := range b.cfg.Siblings {
-		version := b.frameVersion(sibling.Name)
+	for _, sibling := range c.cfg.Siblings {
+		version := c.frameVersion(sibling.Name)
 		if frames[version] == nil {
 			frames[version] = mesh.AppendStatus(nil, status, version)
 		}
-		b.send(sibling.Name, frames[version])
+		c.send(sibling.Name, frames[version])
 	}
 }
 
 // refuses is the answer of a controller that must not serve; false: it may.
-func (b *controller) refusal() (api.Response, bool) {
-	if b.rollout.refusal == nil {
+func (c *controller) refusal() (api.Response, bool) {
+	if c.rollout.refusal == nil {
 		return api.Response{}, false
 	}
-	return unavailableResponse(b.rollout.refusal.Error()), true
+	return unavailableResponse(c.rollout.refusal.Error()), true
 }
 
 // register keeps this controller's range of levels stored while the process lives.
-func (b *controller) register() {
-	c := rollout.Controller{Node: b.cfg.Name, ProcessID: b.processID, Build: Build, Range: b.rollout.supported}
-	r := &rollout.Registrar{Store: b.stateClient, Controller: c, TTL: registrationTTLs * b.operator.LeaseTTL, Log: b.log}
-	if err := r.Run(b.ctx); err != nil && !errors.Is(err, b.ctx.Err()) {
-		b.log.Error("registration ended", "err", err)
+func (c *controller) register() {
+	registration := rollout.Controller{Node: c.cfg.Name, ProcessID: c.processID, Build: Build, Range: c.rollout.supported}
+	r := &rollout.Registrar{Store: c.stateClient, Controller: registration, TTL: registrationTTLs * c.operator.LeaseTTL, Log: c.log}
+	if err := r.Run(c.ctx); err != nil && !errors.Is(err, c.ctx.Err()) {
+		c.log.Error("registration ended", "err", err)
 	}
 }
 
@@ -272,8 +272,8 @@
 )
 
 // logLevels adds the levels to the regular counters.
-func (b *controller) logRollout(log *slog.Logger) {
-	l := &b.rollout
+func (c *controller) logRollout(log *slog.Logger) {
+	l := &c.rollout
 	if l.version == 0 {
 		return
 	}
--- a/internal/controller/levels_test.go
+++ b/internal/controller/levels_test.go
@@ -118,9 +118,9 @@
 		}
 		body := jobBody("wk-3", wire.Array, "blue", "normal", 4, 1, 3)
 		raw, _ := json.Marshal(body)
-		j, _ := wire.ParseJob(raw)
-		c.world.Upload(j)
-		if status, _ := c.ask(0, standin.Submit, "wk-3", body, j); status != http.StatusCreated {
+		spec, _ := wire.ParseJob(raw)
+		c.world.Upload(spec)
+		if status, _ := c.ask(0, standin.Submit, "wk-3", body, spec); status != http.StatusCreated {
 			t.Errorf("a submission is answered %d", status)
 		}
 		c.await("the job that it accepted is done", time.Minute, func() bool { return c.world.Finished("wk-3") == 4 })
@@ -186,8 +186,8 @@
 		}
 		used := 0.0
 		c.nodes[0].brain.call(c.ctx, priorityState, func() {
-			b := c.nodes[0].brain
-			used = float64(b.quotas()[b.team("blue")].Used.CPU) / 1000
+			ctl := c.nodes[0].brain
+			used = float64(ctl.quotas()[ctl.team("blue")].Used.CPU) / 1000
 		})
 		if used < 12+6 {
 			t.Errorf("%v CPUs count for the team's limit", used)
--- a/internal/controller/levels_world_test.go
+++ b/internal/controller/levels_world_test.go
@@ -208,15 +208,15 @@
 }
 
 // noteBoot notes what a process reads, for levelHistory.
-func (c *cluster) noteBoot(n *node, b *controller) {
+func (c *cluster) noteBoot(n *node, ctl *controller) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.boots == nil {
 		c.boots = map[string]rollout.Range{}
 	}
-	c.boots[b.processID] = b.rollout.supported
+	c.boots[ctl.processID] = ctl.rollout.supported
 	if n.unaware {
-		c.boots[b.processID] = baseOnly
+		c.boots[ctl.processID] = baseOnly
 	}
 }
 
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -18,10 +18,10 @@
 // A record is written in pieces that fit, which have all of its tasks, no more of which
 // may run than before, and each binding.
 func TestRecordsFitTheLimit(t *testing.T) {
-	b := lone(t)
+	c := lone(t)
 	rapid.Check(t, func(t *rapid.T) {
-		b.cfg.Settings.State.ValueKB = rapid.Float64Range(0.5, 8).Draw(t, "value_kb")
-		r := &taskGroup{key: "x", done: rapid.IntRange(0, 50).Draw(t, "done")}
+		c.cfg.Settings.State.ValueKB = rapid.Float64Range(0.5, 8).Draw(t, "value_kb")
+		group := &taskGroup{key: "x", done: rapid.IntRange(0, 50).Draw(t, "done")}
 		n := rapid.IntRange(1, 128).Draw(t, "tasks")
 		bound := 0
 		for i := range n {
@@ -31,20 +31,20 @@
 				e.incarnation = 12
 				bound++
 			}
-			r.bindings = append(r.bindings, e)
+			group.bindings = append(group.bindings, e)
 		}
 		if rapid.Bool().Draw(t, "capped") {
-			r.throttle = 1 + rapid.IntRange(bound, n).Draw(t, "may")
+			group.throttle = 1 + rapid.IntRange(bound, n).Draw(t, "may")
 		}
-		before := r.allowedTasks()
+		before := group.allowedTasks()
 		tasks, may, done, there := 0, 0, 0, 0
 		if rapid.Bool().Draw(t, "checked") {
-			b.rollout.state = rollout.State{Level: rollout.ChecksumLevel, Phase: rollout.Stable, Epoch: 1}
+			c.rollout.state = rollout.State{Level: rollout.ChecksumLevel, Phase: rollout.Stable, Epoch: 1}
 		}
-		for _, piece := range b.splitToFit(r, r.done, r.bindings) {
+		for _, piece := range c.splitToFit(group, group.done, group.bindings) {
 			raw := piece.At(groupKey("wk-1", 0))
-			if len(raw) > b.maxValueBytes() || piece.Encoding() != b.encoding() {
-				t.Fatalf("%d bytes of %d, form %d", len(raw), b.maxValueBytes(), piece.Encoding())
+			if len(raw) > c.maxValueBytes() || piece.Encoding() != c.encoding() {
+				t.Fatalf("%d bytes of %d, form %d", len(raw), c.maxValueBytes(), piece.Encoding())
 			}
 			v, _, err := record.DecodeTaskGroup(groupKey("wk-1", 0), raw)
 			if err != nil {
@@ -59,8 +59,8 @@
 			}
 			tasks, may, done = tasks+len(v.Tasks), may+x.allowedTasks(), done+v.Done
 		}
-		if tasks != n || may != before || done != r.done || there != bound {
-			t.Fatalf("%d of %d tasks, %d of %d may run, %d of %d done, %d of %d bound", tasks, n, may, before, done, r.done, there, bound)
+		if tasks != n || may != before || done != group.done || there != bound {
+			t.Fatalf("%d of %d tasks, %d of %d may run, %d of %d done, %d of %d bound", tasks, n, may, before, done, group.done, there, bound)
 		}
 	})
 }
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -75,24 +75,24 @@
 	group *taskGroup
 }
 
-func (s *machineBindings) add(t core.Task, r *taskGroup) {
+func (s *machineBindings) add(t core.Task, group *taskGroup) {
 	s.remove(t)
-	*s = append(*s, machineBinding{t, r})
+	*s = append(*s, machineBinding{t, group})
 }
 
 func (s *machineBindings) remove(t core.Task) {
 	*s = slices.DeleteFunc(*s, func(x machineBinding) bool { return x.task == t })
 }
 
-func (b *controller) machineNamed(name string) *machine {
-	m := b.machines[name]
+func (c *controller) machineNamed(name string) *machine {
+	m := c.machines[name]
 	if m == nil {
-		m = &machine{name: name, index: int32(len(b.machineByIndex)), hashPartition: partitionOf(name, b.cfg.Settings.Count), images: map[string]bool{}, fetching: map[string]time.Time{}, failedJobs: map[string]time.Time{}}
-		m.terminated = b.terminated[name]
-		m.partition = b.partitionOfMachine(m)
-		b.machines[name] = m
-		b.machineByIndex = append(b.machineByIndex, m)
-		b.addToPartition(m)
+		m = &machine{name: name, index: int32(len(c.machineByIndex)), hashPartition: partitionOf(name, c.cfg.Settings.Count), images: map[string]bool{}, fetching: map[string]time.Time{}, failedJobs: map[string]time.Time{}}
+		m.terminated = c.terminated[name]
+		m.partition = c.partitionOfMachine(m)
+		c.machines[name] = m
+		c.machineByIndex = append(c.machineByIndex, m)
+		c.addToPartition(m)
 	}
 	return m
 }
@@ -110,17 +110,17 @@
 
 // expected tells whether a machine should report to its part's owner: it has of
 // late, or work is bound to it and it has not reported since a take-over.
-func (b *controller) expectsHeartbeat(m *machine, within time.Duration) bool {
+func (c *controller) expectsHeartbeat(m *machine, within time.Duration) bool {
 	if m.heartbeatAt.IsZero() {
 		return len(m.bindings) > 0
 	}
-	return b.now.Sub(m.heartbeatAt) <= within
+	return c.now.Sub(m.heartbeatAt) <= within
 }
 
 // sizeMachine makes a machine's cells known to its part once its type is.
-func (b *controller) setMachineSize(m *machine) {
-	p := b.partitions[m.partition]
-	t := b.machineTypes[m.machineType]
+func (c *controller) setMachineSize(m *machine) {
+	p := c.partitions[m.partition]
+	t := c.machineTypes[m.machineType]
 	if p.token == 0 || t == nil || m.terminated || m.heartbeatAt.IsZero() {
 		return
 	}
@@ -128,18 +128,18 @@
 }
 
 // homeOf is the part that a machine is in by what is stored.
-func (b *controller) partitionOfMachine(m *machine) int {
-	if l := b.loans[m.name]; l != nil && l.Acknowledged {
-		return b.loanPartition()
+func (c *controller) partitionOfMachine(m *machine) int {
+	if loan := c.loans[m.name]; loan != nil && loan.Acknowledged {
+		return c.loanPartition()
 	}
 	return m.hashPartition
 }
 
 // enlist puts a machine among those of its part.
-func (b *controller) addToPartition(m *machine) {
+func (c *controller) addToPartition(m *machine) {
 	if !m.listed {
 		m.listed = true
-		p := b.partitions[m.partition]
+		p := c.partitions[m.partition]
 		p.machines = append(p.machines, m)
 	}
 }
@@ -165,15 +165,15 @@
 
 // quietAfter is how long a machine may be quiet before it is asked directly: the
 // longest usual pause between two reports and some time on the way.
-func (b *controller) heartbeatOverdueAfter() time.Duration {
-	return config.Seconds(1.25*b.cfg.Settings.Workers.ReportS) + 500*time.Millisecond
+func (c *controller) heartbeatOverdueAfter() time.Duration {
+	return config.Seconds(1.25*c.cfg.Settings.Workers.ReportS) + 500*time.Millisecond
 }
 
 // silentAfter is how long a machine may be quiet before it counts as silent, if
 // it can't be asked. It is well above what a worker needs to find its node's
 // successor (an answer outstanding for 4 s, then 1 s to the next).
-func (b *controller) unreachableAfter() time.Duration {
-	w := &b.cfg.Settings.Workers
+func (c *controller) unreachableAfter() time.Duration {
+	w := &c.cfg.Settings.Workers
 	return max(3*config.Seconds(w.ReportS), config.Seconds(0.6*w.LeaseS), 7*time.Second)
 }
 
@@ -191,10 +191,10 @@
 // heardSince is when a machine was last heard, or since when it could have been. While
 // this controller answers no reports (HoldTime) it hears none: after a long outage all
 // machines would else be found silent at once, and returned with all that they run.
-func (b *controller) heardSince(m *machine, p *partition) time.Time {
+func (c *controller) heardSince(m *machine, p *partition) time.Time {
 	t := p.ownsMachineSince(m)
-	if b.heartbeatsResumedAt.After(t) {
-		t = b.heartbeatsResumedAt
+	if c.heartbeatsResumedAt.After(t) {
+		t = c.heartbeatsResumedAt
 	}
 	if m.heartbeatAt.After(t) {
 		return m.heartbeatAt
@@ -205,122 +205,122 @@
 // up tells whether an owner may place on its machine. It must have shown a token
 // of ours: a report without may be a copy that comes late, after a take-over even
 // of a machine that died long ago, and nothing is known yet to compare it with.
-func (b *controller) usable(m *machine, p *partition) bool {
+func (c *controller) usable(m *machine, p *partition) bool {
 	return !m.terminated && m.heartbeatAt.After(p.ownsMachineSince(m)) && m.incarnation > 0 && m.token >= p.firstToken && !m.notReceiving(p) &&
-		b.now.Sub(m.heartbeatAt) < max(2*config.Seconds(b.cfg.Settings.Workers.ReportS), 3*time.Second)
+		c.now.Sub(m.heartbeatAt) < max(2*config.Seconds(c.cfg.Settings.Workers.ReportS), 3*time.Second)
 }
 
 // leaseOver tells whether a machine's lease has surely ended: nobody has sent
 // it an answer that could renew it for a whole lease, a former owner included.
-func (b *controller) leaseExpired(m *machine, p *partition) bool {
+func (c *controller) leaseExpired(m *machine, p *partition) bool {
 	last := p.ownsMachineSince(m).Add(p.formerOwnerStaleness)
 	if m.leaseRenewedAt.After(last) {
 		last = m.leaseRenewedAt
 	}
-	return b.now.Sub(last) > b.leaseExpiry
+	return c.now.Sub(last) > c.leaseExpiry
 }
 
 // report takes a worker's report in and answers it.
-func (b *controller) handleHeartbeat(r *wire.Heartbeat) api.Response {
-	b.metrics.count(countHeartbeats, 1)
-	b.lastHeartbeatAt = b.now
-	defer b.metrics.addBusyTime(activityHeartbeat, time.Now())
-	if !b.loaded {
+func (c *controller) handleHeartbeat(heartbeat *wire.Heartbeat) api.Response {
+	c.metrics.count(countHeartbeats, 1)
+	c.lastHeartbeatAt = c.now
+	defer c.metrics.addBusyTime(activityHeartbeat, time.Now())
+	if !c.loaded {
 		return api.Response{Status: http.StatusServiceUnavailable, Reason: "starting"}
 	}
-	if refusal, refused := b.refusal(); refused {
+	if refusal, refused := c.refusal(); refused {
 		return refusal
 	}
-	p := b.partitions[b.machineNamed(r.Machine).partition]
+	p := c.partitions[c.machineNamed(heartbeat.Machine).partition]
 	if p.token == 0 {
-		h, ok := b.holders[p.key]
-		if !ok || h.Node == b.cfg.Name {
+		h, ok := c.holders[p.key]
+		if !ok || h.Node == c.cfg.Name {
 			return api.Response{Status: http.StatusServiceUnavailable, Reason: "no owner"}
 		}
-		b.metrics.count(countRedirected, 1)
+		c.metrics.count(countRedirected, 1)
 		return api.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Node: h.Node}}
 	}
-	if r.Token > p.token {
+	if heartbeat.Token > p.token {
 		// A later owner has spoken to it: we have been replaced.
 		return api.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{}}
 	}
-	if !b.isFresh(b.maxStaleness) {
+	if !c.isFresh(c.maxStaleness) {
 		// See HoldTime: a user may have been told "cancelled" meanwhile.
 		return api.Response{Status: http.StatusServiceUnavailable, Reason: "state service out of reach"}
 	}
-	m := b.machineNamed(r.Machine)
+	m := c.machineNamed(heartbeat.Machine)
 	told := m.answeredAt
-	newer := b.applyHeartbeat(m, r, p, true)
+	newer := c.applyHeartbeat(m, heartbeat, p, true)
 	ans := wire.HeartbeatResponse{Token: p.token, Commands: []wire.Command{}}
 	// The answer renews the lease from when the report was sent. One that is not
 	// new was sent before the newest came in; it may be a copy that comes long
 	// after its machine died, which must not put off the proof of that.
 	if newer {
-		told = b.now
+		told = c.now
 	}
 	if told.After(m.leaseRenewedAt) {
 		m.leaseRenewedAt = told
 	}
 	if newer && !m.terminated && p.active {
-		ans.Commands = append(ans.Commands, b.commands(m, p)...)
-		for _, c := range ans.Commands {
-			m.startInResponse = m.startInResponse || c.Op == wire.OpStart
+		ans.Commands = append(ans.Commands, c.commands(m, p)...)
+		for _, command := range ans.Commands {
+			m.startInResponse = m.startInResponse || command.Op == wire.OpStart
 		}
 	}
 	return api.Response{Status: http.StatusOK, Body: ans}
 }
 
 // takeReport takes in the newest that a machine told; false if it was not new.
-func (b *controller) applyHeartbeat(m *machine, r *wire.Heartbeat, p *partition, viaReport bool) bool {
-	if r.Incarnation < m.incarnation || r.Incarnation == m.incarnation && r.Sequence <= m.sequence {
+func (c *controller) applyHeartbeat(m *machine, heartbeat *wire.Heartbeat, p *partition, viaReport bool) bool {
+	if heartbeat.Incarnation < m.incarnation || heartbeat.Incarnation == m.incarnation && heartbeat.Sequence <= m.sequence {
 		return false
 	}
-	if r.Incarnation > m.incarnation && m.incarnation > 0 {
-		b.log.Info("machine begins a new session", "machine", m.name, "session", r.Incarnation)
+	if heartbeat.Incarnation > m.incarnation && m.incarnation > 0 {
+		c.log.Info("machine begins a new session", "machine", m.name, "session", heartbeat.Incarnation)
 		m.images, m.fetching = map[string]bool{}, map[string]time.Time{}
 		m.unansweredStartToken, m.startInResponse = 0, false // commands of an earlier session are refused
 		m.leaseExpiredUnheard = !m.leaseRenewedAt.IsZero()   // it lost its lease: did it hear us at all?
 	}
 	// Most reports say nothing that changes a decision: a tick comes soon enough.
-	news := r.Incarnation != m.incarnation || r.Token != m.token || (r.NoticeS == nil) != m.terminationAt.IsZero() || viaReport && !b.usable(m, p)
-	m.incarnation, m.sequence, m.token = r.Incarnation, r.Sequence, r.Token
-	m.addr, m.machineType, m.zone, m.spot = r.Addr, r.Type, r.Zone, r.Spot
+	news := heartbeat.Incarnation != m.incarnation || heartbeat.Token != m.token || (heartbeat.NoticeS == nil) != m.terminationAt.IsZero() || viaReport && !c.usable(m, p)
+	m.incarnation, m.sequence, m.token = heartbeat.Incarnation, heartbeat.Sequence, heartbeat.Token
+	m.addr, m.machineType, m.zone, m.spot = heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
 	first := m.heartbeatAt.Before(p.ownedSince)
-	m.answeredAt = b.now
+	m.answeredAt = c.now
 	if !viaReport {
 		m.leaseExpiredUnheard, m.unanswered = false, 0
 	}
 	if viaReport {
-		m.heartbeatAt = b.now
+		m.heartbeatAt = c.now
 		m.startInResponse = false
-		b.setMachineSize(m)
+		c.setMachineSize(m)
 	}
 	if first && viaReport {
-		b.log.Debug("machine reports", "machine", m.name, "type", m.machineType, "part", p.index)
+		c.log.Debug("machine reports", "machine", m.name, "type", m.machineType, "part", p.index)
 	}
-	if r.NoticeS == nil {
+	if heartbeat.NoticeS == nil {
 		m.terminationAt = time.Time{}
 	} else {
 		if m.terminationAt.IsZero() {
-			b.log.Info("machine will be taken", "machine", m.name, "notice_s", *r.NoticeS)
+			c.log.Info("machine will be taken", "machine", m.name, "notice_s", *heartbeat.NoticeS)
 		}
-		m.terminationAt = b.now.Add(config.Seconds(*r.NoticeS))
+		m.terminationAt = c.now.Add(config.Seconds(*heartbeat.NoticeS))
 	}
-	m.tasks = r.Tasks
+	m.tasks = heartbeat.Tasks
 	if p.active && !m.terminated {
-		b.reconcile(m, p)
+		c.reconcile(m, p)
 	}
 	if viaReport && (m.leaseExpiredUnheard || m.token < p.firstToken) {
-		b.ping(m, p) // it answers, and shows our token, if it hears us
+		c.ping(m, p) // it answers, and shows our token, if it hears us
 	}
 	if news {
-		b.requestPass()
+		c.requestPass()
 	}
 	return true
 }
 
 // judge draws proofs from a machine's newest report.
-func (b *controller) reconcile(m *machine, p *partition) {
+func (c *controller) reconcile(m *machine, p *partition) {
 	// An older owner's start may still be under way until the machine has
 	// shown our token; one of ours while a direct command is unanswered.
 	settled := m.token == p.token && m.unansweredStartToken != p.token && !m.directCarriesStart && !m.startInResponse
@@ -330,43 +330,43 @@
 	shown := make(shownTasks, 0, len(m.tasks))
 	for i := range m.tasks {
 		t := &m.tasks[i]
-		j, r, e := b.lookup(t.Task)
-		if e == nil || e.machine != m || e.attempt != t.Attempt || e.incarnation != m.incarnation {
+		job, group, bound := c.lookup(t.Task)
+		if bound == nil || bound.machine != m || bound.attempt != t.Attempt || bound.incarnation != m.incarnation {
 			continue
 		}
-		shown.add(r.task(e.task))
-		if j.spec != nil && j.spec.Gang {
-			j.noteGangTask(t)
+		shown.add(group.task(bound.task))
+		if job.spec != nil && job.spec.Gang {
+			job.noteGangTask(t)
 		}
-		if j.spec != nil && (t.State == wire.Running || t.State == wire.Gathering || t.State == wire.Saving) && j.spec.Image != "" {
-			m.images[j.spec.Image] = true
-			delete(m.fetching, j.spec.Image)
+		if job.spec != nil && (t.State == wire.Running || t.State == wire.Gathering || t.State == wire.Saving) && job.spec.Image != "" {
+			m.images[job.spec.Image] = true
+			delete(m.fetching, job.spec.Image)
 		}
 		if t.State != wire.Exited {
 			continue
 		}
-		o := attemptEnd{attempt: e.attempt, done: t.Reason == wire.ReasonDone && j.spec != nil && !j.spec.Service, failed: t.Reason == wire.ReasonError}
-		if old, ok := b.attemptEnds[r.task(e.task)]; !ok || old.attempt != e.attempt {
-			b.noteTaskEnd(m, j, t.Reason)
+		o := attemptEnd{attempt: bound.attempt, done: t.Reason == wire.ReasonDone && job.spec != nil && !job.spec.Service, failed: t.Reason == wire.ReasonError}
+		if old, ok := c.attemptEnds[group.task(bound.task)]; !ok || old.attempt != bound.attempt {
+			c.noteTaskEnd(m, job, t.Reason)
 		}
-		b.endAttempt(r, e, o)
+		c.endAttempt(group, bound, o)
 	}
 	if len(shown) == len(m.bindings) {
 		return
 	}
-	stop := stopDecider{b: b}
+	stop := stopDecider{b: c}
 	for _, x := range m.bindings {
-		t, r := x.task, x.group
-		e := r.binding(t.Num)
-		if e == nil || e.machine != m {
+		t, group := x.task, x.group
+		bound := group.binding(t.Num)
+		if bound == nil || bound.machine != m {
 			continue
 		}
-		if e.incarnation < m.incarnation {
-			b.endAttempt(r, e, attemptEnd{attempt: e.attempt}) // the earlier session killed all
+		if bound.incarnation < m.incarnation {
+			c.endAttempt(group, bound, attemptEnd{attempt: bound.attempt}) // the earlier session killed all
 			continue
 		}
-		if settled && !shown.has(t) && stop.shouldStop(r, t, m, p) {
-			b.endAttempt(r, e, attemptEnd{attempt: e.attempt})
+		if settled && !shown.has(t) && stop.shouldStop(group, t, m, p) {
+			c.endAttempt(group, bound, attemptEnd{attempt: bound.attempt})
 		}
 	}
 }
@@ -383,24 +383,24 @@
 
 func (s shownTasks) has(t core.Task) bool { return slices.Contains(s, t) }
 
-func (b *controller) lookup(name string) (*job, *taskGroup, *binding) {
+func (c *controller) lookup(name string) (*job, *taskGroup, *binding) {
 	id, num, ok := parseTask(name)
 	if !ok {
 		return nil, nil, nil
 	}
-	j := b.jobs[id]
+	j := c.jobs[id]
 	if j == nil {
 		return nil, nil, nil
 	}
-	r := j.groupOfTask[num]
-	if r == nil {
+	group := j.groupOfTask[num]
+	if group == nil {
 		return j, nil, nil
 	}
-	return j, r, r.binding(num)
+	return j, group, group.binding(num)
 }
 
 // taskEnded learns from how a task ended.
-func (b *controller) noteTaskEnd(m *machine, j *job, why string) {
+func (c *controller) noteTaskEnd(m *machine, j *job, why string) {
 	switch why {
 	case wire.ReasonDone:
 		clear(m.failedJobs)
@@ -409,25 +409,25 @@
 		// on several machines is its user's mistake. Until it is clear which,
 		// both rest a while: a sick machine fails what it gets at once and
 		// would else eat a whole array.
-		m.failedJobs[j.id] = b.now
+		m.failedJobs[j.id] = c.now
 		if j.failedOn == nil {
 			j.failedOn = map[string]bool{}
 		}
 		j.failedOn[m.name] = true
 		if n := len(j.failedOn); n >= failedMachinesLimit {
-			j.retryAt = b.now.Add(min(time.Second<<min(n-failedMachinesLimit, 5), 30*time.Second))
+			j.retryAt = c.now.Add(min(time.Second<<min(n-failedMachinesLimit, 5), 30*time.Second))
 		}
-		m.avoidUntil = b.now.Add(5 * time.Second)
-		b.updateCordon(m)
+		m.avoidUntil = c.now.Add(5 * time.Second)
+		c.updateCordon(m)
 		if j.failsEverywhere() {
 			for name := range j.failedOn {
-				b.updateCordon(b.machineNamed(name))
+				c.updateCordon(c.machineNamed(name))
 			}
 		}
-		b.log.Info("task failed", "job", j.id, "machine", m.name)
+		c.log.Info("task failed", "job", j.id, "machine", m.name)
 	case wire.ReasonNoRoom, wire.ReasonInUse, wire.ReasonUnknownTask:
-		m.avoidUntil = b.now.Add(time.Second)
-		b.log.Info("start refused", "job", j.id, "machine", m.name, "why", why)
+		m.avoidUntil = c.now.Add(time.Second)
+		c.log.Info("start refused", "job", j.id, "machine", m.name, "why", why)
 	}
 }
 
@@ -453,84 +453,84 @@
 // weighFailures decides whether a machine is sick: it has failed tasks of several jobs
 // of late. Mistaken jobs say nothing of it: two of them, failing on each machine in
 // turn, would else have the whole fleet emptied and returned.
-func (b *controller) updateCordon(m *machine) {
+func (c *controller) updateCordon(m *machine) {
 	n := 0
 	for id, at := range m.failedJobs {
-		if j := b.jobs[id]; j == nil || b.now.Sub(at) > jobAvoidance {
+		if job := c.jobs[id]; job == nil || c.now.Sub(at) > jobAvoidance {
 			delete(m.failedJobs, id)
-		} else if !j.failsEverywhere() {
+		} else if !job.failsEverywhere() {
 			n++
 		}
 	}
 	if sick := n >= 2; sick != m.cordoned {
-		m.cordoned, m.cordonedAt = sick, b.now
-		b.log.Info("machine fails tasks of several jobs", "machine", m.name, "sick", sick)
+		m.cordoned, m.cordonedAt = sick, c.now
+		c.log.Info("machine fails tasks of several jobs", "machine", m.name, "sick", sick)
 	}
 }
 
 // barred tells whether a machine gets none of a job just now.
-func (b *controller) avoidsJob(m *machine, j *job) bool {
+func (c *controller) avoidsJob(m *machine, j *job) bool {
 	at, ok := m.failedJobs[j.id]
-	return ok && b.now.Sub(at) < jobAvoidance
+	return ok && c.now.Sub(at) < jobAvoidance
 }
 
 // end notes the proven end of an attempt; the record is rewritten in step.
-func (b *controller) endAttempt(r *taskGroup, e *binding, o attemptEnd) {
-	t := r.task(e.task)
-	if old, ok := b.attemptEnds[t]; ok && old.attempt == e.attempt {
+func (c *controller) endAttempt(group *taskGroup, bound *binding, o attemptEnd) {
+	t := group.task(bound.task)
+	if old, ok := c.attemptEnds[t]; ok && old.attempt == bound.attempt {
 		return
 	}
-	b.attemptEnds[t] = o
-	r.hasUnstoredEnds = true
+	c.attemptEnds[t] = o
+	group.hasUnstoredEnds = true
 	if o.done {
-		b.metrics.count(countDone, 1)
+		c.metrics.count(countDone, 1)
 	} else {
-		b.metrics.count(countLost, 1)
+		c.metrics.count(countLost, 1)
 	}
-	b.log.Debug("attempt over", "task", taskName(r.job.id, e.task), "attempt", e.attempt, "machine", e.machine.name, "done", o.done)
-	p := b.partitions[e.machine.partition]
-	if p.index != r.partition {
+	c.log.Debug("attempt over", "task", taskName(group.job.id, bound.task), "attempt", bound.attempt, "machine", bound.machine.name, "done", o.done)
+	p := c.partitions[bound.machine.partition]
+	if p.index != group.partition {
 		if p.foreignGroups == nil {
 			p.foreignGroups = map[*taskGroup]bool{}
 		}
-		p.foreignGroups[r] = true
+		p.foreignGroups[group] = true
 	}
-	p.countFreedCell(b.now)
-	b.freeCell(p, t)
-	b.requestPass()
+	p.countFreedCell(c.now)
+	c.freeCell(p, t)
+	c.requestPass()
 }
 
 // endAll ends every attempt on a machine that is gone or whose lease is over.
-func (b *controller) endAllAttempts(m *machine, why string) {
-	p := b.partitions[m.partition]
+func (c *controller) endAllAttempts(m *machine, why string) {
+	p := c.partitions[m.partition]
 	if p.token == 0 {
 		return
 	}
-	before := len(b.attemptEnds)
+	before := len(c.attemptEnds)
 	for _, x := range m.bindings {
-		t, r := x.task, x.group
-		if e := r.binding(t.Num); e != nil && e.machine == m {
-			b.endAttempt(r, e, attemptEnd{attempt: e.attempt})
+		t, group := x.task, x.group
+		if bound := group.binding(t.Num); bound != nil && bound.machine == m {
+			c.endAttempt(group, bound, attemptEnd{attempt: bound.attempt})
 		}
 	}
-	if n := len(b.attemptEnds) - before; n > 0 {
-		b.log.Info("tasks of a machine are lost", "machine", m.name, "tasks", n, "why", why)
+	if n := len(c.attemptEnds) - before; n > 0 {
+		c.log.Info("tasks of a machine are lost", "machine", m.name, "tasks", n, "why", why)
 	}
 	for t, a := range p.reservations {
-		if a.machine == m && !b.groups[t.Group].writing {
+		if a.machine == m && !c.groups[t.Group].writing {
 			delete(p.reservations, t)
-			b.freeCell(p, t)
+			c.freeCell(p, t)
 		}
 	}
 	p.cells.DropMachine(m.index)
 }
 
 // wantStop tells whether a bound task should not be there.
-func (b *controller) shouldStop(r *taskGroup, t core.Task, m *machine, p *partition) bool {
-	if r.job.spec != nil && r.job.spec.Gang {
-		return b.gangMustStop(r.job)
+func (c *controller) shouldStop(group *taskGroup, t core.Task, m *machine, p *partition) bool {
+	if group.job.spec != nil && group.job.spec.Gang {
+		return c.gangMustStop(group.job)
 	}
-	return r.job.finalState != unfinishedJob || b.mustPreempt(r, t, m, p)
+	return group.job.finalState != unfinishedJob || c.mustPreempt(group, t, m, p)
 }
 
 // stopCheck asks wantStop for the tasks of one machine, and once for all those of a gang:
@@ -541,42 +541,42 @@
 	stops bool
 }
 
-func (c *stopDecider) shouldStop(r *taskGroup, t core.Task, m *machine, p *partition) bool {
-	if r.job.spec == nil || !r.job.spec.Gang {
-		return c.b.shouldStop(r, t, m, p)
+func (c *stopDecider) shouldStop(group *taskGroup, t core.Task, m *machine, p *partition) bool {
+	if group.job.spec == nil || !group.job.spec.Gang {
+		return c.b.shouldStop(group, t, m, p)
 	}
-	if c.gang != r.job {
-		c.gang, c.stops = r.job, c.b.shouldStop(r, t, m, p)
+	if c.gang != group.job {
+		c.gang, c.stops = group.job, c.b.shouldStop(group, t, m, p)
 	}
 	return c.stops
 }
 
 // mustLeave tells whether a task has to leave its machine.
-func (b *controller) mustPreempt(r *taskGroup, t core.Task, m *machine, p *partition) bool {
-	if c := p.cells.CellOf(t); c != nil && c.State == core.Reserving || r.exceedsThrottle(t.Num) {
+func (c *controller) mustPreempt(group *taskGroup, t core.Task, m *machine, p *partition) bool {
+	if cell := p.cells.CellOf(t); cell != nil && cell.State == core.Reserving || group.exceedsThrottle(t.Num) {
 		return true
 	}
-	if l := b.loans[m.name]; l != nil && !l.Acknowledged && l.claim(b).CanPreempt(r.claim()) {
+	if loan := c.loans[m.name]; loan != nil && !loan.Acknowledged && loan.claim(c).CanPreempt(group.claim()) {
 		return true
 	}
 	// A task that can save is stopped before its machine is taken.
-	return !m.terminationAt.IsZero() && r.job.spec != nil && r.job.spec.CheckpointS > 0 || m.cordoned
+	return !m.terminationAt.IsZero() && group.job.spec != nil && group.job.spec.CheckpointS > 0 || m.cordoned
 }
 
 // commands are what a machine should do, by its newest report.
-func (b *controller) commands(m *machine, p *partition) []wire.Command {
+func (c *controller) commands(m *machine, p *partition) []wire.Command {
 	var stops, starts []wire.Command
 	var there []string // tasks with an attempt that can't be reaped yet
 	shown := make(shownTasks, 0, len(m.tasks))
 	open := m.unansweredStartToken == p.token || m.directCarriesStart || m.startInResponse
-	stop := stopDecider{b: b}
+	stop := stopDecider{b: c}
 	for i := range m.tasks {
 		t := &m.tasks[i]
-		j, r, e := b.lookup(t.Task)
-		if e == nil && j != nil && j.hasUnreadableRecords() && j.finalState == unfinishedJob {
+		job, group, bound := c.lookup(t.Task)
+		if bound == nil && job != nil && job.hasUnreadableRecords() && job.finalState == unfinishedJob {
 			continue // it may well be bound there, in the record that can't be decoded
 		}
-		if e == nil || e.machine != m || e.attempt != t.Attempt || e.incarnation != m.incarnation {
+		if bound == nil || bound.machine != m || bound.attempt != t.Attempt || bound.incarnation != m.incarnation {
 			if t.State != wire.Exited {
 				zero := 0.0
 				stops = append(stops, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
@@ -589,11 +589,11 @@
 			}
 			continue
 		}
-		shown.add(r.task(e.task))
-		if t.State == wire.Exited || !stop.shouldStop(r, r.task(e.task), m, p) {
+		shown.add(group.task(bound.task))
+		if t.State == wire.Exited || !stop.shouldStop(group, group.task(bound.task), m, p) {
 			continue
 		}
-		grace := b.stopGraceS(r.job)
+		grace := c.stopGraceS(group.job)
 		if t.State != wire.Saving || grace == 0 {
 			stops = append(stops, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GraceS: &grace})
 		}
@@ -601,31 +601,31 @@
 	// Nothing starts on the strength of an old read: from the moment a user is told
 	// "cancelled", by whomever, no task of the job may. Reports are answered for longer
 	// than that (HoldTime), so that what runs goes on.
-	if len(shown) == len(m.bindings) || !b.isFresh(b.operator.LeaseTTL) {
+	if len(shown) == len(m.bindings) || !c.isFresh(c.operator.LeaseTTL) {
 		return stops
 	}
 	for _, x := range m.bindings {
-		t, r := x.task, x.group
-		e := r.binding(t.Num)
-		if e == nil || shown.has(t) || e.incarnation != m.incarnation || stop.shouldStop(r, t, m, p) {
+		t, group := x.task, x.group
+		bound := group.binding(t.Num)
+		if bound == nil || shown.has(t) || bound.incarnation != m.incarnation || stop.shouldStop(group, t, m, p) {
 			continue
 		}
-		if o, ok := b.attemptEnds[t]; ok && o.attempt == e.attempt {
+		if o, ok := c.attemptEnds[t]; ok && o.attempt == bound.attempt {
 			continue
 		}
-		if spec := r.job.spec; spec != nil && spec.Gang && !r.job.gangBound() {
+		if spec := group.job.spec; spec != nil && spec.Gang && !group.job.gangBound() {
 			continue
 		}
-		if name := taskName(r.job.id, t.Num); !slices.Contains(there, name) { // it would be refused
-			starts = append(starts, wire.Command{Op: wire.OpStart, Task: name, Attempt: e.attempt})
+		if name := taskName(group.job.id, t.Num); !slices.Contains(there, name) { // it would be refused
+			starts = append(starts, wire.Command{Op: wire.OpStart, Task: name, Attempt: bound.attempt})
 		}
 	}
 	return append(stops, starts...)
 }
 
 // kick sends a machine's commands at once, without waiting for its report.
-func (b *controller) sendCommandsNow(m *machine) {
-	p := b.partitions[m.partition]
+func (c *controller) sendCommandsNow(m *machine) {
+	p := c.partitions[m.partition]
 	if p.token == 0 || !p.active || m.terminated || m.addr == "" || !m.heartbeatAt.After(p.ownedSince) {
 		return
 	}
@@ -633,63 +633,63 @@
 		m.directAgain = true
 		return
 	}
-	if b.now.Before(m.directBackoffUntil) || !b.isFresh(b.maxStaleness) {
+	if c.now.Before(m.directBackoffUntil) || !c.isFresh(c.maxStaleness) {
 		return
 	}
-	if b.directsInFlight >= b.maxDirects {
-		b.queueDirect(m)
+	if c.directsInFlight >= c.maxDirects {
+		c.queueDirect(m)
 		return
 	}
-	if cmds := b.commands(m, p); len(cmds) > 0 {
-		b.sendDirect(m, p, cmds)
+	if cmds := c.commands(m, p); len(cmds) > 0 {
+		c.sendDirect(m, p, cmds)
 	}
 }
 
 // doLater has a machine wait for its turn: so many direct commands are open that
 // more would take the sockets of workers and users, since each to a machine that
 // is silent holds one until it times out.
-func (b *controller) queueDirect(m *machine) {
+func (c *controller) queueDirect(m *machine) {
 	if !m.directQueued {
 		m.directQueued = true
-		b.directQueue = append(b.directQueue, m)
+		c.directQueue = append(c.directQueue, m)
 	}
 }
 
 // doNext gives those that wait for direct commands their turn.
-func (b *controller) sendQueuedDirect() {
-	for n := len(b.directQueue); n > 0 && b.directsInFlight < b.maxDirects; n-- {
-		m := b.directQueue[0]
-		b.directQueue = b.directQueue[1:]
+func (c *controller) sendQueuedDirect() {
+	for n := len(c.directQueue); n > 0 && c.directsInFlight < c.maxDirects; n-- {
+		m := c.directQueue[0]
+		c.directQueue = c.directQueue[1:]
 		m.directQueued = false
 		if ping := m.pingQueued; ping {
 			m.pingQueued = false
-			if p := b.partitions[m.partition]; p.token != 0 && !m.terminated {
-				b.ping(m, p)
+			if p := c.partitions[m.partition]; p.token != 0 && !m.terminated {
+				c.ping(m, p)
 			}
 			continue
 		}
-		b.sendCommandsNow(m)
+		c.sendCommandsNow(m)
 	}
 }
 
 // ping tells a machine our token, whether it has something to do or not.
-func (b *controller) ping(m *machine, p *partition) {
-	if m.directInFlight || b.now.Before(m.directBackoffUntil) || m.incarnation == 0 || m.addr == "" || !b.isFresh(b.maxStaleness) {
+func (c *controller) ping(m *machine, p *partition) {
+	if m.directInFlight || c.now.Before(m.directBackoffUntil) || m.incarnation == 0 || m.addr == "" || !c.isFresh(c.maxStaleness) {
 		return
 	}
-	if b.directsInFlight >= b.maxDirects/2 { // the rest is for commands
+	if c.directsInFlight >= c.maxDirects/2 { // the rest is for commands
 		m.pingQueued = true
-		b.queueDirect(m)
+		c.queueDirect(m)
 		return
 	}
-	b.sendDirect(m, p, nil)
+	c.sendDirect(m, p, nil)
 }
 
-func (b *controller) sendDirect(m *machine, p *partition, cmds []wire.Command) {
+func (c *controller) sendDirect(m *machine, p *partition, cmds []wire.Command) {
 	m.directInFlight, m.directAgain, m.pingQueued = true, false, false
-	b.directsInFlight++
-	for _, c := range cmds {
-		if c.Op == wire.OpStart {
+	c.directsInFlight++
+	for _, command := range cmds {
+		if command.Op == wire.OpStart {
 			m.directCarriesStart = true
 		}
 	}
@@ -701,14 +701,14 @@
 	if len(cmds) == 0 {
 		limit = fleet.PingTimeout
 	}
-	begun := b.now
-	ctx, cancel := context.WithDeadline(b.ctx, begun.Add(limit))
+	begun := c.now
+	ctx, cancel := context.WithDeadline(c.ctx, begun.Add(limit))
 	go func() {
 		defer cancel()
-		r, ok, err := b.workerClient.Send(ctx, addr, d)
-		b.enqueue(priorityWorkers, func() {
-			b.directsInFlight--
-			defer b.sendQueuedDirect()
+		heartbeat, ok, err := c.workerClient.Send(ctx, addr, d)
+		c.enqueue(priorityWorkers, func() {
+			c.directsInFlight--
+			defer c.sendQueuedDirect()
 			started := m.directCarriesStart
 			m.directInFlight, m.directCarriesStart = false, false
 			if err != nil {
@@ -720,24 +720,24 @@
 				}
 				// With too little processor time it is we who were late: a hundred
 				// machines asked at a take-over would all seem dead.
-				if !b.laggedSince(begun) {
+				if !c.laggedSince(begun) {
 					m.unanswered++
 				}
 				if m.unanswered >= unansweredLimit {
-					m.directBackoffUntil = b.now.Add(3 * time.Second)
+					m.directBackoffUntil = c.now.Add(3 * time.Second)
 				}
-				b.log.Debug("direct command unanswered", "machine", m.name, "err", err)
+				c.log.Debug("direct command unanswered", "machine", m.name, "err", err)
 				return
 			}
-			if r.Machine != m.name {
+			if heartbeat.Machine != m.name {
 				return
 			}
-			if p.token != 0 && r.Token <= p.token {
-				b.applyHeartbeat(m, r, p, false)
+			if p.token != 0 && heartbeat.Token <= p.token {
+				c.applyHeartbeat(m, heartbeat, p, false)
 			}
 			if m.directAgain || !ok {
 				m.directAgain = false
-				b.sendCommandsNow(m)
+				c.sendCommandsNow(m)
 			}
 		})
 	}()
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -80,9 +80,9 @@
 	return m
 }
 
-func (m *metrics) count(c counter, n int) {
+func (m *metrics) count(index counter, n int) {
 	m.mu.Lock()
-	m.counts[c] += int64(n)
+	m.counts[index] += int64(n)
 	m.mu.Unlock()
 }
 
