--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -19,69 +19,69 @@
 // machines. Bound to it for good, the job waited beside other zones' empty machines
 // for as long as the first one had none. Its tasks are all proven gone, so that nothing
 // is in two zones; an owner that binds one meanwhile loses by its record's version.
-func (b *controller) moveToOtherZone(hosts []*core.MachineSummary, r *taskGroup) bool {
-	j, spec := r.job, r.job.spec
-	if !spec.SingleZone || r.zone == "" || b.now.Sub(r.inPartitionSince) < zonePatience || !spec.Gang && len(j.groups) > b.cfg.Settings.State.TxnOps {
+func (c *controller) moveToOtherZone(summaries []*core.MachineSummary, group *taskGroup) bool {
+	job, spec := group.job, group.job.spec
+	if !spec.SingleZone || group.zone == "" || c.now.Sub(group.inPartitionSince) < zonePatience || !spec.Gang && len(job.groups) > c.cfg.Settings.State.TxnOps {
 		return false
 	}
 	need := 1
-	for _, o := range j.groups {
-		if o.writing || o.zone != r.zone || o.boundTasks() > 0 {
+	for _, other := range job.groups {
+		if other.writing || other.zone != group.zone || other.boundTasks() > 0 {
 			return false // one has moved already in this step, and others follow it
 		}
 		if spec.AllOrNothing() {
-			need = max(need, len(o.bindings))
+			need = max(need, len(other.bindings))
 		}
 	}
 	room := map[string]int{}
-	for _, h := range hosts {
-		if !h.Booting && b.reserveAllows(j, h) && allowed(spec, "", h.Type, h.Zone, h.Spot) {
-			room[h.Zone] += h.Free.CountFitting(j.taskSize, need)
+	for _, summary := range summaries {
+		if !summary.Booting && c.reserveAllows(job, summary) && allowed(spec, "", summary.Type, summary.Zone, summary.Spot) {
+			room[summary.Zone] += summary.Free.CountFitting(job.taskSize, need)
 		}
 	}
-	best := r.zone
+	best := group.zone
 	for z, n := range room {
 		if n > room[best] || n == room[best] && z < best {
 			best = z
 		}
 	}
-	if best == r.zone || room[best] < need || room[r.zone] >= need {
+	if best == group.zone || room[best] < need || room[group.zone] >= need {
 		return false
 	}
-	b.log.Info("job goes to another zone", "job", j.id, "from", r.zone, "to", best)
+	c.log.Info("job goes to another zone", "job", job.id, "from", group.zone, "to", best)
 	if spec.Gang {
-		return b.relocate(j, j.firstGroup().partition, best)
+		return c.relocate(job, job.firstGroup().partition, best)
 	}
-	u := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
-	for _, o := range j.groups {
-		moved := *o
+	write := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(job.id), Revision: job.revision}}}
+	for _, other := range job.groups {
+		moved := *other
 		moved.zone = best
-		u.Conditions = append(u.Conditions, wire.Condition{Key: o.key, Revision: o.revision})
-		u.Changes = append(u.Changes, wire.Change{Put: o.key, Value: b.encodeGroup(&moved, o.done, o.bindings).At(o.key)})
+		write.Conditions = append(write.Conditions, wire.Condition{Key: other.key, Revision: other.revision})
+		write.Changes = append(write.Changes, wire.Change{Put: other.key, Value: c.encodeGroup(&moved, other.done, other.bindings).At(other.key)})
 	}
-	b.leadership.writesInFlight++
-	epoch := b.leadership.epoch
-	b.submitWrite(u, func(err error) { b.leaderWriteDone(epoch, err) })
+	c.leadership.writesInFlight++
+	epoch := c.leadership.epoch
+	c.submitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
 	return true
 }
 
 // moveStuck gives waiting tasks of a record whose part has no room to a part
 // that has. Its owner's writes lose by the record's version.
-func (b *controller) moveUnplaced(hosts []*core.MachineSummary, r *taskGroup, n int) bool {
-	spec := r.job.spec
+func (c *controller) moveUnplaced(summaries []*core.MachineSummary, group *taskGroup, n int) bool {
+	spec := group.job.spec
 	if spec.Gang {
-		return b.moveGang(hosts, r.job)
+		return c.moveGang(summaries, group.job)
 	}
-	if spec.AllOrNothing() && n < len(r.bindings) && r.boundTasks() == 0 {
-		n = len(r.bindings) // a group that has not started moves whole
+	if spec.AllOrNothing() && n < len(group.bindings) && group.boundTasks() == 0 {
+		n = len(group.bindings) // a group that has not started moves whole
 	}
-	perPart := make([]int, len(b.partitions))
-	can := func(h *core.MachineSummary) bool {
-		return !h.Booting && h.Partition != r.partition && (b.now.Sub(r.inPartitionSince) > reserveOpensAfter || b.reserveAllows(r.job, h)) && allowed(spec, r.zone, h.Type, h.Zone, h.Spot)
+	perPart := make([]int, len(c.partitions))
+	can := func(summary *core.MachineSummary) bool {
+		return !summary.Booting && summary.Partition != group.partition && (c.now.Sub(group.inPartitionSince) > reserveOpensAfter || c.reserveAllows(group.job, summary)) && allowed(spec, group.zone, summary.Type, summary.Zone, summary.Spot)
 	}
-	trial := core.CloneSummaries(hosts)
-	for h, k := range core.PlaceInFreeRoom(trial, can, r.job.taskSize, n) {
-		perPart[h.Partition] += k
+	trial := core.CloneSummaries(summaries)
+	for summary, k := range core.PlaceInFreeRoom(trial, can, group.job.taskSize, n) {
+		perPart[summary.Partition] += k
 	}
 	best, most := -1, 0
 	for p, k := range perPart {
@@ -90,15 +90,15 @@
 		}
 	}
 	if best < 0 && n == 1 {
-		if h := core.PlaceByPreemption(trial, can, r.job.taskSize, r.claim()); h != nil {
-			best, most = h.Partition, 1
+		if summary := core.PlaceByPreemption(trial, can, group.job.taskSize, group.claim()); summary != nil {
+			best, most = summary.Partition, 1
 		}
 	}
 	taken := false
-	if spec.AllOrNothing() && r.boundTasks() == 0 && most < n {
+	if spec.AllOrNothing() && group.boundTasks() == 0 && most < n {
 		// A group that has not started, or lost all, may evict where it goes.
-		if best, taken = (&core.Assignment{TaskSize: r.job.taskSize, Count: n, Claim: r.claim(), Allowed: can}).OnePartition(hosts, len(b.partitions)); !taken {
-			return n > 1 && b.borrow(hosts, r.job, r.zone, n, r.claim())
+		if best, taken = (&core.Assignment{TaskSize: group.job.taskSize, Count: n, Claim: group.claim(), Allowed: can}).OnePartition(summaries, len(c.partitions)); !taken {
+			return n > 1 && c.borrow(summaries, group.job, group.zone, n, group.claim())
 		}
 		most = n
 	}
@@ -106,35 +106,35 @@
 		return false
 	}
 	var move, stay []binding
-	for _, e := range r.bindings {
-		if e.machine == nil && len(move) < most {
-			move = append(move, e)
+	for _, bound := range group.bindings {
+		if bound.machine == nil && len(move) < most {
+			move = append(move, bound)
 		} else {
-			stay = append(stay, e)
+			stay = append(stay, bound)
 		}
 	}
 	if len(move) == 0 {
 		return false
 	}
-	in := func(h *core.MachineSummary) bool { return h.Partition == best && can(h) }
+	in := func(summary *core.MachineSummary) bool { return summary.Partition == best && can(summary) }
 	if !taken {
-		core.PlaceInFreeRoom(hosts, in, r.job.taskSize, len(move))
+		core.PlaceInFreeRoom(summaries, in, group.job.taskSize, len(move))
 	}
-	u := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{b.leaderCondition(), {Key: jobKey(r.job.id), Revision: r.job.revision}, {Key: r.key, Revision: r.revision}}}
-	left, moved := r.split(stay, move)
+	write := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(group.job.id), Revision: group.job.revision}, {Key: group.key, Revision: group.revision}}}
+	left, moved := group.split(stay, move)
 	moved.partition = best
 	if len(stay) == 0 {
-		u.Changes = []wire.Change{{Put: r.key, Value: b.encodeGroup(&moved, r.done, move).At(r.key)}}
+		write.Changes = []wire.Change{{Put: group.key, Value: c.encodeGroup(&moved, group.done, move).At(group.key)}}
 	} else {
-		key := groupKey(r.job.id, r.job.newGroupNumber())
-		u.Conditions = append(u.Conditions, wire.Condition{Key: key})
-		u.Changes = []wire.Change{{Put: r.key, Value: b.encodeGroup(&left, r.done, stay).At(r.key)}, {Put: key, Value: b.encodeGroup(&moved, 0, move).At(key)}}
-	}
-	b.metrics.count(countMoved, 1)
-	b.log.Debug("tasks move to another part", "job", r.job.id, "tasks", len(move), "part", best)
-	b.leadership.writesInFlight++
-	epoch := b.leadership.epoch
-	b.submitWrite(u, func(err error) { b.leaderWriteDone(epoch, err) })
+		key := groupKey(group.job.id, group.job.newGroupNumber())
+		write.Conditions = append(write.Conditions, wire.Condition{Key: key})
+		write.Changes = []wire.Change{{Put: group.key, Value: c.encodeGroup(&left, group.done, stay).At(group.key)}, {Put: key, Value: c.encodeGroup(&moved, 0, move).At(key)}}
+	}
+	c.metrics.count(countMoved, 1)
+	c.log.Debug("tasks move to another part", "job", group.job.id, "tasks", len(move), "part", best)
+	c.leadership.writesInFlight++
+	epoch := c.leadership.epoch
+	c.submitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
 	return true
 }
 
@@ -142,71 +142,71 @@
 // Where none has, machines of several parts are borrowed for it: a gang that was dealt
 // to a part which then lost its room waited for ever beside machines that had room for
 // it together.
-func (b *controller) moveGang(hosts []*core.MachineSummary, j *job) bool {
+func (c *controller) moveGang(summaries []*core.MachineSummary, j *job) bool {
 	first, tasks := j.firstGroup(), 0
-	for _, r := range j.groups {
-		if r.boundTasks() > 0 {
+	for _, group := range j.groups {
+		if group.boundTasks() > 0 {
 			return false // its present attempt is completed, or ends, where it is
 		}
-		tasks += len(r.bindings)
+		tasks += len(group.bindings)
 	}
 	if tasks < j.spec.Tasks {
 		return false // the rest is dealt first
 	}
-	can := func(h *core.MachineSummary) bool {
-		return !h.Booting && h.Partition != first.partition && allowed(j.spec, first.zone, h.Type, h.Zone, h.Spot)
+	can := func(summary *core.MachineSummary) bool {
+		return !summary.Booting && summary.Partition != first.partition && allowed(j.spec, first.zone, summary.Type, summary.Zone, summary.Spot)
 	}
 	d := &core.Assignment{TaskSize: j.taskSize, Count: tasks, Claim: first.claim(), Allowed: can}
-	part, ok := d.OnePartition(hosts, len(b.partitions))
+	part, ok := d.OnePartition(summaries, len(c.partitions))
 	if !ok {
-		return tasks > 1 && b.borrow(hosts, j, first.zone, tasks, first.claim())
+		return tasks > 1 && c.borrow(summaries, j, first.zone, tasks, first.claim())
 	}
-	b.metrics.count(countMoved, 1)
-	b.log.Debug("gang moves to another part", "job", j.id, "tasks", tasks, "part", part)
-	return b.relocate(j, part, first.zone)
+	c.metrics.count(countMoved, 1)
+	c.log.Debug("gang moves to another part", "job", j.id, "tasks", tasks, "part", part)
+	return c.relocate(j, part, first.zone)
 }
 
 // relocate has a gang's records go to a part and zone, the first record first and as many
 // as one transaction holds. The others follow (gatherGangs); the gang is reserved when
 // all are together. False if it can't be now.
-func (b *controller) relocate(j *job, part int, zone string) bool {
-	u := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{b.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
+func (c *controller) relocate(j *job, part int, zone string) bool {
+	write := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
 	size := 0
-	for _, r := range j.groupsInOrder() {
-		if r.partition == part && r.zone == zone {
+	for _, group := range j.groupsInOrder() {
+		if group.partition == part && group.zone == zone {
 			continue
 		}
-		if r.writing || r.boundTasks() > 0 || r.size > b.maxValueBytes() {
+		if group.writing || group.boundTasks() > 0 || group.size > c.maxValueBytes() {
 			return false // its owner ends bindings, or splits it, first
 		}
-		moved := *r
+		moved := *group
 		moved.partition, moved.zone = part, zone
-		value := b.encodeGroup(&moved, r.done, r.bindings).At(r.key)
+		value := c.encodeGroup(&moved, group.done, group.bindings).At(group.key)
 		size += len(value) + recordOverhead
-		if n := len(u.Changes); n > 0 && (n == b.cfg.Settings.State.TxnOps || size > store.MaxTxnBytes) {
+		if n := len(write.Changes); n > 0 && (n == c.cfg.Settings.State.TxnOps || size > store.MaxTxnBytes) {
 			break
 		}
-		u.Conditions = append(u.Conditions, wire.Condition{Key: r.key, Revision: r.revision})
-		u.Changes = append(u.Changes, wire.Change{Put: r.key, Value: value})
+		write.Conditions = append(write.Conditions, wire.Condition{Key: group.key, Revision: group.revision})
+		write.Changes = append(write.Changes, wire.Change{Put: group.key, Value: value})
 	}
-	if len(u.Changes) == 0 {
+	if len(write.Changes) == 0 {
 		return false
 	}
-	b.leadership.writesInFlight++
-	epoch := b.leadership.epoch
-	b.submitWrite(u, func(err error) { b.leaderWriteDone(epoch, err) })
+	c.leadership.writesInFlight++
+	epoch := c.leadership.epoch
+	c.submitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
 	return true
 }
 
 // gatherGangs has the records of gangs that moved in part, by this leader or one before
 // it, follow their first one.
-func (b *controller) completeGangMoves() {
-	for _, j := range b.unfinished {
-		if j.finalState != unfinishedJob || j.spec == nil || !j.spec.Gang || j.revision == 0 || len(j.groups) < 2 {
+func (c *controller) completeGangMoves() {
+	for _, job := range c.unfinished {
+		if job.finalState != unfinishedJob || job.spec == nil || !job.spec.Gang || job.revision == 0 || len(job.groups) < 2 {
 			continue
 		}
-		if first := j.firstGroup(); !j.groupsTogether(first.partition, first.zone) {
-			b.relocate(j, first.partition, first.zone)
+		if first := job.firstGroup(); !job.groupsTogether(first.partition, first.zone) {
+			c.relocate(job, first.partition, first.zone)
 		}
 	}
 }
@@ -214,19 +214,19 @@
 // recsInOrder are a job's records by their numbers.
 func (j *job) groupsInOrder() []*taskGroup {
 	out := slices.Clone(j.groups)
-	slices.SortFunc(out, func(x, y *taskGroup) int { return cmp.Compare(x.number, y.number) })
+	slices.SortFunc(out, func(first, second *taskGroup) int { return cmp.Compare(first.number, second.number) })
 	return out
 }
 
 // firstRec is the record by which a gang's others go.
 func (j *job) firstGroup() *taskGroup {
-	return slices.MinFunc(j.groups, func(x, y *taskGroup) int { return cmp.Compare(x.number, y.number) })
+	return slices.MinFunc(j.groups, func(first, second *taskGroup) int { return cmp.Compare(first.number, second.number) })
 }
 
 // together tells whether all records of a job are in one part and zone.
 func (j *job) groupsTogether(part int, zone string) bool {
-	for _, r := range j.groups {
-		if r.partition != part || r.zone != zone {
+	for _, group := range j.groups {
+		if group.partition != part || group.zone != zone {
 			return false
 		}
 	}
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -10,64 +10,64 @@
 )
 
 // step has the decisions taken soon: events in a burst share one pass.
-func (b *controller) requestPass() { b.passDue = true }
+func (c *controller) requestPass() { c.passDue = true }
 
 // stepParts takes the decisions of all parts that are ours.
-func (b *controller) schedulePartitions() {
-	defer b.metrics.addBusyTime(activityPartitions, time.Now())
-	for _, p := range b.partitions {
-		if p.active && b.isFresh(b.operator.LeaseTTL) {
-			b.schedulePartition(p)
+func (c *controller) schedulePartitions() {
+	defer c.metrics.addBusyTime(activityPartitions, time.Now())
+	for _, p := range c.partitions {
+		if p.active && c.isFresh(c.operator.LeaseTTL) {
+			c.schedulePartition(p)
 		}
 	}
 }
 
 // stepPart lets the pending tasks of a part claim cells, highest claims first,
 // and stores what changed: ended attempts and new bindings.
-func (b *controller) schedulePartition(p *partition) {
+func (c *controller) schedulePartition(p *partition) {
 	p.removeMachines(func(m *machine) bool { return m.terminated && len(m.bindings) == 0 })
 	for _, m := range p.machines {
-		if len(m.bindings) > 0 && (m.terminated || b.leaseExpired(m, p)) {
-			b.endAllAttempts(m, "its lease is over")
+		if len(m.bindings) > 0 && (m.terminated || c.leaseExpired(m, p)) {
+			c.endAllAttempts(m, "its lease is over")
 		}
 	}
-	b.schedulingPass++
-	byUrgency := b.byUrgency()
+	c.schedulingPass++
+	byUrgency := c.byUrgency()
 	// Most records have nothing to do: all their tasks run.
 	var mine []*taskGroup
-	for _, r := range p.groups {
-		if r.job.spec != nil && (r.hasUnstoredEnds || r.size > b.maxValueBytes() || r.job.finalState == unfinishedJob && r.boundCount < len(r.bindings)) {
-			mine = append(mine, r)
+	for _, group := range p.groups {
+		if group.job.spec != nil && (group.hasUnstoredEnds || group.size > c.maxValueBytes() || group.job.finalState == unfinishedJob && group.boundCount < len(group.bindings)) {
+			mine = append(mine, group)
 		}
 	}
-	slices.SortFunc(mine, func(x, y *taskGroup) int {
-		cx, cy := x.claim(), y.claim()
-		return cmp.Or(cmp.Compare(cy.Priority, cx.Priority), compareBool(cy.Guaranteed, cx.Guaranteed), byUrgency(x.job, y.job), cmp.Compare(x.number, y.number))
+	slices.SortFunc(mine, func(first, second *taskGroup) int {
+		cx, cy := first.claim(), second.claim()
+		return cmp.Or(cmp.Compare(cy.Priority, cx.Priority), compareBool(cy.Guaranteed, cx.Guaranteed), byUrgency(first.job, second.job), cmp.Compare(first.number, second.number))
 	})
 	full := map[placementClass]bool{}
 	p.unplaced = 0
-	for _, r := range mine {
-		if !r.writing && r.job.finalState == unfinishedJob && !b.now.Before(r.job.retryAt) {
-			b.placeGroup(p, r, full)
+	for _, group := range mine {
+		if !group.writing && group.job.finalState == unfinishedJob && !c.now.Before(group.job.retryAt) {
+			c.placeGroup(p, group, full)
 		}
 	}
-	for _, r := range mine {
-		if !r.writing {
-			b.storeGroup(p, r)
+	for _, group := range mine {
+		if !group.writing {
+			c.storeGroup(p, group)
 		}
 	}
-	for r := range p.foreignGroups {
-		if b.groups[r.index] != r || !r.hasUnstoredEnds || r.partition == p.index {
-			delete(p.foreignGroups, r)
-		} else if !r.writing && r.job.spec != nil {
-			b.storeGroup(p, r)
+	for group := range p.foreignGroups {
+		if c.groups[group.index] != group || !group.hasUnstoredEnds || group.partition == p.index {
+			delete(p.foreignGroups, group)
+		} else if !group.writing && group.job.spec != nil {
+			c.storeGroup(p, group)
 		}
 	}
-	b.rewriteGroups(p)
-	b.stopGangs(p)
-	b.acknowledgeLoans(p)
+	c.rewriteGroups(p)
+	c.stopGangs(p)
+	c.acknowledgeLoans(p)
 	if p.tokenRaiseDue {
-		b.raiseToken(p)
+		c.raiseToken(p)
 	}
 }
 
@@ -80,10 +80,10 @@
 }
 
 // order is what a job's place among others depends on.
-func (b *controller) jobOrder(j *job) *core.JobOrder {
+func (c *controller) jobOrder(j *job) *core.JobOrder {
 	_, finished := j.assignedTasks()
-	return &core.JobOrder{AllOrNothing: j.spec.AllOrNothing(), NoDeadline: j.spec.NoDeadline, Started: j.hasStarted(), OverdueTurn: core.IsOverdueTurn(b.now.Unix()),
-		AgeS: b.now.Sub(j.acceptedAt).Seconds(), EstimateS: j.spec.EstimateS, DeadlineS: j.spec.DeadlineS, ObjectiveS: b.objectiveSeconds[j.spec.Class],
+	return &core.JobOrder{AllOrNothing: j.spec.AllOrNothing(), NoDeadline: j.spec.NoDeadline, Started: j.hasStarted(), OverdueTurn: core.IsOverdueTurn(c.now.Unix()),
+		AgeS: c.now.Sub(j.acceptedAt).Seconds(), EstimateS: j.spec.EstimateS, DeadlineS: j.spec.DeadlineS, ObjectiveS: c.objectiveSeconds[j.spec.Class],
 		RemainingWork: float64(j.spec.Tasks-finished) * j.spec.EstimateS * j.spec.CPUs}
 }
 
@@ -91,12 +91,12 @@
 const arrivalBucketS = 10
 
 // byUrgency compares jobs by priority and urgency, each looked at once.
-func (b *controller) byUrgency() func(x, y *job) int {
+func (c *controller) byUrgency() func(x, y *job) int {
 	known := map[*job]core.Urgency{}
 	of := func(j *job) core.Urgency {
 		u, ok := known[j]
 		if !ok {
-			u = b.jobOrder(j).Urgency()
+			u = c.jobOrder(j).Urgency()
 			known[j] = u
 		}
 		return u
@@ -123,56 +123,56 @@
 // start together, everything else one by one. Tasks of one shape are alike, so
 // the first that finds no room speaks for all behind it; full is what has found
 // none in this step.
-func (b *controller) placeGroup(p *partition, r *taskGroup, full map[placementClass]bool) {
-	pending, busy, started := b.unplacedTasks(p, r)
-	if over := len(pending) - max(0, r.allowedTasks()-(len(r.bindings)-len(pending))); over > 0 {
+func (c *controller) placeGroup(p *partition, group *taskGroup, full map[placementClass]bool) {
+	pending, busy, started := c.unplacedTasks(p, group)
+	if over := len(pending) - max(0, group.allowedTasks()-(len(group.bindings)-len(pending))); over > 0 {
 		pending = pending[:len(pending)-over]
 	}
 	if len(pending) == 0 {
 		return
 	}
-	spec := r.job.spec
+	spec := group.job.spec
 	if spec.Gang || spec.Service && !started {
 		// All records of the job in this part are one group.
-		for _, o := range r.job.groups {
-			if o == r || o.partition != p.index {
+		for _, other := range group.job.groups {
+			if other == group || other.partition != p.index {
 				continue
 			}
-			if o.number < r.number {
+			if other.number < group.number {
 				return // asked for with the first record
 			}
-			more, otherBusy, otherStarted := b.unplacedTasks(p, o)
+			more, otherBusy, otherStarted := c.unplacedTasks(p, other)
 			pending, busy, started = append(pending, more...), busy || otherBusy, started || otherStarted
 		}
 	}
-	score := b.scorer(p, r)
+	score := c.scorer(p, group)
 	// An array's tasks wait a little before they stop others: cells come
 	// free all the time, and what is stopped has run for nothing.
-	s := placementClass{r.job.equivalenceClass, r.zone, r.claim(), !spec.AllOrNothing() && b.now.Sub(r.inPartitionSince) < b.operator.EvictAfter}
+	s := placementClass{group.job.equivalenceClass, group.zone, group.claim(), !spec.AllOrNothing() && c.now.Sub(group.inPartitionSince) < c.operator.EvictAfter}
 	// Where tasks end all the time, those at the head of the queue have a free cell
 	// before long; only what is behind them stops others, until all have waited.
-	patient := !spec.AllOrNothing() && b.now.Sub(r.inPartitionSince) < evictionPatience*b.operator.EvictAfter
+	patient := !spec.AllOrNothing() && c.now.Sub(group.inPartitionSince) < evictionPatience*c.operator.EvictAfter
 	request := func(tasks ...core.Task) bool {
 		if patient && !s.noPreemption {
-			s.noPreemption = p.unplaced < p.freedCellsWithin(b.now, b.operator.EvictAfter)
+			s.noPreemption = p.unplaced < p.freedCellsWithin(c.now, c.operator.EvictAfter)
 			defer func() { s.noPreemption = false }()
 		}
 		// Machines that failed a job are barred to it alone.
-		alike := len(tasks) == 1 && len(r.job.failedOn) == 0
+		alike := len(tasks) == 1 && len(group.job.failedOn) == 0
 		if alike && full[s] {
 			p.unplaced++
 			return false
 		}
-		g := &core.Group{Tasks: tasks, TaskSize: r.job.taskSize, Claim: s.claim, NoPreemption: s.noPreemption}
+		g := &core.Group{Tasks: tasks, TaskSize: group.job.taskSize, Claim: s.claim, NoPreemption: s.noPreemption}
 		p.cells.Request(g, score)
 		switch g.State {
 		case core.Allocated:
-			b.reserveCells(p, g)
+			c.reserveCells(p, g)
 		case core.Preempting:
-			b.metrics.count(countPreempting, g.Victims())
-			b.log.Debug("group preempts", "job", r.job.id, "tasks", len(tasks))
+			c.metrics.count(countPreempting, g.Victims())
+			c.log.Debug("group preempts", "job", group.job.id, "tasks", len(tasks))
 			for _, mi := range g.Machines {
-				b.sendCommandsNow(b.machineByIndex[mi])
+				c.sendCommandsNow(c.machineByIndex[mi])
 			}
 		case core.Pending:
 			full[s] = full[s] || alike
@@ -181,7 +181,7 @@
 		return g.State != core.Pending
 	}
 	if spec.Gang {
-		b.placeGang(p, r, pending, request)
+		c.placeGang(p, group, pending, request)
 		return
 	}
 	if spec.Service && !started {
@@ -189,7 +189,7 @@
 		return
 	}
 	for i, t := range pending {
-		if !request(t) && (!patient || s.noPreemption || i >= p.freedCellsWithin(b.now, b.operator.EvictAfter)) {
+		if !request(t) && (!patient || s.noPreemption || i >= p.freedCellsWithin(c.now, c.operator.EvictAfter)) {
 			return
 		}
 	}
@@ -223,13 +223,13 @@
 
 // pending lists a record's tasks that neither are nor claim to be anywhere;
 // busy: others do; started: some have run before.
-func (b *controller) unplacedTasks(p *partition, r *taskGroup) (out []core.Task, busy, started bool) {
-	for i := range r.bindings {
-		e := &r.bindings[i]
-		t := r.task(e.task)
-		started = started || e.attempt > 0
-		there := e.machine != nil
-		if o, ok := b.attemptEnds[t]; there && ok && o.attempt == e.attempt && !o.done && !r.job.spec.Gang {
+func (c *controller) unplacedTasks(p *partition, group *taskGroup) (out []core.Task, busy, started bool) {
+	for i := range group.bindings {
+		bound := &group.bindings[i]
+		t := group.task(bound.task)
+		started = started || bound.attempt > 0
+		there := bound.machine != nil
+		if o, ok := c.attemptEnds[t]; there && ok && o.attempt == bound.attempt && !o.done && !group.job.spec.Gang {
 			// Proven gone: its end and its next cell are stored together. Stored one
 			// after the other, they had the replicas of some hundred dead machines
 			// wait twice for the state service.
@@ -245,18 +245,18 @@
 }
 
 // scorer rates machines for a record's tasks; negative: not allowed.
-func (b *controller) scorer(p *partition, r *taskGroup) core.ScoreFunc {
-	j := r.job.spec
+func (c *controller) scorer(p *partition, group *taskGroup) core.ScoreFunc {
+	spec := group.job.spec
 	return func(mi int32, free core.Resources) float64 {
-		m := b.machineByIndex[mi]
-		if !b.schedulable(m, p) || !allowed(j, r.zone, m.machineType, m.zone, m.spot) || len(m.failedJobs) > 0 && b.avoidsJob(m, r.job) {
+		m := c.machineByIndex[mi]
+		if !c.schedulable(m, p) || !allowed(spec, group.zone, m.machineType, m.zone, m.spot) || len(m.failedJobs) > 0 && c.avoidsJob(m, group.job) {
 			return -1
 		}
-		s := 1000.0 + b.fetchCost(m, j)
+		s := 1000.0 + c.fetchCost(m, spec)
 		if m.spot {
 			s -= 500 // what is dear is left to those who need it
 		}
-		if b.runsService(m) {
+		if c.runsService(m) {
 			s -= 150 // it stays anyhow
 		}
 		// Tight packing leaves whole machines free to be returned.
@@ -277,51 +277,51 @@
 // fetchCost is what the fetch of a job's image adds to a machine's score. Images
 // that are fetched at a time may share a machine's rate, so some hundred services
 // that come together start far later if each machine takes one of every image.
-func (b *controller) fetchCost(m *machine, j *wire.Job) float64 {
-	if m.images[j.Image] {
+func (c *controller) fetchCost(m *machine, spec *wire.Job) float64 {
+	if m.images[spec.Image] {
 		return cachedImageScore
 	}
-	t := b.machineTypes[m.machineType]
+	t := c.machineTypes[m.machineType]
 	if t == nil || !(t.FetchGBPS > 0) {
 		return 0
 	}
 	others, part := 0, 1.0
 	for image, at := range m.fetching {
 		switch {
-		case b.now.Sub(at) > fetchTimeout:
+		case c.now.Sub(at) > fetchTimeout:
 			delete(m.fetching, image)
-		case image == j.Image:
+		case image == spec.Image:
 			part = 0.5 // some of it is there
 		default:
 			others++
 		}
 	}
 	each := arrayFetchScore
-	if j.AllOrNothing() {
+	if spec.AllOrNothing() {
 		each = serviceFetchScore
 	}
-	return min(float64(each)*part*j.ImageGB*float64(1+others)/t.FetchGBPS, maxFetchScore)
+	return min(float64(each)*part*spec.ImageGB*float64(1+others)/t.FetchGBPS, maxFetchScore)
 }
 
 // open tells whether anything may be placed on a machine now. It is looked up
 // once in a step, not for each task.
-func (b *controller) schedulable(m *machine, p *partition) bool {
-	if m.schedulableStep != b.schedulingPass {
-		m.schedulableStep = b.schedulingPass
-		m.schedulable = b.usable(m, p) && m.terminationAt.IsZero() && !m.cordoned && !b.now.Before(m.avoidUntil) &&
-			(!b.draining[m.name] || p.index == b.loanPartition()) && !b.terminating[m.name] && (b.loans[m.name] == nil || p.index == b.loanPartition() && !b.loans[m.name].returning)
+func (c *controller) schedulable(m *machine, p *partition) bool {
+	if m.schedulableStep != c.schedulingPass {
+		m.schedulableStep = c.schedulingPass
+		m.schedulable = c.usable(m, p) && m.terminationAt.IsZero() && !m.cordoned && !c.now.Before(m.avoidUntil) &&
+			(!c.draining[m.name] || p.index == c.loanPartition()) && !c.terminating[m.name] && (c.loans[m.name] == nil || p.index == c.loanPartition() && !c.loans[m.name].returning)
 	}
 	return m.schedulable
 }
 
 // pinnedBy tells whether a service is bound to a machine, see core.Host. It is
 // looked up once in a step.
-func (b *controller) runsService(m *machine) bool {
-	if m.runsServiceStep != b.schedulingPass {
-		m.runsServiceStep, m.runsService = b.schedulingPass, false
+func (c *controller) runsService(m *machine) bool {
+	if m.runsServiceStep != c.schedulingPass {
+		m.runsServiceStep, m.runsService = c.schedulingPass, false
 		for _, x := range m.bindings {
-			r := x.group
-			if r.job.spec != nil && r.job.spec.AllOrNothing() {
+			group := x.group
+			if group.job.spec != nil && group.job.spec.AllOrNothing() {
 				m.runsService = true
 				break
 			}
@@ -331,29 +331,29 @@
 }
 
 // allowed tells whether a job's task may be on a machine at all.
-func allowed(j *wire.Job, pinned, typ, zone string, spot bool) bool {
-	return (len(j.MachineTypes) == 0 || slices.Contains(j.MachineTypes, typ)) && (j.Zone == "" || j.Zone == zone) &&
-		(pinned == "" || pinned == zone) && (!spot || j.Spot)
+func allowed(spec *wire.Job, pinned, typ, zone string, spot bool) bool {
+	return (len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, typ)) && (spec.Zone == "" || spec.Zone == zone) &&
+		(pinned == "" || pinned == zone) && (!spot || spec.Spot)
 }
 
 // probeSilent asks machines directly that have not reported in time, or seem not
 // to hear us.
-func (b *controller) probeUnreachable() {
-	for _, p := range b.partitions {
+func (c *controller) probeUnreachable() {
+	for _, p := range c.partitions {
 		if !p.active {
 			continue
 		}
 		all, deaf := 0, 0
 		for _, m := range p.machines {
-			if m.terminated || !b.expectsHeartbeat(m, 3*time.Minute) {
+			if m.terminated || !c.expectsHeartbeat(m, 3*time.Minute) {
 				continue
 			}
 			all++
 			if m.leaseExpiredUnheard || m.unanswered >= unansweredLimit {
 				deaf++
 			}
-			if m.leaseExpiredUnheard || m.unanswered > 0 || b.now.Sub(b.heardSince(m, p)) > b.heartbeatOverdueAfter() {
-				b.ping(m, p)
+			if m.leaseExpiredUnheard || m.unanswered > 0 || c.now.Sub(c.heardSince(m, p)) > c.heartbeatOverdueAfter() {
+				c.ping(m, p)
 			}
 		}
 		p.mostNotReceiving = deaf*2 > all
--- a/internal/controller/pool.go
+++ b/internal/controller/pool.go
@@ -57,48 +57,48 @@
 
 // room is for how many tasks the pool should have room: the next gang, and as many more as
 // may come before it is filled again, about the square root of those that there are.
-func (c *gangClass) room() int {
-	return c.spec.Tasks * (1 + int(math.Ceil(math.Sqrt(float64(c.live)))))
+func (class *gangClass) room() int {
+	return class.spec.Tasks * (1 + int(math.Ceil(math.Sqrt(float64(class.live)))))
 }
 
 // mayUsePool tells whether a job may be placed on machines that the leader has in its
 // own part: those that are there for it, and gangs; others only after a long wait.
-func (b *controller) mayUseReserve(j *job) bool {
+func (c *controller) mayUseReserve(j *job) bool {
 	since := j.acceptedAt
 	if j.assignedAt.After(since) {
 		since = j.assignedAt
 	}
-	return j.spec.Gang || b.hasLoanFor(j) || b.now.Sub(since) > reserveOpensAfter && b.now.Sub(b.leadership.since) > reserveOpensAfter
+	return j.spec.Gang || c.hasLoanFor(j) || c.now.Sub(since) > reserveOpensAfter && c.now.Sub(c.leadership.since) > reserveOpensAfter
 }
 
 // poolOpen tells whether a job may be placed on a machine as far as that is kept for
 // others: one of the leader's own part is, until its room has been unused for long.
 // However long a job waits, it is dealt tasks now and then, and began to wait anew each time.
-func (b *controller) reserveAllows(j *job, h *core.MachineSummary) bool {
-	return h.Partition != b.loanPartition() || b.mayUseReserve(j) || b.unusedForLong(h)
+func (c *controller) reserveAllows(j *job, summary *core.MachineSummary) bool {
+	return summary.Partition != c.loanPartition() || c.mayUseReserve(j) || c.unusedForLong(summary)
 }
 
 // unusedForLong tells whether nothing has been placed for long on a machine of the
 // leader's own part.
-func (b *controller) unusedForLong(h *core.MachineSummary) bool {
-	m := b.machineByIndex[h.ID]
+func (c *controller) unusedForLong(summary *core.MachineSummary) bool {
+	m := c.machineByIndex[summary.ID]
 	limit := reserveMaxUnused
-	if l := b.loans[m.name]; l != nil && l.Job != reserveLoanJob {
+	if loan := c.loans[m.name]; loan != nil && loan.Job != reserveLoanJob {
 		limit = loanMaxUnused
 	}
-	unused := b.leadership.since
+	unused := c.leadership.since
 	for _, at := range []time.Time{m.inPartitionSince, m.lastBoundAt} {
 		if at.After(unused) {
 			unused = at
 		}
 	}
-	return b.now.Sub(unused) > limit
+	return c.now.Sub(unused) > limit
 }
 
 // outranksPool tells whether a job goes before gangs.
-func (b *controller) outranksReserve(j *job) bool {
-	for _, c := range b.leadership.gangReserve.classes {
-		if j.spec.Priority > c.spec.Priority {
+func (c *controller) outranksReserve(j *job) bool {
+	for _, class := range c.leadership.gangReserve.classes {
+		if j.spec.Priority > class.spec.Priority {
 			return true
 		}
 	}
@@ -106,62 +106,62 @@
 }
 
 // notePool notes which gangs there are, and which machines of the pool are wanted.
-func (b *controller) updateReserve(hosts []*core.MachineSummary) {
-	p := &b.leadership.gangReserve
-	if p.classes == nil {
-		p.classes = map[string]*gangClass{}
+func (c *controller) updateReserve(summaries []*core.MachineSummary) {
+	reserve := &c.leadership.gangReserve
+	if reserve.classes == nil {
+		reserve.classes = map[string]*gangClass{}
 	}
-	for _, c := range p.classes {
-		c.live = 0
+	for _, class := range reserve.classes {
+		class.live = 0
 	}
-	for _, j := range b.unfinished {
-		if j.spec == nil || !j.spec.Gang || j.finalState != unfinishedJob {
+	for _, job := range c.unfinished {
+		if job.spec == nil || !job.spec.Gang || job.finalState != unfinishedJob {
 			continue
 		}
-		c := p.classes[j.spec.Class]
-		if c == nil || c.spec.Tasks <= j.spec.Tasks {
+		class := reserve.classes[job.spec.Class]
+		if class == nil || class.spec.Tasks <= job.spec.Tasks {
 			live := 0
-			if c != nil {
-				live = c.live
+			if class != nil {
+				live = class.live
 			}
-			c = &gangClass{spec: j.spec, need: j.taskSize, live: live}
-			p.classes[j.spec.Class] = c
+			class = &gangClass{spec: job.spec, need: job.taskSize, live: live}
+			reserve.classes[job.spec.Class] = class
 		}
-		c.seen = b.now
-		c.live++
+		class.seen = c.now
+		class.live++
 	}
-	for name, c := range p.classes {
-		if b.now.Sub(c.seen) > reserveClassTTL {
-			delete(p.classes, name)
+	for name, class := range reserve.classes {
+		if c.now.Sub(class.seen) > reserveClassTTL {
+			delete(reserve.classes, name)
 		}
 	}
-	p.keep = map[int32]bool{}
+	reserve.keep = map[int32]bool{}
 	// Room for one gang of each class, machine by machine, the fullest first, so that
 	// the others come free. Twice as much is kept as would be borrowed, or machines
 	// would go to and fro.
-	ours := slices.DeleteFunc(slices.Clone(hosts), func(h *core.MachineSummary) bool { return h.Partition != b.loanPartition() })
+	ours := slices.DeleteFunc(slices.Clone(summaries), func(summary *core.MachineSummary) bool { return summary.Partition != c.loanPartition() })
 	slices.SortFunc(ours, func(x, y *core.MachineSummary) int {
 		return cmp.Or(cmp.Compare(len(y.Usages), len(x.Usages)), cmp.Compare(x.ID, y.ID))
 	})
-	for _, c := range p.sorted() {
-		n := 2 * c.room()
-		for _, h := range ours {
+	for _, class := range reserve.sorted() {
+		n := 2 * class.room()
+		for _, summary := range ours {
 			if n <= 0 {
 				break
 			}
-			if allowed(c.spec, "", h.Type, h.Zone, h.Spot) {
-				n -= h.Free.CountFitting(c.need, n)
-				p.keep[h.ID] = true
+			if allowed(class.spec, "", summary.Type, summary.Zone, summary.Spot) {
+				n -= summary.Free.CountFitting(class.need, n)
+				reserve.keep[summary.ID] = true
 			}
 		}
 	}
 }
 
 // sorted are the classes, the largest gangs first.
-func (p *gangReserve) sorted() []*gangClass {
+func (reserve *gangReserve) sorted() []*gangClass {
 	var out []*gangClass
-	for _, c := range p.classes {
-		out = append(out, c)
+	for _, class := range reserve.classes {
+		out = append(out, class)
 	}
 	slices.SortFunc(out, func(x, y *gangClass) int {
 		return cmp.Or(cmp.Compare(y.spec.Tasks, x.spec.Tasks), cmp.Compare(x.spec.Class, y.spec.Class))
@@ -170,64 +170,66 @@
 }
 
 // poolKeeps tells whether a machine of the pool stays there.
-func (b *controller) reserveKeeps(m *machine) bool {
-	return len(m.bindings) > 0 || b.leadership.gangReserve.keep[m.index] || b.now.Sub(m.inPartitionSince) < reserveMinHold
+func (c *controller) reserveKeeps(m *machine) bool {
+	return len(m.bindings) > 0 || c.leadership.gangReserve.keep[m.index] || c.now.Sub(m.inPartitionSince) < reserveMinHold
 }
 
 // fillPool borrows machines for the pool while it lacks room: empty ones, or such as
 // will come empty soon.
-func (b *controller) fillReserve(hosts []*core.MachineSummary) {
-	p := &b.leadership.gangReserve
-	p.shortfall = nil
-	if len(p.classes) == 0 {
+func (c *controller) fillReserve(summaries []*core.MachineSummary) {
+	reserve := &c.leadership.gangReserve
+	reserve.shortfall = nil
+	if len(reserve.classes) == 0 {
 		return
 	}
-	room := core.CloneSummaries(hosts) // what is left of it after the classes before
-	left := max(2, int(reserveMaxShare*float64(len(hosts)))) - len(b.loans)
+	room := core.CloneSummaries(summaries) // what is left of it after the classes before
+	left := max(2, int(reserveMaxShare*float64(len(summaries)))) - len(c.loans)
 	var chosen []*core.MachineSummary
-	for _, c := range p.sorted() {
-		spec, zone := c.spec, b.reserveZone(room, c)
-		fits := func(h *core.MachineSummary) bool {
-			return !h.Booting && allowed(spec, zone, h.Type, h.Zone, h.Spot)
+	for _, class := range reserve.sorted() {
+		spec, zone := class.spec, c.reserveZone(room, class)
+		fits := func(summary *core.MachineSummary) bool {
+			return !summary.Booting && allowed(spec, zone, summary.Type, summary.Zone, summary.Spot)
 		}
-		lacks := c.room() - reserveFreeRoom(room, c, func(h *core.MachineSummary) bool { return h.Partition == b.loanPartition() && fits(h) })
-		empty, busy := b.incomingReserveRoom(c, zone)
+		lacks := class.room() - reserveFreeRoom(room, class, func(summary *core.MachineSummary) bool {
+			return summary.Partition == c.loanPartition() && fits(summary)
+		})
+		empty, busy := c.incomingReserveRoom(class, zone)
 		if lacks-empty <= 0 {
 			continue
 		}
 		if n := lacks - empty - busy; n > 0 {
-			p.shortfall = append(p.shortfall, core.Demand{Class: spec.Class, TaskSize: c.need, Count: n, AllOrNothing: true, EstimateS: spec.EstimateS, SlackS: math.Inf(1),
+			reserve.shortfall = append(reserve.shortfall, core.Demand{Class: spec.Class, TaskSize: class.need, Count: n, AllOrNothing: true, EstimateS: spec.EstimateS, SlackS: math.Inf(1),
 				Allows: func(typ, zoneOf string, spot bool) bool { return allowed(spec, zone, typ, zoneOf, spot) }})
 		}
-		can := b.loanCandidates(room, fits)
+		can := c.loanCandidates(room, fits)
 		// Machines that are empty are had at once, whatever else will come empty some time:
 		// arrays would fill them, and gangs wait for the others for most of a minute.
-		free := pickMachines(can, c, lacks-empty, left, func(h *core.MachineSummary) bool { return len(h.Usages) == 0 })
+		free := pickMachines(can, class, lacks-empty, left, func(summary *core.MachineSummary) bool { return len(summary.Usages) == 0 })
 		left -= len(free)
 		got := 0
-		for _, h := range free {
-			got += h.Size.CountFitting(c.need, spec.Tasks)
+		for _, summary := range free {
+			got += summary.Size.CountFitting(class.need, spec.Tasks)
 		}
-		soon := pickMachines(can, c, lacks-empty-busy-got, left, func(h *core.MachineSummary) bool { return len(h.Usages) > 0 })
+		soon := pickMachines(can, class, lacks-empty-busy-got, left, func(summary *core.MachineSummary) bool { return len(summary.Usages) > 0 })
 		left -= len(soon)
 		chosen = append(append(chosen, free...), soon...)
 	}
 	if len(chosen) == 0 {
 		return
 	}
-	chosen = chosen[:min(len(chosen), b.cfg.Settings.State.TxnOps/2)]
-	b.log.Debug("machines are kept for gangs", "machines", len(chosen))
-	b.borrowMachines(chosen, nil, record.MachineLoan{Job: reserveLoanJob})
+	chosen = chosen[:min(len(chosen), c.cfg.Settings.State.TxnOps/2)]
+	c.log.Debug("machines are kept for gangs", "machines", len(chosen))
+	c.borrowMachines(chosen, nil, record.MachineLoan{Job: reserveLoanJob})
 }
 
 // takeRoom takes free room for the tasks of a class's next gangs from hosts, and returns for
 // how many there is.
-func reserveFreeRoom(hosts []*core.MachineSummary, c *gangClass, in func(*core.MachineSummary) bool) int {
+func reserveFreeRoom(summaries []*core.MachineSummary, class *gangClass, in func(*core.MachineSummary) bool) int {
 	got := 0
-	for _, h := range hosts {
-		if in(h) {
-			k := h.Free.CountFitting(c.need, c.room()-got)
-			h.Free = h.Free.Minus(c.need.Times(k))
+	for _, summary := range summaries {
+		if in(summary) {
+			k := summary.Free.CountFitting(class.need, class.room()-got)
+			summary.Free = summary.Free.Minus(class.need.Times(k))
 			got += k
 		}
 	}
@@ -236,14 +238,14 @@
 
 // roomLent is for how many tasks of a class there will be room on machines that are on
 // their way to the pool: empty ones, and such as come empty some time.
-func (b *controller) incomingReserveRoom(c *gangClass, zone string) (empty, busy int) {
-	for name, l := range b.loans {
-		m := b.machineNamed(name)
-		t := b.machineTypes[m.machineType]
-		if l.Job != reserveLoanJob || l.Acknowledged || t == nil || !allowed(c.spec, zone, m.machineType, m.zone, m.spot) {
+func (c *controller) incomingReserveRoom(class *gangClass, zone string) (empty, busy int) {
+	for name, loan := range c.loans {
+		m := c.machineNamed(name)
+		t := c.machineTypes[m.machineType]
+		if loan.Job != reserveLoanJob || loan.Acknowledged || t == nil || !allowed(class.spec, zone, m.machineType, m.zone, m.spot) {
 			continue
 		}
-		n := core.NewResources(t.CPUs, t.GPUs, t.RAM).CountFitting(c.need, c.spec.Tasks)
+		n := core.NewResources(t.CPUs, t.GPUs, t.RAM).CountFitting(class.need, class.spec.Tasks)
 		if len(m.bindings) == 0 {
 			empty += n
 		} else {
@@ -254,11 +256,11 @@
 }
 
 // mayLend are hosts of other parts that may be lent, the emptiest and largest first.
-func (b *controller) loanCandidates(hosts []*core.MachineSummary, fits func(*core.MachineSummary) bool) []*core.MachineSummary {
+func (c *controller) loanCandidates(summaries []*core.MachineSummary, fits func(*core.MachineSummary) bool) []*core.MachineSummary {
 	var can []*core.MachineSummary
-	for _, h := range hosts {
-		if fits(h) && h.Partition != b.loanPartition() && !h.InUse && !h.RunsService && !b.leadership.draining[b.machineByIndex[h.ID].name] {
-			can = append(can, h)
+	for _, summary := range summaries {
+		if fits(summary) && summary.Partition != c.loanPartition() && !summary.InUse && !summary.RunsService && !c.leadership.draining[c.machineByIndex[summary.ID].name] {
+			can = append(can, summary)
 		}
 	}
 	slices.SortFunc(can, func(x, y *core.MachineSummary) int {
@@ -268,36 +270,36 @@
 }
 
 // pickHosts picks, of hosts in their order, at most so many as have room for n tasks.
-func pickMachines(hosts []*core.MachineSummary, c *gangClass, n, most int, in func(*core.MachineSummary) bool) []*core.MachineSummary {
+func pickMachines(summaries []*core.MachineSummary, class *gangClass, n, most int, in func(*core.MachineSummary) bool) []*core.MachineSummary {
 	var out []*core.MachineSummary
-	for _, h := range hosts {
+	for _, summary := range summaries {
 		if n <= 0 || len(out) >= most {
 			break
 		}
-		if h.InUse || !in(h) {
+		if summary.InUse || !in(summary) {
 			continue
 		}
-		n -= h.Size.CountFitting(c.need, n)
-		h.InUse = true
-		out = append(out, h)
+		n -= summary.Size.CountFitting(class.need, n)
+		summary.InUse = true
+		out = append(out, summary)
 	}
 	return out
 }
 
 // poolZone is the zone in which the pool has the most room for a gang that must be in
 // one; "" for any.
-func (b *controller) reserveZone(hosts []*core.MachineSummary, c *gangClass) string {
-	if !c.spec.SingleZone {
+func (c *controller) reserveZone(summaries []*core.MachineSummary, class *gangClass) string {
+	if !class.spec.SingleZone {
 		return ""
 	}
 	room, all := map[string]int{}, map[string]int{}
-	for _, h := range hosts {
-		if h.Booting || !allowed(c.spec, "", h.Type, h.Zone, h.Spot) {
+	for _, summary := range summaries {
+		if summary.Booting || !allowed(class.spec, "", summary.Type, summary.Zone, summary.Spot) {
 			continue
 		}
-		all[h.Zone]++
-		if h.Partition == b.loanPartition() {
-			room[h.Zone] += h.Free.CountFitting(c.need, c.spec.Tasks)
+		all[summary.Zone]++
+		if summary.Partition == c.loanPartition() {
+			room[summary.Zone] += summary.Free.CountFitting(class.need, class.spec.Tasks)
 		}
 	}
 	best := ""
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -88,17 +88,17 @@
 
 // newRec is the number of a record that the job has never had.
 func (j *job) newGroupNumber() int {
-	for _, r := range j.groups {
-		j.nextGroupNumber = max(j.nextGroupNumber, r.number+1)
+	for _, group := range j.groups {
+		j.nextGroupNumber = max(j.nextGroupNumber, group.number+1)
 	}
 	j.nextGroupNumber++
 	return j.nextGroupNumber - 1
 }
 
 func (j *job) assignedTasks() (n, finished int) {
-	for _, r := range j.groups {
-		n += len(r.bindings) + r.done
-		finished += r.done
+	for _, group := range j.groups {
+		n += len(group.bindings) + group.done
+		finished += group.done
 	}
 	return n, finished
 }
@@ -106,11 +106,11 @@
 // waits tells whether tasks of the job have not been dealt yet, or stand back.
 func (j *job) hasWaitingTasks() bool {
 	n := 0
-	for _, r := range j.groups {
-		if r.throttle != 0 {
+	for _, group := range j.groups {
+		if group.throttle != 0 {
 			return true
 		}
-		n += len(r.bindings) + r.done
+		n += len(group.bindings) + group.done
 	}
 	return n < j.spec.Tasks
 }
@@ -118,20 +118,20 @@
 // pending counts the tasks that are dealt and neither placed nor done.
 func (j *job) unplacedTasks() int {
 	n := 0
-	for _, r := range j.groups {
-		n += len(r.bindings) - r.boundTasks()
+	for _, group := range j.groups {
+		n += len(group.bindings) - group.boundTasks()
 	}
 	return n
 }
 
 // begun tells whether a task of the job has ever been placed.
 func (j *job) hasStarted() bool {
-	for _, r := range j.groups {
-		if r.done > 0 {
+	for _, group := range j.groups {
+		if group.done > 0 {
 			return true
 		}
-		for i := range r.bindings {
-			if r.bindings[i].attempt > 0 {
+		for i := range group.bindings {
+			if group.bindings[i].attempt > 0 {
 				return true
 			}
 		}
@@ -172,41 +172,41 @@
 	retryWriteAt         time.Time       // not written before then: it was refused as invalid
 }
 
-func (r *taskGroup) task(num int32) core.Task { return core.Task{Group: r.index, Num: num} }
+func (group *taskGroup) task(num int32) core.Task { return core.Task{Group: group.index, Num: num} }
 
-func (r *taskGroup) binding(num int32) *binding {
-	for i := range r.bindings {
-		if r.bindings[i].task == num {
-			return &r.bindings[i]
+func (group *taskGroup) binding(num int32) *binding {
+	for i := range group.bindings {
+		if group.bindings[i].task == num {
+			return &group.bindings[i]
 		}
 	}
 	return nil
 }
 
 // binds tells whether an attempt of a task is bound to a machine already.
-func (r *taskGroup) binds(num int32, attempt uint64, m *machine) bool {
-	e := r.binding(num)
-	return e != nil && e.machine == m && e.attempt == attempt
+func (group *taskGroup) binds(num int32, attempt uint64, m *machine) bool {
+	bound := group.binding(num)
+	return bound != nil && bound.machine == m && bound.attempt == attempt
 }
 
 // void gives up a write of the record's owner whose conditions have changed.
-func (r *taskGroup) cancelWrite() {
-	if r.write != nil {
-		r.write.Cancel()
+func (group *taskGroup) cancelWrite() {
+	if group.write != nil {
+		group.write.Cancel()
 	}
 }
 
 // bound counts the tasks that are on machines by what is stored.
-func (r *taskGroup) boundTasks() int {
-	return r.boundCount
+func (group *taskGroup) boundTasks() int {
+	return group.boundCount
 }
 
 // may is how many tasks may be bound at a time.
-func (r *taskGroup) allowedTasks() int {
-	if r.throttle == 0 {
-		return len(r.bindings)
+func (group *taskGroup) allowedTasks() int {
+	if group.throttle == 0 {
+		return len(group.bindings)
 	}
-	return min(r.throttle-1, len(r.bindings))
+	return min(group.throttle-1, len(group.bindings))
 }
 
 // counts is how many tasks count for the team's limit: those that may be bound
@@ -214,26 +214,26 @@
 // up to its end are known (to cursor). A cancellation of our own is known before a
 // binding that was stored just before it: counted for nothing until then, the task
 // ran beside what its room was given to.
-func (r *taskGroup) quotaTasks(cursor uint64) int {
-	if r.job.finalState != unfinishedJob && r.job.revision <= cursor {
-		return r.boundTasks()
+func (group *taskGroup) quotaTasks(cursor uint64) int {
+	if group.job.finalState != unfinishedJob && group.job.revision <= cursor {
+		return group.boundTasks()
 	}
-	return max(r.boundTasks(), r.allowedTasks())
+	return max(group.boundTasks(), group.allowedTasks())
 }
 
 // excess tells whether a bound task is beyond what may be bound.
-func (r *taskGroup) exceedsThrottle(num int32) bool {
-	if r.throttle == 0 {
+func (group *taskGroup) exceedsThrottle(num int32) bool {
+	if group.throttle == 0 {
 		return false
 	}
 	n := 0
-	for i := range r.bindings {
-		if r.bindings[i].machine == nil {
+	for i := range group.bindings {
+		if group.bindings[i].machine == nil {
 			continue
 		}
 		n++
-		if r.bindings[i].task == num {
-			return n > r.throttle-1
+		if group.bindings[i].task == num {
+			return n > group.throttle-1
 		}
 	}
 	return false
@@ -242,26 +242,26 @@
 // split is the record in two, by which tasks stay and which leave. Of a record that may
 // not run all of its tasks those leave that may, and with them so much of its cap: two
 // records with one's cap would count, and run, more than it allows.
-func (r *taskGroup) split(stay, leave []binding) (left, moved taskGroup) {
-	left, moved = *r, *r
+func (group *taskGroup) split(stay, leave []binding) (left, moved taskGroup) {
+	left, moved = *group, *group
 	left.bindings, moved.bindings = stay, leave
-	if r.throttle != 0 && len(stay) > 0 {
-		left.throttle, moved.throttle = r.throttle-len(leave), 0
+	if group.throttle != 0 && len(stay) > 0 {
+		left.throttle, moved.throttle = group.throttle-len(leave), 0
 	}
 	return left, moved
 }
 
-func (r *taskGroup) claim() core.Claim {
-	return core.Claim{Priority: r.job.spec.Priority, Guaranteed: r.guaranteed, Team: r.job.team}
+func (group *taskGroup) claim() core.Claim {
+	return core.Claim{Priority: group.job.spec.Priority, Guaranteed: group.guaranteed, Team: group.job.team}
 }
 
 // group is the record's stored content with other entries.
-func (r *taskGroup) record(done int, entries []binding) *record.TaskGroup {
-	v := &record.TaskGroup{Partition: r.partition, Zone: r.zone, Guaranteed: r.guaranteed, Done: done, Throttle: r.throttle, Tasks: make([]record.Binding, 0, len(entries))}
-	for _, e := range entries {
-		x := record.Binding{Task: e.task, Attempt: e.attempt}
-		if e.machine != nil {
-			x.Machine, x.Incarnation, x.Addr = e.machine.name, e.incarnation, e.machine.addr
+func (group *taskGroup) record(done int, entries []binding) *record.TaskGroup {
+	v := &record.TaskGroup{Partition: group.partition, Zone: group.zone, Guaranteed: group.guaranteed, Done: done, Throttle: group.throttle, Tasks: make([]record.Binding, 0, len(entries))}
+	for _, bound := range entries {
+		x := record.Binding{Task: bound.task, Attempt: bound.attempt}
+		if bound.machine != nil {
+			x.Machine, x.Incarnation, x.Addr = bound.machine.name, bound.incarnation, bound.machine.addr
 		}
 		v.Tasks = append(v.Tasks, x)
 	}
@@ -269,8 +269,8 @@
 }
 
 // content is a record with other entries, in the form that records are written in now.
-func (b *controller) encodeGroup(r *taskGroup, done int, entries []binding) record.Content {
-	return r.record(done, entries).Encode(b.encoding())
+func (c *controller) encodeGroup(group *taskGroup, done int, entries []binding) record.Content {
+	return group.record(done, entries).Encode(c.encoding())
 }
 
 // mostEntries is how many tasks a record has at the most.
@@ -284,20 +284,20 @@
 }
 
 // maxValue is how large a stored value may be.
-func (b *controller) maxValueBytes() int { return int(b.cfg.Settings.State.ValueKB * 1024) }
+func (c *controller) maxValueBytes() int { return int(c.cfg.Settings.State.ValueKB * 1024) }
 
 // fit is a record's stored form, in as many pieces as the limit of a value asks for: one
 // that was written while more was allowed, or whose names are long, is split when it is
 // written again. The first piece is the record itself.
-func (b *controller) splitToFit(r *taskGroup, done int, entries []binding) []record.Content {
-	v := b.encodeGroup(r, done, entries)
-	if v.Size() <= b.maxValueBytes() || len(entries) < 2 {
+func (c *controller) splitToFit(group *taskGroup, done int, entries []binding) []record.Content {
+	v := c.encodeGroup(group, done, entries)
+	if v.Size() <= c.maxValueBytes() || len(entries) < 2 {
 		return []record.Content{v}
 	}
 	half := len(entries) / 2
 	stay, leave := entries[:half], entries[half:]
-	first, second := *r, *r
-	if r.throttle != 0 { // together no more than before: each keeps what is bound
+	first, second := *group, *group
+	if group.throttle != 0 { // together no more than before: each keeps what is bound
 		bound := 0
 		for i := range stay {
 			if stay[i].machine != nil {
@@ -310,20 +310,20 @@
 				rest++
 			}
 		}
-		free := max(0, r.throttle-1-bound-rest)
+		free := max(0, group.throttle-1-bound-rest)
 		here := min(free, len(stay)-bound)
 		first.throttle, second.throttle = 1+bound+here, 1+rest+min(free-here, len(leave)-rest)
 	}
-	return append(b.splitToFit(&first, done, stay), b.splitToFit(&second, 0, leave)...)
+	return append(c.splitToFit(&first, done, stay), c.splitToFit(&second, 0, leave)...)
 }
 
 // cancelledValue is a cancelled job's stored form. The description stays: its tasks count
 // for the team's limit until they are gone, also for a controller that starts later. Of
 // one too large for that, what placing it would need is left out.
-func (b *controller) cancelledValue(j *job) json.RawMessage {
+func (c *controller) cancelledValue(j *job) json.RawMessage {
 	v := record.Job{FinalState: cancelledJob, AcceptedAtMS: j.acceptedAt.UnixMilli(), Spec: j.spec}
 	out := record.JSON(v)
-	if len(out) > b.maxValueBytes() {
+	if len(out) > c.maxValueBytes() {
 		short := *j.spec
 		short.MachineTypes, short.Image, short.Class = nil, "", ""
 		v.Spec = &short
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -21,103 +21,103 @@
 // reset takes a whole reading in: pages read at different revisions, and the
 // changes since the first. Only both together are a state that ever was; a count
 // of done tasks that moved between two pages would else be seen twice.
-func (b *controller) resetReplica(items []wire.Item, rev uint64, since *wire.WatchResponse) {
+func (c *controller) resetReplica(items []wire.Item, rev uint64, since *wire.WatchResponse) {
 	seen := make(map[string]bool, len(items))
 	for i := range items {
 		seen[items[i].Key] = true
 	}
-	for key, v := range b.revisions {
+	for key, v := range c.revisions {
 		if !seen[key] && v <= rev {
-			b.deleteRecord(key, rev)
+			c.deleteRecord(key, rev)
 		}
 	}
 	for i := range items {
-		b.putRecord(items[i].Key, items[i].Value, items[i].Revision)
+		c.putRecord(items[i].Key, items[i].Value, items[i].Revision)
 	}
-	b.cursor = max(b.cursor, rev)
-	b.applyEvents(since)
-	b.archiveFinished() // most of what is read after a start
-	b.loaded = true
+	c.cursor = max(c.cursor, rev)
+	c.applyEvents(since)
+	c.archiveFinished() // most of what is read after a start
+	c.loaded = true
 }
 
-func (b *controller) applyEvents(ev *wire.WatchResponse) {
-	defer b.metrics.addBusyTime(activityReplica, time.Now())
-	if ev.Revision <= b.cursor {
+func (c *controller) applyEvents(ev *wire.WatchResponse) {
+	defer c.metrics.addBusyTime(activityReplica, time.Now())
+	if ev.Revision <= c.cursor {
 		return
 	}
 	for _, e := range ev.Events {
 		if e.Delete != "" {
-			b.deleteRecord(e.Delete, e.Revision)
+			c.deleteRecord(e.Delete, e.Revision)
 		} else {
-			b.putRecord(e.Put, e.Value, e.Revision)
+			c.putRecord(e.Put, e.Value, e.Revision)
 		}
 	}
-	b.cursor = ev.Revision
-	for k, v := range b.deletedRevisions {
-		if v <= b.cursor {
-			delete(b.deletedRevisions, k)
+	c.cursor = ev.Revision
+	for k, v := range c.deletedRevisions {
+		if v <= c.cursor {
+			delete(c.deletedRevisions, k)
 		}
 	}
 }
 
 // applied takes the changes of a successful transaction of ours into the replica.
-func (b *controller) applyWrite(u *store.Write, rev uint64) {
-	for _, c := range u.Changes {
-		if c.Delete != "" {
-			b.deleteRecord(c.Delete, rev)
+func (c *controller) applyWrite(write *store.Write, rev uint64) {
+	for _, change := range write.Changes {
+		if change.Delete != "" {
+			c.deleteRecord(change.Delete, rev)
 		} else {
-			b.putRecord(c.Put, c.Value, rev)
+			c.putRecord(change.Put, change.Value, rev)
 		}
 	}
 }
 
-func (b *controller) putRecord(key string, raw json.RawMessage, stamp uint64) {
-	if b.revisions[key] >= stamp || b.deletedRevisions[key] >= stamp {
+func (c *controller) putRecord(key string, raw json.RawMessage, stamp uint64) {
+	if c.revisions[key] >= stamp || c.deletedRevisions[key] >= stamp {
 		return
 	}
-	if b.revisions[key] == 0 && stamp <= b.cursor {
+	if c.revisions[key] == 0 && stamp <= c.cursor {
 		// All changes up to the cursor are known, and the key is not there: it
 		// was deleted after this, which is the late result of a write of ours.
 		return
 	}
-	b.revisions[key] = stamp
-	if err := b.decodeRecord(key, raw, stamp); err != nil {
-		b.noteUndecodable(key, err)
+	c.revisions[key] = stamp
+	if err := c.decodeRecord(key, raw, stamp); err != nil {
+		c.noteUndecodable(key, err)
 	}
 }
 
 // putValue takes a stored value in by the kind of its key. An error means that the value
 // can't be read.
-func (b *controller) decodeRecord(key string, raw json.RawMessage, stamp uint64) error {
+func (c *controller) decodeRecord(key string, raw json.RawMessage, stamp uint64) error {
 	switch {
 	case strings.HasPrefix(key, groupPrefix):
 		v, form, err := record.DecodeTaskGroup(key, raw)
 		if err != nil {
 			return err
 		}
-		return b.putGroup(key, v, storedValue{revision: stamp, size: len(raw), encoding: form})
+		return c.putGroup(key, v, storedValue{revision: stamp, size: len(raw), encoding: form})
 	case strings.HasPrefix(key, jobPrefix):
-		return b.putJobValue(key, raw, stamp)
+		return c.putJobValue(key, raw, stamp)
 	case key == machineTypesKey:
-		return decodeInto(raw, func(v []wire.MachineType) { b.putMachineTypes(v); b.machineTypesStored = true })
+		return decodeInto(raw, func(v []wire.MachineType) { c.putMachineTypes(v); c.machineTypesStored = true })
 	case strings.HasPrefix(key, tombstonePrefix):
 		names := []string{strings.TrimPrefix(key, tombstonePrefix)} // of an older version: true
 		var more []string
 		if wire.Decode(raw, &more) == nil && len(more) > 0 {
 			names = more
 		}
-		b.putTombstone(key, names)
+		c.putTombstone(key, names)
 		return nil
 	case strings.HasPrefix(key, loanPrefix):
-		return decodeInto(raw, func(v record.MachineLoan) { b.putLoan(strings.TrimPrefix(key, loanPrefix), &v, stamp) })
+		return decodeInto(raw, func(v record.MachineLoan) { c.putLoan(strings.TrimPrefix(key, loanPrefix), &v, stamp) })
 	case key == rollout.StateKey:
-		return b.putRolloutState(raw, stamp)
+		return c.putRolloutState(raw, stamp)
 	case strings.HasPrefix(key, rollout.ControllerPrefix):
-		return b.putRegistration(strings.TrimPrefix(key, rollout.ControllerPrefix), raw, stamp)
+		return c.putRegistration(strings.TrimPrefix(key, rollout.ControllerPrefix), raw, stamp)
 	}
 	return decodeInto(raw, func(v record.LeaseHolder) {
-		b.holders[key] = v
-		b.observeHolder(key, v, stamp)
+		c.holders[key] = v
+		c.observeHolder(key, v, stamp)
 	})
 }
 
@@ -131,39 +131,39 @@
 	return nil
 }
 
-func (b *controller) putJobValue(key string, raw json.RawMessage, stamp uint64) error {
+func (c *controller) putJobValue(key string, raw json.RawMessage, stamp uint64) error {
 	var v record.Job
 	if err := wire.Decode(raw, &v); err != nil {
 		return err
 	}
 	id := strings.TrimPrefix(key, jobPrefix)
-	if _, over := b.finished[id]; over {
-		delete(b.revisions, key) // it stays so, whatever comes late
+	if _, over := c.finished[id]; over {
+		delete(c.revisions, key) // it stays so, whatever comes late
 		return nil
 	}
-	b.putJob(id, &v, stamp)
-	b.job(id).markReadable(key)
+	c.putJob(id, &v, stamp)
+	c.job(id).markReadable(key)
 	return nil
 }
 
 // undecodable names a record that this version can't read. Nothing is guessed:
 // its job is neither dealt nor ended, and its user is told to come back.
-func (b *controller) noteUndecodable(key string, err error) {
-	b.log.Error("stored record can't be decoded; it is left alone", "key", key, "err", err)
-	b.metrics.count(countUndecodable, 1)
+func (c *controller) noteUndecodable(key string, err error) {
+	c.log.Error("stored record can't be decoded; it is left alone", "key", key, "err", err)
+	c.metrics.count(countUndecodable, 1)
 	id, ok := strings.CutPrefix(key, jobPrefix)
 	if strings.HasPrefix(key, groupPrefix) {
 		id, _, ok = splitGroupKey(key)
-		b.rollout.unreadable[key] = true
+		c.rollout.unreadable[key] = true
 	}
 	if !ok {
 		return
 	}
-	j := b.job(id)
-	if j.unreadable == nil {
-		j.unreadable = map[string]bool{}
+	job := c.job(id)
+	if job.unreadable == nil {
+		job.unreadable = map[string]bool{}
 	}
-	j.unreadable[key] = true
+	job.unreadable[key] = true
 }
 
 // readable notes that a record of the job can be decoded, or is gone.
@@ -172,64 +172,64 @@
 // bad tells whether a record of the job can't be decoded.
 func (j *job) hasUnreadableRecords() bool { return len(j.unreadable) > 0 }
 
-func (b *controller) deleteRecord(key string, stamp uint64) {
-	if b.revisions[key] > stamp {
+func (c *controller) deleteRecord(key string, stamp uint64) {
+	if c.revisions[key] > stamp {
 		return
 	}
-	if stamp > b.cursor {
-		b.deletedRevisions[key] = stamp
+	if stamp > c.cursor {
+		c.deletedRevisions[key] = stamp
 	}
-	if _, ok := b.revisions[key]; !ok {
+	if _, ok := c.revisions[key]; !ok {
 		return
 	}
-	delete(b.revisions, key)
+	delete(c.revisions, key)
 	switch {
 	case strings.HasPrefix(key, groupPrefix):
-		b.markGroupReadable(key)
-		if r := b.groupByKey[key]; r != nil {
-			b.rollout.groupsByEncoding[r.encoding]--
-			b.releaseCells(r, nil)
-			b.unlinkBindings(r)
-			b.moveToPartition(r, -1)
-			r.job.groups = slices.DeleteFunc(r.job.groups, func(x *taskGroup) bool { return x == r })
-			delete(b.groupByKey, key)
-			b.groups[r.index] = nil
+		c.markGroupReadable(key)
+		if group := c.groupByKey[key]; group != nil {
+			c.rollout.groupsByEncoding[group.encoding]--
+			c.releaseCells(group, nil)
+			c.unlinkBindings(group)
+			c.moveToPartition(group, -1)
+			group.job.groups = slices.DeleteFunc(group.job.groups, func(first *taskGroup) bool { return first == group })
+			delete(c.groupByKey, key)
+			c.groups[group.index] = nil
 		}
 	case strings.HasPrefix(key, tombstonePrefix):
-		for _, n := range b.tombstones[key].names {
-			delete(b.terminated, n)
+		for _, n := range c.tombstones[key].names {
+			delete(c.terminated, n)
 		}
-		delete(b.tombstones, key)
+		delete(c.tombstones, key)
 	case strings.HasPrefix(key, loanPrefix):
-		b.deleteLoan(strings.TrimPrefix(key, loanPrefix))
+		c.deleteLoan(strings.TrimPrefix(key, loanPrefix))
 	case key == rollout.StateKey:
-		b.setRolloutState(rollout.Initial, 0, nil)
+		c.setRolloutState(rollout.Initial, 0, nil)
 	case strings.HasPrefix(key, rollout.ControllerPrefix):
-		delete(b.rollout.controllers, strings.TrimPrefix(key, rollout.ControllerPrefix))
+		delete(c.rollout.controllers, strings.TrimPrefix(key, rollout.ControllerPrefix))
 	default:
-		delete(b.holders, key)
-		b.observeVacancy(key)
+		delete(c.holders, key)
+		c.observeVacancy(key)
 	}
 }
 
-func (b *controller) job(id string) *job {
-	j := b.jobs[id]
+func (c *controller) job(id string) *job {
+	j := c.jobs[id]
 	if j == nil {
-		if j = b.lookupJob(id); j == nil {
+		if j = c.lookupJob(id); j == nil {
 			j = &job{id: id}
 		}
-		b.jobs[id] = j
-		b.restoreJob(j)
+		c.jobs[id] = j
+		c.restoreJob(j)
 	}
 	return j
 }
 
 // takeUp puts a job among those that the leader goes through. Jobs are remembered
 // for ever: a step must not cost more for each that has ever been.
-func (b *controller) restoreJob(j *job) {
+func (c *controller) restoreJob(j *job) {
 	if !j.inUnfinished {
 		j.inUnfinished = true
-		b.unfinished = append(b.unfinished, j)
+		c.unfinished = append(c.unfinished, j)
 	}
 }
 
@@ -238,87 +238,87 @@
 // of it is left is known only once all changes before its last one are: a record that
 // was stored before a cancellation of ours may be seen after it, and its tasks count
 // for the team's limit.
-func (b *controller) archiveFinished() {
-	b.unfinished = slices.DeleteFunc(b.unfinished, func(j *job) bool {
-		if j.finalState == unfinishedJob || len(j.groups) > 0 || j.revision > b.cursor || j.hasUnreadableRecords() {
+func (c *controller) archiveFinished() {
+	c.unfinished = slices.DeleteFunc(c.unfinished, func(j *job) bool {
+		if j.finalState == unfinishedJob || len(j.groups) > 0 || j.revision > c.cursor || j.hasUnreadableRecords() {
 			return false
 		}
 		j.inUnfinished = false
-		b.finished[j.id] = uint8(j.finalState)
-		delete(b.jobs, j.id)
-		delete(b.revisions, jobKey(j.id)) // never written again
+		c.finished[j.id] = uint8(j.finalState)
+		delete(c.jobs, j.id)
+		delete(c.revisions, jobKey(j.id)) // never written again
 		return true
 	})
 }
 
-func (b *controller) putJob(id string, v *record.Job, stamp uint64) {
-	j := b.job(id)
-	if j.revision != 0 && j.finalState != v.FinalState {
-		b.log.Info("job is over", "job", id, "fate", finalStateNames[v.FinalState])
+func (c *controller) putJob(id string, v *record.Job, stamp uint64) {
+	job := c.job(id)
+	if job.revision != 0 && job.finalState != v.FinalState {
+		c.log.Info("job is over", "job", id, "fate", finalStateNames[v.FinalState])
 	}
-	before := j.finalState
-	j.revision, j.finalState = stamp, v.FinalState
+	before := job.finalState
+	job.revision, job.finalState = stamp, v.FinalState
 	if v.Spec != nil {
-		j.spec = v.Spec
-		j.acceptedAt = time.UnixMilli(v.AcceptedAtMS)
-		j.taskSize = core.NewResources(v.Spec.CPUs, v.Spec.GPUs, v.Spec.RAM)
-		j.equivalenceClass = fmt.Sprint(v.Spec.CPUs, v.Spec.GPUs, v.Spec.RAM, v.Spec.MachineTypes, v.Spec.Zone, v.Spec.Spot, v.Spec.Priority, v.Spec.AllOrNothing(), v.Spec.Team)
-		j.team = b.team(v.Spec.Team)
-	}
-	if j.finalState != unfinishedJob {
-		b.releaseJobDetails(j)
-		for _, r := range j.groups {
+		job.spec = v.Spec
+		job.acceptedAt = time.UnixMilli(v.AcceptedAtMS)
+		job.taskSize = core.NewResources(v.Spec.CPUs, v.Spec.GPUs, v.Spec.RAM)
+		job.equivalenceClass = fmt.Sprint(v.Spec.CPUs, v.Spec.GPUs, v.Spec.RAM, v.Spec.MachineTypes, v.Spec.Zone, v.Spec.Spot, v.Spec.Priority, v.Spec.AllOrNothing(), v.Spec.Team)
+		job.team = c.team(v.Spec.Team)
+	}
+	if job.finalState != unfinishedJob {
+		c.releaseJobDetails(job)
+		for _, group := range job.groups {
 			if before == unfinishedJob {
-				r.cancelWrite() // it has the former version of the job among its conditions
+				group.cancelWrite() // it has the former version of the job among its conditions
 			}
-			b.cancelReservations(r, !r.writing)
-			for i := range r.bindings {
-				if m := r.bindings[i].machine; m != nil {
-					b.sendCommandsNow(m)
+			c.cancelReservations(group, !group.writing)
+			for i := range group.bindings {
+				if m := group.bindings[i].machine; m != nil {
+					c.sendCommandsNow(m)
 				}
 			}
 		}
 	}
-	b.requestPass()
+	c.requestPass()
 }
 
 // retire drops what a final job needs no more; its fate is kept for ever.
-func (b *controller) releaseJobDetails(j *job) {
-	if j.finalState != unfinishedJob && len(j.groups) == 0 && j.revision <= b.cursor {
+func (c *controller) releaseJobDetails(j *job) {
+	if j.finalState != unfinishedJob && len(j.groups) == 0 && j.revision <= c.cursor {
 		j.spec, j.groups, j.groupOfTask = nil, nil, nil
 	}
 }
 
-func (b *controller) team(name string) int32 {
-	t, ok := b.teamIndex[name]
+func (c *controller) team(name string) int32 {
+	t, ok := c.teamIndex[name]
 	if !ok {
-		t = int32(len(b.teamIndex))
-		b.teamIndex[name] = t
+		t = int32(len(c.teamIndex))
+		c.teamIndex[name] = t
 	}
 	return t
 }
 
-func (b *controller) putMachineTypes(list []wire.MachineType) {
-	b.machineTypes = map[string]*wire.MachineType{}
+func (c *controller) putMachineTypes(list []wire.MachineType) {
+	c.machineTypes = map[string]*wire.MachineType{}
 	for i := range list {
-		b.machineTypes[list[i].Name] = &list[i]
+		c.machineTypes[list[i].Name] = &list[i]
 	}
-	for _, m := range b.machines {
-		b.setMachineSize(m)
+	for _, m := range c.machines {
+		c.setMachineSize(m)
 	}
-	b.requestPass()
+	c.requestPass()
 }
 
-func (b *controller) putTombstone(key string, names []string) {
-	b.tombstones[key] = tombstone{names, b.now}
+func (c *controller) putTombstone(key string, names []string) {
+	c.tombstones[key] = tombstone{names, c.now}
 	for _, name := range names {
-		b.terminated[name] = true
-		if m := b.machines[name]; m != nil {
+		c.terminated[name] = true
+		if m := c.machines[name]; m != nil {
 			m.terminated = true
-			b.endAllAttempts(m, "machine is gone")
+			c.endAllAttempts(m, "machine is gone")
 		}
 	}
-	b.requestPass()
+	c.requestPass()
 }
 
 // splitGroupKey takes a group record's key apart.
@@ -336,105 +336,105 @@
 }
 
 // groupReadable notes that a group's record can be decoded, or is gone.
-func (b *controller) markGroupReadable(key string) {
-	delete(b.rollout.unreadable, key)
+func (c *controller) markGroupReadable(key string) {
+	delete(c.rollout.unreadable, key)
 	if id, _, ok := splitGroupKey(key); ok {
-		if j := b.jobs[id]; j != nil {
-			j.markReadable(key)
+		if job := c.jobs[id]; job != nil {
+			job.markReadable(key)
 		}
 	}
 }
 
 // newRec begins a record that has not been seen before.
-func (b *controller) newGroup(key, id string, k int) *taskGroup {
-	j := b.job(id)
-	r := &taskGroup{key: key, index: int32(len(b.groups)), number: k, job: j, inPartitionSince: b.now, partition: -1}
-	b.groups = append(b.groups, r)
-	b.groupByKey[key] = r
-	b.restoreJob(j)
-	if j.groupOfTask == nil {
-		j.groupOfTask = map[int32]*taskGroup{}
-	}
-	j.groups = append(j.groups, r)
-	return r
+func (c *controller) newGroup(key, id string, k int) *taskGroup {
+	job := c.job(id)
+	group := &taskGroup{key: key, index: int32(len(c.groups)), number: k, job: job, inPartitionSince: c.now, partition: -1}
+	c.groups = append(c.groups, group)
+	c.groupByKey[key] = group
+	c.restoreJob(job)
+	if job.groupOfTask == nil {
+		job.groupOfTask = map[int32]*taskGroup{}
+	}
+	job.groups = append(job.groups, group)
+	return group
 }
 
 // putEntries takes a record's tasks in, with the machines that they are bound to.
-func (b *controller) putBindings(r *taskGroup, tasks []record.Binding) {
+func (c *controller) putBindings(group *taskGroup, tasks []record.Binding) {
 	entries := make([]binding, 0, len(tasks))
 	placed := 0
 	for _, x := range tasks {
-		e := binding{task: x.Task, attempt: x.Attempt, incarnation: x.Incarnation}
+		bound := binding{task: x.Task, attempt: x.Attempt, incarnation: x.Incarnation}
 		if x.Machine != "" {
-			e.machine = b.machineNamed(x.Machine)
-			if e.machine.partition == b.loanPartition() && !r.binds(x.Task, x.Attempt, e.machine) {
-				e.machine.lastBoundAt = b.now
+			bound.machine = c.machineNamed(x.Machine)
+			if bound.machine.partition == c.loanPartition() && !group.binds(x.Task, x.Attempt, bound.machine) {
+				bound.machine.lastBoundAt = c.now
 			}
-			e.machine.bindings.add(r.task(x.Task), r)
-			e.machine.introduce(x.Addr, x.Incarnation)
-			b.addToPartition(e.machine) // one that is gone may have been forgotten
+			bound.machine.bindings.add(group.task(x.Task), group)
+			bound.machine.introduce(x.Addr, x.Incarnation)
+			c.addToPartition(bound.machine) // one that is gone may have been forgotten
 			placed++
 		}
-		entries = append(entries, e)
-		r.job.groupOfTask[x.Task] = r
+		entries = append(entries, bound)
+		group.job.groupOfTask[x.Task] = group
 	}
-	r.bindings, r.boundCount = entries, placed
+	group.bindings, group.boundCount = entries, placed
 }
 
 // putGroup takes a placement record in.
-func (b *controller) putGroup(key string, v *record.TaskGroup, as storedValue) error {
+func (c *controller) putGroup(key string, v *record.TaskGroup, as storedValue) error {
 	id, k, ok := splitGroupKey(key)
 	if !ok {
-		b.log.Error("stored key is malformed; it is left alone", "key", key)
+		c.log.Error("stored key is malformed; it is left alone", "key", key)
 		return nil
 	}
-	if v.Partition < 0 || v.Partition >= len(b.partitions) {
+	if v.Partition < 0 || v.Partition >= len(c.partitions) {
 		return fmt.Errorf("part %d does not exist", v.Partition)
 	}
-	b.markGroupReadable(key)
-	r := b.groupByKey[key]
-	if r == nil {
-		r = b.newGroup(key, id, k)
+	c.markGroupReadable(key)
+	group := c.groupByKey[key]
+	if group == nil {
+		group = c.newGroup(key, id, k)
 	} else {
-		b.rollout.groupsByEncoding[r.encoding]--
+		c.rollout.groupsByEncoding[group.encoding]--
 	}
-	b.rollout.groupsByEncoding[as.encoding]++
-	if r.partition != v.Partition || r.zone != v.Zone {
-		if r.partition >= 0 {
+	c.rollout.groupsByEncoding[as.encoding]++
+	if group.partition != v.Partition || group.zone != v.Zone {
+		if group.partition >= 0 {
 			// A binding of ours that is being stored fails, or came before. What waits
 			// for cells in another zone must not get them there.
-			b.cancelReservations(r, true)
+			c.cancelReservations(group, true)
 		}
-		r.inPartitionSince = b.now
+		group.inPartitionSince = c.now
 	}
-	if r.partition >= 0 {
+	if group.partition >= 0 {
 		kept := make(map[int32]bool, len(v.Tasks))
 		for _, x := range v.Tasks {
 			kept[x.Task] = true
 		}
-		b.releaseCells(r, kept)
-	}
-	b.unlinkBindings(r)
-	b.moveToPartition(r, v.Partition)
-	r.size, r.encoding = as.size, as.encoding
-	r.revision, r.partition, r.zone, r.guaranteed, r.done, r.throttle = as.revision, v.Partition, v.Zone, v.Guaranteed, v.Done, v.Throttle
-	b.putBindings(r, v.Tasks)
-	b.adoptBindings(r)
-	for i := range r.bindings {
-		if m := r.bindings[i].machine; m != nil && r.exceedsThrottle(r.bindings[i].task) {
-			b.sendCommandsNow(m)
+		c.releaseCells(group, kept)
+	}
+	c.unlinkBindings(group)
+	c.moveToPartition(group, v.Partition)
+	group.size, group.encoding = as.size, as.encoding
+	group.revision, group.partition, group.zone, group.guaranteed, group.done, group.throttle = as.revision, v.Partition, v.Zone, v.Guaranteed, v.Done, v.Throttle
+	c.putBindings(group, v.Tasks)
+	c.adoptBindings(group)
+	for i := range group.bindings {
+		if m := group.bindings[i].machine; m != nil && group.exceedsThrottle(group.bindings[i].task) {
+			c.sendCommandsNow(m)
 		}
 	}
-	b.requestPass()
+	c.requestPass()
 	return nil
 }
 
 // records goes through all records there are.
-func (b *controller) allGroups() iter.Seq[*taskGroup] {
+func (c *controller) allGroups() iter.Seq[*taskGroup] {
 	return func(yield func(*taskGroup) bool) {
-		for _, p := range b.partitions {
-			for _, r := range p.groups {
-				if !yield(r) {
+		for _, p := range c.partitions {
+			for _, group := range p.groups {
+				if !yield(group) {
 					return
 				}
 			}
@@ -443,36 +443,36 @@
 }
 
 // file moves a record to another part's list; -1: to none.
-func (b *controller) moveToPartition(r *taskGroup, part int) {
-	if r.listPosition > 0 && r.partition == part {
+func (c *controller) moveToPartition(group *taskGroup, part int) {
+	if group.listPosition > 0 && group.partition == part {
 		return
 	}
-	if r.listPosition > 0 {
-		l := b.partitions[r.partition].groups
+	if group.listPosition > 0 {
+		l := c.partitions[group.partition].groups
 		last := l[len(l)-1]
-		l[r.listPosition-1], last.listPosition = last, r.listPosition
+		l[group.listPosition-1], last.listPosition = last, group.listPosition
 		l[len(l)-1] = nil
-		b.partitions[r.partition].groups, r.listPosition = l[:len(l)-1], 0
+		c.partitions[group.partition].groups, group.listPosition = l[:len(l)-1], 0
 	}
 	if part >= 0 {
-		b.partitions[part].groups = append(b.partitions[part].groups, r)
-		r.listPosition = len(b.partitions[part].groups)
+		c.partitions[part].groups = append(c.partitions[part].groups, group)
+		group.listPosition = len(c.partitions[part].groups)
 	}
 }
 
-func (b *controller) unlinkBindings(r *taskGroup) {
-	for i := range r.bindings {
-		e := &r.bindings[i]
-		if e.machine != nil {
-			e.machine.bindings.remove(r.task(e.task))
+func (c *controller) unlinkBindings(group *taskGroup) {
+	for i := range group.bindings {
+		bound := &group.bindings[i]
+		if bound.machine != nil {
+			bound.machine.bindings.remove(group.task(bound.task))
 			// Of a machine that is in another part than the record, as one that was lent
 			// and died: adopted there, the cell would stay taken for good.
-			if p := b.partitions[e.machine.partition]; e.machine.partition != r.partition && p.token != 0 {
-				b.freeCell(p, r.task(e.task))
+			if p := c.partitions[bound.machine.partition]; bound.machine.partition != group.partition && p.token != 0 {
+				c.freeCell(p, group.task(bound.task))
 			}
 		}
-		if r.job.groupOfTask[e.task] == r {
-			delete(r.job.groupOfTask, e.task)
+		if group.job.groupOfTask[bound.task] == group {
+			delete(group.job.groupOfTask, bound.task)
 		}
 	}
 }
--- a/internal/controller/rights.go
+++ b/internal/controller/rights.go
@@ -18,48 +18,48 @@
 const stepDownBackoff = 15 * time.Second
 
 // preferred is the node that a part should be with, so that parts spread evenly.
-func (b *controller) preferredOwner(n int) string {
-	names := b.cfg.Nodes()
+func (c *controller) preferredOwner(n int) string {
+	names := c.cfg.Nodes()
 	return names[n%len(names)]
 }
 
-func (b *controller) peerEligible(name string) bool {
-	s := b.peers[name]
-	return s != nil && s.status != nil && s.status.Eligible && b.now.Sub(s.heardAt) < 2500*time.Millisecond
+func (c *controller) peerEligible(name string) bool {
+	s := c.peers[name]
+	return s != nil && s.status != nil && s.status.Eligible && c.now.Sub(s.heardAt) < 2500*time.Millisecond
 }
 
 // able tells whether this controller should hold rights.
-func (b *controller) eligible() bool {
-	return b.isFresh(b.operator.LeaseTTL) && !b.now.Before(b.backoffUntil) && b.rollout.refusal == nil
+func (c *controller) eligible() bool {
+	return c.isFresh(c.operator.LeaseTTL) && !c.now.Before(c.backoffUntil) && c.rollout.refusal == nil
 }
 
 // tendRights takes vacant rights and hands parts back to their preferred node.
-func (b *controller) campaign() {
-	if !b.eligible() {
+func (c *controller) campaign() {
+	if !c.eligible() {
 		return
 	}
-	for _, p := range b.partitions[:b.loanPartition()] {
+	for _, p := range c.partitions[:c.loanPartition()] {
 		key := p.key
-		pref := b.preferredOwner(p.index)
+		pref := c.preferredOwner(p.index)
 		if p.token == 0 {
 			wait := 300 * time.Millisecond
-			if pref == b.cfg.Name {
+			if pref == c.cfg.Name {
 				wait = 0
-			} else if b.peerEligible(pref) || b.now.Sub(b.startedAt) < 2*time.Second {
+			} else if c.peerEligible(pref) || c.now.Sub(c.startedAt) < 2*time.Second {
 				wait = 2 * time.Second
 			}
-			b.tryAcquire(key, wait)
+			c.tryAcquire(key, wait)
 			continue
 		}
-		if pref != b.cfg.Name && b.peerEligible(pref) && b.now.Sub(p.ownedSince) > 5*time.Second {
-			if s := b.peers[pref]; b.now.Sub(s.heardSince) > 4*time.Second && p.allMachinesHeard() {
-				b.log.Info("part handed back", "part", p.index, "to", pref)
-				b.resign(key)
+		if pref != c.cfg.Name && c.peerEligible(pref) && c.now.Sub(p.ownedSince) > 5*time.Second {
+			if s := c.peers[pref]; c.now.Sub(s.heardSince) > 4*time.Second && p.allMachinesHeard() {
+				c.log.Info("part handed back", "part", p.index, "to", pref)
+				c.resign(key)
 			}
 		}
 	}
-	wait := 100 * time.Millisecond * time.Duration(slices.Index(b.cfg.Nodes(), b.cfg.Name))
-	b.tryAcquire(b.leaderKey(), wait)
+	wait := 100 * time.Millisecond * time.Duration(slices.Index(c.cfg.Nodes(), c.cfg.Name))
+	c.tryAcquire(c.leaderKey(), wait)
 }
 
 // settled tells whether every machine of a part on which something is bound has been
@@ -77,80 +77,80 @@
 
 // tryTake takes a right that is vacant since wait, or that our own former
 // process holds: that one is surely dead.
-func (b *controller) tryAcquire(key string, wait time.Duration) {
-	r := b.leasedKeys[key]
-	if r.pending || r.token != 0 || b.now.Before(r.backoffUntil) {
+func (c *controller) tryAcquire(key string, wait time.Duration) {
+	leased := c.leasedKeys[key]
+	if leased.pending || leased.token != 0 || c.now.Before(leased.backoffUntil) {
 		return
 	}
-	h, held := b.holders[key]
-	if held && h.Node != b.cfg.Name {
-		r.vacantSince = time.Time{}
+	h, held := c.holders[key]
+	if held && h.Node != c.cfg.Name {
+		leased.vacantSince = time.Time{}
 		return
 	}
 	if !held {
-		if r.vacantSince.IsZero() {
-			r.vacantSince = b.now
+		if leased.vacantSince.IsZero() {
+			leased.vacantSince = c.now
 		}
-		if b.now.Sub(r.vacantSince) < wait {
+		if c.now.Sub(leased.vacantSince) < wait {
 			return
 		}
 	}
-	r.pending = true
-	expect := b.revisions[key]
-	go b.acquire(r, key, expect)
+	leased.pending = true
+	expect := c.revisions[key]
+	go c.acquire(leased, key, expect)
 }
 
 // holderValue is what this process stores at the key of a right that it holds.
-func (b *controller) holderValue() json.RawMessage {
-	return record.JSON(record.LeaseHolder{Node: b.cfg.Name, ProcessID: b.processID})
+func (c *controller) holderValue() json.RawMessage {
+	return record.JSON(record.LeaseHolder{Node: c.cfg.Name, ProcessID: c.processID})
 }
 
-func (b *controller) acquire(r *leasedKey, key string, expect uint64) {
-	lease, err := b.stateClient.GrantLease(b.ctx, b.operator.LeaseTTL)
+func (c *controller) acquire(leased *leasedKey, key string, expect uint64) {
+	lease, err := c.stateClient.GrantLease(c.ctx, c.operator.LeaseTTL)
 	var ans *wire.TxnResponse
 	if err == nil {
-		ans, err = b.stateClient.Txn(b.ctx, &wire.Txn{
+		ans, err = c.stateClient.Txn(c.ctx, &wire.Txn{
 			If:   []wire.Condition{{Key: key, Revision: expect}},
-			Then: []wire.Change{{Put: key, Value: b.holderValue(), Lease: lease}},
+			Then: []wire.Change{{Put: key, Value: c.holderValue(), Lease: lease}},
 		})
 		if err != nil {
 			// Perhaps it was applied: ending the lease takes the key along, and
 			// a late write under it is refused.
-			_ = b.stateClient.RevokeLease(b.ctx, lease)
+			_ = c.stateClient.RevokeLease(c.ctx, lease)
 		}
 	}
-	b.enqueue(priorityState, func() {
-		r.pending = false
-		if b.leasedKeys[key] != r { // rights have other keys meanwhile
-			go func() { _ = b.stateClient.RevokeLease(b.ctx, lease) }()
+	c.enqueue(priorityState, func() {
+		leased.pending = false
+		if c.leasedKeys[key] != leased { // rights have other keys meanwhile
+			go func() { _ = c.stateClient.RevokeLease(c.ctx, lease) }()
 			return
 		}
 		if err != nil {
-			r.vacantSince = b.now.Add(200 * time.Millisecond)
+			leased.vacantSince = c.now.Add(200 * time.Millisecond)
 			return
 		}
-		r.token, r.lease, r.vacantSince = ans.Revision, lease, time.Time{}
-		b.putRecord(key, b.holderValue(), ans.Revision)
-		if b.revisions[key] != ans.Revision { // lost again before the answer came
-			r.token, r.lease, r.vacantSince = 0, 0, b.now
+		leased.token, leased.lease, leased.vacantSince = ans.Revision, lease, time.Time{}
+		c.putRecord(key, c.holderValue(), ans.Revision)
+		if c.revisions[key] != ans.Revision { // lost again before the answer came
+			leased.token, leased.lease, leased.vacantSince = 0, 0, c.now
 			return
 		}
-		b.onAcquired(key, ans.Revision)
-		go b.keepAlive(r, key, lease)
+		c.onAcquired(key, ans.Revision)
+		go c.keepAlive(leased, key, lease)
 	})
 }
 
 // keep renews the lease of a right until it is lost. An actor that is slow keeps its
 // rights, since a sibling would hardly be faster and a change of hands costs both;
 // one that has not come round for a whole right-ttl can't serve, and lets them go.
-func (b *controller) keepAlive(r *leasedKey, key string, lease uint64) {
-	t := time.NewTicker(b.operator.LeaseTTL / 4)
+func (c *controller) keepAlive(leased *leasedKey, key string, lease uint64) {
+	t := time.NewTicker(c.operator.LeaseTTL / 4)
 	defer t.Stop()
 	over := make(chan bool, 1)
 	asked := time.Time{} // since when the actor's answer is awaited; zero: it is not
 	for {
 		select {
-		case <-b.ctx.Done():
+		case <-c.ctx.Done():
 			return
 		case o := <-over:
 			if o {
@@ -160,21 +160,21 @@
 			continue
 		case <-t.C:
 		}
-		if !asked.IsZero() && time.Since(asked) > b.operator.LeaseTTL {
+		if !asked.IsZero() && time.Since(asked) > c.operator.LeaseTTL {
 			continue // not renewed before the actor is back
 		}
-		err := b.stateClient.RenewLease(b.ctx, lease)
+		err := c.stateClient.RenewLease(c.ctx, lease)
 		ended := errors.Is(err, store.ErrLeaseExpired)
 		if !asked.IsZero() && !ended {
 			continue
 		}
 		asked = time.Now()
-		go b.enqueue(priorityState, func() {
-			if r.lease == lease && ended {
-				b.onLost(key, "lease ended")
+		go c.enqueue(priorityState, func() {
+			if leased.lease == lease && ended {
+				c.onLost(key, "lease ended")
 			}
 			select {
-			case over <- r.lease != lease:
+			case over <- leased.lease != lease:
 			default: // an earlier answer says the same
 			}
 		})
@@ -182,46 +182,46 @@
 }
 
 // rightSeen is told what the replica shows of a leased key.
-func (b *controller) observeHolder(key string, h record.LeaseHolder, stamp uint64) {
-	if r := b.leasedKeys[key]; r != nil && r.token != 0 && stamp > r.token && h.ProcessID != b.processID {
-		b.onLost(key, "taken by "+h.Node)
+func (c *controller) observeHolder(key string, h record.LeaseHolder, stamp uint64) {
+	if leased := c.leasedKeys[key]; leased != nil && leased.token != 0 && stamp > leased.token && h.ProcessID != c.processID {
+		c.onLost(key, "taken by "+h.Node)
 	}
 }
 
-func (b *controller) observeVacancy(key string) {
-	r := b.leasedKeys[key]
-	if r == nil {
+func (c *controller) observeVacancy(key string) {
+	leased := c.leasedKeys[key]
+	if leased == nil {
 		return
 	}
-	if r.token != 0 {
-		b.onLost(key, "lease ended")
+	if leased.token != 0 {
+		c.onLost(key, "lease ended")
 	}
-	r.vacantSince = b.now
+	leased.vacantSince = c.now
 }
 
-func (b *controller) onAcquired(key string, stamp uint64) {
-	b.log.Info("right taken", "key", key, "term", stamp)
-	if key == b.leaderKey() {
-		b.becomeLeader(stamp)
+func (c *controller) onAcquired(key string, stamp uint64) {
+	c.log.Info("right taken", "key", key, "term", stamp)
+	if key == c.leaderKey() {
+		c.becomeLeader(stamp)
 	}
-	for _, p := range b.partitions {
+	for _, p := range c.partitions {
 		if p.key == key {
-			b.takeOverPartition(p, stamp)
+			c.takeOverPartition(p, stamp)
 		}
 	}
 }
 
-func (b *controller) onLost(key, why string) {
-	r := b.leasedKeys[key]
-	if r.token == 0 {
+func (c *controller) onLost(key, why string) {
+	leased := c.leasedKeys[key]
+	if leased.token == 0 {
 		return
 	}
-	b.log.Info("right lost", "key", key, "why", why)
-	r.token, r.lease = 0, 0
-	if key == b.leaderKey() {
-		b.leadership = leadership{}
+	c.log.Info("right lost", "key", key, "why", why)
+	leased.token, leased.lease = 0, 0
+	if key == c.leaderKey() {
+		c.leadership = leadership{}
 	}
-	for _, p := range b.partitions {
+	for _, p := range c.partitions {
 		if p.key == key {
 			p.token, p.active = 0, false
 			p.cells, p.reservations = nil, nil
@@ -231,51 +231,51 @@
 }
 
 // yield gives a right back at once.
-func (b *controller) resign(key string) {
-	r := b.leasedKeys[key]
-	if r.token == 0 {
+func (c *controller) resign(key string) {
+	leased := c.leasedKeys[key]
+	if leased.token == 0 {
 		return
 	}
-	lease := r.lease
-	b.onLost(key, "given back")
-	r.backoffUntil = b.now.Add(2 * time.Second)
-	go func() { _ = b.stateClient.RevokeLease(b.ctx, lease) }()
+	lease := leased.lease
+	c.onLost(key, "given back")
+	leased.backoffUntil = c.now.Add(2 * time.Second)
+	go func() { _ = c.stateClient.RevokeLease(c.ctx, lease) }()
 }
 
 // partGained takes a part over: the replica is read once more, so that it has
 // all that former owners stored, then the cells are rebuilt from it.
-func (b *controller) takeOverPartition(p *partition, stamp uint64) {
-	p.token, p.firstToken, p.ownedSince, p.active = stamp, stamp, b.now, false
+func (c *controller) takeOverPartition(p *partition, stamp uint64) {
+	p.token, p.firstToken, p.ownedSince, p.active = stamp, stamp, c.now, false
 	p.cells, p.reservations = core.NewPartition(), map[core.Task]reservation{}
 	// A former owner's last read may have begun just before its key went; it
 	// may go on answering reports for the hold time after that. Whether there
 	// was one can't be told here, not even after our own restart: the process
 	// before it may have been a successor itself.
-	p.formerOwnerStaleness = b.maxStaleness
-	b.readThen(func() { b.activatePartition(p, stamp) })
+	p.formerOwnerStaleness = c.maxStaleness
+	c.readThen(func() { c.activatePartition(p, stamp) })
 }
 
-func (b *controller) activatePartition(p *partition, stamp uint64) {
+func (c *controller) activatePartition(p *partition, stamp uint64) {
 	if p.token != stamp {
 		return
 	}
 	p.active = true
-	for t := range b.attemptEnds {
-		if r := b.groups[t.Group]; r == nil || r.partition == p.index {
-			delete(b.attemptEnds, t)
+	for t := range c.attemptEnds {
+		if group := c.groups[t.Group]; group == nil || group.partition == p.index {
+			delete(c.attemptEnds, t)
 		}
 	}
-	for r := range b.allGroups() {
-		b.adoptBindings(r)
+	for group := range c.allGroups() {
+		c.adoptBindings(group)
 	}
 	// Machines that know us from before, or that siblings know, hear the new
 	// token at once, so that they turn to us.
-	for _, s := range b.peers {
+	for _, s := range c.peers {
 		if s.status == nil {
 			continue
 		}
 		for _, x := range s.status.Machines {
-			m := b.machineNamed(x.Name)
+			m := c.machineNamed(x.Name)
 			if m.machineType == "" {
 				m.machineType, m.zone, m.spot = x.Type, x.Zone, x.Flags&mesh.Spot != 0
 			}
@@ -285,17 +285,17 @@
 	for _, m := range p.machines {
 		if !m.terminated {
 			m.directBackoffUntil = time.Time{}
-			b.ping(m, p)
+			c.ping(m, p)
 		}
 	}
-	b.requestPass()
+	c.requestPass()
 }
 
 // readThen runs f after a successful read of the replica that begins now.
-func (b *controller) readThen(f func()) {
-	b.afterRead(func(err error) {
+func (c *controller) readThen(f func()) {
+	c.afterRead(func(err error) {
 		if err != nil {
-			b.readThen(f)
+			c.readThen(f)
 			return
 		}
 		f()
@@ -304,97 +304,97 @@
 
 // raiseTerm rewrites a part's key: a higher token, which fences commands that
 // may still be under way.
-func (b *controller) raiseToken(p *partition) {
+func (c *controller) raiseToken(p *partition) {
 	key := p.key
-	r := b.leasedKeys[key]
-	if r.pending || r.token == 0 || b.now.Sub(p.tokenRaisedAt) < 4*time.Second {
+	leased := c.leasedKeys[key]
+	if leased.pending || leased.token == 0 || c.now.Sub(p.tokenRaisedAt) < 4*time.Second {
 		return
 	}
-	p.tokenRaiseDue, p.tokenRaisedAt = false, b.now
-	r.pending = true
-	stamp := r.token
-	b.submitWrite(&store.Write{
+	p.tokenRaiseDue, p.tokenRaisedAt = false, c.now
+	leased.pending = true
+	stamp := leased.token
+	c.submitWrite(&store.Write{
 		Conditions: []wire.Condition{{Key: key, Revision: stamp}},
-		Changes:    []wire.Change{{Put: key, Value: b.holderValue(), Lease: r.lease}},
+		Changes:    []wire.Change{{Put: key, Value: c.holderValue(), Lease: leased.lease}},
 	}, func(err error) {
-		r.pending = false
-		if r.token != stamp {
+		leased.pending = false
+		if leased.token != stamp {
 			return
 		}
 		if err != nil {
-			b.readThen(func() { // perhaps an unanswered try was applied
-				if r.token == stamp && b.revisions[key] != stamp {
-					b.onTokenRaised(p, r, b.revisions[key])
+			c.readThen(func() { // perhaps an unanswered try was applied
+				if leased.token == stamp && c.revisions[key] != stamp {
+					c.onTokenRaised(p, leased, c.revisions[key])
 				}
 			})
 			return
 		}
-		b.onTokenRaised(p, r, b.revisions[key])
+		c.onTokenRaised(p, leased, c.revisions[key])
 	})
 }
 
 // voidWrites gives up what waits to be stored under a term that has ended.
 func (p *partition) cancelWrites() {
-	for _, r := range p.groups {
-		r.cancelWrite()
+	for _, group := range p.groups {
+		group.cancelWrite()
 	}
 }
 
-func (b *controller) onTokenRaised(p *partition, r *leasedKey, stamp uint64) {
-	if h := b.holders[p.key]; h.ProcessID != b.processID {
+func (c *controller) onTokenRaised(p *partition, leased *leasedKey, stamp uint64) {
+	if h := c.holders[p.key]; h.ProcessID != c.processID {
 		return
 	}
-	r.token, p.token = stamp, stamp
+	leased.token, p.token = stamp, stamp
 	p.cancelWrites()
-	if p.key == b.leaderKey() {
-		b.leadership.token = stamp
+	if p.key == c.leaderKey() {
+		c.leadership.token = stamp
 	}
-	b.log.Info("term raised", "part", p.index, "term", stamp)
+	c.log.Info("term raised", "part", p.index, "term", stamp)
 	for _, m := range p.machines {
 		if !m.terminated {
-			b.ping(m, p)
+			c.ping(m, p)
 		}
 	}
 }
 
 // watchHearing gives the rights up when no worker reaches this controller: the
 // siblings may well be reachable.
-func (b *controller) stepDownIfUnheard() {
-	report := config.Seconds(b.cfg.Settings.Workers.ReportS)
+func (c *controller) stepDownIfUnheard() {
+	report := config.Seconds(c.cfg.Settings.Workers.ReportS)
 	window := 2*report + 6*time.Second
 	known, heard, young := 0, false, false
 	// Many machines that all fall silent at once say more in a short time than few
 	// do in a long one: of n that report independently, none is heard for this
 	// long by chance once in e to the 20th. Their leases run meanwhile, and finding
 	// the successor takes them some seconds more.
-	if n := b.reportingMachines(); n > 0 {
+	if n := c.reportingMachines(); n > 0 {
 		window = min(window, max(20*report/time.Duration(n), report/2+2*time.Second))
 	}
 	// What came while this process stood still waits in its sockets.
-	if b.now.Sub(b.resumedFromPauseAt) < window {
+	if c.now.Sub(c.resumedFromPauseAt) < window {
 		return
 	}
-	for _, p := range b.partitions {
+	for _, p := range c.partitions {
 		if p.token == 0 {
 			continue
 		}
-		young = young || b.now.Sub(p.ownedSince) < window
+		young = young || c.now.Sub(p.ownedSince) < window
 		for _, m := range p.machines {
 			if m.terminated {
 				continue
 			}
-			if len(m.bindings) > 0 || !m.heartbeatAt.IsZero() && b.now.Sub(m.heartbeatAt) < time.Minute {
+			if len(m.bindings) > 0 || !m.heartbeatAt.IsZero() && c.now.Sub(m.heartbeatAt) < time.Minute {
 				known++
 			}
-			heard = heard || m.heartbeatAt.After(p.ownedSince) && b.now.Sub(m.heartbeatAt) < window
+			heard = heard || m.heartbeatAt.After(p.ownedSince) && c.now.Sub(m.heartbeatAt) < window
 		}
 	}
-	if known >= 2 && !heard && !young && b.peersMayBeHeard() {
-		b.steppedDownAt = b.now
-		b.log.Info("no worker reaches this controller: giving all rights up", "machines", known)
-		b.backoffUntil = b.now.Add(stepDownBackoff)
-		for key := range b.leasedKeys {
-			b.resign(key)
+	if known >= 2 && !heard && !young && c.peersMayBeHeard() {
+		c.steppedDownAt = c.now
+		c.log.Info("no worker reaches this controller: giving all rights up", "machines", known)
+		c.backoffUntil = c.now.Add(stepDownBackoff)
+		for key := range c.leasedKeys {
+			c.resign(key)
 		}
 		return
 	}
@@ -404,10 +404,10 @@
 // has machines that report to it, or that is not known. Where all machines have died
 // everybody hears none, and rights that go round for ever have nobody wait for the
 // leases to end, so then each gives them up once in that time.
-func (b *controller) peersMayBeHeard() bool {
-	known := len(b.peers) > 0
-	for _, s := range b.peers {
-		if s.status == nil || b.now.Sub(s.heardAt) > 4*time.Second {
+func (c *controller) peersMayBeHeard() bool {
+	known := len(c.peers) > 0
+	for _, s := range c.peers {
+		if s.status == nil || c.now.Sub(s.heardAt) > 4*time.Second {
 			known = false
 			continue
 		}
@@ -417,35 +417,35 @@
 			}
 		}
 	}
-	return !known && (b.steppedDownAt.IsZero() || b.lastHeartbeatAt.After(b.steppedDownAt) || b.now.Sub(b.steppedDownAt) > 2*(b.maxStaleness+b.leaseExpiry))
+	return !known && (c.steppedDownAt.IsZero() || c.lastHeartbeatAt.After(c.steppedDownAt) || c.now.Sub(c.steppedDownAt) > 2*(c.maxStaleness+c.leaseExpiry))
 }
 
 // watchFollowers gives the lead up when neither workers nor other owners reach
 // this controller. Siblings alone don't count: where connections between all
 // controllers are refused, the lead would be passed round for nothing.
-func (b *controller) stepDownIfIsolatedLeader() {
-	if b.leasedKeys[b.leaderKey()].token == 0 || b.now.Sub(b.leadership.since) < 8*time.Second || !b.peersSilent(6*time.Second) || b.reportingMachines() > 0 {
+func (c *controller) stepDownIfIsolatedLeader() {
+	if c.leasedKeys[c.leaderKey()].token == 0 || c.now.Sub(c.leadership.since) < 8*time.Second || !c.peersSilent(6*time.Second) || c.reportingMachines() > 0 {
 		return
 	}
-	for _, p := range b.partitions[:b.loanPartition()] {
-		if h, ok := b.holders[p.key]; ok && h.Node != b.cfg.Name {
-			b.log.Info("neither workers nor other owners reach this leader: giving the lead up")
-			b.resign(b.leaderKey())
-			b.leasedKeys[b.leaderKey()].backoffUntil = b.now.Add(stepDownBackoff)
+	for _, p := range c.partitions[:c.loanPartition()] {
+		if h, ok := c.holders[p.key]; ok && h.Node != c.cfg.Name {
+			c.log.Info("neither workers nor other owners reach this leader: giving the lead up")
+			c.resign(c.leaderKey())
+			c.leasedKeys[c.leaderKey()].backoffUntil = c.now.Add(stepDownBackoff)
 			return
 		}
 	}
 }
 
 // reporting is how many machines of ours have reported of late.
-func (b *controller) reportingMachines() int {
+func (c *controller) reportingMachines() int {
 	n := 0
-	for _, p := range b.partitions {
+	for _, p := range c.partitions {
 		if p.token == 0 {
 			continue
 		}
 		for _, m := range p.machines {
-			if !m.terminated && b.now.Sub(m.heartbeatAt) < time.Minute {
+			if !m.terminated && c.now.Sub(m.heartbeatAt) < time.Minute {
 				n++
 			}
 		}
@@ -454,11 +454,11 @@
 }
 
 // siblingsSilent tells whether there are siblings and none was heard for d.
-func (b *controller) peersSilent(d time.Duration) bool {
-	for _, s := range b.peers {
-		if b.now.Sub(s.heardAt) < d {
+func (c *controller) peersSilent(d time.Duration) bool {
+	for _, s := range c.peers {
+		if c.now.Sub(s.heardAt) < d {
 			return false
 		}
 	}
-	return len(b.peers) > 0
+	return len(c.peers) > 0
 }
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -52,7 +52,7 @@
 		out.jitter = rand.N[time.Duration]
 	}
 	st := store.NewClient(cfg.External.State, out.state)
-	b := &controller{
+	c := &controller{
 		cfg: cfg, operator: op, log: log.With("node", cfg.Name), processID: fmt.Sprintf("%016x", rand.Uint64()), ctx: ctx,
 		events: newEventQueue(), cloudCalls: make(chan func(), cloudQueue),
 		stateClient: st, stateWriter: store.NewWriter(st, s.State.TxnOps, s.State.WriteRPS, s.Count, out.jitter),
@@ -63,21 +63,21 @@
 		leasedKeys: newLeasedKeys(rollout.Initial.Keys(), s.Count), machines: map[string]*machine{}, peers: map[string]*peer{}, terminating: map[string]bool{},
 		attemptEnds: map[core.Task]attemptEnd{}, maxDirects: cfg.DirectCommands(), metrics: newMetrics(), schedulingPass: 1,
 	}
-	b.rollout = newRolloutState(cfg, op)
-	b.now = time.Now()
-	b.startedAt = b.now
+	c.rollout = newRolloutState(cfg, op)
+	c.now = time.Now()
+	c.startedAt = c.now
 	for _, t := range s.Teams {
-		b.team(t.Name)
+		c.team(t.Name)
 	}
 	for n := range s.Count {
-		b.partitions = append(b.partitions, &partition{index: n, key: b.rollout.keys.Partition(n)})
+		c.partitions = append(c.partitions, &partition{index: n, key: c.rollout.keys.Partition(n)})
 	}
 	// The last one is the leader's: machines that other parts have lent.
-	b.partitions = append(b.partitions, &partition{index: s.Count, key: b.leaderKey()})
+	c.partitions = append(c.partitions, &partition{index: s.Count, key: c.leaderKey()})
 	for _, x := range cfg.Siblings {
-		b.peers[x.Name] = &peer{}
+		c.peers[x.Name] = &peer{}
 	}
-	return b
+	return c
 }
 
 // Run serves until ctx ends.
@@ -102,23 +102,23 @@
 	for _, x := range cfg.Siblings {
 		senders[x.Name] = mesh.NewSender(x.Addr)
 	}
-	b := newController(ctx, cfg, op, log, clients{state: state, cloud: cl, workers: fl, send: func(sibling string, frame []byte) {
+	c := newController(ctx, cfg, op, log, clients{state: state, cloud: cl, workers: fl, send: func(sibling string, frame []byte) {
 		senders[sibling].Offer(frame)
 	}})
-	b.log.Info("controller starts", "boot", b.processID, "parts", s.Count, "hold", b.maxStaleness)
+	c.log.Info("controller starts", "boot", c.processID, "parts", s.Count, "hold", c.maxStaleness)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
 	defer func() { state.CloseIdleConnections(); cl.CloseIdleConnections(); fl.CloseIdleConnections() }()
 	wg.Go(func() {
-		mesh.Serve(ctx, meshL, b.log, func(s *mesh.Status) { b.enqueue(priorityWorkers, func() { b.handlePeerStatus(s) }) })
+		mesh.Serve(ctx, meshL, c.log, func(s *mesh.Status) { c.enqueue(priorityWorkers, func() { c.handlePeerStatus(s) }) })
 	})
 	for _, s := range senders {
 		wg.Go(func() { s.Run(ctx) })
 	}
-	b.start(&wg)
+	c.start(&wg)
 	conns := cfg.Connections()
-	err = api.Serve(ctx, apiL, b, b.log, api.Limits{Connections: conns, Requests: max(conns/2, 4)})
+	err = api.Serve(ctx, apiL, c, c.log, api.Limits{Connections: conns, Requests: max(conns/2, 4)})
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -126,16 +126,16 @@
 }
 
 // start begins the long-lived duties.
-func (b *controller) start(wg *sync.WaitGroup) {
-	wg.Go(func() { b.stateWriter.Run(b.ctx) })
-	wg.Go(b.follow)
+func (c *controller) start(wg *sync.WaitGroup) {
+	wg.Go(func() { c.stateWriter.Run(c.ctx) })
+	wg.Go(c.follow)
 	for range 2 {
-		wg.Go(b.runCloudCalls)
+		wg.Go(c.runCloudCalls)
 	}
-	if b.operator.FeatureLevels {
-		wg.Go(b.register)
+	if c.operator.FeatureLevels {
+		wg.Go(c.register)
 	}
-	wg.Go(b.loop)
+	wg.Go(c.loop)
 }
 
 // loop is the actor: it alone touches the brain's state.
@@ -146,24 +146,24 @@
 // and last the leader's planning. Each decision rests for several times as long as
 // it took, so that with less processor time it is taken less often, and what comes
 // later in the order still gets a share.
-func (b *controller) loop() {
+func (c *controller) loop() {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	var due schedule
 	due.metrics = time.Now().Add(metricsInterval)
-	for b.ctx.Err() == nil {
-		f, ticked := b.events.take(b.ctx.Done(), t.C)
+	for c.ctx.Err() == nil {
+		f, ticked := c.events.take(c.ctx.Done(), t.C)
 		if ticked {
-			b.onTick(&due)
+			c.onTick(&due)
 		}
 		if f == nil {
 			continue
 		}
-		b.now = time.Now()
+		c.now = time.Now()
 		f()
-		b.metrics.observe(latencyEvent, time.Since(b.now))
-		if b.passDue && b.now.After(due.pass) && !b.events.hasBefore(priorityUsers) {
-			b.runPass(&due, time.Now())
+		c.metrics.observe(latencyEvent, time.Since(c.now))
+		if c.passDue && c.now.After(due.pass) && !c.events.hasBefore(priorityUsers) {
+			c.runPass(&due, time.Now())
 		}
 	}
 }
@@ -173,9 +173,9 @@
 
 // takeStep has the parts decide. Steps that take long are taken less often: reports,
 // renewals and users must not wait for them.
-func (b *controller) runPass(due *schedule, now time.Time) {
-	b.passDue = false
-	b.schedulePartitions()
+func (c *controller) runPass(due *schedule, now time.Time) {
+	c.passDue = false
+	c.schedulePartitions()
 	due.pass = now.Add(max(minPassInterval, passRestFactor*time.Since(now)))
 }
 
@@ -183,54 +183,54 @@
 const maxPlanningDelay = time.Second
 
 // onTick does what is due by the time.
-func (b *controller) onTick(due *schedule) {
-	b.now = time.Now()
-	if !b.lastTick.IsZero() {
-		b.metrics.noteLag(b.now.Sub(b.lastTick) - tickInterval)
-		if b.now.Sub(b.lastTick) > pauseThreshold {
-			b.resumedFromPauseAt = b.now
+func (c *controller) onTick(due *schedule) {
+	c.now = time.Now()
+	if !c.lastTick.IsZero() {
+		c.metrics.noteLag(c.now.Sub(c.lastTick) - tickInterval)
+		if c.now.Sub(c.lastTick) > pauseThreshold {
+			c.resumedFromPauseAt = c.now
 		}
-		if b.lagging() {
-			b.lastLaggedAt = b.now
+		if c.lagging() {
+			c.lastLaggedAt = c.now
 		}
 	}
-	b.lastTick = b.now
-	if serves := b.isFresh(b.maxStaleness); serves != b.acceptsHeartbeats {
-		b.acceptsHeartbeats = serves
-		if serves && b.lastHeartbeatAt.After(b.startedAt) {
-			b.heartbeatsResumedAt = b.now
+	c.lastTick = c.now
+	if serves := c.isFresh(c.maxStaleness); serves != c.acceptsHeartbeats {
+		c.acceptsHeartbeats = serves
+		if serves && c.lastHeartbeatAt.After(c.startedAt) {
+			c.heartbeatsResumedAt = c.now
 		}
 	}
-	b.updateReadiness()
-	if !b.loaded {
+	c.updateReadiness()
+	if !c.loaded {
 		return
 	}
-	b.campaign()
-	b.advanceRollout()
-	b.stepDownIfUnheard()
-	b.stepDownIfIsolatedLeader()
-	b.syncCloud()
-	if !b.now.Before(due.pass) {
-		b.runPass(due, b.now)
+	c.campaign()
+	c.advanceRollout()
+	c.stepDownIfUnheard()
+	c.stepDownIfIsolatedLeader()
+	c.syncCloud()
+	if !c.now.Before(due.pass) {
+		c.runPass(due, c.now)
 	}
-	if wait := b.now.Sub(due.leader); wait >= 0 && (wait > maxPlanningDelay || !b.events.hasBefore(priorityUsers)) {
+	if wait := c.now.Sub(due.leader); wait >= 0 && (wait > maxPlanningDelay || !c.events.hasBefore(priorityUsers)) {
 		begun := time.Now()
-		b.runLeader()
-		due.leader = b.now.Add(max(2*tickInterval, passRestFactor*time.Since(begun)))
+		c.runLeader()
+		due.leader = c.now.Add(max(2*tickInterval, passRestFactor*time.Since(begun)))
 	}
-	if !b.now.Before(due.status) {
-		due.status = b.now.Add(statusInterval)
+	if !c.now.Before(due.status) {
+		due.status = c.now.Add(statusInterval)
 		begun := time.Now()
-		b.probeUnreachable()
-		b.terminateUnreachable()
-		b.broadcastStatus()
-		b.metrics.addBusyTime(activityStatus, begun)
+		c.probeUnreachable()
+		c.terminateUnreachable()
+		c.broadcastStatus()
+		c.metrics.addBusyTime(activityStatus, begun)
 	}
-	if b.now.After(due.metrics) {
-		due.metrics = b.now.Add(metricsInterval)
-		b.archiveFinished()
-		b.metrics.log(b.log, len(b.jobs)+len(b.finished), len(b.machines), b.stateClient.Stats())
-		b.logRollout(b.log)
+	if c.now.After(due.metrics) {
+		due.metrics = c.now.Add(metricsInterval)
+		c.archiveFinished()
+		c.metrics.log(c.log, len(c.jobs)+len(c.finished), len(c.machines), c.stateClient.Stats())
+		c.logRollout(c.log)
 	}
 }
 
@@ -240,25 +240,25 @@
 
 // lagging tells whether this process gets so little processor time just now that it
 // can't tell who is late: others or itself.
-func (b *controller) lagging() bool {
-	return !b.lastTick.IsZero() && b.now.Sub(b.lastTick) > tickInterval+maxLag
+func (c *controller) lagging() bool {
+	return !c.lastTick.IsZero() && c.now.Sub(c.lastTick) > tickInterval+maxLag
 }
 
 // laggedSince tells whether it did at any time since t.
-func (b *controller) laggedSince(t time.Time) bool { return b.lagging() || b.lastLaggedAt.After(t) }
+func (c *controller) laggedSince(t time.Time) bool { return c.lagging() || c.lastLaggedAt.After(t) }
 
 // follow keeps the replica current. While users' reads do so it stands back: both
 // would ask for, and decode, the same changes.
-func (b *controller) follow() {
-	s := &b.cfg.Settings
+func (c *controller) follow() {
+	s := &c.cfg.Settings
 	pause := max(time.Duration(float64(time.Second)*float64(s.Count)/(s.State.RPS*0.25)), 100*time.Millisecond)
 	var cursor uint64
 	loaded := false
-	for b.ctx.Err() == nil {
+	for c.ctx.Err() == nil {
 		start := time.Now()
-		if rest := b.lastClientRead.remaining(start, 2*b.readInterval()); loaded && rest > 0 {
+		if rest := c.lastClientRead.remaining(start, 2*c.readInterval()); loaded && rest > 0 {
 			select {
-			case <-b.ctx.Done():
+			case <-c.ctx.Done():
 			case <-time.After(rest):
 			}
 			continue
@@ -267,27 +267,27 @@
 		if !loaded {
 			var items []wire.Item
 			var rev uint64
-			items, rev, err = b.stateClient.List(b.ctx, keyPrefix)
+			items, rev, err = c.stateClient.List(c.ctx, keyPrefix)
 			var ev *wire.WatchResponse
 			if err == nil {
-				ev, err = b.stateClient.Watch(b.ctx, keyPrefix, rev, 0)
+				ev, err = c.stateClient.Watch(c.ctx, keyPrefix, rev, 0)
 			}
 			if err == nil {
 				loaded = true
-				b.call(b.ctx, priorityState, func() {
-					b.resetReplica(items, rev, ev)
-					b.noteRead(start)
-					cursor = b.cursor
+				c.call(c.ctx, priorityState, func() {
+					c.resetReplica(items, rev, ev)
+					c.noteRead(start)
+					cursor = c.cursor
 				})
 			}
 		} else {
-			ev, werr := b.stateClient.Watch(b.ctx, keyPrefix, cursor, watchWait)
+			ev, werr := c.stateClient.Watch(c.ctx, keyPrefix, cursor, watchWait)
 			err = werr
 			if err == nil {
-				b.call(b.ctx, priorityState, func() {
-					b.applyEvents(ev)
-					b.noteRead(start)
-					cursor = b.cursor
+				c.call(c.ctx, priorityState, func() {
+					c.applyEvents(ev)
+					c.noteRead(start)
+					cursor = c.cursor
 				})
 			} else if errors.Is(err, store.ErrCompacted) {
 				loaded = false
@@ -295,22 +295,22 @@
 		}
 		wait := pause
 		if err != nil {
-			b.log.Debug("state service", "err", err)
-			wait = 200*time.Millisecond + b.jitter(100*time.Millisecond)
+			c.log.Debug("state service", "err", err)
+			wait = 200*time.Millisecond + c.jitter(100*time.Millisecond)
 		}
 		select {
-		case <-b.ctx.Done():
+		case <-c.ctx.Done():
 		case <-time.After(wait):
 		}
 	}
 }
 
-func (b *controller) runCloudCalls() {
+func (c *controller) runCloudCalls() {
 	for {
 		select {
-		case <-b.ctx.Done():
+		case <-c.ctx.Done():
 			return
-		case f := <-b.cloudCalls:
+		case f := <-c.cloudCalls:
 			f()
 		}
 	}
--- a/internal/controller/shortage_test.go
+++ b/internal/controller/shortage_test.go
@@ -19,11 +19,11 @@
 	ctx, cancel := context.WithCancel(c.ctx)
 	var wg sync.WaitGroup
 	for i, n := range c.nodes {
-		b := n.brain
+		ctl := n.brain
 		wg.Go(func() {
 			time.Sleep(time.Duration(i) * (busy + free) / time.Duration(len(c.nodes)))
 			for ctx.Err() == nil {
-				b.enqueue(priorityState, func() { time.Sleep(busy) })
+				ctl.enqueue(priorityState, func() { time.Sleep(busy) })
 				time.Sleep(busy + free)
 			}
 		})
@@ -34,9 +34,9 @@
 // owners tells which node holds each right.
 func (c *cluster) owners() map[string]string {
 	out := map[string]string{}
-	b := c.nodes[0].brain
-	b.call(c.ctx, priorityState, func() {
-		for key, h := range b.holders {
+	ctl := c.nodes[0].brain
+	ctl.call(c.ctx, priorityState, func() {
+		for key, h := range ctl.holders {
 			out[key] = h.Node
 		}
 	})
@@ -125,12 +125,12 @@
 	inWorld(t, func(c *cluster) {
 		c.submit(jobBody("wk-1", wire.Array, "blue", "normal", 2, 2, 5))
 		c.awaitDone("wk-1", 2*time.Minute)
-		b := c.nodes[0].brain
+		ctl := c.nodes[0].brain
 		ctx, cancel := context.WithCancel(c.ctx)
 		var wg sync.WaitGroup
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				b.call(c.ctx, priorityState, func() { time.Sleep(900 * time.Millisecond) })
+				ctl.call(c.ctx, priorityState, func() { time.Sleep(900 * time.Millisecond) })
 				time.Sleep(time.Millisecond) // or it would be luck whether users have a turn
 			}
 		})
@@ -144,9 +144,9 @@
 				begun := time.Now()
 				var ans api.Response
 				if i%2 == 0 {
-					ans = b.Poll(limit, "wk-1")
+					ans = ctl.Poll(limit, "wk-1")
 				} else {
-					ans = b.Poll(limit, fmt.Sprintf("wk-%d", 1000+i))
+					ans = ctl.Poll(limit, fmt.Sprintf("wk-%d", 1000+i))
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -168,7 +168,7 @@
 		time.Sleep(time.Second)
 		limit, done := context.WithTimeout(c.ctx, 1800*time.Millisecond)
 		defer done()
-		if ans := b.Poll(limit, "wk-1"); ans.Status != http.StatusOK {
+		if ans := ctl.Poll(limit, "wk-1"); ans.Status != http.StatusOK {
 			t.Errorf("status %d when there is time again", ans.Status)
 		}
 	})
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -36,10 +36,10 @@
 // them.
 func (c *cluster) holdersOf() map[string]string {
 	out := map[string]string{}
-	b := c.nodes[0].brain
-	b.call(c.ctx, priorityState, func() {
-		for key, h := range b.holders {
-			out[key] = fmt.Sprint(h.Node, b.revisions[key])
+	ctl := c.nodes[0].brain
+	ctl.call(c.ctx, priorityState, func() {
+		for key, h := range ctl.holders {
+			out[key] = fmt.Sprint(h.Node, ctl.revisions[key])
 		}
 	})
 	return out
@@ -51,8 +51,8 @@
 	for _, n := range c.nodes {
 		n.brain.call(c.ctx, priorityState, func() {
 			if n.brain.isLeader() {
-				for _, h := range n.brain.machineSummaries() {
-					parts[h.Partition] = true
+				for _, summary := range n.brain.machineSummaries() {
+					parts[summary.Partition] = true
 				}
 			}
 		})
@@ -111,17 +111,17 @@
 // A report that shows no token of ours may be a copy from before a take-over:
 // until one does, nothing is placed on its machine.
 func TestCopyFromBeforeATakeOver(t *testing.T) {
-	b := lone(t)
-	p := b.partitions[0]
+	c := lone(t)
+	p := c.partitions[0]
 	p.token, p.firstToken = 20, 20
-	m := b.machineNamed("host-1")
+	m := c.machineNamed("host-1")
 	for _, x := range []struct {
 		token, session, seq uint64
 		up                  bool
 	}{{0, 1, 7, false}, {12, 1, 8, false}, {20, 1, 9, true}, {12, 1, 8, true}, {12, 2, 1, false}, {21, 2, 2, true}} {
-		b.now = b.now.Add(time.Second)
-		b.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: x.session, Sequence: x.seq, Token: x.token}, p, true)
-		if b.usable(m, p) != x.up {
+		c.now = c.now.Add(time.Second)
+		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: x.session, Sequence: x.seq, Token: x.token}, p, true)
+		if c.usable(m, p) != x.up {
 			t.Errorf("after report %+v the machine is usable: %v", x, !x.up)
 		}
 	}
@@ -374,9 +374,9 @@
 	inWorld(t, func(c *cluster) {
 		time.Sleep(10 * time.Second)
 		terms := func(i int) (n int, sum uint64) {
-			b := c.nodes[i].brain
-			b.call(c.ctx, priorityState, func() {
-				for _, p := range b.partitions {
+			ctl := c.nodes[i].brain
+			ctl.call(c.ctx, priorityState, func() {
+				for _, p := range ctl.partitions {
 					if p.token != 0 && p.active {
 						n, sum = n+1, sum+p.token
 					}
@@ -401,24 +401,24 @@
 // silent together, few are asked at a time, half of the places are kept for
 // commands, and each machine has its turn.
 func TestDirectCommandsAreBounded(t *testing.T) {
-	b := crowded(t, 2000)
-	p := b.partitions[0]
-	b.maxDirects = 40
-	b.now = b.now.Add(20 * time.Second)
-	b.freshAt = b.now
-	b.probeUnreachable()
-	if b.directsInFlight != 20 || b.directsInFlight+len(b.directQueue) != len(p.machines) || len(p.machines) < 300 {
-		t.Fatalf("%d commands are open and %d machines wait, of %d", b.directsInFlight, len(b.directQueue), len(p.machines))
+	c := crowded(t, 2000)
+	p := c.partitions[0]
+	c.maxDirects = 40
+	c.now = c.now.Add(20 * time.Second)
+	c.freshAt = c.now
+	c.probeUnreachable()
+	if c.directsInFlight != 20 || c.directsInFlight+len(c.directQueue) != len(p.machines) || len(p.machines) < 300 {
+		t.Fatalf("%d commands are open and %d machines wait, of %d", c.directsInFlight, len(c.directQueue), len(p.machines))
 	}
 	asked := map[string]bool{}
-	for rounds := 0; len(b.directQueue) > 0; rounds++ {
+	for rounds := 0; len(c.directQueue) > 0; rounds++ {
 		if rounds > len(p.machines)/20 {
 			t.Fatal("a machine never has its turn")
 		}
-		b.directsInFlight = 0
-		b.sendQueuedDirect()
-		if b.directsInFlight > 20 {
-			t.Fatalf("%d commands are open", b.directsInFlight)
+		c.directsInFlight = 0
+		c.sendQueuedDirect()
+		if c.directsInFlight > 20 {
+			t.Fatalf("%d commands are open", c.directsInFlight)
 		}
 	}
 	for _, m := range p.machines {
@@ -447,15 +447,15 @@
 func TestNothingIsSentAfterStandingStill(t *testing.T) {
 	for _, still := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			b := lone(t)
+			c := lone(t)
 			out := &counting{}
-			b.workerClient = fleet.NewClient(out)
-			m := b.machineNamed("host-1")
-			m.addr, m.incarnation, m.heartbeatAt = "10.1.0.1:1", 1, b.now
+			c.workerClient = fleet.NewClient(out)
+			m := c.machineNamed("host-1")
+			m.addr, m.incarnation, m.heartbeatAt = "10.1.0.1:1", 1, c.now
 			if still {
 				time.Sleep(5 * time.Second) // b.now is when it was decided
 			}
-			b.sendDirect(m, b.partitions[0], []wire.Command{{Op: wire.OpStart, Task: "wk-1/0", Attempt: 1}})
+			c.sendDirect(m, c.partitions[0], []wire.Command{{Op: wire.OpStart, Task: "wk-1/0", Attempt: 1}})
 			synctest.Wait()
 			if sent := out.sent.Load() > 0; sent == still {
 				t.Errorf("stood still %v: sent %v", still, sent)
@@ -508,19 +508,19 @@
 // After a crash of all the only machine of a part may be the one that died. Reports of
 // other parts' machines show that it is not we who can't be reached.
 func TestOnlyMachineOfAPartDied(t *testing.T) {
-	b := lone(t)
-	p := b.partitions[0]
-	p.ownedSince, p.formerOwnerStaleness, p.firstToken = b.now, b.maxStaleness, p.token
-	b.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Service: true, Tasks: 1, CPUs: 1}}), 5)
-	b.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1, Addr: "10.1.0.1:1"}}}), 6)
-	m := b.machineNamed("host-1")
+	c := lone(t)
+	p := c.partitions[0]
+	p.ownedSince, p.formerOwnerStaleness, p.firstToken = c.now, c.maxStaleness, p.token
+	c.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Service: true, Tasks: 1, CPUs: 1}}), 5)
+	c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1, Addr: "10.1.0.1:1"}}}), 6)
+	m := c.machineNamed("host-1")
 	m.unanswered = unansweredLimit
 	for _, reached := range []bool{false, true} {
-		b.now = b.now.Add(6 * time.Second)
+		c.now = c.now.Add(6 * time.Second)
 		if reached {
-			b.lastHeartbeatAt = b.now
+			c.lastHeartbeatAt = c.now
 		}
-		if b.unreachable(m, p) != reached {
+		if c.unreachable(m, p) != reached {
 			t.Errorf("workers reach us: %v, found silent: %v", reached, !reached)
 		}
 	}
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -203,12 +203,12 @@
 // all of it. That it takes a gang's attempts, a pool's lending and pieces of a record for
 // what it knows is in docs/design.md.
 func TestProductionReadsOurRecords(t *testing.T) {
-	b := lone(t)
-	b.cfg.Settings.State.ValueKB = 0.5
-	m := b.machineNamed("host-000231")
+	c := lone(t)
+	c.cfg.Settings.State.ValueKB = 0.5
+	m := c.machineNamed("host-000231")
 	m.addr = "10.1.0.232:9000"
 	spec := &wire.Job{ID: "wk-2", Team: "t", Gang: true, Tasks: 3, CPUs: 2, CheckpointS: 4, MachineTypes: []string{"small"}}
-	r := &taskGroup{partition: 1, zone: "a", guaranteed: true, throttle: 3}
+	group := &taskGroup{partition: 1, zone: "a", guaranteed: true, throttle: 3}
 	entries := []binding{{task: 0, attempt: 2, machine: m, incarnation: 2}, {task: 1, attempt: 2}, {task: 2, attempt: 2, machine: m, incarnation: 2}}
 	strict := func(key string, raw []byte) {
 		t.Helper()
@@ -217,8 +217,8 @@
 		}
 	}
 	strict(jobKey("wk-2"), record.JSON(record.Job{AcceptedAtMS: 5, Spec: spec}))
-	strict(jobKey("wk-2"), b.cancelledValue(&job{spec: spec, acceptedAt: b.now}))
-	for _, piece := range b.splitToFit(r, 2, append(entries, make([]binding, 60)...)) {
+	strict(jobKey("wk-2"), c.cancelledValue(&job{spec: spec, acceptedAt: c.now}))
+	for _, piece := range c.splitToFit(group, 2, append(entries, make([]binding, 60)...)) {
 		strict(groupKey("wk-2", 0), piece.At(groupKey("wk-2", 0)))
 	}
 	strict(loanPrefix+"host-1", record.JSON(record.MachineLoan{Job: reserveLoanJob, Acknowledged: true}))
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -153,9 +153,9 @@
 	if n.cancel == nil {
 		return
 	}
-	b := n.brain
-	if !b.call(c.ctx, priorityState, func() {
-		for _, p := range b.partitions {
+	ctl := n.brain
+	if !ctl.call(c.ctx, priorityState, func() {
+		for _, p := range ctl.partitions {
 			if p.token == 0 || !p.active {
 				continue
 			}
@@ -163,7 +163,7 @@
 				c.t.Errorf("node %d part %d: %v", i, p.index, err)
 			}
 			for _, t := range p.cells.Tasks() {
-				if r := b.groups[t.Group]; r == nil || r.binding(t.Num) == nil {
+				if group := ctl.groups[t.Group]; group == nil || group.binding(t.Num) == nil {
 					c.t.Errorf("node %d part %d: cell of %v, which no record has", i, p.index, t)
 				}
 			}
@@ -189,7 +189,7 @@
 		out = os.Stderr
 	}
 	log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	b := newController(ctx, n.cfg, n.operator(), log, clients{state: n.stateTransport(), cloud: n.net, workers: n.net, jitter: func(most time.Duration) time.Duration {
+	ctl := newController(ctx, n.cfg, n.operator(), log, clients{state: n.stateTransport(), cloud: n.net, workers: n.net, jitter: func(most time.Duration) time.Duration {
 		return time.Duration(standin.Draw(uint64(i), n.cfg.Name) * float64(most))
 	}, send: func(sibling string, frame []byte) {
 		for _, o := range c.nodes {
@@ -214,14 +214,14 @@
 		}
 	}})
 	if n.supported != nil {
-		b.rollout.supported = *n.supported
+		ctl.rollout.supported = *n.supported
 	}
-	c.noteBoot(n, b)
+	c.noteBoot(n, ctl)
 	n.mu.Lock()
-	n.brain, n.cancel, n.wg = b, cancel, &sync.WaitGroup{}
+	n.brain, n.cancel, n.wg = ctl, cancel, &sync.WaitGroup{}
 	n.mu.Unlock()
-	b.start(n.wg)
-	h := api.Handler(b, api.Limits{Connections: 100, Requests: 50})
+	ctl.start(n.wg)
+	h := api.Handler(ctl, api.Limits{Connections: 100, Requests: 50})
 	c.world.Serve(n.cfg.APIAddr, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if report := r.URL.Path == "/v1/report"; report && n.deaf.Load() || !report && n.shut.Load() {
 			<-r.Context().Done()
@@ -309,15 +309,15 @@
 func (c *cluster) trySubmit(body map[string]any) bool {
 	c.t.Helper()
 	raw, _ := json.Marshal(body)
-	j, err := wire.ParseJob(raw)
+	spec, err := wire.ParseJob(raw)
 	if err != nil {
 		c.t.Error(err)
 		return false
 	}
-	c.world.Upload(j)
-	status, _ := c.call(standin.Submit, j.ID, body, j, 20*time.Second)
+	c.world.Upload(spec)
+	status, _ := c.call(standin.Submit, spec.ID, body, spec, 20*time.Second)
 	if status != 0 && status != http.StatusCreated && status != http.StatusOK {
-		c.t.Errorf("submission of %s: status %d", j.ID, status)
+		c.t.Errorf("submission of %s: status %d", spec.ID, status)
 		return false
 	}
 	return status != 0
@@ -407,12 +407,12 @@
 			}
 			x.change(body)
 			raw, _ := json.Marshal(body)
-			j, err := wire.ParseJob(raw)
+			spec, err := wire.ParseJob(raw)
 			if err == nil && x.status == 201 {
-				c.world.Upload(j)
+				c.world.Upload(spec)
 			}
 			id, _ := body["nameId"].(string)
-			if status, _ := c.call(standin.Submit, id, body, j, 10*time.Second); status != x.status {
+			if status, _ := c.call(standin.Submit, id, body, spec, 10*time.Second); status != x.status {
 				t.Errorf("%v: status %d, not %d", body, status, x.status)
 			}
 		}
