--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -18,7 +18,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// Answer of the service to one request.
+// Response of the service to one request.
 type Response struct {
 	Status int
 	Body   any
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -86,7 +86,7 @@
 	return fmt.Errorf("cloud: %s %s: status %d", method, path, resp.StatusCode)
 }
 
-// Types lists the machine types with current prices.
+// MachineTypes lists the machine types with current prices.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var out wire.MachineTypes
 	if err := c.call(ctx, http.MethodGet, "/machine_types", nil, &out); err != nil {
@@ -95,7 +95,7 @@
 	return out.Types, nil
 }
 
-// Rent asks for machines. Repeating a request that was granted rents nothing.
+// Launch asks for machines. Repeating a request that was granted rents nothing.
 func (c *Client) Launch(ctx context.Context, r wire.LaunchRequest) ([]string, error) {
 	var out wire.MachineNames
 	if err := c.call(ctx, http.MethodPost, "/rentals", r, &out); err != nil {
@@ -104,10 +104,10 @@
 	return out.Machines, nil
 }
 
-// MaxRelease is how many machines one call may release.
+// MaxTerminate is how many machines one call may release.
 const MaxTerminate = 100
 
-// Release returns machines. Without an error they are gone, with all that was on them.
+// Terminate returns machines. Without an error they are gone, with all that was on them.
 func (c *Client) Terminate(ctx context.Context, names []string) error {
 	return c.call(ctx, http.MethodPost, "/rentals/release", wire.MachineNames{Machines: names}, nil)
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -19,7 +19,7 @@
 	EvictAfter time.Duration
 	// BootPatience: a machine that is not up after this many boot times is returned.
 	BootPatience float64
-	// RightTTL: how long parts and the lead outlive their holder.
+	// LeaseTTL: how long parts and the lead outlive their holder.
 	LeaseTTL time.Duration
 	// Spot: rent spot machines for jobs that may use them.
 	Spot bool
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -243,7 +243,7 @@
 	return names
 }
 
-// Within is, for each class that has such an objective, in how many seconds its
+// ObjectiveSeconds is, for each class that has such an objective, in how many seconds its
 // jobs should be done, whatever their deadlines.
 func (p *Platform) ObjectiveSeconds() map[string]float64 {
 	within := map[string]float64{}
@@ -267,13 +267,13 @@
 // Seconds turns a settings' number of seconds into a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// LeaseEnd is how long after the last answer that could renew a worker's
+// LeaseExpiry is how long after the last answer that could renew a worker's
 // lease all its tasks are surely gone, on any machine's clock.
 func LeaseExpiry(cancelS, leaseS float64) time.Duration {
 	return Seconds(leaseS*(1+2*drift)) + leaseMargin(cancelS, leaseS)
 }
 
-// HoldTime bounds how long an owner may answer reports after the start of its
+// MaxStaleness bounds how long an owner may answer reports after the start of its
 // last successful read of the state service. Another controller may have told
 // a user "cancelled" right after that read, and all tasks must be gone within
 // cancelS of it, which for an unreachable worker means one whole lease later.
--- a/internal/controller/alloc_test.go
+++ b/internal/controller/allocations_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"eiderhitch/internal/mesh"
+	"eiderhitch/internal/peer"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
@@ -101,10 +101,10 @@
 		c := crowded(t, machines)
 		n := float64(len(c.partitions[0].machines))
 		var frame []byte
-		if got := testing.AllocsPerRun(20, func() { frame = mesh.AppendStatus(nil, c.peerStatus(), mesh.Plain) }); got > 30 {
+		if got := testing.AllocsPerRun(20, func() { frame = peer.AppendStatus(nil, c.peerStatus(), peer.Plain) }); got > 30 {
 			t.Errorf("%d machines: %v allocations to send a status", machines, got)
 		}
-		s := &mesh.Status{}
+		s := &peer.Status{}
 		if got := testing.AllocsPerRun(20, func() { *s = *c.peerStatus() }); got > 20 {
 			t.Errorf("%d machines: %v allocations to make a status", machines, got)
 		}
@@ -176,7 +176,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := crowded(b, n)
 			for b.Loop() {
-				mesh.AppendStatus(nil, c.peerStatus(), mesh.Plain)
+				peer.AppendStatus(nil, c.peerStatus(), peer.Plain)
 			}
 		})
 	}
--- a/internal/controller/deal.go
+++ b/internal/controller/assignment.go
@@ -6,17 +6,17 @@
 	"slices"
 	"time"
 
-	"eiderhitch/internal/core"
 	"eiderhitch/internal/record"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
 
-func (c *controller) quotas() []core.Quota {
-	out := make([]core.Quota, len(c.teamIndex))
+func (c *controller) quotas() []scheduling.Quota {
+	out := make([]scheduling.Quota, len(c.teamIndex))
 	for i := range c.cfg.Settings.Teams {
 		t := &c.cfg.Settings.Teams[i]
-		out[c.team(t.Name)] = core.Quota{Guaranteed: core.NewResources(t.CPUs, t.GPUs, 0), Limit: core.NewResources(t.CPUsMax, t.GPUsMax, 0)}
+		out[c.team(t.Name)] = scheduling.Quota{Guaranteed: scheduling.NewResources(t.CPUs, t.GPUs, 0), Limit: scheduling.NewResources(t.CPUsMax, t.GPUsMax, 0)}
 	}
 	for group := range c.allGroups() {
 		if group.job.spec == nil {
@@ -58,9 +58,9 @@
 	return out
 }
 
-// deal gives waiting tasks to parts that have room for them, highest claims
+// assign gives waiting tasks to parts that have room for them, highest claims
 // first, and returns what found none.
-func (c *controller) assign(summaries []*core.MachineSummary) []core.Demand {
+func (c *controller) assign(summaries []*scheduling.MachineSummary) []scheduling.Demand {
 	byUrgency := c.byUrgency()
 	wants, lost := c.placeAssigned(summaries, byUrgency)
 	var jobs []*job
@@ -148,7 +148,7 @@
 	return wants
 }
 
-// groupPatience is how long a group for which there is no machine holds back its team's
+// quotaHoldTime is how long a group for which there is no machine holds back its team's
 // limit for one that may come.
 const quotaHoldTime = 45 * time.Second
 
@@ -156,12 +156,12 @@
 // make some. Where there is none, nothing of its team is held back or stopped for it: the
 // room that came of that went to others, who were stopped for it in turn, several times a
 // second.
-func (c *controller) placeable(summaries []*core.MachineSummary, j *job) bool {
+func (c *controller) placeable(summaries []*scheduling.MachineSummary, j *job) bool {
 	zone := ""
 	if j.spec.SingleZone {
 		zone = c.zoneOfJob(j)
 	}
-	can := func(summary *core.MachineSummary) bool {
+	can := func(summary *scheduling.MachineSummary) bool {
 		return !summary.Booting && c.reserveAllows(j, summary) && allowed(j.spec, zone, summary.Type, summary.Zone, summary.Spot)
 	}
 	for _, summary := range summaries {
@@ -169,13 +169,13 @@
 			return true
 		}
 	}
-	return core.PlaceByPreemption(core.CloneSummaries(summaries), can, j.taskSize, core.Claim{Priority: j.spec.Priority, Team: j.team}) != nil
+	return scheduling.PlaceByPreemption(scheduling.CloneSummaries(summaries), can, j.taskSize, scheduling.Claim{Priority: j.spec.Priority, Team: j.team}) != nil
 }
 
-// settleDealt has the tasks that are dealt and not placed yet take the room in
+// placeAssigned has the tasks that are dealt and not placed yet take the room in
 // their parts, and moves those that find none to parts that have it. It returns
 // what found none anywhere, and how much of each record that is.
-func (c *controller) placeAssigned(summaries []*core.MachineSummary, byUrgency func(x, y *job) int) (wants []core.Demand, lost map[*taskGroup]int) {
+func (c *controller) placeAssigned(summaries []*scheduling.MachineSummary, byUrgency func(x, y *job) int) (wants []scheduling.Demand, lost map[*taskGroup]int) {
 	var groups, stuck []*taskGroup
 	for group := range c.allGroups() {
 		if group.job.finalState == unfinishedJob && group.job.spec != nil && group.job.revision != 0 && group.allowedTasks() > group.boundTasks() {
@@ -191,7 +191,7 @@
 	type class struct {
 		sig, zone string
 		part      int
-		claim     core.Claim
+		claim     scheduling.Claim
 	}
 	full := map[class]bool{}
 	for _, group := range groups {
@@ -199,18 +199,18 @@
 		n := group.allowedTasks() - group.boundTasks()
 		kind := class{group.job.equivalenceClass, group.zone, group.partition, group.claim()}
 		if !full[kind] {
-			in := func(summary *core.MachineSummary) bool {
+			in := func(summary *scheduling.MachineSummary) bool {
 				return summary.Partition == group.partition && !summary.Booting && allowed(spec, group.zone, summary.Type, summary.Zone, summary.Spot)
 			}
 			if spec.Gang && group.partition == c.loanPartition() && roomFor(summaries, in, group.job.taskSize, n) < n {
 				// It gathers room there, but holds none for long that it can't use.
 				any := in
-				in = func(summary *core.MachineSummary) bool { return any(summary) && !c.unusedForLong(summary) }
+				in = func(summary *scheduling.MachineSummary) bool { return any(summary) && !c.unusedForLong(summary) }
 			}
-			for _, k := range core.PlaceInFreeRoom(summaries, in, group.job.taskSize, n) {
+			for _, k := range scheduling.PlaceInFreeRoom(summaries, in, group.job.taskSize, n) {
 				n -= k
 			}
-			for n > 0 && spec.Priority > 0 && core.PlaceByPreemption(summaries, in, group.job.taskSize, group.claim()) != nil {
+			for n > 0 && spec.Priority > 0 && scheduling.PlaceByPreemption(summaries, in, group.job.taskSize, group.claim()) != nil {
 				n--
 			}
 			full[kind] = n > 0
@@ -239,7 +239,7 @@
 }
 
 // roomFor is for how many of n tasks hosts have free room.
-func roomFor(summaries []*core.MachineSummary, in func(*core.MachineSummary) bool, need core.Resources, n int) int {
+func roomFor(summaries []*scheduling.MachineSummary, in func(*scheduling.MachineSummary) bool, need scheduling.Resources, n int) int {
 	room := 0
 	for _, summary := range summaries {
 		if in(summary) {
@@ -249,7 +249,7 @@
 	return room
 }
 
-// slack is the time until a job's deadline, or until it should be done all the same.
+// slackS is the time until a job's deadline, or until it should be done all the same.
 func (c *controller) slackS(j *job) float64 {
 	if j.spec.NoDeadline {
 		return math.Inf(1)
@@ -262,14 +262,14 @@
 	return slack
 }
 
-// want is what a job's tasks that found no room ask of the fleet.
-func (c *controller) demand(j *job, zone string, n int) core.Demand {
+// demand is what a job's tasks that found no room ask of the fleet.
+func (c *controller) demand(j *job, zone string, n int) scheduling.Demand {
 	spec, o := j.spec, c.jobOrder(j)
-	return core.Demand{Class: spec.Class, TaskSize: j.taskSize, Count: n, AllOrNothing: spec.AllOrNothing(), EstimateS: spec.EstimateS, WindowS: o.WindowS(), SlackS: c.slackS(j),
+	return scheduling.Demand{Class: spec.Class, TaskSize: j.taskSize, Count: n, AllOrNothing: spec.AllOrNothing(), EstimateS: spec.EstimateS, WindowS: o.WindowS(), SlackS: c.slackS(j),
 		Allows: func(typ, zoneOf string, spot bool) bool { return allowed(spec, zone, typ, zoneOf, spot) }}
 }
 
-// dealEvery spaces the dealings of one array: it is dealt out in few records.
+// arrayAssignInterval spaces the dealings of one array: it is dealt out in few records.
 const arrayAssignInterval = time.Second
 
 // turnaround is about how long a cell stays empty when its next task has not
@@ -278,14 +278,14 @@
 	return c.endsDelay() + 2*min(c.stateWriter.Backlog(), 5*time.Second) + time.Second
 }
 
-// dealAhead is how many tasks each part may be dealt beyond its free room, so
+// assignAhead is how many tasks each part may be dealt beyond its free room, so
 // that an ending task's cell is taken again without asking the leader.
 func (c *controller) assignAhead(lost map[*taskGroup]int) []int {
 	ahead := make([]float64, len(c.partitions))
 	t := c.turnaround().Seconds()
 	for group := range c.allGroups() {
 		if group.job.spec != nil && !group.job.spec.AllOrNothing() {
-			ahead[group.partition] += core.AssignAhead(group.boundTasks(), group.job.spec.EstimateS, t)
+			ahead[group.partition] += scheduling.AssignAhead(group.boundTasks(), group.job.spec.EstimateS, t)
 		}
 	}
 	out := make([]int, len(c.partitions))
@@ -300,15 +300,15 @@
 	return out
 }
 
-// portion is what is asked of a dealing: so many tasks after those that are dealt, and
+// assignmentRequest is what is asked of a dealing: so many tasks after those that are dealt, and
 // whether they are dealt even where there is no room.
 type assignmentRequest struct {
 	assigned, remaining int
 	forced              bool
 }
 
-// dealJob deals as many of a job's tasks as there is room for now.
-func (c *controller) assignJob(summaries []*core.MachineSummary, limits []core.Quota, j *job, ask assignmentRequest) core.Demand {
+// assignJob deals as many of a job's tasks as there is room for now.
+func (c *controller) assignJob(summaries []*scheduling.MachineSummary, limits []scheduling.Quota, j *job, ask assignmentRequest) scheduling.Demand {
 	dealt, left := ask.assigned, ask.remaining
 	spec := j.spec
 	lim := &limits[j.team]
@@ -317,13 +317,13 @@
 		room = 0 // it is dealt whole
 	}
 	if room == 0 {
-		return core.Demand{}
+		return scheduling.Demand{}
 	}
 	own := lim.GuaranteedRoom(j.taskSize, room)
 	if spec.Gang && own < room {
 		own = 0 // one claim for all of it, and one record
 	}
-	claim := core.Claim{Priority: spec.Priority, Guaranteed: own > 0, Team: j.team}
+	claim := scheduling.Claim{Priority: spec.Priority, Guaranteed: own > 0, Team: j.team}
 	var chunks []record.TaskGroup
 	next := int32(dealt)
 	add := func(part int, zone string, n int) {
@@ -340,7 +340,7 @@
 	}
 	// Where a team's limit is short, what is dealt but can't run yet would hold
 	// the limit against others of the team, and would have to be held back again.
-	tight := lim.Room(j.taskSize, left+core.MinAssigned*len(c.partitions)) < left+core.MinAssigned*len(c.partitions)
+	tight := lim.Room(j.taskSize, left+scheduling.MinAssigned*len(c.partitions)) < left+scheduling.MinAssigned*len(c.partitions)
 	got := 0
 	// What is kept for gangs is for more urgent work only if there is nothing else.
 	zones := c.candidateZones(j, summaries)
@@ -356,17 +356,17 @@
 		if n <= 0 {
 			continue
 		}
-		can := func(summary *core.MachineSummary) bool {
+		can := func(summary *scheduling.MachineSummary) bool {
 			return !summary.Booting && (i >= pooled || c.reserveAllows(j, summary)) && allowed(spec, zone, summary.Type, summary.Zone, summary.Spot)
 		}
-		d := core.Assignment{TaskSize: j.taskSize, Count: n, Claim: claim, Allowed: can, QuotaShort: tight, Forced: ask.forced}
+		d := scheduling.Assignment{TaskSize: j.taskSize, Count: n, Claim: claim, Allowed: can, QuotaShort: tight, Forced: ask.forced}
 		if spec.AllOrNothing() {
 			// The whole group in one part, so that its cells are reserved
 			// together; its part's owner evicts where there is no free room.
 			part, ok := d.OnePartition(summaries, len(c.partitions))
 			if !ok {
 				if n > 1 && c.borrow(summaries, j, zone, n, claim) {
-					return core.Demand{}
+					return scheduling.Demand{}
 				}
 				continue
 			}
@@ -387,7 +387,7 @@
 		}
 	}
 	if spec.Gang {
-		// It counts whole, also if the rest of it is dealt later (dealRest).
+		// It counts whole, also if the rest of it is dealt later (assignRemainder).
 		chunks = c.fitTransaction(chunks)
 	} else if most := c.cfg.Settings.State.TxnOps / 2; len(chunks) > most {
 		for _, g := range chunks[most:] {
@@ -409,7 +409,7 @@
 	return c.demand(j, zone, room-got)
 }
 
-// newGroup is a record of tasks that are dealt for the first time.
+// newTaskGroupRecord is a record of tasks that are dealt for the first time.
 func newTaskGroupRecord(part int, zone string, own bool, first int32, tasks int) record.TaskGroup {
 	g := record.TaskGroup{Partition: part, Zone: zone, Guaranteed: own}
 	for num := first; num < first+int32(tasks); num++ {
@@ -418,7 +418,7 @@
 	return g
 }
 
-// inOneTxn is how much of a list of records one transaction can create.
+// fitTransaction is how much of a list of records one transaction can create.
 func (c *controller) fitTransaction(chunks []record.TaskGroup) []record.TaskGroup {
 	size := 0
 	for i := range chunks {
@@ -434,7 +434,7 @@
 // twice, and the words round it.
 const recordOverhead = 200
 
-// dealRest deals the tasks of a gang that did not fit into the transactions before, to
+// assignRemainder deals the tasks of a gang that did not fit into the transactions before, to
 // where those are. Which tasks are dealt is known by number alone, so there is one
 // transaction at a time; a new leader goes on where the last one stopped.
 func (c *controller) assignRemainder(j *job, dealt int) {
@@ -446,7 +446,7 @@
 	c.writeAssignment(j, c.fitTransaction(chunks))
 }
 
-// writeDealing stores the records of one dealing. All of them are written together or
+// writeAssignment stores the records of one dealing. All of them are written together or
 // not at all: which tasks are dealt already is known by their number alone, so a gap,
 // left by one write that failed, would have a later dealing hand out tasks twice.
 func (c *controller) writeAssignment(j *job, chunks []record.TaskGroup) {
@@ -483,7 +483,7 @@
 	c.log.Debug("dealt", "job", j.id, "tasks", tasks, "records", len(chunks))
 }
 
-// emptyRecs are records whose tasks are all done. They are used again, so that a large
+// emptyGroups are records whose tasks are all done. They are used again, so that a large
 // array leaves few behind. None is deleted while its job lives: a dealing that is applied
 // minutes late must not find its key absent once more.
 func (j *job) emptyGroups() []*taskGroup {
@@ -497,7 +497,7 @@
 	return empty
 }
 
-// pinned is the zone that a samePlace job's tasks are in already, or are to be.
+// zoneOfJob is the zone that a samePlace job's tasks are in already, or are to be.
 func (c *controller) zoneOfJob(j *job) string {
 	for _, group := range j.groups {
 		if group.zone != "" && len(group.bindings) > 0 {
@@ -507,8 +507,8 @@
 	return ""
 }
 
-// zonesFor lists the zones to try; "" stands for any.
-func (c *controller) candidateZones(j *job, summaries []*core.MachineSummary) []string {
+// candidateZones lists the zones to try; "" stands for any.
+func (c *controller) candidateZones(j *job, summaries []*scheduling.MachineSummary) []string {
 	if !j.spec.SingleZone && !j.spec.Spread {
 		return []string{""}
 	}
@@ -532,7 +532,7 @@
 	return zones
 }
 
-// spreadRoom is how many more tasks may go to a zone: half of all, rounded up.
+// zoneSpreadRoom is how many more tasks may go to a zone: half of all, rounded up.
 func (c *controller) zoneSpreadRoom(j *job, zone string, more []record.TaskGroup) int {
 	n := (j.spec.Tasks + 1) / 2
 	for _, group := range j.groups {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"eiderhitch/internal/config"
-	"eiderhitch/internal/mesh"
+	"eiderhitch/internal/peer"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/rollout"
 	"eiderhitch/internal/wire"
@@ -68,7 +68,7 @@
 		all = append(all, m)
 		if part := m.partition; part != 0 {
 			st := c.peers[fmt.Sprintf("n%d", part)].status
-			st.Machines = append(st.Machines, mesh.Machine{Name: name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: 1, Flags: mesh.Reachable})
+			st.Machines = append(st.Machines, peer.Machine{Name: name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: 1, Flags: peer.Reachable})
 		}
 	}
 	id := 0
@@ -116,7 +116,7 @@
 // siblingsFor has a sibling vouch for a part.
 func (c *controller) siblingsFor(node string, part int) {
 	if x := c.peers[node]; x != nil {
-		x.status, x.heardAt, x.heardSince = &mesh.Status{Node: node, Fresh: true, Eligible: true, Partitions: []uint64{uint64(part)}}, c.now.Add(time.Hour), c.now
+		x.status, x.heardAt, x.heardSince = &peer.Status{Node: node, Fresh: true, Eligible: true, Partitions: []uint64{uint64(part)}}, c.now.Add(time.Hour), c.now
 	}
 }
 
--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"eiderhitch/internal/core"
 	"eiderhitch/internal/record"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
@@ -19,41 +19,41 @@
 	maxEndsDelay = 2500 * time.Millisecond
 )
 
-// gatherEnds is how long ended attempts of a record wait for others now: writes
+// endsDelay is how long ended attempts of a record wait for others now: writes
 // are scarce, and the more of them wait, the more one should carry. Their cells
 // are free meanwhile.
 func (c *controller) endsDelay() time.Duration {
 	return min(minEndsDelay+2*c.stateWriter.Backlog(), maxEndsDelay)
 }
 
-// gatherBinds is how long the new bindings of an array's record wait for others
+// bindingsDelay is how long the new bindings of an array's record wait for others
 // while more of its tasks are to come: cells come free one by one, many times a
 // second, and a change for each would take up what the state service allows.
 func (c *controller) bindingsDelay() time.Duration {
 	return min(400*time.Millisecond+c.stateWriter.Backlog(), time.Second)
 }
 
-// barredWrite is how long a record that was refused as invalid is not written.
+// invalidWriteBackoff is how long a record that was refused as invalid is not written.
 const invalidWriteBackoff = 10 * time.Second
 
-// recordUpdate is what the next write of a record changes.
+// groupUpdate is what the next write of a record changes.
 type groupUpdate struct {
-	bindings   []binding   // as they will be stored
-	done       int         // tasks done, as it will be stored
-	ended      []endedTask // proven ends that are stored with it
-	newlyBound []core.Task // new bindings
-	unplaced   int         // tasks that stay without a cell
+	bindings   []binding         // as they will be stored
+	done       int               // tasks done, as it will be stored
+	ended      []endedTask       // proven ends that are stored with it
+	newlyBound []scheduling.Task // new bindings
+	unplaced   int               // tasks that stay without a cell
 	changed    bool
 	oversized  bool // the stored form is beyond what is allowed now
 }
 
 // endedTask is a task with the proven end of its attempt.
 type endedTask struct {
-	task core.Task
+	task scheduling.Task
 	end  attemptEnd
 }
 
-// store writes what has changed of a record, if anything.
+// storeGroup writes what has changed of a record, if anything.
 func (c *controller) storeGroup(p *partition, group *taskGroup) {
 	update := c.planUpdate(p, group)
 	if c.now.Before(group.retryWriteAt) {
@@ -137,7 +137,7 @@
 	return update
 }
 
-// planFinished has all tasks of a gang's record done: one of the gang is.
+// planGangDone has all tasks of a gang's record done: one of the gang is.
 func (c *controller) planGangDone(group *taskGroup, update *groupUpdate) {
 	for i := range group.bindings {
 		t := group.task(group.bindings[i].task)
@@ -149,7 +149,7 @@
 	update.changed = len(group.bindings) > 0
 }
 
-// updateWaits tells whether an array's update can wait for more to come.
+// updateCanWait tells whether an array's update can wait for more to come.
 func (c *controller) updateCanWait(group *taskGroup, update *groupUpdate) bool {
 	if group.job.spec.AllOrNothing() {
 		return false
--- a/internal/controller/world_test.go
+++ b/internal/controller/cluster_test.go
@@ -19,7 +19,7 @@
 
 	"eiderhitch/internal/api"
 	"eiderhitch/internal/config"
-	"eiderhitch/internal/mesh"
+	"eiderhitch/internal/peer"
 	"eiderhitch/internal/rollout"
 	"eiderhitch/internal/standin"
 	"eiderhitch/internal/wire"
@@ -38,7 +38,7 @@
 	// boots are the ranges of the versions that processes were of, by what they drew.
 	boots map[string]rollout.Range
 	// onFrame is told of each frame between controllers; nil: nobody is.
-	onFrame func(from, to string, version mesh.Version)
+	onFrame func(from, to string, version peer.Version)
 	// upgrades: the controllers take part in staged upgrades.
 	upgrades bool
 	// looks: until then users ask everywhere as soon as they were told something.
@@ -200,12 +200,12 @@
 				continue
 			}
 			if c.onFrame != nil {
-				c.onFrame(n.cfg.Name, sibling, mesh.Version(frame[2]))
+				c.onFrame(n.cfg.Name, sibling, peer.Version(frame[2]))
 			}
-			if o.unaware && mesh.Version(frame[2]) != mesh.Plain {
+			if o.unaware && peer.Version(frame[2]) != peer.Plain {
 				continue // refused by name
 			}
-			s, err := mesh.ReadStatus(bytes.NewReader(frame))
+			s, err := peer.ReadStatus(bytes.NewReader(frame))
 			if err != nil {
 				c.t.Error(err)
 				return
@@ -550,7 +550,7 @@
 }
 
 // An owner that only the state service refuses can't learn of a cancellation;
-// the tasks must be gone in time all the same (see config.HoldTime).
+// the tasks must be gone in time all the same (see config.MaxStaleness).
 func TestCancelDuringOutageOfOne(t *testing.T) {
 	inWorld(t, func(c *cluster) {
 		for i := range 6 {
--- a/internal/controller/brain.go
+++ b/internal/controller/controller.go
@@ -8,15 +8,15 @@
 
 	"eiderhitch/internal/cloud"
 	"eiderhitch/internal/config"
-	"eiderhitch/internal/core"
-	"eiderhitch/internal/fleet"
-	"eiderhitch/internal/mesh"
+	"eiderhitch/internal/peer"
 	"eiderhitch/internal/record"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
+	"eiderhitch/internal/workerclient"
 )
 
-// brain is the actor's state. Only the actor's goroutine touches it.
+// controller is the actor's state. Only the actor's goroutine touches it.
 type controller struct {
 	cfg       *config.Platform
 	operator  *config.Operator
@@ -24,12 +24,12 @@
 	processID string
 	ctx       context.Context
 	events    *eventQueue
-	// cloudQ holds calls to the cloud that wait for their turn.
+	// cloudCalls holds calls to the cloud that wait for their turn.
 	cloudCalls   chan func()
 	stateClient  *store.Client
 	stateWriter  *store.Writer
 	cloudClient  *cloud.Client
-	workerClient *fleet.Client
+	workerClient *workerclient.Client
 	now          time.Time // of the event in work
 	maxStaleness time.Duration
 	leaseExpiry  time.Duration // a worker's lease, with drift and margin
@@ -70,7 +70,7 @@
 	partitions     []*partition
 	machines       map[string]*machine
 	machineByIndex []*machine
-	peers          map[string]*peer
+	peers          map[string]*peerController
 	send           func(sibling string, frame []byte)
 	jitter         func(time.Duration) time.Duration
 	leadership     leadership
@@ -79,19 +79,19 @@
 	terminating       map[string]bool
 	toTerminate       []string
 	terminateInFlight bool
-	attemptEnds       map[core.Task]attemptEnd
+	attemptEnds       map[scheduling.Task]attemptEnd
 	// Direct commands that are open, the most that may be, and who waits.
 	directsInFlight, maxDirects int
 	directQueue                 []*machine
 	passDue                     bool
 	schedulingPass              uint64 // decisions of parts taken so far
-	// yieldUntil: this controller gave its rights up and takes none before then.
+	// backoffUntil: this controller gave its rights up and takes none before then.
 	backoffUntil  time.Time
 	steppedDownAt time.Time // when it last did
-	// wokeAt: this process stood still until then.
+	// resumedFromPauseAt: this process stood still until then.
 	resumedFromPauseAt time.Time
 	lastHeartbeatAt    time.Time // of any worker's last report
-	// serves: reports are taken (HoldTime). resumedAt is when they last were again after
+	// acceptsHeartbeats: reports are taken (MaxStaleness). resumedAt is when they last were again after
 	// an outage: machines could not be heard before.
 	acceptsHeartbeats   bool
 	heartbeatsResumedAt time.Time
@@ -102,14 +102,14 @@
 }
 
 // sibling is what another controller told last.
-type peer struct {
-	status          *mesh.Status
+type peerController struct {
+	status          *peer.Status
 	heardAt         time.Time
 	heardSince      time.Time // since when it has been heard without a gap
 	formerProcessID string    // the process before the present one
 }
 
-// right is a leased key that this process holds or is about to.
+// leasedKey is a leased key that this process holds or is about to.
 type leasedKey struct {
 	key          string
 	token        uint64 // of the write that gave it; 0: not held
@@ -119,23 +119,23 @@
 	backoffUntil time.Time // not taken before then: it was given back
 }
 
-// part is one hash part of the machines.
+// partition is one hash part of the machines.
 type partition struct {
 	index            int
 	key              string
 	token            uint64 // stamp of our holding; 0: not ours
 	firstToken       uint64 // the first of our terms since it was last taken
-	mostNotReceiving bool   // most of its machines seem not to hear us: see machine.deaf
+	mostNotReceiving bool   // most of its machines seem not to hear us: see machine.notReceiving
 	ownedSince       time.Time
 	active           bool // replica was read after the take-over
-	cells            *core.Partition
-	reservations     map[core.Task]reservation
+	cells            *scheduling.Partition
+	reservations     map[scheduling.Task]reservation
 	tokenRaiseDue    bool
 	tokenRaisedAt    time.Time
 	// machines are those that are in the part, whoever owns it.
 	machines []*machine
 	groups   []*taskGroup // that it is in charge of
-	// foreign are records of other parts of which tasks have ended on a machine of this
+	// foreignGroups are records of other parts of which tasks have ended on a machine of this
 	// one, as on one that was lent and came back when its borrower ended: nobody else
 	// knows, and who is in charge of the record would wait for ever.
 	foreignGroups map[*taskGroup]bool
@@ -143,36 +143,36 @@
 	// Cells that came free since endsSince, and in the time before that.
 	freedCells, freedCellsBefore int
 	freedCellsSince              time.Time
-	// mostQuiet as counted at a time, see there.
+	// mostUnreachable as counted at a time, see there.
 	mostUnreachable bool
 	countedAt       time.Time
-	// old is how long a former owner may go on answering reports.
+	// formerOwnerStaleness is how long a former owner may go on answering reports.
 	formerOwnerStaleness time.Duration
 }
 
-// alloc is a claimed cell whose binding is not stored yet.
+// reservation is a claimed cell whose binding is not stored yet.
 type reservation struct {
 	machine     *machine
 	incarnation uint64
 }
 
-// gone is a marker of machines that are gone, and since when it is known.
+// tombstone is a marker of machines that are gone, and since when it is known.
 type tombstone struct {
 	names []string
 	at    time.Time
 }
 
-// outcome is the proven end of an attempt.
+// attemptEnd is the proven end of an attempt.
 type attemptEnd struct {
 	attempt uint64
 	done    bool
 	failed  bool
 }
 
-// post runs f in the actor; it blocks while the lane is full.
+// enqueue runs f in the actor; it blocks while the lane is full.
 func (c *controller) enqueue(l priority, f func()) { c.events.put(c.ctx, l, f) }
 
-// ask runs f in the actor and waits for it. False means that f has not been run and
+// call runs f in the actor and waits for it. False means that f has not been run and
 // won't be, or that ctx ended meanwhile: nobody waits for what it says any more.
 func (c *controller) call(ctx context.Context, l priority, f func()) bool {
 	ready := make(chan struct{})
@@ -197,12 +197,12 @@
 	}
 }
 
-// fresh tells whether the replica is current enough to act on: see HoldTime.
+// isFresh tells whether the replica is current enough to act on: see MaxStaleness.
 func (c *controller) isFresh(limit time.Duration) bool {
 	return c.loaded && c.now.Sub(c.freshAt) < limit
 }
 
-// write submits a unit; then runs in the actor with the result, after the
+// submitWrite submits a unit; then runs in the actor with the result, after the
 // replica has taken the changes in.
 func (c *controller) submitWrite(write *store.Write, then func(err error)) {
 	begun := c.now
--- a/internal/controller/brain_test.go
+++ b/internal/controller/controller_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"eiderhitch/internal/config"
-	"eiderhitch/internal/core"
 	"eiderhitch/internal/record"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
 
@@ -30,7 +30,7 @@
 	c.machineTypes = map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAM: 8}}
 	p := c.partitions[0]
 	p.token, p.active, p.ownedSince = 1, true, c.now.Add(-time.Minute)
-	p.cells, p.reservations = core.NewPartition(), map[core.Task]reservation{}
+	p.cells, p.reservations = scheduling.NewPartition(), map[scheduling.Task]reservation{}
 	return c
 }
 
@@ -116,7 +116,7 @@
 	group := c.groupByKey[key]
 	changes, stamp := 0, uint64(8)
 	for free := 1; free <= 60; free++ { // a task of the team ends every 100 ms
-		lim := core.Quota{Limit: core.NewResources(float64(min(free, 9)), 0, 0)}
+		lim := scheduling.Quota{Limit: scheduling.NewResources(float64(min(free, 9)), 0, 0)}
 		lim.Used = group.job.taskSize.Times(group.quotaTasks(c.cursor))
 		before := group.throttledAt
 		c.unthrottle(group.job, &lim)
--- a/internal/controller/rights.go
+++ b/internal/controller/election.go
@@ -7,17 +7,17 @@
 	"time"
 
 	"eiderhitch/internal/config"
-	"eiderhitch/internal/core"
-	"eiderhitch/internal/mesh"
+	"eiderhitch/internal/peer"
 	"eiderhitch/internal/record"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
 
-// yieldFor is how long a controller that gave its rights up takes none.
+// stepDownBackoff is how long a controller that gave its rights up takes none.
 const stepDownBackoff = 15 * time.Second
 
-// preferred is the node that a part should be with, so that parts spread evenly.
+// preferredOwner is the node that a part should be with, so that parts spread evenly.
 func (c *controller) preferredOwner(n int) string {
 	names := c.cfg.Nodes()
 	return names[n%len(names)]
@@ -28,12 +28,12 @@
 	return s != nil && s.status != nil && s.status.Eligible && c.now.Sub(s.heardAt) < 2500*time.Millisecond
 }
 
-// able tells whether this controller should hold rights.
+// eligible tells whether this controller should hold rights.
 func (c *controller) eligible() bool {
 	return c.isFresh(c.operator.LeaseTTL) && !c.now.Before(c.backoffUntil) && c.rollout.refusal == nil
 }
 
-// tendRights takes vacant rights and hands parts back to their preferred node.
+// campaign takes vacant rights and hands parts back to their preferred node.
 func (c *controller) campaign() {
 	if !c.eligible() {
 		return
@@ -62,7 +62,7 @@
 	c.tryAcquire(c.leaderKey(), wait)
 }
 
-// settled tells whether every machine of a part on which something is bound has been
+// allMachinesHeard tells whether every machine of a part on which something is bound has been
 // heard since it was taken. Each change of hands begins the wait for leases anew: a part
 // whose machines had all died went back and forth between its preferred node, which
 // heard no worker, and another, and their tasks were never proven gone.
@@ -75,7 +75,7 @@
 	return true
 }
 
-// tryTake takes a right that is vacant since wait, or that our own former
+// tryAcquire takes a right that is vacant since wait, or that our own former
 // process holds: that one is surely dead.
 func (c *controller) tryAcquire(key string, wait time.Duration) {
 	leased := c.leasedKeys[key]
@@ -140,7 +140,7 @@
 	})
 }
 
-// keep renews the lease of a right until it is lost. An actor that is slow keeps its
+// keepAlive renews the lease of a right until it is lost. An actor that is slow keeps its
 // rights, since a sibling would hardly be faster and a change of hands costs both;
 // one that has not come round for a whole right-ttl can't serve, and lets them go.
 func (c *controller) keepAlive(leased *leasedKey, key string, lease uint64) {
@@ -181,7 +181,7 @@
 	}
 }
 
-// rightSeen is told what the replica shows of a leased key.
+// observeHolder is told what the replica shows of a leased key.
 func (c *controller) observeHolder(key string, h record.LeaseHolder, stamp uint64) {
 	if leased := c.leasedKeys[key]; leased != nil && leased.token != 0 && stamp > leased.token && h.ProcessID != c.processID {
 		c.onLost(key, "taken by "+h.Node)
@@ -230,7 +230,7 @@
 	}
 }
 
-// yield gives a right back at once.
+// resign gives a right back at once.
 func (c *controller) resign(key string) {
 	leased := c.leasedKeys[key]
 	if leased.token == 0 {
@@ -242,11 +242,11 @@
 	go func() { _ = c.stateClient.RevokeLease(c.ctx, lease) }()
 }
 
-// partGained takes a part over: the replica is read once more, so that it has
+// takeOverPartition takes a part over: the replica is read once more, so that it has
 // all that former owners stored, then the cells are rebuilt from it.
 func (c *controller) takeOverPartition(p *partition, stamp uint64) {
 	p.token, p.firstToken, p.ownedSince, p.active = stamp, stamp, c.now, false
-	p.cells, p.reservations = core.NewPartition(), map[core.Task]reservation{}
+	p.cells, p.reservations = scheduling.NewPartition(), map[scheduling.Task]reservation{}
 	// A former owner's last read may have begun just before its key went; it
 	// may go on answering reports for the hold time after that. Whether there
 	// was one can't be told here, not even after our own restart: the process
@@ -277,7 +277,7 @@
 		for _, x := range s.status.Machines {
 			m := c.machineNamed(x.Name)
 			if m.machineType == "" {
-				m.machineType, m.zone, m.spot = x.Type, x.Zone, x.Flags&mesh.Spot != 0
+				m.machineType, m.zone, m.spot = x.Type, x.Zone, x.Flags&peer.Spot != 0
 			}
 			m.introduce(x.Addr, x.Incarnation)
 		}
@@ -302,7 +302,7 @@
 	})
 }
 
-// raiseTerm rewrites a part's key: a higher token, which fences commands that
+// raiseToken rewrites a part's key: a higher token, which fences commands that
 // may still be under way.
 func (c *controller) raiseToken(p *partition) {
 	key := p.key
@@ -333,7 +333,7 @@
 	})
 }
 
-// voidWrites gives up what waits to be stored under a term that has ended.
+// cancelWrites gives up what waits to be stored under a term that has ended.
 func (p *partition) cancelWrites() {
 	for _, group := range p.groups {
 		group.cancelWrite()
@@ -357,7 +357,7 @@
 	}
 }
 
-// watchHearing gives the rights up when no worker reaches this controller: the
+// stepDownIfUnheard gives the rights up when no worker reaches this controller: the
 // siblings may well be reachable.
 func (c *controller) stepDownIfUnheard() {
 	report := config.Seconds(c.cfg.Settings.Workers.ReportS)
@@ -400,7 +400,7 @@
 	}
 }
 
-// othersMayHear tells whether it may help that somebody else has our rights: a sibling
+// peersMayBeHeard tells whether it may help that somebody else has our rights: a sibling
 // has machines that report to it, or that is not known. Where all machines have died
 // everybody hears none, and rights that go round for ever have nobody wait for the
 // leases to end, so then each gives them up once in that time.
@@ -412,7 +412,7 @@
 			continue
 		}
 		for i := range s.status.Machines {
-			if s.status.Machines[i].Flags&mesh.Reachable != 0 {
+			if s.status.Machines[i].Flags&peer.Reachable != 0 {
 				return true
 			}
 		}
@@ -420,7 +420,7 @@
 	return !known && (c.steppedDownAt.IsZero() || c.lastHeartbeatAt.After(c.steppedDownAt) || c.now.Sub(c.steppedDownAt) > 2*(c.maxStaleness+c.leaseExpiry))
 }
 
-// watchFollowers gives the lead up when neither workers nor other owners reach
+// stepDownIfIsolatedLeader gives the lead up when neither workers nor other owners reach
 // this controller. Siblings alone don't count: where connections between all
 // controllers are refused, the lead would be passed round for nothing.
 func (c *controller) stepDownIfIsolatedLeader() {
@@ -437,7 +437,7 @@
 	}
 }
 
-// reporting is how many machines of ours have reported of late.
+// reportingMachines is how many machines of ours have reported of late.
 func (c *controller) reportingMachines() int {
 	n := 0
 	for _, p := range c.partitions {
@@ -453,7 +453,7 @@
 	return n
 }
 
-// siblingsSilent tells whether there are siblings and none was heard for d.
+// peersSilent tells whether there are siblings and none was heard for d.
 func (c *controller) peersSilent(d time.Duration) bool {
 	for _, s := range c.peers {
 		if c.now.Sub(s.heardAt) < d {
--- a/internal/controller/run.go
+++ b/internal/controller/event_loop.go
@@ -14,13 +14,13 @@
 	"eiderhitch/internal/api"
 	"eiderhitch/internal/cloud"
 	"eiderhitch/internal/config"
-	"eiderhitch/internal/core"
-	"eiderhitch/internal/fleet"
-	"eiderhitch/internal/mesh"
+	"eiderhitch/internal/peer"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/rollout"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
+	"eiderhitch/internal/workerclient"
 )
 
 const (
@@ -30,14 +30,14 @@
 	usageLogInterval = 10 * time.Second
 	watchWait        = 1500 * time.Millisecond
 	cloudQueue       = 64
-	// stoodStill is how late a tick is when it is we who did not run.
+	// pauseThreshold is how late a tick is when it is we who did not run.
 	pauseThreshold  = time.Second
 	minPassInterval = 50 * time.Millisecond
-	// restFactor is how many times a step's duration passes before the next.
+	// passRestFactor is how many times a step's duration passes before the next.
 	passRestFactor = 5
 )
 
-// outside is how a controller reaches the world.
+// clients is how a controller reaches the world.
 type clients struct {
 	state, cloud, workers http.RoundTripper
 	// send hands a status frame to a sibling.
@@ -56,12 +56,12 @@
 		cfg: cfg, operator: op, log: log.With("node", cfg.Name), processID: fmt.Sprintf("%016x", rand.Uint64()), ctx: ctx,
 		events: newEventQueue(), cloudCalls: make(chan func(), cloudQueue),
 		stateClient: st, stateWriter: store.NewWriter(st, s.State.TxnOps, s.State.WriteRPS, s.Count, out.jitter),
-		cloudClient: cloud.NewClient(cfg.External.Cloud, s.Cloud.RPS, out.cloud), workerClient: fleet.NewClient(out.workers), send: out.send, jitter: out.jitter,
+		cloudClient: cloud.NewClient(cfg.External.Cloud, s.Cloud.RPS, out.cloud), workerClient: workerclient.NewClient(out.workers), send: out.send, jitter: out.jitter,
 		maxStaleness: config.MaxStaleness(s.Workers.CancelS, s.Workers.LeaseS), leaseExpiry: config.LeaseExpiry(s.Workers.CancelS, s.Workers.LeaseS),
 		revisions: map[string]uint64{}, deletedRevisions: map[string]uint64{}, jobs: map[string]*job{}, finished: map[string]uint8{}, groupByKey: map[string]*taskGroup{},
 		holders: map[string]record.LeaseHolder{}, terminated: map[string]bool{}, tombstones: map[string]tombstone{}, loans: map[string]*machineLoan{}, teamIndex: map[string]int32{}, objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.State.ValueKB),
-		leasedKeys: newLeasedKeys(rollout.Initial.Keys(), s.Count), machines: map[string]*machine{}, peers: map[string]*peer{}, terminating: map[string]bool{},
-		attemptEnds: map[core.Task]attemptEnd{}, maxDirects: cfg.DirectCommands(), metrics: newMetrics(), schedulingPass: 1,
+		leasedKeys: newLeasedKeys(rollout.Initial.Keys(), s.Count), machines: map[string]*machine{}, peers: map[string]*peerController{}, terminating: map[string]bool{},
+		attemptEnds: map[scheduling.Task]attemptEnd{}, maxDirects: cfg.DirectCommands(), metrics: newMetrics(), schedulingPass: 1,
 	}
 	c.rollout = newRolloutState(cfg, op)
 	c.now = time.Now()
@@ -75,7 +75,7 @@
 	// The last one is the leader's: machines that other parts have lent.
 	c.partitions = append(c.partitions, &partition{index: s.Count, key: c.leaderKey()})
 	for _, x := range cfg.Siblings {
-		c.peers[x.Name] = &peer{}
+		c.peers[x.Name] = &peerController{}
 	}
 	return c
 }
@@ -98,9 +98,9 @@
 		return &http.Transport{MaxConnsPerHost: perHost, MaxIdleConnsPerHost: perHost, MaxIdleConns: idle, IdleConnTimeout: keep, DisableCompression: true}
 	}
 	state, cl, fl := transport(16, 16, 30*time.Second), transport(4, 4, 30*time.Second), transport(1, cfg.DirectCommands(), 20*time.Second)
-	senders := map[string]*mesh.Sender{}
+	senders := map[string]*peer.Sender{}
 	for _, x := range cfg.Siblings {
-		senders[x.Name] = mesh.NewSender(x.Addr)
+		senders[x.Name] = peer.NewSender(x.Addr)
 	}
 	c := newController(ctx, cfg, op, log, clients{state: state, cloud: cl, workers: fl, send: func(sibling string, frame []byte) {
 		senders[sibling].Offer(frame)
@@ -111,7 +111,7 @@
 	defer cancel()
 	defer func() { state.CloseIdleConnections(); cl.CloseIdleConnections(); fl.CloseIdleConnections() }()
 	wg.Go(func() {
-		mesh.Serve(ctx, meshL, c.log, func(s *mesh.Status) { c.enqueue(priorityWorkers, func() { c.handlePeerStatus(s) }) })
+		peer.Serve(ctx, meshL, c.log, func(s *peer.Status) { c.enqueue(priorityWorkers, func() { c.handlePeerStatus(s) }) })
 	})
 	for _, s := range senders {
 		wg.Go(func() { s.Run(ctx) })
@@ -168,10 +168,10 @@
 	}
 }
 
-// deadlines are when the actor's duties are next due.
+// schedule are when the actor's duties are next due.
 type schedule struct{ status, metrics, leader, pass time.Time }
 
-// takeStep has the parts decide. Steps that take long are taken less often: reports,
+// runPass has the parts decide. Steps that take long are taken less often: reports,
 // renewals and users must not wait for them.
 func (c *controller) runPass(due *schedule, now time.Time) {
 	c.passDue = false
@@ -179,7 +179,7 @@
 	due.pass = now.Add(max(minPassInterval, passRestFactor*time.Since(now)))
 }
 
-// planPatience is how long the leader's planning waits for reports that wait.
+// maxPlanningDelay is how long the leader's planning waits for reports that wait.
 const maxPlanningDelay = time.Second
 
 // onTick does what is due by the time.
@@ -234,9 +234,9 @@
 	}
 }
 
-// lagLimit is how late a tick is when answers to direct commands may well be here
+// maxLag is how late a tick is when answers to direct commands may well be here
 // and not be looked at yet.
-const maxLag = fleet.PingTimeout / 4
+const maxLag = workerclient.PingTimeout / 4
 
 // lagging tells whether this process gets so little processor time just now that it
 // can't tell who is late: others or itself.
--- a/internal/controller/inbox.go
+++ b/internal/controller/event_queue.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// lane is one of the actor's queues. Where there is more to do than processor time
+// priority is one of the actor's queues. Where there is more to do than processor time
 // for it, a lane is looked at only while those before it are empty.
 type priority int
 
 const (
-	// laneState is for what the state service has said: it tells that rights are
+	// priorityState is for what the state service has said: it tells that rights are
 	// lost, and what of our own is stored.
 	priorityState priority = iota
-	// laneWorkers is for reports, answers to direct commands, the cloud's answers
+	// priorityWorkers is for reports, answers to direct commands, the cloud's answers
 	// and siblings. A report that is answered too late costs a lease, and with it work
 	// that must then be done once more.
 	priorityWorkers
-	// laneUsers is for users, who can be told to come back.
+	// priorityUsers is for users, who can be told to come back.
 	priorityUsers
 	priorities
 )
 
-// laneSize bounds each lane; who finds it full waits, users excepted.
+// queueSize bounds each lane; who finds it full waits, users excepted.
 const queueSize = 1024
 
-// usersMost is how long a user's request may have waited for the actor for others to
+// maxUserWait is how long a user's request may have waited for the actor for others to
 // queue behind it. It is well below the time in which users give up.
 const maxUserWait = 500 * time.Millisecond
 
-// inbox holds what the actor is to do.
+// eventQueue holds what the actor is to do.
 type eventQueue struct {
 	queues [priorities]chan func()
-	// first is when the user's request that is next, or one before it, was queued.
+	// nextUserQueuedAt is when the user's request that is next, or one before it, was queued.
 	nextUserQueuedAt atomic.Pointer[time.Time]
 }
 
@@ -55,7 +55,7 @@
 	}
 }
 
-// putUser queues a user's request unless those before it wait for too long already:
+// putUserRequest queues a user's request unless those before it wait for too long already:
 // then all are better off if it is told at once to come back.
 func (in *eventQueue) putUserRequest(f func()) bool {
 	at := time.Now()
@@ -73,7 +73,7 @@
 	}
 }
 
-// waiting is about how long the user's request that is next has waited.
+// userWait is about how long the user's request that is next has waited.
 func (in *eventQueue) userWait(now time.Time) time.Duration {
 	first := in.nextUserQueuedAt.Load()
 	if first == nil || len(in.queues[priorityUsers]) == 0 {
@@ -116,7 +116,7 @@
 	return f, false
 }
 
-// pressed tells whether anything waits in a lane before l.
+// hasBefore tells whether anything waits in a lane before l.
 func (in *eventQueue) hasBefore(l priority) bool {
 	for _, c := range in.queues[:l] {
 		if len(c) > 0 {
@@ -126,7 +126,7 @@
 	return false
 }
 
-// backIn is in how many seconds a user who is turned away should come back.
+// retryAfterS is in how many seconds a user who is turned away should come back.
 func (in *eventQueue) retryAfterS() int {
 	return 1 + int(min(in.userWait(time.Now()), 29*time.Second)/time.Second)
 }
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/faults_test.go
@@ -12,10 +12,10 @@
 	"testing/synctest"
 	"time"
 
-	"eiderhitch/internal/fleet"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/standin"
 	"eiderhitch/internal/wire"
+	"eiderhitch/internal/workerclient"
 )
 
 // boundTo counts the tasks that the records bind to a machine.
@@ -449,7 +449,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			c := lone(t)
 			out := &counting{}
-			c.workerClient = fleet.NewClient(out)
+			c.workerClient = workerclient.NewClient(out)
 			m := c.machineNamed("host-1")
 			m.addr, m.incarnation, m.heartbeatAt = "10.1.0.1:1", 1, c.now
 			if still {
@@ -488,7 +488,7 @@
 		for i := range c.nodes {
 			c.start(i)
 		}
-		limit := c.nodes[0].brain.heartbeatOverdueAfter() + unansweredLimit*fleet.PingTimeout + 2*time.Second
+		limit := c.nodes[0].brain.heartbeatOverdueAfter() + unansweredLimit*workerclient.PingTimeout + 2*time.Second
 		for until := time.Now().Add(limit); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
 			for _, n := range c.nodes {
 				n.brain.call(c.ctx, priorityState, func() {
--- a/internal/controller/users.go
+++ b/internal/controller/frontend.go
@@ -8,25 +8,25 @@
 	"time"
 
 	"eiderhitch/internal/api"
-	"eiderhitch/internal/core"
 	"eiderhitch/internal/record"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
 
-// unavailable tells a user to come back.
+// unavailableResponse tells a user to come back.
 func unavailableResponse(why string) api.Response {
 	return api.Response{Status: http.StatusServiceUnavailable, RetryAfter: 1, Reason: why}
 }
 
-// busy tells a user to come back once the actor has done what waits for it.
+// busyResponse tells a user to come back once the actor has done what waits for it.
 func (c *controller) busyResponse() api.Response {
 	a := unavailableResponse("busy")
 	a.RetryAfter = c.events.retryAfterS()
 	return a
 }
 
-// startRead begins a read of the replica for everybody who waits, unless one
+// startSharedRead begins a read of the replica for everybody who waits, unless one
 // is under way or was just done: users' reads share calls.
 func (c *controller) startSharedRead() {
 	if c.readInFlight || len(c.pendingReads) == 0 || c.readScheduled {
@@ -64,19 +64,19 @@
 	}()
 }
 
-// read notes a successful read that began at start.
+// noteRead notes a successful read that began at start.
 func (c *controller) noteRead(start time.Time) {
 	if start.After(c.freshAt) {
 		c.freshAt = start
 	}
 }
 
-// moment is a time that one goroutine notes and others look at.
+// atomicTime is a time that one goroutine notes and others look at.
 type atomicTime struct{ at atomic.Pointer[time.Time] }
 
 func (m *atomicTime) store(t time.Time) { m.at.Store(&t) }
 
-// rest is how long it is until d has passed since the moment; 0 if there was none.
+// remaining is how long it is until d has passed since the moment; 0 if there was none.
 func (m *atomicTime) remaining(now time.Time, d time.Duration) time.Duration {
 	at := m.at.Load()
 	if at == nil {
@@ -85,7 +85,7 @@
 	return d - now.Sub(*at)
 }
 
-// readGap spaces reads so that all controllers together use a quarter of the
+// readInterval spaces reads so that all controllers together use a quarter of the
 // state service's limit for them, and each no more than it has use for: those
 // who ask wait up to 2 s.
 func (c *controller) readInterval() time.Duration {
@@ -100,7 +100,7 @@
 	c.startSharedRead()
 }
 
-// state is what a user is told of a known job.
+// response is what a user is told of a known job.
 func (j *job) response() wire.JobState {
 	s := wire.JobState{ID: j.id}
 	switch j.finalState {
@@ -123,7 +123,7 @@
 	return s
 }
 
-// known is the job of that name, if one was ever accepted.
+// lookupJob is the job of that name, if one was ever accepted.
 func (c *controller) lookupJob(id string) *job {
 	if j := c.jobs[id]; j != nil && j.revision != 0 {
 		return j
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// impossible says why a job can never run, or "".
+// unsatisfiable says why a job can never run, or "".
 func (c *controller) unsatisfiable(spec *wire.Job) string {
 	tasks := 1
 	if spec.AllOrNothing() {
@@ -157,9 +157,9 @@
 	if !found {
 		return "unknown team"
 	}
-	need := core.NewResources(spec.CPUs, spec.GPUs, spec.RAM)
+	need := scheduling.NewResources(spec.CPUs, spec.GPUs, spec.RAM)
 	for _, t := range c.machineTypes {
-		if !core.NewResources(t.CPUs, t.GPUs, t.RAM).Contains(need) {
+		if !scheduling.NewResources(t.CPUs, t.GPUs, t.RAM).Contains(need) {
 			continue
 		}
 		for _, z := range t.Zones {
@@ -303,7 +303,7 @@
 	}
 }
 
-// Abort cancels a job.
+// Cancel cancels a job.
 func (c *controller) Cancel(ctx context.Context, id string) api.Response {
 	for {
 		ans := c.Poll(ctx, id)
@@ -345,7 +345,7 @@
 	}
 }
 
-// Report answers a worker.
+// Heartbeat answers a worker.
 func (c *controller) Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) api.Response {
 	var ans api.Response
 	if !c.call(ctx, priorityWorkers, func() { ans = c.handleHeartbeat(heartbeat) }) {
@@ -362,7 +362,7 @@
 	return at != nil && time.Since(*at) < c.operator.LeaseTTL
 }
 
-// noteReady notes for Ready what the actor knows now. A controller that alone can't
+// updateReadiness notes for Ready what the actor knows now. A controller that alone can't
 // reach the state service stands back; in an outage for all nobody does, since
 // leaving and coming back would only make it longer for users.
 func (c *controller) updateReadiness() {
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"eiderhitch/internal/config"
-	"eiderhitch/internal/core"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
 
@@ -29,7 +29,7 @@
 	return attempt, there
 }
 
-// missing counts the members of a gang's present attempt that are gone.
+// missingMembers counts the members of a gang's present attempt that are gone.
 func (c *controller) missingMembers(j *job, attempt uint64) int {
 	n := 0
 	for _, group := range j.groups {
@@ -44,7 +44,7 @@
 	return n
 }
 
-// broken tells whether a gang has lost a member of an attempt that has run, or can't be
+// gangBroken tells whether a gang has lost a member of an attempt that has run, or can't be
 // completed: the others stop, and the gang starts whole again.
 func (c *controller) gangBroken(j *job) bool {
 	attempt, there := c.gangAttempt(j)
@@ -54,7 +54,7 @@
 	return j.failedAttempt == attempt || c.missingMembers(j, attempt) > 0
 }
 
-// gangStops tells whether a gang is to be stopped: one of its tasks has to go.
+// gangMustStop tells whether a gang is to be stopped: one of its tasks has to go.
 func (c *controller) gangMustStop(j *job) bool {
 	if j.finalState != unfinishedJob {
 		return true
@@ -73,7 +73,7 @@
 	return c.gangBroken(j)
 }
 
-// tellGangs has gangs that are to be stopped hear it at once, on all their machines: an
+// stopGangs has gangs that are to be stopped hear it at once, on all their machines: an
 // orderly stop has to reach every task within gang_peer_s of the first, and what runs on
 // without the others is of no use.
 func (c *controller) stopGangs(p *partition) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// gangSeen learns from the state of a gang's task. After a take-over the reports are all
+// noteGangTask learns from the state of a gang's task. After a take-over the reports are all
 // there is to tell whether an attempt has run.
 func (j *job) noteGangTask(t *wire.TaskStatus) {
 	switch t.State {
@@ -116,7 +116,7 @@
 	}
 }
 
-// grace is what a task is given to save when it is stopped: what it asks for, unless
+// stopGraceS is what a task is given to save when it is stopped: what it asks for, unless
 // there is nothing to save. A gang saves together or not at all.
 func (c *controller) stopGraceS(j *job) float64 {
 	if j.finalState != unfinishedJob || j.spec == nil || j.spec.CheckpointS == 0 || j.spec.Gang && c.gangBroken(j) {
@@ -127,7 +127,7 @@
 
 // placeGang asks for cells for a gang: for all of its tasks, or for those that were lost
 // before it ran, which complete the attempt that waits for them.
-func (c *controller) placeGang(p *partition, group *taskGroup, pending []core.Task, request func(...core.Task) bool) {
+func (c *controller) placeGang(p *partition, group *taskGroup, pending []scheduling.Task, request func(...scheduling.Task) bool) {
 	job := group.job
 	if dealt, _ := job.assignedTasks(); dealt < job.spec.Tasks || !job.groupsTogether(p.index, group.zone) {
 		return // a group is reserved whole, in one part
@@ -143,7 +143,7 @@
 	request(pending...)
 }
 
-// complete tells whether every task of a gang's present attempt has a stored binding.
+// gangBound tells whether every task of a gang's present attempt has a stored binding.
 // None is started before: a gang that takes several transactions to bind would hold
 // machines for tasks that can't run, if the rest fails.
 func (j *job) gangBound() bool {
@@ -157,13 +157,13 @@
 	return n == j.spec.Tasks
 }
 
-// isFinished tells whether a gang is done. Its tasks complete together, so one that is
+// gangIsDone tells whether a gang is done. Its tasks complete together, so one that is
 // stored as done speaks for all, also to a controller that never saw its report.
 func (j *job) gangIsDone() bool {
 	return j.gangCompleted || slices.ContainsFunc(j.groups, func(group *taskGroup) bool { return group.done > 0 })
 }
 
-// giveUpIncomplete ends an attempt that was bound in part and can't be completed: without
+// failIncompleteGang ends an attempt that was bound in part and can't be completed: without
 // room for the rest nothing would be started, nor given back.
 func (c *controller) failIncompleteGang(j *job) {
 	attempt, there := c.gangAttempt(j)
--- a/internal/controller/pool.go
+++ b/internal/controller/gang_reserve.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"eiderhitch/internal/core"
 	"eiderhitch/internal/record"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
 
@@ -17,40 +17,40 @@
 // lending that groups across parts have anyway: room for one gang of each class, as large
 // as the largest of late. Only gangs are dealt there.
 
-// poolJob stands for the pool where a lending names the job that it is for.
+// reserveLoanJob stands for the pool where a lending names the job that it is for.
 const reserveLoanJob = ""
 
 const (
-	// poolForgets is how long a class of gangs is reckoned with after its last one.
+	// reserveClassTTL is how long a class of gangs is reckoned with after its last one.
 	reserveClassTTL = 30 * time.Second
-	// poolPatience is how long a machine may take to come empty.
+	// reserveLoanTimeout is how long a machine may take to come empty.
 	reserveLoanTimeout = 40 * time.Second
-	// poolSettles is how long one that has come is kept in any case.
+	// reserveMinHold is how long one that has come is kept in any case.
 	reserveMinHold = 10 * time.Second
-	// poolYields is how long others wait before they may use it all the same: nobody
+	// reserveOpensAfter is how long others wait before they may use it all the same: nobody
 	// should wait much longer beside a machine that has room.
 	reserveOpensAfter = time.Minute
-	// poolUnused is for how long room of it is kept that nothing uses: a third of the 90 s
+	// reserveMaxUnused is for how long room of it is kept that nothing uses: a third of the 90 s
 	// that nobody may wait beside a machine with room, since gangs may gather room one
 	// after the other. What is lent for one group is kept for longer, while that gathers.
 	reserveMaxUnused = 30 * time.Second
 	loanMaxUnused    = time.Minute
-	// poolShare is the largest part of all machines that the pool may be.
+	// reserveMaxShare is the largest part of all machines that the pool may be.
 	reserveMaxShare = 0.15
 )
 
-// pool is what the leader keeps for gangs.
+// gangReserve is what the leader keeps for gangs.
 type gangReserve struct {
 	classes map[string]*gangClass
-	// missing is what it lacks, to be rented if nothing comes free.
-	shortfall []core.Demand
+	// shortfall is what it lacks, to be rented if nothing comes free.
+	shortfall []scheduling.Demand
 	keep      map[int32]bool // machines of it that are wanted
 }
 
 // gangClass is the largest gang of a class of late.
 type gangClass struct {
 	spec *wire.Job
-	need core.Resources
+	need scheduling.Resources
 	seen time.Time
 	live int // gangs of it that there are now
 }
@@ -61,7 +61,7 @@
 	return class.spec.Tasks * (1 + int(math.Ceil(math.Sqrt(float64(class.live)))))
 }
 
-// mayUsePool tells whether a job may be placed on machines that the leader has in its
+// mayUseReserve tells whether a job may be placed on machines that the leader has in its
 // own part: those that are there for it, and gangs; others only after a long wait.
 func (c *controller) mayUseReserve(j *job) bool {
 	since := j.acceptedAt
@@ -71,16 +71,16 @@
 	return j.spec.Gang || c.hasLoanFor(j) || c.now.Sub(since) > reserveOpensAfter && c.now.Sub(c.leadership.since) > reserveOpensAfter
 }
 
-// poolOpen tells whether a job may be placed on a machine as far as that is kept for
+// reserveAllows tells whether a job may be placed on a machine as far as that is kept for
 // others: one of the leader's own part is, until its room has been unused for long.
 // However long a job waits, it is dealt tasks now and then, and began to wait anew each time.
-func (c *controller) reserveAllows(j *job, summary *core.MachineSummary) bool {
+func (c *controller) reserveAllows(j *job, summary *scheduling.MachineSummary) bool {
 	return summary.Partition != c.loanPartition() || c.mayUseReserve(j) || c.unusedForLong(summary)
 }
 
 // unusedForLong tells whether nothing has been placed for long on a machine of the
 // leader's own part.
-func (c *controller) unusedForLong(summary *core.MachineSummary) bool {
+func (c *controller) unusedForLong(summary *scheduling.MachineSummary) bool {
 	m := c.machineByIndex[summary.ID]
 	limit := reserveMaxUnused
 	if loan := c.loans[m.name]; loan != nil && loan.Job != reserveLoanJob {
@@ -95,7 +95,7 @@
 	return c.now.Sub(unused) > limit
 }
 
-// outranksPool tells whether a job goes before gangs.
+// outranksReserve tells whether a job goes before gangs.
 func (c *controller) outranksReserve(j *job) bool {
 	for _, class := range c.leadership.gangReserve.classes {
 		if j.spec.Priority > class.spec.Priority {
@@ -105,8 +105,8 @@
 	return false
 }
 
-// notePool notes which gangs there are, and which machines of the pool are wanted.
-func (c *controller) updateReserve(summaries []*core.MachineSummary) {
+// updateReserve notes which gangs there are, and which machines of the pool are wanted.
+func (c *controller) updateReserve(summaries []*scheduling.MachineSummary) {
 	reserve := &c.leadership.gangReserve
 	if reserve.classes == nil {
 		reserve.classes = map[string]*gangClass{}
@@ -139,8 +139,8 @@
 	// Room for one gang of each class, machine by machine, the fullest first, so that
 	// the others come free. Twice as much is kept as would be borrowed, or machines
 	// would go to and fro.
-	ours := slices.DeleteFunc(slices.Clone(summaries), func(summary *core.MachineSummary) bool { return summary.Partition != c.loanPartition() })
-	slices.SortFunc(ours, func(x, y *core.MachineSummary) int {
+	ours := slices.DeleteFunc(slices.Clone(summaries), func(summary *scheduling.MachineSummary) bool { return summary.Partition != c.loanPartition() })
+	slices.SortFunc(ours, func(x, y *scheduling.MachineSummary) int {
 		return cmp.Or(cmp.Compare(len(y.Usages), len(x.Usages)), cmp.Compare(x.ID, y.ID))
 	})
 	for _, class := range reserve.sorted() {
@@ -169,28 +169,28 @@
 	return out
 }
 
-// poolKeeps tells whether a machine of the pool stays there.
+// reserveKeeps tells whether a machine of the pool stays there.
 func (c *controller) reserveKeeps(m *machine) bool {
 	return len(m.bindings) > 0 || c.leadership.gangReserve.keep[m.index] || c.now.Sub(m.inPartitionSince) < reserveMinHold
 }
 
-// fillPool borrows machines for the pool while it lacks room: empty ones, or such as
+// fillReserve borrows machines for the pool while it lacks room: empty ones, or such as
 // will come empty soon.
-func (c *controller) fillReserve(summaries []*core.MachineSummary) {
+func (c *controller) fillReserve(summaries []*scheduling.MachineSummary) {
 	reserve := &c.leadership.gangReserve
 	reserve.shortfall = nil
 	if len(reserve.classes) == 0 {
 		return
 	}
-	room := core.CloneSummaries(summaries) // what is left of it after the classes before
+	room := scheduling.CloneSummaries(summaries) // what is left of it after the classes before
 	left := max(2, int(reserveMaxShare*float64(len(summaries)))) - len(c.loans)
-	var chosen []*core.MachineSummary
+	var chosen []*scheduling.MachineSummary
 	for _, class := range reserve.sorted() {
 		spec, zone := class.spec, c.reserveZone(room, class)
-		fits := func(summary *core.MachineSummary) bool {
+		fits := func(summary *scheduling.MachineSummary) bool {
 			return !summary.Booting && allowed(spec, zone, summary.Type, summary.Zone, summary.Spot)
 		}
-		lacks := class.room() - reserveFreeRoom(room, class, func(summary *core.MachineSummary) bool {
+		lacks := class.room() - reserveFreeRoom(room, class, func(summary *scheduling.MachineSummary) bool {
 			return summary.Partition == c.loanPartition() && fits(summary)
 		})
 		empty, busy := c.incomingReserveRoom(class, zone)
@@ -198,19 +198,19 @@
 			continue
 		}
 		if n := lacks - empty - busy; n > 0 {
-			reserve.shortfall = append(reserve.shortfall, core.Demand{Class: spec.Class, TaskSize: class.need, Count: n, AllOrNothing: true, EstimateS: spec.EstimateS, SlackS: math.Inf(1),
+			reserve.shortfall = append(reserve.shortfall, scheduling.Demand{Class: spec.Class, TaskSize: class.need, Count: n, AllOrNothing: true, EstimateS: spec.EstimateS, SlackS: math.Inf(1),
 				Allows: func(typ, zoneOf string, spot bool) bool { return allowed(spec, zone, typ, zoneOf, spot) }})
 		}
 		can := c.loanCandidates(room, fits)
 		// Machines that are empty are had at once, whatever else will come empty some time:
 		// arrays would fill them, and gangs wait for the others for most of a minute.
-		free := pickMachines(can, class, lacks-empty, left, func(summary *core.MachineSummary) bool { return len(summary.Usages) == 0 })
+		free := pickMachines(can, class, lacks-empty, left, func(summary *scheduling.MachineSummary) bool { return len(summary.Usages) == 0 })
 		left -= len(free)
 		got := 0
 		for _, summary := range free {
 			got += summary.Size.CountFitting(class.need, spec.Tasks)
 		}
-		soon := pickMachines(can, class, lacks-empty-busy-got, left, func(summary *core.MachineSummary) bool { return len(summary.Usages) > 0 })
+		soon := pickMachines(can, class, lacks-empty-busy-got, left, func(summary *scheduling.MachineSummary) bool { return len(summary.Usages) > 0 })
 		left -= len(soon)
 		chosen = append(append(chosen, free...), soon...)
 	}
@@ -222,9 +222,9 @@
 	c.borrowMachines(chosen, nil, record.MachineLoan{Job: reserveLoanJob})
 }
 
-// takeRoom takes free room for the tasks of a class's next gangs from hosts, and returns for
+// reserveFreeRoom takes free room for the tasks of a class's next gangs from hosts, and returns for
 // how many there is.
-func reserveFreeRoom(summaries []*core.MachineSummary, class *gangClass, in func(*core.MachineSummary) bool) int {
+func reserveFreeRoom(summaries []*scheduling.MachineSummary, class *gangClass, in func(*scheduling.MachineSummary) bool) int {
 	got := 0
 	for _, summary := range summaries {
 		if in(summary) {
@@ -236,7 +236,7 @@
 	return got
 }
 
-// roomLent is for how many tasks of a class there will be room on machines that are on
+// incomingReserveRoom is for how many tasks of a class there will be room on machines that are on
 // their way to the pool: empty ones, and such as come empty some time.
 func (c *controller) incomingReserveRoom(class *gangClass, zone string) (empty, busy int) {
 	for name, loan := range c.loans {
@@ -245,7 +245,7 @@
 		if loan.Job != reserveLoanJob || loan.Acknowledged || t == nil || !allowed(class.spec, zone, m.machineType, m.zone, m.spot) {
 			continue
 		}
-		n := core.NewResources(t.CPUs, t.GPUs, t.RAM).CountFitting(class.need, class.spec.Tasks)
+		n := scheduling.NewResources(t.CPUs, t.GPUs, t.RAM).CountFitting(class.need, class.spec.Tasks)
 		if len(m.bindings) == 0 {
 			empty += n
 		} else {
@@ -255,23 +255,23 @@
 	return empty, busy
 }
 
-// mayLend are hosts of other parts that may be lent, the emptiest and largest first.
-func (c *controller) loanCandidates(summaries []*core.MachineSummary, fits func(*core.MachineSummary) bool) []*core.MachineSummary {
-	var can []*core.MachineSummary
+// loanCandidates are hosts of other parts that may be lent, the emptiest and largest first.
+func (c *controller) loanCandidates(summaries []*scheduling.MachineSummary, fits func(*scheduling.MachineSummary) bool) []*scheduling.MachineSummary {
+	var can []*scheduling.MachineSummary
 	for _, summary := range summaries {
 		if fits(summary) && summary.Partition != c.loanPartition() && !summary.InUse && !summary.RunsService && !c.leadership.draining[c.machineByIndex[summary.ID].name] {
 			can = append(can, summary)
 		}
 	}
-	slices.SortFunc(can, func(x, y *core.MachineSummary) int {
+	slices.SortFunc(can, func(x, y *scheduling.MachineSummary) int {
 		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(y.Size.CPU, x.Size.CPU), cmp.Compare(x.ID, y.ID))
 	})
 	return can
 }
 
-// pickHosts picks, of hosts in their order, at most so many as have room for n tasks.
-func pickMachines(summaries []*core.MachineSummary, class *gangClass, n, most int, in func(*core.MachineSummary) bool) []*core.MachineSummary {
-	var out []*core.MachineSummary
+// pickMachines picks, of hosts in their order, at most so many as have room for n tasks.
+func pickMachines(summaries []*scheduling.MachineSummary, class *gangClass, n, most int, in func(*scheduling.MachineSummary) bool) []*scheduling.MachineSummary {
+	var out []*scheduling.MachineSummary
 	for _, summary := range summaries {
 		if n <= 0 || len(out) >= most {
 			break
@@ -286,9 +286,9 @@
 	return out
 }
 
-// poolZone is the zone in which the pool has the most room for a gang that must be in
+// reserveZone is the zone in which the pool has the most room for a gang that must be in
 // one; "" for any.
-func (c *controller) reserveZone(summaries []*core.MachineSummary, class *gangClass) string {
+func (c *controller) reserveZone(summaries []*scheduling.MachineSummary, class *gangClass) string {
 	if !class.spec.SingleZone {
 		return ""
 	}
--- a/internal/controller/rentals.go
+++ b/internal/controller/instances.go
@@ -8,15 +8,15 @@
 
 	"eiderhitch/internal/cloud"
 	"eiderhitch/internal/config"
-	"eiderhitch/internal/core"
 	"eiderhitch/internal/record"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
 
-// rent asks the cloud for machines. The name is unique for all time: the
+// launchInstances asks the cloud for machines. The name is unique for all time: the
 // leader's term never comes again.
-func (c *controller) launchInstances(o core.Offer, n int) {
+func (c *controller) launchInstances(o scheduling.Offer, n int) {
 	if c.leadership.launching[o] > 0 {
 		return
 	}
@@ -58,7 +58,7 @@
 	})
 }
 
-// cloudCall queues a call to the cloud; false if too many wait.
+// queueCloudCall queues a call to the cloud; false if too many wait.
 func (c *controller) queueCloudCall(f func()) bool {
 	select {
 	case c.cloudCalls <- f:
@@ -68,7 +68,7 @@
 	}
 }
 
-// release returns machines. Once the cloud has answered they are gone with all
+// terminateInstances returns machines. Once the cloud has answered they are gone with all
 // that was on them, which is stored for their parts' owners to act on. One call
 // is on its way at a time, and the next takes all that have come up meanwhile:
 // the cloud allows few calls, and a call for each machine had the last of forty
@@ -104,14 +104,14 @@
 	}
 }
 
-// stay forgets that machines were to be released: if need be they are again.
+// cancelTermination forgets that machines were to be released: if need be they are again.
 func (c *controller) cancelTermination(names []string) {
 	for _, n := range names {
 		delete(c.terminating, n)
 	}
 }
 
-// markGone stores that machines are gone, by whatever right is held: the lead, or
+// storeTombstones stores that machines are gone, by whatever right is held: the lead, or
 // the machine's part. All of a release share a marker: with one for each, some
 // hundred machines that die together took up what the state service allows while
 // their tasks waited for it.
@@ -162,7 +162,7 @@
 	}
 }
 
-// releaseSilent has an owner that hears nothing of the leader return its silent
+// terminateUnreachable has an owner that hears nothing of the leader return its silent
 // machines itself. The leader could not know of them, and their tasks would wait
 // for the whole lease.
 func (c *controller) terminateUnreachable() {
@@ -186,10 +186,10 @@
 	c.terminateInstances(names)
 }
 
-// listShare is the share of the cloud's calls that lists may take.
+// listCallShare is the share of the cloud's calls that lists may take.
 const listCallShare = 0.15
 
-// tendCloud keeps the list of machines and the types current.
+// syncCloud keeps the list of machines and the types current.
 func (c *controller) syncCloud() {
 	if c.now.Sub(c.leadership.machineTypesFetchedAt) > time.Minute || len(c.machineTypes) == 0 && c.now.Sub(c.leadership.machineTypesFetchedAt) > 2*time.Second {
 		if c.isLeader() || len(c.machineTypes) == 0 && c.loaded {
@@ -227,7 +227,7 @@
 	c.deleteTombstones()
 }
 
-// clearGone deletes markers of machines that are gone, once nothing is bound to
+// deleteTombstones deletes markers of machines that are gone, once nothing is bound to
 // the machine any more and no list can show it. One transaction at a time: asked
 // for again at each tick until the first was stored, a hundred markers took up
 // all that the state service allows.
@@ -276,7 +276,7 @@
 	})
 }
 
-// takeList takes the cloud's list in: machines that failed are gone, ones that
+// applyInstanceList takes the cloud's list in: machines that failed are gone, ones that
 // nobody knows of are used.
 func (c *controller) applyInstanceList(list []wire.Instance) {
 	c.leadership.listed = true
--- a/internal/controller/records.go
+++ b/internal/controller/jobs.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"eiderhitch/internal/core"
 	"eiderhitch/internal/record"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
@@ -36,7 +36,7 @@
 	return id, int32(n), ok && err == nil
 }
 
-// partOf is the part that a machine belongs to.
+// partitionOf is the part that a machine belongs to.
 func partitionOf(machine string, parts int) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(machine))
@@ -63,12 +63,12 @@
 	finalState  int
 	acceptedAt  time.Time
 	spec        *wire.Job
-	taskSize    core.Resources
+	taskSize    scheduling.Resources
 	team        int32
 	groups      []*taskGroup
 	groupOfTask map[int32]*taskGroup // of each task that is dealt and not done
 
-	inUnfinished bool // among brain.atHand
+	inUnfinished bool // among controller.unfinished
 	// unreadable are the keys of its records that can't be decoded.
 	unreadable       map[string]bool
 	equivalenceClass string // what jobs alike in need and permissions share
@@ -86,7 +86,7 @@
 	incompleteSince time.Time
 }
 
-// newRec is the number of a record that the job has never had.
+// newGroupNumber is the number of a record that the job has never had.
 func (j *job) newGroupNumber() int {
 	for _, group := range j.groups {
 		j.nextGroupNumber = max(j.nextGroupNumber, group.number+1)
@@ -103,7 +103,7 @@
 	return n, finished
 }
 
-// waits tells whether tasks of the job have not been dealt yet, or stand back.
+// hasWaitingTasks tells whether tasks of the job have not been dealt yet, or stand back.
 func (j *job) hasWaitingTasks() bool {
 	n := 0
 	for _, group := range j.groups {
@@ -115,7 +115,7 @@
 	return n < j.spec.Tasks
 }
 
-// pending counts the tasks that are dealt and neither placed nor done.
+// unplacedTasks counts the tasks that are dealt and neither placed nor done.
 func (j *job) unplacedTasks() int {
 	n := 0
 	for _, group := range j.groups {
@@ -124,7 +124,7 @@
 	return n
 }
 
-// begun tells whether a task of the job has ever been placed.
+// hasStarted tells whether a task of the job has ever been placed.
 func (j *job) hasStarted() bool {
 	for _, group := range j.groups {
 		if group.done > 0 {
@@ -172,7 +172,9 @@
 	retryWriteAt         time.Time       // not written before then: it was refused as invalid
 }
 
-func (group *taskGroup) task(num int32) core.Task { return core.Task{Group: group.index, Num: num} }
+func (group *taskGroup) task(num int32) scheduling.Task {
+	return scheduling.Task{Group: group.index, Num: num}
+}
 
 func (group *taskGroup) binding(num int32) *binding {
 	for i := range group.bindings {
@@ -189,19 +191,19 @@
 	return bound != nil && bound.machine == m && bound.attempt == attempt
 }
 
-// void gives up a write of the record's owner whose conditions have changed.
+// cancelWrite gives up a write of the record's owner whose conditions have changed.
 func (group *taskGroup) cancelWrite() {
 	if group.write != nil {
 		group.write.Cancel()
 	}
 }
 
-// bound counts the tasks that are on machines by what is stored.
+// boundTasks counts the tasks that are on machines by what is stored.
 func (group *taskGroup) boundTasks() int {
 	return group.boundCount
 }
 
-// may is how many tasks may be bound at a time.
+// allowedTasks is how many tasks may be bound at a time.
 func (group *taskGroup) allowedTasks() int {
 	if group.throttle == 0 {
 		return len(group.bindings)
@@ -209,7 +211,7 @@
 	return min(group.throttle-1, len(group.bindings))
 }
 
-// counts is how many tasks count for the team's limit: those that may be bound
+// quotaTasks is how many tasks count for the team's limit: those that may be bound
 // and those that still are; of a job that is over only the latter, once all changes
 // up to its end are known (to cursor). A cancellation of our own is known before a
 // binding that was stored just before it: counted for nothing until then, the task
@@ -221,7 +223,7 @@
 	return max(group.boundTasks(), group.allowedTasks())
 }
 
-// excess tells whether a bound task is beyond what may be bound.
+// exceedsThrottle tells whether a bound task is beyond what may be bound.
 func (group *taskGroup) exceedsThrottle(num int32) bool {
 	if group.throttle == 0 {
 		return false
@@ -251,11 +253,11 @@
 	return left, moved
 }
 
-func (group *taskGroup) claim() core.Claim {
-	return core.Claim{Priority: group.job.spec.Priority, Guaranteed: group.guaranteed, Team: group.job.team}
+func (group *taskGroup) claim() scheduling.Claim {
+	return scheduling.Claim{Priority: group.job.spec.Priority, Guaranteed: group.guaranteed, Team: group.job.team}
 }
 
-// group is the record's stored content with other entries.
+// record is the record's stored content with other entries.
 func (group *taskGroup) record(done int, entries []binding) *record.TaskGroup {
 	v := &record.TaskGroup{Partition: group.partition, Zone: group.zone, Guaranteed: group.guaranteed, Done: done, Throttle: group.throttle, Tasks: make([]record.Binding, 0, len(entries))}
 	for _, bound := range entries {
@@ -268,25 +270,25 @@
 	return v
 }
 
-// content is a record with other entries, in the form that records are written in now.
+// encodeGroup is a record with other entries, in the form that records are written in now.
 func (c *controller) encodeGroup(group *taskGroup, done int, entries []binding) record.Content {
 	return group.record(done, entries).Encode(c.encoding())
 }
 
-// mostEntries is how many tasks a record has at the most.
+// maxGroupBindings is how many tasks a record has at the most.
 const maxGroupBindings = 128
 
-// maxEntries keeps a record within the state service's limit of a value, by the usual
-// form of an entry. One that gets larger all the same is split (brain.fit).
+// maxBindingsFor keeps a record within the state service's limit of a value, by the usual
+// form of an entry. One that gets larger all the same is split (splitToFit).
 func maxBindingsFor(valueKB float64) int {
 	const perEntry = 72
 	return max(1, min(maxGroupBindings, int(valueKB*1024-128)/perEntry))
 }
 
-// maxValue is how large a stored value may be.
+// maxValueBytes is how large a stored value may be.
 func (c *controller) maxValueBytes() int { return int(c.cfg.Settings.State.ValueKB * 1024) }
 
-// fit is a record's stored form, in as many pieces as the limit of a value asks for: one
+// splitToFit is a record's stored form, in as many pieces as the limit of a value asks for: one
 // that was written while more was allowed, or whose names are long, is split when it is
 // written again. The first piece is the record itself.
 func (c *controller) splitToFit(group *taskGroup, done int, entries []binding) []record.Content {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"eiderhitch/internal/core"
 	"eiderhitch/internal/record"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
 
-// leader is what only the leader knows. It is rebuilt after a take-over.
+// leadership is what only the leader knows. It is rebuilt after a take-over.
 type leadership struct {
 	epoch          uint64 // version of the write that gave the lead: tells one lead from another
 	token          uint64 // present version of the key; rises with each new term
@@ -21,13 +21,13 @@
 	// since when, and by whom, each part is vouched for without a gap
 	ownerInTouchSince     []time.Time
 	ownerInTouch          []string
-	draining              map[string]bool  // being emptied
-	freeHistory           core.FreeHistory // free CPUs of late
+	draining              map[string]bool        // being emptied
+	freeHistory           scheduling.FreeHistory // free CPUs of late
 	instances             map[string]*instance
 	idleSince             map[string]time.Time
-	refusedUntil          map[core.Offer]time.Time // no requests before then
-	backoff               map[core.Offer]time.Duration
-	launching             map[core.Offer]int
+	refusedUntil          map[scheduling.Offer]time.Time // no requests before then
+	backoff               map[scheduling.Offer]time.Duration
+	launching             map[scheduling.Offer]int
 	launchRequests        int
 	listedAt              time.Time
 	listInFlight          bool
@@ -35,14 +35,14 @@
 	listed                bool // the list has been read since the lead was taken
 	machineTypesFetchedAt time.Time
 	gangReserve           gangReserve
-	// since when most of a zone's machines are out of reach, see cutZones
+	// since when most of a zone's machines are out of reach, see detectIsolatedZones
 	isolatedSince map[string]time.Time
 	isolatedZones map[string]bool
 }
 
 func (c *controller) becomeLeader(stamp uint64) {
 	c.leadership = leadership{epoch: stamp, token: stamp, since: c.now, instances: map[string]*instance{}, idleSince: map[string]time.Time{},
-		refusedUntil: map[core.Offer]time.Time{}, backoff: map[core.Offer]time.Duration{}, launching: map[core.Offer]int{}, isolatedSince: map[string]time.Time{}}
+		refusedUntil: map[scheduling.Offer]time.Time{}, backoff: map[scheduling.Offer]time.Duration{}, launching: map[scheduling.Offer]int{}, isolatedSince: map[string]time.Time{}}
 	// A former leader's late writes fail by its key's version; what it did
 	// store is read before anything is dealt.
 	c.readThen(func() {
@@ -52,7 +52,7 @@
 	})
 }
 
-// leads tells whether this controller acts as the leader now.
+// isLeader tells whether this controller acts as the leader now.
 func (c *controller) isLeader() bool { return c.leadership.active && c.isFresh(c.operator.LeaseTTL) }
 
 // lead deals work to parts and rents and returns machines.
@@ -83,13 +83,13 @@
 	c.scale(summaries, wants)
 }
 
-// logFleet logs now and then how full the machines are.
-func (c *controller) logUsage(summaries []*core.MachineSummary) {
+// logUsage logs now and then how full the machines are.
+func (c *controller) logUsage(summaries []*scheduling.MachineSummary) {
 	if c.now.Sub(c.leadership.usageLoggedAt) < usageLogInterval {
 		return
 	}
 	c.leadership.usageLoggedAt = c.now
-	var size, free, spot, spotFree core.Resources
+	var size, free, spot, spotFree scheduling.Resources
 	for _, summary := range summaries {
 		size, free = size.Plus(summary.Size), free.Plus(summary.Free)
 		if summary.Spot {
@@ -160,7 +160,7 @@
 	}
 }
 
-// leadWrote counts a leader's write off. After a failed one the replica is
+// leaderWriteDone counts a leader's write off. After a failed one the replica is
 // read before anything more is dealt: it may have been applied all the same.
 func (c *controller) leaderWriteDone(epoch uint64, err error) {
 	if c.leadership.epoch != epoch {
--- a/internal/controller/lend.go
+++ b/internal/controller/loans.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"eiderhitch/internal/config"
-	"eiderhitch/internal/core"
 	"eiderhitch/internal/record"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
@@ -31,11 +31,11 @@
 	since        time.Time
 }
 
-func (loan *machineLoan) claim(c *controller) core.Claim {
-	return core.Claim{Priority: loan.Priority, Guaranteed: loan.Guaranteed, Team: c.team(loan.Team)}
+func (loan *machineLoan) claim(c *controller) scheduling.Claim {
+	return scheduling.Claim{Priority: loan.Priority, Guaranteed: loan.Guaranteed, Team: c.team(loan.Team)}
 }
 
-// lentNames are the machines that are lent, in one order for all that is decided.
+// loanedMachines are the machines that are lent, in one order for all that is decided.
 func (c *controller) loanedMachines() []string {
 	if len(c.loans) == 0 {
 		return nil
@@ -43,7 +43,7 @@
 	return slices.Sorted(maps.Keys(c.loans))
 }
 
-// lentPart is the number of the leader's own part.
+// loanPartition is the number of the leader's own part.
 func (c *controller) loanPartition() int { return len(c.partitions) - 1 }
 
 func (c *controller) putLoan(name string, v *record.MachineLoan, stamp uint64) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// moved takes a machine out of the part that it was in, if it is in another now.
+// updatePartition takes a machine out of the part that it was in, if it is in another now.
 func (c *controller) updatePartition(m *machine) bool {
 	before, now := m.partition, c.partitionOfMachine(m)
 	if now == before {
@@ -91,7 +91,7 @@
 	return true
 }
 
-// acknowledge hands over machines of a part of ours on which nothing is bound
+// acknowledgeLoans hands over machines of a part of ours on which nothing is bound
 // or about to be, apart from services that go along.
 func (c *controller) acknowledgeLoans(p *partition) {
 	for _, name := range c.loanedMachines() {
@@ -112,7 +112,7 @@
 	}
 }
 
-// goAlong tells whether all that is bound to a machine is services that go with it to the
+// movesWithServices tells whether all that is bound to a machine is services that go with it to the
 // leader's part: they stay, and were there before the machine was chosen.
 func (c *controller) movesWithServices(loan *machineLoan, m *machine, p *partition) bool {
 	if loan.Job == reserveLoanJob || !c.runsOnlyServices(m, p) {
@@ -126,7 +126,7 @@
 	return true
 }
 
-// onlyServes tells whether all that is bound to a machine of ours is services that run, and
+// runsOnlyServices tells whether all that is bound to a machine of ours is services that run, and
 // no command of ours can still be under way there. Such a machine may change hands with
 // them: whatever ends them later is proven, and stored, as after any take-over.
 func (c *controller) runsOnlyServices(m *machine, p *partition) bool {
@@ -139,7 +139,7 @@
 			return false
 		}
 		bound, cell := group.binding(x.task.Num), p.cells.CellOf(x.task)
-		if bound == nil || cell == nil || cell.State != core.Used || !m.runs(taskName(group.job.id, bound.task), bound) {
+		if bound == nil || cell == nil || cell.State != scheduling.Used || !m.runs(taskName(group.job.id, bound.task), bound) {
 			return false
 		}
 	}
@@ -153,7 +153,7 @@
 	})
 }
 
-// lentFor tells whether machines are lent, or being lent, for a job.
+// hasLoanFor tells whether machines are lent, or being lent, for a job.
 func (c *controller) hasLoanFor(j *job) bool {
 	for _, loan := range c.loans {
 		if loan.Job == j.id {
@@ -163,12 +163,12 @@
 	return false
 }
 
-// keepAfter is how long a group waits for whole room before machines are kept for it.
+// reserveMachinesAfter is how long a group waits for whole room before machines are kept for it.
 const reserveMachinesAfter = 8 * time.Second
 
 // borrow takes machines from other parts for a whole group of n tasks. It
 // reports whether they are on their way.
-func (c *controller) borrow(summaries []*core.MachineSummary, j *job, zone string, n int, claim core.Claim) bool {
+func (c *controller) borrow(summaries []*scheduling.MachineSummary, j *job, zone string, n int, claim scheduling.Claim) bool {
 	coming := c.expectedRoom(summaries, j, zone, n)
 	if coming >= n {
 		return true
@@ -178,19 +178,19 @@
 	// it on which nothing is that stays, until they are empty (the paper leaves room for
 	// "reservation during waiting").
 	keep := c.now.Sub(j.acceptedAt) > reserveMachinesAfter
-	var can []*core.MachineSummary
+	var can []*scheduling.MachineSummary
 	for _, summary := range summaries {
 		if summary.Booting || summary.Partition == c.loanPartition() || summary.InUse || c.leadership.draining[c.machineByIndex[summary.ID].name] || !allowed(j.spec, zone, summary.Type, summary.Zone, summary.Spot) {
 			continue
 		}
-		if keep && !summary.RunsService || !slices.ContainsFunc(summary.Usages, func(x core.Usage) bool { return !claim.CanPreempt(x.Claim) }) {
+		if keep && !summary.RunsService || !slices.ContainsFunc(summary.Usages, func(x scheduling.Usage) bool { return !claim.CanPreempt(x.Claim) }) {
 			can = append(can, summary)
 		}
 	}
-	slices.SortFunc(can, func(x, y *core.MachineSummary) int {
+	slices.SortFunc(can, func(x, y *scheduling.MachineSummary) int {
 		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(y.Size.CountFitting(j.taskSize, n), x.Size.CountFitting(j.taskSize, n)), cmp.Compare(x.ID, y.ID))
 	})
-	var chosen []*core.MachineSummary
+	var chosen []*scheduling.MachineSummary
 	for _, summary := range can {
 		if coming >= n {
 			break
@@ -210,18 +210,18 @@
 	return true
 }
 
-// besideAfter is how long a group waits for room until machines are borrowed with the
+// borrowServiceMachinesAfter is how long a group waits for room until machines are borrowed with the
 // services on them: before that others may well come free.
 const borrowServiceMachinesAfter = 30 * time.Second
 
-// besideServices are machines that together have room for a group beside services that
+// machinesBesideServices are machines that together have room for a group beside services that
 // stay. They are in several parts, or the group would be dealt to one: it waited for ever
 // beside room, since no machine with a service was lent.
-func (c *controller) machinesBesideServices(summaries []*core.MachineSummary, j *job, zone string, n int) []*core.MachineSummary {
+func (c *controller) machinesBesideServices(summaries []*scheduling.MachineSummary, j *job, zone string, n int) []*scheduling.MachineSummary {
 	if c.now.Sub(j.acceptedAt) < borrowServiceMachinesAfter {
 		return nil
 	}
-	var can []*core.MachineSummary
+	var can []*scheduling.MachineSummary
 	coming := 0
 	for _, summary := range summaries {
 		fits := summary.Free.CountFitting(j.taskSize, n)
@@ -235,10 +235,10 @@
 			can = append(can, summary)
 		}
 	}
-	slices.SortFunc(can, func(x, y *core.MachineSummary) int {
+	slices.SortFunc(can, func(x, y *scheduling.MachineSummary) int {
 		return cmp.Or(cmp.Compare(y.Free.CountFitting(j.taskSize, n), x.Free.CountFitting(j.taskSize, n)), cmp.Compare(x.ID, y.ID))
 	})
-	var chosen []*core.MachineSummary
+	var chosen []*scheduling.MachineSummary
 	for _, summary := range can {
 		if coming >= n {
 			break
@@ -252,9 +252,9 @@
 	return chosen
 }
 
-// roomComing is for how many of n tasks of a job there is room in the leader's part, or
+// expectedRoom is for how many of n tasks of a job there is room in the leader's part, or
 // will be once the machines that are being lent for it have come.
-func (c *controller) expectedRoom(summaries []*core.MachineSummary, j *job, zone string, n int) int {
+func (c *controller) expectedRoom(summaries []*scheduling.MachineSummary, j *job, zone string, n int) int {
 	room := 0
 	listed := map[int32]bool{}
 	for _, summary := range summaries {
@@ -271,14 +271,14 @@
 		if loan.Job != j.id || listed[m.index] || t == nil || !allowed(j.spec, zone, m.machineType, m.zone, m.spot) {
 			continue
 		}
-		room += core.NewResources(t.CPUs, t.GPUs, t.RAM).Minus(m.serviceUse()).CountFitting(j.taskSize, n)
+		room += scheduling.NewResources(t.CPUs, t.GPUs, t.RAM).Minus(m.serviceUse()).CountFitting(j.taskSize, n)
 	}
 	return room
 }
 
-// serving is what services have of a machine.
-func (m *machine) serviceUse() core.Resources {
-	var use core.Resources
+// serviceUse is what services have of a machine.
+func (m *machine) serviceUse() scheduling.Resources {
+	var use scheduling.Resources
 	for _, x := range m.bindings {
 		if spec := x.group.job.spec; spec != nil && spec.Service {
 			use = use.Plus(x.group.job.taskSize)
@@ -289,11 +289,11 @@
 
 // borrowMachines lends machines to the leader's part, if the parts that they are in have
 // not changed hands meanwhile.
-func (c *controller) borrowMachines(chosen []*core.MachineSummary, cond []wire.Condition, v record.MachineLoan) {
+func (c *controller) borrowMachines(chosen []*scheduling.MachineSummary, cond []wire.Condition, v record.MachineLoan) {
 	write := &store.Write{Prompt: true, Conditions: append([]wire.Condition{c.leaderCondition()}, cond...)}
 	parts := map[int]bool{}
 	for _, summary := range chosen {
-		summary.InUse, summary.Free = true, core.Resources{}
+		summary.InUse, summary.Free = true, scheduling.Resources{}
 		key := loanPrefix + c.machineByIndex[summary.ID].name
 		write.Conditions = append(write.Conditions, wire.Condition{Key: key})
 		if !parts[summary.Partition] {
@@ -307,7 +307,7 @@
 	c.submitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
 }
 
-// tendLends fences machines that came in and hands back those that are not
+// reviewLoans fences machines that came in and hands back those that are not
 // needed: nothing stays lent for ever.
 func (c *controller) reviewLoans() {
 	p := c.partitions[c.loanPartition()]
@@ -329,7 +329,7 @@
 	}
 }
 
-// staysLent tells whether a machine is still wanted where it is lent to, and can be had.
+// loanStillNeeded tells whether a machine is still wanted where it is lent to, and can be had.
 func (c *controller) loanStillNeeded(loan *machineLoan, m *machine, p *partition) bool {
 	if loan.Job == reserveLoanJob {
 		return loan.Acknowledged && c.reserveKeeps(m) || !loan.Acknowledged && c.now.Sub(loan.since) < reserveLoanTimeout
@@ -351,7 +351,7 @@
 	return c.now.Sub(loan.since) < patience
 }
 
-// needsLoan tells whether a job has tasks that machines lent to a part are for: some that
+// jobNeedsLoan tells whether a job has tasks that machines lent to a part are for: some that
 // wait there, or a whole group that waits and has found no room where it was dealt to.
 func (c *controller) jobNeedsLoan(j *job, part int) bool {
 	waits, bound := len(j.groups) == 0, 0
@@ -365,7 +365,7 @@
 	return waits && bound == 0
 }
 
-// claimed tells whether a cell of a machine is claimed whose binding is not known yet.
+// hasReservationOn tells whether a cell of a machine is claimed whose binding is not known yet.
 func (p *partition) hasReservationOn(m *machine) bool {
 	for _, a := range p.reservations {
 		if a.machine == m {
@@ -375,7 +375,7 @@
 	return false
 }
 
-// handBack ends a lending.
+// returnLoan ends a lending.
 func (c *controller) returnLoan(name string, loan *machineLoan) {
 	loan.writing, loan.returning = true, true
 	c.submitWrite(&store.Write{
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -8,9 +8,9 @@
 
 	"eiderhitch/internal/api"
 	"eiderhitch/internal/config"
-	"eiderhitch/internal/core"
-	"eiderhitch/internal/fleet"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
+	"eiderhitch/internal/workerclient"
 )
 
 // machine is what a controller knows of one machine.
@@ -44,10 +44,10 @@
 	directInFlight       bool
 	directCarriesStart   bool   // the one in flight carries a start
 	directAgain          bool   // more came up while one was in flight
-	directQueued         bool   // for its turn, see doLater
+	directQueued         bool   // for its turn, see queueDirect
 	pingQueued           bool   // to be told our token
 	unansweredStartToken uint64 // term of a start that went unanswered
-	// respOpen: an answer to a report carries a start, and no later report has
+	// startInResponse: an answer to a report carries a start, and no later report has
 	// come yet. The worker handles one report at a time, so the next one proves
 	// that the answer was executed or dropped; until then the start may still
 	// arrive, and neither absence nor a reap is safe.
@@ -61,26 +61,26 @@
 	unanswered          int
 	leaseExpiredUnheard bool
 
-	// Looked up once in a step, see brain.open and pinnedBy.
+	// Looked up once in a step, see controller.schedulable and pinnedBy.
 	schedulable, runsService         bool
 	schedulableStep, runsServiceStep uint64
 }
 
-// boundTasks are the tasks that are bound to a machine: few, and gone through in every
+// machineBindings are the tasks that are bound to a machine: few, and gone through in every
 // step and with every report.
 type machineBindings []machineBinding
 
 type machineBinding struct {
-	task  core.Task
+	task  scheduling.Task
 	group *taskGroup
 }
 
-func (s *machineBindings) add(t core.Task, group *taskGroup) {
+func (s *machineBindings) add(t scheduling.Task, group *taskGroup) {
 	s.remove(t)
 	*s = append(*s, machineBinding{t, group})
 }
 
-func (s *machineBindings) remove(t core.Task) {
+func (s *machineBindings) remove(t scheduling.Task) {
 	*s = slices.DeleteFunc(*s, func(x machineBinding) bool { return x.task == t })
 }
 
@@ -108,7 +108,7 @@
 	}
 }
 
-// expected tells whether a machine should report to its part's owner: it has of
+// expectsHeartbeat tells whether a machine should report to its part's owner: it has of
 // late, or work is bound to it and it has not reported since a take-over.
 func (c *controller) expectsHeartbeat(m *machine, within time.Duration) bool {
 	if m.heartbeatAt.IsZero() {
@@ -117,17 +117,17 @@
 	return c.now.Sub(m.heartbeatAt) <= within
 }
 
-// sizeMachine makes a machine's cells known to its part once its type is.
+// setMachineSize makes a machine's cells known to its part once its type is.
 func (c *controller) setMachineSize(m *machine) {
 	p := c.partitions[m.partition]
 	t := c.machineTypes[m.machineType]
 	if p.token == 0 || t == nil || m.terminated || m.heartbeatAt.IsZero() {
 		return
 	}
-	p.cells.SetMachine(m.index, core.NewResources(t.CPUs, t.GPUs, t.RAM))
+	p.cells.SetMachine(m.index, scheduling.NewResources(t.CPUs, t.GPUs, t.RAM))
 }
 
-// homeOf is the part that a machine is in by what is stored.
+// partitionOfMachine is the part that a machine is in by what is stored.
 func (c *controller) partitionOfMachine(m *machine) int {
 	if loan := c.loans[m.name]; loan != nil && loan.Acknowledged {
 		return c.loanPartition()
@@ -135,7 +135,7 @@
 	return m.hashPartition
 }
 
-// enlist puts a machine among those of its part.
+// addToPartition puts a machine among those of its part.
 func (c *controller) addToPartition(m *machine) {
 	if !m.listed {
 		m.listed = true
@@ -144,7 +144,7 @@
 	}
 }
 
-// delist takes machines out of a part's list.
+// removeMachines takes machines out of a part's list.
 func (p *partition) removeMachines(out func(*machine) bool) {
 	p.machines = slices.DeleteFunc(p.machines, func(m *machine) bool {
 		if !out(m) {
@@ -155,7 +155,7 @@
 	})
 }
 
-// took is since when a part's owner has had a machine.
+// ownsMachineSince is since when a part's owner has had a machine.
 func (p *partition) ownsMachineSince(m *machine) time.Time {
 	if m.inPartitionSince.After(p.ownedSince) {
 		return m.inPartitionSince
@@ -163,13 +163,13 @@
 	return p.ownedSince
 }
 
-// quietAfter is how long a machine may be quiet before it is asked directly: the
+// heartbeatOverdueAfter is how long a machine may be quiet before it is asked directly: the
 // longest usual pause between two reports and some time on the way.
 func (c *controller) heartbeatOverdueAfter() time.Duration {
 	return config.Seconds(1.25*c.cfg.Settings.Workers.ReportS) + 500*time.Millisecond
 }
 
-// silentAfter is how long a machine may be quiet before it counts as silent, if
+// unreachableAfter is how long a machine may be quiet before it counts as silent, if
 // it can't be asked. It is well above what a worker needs to find its node's
 // successor (an answer outstanding for 4 s, then 1 s to the next).
 func (c *controller) unreachableAfter() time.Duration {
@@ -177,11 +177,11 @@
 	return max(3*config.Seconds(w.ReportS), config.Seconds(0.6*w.LeaseS), 7*time.Second)
 }
 
-// deafAfter is how many direct commands in a row go unanswered by a machine that
+// unansweredLimit is how many direct commands in a row go unanswered by a machine that
 // can't be reached.
 const unansweredLimit = 2
 
-// deaf tells whether a machine seems to hear nothing of us, whatever it reports.
+// notReceiving tells whether a machine seems to hear nothing of us, whatever it reports.
 // Nothing is placed on it, and it is replaced if it stays so. When that seems so
 // of most machines, it is we who can't be heard: they are all alike then.
 func (m *machine) notReceiving(p *partition) bool {
@@ -189,7 +189,7 @@
 }
 
 // heardSince is when a machine was last heard, or since when it could have been. While
-// this controller answers no reports (HoldTime) it hears none: after a long outage all
+// this controller answers no reports (MaxStaleness) it hears none: after a long outage all
 // machines would else be found silent at once, and returned with all that they run.
 func (c *controller) heardSince(m *machine, p *partition) time.Time {
 	t := p.ownsMachineSince(m)
@@ -202,7 +202,7 @@
 	return t
 }
 
-// up tells whether an owner may place on its machine. It must have shown a token
+// usable tells whether an owner may place on its machine. It must have shown a token
 // of ours: a report without may be a copy that comes late, after a take-over even
 // of a machine that died long ago, and nothing is known yet to compare it with.
 func (c *controller) usable(m *machine, p *partition) bool {
@@ -210,7 +210,7 @@
 		c.now.Sub(m.heartbeatAt) < max(2*config.Seconds(c.cfg.Settings.Workers.ReportS), 3*time.Second)
 }
 
-// leaseOver tells whether a machine's lease has surely ended: nobody has sent
+// leaseExpired tells whether a machine's lease has surely ended: nobody has sent
 // it an answer that could renew it for a whole lease, a former owner included.
 func (c *controller) leaseExpired(m *machine, p *partition) bool {
 	last := p.ownsMachineSince(m).Add(p.formerOwnerStaleness)
@@ -220,7 +220,7 @@
 	return c.now.Sub(last) > c.leaseExpiry
 }
 
-// report takes a worker's report in and answers it.
+// handleHeartbeat takes a worker's report in and answers it.
 func (c *controller) handleHeartbeat(heartbeat *wire.Heartbeat) api.Response {
 	c.metrics.count(countHeartbeats, 1)
 	c.lastHeartbeatAt = c.now
@@ -245,7 +245,7 @@
 		return api.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{}}
 	}
 	if !c.isFresh(c.maxStaleness) {
-		// See HoldTime: a user may have been told "cancelled" meanwhile.
+		// See MaxStaleness: a user may have been told "cancelled" meanwhile.
 		return api.Response{Status: http.StatusServiceUnavailable, Reason: "state service out of reach"}
 	}
 	m := c.machineNamed(heartbeat.Machine)
@@ -270,7 +270,7 @@
 	return api.Response{Status: http.StatusOK, Body: ans}
 }
 
-// takeReport takes in the newest that a machine told; false if it was not new.
+// applyHeartbeat takes in the newest that a machine told; false if it was not new.
 func (c *controller) applyHeartbeat(m *machine, heartbeat *wire.Heartbeat, p *partition, viaReport bool) bool {
 	if heartbeat.Incarnation < m.incarnation || heartbeat.Incarnation == m.incarnation && heartbeat.Sequence <= m.sequence {
 		return false
@@ -319,7 +319,7 @@
 	return true
 }
 
-// judge draws proofs from a machine's newest report.
+// reconcile draws proofs from a machine's newest report.
 func (c *controller) reconcile(m *machine, p *partition) {
 	// An older owner's start may still be under way until the machine has
 	// shown our token; one of ours while a direct command is unanswered.
@@ -373,15 +373,15 @@
 
 // shownTasks are the bound tasks that a machine's report shows: few, so that a list
 // serves better than a map would.
-type shownTasks []core.Task
+type shownTasks []scheduling.Task
 
-func (s *shownTasks) add(t core.Task) {
+func (s *shownTasks) add(t scheduling.Task) {
 	if !s.has(t) { // a report may name one twice
 		*s = append(*s, t)
 	}
 }
 
-func (s shownTasks) has(t core.Task) bool { return slices.Contains(s, t) }
+func (s shownTasks) has(t scheduling.Task) bool { return slices.Contains(s, t) }
 
 func (c *controller) lookup(name string) (*job, *taskGroup, *binding) {
 	id, num, ok := parseTask(name)
@@ -399,7 +399,7 @@
 	return j, group, group.binding(num)
 }
 
-// taskEnded learns from how a task ended.
+// noteTaskEnd learns from how a task ended.
 func (c *controller) noteTaskEnd(m *machine, j *job, why string) {
 	switch why {
 	case wire.ReasonDone:
@@ -431,16 +431,16 @@
 	}
 }
 
-// manyFailed is on how many machines a job's tasks have failed when that begins to
+// failedMachinesLimit is on how many machines a job's tasks have failed when that begins to
 // speak against the job.
 const failedMachinesLimit = 3
 
-// barredFor is how long a machine that failed a job's task gets none of it. It may be
+// jobAvoidance is how long a machine that failed a job's task gets none of it. It may be
 // the only one that fits, and have been sick for a while only: barred for good, the
 // job waited beside an empty machine for ever.
 const jobAvoidance = time.Minute
 
-// mistaken tells whether a job fails wherever it is put, as one does that its user
+// failsEverywhere tells whether a job fails wherever it is put, as one does that its user
 // submitted with a mistake. Nothing of it has ever got done.
 func (j *job) failsEverywhere() bool {
 	if len(j.failedOn) < failedMachinesLimit {
@@ -450,7 +450,7 @@
 	return finished == 0
 }
 
-// weighFailures decides whether a machine is sick: it has failed tasks of several jobs
+// updateCordon decides whether a machine is sick: it has failed tasks of several jobs
 // of late. Mistaken jobs say nothing of it: two of them, failing on each machine in
 // turn, would else have the whole fleet emptied and returned.
 func (c *controller) updateCordon(m *machine) {
@@ -468,13 +468,13 @@
 	}
 }
 
-// barred tells whether a machine gets none of a job just now.
+// avoidsJob tells whether a machine gets none of a job just now.
 func (c *controller) avoidsJob(m *machine, j *job) bool {
 	at, ok := m.failedJobs[j.id]
 	return ok && c.now.Sub(at) < jobAvoidance
 }
 
-// end notes the proven end of an attempt; the record is rewritten in step.
+// endAttempt notes the proven end of an attempt; the record is rewritten in step.
 func (c *controller) endAttempt(group *taskGroup, bound *binding, o attemptEnd) {
 	t := group.task(bound.task)
 	if old, ok := c.attemptEnds[t]; ok && old.attempt == bound.attempt {
@@ -500,7 +500,7 @@
 	c.requestPass()
 }
 
-// endAll ends every attempt on a machine that is gone or whose lease is over.
+// endAllAttempts ends every attempt on a machine that is gone or whose lease is over.
 func (c *controller) endAllAttempts(m *machine, why string) {
 	p := c.partitions[m.partition]
 	if p.token == 0 {
@@ -525,15 +525,15 @@
 	p.cells.DropMachine(m.index)
 }
 
-// wantStop tells whether a bound task should not be there.
-func (c *controller) shouldStop(group *taskGroup, t core.Task, m *machine, p *partition) bool {
+// shouldStop tells whether a bound task should not be there.
+func (c *controller) shouldStop(group *taskGroup, t scheduling.Task, m *machine, p *partition) bool {
 	if group.job.spec != nil && group.job.spec.Gang {
 		return c.gangMustStop(group.job)
 	}
 	return group.job.finalState != unfinishedJob || c.mustPreempt(group, t, m, p)
 }
 
-// stopCheck asks wantStop for the tasks of one machine, and once for all those of a gang:
+// stopDecider asks shouldStop for the tasks of one machine, and once for all those of a gang:
 // whether a gang stops is known only from all of its tasks, of which there may be thousands.
 type stopDecider struct {
 	b     *controller
@@ -541,7 +541,7 @@
 	stops bool
 }
 
-func (c *stopDecider) shouldStop(group *taskGroup, t core.Task, m *machine, p *partition) bool {
+func (c *stopDecider) shouldStop(group *taskGroup, t scheduling.Task, m *machine, p *partition) bool {
 	if group.job.spec == nil || !group.job.spec.Gang {
 		return c.b.shouldStop(group, t, m, p)
 	}
@@ -551,9 +551,9 @@
 	return c.stops
 }
 
-// mustLeave tells whether a task has to leave its machine.
-func (c *controller) mustPreempt(group *taskGroup, t core.Task, m *machine, p *partition) bool {
-	if cell := p.cells.CellOf(t); cell != nil && cell.State == core.Reserving || group.exceedsThrottle(t.Num) {
+// mustPreempt tells whether a task has to leave its machine.
+func (c *controller) mustPreempt(group *taskGroup, t scheduling.Task, m *machine, p *partition) bool {
+	if cell := p.cells.CellOf(t); cell != nil && cell.State == scheduling.Reserving || group.exceedsThrottle(t.Num) {
 		return true
 	}
 	if loan := c.loans[m.name]; loan != nil && !loan.Acknowledged && loan.claim(c).CanPreempt(group.claim()) {
@@ -600,7 +600,7 @@
 	}
 	// Nothing starts on the strength of an old read: from the moment a user is told
 	// "cancelled", by whomever, no task of the job may. Reports are answered for longer
-	// than that (HoldTime), so that what runs goes on.
+	// than that (MaxStaleness), so that what runs goes on.
 	if len(shown) == len(m.bindings) || !c.isFresh(c.operator.LeaseTTL) {
 		return stops
 	}
@@ -623,7 +623,7 @@
 	return append(stops, starts...)
 }
 
-// kick sends a machine's commands at once, without waiting for its report.
+// sendCommandsNow sends a machine's commands at once, without waiting for its report.
 func (c *controller) sendCommandsNow(m *machine) {
 	p := c.partitions[m.partition]
 	if p.token == 0 || !p.active || m.terminated || m.addr == "" || !m.heartbeatAt.After(p.ownedSince) {
@@ -645,7 +645,7 @@
 	}
 }
 
-// doLater has a machine wait for its turn: so many direct commands are open that
+// queueDirect has a machine wait for its turn: so many direct commands are open that
 // more would take the sockets of workers and users, since each to a machine that
 // is silent holds one until it times out.
 func (c *controller) queueDirect(m *machine) {
@@ -655,7 +655,7 @@
 	}
 }
 
-// doNext gives those that wait for direct commands their turn.
+// sendQueuedDirect gives those that wait for direct commands their turn.
 func (c *controller) sendQueuedDirect() {
 	for n := len(c.directQueue); n > 0 && c.directsInFlight < c.maxDirects; n-- {
 		m := c.directQueue[0]
@@ -697,9 +697,9 @@
 	d := &wire.CommandRequest{Token: term, Incarnation: m.incarnation, Commands: cmds}
 	// Counted from the decision, not from when it is sent: a process that stood
 	// still in between has no right to send it any more.
-	limit := fleet.Timeout
+	limit := workerclient.Timeout
 	if len(cmds) == 0 {
-		limit = fleet.PingTimeout
+		limit = workerclient.PingTimeout
 	}
 	begun := c.now
 	ctx, cancel := context.WithDeadline(c.ctx, begun.Add(limit))
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -46,7 +46,7 @@
 
 var latencyNames = [latencies]string{"event", "submit", "commit", "bind"}
 
-// duty is a kind of work of the actor.
+// activity is a kind of work of the actor.
 type activity int
 
 const (
@@ -92,14 +92,14 @@
 	m.mu.Unlock()
 }
 
-// spend adds the time since begun to a duty.
+// addBusyTime adds the time since begun to a duty.
 func (m *metrics) addBusyTime(d activity, begun time.Time) {
 	m.mu.Lock()
 	m.busyTime[d] += time.Since(begun)
 	m.mu.Unlock()
 }
 
-// late notes by how much a tick of the actor came too late.
+// noteLag notes by how much a tick of the actor came too late.
 func (m *metrics) noteLag(d time.Duration) {
 	m.mu.Lock()
 	m.maxLag = max(m.maxLag, d)
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"eiderhitch/internal/core"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
@@ -14,12 +14,12 @@
 // zone that it was dealt to before it goes to another.
 const zonePatience = 15 * time.Second
 
-// otherZone has a samePlace job of which no task is anywhere go to another zone, if
+// moveToOtherZone has a samePlace job of which no task is anywhere go to another zone, if
 // there is no room in the one that it was dealt to, perhaps since that has lost its
 // machines. Bound to it for good, the job waited beside other zones' empty machines
 // for as long as the first one had none. Its tasks are all proven gone, so that nothing
 // is in two zones; an owner that binds one meanwhile loses by its record's version.
-func (c *controller) moveToOtherZone(summaries []*core.MachineSummary, group *taskGroup) bool {
+func (c *controller) moveToOtherZone(summaries []*scheduling.MachineSummary, group *taskGroup) bool {
 	job, spec := group.job, group.job.spec
 	if !spec.SingleZone || group.zone == "" || c.now.Sub(group.inPartitionSince) < zonePatience || !spec.Gang && len(job.groups) > c.cfg.Settings.State.TxnOps {
 		return false
@@ -65,9 +65,9 @@
 	return true
 }
 
-// moveStuck gives waiting tasks of a record whose part has no room to a part
+// moveUnplaced gives waiting tasks of a record whose part has no room to a part
 // that has. Its owner's writes lose by the record's version.
-func (c *controller) moveUnplaced(summaries []*core.MachineSummary, group *taskGroup, n int) bool {
+func (c *controller) moveUnplaced(summaries []*scheduling.MachineSummary, group *taskGroup, n int) bool {
 	spec := group.job.spec
 	if spec.Gang {
 		return c.moveGang(summaries, group.job)
@@ -76,11 +76,11 @@
 		n = len(group.bindings) // a group that has not started moves whole
 	}
 	perPart := make([]int, len(c.partitions))
-	can := func(summary *core.MachineSummary) bool {
+	can := func(summary *scheduling.MachineSummary) bool {
 		return !summary.Booting && summary.Partition != group.partition && (c.now.Sub(group.inPartitionSince) > reserveOpensAfter || c.reserveAllows(group.job, summary)) && allowed(spec, group.zone, summary.Type, summary.Zone, summary.Spot)
 	}
-	trial := core.CloneSummaries(summaries)
-	for summary, k := range core.PlaceInFreeRoom(trial, can, group.job.taskSize, n) {
+	trial := scheduling.CloneSummaries(summaries)
+	for summary, k := range scheduling.PlaceInFreeRoom(trial, can, group.job.taskSize, n) {
 		perPart[summary.Partition] += k
 	}
 	best, most := -1, 0
@@ -90,14 +90,14 @@
 		}
 	}
 	if best < 0 && n == 1 {
-		if summary := core.PlaceByPreemption(trial, can, group.job.taskSize, group.claim()); summary != nil {
+		if summary := scheduling.PlaceByPreemption(trial, can, group.job.taskSize, group.claim()); summary != nil {
 			best, most = summary.Partition, 1
 		}
 	}
 	taken := false
 	if spec.AllOrNothing() && group.boundTasks() == 0 && most < n {
 		// A group that has not started, or lost all, may evict where it goes.
-		if best, taken = (&core.Assignment{TaskSize: group.job.taskSize, Count: n, Claim: group.claim(), Allowed: can}).OnePartition(summaries, len(c.partitions)); !taken {
+		if best, taken = (&scheduling.Assignment{TaskSize: group.job.taskSize, Count: n, Claim: group.claim(), Allowed: can}).OnePartition(summaries, len(c.partitions)); !taken {
 			return n > 1 && c.borrow(summaries, group.job, group.zone, n, group.claim())
 		}
 		most = n
@@ -116,9 +116,9 @@
 	if len(move) == 0 {
 		return false
 	}
-	in := func(summary *core.MachineSummary) bool { return summary.Partition == best && can(summary) }
+	in := func(summary *scheduling.MachineSummary) bool { return summary.Partition == best && can(summary) }
 	if !taken {
-		core.PlaceInFreeRoom(summaries, in, group.job.taskSize, len(move))
+		scheduling.PlaceInFreeRoom(summaries, in, group.job.taskSize, len(move))
 	}
 	write := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(group.job.id), Revision: group.job.revision}, {Key: group.key, Revision: group.revision}}}
 	left, moved := group.split(stay, move)
@@ -142,7 +142,7 @@
 // Where none has, machines of several parts are borrowed for it: a gang that was dealt
 // to a part which then lost its room waited for ever beside machines that had room for
 // it together.
-func (c *controller) moveGang(summaries []*core.MachineSummary, j *job) bool {
+func (c *controller) moveGang(summaries []*scheduling.MachineSummary, j *job) bool {
 	first, tasks := j.firstGroup(), 0
 	for _, group := range j.groups {
 		if group.boundTasks() > 0 {
@@ -153,10 +153,10 @@
 	if tasks < j.spec.Tasks {
 		return false // the rest is dealt first
 	}
-	can := func(summary *core.MachineSummary) bool {
+	can := func(summary *scheduling.MachineSummary) bool {
 		return !summary.Booting && summary.Partition != first.partition && allowed(j.spec, first.zone, summary.Type, summary.Zone, summary.Spot)
 	}
-	d := &core.Assignment{TaskSize: j.taskSize, Count: tasks, Claim: first.claim(), Allowed: can}
+	d := &scheduling.Assignment{TaskSize: j.taskSize, Count: tasks, Claim: first.claim(), Allowed: can}
 	part, ok := d.OnePartition(summaries, len(c.partitions))
 	if !ok {
 		return tasks > 1 && c.borrow(summaries, j, first.zone, tasks, first.claim())
@@ -167,7 +167,7 @@
 }
 
 // relocate has a gang's records go to a part and zone, the first record first and as many
-// as one transaction holds. The others follow (gatherGangs); the gang is reserved when
+// as one transaction holds. The others follow (completeGangMoves); the gang is reserved when
 // all are together. False if it can't be now.
 func (c *controller) relocate(j *job, part int, zone string) bool {
 	write := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
@@ -198,7 +198,7 @@
 	return true
 }
 
-// gatherGangs has the records of gangs that moved in part, by this leader or one before
+// completeGangMoves has the records of gangs that moved in part, by this leader or one before
 // it, follow their first one.
 func (c *controller) completeGangMoves() {
 	for _, job := range c.unfinished {
@@ -211,19 +211,19 @@
 	}
 }
 
-// recsInOrder are a job's records by their numbers.
+// groupsInOrder are a job's records by their numbers.
 func (j *job) groupsInOrder() []*taskGroup {
 	out := slices.Clone(j.groups)
 	slices.SortFunc(out, func(first, second *taskGroup) int { return cmp.Compare(first.number, second.number) })
 	return out
 }
 
-// firstRec is the record by which a gang's others go.
+// firstGroup is the record by which a gang's others go.
 func (j *job) firstGroup() *taskGroup {
 	return slices.MinFunc(j.groups, func(first, second *taskGroup) int { return cmp.Compare(first.number, second.number) })
 }
 
-// together tells whether all records of a job are in one part and zone.
+// groupsTogether tells whether all records of a job are in one part and zone.
 func (j *job) groupsTogether(part int, zone string) bool {
 	for _, group := range j.groups {
 		if group.partition != part || group.zone != zone {
--- a/internal/controller/owner.go
+++ b/internal/controller/placement.go
@@ -5,14 +5,14 @@
 	"slices"
 	"time"
 
-	"eiderhitch/internal/core"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
 
-// step has the decisions taken soon: events in a burst share one pass.
+// requestPass has the decisions taken soon: events in a burst share one pass.
 func (c *controller) requestPass() { c.passDue = true }
 
-// stepParts takes the decisions of all parts that are ours.
+// schedulePartitions takes the decisions of all parts that are ours.
 func (c *controller) schedulePartitions() {
 	defer c.metrics.addBusyTime(activityPartitions, time.Now())
 	for _, p := range c.partitions {
@@ -22,7 +22,7 @@
 	}
 }
 
-// stepPart lets the pending tasks of a part claim cells, highest claims first,
+// schedulePartition lets the pending tasks of a part claim cells, highest claims first,
 // and stores what changed: ended attempts and new bindings.
 func (c *controller) schedulePartition(p *partition) {
 	p.removeMachines(func(m *machine) bool { return m.terminated && len(m.bindings) == 0 })
@@ -71,29 +71,29 @@
 	}
 }
 
-// shape is what decides where tasks may be placed: where there is no room for one,
+// placementClass is what decides where tasks may be placed: where there is no room for one,
 // there is none for all others of the same shape.
 type placementClass struct {
 	equivalenceClass, zone string
-	claim                  core.Claim
+	claim                  scheduling.Claim
 	noPreemption           bool
 }
 
-// order is what a job's place among others depends on.
-func (c *controller) jobOrder(j *job) *core.JobOrder {
+// jobOrder is what a job's place among others depends on.
+func (c *controller) jobOrder(j *job) *scheduling.JobOrder {
 	_, finished := j.assignedTasks()
-	return &core.JobOrder{AllOrNothing: j.spec.AllOrNothing(), NoDeadline: j.spec.NoDeadline, Started: j.hasStarted(), OverdueTurn: core.IsOverdueTurn(c.now.Unix()),
+	return &scheduling.JobOrder{AllOrNothing: j.spec.AllOrNothing(), NoDeadline: j.spec.NoDeadline, Started: j.hasStarted(), OverdueTurn: scheduling.IsOverdueTurn(c.now.Unix()),
 		AgeS: c.now.Sub(j.acceptedAt).Seconds(), EstimateS: j.spec.EstimateS, DeadlineS: j.spec.DeadlineS, ObjectiveS: c.objectiveSeconds[j.spec.Class],
 		RemainingWork: float64(j.spec.Tasks-finished) * j.spec.EstimateS * j.spec.CPUs}
 }
 
-// alikeS is within how many seconds jobs count as coming at the same time.
+// arrivalBucketS is within how many seconds jobs count as coming at the same time.
 const arrivalBucketS = 10
 
 // byUrgency compares jobs by priority and urgency, each looked at once.
 func (c *controller) byUrgency() func(x, y *job) int {
-	known := map[*job]core.Urgency{}
-	of := func(j *job) core.Urgency {
+	known := map[*job]scheduling.Urgency{}
+	of := func(j *job) scheduling.Urgency {
 		u, ok := known[j]
 		if !ok {
 			u = c.jobOrder(j).Urgency()
@@ -119,7 +119,7 @@
 	return -1
 }
 
-// place asks for cells for a record's pending tasks: all of a service's first
+// placeGroup asks for cells for a record's pending tasks: all of a service's first
 // start together, everything else one by one. Tasks of one shape are alike, so
 // the first that finds no room speaks for all behind it; full is what has found
 // none in this step.
@@ -152,7 +152,7 @@
 	// Where tasks end all the time, those at the head of the queue have a free cell
 	// before long; only what is behind them stops others, until all have waited.
 	patient := !spec.AllOrNothing() && c.now.Sub(group.inPartitionSince) < evictionPatience*c.operator.EvictAfter
-	request := func(tasks ...core.Task) bool {
+	request := func(tasks ...scheduling.Task) bool {
 		if patient && !s.noPreemption {
 			s.noPreemption = p.unplaced < p.freedCellsWithin(c.now, c.operator.EvictAfter)
 			defer func() { s.noPreemption = false }()
@@ -163,22 +163,22 @@
 			p.unplaced++
 			return false
 		}
-		g := &core.Group{Tasks: tasks, TaskSize: group.job.taskSize, Claim: s.claim, NoPreemption: s.noPreemption}
+		g := &scheduling.Group{Tasks: tasks, TaskSize: group.job.taskSize, Claim: s.claim, NoPreemption: s.noPreemption}
 		p.cells.Request(g, score)
 		switch g.State {
-		case core.Allocated:
+		case scheduling.Allocated:
 			c.reserveCells(p, g)
-		case core.Preempting:
+		case scheduling.Preempting:
 			c.metrics.count(countPreempting, g.Victims())
 			c.log.Debug("group preempts", "job", group.job.id, "tasks", len(tasks))
 			for _, mi := range g.Machines {
 				c.sendCommandsNow(c.machineByIndex[mi])
 			}
-		case core.Pending:
+		case scheduling.Pending:
 			full[s] = full[s] || alike
 			p.unplaced++
 		}
-		return g.State != core.Pending
+		return g.State != scheduling.Pending
 	}
 	if spec.Gang {
 		c.placeGang(p, group, pending, request)
@@ -195,13 +195,13 @@
 	}
 }
 
-// patience is how many times evict-after a task at the head of the queue waits.
+// evictionPatience is how many times evict-after a task at the head of the queue waits.
 const evictionPatience = 2
 
-// rateOver is the time over which a part's ends are counted.
+// freedCellsWindow is the time over which a part's ends are counted.
 const freedCellsWindow = 5 * time.Second
 
-// ended counts a cell that came free.
+// countFreedCell counts a cell that came free.
 func (p *partition) countFreedCell(now time.Time) {
 	if now.Sub(p.freedCellsSince) > freedCellsWindow {
 		p.freedCellsBefore, p.freedCells = p.freedCells, 0
@@ -213,7 +213,7 @@
 	p.freedCells++
 }
 
-// endsWithin is about how many cells come free in d.
+// freedCellsWithin is about how many cells come free in d.
 func (p *partition) freedCellsWithin(now time.Time, d time.Duration) int {
 	if now.Sub(p.freedCellsSince) > 2*freedCellsWindow {
 		return 0
@@ -221,9 +221,9 @@
 	return int(int64(p.freedCellsBefore) * int64(d) / int64(freedCellsWindow))
 }
 
-// pending lists a record's tasks that neither are nor claim to be anywhere;
+// unplacedTasks lists a record's tasks that neither are nor claim to be anywhere;
 // busy: others do; started: some have run before.
-func (c *controller) unplacedTasks(p *partition, group *taskGroup) (out []core.Task, busy, started bool) {
+func (c *controller) unplacedTasks(p *partition, group *taskGroup) (out []scheduling.Task, busy, started bool) {
 	for i := range group.bindings {
 		bound := &group.bindings[i]
 		t := group.task(bound.task)
@@ -245,9 +245,9 @@
 }
 
 // scorer rates machines for a record's tasks; negative: not allowed.
-func (c *controller) scorer(p *partition, group *taskGroup) core.ScoreFunc {
+func (c *controller) scorer(p *partition, group *taskGroup) scheduling.ScoreFunc {
 	spec := group.job.spec
-	return func(mi int32, free core.Resources) float64 {
+	return func(mi int32, free scheduling.Resources) float64 {
 		m := c.machineByIndex[mi]
 		if !c.schedulable(m, p) || !allowed(spec, group.zone, m.machineType, m.zone, m.spot) || len(m.failedJobs) > 0 && c.avoidsJob(m, group.job) {
 			return -1
@@ -303,7 +303,7 @@
 	return min(float64(each)*part*spec.ImageGB*float64(1+others)/t.FetchGBPS, maxFetchScore)
 }
 
-// open tells whether anything may be placed on a machine now. It is looked up
+// schedulable tells whether anything may be placed on a machine now. It is looked up
 // once in a step, not for each task.
 func (c *controller) schedulable(m *machine, p *partition) bool {
 	if m.schedulableStep != c.schedulingPass {
@@ -314,7 +314,7 @@
 	return m.schedulable
 }
 
-// pinnedBy tells whether a service is bound to a machine, see core.Host. It is
+// runsService tells whether a service is bound to a machine, see scheduling.Host. It is
 // looked up once in a step.
 func (c *controller) runsService(m *machine) bool {
 	if m.runsServiceStep != c.schedulingPass {
@@ -336,7 +336,7 @@
 		(pinned == "" || pinned == zone) && (!spot || spec.Spot)
 }
 
-// probeSilent asks machines directly that have not reported in time, or seem not
+// probeUnreachable asks machines directly that have not reported in time, or seem not
 // to hear us.
 func (c *controller) probeUnreachable() {
 	for _, p := range c.partitions {
--- a/internal/controller/usage.go
+++ b/internal/controller/process_usage.go
@@ -37,7 +37,7 @@
 	return u
 }
 
-// attrs are the log attributes of what was used since the last time: processor time
+// logAttributes are the log attributes of what was used since the last time: processor time
 // of the process and of its collector, and the memory that it holds now.
 func (u *usage) logAttributes() []any {
 	runtimemetrics.Read(u.samples)
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -9,16 +9,16 @@
 	"strings"
 	"time"
 
-	"eiderhitch/internal/core"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/rollout"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
 
 // The replica: what the state service has, as far as this controller has read it.
 
-// reset takes a whole reading in: pages read at different revisions, and the
+// resetReplica takes a whole reading in: pages read at different revisions, and the
 // changes since the first. Only both together are a state that ever was; a count
 // of done tasks that moved between two pages would else be seen twice.
 func (c *controller) resetReplica(items []wire.Item, rev uint64, since *wire.WatchResponse) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// applied takes the changes of a successful transaction of ours into the replica.
+// applyWrite takes the changes of a successful transaction of ours into the replica.
 func (c *controller) applyWrite(write *store.Write, rev uint64) {
 	for _, change := range write.Changes {
 		if change.Delete != "" {
@@ -86,7 +86,7 @@
 	}
 }
 
-// putValue takes a stored value in by the kind of its key. An error means that the value
+// decodeRecord takes a stored value in by the kind of its key. An error means that the value
 // can't be read.
 func (c *controller) decodeRecord(key string, raw json.RawMessage, stamp uint64) error {
 	switch {
@@ -121,7 +121,7 @@
 	})
 }
 
-// decoded takes a value in if it can be read.
+// decodeInto takes a value in if it can be read.
 func decodeInto[T any](raw json.RawMessage, take func(T)) error {
 	var v T
 	if err := wire.Decode(raw, &v); err != nil {
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// undecodable names a record that this version can't read. Nothing is guessed:
+// noteUndecodable names a record that this version can't read. Nothing is guessed:
 // its job is neither dealt nor ended, and its user is told to come back.
 func (c *controller) noteUndecodable(key string, err error) {
 	c.log.Error("stored record can't be decoded; it is left alone", "key", key, "err", err)
@@ -166,10 +166,10 @@
 	job.unreadable[key] = true
 }
 
-// readable notes that a record of the job can be decoded, or is gone.
+// markReadable notes that a record of the job can be decoded, or is gone.
 func (j *job) markReadable(key string) { delete(j.unreadable, key) }
 
-// bad tells whether a record of the job can't be decoded.
+// hasUnreadableRecords tells whether a record of the job can't be decoded.
 func (j *job) hasUnreadableRecords() bool { return len(j.unreadable) > 0 }
 
 func (c *controller) deleteRecord(key string, stamp uint64) {
@@ -224,7 +224,7 @@
 	return j
 }
 
-// takeUp puts a job among those that the leader goes through. Jobs are remembered
+// restoreJob puts a job among those that the leader goes through. Jobs are remembered
 // for ever: a step must not cost more for each that has ever been.
 func (c *controller) restoreJob(j *job) {
 	if !j.inUnfinished {
@@ -233,7 +233,7 @@
 	}
 }
 
-// layDown takes jobs that are over and cleared up out of those at hand. Of each no
+// archiveFinished takes jobs that are over and cleared up out of those at hand. Of each no
 // more is kept than its fate, which is for ever: some fifty bytes a job. That nothing
 // of it is left is known only once all changes before its last one are: a record that
 // was stored before a cancellation of ours may be seen after it, and its tasks count
@@ -261,7 +261,7 @@
 	if v.Spec != nil {
 		job.spec = v.Spec
 		job.acceptedAt = time.UnixMilli(v.AcceptedAtMS)
-		job.taskSize = core.NewResources(v.Spec.CPUs, v.Spec.GPUs, v.Spec.RAM)
+		job.taskSize = scheduling.NewResources(v.Spec.CPUs, v.Spec.GPUs, v.Spec.RAM)
 		job.equivalenceClass = fmt.Sprint(v.Spec.CPUs, v.Spec.GPUs, v.Spec.RAM, v.Spec.MachineTypes, v.Spec.Zone, v.Spec.Spot, v.Spec.Priority, v.Spec.AllOrNothing(), v.Spec.Team)
 		job.team = c.team(v.Spec.Team)
 	}
@@ -282,7 +282,7 @@
 	c.requestPass()
 }
 
-// retire drops what a final job needs no more; its fate is kept for ever.
+// releaseJobDetails drops what a final job needs no more; its fate is kept for ever.
 func (c *controller) releaseJobDetails(j *job) {
 	if j.finalState != unfinishedJob && len(j.groups) == 0 && j.revision <= c.cursor {
 		j.spec, j.groups, j.groupOfTask = nil, nil, nil
@@ -328,14 +328,14 @@
 	return id, k, ok && err == nil
 }
 
-// stored is what is known of a value besides its content.
+// storedValue is what is known of a value besides its content.
 type storedValue struct {
 	revision uint64
 	size     int
 	encoding record.Encoding
 }
 
-// groupReadable notes that a group's record can be decoded, or is gone.
+// markGroupReadable notes that a group's record can be decoded, or is gone.
 func (c *controller) markGroupReadable(key string) {
 	delete(c.rollout.unreadable, key)
 	if id, _, ok := splitGroupKey(key); ok {
@@ -345,7 +345,7 @@
 	}
 }
 
-// newRec begins a record that has not been seen before.
+// newGroup begins a record that has not been seen before.
 func (c *controller) newGroup(key, id string, k int) *taskGroup {
 	job := c.job(id)
 	group := &taskGroup{key: key, index: int32(len(c.groups)), number: k, job: job, inPartitionSince: c.now, partition: -1}
@@ -359,7 +359,7 @@
 	return group
 }
 
-// putEntries takes a record's tasks in, with the machines that they are bound to.
+// putBindings takes a record's tasks in, with the machines that they are bound to.
 func (c *controller) putBindings(group *taskGroup, tasks []record.Binding) {
 	entries := make([]binding, 0, len(tasks))
 	placed := 0
@@ -429,7 +429,7 @@
 	return nil
 }
 
-// records goes through all records there are.
+// allGroups goes through all records there are.
 func (c *controller) allGroups() iter.Seq[*taskGroup] {
 	return func(yield func(*taskGroup) bool) {
 		for _, p := range c.partitions {
@@ -442,7 +442,7 @@
 	}
 }
 
-// file moves a record to another part's list; -1: to none.
+// moveToPartition moves a record to another part's list; -1: to none.
 func (c *controller) moveToPartition(group *taskGroup, part int) {
 	if group.listPosition > 0 && group.partition == part {
 		return
--- a/internal/controller/claims.go
+++ b/internal/controller/reservations.go
@@ -1,10 +1,10 @@
 package controller
 
-import "eiderhitch/internal/core"
+import "eiderhitch/internal/scheduling"
 
 // Claims of tasks on cells, kept in line with the stored records.
 
-// adopt brings the cells of a part of ours in line with a stored record.
+// adoptBindings brings the cells of a part of ours in line with a stored record.
 func (c *controller) adoptBindings(group *taskGroup) {
 	if group.job.spec == nil {
 		return
@@ -28,7 +28,7 @@
 	}
 }
 
-// cancelClaims gives up what a record's tasks claim without a stored binding; of
+// cancelReservations gives up what a record's tasks claim without a stored binding; of
 // cells whose binding may be on its way only if those, too, are void.
 func (c *controller) cancelReservations(group *taskGroup, all bool) {
 	p := c.partitions[group.partition]
@@ -47,7 +47,7 @@
 	}
 }
 
-// releaseClaims gives up whatever tasks hold in a part of ours that leave a
+// releaseCells gives up whatever tasks hold in a part of ours that leave a
 // record. Left behind, their cells would never be free again, and a look at
 // their record would find none.
 func (c *controller) releaseCells(group *taskGroup, kept map[int32]bool) {
@@ -70,13 +70,13 @@
 
 // freeCell ends a task's use of its cell; a group that waited for it may now
 // be Allocated.
-func (c *controller) freeCell(p *partition, t core.Task) {
+func (c *controller) freeCell(p *partition, t scheduling.Task) {
 	if g := p.cells.Release(t); g != nil {
 		c.reserveCells(p, g)
 	}
 }
 
-func (c *controller) reserveCells(p *partition, g *core.Group) {
+func (c *controller) reserveCells(p *partition, g *scheduling.Group) {
 	for i, t := range g.Tasks {
 		m := c.machineByIndex[g.Machines[i]]
 		p.reservations[t] = reservation{m, m.incarnation}
@@ -85,7 +85,7 @@
 	c.requestPass()
 }
 
-// willFetch notes that a machine fetches an image for a task that it is given.
+// noteFetch notes that a machine fetches an image for a task that it is given.
 func (c *controller) noteFetch(m *machine, image string) {
 	if image != "" && !m.images[image] {
 		m.fetching[image] = c.now
--- a/internal/controller/levels.go
+++ b/internal/controller/rollout.go
@@ -11,14 +11,14 @@
 
 	"eiderhitch/internal/api"
 	"eiderhitch/internal/config"
-	"eiderhitch/internal/mesh"
+	"eiderhitch/internal/peer"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/rollout"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
 
-// levels is what a controller knows of feature levels: the stored state, who reads what,
+// rolloutState is what a controller knows of feature levels: the stored state, who reads what,
 // and in which forms records are stored. The decisions are in internal/rollout.
 type rolloutState struct {
 	supported rollout.Range
@@ -54,10 +54,10 @@
 	return wire.Condition{Key: c.leaderKey(), Revision: c.leadership.token}
 }
 
-// form is the form in which records are written.
+// encoding is the form in which records are written.
 func (c *controller) encoding() record.Encoding { return encodingOf(c.rollout.state.Writes()) }
 
-// formOf is the form of records at a feature level.
+// encodingOf is the form of records at a feature level.
 func encodingOf(l rollout.Level) record.Encoding {
 	if l >= rollout.ChecksumLevel {
 		return record.Checksummed
@@ -65,7 +65,7 @@
 	return record.PlainJSON
 }
 
-// outdated counts the records that are not stored in the form in which they are written.
+// countOutdated counts the records that are not stored in the form in which they are written.
 func (l *rolloutState) countOutdated() int {
 	n := 0
 	for form, count := range l.groupsByEncoding {
@@ -76,7 +76,7 @@
 	return n
 }
 
-// above counts the records that are stored in a form above that in which they are written.
+// countNewer counts the records that are stored in a form above that in which they are written.
 func (l *rolloutState) countNewer() int {
 	n := 0
 	for form, count := range l.groupsByEncoding {
@@ -87,7 +87,7 @@
 	return n
 }
 
-// putLevel takes the stored state in. One that can't be read was written by a version
+// putRolloutState takes the stored state in. One that can't be read was written by a version
 // that knows more: this one must not serve.
 func (c *controller) putRolloutState(raw json.RawMessage, stamp uint64) error {
 	state, err := rollout.DecodeState(raw)
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// setLevel follows a new state: rights are held under its keys, and by controllers alone
+// setRolloutState follows a new state: rights are held under its keys, and by controllers alone
 // that read what it allows to be stored.
 func (c *controller) setRolloutState(state rollout.State, version uint64, unknown error) {
 	l := &c.rollout
@@ -128,7 +128,7 @@
 	}
 }
 
-// switchKeys gives all rights up, whose keys nobody may hold any more, and has them taken
+// switchLeaseKeys gives all rights up, whose keys nobody may hold any more, and has them taken
 // under other keys from now on.
 func (c *controller) switchLeaseKeys(keys rollout.Keys) {
 	for key := range c.leasedKeys {
@@ -142,7 +142,7 @@
 	c.partitions[c.loanPartition()].key = keys.Leader()
 }
 
-// rightsUnder are the rights of a cluster under a set of keys, none of them held.
+// newLeasedKeys are the rights of a cluster under a set of keys, none of them held.
 func newLeasedKeys(keys rollout.Keys, partitions int) map[string]*leasedKey {
 	rights := map[string]*leasedKey{keys.Leader(): {key: keys.Leader()}}
 	for n := range partitions {
@@ -151,7 +151,7 @@
 	return rights
 }
 
-// putController takes in what a controller stores about itself.
+// putRegistration takes in what a controller stores about itself.
 func (c *controller) putRegistration(name string, raw json.RawMessage, stamp uint64) error {
 	registration, err := rollout.DecodeController(raw)
 	if err != nil {
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// levelView is what the next step rests on.
+// rolloutView is what the next step rests on.
 func (c *controller) rolloutView() rollout.View {
 	l := &c.rollout
 	return rollout.View{Now: c.now, Members: c.cfg.Nodes(), Controllers: l.controllers, Leading: c.isLeader(), Current: c.cursor >= l.version,
@@ -170,7 +170,7 @@
 		FinalizeAfter: c.operator.FinalizeAfter}
 }
 
-// tendLevels takes the next step of an upgrade or of the way back, if there is one.
+// advanceRollout takes the next step of an upgrade or of the way back, if there is one.
 func (c *controller) advanceRollout() {
 	l := &c.rollout
 	if l.writing || l.version == 0 && !c.operator.FeatureLevels || l.refusal != nil || !c.isFresh(c.operator.LeaseTTL) {
@@ -194,7 +194,7 @@
 	})
 }
 
-// rewriteRecords has records of a partition stored in the form that is written now, a
+// rewriteGroups has records of a partition stored in the form that is written now, a
 // few at a time: users' writes go before, and so does all that has a backlog.
 func (c *controller) rewriteGroups(p *partition) {
 	if c.rollout.countOutdated() == 0 || c.stateWriter.Backlog() > rewriteBacklog {
@@ -219,31 +219,31 @@
 
 // frameVersion is the version of frames for a sibling: the checked one if it is active,
 // and the process that the sibling is now has said that it reads it.
-func (c *controller) frameVersion(name string) mesh.Version {
+func (c *controller) frameVersion(name string) peer.Version {
 	registration, ok := c.rollout.controllers[name]
 	if !ok || c.rollout.state.Active() < rollout.ChecksumLevel || registration.High < rollout.ChecksumLevel {
-		return mesh.Plain
+		return peer.Plain
 	}
 	if s := c.peers[name]; s.status != nil && s.status.ProcessID != registration.ProcessID {
-		return mesh.Plain
+		return peer.Plain
 	}
-	return mesh.Checked
+	return peer.Checked
 }
 
-// tellSiblings sends this controller's status to all siblings.
+// broadcastStatus sends this controller's status to all siblings.
 func (c *controller) broadcastStatus() {
 	status := c.peerStatus()
-	frames := map[mesh.Version][]byte{}
+	frames := map[peer.Version][]byte{}
 	for _, sibling := range c.cfg.Siblings {
 		version := c.frameVersion(sibling.Name)
 		if frames[version] == nil {
-			frames[version] = mesh.AppendStatus(nil, status, version)
+			frames[version] = peer.AppendStatus(nil, status, version)
 		}
 		c.send(sibling.Name, frames[version])
 	}
 }
 
-// refuses is the answer of a controller that must not serve; false: it may.
+// refusal is the answer of a controller that must not serve; false: it may.
 func (c *controller) refusal() (api.Response, bool) {
 	if c.rollout.refusal == nil {
 		return api.Response{}, false
@@ -271,7 +271,7 @@
 	rewriteBacklog = 500 * time.Millisecond
 )
 
-// logLevels adds the levels to the regular counters.
+// logRollout adds the levels to the regular counters.
 func (c *controller) logRollout(log *slog.Logger) {
 	l := &c.rollout
 	if l.version == 0 {
--- a/internal/controller/levels_test.go
+++ b/internal/controller/rollout_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"eiderhitch/internal/config"
-	"eiderhitch/internal/mesh"
+	"eiderhitch/internal/peer"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/rollout"
 	"eiderhitch/internal/standin"
@@ -337,13 +337,13 @@
 func TestFramesOfMixedLevels(t *testing.T) {
 	inUpgrade(t, func(c *cluster) {
 		var mu sync.Mutex
-		last := map[string]mesh.Version{}
-		c.onFrame = func(from, to string, version mesh.Version) {
+		last := map[string]peer.Version{}
+		c.onFrame = func(from, to string, version peer.Version) {
 			mu.Lock()
 			defer mu.Unlock()
 			last[from+to] = version
 		}
-		sent := func(want map[string]mesh.Version) {
+		sent := func(want map[string]peer.Version) {
 			t.Helper()
 			time.Sleep(3 * time.Second)
 			mu.Lock()
@@ -355,7 +355,7 @@
 			}
 		}
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
-		sent(map[string]mesh.Version{"n0n1": mesh.Checked, "n1n0": mesh.Checked, "n2n1": mesh.Checked})
+		sent(map[string]peer.Version{"n0n1": peer.Checked, "n1n0": peer.Checked, "n2n1": peer.Checked})
 		// It is killed: its registration outlives it.
 		c.nodes[1].net.Judge(func(*http.Request) standin.Fate { return standin.Refuse })
 		c.kill(1)
@@ -364,10 +364,10 @@
 		if len(c.world.State.Keys(rollout.ControllerKey("n1"))) != 1 {
 			t.Error("its registration ended with it")
 		}
-		sent(map[string]mesh.Version{"n0n1": mesh.Plain, "n1n0": mesh.Plain, "n0n2": mesh.Checked, "n2n1": mesh.Plain})
+		sent(map[string]peer.Version{"n0n1": peer.Plain, "n1n0": peer.Plain, "n0n2": peer.Checked, "n2n1": peer.Plain})
 		c.replace(1, &baseOnly)
-		sent(map[string]mesh.Version{"n0n1": mesh.Plain, "n0n2": mesh.Plain}) // the level is not active any more
+		sent(map[string]peer.Version{"n0n1": peer.Plain, "n0n2": peer.Plain}) // the level is not active any more
 		c.replace(1, &rollout.Supported)
-		sent(map[string]mesh.Version{"n0n1": mesh.Checked, "n1n2": mesh.Checked})
+		sent(map[string]peer.Version{"n0n1": peer.Checked, "n1n2": peer.Checked})
 	})
 }
--- a/internal/controller/provision.go
+++ b/internal/controller/scaling.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"eiderhitch/internal/config"
-	"eiderhitch/internal/core"
-	"eiderhitch/internal/mesh"
+	"eiderhitch/internal/peer"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
 
-// rented is a machine that the cloud has given us, as far as the leader knows.
+// instance is a machine that the cloud has given us, as far as the leader knows.
 type instance struct {
 	machineType, zone string
 	spot              bool
@@ -22,12 +22,12 @@
 	listed            bool
 }
 
-// provision rents for what found no room and returns what is not wanted.
-func (c *controller) scale(summaries []*core.MachineSummary, wants []core.Demand) {
+// scale rents for what found no room and returns what is not wanted.
+func (c *controller) scale(summaries []*scheduling.MachineSummary, wants []scheduling.Demand) {
 	if len(c.machineTypes) == 0 {
 		return
 	}
-	plan := core.ScalingPlan{Machines: append(slices.Clone(summaries), c.booting()...), Offers: c.offers(), RunningByClass: map[string]int{}, Launches: map[core.Offer]int{}}
+	plan := scheduling.ScalingPlan{Machines: append(slices.Clone(summaries), c.booting()...), Offers: c.offers(), RunningByClass: map[string]int{}, Launches: map[scheduling.Offer]int{}}
 	for group := range c.allGroups() {
 		if group.job.spec != nil {
 			plan.RunningByClass[group.job.spec.Class] += group.boundTasks()
@@ -41,7 +41,7 @@
 	}
 	short := plan.Shortage
 	spare, level := c.headroom()
-	core.CountLowerPriorityAsFree(plan.Machines, level)
+	scheduling.CountLowerPriorityAsFree(plan.Machines, level)
 	for _, w := range spare {
 		plan.Place(w)
 	}
@@ -63,13 +63,13 @@
 	c.terminateIdle(summaries)
 }
 
-// settleAfter is how long a new leader waits for the list of machines and for
+// launchDelayAfterFailover is how long a new leader waits for the list of machines and for
 // the parts' owners before it rents.
 const launchDelayAfterFailover = 10 * time.Second
 
-// closeSpare empties machines that the fleet has not needed of late: one takes no
+// drainSurplus empties machines that the fleet has not needed of late: one takes no
 // more work, and is returned when it is empty.
-func (c *controller) drainSurplus(summaries []*core.MachineSummary, spare []core.Demand, level int, short bool) {
+func (c *controller) drainSurplus(summaries []*scheduling.MachineSummary, spare []scheduling.Demand, level int, short bool) {
 	if c.leadership.draining == nil {
 		c.leadership.draining = map[string]bool{}
 	}
@@ -95,7 +95,7 @@
 	if !ok || age < window {
 		return // not seen for long enough
 	}
-	best := core.LeastUsed(summaries, least, level, func(summary *core.MachineSummary) bool {
+	best := scheduling.LeastUsed(summaries, least, level, func(summary *scheduling.MachineSummary) bool {
 		return summary.Partition != c.loanPartition() && !c.leadership.draining[c.machineByIndex[summary.ID].name]
 	})
 	if best == nil {
@@ -108,9 +108,9 @@
 }
 
 // headroom keeps room for services to come.
-func (c *controller) headroom() (out []core.Demand, level int) {
+func (c *controller) headroom() (out []scheduling.Demand, level int) {
 	level = math.MaxInt
-	byClass := map[string]*core.Demand{}
+	byClass := map[string]*scheduling.Demand{}
 	var order []string
 	for _, job := range c.unfinished {
 		if job.finalState != unfinishedJob || job.spec == nil || !job.spec.Service {
@@ -129,45 +129,45 @@
 	slices.Sort(order)
 	for _, class := range order {
 		w := byClass[class]
-		w.Count = core.Headroom(w.Count, c.operator.HeadroomOf(class))
+		w.Count = scheduling.Headroom(w.Count, c.operator.HeadroomOf(class))
 		out = append(out, *w)
 	}
 	return out, level
 }
 
-// bootLimit is how long a machine may take to come up before it is given back.
+// bootTimeout is how long a machine may take to come up before it is given back.
 func (c *controller) bootTimeout(t *wire.MachineType) time.Duration {
 	return config.Seconds(c.operator.BootPatience*t.BootS + 10)
 }
 
-// usualBoot is how many of its nominal boot times a machine usually takes at
+// usualBootFactor is how many of its nominal boot times a machine usually takes at
 // the most.
 const usualBootFactor = 1.6
 
 // booting are machines that are rented and have not reported yet.
-func (c *controller) booting() []*core.MachineSummary {
-	var out []*core.MachineSummary
+func (c *controller) booting() []*scheduling.MachineSummary {
+	var out []*scheduling.MachineSummary
 	for name, inst := range c.leadership.instances {
 		t := c.machineTypes[inst.machineType]
 		// One that is well past its usual time is not counted on any more.
 		if inst.reported || t == nil || c.terminating[name] || c.now.Sub(inst.launchedAt) > config.Seconds(usualBootFactor*t.BootS) {
 			continue
 		}
-		size := core.NewResources(t.CPUs, t.GPUs, t.RAM)
-		out = append(out, &core.MachineSummary{ID: -1, Type: inst.machineType, Zone: inst.zone, Spot: inst.spot, Size: size, Free: size, Booting: true})
+		size := scheduling.NewResources(t.CPUs, t.GPUs, t.RAM)
+		out = append(out, &scheduling.MachineSummary{ID: -1, Type: inst.machineType, Zone: inst.zone, Spot: inst.spot, Size: size, Free: size, Booting: true})
 	}
 	for o, n := range c.leadership.launching {
 		t := c.machineTypes[o.Type]
 		for range n {
-			size := core.NewResources(t.CPUs, t.GPUs, t.RAM)
-			out = append(out, &core.MachineSummary{ID: -1, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Size: size, Free: size, Booting: true})
+			size := scheduling.NewResources(t.CPUs, t.GPUs, t.RAM)
+			out = append(out, &scheduling.MachineSummary{ID: -1, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Size: size, Free: size, Booting: true})
 		}
 	}
 	return out
 }
 
-func (c *controller) offers() []core.PricedOffer {
-	var out []core.PricedOffer
+func (c *controller) offers() []scheduling.PricedOffer {
+	var out []scheduling.PricedOffer
 	for _, t := range c.machineTypes {
 		for _, z := range t.Zones {
 			if c.leadership.isolatedZones[z] {
@@ -177,7 +177,7 @@
 				if spot && !c.operator.Spot {
 					continue
 				}
-				o := core.Offer{Type: t.Name, Zone: z, Spot: spot}
+				o := scheduling.Offer{Type: t.Name, Zone: z, Spot: spot}
 				if c.now.Before(c.leadership.refusedUntil[o]) {
 					continue
 				}
@@ -185,17 +185,17 @@
 				if spot {
 					price = t.SpotPrice
 				}
-				out = append(out, core.PricedOffer{Offer: o, Size: core.NewResources(t.CPUs, t.GPUs, t.RAM), Price: price, BootS: t.BootS})
+				out = append(out, scheduling.PricedOffer{Offer: o, Size: scheduling.NewResources(t.CPUs, t.GPUs, t.RAM), Price: price, BootS: t.BootS})
 			}
 		}
 	}
-	slices.SortFunc(out, func(x, y core.PricedOffer) int {
+	slices.SortFunc(out, func(x, y scheduling.PricedOffer) int {
 		return cmp.Or(cmp.Compare(x.Type, y.Type), cmp.Compare(x.Zone, y.Zone), compareBool(x.Spot, y.Spot))
 	})
 	return out
 }
 
-// idleFor is how long a machine may be unused before it is returned: as long as
+// idleTimeout is how long a machine may be unused before it is returned: as long as
 // its idling costs no more than it would to boot an ordinary one in its place,
 // so that waiting is never more than twice as dear as knowing the future.
 func (c *controller) idleTimeout(t *wire.MachineType, spot bool) time.Duration {
@@ -206,8 +206,8 @@
 	return max(config.Seconds(s), 10*time.Second)
 }
 
-// returnIdle releases machines that are idle.
-func (c *controller) terminateIdle(summaries []*core.MachineSummary) {
+// terminateIdle releases machines that are idle.
+func (c *controller) terminateIdle(summaries []*scheduling.MachineSummary) {
 	var names []string
 	wanted := map[string]bool{}
 	for _, summary := range summaries {
@@ -229,7 +229,7 @@
 	c.terminateInstances(names)
 }
 
-// returnLost releases machines that are overdue, silent or suspect. Silent ones wait
+// terminateLost releases machines that are overdue, silent or suspect. Silent ones wait
 // for the first list of a new lead: only the list tells the zone of a machine that
 // has not reported since a take-over, and its zone may be cut off.
 func (c *controller) terminateLost() {
@@ -249,7 +249,7 @@
 		}
 	}
 	bad := func(m *machine, flags uint8) {
-		if flags&mesh.Unreachable != 0 && c.leadership.listed && !c.leadership.isolatedZones[c.zoneOf(m)] || flags&mesh.Cordoned != 0 && (len(m.bindings) == 0 || c.now.Sub(m.cordonedAt) > 15*time.Second) {
+		if flags&peer.Unreachable != 0 && c.leadership.listed && !c.leadership.isolatedZones[c.zoneOf(m)] || flags&peer.Cordoned != 0 && (len(m.bindings) == 0 || c.now.Sub(m.cordonedAt) > 15*time.Second) {
 			names = append(names, m.name)
 		}
 	}
@@ -257,7 +257,7 @@
 	c.terminateInstances(names)
 }
 
-// fewestCut is how many machines must be out of reach together before that says
+// minIsolatedMachines is how many machines must be out of reach together before that says
 // something of their zone: some may well die at a time.
 const minIsolatedMachines = 5
 
@@ -269,7 +269,7 @@
 	return m.zone
 }
 
-// cutZones finds zones that seem to be cut off: most machines there are out of
+// detectIsolatedZones finds zones that seem to be cut off: most machines there are out of
 // reach while those of another zone are not. What runs in such a zone goes on for
 // as long as its controllers may answer, and its workers' leases after that, so
 // returning the machines would stop it, and the other zones may have no room to
@@ -278,12 +278,12 @@
 func (c *controller) detectIsolatedZones() {
 	out, all := map[string]int{}, map[string]int{}
 	c.eachReportedMachine(func(m *machine, flags uint8) {
-		if flags&mesh.NotHeardYet != 0 && flags&mesh.Unreachable == 0 {
+		if flags&peer.NotHeardYet != 0 && flags&peer.Unreachable == 0 {
 			return // its owner has only just come; after a crash of all that is so everywhere
 		}
 		z := c.zoneOf(m)
 		all[z]++
-		if flags&mesh.Reachable == 0 {
+		if flags&peer.Reachable == 0 {
 			out[z]++
 		}
 	})
--- a/internal/controller/hosts.go
+++ b/internal/controller/summaries.go
@@ -5,18 +5,18 @@
 	"time"
 
 	"eiderhitch/internal/config"
-	"eiderhitch/internal/core"
-	"eiderhitch/internal/fleet"
-	"eiderhitch/internal/mesh"
+	"eiderhitch/internal/peer"
+	"eiderhitch/internal/scheduling"
+	"eiderhitch/internal/workerclient"
 )
 
-// unheardOwner is how long the leader deals by what an owner told last when it
+// maxOwnerSilence is how long the leader deals by what an owner told last when it
 // hears nothing of it, unless the owner loses its part.
 const maxOwnerSilence = 90 * time.Second
 
-// hosts are the machines that owners vouch for, with what is bound on them.
-func (c *controller) machineSummaries() []*core.MachineSummary {
-	var out []*core.MachineSummary
+// machineSummaries are the machines that owners vouch for, with what is bound on them.
+func (c *controller) machineSummaries() []*scheduling.MachineSummary {
+	var out []*scheduling.MachineSummary
 	add := func(m *machine, flags uint8) {
 		t := c.machineTypes[m.machineType]
 		if t == nil || m.terminated || c.terminating[m.name] {
@@ -28,14 +28,14 @@
 			c.leadership.instances[m.name] = inst
 		}
 		inst.reported, inst.seenAt = true, c.now
-		if flags&mesh.Reachable == 0 || flags&(mesh.TerminationNotice|mesh.Cordoned|mesh.Unreachable) != 0 {
+		if flags&peer.Reachable == 0 || flags&(peer.TerminationNotice|peer.Cordoned|peer.Unreachable) != 0 {
 			return
 		}
-		size := core.NewResources(t.CPUs, t.GPUs, t.RAM)
+		size := scheduling.NewResources(t.CPUs, t.GPUs, t.RAM)
 		if loan := c.loans[m.name]; loan != nil && !loan.Acknowledged {
 			return // on its way to the leader
 		}
-		summary := &core.MachineSummary{ID: m.index, Type: m.machineType, Zone: m.zone, Spot: m.spot, Partition: m.partition, Size: size, Free: size}
+		summary := &scheduling.MachineSummary{ID: m.index, Type: m.machineType, Zone: m.zone, Spot: m.spot, Partition: m.partition, Size: size, Free: size}
 		summary.InUse = c.loans[m.name] != nil // wanted, even before it is in use
 		for _, x := range m.bindings {
 			group := x.group
@@ -43,11 +43,11 @@
 				continue
 			}
 			summary.Free = summary.Free.Minus(group.job.taskSize)
-			summary.Usages = append(summary.Usages, core.Usage{Claim: group.claim(), Size: group.job.taskSize})
+			summary.Usages = append(summary.Usages, scheduling.Usage{Claim: group.claim(), Size: group.job.taskSize})
 			summary.RunsService = summary.RunsService || group.job.spec.AllOrNothing()
 		}
 		if c.leadership.draining[m.name] {
-			summary.Free, summary.Usages = core.Resources{}, nil // no room for anybody
+			summary.Free, summary.Usages = scheduling.Resources{}, nil // no room for anybody
 		}
 		out = append(out, summary)
 	}
@@ -81,7 +81,7 @@
 				continue
 			}
 			if x.Type != "" { // its owner has heard it
-				m.machineType, m.zone, m.spot, m.addr = x.Type, x.Zone, x.Flags&mesh.Spot != 0, x.Addr
+				m.machineType, m.zone, m.spot, m.addr = x.Type, x.Zone, x.Flags&peer.Spot != 0, x.Addr
 			}
 			add(m, x.Flags)
 		}
@@ -89,34 +89,34 @@
 	return out
 }
 
-// flags are what an owner says of its machine.
+// machineFlags are what an owner says of its machine.
 func (c *controller) machineFlags(m *machine, p *partition) uint8 {
 	var f uint8
 	if c.usable(m, p) {
-		f |= mesh.Reachable
+		f |= peer.Reachable
 	}
 	if !m.terminationAt.IsZero() {
-		f |= mesh.TerminationNotice
+		f |= peer.TerminationNotice
 	}
 	if m.cordoned {
-		f |= mesh.Cordoned
+		f |= peer.Cordoned
 	}
 	if m.spot {
-		f |= mesh.Spot
+		f |= peer.Spot
 	}
 	if c.unreachable(m, p) {
-		f |= mesh.Unreachable
+		f |= peer.Unreachable
 	}
 	if !m.heartbeatAt.After(p.ownsMachineSince(m)) {
-		f |= mesh.NotHeardYet
+		f |= peer.NotHeardYet
 	}
 	return f
 }
 
-// silent: the machine neither reports nor answers direct commands, while most
+// unreachable: the machine neither reports nor answers direct commands, while most
 // others of the part do, or it reports and hears nothing.
 func (c *controller) unreachable(m *machine, p *partition) bool {
-	// While no reports are taken (HoldTime) all are quiet. The leader, back from the
+	// While no reports are taken (MaxStaleness) all are quiet. The leader, back from the
 	// same outage a moment earlier, returned the machines of which a sibling said so.
 	if m.terminated || !c.isFresh(c.maxStaleness) || !c.seemsUnreachable(m, p) {
 		return false
@@ -125,7 +125,7 @@
 	return !c.mostUnreachable(p) || c.leaseExpired(m, p)
 }
 
-// mostQuiet tells whether most of a part's machines are quiet. It is counted once
+// mostUnreachable tells whether most of a part's machines are quiet. It is counted once
 // for all that is decided at a time: counted anew for each quiet machine, some
 // hundred of them that fall silent together would take up the processor.
 func (c *controller) mostUnreachable(p *partition) bool {
@@ -169,16 +169,16 @@
 			// It is asked as soon as the part is taken over, and must not be found
 			// silent sooner than by an owner who goes on: whether its whole zone is
 			// out of reach shows no earlier.
-			after += unansweredLimit * fleet.PingTimeout
+			after += unansweredLimit * workerclient.PingTimeout
 		}
 		return c.now.Sub(since) > after
 	}
 	return c.now.Sub(since) > c.unreachableAfter()
 }
 
-// status tells the siblings about this controller and its machines.
-func (c *controller) peerStatus() *mesh.Status {
-	s := &mesh.Status{Node: c.cfg.Name, ProcessID: c.processID, Fresh: c.isFresh(c.operator.LeaseTTL), Eligible: c.eligible()}
+// peerStatus tells the siblings about this controller and its machines.
+func (c *controller) peerStatus() *peer.Status {
+	s := &peer.Status{Node: c.cfg.Name, ProcessID: c.processID, Fresh: c.isFresh(c.operator.LeaseTTL), Eligible: c.eligible()}
 	for name := range c.leadership.draining {
 		s.Draining = append(s.Draining, name)
 	}
@@ -192,14 +192,14 @@
 				c.now.Sub(c.heardSince(m, p)) > 3*time.Minute {
 				continue
 			}
-			s.Machines = append(s.Machines, mesh.Machine{Name: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: m.incarnation, Flags: c.machineFlags(m, p)})
+			s.Machines = append(s.Machines, peer.Machine{Name: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: m.incarnation, Flags: c.machineFlags(m, p)})
 		}
 	}
 	return s
 }
 
-// takeStatus takes a sibling's status in.
-func (c *controller) handlePeerStatus(s *mesh.Status) {
+// handlePeerStatus takes a sibling's status in.
+func (c *controller) handlePeerStatus(s *peer.Status) {
 	x := c.peers[s.Node]
 	if x == nil {
 		return // not one of ours
@@ -222,7 +222,7 @@
 	}
 }
 
-// vouched tells whether a part has had an owner in touch with the leader for
+// ownerLongInTouch tells whether a part has had an owner in touch with the leader for
 // long enough that all machines of it must have reported.
 func (c *controller) ownerLongInTouch(p int) bool {
 	since := c.leadership.ownerInTouchSince[p]
@@ -232,7 +232,7 @@
 	return !since.IsZero() && c.now.Sub(since) > 2*config.Seconds(c.cfg.Settings.Workers.ReportS)+12*time.Second
 }
 
-// allVouched tells whether every part's owner is in touch.
+// allOwnersInTouch tells whether every part's owner is in touch.
 func (c *controller) allOwnersInTouch() bool {
 	for i := range c.partitions {
 		if c.leadership.ownerInTouchSince[i].IsZero() {
@@ -242,7 +242,7 @@
 	return true
 }
 
-// noteVouching notes for each part since when its owner has been in touch.
+// updateOwnersInTouch notes for each part since when its owner has been in touch.
 func (c *controller) updateOwnersInTouch() {
 	if c.leadership.ownerInTouchSince == nil {
 		c.leadership.ownerInTouchSince, c.leadership.ownerInTouch = make([]time.Time, len(c.partitions)), make([]string, len(c.partitions))
@@ -263,7 +263,7 @@
 	}
 }
 
-// eachVouched calls f for each machine that its owner tells about.
+// eachReportedMachine calls f for each machine that its owner tells about.
 func (c *controller) eachReportedMachine(f func(*machine, uint8)) {
 	for _, p := range c.partitions {
 		if p.token != 0 && p.active {
@@ -278,7 +278,7 @@
 			for i := range s.status.Machines {
 				x := &s.status.Machines[i]
 				if m := c.machineNamed(x.Name); m.partition == p.index && !m.terminated {
-					if x.Flags&mesh.Cordoned != 0 && m.cordonedAt.IsZero() {
+					if x.Flags&peer.Cordoned != 0 && m.cordonedAt.IsZero() {
 						m.cordonedAt = c.now
 					}
 					f(m, x.Flags)
--- a/internal/controller/caps.go
+++ b/internal/controller/throttle.go
@@ -5,16 +5,16 @@
 	"slices"
 	"time"
 
-	"eiderhitch/internal/core"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
 
-// squeeze makes room within a team's limit for a job that waits for it: tasks of
+// throttleTeam makes room within a team's limit for a job that waits for it: tasks of
 // the team's lower jobs are stopped, dealt ones that don't run yet, of equal jobs
 // too, stand back. Else what is dealt of an array would hold the limit against a
 // service for minutes.
-func (c *controller) throttleTeam(j *job, lack core.Resources) {
+func (c *controller) throttleTeam(j *job, lack scheduling.Resources) {
 	level := j.spec.Priority
 	var from []*taskGroup
 	for group := range c.allGroups() {
@@ -32,25 +32,25 @@
 	slices.SortFunc(from, func(first, second *taskGroup) int {
 		return cmp.Or(urgent(second.job, first.job), cmp.Compare(second.number, first.number))
 	})
-	standing := make([]core.QuotaUse, len(from))
+	standing := make([]scheduling.QuotaUse, len(from))
 	for i, group := range from {
-		standing[i] = core.QuotaUse{Priority: group.job.spec.Priority, Running: group.boundTasks(), Allowed: group.allowedTasks(), TaskSize: group.job.taskSize,
+		standing[i] = scheduling.QuotaUse{Priority: group.job.spec.Priority, Running: group.boundTasks(), Allowed: group.allowedTasks(), TaskSize: group.job.taskSize,
 			Fixed: group.job.spec.Priority == level && (urgent(j, group.job) >= 0 || c.now.Sub(group.throttledAt) < c.throttleInterval())}
 	}
-	for i, may := range core.Throttle(standing, level, lack) {
+	for i, may := range scheduling.Throttle(standing, level, lack) {
 		if may >= 0 {
 			c.setThrottle(from[i], may)
 		}
 	}
 }
 
-// capEvery spaces the changes of one record's cap that are not for more urgent
+// throttleInterval spaces the changes of one record's cap that are not for more urgent
 // work: a team at its limit has a task end, and so room for one more, many times a
 // second, and a change for each of them would take up the state service's limit.
 func (c *controller) throttleInterval() time.Duration { return 2*time.Second + c.turnaround() }
 
-// uncap lets tasks run again that had to stand back, as the limit permits.
-func (c *controller) unthrottle(j *job, lim *core.Quota) {
+// unthrottle lets tasks run again that had to stand back, as the limit permits.
+func (c *controller) unthrottle(j *job, lim *scheduling.Quota) {
 	for _, group := range j.groups {
 		if group.throttle == 0 || group.writing || group.allowedTasks() == len(group.bindings) || c.now.Sub(group.throttledAt) < c.throttleInterval() {
 			continue
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"eiderhitch/internal/mesh"
+	"eiderhitch/internal/peer"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/rollout"
 	"eiderhitch/internal/wire"
@@ -234,16 +234,16 @@
 func framesOf(t *testing.T, version string) {
 	t.Helper()
 	raw := fixture(t, version, "status.bin")
-	s, err := mesh.ReadStatus(bytes.NewReader(raw))
+	s, err := peer.ReadStatus(bytes.NewReader(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &mesh.Status{Node: "perch-0", ProcessID: "00ff00ff00ff00ff", Fresh: true, Eligible: true, Partitions: []uint64{0, 3},
-		Machines: []mesh.Machine{{Name: "host-000231", Addr: "10.1.0.232:9000", Type: "small", Zone: "a", Incarnation: 2, Flags: mesh.Reachable | mesh.Spot}}, Draining: []string{"host-000232"}}
+	want := &peer.Status{Node: "perch-0", ProcessID: "00ff00ff00ff00ff", Fresh: true, Eligible: true, Partitions: []uint64{0, 3},
+		Machines: []peer.Machine{{Name: "host-000231", Addr: "10.1.0.232:9000", Type: "small", Zone: "a", Incarnation: 2, Flags: peer.Reachable | peer.Spot}}, Draining: []string{"host-000232"}}
 	if d := cmp.Diff(want, s); d != "" {
 		t.Error(d)
 	}
-	if again := mesh.AppendStatus(nil, s, mesh.Plain); !bytes.Equal(again, raw) {
+	if again := peer.AppendStatus(nil, s, peer.Plain); !bytes.Equal(again, raw) {
 		t.Errorf("written again: % x", again)
 	}
 }
--- a/internal/mesh/frame.go
+++ b/internal/peer/frame.go
@@ -1,11 +1,11 @@
-// Package mesh is what controllers tell each other, in a binary format written
+// Package peer is what controllers tell each other, in a binary format written
 // by hand: every controller sends its status to each sibling.
 //
 // A frame is the magic "EH", a version byte, a kind byte, the payload's length
 // (4 bytes, big endian) and the payload. Numbers are unsigned varints, strings
 // a length and their bytes. In version 3 a checksum stands before the content, and
 // a machine's strings are coded by what they share with those of the one before.
-package mesh
+package peer
 
 import (
 	"encoding/binary"
@@ -37,17 +37,17 @@
 
 // Flags of a machine.
 const (
-	// Up: reports are arriving.
+	// Reachable: reports are arriving.
 	Reachable = 1 << iota
-	// Warned: the cloud is about to take it.
+	// TerminationNotice: the cloud is about to take it.
 	TerminationNotice
-	// Suspect: tasks of several jobs failed on it.
+	// Cordoned: tasks of several jobs failed on it.
 	Cordoned
-	// Silent: it neither reports nor answers its owner, who hears others.
+	// Unreachable: it neither reports nor answers its owner, who hears others.
 	Unreachable
 	// Spot machine.
 	Spot
-	// Unheard: it has not reported since its owner took it over.
+	// NotHeardYet: it has not reported since its owner took it over.
 	NotHeardYet
 )
 
@@ -61,16 +61,16 @@
 // Status is what one controller tells the others.
 type Status struct {
 	Node string
-	// Boot is drawn at the process's start: a restarted controller has the name
+	// ProcessID is drawn at the process's start: a restarted controller has the name
 	// of its former self, whose frames may still come late.
 	ProcessID string
 	// Fresh: its replica of the state service is current.
 	Fresh bool
-	// Able: it would take parts over (it is fresh and workers reach it).
+	// Eligible: it would take parts over (it is fresh and workers reach it).
 	Eligible   bool
 	Partitions []uint64
 	Machines   []Machine
-	// Closing: machines on which nothing should be placed any more, since the
+	// Draining: machines on which nothing should be placed any more, since the
 	// leader wants to return them.
 	Draining []string
 }
--- a/internal/mesh/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -1,4 +1,4 @@
-package mesh
+package peer
 
 import (
 	"bytes"
--- a/internal/record/group.go
+++ b/internal/record/group.go
@@ -12,14 +12,14 @@
 	"eiderhitch/internal/wire"
 )
 
-// Form is a stored form of a task group. The numbers are the feature levels that bring
+// Encoding is a stored form of a task group. The numbers are the feature levels that bring
 // them.
 type Encoding uint8
 
 const (
-	// Plain is JSON.
+	// PlainJSON is JSON.
 	PlainJSON Encoding = 1
-	// Checked is binary, with a checksum.
+	// Checksummed is binary, with a checksum.
 	Checksummed Encoding = 2
 )
 
@@ -36,7 +36,7 @@
 var (
 	// ErrChecksum: the value is damaged, or was written for another key.
 	ErrChecksum = errors.New("checksum does not match: the value is damaged or stands at a wrong key")
-	// ErrForm: it is in a form that this version does not know.
+	// ErrUnknownEncoding: it is in a form that this version does not know.
 	ErrUnknownEncoding = errors.New("form is not known")
 )
 
@@ -68,7 +68,7 @@
 	return true
 }
 
-// Form is the form that the group was encoded in.
+// Encoding is the form that the group was encoded in.
 func (c Content) Encoding() Encoding { return c.form }
 
 // Size is how large the stored value is.
@@ -95,7 +95,7 @@
 	return append(out, '"')
 }
 
-// FormOf tells a stored value's form without reading it; 0: it is none.
+// EncodingOf tells a stored value's form without reading it; 0: it is none.
 func EncodingOf(raw []byte) Encoding {
 	if len(raw) == 0 {
 		return 0
@@ -116,7 +116,7 @@
 	return 0
 }
 
-// DecodeGroup reads the value that is stored at a key, in whatever form.
+// DecodeTaskGroup reads the value that is stored at a key, in whatever form.
 func DecodeTaskGroup(key string, raw []byte) (*TaskGroup, Encoding, error) {
 	if form := EncodingOf(raw); form != Checksummed {
 		if form != PlainJSON {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -14,7 +14,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// Holder is the value of a leased key: the process that holds a right. The boot tells a
+// LeaseHolder is the value of a leased key: the process that holds a right. The boot tells a
 // restarted process from its former self.
 type LeaseHolder struct {
 	Node      string `json:"n"`
@@ -28,20 +28,20 @@
 	Spec         *wire.Job `json:"j,omitempty"`
 }
 
-// Group is the stored form of a placement record: some tasks of a job that one partition
+// TaskGroup is the stored form of a placement record: some tasks of a job that one partition
 // is in charge of. A task that is done leaves the record.
 type TaskGroup struct {
 	Partition  int    `json:"p"`
 	Zone       string `json:"z,omitempty"`
 	Guaranteed bool   `json:"o,omitempty"`
 	Done       int    `json:"d,omitempty"`
-	// Cap is one more than the number of tasks that may be bound at a time; 0: all. The
+	// Throttle is one more than the number of tasks that may be bound at a time; 0: all. The
 	// leader lowers it to make room within the team's limit.
 	Throttle int       `json:"c,omitempty"`
 	Tasks    []Binding `json:"t"`
 }
 
-// Task is one task of a group: Allocated if it names a machine, else Pending.
+// Binding is one task of a group: Allocated if it names a machine, else Pending.
 type Binding struct {
 	Task        int32  `json:"i"`
 	Attempt     uint64 `json:"a,omitempty"`
@@ -53,7 +53,7 @@
 	Addr string `json:"h,omitempty"`
 }
 
-// Loan is the stored form of a machine's lending to the leader's partition.
+// MachineLoan is the stored form of a machine's lending to the leader's partition.
 type MachineLoan struct {
 	Job          string `json:"j"`
 	Priority     int    `json:"l"`
--- a/internal/core/cell.go
+++ b/internal/scheduling/cell.go
@@ -1,19 +1,19 @@
-// Package core decides what runs where. It does no input or output and has no
+// Package scheduling decides what runs where. It does no input or output and has no
 // clock: events come in, transitions and intents go out.
 //
 // The state machines are those of "HiveD State Machines". A cell is a slice
 // of a machine, carved out when it is claimed; what is not carved out is Free.
-package core
+package scheduling
 
 import (
 	"fmt"
 	"math"
 )
 
-// Res is an amount of each resource, in thousandths.
+// Resources is an amount of each resource, in thousandths.
 type Resources struct{ CPU, GPU, RAM int64 }
 
-// Amount builds a Res from decimal numbers.
+// NewResources builds a Res from decimal numbers.
 func NewResources(cpu, gpu, ram float64) Resources {
 	return Resources{int64(cpu*1000 + 0.5), int64(gpu*1000 + 0.5), int64(ram*1000 + 0.5)}
 }
@@ -33,12 +33,12 @@
 	return Resources{a.CPU * int64(n), a.GPU * int64(n), a.RAM * int64(n)}
 }
 
-// Holds tells whether b fits into a.
+// Contains tells whether b fits into a.
 func (a Resources) Contains(b Resources) bool {
 	return a.CPU >= b.CPU && a.GPU >= b.GPU && a.RAM >= b.RAM
 }
 
-// Fits is how many times b fits into a, at most most.
+// CountFitting is how many times b fits into a, at most most.
 func (a Resources) CountFitting(b Resources, most int) int {
 	n := int64(most)
 	for _, p := range [][2]int64{{a.CPU, b.CPU}, {a.GPU, b.GPU}, {a.RAM, b.RAM}} {
@@ -91,12 +91,12 @@
 // Claim says on whose behalf cells are claimed.
 type Claim struct {
 	Priority int
-	// Own: the claim is within its team's guarantee.
+	// Guaranteed: the claim is within its team's guarantee.
 	Guaranteed bool
 	Team       int32
 }
 
-// Evicts tells whether a claim may take another's cells: strictly higher
+// CanPreempt tells whether a claim may take another's cells: strictly higher
 // priority, or equal priority, within the guarantee, from a team above its
 // own. It is a strict partial order, so evictions can't go in circles.
 func (c Claim) CanPreempt(v Claim) bool {
@@ -112,7 +112,7 @@
 	User      Task
 	userClaim Claim
 	age       int64 // cells claimed later have larger ones
-	// by reserves the cell in states Reserved and Reserving.
+	// reservedBy reserves the cell in states Reserved and Reserving.
 	reservedBy *Group
 }
 
@@ -123,7 +123,7 @@
 	Claim    Claim
 	State    GroupState
 	Machines []int32 // one for each task, once Preempting or Allocated
-	// Mild groups take free cells only.
+	// NoPreemption groups take free cells only.
 	NoPreemption bool
 	cells        []*Cell // reserved or being reserved, while Preempting
 	victims      int
@@ -141,7 +141,7 @@
 	known bool
 }
 
-// Part is the cells of one part's machines.
+// Partition is the cells of one part's machines.
 type Partition struct {
 	machines map[int32]*partitionMachine
 	list     []*partitionMachine
@@ -150,7 +150,7 @@
 	claims   int64
 }
 
-// NewPart returns a part without machines.
+// NewPartition returns a part without machines.
 func NewPartition() *Partition {
 	return &Partition{machines: map[int32]*partitionMachine{}, used: map[Task]*Cell{}, waiting: map[Task]*Group{}}
 }
@@ -193,7 +193,7 @@
 	}
 }
 
-// FreeOf is what is free on a machine.
+// Free is what is free on a machine.
 func (p *Partition) Free(m int32) Resources {
 	if x := p.machines[m]; x != nil {
 		return x.free
@@ -213,7 +213,7 @@
 	return out
 }
 
-// Waiting is the Preempting group that a task is in, or nil.
+// PreemptingGroup is the Preempting group that a task is in, or nil.
 func (p *Partition) PreemptingGroup(t Task) *Group { return p.waiting[t] }
 
 // Adopt takes a stored binding over: the task's cell is Used. It is how the
@@ -256,7 +256,7 @@
 	panic(fmt.Sprintf("core: cell of machine %d is not on it", c.Machine))
 }
 
-// Gone tells that a task's use of its cell has ended on proof. A Used cell
+// Release tells that a task's use of its cell has ended on proof. A Used cell
 // becomes Free; a Reserving one Reserved. If that was the last one a group
 // waited for, the group is Allocated and returned.
 func (p *Partition) Release(t Task) *Group {
@@ -314,7 +314,7 @@
 	}
 }
 
-// Score tells how good a machine is for a group's task: lower is better,
+// ScoreFunc tells how good a machine is for a group's task: lower is better,
 // negative means not allowed.
 type ScoreFunc func(machine int32, free Resources) float64
 
@@ -425,12 +425,12 @@
 	}
 }
 
-// mayTake tells whether g may take a cell that others use or reserve.
+// canTake tells whether g may take a cell that others use or reserve.
 func canTake(c *Cell, g *Group, mine map[*Cell]bool) bool {
 	return (c.reservedBy == nil || g.Claim.CanPreempt(c.reservedBy.Claim)) && (c.State == Reserved || g.Claim.CanPreempt(c.userClaim)) && !mine[c]
 }
 
-// evictable tells whether a machine has room for a task of g when all are evicted
+// fitsByPreemption tells whether a machine has room for a task of g when all are evicted
 // that may be: most have not, and need no closer look.
 func fitsByPreemption(x *partitionMachine, g *Group, free Resources, mine map[*Cell]bool) bool {
 	if !x.size.Contains(g.TaskSize) {
@@ -490,7 +490,7 @@
 	return min(math.Floor(older*steps), steps-1) / (2 * steps)
 }
 
-// weight orders victims: reserved slices stop nobody, then by priority.
+// victimWeight orders victims: reserved slices stop nobody, then by priority.
 func victimWeight(c *Cell) float64 {
 	if c.State == Reserved {
 		return 0
--- a/internal/core/deal.go
+++ b/internal/scheduling/deal.go
@@ -1,26 +1,26 @@
-package core
+package scheduling
 
-// LeastDealt is how many tasks of an array a part is dealt at least, if there
+// MinAssigned is how many tasks of an array a part is dealt at least, if there
 // are that many: each record costs changes of its own, to deal it, to bind and
 // to end its tasks and to clear it up, and changes are what the state service
 // allows least of.
 const MinAssigned = 24
 
-// Dealing asks for room for like tasks of one job.
+// Assignment asks for room for like tasks of one job.
 type Assignment struct {
 	TaskSize Resources
 	Count    int
 	Claim    Claim
 	Allowed  func(*MachineSummary) bool
-	// Tight: the team's limit is short. What is dealt but can't run yet would
+	// QuotaShort: the team's limit is short. What is dealt but can't run yet would
 	// hold the limit against others of the team.
 	QuotaShort bool
-	// Must: the tasks are dealt where they may be, room or not, to take the next
+	// Forced: the tasks are dealt where they may be, room or not, to take the next
 	// cells that come free.
 	Forced bool
 }
 
-// Spread decides how many tasks of an array each part is dealt: what free room
+// PerPartition decides how many tasks of an array each part is dealt: what free room
 // there is, what ends soon (ahead, which it counts down), then what lower claims
 // hold. It takes that room from the hosts.
 func (d *Assignment) PerPartition(hosts []*MachineSummary, ahead []int) []int {
@@ -70,7 +70,7 @@
 	return out
 }
 
-// partCan tells whether a part has a machine that a task may be on.
+// partitionAllows tells whether a part has a machine that a task may be on.
 func partitionAllows(hosts []*MachineSummary, p int, can func(*MachineSummary) bool) bool {
 	for _, h := range hosts {
 		if h.Partition == p && can(h) {
@@ -80,7 +80,7 @@
 	return false
 }
 
-// Whole chooses the part for a group that is reserved together, one of parts,
+// OnePartition chooses the part for a group that is reserved together, one of parts,
 // and takes its room there; false if no part can hold it.
 func (d *Assignment) OnePartition(hosts []*MachineSummary, parts int) (int, bool) {
 	if d.Count == 1 {
@@ -131,7 +131,7 @@
 	return 0, false
 }
 
-// Clone copies hosts, so that a plan can be tried.
+// CloneSummaries copies hosts, so that a plan can be tried.
 func CloneSummaries(hosts []*MachineSummary) []*MachineSummary {
 	all := make([]MachineSummary, len(hosts))
 	out := make([]*MachineSummary, len(hosts))
@@ -142,14 +142,14 @@
 	return out
 }
 
-// Ahead is how many tasks a part may be dealt beyond its free room: what ends
+// AssignAhead is how many tasks a part may be dealt beyond its free room: what ends
 // there while a cell would wait for its next task, twice over. bound tasks of the
 // given estimate run there.
 func AssignAhead(bound int, estimate, turnaround float64) float64 {
 	return float64(bound) * min(0.5, 2*turnaround/max(estimate, 1))
 }
 
-// Standing is a record's tasks that count for its team's limit.
+// QuotaUse is a record's tasks that count for its team's limit.
 type QuotaUse struct {
 	Priority int
 	// Running tasks hold cells; May is how many may, at least those that do or
@@ -160,7 +160,7 @@
 	Fixed bool
 }
 
-// Squeeze makes room within a team's limit for a job of the given level that
+// Throttle makes room within a team's limit for a job of the given level that
 // lacks some: dealt tasks that don't run yet stand back, then tasks of lower jobs
 // that run are stopped. from lists what there is, the least urgent first; the
 // result tells for each how many may run from now, or -1 where nothing changes.
--- a/internal/core/fleet.go
+++ b/internal/scheduling/fleet.go
@@ -1,11 +1,11 @@
-package core
+package scheduling
 
 import (
 	"math"
 	"slices"
 )
 
-// Want is a number of like tasks that found no room: one decision for all.
+// Demand is a number of like tasks that found no room: one decision for all.
 type Demand struct {
 	Class        string
 	TaskSize     Resources
@@ -24,20 +24,20 @@
 // compared, in seconds: about how long machines stay.
 const bootPatience = 100
 
-// Fleet plans what to rent.
+// ScalingPlan plans what to rent.
 type ScalingPlan struct {
-	// All are the machines that are up or coming up; planned ones are added.
+	// Machines are the machines that are up or coming up; planned ones are added.
 	Machines []*MachineSummary
 	Offers   []PricedOffer
-	// Like is how many tasks of each class run now.
+	// RunningByClass is how many tasks of each class run now.
 	RunningByClass map[string]int
-	// Plan is how many machines of each offer are to be rented.
+	// Launches is how many machines of each offer are to be rented.
 	Launches map[Offer]int
-	// Unmet: some want found no room on what there is or comes up.
+	// Shortage: some want found no room on what there is or comes up.
 	Shortage bool
 }
 
-// Serve has a want take what room there is, and rents for what is left.
+// Place has a want take what room there is, and rents for what is left.
 func (f *ScalingPlan) Place(w Demand) {
 	n := w.Count * max(w.Groups, 1)
 	if !w.AllOrNothing && w.WindowS > 0 {
@@ -93,7 +93,7 @@
 	}
 }
 
-// FreeBelow counts room that claims below a level hold as free, since work of
+// CountLowerPriorityAsFree counts room that claims below a level hold as free, since work of
 // that level would evict them.
 func CountLowerPriorityAsFree(hosts []*MachineSummary, level int) {
 	for _, h := range hosts {
@@ -111,7 +111,7 @@
 	return int(math.Ceil(factor * math.Sqrt(float64(services))))
 }
 
-// Surplus remembers how many CPUs were free of late. Arrays are spread over what
+// FreeHistory remembers how many CPUs were free of late. Arrays are spread over what
 // there is, so that few machines are ever idle by themselves: when more is free
 // all the time than a machine holds, one without services can be emptied.
 type FreeHistory struct {
@@ -126,7 +126,7 @@
 // Reset forgets: something is short.
 func (s *FreeHistory) Reset() { s.samples = nil }
 
-// Note notes how much is free at a time, in seconds, and tells the least of the
+// Add notes how much is free at a time, in seconds, and tells the least of the
 // last window; false if it has not been noted for as long yet.
 func (s *FreeHistory) Add(at float64, free int64, window float64) (least int64, ok bool) {
 	s.samples = append(s.samples, freeSample{at, free})
@@ -140,7 +140,7 @@
 	return least, at-s.samples[0].at >= window*9/10
 }
 
-// Spend counts down what was noted: a machine is being emptied.
+// Subtract counts down what was noted: a machine is being emptied.
 func (s *FreeHistory) Subtract(cpu int64) {
 	for i := range s.samples {
 		s.samples[i].cpu -= cpu
@@ -156,7 +156,7 @@
 	return used
 }
 
-// Emptiest is the ordinary host that is used least, of those that hold no more
+// LeastUsed is the ordinary host that is used least, of those that hold no more
 // than the given CPUs and nothing of level or above; nil if there is none.
 func LeastUsed(hosts []*MachineSummary, cpus int64, level int, can func(*MachineSummary) bool) *MachineSummary {
 	var best *MachineSummary
--- a/internal/core/order.go
+++ b/internal/scheduling/order.go
@@ -1,10 +1,10 @@
-package core
+package scheduling
 
 import "cmp"
 
-// Job is what the order of jobs depends on. Times are in seconds.
+// JobOrder is what the order of jobs depends on. Times are in seconds.
 type JobOrder struct {
-	// Whole jobs are started together or not at all; like those without a
+	// AllOrNothing jobs are started together or not at all; like those without a
 	// deadline they go by their age alone.
 	AllOrNothing, NoDeadline bool
 	Started                  bool // a task has been placed before
@@ -23,7 +23,7 @@
 // with its first few tasks, and those that have waited too long have a share of
 // the time in which they go first.
 type Urgency struct {
-	// Late is -2: has waited too long, and it is its turn; -1: must begin; 0: in
+	// Lateness is -2: has waited too long, and it is its turn; -1: must begin; 0: in
 	// time, or has no deadline; 1: late by half as much again; 2: late, and may
 	// still be done within what its class is meant to be; 3: hopeless.
 	Lateness      int
@@ -34,7 +34,7 @@
 // ever for others that come later.
 const (
 	startWithinS = 240.0
-	// comeForward leaves the machines time to be rented and to boot.
+	// forceStartAfterS leaves the machines time to be rented and to boot.
 	forceStartAfterS = startWithinS / 2
 	// waitFactor is how many times its deadline a job that has begun may be over
 	// before it has waited too long.
@@ -47,10 +47,10 @@
 	overdueTurnS, overdueCycleS = 5, 20
 )
 
-// BeginTasks is how many tasks of a job that must begin come forward.
+// MinStartTasks is how many tasks of a job that must begin come forward.
 const MinStartTasks = 2
 
-// Turn tells whether it is the turn of those that have waited too long, at a time
+// IsOverdueTurn tells whether it is the turn of those that have waited too long, at a time
 // of day in seconds.
 func IsOverdueTurn(second int64) bool { return second%overdueCycleS < overdueTurnS }
 
@@ -78,12 +78,12 @@
 	return u
 }
 
-// HasTurn tells whether the job has waited too long and it is the turn of such jobs.
+// HasOverdueTurn tells whether the job has waited too long and it is the turn of such jobs.
 func (j *JobOrder) HasOverdueTurn() bool {
 	return !j.AllOrNothing && !j.NoDeadline && j.OverdueTurn && j.AgeS > max(startWithinS, waitFactor*j.DeadlineS)
 }
 
-// MustDeal is how many tasks of the job are dealt even where there is no room, so
+// ForcedTasks is how many tasks of the job are dealt even where there is no room, so
 // that they take the next cells that come free. pending are dealt and not placed.
 func (j *JobOrder) ForcedTasks(pending int) int {
 	switch {
@@ -96,7 +96,7 @@
 	return 0
 }
 
-// MustBegin tells whether nothing of the job has ever been placed, and it is time.
+// MustStart tells whether nothing of the job has ever been placed, and it is time.
 func (j *JobOrder) MustStart() bool {
 	return !j.AllOrNothing && !j.NoDeadline && !j.Started && j.AgeS > forceStartAfterS
 }
@@ -106,7 +106,7 @@
 	return cmp.Or(cmp.Compare(u.Lateness, v.Lateness), cmp.Compare(u.RemainingWork, v.RemainingWork))
 }
 
-// Window is the time within which an array's waiting tasks should be through, so
+// WindowS is the time within which an array's waiting tasks should be through, so
 // that few machines do rather than many for a moment.
 func (j *JobOrder) WindowS() float64 {
 	if j.AllOrNothing {
--- a/internal/core/plan.go
+++ b/internal/scheduling/plan.go
@@ -1,4 +1,4 @@
-package core
+package scheduling
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Host is a machine as the leader sees it: what is free on it, and what could
+// MachineSummary is a machine as the leader sees it: what is free on it, and what could
 // be had by preemption.
 type MachineSummary struct {
 	ID         int32
@@ -15,21 +15,21 @@
 	Partition  int
 	Size, Free Resources
 	Usages     []Usage // of tasks that run on it
-	sorted     bool    // Claims are, see victimsFirst
+	sorted     bool    // Claims are, see sortVictimsFirst
 	Booting    bool
 	InUse      bool // by planning: it is wanted
-	// Pinned: a service runs on it. It stays for as long as that does, so what
+	// RunsService: a service runs on it. It stays for as long as that does, so what
 	// is placed beside it keeps no other machine from being returned.
 	RunsService bool
 }
 
-// HeldCell is a task's use of a host.
+// Usage is a task's use of a host.
 type Usage struct {
 	Claim Claim
 	Size  Resources
 }
 
-// Take lets up to n tasks of size need take free room on hosts, fullest hosts
+// PlaceInFreeRoom lets up to n tasks of size need take free room on hosts, fullest hosts
 // first, and returns how many each host got.
 func PlaceInFreeRoom(hosts []*MachineSummary, allowed func(*MachineSummary) bool, need Resources, n int) map[*MachineSummary]int {
 	out := map[*MachineSummary]int{}
@@ -74,7 +74,7 @@
 	return a.ID < b.ID
 }
 
-// victimsFirst sorts a host's claims, those first that would be evicted first.
+// sortVictimsFirst sorts a host's claims, those first that would be evicted first.
 // Once is enough: claims are only taken away from the front.
 func (h *MachineSummary) sortVictimsFirst() {
 	if !h.sorted {
@@ -85,7 +85,7 @@
 	}
 }
 
-// Evictable finds the host on which a task could be placed by stopping the
+// PlaceByPreemption finds the host on which a task could be placed by stopping the
 // fewest tasks of the lowest priority, and takes that room.
 func PlaceByPreemption(hosts []*MachineSummary, allowed func(*MachineSummary) bool, need Resources, c Claim) *MachineSummary {
 	var best *MachineSummary
@@ -113,7 +113,7 @@
 	return best
 }
 
-// Limit of a team and what its tasks use.
+// Quota of a team and what its tasks use.
 type Quota struct {
 	Guaranteed, Limit    Resources // a zero resource: none
 	Used, GuaranteedUsed Resources
@@ -122,7 +122,7 @@
 // Room is how many more tasks of size need the limit permits, at most n.
 func (l *Quota) Room(need Resources, n int) int { return remaining(l.Limit, l.Used, need, n) }
 
-// Lack is by how much need exceeds what the limit leaves.
+// Shortfall is by how much need exceeds what the limit leaves.
 func (l *Quota) Shortfall(need Resources) Resources {
 	var out Resources
 	if l.Limit.CPU > 0 {
@@ -134,7 +134,7 @@
 	return out
 }
 
-// OwnRoom is how many more fit into the guarantee, at most n.
+// GuaranteedRoom is how many more fit into the guarantee, at most n.
 func (l *Quota) GuaranteedRoom(need Resources, n int) int {
 	if l.Guaranteed == (Resources{}) {
 		return 0
@@ -157,7 +157,7 @@
 	Spot       bool
 }
 
-// Priced is an offer with what it costs and how long it takes to come up.
+// PricedOffer is an offer with what it costs and how long it takes to come up.
 type PricedOffer struct {
 	Offer
 	Size  Resources
@@ -165,7 +165,7 @@
 	BootS float64
 }
 
-// Choose picks the offer that serves n tasks of size need for the least money
+// CheapestOffer picks the offer that serves n tasks of size need for the least money
 // for each task, boot time included, and how many machines of it. likely is how
 // many such tasks may share the machines before long: it is that many that a
 // large machine's price is spread over. patience is the time over which a
--- a/internal/core/plan_test.go
+++ b/internal/scheduling/plan_test.go
@@ -1,4 +1,4 @@
-package core
+package scheduling
 
 import (
 	"testing"
