--- a/internal/standin/check.go
+++ b/internal/standin/check.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"eiderhitch/internal/core"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
 
@@ -46,7 +46,7 @@
 	Type    string // MachineUp
 	Zone    string
 	Spot    bool
-	Size    core.Resources
+	Size    scheduling.Resources
 	Job     string // Answered
 	Spec    *wire.Job
 	Call    Call
@@ -58,7 +58,7 @@
 // Rules are what a trace is checked against.
 type Rules struct {
 	Cancel time.Duration // in which a cancelled job's tasks must be gone
-	Limits map[string]core.Resources
+	Limits map[string]scheduling.Resources
 	// Quiet is when all troubles were over; zero: they never were.
 	Quiet time.Time
 }
@@ -89,7 +89,7 @@
 	held      map[string]*place
 	attempts  map[string]uint64 // of each task's last start
 	machines  map[string]*place
-	used      map[*place]core.Resources
+	used      map[*place]scheduling.Resources
 	waits     map[string]time.Time
 	starts    int
 	now       time.Time
@@ -100,7 +100,7 @@
 type place struct {
 	name, typ, zone string
 	spot            bool
-	size            core.Resources
+	size            scheduling.Resources
 }
 
 // Check lists the rules that a trace breaks: those of the protocol and what the users
@@ -108,7 +108,7 @@
 func Check(trace []Event, rules Rules) []string {
 	c := &checker{rules: rules, specs: map[string]*wire.Job{}, submitted: map[string]time.Time{}, asked: map[string]time.Time{}, accepted: map[string]time.Time{},
 		final: map[string]string{}, finalAt: map[string]time.Time{}, done: map[string]int{}, doneTasks: map[string]bool{}, silent: map[string]time.Time{},
-		on: map[string]*place{}, held: map[string]*place{}, attempts: map[string]uint64{}, machines: map[string]*place{}, used: map[*place]core.Resources{}, waits: map[string]time.Time{}}
+		on: map[string]*place{}, held: map[string]*place{}, attempts: map[string]uint64{}, machines: map[string]*place{}, used: map[*place]scheduling.Resources{}, waits: map[string]time.Time{}}
 	for i := range trace {
 		if e := &trace[i]; e.Kind == Answered {
 			first(c.submitted, e, Submit)
@@ -209,7 +209,7 @@
 	}
 }
 
-func needOf(s *wire.Job) core.Resources { return core.NewResources(s.CPUs, s.GPUs, s.RAM) }
+func needOf(s *wire.Job) scheduling.Resources { return scheduling.NewResources(s.CPUs, s.GPUs, s.RAM) }
 
 func (c *checker) off(task string, at time.Time) {
 	if c.on[task] != nil {
@@ -245,7 +245,7 @@
 	if p.spot && !s.Spot || s.Zone != "" && s.Zone != p.zone || len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, p.typ) {
 		c.breach("wrong_place: %s on %s (%s in %s)", e.Task, p.name, p.typ, p.zone)
 	}
-	var team core.Resources
+	var team scheduling.Resources
 	zones := map[string]int{}
 	for t, o := range c.on {
 		x := c.specs[jobOf(t)]
@@ -358,7 +358,7 @@
 	}
 	c.looked = c.now
 	there := map[string]int{}
-	team := map[string]core.Resources{}
+	team := map[string]scheduling.Resources{}
 	for t := range c.held {
 		id := jobOf(t)
 		there[id]++
@@ -383,7 +383,7 @@
 }
 
 // beside tells whether tasks of a job are missing for which there is room.
-func (c *checker) beside(s *wire.Job, there int, used core.Resources) bool {
+func (c *checker) beside(s *wire.Job, there int, used scheduling.Resources) bool {
 	missing := s.Tasks - there - c.done[s.ID]
 	if missing <= 0 {
 		return false
--- a/internal/standin/check_test.go
+++ b/internal/standin/check_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"eiderhitch/internal/core"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
 
@@ -19,7 +19,7 @@
 }
 
 func up(name, typ, zone string, spot bool, cpus float64) Event {
-	return Event{At: at(0), Kind: MachineUp, Machine: name, Type: typ, Zone: zone, Spot: spot, Size: core.NewResources(cpus, 0, 64)}
+	return Event{At: at(0), Kind: MachineUp, Machine: name, Type: typ, Zone: zone, Spot: spot, Size: scheduling.NewResources(cpus, 0, 64)}
 }
 
 // run has a task on a machine from one time to another.
@@ -83,7 +83,7 @@
 		{"waits, cancelled", "", 20, one, []Event{told(25, "wk-1", Cancel, 200, wire.Cancelled, nil), told(50, "wk-1", Poll, 200, wire.Cancelled, nil), ended}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			rules := Rules{Cancel: 35 * time.Second, Limits: map[string]core.Resources{"red": core.NewResources(4, 0, 0)}}
+			rules := Rules{Cancel: 35 * time.Second, Limits: map[string]scheduling.Resources{"red": scheduling.NewResources(4, 0, 0)}}
 			if x.quiet > 0 {
 				rules.Quiet = at(x.quiet)
 			}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"eiderhitch/internal/core"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
 
@@ -261,7 +261,7 @@
 	k.mu.Lock()
 	if !k.dead {
 		k.up, k.renewed = true, time.Now()
-		k.w.Saw(Event{Kind: MachineUp, Machine: k.m.Name, Type: k.m.Type, Zone: k.m.Zone, Spot: k.m.Spot, Size: core.NewResources(k.typ.CPUs, k.typ.GPUs, k.typ.RAM)})
+		k.w.Saw(Event{Kind: MachineUp, Machine: k.m.Name, Type: k.m.Type, Zone: k.m.Zone, Spot: k.m.Spot, Size: scheduling.NewResources(k.typ.CPUs, k.typ.GPUs, k.typ.RAM)})
 	}
 	k.mu.Unlock()
 	last := time.Time{}
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"eiderhitch/internal/core"
+	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
 
@@ -46,7 +46,7 @@
 	running  map[string]*Worker // by task
 	done     map[string]map[string]bool
 	breaches []string // that a worker sees for itself
-	limits   map[string]core.Resources
+	limits   map[string]scheduling.Resources
 	trace    []Event
 	quiet    time.Time
 	starts   int
@@ -58,7 +58,7 @@
 func NewWorld(ctx context.Context, names, addrs []string, types []wire.MachineType) *World {
 	w := &World{ReportS: 1, LeaseS: 10, CancelS: 35, GangWaitS: 12, GangPeerS: 4, spread: 500 * time.Microsecond, ctx: ctx, names: names, nodes: addrs, State: NewState(),
 		handlers: map[string]http.Handler{}, specs: map[string]*wire.Job{}, running: map[string]*Worker{},
-		done: map[string]map[string]bool{}, gangs: map[string]*gang{}, progress: map[string]time.Duration{}, limits: map[string]core.Resources{}}
+		done: map[string]map[string]bool{}, gangs: map[string]*gang{}, progress: map[string]time.Duration{}, limits: map[string]scheduling.Resources{}}
 	w.net = w.Net()
 	w.Cloud = &Cloud{world: w, types: types, answered: map[string][]string{}, capacity: 20}
 	w.serve("state:1", w.State)
@@ -86,7 +86,9 @@
 func (w *World) Serve(addr string, h http.Handler) { w.serve(addr, h) }
 
 // SetLimit tells the referee a team's limit of CPUs.
-func (w *World) SetLimit(team string, cpus float64) { w.limits[team] = core.NewResources(cpus, 0, 0) }
+func (w *World) SetLimit(team string, cpus float64) {
+	w.limits[team] = scheduling.NewResources(cpus, 0, 0)
+}
 
 // Upload gives the workers a job's description, as users do before they submit it.
 func (w *World) Upload(j *wire.Job) {
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -26,12 +26,12 @@
 	// ErrInvalid: it is beyond a limit of the service, or malformed. The same again
 	// would be refused again.
 	ErrInvalid = errors.New("state service: refused as invalid")
-	// ErrRefused: surely not executed (429 and 503).
+	// ErrNotExecuted: surely not executed (429 and 503).
 	ErrNotExecuted = errors.New("state service: refused")
-	// ErrTooMuch is an ErrRefused: the limits of all controllers together are
+	// ErrThrottled is an ErrNotExecuted: the limits of all controllers together are
 	// reached.
 	ErrThrottled = fmt.Errorf("%w: too much", ErrNotExecuted)
-	// ErrUnknown: it may have been executed, or may be executed later.
+	// ErrOutcomeUnknown: it may have been executed, or may be executed later.
 	ErrOutcomeUnknown = errors.New("state service: no answer")
 )
 
@@ -144,7 +144,7 @@
 	return nil, fmt.Errorf("state service: status %d", status)
 }
 
-// All reads every key below prefix and the revision to watch from.
+// List reads every key below prefix and the revision to watch from.
 func (c *Client) List(ctx context.Context, prefix string) ([]wire.Item, uint64, error) {
 	var items []wire.Item
 	var first uint64
@@ -173,7 +173,7 @@
 	}
 }
 
-// Version is the version of a key; 0: it does not exist.
+// Revision is the version of a key; 0: it does not exist.
 func (c *Client) Revision(ctx context.Context, key string) (uint64, error) {
 	item, err := c.Get(ctx, key)
 	if err != nil || item == nil {
@@ -217,7 +217,7 @@
 	return nil, fmt.Errorf("state service: watch: status %d", status)
 }
 
-// Lease obtains a lease.
+// GrantLease obtains a lease.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	var out wire.LeaseResponse
 	status, err := c.call(ctx, request{http.MethodPost, "/leases", wire.LeaseRequest{TTLMS: ttl.Milliseconds()}, callTimeout}, &out)
@@ -230,7 +230,7 @@
 	return out.Lease, nil
 }
 
-// Renew extends a lease; ErrNoLease means that it has ended.
+// RenewLease extends a lease; ErrLeaseExpired means that it has ended.
 func (c *Client) RenewLease(ctx context.Context, id uint64) error {
 	c.renewals.Add(1)
 	status, err := c.call(ctx, request{http.MethodPost, fmt.Sprintf("/leases/%d/extend", id), struct{}{}, callTimeout}, nil)
@@ -246,7 +246,7 @@
 	return nil
 }
 
-// End ends a lease at once.
+// RevokeLease ends a lease at once.
 func (c *Client) RevokeLease(ctx context.Context, id uint64) error {
 	_, err := c.call(ctx, request{http.MethodDelete, fmt.Sprintf("/leases/%d", id), nil, callTimeout}, nil)
 	return err
--- a/internal/store/pace.go
+++ b/internal/store/pace.go
@@ -9,7 +9,7 @@
 	"golang.org/x/time/rate"
 )
 
-// pace is how fast one controller writes. The state service's limit is for all
+// rateController is how fast one controller writes. The state service's limit is for all
 // controllers together, and they need very different shares of it: each goes
 // faster while nothing is refused, and slower when the service says that it is
 // too much. A fixed share would leave the leader short while others need little.
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -10,7 +10,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// Unit is a set of changes that apply together or not at all.
+// Write is a set of changes that apply together or not at all.
 type Write struct {
 	Conditions []wire.Condition
 	Changes    []wire.Change
@@ -29,19 +29,19 @@
 	Expires time.Time
 	// Done is called once, with the revision on success, ErrConflict when a
 	// condition failed (perhaps since an earlier try of this very unit was
-	// applied: the caller reads back), or ErrUnknown when given up.
+	// applied: the caller reads back), or ErrOutcomeUnknown when given up.
 	Done      func(revision uint64, err error)
 	size      int
 	tries     int
 	cancelled atomic.Bool
 }
 
-// Void says that a condition of the unit is known to have failed meanwhile. It is
+// Cancel says that a condition of the unit is known to have failed meanwhile. It is
 // not tried any more: each that is found out by the state service fails all that
 // shares its transaction, which is sent, and counted, once more.
 func (u *Write) Cancel() { u.cancelled.Store(true) }
 
-// first tells whether a unit goes before all others and doesn't wait for the pace.
+// ahead tells whether a unit goes before all others and doesn't wait for the pace.
 func (u *Write) ahead() bool { return u.Urgent || u.Prompt }
 
 // MaxTxnBytes leaves room below the 64 KiB that a transaction may have.
@@ -85,7 +85,7 @@
 // fullShare is the part of a queue from which on units that can wait should.
 const fullShare = 0.75
 
-// Full tells whether units that can wait should not be submitted now: the rest of the
+// NearlyFull tells whether units that can wait should not be submitted now: the rest of the
 // queue is for those that can't.
 func (w *Writer) NearlyFull(early bool) bool {
 	q := w.usual
@@ -95,7 +95,7 @@
 	return float64(len(q)) >= fullShare*float64(cap(q))
 }
 
-// settle reports a unit's outcome.
+// resolve reports a unit's outcome.
 func (w *Writer) resolve(u *Write, revision uint64, err error) {
 	w.backlog.Add(-int64(len(u.Changes)))
 	u.Done(revision, err)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -47,7 +47,7 @@
 // MaxTasks is how many tasks a job may have.
 const MaxTasks = 100_000
 
-// MaxBody is how large a request's body may be.
+// MaxBodyBytes is how large a request's body may be.
 const MaxBodyBytes = 64 << 10
 
 var priorities = map[string]int{"low": 0, "normal": 1, "urgent": 2, "production": 3}
@@ -217,7 +217,7 @@
 	return true
 }
 
-// Whole tells whether the job's tasks are started together or not at all.
+// AllOrNothing tells whether the job's tasks are started together or not at all.
 func (j *Job) AllOrNothing() bool { return j.Service || j.Gang }
 
 // JobState answers a user.
@@ -228,7 +228,7 @@
 	Running *int   `json:"running,omitempty"`
 }
 
-// TaskReport is one task in a worker's report.
+// TaskStatus is one task in a worker's report.
 type TaskStatus struct {
 	Task    string `json:"egg"`
 	Attempt uint64 `json:"launch"`
@@ -237,7 +237,7 @@
 	Saved   bool   `json:"kept"`
 }
 
-// Report is a worker's report, or the body of its answer to a command.
+// Heartbeat is a worker's report, or the body of its answer to a command.
 type Heartbeat struct {
 	Machine     string       `json:"perch"`
 	Addr        string       `json:"addr"`
@@ -251,7 +251,7 @@
 	Tasks       []TaskStatus `json:"eggs"`
 }
 
-// ParseReport decodes and checks a report.
+// ParseHeartbeat decodes and checks a report.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var r Heartbeat
 	if err := Decode(body, &r); err != nil {
@@ -271,7 +271,7 @@
 	GraceS  *float64 `json:"slackS,omitempty"`
 }
 
-// ReportAnswer is the answer to a report.
+// HeartbeatResponse is the answer to a report.
 type HeartbeatResponse struct {
 	Token    uint64    `json:"baton"`
 	Commands []Command `json:"calls"`
@@ -282,7 +282,7 @@
 	Node string `json:"harbour,omitempty"`
 }
 
-// Direct is a request of commands sent straight to a worker.
+// CommandRequest is a request of commands sent straight to a worker.
 type CommandRequest struct {
 	Token       uint64    `json:"baton"`
 	Incarnation uint64    `json:"watch"`
@@ -308,7 +308,7 @@
 	Types []MachineType `json:"hulls"`
 }
 
-// RentRequest asks the cloud for machines.
+// LaunchRequest asks the cloud for machines.
 type LaunchRequest struct {
 	Request string `json:"charter"`
 	Type    string `json:"hull"`
@@ -322,7 +322,7 @@
 	Machines []string `json:"perches"`
 }
 
-// CloudMachine is one machine in the cloud's list.
+// Instance is one machine in the cloud's list.
 type Instance struct {
 	Name  string  `json:"nameId"`
 	Addr  string  `json:"addr"`
@@ -333,7 +333,7 @@
 	AgeS  float64 `json:"heldS"`
 }
 
-// CloudList is one page of the cloud's list.
+// InstanceList is one page of the cloud's list.
 type InstanceList struct {
 	Machines []Instance `json:"perches"`
 	More     bool       `json:"truncated"`
@@ -362,7 +362,7 @@
 	Then []Change    `json:"then,omitempty"`
 }
 
-// TxnAnswer is its answer.
+// TxnResponse is its answer.
 type TxnResponse struct {
 	Revision uint64   `json:"logmark"`
 	Failed   []string `json:"failed"`
@@ -390,7 +390,7 @@
 	Revision uint64          `json:"stamp"`
 }
 
-// Events are the answer of a watch.
+// WatchResponse are the answer of a watch.
 type WatchResponse struct {
 	Revision uint64  `json:"logmark"`
 	Events   []Event `json:"news"`
@@ -401,7 +401,7 @@
 	TTLMS int64 `json:"lifeMs"`
 }
 
-// LeaseAnswer names it.
+// LeaseResponse names it.
 type LeaseResponse struct {
 	Lease uint64 `json:"mooring"`
 }
--- a/internal/fleet/client.go
+++ b/internal/workerclient/client.go
@@ -1,5 +1,5 @@
-// Package fleet sends commands straight to workers.
-package fleet
+// Package workerclient sends commands straight to workers.
+package workerclient
 
 import (
 	"bytes"
@@ -25,7 +25,7 @@
 // NewClient returns a client that reaches workers by rt.
 func NewClient(rt http.RoundTripper) *Client { return &Client{http: &http.Client{Transport: rt}} }
 
-// Do sends commands; the worker's report comes back whether it executed them
+// Send sends commands; the worker's report comes back whether it executed them
 // or not. An error means that they may yet be executed later.
 func (c *Client) Send(ctx context.Context, addr string, d *wire.CommandRequest) (*wire.Heartbeat, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, Timeout)
