--- /dev/null
+++ b/cmd/eiderhitch/golden_test.go
@@ -0,0 +1,85 @@
+package main
+
+import (
+	"bytes"
+	"errors"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/alecthomas/kong"
+	"github.com/google/go-cmp/cmp"
+
+	"eiderhitch/internal/rollout"
+)
+
+var update = flag.Bool("update", false, "write what is printed now to the golden files")
+
+// checkGolden compares what was printed with a file of testdata.
+func checkGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if d := cmp.Diff(string(want), got); d != "" {
+		t.Errorf("%s: %s", name, d)
+	}
+}
+
+// The status as a table and as JSON, which scripts of operators read.
+func TestStatusKeepsItsForm(t *testing.T) {
+	status := &rollout.Status{State: rollout.State{Level: 1, Phase: rollout.Activated, Held: true, Wish: rollout.WishFinalize, Since: 1_700_000_000_000},
+		Active: 2, Writes: 1, Version: 7, Records: map[string]int{"form 2": 1, "form 1": 12},
+		Controllers: []rollout.Controller{{Node: "n0", ProcessID: "00ff", Build: "0.1.0 abc", Range: rollout.Supported, StartedAt: 1_700_000_000_000}},
+		Missing:     []string{"n1"}, Blockers: []rollout.Blocker{{Kind: rollout.BlockMissing, Node: "n1", Detail: "is not registered"}}}
+	for _, x := range []struct {
+		golden string
+		flags  clusterFlags
+		status *rollout.Status
+	}{
+		{"status.txt", clusterFlags{}, status},
+		{"status.json", clusterFlags{JSON: true}, status},
+		{"initial.txt", clusterFlags{}, &rollout.Status{State: rollout.Initial, Active: 1, Writes: 1}},
+		{"initial.json", clusterFlags{JSON: true}, &rollout.Status{State: rollout.Initial, Active: 1, Writes: 1}},
+	} {
+		var out bytes.Buffer
+		if err := x.flags.print(&out, x.status); err != nil {
+			t.Error(err)
+		}
+		checkGolden(t, x.golden, out.String())
+	}
+}
+
+// Commands, flags and exit statuses are what operators' scripts rely on.
+func TestCommandLineKeepsItsForm(t *testing.T) {
+	t.Setenv("COLUMNS", "80")
+	for _, args := range []string{"run", "upgrade", "upgrade status", "upgrade finalize", "upgrade abort"} {
+		var out bytes.Buffer
+		var c cli
+		parser, err := kong.New(&c, kong.Name("eiderhitch"), kong.Vars{"version": "x"}, kong.Writers(&out, &out), kong.Exit(func(int) { panic("exit") }))
+		if err != nil {
+			t.Fatal(err)
+		}
+		func() {
+			defer func() { _ = recover() }() // kong ends after --help
+			_, _ = parser.Parse(append(strings.Fields(args), "--help"))
+		}()
+		checkGolden(t, "help-"+strings.ReplaceAll(args, " ", "-")+".txt", out.String())
+	}
+	if got := fmt.Sprint(exitFailed, exitRefused, exitChanged, exitNotYetDone); got != "1 2 3 4" {
+		t.Errorf("exit statuses %s", got)
+	}
+	if e := fmt.Errorf("x: %w", &exitError{exitChanged, rollout.ErrChanged}); statusOf(e) != exitChanged || !errors.Is(e, rollout.ErrChanged) || statusOf(rollout.ErrChanged) != exitFailed {
+		t.Errorf("%v leads to %d", e, statusOf(e))
+	}
+}
--- /dev/null
+++ b/internal/store/client_test.go
@@ -0,0 +1,125 @@
+package store_test
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"eiderhitch/internal/store"
+	"eiderhitch/internal/wire"
+)
+
+// scripted answers every request alike and keeps what was sent.
+type scripted struct {
+	status int
+	body   string
+	err    error
+	sent   string
+}
+
+func (s *scripted) RoundTrip(r *http.Request) (*http.Response, error) {
+	var body []byte
+	if r.Body != nil {
+		body, _ = io.ReadAll(r.Body) // what can't be read fails the comparison
+	}
+	s.sent = strings.TrimSpace(fmt.Sprintf("%s %s %s", r.Method, r.URL, body))
+	if s.err != nil {
+		return nil, s.err
+	}
+	return &http.Response{StatusCode: s.status, Body: io.NopCloser(strings.NewReader(s.body)), Header: http.Header{}}, nil
+}
+
+// calls are all calls of a client.
+var calls = []struct {
+	name, sent string
+	call       func(context.Context, *store.Client) error
+}{
+	{"txn", `POST http://kv:1/txn {"if":[],"then":[{"write":"a/b","v":1,"mooring":7}]}`, func(ctx context.Context, c *store.Client) error {
+		_, err := c.Txn(ctx, &wire.Txn{Then: []wire.Change{{Put: "a/b", Value: json.RawMessage("1"), Lease: 7}}})
+		return err
+	}},
+	{"list", `GET http://kv:1/kv?most=400&starts=c%2F`, func(ctx context.Context, c *store.Client) error {
+		_, _, err := c.List(ctx, "c/")
+		return err
+	}},
+	{"get", `GET http://kv:1/kv/a/b`, func(ctx context.Context, c *store.Client) error {
+		_, err := c.Get(ctx, "a/b")
+		return err
+	}},
+	{"revision", `GET http://kv:1/kv/a/b`, func(ctx context.Context, c *store.Client) error {
+		_, err := c.Revision(ctx, "a/b")
+		return err
+	}},
+	{"watch", `GET http://kv:1/watch?since=431&starts=c%2F&waitMs=10000`, func(ctx context.Context, c *store.Client) error {
+		_, err := c.Watch(ctx, "c/", 431, 10*time.Second)
+		return err
+	}},
+	{"grant", `POST http://kv:1/leases {"lifeMs":5000}`, func(ctx context.Context, c *store.Client) error {
+		_, err := c.GrantLease(ctx, 5*time.Second)
+		return err
+	}},
+	{"renew", `POST http://kv:1/leases/7/extend {}`, func(ctx context.Context, c *store.Client) error { return c.RenewLease(ctx, 7) }},
+	{"revoke", `DELETE http://kv:1/leases/7`, func(ctx context.Context, c *store.Client) error { return c.RevokeLease(ctx, 7) }},
+}
+
+// kinds are the errors that callers tell apart.
+var kinds = []error{store.ErrConflict, store.ErrLeaseExpired, store.ErrCompacted, store.ErrInvalid, store.ErrNotExecuted, store.ErrThrottled, store.ErrOutcomeUnknown}
+
+// hasKinds tells whether err is of exactly the kinds in want; none, or nil: no error.
+func hasKinds(err error, want []error) bool {
+	if len(want) == 0 || want[0] == nil {
+		return err == nil
+	}
+	for _, kind := range kinds {
+		if errors.Is(err, kind) != slices.Contains(want, kind) {
+			return false
+		}
+	}
+	return err != nil
+}
+
+// Each call sends exactly this, and each answer becomes the error that callers decide on.
+func TestRequestsAndErrors(t *testing.T) {
+	other := errors.New("an error of none of these kinds")
+	for _, x := range []struct {
+		status int
+		body   string
+		err    error
+		want   []error          // of every call
+		but    map[string]error // of these calls; nil: none
+	}{
+		{status: 200, body: `{}`},
+		{status: 200, body: `{`, want: []error{store.ErrOutcomeUnknown}, but: map[string]error{"renew": nil, "revoke": nil}},
+		{status: 404, body: `{}`, want: []error{other}, but: map[string]error{"get": nil, "revision": nil, "renew": store.ErrLeaseExpired, "revoke": nil}},
+		{status: 409, body: `{"failed":["a/b"]}`, want: []error{other}, but: map[string]error{"txn": store.ErrConflict, "revoke": nil}},
+		{status: 410, body: `{}`, want: []error{other}, but: map[string]error{"watch": store.ErrCompacted, "revoke": nil}},
+		{status: 400, body: `{"error":"no such lease"}`, want: []error{store.ErrLeaseExpired}},
+		{status: 400, body: `{}`, want: []error{store.ErrInvalid}},
+		{status: 429, want: []error{store.ErrNotExecuted, store.ErrThrottled}},
+		{status: 503, want: []error{store.ErrNotExecuted}},
+		{status: 500, want: []error{store.ErrOutcomeUnknown}},
+		{err: errors.New("reset"), want: []error{store.ErrOutcomeUnknown}},
+	} {
+		for _, y := range calls {
+			rt := &scripted{status: x.status, body: x.body, err: x.err}
+			err := y.call(t.Context(), store.NewClient("kv:1", rt))
+			if rt.sent != y.sent {
+				t.Errorf("%s sent\n%s, not\n%s", y.name, rt.sent, y.sent)
+			}
+			want := x.want
+			if e, ok := x.but[y.name]; ok {
+				want = []error{e}
+			}
+			if !hasKinds(err, want) {
+				t.Errorf("%s, %d %s: %v, not %v", y.name, x.status, x.body, err, want)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/workerclient/client_test.go
@@ -0,0 +1,48 @@
+package workerclient_test
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+
+	"eiderhitch/internal/wire"
+	"eiderhitch/internal/workerclient"
+)
+
+type scripted struct {
+	status     int
+	body, sent string
+}
+
+func (s *scripted) RoundTrip(r *http.Request) (*http.Response, error) {
+	body, _ := io.ReadAll(r.Body) // what can't be read fails the comparison
+	s.sent = fmt.Sprintf("%s %s %s", r.Method, r.URL, body)
+	return &http.Response{StatusCode: s.status, Body: io.NopCloser(strings.NewReader(s.body)), Header: http.Header{}}, nil
+}
+
+// A command is sent as exactly this; an answer is a report, executed or not, or an error.
+func TestCommandsAndAnswers(t *testing.T) {
+	for _, x := range []struct {
+		status   int
+		body     string
+		executed bool
+		text     string
+	}{
+		{200, `{"perch":"m","watch":1}`, true, ""},
+		{409, `{"perch":"m","watch":1}`, false, ""},
+		{400, `{}`, false, "worker w:1: status 400"},
+		{503, `{}`, false, "worker w:1: status 503"},
+		{200, `{}`, false, "worker w:1: report: machine or session is missing"},
+	} {
+		rt := &scripted{status: x.status, body: x.body}
+		report, executed, err := workerclient.NewClient(rt).Send(t.Context(), "w:1", &wire.CommandRequest{Token: 41, Incarnation: 1})
+		if want := `POST http://w:1/do {"baton":41,"watch":1,"calls":[]}`; rt.sent != want {
+			t.Errorf("sent %s, not %s", rt.sent, want)
+		}
+		if (err == nil) != (x.text == "") || err != nil && err.Error() != x.text || executed != x.executed || (report == nil) != (err != nil) {
+			t.Errorf("%d %s: %+v, %v, %v", x.status, x.body, report, executed, err)
+		}
+	}
+}
