--- /dev/null
+++ b/internal/tools/knownred/existence.go
@@ -0,0 +1,115 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os/exec"
+	"path/filepath"
+	"strings"
+)
+
+// Errors of a listed test that can't be passed over on its own.
+var (
+	errNoSuchTest = errors.New("no such test")
+	errAmbiguous  = errors.New("several packages have a test of this name")
+)
+
+// checkExistence fails if one of the tests does not exist, or if skipping it by name
+// would pass over a test of another package as well.
+func checkExistence(ctx context.Context, root string, entries []entry) error {
+	packages, err := testPackages(root)
+	if err != nil {
+		return err
+	}
+	for _, e := range entries {
+		function, subtest, _ := strings.Cut(e.Test, "/")
+		found := packages[function]
+		switch {
+		case len(found) == 0:
+			err = errNoSuchTest
+		case len(found) > 1:
+			err = errAmbiguous
+		case subtest != "":
+			err = checkSubtest(ctx, root, found[0], e.Test)
+		}
+		if err != nil {
+			return fmt.Errorf("%s: %w: %s", listName, err, e.Test)
+		}
+	}
+	return nil
+}
+
+// testPackages are the directories, relative to root, that declare each test function
+// of the module.
+func testPackages(root string) (map[string][]string, error) {
+	packages := map[string][]string{}
+	visit := func(path string, file fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if file.IsDir() {
+			if path != root && ignoredByGo(file.Name()) {
+				return filepath.SkipDir
+			}
+			return nil
+		}
+		if !strings.HasSuffix(path, "_test.go") {
+			return nil
+		}
+		functions, err := functionsOf(path)
+		if err != nil {
+			return err
+		}
+		directory, err := filepath.Rel(root, filepath.Dir(path))
+		for _, function := range functions {
+			packages[function] = append(packages[function], directory)
+		}
+		return err
+	}
+	return packages, filepath.WalkDir(root, visit)
+}
+
+// ignoredByGo reports whether the go command passes over a directory of this name.
+func ignoredByGo(name string) bool {
+	return name == "testdata" || name == "vendor" || strings.HasPrefix(name, ".") || strings.HasPrefix(name, "_")
+}
+
+// functionsOf are the names of the functions, not the methods, that a file declares.
+func functionsOf(path string) ([]string, error) {
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+	if err != nil {
+		return nil, err
+	}
+	var names []string
+	for _, declaration := range file.Decls {
+		function, ok := declaration.(*ast.FuncDecl)
+		if ok && function.Recv == nil {
+			names = append(names, function.Name.Name)
+		}
+	}
+	return names, nil
+}
+
+// checkSubtest fails if the package has no such subtest. The names of subtests are
+// known only when they run, so it is run; whether it passes does not matter here.
+func checkSubtest(ctx context.Context, root, directory, test string) error {
+	command := exec.CommandContext(ctx, "go", "test", "-v", "-run", anchored(test), "./"+filepath.ToSlash(directory))
+	command.Dir = root
+	output, err := command.CombinedOutput()
+	var failed *exec.ExitError
+	if err != nil && !errors.As(err, &failed) {
+		return err
+	}
+	for line := range strings.Lines(string(output)) {
+		name, isRun := strings.CutPrefix(strings.TrimSpace(line), "=== RUN")
+		if isRun && strings.TrimSpace(name) == test {
+			return nil
+		}
+	}
+	return errNoSuchTest
+}
--- /dev/null
+++ b/internal/tools/knownred/knownred_test.go
@@ -0,0 +1,161 @@
+package main
+
+import (
+	"bytes"
+	"errors"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+)
+
+func TestParse(t *testing.T) {
+	line := "TestA | loses a lease | #12\n"
+	tests := []struct {
+		name string
+		text string
+		want []string
+		err  error
+	}{
+		{"empty", "", nil, nil},
+		{"blank lines", "\n  \n", nil, nil},
+		{"one", line, []string{"TestA"}, nil},
+		{"no newline at the end", "FuzzA|a, b|#1", []string{"FuzzA"}, nil},
+		{"subtest", "TestA/late,_cut_off/2 | a | b", []string{"TestA/late,_cut_off/2"}, nil},
+		{"three", line + "TestB | a | b\n\nTestC | a | b\n", []string{"TestA", "TestB", "TestC"}, nil},
+		{"four", line + "TestB | a | b\nTestC | a | b\nTestD | a | b\n", nil, errTooMany},
+		{"twice", line + line, nil, errTwice},
+		{"comment", "# nothing here\n", nil, errMalformed},
+		{"no issue", "TestA | a\n", nil, errMalformed},
+		{"empty issue", "TestA | a |\n", nil, errMalformed},
+		{"empty cause", "TestA | | #1\n", nil, errMalformed},
+		{"four fields", "TestA | a | b | c\n", nil, errMalformed},
+		{"no test", "all of them | a | b\n", nil, errMalformed},
+		{"lower case", "Testify | a | b\n", nil, errMalformed},
+		{"empty subtest", "TestA/ | a | b\n", nil, errMalformed},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			entries, err := parse(test.text)
+			if !errors.Is(err, test.err) {
+				t.Fatalf("error is %v, want %v", err, test.err)
+			}
+			var names []string
+			for _, e := range entries {
+				names = append(names, e.Test)
+			}
+			if !slices.Equal(names, test.want) {
+				t.Errorf("tests are %q, want %q", names, test.want)
+			}
+		})
+	}
+}
+
+// module writes a small module with tests whose names are parts of each other's.
+func module(t *testing.T, list string) string {
+	t.Helper()
+	files := map[string]string{
+		"go.mod": "module example\n\ngo 1.26.0\n",
+		"a/a_test.go": `package a
+import "testing"
+func TestOne(t *testing.T) {}
+func TestOneMore(t *testing.T) { t.Error("red") }
+func TestRows(t *testing.T) {
+	t.Run("leader ends", func(t *testing.T) { t.Error("red") })
+	t.Run("leader ends twice", func(t *testing.T) {})
+}
+func TestShared(t *testing.T) {}
+type helper struct{}
+func (helper) TestMethod(t *testing.T) {}
+`,
+		"b/b_test.go":          "package b\nimport \"testing\"\nfunc TestShared(t *testing.T) {}\nfunc TestOther(t *testing.T) {}\n",
+		"b/testdata/c_test.go": "package c\nfunc TestNeverRun() {}\n",
+	}
+	if list != "" {
+		files[listName] = list
+	}
+	root := t.TempDir()
+	for name, content := range files {
+		path := filepath.Join(root, name)
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(content), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return root
+}
+
+func TestListedTestsMustExist(t *testing.T) {
+	tests := []struct {
+		name string
+		test string
+		err  error
+	}{
+		{"function", "TestOneMore", nil},
+		{"subtest", "TestRows/leader_ends", nil},
+		{"no function", "TestNone", errNoSuchTest},
+		{"pattern", "TestOne.*", errNoSuchTest},
+		{"method", "TestMethod", errNoSuchTest},
+		{"ignored directory", "TestNeverRun", errNoSuchTest},
+		{"no subtest", "TestRows/leader", errNoSuchTest},
+		{"subtest of a function without any", "TestOne/leader_ends", errNoSuchTest},
+		{"two packages", "TestShared", errAmbiguous},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			var pattern, report bytes.Buffer
+			err := run(t.Context(), module(t, test.test+" | a | #1"), &pattern, &report)
+			if !errors.Is(err, test.err) {
+				t.Fatalf("error is %v, want %v", err, test.err)
+			}
+			if err != nil && pattern.Len() > 0 {
+				t.Errorf("a list that is refused gives the pattern %q", &pattern)
+			}
+			if err == nil && !strings.Contains(report.String(), test.test) {
+				t.Errorf("the test is not named in %q", &report)
+			}
+		})
+	}
+}
+
+func TestNothingIsSkippedWithoutList(t *testing.T) {
+	for _, list := range []string{"", "\n"} {
+		var pattern, report bytes.Buffer
+		if err := run(t.Context(), module(t, list), &pattern, &report); err != nil {
+			t.Fatal(err)
+		}
+		if pattern.Len() > 0 || report.Len() > 0 {
+			t.Errorf("list %q gives pattern %q and report %q", list, &pattern, &report)
+		}
+	}
+}
+
+// TestExactlyTheListedTestsAreSkipped gives the pattern to the go command.
+func TestExactlyTheListedTestsAreSkipped(t *testing.T) {
+	root := module(t, "TestOneMore | a | #1\nTestRows/leader_ends | b | #2\n")
+	var pattern, report bytes.Buffer
+	if err := run(t.Context(), root, &pattern, &report); err != nil {
+		t.Fatal(err)
+	}
+	command := exec.CommandContext(t.Context(), "go", "test", "-v", "-skip", strings.TrimSpace(pattern.String()), "./...")
+	command.Dir = root
+	output, err := command.CombinedOutput()
+	if err != nil {
+		t.Fatalf("a listed test has run: %v\n%s", err, output)
+	}
+	var passed []string
+	for line := range strings.Lines(string(output)) {
+		if name, ok := strings.CutPrefix(strings.TrimSpace(line), "--- PASS: "); ok {
+			passed = append(passed, strings.Fields(name)[0])
+		}
+	}
+	slices.Sort(passed)
+	want := []string{"TestOne", "TestOther", "TestRows", "TestRows/leader_ends_twice", "TestShared", "TestShared"}
+	if !slices.Equal(passed, want) {
+		t.Errorf("passed %q, want %q", passed, want)
+	}
+}
--- /dev/null
+++ b/internal/tools/knownred/main.go
@@ -0,0 +1,60 @@
+// Knownred reads KNOWN-RED.txt, the list of tests that fail for a known fault, and
+// prints the pattern for `go test -skip` that passes over exactly these. It prints
+// nothing if the list is absent or empty, and fails if the list breaks its rules:
+//
+//   - one test a line, as `test | cause | issue`, at most three;
+//   - the test is a function of one package of the module, or a subtest of it that
+//     `go test -v` reports under that name.
+//
+// The tests that are passed over are named on standard error.
+package main
+
+import (
+	"context"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"io/fs"
+	"os"
+	"path/filepath"
+)
+
+// listName is the file at the module's root that lists the tests.
+const listName = "KNOWN-RED.txt"
+
+func main() {
+	root := flag.String("root", ".", "directory of the module")
+	flag.Parse()
+	if err := run(context.Background(), *root, os.Stdout, os.Stderr); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+}
+
+// run checks the list of the module at root, writes the skip pattern to pattern and
+// the tests that it passes over to report.
+func run(ctx context.Context, root string, pattern, report io.Writer) error {
+	text, err := os.ReadFile(filepath.Join(root, listName))
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	entries, err := parse(string(text))
+	if err != nil {
+		return err
+	}
+	if len(entries) == 0 {
+		return nil
+	}
+	if err := checkExistence(ctx, root, entries); err != nil {
+		return err
+	}
+	for _, e := range entries {
+		fmt.Fprintf(report, "not run, known to fail: %s: %s (%s)\n", e.Test, e.Cause, e.Issue)
+	}
+	_, err = fmt.Fprintln(pattern, skipPattern(entries))
+	return err
+}
