--- a/internal/controller/allocations_test.go
+++ b/internal/controller/allocations_test.go
@@ -71,7 +71,7 @@
 				}
 			}
 			raw, stamp := c.encodeGroup(group, group.done, group.bindings).At(group.key), group.revision
-			return func() { stamp++; c.putRecord(group.key, raw, stamp) }
+			return func() { stamp++; c.replica.Put(group.key, raw, stamp) }
 		}},
 		{"a poll of a job that is over", 2, func(c *controller) func() {
 			c.finished["wk-1"] = doneJob
@@ -165,7 +165,7 @@
 			raw, stamp := c.encodeGroup(group, group.done, group.bindings).At(group.key), group.revision+1<<32
 			for b.Loop() {
 				stamp++
-				c.putRecord(group.key, raw, stamp)
+				c.replica.Put(group.key, raw, stamp)
 			}
 		})
 	}
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -24,7 +24,7 @@
 		}
 		// A dealt task counts for its team's limit whether it runs or not; one
 		// of a cancelled job until it is proven gone.
-		n := group.quotaTasks(c.cursor)
+		n := group.quotaTasks(c.replica.Cursor())
 		l := &out[group.job.team]
 		use := group.job.taskSize.Times(n)
 		l.Used = l.Used.Plus(use)
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -43,13 +43,15 @@
 	s.State.RPS, s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps = 150, 60, 8, 32
 	s.Cloud.RPS, s.Cloud.ListLagS = 6, 3
 	c := newController(ctx, cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), clients{state: nowhere{}, cloud: nowhere{}, workers: nowhere{}, send: func(string, []byte) {}})
-	c.loaded, c.freshAt, c.startedAt = true, c.now, c.now.Add(-time.Hour)
+	c.replica.Load(nil, 0, &wire.WatchResponse{})
+	c.replica.NoteRead(c.now)
+	c.startedAt = c.now.Add(-time.Hour)
 	c.putMachineTypes(testTypes)
 	stamp := uint64(10)
 	for n := range count {
 		stamp++
 		node := fmt.Sprintf("n%d", n)
-		c.putRecord(rollout.Initial.Keys().Partition(n), record.JSON(record.LeaseHolder{Node: node, ProcessID: "x"}), stamp)
+		c.replica.Put(rollout.Initial.Keys().Partition(n), record.JSON(record.LeaseHolder{Node: node, ProcessID: "x"}), stamp)
 		c.siblingsFor(node, n)
 	}
 	p := c.partitions[0]
@@ -77,7 +79,7 @@
 		stamp++
 		spec := &wire.Job{ID: fmt.Sprintf("wk-%06d", id), Class: class, Team: team, Service: kind == wire.Service, Priority: priority, Tasks: tasks,
 			CPUs: cpus, RAM: 2, Image: "img", EstimateS: 40, DeadlineS: 200}
-		c.putRecord(jobKey(spec.ID), record.JSON(record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: spec}), stamp)
+		c.replica.Put(jobKey(spec.ID), record.JSON(record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: spec}), stamp)
 		return spec.ID
 	}
 	perPart := map[int][]record.Binding{}
@@ -87,7 +89,7 @@
 		if i%2 == 0 {
 			for range 8 {
 				stamp++
-				c.putRecord(groupKey(job(wire.Service, "feed", "red", 2, 1, 2), 0),
+				c.replica.Put(groupKey(job(wire.Service, "feed", "red", 2, 1, 2), 0),
 					record.JSON(record.TaskGroup{Partition: m.partition, Guaranteed: true, Tasks: []record.Binding{{Attempt: 1, Machine: m.name, Incarnation: 1}}}), stamp)
 			}
 			continue
@@ -102,14 +104,14 @@
 		for len(tasks) > 0 {
 			n := min(len(tasks), c.maxGroupTasks)
 			stamp++
-			c.putRecord(groupKey(array, k), record.JSON(record.TaskGroup{Partition: part, Tasks: tasks[:n]}), stamp)
+			c.replica.Put(groupKey(array, k), record.JSON(record.TaskGroup{Partition: part, Tasks: tasks[:n]}), stamp)
 			tasks, k = tasks[n:], k+1
 		}
 	}
 	for i := range machines / 10 {
 		job(wire.Array, "clean", []string{"red", "blue"}[i%2], 1, 40, []float64{1, 2}[i/2%2])
 	}
-	c.cursor = stamp
+	c.replica.Apply(&wire.WatchResponse{Revision: stamp})
 	return c
 }
 
--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -255,7 +255,7 @@
 		}
 	}
 	group.writing = true
-	c.readThen(func() { group.writing = false; c.requestPass() })
+	c.reader.AfterSuccessfulRead(func() { group.writing = false; c.requestPass() })
 }
 
 // updateStored has what an update binds started, and forgets the ends that it stored.
--- a/internal/controller/replica.go
+++ b/internal/controller/catalog.go
@@ -12,79 +12,10 @@
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/rollout"
 	"eiderhitch/internal/scheduling"
-	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
 
-// The replica: what the state service has, as far as this controller has read it.
-
-// resetReplica takes a whole reading in: pages read at different revisions, and the
-// changes since the first. Only both together are a state that ever was; a count
-// of done tasks that moved between two pages would else be seen twice.
-func (c *controller) resetReplica(items []wire.Item, rev uint64, since *wire.WatchResponse) {
-	seen := make(map[string]bool, len(items))
-	for i := range items {
-		seen[items[i].Key] = true
-	}
-	for key, v := range c.revisions {
-		if !seen[key] && v <= rev {
-			c.deleteRecord(key, rev)
-		}
-	}
-	for i := range items {
-		c.putRecord(items[i].Key, items[i].Value, items[i].Revision)
-	}
-	c.cursor = max(c.cursor, rev)
-	c.applyEvents(since)
-	c.archiveFinished() // most of what is read after a start
-	c.loaded = true
-}
-
-func (c *controller) applyEvents(ev *wire.WatchResponse) {
-	defer c.metrics.addBusyTime(activityReplica, time.Now())
-	if ev.Revision <= c.cursor {
-		return
-	}
-	for _, e := range ev.Events {
-		if e.Delete != "" {
-			c.deleteRecord(e.Delete, e.Revision)
-		} else {
-			c.putRecord(e.Put, e.Value, e.Revision)
-		}
-	}
-	c.cursor = ev.Revision
-	for k, v := range c.deletedRevisions {
-		if v <= c.cursor {
-			delete(c.deletedRevisions, k)
-		}
-	}
-}
-
-// applyWrite takes the changes of a successful transaction of ours into the replica.
-func (c *controller) applyWrite(write *store.Write, rev uint64) {
-	for _, change := range write.Changes {
-		if change.Delete != "" {
-			c.deleteRecord(change.Delete, rev)
-		} else {
-			c.putRecord(change.Put, change.Value, rev)
-		}
-	}
-}
-
-func (c *controller) putRecord(key string, raw json.RawMessage, stamp uint64) {
-	if c.revisions[key] >= stamp || c.deletedRevisions[key] >= stamp {
-		return
-	}
-	if c.revisions[key] == 0 && stamp <= c.cursor {
-		// All changes up to the cursor are known, and the key is not there: it
-		// was deleted after this, which is the late result of a write of ours.
-		return
-	}
-	c.revisions[key] = stamp
-	if err := c.decodeRecord(key, raw, stamp); err != nil {
-		c.noteUndecodable(key, err)
-	}
-}
+// What the stored values mean: their decoding and the indices over them.
 
 // decodeRecord takes a stored value in by the kind of its key. An error means that the value
 // can't be read.
@@ -138,7 +69,7 @@
 	}
 	id := strings.TrimPrefix(key, jobPrefix)
 	if _, over := c.finished[id]; over {
-		delete(c.revisions, key) // it stays so, whatever comes late
+		c.replica.Forget(key) // it stays so, whatever comes late
 		return nil
 	}
 	c.putJob(id, &v, stamp)
@@ -172,17 +103,20 @@
 // hasUnreadableRecords tells whether a record of the job can't be decoded.
 func (j *job) hasUnreadableRecords() bool { return len(j.unreadable) > 0 }
 
-func (c *controller) deleteRecord(key string, stamp uint64) {
-	if c.revisions[key] > stamp {
-		return
-	}
-	if stamp > c.cursor {
-		c.deletedRevisions[key] = stamp
-	}
-	if _, ok := c.revisions[key]; !ok {
-		return
+// PutValue takes in a value that is new or has changed.
+func (c *controller) PutValue(key string, value json.RawMessage, revision uint64) {
+	if err := c.decodeRecord(key, value, revision); err != nil {
+		c.noteUndecodable(key, err)
 	}
-	delete(c.revisions, key)
+}
+
+// ChangesApplied counts the time that the changes of a watch took.
+func (c *controller) ChangesApplied(begun time.Time) {
+	c.metrics.addBusyTime(activityReplica, begun)
+}
+
+// DeleteValue forgets a stored value.
+func (c *controller) DeleteValue(key string) {
 	switch {
 	case strings.HasPrefix(key, groupPrefix):
 		c.markGroupReadable(key)
@@ -240,13 +174,13 @@
 // for the team's limit.
 func (c *controller) archiveFinished() {
 	c.unfinished = slices.DeleteFunc(c.unfinished, func(j *job) bool {
-		if j.finalState == unfinishedJob || len(j.groups) > 0 || j.revision > c.cursor || j.hasUnreadableRecords() {
+		if j.finalState == unfinishedJob || len(j.groups) > 0 || j.revision > c.replica.Cursor() || j.hasUnreadableRecords() {
 			return false
 		}
 		j.inUnfinished = false
 		c.finished[j.id] = uint8(j.finalState)
 		delete(c.jobs, j.id)
-		delete(c.revisions, jobKey(j.id)) // never written again
+		c.replica.Forget(jobKey(j.id)) // never written again
 		return true
 	})
 }
@@ -284,7 +218,7 @@
 
 // releaseJobDetails drops what a final job needs no more; its fate is kept for ever.
 func (c *controller) releaseJobDetails(j *job) {
-	if j.finalState != unfinishedJob && len(j.groups) == 0 && j.revision <= c.cursor {
+	if j.finalState != unfinishedJob && len(j.groups) == 0 && j.revision <= c.replica.Cursor() {
 		j.spec, j.groups, j.groupOfTask = nil, nil, nil
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,6 +10,7 @@
 	"eiderhitch/internal/config"
 	"eiderhitch/internal/peer"
 	"eiderhitch/internal/record"
+	"eiderhitch/internal/replica"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
@@ -34,13 +35,11 @@
 	maxStaleness time.Duration
 	leaseExpiry  time.Duration // a worker's lease, with drift and margin
 
-	// The replica.
-	loaded             bool
-	cursor             uint64
-	freshAt            time.Time // start of the last successful read
-	startedAt          time.Time
-	revisions          map[string]uint64
-	deletedRevisions   map[string]uint64 // tombstones until the cursor has passed them
+	replica *replica.Replica
+	reader  *replica.Reader
+
+	startedAt time.Time
+	// Indices over the stored records.
 	jobs               map[string]*job
 	finished           map[string]uint8 // fates of jobs that are over and cleared up
 	unfinished         []*job           // those that are not over and cleared up, and some that are
@@ -57,14 +56,8 @@
 	objectiveSeconds   map[string]float64 // by class: seconds in which its jobs should be done
 	maxGroupTasks      int
 
-	// Reads on behalf of users.
-	readInFlight  bool
-	lastReadAt    time.Time
-	pendingReads  []func(err error)
-	readScheduled bool
 	// readyAt is when this controller last was ready; nil: it is not.
-	readyAt        atomic.Pointer[time.Time]
-	lastClientRead atomicTime // the last one that succeeded
+	readyAt atomic.Pointer[time.Time]
 
 	leasedKeys     map[string]*leasedKey
 	partitions     []*partition
@@ -197,9 +190,24 @@
 	}
 }
 
+// loopAt is the event loop as components see it that queue functions at one priority.
+type loopAt struct {
+	*controller
+	at priority
+}
+
+// Now is the time of the event that the loop works on.
+func (l loopAt) Now() time.Time { return l.now }
+
+// Enqueue queues f; it blocks while the queue is full.
+func (l loopAt) Enqueue(f func()) { l.enqueue(l.at, f) }
+
+// Call runs f and waits for it; false if ctx ended first.
+func (l loopAt) Call(ctx context.Context, f func()) bool { return l.call(ctx, l.at, f) }
+
 // isFresh tells whether the replica is current enough to act on: see MaxStaleness.
 func (c *controller) isFresh(limit time.Duration) bool {
-	return c.loaded && c.now.Sub(c.freshAt) < limit
+	return c.replica.FreshWithin(limit, c.now)
 }
 
 // submitWrite submits a unit; then runs in the actor with the result, after the
@@ -211,7 +219,7 @@
 		go c.enqueue(priorityState, func() {
 			c.metrics.observe(latencyCommit, c.now.Sub(begun))
 			if err == nil {
-				c.applyWrite(write, rev)
+				c.replica.ApplyTxn(write.Changes, rev)
 			}
 			then(err)
 		})
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -11,6 +11,7 @@
 
 	"eiderhitch/internal/config"
 	"eiderhitch/internal/record"
+	"eiderhitch/internal/replica"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
@@ -26,7 +27,8 @@
 	cfg.Settings.State.RPS, cfg.Settings.State.WriteRPS, cfg.Settings.State.ValueKB, cfg.Settings.State.TxnOps = 100, 40, 8, 32
 	cfg.Settings.Cloud.RPS = 1
 	c := newController(t.Context(), cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), clients{})
-	c.loaded, c.freshAt = true, c.now
+	c.replica.Load(nil, 0, &wire.WatchResponse{})
+	c.replica.NoteRead(c.now)
 	c.machineTypes = map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAM: 8}}
 	p := c.partitions[0]
 	p.token, p.active, p.ownedSince = 1, true, c.now.Add(-time.Minute)
@@ -52,18 +54,18 @@
 		p := c.partitions[0]
 		c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, true)
 		spec := &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}
-		c.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 2)
+		c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 2)
 		key := groupKey("wk-1", 0)
-		c.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+		c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
 		c.placeGroup(p, c.groupByKey[key], map[placementClass]bool{})
 		if len(p.reservations) != 2 {
 			t.Fatalf("%d tasks have claimed cells", len(p.reservations))
 		}
 		left := 0
 		if how == "deleted" {
-			c.deleteRecord(key, 4)
+			c.replica.Delete(key, 4)
 		} else {
-			c.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 1}}}), 4)
+			c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 1}}}), 4)
 			left = 1
 		}
 		if len(p.reservations) != left || len(p.cells.Tasks()) != left {
@@ -106,18 +108,18 @@
 	c := lone(t)
 	c.becomeLeader(5)
 	c.leadership.active = true
-	c.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 9, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
+	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 9, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
 	g := record.TaskGroup{Throttle: 1}
 	for i := range int32(9) {
 		g.Tasks = append(g.Tasks, record.Binding{Task: i})
 	}
 	key := groupKey("wk-1", 0)
-	c.putRecord(key, raw(t, g), 7)
+	c.replica.Put(key, raw(t, g), 7)
 	group := c.groupByKey[key]
 	changes, stamp := 0, uint64(8)
 	for free := 1; free <= 60; free++ { // a task of the team ends every 100 ms
 		lim := scheduling.Quota{Limit: scheduling.NewResources(float64(min(free, 9)), 0, 0)}
-		lim.Used = group.job.taskSize.Times(group.quotaTasks(c.cursor))
+		lim.Used = group.job.taskSize.Times(group.quotaTasks(c.replica.Cursor()))
 		before := group.throttledAt
 		c.unthrottle(group.job, &lim)
 		if group.throttledAt != before { // stored at once
@@ -128,7 +130,7 @@
 				g.Throttle = 0
 			}
 			group.writing = false
-			c.putRecord(key, raw(t, g), stamp)
+			c.replica.Put(key, raw(t, g), stamp)
 		}
 		c.now = c.now.Add(100 * time.Millisecond)
 	}
@@ -144,16 +146,16 @@
 	c := lone(t)
 	p := c.partitions[0]
 	c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-	c.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}}), 2)
+	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}}), 2)
 	key := groupKey("wk-1", 0)
-	c.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+	c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
 	group := c.groupByKey[key]
 	c.placeGroup(p, group, map[placementClass]bool{})
 	if len(p.reservations) != 2 {
 		t.Fatalf("%d tasks have claimed cells", len(p.reservations))
 	}
 	group.writing = true // the leader's move, of this very process
-	c.putRecord(key, raw(t, record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 4)
+	c.replica.Put(key, raw(t, record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 4)
 	if len(p.reservations) != 0 || len(p.cells.Tasks()) != 0 {
 		t.Errorf("%d claims and %d cells are left", len(p.reservations), len(p.cells.Tasks()))
 	}
@@ -163,11 +165,11 @@
 // record must not come back to life.
 func TestLateResultOfADeletedRecord(t *testing.T) {
 	c := lone(t)
-	c.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
+	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
 	key := groupKey("wk-1", 0)
-	c.putRecord(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}}}), 3)
-	c.applyEvents(&wire.WatchResponse{Revision: 9, Events: []wire.Event{{Delete: key, Revision: 9}}})
-	c.putRecord(key, raw(t, record.TaskGroup{Done: 1}), 5)
+	c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}}}), 3)
+	c.replica.Apply(&wire.WatchResponse{Revision: 9, Events: []wire.Event{{Delete: key, Revision: 9}}})
+	c.replica.Put(key, raw(t, record.TaskGroup{Done: 1}), 5)
 	if c.groupByKey[key] != nil || len(c.jobs["wk-1"].groups) != 0 {
 		t.Error("a deleted record is back")
 	}
@@ -189,14 +191,14 @@
 	if n := c.stateWriter.Backlog(); n > time.Second/10 {
 		t.Errorf("the backlog is %v", n)
 	}
-	c.putRecord(tombstonePrefix+"host-000001", record.JSON(names[1:4]), 20)
-	c.putRecord(tombstonePrefix+"host-000009", record.JSON(true), 21)
+	c.replica.Put(tombstonePrefix+"host-000001", record.JSON(names[1:4]), 20)
+	c.replica.Put(tombstonePrefix+"host-000009", record.JSON(true), 21)
 	for i, gone := range map[int]bool{0: false, 1: true, 2: true, 3: true, 4: false, 9: true} {
 		if c.machineNamed(names[i]).terminated != gone {
 			t.Errorf("%s is gone: %v", names[i], !gone)
 		}
 	}
-	c.deleteRecord(tombstonePrefix+"host-000001", 22)
+	c.replica.Delete(tombstonePrefix+"host-000001", 22)
 	if len(c.terminated) != 1 || len(c.tombstones) != 1 {
 		t.Errorf("%d machines and %d markers are left", len(c.terminated), len(c.tombstones))
 	}
@@ -247,10 +249,10 @@
 		c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
 		for i, team := range []string{"blue", "red"} {
 			id := fmt.Sprintf("wk-%d", i+1)
-			c.putRecord(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAM: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
+			c.replica.Put(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAM: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
 		}
-		c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 10)
-		c.putRecord(groupKey("wk-2", 0), raw(t, record.TaskGroup{Guaranteed: true, Tasks: []record.Binding{{}}}), 11)
+		c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 10)
+		c.replica.Put(groupKey("wk-2", 0), raw(t, record.TaskGroup{Guaranteed: true, Tasks: []record.Binding{{}}}), 11)
 		group := c.groupByKey[groupKey("wk-2", 0)]
 		group.inPartitionSince = c.now.Add(-x.waited)
 		p.freedCellsBefore, p.freedCellsSince = x.ends, c.now
@@ -278,9 +280,9 @@
 		spec.ID = fmt.Sprintf("wk-%08d", i)
 		stamp := uint64(2*i + 10)
 		if i%2 == 0 { // it ran while this controller did, else it is read after a start
-			c.putRecord(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), stamp)
+			c.replica.Put(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), stamp)
 		}
-		c.putRecord(jobKey(spec.ID), raw(t, record.Job{FinalState: cancelledJob + i/2%2}), stamp+1)
+		c.replica.Put(jobKey(spec.ID), raw(t, record.Job{FinalState: cancelledJob + i/2%2}), stamp+1)
 		if i%500 != 499 {
 			continue
 		}
@@ -290,7 +292,7 @@
 		if len(c.finished) > n {
 			t.Fatalf("%d jobs are laid down before all of them is known", len(c.finished)-n)
 		}
-		c.cursor = stamp + 1
+		c.replica.Apply(&wire.WatchResponse{Revision: stamp + 1})
 		c.archiveFinished()
 	}
 	if n := int(held()-before) / jobs; n > each {
@@ -309,8 +311,8 @@
 	}
 	// A late copy of an older change does not bring it back.
 	spec.ID = "wk-00000002"
-	c.cursor = 0
-	c.putRecord(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), 14)
+	c.replica = replica.New(c) // which knows nothing of it yet
+	c.replica.Put(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), 14)
 	if job := c.lookupJob(spec.ID); job.finalState != doneJob || len(c.jobs) != 0 {
 		t.Errorf("%s went back to %s", spec.ID, job.response().State)
 	}
@@ -333,24 +335,24 @@
 	group := func(machine string) json.RawMessage {
 		return raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: machine, Incarnation: 1}}})
 	}
-	c.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 10)
-	c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{}}}), 11)
-	c.cursor = 11
+	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 10)
+	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{}}}), 11)
+	c.replica.Apply(&wire.WatchResponse{Revision: 11})
 	used("dealt:", 2)
 	gone := raw(t, record.Job{FinalState: cancelledJob, Spec: spec})
-	c.putRecord(jobKey("wk-1"), gone, 20) // our own write's result
+	c.replica.Put(jobKey("wk-1"), gone, 20) // our own write's result
 	used("cancelled here:", 2)
-	c.applyEvents(&wire.WatchResponse{Revision: 21, Events: []wire.Event{
+	c.replica.Apply(&wire.WatchResponse{Revision: 21, Events: []wire.Event{
 		{Put: groupKey("wk-1", 0), Value: group("host-1"), Revision: 15}, {Put: jobKey("wk-1"), Value: gone, Revision: 20}}})
 	used("its binding is known:", 2)
-	c.applyEvents(&wire.WatchResponse{Revision: 22, Events: []wire.Event{{Put: groupKey("wk-1", 0), Value: group(""), Revision: 22}}})
+	c.replica.Apply(&wire.WatchResponse{Revision: 22, Events: []wire.Event{{Put: groupKey("wk-1", 0), Value: group(""), Revision: 22}}})
 	used("proven gone:", 0)
 
 	// The same where not even the dealing is known yet.
-	c.putRecord(jobKey("wk-2"), raw(t, record.Job{Spec: spec}), 30)
-	c.cursor = 30
-	c.putRecord(jobKey("wk-2"), gone, 40)
-	c.applyEvents(&wire.WatchResponse{Revision: 41, Events: []wire.Event{
+	c.replica.Put(jobKey("wk-2"), raw(t, record.Job{Spec: spec}), 30)
+	c.replica.Apply(&wire.WatchResponse{Revision: 30})
+	c.replica.Put(jobKey("wk-2"), gone, 40)
+	c.replica.Apply(&wire.WatchResponse{Revision: 41, Events: []wire.Event{
 		{Put: groupKey("wk-2", 0), Value: group("host-2"), Revision: 35}, {Put: jobKey("wk-2"), Value: gone, Revision: 40}}})
 	used("dealt and bound before it was cancelled here:", 2)
 }
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -96,7 +96,7 @@
 		}
 	}
 	leased.pending = true
-	expect := c.revisions[key]
+	expect := c.replica.Revision(key)
 	go c.acquire(leased, key, expect)
 }
 
@@ -130,8 +130,8 @@
 			return
 		}
 		leased.token, leased.lease, leased.vacantSince = ans.Revision, lease, time.Time{}
-		c.putRecord(key, c.holderValue(), ans.Revision)
-		if c.revisions[key] != ans.Revision { // lost again before the answer came
+		c.replica.Put(key, c.holderValue(), ans.Revision)
+		if c.replica.Revision(key) != ans.Revision { // lost again before the answer came
 			leased.token, leased.lease, leased.vacantSince = 0, 0, c.now
 			return
 		}
@@ -252,7 +252,7 @@
 	// was one can't be told here, not even after our own restart: the process
 	// before it may have been a successor itself.
 	p.formerOwnerStaleness = c.maxStaleness
-	c.readThen(func() { c.activatePartition(p, stamp) })
+	c.reader.AfterSuccessfulRead(func() { c.activatePartition(p, stamp) })
 }
 
 func (c *controller) activatePartition(p *partition, stamp uint64) {
@@ -291,17 +291,6 @@
 	c.requestPass()
 }
 
-// readThen runs f after a successful read of the replica that begins now.
-func (c *controller) readThen(f func()) {
-	c.afterRead(func(err error) {
-		if err != nil {
-			c.readThen(f)
-			return
-		}
-		f()
-	})
-}
-
 // raiseToken rewrites a part's key: a higher token, which fences commands that
 // may still be under way.
 func (c *controller) raiseToken(p *partition) {
@@ -322,14 +311,14 @@
 			return
 		}
 		if err != nil {
-			c.readThen(func() { // perhaps an unanswered try was applied
-				if leased.token == stamp && c.revisions[key] != stamp {
-					c.onTokenRaised(p, leased, c.revisions[key])
+			c.reader.AfterSuccessfulRead(func() { // perhaps an unanswered try was applied
+				if leased.token == stamp && c.replica.Revision(key) != stamp {
+					c.onTokenRaised(p, leased, c.replica.Revision(key))
 				}
 			})
 			return
 		}
-		c.onTokenRaised(p, leased, c.revisions[key])
+		c.onTokenRaised(p, leased, c.replica.Revision(key))
 	})
 }
 
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
@@ -16,10 +15,10 @@
 	"eiderhitch/internal/config"
 	"eiderhitch/internal/peer"
 	"eiderhitch/internal/record"
+	"eiderhitch/internal/replica"
 	"eiderhitch/internal/rollout"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
-	"eiderhitch/internal/wire"
 	"eiderhitch/internal/workerclient"
 )
 
@@ -58,11 +57,15 @@
 		stateClient: st, stateWriter: store.NewWriter(st, s.State.TxnOps, s.State.WriteRPS, s.Count, out.jitter),
 		cloudClient: cloud.NewClient(cfg.External.Cloud, s.Cloud.RPS, out.cloud), workerClient: workerclient.NewClient(out.workers), send: out.send, jitter: out.jitter,
 		maxStaleness: config.MaxStaleness(s.Workers.CancelS, s.Workers.LeaseS), leaseExpiry: config.LeaseExpiry(s.Workers.CancelS, s.Workers.LeaseS),
-		revisions: map[string]uint64{}, deletedRevisions: map[string]uint64{}, jobs: map[string]*job{}, finished: map[string]uint8{}, groupByKey: map[string]*taskGroup{},
+		jobs: map[string]*job{}, finished: map[string]uint8{}, groupByKey: map[string]*taskGroup{},
 		holders: map[string]record.LeaseHolder{}, terminated: map[string]bool{}, tombstones: map[string]tombstone{}, loans: map[string]*machineLoan{}, teamIndex: map[string]int32{}, objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.State.ValueKB),
 		leasedKeys: newLeasedKeys(rollout.Initial.Keys(), s.Count), machines: map[string]*machine{}, peers: map[string]*peerController{}, terminating: map[string]bool{},
 		attemptEnds: map[scheduling.Task]attemptEnd{}, maxDirects: cfg.DirectCommands(), metrics: newMetrics(), schedulingPass: 1,
 	}
+	c.replica = replica.New(c)
+	c.reader = replica.NewReader(ctx, replica.Config{
+		Prefix: keyPrefix, Controllers: s.Count, RequestsPerSecond: s.State.RPS, Jitter: out.jitter, Loaded: c.archiveFinished, Log: c.log,
+	}, c.replica, st, loopAt{c, priorityState})
 	c.rollout = newRolloutState(cfg, op)
 	c.now = time.Now()
 	c.startedAt = c.now
@@ -128,7 +131,7 @@
 // start begins the long-lived duties.
 func (c *controller) start(wg *sync.WaitGroup) {
 	wg.Go(func() { c.stateWriter.Run(c.ctx) })
-	wg.Go(c.follow)
+	wg.Go(func() { c.reader.Follow(c.ctx) })
 	for range 2 {
 		wg.Go(c.runCloudCalls)
 	}
@@ -202,7 +205,7 @@
 		}
 	}
 	c.updateReadiness()
-	if !c.loaded {
+	if !c.replica.Loaded() {
 		return
 	}
 	c.campaign()
@@ -247,64 +250,6 @@
 // laggedSince tells whether it did at any time since t.
 func (c *controller) laggedSince(t time.Time) bool { return c.lagging() || c.lastLaggedAt.After(t) }
 
-// follow keeps the replica current. While users' reads do so it stands back: both
-// would ask for, and decode, the same changes.
-func (c *controller) follow() {
-	s := &c.cfg.Settings
-	pause := max(time.Duration(float64(time.Second)*float64(s.Count)/(s.State.RPS*0.25)), 100*time.Millisecond)
-	var cursor uint64
-	loaded := false
-	for c.ctx.Err() == nil {
-		start := time.Now()
-		if rest := c.lastClientRead.remaining(start, 2*c.readInterval()); loaded && rest > 0 {
-			select {
-			case <-c.ctx.Done():
-			case <-time.After(rest):
-			}
-			continue
-		}
-		var err error
-		if !loaded {
-			var items []wire.Item
-			var rev uint64
-			items, rev, err = c.stateClient.List(c.ctx, keyPrefix)
-			var ev *wire.WatchResponse
-			if err == nil {
-				ev, err = c.stateClient.Watch(c.ctx, keyPrefix, rev, 0)
-			}
-			if err == nil {
-				loaded = true
-				c.call(c.ctx, priorityState, func() {
-					c.resetReplica(items, rev, ev)
-					c.noteRead(start)
-					cursor = c.cursor
-				})
-			}
-		} else {
-			ev, werr := c.stateClient.Watch(c.ctx, keyPrefix, cursor, watchWait)
-			err = werr
-			if err == nil {
-				c.call(c.ctx, priorityState, func() {
-					c.applyEvents(ev)
-					c.noteRead(start)
-					cursor = c.cursor
-				})
-			} else if errors.Is(err, store.ErrCompacted) {
-				loaded = false
-			}
-		}
-		wait := pause
-		if err != nil {
-			c.log.Debug("state service", "err", err)
-			wait = 200*time.Millisecond + c.jitter(100*time.Millisecond)
-		}
-		select {
-		case <-c.ctx.Done():
-		case <-time.After(wait):
-		}
-	}
-}
-
 func (c *controller) runCloudCalls() {
 	for {
 		select {
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -39,7 +39,7 @@
 	ctl := c.nodes[0].brain
 	ctl.call(c.ctx, priorityState, func() {
 		for key, h := range ctl.holders {
-			out[key] = fmt.Sprint(h.Node, ctl.revisions[key])
+			out[key] = fmt.Sprint(h.Node, ctl.replica.Revision(key))
 		}
 	})
 	return out
@@ -405,7 +405,7 @@
 	p := c.partitions[0]
 	c.maxDirects = 40
 	c.now = c.now.Add(20 * time.Second)
-	c.freshAt = c.now
+	c.replica.NoteRead(c.now)
 	c.probeUnreachable()
 	if c.directsInFlight != 20 || c.directsInFlight+len(c.directQueue) != len(p.machines) || len(p.machines) < 300 {
 		t.Fatalf("%d commands are open and %d machines wait, of %d", c.directsInFlight, len(c.directQueue), len(p.machines))
@@ -511,8 +511,8 @@
 	c := lone(t)
 	p := c.partitions[0]
 	p.ownedSince, p.formerOwnerStaleness, p.firstToken = c.now, c.maxStaleness, p.token
-	c.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Service: true, Tasks: 1, CPUs: 1}}), 5)
-	c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1, Addr: "10.1.0.1:1"}}}), 6)
+	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Service: true, Tasks: 1, CPUs: 1}}), 5)
+	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1, Addr: "10.1.0.1:1"}}}), 6)
 	m := c.machineNamed("host-1")
 	m.unanswered = unansweredLimit
 	for _, reached := range []bool{false, true} {
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"net/http"
-	"sync/atomic"
 	"time"
 
 	"eiderhitch/internal/api"
@@ -26,80 +25,6 @@
 	return a
 }
 
-// startSharedRead begins a read of the replica for everybody who waits, unless one
-// is under way or was just done: users' reads share calls.
-func (c *controller) startSharedRead() {
-	if c.readInFlight || len(c.pendingReads) == 0 || c.readScheduled {
-		return
-	}
-	if gap := c.readInterval() - c.now.Sub(c.lastReadAt); gap > 0 {
-		c.readScheduled = true
-		time.AfterFunc(gap, func() {
-			c.enqueue(priorityState, func() { c.readScheduled = false; c.startSharedRead() })
-		})
-		return
-	}
-	waiting := c.pendingReads
-	c.pendingReads = nil
-	c.readInFlight, c.lastReadAt = true, c.now
-	start, cursor, loaded := c.now, c.cursor, c.loaded
-	go func() {
-		err := errors.New("replica is not loaded")
-		var ev *wire.WatchResponse
-		if loaded {
-			ev, err = c.stateClient.Watch(c.ctx, keyPrefix, cursor, 0)
-		}
-		c.enqueue(priorityState, func() {
-			c.readInFlight = false
-			if err == nil {
-				c.applyEvents(ev)
-				c.noteRead(start)
-				c.lastClientRead.store(c.now)
-			}
-			for _, f := range waiting {
-				f(err)
-			}
-			c.startSharedRead()
-		})
-	}()
-}
-
-// noteRead notes a successful read that began at start.
-func (c *controller) noteRead(start time.Time) {
-	if start.After(c.freshAt) {
-		c.freshAt = start
-	}
-}
-
-// atomicTime is a time that one goroutine notes and others look at.
-type atomicTime struct{ at atomic.Pointer[time.Time] }
-
-func (m *atomicTime) store(t time.Time) { m.at.Store(&t) }
-
-// remaining is how long it is until d has passed since the moment; 0 if there was none.
-func (m *atomicTime) remaining(now time.Time, d time.Duration) time.Duration {
-	at := m.at.Load()
-	if at == nil {
-		return 0
-	}
-	return d - now.Sub(*at)
-}
-
-// readInterval spaces reads so that all controllers together use a quarter of the
-// state service's limit for them, and each no more than it has use for: those
-// who ask wait up to 2 s.
-func (c *controller) readInterval() time.Duration {
-	s := &c.cfg.Settings
-	return max(time.Duration(float64(time.Second)*float64(s.Count)/(s.State.RPS*0.25)), 200*time.Millisecond)
-}
-
-// afterRead has f run in the actor with the result of a read of the replica that
-// begins after now.
-func (c *controller) afterRead(f func(err error)) {
-	c.pendingReads = append(c.pendingReads, f)
-	c.startSharedRead()
-}
-
 // response is what a user is told of a known job.
 func (j *job) response() wire.JobState {
 	s := wire.JobState{ID: j.id}
@@ -197,7 +122,7 @@
 	if !c.call(ctx, priorityUsers, func() {
 		refusal, refused := c.refusal()
 		switch {
-		case !c.loaded:
+		case !c.replica.Loaded():
 			ans = unavailableResponse("starting")
 		case refused:
 			ans = refusal
@@ -269,7 +194,7 @@
 		j := c.lookupJob(id)
 		refusal, refused := c.refusal()
 		switch {
-		case !c.loaded:
+		case !c.replica.Loaded():
 			answer <- unavailableResponse("starting")
 		case refused:
 			answer <- refusal
@@ -278,7 +203,7 @@
 		case c.jobs[id] != nil && c.jobs[id].hasUnreadableRecords():
 			answer <- unavailableResponse("a stored record of the job can't be decoded")
 		default:
-			c.afterRead(func(err error) {
+			c.reader.AfterRead(func(err error) {
 				if err != nil {
 					answer <- unavailableResponse("state service out of reach")
 				} else if refusal, refused := c.refusal(); refused {
@@ -370,7 +295,7 @@
 		c.readyAt.Store(nil)
 		return
 	}
-	ready := c.loaded && len(c.machineTypes) > 0 && c.isFresh(c.operator.LeaseTTL+2*time.Second)
+	ready := c.replica.Loaded() && len(c.machineTypes) > 0 && c.isFresh(c.operator.LeaseTTL+2*time.Second)
 	if !ready {
 		heard, ok := false, false
 		for _, s := range c.peers {
--- a/internal/controller/gang_clauses_test.go
+++ b/internal/controller/gang_clauses_test.go
@@ -281,12 +281,12 @@
 		p := c.partitions[0]
 		m := c.machineNamed("host-1")
 		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-		c.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2, CPUs: 1, CheckpointS: 5, SaveS: 2, Team: "t"}}), 2)
+		c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2, CPUs: 1, CheckpointS: 5, SaveS: 2, Team: "t"}}), 2)
 		tasks := []record.Binding{{Task: 0, Attempt: 1, Machine: "host-1", Incarnation: 1}, {Task: 1, Attempt: 1, Machine: "host-1", Incarnation: 1}}
 		if x.lost {
 			tasks[1] = record.Binding{Task: 1, Attempt: 1}
 		}
-		c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: tasks}), 3)
+		c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: tasks}), 3)
 		heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, Token: 1, Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: x.state, Reason: x.why}}}
 		if !x.lost {
 			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: "wk-1/1", Attempt: 1, State: wire.Running})
@@ -314,7 +314,7 @@
 		p := ctl.partitions[0]
 		m := ctl.machineNamed("host-1")
 		ctl.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-		ctl.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: ctl.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 4, CPUs: 1, Team: "t"}}), 2)
+		ctl.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: ctl.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 4, CPUs: 1, Team: "t"}}), 2)
 		var groups []*taskGroup
 		for k := range records {
 			var tasks []record.Binding
@@ -322,7 +322,7 @@
 				tasks = append(tasks, record.Binding{Task: int32(n), Attempt: 1, Machine: "host-1", Incarnation: 1})
 			}
 			key := groupKey("wk-1", k)
-			ctl.putRecord(key, raw(t, record.TaskGroup{Tasks: tasks}), uint64(3+k))
+			ctl.replica.Put(key, raw(t, record.TaskGroup{Tasks: tasks}), uint64(3+k))
 			groups = append(groups, ctl.groupByKey[key])
 		}
 		return ctl, p, groups
@@ -356,7 +356,7 @@
 		t.Errorf("none is done: %d done, %d left", update.done, len(update.bindings))
 	}
 	c, part, recs = setUp(t, 2)
-	c.putRecord(recs[0].key, raw(t, record.TaskGroup{Done: 2, Tasks: []record.Binding{}}), 9) // by the owner before
+	c.replica.Put(recs[0].key, raw(t, record.TaskGroup{Done: 2, Tasks: []record.Binding{}}), 9) // by the owner before
 	report(c, part, 2, map[int]string{2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
 	if update := c.planUpdate(part, recs[1]); update.done != 2 || !c.endsJob(recs[1], &update) {
 		t.Errorf("half is stored as done: %d more are", update.done)
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -26,9 +26,9 @@
 		{"done already", []record.TaskGroup{all[0], {Zone: "a", Done: 2, Tasks: []record.Binding{}}}, false},
 	} {
 		c := lone(t)
-		c.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 1}}), 2)
+		c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 1}}), 2)
 		for k, v := range x.records {
-			c.putRecord(groupKey("wk-1", k), raw(t, v), uint64(3+k))
+			c.replica.Put(groupKey("wk-1", k), raw(t, v), uint64(3+k))
 		}
 		asked := false
 		c.placeGang(c.partitions[0], c.groupByKey[groupKey("wk-1", 0)], nil, func(...scheduling.Task) bool {
@@ -66,8 +66,8 @@
 			t.Errorf("%s: it is not open to gangs", x.name)
 		}
 		// A gang that has been dealt there and lacks room holds no more than is kept.
-		c.putRecord(jobKey("wk-3"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
-		c.putRecord(groupKey("wk-3", 0), raw(t, record.TaskGroup{Partition: c.loanPartition(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
+		c.replica.Put(jobKey("wk-3"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
+		c.replica.Put(groupKey("wk-3", 0), raw(t, record.TaskGroup{Partition: c.loanPartition(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
 		c.placeAssigned([]*scheduling.MachineSummary{summary}, c.byUrgency())
 		if held := summary.Free.CPU < 4000; held == x.open {
 			t.Errorf("%s: a gang without whole room holds it: %v", x.name, held)
@@ -79,8 +79,8 @@
 // kept for gangs there.
 func TestOtherZoneCountsRoomForGangs(t *testing.T) {
 	c := loneAmong(t, 3)
-	c.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, SingleZone: true, Tasks: 3, CPUs: 2}}), 2)
-	c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}}}), 3)
+	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, SingleZone: true, Tasks: 3, CPUs: 2}}), 2)
+	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}}}), 3)
 	group := c.groupByKey[groupKey("wk-1", 0)]
 	group.inPartitionSince = c.now.Add(-zonePatience - time.Second)
 	var summaries []*scheduling.MachineSummary
@@ -106,11 +106,11 @@
 		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, Token: 1,
 			Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: state, Reason: why}, {Task: "wk-1/1", Attempt: 1, State: wire.Gathering}}}, p, true)
 	}
-	c.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAM: 1}}), 2)
+	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAM: 1}}), 2)
 	bound := func(num int32) record.Binding {
 		return record.Binding{Task: num, Attempt: 1, Machine: "host-1", Incarnation: 1}
 	}
-	c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{bound(0), bound(1), {Task: 2, Attempt: 1}}}), 3)
+	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{bound(0), bound(1), {Task: 2, Attempt: 1}}}), 3)
 	report(2, wire.Gathering, "")
 	c.placeGroup(p, c.groupByKey[groupKey("wk-1", 0)], map[placementClass]bool{})
 	if len(p.reservations) != 1 {
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -169,9 +169,9 @@
 func TestGangMovesWhole(t *testing.T) {
 	c := loneAmong(t, 3)
 	spec := &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 2, Priority: 1, SingleZone: true}
-	c.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: spec}), 2)
-	c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
-	c.putRecord(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 0, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 4)
+	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: spec}), 2)
+	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+	c.replica.Put(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 0, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 4)
 	job := c.jobs["wk-1"]
 	if job.groupsTogether(1, "a") {
 		t.Fatal("the records are together")
@@ -183,7 +183,7 @@
 		t.Errorf("%d transactions have the records follow the first", c.leadership.writesInFlight)
 	}
 	c.leadership.writesInFlight = 0
-	c.putRecord(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 5)
+	c.replica.Put(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 5)
 	c.completeGangMoves()
 	if c.leadership.writesInFlight != 0 {
 		t.Error("records that are together move")
@@ -216,8 +216,8 @@
 func TestGangDealtInPartCountsWhole(t *testing.T) {
 	for _, own := range []bool{false, true} {
 		c := lone(t)
-		c.putRecord(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 5, CPUs: 2}}), 2)
-		c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Guaranteed: own, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+		c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 5, CPUs: 2}}), 2)
+		c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Guaranteed: own, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
 		l := c.quotas()[c.team("t")]
 		if l.Used.CPU != 10_000 || (l.GuaranteedUsed.CPU == 10_000) != own {
 			t.Errorf("it counts for %v, within the guarantee (%v) for %v", l.Used, own, l.GuaranteedUsed)
--- a/internal/controller/instances.go
+++ b/internal/controller/instances.go
@@ -192,7 +192,7 @@
 // syncCloud keeps the list of machines and the types current.
 func (c *controller) syncCloud() {
 	if c.now.Sub(c.leadership.machineTypesFetchedAt) > time.Minute || len(c.machineTypes) == 0 && c.now.Sub(c.leadership.machineTypesFetchedAt) > 2*time.Second {
-		if c.isLeader() || len(c.machineTypes) == 0 && c.loaded {
+		if c.isLeader() || len(c.machineTypes) == 0 && c.replica.Loaded() {
 			c.leadership.machineTypesFetchedAt = c.now
 			c.queueCloudCall(c.fetchMachineTypes)
 		}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -45,7 +45,7 @@
 		refusedUntil: map[scheduling.Offer]time.Time{}, backoff: map[scheduling.Offer]time.Duration{}, launching: map[scheduling.Offer]int{}, isolatedSince: map[string]time.Time{}}
 	// A former leader's late writes fail by its key's version; what it did
 	// store is read before anything is dealt.
-	c.readThen(func() {
+	c.reader.AfterSuccessfulRead(func() {
 		if c.leadership.epoch == stamp {
 			c.leadership.active = true
 		}
@@ -150,7 +150,7 @@
 				Changes:    []wire.Change{{Delete: group.key}},
 			}, func(err error) {
 				if err != nil { // its owner wrote it meanwhile: not before that is known
-					c.readThen(func() { group.writing = false })
+					c.reader.AfterSuccessfulRead(func() { group.writing = false })
 					return
 				}
 				group.writing = false
@@ -170,7 +170,7 @@
 		c.leadership.writesInFlight--
 		return
 	}
-	c.readThen(func() {
+	c.reader.AfterSuccessfulRead(func() {
 		if c.leadership.epoch == epoch {
 			c.leadership.writesInFlight--
 		}
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -298,7 +298,7 @@
 		write.Conditions = append(write.Conditions, wire.Condition{Key: key})
 		if !parts[summary.Partition] {
 			parts[summary.Partition] = true
-			write.Conditions = append(write.Conditions, wire.Condition{Key: c.partitions[summary.Partition].key, Revision: c.revisions[c.partitions[summary.Partition].key]})
+			write.Conditions = append(write.Conditions, wire.Condition{Key: c.partitions[summary.Partition].key, Revision: c.replica.Revision(c.partitions[summary.Partition].key)})
 		}
 		write.Changes = append(write.Changes, wire.Change{Put: key, Value: record.JSON(v)})
 	}
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -225,7 +225,7 @@
 	c.metrics.count(countHeartbeats, 1)
 	c.lastHeartbeatAt = c.now
 	defer c.metrics.addBusyTime(activityHeartbeat, time.Now())
-	if !c.loaded {
+	if !c.replica.Loaded() {
 		return api.Response{Status: http.StatusServiceUnavailable, Reason: "starting"}
 	}
 	if refusal, refused := c.refusal(); refused {
--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -112,8 +112,8 @@
 	p := c.partitions[0]
 	m := c.machineNamed("host-1")
 	c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-	c.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
-	c.putRecord(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 3)
+	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
+	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 3)
 	if cmds := c.commands(m, p); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
 		t.Fatalf("commands %v", cmds)
 	}
@@ -131,7 +131,7 @@
 func TestWhoIsToBlameForFailures(t *testing.T) {
 	c := lone(t)
 	job := func(id string) *job {
-		c.putRecord(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 9, CPUs: 1, Team: "t"}}), c.cursor+uint64(len(c.revisions))+5)
+		c.replica.Put(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 9, CPUs: 1, Team: "t"}}), uint64(len(c.jobs))+5)
 		return c.jobs[id]
 	}
 	bad, worse := job("wk-1"), job("wk-2")
@@ -274,12 +274,12 @@
 	c := lone(t)
 	c.partitions = append([]*partition{c.partitions[0], {index: 1, key: rollout.Initial.Keys().Partition(1)}}, &partition{index: 2, key: rollout.Initial.Keys().Leader()})
 	p := c.partitions[0]
-	c.putRecord(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
+	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
 	key := groupKey("wk-1", 0)
 	value := func(machine string) record.TaskGroup {
 		return record.TaskGroup{Partition: 2, Tasks: []record.Binding{{Attempt: 1, Machine: machine, Incarnation: 1}, {Task: 1}}}
 	}
-	c.putRecord(key, raw(t, value("host-1")), 7)
+	c.replica.Put(key, raw(t, value("host-1")), 7)
 	group := c.groupByKey[key]
 	m := c.machineNamed("host-1")
 	if m.partition != 0 || p.cells.CellOf(group.task(0)) == nil {
@@ -296,8 +296,8 @@
 	// The same where the record's own part has stored the end.
 	group.writing = false
 	key = groupKey("wk-1", 1)
-	c.putRecord(key, raw(t, value("host-2")), 8)
-	c.putRecord(key, raw(t, value("")), 9)
+	c.replica.Put(key, raw(t, value("host-2")), 8)
+	c.replica.Put(key, raw(t, value("")), 9)
 	if len(p.cells.Tasks()) != 0 {
 		t.Errorf("cells %v are left", p.cells.Tasks())
 	}
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -165,7 +165,7 @@
 // rolloutView is what the next step rests on.
 func (c *controller) rolloutView() rollout.View {
 	l := &c.rollout
-	return rollout.View{Now: c.now, Members: c.cfg.Nodes(), Controllers: l.controllers, Leading: c.isLeader(), Current: c.cursor >= l.version,
+	return rollout.View{Now: c.now, Members: c.cfg.Nodes(), Controllers: l.controllers, Leading: c.isLeader(), Current: c.replica.Cursor() >= l.version,
 		Above: l.countNewer(), Unreadable: len(l.unreadable), Partitions: c.loanPartition(), TransactionChanges: c.cfg.Settings.State.TxnOps,
 		FinalizeAfter: c.operator.FinalizeAfter}
 }
@@ -190,7 +190,7 @@
 			return
 		}
 		c.log.Info("feature level step failed", "step", step, "err", err)
-		c.readThen(func() { l.writing = false }) // perhaps it was applied all the same
+		c.reader.AfterSuccessfulRead(func() { l.writing = false }) // perhaps it was applied all the same
 	})
 }
 
--- a/internal/controller/throttle.go
+++ b/internal/controller/throttle.go
@@ -55,9 +55,9 @@
 		if group.throttle == 0 || group.writing || group.allowedTasks() == len(group.bindings) || c.now.Sub(group.throttledAt) < c.throttleInterval() {
 			continue
 		}
-		if k := lim.Room(j.taskSize, len(group.bindings)-group.quotaTasks(c.cursor)); k > 0 {
+		if k := lim.Room(j.taskSize, len(group.bindings)-group.quotaTasks(c.replica.Cursor())); k > 0 {
 			lim.Used = lim.Used.Plus(j.taskSize.Times(k))
-			c.setThrottle(group, group.quotaTasks(c.cursor)+k)
+			c.setThrottle(group, group.quotaTasks(c.replica.Cursor())+k)
 		}
 	}
 }
--- /dev/null
+++ b/internal/replica/replica_test.go
@@ -0,0 +1,278 @@
+package replica_test
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"maps"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"eiderhitch/internal/replica"
+	"eiderhitch/internal/store"
+	"eiderhitch/internal/wire"
+)
+
+// index is a Handler that remembers the values it was given.
+type index map[string]string
+
+func (x index) PutValue(key string, value json.RawMessage, _ uint64) { x[key] = string(value) }
+func (x index) DeleteValue(key string)                               { delete(x, key) }
+func (x index) ChangesApplied(time.Time)                             {}
+
+// fakeStore is a key-value store in memory that keeps its whole history.
+type fakeStore struct {
+	mu      sync.Mutex
+	values  map[string]wire.Item
+	history []wire.Event
+	err     error
+	// watches counts the calls of Watch.
+	watches int
+}
+
+func newFakeStore() *fakeStore { return &fakeStore{values: map[string]wire.Item{}} }
+
+func (s *fakeStore) revision() uint64 { return uint64(len(s.history)) }
+
+// put stores a value, or deletes the key if value is empty, and returns the revision.
+func (s *fakeStore) put(key, value string) uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	revision := s.revision() + 1
+	event := wire.Event{Put: key, Value: json.RawMessage(value), Revision: revision}
+	if value == "" {
+		event = wire.Event{Delete: key, Revision: revision}
+		delete(s.values, key)
+	} else {
+		s.values[key] = wire.Item{Key: key, Value: event.Value, Revision: revision}
+	}
+	s.history = append(s.history, event)
+	return revision
+}
+
+// fail has all calls fail with err; nil: succeed again.
+func (s *fakeStore) fail(err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.err = err
+}
+
+func (s *fakeStore) List(context.Context, string) ([]wire.Item, uint64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var items []wire.Item
+	for _, item := range s.values {
+		items = append(items, item)
+	}
+	return items, s.revision(), s.err
+}
+
+func (s *fakeStore) Watch(_ context.Context, _ string, since uint64, _ time.Duration) (*wire.WatchResponse, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.watches++
+	if s.err != nil {
+		return nil, s.err
+	}
+	return &wire.WatchResponse{Revision: s.revision(), Events: s.history[min(since, s.revision()):]}, nil
+}
+
+func (s *fakeStore) contents() index {
+	out := index{}
+	for key, item := range s.values {
+		out[key] = string(item.Value)
+	}
+	return out
+}
+
+// deliveries draws an order in which a replica learns of what is stored.
+type deliveries struct {
+	store   *fakeStore
+	replica *replica.Replica
+	// results of own writes, which may arrive late and more than once.
+	results []func()
+}
+
+// step draws one write or one delivery.
+func (d *deliveries) step(t *rapid.T) {
+	switch rapid.SampledFrom([]string{"write", "result", "watch", "load"}).Draw(t, "step") {
+	case "write":
+		key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
+		change := wire.Change{Put: key, Value: json.RawMessage(fmt.Sprint(d.store.revision()))}
+		if rapid.Bool().Draw(t, "delete") {
+			change = wire.Change{Delete: key}
+		}
+		revision := d.store.put(key, string(change.Value))
+		d.results = append(d.results, func() { d.replica.ApplyTxn([]wire.Change{change}, revision) })
+	case "result":
+		if len(d.results) > 0 {
+			d.results[rapid.IntRange(0, len(d.results)-1).Draw(t, "result")]()
+		}
+	case "watch":
+		changes, _ := d.store.Watch(t.Context(), "", d.replica.Cursor(), 0)
+		d.replica.Apply(changes)
+	case "load":
+		items, revision, _ := d.store.List(t.Context(), "")
+		d.replica.Load(items, revision, &wire.WatchResponse{Revision: revision})
+	}
+}
+
+// Whatever the order in which own writes' results, watches and full reads arrive, a
+// replica that has read up to the end has what the store has.
+func TestReplicaConverges(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		kv, copied := newFakeStore(), index{}
+		r := replica.New(copied)
+		r.Load(nil, 0, &wire.WatchResponse{})
+		d := &deliveries{store: kv, replica: r}
+		for range rapid.IntRange(1, 60).Draw(t, "steps") {
+			d.step(t)
+		}
+		changes, _ := kv.Watch(t.Context(), "", r.Cursor(), 0)
+		r.Apply(changes)
+		for _, result := range d.results {
+			result()
+		}
+		if want := kv.contents(); !maps.Equal(copied, want) {
+			t.Fatalf("the replica has %v, the store %v", copied, want)
+		}
+		for key, item := range kv.values {
+			if got := r.Revision(key); got != item.Revision {
+				t.Fatalf("revision of %s: got %d, want %d", key, got, item.Revision)
+			}
+		}
+	})
+}
+
+// A value that moved between two pages of a full read is seen once: pages count only
+// together with the changes since the first.
+func TestLoadTakesChangesSinceItsFirstPage(t *testing.T) {
+	copied := index{}
+	r := replica.New(copied)
+	stale := []wire.Item{{Key: "a", Value: json.RawMessage("1"), Revision: 1}, {Key: "b", Value: json.RawMessage("1"), Revision: 3}}
+	r.Load(stale, 1, &wire.WatchResponse{Revision: 3, Events: []wire.Event{{Delete: "a", Revision: 2}, {Put: "b", Value: json.RawMessage("1"), Revision: 3}}})
+	if want := (index{"b": "1"}); !maps.Equal(copied, want) {
+		t.Errorf("loaded %v, want %v", copied, want)
+	}
+}
+
+// eventLoop runs everything at once, under a lock that stands for the loop's goroutine.
+type eventLoop struct{ lock chan struct{} }
+
+func newEventLoop() eventLoop { return eventLoop{make(chan struct{}, 1)} }
+
+func (l eventLoop) Now() time.Time { return time.Now() }
+
+func (l eventLoop) Enqueue(f func()) {
+	l.lock <- struct{}{}
+	defer func() { <-l.lock }()
+	f()
+}
+
+func (l eventLoop) Call(_ context.Context, f func()) bool {
+	l.Enqueue(f)
+	return true
+}
+
+// pass lets time pass, and waits for all that happens until then.
+func pass(d time.Duration) {
+	time.Sleep(d)
+	synctest.Wait()
+}
+
+func newReader(t *testing.T, kv *fakeStore) (*replica.Reader, *replica.Replica, eventLoop) {
+	loop, r := newEventLoop(), replica.New(index{})
+	config := replica.Config{Controllers: 1, RequestsPerSecond: 100, Loaded: func() {},
+		Jitter: func(time.Duration) time.Duration { return 0 }, Log: slog.New(slog.DiscardHandler)}
+	return replica.NewReader(t.Context(), config, r, kv, loop), r, loop
+}
+
+// Reads that are asked for while one is under way share the next one: it begins after all
+// of them were asked for, and costs one request.
+func TestReadsAreShared(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		kv := newFakeStore()
+		reader, r, loop := newReader(t, kv)
+		r.Load(nil, 0, &wire.WatchResponse{})
+		pass(time.Second)
+		done := 0
+		loop.Enqueue(func() {
+			for range 5 {
+				reader.AfterRead(func(err error) {
+					if err == nil {
+						done++
+					}
+				})
+			}
+		})
+		pass(time.Second)
+		if done != 5 || kv.watches != 2 {
+			t.Errorf("%d of 5 reads succeeded with %d requests, want 2", done, kv.watches)
+		}
+	})
+}
+
+// A read that fails says so to who asked once, and is repeated for who needs it to succeed.
+func TestFailedReads(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		kv := newFakeStore()
+		reader, r, loop := newReader(t, kv)
+		var once error
+		loop.Enqueue(func() { reader.AfterRead(func(err error) { once = err }) })
+		pass(time.Second)
+		if !errors.Is(once, replica.ErrNotLoaded) {
+			t.Errorf("before a full read: %v, want %v", once, replica.ErrNotLoaded)
+		}
+		r.Load(nil, 0, &wire.WatchResponse{})
+		kv.fail(store.ErrNotExecuted)
+		succeeded := false
+		loop.Enqueue(func() {
+			reader.AfterRead(func(err error) { once = err })
+			reader.AfterSuccessfulRead(func() { succeeded = true })
+		})
+		pass(5 * time.Second)
+		if !errors.Is(once, store.ErrNotExecuted) || succeeded {
+			t.Errorf("while the store refuses: %v, succeeded: %v", once, succeeded)
+		}
+		kv.fail(nil)
+		pass(time.Second)
+		if !succeeded {
+			t.Error("the read is not repeated until it succeeds")
+		}
+	})
+}
+
+// Follow reads everything once, then the changes; a store that has dropped the changes
+// since the cursor is read in full again.
+func TestFollow(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		kv := newFakeStore()
+		kv.put("a", "1")
+		reader, r, _ := newReader(t, kv)
+		ctx, cancel := context.WithCancel(t.Context())
+		finished := make(chan struct{})
+		go func() { defer close(finished); reader.Follow(ctx) }()
+		pass(time.Second)
+		kv.put("b", "1")
+		pass(time.Second)
+		if !r.Loaded() || r.Revision("b") != 2 || !r.FreshWithin(time.Second, time.Now()) {
+			t.Errorf("loaded: %v, revision of b: %d", r.Loaded(), r.Revision("b"))
+		}
+		kv.fail(store.ErrCompacted)
+		kv.put("a", "")
+		pass(time.Second)
+		kv.fail(nil)
+		pass(time.Second)
+		if r.Revision("a") != 0 || r.Cursor() != 3 {
+			t.Errorf("after a compaction: revision of a: %d, cursor %d", r.Revision("a"), r.Cursor())
+		}
+		cancel()
+		<-finished
+	})
+}
