--- /dev/null
+++ b/internal/tools/docs/architecture_test.go
@@ -0,0 +1,197 @@
+// Package docs_test compares the pages in docs/ with the code that they name.
+package docs_test
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// root is the module's root directory.
+const root = "../../.."
+
+// readPage reads a page of docs/.
+func readPage(t *testing.T, name string) string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(root, "docs", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// sourcePackages parses the packages of cmd and internal, without their tests, by
+// directory relative to the root. Directories that hold tests alone are left out.
+func sourcePackages(t *testing.T) map[string][]*ast.File {
+	t.Helper()
+	packages := map[string][]*ast.File{}
+	for _, top := range []string{"cmd", "internal"} {
+		err := filepath.WalkDir(filepath.Join(root, top), func(file string, entry fs.DirEntry, err error) error {
+			if err != nil {
+				return err
+			}
+			if entry.IsDir() && entry.Name() == "testdata" {
+				return filepath.SkipDir
+			}
+			if entry.IsDir() || !strings.HasSuffix(file, ".go") || strings.HasSuffix(file, "_test.go") {
+				return nil
+			}
+			parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
+			if err != nil {
+				return err
+			}
+			directory, err := filepath.Rel(root, filepath.Dir(file))
+			packages[filepath.ToSlash(directory)] = append(packages[filepath.ToSlash(directory)], parsed)
+			return err
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return packages
+}
+
+// declared are the names that a package declares at its top level, methods as Type.Method.
+func declared(files []*ast.File) map[string]bool {
+	names := map[string]bool{}
+	for _, file := range files {
+		for _, declaration := range file.Decls {
+			switch d := declaration.(type) {
+			case *ast.FuncDecl:
+				names[receiverPrefix(d)+d.Name.Name] = true
+			case *ast.GenDecl:
+				for _, spec := range d.Specs {
+					addSpec(names, spec)
+				}
+			}
+		}
+	}
+	return names
+}
+
+// receiverPrefix is "Type." for a method and nothing for a function.
+func receiverPrefix(function *ast.FuncDecl) string {
+	if function.Recv == nil {
+		return ""
+	}
+	receiver := function.Recv.List[0].Type
+	if pointer, ok := receiver.(*ast.StarExpr); ok {
+		receiver = pointer.X
+	}
+	if generic, ok := receiver.(*ast.IndexExpr); ok {
+		receiver = generic.X
+	}
+	if name, ok := receiver.(*ast.Ident); ok {
+		return name.Name + "."
+	}
+	return ""
+}
+
+// addSpec adds the names of a declaration of types, constants or variables.
+func addSpec(names map[string]bool, spec ast.Spec) {
+	switch s := spec.(type) {
+	case *ast.TypeSpec:
+		names[s.Name.Name] = true
+	case *ast.ValueSpec:
+		for _, name := range s.Names {
+			names[name.Name] = true
+		}
+	}
+}
+
+var (
+	// codeSpan matches what a page sets in backquotes.
+	codeSpan = regexp.MustCompile("`([^`\n]+)`")
+	// packagePath matches a package of the module, as a page names it.
+	packagePath = regexp.MustCompile(`^(cmd|internal)(/[a-z0-9_]+)+$`)
+	// qualifiedName matches package.Name and package.Type.Method.
+	qualifiedName = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Za-z][A-Za-z0-9]*(?:\.[A-Za-z][A-Za-z0-9]*)?)$`)
+	// sourceFile matches the name of a Go file.
+	sourceFile = regexp.MustCompile(`^[a-z0-9_/]+\.go$`)
+)
+
+// codeSpans are the texts that a page sets in backquotes.
+func codeSpans(page string) []string {
+	var spans []string
+	for _, match := range codeSpan.FindAllStringSubmatch(page, -1) {
+		spans = append(spans, match[1])
+	}
+	return spans
+}
+
+// TestArchitectureNamesThePackages fails when a package is missing on the page, or one
+// that the page names doesn't exist.
+func TestArchitectureNamesThePackages(t *testing.T) {
+	packages := sourcePackages(t)
+	named := map[string]bool{}
+	for _, span := range codeSpans(readPage(t, "architecture.md")) {
+		if !packagePath.MatchString(span) {
+			continue
+		}
+		named[span] = true
+		if packages[span] == nil {
+			t.Errorf("architecture.md names the package %s, which doesn't exist", span)
+		}
+	}
+	for directory := range packages {
+		if !named[directory] {
+			t.Errorf("architecture.md lacks the package %s", directory)
+		}
+	}
+}
+
+// TestArchitectureNamesExistingCode fails when the page names a type, function or file
+// that doesn't exist.
+func TestArchitectureNamesExistingCode(t *testing.T) {
+	packages := sourcePackages(t)
+	names := map[string]map[string]bool{}
+	for directory, files := range packages {
+		names[path.Base(directory)] = declared(files)
+	}
+	checked := 0
+	for _, span := range codeSpans(readPage(t, "architecture.md")) {
+		if sourceFile.MatchString(span) {
+			checked++
+			if !sourceFileExists(t, packages, span) {
+				t.Errorf("architecture.md names the file %s, which doesn't exist", span)
+			}
+			continue
+		}
+		match := qualifiedName.FindStringSubmatch(span)
+		if match == nil || names[match[1]] == nil && !ast.IsExported(match[2]) {
+			continue // as a field of the settings is
+		}
+		checked++
+		if !names[match[1]][match[2]] {
+			t.Errorf("architecture.md names %s, which doesn't exist", span)
+		}
+	}
+	if checked < 20 {
+		t.Errorf("only %d names of the page were compared with the code", checked)
+	}
+}
+
+// sourceFileExists tells whether some package has a file whose path ends in name.
+func sourceFileExists(t *testing.T, packages map[string][]*ast.File, name string) bool {
+	t.Helper()
+	for directory := range packages {
+		files, err := filepath.Glob(filepath.Join(root, directory, "*.go"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if slices.ContainsFunc(files, func(file string) bool {
+			return strings.HasSuffix(filepath.ToSlash(file), "/"+name)
+		}) {
+			return true
+		}
+	}
+	return false
+}
