--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,13 +1,11 @@
-// Package cloud calls the cloud's interface.
+// Package cloud is the client of the cloud that machines are rented from.
 package cloud
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"net/http"
 	"net/url"
 	"strconv"
@@ -15,117 +13,137 @@
 
 	"golang.org/x/time/rate"
 
+	"eiderhitch/internal/httpjson"
 	"eiderhitch/internal/wire"
 )
 
-// ErrNoCapacity says that the cloud has no machine of that type, zone and kind.
-var ErrNoCapacity = errors.New("cloud: no capacity")
+// Errors that callers act on. The methods of Client wrap them with the request: compare with
+// errors.Is. After any other error a request may have been executed, or may be later.
+var (
+	// ErrNoCapacity says that the cloud has no machine of that type, zone and kind.
+	ErrNoCapacity = errors.New("no capacity")
+	// ErrRefused says that a call was not executed: in an outage, or above the rate limit.
+	ErrRefused = errors.New("refused")
+)
+
+const (
+	// MaxTerminate is how many machines one call may terminate.
+	MaxTerminate = 100
+	// MaxList is how many machines one page of the list may have.
+	MaxList = 500
 
-// ErrRefused says that a call was not executed, in an outage or since there were too many.
-var ErrRefused = errors.New("cloud: refused")
+	// callTimeout bounds each call.
+	callTimeout = 4 * time.Second
+	// maxResponseBytes bounds a response: a page of the list has some 100 KB.
+	maxResponseBytes = 8 << 20
+	// rateShare is the share of the cloud's rate limit that this client uses.
+	rateShare = 0.8
+)
 
-const callTimeout = 4 * time.Second
+// noCapacity is the cloud's answer when it has no machine to rent.
+const noCapacity = "no capacity"
 
-// Client calls the cloud, within its limit of calls.
+// Client calls the cloud, within its rate limit: calls wait for their turn. Its methods may
+// be called concurrently.
 type Client struct {
 	base  string
 	http  *http.Client
 	limit *rate.Limiter
 }
 
-// NewClient returns a client that reaches the cloud at addr by rt.
-func NewClient(addr string, rps float64, rt http.RoundTripper) *Client {
-	return &Client{base: "http://" + addr, limit: rate.NewLimiter(rate.Limit(rps*0.8), max(1, int(rps))), http: &http.Client{Transport: rt}}
+// NewClient returns a client of the cloud at addr (host:port), which allows rps requests a
+// second, that sends its requests by transport.
+func NewClient(addr string, rps float64, transport http.RoundTripper) *Client {
+	return &Client{
+		base:  "http://" + addr,
+		http:  &http.Client{Transport: transport},
+		limit: rate.NewLimiter(rate.Limit(rps*rateShare), max(1, int(rps))),
+	}
 }
 
-func (c *Client) call(ctx context.Context, method, path string, body, out any) error {
+// request is one call of the cloud.
+type request struct {
+	method string
+	path   string
+	body   any // nil: none
+}
+
+// call sends a request and decodes the response into out, unless that is nil.
+func (c *Client) call(ctx context.Context, r request, out any) error {
 	if err := c.limit.Wait(ctx); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	var in io.Reader
-	if body != nil {
-		raw, err := json.Marshal(body)
-		if err != nil {
-			return err
-		}
-		in = bytes.NewReader(raw)
-	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, in)
-	if err != nil {
-		return err
+	response, err := httpjson.Do(ctx, c.http, httpjson.Request{Method: r.method, URL: c.base + r.path, Body: r.body,
+		Timeout: callTimeout, MaxResponseBytes: maxResponseBytes})
+	if err == nil {
+		err = responseError(response)
 	}
-	resp, err := c.http.Do(req)
-	if err != nil {
-		return fmt.Errorf("cloud: %s %s: %w", method, path, err)
+	if err == nil && out != nil {
+		err = json.Unmarshal(response.Body, out)
 	}
-	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, 8<<20))
 	if err != nil {
-		return fmt.Errorf("cloud: %s %s: %w", method, path, err)
+		return fmt.Errorf("cloud: %s %s: %w", r.method, r.path, err)
 	}
-	switch resp.StatusCode {
+	return nil
+}
+
+// responseError returns what a status other than 200 means.
+func responseError(response *httpjson.Response) error {
+	switch response.Status {
 	case http.StatusOK:
-		if out == nil {
-			return nil
-		}
-		if err := json.Unmarshal(raw, out); err != nil {
-			return fmt.Errorf("cloud: %s %s: %w", method, path, err)
-		}
 		return nil
 	case http.StatusServiceUnavailable:
-		var e struct{ Error string }
-		if json.Unmarshal(raw, &e) == nil && e.Error == "no capacity" {
+		var answer struct {
+			Error string `json:"error"`
+		}
+		if json.Unmarshal(response.Body, &answer) == nil && answer.Error == noCapacity {
 			return ErrNoCapacity
 		}
 		return ErrRefused
 	case http.StatusTooManyRequests:
 		return ErrRefused
+	default:
+		return &httpjson.StatusError{Status: response.Status}
 	}
-	return fmt.Errorf("cloud: %s %s: status %d", method, path, resp.StatusCode)
 }
 
 // MachineTypes lists the machine types with current prices.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
-	var out wire.MachineTypes
-	if err := c.call(ctx, http.MethodGet, "/machine_types", nil, &out); err != nil {
+	var response wire.MachineTypes
+	if err := c.call(ctx, request{http.MethodGet, "/machine_types", nil}, &response); err != nil {
 		return nil, err
 	}
-	return out.Types, nil
+	return response.Types, nil
 }
 
-// Launch asks for machines. Repeating a request that was granted rents nothing.
-func (c *Client) Launch(ctx context.Context, r wire.LaunchRequest) ([]string, error) {
-	var out wire.MachineNames
-	if err := c.call(ctx, http.MethodPost, "/rentals", r, &out); err != nil {
+// Launch rents machines and returns their names. It is idempotent: repeating a request that
+// was granted rents nothing.
+func (c *Client) Launch(ctx context.Context, launch wire.LaunchRequest) ([]string, error) {
+	var response wire.MachineNames
+	if err := c.call(ctx, request{http.MethodPost, "/rentals", launch}, &response); err != nil {
 		return nil, err
 	}
-	return out.Machines, nil
+	return response.Machines, nil
 }
 
-// MaxTerminate is how many machines one call may release.
-const MaxTerminate = 100
-
-// Terminate returns machines. Without an error they are gone, with all that was on them.
+// Terminate returns at most MaxTerminate machines. Without an error they are gone, with all
+// that was on them. Unknown names are ignored.
 func (c *Client) Terminate(ctx context.Context, names []string) error {
-	return c.call(ctx, http.MethodPost, "/rentals/release", wire.MachineNames{Machines: names}, nil)
+	return c.call(ctx, request{http.MethodPost, "/rentals/release", wire.MachineNames{Machines: names}}, nil)
 }
 
-// MaxList is how many machines one page of the list may have.
-const MaxList = 500
-
-// List reads the whole list of machines, which lags.
+// List reads the whole list of machines, page by page. It lags, and may be older than the
+// one read before.
 func (c *Client) List(ctx context.Context) ([]wire.Instance, error) {
 	var all []wire.Instance
 	after := ""
 	for {
-		q := url.Values{"most": {strconv.Itoa(MaxList)}}
+		query := url.Values{"most": {strconv.Itoa(MaxList)}}
 		if after != "" {
-			q.Set("since", after)
+			query.Set("since", after)
 		}
 		var page wire.InstanceList
-		if err := c.call(ctx, http.MethodGet, "/rentals?"+q.Encode(), nil, &page); err != nil {
+		if err := c.call(ctx, request{http.MethodGet, "/rentals?" + query.Encode(), nil}, &page); err != nil {
 			return nil, err
 		}
 		all = append(all, page.Machines...)
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -1,47 +1,33 @@
-// Package store deals with the state service: calls, a replica of the stored
-// records' versions, group commit and leases.
 package store
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"net/http"
 	"net/url"
 	"strconv"
 	"sync/atomic"
 	"time"
 
+	"eiderhitch/internal/httpjson"
 	"eiderhitch/internal/wire"
 )
 
-// Errors of the state service that callers decide on.
-var (
-	ErrConflict     = errors.New("state service: a condition failed")
-	ErrLeaseExpired = errors.New("state service: no such lease")
-	ErrCompacted    = errors.New("state service: revision too old")
-	// ErrInvalid: it is beyond a limit of the service, or malformed. The same again
-	// would be refused again.
-	ErrInvalid = errors.New("state service: refused as invalid")
-	// ErrNotExecuted: surely not executed (429 and 503).
-	ErrNotExecuted = errors.New("state service: refused")
-	// ErrThrottled is an ErrNotExecuted: the limits of all controllers together are
-	// reached.
-	ErrThrottled = fmt.Errorf("%w: too much", ErrNotExecuted)
-	// ErrOutcomeUnknown: it may have been executed, or may be executed later.
-	ErrOutcomeUnknown = errors.New("state service: no answer")
+const (
+	// callTimeout bounds each call; the store mostly answers within 10 ms.
+	callTimeout = 1500 * time.Millisecond
+	// listTimeout bounds the read of one page of keys.
+	listTimeout = 2 * callTimeout
+	// listPageSize is how many keys are read at a time.
+	listPageSize = "400"
 )
 
-// noSuchLease is what a write under a lease that has ended is told.
+// noSuchLease is the store's answer to a put under a lease that has expired.
 const noSuchLease = "no such lease"
 
-// callTimeout bounds each call; the state service mostly answers within 10 ms.
-const callTimeout = 1500 * time.Millisecond
-
-// Client calls the state service.
+// Client calls the key-value store. Its methods may be called concurrently.
 type Client struct {
 	base string
 	http *http.Client
@@ -49,131 +35,153 @@
 	watches, txns, changes, taken, renewals, refused, conflicts atomic.Int64
 }
 
-// Stats are numbers of calls since the last Stats.
+// Stats are numbers of calls, and of changes in transactions, since the last Stats.
 type Stats struct{ Watches, Txns, Changes, Taken, Renewals, Refused, Conflicts int64 }
 
-// Stats tells how often the state service was called, and starts again at 0.
+// Stats returns the numbers since its last call and resets them.
 func (c *Client) Stats() Stats {
-	return Stats{c.watches.Swap(0), c.txns.Swap(0), c.changes.Swap(0), c.taken.Swap(0), c.renewals.Swap(0), c.refused.Swap(0), c.conflicts.Swap(0)}
+	return Stats{
+		Watches:   c.watches.Swap(0),
+		Txns:      c.txns.Swap(0),
+		Changes:   c.changes.Swap(0),
+		Taken:     c.taken.Swap(0),
+		Renewals:  c.renewals.Swap(0),
+		Refused:   c.refused.Swap(0),
+		Conflicts: c.conflicts.Swap(0),
+	}
 }
 
-// NewClient returns a client that reaches the state service at addr by rt.
-func NewClient(addr string, rt http.RoundTripper) *Client {
-	return &Client{base: "http://" + addr, http: &http.Client{Transport: rt}}
+// NewClient returns a client of the key-value store at addr (host:port) that sends its
+// requests by transport.
+func NewClient(addr string, transport http.RoundTripper) *Client {
+	return &Client{base: "http://" + addr, http: &http.Client{Transport: transport}}
 }
 
-// request is one call of the state service.
+// request is one call of the store.
 type request struct {
-	method, path string
-	body         any // nil: none
-	limit        time.Duration
-}
-
-// call carries a request out and decodes the answer into out, unless that is nil.
-func (c *Client) call(ctx context.Context, q request, out any) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, q.limit)
-	defer cancel()
-	var in io.Reader
-	if q.body != nil {
-		raw, err := json.Marshal(q.body)
-		if err != nil {
-			return 0, err
-		}
-		in = bytes.NewReader(raw)
-	}
-	req, err := http.NewRequestWithContext(ctx, q.method, c.base+q.path, in)
-	if err != nil {
-		return 0, err
-	}
-	resp, err := c.http.Do(req)
-	if err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
+	method  string
+	path    string
+	body    any // nil: none
+	timeout time.Duration
+	// statusErrors are the errors that statuses mean for this call alone.
+	statusErrors map[int]error
+}
+
+// errKeyNotFound says that a key does not exist.
+var errKeyNotFound = errors.New("key-value store: no such key")
+
+// call sends a request and decodes the response into out, unless that is nil.
+func (c *Client) call(ctx context.Context, r request, out any) error {
+	response, err := httpjson.Do(ctx, c.http, httpjson.Request{Method: r.method, URL: c.base + r.path, Body: r.body, Timeout: r.timeout})
+	if _, unanswered := errors.AsType[*httpjson.NoResponseError](err); unanswered {
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
-	defer resp.Body.Close()
-	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
+		return err
 	}
-	switch resp.StatusCode {
+	switch response.Status {
 	case http.StatusTooManyRequests:
 		c.refused.Add(1)
-		return resp.StatusCode, ErrThrottled
+		return ErrThrottled
 	case http.StatusServiceUnavailable:
 		c.refused.Add(1)
-		return resp.StatusCode, fmt.Errorf("%w: status %d", ErrNotExecuted, resp.StatusCode)
+		return fmt.Errorf("%w: status %d", ErrNotExecuted, response.Status)
 	case http.StatusBadRequest:
-		var why struct {
-			Error string `json:"error"`
-		}
-		if json.Unmarshal(raw, &why) == nil && why.Error == noSuchLease {
-			return resp.StatusCode, ErrLeaseExpired
-		}
-		return resp.StatusCode, ErrInvalid
+		return badRequest(response.Body)
 	case http.StatusOK, http.StatusConflict:
-		if out != nil {
-			if err := wire.Decode(raw, out); err != nil {
-				return resp.StatusCode, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
-			}
+		if out == nil {
+			break
 		}
+		if err := wire.Decode(response.Body, out); err != nil {
+			return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
+		}
+	}
+	return r.statusError(response.Status)
+}
+
+// badRequest returns what a status 400 means.
+func badRequest(body []byte) error {
+	var answer struct {
+		Error string `json:"error"`
 	}
-	if resp.StatusCode >= 500 {
-		return resp.StatusCode, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, resp.StatusCode)
+	if json.Unmarshal(body, &answer) == nil && answer.Error == noSuchLease {
+		return ErrLeaseExpired
 	}
-	return resp.StatusCode, nil
+	return ErrInvalid
 }
 
-// Txn runs one transaction. On ErrConflict the answer names the failed keys.
-func (c *Client) Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error) {
-	if t.If == nil {
-		t.If = []wire.Condition{}
+// statusError returns what any other status means.
+func (r *request) statusError(status int) error {
+	if err, known := r.statusErrors[status]; known {
+		return err
 	}
+	if status == http.StatusOK {
+		return nil
+	}
+	if status >= http.StatusInternalServerError {
+		return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
+	}
+	return &httpjson.StatusError{Status: status}
+}
+
+// Txn executes one transaction. On ErrConflict, and then alone, a response comes with the
+// error: it names the keys whose conditions failed.
+func (c *Client) Txn(ctx context.Context, txn *wire.Txn) (*wire.TxnResponse, error) {
+	if txn.If == nil {
+		txn.If = []wire.Condition{}
+	}
+	changes := int64(len(txn.Then))
 	c.txns.Add(1)
-	c.changes.Add(int64(len(t.Then)))
-	var out wire.TxnResponse
-	status, err := c.call(ctx, request{http.MethodPost, "/txn", t, callTimeout}, &out)
+	c.changes.Add(changes)
+	var response wire.TxnResponse
+	err := c.call(ctx, request{method: http.MethodPost, path: "/txn", body: txn, timeout: callTimeout,
+		statusErrors: map[int]error{http.StatusConflict: ErrConflict}}, &response)
 	switch {
-	case err != nil:
-		return nil, err
-	case status == http.StatusOK:
-		c.taken.Add(int64(len(t.Then)))
-		return &out, nil
-	case status == http.StatusConflict:
+	case err == nil:
+		c.taken.Add(changes)
+		return &response, nil
+	case errors.Is(err, ErrConflict):
 		c.conflicts.Add(1)
-		return &out, ErrConflict
+		return &response, fmt.Errorf("transaction: %w on %q", err, response.Failed)
+	default:
+		return nil, fmt.Errorf("transaction of %d changes: %w", changes, err)
 	}
-	return nil, fmt.Errorf("state service: status %d", status)
 }
 
-// List reads every key below prefix and the revision to watch from.
+// List reads all keys below a prefix, page by page, in the order of the keys. The revision
+// is the one of the first page: a Watch from there sees whatever the pages may lack.
 func (c *Client) List(ctx context.Context, prefix string) ([]wire.Item, uint64, error) {
 	var items []wire.Item
-	var first uint64
+	var revision uint64
 	after := ""
 	for {
-		q := url.Values{"starts": {prefix}, "most": {"400"}}
-		if after != "" {
-			q.Set("since", after)
-		}
-		var page wire.Page
-		status, err := c.call(ctx, request{http.MethodGet, "/kv?" + q.Encode(), nil, 2 * callTimeout}, &page)
+		page, err := c.listPage(ctx, prefix, after)
 		if err != nil {
-			return nil, 0, err
-		}
-		if status != http.StatusOK {
-			return nil, 0, fmt.Errorf("state service: range read: status %d", status)
+			return nil, 0, fmt.Errorf("list keys below %q: %w", prefix, err)
 		}
 		if after == "" {
-			first = page.Revision
+			revision = page.Revision
 		}
 		items = append(items, page.Items...)
 		if !page.More || len(page.Items) == 0 {
-			return items, first, nil
+			return items, revision, nil
 		}
 		after = page.Items[len(page.Items)-1].Key
 	}
 }
 
-// Revision is the version of a key; 0: it does not exist.
+// listPage reads the keys below a prefix that follow a key; "": from the first one.
+func (c *Client) listPage(ctx context.Context, prefix, after string) (*wire.Page, error) {
+	query := url.Values{"starts": {prefix}, "most": {listPageSize}}
+	if after != "" {
+		query.Set("since", after)
+	}
+	var page wire.Page
+	err := c.call(ctx, request{method: http.MethodGet, path: "/kv?" + query.Encode(), timeout: listTimeout}, &page)
+	return &page, err
+}
+
+// Revision returns the revision of a key's last change; 0: the key does not exist.
 func (c *Client) Revision(ctx context.Context, key string) (uint64, error) {
 	item, err := c.Get(ctx, key)
 	if err != nil || item == nil {
@@ -182,72 +190,67 @@
 	return item.Revision, nil
 }
 
-// Get reads a key; nil: it does not exist.
+// Get reads a key; nil without an error: the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (*wire.Item, error) {
 	var item wire.Item
-	status, err := c.call(ctx, request{http.MethodGet, "/kv/" + key, nil, callTimeout}, &item)
-	if err != nil {
-		return nil, err
-	}
-	switch status {
-	case http.StatusOK:
-		return &item, nil
-	case http.StatusNotFound:
+	err := c.call(ctx, request{method: http.MethodGet, path: "/kv/" + key, timeout: callTimeout,
+		statusErrors: map[int]error{http.StatusNotFound: errKeyNotFound}}, &item)
+	if errors.Is(err, errKeyNotFound) {
 		return nil, nil
 	}
-	return nil, fmt.Errorf("state service: read of a key: status %d", status)
+	if err != nil {
+		return nil, fmt.Errorf("read key %q: %w", key, err)
+	}
+	return &item, nil
 }
 
-// Watch returns the changes below prefix after revision since, waiting for one.
+// Watch returns the changes below a prefix after a revision. If there are none yet it waits
+// for one for up to wait, and then returns none.
 func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (*wire.WatchResponse, error) {
-	q := url.Values{"starts": {prefix}, "since": {strconv.FormatUint(since, 10)},
-		"waitMs": {strconv.FormatInt(wait.Milliseconds(), 10)}}
+	query := url.Values{
+		"starts": {prefix},
+		"since":  {strconv.FormatUint(since, 10)},
+		"waitMs": {strconv.FormatInt(wait.Milliseconds(), 10)},
+	}
 	c.watches.Add(1)
-	var out wire.WatchResponse
-	status, err := c.call(ctx, request{http.MethodGet, "/watch?" + q.Encode(), nil, wait + callTimeout}, &out)
+	var response wire.WatchResponse
+	err := c.call(ctx, request{method: http.MethodGet, path: "/watch?" + query.Encode(), timeout: wait + callTimeout,
+		statusErrors: map[int]error{http.StatusGone: ErrCompacted}}, &response)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("watch %q since revision %d: %w", prefix, since, err)
 	}
-	switch status {
-	case http.StatusOK:
-		return &out, nil
-	case http.StatusGone:
-		return nil, ErrCompacted
-	}
-	return nil, fmt.Errorf("state service: watch: status %d", status)
+	return &response, nil
 }
 
-// GrantLease obtains a lease.
+// GrantLease obtains a lease that expires unless it is renewed within each ttl.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
-	var out wire.LeaseResponse
-	status, err := c.call(ctx, request{http.MethodPost, "/leases", wire.LeaseRequest{TTLMS: ttl.Milliseconds()}, callTimeout}, &out)
+	var response wire.LeaseResponse
+	err := c.call(ctx, request{method: http.MethodPost, path: "/leases", body: wire.LeaseRequest{TTLMS: ttl.Milliseconds()}, timeout: callTimeout}, &response)
 	if err != nil {
-		return 0, err
-	}
-	if status != http.StatusOK {
-		return 0, fmt.Errorf("state service: lease: status %d", status)
+		return 0, fmt.Errorf("grant lease: %w", err)
 	}
-	return out.Lease, nil
+	return response.Lease, nil
 }
 
-// RenewLease extends a lease; ErrLeaseExpired means that it has ended.
+// RenewLease gives a lease its full time again; ErrLeaseExpired: it has ended.
 func (c *Client) RenewLease(ctx context.Context, id uint64) error {
 	c.renewals.Add(1)
-	status, err := c.call(ctx, request{http.MethodPost, fmt.Sprintf("/leases/%d/extend", id), struct{}{}, callTimeout}, nil)
+	err := c.call(ctx, request{method: http.MethodPost, path: fmt.Sprintf("/leases/%d/extend", id), body: struct{}{}, timeout: callTimeout,
+		statusErrors: map[int]error{http.StatusNotFound: ErrLeaseExpired}}, nil)
 	if err != nil {
-		return err
-	}
-	if status == http.StatusNotFound {
-		return ErrLeaseExpired
-	}
-	if status != http.StatusOK {
-		return fmt.Errorf("state service: renew: status %d", status)
+		return fmt.Errorf("renew lease %d: %w", id, err)
 	}
 	return nil
 }
 
-// RevokeLease ends a lease at once.
+// RevokeLease ends a lease, and deletes its keys, at once. One that has ended is no error.
 func (c *Client) RevokeLease(ctx context.Context, id uint64) error {
-	_, err := c.call(ctx, request{http.MethodDelete, fmt.Sprintf("/leases/%d", id), nil, callTimeout}, nil)
-	return err
+	err := c.call(ctx, request{method: http.MethodDelete, path: fmt.Sprintf("/leases/%d", id), timeout: callTimeout}, nil)
+	if _, unexpected := errors.AsType[*httpjson.StatusError](err); unexpected {
+		return nil // 404: it has ended; after any other status it will expire
+	}
+	if err != nil {
+		return fmt.Errorf("revoke lease %d: %w", id, err)
+	}
+	return nil
 }
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -2,60 +2,57 @@
 package workerclient
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"fmt"
-	"io"
 	"net/http"
 	"time"
 
+	"eiderhitch/internal/httpjson"
 	"eiderhitch/internal/wire"
 )
 
-// Timeout bounds a direct command; workers answer within milliseconds.
-const Timeout = 2 * time.Second
+const (
+	// Timeout bounds a direct command; workers answer within milliseconds.
+	Timeout = 2 * time.Second
+	// PingTimeout bounds one that only asks whether the machine is there.
+	PingTimeout = time.Second
 
-// PingTimeout bounds one that only asks whether the machine is there.
-const PingTimeout = time.Second
+	// maxResponseBytes bounds a heartbeat: machines hold few tasks.
+	maxResponseBytes = 8 << 20
+)
 
-// Client sends direct commands.
+// Client sends commands to workers. Its methods may be called concurrently.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client that reaches workers by rt.
-func NewClient(rt http.RoundTripper) *Client { return &Client{http: &http.Client{Transport: rt}} }
+// NewClient returns a client that sends its requests by transport.
+func NewClient(transport http.RoundTripper) *Client {
+	return &Client{http: &http.Client{Transport: transport}}
+}
 
-// Send sends commands; the worker's report comes back whether it executed them
-// or not. An error means that they may yet be executed later.
-func (c *Client) Send(ctx context.Context, addr string, d *wire.CommandRequest) (*wire.Heartbeat, bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, Timeout)
-	defer cancel()
-	if d.Commands == nil {
-		d.Commands = []wire.Command{}
-	}
-	raw, err := json.Marshal(d)
-	if err != nil {
-		return nil, false, err
-	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/do", bytes.NewReader(raw))
-	if err != nil {
-		return nil, false, err
-	}
-	resp, err := c.http.Do(req)
+// Send sends commands to the worker at addr (host:port) and returns the worker's heartbeat,
+// and whether the commands were executed: they are not if the fencing token is lower than
+// one that the worker has seen, or the incarnation is another one. An error means that they
+// may have been executed, or may be executed later.
+func (c *Client) Send(ctx context.Context, addr string, commands *wire.CommandRequest) (*wire.Heartbeat, bool, error) {
+	heartbeat, executed, err := c.send(ctx, addr, commands)
 	if err != nil {
 		return nil, false, fmt.Errorf("worker %s: %w", addr, err)
 	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, 8<<20))
-	if err != nil {
-		return nil, false, fmt.Errorf("worker %s: %w", addr, err)
-	}
-	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusConflict {
-		return nil, false, fmt.Errorf("worker %s: status %d", addr, resp.StatusCode)
+	return heartbeat, executed, nil
+}
+
+func (c *Client) send(ctx context.Context, addr string, commands *wire.CommandRequest) (*wire.Heartbeat, bool, error) {
+	if commands.Commands == nil {
+		commands.Commands = []wire.Command{}
 	}
-	r, err := wire.ParseHeartbeat(body)
+	response, err := httpjson.Do(ctx, c.http, httpjson.Request{Method: http.MethodPost, URL: "http://" + addr + "/do", Body: commands,
+		Timeout: Timeout, MaxResponseBytes: maxResponseBytes})
 	if err != nil {
-		return nil, false, fmt.Errorf("worker %s: %w", addr, err)
+		return nil, false, err
+	}
+	if response.Status != http.StatusOK && response.Status != http.StatusConflict {
+		return nil, false, &httpjson.StatusError{Status: response.Status}
 	}
-	return r, resp.StatusCode == http.StatusOK, nil
+	heartbeat, err := wire.ParseHeartbeat(response.Body)
+	return heartbeat, response.Status == http.StatusOK, err
 }
