--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -2,95 +2,123 @@
 
 import "context"
 
-// maxContested is how many changes a transaction with contested ones may have.
-const maxContested = 4
+const (
+	// MaxTxnBytes leaves room below the 64 KiB that a transaction may have.
+	MaxTxnBytes = 56 << 10
+	// maxContestedChanges is how many changes a transaction with contested writes may have.
+	maxContestedChanges = 4
+	// conditionsPerChange bounds the conditions of a transaction; the store allows four.
+	conditionsPerChange = 3
+)
 
-func fitsTransaction(batch []*Write, ops int) bool {
-	n, conds, size, contested := 0, 0, 0, false
-	// Units that touch a key which another unit of the batch writes must not
-	// share a transaction: their conditions would both hold, and "cancelled"
-	// and "done" of one job could both be granted.
-	written := map[string]bool{}
-	for _, u := range batch {
-		for _, c := range u.Conditions {
-			if written[c.Key] {
-				return false
-			}
-		}
-		for _, c := range u.Changes {
-			if written[c.Key()] {
-				return false
-			}
-		}
-		for _, c := range u.Changes {
-			written[c.Key()] = true
-		}
-		n += len(u.Changes)
-		conds += len(u.Conditions)
-		size += u.size
-		contested = contested || u.Contested
-	}
-	if contested {
-		ops = min(ops, maxContested)
-	}
-	return n <= ops && conds <= 3*ops && size <= MaxTxnBytes
+// batch is the writes that are to share a transaction, and what they add up to.
+type batch struct {
+	writes     []*Write
+	changes    int
+	conditions int
+	bytes      int
+	contested  bool
+	changed    map[string]bool // the keys that the writes change
+	// overlapping: a write reads or changes a key that an earlier one changes. They must
+	// not share a transaction: the conditions of both would hold, and "cancelled" and
+	// "done" of one job could both be granted.
+	overlapping bool
 }
 
-// gather waits for a unit and takes those that are queued behind it and fit, and
-// the first that doesn't, which is for the next batch.
-func (w *Writer) gather(ctx context.Context, early, usual <-chan *Write, carry *Write) (batch []*Write, over *Write) {
-	first := carry
-	if first == nil {
-		first = w.next(early, usual)
+func newBatch(first *Write) *batch {
+	b := &batch{changed: map[string]bool{}}
+	b.add(first)
+	return b
+}
+
+// add appends a write.
+func (b *batch) add(write *Write) {
+	b.overlapping = b.overlapping || b.overlaps(write)
+	for i := range write.Changes {
+		b.changed[write.Changes[i].Key()] = true
 	}
-	if first == nil {
-		select {
-		case first = <-w.urgent:
-		case first = <-early:
-		case first = <-usual:
-		case <-ctx.Done():
-			return nil, nil
+	b.writes = append(b.writes, write)
+	b.changes += len(write.Changes)
+	b.conditions += len(write.Conditions)
+	b.bytes += write.bytes
+	b.contested = b.contested || write.Contested
+}
+
+// overlaps tells whether a write reads or changes a key that the batch changes.
+func (b *batch) overlaps(write *Write) bool {
+	for i := range write.Conditions {
+		if b.changed[write.Conditions[i].Key] {
+			return true
 		}
 	}
-	batch = []*Write{first}
-	ops := w.rate.batch(w.maxChanges)
-	for fitsTransaction(batch, ops) {
-		var u *Write
-		if first.ahead() {
-			select {
-			case u = <-w.urgent:
-			default:
-			}
-		} else {
-			u = poll(early, usual)
+	for i := range write.Changes {
+		if b.changed[write.Changes[i].Key()] {
+			return true
 		}
-		if u == nil {
-			return batch, nil
+	}
+	return false
+}
+
+// fits tells whether the writes may share a transaction of at most maxChanges.
+func (b *batch) fits(maxChanges int) bool {
+	if b.contested {
+		maxChanges = min(maxChanges, maxContestedChanges)
+	}
+	return !b.overlapping && b.changes <= maxChanges && b.conditions <= conditionsPerChange*maxChanges && b.bytes <= MaxTxnBytes
+}
+
+// queues are the queues that one worker takes writes from, in this order; nil: none.
+type queues struct{ urgent, early, usual <-chan *Write }
+
+// gather takes the writes that are queued behind the first one and fit into a transaction of
+// at most maxChanges with it, and the next one, if any, that doesn't fit any more.
+func (q *queues) gather(first *Write, maxChanges int) (writes []*Write, next *Write) {
+	b := newBatch(first)
+	for b.fits(maxChanges) {
+		write := q.following(first)
+		if write == nil {
+			return b.writes, nil
 		}
-		batch = append(batch, u)
+		b.add(write)
 	}
-	if n := len(batch) - 1; n > 0 {
-		return batch[:n], batch[n]
+	last := len(b.writes) - 1
+	if last == 0 {
+		return b.writes, nil // larger alone than a batch should be
 	}
-	return batch, nil // larger alone than a batch should be
+	return b.writes[:last], b.writes[last]
 }
 
-// next is the unit whose turn it is, or nil.
-func (w *Writer) next(early, usual <-chan *Write) *Write {
+// wait returns the write whose turn it is, waiting for one until ctx ends; nil then.
+func (q *queues) wait(ctx context.Context) *Write {
+	if write := poll(q.urgent, q.early, q.usual); write != nil {
+		return write
+	}
 	select {
-	case u := <-w.urgent:
-		return u
-	default:
-		return poll(early, usual)
+	case write := <-q.urgent:
+		return write
+	case write := <-q.early:
+		return write
+	case write := <-q.usual:
+		return write
+	case <-ctx.Done():
+		return nil
+	}
+}
+
+// following returns a queued write that may go with the first one, or nil.
+func (q *queues) following(first *Write) *Write {
+	if first.immediate() {
+		return poll(q.urgent)
 	}
+	return poll(q.early, q.usual)
 }
 
-// poll takes a unit from the first queue that has one.
+// poll takes a write from the first queue that has one, or returns nil.
 func poll(queues ...<-chan *Write) *Write {
-	for _, q := range queues {
+	for _, queue := range queues {
 		select {
-		case u := <-q:
-			return u
+		case write := <-queue:
+			return write
 		default:
 		}
 	}
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -9,108 +9,161 @@
 	"eiderhitch/internal/wire"
 )
 
-// urgentTries is how often an urgent unit is offered to a refusing service.
-const urgentTries = 3
+const (
+	// urgentAttempts is how often an urgent write is offered to a store that refuses it.
+	urgentAttempts = 3
+	// minBackoff and maxBackoff bound the pause between two attempts, before jitter.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 200 * time.Millisecond
+)
 
-// commit tries until the outcome of every unit is known. A try without an
-// answer is repeated with the same conditions: if the first one was or will be
-// applied, the repeat fails by them, so nothing is applied twice.
-func (w *Writer) commit(ctx context.Context, batch []*Write) {
-	pause := 50 * time.Millisecond
-	for len(batch) > 0 {
-		now := time.Now()
-		batch = slices.DeleteFunc(batch, func(u *Write) bool {
-			if u.cancelled.Load() {
-				w.resolve(u, 0, ErrConflict)
-				return true
-			}
-			if u.Expires.IsZero() || now.Before(u.Expires) {
-				return false
-			}
-			w.resolve(u, 0, ErrOutcomeUnknown)
-			return true
-		})
-		if len(batch) == 0 {
-			return
-		}
-		t := &wire.Txn{}
-		seen := map[wire.Condition]bool{}
-		for _, u := range batch {
-			for _, c := range u.Conditions {
-				if !seen[c] {
-					seen[c] = true
-					t.If = append(t.If, c)
-				}
-			}
-			t.Then = append(t.Then, u.Changes...)
-		}
-		// Users' writes don't queue behind the records' for the local limit:
-		// they are few, and after an outage there are records for seconds.
-		if err := w.rate.wait(ctx, len(t.Then), batch[0].ahead()); err != nil {
-			for _, u := range batch {
-				w.resolve(u, 0, ErrOutcomeUnknown)
-			}
+// commit is a batch of writes on its way into the store. Once a write's outcome is known it
+// is resolved and leaves pending.
+type commit struct {
+	writer  *Writer
+	pending []*Write
+	backoff time.Duration // the pause after the next attempt without an outcome
+}
+
+// commit attempts writes until the outcome of each is known. An attempt without an answer is
+// repeated with the same conditions: if the first one was or will be applied, the repeat
+// fails by them, so that nothing is applied twice.
+func (w *Writer) commit(ctx context.Context, writes []*Write) {
+	c := &commit{writer: w, pending: writes, backoff: minBackoff}
+	for {
+		c.dropVoid(time.Now())
+		if len(c.pending) == 0 {
 			return
 		}
-		ans, err := w.client.Txn(ctx, t)
-		w.rate.answered(time.Now(), err)
+		c.attempt(ctx)
+	}
+}
+
+// dropVoid resolves the writes that were cancelled or have expired.
+func (c *commit) dropVoid(now time.Time) {
+	c.resolveWhere(func(write *Write) error {
 		switch {
-		case err == nil:
-			for _, u := range batch {
-				w.resolve(u, ans.Revision, nil)
-			}
-			return
-		case errors.Is(err, ErrConflict):
-			rest := batch[:0]
-			for _, u := range batch {
-				if slices.ContainsFunc(u.Conditions, func(c wire.Condition) bool { return slices.Contains(ans.Failed, c.Key) }) {
-					w.resolve(u, 0, ErrConflict)
-				} else {
-					rest = append(rest, u)
-				}
-			}
-			if len(rest) == len(batch) { // names no key of ours: don't loop
-				for _, u := range rest {
-					w.resolve(u, 0, ErrConflict)
-				}
-				return
-			}
-			batch = rest
-			continue
-		case errors.Is(err, ErrLeaseExpired), errors.Is(err, ErrInvalid):
-			if len(batch) == 1 {
-				w.resolve(batch[0], 0, err)
-				return
-			}
-			for _, u := range batch { // find the guilty one
-				w.commit(ctx, []*Write{u})
-			}
-			return
-		case errors.Is(err, ErrNotExecuted), errors.Is(err, ErrOutcomeUnknown):
-			// A user's request that can't be taken is answered at once, so that
-			// the user knows when to come back: no long tries for urgent units.
-			batch = slices.DeleteFunc(batch, func(u *Write) bool {
-				u.tries++
-				if !u.Urgent || errors.Is(err, ErrNotExecuted) && u.tries < urgentTries {
-					return false
-				}
-				w.resolve(u, 0, err)
-				return true
-			})
+		case write.cancelled.Load():
+			return ErrConflict
+		case !write.Expires.IsZero() && !now.Before(write.Expires):
+			return ErrOutcomeUnknown
 		default:
-			for _, u := range batch {
-				w.resolve(u, 0, err)
+			return nil
+		}
+	})
+}
+
+// attempt sends the pending writes in one transaction and acts on its outcome.
+func (c *commit) attempt(ctx context.Context) {
+	txn := transactionOf(c.pending)
+	// Users' writes don't queue behind those of records for the local rate limit: they
+	// are few, and after an outage there are seconds' worth of records.
+	if err := c.writer.rate.wait(ctx, len(txn.Then), c.pending[0].immediate()); err != nil {
+		c.resolveAll(0, ErrOutcomeUnknown)
+		return
+	}
+	response, err := c.writer.client.Txn(ctx, txn)
+	c.writer.rate.answered(time.Now(), err)
+	switch {
+	case err == nil:
+		c.resolveAll(response.Revision, nil)
+	case errors.Is(err, ErrConflict):
+		c.resolveConflicts(response.Failed, err)
+	case errors.Is(err, ErrLeaseExpired), errors.Is(err, ErrInvalid):
+		c.resolveInvalid(ctx, err)
+	case errors.Is(err, ErrNotExecuted), errors.Is(err, ErrOutcomeUnknown):
+		c.giveUpUrgent(err)
+		c.wait(ctx)
+	default:
+		c.resolveAll(0, err)
+	}
+}
+
+// transactionOf returns the transaction that has all conditions and changes of some writes.
+func transactionOf(writes []*Write) *wire.Txn {
+	txn := &wire.Txn{}
+	known := map[wire.Condition]bool{}
+	for _, write := range writes {
+		for _, condition := range write.Conditions {
+			if !known[condition] {
+				known[condition] = true
+				txn.If = append(txn.If, condition)
 			}
-			return
 		}
-		select {
-		case <-ctx.Done():
-			for _, u := range batch {
-				w.resolve(u, 0, ErrOutcomeUnknown)
+		txn.Then = append(txn.Then, write.Changes...)
+	}
+	return txn
+}
+
+// resolveConflicts resolves the writes that have a condition on one of the failed keys. The
+// others are to be attempted again.
+func (c *commit) resolveConflicts(failed []string, err error) {
+	before := len(c.pending)
+	c.resolveWhere(func(write *Write) error {
+		for _, condition := range write.Conditions {
+			if slices.Contains(failed, condition.Key) {
+				return err
 			}
-			return
-		case <-time.After(pause + w.jitter(pause)):
-			pause = min(2*pause, 200*time.Millisecond)
 		}
+		return nil
+	})
+	if len(c.pending) == before { // no failed key is one of ours: a retry would fail alike
+		c.resolveAll(0, err)
+	}
+}
+
+// resolveInvalid finds which write makes a transaction invalid by committing each by itself.
+func (c *commit) resolveInvalid(ctx context.Context, err error) {
+	if len(c.pending) == 1 {
+		c.resolveAll(0, err)
+		return
+	}
+	writes := c.pending
+	c.pending = nil
+	for _, write := range writes {
+		c.writer.commit(ctx, []*Write{write})
+	}
+}
+
+// giveUpUrgent resolves the urgent writes that have been attempted often enough. Users are
+// answered soon, so that they know when to come back: an urgent write is not repeated
+// after an unknown outcome, and seldom after a refusal.
+func (c *commit) giveUpUrgent(err error) {
+	refused := errors.Is(err, ErrNotExecuted)
+	c.resolveWhere(func(write *Write) error {
+		write.attempts++
+		if !write.Urgent || refused && write.attempts < urgentAttempts {
+			return nil
+		}
+		return err
+	})
+}
+
+// wait pauses before the next attempt. If ctx ends meanwhile nothing is attempted any more.
+func (c *commit) wait(ctx context.Context) {
+	select {
+	case <-ctx.Done():
+		c.resolveAll(0, ErrOutcomeUnknown)
+	case <-time.After(c.backoff + c.writer.jitter(c.backoff)):
+		c.backoff = min(2*c.backoff, maxBackoff)
+	}
+}
+
+// resolveWhere resolves the pending writes that outcome returns an error for.
+func (c *commit) resolveWhere(outcome func(*Write) error) {
+	c.pending = slices.DeleteFunc(c.pending, func(write *Write) bool {
+		err := outcome(write)
+		if err != nil {
+			c.writer.resolve(write, 0, err)
+		}
+		return err != nil
+	})
+}
+
+// resolveAll resolves all pending writes alike.
+func (c *commit) resolveAll(revision uint64, err error) {
+	for _, write := range c.pending {
+		c.writer.resolve(write, revision, err)
 	}
+	c.pending = nil
 }
--- a/internal/store/rate_controller.go
+++ b/internal/store/rate_controller.go
@@ -9,69 +9,91 @@
 	"golang.org/x/time/rate"
 )
 
-// rateController is how fast one controller writes. The state service's limit is for all
-// controllers together, and they need very different shares of it: each goes
-// faster while nothing is refused, and slower when the service says that it is
-// too much. A fixed share would leave the leader short while others need little.
-type rateController struct {
-	limit       *rate.Limiter
-	least, most rate.Limit
-
-	mu     sync.Mutex
-	slowed time.Time
-}
+// Shares of the store's limit of changes a second, which is for all controllers together.
+const (
+	initialShare = 0.7 // rate of one controller at its start
+	maxShare     = 0.9 // largest rate of one controller
+	sharedShare  = 0.8 // least rates of all controllers, together
+	burstShare   = 0.5 // largest burst, in seconds' worth of the whole limit
+)
 
 const (
-	paceUp    = 0.02 // of the whole limit, for each transaction that is taken
-	paceDown  = 0.75 // factor when one is too much
-	paceEvery = 500 * time.Millisecond
+	// rateIncrease is added, as a share of the largest rate, for each transaction that
+	// succeeds.
+	rateIncrease = 0.02
+	// rateDecrease is the factor when a transaction is throttled, once in
+	// decreaseInterval at most: several in flight are throttled for the same reason.
+	rateDecrease     = 0.75
+	decreaseInterval = 500 * time.Millisecond
 
-	batchS     = 0.3 // seconds' worth of changes in one transaction
-	leastBatch = 4
-	debtS      = 0.3 // seconds' worth of changes that users may put the others back
+	// batchSeconds is how many seconds' worth of changes one transaction has at most.
+	batchSeconds = 0.3
+	// minBatch is how many changes a transaction may always have.
+	minBatch = 4
+	// maxDebtSeconds is how many seconds' worth of changes immediate writes may put the
+	// others back.
+	maxDebtSeconds = 0.3
 )
 
-func newRateController(writeRPS float64, sharers, ops int) *rateController {
-	w := rate.Limit(writeRPS)
-	return &rateController{limit: rate.NewLimiter(w*0.7, max(ops, int(writeRPS*0.5))),
-		least: w * 0.8 / rate.Limit(max(sharers, 1)), most: w * 0.9}
+// rateController limits how fast one controller writes. The store's limit is for all
+// controllers together, and they need very different shares of it: each goes faster while
+// nothing is throttled, and slower when the store says that it is too much (additive
+// increase, multiplicative decrease). A fixed share would leave the leader short while
+// others need little. Its methods may be called concurrently.
+type rateController struct {
+	limit            *rate.Limiter
+	minRate, maxRate rate.Limit
+
+	mu          sync.Mutex
+	decreasedAt time.Time
 }
 
-// batch is how many changes one transaction should have at the most: what comes
-// free in a fraction of a second. One that wants all of a second's worth at once
-// would be refused time after time while others take it change by change.
-func (p *rateController) batch(ops int) int { return min(ops, max(leastBatch, int(p.rate()*batchS))) }
+func newRateController(writeRPS float64, sharers, maxChanges int) *rateController {
+	whole := rate.Limit(writeRPS)
+	return &rateController{
+		limit:   rate.NewLimiter(whole*initialShare, max(maxChanges, int(writeRPS*burstShare))),
+		minRate: whole * sharedShare / rate.Limit(max(sharers, 1)),
+		maxRate: whole * maxShare,
+	}
+}
+
+// batch returns how many changes one transaction should have at most: what the limit frees
+// in a fraction of a second. One that wants a whole second's worth at once would be
+// throttled time after time while others take it change by change.
+func (r *rateController) batch(maxChanges int) int {
+	return min(maxChanges, max(minBatch, int(r.rate()*batchSeconds)))
+}
 
-// rate is the present one, in changes a second.
-func (p *rateController) rate() float64 { return float64(p.limit.Limit()) }
+// rate returns the present rate in changes a second.
+func (r *rateController) rate() float64 { return float64(r.limit.Limit()) }
 
-// wait until n changes may be sent. Those of users don't wait, but are counted.
-func (p *rateController) wait(ctx context.Context, n int, urgent bool) error {
-	n = min(n, p.limit.Burst())
-	if urgent {
-		// After an outage the first controller that users reach gets all that they
-		// have put off, for which it would else store nothing of its own for seconds.
-		if now := time.Now(); p.limit.TokensAt(now) > -debtS*p.rate() {
-			p.limit.ReserveN(now, n)
-		}
-		return nil
+// wait waits until a number of changes may be sent. Immediate ones don't wait, but count.
+func (r *rateController) wait(ctx context.Context, changes int, immediate bool) error {
+	changes = min(changes, r.limit.Burst())
+	if !immediate {
+		return r.limit.WaitN(ctx, changes)
+	}
+	// After an outage the first controller that users reach gets all that they have put
+	// off, for which it would else store nothing of its own for seconds.
+	if now := time.Now(); r.limit.TokensAt(now) > -maxDebtSeconds*r.rate() {
+		r.limit.ReserveN(now, changes)
 	}
-	return p.limit.WaitN(ctx, n)
+	return nil
 }
 
-// answered learns from the result of a transaction.
-func (p *rateController) answered(now time.Time, err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	r := p.limit.Limit()
+// answered adapts the rate to the result of a transaction.
+func (r *rateController) answered(now time.Time, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	current := r.limit.Limit()
 	switch {
 	case errors.Is(err, ErrThrottled):
-		if now.Sub(p.slowed) < paceEvery {
-			return // several in flight were refused for the same reason
+		if now.Sub(r.decreasedAt) < decreaseInterval {
+			return
 		}
-		p.slowed = now
-		p.limit.SetLimitAt(now, max(r*paceDown, p.least))
+		r.decreasedAt = now
+		r.limit.SetLimitAt(now, max(current*rateDecrease, r.minRate))
 	case err == nil:
-		p.limit.SetLimitAt(now, min(r+paceUp*p.most, p.most))
+		r.limit.SetLimitAt(now, min(current+rateIncrease*r.maxRate, r.maxRate))
 	}
 }
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -7,39 +7,59 @@
 	"eiderhitch/internal/wire"
 )
 
-// Write is a set of changes that apply together or not at all.
+// Write is a set of changes that apply together or not at all: a compare-and-swap of
+// several keys. It must not be changed, except by Cancel, once it has been submitted.
 type Write struct {
 	Conditions []wire.Condition
 	Changes    []wire.Change
-	// Urgent units (submissions, cancellations) go first.
+	// Urgent writes (submissions, cancellations) go first. Users wait for them, so that
+	// they are given up, rather than retried for long, when the store refuses them.
 	Urgent bool
-	// Prompt units go with the urgent ones, but are tried until their outcome is known:
-	// few, on which others' work waits.
+	// Prompt writes go with the urgent ones, but are retried until their outcome is known:
+	// few, on which other work waits.
 	Prompt bool
-	// Early units go before usual ones: many others' work waits for them.
+	// Early writes go before usual ones, since much other work waits for them.
 	Early bool
-	// Contested units may well find a condition failed, since others write the
-	// same keys. They share a transaction with few: what a failed one carries is
-	// counted against the limit, and all the others in it must be sent again.
+	// Contested writes may well find a condition failed, since other controllers write the
+	// same keys. They share a transaction with few: the changes of a failed transaction
+	// count against the rate limit, and all other writes in it must be sent again.
 	Contested bool
-	// Expires: if not zero, the unit is given up after this time.
+	// Expires: if not zero, the write is given up after this time.
 	Expires time.Time
-	// Done is called once, with the revision on success, ErrConflict when a
-	// condition failed (perhaps since an earlier try of this very unit was
-	// applied: the caller reads back), or ErrOutcomeUnknown when given up.
-	Done      func(revision uint64, err error)
-	size      int
-	tries     int
+	// Done is called exactly once, on a goroutine of the Writer: with the revision on
+	// success; with ErrConflict when a condition failed (perhaps since an earlier attempt
+	// of this very write was applied: the caller reads back); with ErrOutcomeUnknown when
+	// it was given up; or with the error that the store refused it with.
+	Done func(revision uint64, err error)
+
+	bytes     int
+	attempts  int
 	cancelled atomic.Bool
 }
 
-// Cancel says that a condition of the unit is known to have failed meanwhile. It is
-// not tried any more: each that is found out by the state service fails all that
-// shares its transaction, which is sent, and counted, once more.
-func (u *Write) Cancel() { u.cancelled.Store(true) }
+// Cancel says that a condition of the write is known to fail by now, so that it need not be
+// attempted. A failed condition that only the store finds out fails the whole transaction,
+// whose other writes are then sent, and counted, once more. It may be called concurrently.
+func (w *Write) Cancel() { w.cancelled.Store(true) }
+
+// immediate tells whether a write goes before all others and doesn't wait for the rate limit.
+func (w *Write) immediate() bool { return w.Urgent || w.Prompt }
 
-// ahead tells whether a unit goes before all others and doesn't wait for the pace.
-func (u *Write) ahead() bool { return u.Urgent || u.Prompt }
+// Estimates of what JSON adds to the content of a change and of a condition.
+const (
+	changeOverheadBytes    = 64
+	conditionOverheadBytes = 40
+)
 
-// MaxTxnBytes leaves room below the 64 KiB that a transaction may have.
-const MaxTxnBytes = 56 << 10
+// estimateBytes returns about how large the write is in a transaction, and not less. Keys
+// of changes count twice, for characters that JSON escapes.
+func (w *Write) estimateBytes() int {
+	total := 0
+	for i := range w.Changes {
+		total += len(w.Changes[i].Value) + 2*len(w.Changes[i].Key()) + changeOverheadBytes
+	}
+	for i := range w.Conditions {
+		total += len(w.Conditions[i].Key) + conditionOverheadBytes
+	}
+	return total
+}
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -2,11 +2,27 @@
 
 import (
 	"context"
+	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// Writer commits units in groups, a few transactions at a time.
+const (
+	// committers is how many transactions are on their way at a time.
+	committers = 4
+	// queueSeconds is how many seconds' worth of changes a queue holds.
+	queueSeconds = 15
+	// minQueue is the least capacity of a queue, in writes.
+	minQueue = 1024
+	// usualQueueFactor is how much larger the queue of usual writes is: there may be one
+	// for each of a thousand machines' tasks.
+	usualQueueFactor = 4
+	// nearlyFull is the share of a queue from which on writes that can wait should.
+	nearlyFull = 0.75
+)
+
+// Writer commits writes in groups, a few transactions at a time, within the store's rate
+// limit. Its methods may be called concurrently.
 type Writer struct {
 	client     *Client
 	maxChanges int
@@ -14,98 +30,101 @@
 	urgent     chan *Write
 	early      chan *Write
 	usual      chan *Write
-	workers    int
 	jitter     func(time.Duration) time.Duration
 	backlog    atomic.Int64 // changes submitted whose outcome is not known
 }
 
-// NewWriter returns a writer for transactions of at most ops changes. The state
-// service's limit of writeRPS changes a second is for all sharers together. jitter draws
-// a duration below the given one, by which a retry is put off.
-func NewWriter(c *Client, ops int, writeRPS float64, sharers int, jitter func(time.Duration) time.Duration) *Writer {
-	// What the service takes in a quarter of a minute may queue, and of usual units,
-	// which may be one for each of a thousand machines' tasks, in a whole one.
-	most := max(1024, int(writeRPS*15))
-	return &Writer{client: c, maxChanges: ops, jitter: jitter, rate: newRateController(writeRPS, sharers, ops),
-		urgent: make(chan *Write, most), early: make(chan *Write, most), usual: make(chan *Write, 4*most), workers: 4}
+// NewWriter returns a writer for transactions of at most maxChanges changes. The store's
+// limit of writeRPS changes a second is for all sharers together. jitter draws a duration
+// below the given one, by which a retry is put off.
+func NewWriter(client *Client, maxChanges int, writeRPS float64, sharers int, jitter func(time.Duration) time.Duration) *Writer {
+	capacity := max(minQueue, int(writeRPS*queueSeconds))
+	return &Writer{
+		client:     client,
+		maxChanges: maxChanges,
+		rate:       newRateController(writeRPS, sharers, maxChanges),
+		urgent:     make(chan *Write, capacity),
+		early:      make(chan *Write, capacity),
+		usual:      make(chan *Write, usualQueueFactor*capacity),
+		jitter:     jitter,
+	}
 }
 
-// Backlog is about how long it takes until what is queued is stored.
+// Backlog returns about how long it takes until what has been submitted is stored.
 func (w *Writer) Backlog() time.Duration {
 	return time.Duration(float64(w.backlog.Load()) / w.rate.rate() * float64(time.Second))
 }
 
-// fullShare is the part of a queue from which on units that can wait should.
-const fullShare = 0.75
-
-// NearlyFull tells whether units that can wait should not be submitted now: the rest of the
-// queue is for those that can't.
+// NearlyFull tells whether writes that can wait should not be submitted now: the rest of the
+// queue, the one for early or for usual writes, is for those that can't.
 func (w *Writer) NearlyFull(early bool) bool {
-	q := w.usual
+	queue := w.usual
 	if early {
-		q = w.early
+		queue = w.early
 	}
-	return float64(len(q)) >= fullShare*float64(cap(q))
-}
-
-// resolve reports a unit's outcome.
-func (w *Writer) resolve(u *Write, revision uint64, err error) {
-	w.backlog.Add(-int64(len(u.Changes)))
-	u.Done(revision, err)
+	return float64(len(queue)) >= nearlyFull*float64(cap(queue))
 }
 
-// Submit queues a unit; false means that the queue is full.
-func (w *Writer) Submit(u *Write) bool {
-	for i := range u.Changes {
-		u.size += len(u.Changes[i].Value) + 2*len(u.Changes[i].Key()) + 64
-	}
-	for i := range u.Conditions {
-		u.size += len(u.Conditions[i].Key) + 40
-	}
-	q := w.usual
-	switch {
-	case u.ahead():
-		q = w.urgent
-	case u.Early:
-		q = w.early
-	}
-	w.backlog.Add(int64(len(u.Changes)))
+// Submit queues a write. If the queue is full it returns false, and the write's Done will
+// not be called.
+func (w *Writer) Submit(write *Write) bool {
+	write.bytes = write.estimateBytes()
+	w.backlog.Add(int64(len(write.Changes)))
 	select {
-	case q <- u:
+	case w.queueOf(write) <- write:
 		return true
 	default:
-		w.backlog.Add(-int64(len(u.Changes)))
+		w.backlog.Add(-int64(len(write.Changes)))
 		return false
 	}
 }
 
-// Run commits until ctx ends.
-func (w *Writer) Run(ctx context.Context) {
-	done := make(chan struct{})
-	for i := range w.workers {
-		early, usual := w.early, w.usual
-		if i == 0 {
-			// One worker is for users alone: the others may all be held up by
-			// transactions that the service refuses.
-			early, usual = nil, nil
-		}
-		go func() {
-			defer func() { done <- struct{}{} }()
-			w.work(ctx, early, usual)
-		}()
+// queueOf returns the queue that a write belongs to.
+func (w *Writer) queueOf(write *Write) chan<- *Write {
+	switch {
+	case write.immediate():
+		return w.urgent
+	case write.Early:
+		return w.early
+	default:
+		return w.usual
 	}
-	for range w.workers {
-		<-done
+}
+
+// resolve reports the outcome of a write.
+func (w *Writer) resolve(write *Write, revision uint64, err error) {
+	w.backlog.Add(-int64(len(write.Changes)))
+	write.Done(revision, err)
+}
+
+// Run commits submitted writes until ctx ends and all attempts have been answered. Writes
+// still queued then stay without an outcome.
+func (w *Writer) Run(ctx context.Context) {
+	// One committer is for users' writes alone: the others may all be held up by
+	// transactions that the store refuses.
+	users := queues{urgent: w.urgent}
+	all := queues{urgent: w.urgent, early: w.early, usual: w.usual}
+	var committing sync.WaitGroup
+	committing.Go(func() { w.commitFrom(ctx, &users) })
+	for range committers - 1 {
+		committing.Go(func() { w.commitFrom(ctx, &all) })
 	}
+	committing.Wait()
 }
 
-func (w *Writer) work(ctx context.Context, early, usual <-chan *Write) {
-	var carry *Write
+// commitFrom commits the writes of some queues until ctx ends.
+func (w *Writer) commitFrom(ctx context.Context, q *queues) {
+	var next *Write
 	for {
-		var batch []*Write
-		if batch, carry = w.gather(ctx, early, usual, carry); batch == nil {
+		first := next
+		if first == nil {
+			first = q.wait(ctx)
+		}
+		if first == nil {
 			return
 		}
-		w.commit(ctx, batch)
+		var writes []*Write
+		writes, next = q.gather(first, w.rate.batch(w.maxChanges))
+		w.commit(ctx, writes)
 	}
 }
