--- a/internal/controller/allocations_test.go
+++ b/internal/controller/allocations_test.go
@@ -17,7 +17,7 @@
 	heartbeat := &wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: m.incarnation, Sequence: m.sequence, Token: p.token}
 	for _, x := range m.bindings {
 		t, rec := x.task, x.group
-		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: taskName(rec.job.id, t.Num), Attempt: rec.binding(t.Num).attempt, State: wire.Running})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: taskName(rec.job.id, t.Number), Attempt: rec.binding(t.Number).attempt, State: wire.Running})
 	}
 	return heartbeat
 }
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -6,17 +6,18 @@
 	"slices"
 	"time"
 
+	"eiderhitch/internal/planning"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
 
-func (c *controller) quotas() []scheduling.Quota {
-	out := make([]scheduling.Quota, len(c.teamIndex))
+func (c *controller) quotas() []planning.Quota {
+	out := make([]planning.Quota, len(c.teamIndex))
 	for i := range c.cfg.Settings.Teams {
 		t := &c.cfg.Settings.Teams[i]
-		out[c.team(t.Name)] = scheduling.Quota{Guaranteed: scheduling.NewResources(t.CPUs, t.GPUs, 0), Limit: scheduling.NewResources(t.CPUsMax, t.GPUsMax, 0)}
+		out[c.team(t.Name)] = planning.Quota{Guaranteed: scheduling.NewResources(t.CPUs, t.GPUs, 0), Limit: scheduling.NewResources(t.CPUsMax, t.GPUsMax, 0)}
 	}
 	for group := range c.allGroups() {
 		if group.job.spec == nil {
@@ -60,7 +61,7 @@
 
 // assign gives waiting tasks to parts that have room for them, highest claims
 // first, and returns what found none.
-func (c *controller) assign(summaries []*scheduling.MachineSummary) []scheduling.Demand {
+func (c *controller) assign(summaries []*planning.MachineSummary) []planning.Demand {
 	byUrgency := c.byUrgency()
 	wants, lost := c.placeAssigned(summaries, byUrgency)
 	var jobs []*job
@@ -156,12 +157,12 @@
 // make some. Where there is none, nothing of its team is held back or stopped for it: the
 // room that came of that went to others, who were stopped for it in turn, several times a
 // second.
-func (c *controller) placeable(summaries []*scheduling.MachineSummary, j *job) bool {
+func (c *controller) placeable(summaries []*planning.MachineSummary, j *job) bool {
 	zone := ""
 	if j.spec.SingleZone {
 		zone = c.zoneOfJob(j)
 	}
-	can := func(summary *scheduling.MachineSummary) bool {
+	can := func(summary *planning.MachineSummary) bool {
 		return !summary.Booting && c.reserveAllows(j, summary) && allowed(j.spec, zone, summary.Type, summary.Zone, summary.Spot)
 	}
 	for _, summary := range summaries {
@@ -169,13 +170,13 @@
 			return true
 		}
 	}
-	return scheduling.PlaceByPreemption(scheduling.CloneSummaries(summaries), can, j.taskSize, scheduling.Claim{Priority: j.spec.Priority, Team: j.team}) != nil
+	return planning.PlaceByPreemption(planning.CloneSummaries(summaries), can, j.taskSize, scheduling.Claim{Priority: j.spec.Priority, Team: j.team}) != nil
 }
 
 // placeAssigned has the tasks that are dealt and not placed yet take the room in
 // their parts, and moves those that find none to parts that have it. It returns
 // what found none anywhere, and how much of each record that is.
-func (c *controller) placeAssigned(summaries []*scheduling.MachineSummary, byUrgency func(x, y *job) int) (wants []scheduling.Demand, lost map[*taskGroup]int) {
+func (c *controller) placeAssigned(summaries []*planning.MachineSummary, byUrgency func(x, y *job) int) (wants []planning.Demand, lost map[*taskGroup]int) {
 	var groups, stuck []*taskGroup
 	for group := range c.allGroups() {
 		if group.job.finalState == unfinishedJob && group.job.spec != nil && group.job.revision != 0 && group.allowedTasks() > group.boundTasks() {
@@ -199,18 +200,18 @@
 		n := group.allowedTasks() - group.boundTasks()
 		kind := class{group.job.equivalenceClass, group.zone, group.partition, group.claim()}
 		if !full[kind] {
-			in := func(summary *scheduling.MachineSummary) bool {
+			in := func(summary *planning.MachineSummary) bool {
 				return summary.Partition == group.partition && !summary.Booting && allowed(spec, group.zone, summary.Type, summary.Zone, summary.Spot)
 			}
 			if spec.Gang && group.partition == c.loanPartition() && roomFor(summaries, in, group.job.taskSize, n) < n {
 				// It gathers room there, but holds none for long that it can't use.
 				any := in
-				in = func(summary *scheduling.MachineSummary) bool { return any(summary) && !c.unusedForLong(summary) }
+				in = func(summary *planning.MachineSummary) bool { return any(summary) && !c.unusedForLong(summary) }
 			}
-			for _, k := range scheduling.PlaceInFreeRoom(summaries, in, group.job.taskSize, n) {
+			for _, k := range planning.PlaceInFreeRoom(summaries, in, group.job.taskSize, n) {
 				n -= k
 			}
-			for n > 0 && spec.Priority > 0 && scheduling.PlaceByPreemption(summaries, in, group.job.taskSize, group.claim()) != nil {
+			for n > 0 && spec.Priority > 0 && planning.PlaceByPreemption(summaries, in, group.job.taskSize, group.claim()) != nil {
 				n--
 			}
 			full[kind] = n > 0
@@ -239,7 +240,7 @@
 }
 
 // roomFor is for how many of n tasks hosts have free room.
-func roomFor(summaries []*scheduling.MachineSummary, in func(*scheduling.MachineSummary) bool, need scheduling.Resources, n int) int {
+func roomFor(summaries []*planning.MachineSummary, in func(*planning.MachineSummary) bool, need scheduling.Resources, n int) int {
 	room := 0
 	for _, summary := range summaries {
 		if in(summary) {
@@ -263,10 +264,10 @@
 }
 
 // demand is what a job's tasks that found no room ask of the fleet.
-func (c *controller) demand(j *job, zone string, n int) scheduling.Demand {
+func (c *controller) demand(j *job, zone string, n int) planning.Demand {
 	spec, o := j.spec, c.jobOrder(j)
-	return scheduling.Demand{Class: spec.Class, TaskSize: j.taskSize, Count: n, AllOrNothing: spec.AllOrNothing(), EstimateS: spec.EstimateS, WindowS: o.WindowS(), SlackS: c.slackS(j),
-		Allows: func(typ, zoneOf string, spot bool) bool { return allowed(spec, zone, typ, zoneOf, spot) }}
+	return planning.Demand{Class: spec.Class, TaskSize: j.taskSize, Count: n, AllOrNothing: spec.AllOrNothing(), EstimateS: spec.EstimateS, WindowS: o.WindowS(), SlackS: c.slackS(j),
+		Allows: func(o planning.Offer) bool { return allowed(spec, zone, o.Type, o.Zone, o.Spot) }}
 }
 
 // arrayAssignInterval spaces the dealings of one array: it is dealt out in few records.
@@ -285,7 +286,7 @@
 	t := c.turnaround().Seconds()
 	for group := range c.allGroups() {
 		if group.job.spec != nil && !group.job.spec.AllOrNothing() {
-			ahead[group.partition] += scheduling.AssignAhead(group.boundTasks(), group.job.spec.EstimateS, t)
+			ahead[group.partition] += planning.AssignAhead(group.boundTasks(), group.job.spec.EstimateS, t)
 		}
 	}
 	out := make([]int, len(c.partitions))
@@ -308,7 +309,7 @@
 }
 
 // assignJob deals as many of a job's tasks as there is room for now.
-func (c *controller) assignJob(summaries []*scheduling.MachineSummary, limits []scheduling.Quota, j *job, ask assignmentRequest) scheduling.Demand {
+func (c *controller) assignJob(summaries []*planning.MachineSummary, limits []planning.Quota, j *job, ask assignmentRequest) planning.Demand {
 	dealt, left := ask.assigned, ask.remaining
 	spec := j.spec
 	lim := &limits[j.team]
@@ -317,7 +318,7 @@
 		room = 0 // it is dealt whole
 	}
 	if room == 0 {
-		return scheduling.Demand{}
+		return planning.Demand{}
 	}
 	own := lim.GuaranteedRoom(j.taskSize, room)
 	if spec.Gang && own < room {
@@ -340,7 +341,7 @@
 	}
 	// Where a team's limit is short, what is dealt but can't run yet would hold
 	// the limit against others of the team, and would have to be held back again.
-	tight := lim.Room(j.taskSize, left+scheduling.MinAssigned*len(c.partitions)) < left+scheduling.MinAssigned*len(c.partitions)
+	tight := lim.Room(j.taskSize, left+planning.MinTasksPerPartition*len(c.partitions)) < left+planning.MinTasksPerPartition*len(c.partitions)
 	got := 0
 	// What is kept for gangs is for more urgent work only if there is nothing else.
 	zones := c.candidateZones(j, summaries)
@@ -356,17 +357,17 @@
 		if n <= 0 {
 			continue
 		}
-		can := func(summary *scheduling.MachineSummary) bool {
+		can := func(summary *planning.MachineSummary) bool {
 			return !summary.Booting && (i >= pooled || c.reserveAllows(j, summary)) && allowed(spec, zone, summary.Type, summary.Zone, summary.Spot)
 		}
-		d := scheduling.Assignment{TaskSize: j.taskSize, Count: n, Claim: claim, Allowed: can, QuotaShort: tight, Forced: ask.forced}
+		d := planning.Assignment{TaskSize: j.taskSize, Count: n, Claim: claim, Allowed: can, QuotaShort: tight, Forced: ask.forced}
 		if spec.AllOrNothing() {
 			// The whole group in one part, so that its cells are reserved
 			// together; its part's owner evicts where there is no free room.
 			part, ok := d.OnePartition(summaries, len(c.partitions))
 			if !ok {
 				if n > 1 && c.borrow(summaries, j, zone, n, claim) {
-					return scheduling.Demand{}
+					return planning.Demand{}
 				}
 				continue
 			}
@@ -508,7 +509,7 @@
 }
 
 // candidateZones lists the zones to try; "" stands for any.
-func (c *controller) candidateZones(j *job, summaries []*scheduling.MachineSummary) []string {
+func (c *controller) candidateZones(j *job, summaries []*planning.MachineSummary) []string {
 	if !j.spec.SingleZone && !j.spec.Spread {
 		return []string{""}
 	}
--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -263,8 +263,8 @@
 	job := group.job
 	c.metrics.count(countBound, len(update.newlyBound))
 	for _, t := range update.newlyBound {
-		if bound := group.binding(t.Num); bound != nil && bound.machine != nil {
-			c.log.Debug("task bound", "task", taskName(job.id, t.Num), "attempt", bound.attempt, "machine", bound.machine.name)
+		if bound := group.binding(t.Number); bound != nil && bound.machine != nil {
+			c.log.Debug("task bound", "task", taskName(job.id, t.Number), "attempt", bound.attempt, "machine", bound.machine.name)
 			if bound.attempt == 1 {
 				c.metrics.observe(latencyBind, c.now.Sub(job.acceptedAt))
 			}
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -159,11 +159,11 @@
 			if p.token == 0 || !p.active {
 				continue
 			}
-			if err := p.cells.Check(); err != nil {
+			if err := p.cells.CheckInvariants(); err != nil {
 				c.t.Errorf("node %d part %d: %v", i, p.index, err)
 			}
 			for _, t := range p.cells.Tasks() {
-				if group := ctl.groups[t.Group]; group == nil || group.binding(t.Num) == nil {
+				if group := ctl.groups[t.Group]; group == nil || group.binding(t.Number) == nil {
 					c.t.Errorf("node %d part %d: cell of %v, which no record has", i, p.index, t)
 				}
 			}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"eiderhitch/internal/config"
+	"eiderhitch/internal/planning"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/replica"
 	"eiderhitch/internal/scheduling"
@@ -71,7 +72,7 @@
 		if len(p.reservations) != left || len(p.cells.Tasks()) != left {
 			t.Errorf("%s: %d claims and %d cells are left", how, len(p.reservations), len(p.cells.Tasks()))
 		}
-		if err := p.cells.Check(); err != nil {
+		if err := p.cells.CheckInvariants(); err != nil {
 			t.Error(err)
 		}
 		c.putTombstone(tombstonePrefix+"host-1", []string{"host-1"})
@@ -118,7 +119,7 @@
 	group := c.groupByKey[key]
 	changes, stamp := 0, uint64(8)
 	for free := 1; free <= 60; free++ { // a task of the team ends every 100 ms
-		lim := scheduling.Quota{Limit: scheduling.NewResources(float64(min(free, 9)), 0, 0)}
+		lim := planning.Quota{Limit: scheduling.NewResources(float64(min(free, 9)), 0, 0)}
 		lim.Used = group.job.taskSize.Times(group.quotaTasks(c.replica.Cursor()))
 		before := group.throttledAt
 		c.unthrottle(group.job, &lim)
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"eiderhitch/internal/planning"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
@@ -43,7 +44,7 @@
 type gangReserve struct {
 	classes map[string]*gangClass
 	// shortfall is what it lacks, to be rented if nothing comes free.
-	shortfall []scheduling.Demand
+	shortfall []planning.Demand
 	keep      map[int32]bool // machines of it that are wanted
 }
 
@@ -74,13 +75,13 @@
 // reserveAllows tells whether a job may be placed on a machine as far as that is kept for
 // others: one of the leader's own part is, until its room has been unused for long.
 // However long a job waits, it is dealt tasks now and then, and began to wait anew each time.
-func (c *controller) reserveAllows(j *job, summary *scheduling.MachineSummary) bool {
+func (c *controller) reserveAllows(j *job, summary *planning.MachineSummary) bool {
 	return summary.Partition != c.loanPartition() || c.mayUseReserve(j) || c.unusedForLong(summary)
 }
 
 // unusedForLong tells whether nothing has been placed for long on a machine of the
 // leader's own part.
-func (c *controller) unusedForLong(summary *scheduling.MachineSummary) bool {
+func (c *controller) unusedForLong(summary *planning.MachineSummary) bool {
 	m := c.machineByIndex[summary.ID]
 	limit := reserveMaxUnused
 	if loan := c.loans[m.name]; loan != nil && loan.Job != reserveLoanJob {
@@ -106,7 +107,7 @@
 }
 
 // updateReserve notes which gangs there are, and which machines of the pool are wanted.
-func (c *controller) updateReserve(summaries []*scheduling.MachineSummary) {
+func (c *controller) updateReserve(summaries []*planning.MachineSummary) {
 	reserve := &c.leadership.gangReserve
 	if reserve.classes == nil {
 		reserve.classes = map[string]*gangClass{}
@@ -139,8 +140,8 @@
 	// Room for one gang of each class, machine by machine, the fullest first, so that
 	// the others come free. Twice as much is kept as would be borrowed, or machines
 	// would go to and fro.
-	ours := slices.DeleteFunc(slices.Clone(summaries), func(summary *scheduling.MachineSummary) bool { return summary.Partition != c.loanPartition() })
-	slices.SortFunc(ours, func(x, y *scheduling.MachineSummary) int {
+	ours := slices.DeleteFunc(slices.Clone(summaries), func(summary *planning.MachineSummary) bool { return summary.Partition != c.loanPartition() })
+	slices.SortFunc(ours, func(x, y *planning.MachineSummary) int {
 		return cmp.Or(cmp.Compare(len(y.Usages), len(x.Usages)), cmp.Compare(x.ID, y.ID))
 	})
 	for _, class := range reserve.sorted() {
@@ -176,21 +177,21 @@
 
 // fillReserve borrows machines for the pool while it lacks room: empty ones, or such as
 // will come empty soon.
-func (c *controller) fillReserve(summaries []*scheduling.MachineSummary) {
+func (c *controller) fillReserve(summaries []*planning.MachineSummary) {
 	reserve := &c.leadership.gangReserve
 	reserve.shortfall = nil
 	if len(reserve.classes) == 0 {
 		return
 	}
-	room := scheduling.CloneSummaries(summaries) // what is left of it after the classes before
+	room := planning.CloneSummaries(summaries) // what is left of it after the classes before
 	left := max(2, int(reserveMaxShare*float64(len(summaries)))) - len(c.loans)
-	var chosen []*scheduling.MachineSummary
+	var chosen []*planning.MachineSummary
 	for _, class := range reserve.sorted() {
 		spec, zone := class.spec, c.reserveZone(room, class)
-		fits := func(summary *scheduling.MachineSummary) bool {
+		fits := func(summary *planning.MachineSummary) bool {
 			return !summary.Booting && allowed(spec, zone, summary.Type, summary.Zone, summary.Spot)
 		}
-		lacks := class.room() - reserveFreeRoom(room, class, func(summary *scheduling.MachineSummary) bool {
+		lacks := class.room() - reserveFreeRoom(room, class, func(summary *planning.MachineSummary) bool {
 			return summary.Partition == c.loanPartition() && fits(summary)
 		})
 		empty, busy := c.incomingReserveRoom(class, zone)
@@ -198,19 +199,19 @@
 			continue
 		}
 		if n := lacks - empty - busy; n > 0 {
-			reserve.shortfall = append(reserve.shortfall, scheduling.Demand{Class: spec.Class, TaskSize: class.need, Count: n, AllOrNothing: true, EstimateS: spec.EstimateS, SlackS: math.Inf(1),
-				Allows: func(typ, zoneOf string, spot bool) bool { return allowed(spec, zone, typ, zoneOf, spot) }})
+			reserve.shortfall = append(reserve.shortfall, planning.Demand{Class: spec.Class, TaskSize: class.need, Count: n, AllOrNothing: true, EstimateS: spec.EstimateS, SlackS: math.Inf(1),
+				Allows: func(o planning.Offer) bool { return allowed(spec, zone, o.Type, o.Zone, o.Spot) }})
 		}
 		can := c.loanCandidates(room, fits)
 		// Machines that are empty are had at once, whatever else will come empty some time:
 		// arrays would fill them, and gangs wait for the others for most of a minute.
-		free := pickMachines(can, class, lacks-empty, left, func(summary *scheduling.MachineSummary) bool { return len(summary.Usages) == 0 })
+		free := pickMachines(can, class, lacks-empty, left, func(summary *planning.MachineSummary) bool { return len(summary.Usages) == 0 })
 		left -= len(free)
 		got := 0
 		for _, summary := range free {
 			got += summary.Size.CountFitting(class.need, spec.Tasks)
 		}
-		soon := pickMachines(can, class, lacks-empty-busy-got, left, func(summary *scheduling.MachineSummary) bool { return len(summary.Usages) > 0 })
+		soon := pickMachines(can, class, lacks-empty-busy-got, left, func(summary *planning.MachineSummary) bool { return len(summary.Usages) > 0 })
 		left -= len(soon)
 		chosen = append(append(chosen, free...), soon...)
 	}
@@ -224,7 +225,7 @@
 
 // reserveFreeRoom takes free room for the tasks of a class's next gangs from hosts, and returns for
 // how many there is.
-func reserveFreeRoom(summaries []*scheduling.MachineSummary, class *gangClass, in func(*scheduling.MachineSummary) bool) int {
+func reserveFreeRoom(summaries []*planning.MachineSummary, class *gangClass, in func(*planning.MachineSummary) bool) int {
 	got := 0
 	for _, summary := range summaries {
 		if in(summary) {
@@ -256,22 +257,22 @@
 }
 
 // loanCandidates are hosts of other parts that may be lent, the emptiest and largest first.
-func (c *controller) loanCandidates(summaries []*scheduling.MachineSummary, fits func(*scheduling.MachineSummary) bool) []*scheduling.MachineSummary {
-	var can []*scheduling.MachineSummary
+func (c *controller) loanCandidates(summaries []*planning.MachineSummary, fits func(*planning.MachineSummary) bool) []*planning.MachineSummary {
+	var can []*planning.MachineSummary
 	for _, summary := range summaries {
 		if fits(summary) && summary.Partition != c.loanPartition() && !summary.InUse && !summary.RunsService && !c.leadership.draining[c.machineByIndex[summary.ID].name] {
 			can = append(can, summary)
 		}
 	}
-	slices.SortFunc(can, func(x, y *scheduling.MachineSummary) int {
+	slices.SortFunc(can, func(x, y *planning.MachineSummary) int {
 		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(y.Size.CPU, x.Size.CPU), cmp.Compare(x.ID, y.ID))
 	})
 	return can
 }
 
 // pickMachines picks, of hosts in their order, at most so many as have room for n tasks.
-func pickMachines(summaries []*scheduling.MachineSummary, class *gangClass, n, most int, in func(*scheduling.MachineSummary) bool) []*scheduling.MachineSummary {
-	var out []*scheduling.MachineSummary
+func pickMachines(summaries []*planning.MachineSummary, class *gangClass, n, most int, in func(*planning.MachineSummary) bool) []*planning.MachineSummary {
+	var out []*planning.MachineSummary
 	for _, summary := range summaries {
 		if n <= 0 || len(out) >= most {
 			break
@@ -288,7 +289,7 @@
 
 // reserveZone is the zone in which the pool has the most room for a gang that must be in
 // one; "" for any.
-func (c *controller) reserveZone(summaries []*scheduling.MachineSummary, class *gangClass) string {
+func (c *controller) reserveZone(summaries []*planning.MachineSummary, class *gangClass) string {
 	if !class.spec.SingleZone {
 		return ""
 	}
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"eiderhitch/internal/planning"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
@@ -57,7 +58,7 @@
 		m := c.machineNamed("host-1")
 		c.loans["host-1"] = &machineLoan{MachineLoan: record.MachineLoan{Job: x.job, Acknowledged: true}}
 		c.leadership.since, m.inPartitionSince, m.lastBoundAt = c.now.Add(-time.Hour), c.now.Add(-time.Hour), c.now.Add(-x.unused)
-		summary := &scheduling.MachineSummary{ID: m.index, Partition: c.loanPartition(), Type: "small", Zone: "a", Size: scheduling.NewResources(4, 0, 8), Free: scheduling.NewResources(4, 0, 8)}
+		summary := &planning.MachineSummary{ID: m.index, Partition: c.loanPartition(), Type: "small", Zone: "a", Size: scheduling.NewResources(4, 0, 8), Free: scheduling.NewResources(4, 0, 8)}
 		array := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 9}, acceptedAt: c.now.Add(-time.Hour), assignedAt: c.now}
 		if got := c.reserveAllows(array, summary); got != x.open {
 			t.Errorf("%s: open is %v", x.name, got)
@@ -68,7 +69,7 @@
 		// A gang that has been dealt there and lacks room holds no more than is kept.
 		c.replica.Put(jobKey("wk-3"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
 		c.replica.Put(groupKey("wk-3", 0), raw(t, record.TaskGroup{Partition: c.loanPartition(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
-		c.placeAssigned([]*scheduling.MachineSummary{summary}, c.byUrgency())
+		c.placeAssigned([]*planning.MachineSummary{summary}, c.byUrgency())
 		if held := summary.Free.CPU < 4000; held == x.open {
 			t.Errorf("%s: a gang without whole room holds it: %v", x.name, held)
 		}
@@ -83,10 +84,10 @@
 	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}}}), 3)
 	group := c.groupByKey[groupKey("wk-1", 0)]
 	group.inPartitionSince = c.now.Add(-zonePatience - time.Second)
-	var summaries []*scheduling.MachineSummary
+	var summaries []*planning.MachineSummary
 	for i, part := range []int{0, c.loanPartition()} {
 		m := c.machineNamed([]string{"host-1", "host-2"}[i])
-		summaries = append(summaries, &scheduling.MachineSummary{ID: m.index, Partition: part, Type: "small", Zone: "b", Size: scheduling.NewResources(4, 0, 8), Free: scheduling.NewResources(4, 0, 8)})
+		summaries = append(summaries, &planning.MachineSummary{ID: m.index, Partition: part, Type: "small", Zone: "b", Size: scheduling.NewResources(4, 0, 8), Free: scheduling.NewResources(4, 0, 8)})
 	}
 	if !c.moveToOtherZone(summaries, group) || c.leadership.writesInFlight != 1 {
 		t.Errorf("it stays where there is no room for it (%d transactions)", c.leadership.writesInFlight)
@@ -209,7 +210,7 @@
 	}
 	m.token = p.token
 	for _, x := range m.bindings {
-		bound := x.group.binding(x.task.Num)
+		bound := x.group.binding(x.task.Number)
 		m.tasks = append(m.tasks, wire.TaskStatus{Task: taskName(x.group.job.id, bound.task), Attempt: bound.attempt, State: wire.Running})
 	}
 	if !c.runsOnlyServices(m, p) {
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"eiderhitch/internal/planning"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
@@ -188,25 +189,25 @@
 	if c.leadership.writesInFlight != 0 {
 		t.Error("records that are together move")
 	}
-	host := func(id int32, part int, free float64) *scheduling.MachineSummary {
+	host := func(id int32, part int, free float64) *planning.MachineSummary {
 		name := []string{"host-1", "host-2", "host-3"}[id]
 		if m := c.machineNamed(name); m.index != id {
 			t.Fatal("machines are numbered otherwise")
 		}
-		summary := &scheduling.MachineSummary{ID: id, Type: "small", Zone: "a", Partition: part, Size: scheduling.NewResources(4, 0, 8), Free: scheduling.NewResources(free, 0, 8)}
+		summary := &planning.MachineSummary{ID: id, Type: "small", Zone: "a", Partition: part, Size: scheduling.NewResources(4, 0, 8), Free: scheduling.NewResources(free, 0, 8)}
 		if free < 4 {
-			summary.Usages = []scheduling.Usage{{Claim: scheduling.Claim{Priority: 3}, Size: summary.Size.Minus(summary.Free)}}
+			summary.Usages = []planning.Usage{{Claim: scheduling.Claim{Priority: 3}, Size: summary.Size.Minus(summary.Free)}}
 		}
 		return summary
 	}
-	if c.moveGang([]*scheduling.MachineSummary{host(0, 0, 4), host(1, 1, 2), host(2, 1, 2)}, job) {
+	if c.moveGang([]*planning.MachineSummary{host(0, 0, 4), host(1, 1, 2), host(2, 1, 2)}, job) {
 		t.Error("it moves or borrows where there is no room for all of it")
 	}
-	if !c.moveGang([]*scheduling.MachineSummary{host(0, 0, 4), host(1, 0, 4), host(2, 1, 0)}, job) || c.leadership.writesInFlight != 1 {
+	if !c.moveGang([]*planning.MachineSummary{host(0, 0, 4), host(1, 0, 4), host(2, 1, 0)}, job) || c.leadership.writesInFlight != 1 {
 		t.Error("it does not move to the part with room")
 	}
 	c.leadership.writesInFlight = 0
-	if !c.moveGang([]*scheduling.MachineSummary{host(0, 0, 4), host(1, 1, 4), host(2, 1, 0)}, job) || c.leadership.writesInFlight != 1 {
+	if !c.moveGang([]*planning.MachineSummary{host(0, 0, 4), host(1, 1, 4), host(2, 1, 0)}, job) || c.leadership.writesInFlight != 1 {
 		t.Error("no machines of two parts are borrowed for it")
 	}
 }
--- a/internal/controller/instances.go
+++ b/internal/controller/instances.go
@@ -8,15 +8,15 @@
 
 	"eiderhitch/internal/cloud"
 	"eiderhitch/internal/config"
+	"eiderhitch/internal/planning"
 	"eiderhitch/internal/record"
-	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
 
 // launchInstances asks the cloud for machines. The name is unique for all time: the
 // leader's term never comes again.
-func (c *controller) launchInstances(o scheduling.Offer, n int) {
+func (c *controller) launchInstances(o planning.Offer, n int) {
 	if c.leadership.launching[o] > 0 {
 		return
 	}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -173,7 +173,7 @@
 }
 
 func (group *taskGroup) task(num int32) scheduling.Task {
-	return scheduling.Task{Group: group.index, Num: num}
+	return scheduling.Task{Group: group.index, Number: num}
 }
 
 func (group *taskGroup) binding(num int32) *binding {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"eiderhitch/internal/planning"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
@@ -21,13 +22,13 @@
 	// since when, and by whom, each part is vouched for without a gap
 	ownerInTouchSince     []time.Time
 	ownerInTouch          []string
-	draining              map[string]bool        // being emptied
-	freeHistory           scheduling.FreeHistory // free CPUs of late
+	draining              map[string]bool      // being emptied
+	freeHistory           planning.FreeHistory // free CPUs of late
 	instances             map[string]*instance
 	idleSince             map[string]time.Time
-	refusedUntil          map[scheduling.Offer]time.Time // no requests before then
-	backoff               map[scheduling.Offer]time.Duration
-	launching             map[scheduling.Offer]int
+	refusedUntil          map[planning.Offer]time.Time // no requests before then
+	backoff               map[planning.Offer]time.Duration
+	launching             map[planning.Offer]int
 	launchRequests        int
 	listedAt              time.Time
 	listInFlight          bool
@@ -42,7 +43,7 @@
 
 func (c *controller) becomeLeader(stamp uint64) {
 	c.leadership = leadership{epoch: stamp, token: stamp, since: c.now, instances: map[string]*instance{}, idleSince: map[string]time.Time{},
-		refusedUntil: map[scheduling.Offer]time.Time{}, backoff: map[scheduling.Offer]time.Duration{}, launching: map[scheduling.Offer]int{}, isolatedSince: map[string]time.Time{}}
+		refusedUntil: map[planning.Offer]time.Time{}, backoff: map[planning.Offer]time.Duration{}, launching: map[planning.Offer]int{}, isolatedSince: map[string]time.Time{}}
 	// A former leader's late writes fail by its key's version; what it did
 	// store is read before anything is dealt.
 	c.reader.AfterSuccessfulRead(func() {
@@ -84,7 +85,7 @@
 }
 
 // logUsage logs now and then how full the machines are.
-func (c *controller) logUsage(summaries []*scheduling.MachineSummary) {
+func (c *controller) logUsage(summaries []*planning.MachineSummary) {
 	if c.now.Sub(c.leadership.usageLoggedAt) < usageLogInterval {
 		return
 	}
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"eiderhitch/internal/config"
+	"eiderhitch/internal/planning"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
@@ -82,7 +83,7 @@
 		for _, x := range m.bindings { // services that go along
 			c.freeCell(p, x.task)
 		}
-		p.cells.DropMachine(m.index)
+		p.cells.RemoveMachine(m.index)
 	}
 	for _, x := range m.bindings {
 		c.adoptBindings(x.group)
@@ -138,7 +139,7 @@
 		if group.job.spec == nil || !group.job.spec.Service || group.job.finalState != unfinishedJob || group.writing {
 			return false
 		}
-		bound, cell := group.binding(x.task.Num), p.cells.CellOf(x.task)
+		bound, cell := group.binding(x.task.Number), p.cells.CellOf(x.task)
 		if bound == nil || cell == nil || cell.State != scheduling.Used || !m.runs(taskName(group.job.id, bound.task), bound) {
 			return false
 		}
@@ -168,7 +169,7 @@
 
 // borrow takes machines from other parts for a whole group of n tasks. It
 // reports whether they are on their way.
-func (c *controller) borrow(summaries []*scheduling.MachineSummary, j *job, zone string, n int, claim scheduling.Claim) bool {
+func (c *controller) borrow(summaries []*planning.MachineSummary, j *job, zone string, n int, claim scheduling.Claim) bool {
 	coming := c.expectedRoom(summaries, j, zone, n)
 	if coming >= n {
 		return true
@@ -178,19 +179,19 @@
 	// it on which nothing is that stays, until they are empty (the paper leaves room for
 	// "reservation during waiting").
 	keep := c.now.Sub(j.acceptedAt) > reserveMachinesAfter
-	var can []*scheduling.MachineSummary
+	var can []*planning.MachineSummary
 	for _, summary := range summaries {
 		if summary.Booting || summary.Partition == c.loanPartition() || summary.InUse || c.leadership.draining[c.machineByIndex[summary.ID].name] || !allowed(j.spec, zone, summary.Type, summary.Zone, summary.Spot) {
 			continue
 		}
-		if keep && !summary.RunsService || !slices.ContainsFunc(summary.Usages, func(x scheduling.Usage) bool { return !claim.CanPreempt(x.Claim) }) {
+		if keep && !summary.RunsService || !slices.ContainsFunc(summary.Usages, func(x planning.Usage) bool { return !claim.CanPreempt(x.Claim) }) {
 			can = append(can, summary)
 		}
 	}
-	slices.SortFunc(can, func(x, y *scheduling.MachineSummary) int {
+	slices.SortFunc(can, func(x, y *planning.MachineSummary) int {
 		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(y.Size.CountFitting(j.taskSize, n), x.Size.CountFitting(j.taskSize, n)), cmp.Compare(x.ID, y.ID))
 	})
-	var chosen []*scheduling.MachineSummary
+	var chosen []*planning.MachineSummary
 	for _, summary := range can {
 		if coming >= n {
 			break
@@ -217,11 +218,11 @@
 // machinesBesideServices are machines that together have room for a group beside services that
 // stay. They are in several parts, or the group would be dealt to one: it waited for ever
 // beside room, since no machine with a service was lent.
-func (c *controller) machinesBesideServices(summaries []*scheduling.MachineSummary, j *job, zone string, n int) []*scheduling.MachineSummary {
+func (c *controller) machinesBesideServices(summaries []*planning.MachineSummary, j *job, zone string, n int) []*planning.MachineSummary {
 	if c.now.Sub(j.acceptedAt) < borrowServiceMachinesAfter {
 		return nil
 	}
-	var can []*scheduling.MachineSummary
+	var can []*planning.MachineSummary
 	coming := 0
 	for _, summary := range summaries {
 		fits := summary.Free.CountFitting(j.taskSize, n)
@@ -235,10 +236,10 @@
 			can = append(can, summary)
 		}
 	}
-	slices.SortFunc(can, func(x, y *scheduling.MachineSummary) int {
+	slices.SortFunc(can, func(x, y *planning.MachineSummary) int {
 		return cmp.Or(cmp.Compare(y.Free.CountFitting(j.taskSize, n), x.Free.CountFitting(j.taskSize, n)), cmp.Compare(x.ID, y.ID))
 	})
-	var chosen []*scheduling.MachineSummary
+	var chosen []*planning.MachineSummary
 	for _, summary := range can {
 		if coming >= n {
 			break
@@ -254,7 +255,7 @@
 
 // expectedRoom is for how many of n tasks of a job there is room in the leader's part, or
 // will be once the machines that are being lent for it have come.
-func (c *controller) expectedRoom(summaries []*scheduling.MachineSummary, j *job, zone string, n int) int {
+func (c *controller) expectedRoom(summaries []*planning.MachineSummary, j *job, zone string, n int) int {
 	room := 0
 	listed := map[int32]bool{}
 	for _, summary := range summaries {
@@ -289,7 +290,7 @@
 
 // borrowMachines lends machines to the leader's part, if the parts that they are in have
 // not changed hands meanwhile.
-func (c *controller) borrowMachines(chosen []*scheduling.MachineSummary, cond []wire.Condition, v record.MachineLoan) {
+func (c *controller) borrowMachines(chosen []*planning.MachineSummary, cond []wire.Condition, v record.MachineLoan) {
 	write := &store.Write{Prompt: true, Conditions: append([]wire.Condition{c.leaderCondition()}, cond...)}
 	parts := map[int]bool{}
 	for _, summary := range chosen {
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -357,7 +357,7 @@
 	stop := stopDecider{b: c}
 	for _, x := range m.bindings {
 		t, group := x.task, x.group
-		bound := group.binding(t.Num)
+		bound := group.binding(t.Number)
 		if bound == nil || bound.machine != m {
 			continue
 		}
@@ -509,7 +509,7 @@
 	before := len(c.attemptEnds)
 	for _, x := range m.bindings {
 		t, group := x.task, x.group
-		if bound := group.binding(t.Num); bound != nil && bound.machine == m {
+		if bound := group.binding(t.Number); bound != nil && bound.machine == m {
 			c.endAttempt(group, bound, attemptEnd{attempt: bound.attempt})
 		}
 	}
@@ -522,7 +522,7 @@
 			c.freeCell(p, t)
 		}
 	}
-	p.cells.DropMachine(m.index)
+	p.cells.RemoveMachine(m.index)
 }
 
 // shouldStop tells whether a bound task should not be there.
@@ -553,7 +553,7 @@
 
 // mustPreempt tells whether a task has to leave its machine.
 func (c *controller) mustPreempt(group *taskGroup, t scheduling.Task, m *machine, p *partition) bool {
-	if cell := p.cells.CellOf(t); cell != nil && cell.State == scheduling.Reserving || group.exceedsThrottle(t.Num) {
+	if cell := p.cells.CellOf(t); cell != nil && cell.State == scheduling.Reserving || group.exceedsThrottle(t.Number) {
 		return true
 	}
 	if loan := c.loans[m.name]; loan != nil && !loan.Acknowledged && loan.claim(c).CanPreempt(group.claim()) {
@@ -606,7 +606,7 @@
 	}
 	for _, x := range m.bindings {
 		t, group := x.task, x.group
-		bound := group.binding(t.Num)
+		bound := group.binding(t.Number)
 		if bound == nil || shown.has(t) || bound.incarnation != m.incarnation || stop.shouldStop(group, t, m, p) {
 			continue
 		}
@@ -616,7 +616,7 @@
 		if spec := group.job.spec; spec != nil && spec.Gang && !group.job.gangBound() {
 			continue
 		}
-		if name := taskName(group.job.id, t.Num); !slices.Contains(there, name) { // it would be refused
+		if name := taskName(group.job.id, t.Number); !slices.Contains(there, name) { // it would be refused
 			starts = append(starts, wire.Command{Op: wire.OpStart, Task: name, Attempt: bound.attempt})
 		}
 	}
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"eiderhitch/internal/scheduling"
+	"eiderhitch/internal/planning"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
@@ -19,7 +19,7 @@
 // machines. Bound to it for good, the job waited beside other zones' empty machines
 // for as long as the first one had none. Its tasks are all proven gone, so that nothing
 // is in two zones; an owner that binds one meanwhile loses by its record's version.
-func (c *controller) moveToOtherZone(summaries []*scheduling.MachineSummary, group *taskGroup) bool {
+func (c *controller) moveToOtherZone(summaries []*planning.MachineSummary, group *taskGroup) bool {
 	job, spec := group.job, group.job.spec
 	if !spec.SingleZone || group.zone == "" || c.now.Sub(group.inPartitionSince) < zonePatience || !spec.Gang && len(job.groups) > c.cfg.Settings.State.TxnOps {
 		return false
@@ -67,7 +67,7 @@
 
 // moveUnplaced gives waiting tasks of a record whose part has no room to a part
 // that has. Its owner's writes lose by the record's version.
-func (c *controller) moveUnplaced(summaries []*scheduling.MachineSummary, group *taskGroup, n int) bool {
+func (c *controller) moveUnplaced(summaries []*planning.MachineSummary, group *taskGroup, n int) bool {
 	spec := group.job.spec
 	if spec.Gang {
 		return c.moveGang(summaries, group.job)
@@ -76,11 +76,11 @@
 		n = len(group.bindings) // a group that has not started moves whole
 	}
 	perPart := make([]int, len(c.partitions))
-	can := func(summary *scheduling.MachineSummary) bool {
+	can := func(summary *planning.MachineSummary) bool {
 		return !summary.Booting && summary.Partition != group.partition && (c.now.Sub(group.inPartitionSince) > reserveOpensAfter || c.reserveAllows(group.job, summary)) && allowed(spec, group.zone, summary.Type, summary.Zone, summary.Spot)
 	}
-	trial := scheduling.CloneSummaries(summaries)
-	for summary, k := range scheduling.PlaceInFreeRoom(trial, can, group.job.taskSize, n) {
+	trial := planning.CloneSummaries(summaries)
+	for summary, k := range planning.PlaceInFreeRoom(trial, can, group.job.taskSize, n) {
 		perPart[summary.Partition] += k
 	}
 	best, most := -1, 0
@@ -90,14 +90,14 @@
 		}
 	}
 	if best < 0 && n == 1 {
-		if summary := scheduling.PlaceByPreemption(trial, can, group.job.taskSize, group.claim()); summary != nil {
+		if summary := planning.PlaceByPreemption(trial, can, group.job.taskSize, group.claim()); summary != nil {
 			best, most = summary.Partition, 1
 		}
 	}
 	taken := false
 	if spec.AllOrNothing() && group.boundTasks() == 0 && most < n {
 		// A group that has not started, or lost all, may evict where it goes.
-		if best, taken = (&scheduling.Assignment{TaskSize: group.job.taskSize, Count: n, Claim: group.claim(), Allowed: can}).OnePartition(summaries, len(c.partitions)); !taken {
+		if best, taken = (&planning.Assignment{TaskSize: group.job.taskSize, Count: n, Claim: group.claim(), Allowed: can}).OnePartition(summaries, len(c.partitions)); !taken {
 			return n > 1 && c.borrow(summaries, group.job, group.zone, n, group.claim())
 		}
 		most = n
@@ -116,9 +116,9 @@
 	if len(move) == 0 {
 		return false
 	}
-	in := func(summary *scheduling.MachineSummary) bool { return summary.Partition == best && can(summary) }
+	in := func(summary *planning.MachineSummary) bool { return summary.Partition == best && can(summary) }
 	if !taken {
-		scheduling.PlaceInFreeRoom(summaries, in, group.job.taskSize, len(move))
+		planning.PlaceInFreeRoom(summaries, in, group.job.taskSize, len(move))
 	}
 	write := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(group.job.id), Revision: group.job.revision}, {Key: group.key, Revision: group.revision}}}
 	left, moved := group.split(stay, move)
@@ -142,7 +142,7 @@
 // Where none has, machines of several parts are borrowed for it: a gang that was dealt
 // to a part which then lost its room waited for ever beside machines that had room for
 // it together.
-func (c *controller) moveGang(summaries []*scheduling.MachineSummary, j *job) bool {
+func (c *controller) moveGang(summaries []*planning.MachineSummary, j *job) bool {
 	first, tasks := j.firstGroup(), 0
 	for _, group := range j.groups {
 		if group.boundTasks() > 0 {
@@ -153,10 +153,10 @@
 	if tasks < j.spec.Tasks {
 		return false // the rest is dealt first
 	}
-	can := func(summary *scheduling.MachineSummary) bool {
+	can := func(summary *planning.MachineSummary) bool {
 		return !summary.Booting && summary.Partition != first.partition && allowed(j.spec, first.zone, summary.Type, summary.Zone, summary.Spot)
 	}
-	d := &scheduling.Assignment{TaskSize: j.taskSize, Count: tasks, Claim: first.claim(), Allowed: can}
+	d := &planning.Assignment{TaskSize: j.taskSize, Count: tasks, Claim: first.claim(), Allowed: can}
 	part, ok := d.OnePartition(summaries, len(c.partitions))
 	if !ok {
 		return tasks > 1 && c.borrow(summaries, j, first.zone, tasks, first.claim())
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"eiderhitch/internal/planning"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
@@ -80,9 +81,9 @@
 }
 
 // jobOrder is what a job's place among others depends on.
-func (c *controller) jobOrder(j *job) *scheduling.JobOrder {
+func (c *controller) jobOrder(j *job) *planning.JobOrder {
 	_, finished := j.assignedTasks()
-	return &scheduling.JobOrder{AllOrNothing: j.spec.AllOrNothing(), NoDeadline: j.spec.NoDeadline, Started: j.hasStarted(), OverdueTurn: scheduling.IsOverdueTurn(c.now.Unix()),
+	return &planning.JobOrder{AllOrNothing: j.spec.AllOrNothing(), NoDeadline: j.spec.NoDeadline, Started: j.hasStarted(), OverdueTurn: planning.IsOverdueTurn(c.now.Unix()),
 		AgeS: c.now.Sub(j.acceptedAt).Seconds(), EstimateS: j.spec.EstimateS, DeadlineS: j.spec.DeadlineS, ObjectiveS: c.objectiveSeconds[j.spec.Class],
 		RemainingWork: float64(j.spec.Tasks-finished) * j.spec.EstimateS * j.spec.CPUs}
 }
@@ -92,8 +93,8 @@
 
 // byUrgency compares jobs by priority and urgency, each looked at once.
 func (c *controller) byUrgency() func(x, y *job) int {
-	known := map[*job]scheduling.Urgency{}
-	of := func(j *job) scheduling.Urgency {
+	known := map[*job]planning.Urgency{}
+	of := func(j *job) planning.Urgency {
 		u, ok := known[j]
 		if !ok {
 			u = c.jobOrder(j).Urgency()
@@ -314,7 +315,7 @@
 	return m.schedulable
 }
 
-// runsService tells whether a service is bound to a machine, see scheduling.Host. It is
+// runsService tells whether a service is bound to a machine, see planning.MachineSummary. It is
 // looked up once in a step.
 func (c *controller) runsService(m *machine) bool {
 	if m.runsServiceStep != c.schedulingPass {
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -8,6 +8,7 @@
 
 	"eiderhitch/internal/config"
 	"eiderhitch/internal/peer"
+	"eiderhitch/internal/planning"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
@@ -23,11 +24,11 @@
 }
 
 // scale rents for what found no room and returns what is not wanted.
-func (c *controller) scale(summaries []*scheduling.MachineSummary, wants []scheduling.Demand) {
+func (c *controller) scale(summaries []*planning.MachineSummary, wants []planning.Demand) {
 	if len(c.machineTypes) == 0 {
 		return
 	}
-	plan := scheduling.ScalingPlan{Machines: append(slices.Clone(summaries), c.booting()...), Offers: c.offers(), RunningByClass: map[string]int{}, Launches: map[scheduling.Offer]int{}}
+	plan := planning.ScalingPlan{Machines: append(slices.Clone(summaries), c.booting()...), Offers: c.offers(), RunningByClass: map[string]int{}, Launches: map[planning.Offer]int{}}
 	for group := range c.allGroups() {
 		if group.job.spec != nil {
 			plan.RunningByClass[group.job.spec.Class] += group.boundTasks()
@@ -41,7 +42,7 @@
 	}
 	short := plan.Shortage
 	spare, level := c.headroom()
-	scheduling.CountLowerPriorityAsFree(plan.Machines, level)
+	planning.CountLowerPriorityAsFree(plan.Machines, level)
 	for _, w := range spare {
 		plan.Place(w)
 	}
@@ -69,7 +70,7 @@
 
 // drainSurplus empties machines that the fleet has not needed of late: one takes no
 // more work, and is returned when it is empty.
-func (c *controller) drainSurplus(summaries []*scheduling.MachineSummary, spare []scheduling.Demand, level int, short bool) {
+func (c *controller) drainSurplus(summaries []*planning.MachineSummary, spare []planning.Demand, level int, short bool) {
 	if c.leadership.draining == nil {
 		c.leadership.draining = map[string]bool{}
 	}
@@ -95,7 +96,7 @@
 	if !ok || age < window {
 		return // not seen for long enough
 	}
-	best := scheduling.LeastUsed(summaries, least, level, func(summary *scheduling.MachineSummary) bool {
+	best := planning.LeastUsedMachine(summaries, least, level, func(summary *planning.MachineSummary) bool {
 		return summary.Partition != c.loanPartition() && !c.leadership.draining[c.machineByIndex[summary.ID].name]
 	})
 	if best == nil {
@@ -108,9 +109,9 @@
 }
 
 // headroom keeps room for services to come.
-func (c *controller) headroom() (out []scheduling.Demand, level int) {
+func (c *controller) headroom() (out []planning.Demand, level int) {
 	level = math.MaxInt
-	byClass := map[string]*scheduling.Demand{}
+	byClass := map[string]*planning.Demand{}
 	var order []string
 	for _, job := range c.unfinished {
 		if job.finalState != unfinishedJob || job.spec == nil || !job.spec.Service {
@@ -129,7 +130,7 @@
 	slices.Sort(order)
 	for _, class := range order {
 		w := byClass[class]
-		w.Count = scheduling.Headroom(w.Count, c.operator.HeadroomOf(class))
+		w.Count = planning.Headroom(w.Count, c.operator.HeadroomOf(class))
 		out = append(out, *w)
 	}
 	return out, level
@@ -145,8 +146,8 @@
 const usualBootFactor = 1.6
 
 // booting are machines that are rented and have not reported yet.
-func (c *controller) booting() []*scheduling.MachineSummary {
-	var out []*scheduling.MachineSummary
+func (c *controller) booting() []*planning.MachineSummary {
+	var out []*planning.MachineSummary
 	for name, inst := range c.leadership.instances {
 		t := c.machineTypes[inst.machineType]
 		// One that is well past its usual time is not counted on any more.
@@ -154,20 +155,20 @@
 			continue
 		}
 		size := scheduling.NewResources(t.CPUs, t.GPUs, t.RAM)
-		out = append(out, &scheduling.MachineSummary{ID: -1, Type: inst.machineType, Zone: inst.zone, Spot: inst.spot, Size: size, Free: size, Booting: true})
+		out = append(out, &planning.MachineSummary{ID: -1, Type: inst.machineType, Zone: inst.zone, Spot: inst.spot, Size: size, Free: size, Booting: true})
 	}
 	for o, n := range c.leadership.launching {
 		t := c.machineTypes[o.Type]
 		for range n {
 			size := scheduling.NewResources(t.CPUs, t.GPUs, t.RAM)
-			out = append(out, &scheduling.MachineSummary{ID: -1, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Size: size, Free: size, Booting: true})
+			out = append(out, &planning.MachineSummary{ID: -1, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Size: size, Free: size, Booting: true})
 		}
 	}
 	return out
 }
 
-func (c *controller) offers() []scheduling.PricedOffer {
-	var out []scheduling.PricedOffer
+func (c *controller) offers() []planning.PricedOffer {
+	var out []planning.PricedOffer
 	for _, t := range c.machineTypes {
 		for _, z := range t.Zones {
 			if c.leadership.isolatedZones[z] {
@@ -177,7 +178,7 @@
 				if spot && !c.operator.Spot {
 					continue
 				}
-				o := scheduling.Offer{Type: t.Name, Zone: z, Spot: spot}
+				o := planning.Offer{Type: t.Name, Zone: z, Spot: spot}
 				if c.now.Before(c.leadership.refusedUntil[o]) {
 					continue
 				}
@@ -185,11 +186,11 @@
 				if spot {
 					price = t.SpotPrice
 				}
-				out = append(out, scheduling.PricedOffer{Offer: o, Size: scheduling.NewResources(t.CPUs, t.GPUs, t.RAM), Price: price, BootS: t.BootS})
+				out = append(out, planning.PricedOffer{Offer: o, Size: scheduling.NewResources(t.CPUs, t.GPUs, t.RAM), Price: price, BootS: t.BootS})
 			}
 		}
 	}
-	slices.SortFunc(out, func(x, y scheduling.PricedOffer) int {
+	slices.SortFunc(out, func(x, y planning.PricedOffer) int {
 		return cmp.Or(cmp.Compare(x.Type, y.Type), cmp.Compare(x.Zone, y.Zone), compareBool(x.Spot, y.Spot))
 	})
 	return out
@@ -207,7 +208,7 @@
 }
 
 // terminateIdle releases machines that are idle.
-func (c *controller) terminateIdle(summaries []*scheduling.MachineSummary) {
+func (c *controller) terminateIdle(summaries []*planning.MachineSummary) {
 	var names []string
 	wanted := map[string]bool{}
 	for _, summary := range summaries {
--- a/internal/controller/summaries.go
+++ b/internal/controller/summaries.go
@@ -6,6 +6,7 @@
 
 	"eiderhitch/internal/config"
 	"eiderhitch/internal/peer"
+	"eiderhitch/internal/planning"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/workerclient"
 )
@@ -15,8 +16,8 @@
 const maxOwnerSilence = 90 * time.Second
 
 // machineSummaries are the machines that owners vouch for, with what is bound on them.
-func (c *controller) machineSummaries() []*scheduling.MachineSummary {
-	var out []*scheduling.MachineSummary
+func (c *controller) machineSummaries() []*planning.MachineSummary {
+	var out []*planning.MachineSummary
 	add := func(m *machine, flags uint8) {
 		t := c.machineTypes[m.machineType]
 		if t == nil || m.terminated || c.terminating[m.name] {
@@ -35,7 +36,7 @@
 		if loan := c.loans[m.name]; loan != nil && !loan.Acknowledged {
 			return // on its way to the leader
 		}
-		summary := &scheduling.MachineSummary{ID: m.index, Type: m.machineType, Zone: m.zone, Spot: m.spot, Partition: m.partition, Size: size, Free: size}
+		summary := &planning.MachineSummary{ID: m.index, Type: m.machineType, Zone: m.zone, Spot: m.spot, Partition: m.partition, Size: size, Free: size}
 		summary.InUse = c.loans[m.name] != nil // wanted, even before it is in use
 		for _, x := range m.bindings {
 			group := x.group
@@ -43,7 +44,7 @@
 				continue
 			}
 			summary.Free = summary.Free.Minus(group.job.taskSize)
-			summary.Usages = append(summary.Usages, scheduling.Usage{Claim: group.claim(), Size: group.job.taskSize})
+			summary.Usages = append(summary.Usages, planning.Usage{Claim: group.claim(), Size: group.job.taskSize})
 			summary.RunsService = summary.RunsService || group.job.spec.AllOrNothing()
 		}
 		if c.leadership.draining[m.name] {
--- a/internal/controller/throttle.go
+++ b/internal/controller/throttle.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"eiderhitch/internal/planning"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
@@ -32,12 +33,12 @@
 	slices.SortFunc(from, func(first, second *taskGroup) int {
 		return cmp.Or(urgent(second.job, first.job), cmp.Compare(second.number, first.number))
 	})
-	standing := make([]scheduling.QuotaUse, len(from))
+	standing := make([]planning.QuotaUse, len(from))
 	for i, group := range from {
-		standing[i] = scheduling.QuotaUse{Priority: group.job.spec.Priority, Running: group.boundTasks(), Allowed: group.allowedTasks(), TaskSize: group.job.taskSize,
+		standing[i] = planning.QuotaUse{Priority: group.job.spec.Priority, Running: group.boundTasks(), Allowed: group.allowedTasks(), TaskSize: group.job.taskSize,
 			Fixed: group.job.spec.Priority == level && (urgent(j, group.job) >= 0 || c.now.Sub(group.throttledAt) < c.throttleInterval())}
 	}
-	for i, may := range scheduling.Throttle(standing, level, lack) {
+	for i, may := range planning.Throttle(standing, level, lack) {
 		if may >= 0 {
 			c.setThrottle(from[i], may)
 		}
@@ -50,7 +51,7 @@
 func (c *controller) throttleInterval() time.Duration { return 2*time.Second + c.turnaround() }
 
 // unthrottle lets tasks run again that had to stand back, as the limit permits.
-func (c *controller) unthrottle(j *job, lim *scheduling.Quota) {
+func (c *controller) unthrottle(j *job, lim *planning.Quota) {
 	for _, group := range j.groups {
 		if group.throttle == 0 || group.writing || group.allowedTasks() == len(group.bindings) || c.now.Sub(group.throttledAt) < c.throttleInterval() {
 			continue
--- a/internal/scheduling/deal.go
+++ b/internal/planning/assignment.go
@@ -1,17 +1,19 @@
-package scheduling
+package planning
 
-// MinAssigned is how many tasks of an array a part is dealt at least, if there
+import "eiderhitch/internal/scheduling"
+
+// MinTasksPerPartition is how many tasks of an array a part is dealt at least, if there
 // are that many: each record costs changes of its own, to deal it, to bind and
 // to end its tasks and to clear it up, and changes are what the state service
 // allows least of.
-const MinAssigned = 24
+const MinTasksPerPartition = 24
 
 // Assignment asks for room for like tasks of one job.
 type Assignment struct {
-	TaskSize Resources
+	TaskSize scheduling.Resources
 	Count    int
-	Claim    Claim
-	Allowed  func(*MachineSummary) bool
+	Claim    scheduling.Claim
+	Allowed  MachineFilter
 	// QuotaShort: the team's limit is short. What is dealt but can't run yet would
 	// hold the limit against others of the team.
 	QuotaShort bool
@@ -62,7 +64,7 @@
 	for p, k := range out {
 		// Few large records rather than many small ones; what is dealt too much
 		// now is dealt less ahead later.
-		if more := min(MinAssigned-k, left); k > 0 && more > 0 && !d.QuotaShort {
+		if more := min(MinTasksPerPartition-k, left); k > 0 && more > 0 && !d.QuotaShort {
 			ahead[p] -= more
 			give(p, more)
 		}
@@ -71,7 +73,7 @@
 }
 
 // partitionAllows tells whether a part has a machine that a task may be on.
-func partitionAllows(hosts []*MachineSummary, p int, can func(*MachineSummary) bool) bool {
+func partitionAllows(hosts []*MachineSummary, p int, can MachineFilter) bool {
 	for _, h := range hosts {
 		if h.Partition == p && can(h) {
 			return true
@@ -105,7 +107,7 @@
 			best = p
 		}
 	}
-	in := func(p int) func(*MachineSummary) bool {
+	in := func(p int) MachineFilter {
 		return func(h *MachineSummary) bool { return h.Partition == p && d.Allowed(h) }
 	}
 	if free[best] >= d.Count {
@@ -155,7 +157,7 @@
 	// Running tasks hold cells; May is how many may, at least those that do or
 	// are to.
 	Running, Allowed int
-	TaskSize         Resources
+	TaskSize         scheduling.Resources
 	// Fixed: tasks that are dealt but don't run can't be held back now.
 	Fixed bool
 }
@@ -164,7 +166,7 @@
 // lacks some: dealt tasks that don't run yet stand back, then tasks of lower jobs
 // that run are stopped. from lists what there is, the least urgent first; the
 // result tells for each how many may run from now, or -1 where nothing changes.
-func Throttle(from []QuotaUse, level int, lack Resources) []int {
+func Throttle(from []QuotaUse, level int, lack scheduling.Resources) []int {
 	out := make([]int, len(from))
 	for i := range out {
 		out[i] = -1
--- a/internal/scheduling/deal_test.go
+++ b/internal/planning/assignment_test.go
@@ -1,4 +1,4 @@
-package scheduling
+package planning
 
 import (
 	"fmt"
@@ -6,23 +6,25 @@
 
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
+
+	"eiderhitch/internal/scheduling"
 )
 
 const testParts = 3
 
-func drawClaim(t *rapid.T, name string) Claim {
-	return Claim{Priority: rapid.IntRange(0, 3).Draw(t, name+" level"), Guaranteed: rapid.Bool().Draw(t, name+" own"), Team: int32(rapid.IntRange(0, 2).Draw(t, name+" team"))}
+func drawClaim(t *rapid.T, name string) scheduling.Claim {
+	return scheduling.Claim{Priority: rapid.IntRange(0, 3).Draw(t, name+" level"), Guaranteed: rapid.Bool().Draw(t, name+" own"), Team: int32(rapid.IntRange(0, 2).Draw(t, name+" team"))}
 }
 
 // drawHosts draws a fleet whose hosts hold no more than they have.
 func drawHosts(t *rapid.T) []*MachineSummary {
 	var hosts []*MachineSummary
 	for i := range rapid.IntRange(0, 8).Draw(t, "hosts") {
-		size := NewResources(float64(rapid.SampledFrom([]int{4, 16}).Draw(t, "cpus")), 0, 64)
+		size := scheduling.NewResources(float64(rapid.SampledFrom([]int{4, 16}).Draw(t, "cpus")), 0, 64)
 		h := &MachineSummary{ID: int32(i), Type: fmt.Sprint(size.CPU), Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
 			Partition: rapid.IntRange(0, testParts-1).Draw(t, "part"), Size: size, Free: size}
 		for range rapid.IntRange(0, 6).Draw(t, "claims") {
-			c := Usage{Claim: drawClaim(t, "held"), Size: NewResources(float64(rapid.IntRange(1, 4).Draw(t, "held cpus")), 0, 1)}
+			c := Usage{Claim: drawClaim(t, "held"), Size: scheduling.NewResources(float64(rapid.IntRange(1, 4).Draw(t, "held cpus")), 0, 1)}
 			if h.Free.Contains(c.Size) {
 				h.Free = h.Free.Minus(c.Size)
 				h.Usages = append(h.Usages, c)
@@ -54,7 +56,7 @@
 
 func drawDealing(t *rapid.T) *Assignment {
 	zone, spot := rapid.SampledFrom([]string{"", "a"}).Draw(t, "only zone"), rapid.Bool().Draw(t, "spot may be")
-	return &Assignment{TaskSize: NewResources(float64(rapid.IntRange(1, 5).Draw(t, "need")), 0, 1), Count: rapid.IntRange(1, 40).Draw(t, "count"),
+	return &Assignment{TaskSize: scheduling.NewResources(float64(rapid.IntRange(1, 5).Draw(t, "need")), 0, 1), Count: rapid.IntRange(1, 40).Draw(t, "count"),
 		Claim: drawClaim(t, "own"), QuotaShort: rapid.Bool().Draw(t, "tight"), Forced: rapid.Bool().Draw(t, "must"),
 		Allowed: func(h *MachineSummary) bool { return (zone == "" || h.Zone == zone) && (spot || !h.Spot) }}
 }
@@ -84,7 +86,7 @@
 				most = max(most, d.Count)
 			}
 			if !d.QuotaShort {
-				most += max(allowance[p], 0) + MinAssigned
+				most += max(allowance[p], 0) + MinTasksPerPartition
 			}
 			if n > most || n > 0 && !partitionAllows(hosts, p, d.Allowed) {
 				t.Fatalf("part %d with room for %d is dealt %d", p, room[p], n)
@@ -101,7 +103,7 @@
 			t.Fatalf("%d of %d tasks are dealt", sum, d.Count)
 		}
 		for _, h := range hosts {
-			if h.Free != h.Free.positive() {
+			if !h.Free.Contains(scheduling.Resources{}) {
 				t.Fatalf("host %d has %v left", h.ID, h.Free)
 			}
 		}
@@ -164,9 +166,9 @@
 		for range rapid.IntRange(0, 6).Draw(t, "records") {
 			running := rapid.IntRange(0, 5).Draw(t, "running")
 			from = append(from, QuotaUse{Priority: rapid.IntRange(0, 3).Draw(t, "level"), Running: running,
-				Allowed: running + rapid.IntRange(0, 5).Draw(t, "waiting"), TaskSize: NewResources(float64(rapid.IntRange(1, 3).Draw(t, "cpus")), 0, 1), Fixed: rapid.Bool().Draw(t, "fixed")})
+				Allowed: running + rapid.IntRange(0, 5).Draw(t, "waiting"), TaskSize: scheduling.NewResources(float64(rapid.IntRange(1, 3).Draw(t, "cpus")), 0, 1), Fixed: rapid.Bool().Draw(t, "fixed")})
 		}
-		level, lack := rapid.IntRange(0, 3).Draw(t, "own level"), NewResources(float64(rapid.IntRange(0, 20).Draw(t, "lack")), 0, 0)
+		level, lack := rapid.IntRange(0, 3).Draw(t, "own level"), scheduling.NewResources(float64(rapid.IntRange(0, 20).Draw(t, "lack")), 0, 0)
 		rest, largest, more := lack.CPU, int64(0), int64(0)
 		for i, may := range Throttle(from, level, lack) {
 			s := from[i]
@@ -227,15 +229,15 @@
 // same input gives the same plan.
 func TestFleet(t *testing.T) {
 	offers := []PricedOffer{
-		{Offer: Offer{Type: "4000", Zone: "a"}, Size: NewResources(4, 0, 64), Price: 0.4, BootS: 50},
-		{Offer: Offer{Type: "16000", Zone: "a"}, Size: NewResources(16, 0, 64), Price: 1, BootS: 25},
-		{Offer: Offer{Type: "16000", Zone: "b", Spot: true}, Size: NewResources(16, 0, 64), Price: 0.3, BootS: 25},
+		{Offer: Offer{Type: "4000", Zone: "a"}, Size: scheduling.NewResources(4, 0, 64), Price: 0.4, BootS: 50},
+		{Offer: Offer{Type: "16000", Zone: "a"}, Size: scheduling.NewResources(16, 0, 64), Price: 1, BootS: 25},
+		{Offer: Offer{Type: "16000", Zone: "b", Spot: true}, Size: scheduling.NewResources(16, 0, 64), Price: 0.3, BootS: 25},
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := drawHosts(t)
 		zone, spot := rapid.SampledFrom([]string{"", "a", "c"}).Draw(t, "only zone"), rapid.Bool().Draw(t, "spot may be")
-		w := Demand{Class: "x", TaskSize: NewResources(float64(rapid.IntRange(1, 4).Draw(t, "need")), 0, 1), Count: rapid.IntRange(1, 60).Draw(t, "count"), AllOrNothing: true,
-			Allows: func(_, z string, s bool) bool { return (zone == "" || z == zone) && (spot || !s) }}
+		w := Demand{Class: "x", TaskSize: scheduling.NewResources(float64(rapid.IntRange(1, 4).Draw(t, "need")), 0, 1), Count: rapid.IntRange(1, 60).Draw(t, "count"), AllOrNothing: true,
+			Allows: func(o Offer) bool { return (zone == "" || o.Zone == zone) && (spot || !o.Spot) }}
 		plan := func() *ScalingPlan {
 			f := &ScalingPlan{Machines: CloneSummaries(hosts), Offers: offers, RunningByClass: map[string]int{}, Launches: map[Offer]int{}}
 			f.Place(w)
@@ -253,7 +255,7 @@
 		}
 		rented := 0
 		for o, n := range f.Launches {
-			if !w.Allows(o.Type, o.Zone, o.Spot) {
+			if !w.Allows(o) {
 				t.Fatalf("%d of %+v are rented", n, o)
 			}
 			for _, x := range offers {
@@ -296,11 +298,11 @@
 func fleetOf(n int) []*MachineSummary {
 	hosts := make([]*MachineSummary, n)
 	for i := range hosts {
-		size := NewResources(float64(4+12*(i%2)), 0, 64)
+		size := scheduling.NewResources(float64(4+12*(i%2)), 0, 64)
 		h := &MachineSummary{ID: int32(i), Type: fmt.Sprint(i % 2), Zone: "a", Spot: i%3 == 0, Partition: i % 5, Size: size, Free: size}
 		for h.Free.CPU > 0 && i%10 != 0 {
-			h.Free = h.Free.Minus(NewResources(2, 0, 1))
-			h.Usages = append(h.Usages, Usage{Claim: Claim{Priority: 1}, Size: NewResources(2, 0, 1)})
+			h.Free = h.Free.Minus(scheduling.NewResources(2, 0, 1))
+			h.Usages = append(h.Usages, Usage{Claim: scheduling.Claim{Priority: 1}, Size: scheduling.NewResources(2, 0, 1)})
 		}
 		hosts[i] = h
 	}
@@ -314,7 +316,7 @@
 			hosts := fleetOf(n)
 			for b.Loop() {
 				trial := CloneSummaries(hosts)
-				d := Assignment{TaskSize: NewResources(2, 0, 4), Count: 40, Claim: Claim{Priority: 1}, Allowed: func(h *MachineSummary) bool { return !h.Booting }}
+				d := Assignment{TaskSize: scheduling.NewResources(2, 0, 4), Count: 40, Claim: scheduling.Claim{Priority: 1}, Allowed: func(h *MachineSummary) bool { return !h.Booting }}
 				d.PerPartition(trial, make([]int, 5))
 				d.Count, d.Claim.Priority = 1, 2
 				d.OnePartition(trial, 5)
@@ -327,14 +329,14 @@
 // itself: in bulk, larger machines would be chosen, which come up later.
 func TestServicesApart(t *testing.T) {
 	offers := []PricedOffer{
-		{Offer: Offer{Type: "small", Zone: "a"}, Size: NewResources(4, 0, 64), Price: 0.3, BootS: 25},
-		{Offer: Offer{Type: "large", Zone: "a"}, Size: NewResources(16, 0, 64), Price: 1, BootS: 50},
+		{Offer: Offer{Type: "small", Zone: "a"}, Size: scheduling.NewResources(4, 0, 64), Price: 0.3, BootS: 25},
+		{Offer: Offer{Type: "large", Zone: "a"}, Size: scheduling.NewResources(16, 0, 64), Price: 1, BootS: 50},
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		hosts, n := drawHosts(t), rapid.IntRange(2, 40).Draw(t, "services")
 		like := rapid.IntRange(0, 100).Draw(t, "like")
-		w := Demand{Class: "x", TaskSize: NewResources(float64(rapid.IntRange(1, 4).Draw(t, "need")), 0, 1), Count: 1, AllOrNothing: true,
-			Allows: func(string, string, bool) bool { return true }}
+		w := Demand{Class: "x", TaskSize: scheduling.NewResources(float64(rapid.IntRange(1, 4).Draw(t, "need")), 0, 1), Count: 1, AllOrNothing: true,
+			Allows: func(Offer) bool { return true }}
 		fleet := func() *ScalingPlan {
 			return &ScalingPlan{Machines: CloneSummaries(hosts), Offers: offers, RunningByClass: map[string]int{"x": like}, Launches: map[Offer]int{}}
 		}
--- a/internal/scheduling/plan.go
+++ b/internal/planning/bin_packing.go
@@ -1,9 +1,11 @@
-package scheduling
+package planning
 
 import (
 	"cmp"
 	"math"
 	"slices"
+
+	"eiderhitch/internal/scheduling"
 )
 
 // MachineSummary is a machine as the leader sees it: what is free on it, and what could
@@ -13,7 +15,7 @@
 	Type, Zone string
 	Spot       bool
 	Partition  int
-	Size, Free Resources
+	Size, Free scheduling.Resources
 	Usages     []Usage // of tasks that run on it
 	sorted     bool    // Claims are, see sortVictimsFirst
 	Booting    bool
@@ -23,15 +25,21 @@
 	RunsService bool
 }
 
+// MachineFilter tells whether a task may be placed on a machine.
+type MachineFilter func(*MachineSummary) bool
+
+// kind is the offer that the machine was, or is to be, launched from.
+func (h *MachineSummary) kind() Offer { return Offer{Type: h.Type, Zone: h.Zone, Spot: h.Spot} }
+
 // Usage is a task's use of a host.
 type Usage struct {
-	Claim Claim
-	Size  Resources
+	Claim scheduling.Claim
+	Size  scheduling.Resources
 }
 
 // PlaceInFreeRoom lets up to n tasks of size need take free room on hosts, fullest hosts
 // first, and returns how many each host got.
-func PlaceInFreeRoom(hosts []*MachineSummary, allowed func(*MachineSummary) bool, need Resources, n int) map[*MachineSummary]int {
+func PlaceInFreeRoom(hosts []*MachineSummary, allowed MachineFilter, need scheduling.Resources, n int) map[*MachineSummary]int {
 	out := map[*MachineSummary]int{}
 	for n > 0 {
 		var best *MachineSummary
@@ -87,11 +95,11 @@
 
 // PlaceByPreemption finds the host on which a task could be placed by stopping the
 // fewest tasks of the lowest priority, and takes that room.
-func PlaceByPreemption(hosts []*MachineSummary, allowed func(*MachineSummary) bool, need Resources, c Claim) *MachineSummary {
+func PlaceByPreemption(hosts []*MachineSummary, allowed MachineFilter, need scheduling.Resources, c scheduling.Claim) *MachineSummary {
 	var best *MachineSummary
 	bestCost := math.Inf(1)
 	var bestRest []Usage
-	var bestFree Resources
+	var bestFree scheduling.Resources
 	for _, h := range hosts {
 		if h.Booting || !allowed(h) {
 			continue
@@ -115,16 +123,18 @@
 
 // Quota of a team and what its tasks use.
 type Quota struct {
-	Guaranteed, Limit    Resources // a zero resource: none
-	Used, GuaranteedUsed Resources
+	Guaranteed, Limit    scheduling.Resources // a zero resource: none
+	Used, GuaranteedUsed scheduling.Resources
 }
 
 // Room is how many more tasks of size need the limit permits, at most n.
-func (l *Quota) Room(need Resources, n int) int { return remaining(l.Limit, l.Used, need, n) }
+func (l *Quota) Room(need scheduling.Resources, n int) int {
+	return remaining(l.Limit, l.Used, need, n)
+}
 
 // Shortfall is by how much need exceeds what the limit leaves.
-func (l *Quota) Shortfall(need Resources) Resources {
-	var out Resources
+func (l *Quota) Shortfall(need scheduling.Resources) scheduling.Resources {
+	var out scheduling.Resources
 	if l.Limit.CPU > 0 {
 		out.CPU = max(0, l.Used.CPU+need.CPU-l.Limit.CPU)
 	}
@@ -135,14 +145,14 @@
 }
 
 // GuaranteedRoom is how many more fit into the guarantee, at most n.
-func (l *Quota) GuaranteedRoom(need Resources, n int) int {
-	if l.Guaranteed == (Resources{}) {
+func (l *Quota) GuaranteedRoom(need scheduling.Resources, n int) int {
+	if l.Guaranteed == (scheduling.Resources{}) {
 		return 0
 	}
 	return remaining(l.Guaranteed, l.GuaranteedUsed, need, n)
 }
 
-func remaining(limit, used, need Resources, n int) int {
+func remaining(limit, used, need scheduling.Resources, n int) int {
 	for _, x := range [][3]int64{{limit.CPU, used.CPU, need.CPU}, {limit.GPU, used.GPU, need.GPU}} {
 		if x[0] > 0 && x[2] > 0 {
 			n = min(n, int(max(0, x[0]-x[1])/x[2]))
@@ -157,10 +167,13 @@
 	Spot       bool
 }
 
+// OfferFilter tells whether tasks may run on machines of a kind.
+type OfferFilter func(Offer) bool
+
 // PricedOffer is an offer with what it costs and how long it takes to come up.
 type PricedOffer struct {
 	Offer
-	Size  Resources
+	Size  scheduling.Resources
 	Price float64
 	BootS float64
 }
@@ -170,7 +183,7 @@
 // many such tasks may share the machines before long: it is that many that a
 // large machine's price is spread over. patience is the time over which a
 // machine's boot time is spread.
-func CheapestOffer(offers []PricedOffer, need Resources, n, likely int, patience float64) (best PricedOffer, count int) {
+func CheapestOffer(offers []PricedOffer, need scheduling.Resources, n, likely int, patience float64) (best PricedOffer, count int) {
 	bestCost := math.Inf(1)
 	likely = max(likely, n)
 	for _, o := range offers {
--- a/internal/scheduling/order.go
+++ b/internal/planning/job_order.go
@@ -1,4 +1,4 @@
-package scheduling
+package planning
 
 import "cmp"
 
@@ -89,7 +89,7 @@
 	switch {
 	case pending > 0:
 	case j.HasOverdueTurn():
-		return MinAssigned
+		return MinTasksPerPartition
 	case j.MustStart():
 		return MinStartTasks
 	}
--- a/internal/scheduling/fleet.go
+++ b/internal/planning/scaling.go
@@ -1,24 +1,26 @@
-package scheduling
+package planning
 
 import (
 	"math"
 	"slices"
+
+	"eiderhitch/internal/scheduling"
 )
 
 // Demand is a number of like tasks that found no room: one decision for all.
 type Demand struct {
 	Class        string
-	TaskSize     Resources
+	TaskSize     scheduling.Resources
 	Count        int
 	Groups       int // of Count tasks each, that come apart from each other; 0: one
 	AllOrNothing bool
 	EstimateS    float64 // of one task's run time, seconds
 	WindowS      float64 // within which an array's tasks should be through
 	SlackS       float64 // until the deadline
-	Allows       func(typ, zone string, spot bool) bool
+	Allows       OfferFilter
 }
 
-func (w *Demand) on(h *MachineSummary) bool { return w.Allows(h.Type, h.Zone, h.Spot) }
+func (w *Demand) on(h *MachineSummary) bool { return w.Allows(h.kind()) }
 
 // bootPatience is the time over which a machine's boot is spread when offers are
 // compared, in seconds: about how long machines stay.
@@ -53,7 +55,7 @@
 	var fitting, late []PricedOffer
 	for _, o := range f.Offers {
 		switch {
-		case !w.Allows(o.Type, o.Zone, o.Spot):
+		case !w.Allows(o.Offer):
 		case !w.AllOrNothing && !o.Spot && w.SlackS < o.BootS+w.EstimateS:
 			// An ordinary machine that is up too late to help an array keep its
 			// deadline is dear for nothing; spot ones are worth having anyway.
@@ -148,17 +150,17 @@
 }
 
 // Used is what claims hold of a host.
-func (h *MachineSummary) Used() Resources {
-	used := Resources{}
+func (h *MachineSummary) Used() scheduling.Resources {
+	used := scheduling.Resources{}
 	for _, c := range h.Usages {
 		used = used.Plus(c.Size)
 	}
 	return used
 }
 
-// LeastUsed is the ordinary host that is used least, of those that hold no more
+// LeastUsedMachine is the ordinary host that is used least, of those that hold no more
 // than the given CPUs and nothing of level or above; nil if there is none.
-func LeastUsed(hosts []*MachineSummary, cpus int64, level int, can func(*MachineSummary) bool) *MachineSummary {
+func LeastUsedMachine(hosts []*MachineSummary, cpus int64, level int, can MachineFilter) *MachineSummary {
 	var best *MachineSummary
 	bestUsed := int64(0)
 	for _, h := range hosts {
--- a/internal/scheduling/cell.go
+++ b/internal/scheduling/cell.go
@@ -86,7 +86,7 @@
 }
 
 // Task names a task by dense indices: its placement record and its number.
-type Task struct{ Group, Num int32 }
+type Task struct{ Group, Number int32 }
 
 // Claim says on whose behalf cells are claimed.
 type Claim struct {
@@ -172,9 +172,9 @@
 	return x
 }
 
-// DropMachine forgets a machine. Reservations on it are cancelled; it must
+// RemoveMachine forgets a machine. Reservations on it are cancelled; it must
 // hold no used cell any more.
-func (p *Partition) DropMachine(m int32) {
+func (p *Partition) RemoveMachine(m int32) {
 	x := p.machines[m]
 	if x == nil {
 		return
@@ -502,8 +502,8 @@
 	return w
 }
 
-// Check verifies the invariants; tests call it after every event.
-func (p *Partition) Check() error {
+// CheckInvariants verifies the invariants; tests call it after every event.
+func (p *Partition) CheckInvariants() error {
 	owned := map[Task]int{}
 	for m, x := range p.machines {
 		free := x.size
--- a/internal/scheduling/cell_test.go
+++ b/internal/scheduling/cell_test.go
@@ -74,15 +74,15 @@
 						p.Release(x)
 					}
 				}
-				p.DropMachine(m)
+				p.RemoveMachine(m)
 				p.SetMachine(m, NewResources(8, 0, 16))
 			},
 			"": func(t *rapid.T) {
-				if err := p.Check(); err != nil {
+				if err := p.CheckInvariants(); err != nil {
 					t.Fatal(err)
 				}
 				for m, x := range p.machines {
-					if x.free != x.free.positive() {
+					if !x.free.Contains(Resources{}) {
 						t.Fatalf("machine %d is over-committed: %v", m, x.free)
 					}
 				}
@@ -194,7 +194,7 @@
 		for m := range int32(3) {
 			again.SetMachine(m, NewResources(8, 0, 16))
 		}
-		if err := again.Check(); err != nil {
+		if err := again.CheckInvariants(); err != nil {
 			t.Fatal(err)
 		}
 		if len(again.Tasks()) != len(p.Tasks()) {
