--- a/cmd/eiderhitch/upgrade_test.go
+++ b/cmd/eiderhitch/upgrade_test.go
@@ -77,7 +77,7 @@
 
 func (s *stateService) put(key string, raw []byte) {
 	s.t.Helper()
-	if _, err := s.client.Txn(s.t.Context(), &wire.Txn{Then: []wire.Change{{Put: key, Value: raw}}}); err != nil {
+	if _, err := s.client.Txn(s.t.Context(), &wire.Txn{Changes: []wire.Change{{Put: key, Value: raw}}}); err != nil {
 		s.t.Fatal(err)
 	}
 }
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -110,8 +110,8 @@
 	var ans *wire.TxnResponse
 	if err == nil {
 		ans, err = c.stateClient.Txn(c.ctx, &wire.Txn{
-			If:   []wire.Condition{{Key: key, Revision: expect}},
-			Then: []wire.Change{{Put: key, Value: c.holderValue(), Lease: lease}},
+			Conditions: []wire.Condition{{Key: key, Revision: expect}},
+			Changes:    []wire.Change{{Put: key, Value: c.holderValue(), Lease: lease}},
 		})
 		if err != nil {
 			// Perhaps it was applied: ending the lease takes the key along, and
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -122,7 +122,7 @@
 	for i, t := range m.busyTime {
 		args = append(args, activityNames[i]+"_ms", t.Milliseconds())
 	}
-	args = append(args, "state_watches", state.Watches, "state_txns", state.Txns, "state_changes", state.Changes, "state_taken", state.Taken,
+	args = append(args, "state_watches", state.Watches, "state_txns", state.Txns, "state_changes", state.Changes, "state_taken", state.Applied,
 		"state_renewals", state.Renewals, "state_refused", state.Refused, "state_conflicts", state.Conflicts)
 	args = append(args, "lag_ms", m.maxLag.Milliseconds())
 	args = append(args, m.usage.logAttributes()...)
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -184,7 +184,7 @@
 	txn := rollout.Txn(l.state, step, next, view, rollout.Versions{State: l.version, Leader: c.leadership.token})
 	l.writing = true
 	c.log.Info("feature level step", "step", step, "from", l.state.Level, "phase", l.state.Phase)
-	c.submitWrite(&store.Write{Prompt: true, Contested: true, Conditions: txn.If, Changes: txn.Then}, func(err error) {
+	c.submitWrite(&store.Write{Prompt: true, Contested: true, Conditions: txn.Conditions, Changes: txn.Changes}, func(err error) {
 		if err == nil {
 			l.writing = false
 			return
--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -152,7 +152,7 @@
 	}
 	c.foreign[key] = true
 	put := func(raw []byte) {
-		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Then: []wire.Change{{Put: key, Value: raw}}}); err != nil {
+		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Put: key, Value: raw}}}); err != nil {
 			c.t.Fatal(err)
 		}
 	}
@@ -209,7 +209,7 @@
 		// Of a job that is not known: nobody rewrites it.
 		key := groupKey("wk-99", 0)
 		left := (&record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 1}}}).Encode(record.Checksummed).At(key)
-		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Then: []wire.Change{{Put: key, Value: left}}}); err != nil {
+		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Put: key, Value: left}}}); err != nil {
 			t.Fatal(err)
 		}
 		c.wish(rollout.WishAbort)
@@ -222,7 +222,7 @@
 		if err != nil || len(status.Blockers) != 1 || status.Blockers[0].Kind != rollout.BlockRecords || status.Records["form 2"] != 1 {
 			t.Errorf("status %+v, %v", status, err)
 		}
-		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Then: []wire.Change{{Delete: key}}}); err != nil {
+		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Delete: key}}}); err != nil {
 			t.Fatal(err)
 		}
 		c.awaitLevel(1, rollout.Stable, 20*time.Second)
@@ -238,15 +238,15 @@
 		left := (&record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 1}}}).Encode(record.Checksummed).At(key)
 		// It is stored together with the change that closes the keys.
 		c.world.State.Before(func(t *wire.Txn) {
-			for _, change := range t.Then {
+			for _, change := range t.Changes {
 				if s, err := rollout.DecodeState(change.Value); change.Put == rollout.StateKey && err == nil && s.Phase == rollout.Closed && s.Epoch == 1 {
-					t.Then = append(t.Then, wire.Change{Put: key, Value: left})
+					t.Changes = append(t.Changes, wire.Change{Put: key, Value: left})
 				}
 			}
 		})
 		c.wish(rollout.WishAbort)
 		c.await("the way back goes on in a new epoch", 30*time.Second, func() bool { s := c.level(); return s.Phase == rollout.Reverting && s.Epoch == 2 })
-		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Then: []wire.Change{{Delete: key}}}); err != nil {
+		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Delete: key}}}); err != nil {
 			t.Fatal(err)
 		}
 		c.awaitLevel(1, rollout.Stable, 20*time.Second)
@@ -318,7 +318,7 @@
 	inUpgrade(t, func(c *cluster) {
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
 		put := func(raw string) {
-			if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Then: []wire.Change{{Put: rollout.StateKey, Value: json.RawMessage(raw)}}}); err != nil {
+			if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Put: rollout.StateKey, Value: json.RawMessage(raw)}}}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/rollout/operator.go
+++ b/internal/rollout/operator.go
@@ -160,8 +160,8 @@
 	next := state
 	next.Wish = wish
 	_, err = o.Store.Txn(ctx, &wire.Txn{
-		If:   []wire.Condition{{Key: StateKey, Revision: version}},
-		Then: []wire.Change{{Put: StateKey, Value: next.Encode()}},
+		Conditions: []wire.Condition{{Key: StateKey, Revision: version}},
+		Changes:    []wire.Change{{Put: StateKey, Value: next.Encode()}},
 	})
 	if errors.Is(err, store.ErrOutcomeUnknown) {
 		// Perhaps it was applied: what is stored now tells.
--- a/internal/rollout/registrar.go
+++ b/internal/rollout/registrar.go
@@ -71,8 +71,8 @@
 	c := r.Controller
 	c.StartedAt = time.Now().UnixMilli()
 	_, err = r.Store.Txn(ctx, &wire.Txn{
-		If:   []wire.Condition{{Key: key, Revision: version}},
-		Then: []wire.Change{{Put: key, Value: c.Encode(), Lease: lease}},
+		Conditions: []wire.Condition{{Key: key, Revision: version}},
+		Changes:    []wire.Change{{Put: key, Value: c.Encode(), Lease: lease}},
 	})
 	if err != nil {
 		// Perhaps it was applied: ending the lease takes the record along.
--- a/internal/rollout/txn.go
+++ b/internal/rollout/txn.go
@@ -31,25 +31,25 @@
 // decision rests on: the leader's term, the state, or, for a level to come, the record
 // of any controller, so that a restart voids it.
 func Txn(s State, step Step, next State, v View, at Versions) *wire.Txn {
-	t := &wire.Txn{If: []wire.Condition{{Key: StateKey, Revision: at.State}}}
+	t := &wire.Txn{Conditions: []wire.Condition{{Key: StateKey, Revision: at.State}}}
 	if s.Phase != Closed {
-		t.If = append(t.If, wire.Condition{Key: s.Keys().Leader(), Revision: at.Leader})
+		t.Conditions = append(t.Conditions, wire.Condition{Key: s.Keys().Leader(), Revision: at.Leader})
 	}
 	if step == Activate || step == Finalize {
 		for _, name := range v.Members {
-			t.If = append(t.If, wire.Condition{Key: ControllerKey(name), Revision: v.Controllers[name].Revision})
+			t.Conditions = append(t.Conditions, wire.Condition{Key: ControllerKey(name), Revision: v.Controllers[name].Revision})
 		}
 	}
-	t.Then = append(t.Then, wire.Change{Put: StateKey, Value: next.Encode()})
+	t.Changes = append(t.Changes, wire.Change{Put: StateKey, Value: next.Encode()})
 	switch step {
 	case Finalize, Close:
 		for _, key := range s.Keys().all(v.Partitions) {
-			t.Then = append(t.Then, wire.Change{Put: key, Value: closedValue(max(s.Level, next.Level))})
+			t.Changes = append(t.Changes, wire.Change{Put: key, Value: closedValue(max(s.Level, next.Level))})
 		}
 	case Open:
 		if next.Level == BaseLevel {
 			for _, key := range baseKeys.all(v.Partitions) {
-				t.Then = append(t.Then, wire.Change{Delete: key})
+				t.Changes = append(t.Changes, wire.Change{Delete: key})
 			}
 		}
 	}
--- a/internal/rollout/txn_test.go
+++ b/internal/rollout/txn_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ans, err := c.Txn(t.Context(), &wire.Txn{Then: []wire.Change{{Put: key, Value: raw}}})
+	ans, err := c.Txn(t.Context(), &wire.Txn{Changes: []wire.Change{{Put: key, Value: raw}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -258,8 +258,8 @@
 	if s.before != nil {
 		s.before(&t)
 	}
-	tooMuch := len(t.Then) > s.MaxOps || len(t.If) > 4*s.MaxOps || len(body) > 64<<10
-	for _, c := range t.Then {
+	tooMuch := len(t.Changes) > s.MaxOps || len(t.Conditions) > 4*s.MaxOps || len(body) > 64<<10
+	for _, c := range t.Changes {
 		tooMuch = tooMuch || len(c.Value) > s.MaxValue
 	}
 	if tooMuch {
@@ -267,19 +267,19 @@
 		reply(w, http.StatusBadRequest, struct{}{})
 		return
 	}
-	s.Largest = max(s.Largest, len(t.Then))
-	if !s.admit(len(t.Then)) {
+	s.Largest = max(s.Largest, len(t.Changes))
+	if !s.admit(len(t.Changes)) {
 		reply(w, http.StatusTooManyRequests, struct{}{})
 		return
 	}
-	for _, c := range t.Then {
+	for _, c := range t.Changes {
 		if c.Lease != 0 && s.leases[c.Lease] == nil {
 			reply(w, http.StatusBadRequest, map[string]string{"error": "no such lease"})
 			return
 		}
 	}
 	ans := wire.TxnResponse{Revision: s.rev}
-	for _, c := range t.If {
+	for _, c := range t.Conditions {
 		if s.keys[c.Key].stamp != c.Revision {
 			ans.Failed = append(ans.Failed, c.Key)
 		}
@@ -288,10 +288,10 @@
 		reply(w, http.StatusConflict, ans)
 		return
 	}
-	if len(t.Then) > 0 {
+	if len(t.Changes) > 0 {
 		s.rev++
 	}
-	for _, c := range t.Then {
+	for _, c := range t.Changes {
 		if c.Delete != "" {
 			if _, ok := s.keys[c.Delete]; ok {
 				delete(s.keys, c.Delete)
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -32,11 +32,11 @@
 	base string
 	http *http.Client
 
-	watches, txns, changes, taken, renewals, refused, conflicts atomic.Int64
+	watches, txns, changes, applied, renewals, refused, conflicts atomic.Int64
 }
 
 // Stats are numbers of calls, and of changes in transactions, since the last Stats.
-type Stats struct{ Watches, Txns, Changes, Taken, Renewals, Refused, Conflicts int64 }
+type Stats struct{ Watches, Txns, Changes, Applied, Renewals, Refused, Conflicts int64 }
 
 // Stats returns the numbers since its last call and resets them.
 func (c *Client) Stats() Stats {
@@ -44,7 +44,7 @@
 		Watches:   c.watches.Swap(0),
 		Txns:      c.txns.Swap(0),
 		Changes:   c.changes.Swap(0),
-		Taken:     c.taken.Swap(0),
+		Applied:   c.applied.Swap(0),
 		Renewals:  c.renewals.Swap(0),
 		Refused:   c.refused.Swap(0),
 		Conflicts: c.conflicts.Swap(0),
@@ -127,10 +127,10 @@
 // Txn executes one transaction. On ErrConflict, and then alone, a response comes with the
 // error: it names the keys whose conditions failed.
 func (c *Client) Txn(ctx context.Context, txn *wire.Txn) (*wire.TxnResponse, error) {
-	if txn.If == nil {
-		txn.If = []wire.Condition{}
+	if txn.Conditions == nil {
+		txn.Conditions = []wire.Condition{}
 	}
-	changes := int64(len(txn.Then))
+	changes := int64(len(txn.Changes))
 	c.txns.Add(1)
 	c.changes.Add(changes)
 	var response wire.TxnResponse
@@ -138,7 +138,7 @@
 		statusErrors: map[int]error{http.StatusConflict: ErrConflict}}, &response)
 	switch {
 	case err == nil:
-		c.taken.Add(changes)
+		c.applied.Add(changes)
 		return &response, nil
 	case errors.Is(err, ErrConflict):
 		c.conflicts.Add(1)
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -42,7 +42,7 @@
 	call       func(context.Context, *store.Client) error
 }{
 	{"txn", `POST http://kv:1/txn {"if":[],"then":[{"write":"a/b","v":1,"mooring":7}]}`, func(ctx context.Context, c *store.Client) error {
-		_, err := c.Txn(ctx, &wire.Txn{Then: []wire.Change{{Put: "a/b", Value: json.RawMessage("1"), Lease: 7}}})
+		_, err := c.Txn(ctx, &wire.Txn{Changes: []wire.Change{{Put: "a/b", Value: json.RawMessage("1"), Lease: 7}}})
 		return err
 	}},
 	{"list", `GET http://kv:1/kv?most=400&starts=c%2F`, func(ctx context.Context, c *store.Client) error {
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -58,7 +58,7 @@
 	txn := transactionOf(c.pending)
 	// Users' writes don't queue behind those of records for the local rate limit: they
 	// are few, and after an outage there are seconds' worth of records.
-	if err := c.writer.rate.wait(ctx, len(txn.Then), c.pending[0].immediate()); err != nil {
+	if err := c.writer.rate.wait(ctx, len(txn.Changes), c.pending[0].immediate()); err != nil {
 		c.resolveAll(0, ErrOutcomeUnknown)
 		return
 	}
@@ -87,10 +87,10 @@
 		for _, condition := range write.Conditions {
 			if !known[condition] {
 				known[condition] = true
-				txn.If = append(txn.If, condition)
+				txn.Conditions = append(txn.Conditions, condition)
 			}
 		}
-		txn.Then = append(txn.Then, write.Changes...)
+		txn.Changes = append(txn.Changes, write.Changes...)
 	}
 	return txn
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -358,8 +358,8 @@
 
 // Txn is a transaction.
 type Txn struct {
-	If   []Condition `json:"if"`
-	Then []Change    `json:"then,omitempty"`
+	Conditions []Condition `json:"if"`
+	Changes    []Change    `json:"then,omitempty"`
 }
 
 // TxnResponse is its answer.
