--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-// Tests of what reading the code for the meetings brought up (docs/meetings.md).
+// Tests of what reading the code for the fault combinations brought up (docs/fault-combinations.md).
 
 // A samePlace job whose zone has lost all its machines goes to one that has room, once
 // all its tasks are proven gone; before, it waited for the first zone for ever.
--- a/internal/controller/rows_test.go
+++ b/internal/controller/rows_test.go
@@ -11,7 +11,7 @@
 )
 
 // The meetings that the users have seen rules broken in, as schedules of faults; see
-// docs/meetings.md for the lines of the code that each is about.
+// docs/fault-combinations.md for the lines of the code that each is about.
 func TestMeetings(t *testing.T) {
 	t.Parallel()
 	const on = 0.0 // seconds at which long faults begin
