--- /dev/null
+++ b/internal/wire/cloud.go
@@ -0,0 +1,51 @@
+package wire
+
+// MachineType is one type of machine on offer.
+type MachineType struct {
+	Name      string   `json:"label"`
+	CPUs      float64  `json:"cpus"`
+	GPUs      float64  `json:"cards"`
+	RAM       float64  `json:"ramGb"`
+	CacheGB   float64  `json:"cacheGb"`
+	FetchGBPS float64  `json:"pullGbPerS"`
+	Price     float64  `json:"price"`
+	SpotPrice float64  `json:"spotPrice"`
+	BootS     float64  `json:"startupS"`
+	Zones     []string `json:"shores"`
+}
+
+// MachineTypes is the list of types.
+type MachineTypes struct {
+	Types []MachineType `json:"hulls"`
+}
+
+// LaunchRequest asks the cloud for machines.
+type LaunchRequest struct {
+	Request string `json:"charter"`
+	Type    string `json:"hull"`
+	Zone    string `json:"shore"`
+	Spot    bool   `json:"driftwood"`
+	Count   int    `json:"howMany"`
+}
+
+// MachineNames lists machines by name.
+type MachineNames struct {
+	Machines []string `json:"perches"`
+}
+
+// Instance is one machine in the cloud's list.
+type Instance struct {
+	Name  string  `json:"nameId"`
+	Addr  string  `json:"addr"`
+	Type  string  `json:"hull"`
+	Zone  string  `json:"shore"`
+	Spot  bool    `json:"driftwood"`
+	State string  `json:"tide"`
+	AgeS  float64 `json:"heldS"`
+}
+
+// InstanceList is one page of the cloud's list.
+type InstanceList struct {
+	Machines []Instance `json:"perches"`
+	More     bool       `json:"truncated"`
+}
