--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -1,27 +1,27 @@
 package wire
 
-// MachineType is one type of machine on offer.
+// MachineType is one type of machine on offer. Prices are per hour.
 type MachineType struct {
 	Name      string   `json:"label"`
 	CPUs      float64  `json:"cpus"`
 	GPUs      float64  `json:"cards"`
-	RAM       float64  `json:"ramGb"`
-	CacheGB   float64  `json:"cacheGb"`
-	FetchGBPS float64  `json:"pullGbPerS"`
+	RAM       float64  `json:"ramGb"`      // GB
+	CacheGB   float64  `json:"cacheGb"`    // image cache
+	FetchGBPS float64  `json:"pullGbPerS"` // GB a second, of an image
 	Price     float64  `json:"price"`
 	SpotPrice float64  `json:"spotPrice"`
-	BootS     float64  `json:"startupS"`
+	BootS     float64  `json:"startupS"` // nominal boot time in seconds
 	Zones     []string `json:"shores"`
 }
 
-// MachineTypes is the list of types.
+// MachineTypes lists the types on offer.
 type MachineTypes struct {
 	Types []MachineType `json:"hulls"`
 }
 
 // LaunchRequest asks the cloud for machines.
 type LaunchRequest struct {
-	Request string `json:"charter"`
+	Request string `json:"charter"` // idempotency key, never reused for another request
 	Type    string `json:"hull"`
 	Zone    string `json:"shore"`
 	Spot    bool   `json:"driftwood"`
@@ -41,7 +41,7 @@
 	Zone  string  `json:"shore"`
 	Spot  bool    `json:"driftwood"`
 	State string  `json:"tide"`
-	AgeS  float64 `json:"heldS"`
+	AgeS  float64 `json:"heldS"` // seconds since it was requested
 }
 
 // InstanceList is one page of the cloud's list.
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,3 +1,41 @@
-// Package wire holds the JSON messages of the protocols, in the protocols' own
-// words. It is strict about what is valid and ignores fields it does not know.
+// Package wire has the JSON messages between users, controllers, workers, the cloud and the
+// key-value store. It validates what users and workers send, and ignores unknown fields.
+//
+// The protocols have words of their own. They stand in this package's JSON tags and string
+// constants alone; the rest of the program uses the field's terms:
+//
+//	protocol                  here
+//	baton                     fencing token
+//	batch, daemon (shape)     job array, service
+//	call, calls               operation, commands
+//	cards                     GPUs
+//	cause                     exit reason
+//	charter                   idempotency key of a launch request
+//	crew                      team
+//	driftwood                 spot instance
+//	egg, eggs                 task, tasks
+//	ended, flushing, halted   exited, saving a checkpoint, stopped
+//	flock                     class of jobs
+//	harbour                   controller to report to
+//	heldS                     age
+//	hull                      machine type
+//	kept                      checkpoint saved
+//	launch                    attempt
+//	logmark, stamp            revision of the store, of a key
+//	mooring, lifeMs           lease, its time to live
+//	moultS, stowS             checkpoint interval, time to save one
+//	perch                     machine
+//	plumage                   image
+//	rank                      priority
+//	reap                      forget an exited task
+//	reckonS, dueS             estimated run time, deadline
+//	report                    heartbeat
+//	samePlace, shore          single zone, zone
+//	slackS                    grace period
+//	state service             key-value store
+//	tide                      state
+//	warningS                  termination notice
+//	watch, tally              agent incarnation, heartbeat sequence number (of a worker)
+//	withdrawn                 cancelled
+//	write, drop, news         put, delete, events
 package wire
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"reflect"
 	"strings"
 	"testing"
@@ -108,6 +109,8 @@
 	} {
 		if _, err := ParseJob([]byte(strings.Replace(submission, x.from, x.to, 1))); err == nil || err.Error() != x.text {
 			t.Errorf("%s: %v, not %s", x.to, err, x.text)
+		} else if field, ok := errors.AsType[*FieldError](err); !ok || !strings.HasPrefix(x.text, field.Field+": ") {
+			t.Errorf("%s: %T names no field", x.to, err)
 		}
 	}
 	for body, text := range map[string]string{
--- /dev/null
+++ b/internal/wire/parse_job.go
@@ -0,0 +1,242 @@
+package wire
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"strings"
+)
+
+const (
+	// maxAmount bounds every amount, so that sums of them stay exact.
+	maxAmount = 1e9
+	// maxName is how many bytes a name may have.
+	maxName = 200
+	// maxMachineTypes is how many machine types a job may allow by name.
+	maxMachineTypes = 32
+	// maxLeadingSpace is how many bytes may stand before the body's opening brace.
+	maxLeadingSpace = 63
+)
+
+// bodyField is the Field of errors about a message as a whole.
+const bodyField = "body"
+
+// FieldError says which field of a submission is refused, and why. Its text is answered to
+// users.
+type FieldError struct {
+	Field string // the field's name in the protocol
+	Err   error
+}
+
+// Error names the field and the reason.
+func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
+
+// Unwrap returns the reason.
+func (e *FieldError) Unwrap() error { return e.Err }
+
+// fieldErrorf returns a FieldError with a formatted reason.
+func fieldErrorf(field, format string, args ...any) error {
+	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
+}
+
+// errMissing is the reason when a required field is missing or null.
+var errMissing = errors.New("missing")
+
+// priorities are the priorities by the protocol's names.
+var priorities = map[string]int{"low": 0, "normal": 1, "urgent": 2, "production": 3}
+
+// jobBody is a submission as it comes; nil: the field is missing or null. Users see this
+// type's name in the texts of encoding/json.
+type jobBody struct {
+	ID        *string  `json:"nameId"`
+	Class     *string  `json:"flock"`
+	Team      *string  `json:"crew"`
+	Kind      *string  `json:"shape"`
+	Priority  *string  `json:"rank"`
+	Tasks     *float64 `json:"eggs"`
+	CPUs      *float64 `json:"cpus"`
+	GPUs      *float64 `json:"cards"`
+	RAM       *float64 `json:"ramGb"`
+	Image     *string  `json:"plumage"`
+	ImageGB   *float64 `json:"imageGb"`
+	Types     []string `json:"hulls"`
+	Zone      *string  `json:"shore"`
+	OneZone   *bool    `json:"samePlace"`
+	Spread    *bool    `json:"spread"`
+	Spot      *bool    `json:"driftwood"`
+	EstimateS *float64 `json:"reckonS"`
+	CheckS    *float64 `json:"moultS"`
+	SaveS     *float64 `json:"stowS"`
+	DeadlineS *float64 `json:"dueS"`
+}
+
+// ParseJob decodes and validates a submission. Every error is a FieldError of the first
+// field that is invalid, and means status 400.
+func ParseJob(body []byte) (*Job, error) {
+	b, err := decodeJobBody(body)
+	if err != nil {
+		return nil, err
+	}
+	job := &Job{}
+	for _, parse := range []func(*Job) error{
+		b.parseNames, b.parseKind, b.parsePriority, b.parseTasks, b.parseAmounts, b.parseMachineTypes, b.parseZone, b.parseFlags,
+	} {
+		if err := parse(job); err != nil {
+			return nil, err
+		}
+	}
+	return job, nil
+}
+
+// decodeJobBody decodes a submission without looking at its values.
+func decodeJobBody(body []byte) (*jobBody, error) {
+	start := string(body[:min(len(body), maxLeadingSpace+1)])
+	if !strings.HasPrefix(strings.TrimLeft(start, " \t\r\n"), "{") {
+		return nil, fieldErrorf(bodyField, "not a JSON object")
+	}
+	b := &jobBody{}
+	if err := json.Unmarshal(body, b); err != nil {
+		return nil, &FieldError{Field: bodyField, Err: err}
+	}
+	return b, nil
+}
+
+func (b *jobBody) parseNames(job *Job) error {
+	for _, field := range []struct {
+		name string
+		from *string
+		to   *string
+	}{
+		{"nameId", b.ID, &job.ID},
+		{"flock", b.Class, &job.Class},
+		{"crew", b.Team, &job.Team},
+		{"plumage", b.Image, &job.Image},
+	} {
+		if field.from == nil {
+			return &FieldError{Field: field.name, Err: errMissing}
+		}
+		if !validName(*field.from) {
+			return fieldErrorf(field.name, "must have 1 to %d bytes", maxName)
+		}
+		*field.to = *field.from
+	}
+	if !ValidID(job.ID) {
+		return fieldErrorf("nameId", "%q is not of the form wk-000000", job.ID)
+	}
+	return nil
+}
+
+func validName(name string) bool { return name != "" && len(name) <= maxName }
+
+func (b *jobBody) parseKind(job *Job) error {
+	if b.Kind == nil {
+		return fieldErrorf("shape", "missing or unknown")
+	}
+	switch *b.Kind {
+	case Array:
+	case Service:
+		job.Service = true
+	case Gang:
+		job.Gang = true
+	default:
+		return fieldErrorf("shape", "missing or unknown")
+	}
+	return nil
+}
+
+func (b *jobBody) parsePriority(job *Job) error {
+	if b.Priority == nil {
+		return &FieldError{Field: "rank", Err: errMissing}
+	}
+	priority, known := priorities[*b.Priority]
+	if !known {
+		return fieldErrorf("rank", "unknown")
+	}
+	job.Priority = priority
+	return nil
+}
+
+func (b *jobBody) parseTasks(job *Job) error {
+	if b.Tasks == nil || *b.Tasks != math.Trunc(*b.Tasks) || *b.Tasks < 1 || *b.Tasks > MaxTasks {
+		return fieldErrorf("eggs", "must be an integer from 1 to %d", MaxTasks)
+	}
+	job.Tasks = int(*b.Tasks)
+	return nil
+}
+
+func (b *jobBody) parseAmounts(job *Job) error {
+	deadline := b.DeadlineS
+	if deadline == nil {
+		job.NoDeadline = true
+		deadline = new(float64)
+	}
+	for _, field := range []struct {
+		name string
+		from *float64
+		to   *float64
+	}{
+		{"cpus", b.CPUs, &job.CPUs},
+		{"cards", b.GPUs, &job.GPUs},
+		{"ramGb", b.RAM, &job.RAM},
+		{"imageGb", b.ImageGB, &job.ImageGB},
+		{"reckonS", b.EstimateS, &job.EstimateS},
+		{"moultS", b.CheckS, &job.CheckpointS},
+		{"stowS", b.SaveS, &job.SaveS},
+		{"dueS", deadline, &job.DeadlineS},
+	} {
+		if field.from == nil {
+			return &FieldError{Field: field.name, Err: errMissing}
+		}
+		if !(*field.from >= 0 && *field.from <= maxAmount) {
+			return fieldErrorf(field.name, "must be between 0 and %g", maxAmount)
+		}
+		*field.to = *field.from
+	}
+	return nil
+}
+
+func (b *jobBody) parseMachineTypes(job *Job) error {
+	if len(b.Types) > maxMachineTypes {
+		return fieldErrorf("hulls", "more than %d", maxMachineTypes)
+	}
+	for _, name := range b.Types {
+		if !validName(name) {
+			return fieldErrorf("hulls", "names must have 1 to %d bytes", maxName)
+		}
+	}
+	if b.Types != nil && len(b.Types) == 0 {
+		return fieldErrorf("hulls", "an empty list allows no type")
+	}
+	job.MachineTypes = b.Types
+	return nil
+}
+
+func (b *jobBody) parseZone(job *Job) error {
+	if b.Zone == nil {
+		return nil
+	}
+	if !validName(*b.Zone) {
+		return fieldErrorf("shore", "must have 1 to %d bytes", maxName)
+	}
+	job.Zone = *b.Zone
+	return nil
+}
+
+func (b *jobBody) parseFlags(job *Job) error {
+	for _, field := range []struct {
+		name string
+		from *bool
+		to   *bool
+	}{
+		{"samePlace", b.OneZone, &job.SingleZone},
+		{"spread", b.Spread, &job.Spread},
+		{"driftwood", b.Spot, &job.Spot},
+	} {
+		if field.from == nil {
+			return &FieldError{Field: field.name, Err: errMissing}
+		}
+		*field.to = *field.from
+	}
+	return nil
+}
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -5,15 +5,7 @@
 	"fmt"
 )
 
-// JobState answers a user.
-type JobState struct {
-	ID      string `json:"nameId"`
-	State   string `json:"tide"`
-	Done    *int   `json:"done,omitempty"`
-	Running *int   `json:"running,omitempty"`
-}
-
-// TaskStatus is one task in a worker's report.
+// TaskStatus is one task in a worker's heartbeat.
 type TaskStatus struct {
 	Task    string `json:"egg"`
 	Attempt uint64 `json:"launch"`
@@ -22,52 +14,56 @@
 	Saved   bool   `json:"kept"`
 }
 
-// Heartbeat is a worker's report, or the body of its answer to a command.
+// Heartbeat is a worker's periodic report, or its answer to a command. The one with the
+// larger (Incarnation, Sequence) is the newer one.
 type Heartbeat struct {
 	Machine     string       `json:"perch"`
 	Addr        string       `json:"addr"`
 	Type        string       `json:"hull"`
 	Zone        string       `json:"shore"`
 	Spot        bool         `json:"driftwood"`
-	Incarnation uint64       `json:"watch"`
+	Incarnation uint64       `json:"watch"` // increases when the worker's lease expires
 	Sequence    uint64       `json:"tally"`
-	Token       uint64       `json:"baton"`
-	NoticeS     *float64     `json:"warningS"`
-	Tasks       []TaskStatus `json:"eggs"`
+	Token       uint64       `json:"baton"`    // highest fencing token that the worker has seen
+	NoticeS     *float64     `json:"warningS"` // seconds until the cloud takes the machine; nil: no notice
+	Tasks       []TaskStatus `json:"eggs"`     // exited tasks included, until they are forgotten
 }
 
-// ParseHeartbeat decodes and checks a report.
+// ParseHeartbeat decodes and validates a heartbeat. Its errors mean status 400.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
-	var r Heartbeat
-	if err := Decode(body, &r); err != nil {
+	heartbeat := &Heartbeat{}
+	if err := Decode(body, heartbeat); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
-	if r.Machine == "" || r.Incarnation == 0 {
+	if heartbeat.Machine == "" || heartbeat.Incarnation == 0 {
 		return nil, errors.New("report: machine or session is missing")
 	}
-	return &r, nil
+	return heartbeat, nil
 }
 
-// Command is one command to a worker.
+// Command is one command to a worker. Workers execute them in order.
 type Command struct {
-	Op      string   `json:"call"`
-	Task    string   `json:"egg"`
-	Attempt uint64   `json:"launch"`
-	GraceS  *float64 `json:"slackS,omitempty"`
+	Op      Operation `json:"call"`
+	Task    string    `json:"egg"`
+	Attempt uint64    `json:"launch"`
+	// GraceS is how many seconds a task that is stopped has to save its progress.
+	GraceS *float64 `json:"slackS,omitempty"`
 }
 
-// HeartbeatResponse is the answer to a report.
+// HeartbeatResponse is the answer to a heartbeat. A worker drops one with a lower fencing
+// token than the highest that it has seen.
 type HeartbeatResponse struct {
 	Token    uint64    `json:"baton"`
 	Commands []Command `json:"calls"`
 }
 
-// Redirect names the node that a worker should report to.
+// Redirect names the controller that a worker should report to; "": any other one.
 type Redirect struct {
 	Node string `json:"harbour,omitempty"`
 }
 
-// CommandRequest is a request of commands sent straight to a worker.
+// CommandRequest sends commands straight to a worker. It executes none of them if the fencing
+// token is lower than the highest that it has seen, or the incarnation is another one.
 type CommandRequest struct {
 	Token       uint64    `json:"baton"`
 	Incarnation uint64    `json:"watch"`
