--- a/internal/controller/allocations_test.go
+++ b/internal/controller/allocations_test.go
@@ -123,7 +123,7 @@
 		c.awaitDone("wk-1", 10*time.Minute)
 		var all store.Stats
 		for _, n := range c.nodes {
-			s := n.brain.stateClient.Stats()
+			s := n.controller().stateClient.Stats()
 			all.Changes, all.Txns = all.Changes+s.Changes, all.Txns+s.Txns
 		}
 		if all.Changes > tasks/4 || all.Txns > tasks/4 {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -37,32 +37,53 @@
 	foreign map[string]bool
 	// boots are the ranges of the versions that processes were of, by what they drew.
 	boots map[string]rollout.Range
-	// onFrame is told of each frame between controllers; nil: nobody is.
-	onFrame func(from, to string, version peer.Version)
+	// frameObserver is called with each frame between controllers; nil: nobody is.
+	frameObserver atomic.Pointer[frameObserver]
 	// upgrades: the controllers take part in staged upgrades.
 	upgrades bool
 	// looks: until then users ask everywhere as soon as they were told something.
 	looks atomic.Pointer[time.Time]
 }
 
+// frameObserver is called with the sender, the receiver and the version of a frame.
+type frameObserver func(from, to string, version peer.Version)
+
+// node is a place at which controller processes run, one after the other. Its settings
+// and its version are those of its next process: the test that drives the cluster may
+// change them, since no process reads them once it has started.
 type node struct {
 	cfg *config.Platform
 	net *standin.Net
 	// op are the operators' settings; nil: the defaults.
-	op *config.Operator
-	// supported is the range of levels of the node's version; nil: the present one's.
-	supported *rollout.Range
-	// unaware: the node's version does not know levels.
-	unaware bool
-	brain   *controller
-	cancel  context.CancelFunc
-	wg      *sync.WaitGroup
+	op      *config.Operator
+	version softwareVersion
+	// process runs now; nil: none. Other nodes and clients read it at any time.
+	process atomic.Pointer[process]
 	meshCut atomic.Bool
 	deaf    atomic.Bool // to workers
 	shut    atomic.Bool // to users
-	mu      sync.Mutex
 }
 
+// process is one run of a controller on a node. Its fields are set before it is published
+// and never change: what sees the process sees the version that it is of.
+type process struct {
+	controller *controller
+	version    softwareVersion
+	cancel     context.CancelFunc
+	running    *sync.WaitGroup
+}
+
+// controller is the node's controller; nil: none runs.
+func (n *node) controller() *controller {
+	if p := n.process.Load(); p != nil {
+		return p.controller
+	}
+	return nil
+}
+
+// isRunning tells whether a process runs on the node.
+func (n *node) isRunning() bool { return n.process.Load() != nil }
+
 var testTypes = []wire.MachineType{
 	{Name: "small", CPUs: 4, RAM: 16, CacheGB: 20, FetchGBPS: 1, Price: 0.4, SpotPrice: 0.1, BootS: 5, Zones: []string{"a", "b"}},
 	{Name: "large", CPUs: 16, RAM: 64, CacheGB: 50, FetchGBPS: 1, Price: 1.2, SpotPrice: 0.3, BootS: 8, Zones: []string{"a"}},
@@ -140,7 +161,7 @@
 		s.Workers.GangWaitS, s.Workers.GangPeerS = w.GangWaitS, w.GangPeerS
 		s.State.RPS, s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps = 250, 60, 8, 32
 		s.Cloud.RPS, s.Cloud.ListLagS = 6, 3
-		c.nodes = append(c.nodes, &node{cfg: cfg, net: w.Net()})
+		c.nodes = append(c.nodes, &node{cfg: cfg, net: w.Net(), version: presentVersion})
 	}
 	w.SetLimit("red", 24)
 	return c
@@ -150,10 +171,10 @@
 // that holds one is a task of a record.
 func (c *cluster) checkClaims(i int) {
 	n := c.nodes[i]
-	if n.cancel == nil {
+	if !n.isRunning() {
 		return
 	}
-	ctl := n.brain
+	ctl := n.controller()
 	if !ctl.call(c.ctx, priorityState, func() {
 		for _, p := range ctl.partitions {
 			if p.token == 0 || !p.active {
@@ -180,7 +201,7 @@
 
 func (c *cluster) start(i int) {
 	n := c.nodes[i]
-	if n.cancel != nil {
+	if n.isRunning() {
 		return
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
@@ -189,38 +210,15 @@
 		out = os.Stderr
 	}
 	log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	ctl := newController(ctx, n.cfg, n.operator(), log, clients{state: n.stateTransport(), cloud: n.net, workers: n.net, jitter: func(most time.Duration) time.Duration {
+	cfg := *n.cfg // tests change the node's settings for its next process
+	ctl := newController(ctx, &cfg, n.operator(), log, clients{state: n.stateTransport(), cloud: n.net, workers: n.net, jitter: func(most time.Duration) time.Duration {
 		return time.Duration(standin.Draw(uint64(i), n.cfg.Name) * float64(most))
-	}, send: func(sibling string, frame []byte) {
-		for _, o := range c.nodes {
-			o.mu.Lock()
-			to, cut := o.brain, o.meshCut.Load() || n.meshCut.Load()
-			o.mu.Unlock()
-			if o.cfg.Name != sibling || to == nil || cut {
-				continue
-			}
-			if c.onFrame != nil {
-				c.onFrame(n.cfg.Name, sibling, peer.Version(frame[2]))
-			}
-			if o.unaware && peer.Version(frame[2]) != peer.Plain {
-				continue // refused by name
-			}
-			s, err := peer.ReadStatus(bytes.NewReader(frame))
-			if err != nil {
-				c.t.Error(err)
-				return
-			}
-			go to.enqueue(priorityWorkers, func() { to.handlePeerStatus(s) })
-		}
-	}})
-	if n.supported != nil {
-		ctl.rollout.supported = *n.supported
-	}
-	c.noteBoot(n, ctl)
-	n.mu.Lock()
-	n.brain, n.cancel, n.wg = ctl, cancel, &sync.WaitGroup{}
-	n.mu.Unlock()
-	ctl.start(n.wg)
+	}, send: func(sibling string, frame []byte) { c.sendFrame(n, sibling, frame) }})
+	ctl.rollout.supported = n.version.supported
+	p := &process{controller: ctl, version: n.version, cancel: cancel, running: &sync.WaitGroup{}}
+	c.noteProcess(p)
+	n.process.Store(p)
+	ctl.start(p.running)
 	h := api.Handler(ctl, api.Limits{Connections: 100, Requests: 50})
 	c.world.Serve(n.cfg.APIAddr, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if report := r.URL.Path == "/v1/report"; report && n.deaf.Load() || !report && n.shut.Load() {
@@ -231,18 +229,38 @@
 	}))
 }
 
+// sendFrame delivers a frame of a node's controller to the process that runs on another.
+func (c *cluster) sendFrame(from *node, to string, frame []byte) {
+	version := peer.Version(frame[2])
+	for _, n := range c.nodes {
+		receiver := n.process.Load()
+		if n.cfg.Name != to || receiver == nil || n.meshCut.Load() || from.meshCut.Load() {
+			continue
+		}
+		if observe := c.frameObserver.Load(); observe != nil {
+			(*observe)(from.cfg.Name, to, version)
+		}
+		if receiver.version.unaware && version != peer.Plain {
+			continue // refused by name
+		}
+		status, err := peer.ReadStatus(bytes.NewReader(frame))
+		if err != nil {
+			c.t.Errorf("frame from %s to %s: %v", from.cfg.Name, to, err)
+			return
+		}
+		go receiver.controller.enqueue(priorityWorkers, func() { receiver.controller.handlePeerStatus(status) })
+	}
+}
+
 func (c *cluster) kill(i int) {
 	n := c.nodes[i]
-	if n.cancel == nil {
+	if !n.isRunning() {
 		return
 	}
 	c.world.Serve(n.cfg.APIAddr, nil)
-	n.mu.Lock()
-	cancel, wg := n.cancel, n.wg
-	n.brain, n.cancel = nil, nil
-	n.mu.Unlock()
-	cancel()
-	wg.Wait()
+	p := n.process.Swap(nil)
+	p.cancel()
+	p.running.Wait()
 }
 
 // ask makes one call to a node and notes the answer for the rule checker.
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -61,8 +61,8 @@
 	var out []int
 	for i, n := range s.nodes {
 		leads := false
-		if who == leading && n.cancel != nil {
-			n.brain.call(s.ctx, priorityState, func() { leads = n.brain.isLeader() })
+		if who == leading && n.isRunning() {
+			n.controller().call(s.ctx, priorityState, func() { leads = n.controller().isLeader() })
 		}
 		if who == all || who == i || leads {
 			out = append(out, i)
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -21,11 +21,11 @@
 // boundTo counts the tasks that the records bind to a machine.
 func (c *cluster) boundTo(name string) int {
 	for _, n := range c.nodes {
-		if n.cancel == nil {
+		if !n.isRunning() {
 			continue
 		}
 		bound := -1
-		if n.brain.call(c.ctx, priorityState, func() { bound = len(n.brain.machineNamed(name).bindings) }) {
+		if n.controller().call(c.ctx, priorityState, func() { bound = len(n.controller().machineNamed(name).bindings) }) {
 			return bound
 		}
 	}
@@ -36,7 +36,7 @@
 // them.
 func (c *cluster) holdersOf() map[string]string {
 	out := map[string]string{}
-	ctl := c.nodes[0].brain
+	ctl := c.nodes[0].controller()
 	ctl.call(c.ctx, priorityState, func() {
 		for key, h := range ctl.holders {
 			out[key] = fmt.Sprint(h.Node, ctl.replica.Revision(key))
@@ -49,9 +49,9 @@
 func (c *cluster) dealtTo() int {
 	parts := map[int]bool{}
 	for _, n := range c.nodes {
-		n.brain.call(c.ctx, priorityState, func() {
-			if n.brain.isLeader() {
-				for _, summary := range n.brain.machineSummaries() {
+		n.controller().call(c.ctx, priorityState, func() {
+			if n.controller().isLeader() {
+				for _, summary := range n.controller().machineSummaries() {
 					parts[summary.Partition] = true
 				}
 			}
@@ -225,9 +225,9 @@
 		var lost *standin.Worker
 		for _, w := range c.world.Cloud.Workers() {
 			for _, n := range c.nodes {
-				n.brain.call(c.ctx, priorityState, func() {
-					m := n.brain.machineNamed(w.Name())
-					if p := n.brain.partitions[m.partition]; p.token != 0 && !n.brain.isLeader() && len(m.bindings) > 0 {
+				n.controller().call(c.ctx, priorityState, func() {
+					m := n.controller().machineNamed(w.Name())
+					if p := n.controller().partitions[m.partition]; p.token != 0 && !n.controller().isLeader() && len(m.bindings) > 0 {
 						lost = w
 					}
 				})
@@ -246,7 +246,7 @@
 		c.await("the service runs", 30*time.Second, func() bool { return c.world.Running("wk-8") == 2 })
 		c.awaitDone("wk-9", time.Minute)
 		for _, n := range c.nodes {
-			if !n.brain.Ready() {
+			if !n.controller().Ready() {
 				t.Error("a controller is not ready")
 			}
 		}
@@ -348,7 +348,7 @@
 				}
 				for i, n := range c.nodes {
 					leads := false
-					n.brain.call(c.ctx, priorityState, func() { leads = n.brain.isLeader() })
+					n.controller().call(c.ctx, priorityState, func() { leads = n.controller().isLeader() })
 					if leaderGone && leads {
 						c.kill(i)
 						c.start(i)
@@ -374,7 +374,7 @@
 	inWorld(t, func(c *cluster) {
 		time.Sleep(10 * time.Second)
 		terms := func(i int) (n int, sum uint64) {
-			ctl := c.nodes[i].brain
+			ctl := c.nodes[i].controller()
 			ctl.call(c.ctx, priorityState, func() {
 				for _, p := range ctl.partitions {
 					if p.token != 0 && p.active {
@@ -488,12 +488,12 @@
 		for i := range c.nodes {
 			c.start(i)
 		}
-		limit := c.nodes[0].brain.heartbeatOverdueAfter() + unansweredLimit*workerclient.PingTimeout + 2*time.Second
+		limit := c.nodes[0].controller().heartbeatOverdueAfter() + unansweredLimit*workerclient.PingTimeout + 2*time.Second
 		for until := time.Now().Add(limit); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
 			for _, n := range c.nodes {
-				n.brain.call(c.ctx, priorityState, func() {
-					if n.brain.isLeader() && len(n.brain.leadership.isolatedZones) > 0 {
-						t.Errorf("zones %v are taken to be cut off", n.brain.leadership.isolatedZones)
+				n.controller().call(c.ctx, priorityState, func() {
+					if n.controller().isLeader() && len(n.controller().leadership.isolatedZones) > 0 {
+						t.Errorf("zones %v are taken to be cut off", n.controller().leadership.isolatedZones)
 					}
 				})
 			}
--- a/internal/controller/gang_clauses_test.go
+++ b/internal/controller/gang_clauses_test.go
@@ -71,9 +71,9 @@
 // drain has a machine emptied, as one that seems to be sick is.
 func (c *cluster) drain(w *standin.Worker) {
 	for _, n := range c.nodes {
-		n.brain.call(c.ctx, priorityState, func() {
-			m := n.brain.machineNamed(w.Name())
-			m.cordoned, m.cordonedAt = true, n.brain.now
+		n.controller().call(c.ctx, priorityState, func() {
+			m := n.controller().machineNamed(w.Name())
+			m.cordoned, m.cordonedAt = true, n.controller().now
 		})
 	}
 }
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -22,11 +22,11 @@
 func (c *cluster) attemptsOf(id string) map[uint64]int {
 	out := map[uint64]int{}
 	for _, n := range c.nodes {
-		if n.cancel == nil {
+		if !n.isRunning() {
 			continue
 		}
-		n.brain.call(c.ctx, priorityState, func() {
-			if job := n.brain.jobs[id]; job != nil {
+		n.controller().call(c.ctx, priorityState, func() {
+			if job := n.controller().jobs[id]; job != nil {
 				for _, group := range job.groups {
 					for i := range group.bindings {
 						out[group.bindings[i].attempt]++
@@ -45,8 +45,8 @@
 	for _, w := range c.world.Cloud.Workers() {
 		for _, n := range c.nodes {
 			found := false
-			n.brain.call(c.ctx, priorityState, func() {
-				for _, x := range n.brain.machineNamed(w.Name()).bindings {
+			n.controller().call(c.ctx, priorityState, func() {
+				for _, x := range n.controller().machineNamed(w.Name()).bindings {
 					found = found || x.group.job.id == id
 				}
 			})
--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -30,8 +30,8 @@
 		c.await("the job runs", time.Minute, func() bool { return c.world.Running("wk-9") == 2 })
 		zone := map[string]bool{}
 		for _, n := range c.nodes {
-			n.brain.call(c.ctx, priorityState, func() {
-				for _, group := range n.brain.jobs["wk-9"].groups {
+			n.controller().call(c.ctx, priorityState, func() {
+				for _, group := range n.controller().jobs["wk-9"].groups {
 					zone[group.zone] = true
 				}
 			})
--- a/internal/controller/rollout_cluster_test.go
+++ b/internal/controller/rollout_cluster_test.go
@@ -18,7 +18,7 @@
 
 // operator are the operators' settings of a node.
 func (n *node) operator() *config.Operator {
-	if n.op == nil || n.unaware {
+	if n.op == nil || n.version.unaware {
 		return config.DefaultOperator()
 	}
 	return n.op
@@ -26,7 +26,7 @@
 
 // stateTransport is how a node reaches the state service.
 func (n *node) stateTransport() http.RoundTripper {
-	if n.unaware {
+	if n.version.unaware {
 		return unawareView{n.net}
 	}
 	return n.net
@@ -154,16 +154,35 @@
 	return out
 }
 
-// replace has a node end and come back as another version: nil is one without levels.
-func (c *cluster) replace(i int, version *rollout.Range) {
+// replace has a node's process end and one of another version start in its place.
+func (c *cluster) replace(i int, version softwareVersion) {
 	c.kill(i)
-	c.nodes[i].unaware, c.nodes[i].supported = version == nil, version
+	c.nodes[i].version = version
 	time.Sleep(time.Second)
 	c.start(i)
 }
 
-// baseOnly is the range of a version that knows levels, and the base one alone.
-var baseOnly = rollout.Range{Low: rollout.BaseLevel, High: rollout.BaseLevel}
+// softwareVersion is a version of the controller, by what it knows of feature levels.
+type softwareVersion struct {
+	supported rollout.Range
+	unaware   bool // it does not know levels: what it writes is of the base one
+}
+
+// The versions that take part in upgrades. One that does not know levels runs the present
+// code behind unawareView.
+var (
+	presentVersion   = softwareVersion{supported: rollout.Supported}
+	baseLevelVersion = softwareVersion{supported: rollout.Range{Low: rollout.BaseLevel, High: rollout.BaseLevel}}
+	unawareVersion   = softwareVersion{supported: rollout.Supported, unaware: true}
+)
+
+// reads is the range of levels whose records a version reads.
+func (v softwareVersion) reads() rollout.Range {
+	if v.unaware {
+		return baseLevelVersion.supported
+	}
+	return v.supported
+}
 
 // beginUpgradeFault has a fault begin that upgrades have: what an operator asks for, and
 // controllers that come back as another version and, at its end, as the present one.
@@ -177,9 +196,9 @@
 		go s.tryWish(rollout.WishFinalize)
 		go s.tryWish(rollout.WishAbort)
 	case "old comes":
-		return s.replaceFor(f.who, nil), true
+		return s.replaceFor(f.who, unawareVersion), true
 	case "base level comes":
-		return s.replaceFor(f.who, &baseOnly), true
+		return s.replaceFor(f.who, baseLevelVersion), true
 	default:
 		return nil, false
 	}
@@ -195,29 +214,26 @@
 }
 
 // replaceFor has controllers come back as another version until it is undone.
-func (s *scene) replaceFor(who int, version *rollout.Range) func() {
+func (s *scene) replaceFor(who int, version softwareVersion) func() {
 	nodes := s.nodesOf(who)
 	for _, i := range nodes {
 		s.replace(i, version)
 	}
 	return func() {
 		for _, i := range nodes {
-			s.replace(i, &rollout.Supported)
+			s.replace(i, presentVersion)
 		}
 	}
 }
 
-// noteBoot notes what a process reads, for levelHistory.
-func (c *cluster) noteBoot(n *node, ctl *controller) {
+// noteProcess notes what a process reads, for levelHistory.
+func (c *cluster) noteProcess(p *process) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.boots == nil {
 		c.boots = map[string]rollout.Range{}
 	}
-	c.boots[ctl.processID] = ctl.rollout.supported
-	if n.unaware {
-		c.boots[ctl.processID] = baseOnly
-	}
+	c.boots[p.controller.processID] = p.version.reads()
 }
 
 // levelHistory goes through all that was ever stored, in its order, and checks it against
--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -76,7 +76,7 @@
 func TestControllerOfALowerLevelIsKeptOut(t *testing.T) {
 	inUpgrade(t, func(c *cluster) {
 		c.final()
-		c.replace(0, &baseOnly)
+		c.replace(0, baseLevelVersion)
 		time.Sleep(5 * time.Second)
 		var calls atomic.Int64
 		c.nodes[0].net.Judge(func(r *http.Request) standin.Fate {
@@ -88,7 +88,7 @@
 		const watched = 20
 		for range watched {
 			time.Sleep(time.Second)
-			if c.nodes[0].brain.Ready() || c.holdsRight(0) {
+			if c.nodes[0].controller().Ready() || c.holdsRight(0) {
 				t.Fatal("it is ready, or holds a right")
 			}
 			if status, _ := c.ask(0, standin.Poll, "wk-1", nil, nil); status != http.StatusServiceUnavailable {
@@ -101,8 +101,8 @@
 		if n := c.world.Running("wk-1"); n != 3 {
 			t.Errorf("%d replicas run", n)
 		}
-		c.replace(0, &rollout.Supported)
-		c.await("it serves again", 20*time.Second, func() bool { return c.nodes[0].brain.Ready() && c.holdsRight(0) })
+		c.replace(0, presentVersion)
+		c.await("it serves again", 20*time.Second, func() bool { return c.nodes[0].controller().Ready() && c.holdsRight(0) })
 	})
 }
 
@@ -111,7 +111,7 @@
 func TestControllerWithoutLevelsAfterTheSwitch(t *testing.T) {
 	inUpgrade(t, func(c *cluster) {
 		c.final()
-		c.replace(0, nil)
+		c.replace(0, unawareVersion)
 		time.Sleep(5 * time.Second)
 		if status, _ := c.ask(0, standin.Poll, "wk-2", nil, nil); status != http.StatusServiceUnavailable {
 			t.Errorf("it answers %d for a job whose records it can't read", status)
@@ -134,7 +134,7 @@
 		}
 		c.start(1)
 		c.start(2)
-		c.replace(0, &rollout.Supported)
+		c.replace(0, presentVersion)
 		c.await("the service runs again", 40*time.Second, func() bool { return c.world.Running("wk-1") == 3 })
 		c.awaitDone("wk-3", 40*time.Second)
 	})
@@ -185,8 +185,8 @@
 			}
 		}
 		used := 0.0
-		c.nodes[0].brain.call(c.ctx, priorityState, func() {
-			ctl := c.nodes[0].brain
+		c.nodes[0].controller().call(c.ctx, priorityState, func() {
+			ctl := c.nodes[0].controller()
 			used = float64(ctl.quotas()[ctl.team("blue")].Used.CPU) / 1000
 		})
 		if used < 12+6 {
@@ -325,10 +325,10 @@
 		c.foreign = map[string]bool{rollout.StateKey: true}
 		put(`{"level":1,"phase":"dissolved"}`)
 		c.await("nobody serves", 10*time.Second, func() bool {
-			return !c.nodes[0].brain.Ready() && !c.nodes[1].brain.Ready() && !c.nodes[2].brain.Ready() && !c.holdsRight(0)
+			return !c.nodes[0].controller().Ready() && !c.nodes[1].controller().Ready() && !c.nodes[2].controller().Ready() && !c.holdsRight(0)
 		})
 		put(`{"level":1,"phase":"stable"}`)
-		c.await("they serve again", 20*time.Second, func() bool { return c.nodes[0].brain.Ready() && c.holdsRight(0) })
+		c.await("they serve again", 20*time.Second, func() bool { return c.nodes[0].controller().Ready() && c.holdsRight(0) })
 	})
 }
 
@@ -338,11 +338,12 @@
 	inUpgrade(t, func(c *cluster) {
 		var mu sync.Mutex
 		last := map[string]peer.Version{}
-		c.onFrame = func(from, to string, version peer.Version) {
+		observe := frameObserver(func(from, to string, version peer.Version) {
 			mu.Lock()
 			defer mu.Unlock()
 			last[from+to] = version
-		}
+		})
+		c.frameObserver.Store(&observe)
 		sent := func(want map[string]peer.Version) {
 			t.Helper()
 			time.Sleep(3 * time.Second)
@@ -360,14 +361,14 @@
 		c.nodes[1].net.Judge(func(*http.Request) standin.Fate { return standin.Refuse })
 		c.kill(1)
 		c.nodes[1].net.Judge(nil)
-		c.replace(1, nil)
+		c.replace(1, unawareVersion)
 		if len(c.world.State.Keys(rollout.ControllerKey("n1"))) != 1 {
 			t.Error("its registration ended with it")
 		}
 		sent(map[string]peer.Version{"n0n1": peer.Plain, "n1n0": peer.Plain, "n0n2": peer.Checked, "n2n1": peer.Plain})
-		c.replace(1, &baseOnly)
+		c.replace(1, baseLevelVersion)
 		sent(map[string]peer.Version{"n0n1": peer.Plain, "n0n2": peer.Plain}) // the level is not active any more
-		c.replace(1, &rollout.Supported)
+		c.replace(1, presentVersion)
 		sent(map[string]peer.Version{"n0n1": peer.Checked, "n1n2": peer.Checked})
 	})
 }
--- a/internal/controller/shortage_test.go
+++ b/internal/controller/shortage_test.go
@@ -19,7 +19,7 @@
 	ctx, cancel := context.WithCancel(c.ctx)
 	var wg sync.WaitGroup
 	for i, n := range c.nodes {
-		ctl := n.brain
+		ctl := n.controller()
 		wg.Go(func() {
 			time.Sleep(time.Duration(i) * (busy + free) / time.Duration(len(c.nodes)))
 			for ctx.Err() == nil {
@@ -34,7 +34,7 @@
 // owners tells which node holds each right.
 func (c *cluster) owners() map[string]string {
 	out := map[string]string{}
-	ctl := c.nodes[0].brain
+	ctl := c.nodes[0].controller()
 	ctl.call(c.ctx, priorityState, func() {
 		for key, h := range ctl.holders {
 			out[key] = h.Node
@@ -104,9 +104,9 @@
 		time.Sleep(10 * time.Second)
 		lost := c.owners()
 		stuck := 2
-		c.nodes[stuck].brain.enqueue(priorityState, func() { time.Sleep(time.Minute) })
+		c.nodes[stuck].controller().enqueue(priorityState, func() { time.Sleep(time.Minute) })
 		name := c.nodes[stuck].cfg.Name
-		time.Sleep(3*c.nodes[0].brain.operator.LeaseTTL + time.Second)
+		time.Sleep(3*c.nodes[0].controller().operator.LeaseTTL + time.Second)
 		for key, node := range c.owners() {
 			if lost[key] == name && node == name {
 				t.Errorf("%s is still with a controller that does not come round", key)
@@ -125,7 +125,7 @@
 	inWorld(t, func(c *cluster) {
 		c.submit(jobBody("wk-1", wire.Array, "blue", "normal", 2, 2, 5))
 		c.awaitDone("wk-1", 2*time.Minute)
-		ctl := c.nodes[0].brain
+		ctl := c.nodes[0].controller()
 		ctx, cancel := context.WithCancel(c.ctx)
 		var wg sync.WaitGroup
 		wg.Go(func() {
