--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -73,8 +73,8 @@
 	slices.SortFunc(jobs, byUrgency)
 	limits := c.quotas()
 	noRoom := map[string]bool{}
-	alike := map[string]int{} // where in wants the services of a kind are
-	short := map[int32]bool{} // teams in which somebody waits for the limit
+	alike := map[string]int{}                // where in wants the services of a kind are
+	short := map[scheduling.TeamIndex]bool{} // teams in which somebody waits for the limit
 	c.leadership.assignAhead = c.assignAhead(lost)
 	places := map[string]bool{} // whether jobs of a kind find any room at all
 	placeable := func(j *job) bool {
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -223,10 +223,10 @@
 	}
 }
 
-func (c *controller) team(name string) int32 {
+func (c *controller) team(name string) scheduling.TeamIndex {
 	t, ok := c.teamIndex[name]
 	if !ok {
-		t = int32(len(c.teamIndex))
+		t = scheduling.TeamIndex(len(c.teamIndex))
 		c.teamIndex[name] = t
 	}
 	return t
@@ -282,7 +282,7 @@
 // newGroup begins a record that has not been seen before.
 func (c *controller) newGroup(key, id string, k int) *taskGroup {
 	job := c.job(id)
-	group := &taskGroup{key: key, index: int32(len(c.groups)), number: k, job: job, inPartitionSince: c.now, partition: -1}
+	group := &taskGroup{key: key, index: scheduling.GroupIndex(len(c.groups)), number: k, job: job, inPartitionSince: c.now, partition: -1}
 	c.groups = append(c.groups, group)
 	c.groupByKey[key] = group
 	c.restoreJob(job)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -52,7 +52,7 @@
 	terminated         map[string]bool // machines that surely are, as long as a marker says so
 	tombstones         map[string]tombstone
 	loans              map[string]*machineLoan // by machine
-	teamIndex          map[string]int32
+	teamIndex          map[string]scheduling.TeamIndex
 	objectiveSeconds   map[string]float64 // by class: seconds in which its jobs should be done
 	maxGroupTasks      int
 
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -58,7 +58,7 @@
 		cloudClient: cloud.NewClient(cfg.External.Cloud, s.Cloud.RPS, out.cloud), workerClient: workerclient.NewClient(out.workers), send: out.send, jitter: out.jitter,
 		maxStaleness: config.MaxStaleness(s.Workers.CancelS, s.Workers.LeaseS), leaseExpiry: config.LeaseExpiry(s.Workers.CancelS, s.Workers.LeaseS),
 		jobs: map[string]*job{}, finished: map[string]uint8{}, groupByKey: map[string]*taskGroup{},
-		holders: map[string]record.LeaseHolder{}, terminated: map[string]bool{}, tombstones: map[string]tombstone{}, loans: map[string]*machineLoan{}, teamIndex: map[string]int32{}, objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.State.ValueKB),
+		holders: map[string]record.LeaseHolder{}, terminated: map[string]bool{}, tombstones: map[string]tombstone{}, loans: map[string]*machineLoan{}, teamIndex: map[string]scheduling.TeamIndex{}, objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.State.ValueKB),
 		leasedKeys: newLeasedKeys(rollout.Initial.Keys(), s.Count), machines: map[string]*machine{}, peers: map[string]*peerController{}, terminating: map[string]bool{},
 		attemptEnds: map[scheduling.Task]attemptEnd{}, maxDirects: cfg.DirectCommands(), metrics: newMetrics(), schedulingPass: 1,
 	}
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -45,7 +45,7 @@
 	classes map[string]*gangClass
 	// shortfall is what it lacks, to be rented if nothing comes free.
 	shortfall []planning.Demand
-	keep      map[int32]bool // machines of it that are wanted
+	keep      map[scheduling.MachineIndex]bool // machines of it that are wanted
 }
 
 // gangClass is the largest gang of a class of late.
@@ -136,7 +136,7 @@
 			delete(reserve.classes, name)
 		}
 	}
-	reserve.keep = map[int32]bool{}
+	reserve.keep = map[scheduling.MachineIndex]bool{}
 	// Room for one gang of each class, machine by machine, the fullest first, so that
 	// the others come free. Twice as much is kept as would be borrowed, or machines
 	// would go to and fro.
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -189,7 +189,7 @@
 	if c.leadership.writesInFlight != 0 {
 		t.Error("records that are together move")
 	}
-	host := func(id int32, part int, free float64) *planning.MachineSummary {
+	host := func(id scheduling.MachineIndex, part int, free float64) *planning.MachineSummary {
 		name := []string{"host-1", "host-2", "host-3"}[id]
 		if m := c.machineNamed(name); m.index != id {
 			t.Fatal("machines are numbered otherwise")
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -64,7 +64,7 @@
 	acceptedAt  time.Time
 	spec        *wire.Job
 	taskSize    scheduling.Resources
-	team        int32
+	team        scheduling.TeamIndex
 	groups      []*taskGroup
 	groupOfTask map[int32]*taskGroup // of each task that is dealt and not done
 
@@ -148,7 +148,7 @@
 
 type taskGroup struct {
 	key                  string
-	index                int32
+	index                scheduling.GroupIndex
 	number               int
 	job                  *job
 	revision             uint64
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -257,7 +257,7 @@
 // will be once the machines that are being lent for it have come.
 func (c *controller) expectedRoom(summaries []*planning.MachineSummary, j *job, zone string, n int) int {
 	room := 0
-	listed := map[int32]bool{}
+	listed := map[scheduling.MachineIndex]bool{}
 	for _, summary := range summaries {
 		listed[summary.ID] = true
 		loan := c.loans[c.machineByIndex[summary.ID].name]
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -17,7 +17,7 @@
 type machine struct {
 	name, addr, machineType, zone string
 	spot                          bool
-	index                         int32
+	index                         scheduling.MachineIndex
 	hashPartition                 int             // its part, unless it is lent
 	partition                     int             // the part that it is in now
 	listed                        bool            // among that part's machines
@@ -87,7 +87,7 @@
 func (c *controller) machineNamed(name string) *machine {
 	m := c.machines[name]
 	if m == nil {
-		m = &machine{name: name, index: int32(len(c.machineByIndex)), hashPartition: partitionOf(name, c.cfg.Settings.Count), images: map[string]bool{}, fetching: map[string]time.Time{}, failedJobs: map[string]time.Time{}}
+		m = &machine{name: name, index: scheduling.MachineIndex(len(c.machineByIndex)), hashPartition: partitionOf(name, c.cfg.Settings.Count), images: map[string]bool{}, fetching: map[string]time.Time{}, failedJobs: map[string]time.Time{}}
 		m.terminated = c.terminated[name]
 		m.partition = c.partitionOfMachine(m)
 		c.machines[name] = m
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -248,7 +248,7 @@
 // scorer rates machines for a record's tasks; negative: not allowed.
 func (c *controller) scorer(p *partition, group *taskGroup) scheduling.ScoreFunc {
 	spec := group.job.spec
-	return func(mi int32, free scheduling.Resources) float64 {
+	return func(mi scheduling.MachineIndex, free scheduling.Resources) float64 {
 		m := c.machineByIndex[mi]
 		if !c.schedulable(m, p) || !allowed(spec, group.zone, m.machineType, m.zone, m.spot) || len(m.failedJobs) > 0 && c.avoidsJob(m, group.job) {
 			return -1
--- a/internal/planning/assignment_test.go
+++ b/internal/planning/assignment_test.go
@@ -13,7 +13,7 @@
 const testParts = 3
 
 func drawClaim(t *rapid.T, name string) scheduling.Claim {
-	return scheduling.Claim{Priority: rapid.IntRange(0, 3).Draw(t, name+" level"), Guaranteed: rapid.Bool().Draw(t, name+" own"), Team: int32(rapid.IntRange(0, 2).Draw(t, name+" team"))}
+	return scheduling.Claim{Priority: rapid.IntRange(0, 3).Draw(t, name+" level"), Guaranteed: rapid.Bool().Draw(t, name+" own"), Team: scheduling.TeamIndex(rapid.IntRange(0, 2).Draw(t, name+" team"))}
 }
 
 // drawHosts draws a fleet whose hosts hold no more than they have.
@@ -21,7 +21,7 @@
 	var hosts []*MachineSummary
 	for i := range rapid.IntRange(0, 8).Draw(t, "hosts") {
 		size := scheduling.NewResources(float64(rapid.SampledFrom([]int{4, 16}).Draw(t, "cpus")), 0, 64)
-		h := &MachineSummary{ID: int32(i), Type: fmt.Sprint(size.CPU), Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
+		h := &MachineSummary{ID: scheduling.MachineIndex(i), Type: fmt.Sprint(size.CPU), Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
 			Partition: rapid.IntRange(0, testParts-1).Draw(t, "part"), Size: size, Free: size}
 		for range rapid.IntRange(0, 6).Draw(t, "claims") {
 			c := Usage{Claim: drawClaim(t, "held"), Size: scheduling.NewResources(float64(rapid.IntRange(1, 4).Draw(t, "held cpus")), 0, 1)}
@@ -299,7 +299,7 @@
 	hosts := make([]*MachineSummary, n)
 	for i := range hosts {
 		size := scheduling.NewResources(float64(4+12*(i%2)), 0, 64)
-		h := &MachineSummary{ID: int32(i), Type: fmt.Sprint(i % 2), Zone: "a", Spot: i%3 == 0, Partition: i % 5, Size: size, Free: size}
+		h := &MachineSummary{ID: scheduling.MachineIndex(i), Type: fmt.Sprint(i % 2), Zone: "a", Spot: i%3 == 0, Partition: i % 5, Size: size, Free: size}
 		for h.Free.CPU > 0 && i%10 != 0 {
 			h.Free = h.Free.Minus(scheduling.NewResources(2, 0, 1))
 			h.Usages = append(h.Usages, Usage{Claim: scheduling.Claim{Priority: 1}, Size: scheduling.NewResources(2, 0, 1)})
--- a/internal/planning/bin_packing.go
+++ b/internal/planning/bin_packing.go
@@ -11,7 +11,7 @@
 // MachineSummary is a machine as the leader sees it: what is free on it, and what could
 // be had by preemption.
 type MachineSummary struct {
-	ID         int32
+	ID         scheduling.MachineIndex
 	Type, Zone string
 	Spot       bool
 	Partition  int
--- a/internal/planning/bin_packing_test.go
+++ b/internal/planning/bin_packing_test.go
@@ -34,7 +34,7 @@
 		var hosts []*MachineSummary
 		for i := range rapid.IntRange(0, 5).Draw(t, "hosts") {
 			size := scheduling.NewResources(float64(rapid.IntRange(0, 16).Draw(t, "cpu")), 0, 64)
-			hosts = append(hosts, &MachineSummary{ID: int32(i), Size: size, Free: size, Spot: rapid.Bool().Draw(t, "spot")})
+			hosts = append(hosts, &MachineSummary{ID: scheduling.MachineIndex(i), Size: size, Free: size, Spot: rapid.Bool().Draw(t, "spot")})
 		}
 		need, n := scheduling.NewResources(float64(rapid.IntRange(1, 5).Draw(t, "need")), 0, 1), rapid.IntRange(0, 40).Draw(t, "n")
 		fits, got := 0, 0
--- a/internal/scheduling/cell.go
+++ b/internal/scheduling/cell.go
@@ -85,15 +85,28 @@
 	return [...]string{"Pending", "Preempting", "Allocated", "BeingPreempted", "Deleted"}[s]
 }
 
-// Task names a task by dense indices: its placement record and its number.
-type Task struct{ Group, Number int32 }
+// MachineIndex is the dense index that a controller gives a machine. It is not stored,
+// and another controller gives the same machine another one.
+type MachineIndex int32
+
+// GroupIndex is the dense index that a controller gives a stored group of tasks.
+type GroupIndex int32
+
+// TeamIndex is the dense index that a controller gives a team.
+type TeamIndex int32
+
+// Task identifies a task by its stored group and its number within the job.
+type Task struct {
+	Group  GroupIndex
+	Number int32
+}
 
 // Claim says on whose behalf cells are claimed.
 type Claim struct {
 	Priority int
 	// Guaranteed: the claim is within its team's guarantee.
 	Guaranteed bool
-	Team       int32
+	Team       TeamIndex
 }
 
 // CanPreempt tells whether a claim may take another's cells: strictly higher
@@ -105,7 +118,7 @@
 
 // Cell is a claimed slice of a machine.
 type Cell struct {
-	Machine int32
+	Machine MachineIndex
 	Size    Resources
 	State   CellState
 	// User holds the cell in states Used and Reserving.
@@ -122,7 +135,7 @@
 	TaskSize Resources
 	Claim    Claim
 	State    GroupState
-	Machines []int32 // one for each task, once Preempting or Allocated
+	Machines []MachineIndex // one for each task, once Preempting or Allocated
 	// NoPreemption groups take free cells only.
 	NoPreemption bool
 	cells        []*Cell // reserved or being reserved, while Preempting
@@ -133,7 +146,7 @@
 func (g *Group) Victims() int { return g.victims }
 
 type partitionMachine struct {
-	id    int32
+	id    MachineIndex
 	place int // in the part's list
 	size  Resources
 	free  Resources
@@ -143,7 +156,7 @@
 
 // Partition is the cells of one part's machines.
 type Partition struct {
-	machines map[int32]*partitionMachine
+	machines map[MachineIndex]*partitionMachine
 	list     []*partitionMachine
 	used     map[Task]*Cell  // Used and Reserving
 	waiting  map[Task]*Group // Preempting
@@ -152,17 +165,17 @@
 
 // NewPartition returns a part without machines.
 func NewPartition() *Partition {
-	return &Partition{machines: map[int32]*partitionMachine{}, used: map[Task]*Cell{}, waiting: map[Task]*Group{}}
+	return &Partition{machines: map[MachineIndex]*partitionMachine{}, used: map[Task]*Cell{}, waiting: map[Task]*Group{}}
 }
 
 // SetMachine makes a machine and its size known.
-func (p *Partition) SetMachine(m int32, size Resources) {
+func (p *Partition) SetMachine(m MachineIndex, size Resources) {
 	x := p.machine(m)
 	x.free = x.free.Plus(size.Minus(x.size))
 	x.size, x.known = size, true
 }
 
-func (p *Partition) machine(m int32) *partitionMachine {
+func (p *Partition) machine(m MachineIndex) *partitionMachine {
 	x := p.machines[m]
 	if x == nil {
 		x = &partitionMachine{id: m, place: len(p.list)}
@@ -174,7 +187,7 @@
 
 // RemoveMachine forgets a machine. Reservations on it are cancelled; it must
 // hold no used cell any more.
-func (p *Partition) RemoveMachine(m int32) {
+func (p *Partition) RemoveMachine(m MachineIndex) {
 	x := p.machines[m]
 	if x == nil {
 		return
@@ -194,7 +207,7 @@
 }
 
 // Free is what is free on a machine.
-func (p *Partition) Free(m int32) Resources {
+func (p *Partition) Free(m MachineIndex) Resources {
 	if x := p.machines[m]; x != nil {
 		return x.free
 	}
@@ -218,7 +231,7 @@
 
 // Adopt takes a stored binding over: the task's cell is Used. It is how the
 // stored states are turned into cells again after a take-over.
-func (p *Partition) Adopt(t Task, m int32, size Resources, claim Claim) {
+func (p *Partition) Adopt(t Task, m MachineIndex, size Resources, claim Claim) {
 	if c := p.used[t]; c != nil {
 		if c.Machine == m {
 			return
@@ -231,7 +244,7 @@
 	p.take(t, m, size, claim)
 }
 
-func (p *Partition) take(t Task, m int32, size Resources, claim Claim) {
+func (p *Partition) take(t Task, m MachineIndex, size Resources, claim Claim) {
 	p.claims++
 	c := &Cell{Machine: m, Size: size, State: Used, User: t, userClaim: claim, age: p.claims}
 	p.used[t] = c
@@ -316,7 +329,7 @@
 
 // ScoreFunc tells how good a machine is for a group's task: lower is better,
 // negative means not allowed.
-type ScoreFunc func(machine int32, free Resources) float64
+type ScoreFunc func(machine MachineIndex, free Resources) float64
 
 // Request asks for cells for all tasks of g, which must be Pending. Free cells
 // are preferred; where there are none, the cells of the fewest victims of the
@@ -325,14 +338,14 @@
 // nothing has changed.
 func (p *Partition) Request(g *Group, score ScoreFunc) {
 	type choice struct {
-		machine int32
+		machine MachineIndex
 		victims []*Cell
 	}
 	var chosen []choice
-	taken := map[int32]Resources{} // free room of machines promised to earlier tasks
-	mine := map[*Cell]bool{}       // cells promised to earlier tasks
+	taken := map[MachineIndex]Resources{} // free room of machines promised to earlier tasks
+	mine := map[*Cell]bool{}              // cells promised to earlier tasks
 	for range g.Tasks {
-		best, bestScore, found := int32(0), 0.0, false
+		best, bestScore, found := MachineIndex(0), 0.0, false
 		for _, x := range p.list {
 			m := x.id
 			if !x.known || !x.free.Contains(g.TaskSize) {
--- a/internal/scheduling/cell_test.go
+++ b/internal/scheduling/cell_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-func anyMachine(int32, Resources) float64 { return 0 }
+func anyMachine(MachineIndex, Resources) float64 { return 0 }
 
 // Any order of requests, endings, cancellations, adoptions and lost machines
 // keeps the invariants of Check: no cell owned twice, none over-committed,
@@ -16,7 +16,7 @@
 		p := NewPartition()
 		machines := rapid.IntRange(1, 4).Draw(t, "machines")
 		for m := range machines {
-			p.SetMachine(int32(m), NewResources(8, 0, 16))
+			p.SetMachine(MachineIndex(m), NewResources(8, 0, 16))
 		}
 		var next int32
 		var groups []*Group
@@ -36,7 +36,7 @@
 					Claim: Claim{
 						Priority:   rapid.IntRange(0, 3).Draw(t, "level"),
 						Guaranteed: rapid.Bool().Draw(t, "own"),
-						Team:       int32(rapid.IntRange(0, 2).Draw(t, "team")),
+						Team:       TeamIndex(rapid.IntRange(0, 2).Draw(t, "team")),
 					},
 				}
 				for range rapid.IntRange(1, 4).Draw(t, "tasks") {
@@ -68,7 +68,7 @@
 				}
 			},
 			"lose machine": func(t *rapid.T) {
-				m := int32(rapid.IntRange(0, machines-1).Draw(t, "machine"))
+				m := MachineIndex(rapid.IntRange(0, machines-1).Draw(t, "machine"))
 				for _, x := range running() {
 					if p.CellOf(x).Machine == m {
 						p.Release(x)
@@ -161,12 +161,12 @@
 func TestRebuildFromBindings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewPartition()
-		for m := range int32(3) {
+		for m := range MachineIndex(3) {
 			p.SetMachine(m, NewResources(8, 0, 16))
 		}
 		type binding struct {
 			group   *Group
-			machine int32
+			machine MachineIndex
 		}
 		stored := map[Task]binding{}
 		var groups []*Group
@@ -191,7 +191,7 @@
 		for x, b := range stored {
 			again.Adopt(x, b.machine, b.group.TaskSize, b.group.Claim)
 		}
-		for m := range int32(3) {
+		for m := range MachineIndex(3) {
 			again.SetMachine(m, NewResources(8, 0, 16))
 		}
 		if err := again.CheckInvariants(); err != nil {
@@ -203,7 +203,7 @@
 		for _, g := range groups {
 			p.Cancel(g) // what a crash does to Preempting groups
 		}
-		for m := range int32(3) {
+		for m := range MachineIndex(3) {
 			if again.Free(m) != p.Free(m) {
 				t.Fatalf("machine %d: %v is free, %v before", m, again.Free(m), p.Free(m))
 			}
