--- /dev/null
+++ b/internal/tools/docs/names_test.go
@@ -0,0 +1,112 @@
+package docs_test
+
+import (
+	"go/scanner"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// livePages are the pages that speak of today's code. Incidents, measurements and the
+// journal tell the past.
+var livePages = []string{
+	"architecture.md", "design.md", "fault-combinations.md", "operations.md", "questions.md",
+	"upgrades.md", "upgrading.md", "ROADMAP.md", "../README.md", "../CONTRIBUTING.md",
+}
+
+var (
+	// mixedCaps matches an identifier of several words, or a chain of identifiers with one.
+	mixedCaps = regexp.MustCompile(`^(?:[A-Za-z][A-Za-z0-9]*\.)*(?:[a-z]+[A-Z]|[A-Z][a-z0-9]+[A-Z])[A-Za-z0-9]*$`)
+	// filePath matches a path below the root.
+	filePath = regexp.MustCompile(`^(?:cmd|internal|docs|days|deploy)/[A-Za-z0-9_./-]+$`)
+)
+
+// namesOfOthers are words in mixed case that are not the program's: fields of the
+// protocol and functions of earlier versions.
+var namesOfOthers = map[string]bool{"samePlace": true, "tryTake": true}
+
+// identifiers are all identifiers in the Go files of the module, tests included.
+func identifiers(t *testing.T) map[string]bool {
+	t.Helper()
+	found := map[string]bool{}
+	for _, top := range []string{"cmd", "internal"} {
+		err := filepath.WalkDir(filepath.Join(root, top), func(file string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(file, ".go") {
+				return err
+			}
+			source, err := os.ReadFile(file)
+			addIdentifiers(found, source)
+			return err
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return found
+}
+
+// addIdentifiers adds the identifiers of one Go file.
+func addIdentifiers(found map[string]bool, source []byte) {
+	files := token.NewFileSet()
+	var s scanner.Scanner
+	s.Init(files.AddFile("", -1, len(source)), source, nil, 0)
+	for {
+		_, kind, text := s.Scan()
+		if kind == token.EOF {
+			return
+		}
+		if kind == token.IDENT {
+			found[text] = true
+		}
+	}
+}
+
+// TestPagesNameExistingCode fails when a page names a function, type, field, test or file
+// that doesn't exist any more.
+func TestPagesNameExistingCode(t *testing.T) {
+	known := identifiers(t)
+	checked := 0
+	for _, name := range livePages {
+		for _, span := range codeSpans(readPage(t, name)) {
+			switch {
+			case filePath.MatchString(span):
+				checked++
+				if _, err := os.Stat(filepath.Join(root, span)); err != nil {
+					t.Errorf("%s names %s, which doesn't exist", name, span)
+				}
+			case mixedCaps.MatchString(span) && !namesOfOthers[span]:
+				checked++
+				last := span[strings.LastIndex(span, ".")+1:]
+				if !known[last] {
+					t.Errorf("%s names %s, which doesn't exist", name, span)
+				}
+			}
+		}
+	}
+	if checked < 100 {
+		t.Errorf("only %d names of the pages were compared with the code", checked)
+	}
+}
+
+// link matches a link of a page to a file of the repository.
+var link = regexp.MustCompile(`\]\(([A-Za-z0-9_./-]+)(?:#[a-z0-9-]+)?\)`)
+
+// TestLinksLeadSomewhere fails when a page links to a file that doesn't exist.
+func TestLinksLeadSomewhere(t *testing.T) {
+	checked := 0
+	for _, name := range livePages {
+		for _, match := range link.FindAllStringSubmatch(readPage(t, name), -1) {
+			checked++
+			if _, err := os.Stat(filepath.Join(root, "docs", filepath.Dir(name), match[1])); err != nil {
+				t.Errorf("%s links to %s, which doesn't exist", name, match[1])
+			}
+		}
+	}
+	if checked < 10 {
+		t.Errorf("only %d links were found", checked)
+	}
+}
