--- a/cmd/eiderhitch/run.go
+++ b/cmd/eiderhitch/run.go
@@ -73,12 +73,12 @@
 // limitRuntime has the runtime keep to the platform's limits.
 func limitRuntime(platform *config.Platform, log *slog.Logger) {
 	memory := platform.Memory()
-	debug.SetGCPercent(memory.Garbage)
-	debug.SetMemoryLimit(memory.Limit)
+	debug.SetGCPercent(memory.GCPercent)
+	debug.SetMemoryLimit(memory.LimitBytes)
 	// More threads than the share of processor time is for only wake each other up.
 	if n := int(math.Ceil(platform.Settings.Limits.CPUShare)); n > 0 && n < runtime.GOMAXPROCS(0) {
 		runtime.GOMAXPROCS(n)
 	}
-	log.Info("limits", "node", platform.Name, "memory_limit_mb", memory.Limit>>20, "garbage_percent", memory.Garbage,
+	log.Info("limits", "node", platform.Name, "memory_limit_mb", memory.LimitBytes>>20, "garbage_percent", memory.GCPercent,
 		"connections", platform.Connections(), "direct_commands", platform.DirectCommands(), "procs", runtime.GOMAXPROCS(0))
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -62,8 +62,8 @@
 		}
 	}
 	each := int(held()-before) / n
-	if each > config.PerConnection {
-		t.Errorf("a connection holds %d bytes, %d are planned for", each, config.PerConnection)
+	if each > config.ConnectionBytes {
+		t.Errorf("a connection holds %d bytes, %d are planned for", each, config.ConnectionBytes)
 	}
 	t.Logf("a connection holds %d bytes", each)
 }
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -42,8 +42,8 @@
 // Done tells whether all was well formed and nothing is left.
 func (r *Reader) Done() bool { return !r.bad && len(r.buf) == 0 }
 
-// Number reads an unsigned varint.
-func (r *Reader) Number() uint64 {
+// Uvarint reads an unsigned varint.
+func (r *Reader) Uvarint() uint64 {
 	v, n := binary.Uvarint(r.buf)
 	if n <= 0 {
 		r.bad = true
@@ -53,8 +53,8 @@
 	return v
 }
 
-// Signed reads a signed varint.
-func (r *Reader) Signed() int64 {
+// Varint reads a signed varint.
+func (r *Reader) Varint() int64 {
 	v, n := binary.Varint(r.buf)
 	if n <= 0 {
 		r.bad = true
@@ -66,7 +66,7 @@
 
 // Text reads a string.
 func (r *Reader) Text() string {
-	n := r.Number()
+	n := r.Uvarint()
 	if r.bad || n > MaxString || n > uint64(len(r.buf)) {
 		r.bad = true
 		return ""
@@ -78,7 +78,7 @@
 
 // Suffix reads a string that AppendSuffix wrote after the string before it.
 func (r *Reader) Suffix(before string) string {
-	shared := r.Number()
+	shared := r.Uvarint()
 	if r.bad || shared > uint64(len(before)) {
 		r.bad = true
 		return ""
@@ -105,7 +105,7 @@
 // Count reads a number of elements of at least least bytes each, so that a malformed
 // count can't ask for more memory than the buffer accounts for.
 func (r *Reader) Count(least int) int {
-	n := r.Number()
+	n := r.Uvarint()
 	if r.bad || n > uint64(len(r.buf)/least) {
 		r.bad = true
 		return 0
--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -20,24 +20,24 @@
 		l.CPUShare, p.Settings.Count = 1, 1
 		m := p.Memory()
 		all := int64(l.MemMB * (1 << 20))
-		if m.Garbage < leastGarbage || m.Garbage > mostGarbage || m.Limit <= 0 {
+		if m.GCPercent < minGCPercent || m.GCPercent > maxGCPercent || m.LimitBytes <= 0 {
 			t.Fatalf("%+v", m)
 		}
-		if l.MemMB > 8 && m.Limit+Beyond > all {
+		if l.MemMB > 8 && m.LimitBytes+UncountedBytes > all {
 			t.Fatalf("%+v is more than %d", m, all)
 		}
 		if strings.Contains(strings.Join(p.Warnings(), "\n"), "mem_mb") {
 			warned++
-			l.MemMB = float64(1 + m.Needed>>20)
+			l.MemMB = float64(1 + m.NeededBytes>>20)
 			if strings.Contains(strings.Join(p.Warnings(), "\n"), "mem_mb") {
 				t.Fatalf("%v MB are said to do and don't", l.MemMB)
 			}
 			return
 		}
 		silent++
-		sockets := int64(p.Connections()+p.DirectCommands()) * PerConnection
-		if held := sockets + Live*int64(100+m.Garbage)/100; held > m.Limit+1 {
-			t.Fatalf("%d sockets and the records hold %d of %d bytes", l.MaxSockets, held, m.Limit)
+		sockets := int64(p.Connections()+p.DirectCommands()) * ConnectionBytes
+		if held := sockets + LiveBytes*int64(100+m.GCPercent)/100; held > m.LimitBytes+1 {
+			t.Fatalf("%d sockets and the records hold %d of %d bytes", l.MaxSockets, held, m.LimitBytes)
 		}
 	})
 	if warned == 0 || silent == 0 {
--- a/internal/config/operator_parse.go
+++ b/internal/config/operator_parse.go
@@ -11,16 +11,16 @@
 //
 // Every error names its line and column.
 func ParseOperator(src string, p *Platform) (*Operator, error) {
-	exprs, err := ParseSexp(src)
+	exprs, err := ParseExprs(src)
 	if err != nil {
 		return nil, err
 	}
 	if len(exprs) != 1 || !exprs[0].IsList || len(exprs[0].List) == 0 || exprs[0].List[0].Atom != "eiderhitch" {
-		at := Pos{1, 1}
+		at := Position{1, 1}
 		if len(exprs) > 0 {
-			at = exprs[min(len(exprs), 2)-1].Pos
+			at = exprs[min(len(exprs), 2)-1].Position
 		}
-		return nil, errorAt(at, "one list (eiderhitch ...) is expected")
+		return nil, syntaxErrorf(at, "one list (eiderhitch ...) is expected")
 	}
 	o := DefaultOperator()
 	seen := map[string]bool{}
@@ -36,7 +36,7 @@
 			continue
 		}
 		if seen[name] {
-			return nil, errorAt(e.Pos, "%s is set twice", name)
+			return nil, syntaxErrorf(e.Position, "%s is set twice", name)
 		}
 		seen[name] = true
 		switch name {
@@ -51,7 +51,7 @@
 		case "right-ttl":
 			err = span(e, &o.LeaseTTL, time.Second, 5*time.Minute)
 			if hold := MaxStaleness(p.Settings.Workers.CancelS, p.Settings.Workers.LeaseS); err == nil && o.LeaseTTL > hold {
-				err = errorAt(e.Pos, "right-ttl %v is longer than the %v that an owner may go on without the state service", o.LeaseTTL, hold.Round(time.Millisecond))
+				err = syntaxErrorf(e.Position, "right-ttl %v is longer than the %v that an owner may go on without the state service", o.LeaseTTL, hold.Round(time.Millisecond))
 			}
 		case "spot":
 			err = choice(e, &o.Spot)
@@ -64,7 +64,7 @@
 		case "rewrite-share":
 			err = number(e, &o.RewriteShare, 0.001, 0.5)
 		default:
-			err = errorAt(e.List[0].Pos, "unknown setting %q", name)
+			err = syntaxErrorf(e.List[0].Position, "unknown setting %q", name)
 		}
 		if err != nil {
 			return nil, err
@@ -75,25 +75,25 @@
 
 func head(e Expr) (string, error) {
 	if !e.IsList || len(e.List) == 0 || e.List[0].IsList {
-		return "", errorAt(e.Pos, "a setting such as (headroom 1) is expected")
+		return "", syntaxErrorf(e.Position, "a setting such as (headroom 1) is expected")
 	}
 	return e.List[0].Atom, nil
 }
 
 func (o *Operator) class(e Expr) error {
 	if len(e.List) != 3 || e.List[1].IsList {
-		return errorAt(e.Pos, `(class "name" (headroom n)) is expected`)
+		return syntaxErrorf(e.Position, `(class "name" (headroom n)) is expected`)
 	}
 	name := e.List[1].Atom
 	if _, ok := o.ClassHeadroom[name]; ok {
-		return errorAt(e.Pos, "class %q is set twice", name)
+		return syntaxErrorf(e.Position, "class %q is set twice", name)
 	}
 	what, err := head(e.List[2])
 	if err != nil {
 		return err
 	}
 	if what != "headroom" {
-		return errorAt(e.List[2].Pos, "unknown setting %q of a class", what)
+		return syntaxErrorf(e.List[2].Position, "unknown setting %q of a class", what)
 	}
 	v := 0.0
 	if err := number(e.List[2], &v, 0, 100); err != nil {
@@ -105,7 +105,7 @@
 
 func value(e Expr) (Expr, error) {
 	if len(e.List) != 2 || e.List[1].IsList {
-		return Expr{}, errorAt(e.Pos, "%s takes one value", e.List[0].Atom)
+		return Expr{}, syntaxErrorf(e.Position, "%s takes one value", e.List[0].Atom)
 	}
 	return e.List[1], nil
 }
@@ -117,7 +117,7 @@
 	}
 	f, err := strconv.ParseFloat(v.Atom, 64)
 	if err != nil || v.Quoted || !(f >= least && f <= most) {
-		return errorAt(v.Pos, "%s must be a number from %g to %g", e.List[0].Atom, least, most)
+		return syntaxErrorf(v.Position, "%s must be a number from %g to %g", e.List[0].Atom, least, most)
 	}
 	*to = f
 	return nil
@@ -130,7 +130,7 @@
 	}
 	n, err := strconv.Atoi(v.Atom)
 	if err != nil || v.Quoted || n < least || n > most {
-		return errorAt(v.Pos, "%s must be a whole number from %d to %d", e.List[0].Atom, least, most)
+		return syntaxErrorf(v.Position, "%s must be a whole number from %d to %d", e.List[0].Atom, least, most)
 	}
 	*to = n
 	return nil
@@ -143,7 +143,7 @@
 	}
 	d, err := time.ParseDuration(v.Atom)
 	if err != nil || v.Quoted || d < least || d > most {
-		return errorAt(v.Pos, "%s must be a time such as 5s, from %v to %v", e.List[0].Atom, least, most)
+		return syntaxErrorf(v.Position, "%s must be a time such as 5s, from %v to %v", e.List[0].Atom, least, most)
 	}
 	*to = d
 	return nil
@@ -155,7 +155,7 @@
 		return err
 	}
 	if v.Quoted || v.Atom != "yes" && v.Atom != "no" {
-		return errorAt(v.Pos, "%s must be yes or no", e.List[0].Atom)
+		return syntaxErrorf(v.Position, "%s must be yes or no", e.List[0].Atom)
 	}
 	*to = v.Atom == "yes"
 	return nil
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -81,7 +81,7 @@
 	f.Fuzz(func(t *testing.T, src string) {
 		_, err := ParseOperator(src, p)
 		var s *SyntaxError
-		if err != nil && (!errors.As(err, &s) || s.Pos.Line < 1 || s.Pos.Col < 1) {
+		if err != nil && (!errors.As(err, &s) || s.Position.Line < 1 || s.Position.Column < 1) {
 			t.Errorf("%q: error without a place: %v", src, err)
 		}
 	})
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -12,8 +12,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Sibling is another controller of the same service.
-type Sibling struct {
+// Peer is another controller of the same cluster.
+type Peer struct {
 	Name string `toml:"node_name"`
 	Zone string `toml:"location"`
 	Addr string `toml:"peer_addr"`
@@ -39,11 +39,11 @@
 
 // Platform is the platform's settings file.
 type Platform struct {
-	Name     string    `toml:"node_name"`
-	Zone     string    `toml:"location"`
-	APIAddr  string    `toml:"api_addr"`
-	MeshAddr string    `toml:"mesh_addr"`
-	Siblings []Sibling `toml:"siblings"`
+	Name     string `toml:"node_name"`
+	Zone     string `toml:"location"`
+	APIAddr  string `toml:"api_addr"`
+	PeerAddr string `toml:"mesh_addr"`
+	Peers    []Peer `toml:"siblings"`
 	External struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
@@ -124,7 +124,7 @@
 // Nodes lists all controllers' names in order.
 func (p *Platform) Nodes() []string {
 	names := []string{p.Name}
-	for _, s := range p.Siblings {
+	for _, s := range p.Peers {
 		names = append(names, s.Name)
 	}
 	slices.Sort(names)
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -87,7 +87,7 @@
 		if hold <= 0 {
 			t.Skip("refused at the start")
 		}
-		fast, slow := 1+drift, 1-drift
+		fast, slow := 1+clockDrift, 1-clockDrift
 		// The owner's clock may be slow and so may the worker's.
 		gone := hold.Seconds()/slow*fast + lease/slow
 		if gone >= cancel {
--- a/internal/config/sexp.go
+++ b/internal/config/sexp.go
@@ -7,43 +7,45 @@
 	"unicode/utf8"
 )
 
-// Pos is a place in a settings file; lines and columns count from 1, columns
+// Position is a place in a settings file; lines and columns count from 1, columns
 // in characters.
-type Pos struct{ Line, Col int }
+type Position struct{ Line, Column int }
 
 // SyntaxError is an error with its place.
 type SyntaxError struct {
-	Pos Pos
-	Msg string
+	Position Position
+	Message  string
 }
 
-func (e *SyntaxError) Error() string { return fmt.Sprintf("%d:%d: %s", e.Pos.Line, e.Pos.Col, e.Msg) }
+func (e *SyntaxError) Error() string {
+	return fmt.Sprintf("%d:%d: %s", e.Position.Line, e.Position.Column, e.Message)
+}
 
-func errorAt(p Pos, format string, args ...any) error {
+func syntaxErrorf(p Position, format string, args ...any) error {
 	return &SyntaxError{p, fmt.Sprintf(format, args...)}
 }
 
 // Expr is an S-expression: a list, or an atom (a word or a quoted string).
 type Expr struct {
-	Pos    Pos
-	List   []Expr
-	Atom   string
-	IsList bool
-	Quoted bool
+	Position Position
+	List     []Expr
+	Atom     string
+	IsList   bool
+	Quoted   bool
 }
 
 // maxDepth bounds nesting, so that no file can exhaust the stack.
 const maxDepth = 64
 
-type sexpReader struct {
+type sexpParser struct {
 	src string
 	at  int
-	pos Pos
+	pos Position
 }
 
-// ParseSexp reads all expressions of src. Comments run from ; to the end of line.
-func ParseSexp(src string) ([]Expr, error) {
-	r := &sexpReader{src: src, pos: Pos{1, 1}}
+// ParseExprs reads all expressions of src. Comments run from ; to the end of line.
+func ParseExprs(src string) ([]Expr, error) {
+	r := &sexpParser{src: src, pos: Position{1, 1}}
 	var out []Expr
 	for {
 		r.space()
@@ -58,7 +60,7 @@
 	}
 }
 
-func (r *sexpReader) peek() rune {
+func (r *sexpParser) peek() rune {
 	if r.at == len(r.src) {
 		return -1
 	}
@@ -66,20 +68,20 @@
 	return c
 }
 
-func (r *sexpReader) next() rune {
+func (r *sexpParser) next() rune {
 	c, n := utf8.DecodeRuneInString(r.src[r.at:])
 	r.at += n
 	if c == '\n' {
-		r.pos = Pos{r.pos.Line + 1, 1}
+		r.pos = Position{r.pos.Line + 1, 1}
 	} else {
-		r.pos.Col++
+		r.pos.Column++
 	}
 	return c
 }
 
 func blank(c rune) bool { return c == ' ' || c == '\t' || c == '\n' || c == '\r' }
 
-func (r *sexpReader) space() {
+func (r *sexpParser) space() {
 	for r.at < len(r.src) {
 		c := r.peek()
 		if c == ';' {
@@ -94,10 +96,10 @@
 	}
 }
 
-func (r *sexpReader) expr(depth int) (Expr, error) {
-	e := Expr{Pos: r.pos}
+func (r *sexpParser) expr(depth int) (Expr, error) {
+	e := Expr{Position: r.pos}
 	if depth > maxDepth {
-		return e, errorAt(r.pos, "nested deeper than %d", maxDepth)
+		return e, syntaxErrorf(r.pos, "nested deeper than %d", maxDepth)
 	}
 	switch c := r.peek(); {
 	case c == '(':
@@ -106,7 +108,7 @@
 		for {
 			r.space()
 			if r.at == len(r.src) {
-				return e, errorAt(e.Pos, "this ( is never closed")
+				return e, syntaxErrorf(e.Position, "this ( is never closed")
 			}
 			if r.peek() == ')' {
 				r.next()
@@ -119,13 +121,13 @@
 			e.List = append(e.List, sub)
 		}
 	case c == ')':
-		return e, errorAt(r.pos, "this ) closes nothing")
+		return e, syntaxErrorf(r.pos, "this ) closes nothing")
 	case c == '"':
 		from := r.at
 		r.next()
 		for {
 			if r.at == len(r.src) || r.peek() == '\n' {
-				return e, errorAt(e.Pos, "this string is not closed on its line")
+				return e, syntaxErrorf(e.Position, "this string is not closed on its line")
 			}
 			if c := r.next(); c == '\\' && r.at < len(r.src) {
 				r.next()
@@ -135,7 +137,7 @@
 		}
 		s, err := strconv.Unquote(r.src[from:r.at])
 		if err != nil {
-			return e, errorAt(e.Pos, "malformed string")
+			return e, syntaxErrorf(e.Position, "malformed string")
 		}
 		e.Atom, e.Quoted = s, true
 		return e, nil
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -3,7 +3,7 @@
 import "time"
 
 // drift bounds how far steady clocks of different machines drift apart.
-const drift = 0.0005
+const clockDrift = 0.0005
 
 // leaseMargin covers messages under way and timers that fire late. Where a
 // cancellation leaves little more than a lease, it is what can be had.
@@ -17,7 +17,7 @@
 // LeaseExpiry is how long after the last answer that could renew a worker's
 // lease all its tasks are surely gone, on any machine's clock.
 func LeaseExpiry(cancelS, leaseS float64) time.Duration {
-	return Seconds(leaseS*(1+2*drift)) + leaseMargin(cancelS, leaseS)
+	return Seconds(leaseS*(1+2*clockDrift)) + leaseMargin(cancelS, leaseS)
 }
 
 // MaxStaleness bounds how long an owner may answer reports after the start of its
@@ -25,5 +25,5 @@
 // a user "cancelled" right after that read, and all tasks must be gone within
 // cancelS of it, which for an unreachable worker means one whole lease later.
 func MaxStaleness(cancelS, leaseS float64) time.Duration {
-	return Seconds(cancelS*(1-2*drift)) - LeaseExpiry(cancelS, leaseS) - leaseMargin(cancelS, leaseS)
+	return Seconds(cancelS*(1-2*clockDrift)) - LeaseExpiry(cancelS, leaseS) - leaseMargin(cancelS, leaseS)
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -12,7 +12,7 @@
 		return errors.New("node_name: must not be empty")
 	}
 	for _, a := range []struct{ field, addr string }{
-		{"api_addr", p.APIAddr}, {"mesh_addr", p.MeshAddr},
+		{"api_addr", p.APIAddr}, {"mesh_addr", p.PeerAddr},
 		{"external.cloud", p.External.Cloud}, {"external.state", p.External.State},
 	} {
 		if _, _, err := net.SplitHostPort(a.addr); err != nil {
@@ -20,7 +20,7 @@
 		}
 	}
 	seen := map[string]bool{p.Name: true}
-	for i, s := range p.Siblings {
+	for i, s := range p.Peers {
 		if s.Name == "" || seen[s.Name] {
 			return fmt.Errorf("siblings[%d].node_name: %q is empty or repeated", i, s.Name)
 		}
@@ -33,8 +33,8 @@
 	if err := p.takeNext(); err != nil {
 		return err
 	}
-	if s.Count != len(p.Siblings)+1 {
-		return fmt.Errorf("settings.count: %d, but node and siblings make %d", s.Count, len(p.Siblings)+1)
+	if s.Count != len(p.Peers)+1 {
+		return fmt.Errorf("settings.count: %d, but node and siblings make %d", s.Count, len(p.Peers)+1)
 	}
 	if len(s.Zones) == 0 {
 		return errors.New("settings.zones: must not be empty")
@@ -56,8 +56,8 @@
 	if share := s.Limits.CPUShare; !(share >= 0) || math.IsInf(share, 0) {
 		return fmt.Errorf("settings.limits.cpu_share: must not be negative, is %v", share)
 	}
-	if s.State.TxnOps < leastTxnOps {
-		return fmt.Errorf("settings.state.txn_ops: %d changes a transaction are too few, %d are needed", s.State.TxnOps, leastTxnOps)
+	if s.State.TxnOps < minTxnOps {
+		return fmt.Errorf("settings.state.txn_ops: %d changes a transaction are too few, %d are needed", s.State.TxnOps, minTxnOps)
 	}
 	if s.Workers.GangWaitS < 0 || s.Workers.GangPeerS < 0 {
 		return errors.New("settings.workers.gang_wait_s, gang_peer_s: must not be negative")
@@ -81,10 +81,10 @@
 	return nil
 }
 
-// leastTxnOps and leastValueKB are the least that a dealing, and a job's record, need.
+// minTxnOps and minValueKB are the least that a dealing, and a job's record, need.
 const (
-	leastTxnOps  = 4
-	leastValueKB = 0.5
+	minTxnOps  = 4
+	minValueKB = 0.5
 )
 
 // takeNext has the lower of the present and the coming limits of the state service hold
@@ -97,7 +97,7 @@
 		next, now *float64
 		least     float64
 	}{
-		{"rps", n.RPS, &s.RPS, 0}, {"write_rps", n.WriteRPS, &s.WriteRPS, 0}, {"value_kb", n.ValueKB, &s.ValueKB, leastValueKB},
+		{"rps", n.RPS, &s.RPS, 0}, {"write_rps", n.WriteRPS, &s.WriteRPS, 0}, {"value_kb", n.ValueKB, &s.ValueKB, minValueKB},
 	} {
 		if x.next == nil {
 			continue
@@ -108,8 +108,8 @@
 		*x.now = min(*x.now, *x.next)
 	}
 	if n.TxnOps != nil {
-		if *n.TxnOps < leastTxnOps {
-			return fmt.Errorf("settings.state.next.txn_ops: %d changes a transaction are too few, %d are needed", *n.TxnOps, leastTxnOps)
+		if *n.TxnOps < minTxnOps {
+			return fmt.Errorf("settings.state.next.txn_ops: %d changes a transaction are too few, %d are needed", *n.TxnOps, minTxnOps)
 		}
 		s.TxnOps = min(s.TxnOps, *n.TxnOps)
 	}
--- a/internal/controller/allocations_test.go
+++ b/internal/controller/allocations_test.go
@@ -101,7 +101,7 @@
 		c := crowded(t, machines)
 		n := float64(len(c.partitions[0].machines))
 		var frame []byte
-		if got := testing.AllocsPerRun(20, func() { frame = peer.AppendStatus(nil, c.peerStatus(), peer.Plain) }); got > 30 {
+		if got := testing.AllocsPerRun(20, func() { frame = peer.AppendStatus(nil, c.peerStatus(), peer.PlainFrame) }); got > 30 {
 			t.Errorf("%d machines: %v allocations to send a status", machines, got)
 		}
 		s := &peer.Status{}
@@ -176,7 +176,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := crowded(b, n)
 			for b.Loop() {
-				peer.AppendStatus(nil, c.peerStatus(), peer.Plain)
+				peer.AppendStatus(nil, c.peerStatus(), peer.PlainFrame)
 			}
 		})
 	}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -33,7 +33,7 @@
 	cfg := &config.Platform{Name: "n0", Zone: "a", APIAddr: "10.0.0.1:80"}
 	const count = 5
 	for i := 1; i < count; i++ {
-		cfg.Siblings = append(cfg.Siblings, config.Sibling{Name: fmt.Sprintf("n%d", i), Addr: "10.0.0.2:80"})
+		cfg.Peers = append(cfg.Peers, config.Peer{Name: fmt.Sprintf("n%d", i), Addr: "10.0.0.2:80"})
 	}
 	cfg.External.State, cfg.External.Cloud = "state:1", "cloud:1"
 	s := &cfg.Settings
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -150,7 +150,7 @@
 		cfg := &config.Platform{Name: name, Zone: "a", APIAddr: addrs[i]}
 		for k, other := range names {
 			if k != i {
-				cfg.Siblings = append(cfg.Siblings, config.Sibling{Name: other, Addr: addrs[k]})
+				cfg.Peers = append(cfg.Peers, config.Peer{Name: other, Addr: addrs[k]})
 			}
 		}
 		cfg.External.State, cfg.External.Cloud = "state:1", "cloud:1"
@@ -240,7 +240,7 @@
 		if observe := c.frameObserver.Load(); observe != nil {
 			(*observe)(from.cfg.Name, to, version)
 		}
-		if receiver.version.unaware && version != peer.Plain {
+		if receiver.version.unaware && version != peer.PlainFrame {
 			continue // refused by name
 		}
 		status, err := peer.ReadStatus(bytes.NewReader(frame))
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -77,7 +77,7 @@
 	}
 	// The last one is the leader's: machines that other parts have lent.
 	c.partitions = append(c.partitions, &partition{index: s.Count, key: c.leaderKey()})
-	for _, x := range cfg.Siblings {
+	for _, x := range cfg.Peers {
 		c.peers[x.Name] = &peerController{}
 	}
 	return c
@@ -91,7 +91,7 @@
 	if err != nil {
 		return fmt.Errorf("api_addr: %w", err)
 	}
-	meshL, err := net.Listen("tcp", cfg.MeshAddr)
+	meshL, err := net.Listen("tcp", cfg.PeerAddr)
 	if err != nil {
 		apiL.Close()
 		return fmt.Errorf("mesh_addr: %w", err)
@@ -102,7 +102,7 @@
 	}
 	state, cl, fl := transport(16, 16, 30*time.Second), transport(4, 4, 30*time.Second), transport(1, cfg.DirectCommands(), 20*time.Second)
 	senders := map[string]*peer.Sender{}
-	for _, x := range cfg.Siblings {
+	for _, x := range cfg.Peers {
 		senders[x.Name] = peer.NewSender(x.Addr)
 	}
 	c := newController(ctx, cfg, op, log, clients{state: state, cloud: cl, workers: fl, send: func(sibling string, frame []byte) {
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -184,7 +184,7 @@
 // that it is never older than what any controller has said.
 func (c *controller) Poll(ctx context.Context, id string) api.Response {
 	c.metrics.count(countPolls, 1)
-	if !wire.ValidID(id) {
+	if !wire.ValidJobID(id) {
 		return api.Response{Status: http.StatusNotFound, Reason: "no such job"}
 	}
 	// One turn of the actor for the question and one for the result of the read: each
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -222,19 +222,19 @@
 func (c *controller) frameVersion(name string) peer.Version {
 	registration, ok := c.rollout.controllers[name]
 	if !ok || c.rollout.state.Active() < rollout.ChecksumLevel || registration.High < rollout.ChecksumLevel {
-		return peer.Plain
+		return peer.PlainFrame
 	}
 	if s := c.peers[name]; s.status != nil && s.status.ProcessID != registration.ProcessID {
-		return peer.Plain
+		return peer.PlainFrame
 	}
-	return peer.Checked
+	return peer.ChecksummedFrame
 }
 
 // broadcastStatus sends this controller's status to all siblings.
 func (c *controller) broadcastStatus() {
 	status := c.peerStatus()
 	frames := map[peer.Version][]byte{}
-	for _, sibling := range c.cfg.Siblings {
+	for _, sibling := range c.cfg.Peers {
 		version := c.frameVersion(sibling.Name)
 		if frames[version] == nil {
 			frames[version] = peer.AppendStatus(nil, status, version)
--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -356,7 +356,7 @@
 			}
 		}
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
-		sent(map[string]peer.Version{"n0n1": peer.Checked, "n1n0": peer.Checked, "n2n1": peer.Checked})
+		sent(map[string]peer.Version{"n0n1": peer.ChecksummedFrame, "n1n0": peer.ChecksummedFrame, "n2n1": peer.ChecksummedFrame})
 		// It is killed: its registration outlives it.
 		c.nodes[1].net.Judge(func(*http.Request) standin.Fate { return standin.Refuse })
 		c.kill(1)
@@ -365,10 +365,10 @@
 		if len(c.world.State.Keys(rollout.ControllerKey("n1"))) != 1 {
 			t.Error("its registration ended with it")
 		}
-		sent(map[string]peer.Version{"n0n1": peer.Plain, "n1n0": peer.Plain, "n0n2": peer.Checked, "n2n1": peer.Plain})
+		sent(map[string]peer.Version{"n0n1": peer.PlainFrame, "n1n0": peer.PlainFrame, "n0n2": peer.ChecksummedFrame, "n2n1": peer.PlainFrame})
 		c.replace(1, baseLevelVersion)
-		sent(map[string]peer.Version{"n0n1": peer.Plain, "n0n2": peer.Plain}) // the level is not active any more
+		sent(map[string]peer.Version{"n0n1": peer.PlainFrame, "n0n2": peer.PlainFrame}) // the level is not active any more
 		c.replace(1, presentVersion)
-		sent(map[string]peer.Version{"n0n1": peer.Checked, "n1n2": peer.Checked})
+		sent(map[string]peer.Version{"n0n1": peer.ChecksummedFrame, "n1n2": peer.ChecksummedFrame})
 	})
 }
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -243,7 +243,7 @@
 	if d := cmp.Diff(want, s); d != "" {
 		t.Error(d)
 	}
-	if again := peer.AppendStatus(nil, s, peer.Plain); !bytes.Equal(again, raw) {
+	if again := peer.AppendStatus(nil, s, peer.PlainFrame); !bytes.Equal(again, raw) {
 		t.Errorf("written again: % x", again)
 	}
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -20,10 +20,10 @@
 type Version uint8
 
 const (
-	// Plain is understood by all versions of the program.
-	Plain Version = 2
-	// Checked has a checksum and is smaller. It comes with feature level 2.
-	Checked Version = 3
+	// PlainFrame is understood by all versions of the program.
+	PlainFrame Version = 2
+	// ChecksummedFrame has a checksum and is smaller. It comes with feature level 2.
+	ChecksummedFrame Version = 3
 )
 
 const (
@@ -87,18 +87,18 @@
 func AppendStatus(buf []byte, s *Status, version Version) []byte {
 	start := len(buf)
 	buf = append(buf, 'E', 'H', byte(version), kindStatus, 0, 0, 0, 0)
-	if version == Checked {
+	if version == ChecksummedFrame {
 		var none [codec.ChecksumSize]byte
 		buf = append(buf, none[:]...)
 	}
 	content := len(buf)
 	buf = appendHead(buf, s)
-	if version == Checked {
+	if version == ChecksummedFrame {
 		buf = appendMachinesBySuffix(buf, s)
 	} else {
 		buf = appendMachines(buf, s)
 	}
-	if version == Checked {
+	if version == ChecksummedFrame {
 		sum := codec.Checksum(checksumDomain, "", byte(version), buf[content:])
 		copy(buf[content-codec.ChecksumSize:], sum[:])
 	}
@@ -181,8 +181,8 @@
 		return nil, errors.New("mesh: not a frame")
 	}
 	version := Version(h[2])
-	if version != Plain && version != Checked {
-		return nil, fmt.Errorf("%w: %d, we speak %d and %d", ErrVersion, version, Plain, Checked)
+	if version != PlainFrame && version != ChecksummedFrame {
+		return nil, fmt.Errorf("%w: %d, we speak %d and %d", ErrVersion, version, PlainFrame, ChecksummedFrame)
 	}
 	if h[3] != kindStatus {
 		return nil, fmt.Errorf("mesh: unknown kind %d", h[3])
@@ -204,7 +204,7 @@
 var errMalformed = errors.New("mesh: malformed status")
 
 func parseStatus(payload []byte, version Version) (*Status, error) {
-	if version == Checked {
+	if version == ChecksummedFrame {
 		if len(payload) < codec.ChecksumSize {
 			return nil, errMalformed
 		}
@@ -219,9 +219,9 @@
 	flags := r.Byte()
 	s.Fresh, s.Eligible = flags&flagFresh != 0, flags&flagAble != 0
 	for range r.Count(1) {
-		s.Partitions = append(s.Partitions, r.Number())
+		s.Partitions = append(s.Partitions, r.Uvarint())
 	}
-	if version == Checked {
+	if version == ChecksummedFrame {
 		readMachinesBySuffix(r, s)
 	} else {
 		readMachines(r, s)
@@ -235,7 +235,7 @@
 func readMachines(r *codec.Reader, s *Status) {
 	for range r.Count(leastMachine) {
 		s.Machines = append(s.Machines, Machine{Name: r.Text(), Addr: r.Text(), Type: r.Text(), Zone: r.Text(),
-			Incarnation: r.Number(), Flags: r.Byte()})
+			Incarnation: r.Uvarint(), Flags: r.Byte()})
 		if r.Bad() {
 			return
 		}
@@ -249,7 +249,7 @@
 	before := Machine{}
 	for range r.Count(leastMachine) {
 		before = Machine{Name: r.Suffix(before.Name), Addr: r.Suffix(before.Addr), Type: r.Suffix(before.Type), Zone: r.Suffix(before.Zone),
-			Incarnation: r.Number(), Flags: r.Byte()}
+			Incarnation: r.Uvarint(), Flags: r.Byte()}
 		if r.Bad() {
 			return
 		}
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -36,12 +36,12 @@
 	})
 }
 
-var versions = []Version{Plain, Checked}
+var versions = []Version{PlainFrame, ChecksummedFrame}
 
 // A checked frame that is damaged is refused, whatever the damage would make of it.
 func TestDamagedFramesAreRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		frame := AppendStatus(nil, &Status{Node: "n", ProcessID: "b", Partitions: []uint64{1}, Machines: []Machine{{Name: "m", Addr: "10.1.0.2:9000", Incarnation: 3}}}, Checked)
+		frame := AppendStatus(nil, &Status{Node: "n", ProcessID: "b", Partitions: []uint64{1}, Machines: []Machine{{Name: "m", Addr: "10.1.0.2:9000", Incarnation: 3}}}, ChecksummedFrame)
 		at := rapid.IntRange(headerSize, len(frame)-1).Draw(t, "at")
 		frame[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
 		if s, err := ReadStatus(bytes.NewReader(frame)); !errors.Is(err, ErrChecksum) {
@@ -63,8 +63,8 @@
 			t.Fatalf("status %v, error %v", s, err)
 		}
 	})
-	other := AppendStatus(nil, &Status{}, Plain)
-	other[2] = byte(Checked) + 1
+	other := AppendStatus(nil, &Status{}, PlainFrame)
+	other[2] = byte(ChecksummedFrame) + 1
 	if _, err := ReadStatus(bytes.NewReader(other)); !errors.Is(err, ErrVersion) {
 		t.Fatalf("another version: %v", err)
 	}
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -15,14 +15,14 @@
 		Draining: []string{"host-1", "host-2"}}
 	const want = "454803010000005cda58ce9f0f38b39593028771623db5b1026e300430306666030200ac02020006686f73742d31000d31302e312e302e323a39303030000267380001610231" +
 		"0501320706333a393030300200000162010e020006686f73742d31050132"
-	if got := hex.EncodeToString(AppendStatus(nil, s, Checked)); got != want {
+	if got := hex.EncodeToString(AppendStatus(nil, s, ChecksummedFrame)); got != want {
 		t.Errorf("%s, not\n%s", got, want)
 	}
 	raw, err := hex.DecodeString(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := ReadStatus(bytes.NewReader(raw)); err != nil || !bytes.Equal(AppendStatus(nil, again, Checked), raw) {
+	if again, err := ReadStatus(bytes.NewReader(raw)); err != nil || !bytes.Equal(AppendStatus(nil, again, ChecksummedFrame), raw) {
 		t.Errorf("read as %+v: %v", again, err)
 	}
 }
--- a/internal/record/group.go
+++ b/internal/record/group.go
@@ -199,23 +199,23 @@
 
 func parseContent(content []byte) (*TaskGroup, error) {
 	r := codec.NewReader(content)
-	g := &TaskGroup{Partition: int(min(r.Number(), math.MaxInt32))}
+	g := &TaskGroup{Partition: int(min(r.Uvarint(), math.MaxInt32))}
 	g.Guaranteed = r.Byte()&flagOwn != 0
 	g.Zone = r.Text()
-	g.Done = int(min(r.Number(), mostTasks))
-	g.Throttle = int(min(r.Number(), mostTasks))
+	g.Done = int(min(r.Uvarint(), mostTasks))
+	g.Throttle = int(min(r.Uvarint(), mostTasks))
 	places := make([]place, 1, 1+r.Count(5))
 	for i := range cap(places) - 1 {
 		before := &places[i]
-		places = append(places, place{machine: r.Suffix(before.machine), addr: r.Suffix(before.addr), session: r.Number()})
+		places = append(places, place{machine: r.Suffix(before.machine), addr: r.Suffix(before.addr), session: r.Uvarint()})
 	}
 	tasks := r.Count(3)
 	g.Tasks = make([]Binding, 0, tasks)
 	last := int64(0)
 	for range tasks {
-		last += r.Signed()
-		t := Binding{Task: int32(last), Attempt: r.Number()}
-		at := r.Number()
+		last += r.Varint()
+		t := Binding{Task: int32(last), Attempt: r.Uvarint()}
+		at := r.Uvarint()
 		if r.Bad() || at >= uint64(len(places)) || int64(t.Task) != last {
 			return nil, errContent
 		}
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -49,8 +49,8 @@
 	maxIDDigits = 20
 )
 
-// ValidID tells whether id has the form of a job's id.
-func ValidID(id string) bool {
+// ValidJobID tells whether id has the form of a job's id.
+func ValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, idPrefix)
 	if !ok || digits == "" || len(digits) > maxIDDigits {
 		return false
--- a/internal/wire/parse_job.go
+++ b/internal/wire/parse_job.go
@@ -121,7 +121,7 @@
 		}
 		*field.to = *field.from
 	}
-	if !ValidID(job.ID) {
+	if !ValidJobID(job.ID) {
 		return fieldErrorf("nameId", "%q is not of the form wk-000000", job.ID)
 	}
 	return nil
