--- /dev/null
+++ b/internal/tools/docs/settings_test.go
@@ -0,0 +1,45 @@
+package docs_test
+
+import (
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"eiderhitch/internal/config"
+)
+
+// exampleSettings are the platform's settings that newcomers are given to try.
+func exampleSettings(t *testing.T) *config.Platform {
+	t.Helper()
+	platform, err := config.Load(filepath.Join(root, "deploy", "example.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return platform
+}
+
+func TestExampleSettingsAreValid(t *testing.T) {
+	platform := exampleSettings(t)
+	if warnings := platform.Warnings(); len(warnings) > 0 {
+		t.Errorf("deploy/example.toml: %q", warnings)
+	}
+	if _, err := config.LoadOperator(filepath.Join(root, "deploy", "upgrades.sexp"), platform); err != nil {
+		t.Error(err)
+	}
+}
+
+// TestSettingsOnPagesAreValid reads the examples of operators' settings on the pages.
+func TestSettingsOnPagesAreValid(t *testing.T) {
+	platform := exampleSettings(t)
+	for _, page := range []string{"operations.md", "upgrading.md"} {
+		_, example, ok := strings.Cut(readPage(t, page), "\n    (eiderhitch\n")
+		if !ok {
+			t.Errorf("%s has no example of operators' settings", page)
+			continue
+		}
+		example, _, _ = strings.Cut(example, "\n\n")
+		if _, err := config.ParseOperator("(eiderhitch\n"+example, platform); err != nil {
+			t.Errorf("%s: %v", page, err)
+		}
+	}
+}
