--- a/internal/tools/docs/architecture_test.go
+++ b/internal/tools/docs/architecture_test.go
@@ -11,6 +11,7 @@
 	"path/filepath"
 	"regexp"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 )
@@ -195,3 +196,40 @@
 	}
 	return false
 }
+
+// TestArchitectureNamesTheStoredKeys fails when the code has a key, or the beginning of
+// one, that the page's table of stored keys lacks.
+func TestArchitectureNamesTheStoredKeys(t *testing.T) {
+	keys := codeSpans(readPage(t, "architecture.md"))
+	checked := 0
+	for directory, files := range sourcePackages(t) {
+		for _, prefix := range storedKeyPrefixes(files) {
+			checked++
+			if !slices.ContainsFunc(keys, func(key string) bool { return strings.HasPrefix(key, prefix) }) {
+				t.Errorf("architecture.md lacks the stored key %s of %s", prefix, directory)
+			}
+		}
+	}
+	if checked < 8 {
+		t.Errorf("only %d stored keys were found in the code", checked)
+	}
+}
+
+// storedKeyPrefixes are the literals that begin with what all stored keys begin with.
+func storedKeyPrefixes(files []*ast.File) []string {
+	const allKeys = "e/"
+	var prefixes []string
+	for _, file := range files {
+		ast.Inspect(file, func(node ast.Node) bool {
+			literal, ok := node.(*ast.BasicLit)
+			if !ok || literal.Kind != token.STRING {
+				return true
+			}
+			if text, err := strconv.Unquote(literal.Value); err == nil && strings.HasPrefix(text, allKeys) {
+				prefixes = append(prefixes, text)
+			}
+			return true
+		})
+	}
+	return prefixes
+}
