--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -58,3 +58,21 @@
 		}
 	}
 }
+
+func TestWarningsKeepTheirText(t *testing.T) {
+	p := &Platform{}
+	p.Settings.Count, p.Settings.Limits.MemMB, p.Settings.Limits.MaxSockets, p.Settings.Limits.CPUShare = 3, 12, 30, 0.002
+	want := `settings.limits.mem_mb: 12 is little for 22 connections, 22 would do
+settings.limits.max_sockets: 30 leave hardly any for workers and users, 40 are the least
+settings.limits.cpu_share: 0.002 is little, 0.01 are needed for a few dozen machines`
+	if got := strings.Join(p.Warnings(), "\n"); got != want {
+		t.Errorf("%s, not\n%s", got, want)
+	}
+	p.Settings.Limits.MemMB, p.Settings.Limits.MaxSockets, p.Settings.Limits.CPUShare = 100, 600, 0
+	if got := strings.Join(p.Warnings(), "\n"); got != "settings.limits.cpu_share: not given, taken as unknown" {
+		t.Error(got)
+	}
+	if m := p.Memory(); m != (Memory{LimitBytes: 90177536, GCPercent: 300, NeededBytes: 36472604}) {
+		t.Errorf("%+v", m)
+	}
+}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -8,35 +8,35 @@
 
 // Operator is what operators may set beyond the platform's file.
 type Operator struct {
-	// IdleBoots: an unused machine is kept for this many of its boot times.
+	// IdleBoots is how many of its boot times an unused machine is kept.
 	IdleBoots float64
-	// Headroom: room kept for services to come, in square roots of their number.
+	// Headroom is the room kept for services to come, in square roots of their number.
 	Headroom float64
-	// ClassHeadroom overrides it for a class of jobs.
+	// ClassHeadroom overrides Headroom for a class of jobs.
 	ClassHeadroom map[string]float64
-	// EvictAfter: array tasks look for free room this long before they stop others.
+	// EvictAfter is how long array tasks look for free room before they preempt others.
 	EvictAfter time.Duration
-	// BootPatience: a machine that is not up after this many boot times is returned.
+	// BootPatience is after how many of its boot times a machine that is not up is returned.
 	BootPatience float64
-	// LeaseTTL: how long parts and the lead outlive their holder.
+	// LeaseTTL is how long leased keys, of partitions and the leader, outlive their holder.
 	LeaseTTL time.Duration
-	// Spot: rent spot machines for jobs that may use them.
+	// Spot allows spot instances for the jobs that may use them.
 	Spot bool
-	// FeatureLevels: this controller tells which levels it reads, and takes part in
-	// raising the level in force (docs/upgrades.md).
+	// FeatureLevels has this controller register which feature levels it reads, and take
+	// part in raising the level in force (docs/upgrades.md).
 	FeatureLevels bool
-	// HighestLevel: this controller works as a version that reads no higher level;
-	// 0: as high as it can.
+	// HighestLevel has this controller work as a version that reads no higher level; 0: as
+	// high as it can.
 	HighestLevel int
-	// FinalizeAfter: an active level becomes final after this time without a restart of
-	// any controller; 0: only by an operator's word.
+	// FinalizeAfter is the time without a restart of any controller after which an active
+	// level becomes final; 0: only when an operator says so.
 	FinalizeAfter time.Duration
-	// RewriteShare is the part of the state service's changes a second that may go into
-	// storing records in another form.
+	// RewriteShare is the share of the key-value store's changes a second that may go into
+	// storing records in another encoding.
 	RewriteShare float64
 }
 
-// DefaultOperator are the settings without a file.
+// DefaultOperator returns the settings that hold without a file.
 func DefaultOperator() *Operator {
 	return &Operator{
 		IdleBoots:     0.4,
@@ -52,24 +52,24 @@
 	}
 }
 
-// LoadOperator reads an operators' settings file and checks it against the
+// LoadOperator reads the operators' settings file at path and validates it against the
 // platform's settings.
-func LoadOperator(path string, p *Platform) (*Operator, error) {
+func LoadOperator(path string, platform *Platform) (*Operator, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	o, err := ParseOperator(string(raw), p)
+	operator, err := ParseOperator(string(raw), platform)
 	if err != nil {
 		return nil, fmt.Errorf("%s:%w", path, err)
 	}
-	return o, nil
+	return operator, nil
 }
 
-// HeadroomOf is the headroom for a class.
+// HeadroomOf returns the headroom for a class of jobs.
 func (o *Operator) HeadroomOf(class string) float64 {
-	if v, ok := o.ClassHeadroom[class]; ok {
-		return v
+	if headroom, ok := o.ClassHeadroom[class]; ok {
+		return headroom
 	}
 	return o.Headroom
 }
--- a/internal/config/operator_parse.go
+++ b/internal/config/operator_parse.go
@@ -5,158 +5,200 @@
 	"time"
 )
 
+// Bounds of the operators' settings.
+const (
+	maxHeadroom      = 100
+	maxIdleBoots     = 100
+	minBootPatience  = 1
+	maxBootPatience  = 100
+	maxEvictAfter    = time.Hour
+	minLeaseTTL      = time.Second
+	maxLeaseTTL      = 5 * time.Minute
+	minFinalizeAfter = time.Second
+	maxFinalizeAfter = 30 * 24 * time.Hour
+	minHighestLevel  = 1
+	maxHighestLevel  = 1000
+	minRewriteShare  = 0.001
+	maxRewriteShare  = 0.5
+)
+
+// rootName is the first word of the one list that a file has.
+const rootName = "eiderhitch"
+
 // ParseOperator decodes settings such as
 //
 //	(eiderhitch (headroom 1.5) (evict-after 5s) (class "feed" (headroom 2)))
 //
-// Every error names its line and column.
-func ParseOperator(src string, p *Platform) (*Operator, error) {
+// and validates them against the platform's. Every error is a SyntaxError.
+func ParseOperator(src string, platform *Platform) (*Operator, error) {
 	exprs, err := ParseExprs(src)
 	if err != nil {
 		return nil, err
 	}
-	if len(exprs) != 1 || !exprs[0].IsList || len(exprs[0].List) == 0 || exprs[0].List[0].Atom != "eiderhitch" {
-		at := Position{1, 1}
-		if len(exprs) > 0 {
-			at = exprs[min(len(exprs), 2)-1].Position
-		}
-		return nil, syntaxErrorf(at, "one list (eiderhitch ...) is expected")
+	if err := checkRoot(exprs); err != nil {
+		return nil, err
 	}
-	o := DefaultOperator()
+	operator := DefaultOperator()
 	seen := map[string]bool{}
 	for _, e := range exprs[0].List[1:] {
-		name, err := head(e)
-		if err != nil {
-			return nil, err
-		}
-		if name == "class" {
-			if err := o.class(e); err != nil {
-				return nil, err
-			}
-			continue
-		}
-		if seen[name] {
-			return nil, syntaxErrorf(e.Position, "%s is set twice", name)
-		}
-		seen[name] = true
-		switch name {
-		case "idle-boots":
-			err = number(e, &o.IdleBoots, 0, 100)
-		case "headroom":
-			err = number(e, &o.Headroom, 0, 100)
-		case "boot-patience":
-			err = number(e, &o.BootPatience, 1, 100)
-		case "evict-after":
-			err = span(e, &o.EvictAfter, 0, time.Hour)
-		case "right-ttl":
-			err = span(e, &o.LeaseTTL, time.Second, 5*time.Minute)
-			if hold := MaxStaleness(p.Settings.Workers.CancelS, p.Settings.Workers.LeaseS); err == nil && o.LeaseTTL > hold {
-				err = syntaxErrorf(e.Position, "right-ttl %v is longer than the %v that an owner may go on without the state service", o.LeaseTTL, hold.Round(time.Millisecond))
-			}
-		case "spot":
-			err = choice(e, &o.Spot)
-		case "feature-levels":
-			err = choice(e, &o.FeatureLevels)
-		case "finalize-after":
-			err = span(e, &o.FinalizeAfter, time.Second, 30*24*time.Hour)
-		case "highest-level":
-			err = whole(e, &o.HighestLevel, 1, 1000)
-		case "rewrite-share":
-			err = number(e, &o.RewriteShare, 0.001, 0.5)
-		default:
-			err = syntaxErrorf(e.List[0].Position, "unknown setting %q", name)
-		}
-		if err != nil {
+		if err := operator.parseSetting(e, platform, seen); err != nil {
 			return nil, err
 		}
 	}
-	return o, nil
+	return operator, nil
 }
 
-func head(e Expr) (string, error) {
-	if !e.IsList || len(e.List) == 0 || e.List[0].IsList {
-		return "", syntaxErrorf(e.Position, "a setting such as (headroom 1) is expected")
+// checkRoot returns an error unless a file has one list, of the right name.
+func checkRoot(exprs []Expr) error {
+	if len(exprs) == 1 && exprs[0].IsList && len(exprs[0].List) > 0 && exprs[0].List[0].Atom == rootName {
+		return nil
 	}
-	return e.List[0].Atom, nil
+	position := Position{1, 1}
+	if len(exprs) > 0 {
+		position = exprs[min(len(exprs), 2)-1].Position // the second one is the one too many
+	}
+	return syntaxErrorf(position, "one list (eiderhitch ...) is expected")
+}
+
+// parseSetting takes over one setting. Those of a class may repeat, others are in seen then.
+func (o *Operator) parseSetting(e Expr, platform *Platform, seen map[string]bool) error {
+	name, err := settingName(e)
+	if err != nil {
+		return err
+	}
+	if name == "class" {
+		return o.parseClass(e)
+	}
+	if seen[name] {
+		return syntaxErrorf(e.Position, "%s is set twice", name)
+	}
+	seen[name] = true
+	switch name {
+	case "idle-boots":
+		return parseNumber(e, &o.IdleBoots, 0, maxIdleBoots)
+	case "headroom":
+		return parseNumber(e, &o.Headroom, 0, maxHeadroom)
+	case "boot-patience":
+		return parseNumber(e, &o.BootPatience, minBootPatience, maxBootPatience)
+	case "evict-after":
+		return parseDuration(e, &o.EvictAfter, 0, maxEvictAfter)
+	case "right-ttl":
+		return o.parseLeaseTTL(e, &platform.Settings.Workers)
+	case "spot":
+		return parseYesNo(e, &o.Spot)
+	case "feature-levels":
+		return parseYesNo(e, &o.FeatureLevels)
+	case "finalize-after":
+		return parseDuration(e, &o.FinalizeAfter, minFinalizeAfter, maxFinalizeAfter)
+	case "highest-level":
+		return parseInteger(e, &o.HighestLevel, minHighestLevel, maxHighestLevel)
+	case "rewrite-share":
+		return parseNumber(e, &o.RewriteShare, minRewriteShare, maxRewriteShare)
+	default:
+		return syntaxErrorf(e.List[0].Position, "unknown setting %q", name)
+	}
+}
+
+// parseLeaseTTL takes over how long leased keys outlive their holder: not longer than an
+// owner may go on without the key-value store.
+func (o *Operator) parseLeaseTTL(e Expr, workers *WorkerSettings) error {
+	if err := parseDuration(e, &o.LeaseTTL, minLeaseTTL, maxLeaseTTL); err != nil {
+		return err
+	}
+	if staleness := MaxStaleness(workers.CancelS, workers.LeaseS); o.LeaseTTL > staleness {
+		return syntaxErrorf(e.Position, "right-ttl %v is longer than the %v that an owner may go on without the state service",
+			o.LeaseTTL, staleness.Round(time.Millisecond))
+	}
+	return nil
 }
 
-func (o *Operator) class(e Expr) error {
+// parseClass takes over the settings of a class of jobs.
+func (o *Operator) parseClass(e Expr) error {
 	if len(e.List) != 3 || e.List[1].IsList {
 		return syntaxErrorf(e.Position, `(class "name" (headroom n)) is expected`)
 	}
-	name := e.List[1].Atom
-	if _, ok := o.ClassHeadroom[name]; ok {
-		return syntaxErrorf(e.Position, "class %q is set twice", name)
+	class, setting := e.List[1].Atom, e.List[2]
+	if _, ok := o.ClassHeadroom[class]; ok {
+		return syntaxErrorf(e.Position, "class %q is set twice", class)
 	}
-	what, err := head(e.List[2])
+	name, err := settingName(setting)
 	if err != nil {
 		return err
 	}
-	if what != "headroom" {
-		return syntaxErrorf(e.List[2].Position, "unknown setting %q of a class", what)
+	if name != "headroom" {
+		return syntaxErrorf(setting.Position, "unknown setting %q of a class", name)
 	}
-	v := 0.0
-	if err := number(e.List[2], &v, 0, 100); err != nil {
+	headroom := 0.0
+	if err := parseNumber(setting, &headroom, 0, maxHeadroom); err != nil {
 		return err
 	}
-	o.ClassHeadroom[name] = v
+	o.ClassHeadroom[class] = headroom
 	return nil
 }
 
-func value(e Expr) (Expr, error) {
+// settingName returns the first word of a setting's list.
+func settingName(e Expr) (string, error) {
+	if !e.IsList || len(e.List) == 0 || e.List[0].IsList {
+		return "", syntaxErrorf(e.Position, "a setting such as (headroom 1) is expected")
+	}
+	return e.List[0].Atom, nil
+}
+
+// settingValue returns the one value of a setting.
+func settingValue(e Expr) (Expr, error) {
 	if len(e.List) != 2 || e.List[1].IsList {
 		return Expr{}, syntaxErrorf(e.Position, "%s takes one value", e.List[0].Atom)
 	}
 	return e.List[1], nil
 }
 
-func number(e Expr, to *float64, least, most float64) error {
-	v, err := value(e)
+func parseNumber(e Expr, to *float64, least, most float64) error {
+	value, err := settingValue(e)
 	if err != nil {
 		return err
 	}
-	f, err := strconv.ParseFloat(v.Atom, 64)
-	if err != nil || v.Quoted || !(f >= least && f <= most) {
-		return syntaxErrorf(v.Position, "%s must be a number from %g to %g", e.List[0].Atom, least, most)
+	number, err := strconv.ParseFloat(value.Atom, 64)
+	if err != nil || value.Quoted || !(number >= least && number <= most) {
+		return syntaxErrorf(value.Position, "%s must be a number from %g to %g", e.List[0].Atom, least, most)
 	}
-	*to = f
+	*to = number
 	return nil
 }
 
-func whole(e Expr, to *int, least, most int) error {
-	v, err := value(e)
+func parseInteger(e Expr, to *int, least, most int) error {
+	value, err := settingValue(e)
 	if err != nil {
 		return err
 	}
-	n, err := strconv.Atoi(v.Atom)
-	if err != nil || v.Quoted || n < least || n > most {
-		return syntaxErrorf(v.Position, "%s must be a whole number from %d to %d", e.List[0].Atom, least, most)
+	integer, err := strconv.Atoi(value.Atom)
+	if err != nil || value.Quoted || integer < least || integer > most {
+		return syntaxErrorf(value.Position, "%s must be a whole number from %d to %d", e.List[0].Atom, least, most)
 	}
-	*to = n
+	*to = integer
 	return nil
 }
 
-func span(e Expr, to *time.Duration, least, most time.Duration) error {
-	v, err := value(e)
+func parseDuration(e Expr, to *time.Duration, least, most time.Duration) error {
+	value, err := settingValue(e)
 	if err != nil {
 		return err
 	}
-	d, err := time.ParseDuration(v.Atom)
-	if err != nil || v.Quoted || d < least || d > most {
-		return syntaxErrorf(v.Position, "%s must be a time such as 5s, from %v to %v", e.List[0].Atom, least, most)
+	duration, err := time.ParseDuration(value.Atom)
+	if err != nil || value.Quoted || duration < least || duration > most {
+		return syntaxErrorf(value.Position, "%s must be a time such as 5s, from %v to %v", e.List[0].Atom, least, most)
 	}
-	*to = d
+	*to = duration
 	return nil
 }
 
-func choice(e Expr, to *bool) error {
-	v, err := value(e)
+func parseYesNo(e Expr, to *bool) error {
+	value, err := settingValue(e)
 	if err != nil {
 		return err
 	}
-	if v.Quoted || v.Atom != "yes" && v.Atom != "no" {
-		return syntaxErrorf(v.Position, "%s must be yes or no", e.List[0].Atom)
+	if value.Quoted || value.Atom != "yes" && value.Atom != "no" {
+		return syntaxErrorf(value.Position, "%s must be yes or no", e.List[0].Atom)
 	}
-	*to = v.Atom == "yes"
+	*to = value.Atom == "yes"
 	return nil
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,4 +1,9 @@
-// Package config reads what the platform hands over at start.
+// Package config reads a controller's settings: the platform's file (TOML) and the operators'
+// own (S-expressions). What it returns is validated and must not be modified while a
+// controller runs.
+//
+// Fields whose names end in S are seconds, in MS milliseconds, in KB and MB 1,024 and
+// 1,048,576 bytes; RPS are requests a second.
 package config
 
 import (
@@ -12,6 +17,17 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
+// Platform is the platform's settings file.
+type Platform struct {
+	Name     string    `toml:"node_name"`
+	Zone     string    `toml:"location"`
+	APIAddr  string    `toml:"api_addr"`  // listens for users and workers
+	PeerAddr string    `toml:"mesh_addr"` // listens for peers
+	Peers    []Peer    `toml:"siblings"`
+	External Endpoints `toml:"external"`
+	Settings Settings  `toml:"settings"`
+}
+
 // Peer is another controller of the same cluster.
 type Peer struct {
 	Name string `toml:"node_name"`
@@ -19,7 +35,26 @@
 	Addr string `toml:"peer_addr"`
 }
 
-// Team has a guarantee and a limit; 0 means none.
+// Endpoints are the addresses (host:port) of the services that a controller calls.
+type Endpoints struct {
+	Cloud string `toml:"cloud"`
+	State string `toml:"state"` // the key-value store
+}
+
+// Settings are those that all controllers have in common.
+type Settings struct {
+	Count      int            `toml:"count"` // number of controllers
+	Zones      []string       `toml:"zones"`
+	SkewMS     float64        `toml:"skew_ms"` // bound of the differences between times of day
+	Teams      []Team         `toml:"teams"`
+	Objectives []Objective    `toml:"objectives"`
+	Workers    WorkerSettings `toml:"workers"`
+	State      StoreLimits    `toml:"state"`
+	Cloud      CloudSettings  `toml:"cloud"`
+	Limits     ResourceLimits `toml:"limits"`
+}
+
+// Team has a quota: a guarantee (CPUs, GPUs) and a limit (CPUsMax, GPUsMax); 0 means none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -28,7 +63,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective repeats one of the operators' aims.
+// Objective is a service-level objective of a class of jobs.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -37,107 +72,109 @@
 	Times   float64 `toml:"times"`
 }
 
-// Platform is the platform's settings file.
-type Platform struct {
-	Name     string `toml:"node_name"`
-	Zone     string `toml:"location"`
-	APIAddr  string `toml:"api_addr"`
-	PeerAddr string `toml:"mesh_addr"`
-	Peers    []Peer `toml:"siblings"`
-	External struct {
-		Cloud string `toml:"cloud"`
-		State string `toml:"state"`
-	} `toml:"external"`
-	Settings struct {
-		Count      int         `toml:"count"`
-		Zones      []string    `toml:"zones"`
-		SkewMS     float64     `toml:"skew_ms"`
-		Teams      []Team      `toml:"teams"`
-		Objectives []Objective `toml:"objectives"`
-		Workers    struct {
-			ReportS float64 `toml:"report_s"`
-			LeaseS  float64 `toml:"lease_s"`
-			CancelS float64 `toml:"cancel_s"`
-			// How long a gang's task waits for the others, and within what time all must
-			// be told to stop and notice that one is gone. 0: not given.
-			GangWaitS float64 `toml:"gang_wait_s"`
-			GangPeerS float64 `toml:"gang_peer_s"`
-		} `toml:"workers"`
-		// State holds the state service's limits. Those of Next come some day, without
-		// notice; what Parse returns are the lower of both.
-		State struct {
-			RPS      float64 `toml:"rps"`
-			WriteRPS float64 `toml:"write_rps"`
-			ValueKB  float64 `toml:"value_kb"`
-			TxnOps   int     `toml:"txn_ops"`
-			Next     struct {
-				RPS      *float64 `toml:"rps"`
-				WriteRPS *float64 `toml:"write_rps"`
-				ValueKB  *float64 `toml:"value_kb"`
-				TxnOps   *int     `toml:"txn_ops"`
-			} `toml:"next"`
-		} `toml:"state"`
-		Cloud struct {
-			RPS      float64 `toml:"rps"`
-			ListLagS float64 `toml:"list_lag_s"`
-		} `toml:"cloud"`
-		Limits struct {
-			CPUShare   float64 `toml:"cpu_share"`
-			MemMB      float64 `toml:"mem_mb"`
-			MaxSockets int     `toml:"max_sockets"`
-		} `toml:"limits"`
-	} `toml:"settings"`
-}
-
-// Load reads and checks the settings file at path.
+// objectiveFinished is the Kind of objectives for the time until a job is done.
+const objectiveFinished = "finished"
+
+// WorkerSettings are the times that workers keep to.
+type WorkerSettings struct {
+	ReportS float64 `toml:"report_s"` // interval of heartbeats
+	LeaseS  float64 `toml:"lease_s"`  // after the last answered heartbeat a worker kills its tasks
+	CancelS float64 `toml:"cancel_s"` // within it a cancelled job's tasks must be gone
+	// GangWaitS is how long a gang's task waits for the others; 0: not given.
+	GangWaitS float64 `toml:"gang_wait_s"`
+	// GangPeerS is within what time all tasks of a gang must be told to stop, or notice,
+	// that one of them is gone; 0: not given.
+	GangPeerS float64 `toml:"gang_peer_s"`
+}
+
+// StoreLimits are the key-value store's limits, for all controllers together. What Parse
+// returns are the lower of the present ones and those of Next.
+type StoreLimits struct {
+	RPS      float64         `toml:"rps"`
+	WriteRPS float64         `toml:"write_rps"` // changes a second
+	ValueKB  float64         `toml:"value_kb"`  // size of a value
+	TxnOps   int             `toml:"txn_ops"`   // changes in a transaction
+	Next     NextStoreLimits `toml:"next"`
+}
+
+// NextStoreLimits are limits that will replace the present ones some day, without notice;
+// nil: that one stays.
+type NextStoreLimits struct {
+	RPS      *float64 `toml:"rps"`
+	WriteRPS *float64 `toml:"write_rps"`
+	ValueKB  *float64 `toml:"value_kb"`
+	TxnOps   *int     `toml:"txn_ops"`
+}
+
+// CloudSettings are the cloud's rate limit and the lag of its list of machines.
+type CloudSettings struct {
+	RPS      float64 `toml:"rps"`
+	ListLagS float64 `toml:"list_lag_s"`
+}
+
+// ResourceLimits are what the platform allows a controller's process.
+type ResourceLimits struct {
+	CPUShare   float64 `toml:"cpu_share"` // in cores; 0: not known
+	MemMB      float64 `toml:"mem_mb"`
+	MaxSockets int     `toml:"max_sockets"`
+}
+
+// Load reads and validates the settings file at path.
 func Load(path string) (*Platform, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	p, err := Parse(raw)
+	platform, err := Parse(raw)
 	if err != nil {
 		return nil, fmt.Errorf("settings %s: %w", path, err)
 	}
-	return p, nil
+	return platform, nil
 }
 
-// Parse decodes and checks settings; fields it does not know are ignored.
+// Parse decodes and validates settings; fields it does not know are ignored. An error about a
+// setting's value is a SettingError.
 func Parse(raw []byte) (*Platform, error) {
-	var p Platform
-	if err := toml.NewDecoder(bytes.NewReader(raw)).Decode(&p); err != nil {
-		if de, ok := errors.AsType[*toml.DecodeError](err); ok {
-			row, col := de.Position()
-			if key := strings.Join(de.Key(), "."); key != "" {
-				return nil, fmt.Errorf("line %d column %d: %s: not a value of the right type", row, col, key)
-			}
-			return nil, fmt.Errorf("line %d column %d: %w", row, col, err)
-		}
-		return nil, err
+	platform := &Platform{}
+	if err := toml.NewDecoder(bytes.NewReader(raw)).Decode(platform); err != nil {
+		return nil, decodeError(err)
 	}
-	if err := p.check(); err != nil {
+	if err := platform.validate(); err != nil {
 		return nil, err
 	}
-	return &p, nil
+	return platform, nil
+}
+
+// decodeError returns a decoder's error in one line, with its place.
+func decodeError(err error) error {
+	decoding, ok := errors.AsType[*toml.DecodeError](err)
+	if !ok {
+		return err
+	}
+	line, column := decoding.Position()
+	if key := strings.Join(decoding.Key(), "."); key != "" {
+		return fmt.Errorf("line %d column %d: %s: not a value of the right type", line, column, key)
+	}
+	return fmt.Errorf("line %d column %d: %w", line, column, err)
 }
 
-// Nodes lists all controllers' names in order.
+// Nodes returns the names of all controllers, sorted.
 func (p *Platform) Nodes() []string {
 	names := []string{p.Name}
-	for _, s := range p.Peers {
-		names = append(names, s.Name)
+	for _, peer := range p.Peers {
+		names = append(names, peer.Name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// ObjectiveSeconds is, for each class that has such an objective, in how many seconds its
-// jobs should be done, whatever their deadlines.
+// ObjectiveSeconds returns, by class, in how many seconds jobs should be done whatever their
+// deadlines. Classes without such an objective are missing.
 func (p *Platform) ObjectiveSeconds() map[string]float64 {
 	within := map[string]float64{}
-	for _, o := range p.Settings.Objectives {
-		if o.Kind == "finished" {
-			within[o.Class] = max(within[o.Class], o.WithinS)
+	for _, objective := range p.Settings.Objectives {
+		if objective.Kind == objectiveFinished {
+			within[objective.Class] = max(within[objective.Class], objective.WithinS)
 		}
 	}
 	return within
--- a/internal/config/sexp.go
+++ b/internal/config/sexp.go
@@ -7,22 +7,23 @@
 	"unicode/utf8"
 )
 
-// Position is a place in a settings file; lines and columns count from 1, columns
-// in characters.
+// Position is a place in a settings file; lines and columns count from 1, columns in
+// characters.
 type Position struct{ Line, Column int }
 
-// SyntaxError is an error with its place.
+// SyntaxError is an error in an operators' settings file, with its place.
 type SyntaxError struct {
 	Position Position
 	Message  string
 }
 
+// Error has the form line:column: message.
 func (e *SyntaxError) Error() string {
 	return fmt.Sprintf("%d:%d: %s", e.Position.Line, e.Position.Column, e.Message)
 }
 
-func syntaxErrorf(p Position, format string, args ...any) error {
-	return &SyntaxError{p, fmt.Sprintf(format, args...)}
+func syntaxErrorf(position Position, format string, args ...any) error {
+	return &SyntaxError{position, fmt.Sprintf(format, args...)}
 }
 
 // Expr is an S-expression: a list, or an atom (a word or a quoted string).
@@ -37,22 +38,27 @@
 // maxDepth bounds nesting, so that no file can exhaust the stack.
 const maxDepth = 64
 
+// endOfFile is what peek returns after the last character.
+const endOfFile = -1
+
+// sexpParser reads expressions off a text by recursive descent.
 type sexpParser struct {
-	src string
-	at  int
-	pos Position
+	src      string
+	offset   int // of the next character, in bytes
+	position Position
 }
 
-// ParseExprs reads all expressions of src. Comments run from ; to the end of line.
+// ParseExprs reads all expressions of src. Comments run from ; to the end of the line. Every
+// error is a SyntaxError.
 func ParseExprs(src string) ([]Expr, error) {
-	r := &sexpParser{src: src, pos: Position{1, 1}}
+	p := &sexpParser{src: src, position: Position{1, 1}}
 	var out []Expr
 	for {
-		r.space()
-		if r.at == len(r.src) {
+		p.skipSpace()
+		if p.atEnd() {
 			return out, nil
 		}
-		e, err := r.expr(0)
+		e, err := p.expr(0)
 		if err != nil {
 			return nil, err
 		}
@@ -60,93 +66,115 @@
 	}
 }
 
-func (r *sexpParser) peek() rune {
-	if r.at == len(r.src) {
-		return -1
+func (p *sexpParser) atEnd() bool { return p.offset == len(p.src) }
+
+// peek returns the next character without reading it.
+func (p *sexpParser) peek() rune {
+	if p.atEnd() {
+		return endOfFile
 	}
-	c, _ := utf8.DecodeRuneInString(r.src[r.at:])
+	c, _ := utf8.DecodeRuneInString(p.src[p.offset:])
 	return c
 }
 
-func (r *sexpParser) next() rune {
-	c, n := utf8.DecodeRuneInString(r.src[r.at:])
-	r.at += n
+// next reads a character.
+func (p *sexpParser) next() rune {
+	c, size := utf8.DecodeRuneInString(p.src[p.offset:])
+	p.offset += size
 	if c == '\n' {
-		r.pos = Position{r.pos.Line + 1, 1}
+		p.position = Position{p.position.Line + 1, 1}
 	} else {
-		r.pos.Column++
+		p.position.Column++
 	}
 	return c
 }
 
-func blank(c rune) bool { return c == ' ' || c == '\t' || c == '\n' || c == '\r' }
-
-func (r *sexpParser) space() {
-	for r.at < len(r.src) {
-		c := r.peek()
-		if c == ';' {
-			for r.at < len(r.src) && r.peek() != '\n' {
-				r.next()
-			}
-		} else if blank(c) {
-			r.next()
-		} else {
+func isSpace(c rune) bool { return c == ' ' || c == '\t' || c == '\n' || c == '\r' }
+
+// skipSpace reads up to the next expression: white space and comments.
+func (p *sexpParser) skipSpace() {
+	for !p.atEnd() {
+		switch c := p.peek(); {
+		case c == ';':
+			p.skipLine()
+		case isSpace(c):
+			p.next()
+		default:
 			return
 		}
 	}
 }
 
-func (r *sexpParser) expr(depth int) (Expr, error) {
-	e := Expr{Position: r.pos}
+func (p *sexpParser) skipLine() {
+	for !p.atEnd() && p.peek() != '\n' {
+		p.next()
+	}
+}
+
+// expr reads one expression.
+func (p *sexpParser) expr(depth int) (Expr, error) {
 	if depth > maxDepth {
-		return e, syntaxErrorf(r.pos, "nested deeper than %d", maxDepth)
+		return Expr{}, syntaxErrorf(p.position, "nested deeper than %d", maxDepth)
 	}
-	switch c := r.peek(); {
-	case c == '(':
-		r.next()
-		e.IsList = true
-		for {
-			r.space()
-			if r.at == len(r.src) {
-				return e, syntaxErrorf(e.Position, "this ( is never closed")
-			}
-			if r.peek() == ')' {
-				r.next()
-				return e, nil
-			}
-			sub, err := r.expr(depth + 1)
-			if err != nil {
-				return e, err
-			}
-			e.List = append(e.List, sub)
+	switch p.peek() {
+	case '(':
+		return p.list(depth)
+	case ')':
+		return Expr{}, syntaxErrorf(p.position, "this ) closes nothing")
+	case '"':
+		return p.quoted()
+	default:
+		return p.word(), nil
+	}
+}
+
+func (p *sexpParser) list(depth int) (Expr, error) {
+	list := Expr{Position: p.position, IsList: true}
+	p.next()
+	for {
+		p.skipSpace()
+		if p.atEnd() {
+			return Expr{}, syntaxErrorf(list.Position, "this ( is never closed")
 		}
-	case c == ')':
-		return e, syntaxErrorf(r.pos, "this ) closes nothing")
-	case c == '"':
-		from := r.at
-		r.next()
-		for {
-			if r.at == len(r.src) || r.peek() == '\n' {
-				return e, syntaxErrorf(e.Position, "this string is not closed on its line")
-			}
-			if c := r.next(); c == '\\' && r.at < len(r.src) {
-				r.next()
-			} else if c == '"' {
-				break
-			}
+		if p.peek() == ')' {
+			p.next()
+			return list, nil
 		}
-		s, err := strconv.Unquote(r.src[from:r.at])
+		element, err := p.expr(depth + 1)
 		if err != nil {
-			return e, syntaxErrorf(e.Position, "malformed string")
+			return Expr{}, err
 		}
-		e.Atom, e.Quoted = s, true
-		return e, nil
-	default:
-		from := r.at
-		for r.at < len(r.src) && !blank(r.peek()) && !strings.ContainsRune(`();"`, r.peek()) {
-			r.next()
+		list.List = append(list.List, element)
+	}
+}
+
+// quoted reads a string in double quotes, with the escapes of Go's.
+func (p *sexpParser) quoted() (Expr, error) {
+	position, start := p.position, p.offset
+	p.next()
+	for {
+		if p.atEnd() || p.peek() == '\n' {
+			return Expr{}, syntaxErrorf(position, "this string is not closed on its line")
+		}
+		c := p.next()
+		if c == '"' {
+			break
 		}
-		e.Atom = r.src[from:r.at]
-		return e, nil
+		if c == '\\' && !p.atEnd() {
+			p.next()
+		}
+	}
+	text, err := strconv.Unquote(p.src[start:p.offset])
+	if err != nil {
+		return Expr{}, syntaxErrorf(position, "malformed string")
+	}
+	return Expr{Position: position, Atom: text, Quoted: true}, nil
+}
+
+func (p *sexpParser) word() Expr {
+	position, start := p.position, p.offset
+	for !p.atEnd() && !isSpace(p.peek()) && !strings.ContainsRune(`();"`, p.peek()) {
+		p.next()
 	}
+	return Expr{Position: position, Atom: p.src[start:p.offset]}
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -7,111 +7,210 @@
 	"net"
 )
 
-func (p *Platform) check() error {
+// Least limits of the key-value store that a controller can work with: what assigning a task
+// and a job's record need.
+const (
+	minTxnOps  = 4
+	minValueKB = 0.5
+)
+
+// SettingError says which of the platform's settings is refused, and why.
+type SettingError struct {
+	Setting string // its path in the file, such as settings.state.rps
+	Err     error
+}
+
+// Error names the setting and the reason in one line.
+func (e *SettingError) Error() string { return e.Setting + ": " + e.Err.Error() }
+
+// Unwrap returns the reason.
+func (e *SettingError) Unwrap() error { return e.Err }
+
+// refuse returns a SettingError with a formatted reason.
+func refuse(setting, format string, args ...any) error {
+	return &SettingError{Setting: setting, Err: fmt.Errorf(format, args...)}
+}
+
+var (
+	errEmpty    = errors.New("must not be empty")
+	errNegative = errors.New("must not be negative")
+)
+
+// validate returns the first setting that can't be worked with. It lowers the key-value
+// store's limits to the next ones before it looks at them.
+func (p *Platform) validate() error {
+	for _, validate := range []func() error{
+		p.validateAddresses, p.validatePeers, p.Settings.State.lowerToNext, p.validateCluster, p.validatePositive,
+		p.Settings.Limits.validate, p.Settings.State.validate, p.Settings.Workers.validate, p.validateTeams,
+	} {
+		if err := validate(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (p *Platform) validateAddresses() error {
 	if p.Name == "" {
-		return errors.New("node_name: must not be empty")
+		return &SettingError{Setting: "node_name", Err: errEmpty}
 	}
-	for _, a := range []struct{ field, addr string }{
-		{"api_addr", p.APIAddr}, {"mesh_addr", p.PeerAddr},
-		{"external.cloud", p.External.Cloud}, {"external.state", p.External.State},
+	for _, setting := range []struct{ name, addr string }{
+		{"api_addr", p.APIAddr},
+		{"mesh_addr", p.PeerAddr},
+		{"external.cloud", p.External.Cloud},
+		{"external.state", p.External.State},
 	} {
-		if _, _, err := net.SplitHostPort(a.addr); err != nil {
-			return fmt.Errorf("%s: %w", a.field, err)
+		if err := validateAddress(setting.name, setting.addr); err != nil {
+			return err
 		}
 	}
-	seen := map[string]bool{p.Name: true}
-	for i, s := range p.Peers {
-		if s.Name == "" || seen[s.Name] {
-			return fmt.Errorf("siblings[%d].node_name: %q is empty or repeated", i, s.Name)
+	return nil
+}
+
+// validateAddress returns an error unless a setting's address has the form host:port.
+func validateAddress(setting, addr string) error {
+	if _, _, err := net.SplitHostPort(addr); err != nil {
+		return &SettingError{Setting: setting, Err: err}
+	}
+	return nil
+}
+
+func (p *Platform) validatePeers() error {
+	known := map[string]bool{p.Name: true}
+	for i, peer := range p.Peers {
+		setting := fmt.Sprintf("siblings[%d]", i)
+		if err := validateName(setting+".node_name", peer.Name, known); err != nil {
+			return err
 		}
-		seen[s.Name] = true
-		if _, _, err := net.SplitHostPort(s.Addr); err != nil {
-			return fmt.Errorf("siblings[%d].peer_addr: %w", i, err)
+		if err := validateAddress(setting+".peer_addr", peer.Addr); err != nil {
+			return err
 		}
 	}
-	s := &p.Settings
-	if err := p.takeNext(); err != nil {
-		return err
+	return nil
+}
+
+// validateName returns an error if a name is empty or known, and adds it to the known ones.
+func validateName(setting, name string, known map[string]bool) error {
+	if name == "" || known[name] {
+		return refuse(setting, "%q is empty or repeated", name)
 	}
-	if s.Count != len(p.Peers)+1 {
-		return fmt.Errorf("settings.count: %d, but node and siblings make %d", s.Count, len(p.Peers)+1)
+	known[name] = true
+	return nil
+}
+
+func (p *Platform) validateCluster() error {
+	if controllers := len(p.Peers) + 1; p.Settings.Count != controllers {
+		return refuse("settings.count", "%d, but node and siblings make %d", p.Settings.Count, controllers)
 	}
-	if len(s.Zones) == 0 {
-		return errors.New("settings.zones: must not be empty")
+	if len(p.Settings.Zones) == 0 {
+		return &SettingError{Setting: "settings.zones", Err: errEmpty}
 	}
-	for _, v := range []struct {
-		field string
+	return nil
+}
+
+// validatePositive returns an error if a setting that must be above 0, and finite, is not.
+func (p *Platform) validatePositive() error {
+	s := &p.Settings
+	for _, setting := range []struct {
+		name  string
 		value float64
 	}{
-		{"settings.workers.report_s", s.Workers.ReportS}, {"settings.workers.lease_s", s.Workers.LeaseS},
-		{"settings.workers.cancel_s", s.Workers.CancelS}, {"settings.state.rps", s.State.RPS},
-		{"settings.state.write_rps", s.State.WriteRPS}, {"settings.state.value_kb", s.State.ValueKB},
-		{"settings.state.txn_ops", float64(s.State.TxnOps)}, {"settings.cloud.rps", s.Cloud.RPS},
-		{"settings.limits.mem_mb", s.Limits.MemMB}, {"settings.limits.max_sockets", float64(s.Limits.MaxSockets)},
+		{"settings.workers.report_s", s.Workers.ReportS},
+		{"settings.workers.lease_s", s.Workers.LeaseS},
+		{"settings.workers.cancel_s", s.Workers.CancelS},
+		{"settings.state.rps", s.State.RPS},
+		{"settings.state.write_rps", s.State.WriteRPS},
+		{"settings.state.value_kb", s.State.ValueKB},
+		{"settings.state.txn_ops", float64(s.State.TxnOps)},
+		{"settings.cloud.rps", s.Cloud.RPS},
+		{"settings.limits.mem_mb", s.Limits.MemMB},
+		{"settings.limits.max_sockets", float64(s.Limits.MaxSockets)},
 	} {
-		if !(v.value > 0) || math.IsInf(v.value, 0) {
-			return fmt.Errorf("%s: must be above 0, is %v", v.field, v.value)
+		if !(setting.value > 0) || math.IsInf(setting.value, 0) {
+			return refuse(setting.name, "must be above 0, is %v", setting.value)
 		}
 	}
-	if share := s.Limits.CPUShare; !(share >= 0) || math.IsInf(share, 0) {
-		return fmt.Errorf("settings.limits.cpu_share: must not be negative, is %v", share)
-	}
-	if s.State.TxnOps < minTxnOps {
-		return fmt.Errorf("settings.state.txn_ops: %d changes a transaction are too few, %d are needed", s.State.TxnOps, minTxnOps)
-	}
-	if s.Workers.GangWaitS < 0 || s.Workers.GangPeerS < 0 {
-		return errors.New("settings.workers.gang_wait_s, gang_peer_s: must not be negative")
-	}
-	if MaxStaleness(s.Workers.CancelS, s.Workers.LeaseS) <= 0 {
-		return fmt.Errorf("settings.workers.cancel_s: %v leaves no time beyond lease_s %v", s.Workers.CancelS, s.Workers.LeaseS)
-	}
-	names := map[string]bool{}
-	for i, t := range s.Teams {
-		if t.Name == "" || names[t.Name] {
-			return fmt.Errorf("settings.teams[%d].name: %q is empty or repeated", i, t.Name)
-		}
-		names[t.Name] = true
-		if t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
-			return fmt.Errorf("settings.teams[%d]: amounts must not be negative", i)
-		}
-		if t.CPUsMax > 0 && t.CPUs > t.CPUsMax || t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
-			return fmt.Errorf("settings.teams[%d]: guarantee of %q exceeds its limit", i, t.Name)
-		}
+	return nil
+}
+
+func (l *ResourceLimits) validate() error {
+	if !(l.CPUShare >= 0) || math.IsInf(l.CPUShare, 0) {
+		return refuse("settings.limits.cpu_share", "%w, is %v", errNegative, l.CPUShare)
 	}
 	return nil
 }
 
-// minTxnOps and minValueKB are the least that a dealing, and a job's record, need.
-const (
-	minTxnOps  = 4
-	minValueKB = 0.5
-)
+func (l *StoreLimits) validate() error { return validateTxnOps("settings.state.txn_ops", l.TxnOps) }
+
+func validateTxnOps(setting string, ops int) error {
+	if ops < minTxnOps {
+		return refuse(setting, "%d changes a transaction are too few, %d are needed", ops, minTxnOps)
+	}
+	return nil
+}
 
-// takeNext has the lower of the present and the coming limits of the state service hold
-// from the start: the change comes without notice.
-func (p *Platform) takeNext() error {
-	s := &p.Settings.State
-	n := &s.Next
-	for _, x := range []struct {
-		field     string
-		next, now *float64
-		least     float64
+// lowerToNext has the lower of the present and the next limits hold from the start: the
+// change comes without notice.
+func (l *StoreLimits) lowerToNext() error {
+	const section = "settings.state.next."
+	for _, limit := range []struct {
+		name          string
+		next, present *float64
+		least         float64
 	}{
-		{"rps", n.RPS, &s.RPS, 0}, {"write_rps", n.WriteRPS, &s.WriteRPS, 0}, {"value_kb", n.ValueKB, &s.ValueKB, minValueKB},
+		{"rps", l.Next.RPS, &l.RPS, 0},
+		{"write_rps", l.Next.WriteRPS, &l.WriteRPS, 0},
+		{"value_kb", l.Next.ValueKB, &l.ValueKB, minValueKB},
 	} {
-		if x.next == nil {
+		if limit.next == nil {
 			continue
 		}
-		if !(*x.next > 0 && *x.next >= x.least) || math.IsInf(*x.next, 0) {
-			return fmt.Errorf("settings.state.next.%s: %v can't be worked with", x.field, *x.next)
+		if !(*limit.next > 0 && *limit.next >= limit.least) || math.IsInf(*limit.next, 0) {
+			return refuse(section+limit.name, "%v can't be worked with", *limit.next)
 		}
-		*x.now = min(*x.now, *x.next)
+		*limit.present = min(*limit.present, *limit.next)
+	}
+	if l.Next.TxnOps == nil {
+		return nil
+	}
+	if err := validateTxnOps(section+"txn_ops", *l.Next.TxnOps); err != nil {
+		return err
+	}
+	l.TxnOps = min(l.TxnOps, *l.Next.TxnOps)
+	return nil
+}
+
+func (w *WorkerSettings) validate() error {
+	if w.GangWaitS < 0 || w.GangPeerS < 0 {
+		return &SettingError{Setting: "settings.workers.gang_wait_s, gang_peer_s", Err: errNegative}
+	}
+	if MaxStaleness(w.CancelS, w.LeaseS) <= 0 {
+		return refuse("settings.workers.cancel_s", "%v leaves no time beyond lease_s %v", w.CancelS, w.LeaseS)
 	}
-	if n.TxnOps != nil {
-		if *n.TxnOps < minTxnOps {
-			return fmt.Errorf("settings.state.next.txn_ops: %d changes a transaction are too few, %d are needed", *n.TxnOps, minTxnOps)
+	return nil
+}
+
+func (p *Platform) validateTeams() error {
+	known := map[string]bool{}
+	for i := range p.Settings.Teams {
+		team := &p.Settings.Teams[i]
+		setting := fmt.Sprintf("settings.teams[%d]", i)
+		if err := validateName(setting+".name", team.Name, known); err != nil {
+			return err
 		}
-		s.TxnOps = min(s.TxnOps, *n.TxnOps)
+		if err := team.validateQuota(setting); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (t *Team) validateQuota(setting string) error {
+	if t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
+		return refuse(setting, "amounts must not be negative")
+	}
+	if t.CPUsMax > 0 && t.CPUs > t.CPUsMax || t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
+		return refuse(setting, "guarantee of %q exceeds its limit", t.Name)
 	}
 	return nil
 }
