--- a/cmd/eiderhitch/upgrade_test.go
+++ b/cmd/eiderhitch/upgrade_test.go
@@ -12,13 +12,13 @@
 	"testing"
 	"time"
 
-	"github.com/alecthomas/kong"
-
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/rollout"
-	"eiderhitch/internal/standin"
+	"eiderhitch/internal/simulation/kv"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
+
+	"github.com/alecthomas/kong"
 )
 
 const settings = `node_name = "n0"
@@ -51,10 +51,10 @@
 max_sockets = 100
 `
 
-// stateService is a stand-in on loopback with a settings file that names it.
+// stateService is a simulated one on loopback with a settings file that names it.
 type stateService struct {
 	t      *testing.T
-	state  *standin.State
+	state  *kv.Store
 	client *store.Client
 	file   string
 }
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	state := standin.NewState()
+	state := kv.NewStore()
 	server := &http.Server{Handler: state}
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() { _ = server.Close() })
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -21,17 +21,20 @@
 	"eiderhitch/internal/config"
 	"eiderhitch/internal/peer"
 	"eiderhitch/internal/rollout"
-	"eiderhitch/internal/standin"
+	"eiderhitch/internal/simulation"
+	"eiderhitch/internal/simulation/agent"
+	"eiderhitch/internal/simulation/network"
+	"eiderhitch/internal/simulation/trace"
 	"eiderhitch/internal/wire"
 )
 
-// cluster is three controllers among stand-ins, all on fake time.
+// cluster is a few controllers in a simulated environment, all on fake time.
 type cluster struct {
 	t     *testing.T
 	ctx   context.Context
-	world *standin.World
+	env   *simulation.Environment
 	nodes []*node
-	user  *standin.Net
+	user  *network.Transport
 	mu    sync.Mutex // of what several users share
 	// foreign are keys whose values a test has written itself.
 	foreign map[string]bool
@@ -53,7 +56,7 @@
 // change them, since no process reads them once it has started.
 type node struct {
 	cfg *config.Platform
-	net *standin.Net
+	net *network.Transport
 	// op are the operators' settings; nil: the defaults.
 	op      *config.Operator
 	version softwareVersion
@@ -128,42 +131,41 @@
 	for i := range c.nodes {
 		c.checkClaims(i)
 	}
-	for _, b := range c.world.Breaches() {
+	for _, b := range c.env.Violations() {
 		c.t.Error(b)
 	}
 	c.checkStored()
-	if c.world.State.Excess > 0 {
-		c.t.Errorf("%d transactions were beyond the limits", c.world.State.Excess)
+	if c.env.Store.OverLimits > 0 {
+		c.t.Errorf("%d transactions were beyond the limits", c.env.Store.OverLimits)
 	}
 }
 
 // newCluster is a cluster of which no controller runs yet.
 func newCluster(ctx context.Context, t *testing.T, controllers int) *cluster {
-	var names, addrs []string
+	var members []agent.Controller
 	for i := range controllers {
-		names = append(names, fmt.Sprintf("n%d", i))
-		addrs = append(addrs, fmt.Sprintf("10.0.0.%d:80", i+1))
+		members = append(members, agent.Controller{Name: fmt.Sprintf("n%d", i), Addr: fmt.Sprintf("10.0.0.%d:80", i+1)})
 	}
-	w := standin.NewWorld(ctx, names, addrs, testTypes)
-	c := &cluster{t: t, ctx: ctx, world: w, user: w.Net()}
-	for i, name := range names {
-		cfg := &config.Platform{Name: name, Zone: "a", APIAddr: addrs[i]}
-		for k, other := range names {
+	env := simulation.New(ctx, members, testTypes)
+	c := &cluster{t: t, ctx: ctx, env: env, user: env.Network.NewTransport()}
+	for i, member := range members {
+		cfg := &config.Platform{Name: member.Name, Zone: "a", APIAddr: member.Addr}
+		for k, other := range members {
 			if k != i {
-				cfg.Peers = append(cfg.Peers, config.Peer{Name: other, Addr: addrs[k]})
+				cfg.Peers = append(cfg.Peers, config.Peer{Name: other.Name, Addr: other.Addr})
 			}
 		}
-		cfg.External.State, cfg.External.Cloud = "state:1", "cloud:1"
+		cfg.External.State, cfg.External.Cloud = simulation.StoreAddr, simulation.CloudAddr
 		s := &cfg.Settings
 		s.Count, s.Zones = controllers, []string{"a", "b"}
 		s.Teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 24}, {Name: "blue"}}
-		s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = w.ReportS, w.LeaseS, w.CancelS
-		s.Workers.GangWaitS, s.Workers.GangPeerS = w.GangWaitS, w.GangPeerS
+		s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = env.HeartbeatInterval.Seconds(), env.LeaseTTL.Seconds(), env.CancelWithin.Seconds()
+		s.Workers.GangWaitS, s.Workers.GangPeerS = env.GangWait.Seconds(), env.GangPeerTimeout.Seconds()
 		s.State.RPS, s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps = 250, 60, 8, 32
 		s.Cloud.RPS, s.Cloud.ListLagS = 6, 3
-		c.nodes = append(c.nodes, &node{cfg: cfg, net: w.Net(), version: presentVersion})
+		c.nodes = append(c.nodes, &node{cfg: cfg, net: env.Network.NewTransport(), version: presentVersion})
 	}
-	w.SetLimit("red", 24)
+	env.SetQuota("red", 24)
 	return c
 }
 
@@ -212,7 +214,7 @@
 	log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	cfg := *n.cfg // tests change the node's settings for its next process
 	ctl := newController(ctx, &cfg, n.operator(), log, clients{state: n.stateTransport(), cloud: n.net, workers: n.net, jitter: func(most time.Duration) time.Duration {
-		return time.Duration(standin.Draw(uint64(i), n.cfg.Name) * float64(most))
+		return time.Duration(network.Draw(uint64(i), n.cfg.Name) * float64(most))
 	}, send: func(sibling string, frame []byte) { c.sendFrame(n, sibling, frame) }})
 	ctl.rollout.supported = n.version.supported
 	p := &process{controller: ctl, version: n.version, cancel: cancel, running: &sync.WaitGroup{}}
@@ -220,7 +222,7 @@
 	n.process.Store(p)
 	ctl.start(p.running)
 	h := api.Handler(ctl, api.Limits{Connections: 100, Requests: 50})
-	c.world.Serve(n.cfg.APIAddr, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	c.env.Network.Serve(n.cfg.APIAddr, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if report := r.URL.Path == "/v1/report"; report && n.deaf.Load() || !report && n.shut.Load() {
 			<-r.Context().Done()
 			return
@@ -257,49 +259,50 @@
 	if !n.isRunning() {
 		return
 	}
-	c.world.Serve(n.cfg.APIAddr, nil)
+	c.env.Network.Serve(n.cfg.APIAddr, nil)
 	p := n.process.Swap(nil)
 	p.cancel()
 	p.running.Wait()
 }
 
 // ask makes one call to a node and notes the answer for the rule checker.
-func (c *cluster) ask(node int, call standin.Call, id string, body map[string]any, spec *wire.Job) (int, map[string]any) {
+func (c *cluster) ask(node int, call trace.Operation, id string, body map[string]any, spec *wire.Job) (int, map[string]any) {
 	method, path := http.MethodPost, "/v1/jobs"
 	switch call {
-	case standin.Poll:
+	case trace.Query:
 		method, path = http.MethodGet, "/v1/jobs/"+id
-	case standin.Cancel:
+	case trace.Cancel:
 		path = "/v1/jobs/" + id + "/abort"
 	}
 	raw, _ := json.Marshal(body)
 	limit := 5 * time.Second
-	if call == standin.Poll {
+	if call == trace.Query {
 		limit = 2 * time.Second
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, limit)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, method, "http://"+c.nodes[node].cfg.APIAddr+path, bytes.NewReader(raw))
-	e := standin.Event{Kind: standin.Answered, Job: id, Spec: spec, Call: call, Asked: time.Now()}
+	e := trace.Response{RequestedAt: time.Now(), Operation: call, Job: id, Spec: spec}
 	var out map[string]any
 	if resp, err := c.user.RoundTrip(req); err == nil {
 		e.Status = resp.StatusCode
 		_ = json.NewDecoder(resp.Body).Decode(&out)
 		e.State, _ = out["tide"].(string)
 	}
-	c.world.Saw(e)
-	if until := c.looks.Load(); until != nil && time.Now().Before(*until) && call != standin.Poll && e.Status/100 == 2 {
+	e.At = time.Now()
+	c.env.Trace.Record(e)
+	if until := c.looks.Load(); until != nil && time.Now().Before(*until) && call != trace.Query && e.Status/100 == 2 {
 		for i := range c.nodes {
-			go c.ask(i, standin.Poll, id, nil, nil)
+			go c.ask(i, trace.Query, id, nil, nil)
 		}
 	}
 	return e.Status, out
 }
 
 // call tries the nodes in turn until one gives a final answer.
-func (c *cluster) call(call standin.Call, id string, body map[string]any, spec *wire.Job, within time.Duration) (int, map[string]any) {
+func (c *cluster) call(call trace.Operation, id string, body map[string]any, spec *wire.Job, within time.Duration) (int, map[string]any) {
 	until := time.Now().Add(within)
-	node := int(standin.Draw(uint64(call), id) * float64(len(c.nodes)))
+	node := int(network.Draw(uint64(call), id) * float64(len(c.nodes)))
 	for time.Now().Before(until) {
 		node = (node + 1) % len(c.nodes)
 		status, out := c.ask(node, call, id, body, spec)
@@ -332,8 +335,8 @@
 		c.t.Error(err)
 		return false
 	}
-	c.world.Upload(spec)
-	status, _ := c.call(standin.Submit, spec.ID, body, spec, 20*time.Second)
+	c.env.Upload(spec)
+	status, _ := c.call(trace.Submit, spec.ID, body, spec, 20*time.Second)
 	if status != 0 && status != http.StatusCreated && status != http.StatusOK {
 		c.t.Errorf("submission of %s: status %d", spec.ID, status)
 		return false
@@ -342,7 +345,7 @@
 }
 
 func (c *cluster) state(id string) string {
-	status, out := c.call(standin.Poll, id, nil, nil, 40*time.Second)
+	status, out := c.call(trace.Query, id, nil, nil, 40*time.Second)
 	if status != http.StatusOK {
 		c.t.Fatalf("poll of %s: status %d", id, status)
 	}
@@ -359,7 +362,7 @@
 
 func (c *cluster) tryAbort(id string) bool {
 	c.t.Helper()
-	status, _ := c.call(standin.Cancel, id, nil, nil, 20*time.Second)
+	status, _ := c.call(trace.Cancel, id, nil, nil, 20*time.Second)
 	if status != 0 && status != http.StatusOK {
 		c.t.Fatalf("abort of %s: status %d", id, status)
 	}
@@ -386,13 +389,13 @@
 		c.submit(jobBody("wk-1", wire.Array, "blue", "normal", 30, 2, 5))
 		c.submit(jobBody("wk-2", wire.Service, "blue", "urgent", 3, 2, 0))
 		c.submit(jobBody("wk-3", wire.Gang, "blue", "normal", 4, 2, 5))
-		c.await("the service runs", 40*time.Second, func() bool { return c.world.Running("wk-2") == 3 })
+		c.await("the service runs", 40*time.Second, func() bool { return c.env.Running("wk-2") == 3 })
 		c.awaitDone("wk-1", 2*time.Minute)
 		c.awaitDone("wk-3", 2*time.Minute)
 		c.abort("wk-2")
-		c.await("the service is gone", 10*time.Second, func() bool { return c.world.Running("wk-2") == 0 })
-		c.await("records are cleared up", time.Minute, func() bool { return len(c.world.State.Keys(groupPrefix)) == 0 })
-		c.await("machines are returned", time.Minute, func() bool { return len(c.world.Cloud.Workers()) == 0 })
+		c.await("the service is gone", 10*time.Second, func() bool { return c.env.Running("wk-2") == 0 })
+		c.await("records are cleared up", time.Minute, func() bool { return len(c.env.Store.Keys(groupPrefix)) == 0 })
+		c.await("machines are returned", time.Minute, func() bool { return len(c.env.Cloud.Agents()) == 0 })
 		if s := c.state("wk-2"); s != wire.Cancelled {
 			t.Errorf("the service is %s", s)
 		}
@@ -427,14 +430,14 @@
 			raw, _ := json.Marshal(body)
 			spec, err := wire.ParseJob(raw)
 			if err == nil && x.status == 201 {
-				c.world.Upload(spec)
+				c.env.Upload(spec)
 			}
 			id, _ := body["nameId"].(string)
-			if status, _ := c.call(standin.Submit, id, body, spec, 10*time.Second); status != x.status {
+			if status, _ := c.call(trace.Submit, id, body, spec, 10*time.Second); status != x.status {
 				t.Errorf("%v: status %d, not %d", body, status, x.status)
 			}
 		}
-		if status, _ := c.call(standin.Poll, "wk-99", nil, nil, 10*time.Second); status != 404 {
+		if status, _ := c.call(trace.Query, "wk-99", nil, nil, 10*time.Second); status != 404 {
 			t.Errorf("unknown job: %d", status)
 		}
 		c.awaitDone("wk-7", time.Minute)
@@ -444,13 +447,13 @@
 // A team never exceeds its limit, and a preemptor takes room from lower work.
 func TestLimitAndPreemption(t *testing.T) {
 	inWorld(t, func(c *cluster) {
-		c.world.Cloud.SetCapacity(3)
+		c.env.Cloud.SetCapacity(3)
 		c.submit(jobBody("wk-1", wire.Array, "red", "low", 40, 2, 6))
-		c.await("the array runs", time.Minute, func() bool { return c.world.Running("wk-1") > 2 })
+		c.await("the array runs", time.Minute, func() bool { return c.env.Running("wk-1") > 2 })
 		c.submit(jobBody("wk-2", wire.Array, "blue", "low", 40, 2, 6))
 		time.Sleep(30 * time.Second)
 		c.submit(jobBody("wk-3", wire.Service, "blue", "production", 2, 4, 0))
-		c.await("the service has preempted", 20*time.Second, func() bool { return c.world.Running("wk-3") == 2 })
+		c.await("the service has preempted", 20*time.Second, func() bool { return c.env.Running("wk-3") == 2 })
 		c.awaitDone("wk-1", 10*time.Minute)
 		c.awaitDone("wk-2", 10*time.Minute)
 	})
@@ -461,12 +464,12 @@
 func TestLimitIsGivenToHigherWork(t *testing.T) {
 	inWorld(t, func(c *cluster) {
 		c.submit(jobBody("wk-1", wire.Array, "red", "low", 60, 2, 30))
-		c.await("the array fills the limit", time.Minute, func() bool { return c.world.Running("wk-1") == 12 })
+		c.await("the array fills the limit", time.Minute, func() bool { return c.env.Running("wk-1") == 12 })
 		c.submit(jobBody("wk-2", wire.Service, "red", "urgent", 2, 4, 0))
-		c.await("the service runs", 10*time.Second, func() bool { return c.world.Running("wk-2") == 2 })
-		c.await("the array has the rest", 20*time.Second, func() bool { return c.world.Running("wk-1") == 8 })
+		c.await("the service runs", 10*time.Second, func() bool { return c.env.Running("wk-2") == 2 })
+		c.await("the array has the rest", 20*time.Second, func() bool { return c.env.Running("wk-1") == 8 })
 		c.abort("wk-2")
-		c.await("the array has all again", 20*time.Second, func() bool { return c.world.Running("wk-1") == 12 })
+		c.await("the array has all again", 20*time.Second, func() bool { return c.env.Running("wk-1") == 12 })
 		c.awaitDone("wk-1", 10*time.Minute)
 	})
 }
@@ -474,7 +477,7 @@
 func TestTakeOver(t *testing.T) {
 	inWorld(t, func(c *cluster) {
 		c.submit(jobBody("wk-1", wire.Array, "blue", "normal", 40, 2, 8))
-		c.await("the array runs", time.Minute, func() bool { return c.world.Running("wk-1") > 4 })
+		c.await("the array runs", time.Minute, func() bool { return c.env.Running("wk-1") > 4 })
 		for i := range 3 {
 			c.kill(i)
 			time.Sleep(9 * time.Second)
@@ -494,7 +497,7 @@
 			c.kill(i)
 		}
 		time.Sleep(3 * time.Second)
-		c.world.Cloud.SetDown(true) // the stored types must do
+		c.env.Cloud.SetDown(true) // the stored types must do
 		for i := range c.nodes {
 			c.start(i)
 		}
@@ -503,7 +506,7 @@
 			t.Errorf("a done job is %s", s)
 		}
 		c.submit(jobBody("wk-3", wire.Array, "blue", "normal", 1, 1, 1))
-		c.world.Cloud.SetDown(false)
+		c.env.Cloud.SetDown(false)
 		c.awaitDone("wk-1", 3*time.Minute)
 		c.awaitDone("wk-3", time.Minute)
 	})
@@ -514,18 +517,18 @@
 func TestLateTransactions(t *testing.T) {
 	inWorld(t, func(c *cluster) {
 		c.submit(jobBody("wk-1", wire.Array, "blue", "normal", 40, 2, 6))
-		c.await("the array runs", time.Minute, func() bool { return c.world.Running("wk-1") > 4 })
+		c.await("the array runs", time.Minute, func() bool { return c.env.Running("wk-1") > 4 })
 		rng := rand.New(rand.NewPCG(1, 2))
 		var mu sync.Mutex
 		for _, n := range c.nodes {
-			n.net.SetLate(3*time.Second, 0)
-			n.net.Judge(func(r *http.Request) standin.Fate {
+			n.net.SetDelay(3*time.Second, 0)
+			n.net.SetPolicy(func(r *http.Request) network.Fault {
 				mu.Lock()
 				defer mu.Unlock()
 				if r.URL.Path == "/txn" && rng.IntN(4) == 0 {
-					return standin.Late
+					return network.ExecuteLate
 				}
-				return standin.Deliver
+				return network.Deliver
 			})
 		}
 		time.Sleep(10 * time.Second)
@@ -535,7 +538,7 @@
 		c.submit(jobBody("wk-2", wire.Array, "red", "normal", 10, 2, 3))
 		time.Sleep(20 * time.Second)
 		for _, n := range c.nodes {
-			n.net.Judge(nil)
+			n.net.SetPolicy(nil)
 		}
 		c.awaitDone("wk-1", 3*time.Minute)
 		c.awaitDone("wk-2", 3*time.Minute)
@@ -547,21 +550,21 @@
 func TestLateDirectStart(t *testing.T) {
 	inWorld(t, func(c *cluster) {
 		for _, n := range c.nodes {
-			n.net.SetLate(30*time.Second, 0)
-			n.net.Judge(func(r *http.Request) standin.Fate {
+			n.net.SetDelay(30*time.Second, 0)
+			n.net.SetPolicy(func(r *http.Request) network.Fault {
 				if r.URL.Path == "/do" {
-					return standin.Late
+					return network.ExecuteLate
 				}
-				return standin.Deliver
+				return network.Deliver
 			})
 		}
 		c.submit(jobBody("wk-1", wire.Array, "blue", "normal", 30, 2, 3))
 		c.submit(jobBody("wk-2", wire.Service, "blue", "production", 2, 4, 0))
-		c.await("the service runs", time.Minute, func() bool { return c.world.Running("wk-2") == 2 })
+		c.await("the service runs", time.Minute, func() bool { return c.env.Running("wk-2") == 2 })
 		c.abort("wk-2")
 		c.awaitDone("wk-1", 3*time.Minute)
 		time.Sleep(time.Minute)
-		if n := c.world.Running("wk-2"); n != 0 {
+		if n := c.env.Running("wk-2"); n != 0 {
 			t.Errorf("%d cancelled tasks run", n)
 		}
 	})
@@ -574,12 +577,12 @@
 		for i := range 6 {
 			c.submit(jobBody(fmt.Sprintf("wk-%d", i+1), wire.Service, "blue", "urgent", 2, 2, 0))
 		}
-		c.await("the services run", time.Minute, func() bool { return c.world.Starts() >= 12 })
-		c.nodes[1].net.Judge(func(r *http.Request) standin.Fate {
+		c.await("the services run", time.Minute, func() bool { return c.env.Starts() >= 12 })
+		c.nodes[1].net.SetPolicy(func(r *http.Request) network.Fault {
 			if r.URL.Host == "state:1" {
-				return standin.Refuse
+				return network.Refuse
 			}
-			return standin.Deliver
+			return network.Deliver
 		})
 		time.Sleep(500 * time.Millisecond)
 		for i := range 6 {
@@ -587,7 +590,7 @@
 		}
 		time.Sleep(40 * time.Second)
 		for i := range 6 {
-			if n := c.world.Running(fmt.Sprintf("wk-%d", i+1)); n != 0 {
+			if n := c.env.Running(fmt.Sprintf("wk-%d", i+1)); n != 0 {
 				t.Errorf("%d tasks of cancelled service %d run", n, i+1)
 			}
 		}
@@ -598,15 +601,15 @@
 func TestBadMachines(t *testing.T) {
 	inWorld(t, func(c *cluster) {
 		c.submit(jobBody("wk-1", wire.Service, "blue", "urgent", 3, 2, 0))
-		c.await("the service runs", time.Minute, func() bool { return c.world.Running("wk-1") == 3 })
-		ws := c.world.Cloud.Workers()
-		ws[0].SetCut(true)
+		c.await("the service runs", time.Minute, func() bool { return c.env.Running("wk-1") == 3 })
+		ws := c.env.Cloud.Agents()
+		ws[0].SetIsolated(true)
 		time.Sleep(40 * time.Second)
-		if n := c.world.Running("wk-1"); n != 3 {
+		if n := c.env.Running("wk-1"); n != 3 {
 			t.Errorf("%d replicas after a machine was cut off", n)
 		}
-		for _, w := range c.world.Cloud.Workers() {
-			w.SetSick(true)
+		for _, w := range c.env.Cloud.Agents() {
+			w.SetFailing(true)
 			break
 		}
 		for i := range 4 {
@@ -660,31 +663,31 @@
 			c.kill(i)
 			heal = append(heal, func() { c.start(i) })
 		case 5:
-			c.world.State.SetDown(true)
-			heal = append(heal, func() { c.world.State.SetDown(false) })
+			c.env.Store.SetDown(true)
+			heal = append(heal, func() { c.env.Store.SetDown(false) })
 		case 6:
 			n := c.nodes[rng.IntN(3)]
 			host := []string{"state:1", "10.1", "cloud:1"}[rng.IntN(3)]
-			fate := standin.Fate(1 + rng.IntN(3))
-			n.net.Judge(func(r *http.Request) standin.Fate {
+			fate := network.Fault(1 + rng.IntN(3))
+			n.net.SetPolicy(func(r *http.Request) network.Fault {
 				if strings.HasPrefix(r.URL.Host, host) {
 					return fate
 				}
-				return standin.Deliver
+				return network.Deliver
 			})
-			heal = append(heal, func() { n.net.Judge(nil) })
+			heal = append(heal, func() { n.net.SetPolicy(nil) })
 		case 7:
 			n := c.nodes[rng.IntN(3)]
 			n.meshCut.Store(true)
 			heal = append(heal, func() { n.meshCut.Store(false) })
 		case 8:
-			if ws := c.world.Cloud.Workers(); len(ws) > 0 {
+			if ws := c.env.Cloud.Agents(); len(ws) > 0 {
 				w := ws[rng.IntN(len(ws))]
 				if rng.IntN(2) == 0 {
-					w.Die()
+					w.Terminate()
 				} else {
-					w.SetCut(true)
-					heal = append(heal, func() { w.SetCut(false) })
+					w.SetIsolated(true)
+					heal = append(heal, func() { w.SetIsolated(false) })
 				}
 			}
 		default:
@@ -728,26 +731,26 @@
 	for kill := range 5 {
 		t.Run(fmt.Sprint(kill), func(t *testing.T) {
 			inWorld(t, func(c *cluster) {
-				c.world.Cloud.SetCapacity(8)
+				c.env.Cloud.SetCapacity(8)
 				c.submit(jobBody("wk-1", wire.Array, "blue", "low", 60, 2, 10))
-				c.await("machines are up", time.Minute, func() bool { return c.world.Running("wk-1") >= 10 })
+				c.await("machines are up", time.Minute, func() bool { return c.env.Running("wk-1") >= 10 })
 				b := jobBody("wk-2", wire.Service, "blue", "production", 6, 3, 0)
 				b["hulls"] = []string{"small"}
 				c.submit(b)
 				switch kill {
 				case 1, 2, 3:
-					c.await("machines are borrowed", 2*time.Minute, func() bool { return len(c.world.State.Keys(loanPrefix)) > 0 })
+					c.await("machines are borrowed", 2*time.Minute, func() bool { return len(c.env.Store.Keys(loanPrefix)) > 0 })
 					time.Sleep(time.Duration(kill*400) * time.Millisecond)
 					c.kill(kill - 1)
 					time.Sleep(9 * time.Second)
 					c.start(kill - 1)
 				case 4:
-					c.await("machines are borrowed", 2*time.Minute, func() bool { return len(c.world.State.Keys(loanPrefix)) > 0 })
-					c.world.Cloud.Workers()[0].Die()
+					c.await("machines are borrowed", 2*time.Minute, func() bool { return len(c.env.Store.Keys(loanPrefix)) > 0 })
+					c.env.Cloud.Agents()[0].Terminate()
 				}
-				c.await("the service runs whole", 3*time.Minute, func() bool { return c.world.Running("wk-2") == 6 })
+				c.await("the service runs whole", 3*time.Minute, func() bool { return c.env.Running("wk-2") == 6 })
 				c.abort("wk-2")
-				c.await("nothing stays lent", time.Minute, func() bool { return len(c.world.State.Keys(loanPrefix)) == 0 })
+				c.await("nothing stays lent", time.Minute, func() bool { return len(c.env.Store.Keys(loanPrefix)) == 0 })
 				c.awaitDone("wk-1", 10*time.Minute)
 			})
 		})
@@ -761,7 +764,7 @@
 		for i := range 4 {
 			c.submit(jobBody(fmt.Sprintf("wk-%d", i+1), wire.Service, "blue", "urgent", 2, 2, 0))
 		}
-		c.await("the services run", time.Minute, func() bool { return c.world.Starts() == 8 })
+		c.await("the services run", time.Minute, func() bool { return c.env.Starts() == 8 })
 		time.Sleep(time.Minute) // older than any boot limit
 		for i := range 3 {
 			c.kill(i)
@@ -769,7 +772,7 @@
 			c.start(i)
 			time.Sleep(8 * time.Second)
 		}
-		if n := c.world.Starts(); n != 8 {
+		if n := c.env.Starts(); n != 8 {
 			t.Errorf("%d starts of 8 replicas", n)
 		}
 	})
@@ -785,7 +788,7 @@
 		}
 		most := 0
 		c.await("all is done", 20*time.Minute, func() bool {
-			most = max(most, len(c.world.State.Keys(groupPrefix+"wk-1/")))
+			most = max(most, len(c.env.Store.Keys(groupPrefix+"wk-1/")))
 			return c.state("wk-1") == wire.Done
 		})
 		if most > 120 {
@@ -822,7 +825,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		for _, id := range []string{"wk-8", "wk-9"} {
-			if status, _ := c.call(standin.Poll, id, nil, nil, 3*time.Second); status != 0 {
+			if status, _ := c.call(trace.Query, id, nil, nil, 3*time.Second); status != 0 {
 				t.Errorf("%s: status %d", id, status)
 			}
 		}
@@ -838,20 +841,20 @@
 		rng := rand.New(rand.NewPCG(3, 4))
 		var mu sync.Mutex
 		for _, n := range c.nodes {
-			n.net.SetLate(40*time.Second, 0)
-			n.net.Judge(func(r *http.Request) standin.Fate {
+			n.net.SetDelay(40*time.Second, 0)
+			n.net.SetPolicy(func(r *http.Request) network.Fault {
 				mu.Lock()
 				defer mu.Unlock()
 				if r.URL.Path == "/txn" && rng.IntN(5) == 0 {
-					return standin.Late
+					return network.ExecuteLate
 				}
-				return standin.Deliver
+				return network.Deliver
 			})
 		}
-		c.world.Cloud.SetCapacity(4)
+		c.env.Cloud.SetCapacity(4)
 		c.submit(jobBody("wk-1", wire.Array, "blue", "low", 700, 1, 1))
 		c.awaitDone("wk-1", 20*time.Minute)
 		time.Sleep(time.Minute)
-		c.await("records are cleared up", 2*time.Minute, func() bool { return len(c.world.State.Keys(groupPrefix)) == 0 })
+		c.await("records are cleared up", 2*time.Minute, func() bool { return len(c.env.Store.Keys(groupPrefix)) == 0 })
 	})
 }
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -13,7 +13,9 @@
 	"testing"
 	"time"
 
-	"eiderhitch/internal/standin"
+	"eiderhitch/internal/simulation/agent"
+	"eiderhitch/internal/simulation/network"
+	"eiderhitch/internal/simulation/trace"
 	"eiderhitch/internal/wire"
 )
 
@@ -41,7 +43,7 @@
 	*cluster
 	seed   uint64
 	rng    *rand.Rand
-	judges []map[int]func(*http.Request) standin.Fate // by controller, of the faults that last
+	judges []map[int]network.Policy // by controller, of the faults that last
 	nextJ  int
 	specs  map[string]map[string]any
 	ids    []string // jobs that were tried
@@ -75,7 +77,7 @@
 }
 
 // judge has requests of some controllers meet a fate while a fault lasts.
-func (s *scene) judge(who int, f func(*http.Request) standin.Fate) func() {
+func (s *scene) judge(who int, f network.Policy) func() {
 	nodes := s.nodesOf(who)
 	s.nextJ++
 	id := s.nextJ
@@ -94,18 +96,18 @@
 }
 
 // machines are up to n machines, those with work first.
-func (s *scene) machines(n int) []*standin.Worker {
-	ws := s.world.Cloud.Workers()
+func (s *scene) machines(n int) []*agent.Agent {
+	ws := s.env.Cloud.Agents()
 	busy := map[string]int{}
 	for _, w := range ws {
 		busy[w.Name()] = s.boundTo(w.Name())
 	}
-	slices.SortStableFunc(ws, func(x, y *standin.Worker) int { return busy[y.Name()] - busy[x.Name()] })
+	slices.SortStableFunc(ws, func(x, y *agent.Agent) int { return busy[y.Name()] - busy[x.Name()] })
 	return ws[:min(n, len(ws))]
 }
 
 // each does something to machines, and undoes it.
-func (s *scene) each(n int, f func(*standin.Worker, bool)) func() {
+func (s *scene) each(n int, f func(*agent.Agent, bool)) func() {
 	ws := s.machines(n)
 	for _, w := range ws {
 		f(w, true)
@@ -118,22 +120,22 @@
 }
 
 // somebody is a fate for a share of those that a test picks.
-func (s *scene) somebody(part float64, is func(*http.Request) bool, fate standin.Fate) func(*http.Request) standin.Fate {
-	return func(r *http.Request) standin.Fate {
+func (s *scene) somebody(part float64, is func(*http.Request) bool, fate network.Fault) func(*http.Request) network.Fault {
+	return func(r *http.Request) network.Fault {
 		if !is(r) {
-			return standin.Deliver
+			return network.Deliver
 		}
-		if standin.Draw(s.seed, r.URL.String()) < part {
+		if network.Draw(s.seed, r.URL.String()) < part {
 			return fate
 		}
-		return standin.Deliver
+		return network.Deliver
 	}
 }
 
 // everywhere asks all controllers for a job's state at once.
 func (s *scene) everywhere(id string, more ...func()) {
 	for i := range s.nodes {
-		go s.ask(i, standin.Poll, id, nil, nil)
+		go s.ask(i, trace.Query, id, nil, nil)
 	}
 	for _, f := range more {
 		go f()
@@ -172,7 +174,7 @@
 	s.mu.Lock()
 	s.called[id] = true
 	s.mu.Unlock()
-	s.call(standin.Cancel, id, nil, nil, 5*time.Minute)
+	s.call(trace.Cancel, id, nil, nil, 5*time.Minute)
 }
 
 // begin has a fault begin and returns what ends it.
@@ -181,22 +183,22 @@
 	nothing := func() {}
 	switch f.what {
 	case "outage":
-		s.world.State.SetDown(true)
-		return func() { s.world.State.SetDown(false) }
+		s.env.Store.SetDown(true)
+		return func() { s.env.Store.SetDown(false) }
 	case "state refuses":
-		return s.judge(f.who, s.somebody(1, isState, standin.Refuse))
+		return s.judge(f.who, s.somebody(1, isState, network.Refuse))
 	case "state silent":
-		return s.judge(f.who, s.somebody(1, isState, standin.Drop))
+		return s.judge(f.who, s.somebody(1, isState, network.Drop))
 	case "slow state":
-		return s.judge(f.who, s.somebody(f.part, isState, standin.Slow))
+		return s.judge(f.who, s.somebody(f.part, isState, network.Delay))
 	case "late writes":
-		return s.judge(f.who, s.somebody(f.part, isTxn, standin.Late))
+		return s.judge(f.who, s.somebody(f.part, isTxn, network.ExecuteLate))
 	case "lost answers":
-		return s.judge(f.who, s.somebody(f.part, isTxn, standin.Unanswered))
+		return s.judge(f.who, s.somebody(f.part, isTxn, network.DropResponse))
 	case "late commands":
-		return s.judge(f.who, s.somebody(f.part, isWorker, standin.Late))
+		return s.judge(f.who, s.somebody(f.part, isWorker, network.ExecuteLate))
 	case "workers silent":
-		undo := s.judge(f.who, s.somebody(1, isWorker, standin.Drop))
+		undo := s.judge(f.who, s.somebody(1, isWorker, network.Drop))
 		nodes := s.nodesOf(f.who)
 		for _, i := range nodes {
 			s.nodes[i].deaf.Store(true)
@@ -221,7 +223,7 @@
 		nodes := s.nodesOf(f.who)
 		var undo []func()
 		for _, i := range nodes {
-			undo = append(undo, s.judge(i, s.somebody(1, isState, standin.Drop)))
+			undo = append(undo, s.judge(i, s.somebody(1, isState, network.Drop)))
 			s.nodes[i].meshCut.Store(true)
 		}
 		return func() {
@@ -243,25 +245,25 @@
 	case "zone": // all of zone b, and a controller in it
 		return s.cutZone("b", len(s.nodes)-1)
 	case "deaf":
-		return s.each(f.who, (*standin.Worker).SetDeaf)
+		return s.each(f.who, (*agent.Agent).SetNotReceiving)
 	case "mute":
-		return s.each(f.who, (*standin.Worker).SetMute)
+		return s.each(f.who, (*agent.Agent).SetNotSending)
 	case "hang":
-		return s.each(f.who, (*standin.Worker).SetHung)
+		return s.each(f.who, (*agent.Agent).SetHanging)
 	case "cut":
-		return s.each(f.who, (*standin.Worker).SetCut)
+		return s.each(f.who, (*agent.Agent).SetIsolated)
 	case "cloud down":
-		s.world.Cloud.SetDown(true)
-		return func() { s.world.Cloud.SetDown(false) }
+		s.env.Cloud.SetDown(true)
+		return func() { s.env.Cloud.SetDown(false) }
 	case "no capacity": // no more than there are
-		before := s.world.Cloud.SetCapacity(len(s.world.Cloud.Workers()))
-		return func() { s.world.Cloud.SetCapacity(before) }
+		before := s.env.Cloud.SetCapacity(len(s.env.Cloud.Agents()))
+		return func() { s.env.Cloud.SetCapacity(before) }
 	case "sick":
-		return s.each(f.who, (*standin.Worker).SetSick)
+		return s.each(f.who, (*agent.Agent).SetFailing)
 	case "die":
-		s.each(f.who, func(w *standin.Worker, _ bool) { w.Die() })
+		s.each(f.who, func(w *agent.Agent, _ bool) { w.Terminate() })
 	case "back at once":
-		s.each(f.who, func(w *standin.Worker, _ bool) { w.Restart() })
+		s.each(f.who, func(w *agent.Agent, _ bool) { w.Restart() })
 	case "cancel":
 		ids := s.live()
 		s.mu.Lock()
@@ -272,7 +274,7 @@
 		}
 	case "cancel and hang":
 		ids := s.live()
-		undo := s.each(8, (*standin.Worker).SetHung)
+		undo := s.each(8, (*agent.Agent).SetHanging)
 		for _, id := range ids[:min(f.who, len(ids))] {
 			go s.cancelJob(id)
 		}
@@ -289,8 +291,8 @@
 	case "old copies":
 		return s.copies(f.part, 12*time.Second)
 	case "keep reports":
-		for _, w := range s.world.Cloud.Workers() {
-			s.kept[w.Name()] = w.LastReport()
+		for _, w := range s.env.Cloud.Agents() {
+			s.kept[w.Name()] = w.LastHeartbeat()
 		}
 	case "kept reports arrive":
 		for _, raw := range s.kept {
@@ -311,7 +313,7 @@
 	case "urgent work":
 		s.submitJob(jobBody("", wire.Array, "blue", "urgent", f.who, 2, 3))
 	case "limits fall": // to what the settings announced, see play
-		s.world.State.SetLimits(comingValue, comingOps)
+		s.env.Store.SetLimits(comingValue, comingOps)
 	case "one-task jobs": // four a second
 		go func() {
 			for until := time.Now().Add(duration); time.Now().Before(until); time.Sleep(250 * time.Millisecond) {
@@ -338,23 +340,23 @@
 func (s *scene) cutZone(zone string, node int) func() {
 	var undo []func()
 	inside := map[string]bool{s.nodes[node].cfg.APIAddr: true}
-	for _, w := range s.world.Cloud.Workers() {
+	for _, w := range s.env.Cloud.Agents() {
 		if w.Zone() == zone {
 			inside[w.Addr()] = true
 		}
 	}
-	for _, w := range s.world.Cloud.Workers() {
+	for _, w := range s.env.Cloud.Agents() {
 		in := inside[w.Addr()]
-		w.Net().Judge(func(r *http.Request) standin.Fate {
+		w.Transport().SetPolicy(func(r *http.Request) network.Fault {
 			if inside[r.URL.Host] != in {
-				return standin.Drop
+				return network.Drop
 			}
-			return standin.Deliver
+			return network.Deliver
 		})
-		undo = append(undo, func() { w.Net().Judge(nil) })
+		undo = append(undo, func() { w.Transport().SetPolicy(nil) })
 	}
 	for i := range s.nodes {
-		undo = append(undo, s.judge(i, s.somebody(1, func(r *http.Request) bool { return inside[r.URL.Host] != (i == node) }, standin.Drop)))
+		undo = append(undo, s.judge(i, s.somebody(1, func(r *http.Request) bool { return inside[r.URL.Host] != (i == node) }, network.Drop)))
 	}
 	s.nodes[node].meshCut.Store(true)
 	s.nodes[node].shut.Store(true)
@@ -369,12 +371,12 @@
 
 // copies has a share of all reports arrive again, somewhere, later.
 func (s *scene) copies(part float64, least time.Duration) func() {
-	ws := s.world.Cloud.Workers()
+	ws := s.env.Cloud.Agents()
 	for _, w := range ws {
-		w.OnReport(func(raw []byte) {
-			again := standin.Draw(s.seed, w.Name()) < part
-			node := int(standin.Draw(s.seed+1, w.Name()) * float64(len(s.nodes)))
-			later := least + time.Duration(standin.Draw(s.seed+2, w.Name())*float64(12*time.Second))
+		w.OnHeartbeat(func(raw []byte) {
+			again := network.Draw(s.seed, w.Name()) < part
+			node := int(network.Draw(s.seed+1, w.Name()) * float64(len(s.nodes)))
+			later := least + time.Duration(network.Draw(s.seed+2, w.Name())*float64(12*time.Second))
 			if again {
 				time.AfterFunc(later, func() { s.resend(raw, node) })
 			}
@@ -382,7 +384,7 @@
 	}
 	return func() {
 		for _, w := range ws {
-			w.OnReport(nil)
+			w.OnHeartbeat(nil)
 		}
 	}
 }
@@ -404,7 +406,7 @@
 		for _, id := range s.live() {
 			tasks, _ := s.spec(id)["eggs"].(int)
 			s.mu.Lock()
-			met := s.lasts[id] || s.world.Finished(id) < tasks
+			met := s.lasts[id] || s.env.Completed(id) < tasks
 			if !met {
 				s.lasts[id] = true
 			}
@@ -413,7 +415,7 @@
 			if met {
 				continue
 			}
-			again := func() { s.ask(0, standin.Submit, id, s.spec(id), nil) }
+			again := func() { s.ask(0, trace.Submit, id, s.spec(id), nil) }
 			if off {
 				s.everywhere(id, again, func() { s.cancelJob(id) })
 			} else {
@@ -441,11 +443,11 @@
 		switch k {
 		case 0:
 			if id != "" {
-				s.ask(node, standin.Submit, id, s.spec(id), nil)
+				s.ask(node, trace.Submit, id, s.spec(id), nil)
 			}
 			continue
 		case 1:
-			s.ask(node, standin.Poll, fmt.Sprintf("wk-8%05d", wrong), nil, nil)
+			s.ask(node, trace.Query, fmt.Sprintf("wk-8%05d", wrong), nil, nil)
 			continue
 		case 2:
 			body["cpus"] = 64
@@ -454,7 +456,7 @@
 			want = 400
 		}
 		for range 2 {
-			if status, _ := s.ask(node, standin.Submit, body["nameId"].(string), body, nil); status != want && status != 503 && status != 0 {
+			if status, _ := s.ask(node, trace.Submit, body["nameId"].(string), body, nil); status != want && status != 503 && status != 0 {
 				s.t.Errorf("odd request %v: status %d, not %d", body, status, want)
 			}
 		}
@@ -513,35 +515,35 @@
 func (c *cluster) play(seed uint64, jobs int, faults []fault) {
 	s := &scene{cluster: c, seed: seed, rng: rand.New(rand.NewPCG(seed, 11)), specs: map[string]map[string]any{}, lasts: map[string]bool{}, called: map[string]bool{}, kept: map[string][]byte{}}
 	for range c.nodes {
-		s.judges = append(s.judges, map[int]func(*http.Request) standin.Fate{})
+		s.judges = append(s.judges, map[int]network.Policy{})
 	}
 	for i, n := range c.nodes {
-		n.net.SetLate(2*time.Second, 10*time.Second)
-		n.net.Judge(func(r *http.Request) standin.Fate {
+		n.net.SetDelay(2*time.Second, 10*time.Second)
+		n.net.SetPolicy(func(r *http.Request) network.Fault {
 			s.mu.Lock()
-			var fs []func(*http.Request) standin.Fate
+			var fs []network.Policy
 			for _, id := range slices.Sorted(maps.Keys(s.judges[i])) {
 				fs = append(fs, s.judges[i][id])
 			}
 			s.mu.Unlock()
 			for _, f := range fs {
-				if fate := f(r); fate != standin.Deliver {
+				if fate := f(r); fate != network.Deliver {
 					return fate
 				}
 			}
-			return standin.Deliver
+			return network.Deliver
 		})
 	}
 	if slices.ContainsFunc(faults, func(f fault) bool { return f.what == "limits fall" }) {
 		c.announce(comingValue, comingOps)
 	}
 	s.scarce = seed%3 > 0
-	c.world.Cloud.SetCapacity([]int{20, 8, 5}[seed%3])
+	c.env.Cloud.SetCapacity([]int{20, 8, 5}[seed%3])
 	for range jobs {
 		s.newJob()
 		time.Sleep(time.Millisecond)
 	}
-	c.await("work runs", time.Minute, func() bool { return c.world.Starts() > jobs })
+	c.await("work runs", time.Minute, func() bool { return c.env.Starts() > jobs })
 	type ending struct {
 		at float64
 		f  func()
@@ -563,7 +565,7 @@
 		ends = append(ends, ending{f.at + f.duration, s.begin(f)})
 	}
 	endUntil(1e9)
-	c.world.SetQuiet()
+	c.env.SetSettled()
 	s.settle()
 }
 
@@ -588,7 +590,7 @@
 	s.mu.Unlock()
 	quiet := time.Now()
 	for _, id := range ids {
-		status, _ := s.call(standin.Poll, id, nil, nil, 75*time.Second)
+		status, _ := s.call(trace.Query, id, nil, nil, 75*time.Second)
 		if status != http.StatusOK && status != http.StatusNotFound {
 			s.t.Errorf("%s is not answered for %v after the troubles", id, time.Since(quiet))
 		}
@@ -603,11 +605,11 @@
 	}
 	for _, id := range ids {
 		s.await(id+" is over", 8*time.Minute, func() bool {
-			status, out := s.call(standin.Poll, id, nil, nil, 75*time.Second)
+			status, out := s.call(trace.Query, id, nil, nil, 75*time.Second)
 			tide, _ := out["tide"].(string)
 			tasks, _ := s.spec(id)["eggs"].(int)
 			return status == http.StatusNotFound || tide == wire.Done || tide == wire.Cancelled ||
-				s.spec(id)["shape"] == wire.Service && s.world.Running(id) == tasks
+				s.spec(id)["shape"] == wire.Service && s.env.Running(id) == tasks
 		})
 	}
 	time.Sleep(s.nodes[0].brainHold() + 15*time.Second) // what was cancelled must be gone
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -13,7 +13,8 @@
 	"time"
 
 	"eiderhitch/internal/record"
-	"eiderhitch/internal/standin"
+	"eiderhitch/internal/simulation/agent"
+	"eiderhitch/internal/simulation/network"
 	"eiderhitch/internal/wire"
 	"eiderhitch/internal/workerclient"
 )
@@ -71,7 +72,7 @@
 
 func (c *cluster) allRun(n, tasks int) bool {
 	for i := range n {
-		if c.world.Running(fmt.Sprintf("wk-%d", i+1)) != tasks {
+		if c.env.Running(fmt.Sprintf("wk-%d", i+1)) != tasks {
 			return false
 		}
 	}
@@ -87,9 +88,9 @@
 		// More work than room, and nothing can be rented or returned.
 		c.submit(jobBody("wk-9", wire.Array, "blue", "low", 600, 1, 6))
 		time.Sleep(15 * time.Second)
-		c.world.Cloud.SetDown(true)
-		w := c.world.Cloud.Workers()[0]
-		w.SetDeaf(true)
+		c.env.Cloud.SetDown(true)
+		w := c.env.Cloud.Agents()[0]
+		w.SetNotReceiving(true)
 		time.Sleep(25 * time.Second)
 		if !c.allRun(4, 2) {
 			t.Error("replicas are missing long after the lease is over")
@@ -100,10 +101,10 @@
 				t.Fatalf("%d tasks are bound to a machine that hears nothing", n)
 			}
 		}
-		w.SetDeaf(false)
+		w.SetNotReceiving(false)
 		c.submit(jobBody("wk-8", wire.Array, "blue", "low", 600, 1, 6))
 		c.await("it is used again", 20*time.Second, func() bool { return c.boundTo(w.Name()) > 0 })
-		c.world.Cloud.SetDown(false)
+		c.env.Cloud.SetDown(false)
 		c.awaitDone("wk-9", 10*time.Minute)
 	})
 }
@@ -136,13 +137,13 @@
 			inWorld(t, func(c *cluster) {
 				c.submit(jobBody("wk-9", wire.Array, "blue", "low", 30, 1, 90)) // there is room to take
 				c.services(4, 2)
-				w := c.world.Cloud.Workers()[0]
+				w := c.env.Cloud.Agents()[0]
 				for c.boundTo(w.Name()) == 0 {
 					t.Fatal("nothing runs on the first machine")
 				}
-				copies := w.LastReport()
-				w.Die()
-				c.world.Cloud.SetDown(true) // so that only the lease can prove it
+				copies := w.LastHeartbeat()
+				w.Terminate()
+				c.env.Cloud.SetDown(true) // so that only the lease can prove it
 				if takeOver {
 					for i := range c.nodes {
 						c.kill(i)
@@ -174,13 +175,13 @@
 func TestCutFromStateAndSiblings(t *testing.T) {
 	inWorld(t, func(c *cluster) {
 		c.services(6, 2)
-		own := c.world.Cloud.Workers()
+		own := c.env.Cloud.Agents()
 		c.nodes[1].meshCut.Store(true)
-		c.nodes[1].net.Judge(func(r *http.Request) standin.Fate {
+		c.nodes[1].net.SetPolicy(func(r *http.Request) network.Fault {
 			if r.URL.Host == "state:1" {
-				return standin.Drop
+				return network.Drop
 			}
-			return standin.Deliver
+			return network.Deliver
 		})
 		time.Sleep(time.Second)
 		for i := range 3 {
@@ -188,23 +189,23 @@
 		}
 		time.Sleep(40 * time.Second)
 		for _, w := range own { // also one that no other owner has spoken to
-			old := regexp.MustCompile(`"baton":\d+`).ReplaceAll(w.LastReport(), []byte(`"baton":0`))
+			old := regexp.MustCompile(`"baton":\d+`).ReplaceAll(w.LastHeartbeat(), []byte(`"baton":0`))
 			req, _ := http.NewRequestWithContext(c.ctx, http.MethodPost, "http://"+c.nodes[1].cfg.APIAddr+"/v1/report", bytes.NewReader(old))
 			if resp, err := c.user.RoundTrip(req); err != nil || resp.StatusCode < 400 {
 				t.Errorf("a report is answered long after the last read: %v", err)
 			}
 		}
 		for i := range 3 {
-			if n := c.world.Running(fmt.Sprintf("wk-%d", i+1)); n != 0 {
+			if n := c.env.Running(fmt.Sprintf("wk-%d", i+1)); n != 0 {
 				t.Errorf("%d tasks of cancelled service %d run", n, i+1)
 			}
-			if n := c.world.Running(fmt.Sprintf("wk-%d", i+4)); n != 2 {
+			if n := c.env.Running(fmt.Sprintf("wk-%d", i+4)); n != 2 {
 				t.Errorf("%d replicas of service %d run", n, i+4)
 			}
 		}
 		c.submit(jobBody("wk-9", wire.Array, "blue", "normal", 12, 2, 2))
 		c.awaitDone("wk-9", time.Minute)
-		c.nodes[1].net.Judge(nil)
+		c.nodes[1].net.SetPolicy(nil)
 		c.nodes[1].meshCut.Store(false)
 	})
 }
@@ -222,8 +223,8 @@
 		time.Sleep(15 * time.Second)
 		// A machine of an owner that the leader can't hear dies: it is returned,
 		// and its replicas run elsewhere, before its lease alone would prove it.
-		var lost *standin.Worker
-		for _, w := range c.world.Cloud.Workers() {
+		var lost *agent.Agent
+		for _, w := range c.env.Cloud.Agents() {
 			for _, n := range c.nodes {
 				n.controller().call(c.ctx, priorityState, func() {
 					m := n.controller().machineNamed(w.Name())
@@ -236,14 +237,14 @@
 		if lost == nil {
 			t.Fatal("all replicas are in the leader's part")
 		}
-		lost.Die()
+		lost.Terminate()
 		time.Sleep(9 * time.Second)
-		if slices.Contains(c.world.Cloud.Workers(), lost) {
+		if slices.Contains(c.env.Cloud.Agents(), lost) {
 			t.Error("a dead machine is still rented")
 		}
 		c.submit(jobBody("wk-8", wire.Service, "blue", "urgent", 2, 2, 0))
 		c.submit(jobBody("wk-9", wire.Array, "blue", "normal", 12, 2, 2))
-		c.await("the service runs", 30*time.Second, func() bool { return c.world.Running("wk-8") == 2 })
+		c.await("the service runs", 30*time.Second, func() bool { return c.env.Running("wk-8") == 2 })
 		c.awaitDone("wk-9", time.Minute)
 		for _, n := range c.nodes {
 			if !n.controller().Ready() {
@@ -276,7 +277,7 @@
 			c.kill(i % 3)
 			time.Sleep(time.Duration(50+100*(i%4)) * time.Millisecond)
 			c.start(i % 3)
-			ws := c.world.Cloud.Workers()
+			ws := c.env.Cloud.Agents()
 			ws[i%len(ws)].Restart()
 			time.Sleep(time.Duration(100+700*(i%3)) * time.Millisecond)
 		}
@@ -289,7 +290,7 @@
 // begins within four minutes and gets done while small ones keep coming.
 func TestLargestIsServedInAFlood(t *testing.T) {
 	inWorld(t, func(c *cluster) {
-		c.world.Cloud.SetCapacity(2)
+		c.env.Cloud.SetCapacity(2)
 		late := func(id string, tasks int) {
 			b := jobBody(id, wire.Array, "blue", "normal", tasks, 4, 8)
 			b["dueS"] = 60
@@ -304,15 +305,15 @@
 			}
 		}
 		flood(4 * time.Minute)
-		if c.world.Finished("wk-1") == 0 && c.world.Running("wk-1") == 0 {
+		if c.env.Completed("wk-1") == 0 && c.env.Running("wk-1") == 0 {
 			t.Error("the largest job has not begun")
 		}
 		flood(6 * time.Minute)
 		all := 0
 		for i := range n {
-			all += c.world.Finished(fmt.Sprintf("wk-%d", i+1))
+			all += c.env.Completed(fmt.Sprintf("wk-%d", i+1))
 		}
-		if done := c.world.Finished("wk-1"); done*12 < all {
+		if done := c.env.Completed("wk-1"); done*12 < all {
 			t.Errorf("%d of %d tasks done in ten minutes are the largest job's", done, all)
 		}
 	})
@@ -339,11 +340,11 @@
 				c.zoned(15, 14, "a")
 				c.await("the services run", time.Minute, func() bool { return c.allRun(28, 1) })
 				time.Sleep(15 * time.Second)
-				var cut []*standin.Worker
-				for _, w := range c.world.Cloud.Workers() {
+				var cut []*agent.Agent
+				for _, w := range c.env.Cloud.Agents() {
 					if w.Zone() == "b" {
 						cut = append(cut, w)
-						w.SetCut(true)
+						w.SetIsolated(true)
 					}
 				}
 				for i, n := range c.nodes {
@@ -357,10 +358,10 @@
 				}
 				time.Sleep(9500 * time.Millisecond) // a lease is 10 s
 				for _, w := range cut {
-					if !slices.Contains(c.world.Cloud.Workers(), w) {
+					if !slices.Contains(c.env.Cloud.Agents(), w) {
 						t.Errorf("%s, which is only cut off, was returned", w.Name())
 					}
-					w.SetCut(false)
+					w.SetIsolated(false)
 				}
 				c.await("the services run", 30*time.Second, func() bool { return c.allRun(28, 1) })
 			})
@@ -474,13 +475,13 @@
 		c.zoned(9, 8, "a")
 		c.await("the services run", time.Minute, func() bool { return c.allRun(16, 1) })
 		time.Sleep(10 * time.Second)
-		var dead *standin.Worker
-		for _, w := range c.world.Cloud.Workers() {
+		var dead *agent.Agent
+		for _, w := range c.env.Cloud.Agents() {
 			if dead == nil && c.boundTo(w.Name()) > 0 {
 				dead = w
 			}
 		}
-		dead.Die()
+		dead.Terminate()
 		for i := range c.nodes {
 			c.kill(i)
 		}
@@ -498,7 +499,7 @@
 				})
 			}
 		}
-		if slices.Contains(c.world.Cloud.Workers(), dead) {
+		if slices.Contains(c.env.Cloud.Agents(), dead) {
 			t.Errorf("a dead machine is not returned within %v", limit)
 		}
 		c.await("the services run", 20*time.Second, func() bool { return c.allRun(16, 1) })
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"eiderhitch/internal/standin"
+	"eiderhitch/internal/simulation/trace"
 	"eiderhitch/internal/wire"
 )
 
@@ -30,7 +30,7 @@
 
 // A fleet of thousands of machines comes up for an array and services, loses its leader,
 // and falls silent as a whole for a while: nothing is lost, no queue overflows, and no
-// message is beyond its limit (the stand-ins refuse those).
+// message is beyond its limit (the simulated services refuse those).
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
 	for _, controllers := range []int{3, 5} {
@@ -42,32 +42,32 @@
 }
 
 func (c *cluster) playFleet(machines int) {
-	w := c.world
-	w.ReportS, w.LeaseS, w.CancelS = 10, 50, 110
-	w.Cloud.SetCapacity(machines)
+	env := c.env
+	env.HeartbeatInterval, env.LeaseTTL, env.CancelWithin = 10*time.Second, 50*time.Second, 110*time.Second
+	env.Cloud.SetCapacity(machines)
 	// Each task takes a whole small machine.
 	array := jobBody("wk-1", wire.Array, "blue", "normal", machines, 4, 200)
 	array["hulls"] = []string{"small"}
 	c.submit(array)
-	c.await("the fleet is up and busy", 15*time.Minute, func() bool { return w.Running("wk-1")+w.Finished("wk-1") >= machines*9/10 })
+	c.await("the fleet is up and busy", 15*time.Minute, func() bool { return env.Running("wk-1")+env.Completed("wk-1") >= machines*9/10 })
 	c.submit(jobBody("wk-2", wire.Service, "blue", "urgent", 20, 2, 0))
-	c.await("services have room made for them", 2*time.Minute, func() bool { return w.Running("wk-2") == 20 })
+	c.await("services have room made for them", 2*time.Minute, func() bool { return env.Running("wk-2") == 20 })
 	leader := (&scene{cluster: c}).nodesOf(leading)[0]
 	c.kill(leader)
 	time.Sleep(15 * time.Second)
 	c.start(leader)
 	time.Sleep(10 * time.Second)
-	for _, k := range w.Cloud.Workers() {
-		k.SetCut(true)
+	for _, a := range env.Cloud.Agents() {
+		a.SetIsolated(true)
 	}
 	time.Sleep(*fleetSilence)
-	for _, k := range w.Cloud.Workers() {
-		k.SetCut(false)
+	for _, a := range env.Cloud.Agents() {
+		a.SetIsolated(false)
 	}
-	w.SetQuiet()
+	env.SetSettled()
 	c.await("the array is done", 40*time.Minute, func() bool { return c.state("wk-1") == wire.Done })
-	c.await("the services run", 2*time.Minute, func() bool { return w.Running("wk-2") == 20 })
-	if status, _ := c.ask(0, standin.Poll, "wk-1", nil, nil); status != 200 {
+	c.await("the services run", 2*time.Minute, func() bool { return env.Running("wk-2") == 20 })
+	if status, _ := c.ask(0, trace.Query, "wk-1", nil, nil); status != 200 {
 		c.t.Errorf("a poll is answered %d", status)
 	}
 }
--- a/internal/controller/gang_clauses_test.go
+++ b/internal/controller/gang_clauses_test.go
@@ -8,7 +8,9 @@
 	"time"
 
 	"eiderhitch/internal/record"
-	"eiderhitch/internal/standin"
+	"eiderhitch/internal/simulation/agent"
+	"eiderhitch/internal/simulation/network"
+	"eiderhitch/internal/simulation/trace"
 	"eiderhitch/internal/wire"
 )
 
@@ -35,18 +37,18 @@
 func (c *cluster) reaches(state string, least int) {
 	c.t.Helper()
 	for until := time.Now().Add(time.Minute); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
-		if c.world.States("wk-9")[state] >= least {
+		if c.env.TaskStates("wk-9")[state] >= least {
 			return
 		}
 	}
-	c.t.Fatalf("not %s: %v", state, c.world.States("wk-9"))
+	c.t.Fatalf("not %s: %v", state, c.env.TaskStates("wk-9"))
 }
 
 var gangPhases = []phase{
 	{"fetching", func(_ *testing.T, c *cluster) { c.reaches(wire.Fetching, gangTasks) }},
 	{"gathering", func(_ *testing.T, c *cluster) {
 		c.reaches(wire.Fetching, gangTasks)
-		c.on("wk-9").SetSlowFetch(4 * time.Second)
+		c.on("wk-9").SetImageDelay(4 * time.Second)
 		c.reaches(wire.Gathering, 1)
 	}},
 	{"running", func(_ *testing.T, c *cluster) {
@@ -62,14 +64,14 @@
 	{"ended", func(_ *testing.T, c *cluster) { // and not known to have: nothing can be stored
 		c.reaches(wire.Running, gangTasks)
 		time.Sleep(18 * time.Second)
-		c.world.State.SetDown(true)
+		c.env.Store.SetDown(true)
 		c.reaches(wire.Exited, gangTasks)
-		time.AfterFunc(2*time.Second, func() { c.world.State.SetDown(false) })
+		time.AfterFunc(2*time.Second, func() { c.env.Store.SetDown(false) })
 	}},
 }
 
 // drain has a machine emptied, as one that seems to be sick is.
-func (c *cluster) drain(w *standin.Worker) {
+func (c *cluster) drain(w *agent.Agent) {
 	for _, n := range c.nodes {
 		n.controller().call(c.ctx, priorityState, func() {
 			m := n.controller().machineNamed(w.Name())
@@ -87,32 +89,32 @@
 	}{
 		{"cancelled", func(c *cluster) { c.tryAbort("wk-9") }},
 		{"evicted", func(c *cluster) {
-			c.world.Cloud.SetCapacity(0)
+			c.env.Cloud.SetCapacity(0)
 			c.submit(jobBody("wk-91", wire.Array, "blue", "production", 40, 2, 3))
 		}},
-		{"spot notice", func(c *cluster) { c.on("wk-9").SetNotice(8 * time.Second) }},
-		{"taken without notice", func(c *cluster) { c.on("wk-9").Die() }},
+		{"spot notice", func(c *cluster) { c.on("wk-9").TerminateAfter(8 * time.Second) }},
+		{"taken without notice", func(c *cluster) { c.on("wk-9").Terminate() }},
 		{"drained", func(c *cluster) { c.drain(c.on("wk-9")) }},
 		{"machine hangs", func(c *cluster) {
 			w := c.on("wk-9")
-			w.SetHung(true)
-			time.AfterFunc(8*time.Second, func() { w.SetHung(false) })
+			w.SetHanging(true)
+			time.AfterFunc(8*time.Second, func() { w.SetHanging(false) })
 		}},
 		{"machine cut off", func(c *cluster) {
 			w := c.on("wk-9")
-			w.SetCut(true)
-			time.AfterFunc(25*time.Second, func() { w.SetCut(false) })
+			w.SetIsolated(true)
+			time.AfterFunc(25*time.Second, func() { w.SetIsolated(false) })
 		}},
 		{"commands late", func(c *cluster) {
 			for _, n := range c.nodes {
-				n.net.SetLate(3*time.Second, 4*time.Second)
-				n.net.Judge(func(r *http.Request) standin.Fate {
+				n.net.SetDelay(3*time.Second, 4*time.Second)
+				n.net.SetPolicy(func(r *http.Request) network.Fault {
 					if strings.HasPrefix(r.URL.Host, "10.1.") {
-						return standin.Late
+						return network.ExecuteLate
 					}
-					return standin.Deliver
+					return network.Deliver
 				})
-				time.AfterFunc(15*time.Second, func() { n.net.Judge(nil) })
+				time.AfterFunc(15*time.Second, func() { n.net.SetPolicy(nil) })
 			}
 		}},
 		{"all controllers end", (*cluster).restartAll},
@@ -122,7 +124,7 @@
 			c.start(0)
 		}},
 		{"done and cancelled", func(c *cluster) {
-			go c.ask(1, standin.Submit, "wk-9", gangOfPhases(), nil)
+			go c.ask(1, trace.Submit, "wk-9", gangOfPhases(), nil)
 			c.tryAbort("wk-9")
 		}},
 	}
@@ -135,13 +137,13 @@
 					p.reach(t, c)
 					e.do(c)
 					time.Sleep(40 * time.Second)
-					c.world.Cloud.SetCapacity(20)
-					c.world.SetQuiet()
+					c.env.Cloud.SetCapacity(20)
+					c.env.SetSettled()
 					c.await("it is over", 3*time.Minute, func() bool {
 						s := c.state("wk-9")
 						return s == wire.Done || s == wire.Cancelled
 					})
-					if n := c.world.Finished("wk-9"); n != 0 && n != gangTasks {
+					if n := c.env.Completed("wk-9"); n != 0 && n != gangTasks {
 						t.Errorf("%d of %d tasks are done", n, gangTasks)
 					}
 				})
@@ -155,38 +157,38 @@
 func TestOrderlyStopNeedsAllMembers(t *testing.T) {
 	for _, x := range []struct {
 		name  string
-		hold  func(c *cluster, w *standin.Worker) (undo func())
+		hold  func(c *cluster, w *agent.Agent) (undo func())
 		saves bool
 	}{
-		{"all are reached", func(*cluster, *standin.Worker) func() { return func() {} }, true},
-		{"one hears by its report", func(c *cluster, w *standin.Worker) func() {
+		{"all are reached", func(*cluster, *agent.Agent) func() { return func() {} }, true},
+		{"one hears by its report", func(c *cluster, w *agent.Agent) func() {
 			for _, n := range c.nodes {
-				n.net.Judge(func(r *http.Request) standin.Fate {
+				n.net.SetPolicy(func(r *http.Request) network.Fault {
 					if r.URL.Host == w.Addr() {
-						return standin.Drop
+						return network.Drop
 					}
-					return standin.Deliver
+					return network.Deliver
 				})
 			}
 			return func() {
 				for _, n := range c.nodes {
-					n.net.Judge(nil)
+					n.net.SetPolicy(nil)
 				}
 			}
 		}, true},
-		{"none reports for a while", func(c *cluster, _ *standin.Worker) func() {
-			for _, w := range c.world.Cloud.Workers() {
-				w.SetMute(true)
+		{"none reports for a while", func(c *cluster, _ *agent.Agent) func() {
+			for _, w := range c.env.Cloud.Agents() {
+				w.SetNotSending(true)
 			}
 			return func() {
-				for _, w := range c.world.Cloud.Workers() {
-					w.SetMute(false)
+				for _, w := range c.env.Cloud.Agents() {
+					w.SetNotSending(false)
 				}
 			}
 		}, true},
-		{"one is cut off", func(_ *cluster, w *standin.Worker) func() {
-			w.SetCut(true)
-			return func() { w.SetCut(false) }
+		{"one is cut off", func(_ *cluster, w *agent.Agent) func() {
+			w.SetIsolated(true)
+			return func() { w.SetIsolated(false) }
 		}, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -202,14 +204,14 @@
 				c.drain(w)
 				if x.saves {
 					time.Sleep(6 * time.Second) // to hear and to save, and less than a lease
-					if n := c.world.Running("wk-9"); n > 0 {
+					if n := c.env.Running("wk-9"); n > 0 {
 						t.Errorf("%d tasks have not heard in time", n)
 					}
 					undo()
 				}
-				c.await("it has left", 40*time.Second, func() bool { return c.world.Running("wk-9") == 0 })
-				if saved := c.world.Saved("wk-9") >= 20*time.Second; saved != x.saves {
-					t.Errorf("%v are saved", c.world.Saved("wk-9"))
+				c.await("it has left", 40*time.Second, func() bool { return c.env.Running("wk-9") == 0 })
+				if saved := c.env.Checkpoint("wk-9") >= 20*time.Second; saved != x.saves {
+					t.Errorf("%v are saved", c.env.Checkpoint("wk-9"))
 				}
 				if !x.saves {
 					undo()
@@ -226,12 +228,12 @@
 func TestLimitCountsGangUntilItIsGone(t *testing.T) {
 	inWorld(t, func(c *cluster) {
 		c.submit(gangBody("wk-9", "red", "normal", 12, 200)) // 24 of 24 CPUs
-		c.await("it runs", time.Minute, func() bool { return c.world.Running("wk-9") == 12 })
-		c.on("wk-9").SetCut(true)
+		c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-9") == 12 })
+		c.on("wk-9").SetIsolated(true)
 		cancelled := time.Now()
 		c.abort("wk-9")
 		c.submit(gangBody("wk-10", "red", "normal", 12, 10))
-		c.await("the next one runs", time.Minute, func() bool { return c.world.Running("wk-10") == 12 })
+		c.await("the next one runs", time.Minute, func() bool { return c.env.Running("wk-10") == 12 })
 		if after := time.Since(cancelled); after < 5*time.Second {
 			t.Errorf("it began %v after the cancellation, with a machine that nobody has heard", after)
 		}
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -128,7 +128,7 @@
 // partitions, beside services that stay there, until it is placed.
 func besideServices(t *testing.T, then func(c *cluster)) {
 	inWorld(t, func(c *cluster) {
-		c.world.Cloud.SetCapacity(3)
+		c.env.Cloud.SetCapacity(3)
 		for n := range 3 {
 			service := jobBody(fmt.Sprint("wk-", n+1), wire.Service, "blue", "urgent", 1, 10, 0)
 			service["hulls"] = []string{"large"}
@@ -136,39 +136,39 @@
 		}
 		c.await("a service runs on each machine", time.Minute, func() bool { return c.serving() == 3 })
 		parts := map[int]bool{}
-		for _, w := range c.world.Cloud.Workers() {
+		for _, w := range c.env.Cloud.Agents() {
 			parts[partitionOf(w.Name(), 3)] = true
 		}
 		if len(parts) < 2 {
 			t.Fatal("all machines are in one partition")
 		}
-		c.world.SetQuiet()
+		c.env.SetSettled()
 		gang := gangBody("wk-4", "blue", "normal", 9, 20)
 		gang["cpus"], gang["hulls"] = 2, []string{"large"}
 		c.submit(gang)
-		c.await("the gang runs", time.Minute, func() bool { return c.world.Running("wk-4") == 9 })
+		c.await("the gang runs", time.Minute, func() bool { return c.env.Running("wk-4") == 9 })
 		then(c)
 	})
 }
 
 // serving is how many of the three services run.
 func (c *cluster) serving() int {
-	return c.world.Running("wk-1") + c.world.Running("wk-2") + c.world.Running("wk-3")
+	return c.env.Running("wk-1") + c.env.Running("wk-2") + c.env.Running("wk-3")
 }
 
 // A gang must not wait for ever beside room that is spread over partitions: the machines are
 // lent with their services, which run on, and handed back with them.
 func TestGangBesideServicesOfSeveralPartitions(t *testing.T) {
 	besideServices(t, func(c *cluster) {
-		starts := c.world.Starts()
+		starts := c.env.Starts()
 		c.awaitDone("wk-4", time.Minute)
-		c.await("the machines are handed back", time.Minute, func() bool { return len(c.world.State.Keys(loanPrefix)) == 0 })
+		c.await("the machines are handed back", time.Minute, func() bool { return len(c.env.Store.Keys(loanPrefix)) == 0 })
 		time.Sleep(15 * time.Second)
-		if c.serving() != 3 || c.world.Starts() != starts {
-			t.Errorf("%d of 3 services run, %d starts since the gang began", c.serving(), c.world.Starts()-starts)
+		if c.serving() != 3 || c.env.Starts() != starts {
+			t.Errorf("%d of 3 services run, %d starts since the gang began", c.serving(), c.env.Starts()-starts)
 		}
 		c.abort("wk-1")
-		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.world.Running("wk-1") == 0 })
+		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
 	})
 }
 
@@ -177,23 +177,23 @@
 func TestServicesOnLentMachines(t *testing.T) {
 	besideServices(t, func(c *cluster) {
 		c.abort("wk-1")
-		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.world.Running("wk-1") == 0 })
-		c.await("its record is cleared up", 30*time.Second, func() bool { return len(c.world.State.Keys(groupKey("wk-1", 0))) == 0 })
+		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
+		c.await("its record is cleared up", 30*time.Second, func() bool { return len(c.env.Store.Keys(groupKey("wk-1", 0))) == 0 })
 		leader := (&scene{cluster: c}).nodesOf(leading)[0]
 		c.kill(leader)
 		time.Sleep(9 * time.Second)
 		c.start(leader)
-		if n := c.world.Running("wk-2") + c.world.Running("wk-3"); n != 2 {
+		if n := c.env.Running("wk-2") + c.env.Running("wk-3"); n != 2 {
 			c.t.Errorf("%d of 2 services run after a change of leader", n)
 		}
-		for _, w := range c.world.Cloud.Workers() {
-			if w.StateOf("wk-2/0") != "" {
-				w.Die()
+		for _, w := range c.env.Cloud.Agents() {
+			if w.TaskState("wk-2/0") != "" {
+				w.Terminate()
 			}
 		}
-		c.await("a lost service runs again", 2*time.Minute, func() bool { return c.world.Running("wk-2") == 1 })
+		c.await("a lost service runs again", 2*time.Minute, func() bool { return c.env.Running("wk-2") == 1 })
 		c.awaitDone("wk-4", 3*time.Minute)
-		c.await("nothing stays lent", 2*time.Minute, func() bool { return len(c.world.State.Keys(loanPrefix)) == 0 })
+		c.await("nothing stays lent", 2*time.Minute, func() bool { return len(c.env.Store.Keys(loanPrefix)) == 0 })
 	})
 }
 
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -14,7 +14,7 @@
 // storedBindings counts a job's tasks that are bound to a machine by what is stored, and
 // those that are dealt.
 func (c *cluster) storedBindings(id string) (bound, dealt int) {
-	for _, raw := range c.world.State.Values(groupPrefix + id + "/") {
+	for _, raw := range c.env.Store.Values(groupPrefix + id + "/") {
 		var v record.TaskGroup
 		if err := json.Unmarshal(raw, &v); err != nil {
 			c.t.Error(err)
@@ -35,7 +35,7 @@
 	for i := range c.nodes {
 		c.kill(i)
 	}
-	c.world.State.SetLimits(int(valueKB*1024), ops)
+	c.env.Store.SetLimits(int(valueKB*1024), ops)
 	time.Sleep(500 * time.Millisecond)
 	for i, n := range c.nodes {
 		n.cfg.Settings.State.ValueKB, n.cfg.Settings.State.TxnOps = valueKB, ops
@@ -66,7 +66,7 @@
 func (c *cluster) startsAfterBindings(tasks int) {
 	c.t.Helper()
 	for until := time.Now().Add(4 * time.Minute); time.Now().Before(until); time.Sleep(2 * time.Millisecond) {
-		started := c.world.Accepted("wk-9")
+		started := c.env.Trace.Accepted("wk-9")
 		if started == 0 {
 			continue
 		}
@@ -99,7 +99,7 @@
 				c.submit(bigGang(x.tasks, x.cpus))
 				c.startsAfterBindings(x.tasks)
 				c.awaitDone("wk-9", 2*time.Minute)
-				if n := c.world.Finished("wk-9"); n != x.tasks {
+				if n := c.env.Completed("wk-9"); n != x.tasks {
 					t.Errorf("%d tasks are done", n)
 				}
 			})
@@ -122,7 +122,7 @@
 			t.Run(phase.name+" in part, "+what, func(t *testing.T) {
 				inWorld(t, func(c *cluster) {
 					c.setStateLimits(2, 10)
-					c.world.State.WriteRPS = 12 // it stays in part for a while
+					c.env.Store.ChangesPerSecond = 12 // it stays in part for a while
 					c.submit(bigGang(tasks, 0.25))
 					met := false
 					for until := time.Now().Add(2 * time.Minute); !met && time.Now().Before(until); time.Sleep(time.Millisecond) {
@@ -140,10 +140,10 @@
 						c.start(0)
 					case "cancelled":
 						c.abort("wk-9")
-						started := c.world.Accepted("wk-9") // it may have been bound whole meanwhile
-						c.await("its records are gone", time.Minute, func() bool { return len(c.world.State.Keys(groupPrefix)) == 0 })
-						if n := c.world.Accepted("wk-9"); started == 0 && n > 0 || c.world.Running("wk-9") > 0 {
-							t.Errorf("%d tasks were started after its user was told, %d run", n-started, c.world.Running("wk-9"))
+						started := c.env.Trace.Accepted("wk-9") // it may have been bound whole meanwhile
+						c.await("its records are gone", time.Minute, func() bool { return len(c.env.Store.Keys(groupPrefix)) == 0 })
+						if n := c.env.Trace.Accepted("wk-9"); started == 0 && n > 0 || c.env.Running("wk-9") > 0 {
+							t.Errorf("%d tasks were started after its user was told, %d run", n-started, c.env.Running("wk-9"))
 						}
 						c.submit(bigGang(tasks, 0.25)) // it stays cancelled, and its cells are free
 						other := bigGang(tasks, 0.25)
@@ -154,9 +154,9 @@
 					case "lower limits":
 						c.setStateLimits(1, 8)
 					case "machine dies":
-						c.world.Cloud.Workers()[0].Die()
+						c.env.Cloud.Agents()[0].Terminate()
 					}
-					c.world.SetQuiet()
+					c.env.SetSettled()
 					c.awaitDone("wk-9", 3*time.Minute)
 				})
 			})
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -7,7 +7,8 @@
 	"time"
 
 	"eiderhitch/internal/config"
-	"eiderhitch/internal/standin"
+	"eiderhitch/internal/simulation/agent"
+	"eiderhitch/internal/simulation/trace"
 	"eiderhitch/internal/wire"
 )
 
@@ -40,9 +41,9 @@
 }
 
 // on is a machine that a job is bound to.
-func (c *cluster) on(id string) *standin.Worker {
+func (c *cluster) on(id string) *agent.Agent {
 	c.t.Helper()
-	for _, w := range c.world.Cloud.Workers() {
+	for _, w := range c.env.Cloud.Agents() {
 		for _, n := range c.nodes {
 			found := false
 			n.controller().call(c.ctx, priorityState, func() {
@@ -67,10 +68,10 @@
 		name    string
 		ran     bool
 		attempt uint64
-		do      func(*standin.Worker)
+		do      func(*agent.Agent)
 	}{
-		{"dies while waiting", false, 1, (*standin.Worker).Die}, {"dies while running", true, 2, (*standin.Worker).Die},
-		{"back at once while waiting", false, 1, (*standin.Worker).Restart}, {"back at once while running", true, 2, (*standin.Worker).Restart},
+		{"dies while waiting", false, 1, (*agent.Agent).Terminate}, {"dies while running", true, 2, (*agent.Agent).Terminate},
+		{"back at once while waiting", false, 1, (*agent.Agent).Restart}, {"back at once while running", true, 2, (*agent.Agent).Restart},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			inWorld(t, func(c *cluster) {
@@ -83,16 +84,16 @@
 				c.submit(b)
 				c.await("it is placed", time.Minute, func() bool { return c.attemptsOf("wk-9")[1] == 4 })
 				if x.ran {
-					c.await("it runs", time.Minute, func() bool { return c.world.Running("wk-9") == 4 })
+					c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-9") == 4 })
 					time.Sleep(6 * time.Second)
 				} else {
 					time.Sleep(3 * time.Second)
 				}
 				x.do(c.on("wk-9"))
 				c.await("it runs again", time.Minute, func() bool {
-					return c.world.Running("wk-9") == 4 && c.attemptsOf("wk-9")[x.attempt] == 4
+					return c.env.Running("wk-9") == 4 && c.attemptsOf("wk-9")[x.attempt] == 4
 				})
-				c.world.SetQuiet()
+				c.env.SetSettled()
 				c.awaitDone("wk-9", 2*time.Minute)
 			})
 		})
@@ -104,16 +105,16 @@
 func TestGangSavesWhenItIsEvicted(t *testing.T) {
 	inWorld(t, func(c *cluster) {
 		c.submit(gangBody("wk-1", "blue", "low", 4, 60))
-		c.await("it runs", time.Minute, func() bool { return c.world.Running("wk-1") == 4 })
+		c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-1") == 4 })
 		time.Sleep(25 * time.Second)
-		c.world.Cloud.SetCapacity(0)
+		c.env.Cloud.SetCapacity(0)
 		c.submit(jobBody("wk-2", wire.Array, "blue", "urgent", 40, 2, 5))
-		c.await("it has left", 20*time.Second, func() bool { return c.world.Running("wk-1") == 0 })
-		if p := c.world.Saved("wk-1"); p < 20*time.Second {
+		c.await("it has left", 20*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
+		if p := c.env.Checkpoint("wk-1"); p < 20*time.Second {
 			t.Errorf("%v are saved", p)
 		}
 		c.awaitDone("wk-1", 3*time.Minute)
-		if n := c.world.Finished("wk-1"); n != 4 {
+		if n := c.env.Completed("wk-1"); n != 4 {
 			t.Errorf("%d tasks are done", n)
 		}
 	})
@@ -129,10 +130,10 @@
 		c.submit(b)
 		c.await("it is placed", time.Minute, func() bool { return c.attemptsOf("wk-9")[1] == 4 })
 		w := c.on("wk-9")
-		w.SetCut(true) // it fetches on, and is heard of no more
+		w.SetIsolated(true) // it fetches on, and is heard of no more
 		time.Sleep(25 * time.Second)
-		w.SetCut(false)
-		c.world.SetQuiet()
+		w.SetIsolated(false)
+		c.env.SetSettled()
 		c.awaitDone("wk-9", 2*time.Minute)
 	})
 }
@@ -153,7 +154,7 @@
 					case "cancel":
 						c.abort("wk-9")
 						time.Sleep(4 * time.Second)
-						if n := c.world.Running("wk-9"); n > 0 {
+						if n := c.env.Running("wk-9"); n > 0 {
 							t.Errorf("%d tasks run", n)
 						}
 						return
@@ -183,7 +184,7 @@
 // Gangs among endless small work: each begins before long, none waits for another's cells.
 func TestGangsAmongSmallWork(t *testing.T) {
 	inWorld(t, func(c *cluster) {
-		c.world.Cloud.SetCapacity(6)
+		c.env.Cloud.SetCapacity(6)
 		for i := range 12 {
 			c.submit(jobBody(fmt.Sprintf("wk-%d", i+1), wire.Array, "blue", "normal", 40, 1, 9))
 		}
@@ -197,7 +198,7 @@
 		for until := time.Now().Add(100 * time.Second); time.Now().Before(until); time.Sleep(time.Second) {
 			for i := range 3 {
 				id := fmt.Sprintf("wk-10%d", i)
-				if c.world.Running(id) == 6 || c.world.Finished(id) == 6 {
+				if c.env.Running(id) == 6 || c.env.Completed(id) == 6 {
 					begun[i] = true
 				}
 			}
@@ -218,7 +219,7 @@
 		time.Sleep(5 * time.Second)
 		for range 2 {
 			b := gangBody("wk-1", "red", "normal", 13, 5) // 26 of 24 CPUs
-			if status, _ := c.call(standin.Submit, "wk-1", b, nil, 10*time.Second); status != 422 {
+			if status, _ := c.call(trace.Submit, "wk-1", b, nil, 10*time.Second); status != 422 {
 				t.Errorf("beyond the limit: status %d", status)
 			}
 		}
@@ -251,28 +252,28 @@
 			id := fmt.Sprintf("wk-5%d", i)
 			b := gangBody(id, "blue", "normal", 3, 5)
 			x.change(b)
-			if status, _ := c.call(standin.Submit, id, b, nil, 10*time.Second); status != x.status {
+			if status, _ := c.call(trace.Submit, id, b, nil, 10*time.Second); status != x.status {
 				t.Errorf("%s: status %d, not %d", x.name, status, x.status)
 			}
 		}
 		c.submit(gangBody("wk-7", "blue", "normal", 3, 200))
 		c.abort("wk-7")
 		c.submit(gangBody("wk-6", "red", "normal", 10, 200))
-		c.await("it runs", time.Minute, func() bool { return c.world.Running("wk-6") == 10 })
+		c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-6") == 10 })
 		for _, n := range c.nodes { // by now it could never run
 			n.cfg.Settings.Teams = []config.Team{{Name: "blue"}, {Name: "red", CPUs: 2, CPUsMax: 4}}
 		}
 		c.restartAll()
-		if status, out := c.call(standin.Submit, "wk-6", gangBody("wk-6", "red", "normal", 10, 200), nil, 20*time.Second); status != http.StatusOK || out["tide"] != wire.Running {
+		if status, out := c.call(trace.Submit, "wk-6", gangBody("wk-6", "red", "normal", 10, 200), nil, 20*time.Second); status != http.StatusOK || out["tide"] != wire.Running {
 			t.Errorf("repeated after a restart with lower limits: %d %v", status, out)
 		}
-		if status, out := c.call(standin.Submit, "wk-7", gangBody("wk-7", "blue", "normal", 3, 200), nil, 20*time.Second); status != http.StatusOK || out["tide"] != wire.Cancelled {
+		if status, out := c.call(trace.Submit, "wk-7", gangBody("wk-7", "blue", "normal", 3, 200), nil, 20*time.Second); status != http.StatusOK || out["tide"] != wire.Cancelled {
 			t.Errorf("a cancelled one, repeated: %d %v", status, out)
 		}
-		if status, _ := c.call(standin.Poll, "wk-77", nil, nil, 10*time.Second); status != http.StatusNotFound {
+		if status, _ := c.call(trace.Query, "wk-77", nil, nil, 10*time.Second); status != http.StatusNotFound {
 			t.Errorf("an unknown one: %d", status)
 		}
 		c.abort("wk-6")
-		c.await("it is gone", 30*time.Second, func() bool { return c.world.Running("wk-6") == 0 })
+		c.await("it is gone", 30*time.Second, func() bool { return c.env.Running("wk-6") == 0 })
 	})
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -9,7 +9,7 @@
 
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/rollout"
-	"eiderhitch/internal/standin"
+	"eiderhitch/internal/simulation/trace"
 	"eiderhitch/internal/wire"
 
 	"pgregory.net/rapid"
@@ -70,15 +70,15 @@
 // the new limits is ever sent, let alone again and again.
 func TestLowerLimitsOverLargeRecords(t *testing.T) {
 	inWorld(t, func(c *cluster) {
-		c.world.Cloud.SetCapacity(6)
+		c.env.Cloud.SetCapacity(6)
 		c.submit(jobBody("wk-1", wire.Array, "blue", "low", 400, 1, 4))
 		c.submit(jobBody("wk-2", wire.Array, "red", "normal", 60, 2, 4))
-		c.await("it runs", time.Minute, func() bool { return c.world.Finished("wk-1") > 20 })
+		c.await("it runs", time.Minute, func() bool { return c.env.Completed("wk-1") > 20 })
 		for i := range c.nodes {
 			c.kill(i)
 		}
-		large := c.world.State.Larger(1 << 10)
-		c.world.State.SetLimits(1<<10, 10)
+		large := c.env.Store.CountLargerThan(1 << 10)
+		c.env.Store.SetLimits(1<<10, 10)
 		for i, n := range c.nodes {
 			n.cfg.Settings.State.ValueKB, n.cfg.Settings.State.TxnOps = 1, 10
 			c.start(i)
@@ -90,7 +90,7 @@
 		c.awaitDone("wk-3", 2*time.Minute)
 		c.abort("wk-2")
 		c.awaitDone("wk-1", 20*time.Minute)
-		if n := c.world.State.Larger(1 << 10); n > 0 {
+		if n := c.env.Store.CountLargerThan(1 << 10); n > 0 {
 			t.Errorf("%d records are too large still", n)
 		}
 	})
@@ -107,22 +107,22 @@
 			return b
 		}
 		c.submit(body("wk-1"))
-		c.await("it runs", time.Minute, func() bool { return c.world.Running("wk-1") > 0 })
+		c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-1") > 0 })
 		for i := range c.nodes {
 			c.kill(i)
 		}
-		c.world.State.SetLimits(1<<10, 10)
+		c.env.Store.SetLimits(1<<10, 10)
 		for i, n := range c.nodes {
 			n.cfg.Settings.State.ValueKB, n.cfg.Settings.State.TxnOps = 1, 10
 			c.start(i)
 		}
-		if status, _ := c.call(standin.Submit, "wk-2", body("wk-2"), nil, 20*time.Second); status != http.StatusUnprocessableEntity {
+		if status, _ := c.call(trace.Submit, "wk-2", body("wk-2"), nil, 20*time.Second); status != http.StatusUnprocessableEntity {
 			t.Errorf("a description that can't be stored: status %d", status)
 		}
-		if status, _ := c.call(standin.Submit, "wk-1", body("wk-1"), nil, 20*time.Second); status != http.StatusOK {
+		if status, _ := c.call(trace.Submit, "wk-1", body("wk-1"), nil, 20*time.Second); status != http.StatusOK {
 			t.Errorf("an accepted one, repeated: status %d", status)
 		}
 		c.abort("wk-1")
-		c.await("its tasks are gone", 30*time.Second, func() bool { return c.world.Running("wk-1") == 0 })
+		c.await("its tasks are gone", 30*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
 	})
 }
--- a/internal/controller/processes_test.go
+++ b/internal/controller/processes_test.go
@@ -18,7 +18,8 @@
 	"time"
 
 	"eiderhitch/internal/config"
-	"eiderhitch/internal/standin"
+	"eiderhitch/internal/simulation"
+	"eiderhitch/internal/simulation/agent"
 	"eiderhitch/internal/wire"
 )
 
@@ -26,7 +27,7 @@
 // present one. Real processes on real time: run by hand, see docs/design.md.
 var oldVersion = flag.String("old-version", "", "commit whose processes share a cluster with today's")
 
-// processes is a cluster of real processes on loopback, among the stand-ins.
+// processes is a cluster of real processes on loopback, in a simulated environment.
 type processes struct {
 	*cluster
 	dir       string
@@ -141,7 +142,7 @@
 	}
 }
 
-// newProcesses sets the stand-ins up; no controller runs yet.
+// newProcesses sets the environment up; no controller runs yet.
 func newProcesses(t *testing.T) *processes {
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
@@ -154,13 +155,15 @@
 	p.logs = logs
 	names := []string{"n0", "n1", "n2"}
 	addrs, mesh := make([]string, 3), make([]string, 3)
-	for i := range names {
+	members := make([]agent.Controller, 3)
+	for i, name := range names {
 		addrs[i], mesh[i] = p.free(), p.free()
+		members[i] = agent.Controller{Name: name, Addr: addrs[i]}
 	}
-	p.world = standin.NewWorld(ctx, names, addrs, testTypes)
-	p.user = p.world.Net()
-	p.world.MachineAddr = func(int) string { return p.listen() }
-	p.world.Listen = func(addr string, h http.Handler) {
+	p.env = simulation.New(ctx, members, testTypes)
+	p.user = p.env.Network.NewTransport()
+	p.env.Cloud.MachineAddr = func(int) string { return p.listen() }
+	p.env.Network.Listen = func(addr string, h http.Handler) {
 		p.mu.Lock()
 		l := p.listeners[addr]
 		p.mu.Unlock()
@@ -169,14 +172,14 @@
 		}
 	}
 	state, cloud := p.listen(), p.listen()
-	p.world.Listen(state, p.world.State)
-	p.world.Listen(cloud, p.world.Cloud)
-	p.world.SetLimit("red", 24)
+	p.env.Network.Listen(state, p.env.Store)
+	p.env.Network.Listen(cloud, p.env.Cloud)
+	p.env.SetQuota("red", 24)
 	for i, name := range names {
 		target, _ := url.Parse("http://" + addrs[i])
 		proxy := httputil.NewSingleHostReverseProxy(target)
 		proxy.ErrorHandler = func(w http.ResponseWriter, _ *http.Request, _ error) { w.WriteHeader(http.StatusBadGateway) }
-		p.world.Serve(addrs[i], proxy)
+		p.env.Network.Serve(addrs[i], proxy)
 		p.nodes = append(p.nodes, &node{cfg: &config.Platform{Name: name, APIAddr: addrs[i]}})
 		var siblings strings.Builder
 		for k, other := range names {
@@ -252,7 +255,7 @@
 		p.submit(jobBody(next(), wire.Service, "blue", "urgent", 2, 2, 0))
 	}
 	work()
-	p.await("work runs", time.Minute, func() bool { return p.world.Starts() > 10 })
+	p.await("work runs", time.Minute, func() bool { return p.env.Starts() > 10 })
 	for _, step := range []struct {
 		node    int
 		program string
@@ -263,7 +266,7 @@
 		p.run(step.node, step.program)
 		time.Sleep(9 * time.Second)
 	}
-	p.world.State.SetLimits(2<<10, 10)
+	p.env.Store.SetLimits(2<<10, 10)
 	for range 3 {
 		b := gangBody(next(), "blue", "normal", 6, 8)
 		b["samePlace"] = true
@@ -272,18 +275,18 @@
 	p.end(0)
 	time.Sleep(500 * time.Millisecond)
 	p.run(0, today)
-	p.world.SetQuiet()
+	p.env.SetSettled()
 	for n := range jobs {
 		id := fmt.Sprintf("wk-%d", n+1)
 		p.await(id+" is over", 3*time.Minute, func() bool {
 			s := p.state(id)
-			return s == wire.Done || p.world.Running(id) == 2
+			return s == wire.Done || p.env.Running(id) == 2
 		})
 	}
-	for _, breach := range p.world.Breaches() {
+	for _, breach := range p.env.Violations() {
 		t.Error(breach)
 	}
-	if n := p.world.State.Excess; n > 0 {
+	if n := p.env.Store.OverLimits; n > 0 {
 		t.Errorf("%d transactions were beyond the limits", n)
 	}
 }
--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -9,7 +9,7 @@
 	"eiderhitch/internal/config"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/rollout"
-	"eiderhitch/internal/standin"
+	"eiderhitch/internal/simulation/agent"
 	"eiderhitch/internal/wire"
 
 	"pgregory.net/rapid"
@@ -27,7 +27,7 @@
 		b := jobBody("wk-9", wire.Array, "blue", "normal", 2, 1, 30)
 		b["samePlace"] = true
 		c.submit(b)
-		c.await("the job runs", time.Minute, func() bool { return c.world.Running("wk-9") == 2 })
+		c.await("the job runs", time.Minute, func() bool { return c.env.Running("wk-9") == 2 })
 		zone := map[string]bool{}
 		for _, n := range c.nodes {
 			n.controller().call(c.ctx, priorityState, func() {
@@ -36,15 +36,15 @@
 				}
 			})
 		}
-		c.world.Cloud.SetDown(true)
-		for _, w := range c.world.Cloud.Workers() {
+		c.env.Cloud.SetDown(true)
+		for _, w := range c.env.Cloud.Agents() {
 			if zone[w.Zone()] {
-				w.Die()
+				w.Terminate()
 			}
 		}
-		c.world.SetQuiet()
+		c.env.SetSettled()
 		c.awaitDone("wk-9", 3*time.Minute)
-		c.world.Cloud.SetDown(false)
+		c.env.Cloud.SetDown(false)
 	})
 }
 
@@ -53,20 +53,20 @@
 func TestMachinesAreKeptAfterALongOutage(t *testing.T) {
 	inWorld(t, func(c *cluster) {
 		c.services(4, 2)
-		var busy []*standin.Worker
-		for _, w := range c.world.Cloud.Workers() {
+		var busy []*agent.Agent
+		for _, w := range c.env.Cloud.Agents() {
 			if c.boundTo(w.Name()) > 0 {
 				busy = append(busy, w)
 			}
 		}
-		c.world.State.SetDown(true)
+		c.env.Store.SetDown(true)
 		time.Sleep(90 * time.Second)
-		c.world.State.SetDown(false)
-		c.world.SetQuiet()
+		c.env.Store.SetDown(false)
+		c.env.SetSettled()
 		for range 40 {
 			time.Sleep(250 * time.Millisecond)
 			for _, w := range busy {
-				if !slices.Contains(c.world.Cloud.Workers(), w) {
+				if !slices.Contains(c.env.Cloud.Agents(), w) {
 					t.Fatalf("%s is returned", w.Name())
 				}
 			}
@@ -83,13 +83,13 @@
 	inWorld(t, func(c *cluster) {
 		c.services(5, 2)
 		time.Sleep(10 * time.Second)
-		var w *standin.Worker
-		for _, x := range c.world.Cloud.Workers() {
+		var w *agent.Agent
+		for _, x := range c.env.Cloud.Agents() {
 			if c.boundTo(x.Name()) > 0 {
 				w = x
 			}
 		}
-		w.SetMute(true)
+		w.SetNotSending(true)
 		began := time.Now()
 		lacking := time.Duration(0)
 		for time.Since(began) < 20*time.Second {
@@ -101,7 +101,7 @@
 		if lacking == 0 || lacking > 2*time.Second {
 			t.Errorf("replicas lack for %v", lacking)
 		}
-		c.await("it is replaced", 40*time.Second, func() bool { return !slices.Contains(c.world.Cloud.Workers(), w) })
+		c.await("it is replaced", 40*time.Second, func() bool { return !slices.Contains(c.env.Cloud.Agents(), w) })
 	})
 }
 
@@ -219,10 +219,10 @@
 func TestNothingIsStoppedForAJobWithoutAMachine(t *testing.T) {
 	inWorld(t, func(c *cluster) {
 		c.submit(jobBody("wk-1", wire.Array, "red", "low", 40, 2, 60))
-		c.await("the limit is used up", time.Minute, func() bool { return c.world.Running("wk-1") == 12 })
+		c.await("the limit is used up", time.Minute, func() bool { return c.env.Running("wk-1") == 12 })
 		c.submit(jobBody("wk-2", wire.Array, "red", "low", 40, 2, 60))
-		c.world.Cloud.SetDown(true)
-		for _, w := range c.world.Cloud.Workers() {
+		c.env.Cloud.SetDown(true)
+		for _, w := range c.env.Cloud.Agents() {
 			if w.Zone() == "b" {
 				t.Fatal("there is a machine in zone b")
 			}
@@ -230,12 +230,12 @@
 		b := jobBody("wk-3", wire.Array, "red", "normal", 8, 2, 5)
 		b["shore"] = "b"
 		c.submit(b)
-		before := c.world.Starts()
+		before := c.env.Starts()
 		time.Sleep(20 * time.Second)
-		if n := c.world.Starts() - before; n > 0 || c.world.Running("wk-1") != 12 {
-			t.Errorf("%d starts, %d tasks run", n, c.world.Running("wk-1"))
+		if n := c.env.Starts() - before; n > 0 || c.env.Running("wk-1") != 12 {
+			t.Errorf("%d starts, %d tasks run", n, c.env.Running("wk-1"))
 		}
-		c.world.Cloud.SetDown(false)
+		c.env.Cloud.SetDown(false)
 		c.awaitDone("wk-3", 3*time.Minute)
 	})
 }
@@ -247,9 +247,9 @@
 	inWorld(t, func(c *cluster) {
 		c.services(6, 2)
 		time.Sleep(10 * time.Second)
-		c.world.Cloud.SetDown(true)
-		for _, w := range c.world.Cloud.Workers() {
-			w.Die()
+		c.env.Cloud.SetDown(true)
+		for _, w := range c.env.Cloud.Agents() {
+			w.Terminate()
 		}
 		time.Sleep(30 * time.Second)
 		before := c.holdersOf()
@@ -262,7 +262,7 @@
 				t.Errorf("a service of dead machines is %s", s)
 			}
 		}
-		c.world.Cloud.SetDown(false)
+		c.env.Cloud.SetDown(false)
 		c.await("the services run", time.Minute, func() bool { return c.allRun(6, 2) })
 	})
 }
--- a/internal/controller/rollout_cluster_test.go
+++ b/internal/controller/rollout_cluster_test.go
@@ -101,7 +101,7 @@
 
 // level is the stored state.
 func (c *cluster) level() rollout.State {
-	raw, ok := c.world.State.Values(rollout.StateKey)[rollout.StateKey]
+	raw, ok := c.env.Store.Values(rollout.StateKey)[rollout.StateKey]
 	if !ok {
 		return rollout.Initial
 	}
@@ -148,7 +148,7 @@
 // forms counts the stored groups by form.
 func (c *cluster) forms() map[record.Encoding]int {
 	out := map[record.Encoding]int{}
-	for _, raw := range c.world.State.Values(groupPrefix) {
+	for _, raw := range c.env.Store.Values(groupPrefix) {
 		out[record.EncodingOf(raw)]++
 	}
 	return out
--- a/internal/controller/rollout_processes_test.go
+++ b/internal/controller/rollout_processes_test.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/rollout"
-	"eiderhitch/internal/standin"
+	"eiderhitch/internal/simulation/trace"
 	"eiderhitch/internal/wire"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
 // upgradeRounds is how many times processes are upgraded and rolled back; each draws an
@@ -92,7 +92,7 @@
 		_ = f.delays[f.phase].RecordValue(time.Since(begun).Milliseconds())
 		f.mu.Unlock()
 		if n%8 == 0 && n >= 24 { // few services run at a time
-			go f.call(standin.Cancel, fmt.Sprintf("wk-%d%05d", round+1, n-24), nil, nil, 20*time.Second)
+			go f.call(trace.Cancel, fmt.Sprintf("wk-%d%05d", round+1, n-24), nil, nil, 20*time.Second)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 	f.enter("old")
 	f.stopped.Add(1)
 	go f.submitSteadily(round)
-	f.await("work runs", time.Minute, func() bool { return f.world.Starts() > 10 })
+	f.await("work runs", time.Minute, func() bool { return f.env.Starts() > 10 })
 	f.enter("one at a time")
 	last := f.upgradeAll()
 	f.awaitPhase(1, rollout.Activated, time.Minute)
@@ -247,14 +247,14 @@
 	f.t.Helper()
 	close(f.stop)
 	f.stopped.Wait()
-	f.world.SetQuiet()
+	f.env.SetSettled()
 	for _, id := range f.accepted {
 		f.await(id+" is over", 2*time.Minute, func() bool {
 			s := f.state(id)
-			return s == wire.Done || s == wire.Cancelled || f.world.Running(id) == 1
+			return s == wire.Done || s == wire.Cancelled || f.env.Running(id) == 1
 		})
 	}
-	for _, breach := range f.world.Breaches() {
+	for _, breach := range f.env.Violations() {
 		f.t.Error(breach)
 	}
 	f.t.Logf("%d jobs accepted", len(f.accepted))
--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -15,7 +15,8 @@
 	"eiderhitch/internal/peer"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/rollout"
-	"eiderhitch/internal/standin"
+	"eiderhitch/internal/simulation/network"
+	"eiderhitch/internal/simulation/trace"
 	"eiderhitch/internal/wire"
 )
 
@@ -27,7 +28,7 @@
 		c.submit(jobBody("wk-1", wire.Service, "blue", "urgent", 3, 2, 0))
 		c.submit(jobBody("wk-2", wire.Array, "blue", "normal", 60, 2, 20))
 		c.awaitLevel(1, rollout.Activated, 30*time.Second)
-		c.await("the service runs", 40*time.Second, func() bool { return c.world.Running("wk-1") == 3 })
+		c.await("the service runs", 40*time.Second, func() bool { return c.env.Running("wk-1") == 3 })
 		c.wish(rollout.WishFinalize)
 		c.awaitLevel(2, rollout.Stable, 10*time.Second)
 		c.await("records are rewritten", time.Minute, func() bool { f := c.forms(); return f[record.PlainJSON] == 0 && f[record.Checksummed] > 0 })
@@ -42,7 +43,7 @@
 			t.Error("the level is not held after the way back")
 		}
 		c.awaitDone("wk-2", 5*time.Minute)
-		if n := c.world.Running("wk-1"); n != 3 {
+		if n := c.env.Running("wk-1"); n != 3 {
 			t.Errorf("%d replicas of the service run", n)
 		}
 	})
@@ -53,7 +54,7 @@
 	c.t.Helper()
 	c.submit(jobBody("wk-1", wire.Service, "blue", "urgent", 3, 2, 0))
 	c.submit(jobBody("wk-2", wire.Array, "blue", "normal", 12, 1, 300))
-	c.await("work runs", time.Minute, func() bool { return c.world.Running("wk-1") == 3 && c.world.Running("wk-2") == 12 })
+	c.await("work runs", time.Minute, func() bool { return c.env.Running("wk-1") == 3 && c.env.Running("wk-2") == 12 })
 	c.awaitLevel(1, rollout.Activated, 30*time.Second)
 	c.wish(rollout.WishFinalize)
 	c.awaitLevel(2, rollout.Stable, 30*time.Second)
@@ -62,7 +63,7 @@
 
 // holdsRight tells whether a node is the holder of any right.
 func (c *cluster) holdsRight(i int) bool {
-	for key, raw := range c.world.State.Values(keyPrefix) {
+	for key, raw := range c.env.Store.Values(keyPrefix) {
 		var h record.LeaseHolder
 		if isRight(key) && wire.Decode(raw, &h) == nil && h.Node == c.nodes[i].cfg.Name {
 			return true
@@ -79,11 +80,11 @@
 		c.replace(0, baseLevelVersion)
 		time.Sleep(5 * time.Second)
 		var calls atomic.Int64
-		c.nodes[0].net.Judge(func(r *http.Request) standin.Fate {
+		c.nodes[0].net.SetPolicy(func(r *http.Request) network.Fault {
 			if isState(r) {
 				calls.Add(1)
 			}
-			return standin.Deliver
+			return network.Deliver
 		})
 		const watched = 20
 		for range watched {
@@ -91,14 +92,14 @@
 			if c.nodes[0].controller().Ready() || c.holdsRight(0) {
 				t.Fatal("it is ready, or holds a right")
 			}
-			if status, _ := c.ask(0, standin.Poll, "wk-1", nil, nil); status != http.StatusServiceUnavailable {
+			if status, _ := c.ask(0, trace.Query, "wk-1", nil, nil); status != http.StatusServiceUnavailable {
 				t.Fatalf("a user is answered %d", status)
 			}
 		}
 		if n := calls.Load(); n > 4*watched {
 			t.Errorf("%d calls of the state service in %d s", n, watched)
 		}
-		if n := c.world.Running("wk-1"); n != 3 {
+		if n := c.env.Running("wk-1"); n != 3 {
 			t.Errorf("%d replicas run", n)
 		}
 		c.replace(0, presentVersion)
@@ -113,17 +114,17 @@
 		c.final()
 		c.replace(0, unawareVersion)
 		time.Sleep(5 * time.Second)
-		if status, _ := c.ask(0, standin.Poll, "wk-2", nil, nil); status != http.StatusServiceUnavailable {
+		if status, _ := c.ask(0, trace.Query, "wk-2", nil, nil); status != http.StatusServiceUnavailable {
 			t.Errorf("it answers %d for a job whose records it can't read", status)
 		}
 		body := jobBody("wk-3", wire.Array, "blue", "normal", 4, 1, 3)
 		raw, _ := json.Marshal(body)
 		spec, _ := wire.ParseJob(raw)
-		c.world.Upload(spec)
-		if status, _ := c.ask(0, standin.Submit, "wk-3", body, spec); status != http.StatusCreated {
+		c.env.Upload(spec)
+		if status, _ := c.ask(0, trace.Submit, "wk-3", body, spec); status != http.StatusCreated {
 			t.Errorf("a submission is answered %d", status)
 		}
-		c.await("the job that it accepted is done", time.Minute, func() bool { return c.world.Finished("wk-3") == 4 })
+		c.await("the job that it accepted is done", time.Minute, func() bool { return c.env.Completed("wk-3") == 4 })
 		c.kill(1)
 		c.kill(2)
 		for range 25 {
@@ -135,7 +136,7 @@
 		c.start(1)
 		c.start(2)
 		c.replace(0, presentVersion)
-		c.await("the service runs again", 40*time.Second, func() bool { return c.world.Running("wk-1") == 3 })
+		c.await("the service runs again", 40*time.Second, func() bool { return c.env.Running("wk-1") == 3 })
 		c.awaitDone("wk-3", 40*time.Second)
 	})
 }
@@ -143,7 +144,7 @@
 // spoil changes one letter of a stored value, and returns what puts it right again.
 func (c *cluster) spoil(key string) func() {
 	c.t.Helper()
-	good := c.world.State.Values(key)[key]
+	good := c.env.Store.Values(key)[key]
 	bad := bytes.Clone(good)
 	at := len(bad) / 2
 	bad[at] = map[bool]byte{true: 'B', false: 'A'}[bad[at] == 'A']
@@ -166,9 +167,9 @@
 func TestDamagedRecordIsLeftAlone(t *testing.T) {
 	inUpgrade(t, func(c *cluster) {
 		c.final()
-		starts := c.world.Accepted("wk-2")
+		starts := c.env.Trace.Accepted("wk-2")
 		var undo []func()
-		for key := range c.world.State.Values(groupPrefix + "wk-2/") {
+		for key := range c.env.Store.Values(groupPrefix + "wk-2/") {
 			undo = append(undo, c.spoil(key))
 		}
 		for i := range c.nodes {
@@ -176,11 +177,11 @@
 			c.start(i)
 		}
 		time.Sleep(30 * time.Second)
-		if n := c.world.Running("wk-2"); n != 12 || c.world.Accepted("wk-2") != starts {
-			t.Errorf("%d of 12 tasks run, %d were started after the damage", n, c.world.Accepted("wk-2")-starts)
+		if n := c.env.Running("wk-2"); n != 12 || c.env.Trace.Accepted("wk-2") != starts {
+			t.Errorf("%d of 12 tasks run, %d were started after the damage", n, c.env.Trace.Accepted("wk-2")-starts)
 		}
 		for i := range c.nodes {
-			if status, _ := c.ask(i, standin.Poll, "wk-2", nil, nil); status != http.StatusServiceUnavailable {
+			if status, _ := c.ask(i, trace.Query, "wk-2", nil, nil); status != http.StatusServiceUnavailable {
 				t.Errorf("node %d answers %d", i, status)
 			}
 		}
@@ -197,7 +198,7 @@
 		}
 		c.await("it is known again", 20*time.Second, func() bool { return c.state("wk-2") == wire.Running })
 		c.abort("wk-2")
-		c.await("it is gone", 40*time.Second, func() bool { return c.world.Running("wk-2") == 0 })
+		c.await("it is gone", 40*time.Second, func() bool { return c.env.Running("wk-2") == 0 })
 	})
 }
 
@@ -237,7 +238,7 @@
 		key := groupKey("wk-99", 0)
 		left := (&record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 1}}}).Encode(record.Checksummed).At(key)
 		// It is stored together with the change that closes the keys.
-		c.world.State.Before(func(t *wire.Txn) {
+		c.env.Store.BeforeTxn(func(t *wire.Txn) {
 			for _, change := range t.Changes {
 				if s, err := rollout.DecodeState(change.Value); change.Put == rollout.StateKey && err == nil && s.Phase == rollout.Closed && s.Epoch == 1 {
 					t.Changes = append(t.Changes, wire.Change{Put: key, Value: left})
@@ -250,7 +251,7 @@
 			t.Fatal(err)
 		}
 		c.awaitLevel(1, rollout.Stable, 20*time.Second)
-		c.await("the service runs", 20*time.Second, func() bool { return c.world.Running("wk-1") == 3 })
+		c.await("the service runs", 20*time.Second, func() bool { return c.env.Running("wk-1") == 3 })
 	})
 }
 
@@ -280,7 +281,7 @@
 	inUpgrade(t, func(c *cluster) {
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
 		c.kill(2)
-		c.await("its registration ends", 30*time.Second, func() bool { return len(c.world.State.Keys(rollout.ControllerKey("n2"))) == 0 })
+		c.await("its registration ends", 30*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n2"))) == 0 })
 		before := c.level()
 		_, err := c.upgradeOperator().Request(c.ctx, rollout.WishFinalize)
 		var refused *rollout.RefusedError
@@ -291,7 +292,7 @@
 			t.Errorf("%+v was changed to %+v", before, c.level())
 		}
 		c.start(2)
-		c.await("it is registered", 20*time.Second, func() bool { return len(c.world.State.Keys(rollout.ControllerKey("n2"))) == 1 })
+		c.await("it is registered", 20*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n2"))) == 1 })
 		c.wish(rollout.WishFinalize)
 		c.awaitLevel(2, rollout.Stable, 10*time.Second)
 	})
@@ -301,15 +302,15 @@
 func TestLeaseEndsWhileTheControllerLives(t *testing.T) {
 	inUpgrade(t, func(c *cluster) {
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
-		c.nodes[1].net.Judge(func(r *http.Request) standin.Fate {
+		c.nodes[1].net.SetPolicy(func(r *http.Request) network.Fault {
 			if isState(r) {
-				return standin.Refuse
+				return network.Refuse
 			}
-			return standin.Deliver
+			return network.Deliver
 		})
-		c.await("its registration ends", 30*time.Second, func() bool { return len(c.world.State.Keys(rollout.ControllerKey("n1"))) == 0 })
-		c.nodes[1].net.Judge(nil)
-		c.await("it is registered again", 20*time.Second, func() bool { return len(c.world.State.Keys(rollout.ControllerKey("n1"))) == 1 })
+		c.await("its registration ends", 30*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n1"))) == 0 })
+		c.nodes[1].net.SetPolicy(nil)
+		c.await("it is registered again", 20*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n1"))) == 1 })
 	})
 }
 
@@ -358,11 +359,11 @@
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
 		sent(map[string]peer.Version{"n0n1": peer.ChecksummedFrame, "n1n0": peer.ChecksummedFrame, "n2n1": peer.ChecksummedFrame})
 		// It is killed: its registration outlives it.
-		c.nodes[1].net.Judge(func(*http.Request) standin.Fate { return standin.Refuse })
+		c.nodes[1].net.SetPolicy(func(*http.Request) network.Fault { return network.Refuse })
 		c.kill(1)
-		c.nodes[1].net.Judge(nil)
+		c.nodes[1].net.SetPolicy(nil)
 		c.replace(1, unawareVersion)
-		if len(c.world.State.Keys(rollout.ControllerKey("n1"))) != 1 {
+		if len(c.env.Store.Keys(rollout.ControllerKey("n1"))) != 1 {
 			t.Error("its registration ended with it")
 		}
 		sent(map[string]peer.Version{"n0n1": peer.PlainFrame, "n1n0": peer.PlainFrame, "n0n2": peer.ChecksummedFrame, "n2n1": peer.PlainFrame})
--- a/internal/controller/rows_test.go
+++ b/internal/controller/rows_test.go
@@ -6,7 +6,8 @@
 	"testing"
 	"time"
 
-	"eiderhitch/internal/standin"
+	"eiderhitch/internal/simulation/network"
+	"eiderhitch/internal/simulation/trace"
 	"eiderhitch/internal/wire"
 )
 
@@ -94,10 +95,10 @@
 					c.submit(bodies[id])
 				}
 				c.await("work runs", 2*time.Minute, func() bool {
-					return c.world.Running("wk-1") == 4 && c.world.Running("wk-2") == 10 && c.world.Running("wk-3") == 6
+					return c.env.Running("wk-1") == 4 && c.env.Running("wk-2") == 10 && c.env.Running("wk-3") == 6
 				})
 				time.Sleep(10 * time.Second)
-				for _, w := range c.world.Cloud.Workers() {
+				for _, w := range c.env.Cloud.Agents() {
 					w.SetDrift(x.drift)
 				}
 				fetching := jobBody("wk-4", wire.Array, "blue", "urgent", 6, 1, 300)
@@ -107,11 +108,11 @@
 				time.Sleep(1500 * time.Millisecond)
 				// All owners but the last are shut out: it alone confirms cancellations.
 				for _, n := range c.nodes[:2] {
-					n.net.Judge(func(r *http.Request) standin.Fate {
+					n.net.SetPolicy(func(r *http.Request) network.Fault {
 						if isState(r) {
-							return standin.Refuse
+							return network.Refuse
 						}
-						return standin.Deliver
+						return network.Deliver
 					})
 				}
 				if x.apart {
@@ -123,23 +124,23 @@
 					time.Sleep(6 * time.Second)
 				}
 				for _, id := range []string{"wk-1", "wk-2", "wk-3", "wk-4"} {
-					if status, out := c.ask(2, standin.Cancel, id, nil, nil); status != 200 {
+					if status, out := c.ask(2, trace.Cancel, id, nil, nil); status != 200 {
 						t.Fatalf("%s is not cancelled: %d %v", id, status, out)
 					}
 				}
-				c.world.State.SetDown(true)
+				c.env.Store.SetDown(true)
 				time.Sleep(50 * time.Second) // cancel_s is 35
 				for _, id := range []string{"wk-1", "wk-2", "wk-3", "wk-4"} {
-					if n := c.world.Running(id); n > 0 {
+					if n := c.env.Running(id); n > 0 {
 						t.Errorf("%d tasks of %s are there", n, id)
 					}
 				}
 				for _, n := range c.nodes {
-					n.net.Judge(nil)
+					n.net.SetPolicy(nil)
 					n.meshCut.Store(false)
 				}
-				c.world.State.SetDown(false)
-				c.world.SetQuiet()
+				c.env.Store.SetDown(false)
+				c.env.SetSettled()
 				c.submit(jobBody("wk-9", wire.Array, "blue", "normal", 4, 1, 2))
 				c.awaitDone("wk-9", time.Minute)
 			})
--- a/internal/controller/shortage_test.go
+++ b/internal/controller/shortage_test.go
@@ -65,7 +65,7 @@
 				c.services(4, 2)
 				time.Sleep(10 * time.Second)
 				before, used := c.owners(), []string{}
-				for _, w := range c.world.Cloud.Workers() {
+				for _, w := range c.env.Cloud.Agents() {
 					if c.boundTo(w.Name()) > 0 {
 						used = append(used, w.Name())
 					}
@@ -76,12 +76,12 @@
 					t.Errorf("rights changed hands: %v, %v", before, after)
 				}
 				c.submit(jobBody("wk-9", wire.Array, "blue", "normal", 6, 2, 5))
-				c.await("the array begins", 40*time.Second, func() bool { return c.world.Running("wk-9")+c.world.Finished("wk-9") > 0 })
+				c.await("the array begins", 40*time.Second, func() bool { return c.env.Running("wk-9")+c.env.Completed("wk-9") > 0 })
 				if !c.allRun(4, 2) {
 					t.Error("replicas are missing")
 				}
 				names := []string{}
-				for _, w := range c.world.Cloud.Workers() {
+				for _, w := range c.env.Cloud.Agents() {
 					names = append(names, w.Name())
 				}
 				for _, name := range used {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -158,7 +158,7 @@
 	c.t.Helper()
 	gangs := map[string]bool{}
 	history := levelHistory{cluster: c, state: rollout.Initial, checked: map[string]bool{}}
-	for _, e := range c.world.State.History() {
+	for _, e := range c.env.Store.History() {
 		history.check(e)
 		if e.Put == "" {
 			continue
--- a/internal/rollout/txn_test.go
+++ b/internal/rollout/txn_test.go
@@ -11,13 +11,13 @@
 	"testing"
 	"time"
 
-	"eiderhitch/internal/standin"
+	"eiderhitch/internal/simulation/kv"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
 
-// inProcess carries requests to a stand-in without a network.
-type inProcess struct{ state *standin.State }
+// inProcess carries requests to a simulated store without a network.
+type inProcess struct{ state *kv.Store }
 
 // RoundTrip answers a request.
 func (p inProcess) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -29,8 +29,8 @@
 	return rec.Result(), nil
 }
 
-func newStore() (*standin.State, *store.Client) {
-	state := standin.NewState()
+func newStore() (*kv.Store, *store.Client) {
+	state := kv.NewStore()
 	return state, store.NewClient("state:1", inProcess{state})
 }
 
--- /dev/null
+++ b/internal/simulation/agent/commands.go
@@ -0,0 +1,110 @@
+package agent
+
+import (
+	"encoding/json"
+	"io"
+	"net/http"
+	"time"
+
+	"eiderhitch/internal/simulation/trace"
+	"eiderhitch/internal/wire"
+)
+
+// execute carries out commands; called with the lock held.
+func (a *Agent) execute(commands []wire.Command) {
+	for i := range commands {
+		switch command := &commands[i]; command.Op {
+		case wire.OpStart:
+			a.executeStart(command)
+		case wire.OpStop:
+			a.executeStop(command)
+		case wire.OpForget:
+			a.executeForget(command)
+		}
+	}
+}
+
+// executeStart begins to fetch a task's image.
+func (a *Agent) executeStart(command *wire.Command) {
+	if t := a.tasks[command.Task]; t != nil {
+		if t.attempt != command.Attempt {
+			a.refuse(command, trace.TaskInUse)
+		}
+		return
+	}
+	spec := a.fleet.Spec(trace.JobOf(command.Task))
+	if spec == nil {
+		a.refuse(command, trace.UnknownJob)
+		return
+	}
+	a.tasks[command.Task] = &task{name: command.Task, attempt: command.Attempt, state: wire.Fetching, since: time.Now(), spec: spec}
+	a.fleet.recorder.Record(trace.TaskAccepted{At: time.Now(), Task: command.Task, Machine: a.instance.Name, Attempt: command.Attempt})
+	a.reportSoon()
+}
+
+// refuse notes a start that can't be carried out.
+func (a *Agent) refuse(command *wire.Command, reason trace.Refusal) {
+	a.fleet.recorder.Record(trace.StartRefused{At: time.Now(), Task: command.Task, Machine: a.instance.Name, Reason: reason})
+}
+
+// executeStop stops a task, with time to save its progress if it can.
+func (a *Agent) executeStop(command *wire.Command) {
+	t := a.tasks[command.Task]
+	if t == nil || t.attempt != command.Attempt || t.state == wire.Exited {
+		return
+	}
+	grace := 0.0
+	if command.GraceS != nil {
+		grace = *command.GraceS
+	}
+	switch {
+	case t.state == wire.Running && t.spec.CheckpointS > 0 && grace >= t.spec.SaveS && (!t.spec.Gang || a.fleet.stopGangTask(t)):
+		t.state, t.since = wire.Saving, time.Now()
+		a.reportSoon()
+	case t.state != wire.Saving || grace == 0:
+		a.exitTask(t, wire.ReasonStopped)
+	}
+}
+
+// executeForget removes what is left of a task that has exited.
+func (a *Agent) executeForget(command *wire.Command) {
+	if t := a.tasks[command.Task]; t != nil && t.attempt == command.Attempt && t.state == wire.Exited {
+		delete(a.tasks, command.Task)
+		a.reportSoon()
+	}
+}
+
+// ServeHTTP answers direct commands.
+func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.terminated || a.faults.isolated || a.faults.notReceiving || !a.booted {
+		a.mu.Unlock()
+		<-r.Context().Done()
+		a.mu.Lock()
+		return
+	}
+	if !a.awaitResumed() || a.terminated {
+		return
+	}
+	var request wire.CommandRequest
+	if err != nil || json.Unmarshal(body, &request) != nil {
+		w.WriteHeader(http.StatusBadRequest)
+		return
+	}
+	a.advance()
+	if request.Token < a.token || request.Incarnation != a.incarnation {
+		a.reply(w, http.StatusConflict)
+		return
+	}
+	a.raiseToken(request.Token)
+	a.execute(request.Commands)
+	a.reply(w, http.StatusOK)
+}
+
+// reply answers with the state of the machine.
+func (a *Agent) reply(w http.ResponseWriter, status int) {
+	w.WriteHeader(status)
+	_ = json.NewEncoder(w).Encode(a.heartbeat()) // the caller has gone
+}
--- /dev/null
+++ b/internal/simulation/agent/task.go
@@ -0,0 +1,114 @@
+package agent
+
+import (
+	"time"
+
+	"eiderhitch/internal/wire"
+)
+
+// task is an attempt of a task on a machine.
+type task struct {
+	name    string
+	attempt uint64
+	state   string
+	reason  string    // of an exit
+	since   time.Time // of the present state
+	spec    *wire.Job
+}
+
+// holds tells whether the task has been in its present state for that many seconds.
+func (t *task) holds(now time.Time, s float64) bool { return now.Sub(t.since) >= seconds(s) }
+
+// advance moves the tasks and the lease on to now; called with the lock held.
+func (a *Agent) advance() {
+	now := time.Now()
+	ttl := time.Duration(float64(a.fleet.LeaseTTL) * (1 + a.faults.drift))
+	if now.Sub(a.renewedAt) > ttl {
+		a.dropTasks(a.renewedAt.Add(ttl))
+		a.beginIncarnation()
+	}
+	if a.faults.isHanging() {
+		return
+	}
+	for _, t := range a.sortedTasks() {
+		if t.state == wire.Fetching && now.Sub(t.since) >= seconds(t.spec.ImageGB)+a.faults.imageDelay {
+			a.startTask(t, now)
+		}
+		if t.spec.Gang {
+			a.advanceGangTask(t)
+		} else {
+			a.advanceTask(t, now)
+		}
+	}
+}
+
+// startTask has a task run, or wait for its gang, whose image has been fetched.
+func (a *Agent) startTask(t *task, now time.Time) {
+	t.state, t.since = wire.Running, now
+	a.fleet.taskStarted(a, t)
+	if t.spec.Gang {
+		t.state = wire.Gathering
+		a.fleet.joinGang(t)
+	}
+	a.reportSoon()
+}
+
+// advanceTask moves on a task that is not of a gang.
+func (a *Agent) advanceTask(t *task, now time.Time) {
+	switch {
+	case t.state == wire.Running && !t.spec.Service && t.holds(now, t.spec.EstimateS):
+		reason := wire.ReasonDone
+		if a.faults.failing {
+			reason = wire.ReasonError
+		}
+		a.exitTask(t, reason)
+	case t.state == wire.Saving && t.holds(now, t.spec.SaveS):
+		a.exitTask(t, wire.ReasonStopped)
+	}
+}
+
+// advanceGangTask moves on a task of a gang.
+func (a *Agent) advanceGangTask(t *task) {
+	if t.state == wire.Fetching || t.state == wire.Exited {
+		return
+	}
+	state, reason := a.fleet.nextGangState(t)
+	if state == wire.Running && a.faults.failing {
+		state, reason = wire.Exited, wire.ReasonError
+	}
+	switch {
+	case state == wire.Exited:
+		a.exitTask(t, reason)
+	case state != t.state && t.state == wire.Gathering:
+		t.state = state
+		a.reportSoon()
+	}
+}
+
+// exitTask ends a task for a reason; called with the lock held.
+func (a *Agent) exitTask(t *task, reason string) {
+	now := time.Now()
+	a.fleet.taskStopped(a, t, now)
+	if t.spec.Gang {
+		a.fleet.leaveGang(t)
+	}
+	t.state, t.reason, t.since = wire.Exited, reason, now
+	if reason == wire.ReasonDone {
+		a.fleet.taskCompleted(t.name)
+	}
+	a.reportSoon()
+}
+
+// dropTasks ends all tasks without a trace on the machine; called with the lock held.
+func (a *Agent) dropTasks(at time.Time) {
+	for _, t := range a.sortedTasks() {
+		if t.state == wire.Exited {
+			continue
+		}
+		a.fleet.taskStopped(a, t, at)
+		if t.spec.Gang {
+			a.fleet.leaveGang(t)
+		}
+	}
+	a.tasks = map[string]*task{}
+}
--- /dev/null
+++ b/internal/simulation/cloud/cloud.go
@@ -0,0 +1,203 @@
+// Package cloud simulates the cloud, written from its protocol: it launches machines, each
+// with an agent, lists them and terminates them.
+package cloud
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+
+	"eiderhitch/internal/simulation/agent"
+	"eiderhitch/internal/wire"
+)
+
+const (
+	// defaultCapacity is how many machines there may be at a time.
+	defaultCapacity = 20
+	// instanceRunning is the state of a machine that has booted.
+	instanceRunning = "running"
+)
+
+// Cloud launches machines in a fleet.
+type Cloud struct {
+	// MachineAddr, if set, is the address of the machine with a number.
+	MachineAddr func(number int) string
+
+	fleet *agent.Fleet
+	types []wire.MachineType
+
+	mu        sync.Mutex
+	instances []*instance         // by number; nil: terminated
+	launched  map[string][]string // names of machines by request, which may be repeated
+	down      bool
+	capacity  int
+}
+
+// instance is a machine that was launched.
+type instance struct {
+	wire.Instance
+	launchedAt time.Time
+	agent      *agent.Agent
+}
+
+// New returns a cloud that has machines of some types.
+func New(fleet *agent.Fleet, types []wire.MachineType) *Cloud {
+	return &Cloud{fleet: fleet, types: types, launched: map[string][]string{}, capacity: defaultCapacity}
+}
+
+// SetDown begins or ends an outage.
+func (c *Cloud) SetDown(down bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.down = down
+}
+
+// SetCapacity sets how many machines there may be at a time, and tells how many
+// there might have been before.
+func (c *Cloud) SetCapacity(capacity int) (before int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	before = c.capacity
+	c.capacity = capacity
+	return before
+}
+
+// Agents are those of the machines that are there now.
+func (c *Cloud) Agents() []*agent.Agent {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var out []*agent.Agent
+	for _, i := range c.instances {
+		if i != nil {
+			out = append(out, i.agent)
+		}
+	}
+	return out
+}
+
+// ServeHTTP answers as the protocol says.
+func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.down {
+		reply(w, http.StatusServiceUnavailable, map[string]string{"error": "trouble"})
+		return
+	}
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		reply(w, http.StatusBadRequest, struct{}{})
+		return
+	}
+	switch r.Method + r.URL.Path {
+	case "GET/machine_types":
+		reply(w, http.StatusOK, wire.MachineTypes{Types: c.types})
+	case "POST/rentals":
+		c.serveLaunch(w, body)
+	case "POST/rentals/release":
+		c.serveTerminate(w, body)
+	case "GET/rentals":
+		reply(w, http.StatusOK, c.list(r.URL.Query().Get("since")))
+	default:
+		reply(w, http.StatusBadRequest, struct{}{})
+	}
+}
+
+// serveLaunch launches as many of the machines that are asked for as there may be.
+func (c *Cloud) serveLaunch(w http.ResponseWriter, body []byte) {
+	var request wire.LaunchRequest
+	if json.Unmarshal(body, &request) != nil {
+		reply(w, http.StatusBadRequest, struct{}{})
+		return
+	}
+	if names, repeated := c.launched[request.Request]; repeated {
+		reply(w, http.StatusOK, wire.MachineNames{Machines: names})
+		return
+	}
+	count := min(request.Count, c.capacity-c.countInstances())
+	if count <= 0 {
+		reply(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
+		return
+	}
+	names := []string{}
+	for range count {
+		names = append(names, c.launch(&request))
+	}
+	c.launched[request.Request] = names
+	reply(w, http.StatusOK, wire.MachineNames{Machines: names})
+}
+
+// launch launches one machine and returns its name.
+func (c *Cloud) launch(request *wire.LaunchRequest) string {
+	number := len(c.instances) + 1
+	i := &instance{launchedAt: time.Now(), Instance: wire.Instance{Name: fmt.Sprintf("host-%06d", number), Addr: c.machineAddr(number),
+		Type: request.Type, Zone: request.Zone, Spot: request.Spot, State: wire.InstanceStarting}}
+	var machineType wire.MachineType
+	if at := slices.IndexFunc(c.types, func(t wire.MachineType) bool { return t.Name == request.Type }); at >= 0 {
+		machineType = c.types[at]
+	}
+	i.agent = c.fleet.Launch(i.Instance, machineType)
+	c.instances = append(c.instances, i)
+	return i.Name
+}
+
+// machineAddr is the address of the machine with a number.
+func (c *Cloud) machineAddr(number int) string {
+	if c.MachineAddr != nil {
+		return c.MachineAddr(number)
+	}
+	const perSubnet = 250
+	return fmt.Sprintf("10.1.%d.%d:9000", number/perSubnet, number%perSubnet)
+}
+
+// countInstances counts the machines that are there.
+func (c *Cloud) countInstances() int {
+	count := 0
+	for _, i := range c.instances {
+		if i != nil {
+			count++
+		}
+	}
+	return count
+}
+
+// serveTerminate terminates the machines that are named.
+func (c *Cloud) serveTerminate(w http.ResponseWriter, body []byte) {
+	var request wire.MachineNames
+	if json.Unmarshal(body, &request) != nil {
+		reply(w, http.StatusBadRequest, struct{}{})
+		return
+	}
+	for number, i := range c.instances {
+		if i != nil && slices.Contains(request.Machines, i.Name) {
+			i.agent.Terminate()
+			c.instances[number] = nil
+		}
+	}
+	reply(w, http.StatusOK, struct{}{})
+}
+
+// list is the list of machines whose names come after one.
+func (c *Cloud) list(after string) wire.InstanceList {
+	out := wire.InstanceList{Machines: []wire.Instance{}}
+	for _, i := range c.instances {
+		if i == nil || i.Name <= after {
+			continue
+		}
+		listed := i.Instance
+		listed.AgeS = time.Since(i.launchedAt).Seconds()
+		if i.agent.IsUp() {
+			listed.State = instanceRunning
+		}
+		out.Machines = append(out.Machines, listed)
+	}
+	return out
+}
+
+func reply(w http.ResponseWriter, status int, body any) {
+	w.WriteHeader(status)
+	_ = json.NewEncoder(w).Encode(body) // the caller has gone
+}
--- /dev/null
+++ b/internal/simulation/rules/check_test.go
@@ -0,0 +1,251 @@
+package rules
+
+import (
+	"net/http"
+	"slices"
+	"testing"
+	"time"
+
+	"eiderhitch/internal/scheduling"
+	"eiderhitch/internal/simulation/trace"
+	"eiderhitch/internal/wire"
+)
+
+var epoch = time.Unix(1_000_000, 0)
+
+// at is a number of seconds after the trace has begun.
+func at(seconds float64) time.Time {
+	return epoch.Add(time.Duration(seconds * float64(time.Second)))
+}
+
+// respond is a request about a job that is answered half a second later.
+func respond(seconds float64, id string, operation trace.Operation, status int, state string) trace.Response {
+	return trace.Response{At: at(seconds + 0.5), RequestedAt: at(seconds), Operation: operation, Job: id, Status: status, State: state}
+}
+
+func query(seconds float64, id string, status int, state string) trace.Response {
+	return respond(seconds, id, trace.Query, status, state)
+}
+
+func cancel(seconds float64, id string) trace.Response {
+	return respond(seconds, id, trace.Cancel, http.StatusOK, wire.Cancelled)
+}
+
+// submit is a submission that is accepted in the first second.
+func submit(spec *wire.Job) trace.Response {
+	e := respond(1, spec.ID, trace.Submit, http.StatusCreated, wire.Queued)
+	e.Spec = spec
+	return e
+}
+
+// completed is a task whose result is kept.
+func completed(seconds float64, task string) trace.Event {
+	return trace.TaskCompleted{At: at(seconds), Task: task}
+}
+
+// runAttempt has an attempt of a task on a machine from one time to another.
+func runAttempt(attempt uint64, task, machine string, from, to float64) []trace.Event {
+	return []trace.Event{
+		trace.TaskAccepted{At: at(from), Task: task, Machine: machine, Attempt: attempt},
+		trace.TaskStarted{At: at(from), Task: task, Machine: machine},
+		trace.TaskStopped{At: at(to), Task: task, Machine: machine},
+	}
+}
+
+func run(task, machine string, from, to float64) []trace.Event {
+	return runAttempt(0, task, machine, from, to)
+}
+
+// testJob is a job of two tasks, of which two fill a machine.
+func testJob(id string) *wire.Job {
+	return &wire.Job{ID: id, Team: "red", Tasks: 2, CPUs: 2, RAM: 1}
+}
+
+// testMachines are two on-demand machines in zone a, m1 and m3, and the spot machine m2 in
+// zone b.
+func testMachines() []trace.Event {
+	machine := func(name, typ, zone string, spot bool) trace.Event {
+		return trace.MachineUp{At: at(0), Machine: name, Type: typ, Zone: zone, Spot: spot, Capacity: scheduling.NewResources(4, 0, 64)}
+	}
+	return []trace.Event{machine("m1", "small", "a", false), machine("m2", "small", "b", true), machine("m3", "large", "a", false)}
+}
+
+// ended is the end of all traces that need one.
+var ended = trace.Ended{At: at(400)}
+
+// ruleCase is a trace that breaks no rule, and events that break one, or none.
+type ruleCase struct {
+	name      string
+	broken    Rule    // "": none
+	settledAt float64 // when all faults are over; 0: never
+	before    []trace.Event
+	added     []trace.Event
+}
+
+// check checks a case's trace with and without what is added to it.
+func (x *ruleCase) check(t *testing.T) {
+	t.Helper()
+	expected := Expectations{CancelWithin: 35 * time.Second, Quotas: map[string]scheduling.Resources{"red": scheduling.NewResources(4, 0, 0)}}
+	if x.settledAt > 0 {
+		expected.SettledAt = at(x.settledAt)
+	}
+	events := slices.Concat([]trace.Event{submit(testJob("wk-1"))}, testMachines(), x.before)
+	if got := Check(events, expected); len(got) > 0 && x.broken != NothingRan {
+		t.Errorf("violations before the events are added: %v, want none", got)
+	}
+	got := Check(append(events, x.added...), expected)
+	if x.broken == "" && len(got) > 0 {
+		t.Errorf("violations: %v, want none", got)
+	}
+	if x.broken != "" && (len(got) == 0 || got[0].Rule != x.broken) {
+		t.Errorf("violations: %v, want %s first", got, x.broken)
+	}
+}
+
+// Each rule has a trace that breaks it and is found; the same trace without what breaks it
+// is clean.
+func TestEachRuleIsChecked(t *testing.T) {
+	for _, group := range [][]ruleCase{placementCases(), cancellationCases(), availabilityCases(), responseCases(), waitingCases()} {
+		for _, x := range group {
+			t.Run(x.name, x.check)
+		}
+	}
+}
+
+func placementCases() []ruleCase {
+	one := run("wk-1/0", "m1", 2, 9)
+	two := slices.Concat(one, run("wk-1/1", "m1", 2, 9))
+	otherJob := slices.Concat([]trace.Event{submit(testJob("wk-2"))}, run("wk-2/0", "m3", 4, 6))
+	return []ruleCase{
+		{"two places", RanTwice, 0, one, run("wk-1/0", "m3", 5, 8)},
+		{"one after the other", "", 0, one, run("wk-1/0", "m3", 9.5, 12)},
+		{"limit", Quota, 0, two, otherJob},
+		{"at the limit, then below", "", 0, slices.Concat(run("wk-1/0", "m1", 2, 3), run("wk-1/1", "m1", 2, 9)), otherJob},
+		{"spot machine", WrongPlace, 0, one, run("wk-1/1", "m2", 3, 5)},
+	}
+}
+
+func cancellationCases() []ruleCase {
+	one := run("wk-1/0", "m1", 2, 9)
+	cancelledThen := func(events ...trace.Event) []trace.Event {
+		return append([]trace.Event{cancel(3, "wk-1")}, events...)
+	}
+	neverStopped := run("wk-1/1", "m1", 4, 500)[:2]
+	return []ruleCase{
+		{"cancelled and there", RanCancelled, 0, one, cancelledThen(run("wk-1/1", "m1", 4, 50)...)},
+		{"cancelled and starts", RanCancelled, 0, one, cancelledThen(run("wk-1/1", "m1", 40, 41)...)},
+		{"cancelled and never gone", RanCancelled, 0, one, cancelledThen(append(neverStopped, ended)...)},
+		{"cancelled and gone in time", "", 0, one, cancelledThen(run("wk-1/1", "m1", 4, 30)...)},
+	}
+}
+
+func availabilityCases() []ruleCase {
+	one := run("wk-1/0", "m1", 2, 9)
+	var unanswered, othersAnswered []trace.Event
+	for s := 10.0; s < 110; s += 5 {
+		unanswered = append(unanswered, query(s, "wk-1", http.StatusServiceUnavailable, ""))
+		othersAnswered = append(othersAnswered, query(s, "wk-2", http.StatusOK, wire.Running))
+	}
+	submitOther := submit(testJob("wk-2"))
+	submitOther.At, submitOther.RequestedAt = at(2.5), at(2)
+	return []ruleCase{
+		{"unanswered", Forgotten, 0, slices.Concat(one, []trace.Event{submitOther}, othersAnswered), unanswered},
+		{"all unanswered", "", 0, one, unanswered},
+		{"all unanswered after the faults", Forgotten, 15, one, unanswered},
+	}
+}
+
+func responseCases() []ruleCase {
+	one := run("wk-1/0", "m1", 2, 9)
+	oneCompleted := append(slices.Clone(one), completed(9, "wk-1/0"))
+	bothCompleted := append(slices.Clone(oneCompleted), completed(9, "wk-1/1"))
+	cancelled := append(slices.Clone(one), cancel(3, "wk-1"))
+	done := query(10, "wk-1", http.StatusOK, wire.Done)
+	refused := respond(4, "wk-1", trace.Submit, http.StatusUnprocessableEntity, "")
+	refused.Spec = testJob("wk-1")
+	only := func(e trace.Event) []trace.Event { return []trace.Event{e} }
+	return []ruleCase{
+		{"accepted, then unknown", Forgotten, 0, one, only(query(4, "wk-1", http.StatusNotFound, ""))},
+		{"accepted, then refused", Forgotten, 0, one, only(refused)},
+		{"never submitted", Invented, 0, one, only(query(4, "wk-7", http.StatusOK, wire.Queued))},
+		{"asked before it was submitted", "", 0, one, only(query(0, "wk-1", http.StatusNotFound, ""))},
+		{"done too early", NotDone, 0, oneCompleted, only(done)},
+		{"a result twice", NotDone, 0, oneCompleted, []trace.Event{completed(9.5, "wk-1/0"), done}},
+		{"done", "", 0, bothCompleted, only(done)},
+		{"cancelled, then running", WentBack, 0, cancelled, only(query(4, "wk-1", http.StatusOK, wire.Running))},
+		{"asked before the cancellation was told", "", 0, cancelled, only(query(3.1, "wk-1", http.StatusOK, wire.Running))},
+		{"done and cancelled", WentBack, 0, append(slices.Clone(bothCompleted), done), only(cancel(10, "wk-1"))},
+		{"cancelled by nobody", WentBack, 0, one, only(query(4, "wk-1", http.StatusOK, wire.Cancelled))},
+		{"nothing", NothingRan, 0, nil, only(ended)},
+	}
+}
+
+func waitingCases() []ruleCase {
+	one := run("wk-1/0", "m1", 2, 9)
+	running := func(seconds float64) trace.Event { return query(seconds, "wk-1", http.StatusOK, wire.Running) }
+	cancelled := []trace.Event{cancel(25, "wk-1"), query(50, "wk-1", http.StatusOK, wire.Cancelled), ended}
+	return []ruleCase{
+		{"waits beside room", WaitsNeedlessly, 20, one, []trace.Event{running(30), running(50), running(200), ended}},
+		{"waits, cancelled", "", 20, one, cancelled},
+	}
+}
+
+// An attempt of a gang doesn't begin while a task of the one before is on its machine.
+func TestGangAttempts(t *testing.T) {
+	gang := testJob("wk-1")
+	gang.Gang = true
+	for _, x := range []struct {
+		name    string
+		started float64 // task 1 as attempt 2
+		broken  bool
+	}{
+		{"beside the first attempt", 5, true},
+		{"after it", 10, false},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			events := slices.Concat([]trace.Event{submit(gang)}, testMachines(), run("wk-1/0", "m1", 2, 9), runAttempt(2, "wk-1/1", "m3", x.started, x.started+2))
+			checkOnly(t, events, TwoAttempts, x.broken)
+		})
+	}
+}
+
+// Where tasks may be depends on their job.
+func TestPlacementByJob(t *testing.T) {
+	large := func(j *wire.Job) { j.MachineTypes = []string{"large"} }
+	zoneA := func(j *wire.Job) { j.Spot, j.Zone = true, "a" }
+	single := func(j *wire.Job) { j.Spot, j.SingleZone = true, true }
+	spread := func(j *wire.Job) { j.Spot, j.Spread = true, true }
+	first, second := run("wk-1/0", "m1", 2, 9), run("wk-1/1", "m2", 3, 9)
+	for _, x := range []struct {
+		name   string
+		change func(*wire.Job)
+		tasks  []trace.Event
+		broken bool
+	}{
+		{"type", large, run("wk-1/0", "m1", 2, 3), true},
+		{"type allowed", large, run("wk-1/0", "m3", 2, 3), false},
+		{"zone", zoneA, run("wk-1/0", "m2", 2, 3), true},
+		{"same place", single, slices.Concat(first, second), true},
+		{"same place, later", single, slices.Concat(run("wk-1/0", "m1", 2, 3), run("wk-1/1", "m2", 4, 9)), false},
+		{"spread", spread, slices.Concat(first, run("wk-1/1", "m3", 3, 9)), true},
+		{"spread out", spread, slices.Concat(first, second), false},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			spec := testJob("wk-1")
+			x.change(spec)
+			checkOnly(t, slices.Concat([]trace.Event{submit(spec)}, testMachines(), x.tasks), WrongPlace, x.broken)
+		})
+	}
+}
+
+// checkOnly checks that a trace breaks one rule once, or none.
+func checkOnly(t *testing.T, events []trace.Event, rule Rule, broken bool) {
+	t.Helper()
+	got := Check(events, Expectations{CancelWithin: time.Minute})
+	if !broken && len(got) > 0 {
+		t.Errorf("violations: %v, want none", got)
+	}
+	if broken && (len(got) != 1 || got[0].Rule != rule) {
+		t.Errorf("violations: %v, want one of %s", got, rule)
+	}
+}
--- a/internal/store/writer_test.go
+++ b/internal/store/writer_test.go
@@ -12,17 +12,18 @@
 	"testing/synctest"
 	"time"
 
-	"eiderhitch/internal/standin"
+	"eiderhitch/internal/simulation"
+	"eiderhitch/internal/simulation/network"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
 
-func withWriter(t *testing.T, judge func(*http.Request) standin.Fate, f func(t *testing.T, w *standin.World, wr *store.Writer, c *store.Client)) {
+func withWriter(t *testing.T, judge network.Policy, f func(t *testing.T, w *simulation.Environment, wr *store.Writer, c *store.Client)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := standin.NewWorld(ctx, nil, nil, nil)
-		net := w.Net()
-		net.Judge(judge)
+		w := simulation.New(ctx, nil, nil)
+		net := w.Network.NewTransport()
+		net.SetPolicy(judge)
 		c := store.NewClient("state:1", net)
 		wr := store.NewWriter(c, 32, 60, 3, halfOf)
 		done := make(chan struct{})
@@ -39,7 +40,7 @@
 // Every unit gets one result, whatever else shares its transaction, and the
 // limits of a transaction hold.
 func TestUnitsAreIndependent(t *testing.T) {
-	withWriter(t, nil, func(t *testing.T, w *standin.World, wr *store.Writer, _ *store.Client) {
+	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, wr *store.Writer, _ *store.Client) {
 		var mu sync.Mutex
 		got := map[int]error{}
 		var wg sync.WaitGroup
@@ -66,7 +67,7 @@
 				t.Errorf("unit %d: %v", i, got[i])
 			}
 		}
-		if w.State.Excess > 0 {
+		if w.Store.OverLimits > 0 {
 			t.Error("a transaction was beyond the limits")
 		}
 	})
@@ -74,7 +75,7 @@
 
 // "Cancelled" and "done" of one job, submitted together, must not both be granted.
 func TestRivalsDoNotShareATransaction(t *testing.T) {
-	withWriter(t, nil, func(t *testing.T, _ *standin.World, wr *store.Writer, _ *store.Client) {
+	withWriter(t, nil, func(t *testing.T, _ *simulation.Environment, wr *store.Writer, _ *store.Client) {
 		results := make(chan error, 8)
 		for range 8 {
 			u := &store.Write{Done: func(_ uint64, err error) { results <- err }}
@@ -99,12 +100,12 @@
 // urgent unit is answered at once while the service refuses.
 func TestUnansweredAndRefused(t *testing.T) {
 	tries := 0
-	withWriter(t, func(_ *http.Request) standin.Fate {
+	withWriter(t, func(_ *http.Request) network.Fault {
 		if tries++; tries == 1 {
-			return standin.Late
+			return network.ExecuteLate
 		}
-		return standin.Deliver
-	}, func(t *testing.T, w *standin.World, wr *store.Writer, c *store.Client) {
+		return network.Deliver
+	}, func(t *testing.T, w *simulation.Environment, wr *store.Writer, c *store.Client) {
 		results := make(chan error, 2)
 		u := &store.Write{Done: func(_ uint64, err error) { results <- err }}
 		u.Conditions, u.Changes = put("k", 0)
@@ -117,7 +118,7 @@
 		if err != nil || len(items) != 1 || items[0].Revision != 1 {
 			t.Fatalf("%v %v", items, err)
 		}
-		w.State.SetDown(true)
+		w.Store.SetDown(true)
 		start := time.Now()
 		u = &store.Write{Urgent: true, Done: func(_ uint64, err error) { results <- err }}
 		u.Conditions, u.Changes = put("k2", 0)
@@ -134,12 +135,12 @@
 func TestWritersShareTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := standin.NewWorld(ctx, nil, nil, nil)
-		w.State.WriteRPS = 60
+		w := simulation.New(ctx, nil, nil)
+		w.Store.ChangesPerSecond = 60
 		var wg sync.WaitGroup
 		var stored [3]atomic.Int64
 		for i, want := range []int{200, 10, 10} {
-			wr := store.NewWriter(store.NewClient("state:1", w.Net()), 32, 60, 3, halfOf)
+			wr := store.NewWriter(store.NewClient("state:1", w.Network.NewTransport()), 32, 60, 3, halfOf)
 			wg.Go(func() { wr.Run(ctx) })
 			wg.Go(func() {
 				for n := 0; ctx.Err() == nil; n++ {
@@ -164,8 +165,8 @@
 		if a+b+c < 60*60*3/4 || b < 500 || c < 500 {
 			t.Errorf("%d, %d and %d changes stored in a minute", a, b, c)
 		}
-		if w.State.Refused*5 > w.State.Taken {
-			t.Errorf("%d transactions refused, %d taken", w.State.Refused, w.State.Taken)
+		if w.Store.Throttled*5 > w.Store.Admitted {
+			t.Errorf("%d transactions refused, %d taken", w.Store.Throttled, w.Store.Admitted)
 		}
 	})
 }
@@ -173,7 +174,7 @@
 // A contested unit may fail, and then all that shares its transaction is sent,
 // and counted, again: it shares with few.
 func TestContestedShareWithFew(t *testing.T) {
-	withWriter(t, nil, func(t *testing.T, w *standin.World, wr *store.Writer, _ *store.Client) {
+	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, wr *store.Writer, _ *store.Client) {
 		var wg sync.WaitGroup
 		for i := range 60 {
 			wg.Add(1)
@@ -182,16 +183,16 @@
 			wr.Submit(u)
 		}
 		wg.Wait()
-		if w.State.Largest == 0 || w.State.Largest > 8 {
-			t.Errorf("%d contested changes in one transaction", w.State.Largest)
+		if w.Store.MostChanges == 0 || w.Store.MostChanges > 8 {
+			t.Errorf("%d contested changes in one transaction", w.Store.MostChanges)
 		}
 	})
 }
 
 // Early units don't wait behind usual ones that were submitted before them.
 func TestEarlyGoFirst(t *testing.T) {
-	withWriter(t, nil, func(t *testing.T, w *standin.World, wr *store.Writer, _ *store.Client) {
-		w.State.WriteRPS = 60
+	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, wr *store.Writer, _ *store.Client) {
+		w.Store.ChangesPerSecond = 60
 		var mu sync.Mutex
 		var order []bool
 		var wg sync.WaitGroup
@@ -223,8 +224,8 @@
 // A unit that is void by the time of its turn fails nothing that would have shared
 // its transaction.
 func TestVoidUnits(t *testing.T) {
-	withWriter(t, nil, func(t *testing.T, w *standin.World, wr *store.Writer, c *store.Client) {
-		w.State.WriteRPS = 60
+	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, wr *store.Writer, c *store.Client) {
+		w.Store.ChangesPerSecond = 60
 		var wg sync.WaitGroup
 		var stored, void atomic.Int64
 		var units []*store.Write
