--- /dev/null
+++ b/internal/controller/direct_commands_test.go
@@ -0,0 +1,79 @@
+package controller
+
+import (
+	"net/http"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"eiderhitch/internal/wire"
+	"eiderhitch/internal/workerclient"
+)
+
+// Direct commands that hang hold a socket each: when hundreds of machines fall
+// silent together, few are asked at a time, half of the places are kept for
+// commands, and each machine has its turn.
+func TestDirectCommandsAreBounded(t *testing.T) {
+	c := crowded(t, 2000)
+	p := c.partitions[0]
+	c.maxDirects = 40
+	c.now = c.now.Add(20 * time.Second)
+	c.replica.NoteRead(c.now)
+	c.probeUnreachable()
+	if c.directsInFlight != 20 || c.directsInFlight+len(c.directQueue) != len(p.machines) || len(p.machines) < 300 {
+		t.Fatalf("%d commands are open and %d machines wait, of %d", c.directsInFlight, len(c.directQueue), len(p.machines))
+	}
+	asked := map[string]bool{}
+	for rounds := 0; len(c.directQueue) > 0; rounds++ {
+		if rounds > len(p.machines)/20 {
+			t.Fatal("a machine never has its turn")
+		}
+		c.directsInFlight = 0
+		c.sendQueuedDirect()
+		if c.directsInFlight > 20 {
+			t.Fatalf("%d commands are open", c.directsInFlight)
+		}
+	}
+	for _, m := range p.machines {
+		if m.directInFlight {
+			asked[m.name] = true
+		}
+	}
+	if len(asked) != len(p.machines) {
+		t.Errorf("%d of %d machines were asked", len(asked), len(p.machines))
+	}
+}
+
+// counting counts requests that are sent.
+type counting struct{ sent atomic.Int64 }
+
+func (c *counting) RoundTrip(r *http.Request) (*http.Response, error) {
+	if err := r.Context().Err(); err != nil {
+		return nil, err
+	}
+	c.sent.Add(1)
+	return nil, http.ErrServerClosed
+}
+
+// A process that stands still between a decision and its sending has lost the right
+// to it by the time it wakes: the command is not sent.
+func TestNothingIsSentAfterStandingStill(t *testing.T) {
+	for _, still := range []bool{false, true} {
+		synctest.Test(t, func(t *testing.T) {
+			c := lone(t)
+			out := &counting{}
+			c.workerClient = workerclient.NewClient(out)
+			m := c.machineNamed("host-1")
+			m.addr, m.incarnation, m.heartbeatAt = "10.1.0.1:1", 1, c.now
+			if still {
+				time.Sleep(5 * time.Second) // b.now is when it was decided
+			}
+			c.sendDirect(m, c.partitions[0], []wire.Command{{Op: wire.OpStart, Task: "wk-1/0", Attempt: 1}})
+			synctest.Wait()
+			if sent := out.sent.Load() > 0; sent == still {
+				t.Errorf("stood still %v: sent %v", still, sent)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/controller/level_history_test.go
@@ -0,0 +1,88 @@
+package controller
+
+import (
+	"strings"
+
+	"eiderhitch/internal/record"
+	"eiderhitch/internal/rollout"
+	"eiderhitch/internal/wire"
+)
+
+// levelHistory goes through all that was ever stored, in its order, and checks it against
+// the level in force at that moment.
+type levelHistory struct {
+	*cluster
+	state   rollout.State
+	checked map[string]bool // groups that are stored in the checked form
+}
+
+func (h *levelHistory) check(e wire.Event) {
+	h.t.Helper()
+	key := e.Put + e.Delete
+	if ofLevels(key) && !h.upgrades {
+		h.t.Errorf("%s is stored though nothing is switched on", key)
+	}
+	if key == rollout.StateKey {
+		h.checkState(e)
+	}
+	if strings.HasPrefix(key, groupPrefix) {
+		form := record.EncodingOf(e.Value)
+		h.checked[key] = form == record.Checksummed
+		if rollout.Level(form) > h.state.Level {
+			h.t.Errorf("%s is stored in form %d at level %d", key, form, h.state.Level)
+		}
+	}
+	if e.Put != "" && isRight(key) {
+		h.checkRight(e)
+	}
+}
+
+// checkState checks a change of the state: it follows from the one before, and a level
+// that is given up leaves nothing behind.
+func (h *levelHistory) checkState(e wire.Event) {
+	h.t.Helper()
+	state, err := rollout.DecodeState(e.Value)
+	if err != nil {
+		if !h.foreign[e.Put] {
+			h.t.Error(err)
+		}
+		return
+	}
+	if d := int(state.Level) - int(h.state.Level); d < -1 || d > 1 {
+		h.t.Errorf("from level %d to %d", h.state.Level, state.Level)
+	}
+	h.state = state
+	for key, there := range h.checked {
+		if there && state.Level == rollout.BaseLevel {
+			h.t.Errorf("%s is in the checked form at the base level", key)
+		}
+	}
+}
+
+// isRight tells whether a key is that of a right at any level.
+func isRight(key string) bool {
+	return strings.HasSuffix(key, "/leader") || strings.Contains(key, "/part/")
+}
+
+// checkRight checks that a right is taken under the keys of the level in force, by a
+// process that reads it.
+func (h *levelHistory) checkRight(e wire.Event) {
+	h.t.Helper()
+	var holder record.LeaseHolder
+	if err := wire.Decode(e.Value, &holder); err != nil {
+		h.t.Error(err)
+	}
+	h.mu.Lock()
+	reads, isProcess := h.boots[holder.ProcessID]
+	h.mu.Unlock()
+	if !isProcess {
+		return // it was closed
+	}
+	prefix := strings.TrimSuffix(h.state.Keys().Leader(), "leader")
+	if rest, ok := strings.CutPrefix(e.Put, prefix); !ok || strings.HasPrefix(rest, "epoch/") {
+		h.t.Errorf("%s is taken by %s at level %d, epoch %d", e.Put, holder.Node, h.state.Level, h.state.Epoch)
+	}
+	if !h.state.Admits(reads) {
+		h.t.Errorf("%s is taken by %s, which reads %s, at level %d", e.Put, holder.Node, reads, h.state.Level)
+	}
+}
--- a/internal/controller/rollout_cluster_test.go
+++ b/internal/controller/rollout_cluster_test.go
@@ -1,11 +1,7 @@
 package controller
 
 import (
-	"bytes"
-	"encoding/json"
-	"io"
 	"net/http"
-	"strings"
 	"testing"
 	"time"
 
@@ -13,7 +9,6 @@
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/rollout"
 	"eiderhitch/internal/store"
-	"eiderhitch/internal/wire"
 )
 
 // operator are the operators' settings of a node.
@@ -32,62 +27,6 @@
 	return n.net
 }
 
-// unawareView shows the state service as a version without levels takes it: it has no use
-// for the keys of levels, and can't decode a group that is not an object.
-type unawareView struct{ inner http.RoundTripper }
-
-// RoundTrip hides from an answer what such a version would not see in it.
-func (v unawareView) RoundTrip(r *http.Request) (*http.Response, error) {
-	resp, err := v.inner.RoundTrip(r)
-	if err != nil || resp.StatusCode != http.StatusOK || r.Method != http.MethodGet {
-		return resp, err
-	}
-	raw, err := io.ReadAll(resp.Body)
-	if err != nil {
-		return nil, err
-	}
-	var answer any
-	if r.URL.Path == "/watch" {
-		var events wire.WatchResponse
-		_ = json.Unmarshal(raw, &events)
-		kept := events.Events[:0]
-		for _, e := range events.Events {
-			if !ofLevels(e.Put + e.Delete) {
-				e.Value = asUnaware(e.Value)
-				kept = append(kept, e)
-			}
-		}
-		events.Events = kept
-		answer = events
-	} else {
-		var page wire.Page
-		_ = json.Unmarshal(raw, &page)
-		kept := page.Items[:0]
-		for _, item := range page.Items {
-			if !ofLevels(item.Key) {
-				item.Value = asUnaware(item.Value)
-				kept = append(kept, item)
-			}
-		}
-		page.Items = kept
-		answer = page
-	}
-	resp.Body = io.NopCloser(bytes.NewReader(record.JSON(answer)))
-	return resp, nil
-}
-
-func ofLevels(key string) bool {
-	return key == rollout.StateKey || strings.HasPrefix(key, rollout.ControllerPrefix)
-}
-
-// asUnaware has a value fail to decode that would not be an object to an earlier version.
-func asUnaware(value json.RawMessage) json.RawMessage {
-	if record.EncodingOf(value) > record.PlainJSON {
-		return json.RawMessage("17")
-	}
-	return value
-}
-
 // inUpgrade runs f with a cluster whose controllers take part in staged upgrades.
 func inUpgrade(t *testing.T, f func(c *cluster)) {
 	inWorldWith(t, func(n *node) {
@@ -184,48 +123,6 @@
 	return v.supported
 }
 
-// beginUpgradeFault has a fault begin that upgrades have: what an operator asks for, and
-// controllers that come back as another version and, at its end, as the present one.
-func (s *scene) beginUpgradeFault(f fault) (undo func(), ok bool) {
-	switch f.what {
-	case "finalize":
-		go s.tryWish(rollout.WishFinalize)
-	case "abort":
-		go s.tryWish(rollout.WishAbort)
-	case "finalize and abort":
-		go s.tryWish(rollout.WishFinalize)
-		go s.tryWish(rollout.WishAbort)
-	case "old comes":
-		return s.replaceFor(f.who, unawareVersion), true
-	case "base level comes":
-		return s.replaceFor(f.who, baseLevelVersion), true
-	default:
-		return nil, false
-	}
-	return func() {}, true
-}
-
-// tryWish asks for something once; that it is refused, or the answer lost, is no fault.
-func (s *scene) tryWish(w rollout.Wish) {
-	_, err := s.upgradeOperator().Request(s.ctx, w)
-	if err != nil && testing.Verbose() {
-		s.t.Logf("%s: %v", w, err)
-	}
-}
-
-// replaceFor has controllers come back as another version until it is undone.
-func (s *scene) replaceFor(who int, version softwareVersion) func() {
-	nodes := s.nodesOf(who)
-	for _, i := range nodes {
-		s.replace(i, version)
-	}
-	return func() {
-		for _, i := range nodes {
-			s.replace(i, presentVersion)
-		}
-	}
-}
-
 // noteProcess notes what a process reads, for levelHistory.
 func (c *cluster) noteProcess(p *process) {
 	c.mu.Lock()
@@ -235,82 +132,3 @@
 	}
 	c.boots[p.controller.processID] = p.version.reads()
 }
-
-// levelHistory goes through all that was ever stored, in its order, and checks it against
-// the level in force at that moment.
-type levelHistory struct {
-	*cluster
-	state   rollout.State
-	checked map[string]bool // groups that are stored in the checked form
-}
-
-func (h *levelHistory) check(e wire.Event) {
-	h.t.Helper()
-	key := e.Put + e.Delete
-	if ofLevels(key) && !h.upgrades {
-		h.t.Errorf("%s is stored though nothing is switched on", key)
-	}
-	if key == rollout.StateKey {
-		h.checkState(e)
-	}
-	if strings.HasPrefix(key, groupPrefix) {
-		form := record.EncodingOf(e.Value)
-		h.checked[key] = form == record.Checksummed
-		if rollout.Level(form) > h.state.Level {
-			h.t.Errorf("%s is stored in form %d at level %d", key, form, h.state.Level)
-		}
-	}
-	if e.Put != "" && isRight(key) {
-		h.checkRight(e)
-	}
-}
-
-// checkState checks a change of the state: it follows from the one before, and a level
-// that is given up leaves nothing behind.
-func (h *levelHistory) checkState(e wire.Event) {
-	h.t.Helper()
-	state, err := rollout.DecodeState(e.Value)
-	if err != nil {
-		if !h.foreign[e.Put] {
-			h.t.Error(err)
-		}
-		return
-	}
-	if d := int(state.Level) - int(h.state.Level); d < -1 || d > 1 {
-		h.t.Errorf("from level %d to %d", h.state.Level, state.Level)
-	}
-	h.state = state
-	for key, there := range h.checked {
-		if there && state.Level == rollout.BaseLevel {
-			h.t.Errorf("%s is in the checked form at the base level", key)
-		}
-	}
-}
-
-// isRight tells whether a key is that of a right at any level.
-func isRight(key string) bool {
-	return strings.HasSuffix(key, "/leader") || strings.Contains(key, "/part/")
-}
-
-// checkRight checks that a right is taken under the keys of the level in force, by a
-// process that reads it.
-func (h *levelHistory) checkRight(e wire.Event) {
-	h.t.Helper()
-	var holder record.LeaseHolder
-	if err := wire.Decode(e.Value, &holder); err != nil {
-		h.t.Error(err)
-	}
-	h.mu.Lock()
-	reads, isProcess := h.boots[holder.ProcessID]
-	h.mu.Unlock()
-	if !isProcess {
-		return // it was closed
-	}
-	prefix := strings.TrimSuffix(h.state.Keys().Leader(), "leader")
-	if rest, ok := strings.CutPrefix(e.Put, prefix); !ok || strings.HasPrefix(rest, "epoch/") {
-		h.t.Errorf("%s is taken by %s at level %d, epoch %d", e.Put, holder.Node, h.state.Level, h.state.Epoch)
-	}
-	if !h.state.Admits(reads) {
-		h.t.Errorf("%s is taken by %s, which reads %s, at level %d", e.Put, holder.Node, reads, h.state.Level)
-	}
-}
--- /dev/null
+++ b/internal/controller/unaware_view_test.go
@@ -0,0 +1,69 @@
+package controller
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"net/http"
+	"strings"
+
+	"eiderhitch/internal/record"
+	"eiderhitch/internal/rollout"
+	"eiderhitch/internal/wire"
+)
+
+// unawareView shows the state service as a version without levels takes it: it has no use
+// for the keys of levels, and can't decode a group that is not an object.
+type unawareView struct{ inner http.RoundTripper }
+
+// RoundTrip hides from an answer what such a version would not see in it.
+func (v unawareView) RoundTrip(r *http.Request) (*http.Response, error) {
+	resp, err := v.inner.RoundTrip(r)
+	if err != nil || resp.StatusCode != http.StatusOK || r.Method != http.MethodGet {
+		return resp, err
+	}
+	raw, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return nil, err
+	}
+	var answer any
+	if r.URL.Path == "/watch" {
+		var events wire.WatchResponse
+		_ = json.Unmarshal(raw, &events)
+		kept := events.Events[:0]
+		for _, e := range events.Events {
+			if !ofLevels(e.Put + e.Delete) {
+				e.Value = asUnaware(e.Value)
+				kept = append(kept, e)
+			}
+		}
+		events.Events = kept
+		answer = events
+	} else {
+		var page wire.Page
+		_ = json.Unmarshal(raw, &page)
+		kept := page.Items[:0]
+		for _, item := range page.Items {
+			if !ofLevels(item.Key) {
+				item.Value = asUnaware(item.Value)
+				kept = append(kept, item)
+			}
+		}
+		page.Items = kept
+		answer = page
+	}
+	resp.Body = io.NopCloser(bytes.NewReader(record.JSON(answer)))
+	return resp, nil
+}
+
+func ofLevels(key string) bool {
+	return key == rollout.StateKey || strings.HasPrefix(key, rollout.ControllerPrefix)
+}
+
+// asUnaware has a value fail to decode that would not be an object to an earlier version.
+func asUnaware(value json.RawMessage) json.RawMessage {
+	if record.EncodingOf(value) > record.PlainJSON {
+		return json.RawMessage("17")
+	}
+	return value
+}
