--- a/cmd/eiderhitch/golden_test.go
+++ b/cmd/eiderhitch/golden_test.go
@@ -38,8 +38,8 @@
 
 // The status as a table and as JSON, which scripts of operators read.
 func TestStatusKeepsItsForm(t *testing.T) {
-	status := &rollout.Status{State: rollout.State{Level: 1, Phase: rollout.Activated, Held: true, Wish: rollout.WishFinalize, Since: 1_700_000_000_000},
-		Active: 2, Writes: 1, Version: 7, Records: map[string]int{"form 2": 1, "form 1": 12},
+	status := &rollout.Status{State: rollout.State{Level: 1, Phase: rollout.Activated, Held: true, Request: rollout.RequestFinalize, Since: 1_700_000_000_000},
+		Active: 2, Writes: 1, Revision: 7, Records: map[string]int{"form 2": 1, "form 1": 12},
 		Controllers: []rollout.Controller{{Node: "n0", ProcessID: "00ff", Build: "0.1.0 abc", Range: rollout.Supported, StartedAt: 1_700_000_000_000}},
 		Missing:     []string{"n1"}, Blockers: []rollout.Blocker{{Kind: rollout.BlockMissing, Node: "n1", Detail: "is not registered"}}}
 	for _, x := range []struct {
--- a/cmd/eiderhitch/upgrade.go
+++ b/cmd/eiderhitch/upgrade.go
@@ -65,11 +65,11 @@
 
 // Run has the active level made final.
 func (c *upgradeFinalize) Run() error {
-	return c.request(os.Stdout, rollout.WishFinalize, c.Wait)
+	return c.request(os.Stdout, rollout.RequestFinalize, c.Wait)
 }
 
 // Run goes back.
-func (c *upgradeAbort) Run() error { return c.request(os.Stdout, rollout.WishAbort, c.Wait) }
+func (c *upgradeAbort) Run() error { return c.request(os.Stdout, rollout.RequestAbort, c.Wait) }
 
 // operator reaches the cluster that the settings describe.
 func (c *clusterFlags) operator() (*rollout.Operator, error) {
@@ -80,7 +80,7 @@
 	// Straight to the state service, as controllers go: no proxy of the operator's shell.
 	transport := &http.Transport{DisableCompression: true}
 	return &rollout.Operator{Store: store.NewClient(platform.External.State, transport), Members: platform.Nodes(),
-		Partitions: platform.Settings.Count, TransactionChanges: platform.Settings.State.TxnOps}, nil
+		Partitions: platform.Settings.Count, MaxTxnChanges: platform.Settings.State.TxnOps}, nil
 }
 
 func (c *clusterFlags) show(out io.Writer) error {
@@ -106,14 +106,14 @@
 }
 
 // request has a wish stored and waits until the leader has carried it out.
-func (c *clusterFlags) request(out io.Writer, wish rollout.Wish, wait time.Duration) error {
+func (c *clusterFlags) request(out io.Writer, wish rollout.Request, wait time.Duration) error {
 	op, err := c.operator()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout+wait)
 	defer cancel()
-	asked, err := op.Request(ctx, wish)
+	asked, err := op.Submit(ctx, wish)
 	if _, refused := errors.AsType[*rollout.RefusedError](err); refused {
 		return &exitError{exitRefused, err}
 	}
@@ -135,11 +135,11 @@
 		if err != nil {
 			return unreachable(err)
 		}
-		if rollout.Done(asked, status.State) {
+		if rollout.Completed(asked, status.State) {
 			return c.print(out, status)
 		}
 		if !time.Now().Before(until) {
-			return &exitError{exitNotYetDone, fmt.Errorf("%s is asked for and not carried out yet: look at the status", asked.Wish)}
+			return &exitError{exitNotYetDone, fmt.Errorf("%s is asked for and not carried out yet: look at the status", asked.Request)}
 		}
 		time.Sleep(pollEvery)
 	}
@@ -166,8 +166,8 @@
 	if s.State.Held {
 		fmt.Fprintf(w, "held\tyes: finalize ends that\n")
 	}
-	if s.State.Wish != rollout.NoWish {
-		fmt.Fprintf(w, "asked for\t%s\n", s.State.Wish)
+	if s.State.Request != rollout.NoRequest {
+		fmt.Fprintf(w, "asked for\t%s\n", s.State.Request)
 	}
 	for _, form := range slices.Sorted(maps.Keys(s.Records)) {
 		fmt.Fprintf(w, "records, %s\t%d\n", form, s.Records[form])
--- a/cmd/eiderhitch/upgrade_test.go
+++ b/cmd/eiderhitch/upgrade_test.go
@@ -131,16 +131,16 @@
 	for _, x := range []struct {
 		name   string
 		state  rollout.State
-		wish   rollout.Wish
+		wish   rollout.Request
 		status int
 		says   string
 	}{
-		{"a controller is missing", active, rollout.WishFinalize, exitRefused, "n1 is not registered"},
-		{"no level is active", rollout.Initial, rollout.WishFinalize, exitRefused, "no level is active"},
-		{"nothing to go back to", rollout.State{Level: 1, Phase: rollout.Stable, Held: true}, rollout.WishAbort, exitRefused, "none before it"},
-		{"a step is being completed", rollout.State{Level: 2, Phase: rollout.Closed, Epoch: 1}, rollout.WishAbort, exitRefused, "try again"},
-		{"going back already", rollout.State{Level: 2, Phase: rollout.Reverting, Epoch: 1}, rollout.WishAbort, exitRefused, "already"},
-		{"nobody leads", active, rollout.WishAbort, exitNotYetDone, "not carried out yet"},
+		{"a controller is missing", active, rollout.RequestFinalize, exitRefused, "n1 is not registered"},
+		{"no level is active", rollout.Initial, rollout.RequestFinalize, exitRefused, "no level is active"},
+		{"nothing to go back to", rollout.State{Level: 1, Phase: rollout.Stable, Held: true}, rollout.RequestAbort, exitRefused, "none before it"},
+		{"a step is being completed", rollout.State{Level: 2, Phase: rollout.Closed, Epoch: 1}, rollout.RequestAbort, exitRefused, "try again"},
+		{"going back already", rollout.State{Level: 2, Phase: rollout.Reverting, Epoch: 1}, rollout.RequestAbort, exitRefused, "already"},
+		{"nobody leads", active, rollout.RequestAbort, exitNotYetDone, "not carried out yet"},
 	} {
 		s.put(rollout.StateKey, x.state.Encode())
 		flags := s.flags(false)
@@ -167,7 +167,7 @@
 	}()
 	var out bytes.Buffer
 	flags := s.flags(false)
-	if err := flags.request(&out, rollout.WishFinalize, 10*time.Second); err != nil || !strings.Contains(out.String(), "2 (stable)") {
+	if err := flags.request(&out, rollout.RequestFinalize, 10*time.Second); err != nil || !strings.Contains(out.String(), "2 (stable)") {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -124,7 +124,7 @@
 		c.switchLeaseKeys(keys)
 	}
 	if before != state {
-		c.log.Info("feature level", "level", state.Level, "phase", state.Phase, "epoch", state.Epoch, "held", state.Held, "wish", state.Wish)
+		c.log.Info("feature level", "level", state.Level, "phase", state.Phase, "epoch", state.Epoch, "held", state.Held, "wish", state.Request)
 	}
 }
 
@@ -166,7 +166,7 @@
 func (c *controller) rolloutView() rollout.View {
 	l := &c.rollout
 	return rollout.View{Now: c.now, Members: c.cfg.Nodes(), Controllers: l.controllers, Leading: c.isLeader(), Current: c.replica.Cursor() >= l.version,
-		Above: l.countNewer(), Unreadable: len(l.unreadable), Partitions: c.loanPartition(), TransactionChanges: c.cfg.Settings.State.TxnOps,
+		RecordsAbove: l.countNewer(), UnreadableRecords: len(l.unreadable), Partitions: c.loanPartition(), MaxTxnChanges: c.cfg.Settings.State.TxnOps,
 		FinalizeAfter: c.operator.FinalizeAfter}
 }
 
@@ -181,7 +181,7 @@
 	if step == rollout.NoStep {
 		return
 	}
-	txn := rollout.Txn(l.state, step, next, view, rollout.Versions{State: l.version, Leader: c.leadership.token})
+	txn := rollout.Txn(l.state, step, next, view, rollout.Revisions{State: l.version, Leader: c.leadership.token})
 	l.writing = true
 	c.log.Info("feature level step", "step", step, "from", l.state.Level, "phase", l.state.Phase)
 	c.submitWrite(&store.Write{Prompt: true, Contested: true, Conditions: txn.Conditions, Changes: txn.Changes}, func(err error) {
--- a/internal/controller/rollout_cluster_test.go
+++ b/internal/controller/rollout_cluster_test.go
@@ -68,15 +68,15 @@
 // upgradeOperator is an operator of the cluster.
 func (c *cluster) upgradeOperator() *rollout.Operator {
 	cfg := c.nodes[0].cfg
-	return &rollout.Operator{Store: c.storeClient(), Members: cfg.Nodes(), Partitions: cfg.Settings.Count, TransactionChanges: cfg.Settings.State.TxnOps}
+	return &rollout.Operator{Store: c.storeClient(), Members: cfg.Nodes(), Partitions: cfg.Settings.Count, MaxTxnChanges: cfg.Settings.State.TxnOps}
 }
 
 // wish has an operator's wish stored, as the command does.
-func (c *cluster) wish(w rollout.Wish) {
+func (c *cluster) wish(w rollout.Request) {
 	c.t.Helper()
 	op := c.upgradeOperator()
 	c.await("the wish is stored", time.Minute, func() bool {
-		_, err := op.Request(c.ctx, w)
+		_, err := op.Submit(c.ctx, w)
 		if err != nil {
 			c.t.Log(err)
 		}
--- a/internal/controller/rollout_rows_test.go
+++ b/internal/controller/rollout_rows_test.go
@@ -64,7 +64,7 @@
 		if ready() {
 			return true
 		}
-		_, _ = op.Request(c.ctx, rollout.WishFinalize)
+		_, _ = op.Submit(c.ctx, rollout.RequestFinalize)
 		time.Sleep(2 * time.Second)
 		return ready()
 	})
--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -29,12 +29,12 @@
 		c.submit(jobBody("wk-2", wire.Array, "blue", "normal", 60, 2, 20))
 		c.awaitLevel(1, rollout.Activated, 30*time.Second)
 		c.await("the service runs", 40*time.Second, func() bool { return c.env.Running("wk-1") == 3 })
-		c.wish(rollout.WishFinalize)
+		c.wish(rollout.RequestFinalize)
 		c.awaitLevel(2, rollout.Stable, 10*time.Second)
 		c.await("records are rewritten", time.Minute, func() bool { f := c.forms(); return f[record.PlainJSON] == 0 && f[record.Checksummed] > 0 })
 		c.submit(jobBody("wk-3", wire.Gang, "blue", "normal", 4, 2, 5))
 		c.awaitDone("wk-3", 2*time.Minute)
-		c.wish(rollout.WishAbort)
+		c.wish(rollout.RequestAbort)
 		c.awaitLevel(1, rollout.Stable, time.Minute)
 		if f := c.forms(); f[record.Checksummed] > 0 {
 			t.Errorf("records by form after the way back: %v", f)
@@ -56,7 +56,7 @@
 	c.submit(jobBody("wk-2", wire.Array, "blue", "normal", 12, 1, 300))
 	c.await("work runs", time.Minute, func() bool { return c.env.Running("wk-1") == 3 && c.env.Running("wk-2") == 12 })
 	c.awaitLevel(1, rollout.Activated, 30*time.Second)
-	c.wish(rollout.WishFinalize)
+	c.wish(rollout.RequestFinalize)
 	c.awaitLevel(2, rollout.Stable, 30*time.Second)
 	c.await("records are rewritten", time.Minute, func() bool { return c.forms()[record.PlainJSON] == 0 })
 }
@@ -213,7 +213,7 @@
 		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Put: key, Value: left}}}); err != nil {
 			t.Fatal(err)
 		}
-		c.wish(rollout.WishAbort)
+		c.wish(rollout.RequestAbort)
 		c.awaitLevel(2, rollout.Reverting, 10*time.Second)
 		time.Sleep(20 * time.Second)
 		if s := c.level(); s.Phase != rollout.Reverting || s.Epoch != 1 {
@@ -245,7 +245,7 @@
 				}
 			}
 		})
-		c.wish(rollout.WishAbort)
+		c.wish(rollout.RequestAbort)
 		c.await("the way back goes on in a new epoch", 30*time.Second, func() bool { s := c.level(); return s.Phase == rollout.Reverting && s.Epoch == 2 })
 		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Delete: key}}}); err != nil {
 			t.Fatal(err)
@@ -283,7 +283,7 @@
 		c.kill(2)
 		c.await("its registration ends", 30*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n2"))) == 0 })
 		before := c.level()
-		_, err := c.upgradeOperator().Request(c.ctx, rollout.WishFinalize)
+		_, err := c.upgradeOperator().Submit(c.ctx, rollout.RequestFinalize)
 		var refused *rollout.RefusedError
 		if !errors.As(err, &refused) || !strings.Contains(err.Error(), "n2") || strings.Contains(err.Error(), "\n") {
 			t.Errorf("refused with %v", err)
@@ -293,7 +293,7 @@
 		}
 		c.start(2)
 		c.await("it is registered", 20*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n2"))) == 1 })
-		c.wish(rollout.WishFinalize)
+		c.wish(rollout.RequestFinalize)
 		c.awaitLevel(2, rollout.Stable, 10*time.Second)
 	})
 }
--- a/internal/controller/upgrade_faults_test.go
+++ b/internal/controller/upgrade_faults_test.go
@@ -11,12 +11,12 @@
 func (s *scene) beginUpgradeFault(f fault) (undo func(), ok bool) {
 	switch f.what {
 	case "finalize":
-		go s.tryWish(rollout.WishFinalize)
+		go s.tryWish(rollout.RequestFinalize)
 	case "abort":
-		go s.tryWish(rollout.WishAbort)
+		go s.tryWish(rollout.RequestAbort)
 	case "finalize and abort":
-		go s.tryWish(rollout.WishFinalize)
-		go s.tryWish(rollout.WishAbort)
+		go s.tryWish(rollout.RequestFinalize)
+		go s.tryWish(rollout.RequestAbort)
 	case "old comes":
 		return s.replaceFor(f.who, unawareVersion), true
 	case "base level comes":
@@ -28,8 +28,8 @@
 }
 
 // tryWish asks for something once; that it is refused, or the answer lost, is no fault.
-func (s *scene) tryWish(w rollout.Wish) {
-	_, err := s.upgradeOperator().Request(s.ctx, w)
+func (s *scene) tryWish(w rollout.Request) {
+	_, err := s.upgradeOperator().Submit(s.ctx, w)
 	if err != nil && testing.Verbose() {
 		s.t.Logf("%s: %v", w, err)
 	}
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -5,24 +5,25 @@
 	"fmt"
 )
 
-// ControllerPrefix is below which each controller stores what it reads and writes.
+// ControllerPrefix is the prefix of the keys at which controllers register.
 const ControllerPrefix = "e/node/"
 
-// ControllerKey is a controller's key.
+// ControllerKey returns the key at which a controller registers.
 func ControllerKey(node string) string { return ControllerPrefix + node }
 
-// Controller is what a controller stores about itself under a lease of its own. A
-// version that does not know levels takes it for the holder of some right.
+// Controller is what a controller registers about itself, under a lease of its own: which
+// levels it reads. A version that does not know levels takes it for the holder of some
+// leased key.
 type Controller struct {
 	Node      string `json:"n"`
 	ProcessID string `json:"b"`
 	Build     string `json:"build"`
 	Range
-	// StartedAt is when the process registered, in milliseconds of the time of day.
+	// StartedAt is when the process registered, in milliseconds since the epoch.
 	StartedAt int64 `json:"at"`
 }
 
-// Encode is the stored form.
+// Encode returns the stored encoding.
 func (c Controller) Encode() json.RawMessage {
 	raw, err := json.Marshal(c)
 	if err != nil {
@@ -31,7 +32,7 @@
 	return raw
 }
 
-// DecodeController reads the stored form.
+// DecodeController decodes what Encode returned, and validates it.
 func DecodeController(raw []byte) (Controller, error) {
 	var c Controller
 	if err := json.Unmarshal(raw, &c); err != nil {
@@ -43,7 +44,7 @@
 	return c, nil
 }
 
-// Registered is a controller with the version of its key.
+// Registered is a registered controller with the revision of its key.
 type Registered struct {
 	Controller
 	Revision uint64
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -15,17 +15,17 @@
 	// Controllers are those that are registered now, by name. One that is missing is
 	// unknown: it may be down, or of a version without levels.
 	Controllers map[string]Registered
-	// Leading tells whether the one who decides is the leader.
+	// Leading tells whether the controller that decides is the leader.
 	Leading bool
 	// Current tells whether the replica has all changes before the state's last one.
 	Current bool
-	// Above counts the records that are stored in a form above State.Writes.
-	Above int
-	// Unreadable counts the records that can't be decoded: they may be of any form.
-	Unreadable int
-	Partitions int
-	// TransactionChanges is how many changes a transaction may have.
-	TransactionChanges int
+	// RecordsAbove counts the records whose encoding is of a level above State.Writes.
+	RecordsAbove int
+	// UnreadableRecords counts the records that can't be decoded: they may be of any level.
+	UnreadableRecords int
+	Partitions        int
+	// MaxTxnChanges is how many changes a transaction may have.
+	MaxTxnChanges int
 	// FinalizeAfter is the time without a restart after which an active level becomes
 	// final by itself; 0: only an operator makes it final.
 	FinalizeAfter time.Duration
@@ -39,23 +39,23 @@
 	NoStep Step = ""
 	// Activate starts the behaviour of the next level.
 	Activate Step = "activate"
-	// Deactivate ends it, since a controller that doesn't know it has come.
+	// Deactivate ends it, since a controller that doesn't know it has registered.
 	Deactivate Step = "deactivate"
-	// Finalize has records written in the next level's form and closes the keys of
-	// rights that versions before know.
+	// Finalize has records written in the next level's encoding and closes the leased keys
+	// that versions before know.
 	Finalize Step = "finalize"
 	// Hold ends an active level, or keeps the next one from being activated, since an
 	// operator said so.
 	Hold Step = "hold"
-	// Resume ends a hold, or the way back.
+	// Resume ends a hold, or a revert.
 	Resume Step = "resume"
-	// Revert begins the way back.
+	// Revert begins to go back to the level before.
 	Revert Step = "revert"
-	// Close takes all rights away, when no record of the level seems to be left.
+	// Close closes all leased keys, when no record of the level seems to be left.
 	Close Step = "close"
-	// Reopen goes on with the way back: a record of the level was left after all.
+	// Reopen goes on with the revert: a record of the level was left after all.
 	Reopen Step = "reopen"
-	// Open completes the way back.
+	// Open completes the revert.
 	Open Step = "open"
 )
 
@@ -71,11 +71,11 @@
 	BlockForeign BlockKind = "foreign"
 	// BlockLimit means that the step needs more changes than a transaction may have.
 	BlockLimit BlockKind = "limit"
-	// BlockRecords means that records are still stored in a form above the one to come.
+	// BlockRecords means that records are still stored in an encoding above the one to come.
 	BlockRecords BlockKind = "records"
-	// BlockHeld means that an operator went back, and none has said to go on.
+	// BlockHeld means that an operator reverted, and none has asked to go on.
 	BlockHeld BlockKind = "held"
-	// BlockUnreadable means that records can't be decoded, so that their form is not known.
+	// BlockUnreadable means that records can't be decoded, so that their level is not known.
 	BlockUnreadable BlockKind = "unreadable"
 )
 
@@ -86,7 +86,7 @@
 	Detail string    `json:"detail"`
 }
 
-// String is the reason in words.
+// String returns the reason in words.
 func (b Blocker) String() string {
 	if b.Node == "" {
 		return b.Detail
@@ -94,68 +94,68 @@
 	return b.Node + " " + b.Detail
 }
 
-// Decide is the step to take and the state that it leads to.
-func Decide(s State, v View) (Step, State) {
+// Decide returns the step to take and the state that it leads to.
+func Decide(s State, view View) (Step, State) {
 	if s.Phase == Closed {
-		return decideClosed(s, v)
+		return decideClosed(s, view)
 	}
-	if !v.Leading || !v.Current {
+	if !view.Leading || !view.Current {
 		return NoStep, s
 	}
-	if step, next := decideWish(s, v); step != NoStep {
+	if step, next := decideRequest(s, view); step != NoStep {
 		return step, next
 	}
 	switch s.Phase {
 	case Stable:
-		if len(Blockers(s, v)) == 0 {
-			return Activate, s.to(Activated, v)
+		if len(Blockers(s, view)) == 0 {
+			return Activate, s.enter(Activated, view)
 		}
 	case Activated:
-		if v.tooOld(s.Active()) {
-			return Deactivate, s.to(Stable, v)
+		if view.anyBelow(s.Active()) {
+			return Deactivate, s.enter(Stable, view)
 		}
-		if len(Blockers(s, v)) == 0 && (s.Wish == WishFinalize || v.quietFor(s) >= v.FinalizeAfter && v.FinalizeAfter > 0) {
-			return Finalize, s.finalized(v)
+		if len(Blockers(s, view)) == 0 && (s.Request == RequestFinalize || view.sinceLastRestart(s) >= view.FinalizeAfter && view.FinalizeAfter > 0) {
+			return Finalize, s.finalized(view)
 		}
 	case Reverting:
-		if len(Blockers(s, v)) == 0 {
-			return Close, s.to(Closed, v)
+		if len(Blockers(s, view)) == 0 {
+			return Close, s.enter(Closed, view)
 		}
 	case Closed:
 	}
 	return NoStep, s
 }
 
-// decideWish is the step that an operator's wish leads to at once.
-func decideWish(s State, v View) (Step, State) {
+// decideRequest returns the step that an operator's request leads to at once.
+func decideRequest(s State, view View) (Step, State) {
 	switch {
-	case s.Wish == WishAbort && s.Phase == Stable && s.Level > BaseLevel && (s.Held || !v.nextKnown(s)):
-		next := s.to(Reverting, v)
+	case s.Request == RequestAbort && s.Phase == Stable && s.Level > BaseLevel && (s.Held || !view.nextLevelKnown(s)):
+		next := s.enter(Reverting, view)
 		next.Held = true
 		return Revert, next
-	case s.Wish == WishAbort && s.Phase != Reverting:
-		next := s.to(Stable, v)
+	case s.Request == RequestAbort && s.Phase != Reverting:
+		next := s.enter(Stable, view)
 		next.Held = true
 		return Hold, next
-	case s.Wish == WishFinalize && (s.Held || s.Phase == Reverting):
-		next := s.to(Stable, v)
+	case s.Request == RequestFinalize && (s.Held || s.Phase == Reverting):
+		next := s.enter(Stable, view)
 		next.Held = false
 		return Resume, next
 	}
 	return NoStep, s
 }
 
-// decideClosed completes the way back. Nobody leads, so that any controller may.
-func decideClosed(s State, v View) (Step, State) {
-	if !v.Current {
+// decideClosed completes a revert. Nobody leads then, so that any controller may.
+func decideClosed(s State, view View) (Step, State) {
+	if !view.Current {
 		return NoStep, s
 	}
-	if v.Above > 0 || v.Unreadable > 0 {
-		next := s.to(Reverting, v)
+	if view.RecordsAbove > 0 || view.UnreadableRecords > 0 {
+		next := s.enter(Reverting, view)
 		next.Epoch++
 		return Reopen, next
 	}
-	next := s.to(Stable, v)
+	next := s.enter(Stable, view)
 	next.Level--
 	if next.Level > BaseLevel {
 		next.Epoch++
@@ -163,52 +163,67 @@
 	return Open, next
 }
 
-// to is the state in another phase, with the wish carried out.
-func (s State) to(p Phase, v View) State {
-	s.Phase, s.Wish, s.Since = p, NoWish, v.Now.UnixMilli()
+// enter returns the state in another phase, with the request carried out.
+func (s State) enter(p Phase, view View) State {
+	s.Phase, s.Request, s.Since = p, NoRequest, view.Now.UnixMilli()
 	return s
 }
 
-func (s State) finalized(v View) State {
-	s = s.to(Stable, v)
+// finalized returns the state with the active level made final.
+func (s State) finalized(view View) State {
+	s = s.enter(Stable, view)
 	s.Level++
 	s.Epoch++
 	return s
 }
 
-// Blockers are the reasons why the next step of an upgrade, or of the way back, can't be
-// taken now. None while there is no next step but an operator's.
-func Blockers(s State, v View) []Blocker {
+// Blockers returns the reasons why the next step of an upgrade, or of a revert, can't be taken
+// now; none while there is no next step but an operator's.
+func Blockers(s State, view View) []Blocker {
 	var out []Blocker
 	switch s.Phase {
 	case Stable:
 		if s.Held {
 			out = append(out, Blocker{Kind: BlockHeld, Detail: "an operator went back; finalize ends that"})
 		}
-		out = append(out, v.unready(s.Level+1)...)
+		out = append(out, view.controllerBlockers(s.Level+1)...)
 	case Activated:
-		out = append(out, v.unready(s.Active())...)
-		out = append(out, v.beyondLimit()...)
+		out = append(out, view.controllerBlockers(s.Active())...)
+		out = append(out, view.txnLimitBlockers()...)
 	case Reverting:
-		out = append(out, v.beyondLimit()...)
-		if v.Above > 0 {
-			out = append(out, Blocker{Kind: BlockRecords, Detail: fmt.Sprintf("%d records are still to be rewritten", v.Above)})
-		}
-		if v.Unreadable > 0 {
-			out = append(out, Blocker{Kind: BlockUnreadable, Detail: fmt.Sprintf("%d records can't be decoded; correct or delete them", v.Unreadable)})
-		}
-		for _, name := range slices.Sorted(maps.Keys(v.Controllers)) {
-			if c := v.Controllers[name]; c.Low > s.Writes() {
-				out = append(out, Blocker{Kind: BlockOld, Node: name, Detail: fmt.Sprintf("does not read level %d any more (it reads %s)", s.Writes(), c.Range)})
-			}
-		}
+		out = append(out, view.txnLimitBlockers()...)
+		out = append(out, view.recordBlockers()...)
+		out = append(out, view.lostLevelBlockers(s.Writes())...)
 	case Closed:
 	}
 	return out
 }
 
-// unready names the controllers that keep a level from being used.
-func (v *View) unready(level Level) []Blocker {
+// recordBlockers returns whether records keep the level before from being all that is stored.
+func (v *View) recordBlockers() []Blocker {
+	var out []Blocker
+	if v.RecordsAbove > 0 {
+		out = append(out, Blocker{Kind: BlockRecords, Detail: fmt.Sprintf("%d records are still to be rewritten", v.RecordsAbove)})
+	}
+	if v.UnreadableRecords > 0 {
+		out = append(out, Blocker{Kind: BlockUnreadable, Detail: fmt.Sprintf("%d records can't be decoded; correct or delete them", v.UnreadableRecords)})
+	}
+	return out
+}
+
+// lostLevelBlockers returns the controllers that don't read a level any more.
+func (v *View) lostLevelBlockers(level Level) []Blocker {
+	var out []Blocker
+	for _, name := range slices.Sorted(maps.Keys(v.Controllers)) {
+		if c := v.Controllers[name]; c.Low > level {
+			out = append(out, Blocker{Kind: BlockOld, Node: name, Detail: fmt.Sprintf("does not read level %d any more (it reads %s)", level, c.Range)})
+		}
+	}
+	return out
+}
+
+// controllerBlockers returns the controllers that keep a level from being used.
+func (v *View) controllerBlockers(level Level) []Blocker {
 	var out []Blocker
 	for _, name := range v.Members {
 		c, ok := v.Controllers[name]
@@ -227,16 +242,17 @@
 	return out
 }
 
-// beyondLimit says if closing the keys takes more changes than a transaction may have.
-func (v *View) beyondLimit() []Blocker {
-	if n := v.Partitions + closingExtra; n > v.TransactionChanges {
-		return []Blocker{{Kind: BlockLimit, Detail: fmt.Sprintf("closing the keys takes %d changes in one transaction, and %d are allowed", n, v.TransactionChanges)}}
+// txnLimitBlockers returns whether closing the keys takes more changes than a transaction may
+// have.
+func (v *View) txnLimitBlockers() []Blocker {
+	if n := v.Partitions + closingExtraChanges; n > v.MaxTxnChanges {
+		return []Blocker{{Kind: BlockLimit, Detail: fmt.Sprintf("closing the keys takes %d changes in one transaction, and %d are allowed", n, v.MaxTxnChanges)}}
 	}
 	return nil
 }
 
-// tooOld tells whether a controller is registered that does not read a level.
-func (v *View) tooOld(level Level) bool {
+// anyBelow tells whether a controller is registered that does not read a level.
+func (v *View) anyBelow(level Level) bool {
 	for _, c := range v.Controllers {
 		if c.High < level {
 			return true
@@ -245,9 +261,9 @@
 	return false
 }
 
-// nextKnown tells whether a registered controller reads the level after the state's: an
+// nextLevelKnown tells whether a registered controller reads the level after the state's: an
 // upgrade to it is on its way, or may be.
-func (v *View) nextKnown(s State) bool {
+func (v *View) nextLevelKnown(s State) bool {
 	for _, c := range v.Controllers {
 		if c.High > s.Level {
 			return true
@@ -256,8 +272,8 @@
 	return false
 }
 
-// quietFor is how long the phase has lasted without a controller's restart.
-func (v *View) quietFor(s State) time.Duration {
+// sinceLastRestart returns how long the phase has lasted without a controller's restart.
+func (v *View) sinceLastRestart(s State) time.Duration {
 	last := s.Since
 	for _, c := range v.Controllers {
 		last = max(last, c.StartedAt)
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -7,8 +7,8 @@
 
 // What is stored, and where, has exactly these bytes: other versions read them.
 func TestRecordsKeepTheirBytes(t *testing.T) {
-	state := State{Level: 2, Phase: Reverting, Epoch: 3, Held: true, Wish: WishAbort, Since: 5}
-	txn, err := json.Marshal(Txn(Initial, Finalize, state, View{Members: []string{"n0"}, Partitions: 1}, Versions{State: 1, Leader: 2}))
+	state := State{Level: 2, Phase: Reverting, Epoch: 3, Held: true, Request: RequestAbort, Since: 5}
+	txn, err := json.Marshal(Txn(Initial, Finalize, state, View{Members: []string{"n0"}, Partitions: 1}, Revisions{State: 1, Leader: 2}))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rollout/level.go
+++ b/internal/rollout/level.go
@@ -1,24 +1,26 @@
-// Package rollout upgrades a cluster of controllers in stages: a form of stored records
+// Package rollout upgrades a cluster of controllers in stages: an encoding of stored records
 // or of messages that an earlier version does not know is used only once every controller
-// reads it, and can be given up again.
+// reads it, and can be reverted.
 //
 // The decisions are pure (Decide); what they change is one stored record (State), written
-// by a transaction that names the version of everything the decision rests on (Txn).
+// by a transaction with the revision of everything that the decision rests on (Txn). A
+// Registrar keeps each controller registered; an Operator carries out the commands of the
+// people who run the cluster.
 package rollout
 
 import "fmt"
 
-// Level is a feature level: a set of stored and transmitted forms.
+// Level is a feature level: a set of encodings of what is stored and sent.
 type Level uint32
 
 const (
-	// BaseLevel is what all versions read and write that do not know levels.
+	// BaseLevel is what versions that do not know levels read and write.
 	BaseLevel Level = 1
 	// ChecksumLevel brings checksums to task group records and status frames.
 	ChecksumLevel Level = 2
 )
 
-// Range is the levels that a version reads and writes.
+// Range is the range of levels that a version reads and writes, both ends included.
 type Range struct {
 	Low  Level `json:"low"`
 	High Level `json:"high"`
@@ -30,7 +32,7 @@
 // Includes tells whether a level is in the range.
 func (r Range) Includes(l Level) bool { return r.Low <= l && l <= r.High }
 
-// String is the range in words.
+// String returns the range in words.
 func (r Range) String() string { return fmt.Sprintf("%d-%d", r.Low, r.High) }
 
 // Feature is what a level changes.
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -47,19 +47,19 @@
 }
 
 func (m *model) view(leading bool) View {
-	v := View{Now: time.UnixMilli(0), Members: []string{"0", "1"}, Controllers: map[string]Registered{}, Leading: leading, Current: true,
-		Partitions: 1, TransactionChanges: 10}
+	view := View{Now: time.UnixMilli(0), Members: []string{"0", "1"}, Controllers: map[string]Registered{}, Leading: leading, Current: true,
+		Partitions: 1, MaxTxnChanges: 10}
 	for i, p := range m.processes {
 		if p.registered.High > 0 {
-			v.Controllers[fmt.Sprint(i)] = Registered{Controller: Controller{Range: p.registered}}
+			view.Controllers[fmt.Sprint(i)] = Registered{Controller: Controller{Range: p.registered}}
 		}
 	}
 	for form, there := range m.forms {
 		if there && Level(form) > m.state.Writes() {
-			v.Above++
+			view.RecordsAbove++
 		}
 	}
-	return v
+	return view
 }
 
 // admitted tells whether a process takes rights in the present state: one without levels
@@ -105,9 +105,9 @@
 		}},
 		{"commit", (*model).commit},
 	}
-	for _, w := range []Wish{WishFinalize, WishAbort} {
+	for _, w := range []Request{RequestFinalize, RequestAbort} {
 		all = append(all, action{string(w), func(n *model) {
-			n.state.Wish = w
+			n.state.Request = w
 			n.pending = NoStep
 		}})
 	}
@@ -138,9 +138,9 @@
 		}},
 		{fmt.Sprintf("decide %d", i), func(n *model) { n.decide(i) }},
 	}
-	for version := range versions {
-		all = append(all, action{fmt.Sprintf("restart %d as %v", i, modelRanges[version]), func(n *model) {
-			n.processes[i].running, n.processes[i].version = true, version
+	for revision := range versions {
+		all = append(all, action{fmt.Sprintf("restart %d as %v", i, modelRanges[revision]), func(n *model) {
+			n.processes[i].running, n.processes[i].version = true, revision
 			n.releaseRight(i)
 		}})
 	}
@@ -242,7 +242,7 @@
 // check2 is the state's check, with the epoch that the model leaves out.
 func (s State) check2() error {
 	s.Epoch = 1
-	return s.check()
+	return s.validate()
 }
 
 func start() model {
--- a/internal/rollout/operator.go
+++ b/internal/rollout/operator.go
@@ -13,43 +13,43 @@
 	"eiderhitch/internal/wire"
 )
 
-// Reader is what an operator's command needs of the state service.
-type Reader interface {
+// OperatorStore is what an operator's commands need of the key-value store.
+type OperatorStore interface {
 	Get(ctx context.Context, key string) (*wire.Item, error)
 	List(ctx context.Context, prefix string) ([]wire.Item, uint64, error)
 	Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error)
 }
 
-// Operator carries out an operator's commands.
+// Operator carries out the commands of the people who run a cluster.
 type Operator struct {
-	Store              Reader
-	Members            []string
-	Partitions         int
-	TransactionChanges int
+	Store         OperatorStore
+	Members       []string
+	Partitions    int
+	MaxTxnChanges int
 }
 
-// Status is what an operator is shown.
+// Status is the state of an upgrade as operators are shown it. Its JSON is read by scripts.
 type Status struct {
-	State   State  `json:"state"`
-	Active  Level  `json:"active"`
-	Writes  Level  `json:"writes"`
-	Version uint64 `json:"version"`
+	State    State  `json:"state"`
+	Active   Level  `json:"active"`
+	Writes   Level  `json:"writes"`
+	Revision uint64 `json:"version"`
 	// Controllers are those that are registered, by name.
 	Controllers []Controller `json:"controllers"`
 	// Missing are those that the settings name and that are not registered.
 	Missing []string `json:"missing,omitempty"`
-	// Records counts the task group records by the form they are stored in.
+	// Records counts the task group records by the encoding they are stored in.
 	Records map[string]int `json:"records"`
 	// Blockers are why the next step can't be taken now.
 	Blockers []Blocker `json:"blockers,omitempty"`
 }
 
-// groupPrefix is below which task group records are stored.
+// groupPrefix is the prefix of the keys of task group records.
 const groupPrefix = "e/group/"
 
 // Status reads the state of an upgrade.
 func (o *Operator) Status(ctx context.Context) (*Status, error) {
-	state, version, err := o.state(ctx)
+	state, revision, err := o.state(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -61,33 +61,48 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Status{State: state, Active: state.Active(), Writes: state.Writes(), Version: version, Records: map[string]int{}}
+	status := &Status{State: state, Active: state.Active(), Writes: state.Writes(), Revision: revision}
 	view := o.view(controllers)
+	status.countRecords(groups, &view)
+	status.setControllers(controllers, o.Members)
+	status.Blockers = Blockers(state, view)
+	return status, nil
+}
+
+// unreadableRecords is the name under which Records counts what can't be decoded.
+const unreadableRecords = "unreadable"
+
+// countRecords counts the task group records by their encoding, in the view, too.
+func (s *Status) countRecords(groups []wire.Item, view *View) {
+	s.Records = map[string]int{}
 	for i := range groups {
-		_, form, err := record.DecodeTaskGroup(groups[i].Key, groups[i].Value)
+		_, encoding, err := record.DecodeTaskGroup(groups[i].Key, groups[i].Value)
 		if err != nil {
-			s.Records["unreadable"]++
-			view.Unreadable++
+			s.Records[unreadableRecords]++
+			view.UnreadableRecords++
 			continue
 		}
-		s.Records[fmt.Sprintf("form %d", form)]++
-		if Level(form) > state.Writes() {
-			view.Above++
+		s.Records[fmt.Sprintf("form %d", encoding)]++
+		if Level(encoding) > s.Writes {
+			view.RecordsAbove++
 		}
 	}
+}
+
+// setControllers sets which controllers are registered, by name, and which members are not.
+func (s *Status) setControllers(controllers map[string]Registered, members []string) {
 	for _, c := range controllers {
 		s.Controllers = append(s.Controllers, c.Controller)
 	}
 	slices.SortFunc(s.Controllers, func(x, y Controller) int { return strings.Compare(x.Node, y.Node) })
-	for _, name := range o.Members {
+	for _, name := range members {
 		if _, ok := controllers[name]; !ok {
 			s.Missing = append(s.Missing, name)
 		}
 	}
-	s.Blockers = Blockers(state, view)
-	return s, nil
 }
 
+// state returns the stored state and its revision.
 func (o *Operator) state(ctx context.Context) (State, uint64, error) {
 	item, err := o.Store.Get(ctx, StateKey)
 	if err != nil {
@@ -100,6 +115,7 @@
 	return state, item.Revision, err
 }
 
+// controllers returns the registered controllers by name.
 func (o *Operator) controllers(ctx context.Context) (map[string]Registered, error) {
 	items, _, err := o.Store.List(ctx, ControllerPrefix)
 	if err != nil {
@@ -116,19 +132,20 @@
 	return out, nil
 }
 
+// view returns what a decision of the leader would rest on, apart from the records.
 func (o *Operator) view(controllers map[string]Registered) View {
 	return View{Now: time.Now(), Members: o.Members, Controllers: controllers, Leading: true, Current: true,
-		Partitions: o.Partitions, TransactionChanges: o.TransactionChanges}
+		Partitions: o.Partitions, MaxTxnChanges: o.MaxTxnChanges}
 }
 
-// RefusedError says why a wish is refused: nothing was changed.
+// RefusedError says why a request is refused: nothing was changed.
 type RefusedError struct {
-	Wish     Wish
+	Request  Request
 	Reason   string
 	Blockers []Blocker
 }
 
-// Error is the reason in one line.
+// Error returns the reasons in one line.
 func (e *RefusedError) Error() string {
 	reasons := []string{}
 	if e.Reason != "" {
@@ -137,16 +154,17 @@
 	for _, b := range e.Blockers {
 		reasons = append(reasons, b.String())
 	}
-	return fmt.Sprintf("%s is refused: %s", e.Wish, strings.Join(reasons, "; "))
+	return fmt.Sprintf("%s is refused: %s", e.Request, strings.Join(reasons, "; "))
 }
 
 // ErrChanged says that somebody else changed the state at the same moment: nothing was
-// changed by this command.
+// changed by this request.
 var ErrChanged = errors.New("the state has changed meanwhile; look at it again")
 
-// Request has the leader carry out a wish, and returns the state at which it was asked.
-func (o *Operator) Request(ctx context.Context, wish Wish) (State, error) {
-	state, version, err := o.state(ctx)
+// Submit stores a request for the leader to carry out, and returns the state with it. Its
+// errors are a RefusedError, ErrChanged or those of the store.
+func (o *Operator) Submit(ctx context.Context, request Request) (State, error) {
+	state, revision, err := o.state(ctx)
 	if err != nil {
 		return State{}, err
 	}
@@ -154,13 +172,13 @@
 	if err != nil {
 		return State{}, err
 	}
-	if err := check(state, wish, o.view(controllers)); err != nil {
+	if err := checkRequest(state, request, o.view(controllers)); err != nil {
 		return state, err
 	}
 	next := state
-	next.Wish = wish
+	next.Request = request
 	_, err = o.Store.Txn(ctx, &wire.Txn{
-		Conditions: []wire.Condition{{Key: StateKey, Revision: version}},
+		Conditions: []wire.Condition{{Key: StateKey, Revision: revision}},
 		Changes:    []wire.Change{{Put: StateKey, Value: next.Encode()}},
 	})
 	if errors.Is(err, store.ErrOutcomeUnknown) {
@@ -175,31 +193,32 @@
 	return next, err
 }
 
-// check says why a wish can't be carried out, or nil.
-func check(s State, wish Wish, v View) error {
+// checkRequest returns a RefusedError if a request can't be carried out in a state.
+func checkRequest(s State, request Request, view View) error {
 	refused := func(reason string, blockers ...Blocker) error {
-		return &RefusedError{Wish: wish, Reason: reason, Blockers: blockers}
+		return &RefusedError{Request: request, Reason: reason, Blockers: blockers}
 	}
 	switch {
 	case s.Phase == Closed:
 		return refused("a step is just being completed; try again in a second")
-	case wish == WishFinalize && (s.Held || s.Phase == Reverting):
+	case request == RequestFinalize && (s.Held || s.Phase == Reverting):
 		return nil
-	case wish == WishFinalize && s.Phase == Stable:
-		return refused("no level is active", Blockers(s, v)...)
-	case wish == WishFinalize:
-		if blockers := Blockers(s, v); len(blockers) > 0 {
+	case request == RequestFinalize && s.Phase == Stable:
+		return refused("no level is active", Blockers(s, view)...)
+	case request == RequestFinalize:
+		if blockers := Blockers(s, view); len(blockers) > 0 {
 			return refused("", blockers...)
 		}
-	case wish == WishAbort && s.Phase == Reverting:
+	case request == RequestAbort && s.Phase == Reverting:
 		return refused(fmt.Sprintf("level %d is being given up already", s.Level))
-	case wish == WishAbort && s.Phase == Stable && s.Level == BaseLevel && s.Held:
+	case request == RequestAbort && s.Phase == Stable && s.Level == BaseLevel && s.Held:
 		return refused("level 1 is held already, and there is none before it")
 	}
 	return nil
 }
 
-// Done tells whether a wish that was asked for at a state has been carried out by now.
-func Done(asked State, now State) bool {
-	return now.Wish == NoWish && now != asked
+// Completed tells whether a request, with which Submit returned a state, has been carried out
+// by now.
+func Completed(asked State, now State) bool {
+	return now.Request == NoRequest && now != asked
 }
--- a/internal/rollout/registrar.go
+++ b/internal/rollout/registrar.go
@@ -11,8 +11,8 @@
 	"eiderhitch/internal/wire"
 )
 
-// Store is what a registration needs of the state service.
-type Store interface {
+// RegistrarStore is what a registration needs of the key-value store.
+type RegistrarStore interface {
 	Revision(ctx context.Context, key string) (uint64, error)
 	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
 	RenewLease(ctx context.Context, id uint64) error
@@ -20,11 +20,11 @@
 	Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error)
 }
 
-// Registrar keeps a controller's record stored, under a lease, while the process lives.
+// Registrar keeps a controller registered, under a lease, while the process lives.
 type Registrar struct {
-	Store      Store
+	Store      RegistrarStore
 	Controller Controller
-	// TTL is how long the record outlives its process.
+	// TTL is how long the registration outlives its process.
 	TTL time.Duration
 	Log *slog.Logger
 }
@@ -32,35 +32,36 @@
 const (
 	// renewalsPerTTL is how often a registration is renewed within its lease.
 	renewalsPerTTL = 4
-	// registerRetry is the pause after an attempt to register that failed.
-	registerRetry = time.Second
-	// leaveTimeout bounds the call that ends a registration.
-	leaveTimeout = time.Second
+	// registerRetryInterval is the pause after an attempt to register that failed.
+	registerRetryInterval = time.Second
+	// revokeTimeout bounds the call that ends a registration.
+	revokeTimeout = time.Second
 )
 
-// Run registers the controller, renews that, and registers it anew when the lease has
-// ended, as after a pause of the process. When ctx ends so does the registration.
+// Run registers the controller, renews its lease, and registers it anew when the lease has
+// expired, as after a pause of the process. When ctx ends so does the registration.
 func (r *Registrar) Run(ctx context.Context) error {
 	for {
 		lease, err := r.register(ctx)
 		if err == nil {
 			r.Log.Debug("controller registered", "levels", r.Controller.Range.String(), "build", r.Controller.Build)
-			err = r.keep(ctx, lease)
+			err = r.renew(ctx, lease)
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		r.Log.Debug("controller is not registered", "err", err)
-		if !pause(ctx, registerRetry) {
+		if !pause(ctx, registerRetryInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
-// register stores the record in place of a former process's of the same name.
+// register stores the registration in place of a former process's of the same name, and
+// returns the lease that it is under.
 func (r *Registrar) register(ctx context.Context) (uint64, error) {
 	key := ControllerKey(r.Controller.Node)
-	version, err := r.Store.Revision(ctx, key)
+	revision, err := r.Store.Revision(ctx, key)
 	if err != nil {
 		return 0, err
 	}
@@ -71,23 +72,23 @@
 	c := r.Controller
 	c.StartedAt = time.Now().UnixMilli()
 	_, err = r.Store.Txn(ctx, &wire.Txn{
-		Conditions: []wire.Condition{{Key: key, Revision: version}},
+		Conditions: []wire.Condition{{Key: key, Revision: revision}},
 		Changes:    []wire.Change{{Put: key, Value: c.Encode(), Lease: lease}},
 	})
 	if err != nil {
 		// Perhaps it was applied: ending the lease takes the record along.
-		r.leave(ctx, lease)
+		r.revoke(ctx, lease)
 		return 0, fmt.Errorf("register: %w", err)
 	}
 	return lease, nil
 }
 
-// keep renews the lease until that has ended. While the state service can't be reached
-// it goes on: an outage ends no lease.
-func (r *Registrar) keep(ctx context.Context, lease uint64) error {
+// renew renews the lease until it has expired. While the key-value store can't be reached it
+// goes on: an outage ends no lease.
+func (r *Registrar) renew(ctx context.Context, lease uint64) error {
 	for {
 		if !pause(ctx, r.TTL/renewalsPerTTL) {
-			r.leave(context.WithoutCancel(ctx), lease)
+			r.revoke(context.WithoutCancel(ctx), lease)
 			return ctx.Err()
 		}
 		if err := r.Store.RenewLease(ctx, lease); errors.Is(err, store.ErrLeaseExpired) {
@@ -96,13 +97,14 @@
 	}
 }
 
-func (r *Registrar) leave(ctx context.Context, lease uint64) {
-	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
+// revoke ends a lease, and the registration with it.
+func (r *Registrar) revoke(ctx context.Context, lease uint64) {
+	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
-	_ = r.Store.RevokeLease(ctx, lease)
+	_ = r.Store.RevokeLease(ctx, lease) // if it fails the lease expires
 }
 
-// pause waits; false if ctx ended meanwhile.
+// pause waits; it returns false if ctx ended meanwhile.
 func pause(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// StateKey is where the state is stored. A version that does not know levels takes the
-// value for the holder of a right that it has no use for.
+// StateKey is the key of the state. A version that does not know levels takes the value for
+// the holder of a leased key that it has no use for.
 const StateKey = "e/level"
 
 // Phase is a stage of an upgrade or of the way back.
@@ -18,45 +18,46 @@
 	Stable Phase = "stable"
 	// Activated means that behaviour of the next level runs; what is stored stays as it was.
 	Activated Phase = "active"
-	// Reverting means that records are written, and rewritten, in the form of the level before.
+	// Reverting means that records are written, and rewritten, in the encoding of the level before.
 	Reverting Phase = "reverting"
-	// Closed means that nobody holds a right, so that no record of the level can appear any more.
+	// Closed means that nobody may hold a leased key, so that no record of the level can
+	// appear any more.
 	Closed Phase = "closed"
 )
 
-// Wish is what an operator asked for and the leader has not carried out yet.
-type Wish string
+// Request is what an operator asked for and the leader has not carried out yet.
+type Request string
 
 const (
-	// NoWish means that nothing was asked for.
-	NoWish Wish = ""
-	// WishFinalize asks to make the active level final, to end a hold, or to stay at a
-	// level that is being given up.
-	WishFinalize Wish = "finalize"
-	// WishAbort asks to go back to the level before, and to stay there.
-	WishAbort Wish = "abort"
+	// NoRequest means that nothing was asked for.
+	NoRequest Request = ""
+	// RequestFinalize asks to make the active level final, to end a hold, or to stay at a
+	// level that is being reverted.
+	RequestFinalize Request = "finalize"
+	// RequestAbort asks to revert to the level before, and to stay there.
+	RequestAbort Request = "abort"
 )
 
 // State is the stored state of an upgrade. The zero value stands for a cluster that
 // has never been upgraded in stages.
 type State struct {
-	// Level: records of up to this level may be stored. A controller that doesn't read
+	// Level is the highest of which records may be stored. A controller that doesn't read
 	// it must not serve.
 	Level Level `json:"level"`
 	Phase Phase `json:"phase"`
-	// Epoch names the set of keys that rights have above the base level.
+	// Epoch names the set of leased keys above the base level.
 	Epoch uint64 `json:"epoch,omitempty"`
-	// Held: an operator went back; no level is activated until one says so.
-	Held bool `json:"held,omitempty"`
-	Wish Wish `json:"wish,omitempty"`
-	// Since is when the phase began, in milliseconds of the time of day.
+	// Held is set when an operator reverted: no level is activated until one asks for it.
+	Held    bool    `json:"held,omitempty"`
+	Request Request `json:"wish,omitempty"`
+	// Since is when the phase began, in milliseconds since the epoch.
 	Since int64 `json:"since,omitempty"`
 }
 
 // Initial is the state of a cluster without a stored one.
 var Initial = State{Level: BaseLevel, Phase: Stable}
 
-// Active is the level whose behaviour runs.
+// Active returns the level whose behaviour runs.
 func (s State) Active() Level {
 	switch s.Phase {
 	case Activated:
@@ -68,7 +69,7 @@
 	return s.Level
 }
 
-// Writes is the level in whose form records are written.
+// Writes returns the level in whose encoding records are written.
 func (s State) Writes() Level {
 	if s.Phase == Activated {
 		return s.Level
@@ -81,7 +82,7 @@
 	return r.Includes(s.Level) && r.Includes(s.Writes())
 }
 
-// Encode is the stored form.
+// Encode returns the stored encoding.
 func (s State) Encode() json.RawMessage {
 	raw, err := json.Marshal(s)
 	if err != nil {
@@ -90,17 +91,17 @@
 	return raw
 }
 
-// DecodeState reads the stored form. A state that makes no sense is an error: it was
+// DecodeState decodes what Encode returned. A state that makes no sense is an error: it was
 // written by a version that knows more, or by hand.
 func DecodeState(raw []byte) (State, error) {
 	var s State
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return State{}, fmt.Errorf("feature level: %w", err)
 	}
-	return s, s.check()
+	return s, s.validate()
 }
 
-func (s State) check() error {
+func (s State) validate() error {
 	switch s.Phase {
 	case Stable, Activated:
 		if s.Level < BaseLevel {
@@ -119,14 +120,14 @@
 	return nil
 }
 
-// Keys are the keys of the rights: one for each partition and one for the leader.
+// Keys are the leased keys: one for the owner of each partition and one for the leader.
 type Keys struct{ prefix string }
 
 // baseKeys are the keys that versions without levels use.
 var baseKeys = Keys{prefix: "e/"}
 
-// Keys are the keys of the rights in this state. Above the base level they are others
-// than an earlier version knows, and others in each epoch.
+// Keys returns the leased keys of this state. Above the base level they are others than an
+// earlier version knows, and others in each epoch.
 func (s State) Keys() Keys {
 	if s.Level <= BaseLevel {
 		return baseKeys
@@ -134,13 +135,13 @@
 	return Keys{prefix: "e/epoch/" + strconv.FormatUint(s.Epoch, 10) + "/"}
 }
 
-// Partition is the key of a partition's owner.
+// Partition returns the key of a partition's owner.
 func (k Keys) Partition(n int) string { return k.prefix + "part/" + strconv.Itoa(n) }
 
-// Leader is the key of the leader.
+// Leader returns the key of the leader.
 func (k Keys) Leader() string { return k.prefix + "leader" }
 
-// all lists the keys of a cluster with that many partitions.
+// all returns the keys of a cluster with that many partitions.
 func (k Keys) all(partitions int) []string {
 	keys := []string{k.Leader()}
 	for n := range partitions {
--- a/internal/rollout/txn.go
+++ b/internal/rollout/txn.go
@@ -7,48 +7,48 @@
 	"eiderhitch/internal/wire"
 )
 
-// closingExtra is how many changes closing the keys takes beyond one for each
+// closingExtraChanges is how many changes closing the keys takes beyond one for each
 // partition: the leader's key and the state.
-const closingExtra = 2
+const closingExtraChanges = 2
 
-// Versions are the versions of the keys that a step rests on.
-type Versions struct {
+// Revisions are the revisions of the keys that a step rests on.
+type Revisions struct {
 	State  uint64 // 0: none is stored
 	Leader uint64 // of the leader's key, while one leads
 }
 
-// closedKey is stored at the key of a right that nobody may hold. No lease ends it. Its
-// node is no controller's name, so that a version without levels takes the right for held.
-type closedKey struct {
-	Node string `json:"n"`
-	Boot string `json:"b"`
+// closedLease is the value of a leased key that nobody may hold. It is under no lease, and its
+// node is no controller's name, so that a version without levels takes the key for held.
+type closedLease struct {
+	Node      string `json:"n"`
+	ProcessID string `json:"b"`
 }
 
-// ClosedNode is the holder that is stored at the key of a right which nobody may hold.
+// ClosedNode returns the holder that is stored at a leased key which nobody may hold.
 func ClosedNode(level Level) string { return fmt.Sprintf("(closed by feature level %d)", level) }
 
-// Txn is the transaction that takes a step. It fails if anything has changed that the
+// Txn returns the transaction that takes a step. It fails if anything has changed that the
 // decision rests on: the leader's term, the state, or, for a level to come, the record
 // of any controller, so that a restart voids it.
-func Txn(s State, step Step, next State, v View, at Versions) *wire.Txn {
+func Txn(s State, step Step, next State, view View, at Revisions) *wire.Txn {
 	t := &wire.Txn{Conditions: []wire.Condition{{Key: StateKey, Revision: at.State}}}
 	if s.Phase != Closed {
 		t.Conditions = append(t.Conditions, wire.Condition{Key: s.Keys().Leader(), Revision: at.Leader})
 	}
 	if step == Activate || step == Finalize {
-		for _, name := range v.Members {
-			t.Conditions = append(t.Conditions, wire.Condition{Key: ControllerKey(name), Revision: v.Controllers[name].Revision})
+		for _, name := range view.Members {
+			t.Conditions = append(t.Conditions, wire.Condition{Key: ControllerKey(name), Revision: view.Controllers[name].Revision})
 		}
 	}
 	t.Changes = append(t.Changes, wire.Change{Put: StateKey, Value: next.Encode()})
 	switch step {
 	case Finalize, Close:
-		for _, key := range s.Keys().all(v.Partitions) {
-			t.Changes = append(t.Changes, wire.Change{Put: key, Value: closedValue(max(s.Level, next.Level))})
+		for _, key := range s.Keys().all(view.Partitions) {
+			t.Changes = append(t.Changes, wire.Change{Put: key, Value: closedLeaseValue(max(s.Level, next.Level))})
 		}
 	case Open:
 		if next.Level == BaseLevel {
-			for _, key := range baseKeys.all(v.Partitions) {
+			for _, key := range baseKeys.all(view.Partitions) {
 				t.Changes = append(t.Changes, wire.Change{Delete: key})
 			}
 		}
@@ -56,8 +56,8 @@
 	return t
 }
 
-func closedValue(level Level) json.RawMessage {
-	raw, err := json.Marshal(closedKey{Node: ClosedNode(level)})
+func closedLeaseValue(level Level) json.RawMessage {
+	raw, err := json.Marshal(closedLease{Node: ClosedNode(level)})
 	if err != nil {
 		panic(fmt.Sprintf("rollout: encode closed key: %v", err)) // plain data always encodes
 	}
--- a/internal/rollout/txn_test.go
+++ b/internal/rollout/txn_test.go
@@ -48,18 +48,18 @@
 }
 
 // settled is a cluster of two controllers, in a state, with its view and versions.
-func settled(t *testing.T, c *store.Client, s State) (View, Versions) {
+func settled(t *testing.T, c *store.Client, s State) (View, Revisions) {
 	t.Helper()
-	v := View{Now: time.UnixMilli(0), Members: []string{"n0", "n1"}, Controllers: map[string]Registered{}, Leading: true, Current: true, Partitions: 2, TransactionChanges: 10}
-	for _, name := range v.Members {
+	view := View{Now: time.UnixMilli(0), Members: []string{"n0", "n1"}, Controllers: map[string]Registered{}, Leading: true, Current: true, Partitions: 2, MaxTxnChanges: 10}
+	for _, name := range view.Members {
 		r := Controller{Node: name, Range: Supported}
-		v.Controllers[name] = Registered{Controller: r, Revision: put(t, c, ControllerKey(name), r)}
+		view.Controllers[name] = Registered{Controller: r, Revision: put(t, c, ControllerKey(name), r)}
 	}
 	for n := range 2 {
 		put(t, c, s.Keys().Partition(n), "held")
 	}
 	leader := put(t, c, s.Keys().Leader(), "held")
-	return v, Versions{State: put(t, c, StateKey, s), Leader: leader}
+	return view, Revisions{State: put(t, c, StateKey, s), Leader: leader}
 }
 
 // Whatever a step rests on voids it when it has changed before the step is applied: a
@@ -73,10 +73,10 @@
 		voids []string
 	}{
 		{Activate, Initial, all},
-		{Finalize, State{Level: 1, Phase: Activated, Wish: WishFinalize}, all},
-		{Hold, State{Level: 1, Phase: Activated, Wish: WishAbort}, some},
-		{Resume, State{Level: 1, Phase: Stable, Held: true, Wish: WishFinalize}, some},
-		{Revert, State{Level: 2, Phase: Stable, Epoch: 1, Wish: WishAbort}, some},
+		{Finalize, State{Level: 1, Phase: Activated, Request: RequestFinalize}, all},
+		{Hold, State{Level: 1, Phase: Activated, Request: RequestAbort}, some},
+		{Resume, State{Level: 1, Phase: Stable, Held: true, Request: RequestFinalize}, some},
+		{Revert, State{Level: 2, Phase: Stable, Epoch: 1, Request: RequestAbort}, some},
 		{Close, State{Level: 2, Phase: Reverting, Epoch: 1, Held: true}, some},
 		{Open, State{Level: 2, Phase: Closed, Epoch: 1, Held: true}, []string{StateKey}},
 	} {
@@ -113,7 +113,7 @@
 // way back is complete; then each is vacant.
 func TestKeysOfRightsAreClosedAndOpened(t *testing.T) {
 	state, c := newStore()
-	s := State{Level: 1, Phase: Activated, Wish: WishFinalize}
+	s := State{Level: 1, Phase: Activated, Request: RequestFinalize}
 	view, at := settled(t, c, s)
 	step, next := Decide(s, view)
 	if _, err := c.Txn(t.Context(), Txn(s, step, next, view, at)); err != nil {
@@ -140,7 +140,7 @@
 // Who does not lead, or does not know all that was stored before, decides nothing.
 func TestNobodyElseDecides(t *testing.T) {
 	_, c := newStore()
-	for _, s := range []State{Initial, {Level: 1, Phase: Activated, Wish: WishFinalize}, {Level: 2, Phase: Reverting, Epoch: 1}, {Level: 2, Phase: Closed, Epoch: 1}} {
+	for _, s := range []State{Initial, {Level: 1, Phase: Activated, Request: RequestFinalize}, {Level: 2, Phase: Reverting, Epoch: 1}, {Level: 2, Phase: Closed, Epoch: 1}} {
 		view, _ := settled(t, c, s)
 		view.Current = false
 		if step, next := Decide(s, view); step != NoStep || next != s {
@@ -156,7 +156,7 @@
 // Each reason that keeps a step from being taken is named.
 func TestBlockersAreNamed(t *testing.T) {
 	_, c := newStore()
-	active := State{Level: 1, Phase: Activated, Wish: WishFinalize}
+	active := State{Level: 1, Phase: Activated, Request: RequestFinalize}
 	reverting := State{Level: 2, Phase: Reverting, Epoch: 1}
 	for _, x := range []struct {
 		state  State
@@ -167,11 +167,11 @@
 		{active, func(v *View) { delete(v.Controllers, "n1") }, BlockMissing, "n1"},
 		{active, func(v *View) { v.Members = append(v.Members, "n2") }, BlockMissing, "n2"},
 		{active, func(v *View) { v.Members = v.Members[:1] }, BlockForeign, "n1"},
-		{active, func(v *View) { v.TransactionChanges = 3 }, BlockLimit, "3 are allowed"},
+		{active, func(v *View) { v.MaxTxnChanges = 3 }, BlockLimit, "3 are allowed"},
 		{State{Level: 2, Phase: Activated, Epoch: 1}, func(*View) {}, BlockOld, "n0 does not read level 3"},
 		{State{Level: 1, Phase: Stable, Held: true}, func(*View) {}, BlockHeld, "operator"},
-		{reverting, func(v *View) { v.Above = 7 }, BlockRecords, "7 records"},
-		{reverting, func(v *View) { v.Unreadable = 2 }, BlockUnreadable, "2 records"},
+		{reverting, func(v *View) { v.RecordsAbove = 7 }, BlockRecords, "7 records"},
+		{reverting, func(v *View) { v.UnreadableRecords = 2 }, BlockUnreadable, "2 records"},
 		{reverting, func(v *View) {
 			v.Controllers["n0"] = Registered{Controller: Controller{Node: "n0", Range: Range{2, 3}}}
 		}, BlockOld, "n0"},
@@ -205,17 +205,17 @@
 func TestTwoOperatorsAtOnce(t *testing.T) {
 	_, c := newStore()
 	settled(t, c, State{Level: 1, Phase: Activated})
-	other := State{Level: 1, Phase: Activated, Wish: WishFinalize}
-	op := &Operator{Members: []string{"n0", "n1"}, Partitions: 2, TransactionChanges: 10}
+	other := State{Level: 1, Phase: Activated, Request: RequestFinalize}
+	op := &Operator{Members: []string{"n0", "n1"}, Partitions: 2, MaxTxnChanges: 10}
 	op.Store = &racing{Client: c, first: func() { put(t, c, StateKey, other) }}
-	if _, err := op.Request(t.Context(), WishAbort); !errors.Is(err, ErrChanged) {
+	if _, err := op.Submit(t.Context(), RequestAbort); !errors.Is(err, ErrChanged) {
 		t.Errorf("the second one is told %v", err)
 	}
 	if now, _, err := op.state(t.Context()); err != nil || now != other {
 		t.Errorf("%+v after the first one's wish: %v", now, err)
 	}
 	op.Store = c
-	if _, err := op.Request(t.Context(), WishAbort); err != nil {
+	if _, err := op.Submit(t.Context(), RequestAbort); err != nil {
 		t.Errorf("asked again: %v", err)
 	}
 }
