--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,10 +1,10 @@
-// Package codec has the building blocks of the handwritten binary formats: unsigned
-// varints, length-prefixed strings and bytes, and a reader that remembers the first error.
+// Package codec has the building blocks of the handwritten binary formats: varints,
+// length-prefixed strings, bytes, checksums, and a reader that remembers the first error.
 package codec
 
 import "encoding/binary"
 
-// MaxString bounds a string's length on both sides.
+// MaxString bounds a string's length in bytes: of both writers and readers.
 const MaxString = 1 << 10
 
 // AppendString appends s, cut to MaxString, with its length.
@@ -14,12 +14,13 @@
 	return append(buf, s...)
 }
 
-// AppendSuffix appends s as what it shares with the string before it and the rest. Names
-// and addresses in a list mostly differ at their ends alone.
-func AppendSuffix(buf []byte, before, s string) []byte {
+// AppendSuffix appends s, cut to MaxString, as the length of the prefix that it shares with the
+// previous string and the rest. Names and addresses in a list mostly differ at their ends
+// alone.
+func AppendSuffix(buf []byte, previous, s string) []byte {
 	s = s[:min(len(s), MaxString)]
 	shared := 0
-	for shared < min(len(before), len(s)) && before[shared] == s[shared] {
+	for shared < min(len(previous), len(s)) && previous[shared] == s[shared] {
 		shared++
 	}
 	buf = binary.AppendUvarint(buf, uint64(shared))
@@ -27,26 +28,26 @@
 }
 
 // Reader takes values off a buffer. After a malformed value all further ones are zero;
-// Done tells whether everything was well formed.
+// Complete tells whether everything was well formed. The buffer must not be modified meanwhile.
 type Reader struct {
-	buf []byte
-	bad bool
+	buf       []byte
+	malformed bool
 }
 
 // NewReader returns a reader of buf.
 func NewReader(buf []byte) *Reader { return &Reader{buf: buf} }
 
-// Bad tells whether something malformed was read.
-func (r *Reader) Bad() bool { return r.bad }
+// Malformed tells whether something malformed was read.
+func (r *Reader) Malformed() bool { return r.malformed }
 
-// Done tells whether all was well formed and nothing is left.
-func (r *Reader) Done() bool { return !r.bad && len(r.buf) == 0 }
+// Complete tells whether all was well formed and nothing is left.
+func (r *Reader) Complete() bool { return !r.malformed && len(r.buf) == 0 }
 
 // Uvarint reads an unsigned varint.
 func (r *Reader) Uvarint() uint64 {
 	v, n := binary.Uvarint(r.buf)
 	if n <= 0 {
-		r.bad = true
+		r.malformed = true
 		return 0
 	}
 	r.buf = r.buf[n:]
@@ -57,7 +58,7 @@
 func (r *Reader) Varint() int64 {
 	v, n := binary.Varint(r.buf)
 	if n <= 0 {
-		r.bad = true
+		r.malformed = true
 		return 0
 	}
 	r.buf = r.buf[n:]
@@ -67,8 +68,8 @@
 // Text reads a string.
 func (r *Reader) Text() string {
 	n := r.Uvarint()
-	if r.bad || n > MaxString || n > uint64(len(r.buf)) {
-		r.bad = true
+	if r.malformed || n > MaxString || n > uint64(len(r.buf)) {
+		r.malformed = true
 		return ""
 	}
 	s := string(r.buf[:n])
@@ -76,16 +77,16 @@
 	return s
 }
 
-// Suffix reads a string that AppendSuffix wrote after the string before it.
-func (r *Reader) Suffix(before string) string {
+// Suffix reads a string that AppendSuffix wrote after the previous string.
+func (r *Reader) Suffix(previous string) string {
 	shared := r.Uvarint()
-	if r.bad || shared > uint64(len(before)) {
-		r.bad = true
+	if r.malformed || shared > uint64(len(previous)) {
+		r.malformed = true
 		return ""
 	}
-	s := before[:shared] + r.Text()
+	s := previous[:shared] + r.Text()
 	if len(s) > MaxString {
-		r.bad = true
+		r.malformed = true
 		return ""
 	}
 	return s
@@ -94,7 +95,7 @@
 // Byte reads one byte.
 func (r *Reader) Byte() uint8 {
 	if len(r.buf) == 0 {
-		r.bad = true
+		r.malformed = true
 		return 0
 	}
 	b := r.buf[0]
@@ -102,12 +103,12 @@
 	return b
 }
 
-// Count reads a number of elements of at least least bytes each, so that a malformed
-// count can't ask for more memory than the buffer accounts for.
-func (r *Reader) Count(least int) int {
+// Count reads a number of elements of at least elementBytes each, so that a malformed count
+// can't ask for more memory than the buffer accounts for.
+func (r *Reader) Count(elementBytes int) int {
 	n := r.Uvarint()
-	if r.bad || n > uint64(len(r.buf)/least) {
-		r.bad = true
+	if r.malformed || n > uint64(len(r.buf)/elementBytes) {
+		r.malformed = true
 		return 0
 	}
 	return int(n)
--- a/internal/record/group_test.go
+++ b/internal/record/group_test.go
@@ -32,21 +32,21 @@
 func TestGroupsAreReadAsTheyWereWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := drawGroup(t)
-		for _, form := range []Encoding{PlainJSON, Checksummed} {
-			content := g.Encode(form)
+		for _, encoding := range []Encoding{PlainJSON, Checksummed} {
+			content := g.Encode(encoding)
 			raw := content.At("e/group/wk-1/0")
 			if len(raw) != content.Size() || !json.Valid(raw) {
-				t.Fatalf("form %d: %d bytes, not %d, or no JSON: %s", form, len(raw), content.Size(), raw)
+				t.Fatalf("form %d: %d bytes, not %d, or no JSON: %s", encoding, len(raw), content.Size(), raw)
 			}
-			if EncodingOf(raw) != form {
-				t.Fatalf("form %d is taken for %d", form, EncodingOf(raw))
+			if EncodingOf(raw) != encoding {
+				t.Fatalf("form %d is taken for %d", encoding, EncodingOf(raw))
 			}
 			got, as, err := DecodeTaskGroup("e/group/wk-1/0", raw)
-			if err != nil || as != form {
-				t.Fatalf("form %d: read as %d: %v", form, as, err)
+			if err != nil || as != encoding {
+				t.Fatalf("form %d: read as %d: %v", encoding, as, err)
 			}
 			if d := cmp.Diff(g, got); d != "" {
-				t.Fatalf("form %d: %s", form, d)
+				t.Fatalf("form %d: %s", encoding, d)
 			}
 		}
 	})
@@ -94,9 +94,9 @@
 func TestLongNamesStayPlain(t *testing.T) {
 	g := &TaskGroup{Tasks: []Binding{{Machine: strings.Repeat("m", 2000)}}}
 	raw := g.Encode(Checksummed).At("e/group/wk-1/0")
-	got, form, err := DecodeTaskGroup("e/group/wk-1/0", raw)
-	if err != nil || form != PlainJSON {
-		t.Fatalf("form %d: %v", form, err)
+	got, encoding, err := DecodeTaskGroup("e/group/wk-1/0", raw)
+	if err != nil || encoding != PlainJSON {
+		t.Fatalf("form %d: %v", encoding, err)
 	}
 	if d := cmp.Diff(g, got); d != "" {
 		t.Error(d)
@@ -121,14 +121,14 @@
 	for i := range 24 {
 		g.Tasks = append(g.Tasks, Binding{Task: int32(i), Attempt: 1, Machine: fmt.Sprintf("host-%06d", i), Incarnation: 1, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
 	}
-	for _, form := range []Encoding{PlainJSON, Checksummed} {
-		raw := g.Encode(form).At("e/group/wk-1/0")
-		b.Run(fmt.Sprintf("encode form %d", form), func(b *testing.B) {
+	for _, encoding := range []Encoding{PlainJSON, Checksummed} {
+		raw := g.Encode(encoding).At("e/group/wk-1/0")
+		b.Run(fmt.Sprintf("encode form %d", encoding), func(b *testing.B) {
 			for b.Loop() {
-				g.Encode(form).At("e/group/wk-1/0")
+				g.Encode(encoding).At("e/group/wk-1/0")
 			}
 		})
-		b.Run(fmt.Sprintf("decode form %d", form), func(b *testing.B) {
+		b.Run(fmt.Sprintf("decode form %d", encoding), func(b *testing.B) {
 			for b.Loop() {
 				if _, _, err := DecodeTaskGroup("e/group/wk-1/0", raw); err != nil {
 					b.Fatal(err)
