--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -11,21 +11,25 @@
 )
 
 const (
-	dialTimeout  = 1 * time.Second
+	dialTimeout  = time.Second
 	writeTimeout = 2 * time.Second
-	// A peer that says nothing for this long has lost the connection.
+	// readTimeout: a peer that sends nothing for this long has lost the connection.
 	readTimeout = 5 * time.Second
-	maxPeers    = 32
+	// maxConnections is how many connections of peers are served at a time.
+	maxConnections = 32
+	// acceptRetryInterval is the pause after a connection could not be accepted.
+	acceptRetryInterval = 100 * time.Millisecond
 )
 
-// Serve accepts siblings on l and hands each status to deliver until ctx ends.
-// A bad frame ends its connection and nothing else.
+// Serve accepts peers on l, which it closes, and calls deliver with each status that they send
+// until ctx ends. deliver is called concurrently. A bad frame ends its connection and nothing
+// else.
 func Serve(ctx context.Context, l net.Listener, log *slog.Logger, deliver func(*Status)) {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	slots := make(chan struct{}, maxPeers)
+	var connections sync.WaitGroup
+	defer connections.Wait()
+	slots := make(chan struct{}, maxConnections)
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -35,7 +39,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(100 * time.Millisecond):
+			case <-time.After(acceptRetryInterval):
 			}
 			continue
 		}
@@ -45,56 +49,57 @@
 			conn.Close()
 			continue
 		}
-		wg.Go(func() {
+		connections.Go(func() {
 			defer func() { <-slots }()
 			receive(ctx, conn, log, deliver)
 		})
 	}
 }
 
-// receive hands each status of a connection to deliver until that, or ctx, ends.
+// receive calls deliver with each status of a connection until that, or ctx, ends.
 func receive(ctx context.Context, conn net.Conn, log *slog.Logger, deliver func(*Status)) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	defer conn.Close()
-	r := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for {
-		conn.SetReadDeadline(time.Now().Add(readTimeout))
-		s, err := ReadStatus(r)
+		// It fails on a closed connection alone, and then so does the read.
+		_ = conn.SetReadDeadline(time.Now().Add(readTimeout))
+		status, err := ReadStatus(reader)
 		if errors.Is(err, ErrVersion) || errors.Is(err, ErrChecksum) {
-			log.Error("sibling refused", "addr", conn.RemoteAddr().String(), "err", err)
+			log.Error("peer refused", "addr", conn.RemoteAddr().String(), "err", err)
 			return
 		}
 		if err != nil {
-			log.Debug("sibling connection ended", "addr", conn.RemoteAddr().String(), "err", err)
+			log.Debug("peer connection ended", "addr", conn.RemoteAddr().String(), "err", err)
 			return
 		}
-		deliver(s)
+		deliver(status)
 	}
 }
 
-// Sender keeps a connection to one sibling and sends it the latest status.
+// Sender keeps a connection to one peer and sends it the latest status.
 type Sender struct {
-	addr string
-	next chan []byte
+	addr   string
+	latest chan []byte
 }
 
-// NewSender returns a sender to addr.
-func NewSender(addr string) *Sender { return &Sender{addr: addr, next: make(chan []byte, 1)} }
+// NewSender returns a sender to the peer at addr (host:port).
+func NewSender(addr string) *Sender { return &Sender{addr: addr, latest: make(chan []byte, 1)} }
 
-// Offer replaces the frame waiting to be sent.
+// Offer replaces the frame that waits to be sent. It doesn't block.
 func (s *Sender) Offer(frame []byte) {
 	select {
-	case <-s.next:
+	case <-s.latest:
 	default:
 	}
 	select {
-	case s.next <- frame:
+	case s.latest <- frame:
 	default:
 	}
 }
 
-// Run sends until ctx ends.
+// Run sends until ctx ends. A frame that can't be sent is dropped: the next one is newer.
 func (s *Sender) Run(ctx context.Context) {
 	var conn net.Conn
 	defer func() {
@@ -102,24 +107,32 @@
 			conn.Close()
 		}
 	}()
-	d := net.Dialer{Timeout: dialTimeout}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case frame := <-s.next:
-			if conn == nil {
-				c, err := d.DialContext(ctx, "tcp", s.addr)
-				if err != nil {
-					continue
-				}
-				conn = c
-			}
-			conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-			if _, err := conn.Write(frame); err != nil {
-				conn.Close()
-				conn = nil
-			}
+		case frame := <-s.latest:
+			conn = s.send(ctx, conn, frame)
+		}
+	}
+}
+
+// send sends a frame on a connection, or on a new one if that is nil, and returns the
+// connection to use for the next frame; nil: a new one.
+func (s *Sender) send(ctx context.Context, conn net.Conn, frame []byte) net.Conn {
+	if conn == nil {
+		dialer := net.Dialer{Timeout: dialTimeout}
+		dialed, err := dialer.DialContext(ctx, "tcp", s.addr)
+		if err != nil {
+			return nil
 		}
+		conn = dialed
+	}
+	// It fails on a closed connection alone, and then so does the write.
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if _, err := conn.Write(frame); err != nil {
+		conn.Close()
+		return nil
 	}
+	return conn
 }
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -12,24 +12,24 @@
 
 func TestStatusRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &Status{Node: rapid.StringN(0, 20, 100).Draw(t, "node"), ProcessID: rapid.StringN(0, 20, 100).Draw(t, "boot"), Fresh: rapid.Bool().Draw(t, "fresh"), Eligible: rapid.Bool().Draw(t, "able"),
+		status := &Status{Node: rapid.StringN(0, 20, 100).Draw(t, "node"), ProcessID: rapid.StringN(0, 20, 100).Draw(t, "boot"), Fresh: rapid.Bool().Draw(t, "fresh"), Eligible: rapid.Bool().Draw(t, "able"),
 			Partitions: rapid.SliceOf(rapid.Uint64()).Draw(t, "parts")}
 		for range rapid.IntRange(0, 5).Draw(t, "n") {
-			s.Machines = append(s.Machines, Machine{Name: rapid.StringN(0, 20, 100).Draw(t, "name"), Addr: "10.1.0.2:9000", Type: "g8", Zone: "a",
+			status.Machines = append(status.Machines, Machine{Name: rapid.StringN(0, 20, 100).Draw(t, "name"), Addr: "10.1.0.2:9000", Type: "g8", Zone: "a",
 				Incarnation: rapid.Uint64().Draw(t, "session"), Flags: rapid.Uint8().Draw(t, "flags")})
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "closing") {
-			s.Draining = append(s.Draining, rapid.StringN(0, 20, 100).Draw(t, "closes"))
+			status.Draining = append(status.Draining, rapid.StringN(0, 20, 100).Draw(t, "closes"))
 		}
-		if len(s.Partitions) == 0 {
-			s.Partitions = nil
+		if len(status.Partitions) == 0 {
+			status.Partitions = nil
 		}
 		for _, version := range versions {
-			got, err := ReadStatus(bytes.NewReader(AppendStatus(nil, s, version)))
+			got, err := ReadStatus(bytes.NewReader(AppendStatus(nil, status, version)))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if d := cmp.Diff(s, got); d != "" {
+			if d := cmp.Diff(status, got); d != "" {
 				t.Fatal(d)
 			}
 		}
@@ -42,10 +42,10 @@
 func TestDamagedFramesAreRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		frame := AppendStatus(nil, &Status{Node: "n", ProcessID: "b", Partitions: []uint64{1}, Machines: []Machine{{Name: "m", Addr: "10.1.0.2:9000", Incarnation: 3}}}, ChecksummedFrame)
-		at := rapid.IntRange(headerSize, len(frame)-1).Draw(t, "at")
+		at := rapid.IntRange(headerBytes, len(frame)-1).Draw(t, "at")
 		frame[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
-		if s, err := ReadStatus(bytes.NewReader(frame)); !errors.Is(err, ErrChecksum) {
-			t.Fatalf("byte %d: %+v, %v", at, s, err)
+		if status, err := ReadStatus(bytes.NewReader(frame)); !errors.Is(err, ErrChecksum) {
+			t.Fatalf("byte %d: %+v, %v", at, status, err)
 		}
 	})
 }
@@ -58,9 +58,9 @@
 			good[rapid.IntRange(0, len(good)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
 		good = good[:rapid.IntRange(0, len(good)).Draw(t, "cut")]
-		s, err := ReadStatus(bytes.NewReader(good))
-		if (s == nil) == (err == nil) {
-			t.Fatalf("status %v, error %v", s, err)
+		status, err := ReadStatus(bytes.NewReader(good))
+		if (status == nil) == (err == nil) {
+			t.Fatalf("status %v, error %v", status, err)
 		}
 	})
 	other := AppendStatus(nil, &Status{}, PlainFrame)
@@ -73,20 +73,20 @@
 // The status of the only owner of 4,000 machines, all of them being emptied, fits a frame
 // of either version.
 func TestStatusOfManyMachines(t *testing.T) {
-	s := &Status{Node: "perch-0", ProcessID: "0123456789abcdef", Partitions: []uint64{0, 1, 2, 3, 4, 5}}
+	status := &Status{Node: "perch-0", ProcessID: "0123456789abcdef", Partitions: []uint64{0, 1, 2, 3, 4, 5}}
 	for i := range 4000 {
 		name := fmt.Sprintf("host-%06d-in-a-long-name", i)
-		s.Machines = append(s.Machines, Machine{Name: name, Addr: fmt.Sprintf("10.101.%d.%d:65535", i/250, i%250), Type: "a-large-type", Zone: "a-long-zone", Incarnation: 1 << 40, Flags: Reachable})
-		s.Draining = append(s.Draining, name)
+		status.Machines = append(status.Machines, Machine{Name: name, Addr: fmt.Sprintf("10.101.%d.%d:65535", i/250, i%250), Type: "a-large-type", Zone: "a-long-zone", Incarnation: 1 << 40, Flags: Reachable})
+		status.Draining = append(status.Draining, name)
 	}
 	for _, version := range versions {
-		frame := AppendStatus(nil, s, version)
+		frame := AppendStatus(nil, status, version)
 		t.Logf("version %d: %d bytes", version, len(frame))
 		got, err := ReadStatus(bytes.NewReader(frame))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d := cmp.Diff(s, got); d != "" {
+		if d := cmp.Diff(status, got); d != "" {
 			t.Error(d)
 		}
 	}
--- /dev/null
+++ b/internal/peer/status.go
@@ -0,0 +1,164 @@
+package peer
+
+import (
+	"encoding/binary"
+
+	"eiderhitch/internal/codec"
+)
+
+// Status is what one controller tells its peers.
+type Status struct {
+	Node string
+	// ProcessID is drawn at the start of the process: a restarted controller has the name of
+	// its former self, whose frames may still come late.
+	ProcessID string
+	// Fresh: its replica of the key-value store is current.
+	Fresh bool
+	// Eligible: it may take partitions over, since it is fresh and workers reach it.
+	Eligible   bool
+	Partitions []uint64 // that it owns
+	Machines   []Machine
+	// Draining are the machines on which nothing may be placed any more, since the leader
+	// is about to return them.
+	Draining []string
+}
+
+// Machine is what the owner of a partition knows of one of its machines.
+type Machine struct {
+	Name, Addr, Type, Zone string
+	Incarnation            uint64
+	Flags                  uint8
+}
+
+// Flags of a machine.
+const (
+	// Reachable: heartbeats are arriving.
+	Reachable = 1 << iota
+	// TerminationNotice: the cloud is about to take the machine.
+	TerminationNotice
+	// Cordoned: tasks of several jobs failed on it; nothing is placed there.
+	Cordoned
+	// Unreachable: it neither sends heartbeats nor answers its owner, who hears from others.
+	Unreachable
+	// Spot: it is a spot instance.
+	Spot
+	// NotHeardYet: no heartbeat has come since its owner took its partition over.
+	NotHeardYet
+)
+
+// Flags of a status.
+const (
+	flagFresh = 1 << iota
+	flagEligible
+)
+
+const (
+	// minMachineBytes is the least that a machine takes in any version.
+	minMachineBytes = 6
+	// minElementBytes is the least that a number or a string takes.
+	minElementBytes = 1
+)
+
+// appendSelf appends what a controller tells about itself.
+func appendSelf(buf []byte, status *Status) []byte {
+	buf = codec.AppendString(buf, status.Node)
+	buf = codec.AppendString(buf, status.ProcessID)
+	var flags uint8
+	if status.Fresh {
+		flags |= flagFresh
+	}
+	if status.Eligible {
+		flags |= flagEligible
+	}
+	buf = append(buf, flags)
+	buf = binary.AppendUvarint(buf, uint64(len(status.Partitions)))
+	for _, p := range status.Partitions {
+		buf = binary.AppendUvarint(buf, p)
+	}
+	return buf
+}
+
+// appendMachines appends the machines as PlainFrame has them.
+func appendMachines(buf []byte, status *Status) []byte {
+	buf = binary.AppendUvarint(buf, uint64(len(status.Machines)))
+	for i := range status.Machines {
+		m := &status.Machines[i]
+		buf = codec.AppendString(buf, m.Name)
+		buf = codec.AppendString(buf, m.Addr)
+		buf = codec.AppendString(buf, m.Type)
+		buf = codec.AppendString(buf, m.Zone)
+		buf = binary.AppendUvarint(buf, m.Incarnation)
+		buf = append(buf, m.Flags)
+	}
+	buf = binary.AppendUvarint(buf, uint64(len(status.Draining)))
+	for _, name := range status.Draining {
+		buf = codec.AppendString(buf, name)
+	}
+	return buf
+}
+
+// appendMachinesBySuffix appends the machines as ChecksummedFrame has them.
+func appendMachinesBySuffix(buf []byte, status *Status) []byte {
+	buf = binary.AppendUvarint(buf, uint64(len(status.Machines)))
+	previous := &Machine{}
+	for i := range status.Machines {
+		m := &status.Machines[i]
+		buf = codec.AppendSuffix(buf, previous.Name, m.Name)
+		buf = codec.AppendSuffix(buf, previous.Addr, m.Addr)
+		buf = codec.AppendSuffix(buf, previous.Type, m.Type)
+		buf = codec.AppendSuffix(buf, previous.Zone, m.Zone)
+		buf = binary.AppendUvarint(buf, m.Incarnation)
+		buf = append(buf, m.Flags)
+		previous = m
+	}
+	buf = binary.AppendUvarint(buf, uint64(len(status.Draining)))
+	previousName := ""
+	for _, name := range status.Draining {
+		buf = codec.AppendSuffix(buf, previousName, name)
+		previousName = name
+	}
+	return buf
+}
+
+// readSelf reads what appendSelf appended.
+func readSelf(reader *codec.Reader) *Status {
+	status := &Status{Node: reader.Text(), ProcessID: reader.Text()}
+	flags := reader.Byte()
+	status.Fresh, status.Eligible = flags&flagFresh != 0, flags&flagEligible != 0
+	for range reader.Count(minElementBytes) {
+		status.Partitions = append(status.Partitions, reader.Uvarint())
+	}
+	return status
+}
+
+// readMachines reads what appendMachines appended.
+func readMachines(reader *codec.Reader, status *Status) {
+	for range reader.Count(minMachineBytes) {
+		status.Machines = append(status.Machines, Machine{Name: reader.Text(), Addr: reader.Text(), Type: reader.Text(), Zone: reader.Text(),
+			Incarnation: reader.Uvarint(), Flags: reader.Byte()})
+		if reader.Malformed() {
+			return
+		}
+	}
+	for range reader.Count(minElementBytes) {
+		status.Draining = append(status.Draining, reader.Text())
+	}
+}
+
+// readMachinesBySuffix reads what appendMachinesBySuffix appended.
+func readMachinesBySuffix(reader *codec.Reader, status *Status) {
+	previous := Machine{}
+	for range reader.Count(minMachineBytes) {
+		previous = Machine{Name: reader.Suffix(previous.Name), Addr: reader.Suffix(previous.Addr), Type: reader.Suffix(previous.Type), Zone: reader.Suffix(previous.Zone),
+			Incarnation: reader.Uvarint(), Flags: reader.Byte()}
+		if reader.Malformed() {
+			return
+		}
+		status.Machines = append(status.Machines, previous)
+	}
+	previousName := ""
+	for range reader.Count(minElementBytes) {
+		previousName = reader.Suffix(previousName)
+		status.Draining = append(status.Draining, previousName)
+	}
+}
