--- a/cmd/eiderhitch/main.go
+++ b/cmd/eiderhitch/main.go
@@ -14,6 +14,7 @@
 // version is the program's version.
 const version = "0.1.0"
 
+// cli is the command line.
 type cli struct {
 	Run     runCommand       `cmd:"" default:"withargs" help:"Run a controller."`
 	Upgrade upgradeCommand   `cmd:"" help:"Show and steer a staged upgrade (docs/upgrading.md)."`
@@ -29,15 +30,15 @@
 	err    error
 }
 
-// Error is the error in one line.
+// Error returns the error in one line.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap is the error without the exit status.
+// Unwrap returns the error without the exit status.
 func (e *exitError) Unwrap() error { return e.err }
 
 func main() {
-	var c cli
-	ctx := kong.Parse(&c, kong.Name("eiderhitch"), kong.Description("A cluster scheduler: a controller of the service, and operators' commands."),
+	var commandLine cli
+	ctx := kong.Parse(&commandLine, kong.Name("eiderhitch"), kong.Description("A cluster scheduler: a controller of the service, and operators' commands."),
 		kong.Vars{"version": "eiderhitch " + build()})
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "eiderhitch:", err)
@@ -45,7 +46,7 @@
 	}
 }
 
-// statusOf is the exit status that an error leads to.
+// statusOf returns the exit status that an error leads to.
 func statusOf(err error) int {
 	if e, ok := errors.AsType[*exitError](err); ok {
 		return e.status
@@ -56,15 +57,15 @@
 // revisionLength is how much of a commit's name is shown.
 const revisionLength = 12
 
-// build names the version and, as far as it is known, the commit.
+// build returns the version and, as far as it is known, the commit.
 func build() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return version
 	}
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			return version + " " + s.Value[:min(len(s.Value), revisionLength)]
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			return version + " " + setting.Value[:min(len(setting.Value), revisionLength)]
 		}
 	}
 	return version
--- /dev/null
+++ b/cmd/eiderhitch/print.go
@@ -0,0 +1,77 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"text/tabwriter"
+	"time"
+
+	"eiderhitch/internal/rollout"
+)
+
+// print prints a status in the form that the flags ask for.
+func (c *clusterFlags) print(out io.Writer, status *rollout.Status) error {
+	if !c.JSON {
+		return printStatus(out, status)
+	}
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(status)
+}
+
+// printStatus prints a status as tables for people.
+func printStatus(out io.Writer, s *rollout.Status) error {
+	const columnGap = 2
+	w := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0) // Flush returns its first error
+	printState(w, s)
+	printControllers(w, s)
+	printBlockers(w, s.Blockers)
+	return w.Flush()
+}
+
+// printState prints the levels and the records.
+func printState(w io.Writer, s *rollout.Status) {
+	fmt.Fprintf(w, "level\t%d (%s)\n", s.State.Level, s.State.Phase)
+	fmt.Fprintf(w, "active\t%d\n", s.Active)
+	fmt.Fprintf(w, "records written at\t%d\n", s.Writes)
+	if s.State.Since > 0 {
+		fmt.Fprintf(w, "since\t%s\n", timeOf(s.State.Since))
+	}
+	if s.State.Held {
+		fmt.Fprintf(w, "held\tyes: finalize ends that\n")
+	}
+	if s.State.Request != rollout.NoRequest {
+		fmt.Fprintf(w, "asked for\t%s\n", s.State.Request)
+	}
+	for _, encoding := range slices.Sorted(maps.Keys(s.Records)) {
+		fmt.Fprintf(w, "records, %s\t%d\n", encoding, s.Records[encoding])
+	}
+}
+
+// printControllers prints which controllers are registered and which are missing.
+func printControllers(w io.Writer, s *rollout.Status) {
+	fmt.Fprintf(w, "\ncontroller\treads\tbuild\tsince\n")
+	for _, c := range s.Controllers {
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", c.Node, c.Range, c.Build, timeOf(c.StartedAt))
+	}
+	for _, name := range s.Missing {
+		fmt.Fprintf(w, "%s\tnot registered\n", name)
+	}
+}
+
+// printBlockers prints why the next step can't be taken, if it can't.
+func printBlockers(w io.Writer, blockers []rollout.Blocker) {
+	if len(blockers) == 0 {
+		return
+	}
+	fmt.Fprintf(w, "\nin the way of the next step:\n")
+	for _, blocker := range blockers {
+		fmt.Fprintf(w, "  %s\n", blocker)
+	}
+}
+
+// timeOf formats a time in milliseconds since the epoch.
+func timeOf(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.DateTime) }
--- a/cmd/eiderhitch/run.go
+++ b/cmd/eiderhitch/run.go
@@ -40,15 +40,12 @@
 		}
 	}
 	if c.Check {
-		for _, w := range platform.Warnings() {
-			fmt.Println("warning:", w)
-		}
-		fmt.Println("settings are valid")
+		printValid(platform.Warnings())
 		return nil
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	for _, w := range platform.Warnings() {
-		log.Warn("limit", "node", platform.Name, "why", w)
+	for _, warning := range platform.Warnings() {
+		log.Warn("limit", "node", platform.Name, "why", warning)
 	}
 	limitRuntime(platform, log)
 	controller.Build = build()
@@ -57,25 +54,36 @@
 	return controller.Run(ctx, platform, operator, log)
 }
 
-// logLevel is the level that the environment asks for.
+// printValid says that the settings are valid, with what they are warned of.
+func printValid(warnings []string) {
+	for _, warning := range warnings {
+		fmt.Println("warning:", warning)
+	}
+	fmt.Println("settings are valid")
+}
+
+// logLevelVariable is the environment variable that sets the log level.
+const logLevelVariable = "LOG_LEVEL"
+
+// logLevel returns the level that the environment asks for; info by default.
 func logLevel() (slog.Level, error) {
 	level := slog.LevelInfo
-	s := os.Getenv("LOG_LEVEL")
-	if s == "" {
+	name := os.Getenv(logLevelVariable)
+	if name == "" {
 		return level, nil
 	}
-	if err := level.UnmarshalText([]byte(strings.ToUpper(s))); err != nil {
-		return level, fmt.Errorf("LOG_LEVEL: %q is not error, info or debug", s)
+	if err := level.UnmarshalText([]byte(strings.ToUpper(name))); err != nil {
+		return level, fmt.Errorf("%s: %q is not error, info or debug", logLevelVariable, name)
 	}
 	return level, nil
 }
 
-// limitRuntime has the runtime keep to the platform's limits.
+// limitRuntime has the Go runtime keep to the platform's limits.
 func limitRuntime(platform *config.Platform, log *slog.Logger) {
 	memory := platform.Memory()
 	debug.SetGCPercent(memory.GCPercent)
 	debug.SetMemoryLimit(memory.LimitBytes)
-	// More threads than the share of processor time is for only wake each other up.
+	// More threads than there are cores in the share only wake each other up.
 	if n := int(math.Ceil(platform.Settings.Limits.CPUShare)); n > 0 && n < runtime.GOMAXPROCS(0) {
 		runtime.GOMAXPROCS(n)
 	}
