--- a/cmd/eiderhitch/upgrade_test.go
+++ b/cmd/eiderhitch/upgrade_test.go
@@ -129,11 +129,11 @@
 	s.register("n0")
 	active := rollout.State{Level: 1, Phase: rollout.Activated}
 	for _, x := range []struct {
-		name   string
-		state  rollout.State
-		wish   rollout.Request
-		status int
-		says   string
+		name    string
+		state   rollout.State
+		request rollout.Request
+		status  int
+		says    string
 	}{
 		{"a controller is missing", active, rollout.RequestFinalize, exitRefused, "n1 is not registered"},
 		{"no level is active", rollout.Initial, rollout.RequestFinalize, exitRefused, "no level is active"},
@@ -144,7 +144,7 @@
 	} {
 		s.put(rollout.StateKey, x.state.Encode())
 		flags := s.flags(false)
-		err := flags.request(&bytes.Buffer{}, x.wish, 10*time.Millisecond)
+		err := flags.request(&bytes.Buffer{}, x.request, 10*time.Millisecond)
 		if err == nil || statusOf(err) != x.status || !strings.Contains(err.Error(), x.says) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", x.name, err)
 		}
@@ -156,7 +156,7 @@
 	}
 }
 
-// A leader that carries a wish out is waited for.
+// A leader that carries a request out is waited for.
 func TestRequestIsWaitedFor(t *testing.T) {
 	s := newStateService(t)
 	s.register("n0", "n1")
@@ -190,7 +190,7 @@
 	}
 	away := clusterFlags{Config: nobody}
 	if err := away.show(&bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), "external.state") || strings.Contains(err.Error(), "\n") {
-		t.Errorf("no state service: %v", err)
+		t.Errorf("no key-value store: %v", err)
 	}
 }
 
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -99,7 +99,7 @@
 	})
 }
 
-// The state service's limits that are to come hold from the start where they are lower,
+// The key-value store's next limits hold from the start where they are lower,
 // and one that can't be worked with is refused by its name.
 func TestNextLimits(t *testing.T) {
 	with := func(next string) (*Platform, error) {
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -12,14 +12,14 @@
 
 func TestStatusRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		status := &Status{Node: rapid.StringN(0, 20, 100).Draw(t, "node"), ProcessID: rapid.StringN(0, 20, 100).Draw(t, "boot"), Fresh: rapid.Bool().Draw(t, "fresh"), Eligible: rapid.Bool().Draw(t, "able"),
-			Partitions: rapid.SliceOf(rapid.Uint64()).Draw(t, "parts")}
+		status := &Status{Node: rapid.StringN(0, 20, 100).Draw(t, "node"), ProcessID: rapid.StringN(0, 20, 100).Draw(t, "process id"), Fresh: rapid.Bool().Draw(t, "fresh"), Eligible: rapid.Bool().Draw(t, "eligible"),
+			Partitions: rapid.SliceOf(rapid.Uint64()).Draw(t, "partitions")}
 		for range rapid.IntRange(0, 5).Draw(t, "n") {
 			status.Machines = append(status.Machines, Machine{Name: rapid.StringN(0, 20, 100).Draw(t, "name"), Addr: "10.1.0.2:9000", Type: "g8", Zone: "a",
-				Incarnation: rapid.Uint64().Draw(t, "session"), Flags: rapid.Uint8().Draw(t, "flags")})
+				Incarnation: rapid.Uint64().Draw(t, "incarnation"), Flags: rapid.Uint8().Draw(t, "flags")})
 		}
-		for range rapid.IntRange(0, 3).Draw(t, "closing") {
-			status.Draining = append(status.Draining, rapid.StringN(0, 20, 100).Draw(t, "closes"))
+		for range rapid.IntRange(0, 3).Draw(t, "draining") {
+			status.Draining = append(status.Draining, rapid.StringN(0, 20, 100).Draw(t, "drained"))
 		}
 		if len(status.Partitions) == 0 {
 			status.Partitions = nil
@@ -38,7 +38,7 @@
 
 var versions = []Version{PlainFrame, ChecksummedFrame}
 
-// A checked frame that is damaged is refused, whatever the damage would make of it.
+// A checksummed frame that is damaged is refused, whatever the damage would make of it.
 func TestDamagedFramesAreRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		frame := AppendStatus(nil, &Status{Node: "n", ProcessID: "b", Partitions: []uint64{1}, Machines: []Machine{{Name: "m", Addr: "10.1.0.2:9000", Incarnation: 3}}}, ChecksummedFrame)
@@ -70,7 +70,7 @@
 	}
 }
 
-// The status of the only owner of 4,000 machines, all of them being emptied, fits a frame
+// The status of the only owner of 4,000 machines, all of them being drained, fits a frame
 // of either version.
 func TestStatusOfManyMachines(t *testing.T) {
 	status := &Status{Node: "perch-0", ProcessID: "0123456789abcdef", Partitions: []uint64{0, 1, 2, 3, 4, 5}}
--- a/internal/record/group_test.go
+++ b/internal/record/group_test.go
@@ -15,14 +15,14 @@
 )
 
 func drawGroup(t *rapid.T) *TaskGroup {
-	g := &TaskGroup{Partition: rapid.IntRange(0, 40).Draw(t, "part"), Zone: rapid.SampledFrom([]string{"", "a", "sundarban"}).Draw(t, "zone"),
-		Guaranteed: rapid.Bool().Draw(t, "own"), Done: rapid.IntRange(0, 1000).Draw(t, "done"), Throttle: rapid.IntRange(0, 1000).Draw(t, "cap"), Tasks: []Binding{}}
+	g := &TaskGroup{Partition: rapid.IntRange(0, 40).Draw(t, "partition"), Zone: rapid.SampledFrom([]string{"", "a", "sundarban"}).Draw(t, "zone"),
+		Guaranteed: rapid.Bool().Draw(t, "guaranteed"), Done: rapid.IntRange(0, 1000).Draw(t, "done"), Throttle: rapid.IntRange(0, 1000).Draw(t, "throttle"), Tasks: []Binding{}}
 	for range rapid.IntRange(0, 20).Draw(t, "tasks") {
 		task := Binding{Task: rapid.Int32Range(0, 100_000).Draw(t, "num"), Attempt: rapid.Uint64().Draw(t, "attempt")}
 		if rapid.Bool().Draw(t, "bound") {
 			n := rapid.IntRange(0, 5).Draw(t, "machine")
 			task.Machine, task.Addr = fmt.Sprintf("host-%06d", n), fmt.Sprintf("10.1.0.%d:9000", n)
-			task.Incarnation = rapid.Uint64Range(1, 5).Draw(t, "session")
+			task.Incarnation = rapid.Uint64Range(1, 5).Draw(t, "incarnation")
 		}
 		g.Tasks = append(g.Tasks, task)
 	}
@@ -36,23 +36,23 @@
 			content := g.Encode(encoding)
 			raw := content.At("e/group/wk-1/0")
 			if len(raw) != content.Size() || !json.Valid(raw) {
-				t.Fatalf("form %d: %d bytes, not %d, or no JSON: %s", encoding, len(raw), content.Size(), raw)
+				t.Fatalf("encoding %d: %d bytes, not %d, or no JSON: %s", encoding, len(raw), content.Size(), raw)
 			}
 			if EncodingOf(raw) != encoding {
-				t.Fatalf("form %d is taken for %d", encoding, EncodingOf(raw))
+				t.Fatalf("encoding %d is taken for %d", encoding, EncodingOf(raw))
 			}
 			got, as, err := DecodeTaskGroup("e/group/wk-1/0", raw)
 			if err != nil || as != encoding {
-				t.Fatalf("form %d: read as %d: %v", encoding, as, err)
+				t.Fatalf("encoding %d: read as %d: %v", encoding, as, err)
 			}
 			if d := cmp.Diff(g, got); d != "" {
-				t.Fatalf("form %d: %s", encoding, d)
+				t.Fatalf("encoding %d: %s", encoding, d)
 			}
 		}
 	})
 }
 
-// A checked value that is damaged anywhere, cut, or stored at another key is refused; it
+// A checksummed value that is damaged anywhere, cut, or stored at another key is refused; it
 // is never read as something else.
 func TestDamagedAndMisplacedGroupsAreRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -73,16 +73,16 @@
 	})
 }
 
-// A version that knows form 1 alone can't decode a checked value: it leaves it alone,
+// A version that knows PlainJSON alone can't decode a checksummed value: it leaves it alone,
 // rather than take it for a group without tasks.
-func TestCheckedGroupsAreNoPlainOnes(t *testing.T) {
+func TestChecksummedGroupsAreNoPlainOnes(t *testing.T) {
 	var old TaskGroup
 	if err := wire.Decode((&TaskGroup{Partition: 1}).Encode(Checksummed).At("e/group/wk-1/0"), &old); err == nil {
-		t.Error("a checked value is decoded as JSON")
+		t.Error("a checksummed value is decoded as JSON")
 	}
 }
 
-func TestUnknownFormsAreNamed(t *testing.T) {
+func TestUnknownEncodingsAreNamed(t *testing.T) {
 	for _, raw := range []string{`"AwAAAAAAAAAAAAAAAAAAAAAAAAA"`, `[]`, `17`, ``, `"`, `""`, `"A"`} {
 		if g, _, err := DecodeTaskGroup("e/group/wk-1/0", []byte(raw)); g != nil || !errors.Is(err, ErrUnknownEncoding) && !errors.Is(err, ErrChecksum) {
 			t.Errorf("%s: %v, %v", raw, g, err)
@@ -90,21 +90,21 @@
 	}
 }
 
-// What the checked form can't hold stays in the plain one; nothing is cut.
+// What the checksummed encoding can't hold stays plain; nothing is cut.
 func TestLongNamesStayPlain(t *testing.T) {
 	g := &TaskGroup{Tasks: []Binding{{Machine: strings.Repeat("m", 2000)}}}
 	raw := g.Encode(Checksummed).At("e/group/wk-1/0")
 	got, encoding, err := DecodeTaskGroup("e/group/wk-1/0", raw)
 	if err != nil || encoding != PlainJSON {
-		t.Fatalf("form %d: %v", encoding, err)
+		t.Fatalf("encoding %d: %v", encoding, err)
 	}
 	if d := cmp.Diff(g, got); d != "" {
 		t.Error(d)
 	}
 }
 
-// The checked form of a full record with a machine for each task is smaller.
-func TestCheckedFormIsSmaller(t *testing.T) {
+// The checksummed encoding of a full record with a machine for each task is smaller.
+func TestChecksummedEncodingIsSmaller(t *testing.T) {
 	g := &TaskGroup{Partition: 3, Zone: "sundarban"}
 	for i := range 100 {
 		g.Tasks = append(g.Tasks, Binding{Task: int32(i), Attempt: 1, Machine: fmt.Sprintf("host-%06d", i), Incarnation: 1, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
@@ -123,12 +123,12 @@
 	}
 	for _, encoding := range []Encoding{PlainJSON, Checksummed} {
 		raw := g.Encode(encoding).At("e/group/wk-1/0")
-		b.Run(fmt.Sprintf("encode form %d", encoding), func(b *testing.B) {
+		b.Run(fmt.Sprintf("encode as %d", encoding), func(b *testing.B) {
 			for b.Loop() {
 				g.Encode(encoding).At("e/group/wk-1/0")
 			}
 		})
-		b.Run(fmt.Sprintf("decode form %d", encoding), func(b *testing.B) {
+		b.Run(fmt.Sprintf("decode %d", encoding), func(b *testing.B) {
 			for b.Loop() {
 				if _, _, err := DecodeTaskGroup("e/group/wk-1/0", raw); err != nil {
 					b.Fatal(err)
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// The model has two controllers, one right (partitions and leadership are alike) and the
-// stored records, of which only the forms matter. A transaction is decided upon at one
-// moment and applied at another; whatever it is conditional on voids it when it changes.
+// The model has two controllers, one leased key (partitions and leadership are alike) and the
+// stored records, of which only the levels of their encodings matter. A transaction is decided
+// upon at one moment and applied at another; it fails when a condition has changed meanwhile.
 
 const modelControllers = 2
 
@@ -27,18 +27,18 @@
 type model struct {
 	state     State // its epoch is left out, it only ever rises
 	processes [modelControllers]process
-	// owner holds the right, 0: nobody, else one more than its index. It writes as it
-	// last saw the state, however long ago that was.
+	// owner holds the lease, 0: nobody, else one more than its index. It writes as it last
+	// saw the state, however long ago that was.
 	owner       int
 	ownerWrites Level
-	forms       [4]bool // stored records, by form
+	levels      [4]bool // of the encodings of stored records
 	pending     Step    // a transaction on its way whose conditions hold still
 	pendingFor  State   // what it leads to
 }
 
 func (p process) aware() bool { return modelRanges[p.version].High > 0 }
 
-// reads is the range of forms that a process reads.
+// reads returns the range of levels that a process reads.
 func (p process) reads() Range {
 	if !p.aware() {
 		return Range{BaseLevel, BaseLevel}
@@ -54,15 +54,15 @@
 			view.Controllers[fmt.Sprint(i)] = Registered{Controller: Controller{Range: p.registered}}
 		}
 	}
-	for form, there := range m.forms {
-		if there && Level(form) > m.state.Writes() {
+	for level, there := range m.levels {
+		if there && Level(level) > m.state.Writes() {
 			view.RecordsAbove++
 		}
 	}
 	return view
 }
 
-// admitted tells whether a process takes rights in the present state: one without levels
+// admitted tells whether a process may take a lease in the present state: one without levels
 // goes by the keys alone, which are closed above the base level.
 func (m *model) admitted(p process) bool {
 	if !p.running || m.state.Phase == Closed {
@@ -95,11 +95,11 @@
 func (m model) actions(versions int) []action {
 	all := []action{
 		{"owner reads", (*model).ownerSees},
-		{"right lost", func(n *model) { n.releaseRight(n.owner - 1) }},
+		{"lease expires", func(n *model) { n.releaseLease(n.owner - 1) }},
 		{"write", (*model).write},
 		{"rewrite", func(n *model) {
 			if n.owner > 0 {
-				n.forms = [4]bool{}
+				n.levels = [4]bool{}
 			}
 			n.write()
 		}},
@@ -130,7 +130,7 @@
 				n.controllerChanged()
 			}
 		}},
-		{fmt.Sprintf("take right %d", i), func(n *model) {
+		{fmt.Sprintf("take lease %d", i), func(n *model) {
 			if n.owner == 0 && n.admitted(n.processes[i]) {
 				n.owner = i + 1
 				n.ownerSees()
@@ -138,10 +138,10 @@
 		}},
 		{fmt.Sprintf("decide %d", i), func(n *model) { n.decide(i) }},
 	}
-	for revision := range versions {
-		all = append(all, action{fmt.Sprintf("restart %d as %v", i, modelRanges[revision]), func(n *model) {
-			n.processes[i].running, n.processes[i].version = true, revision
-			n.releaseRight(i)
+	for version := range versions {
+		all = append(all, action{fmt.Sprintf("restart %d as %v", i, modelRanges[version]), func(n *model) {
+			n.processes[i].running, n.processes[i].version = true, version
+			n.releaseLease(i)
 		}})
 	}
 	return all
@@ -149,11 +149,11 @@
 
 func (m *model) write() {
 	if m.owner > 0 {
-		m.forms[m.ownerWrites] = true
+		m.levels[m.ownerWrites] = true
 	}
 }
 
-func (m *model) releaseRight(i int) {
+func (m *model) releaseLease(i int) {
 	if m.owner == i+1 {
 		m.owner, m.ownerWrites = 0, 0
 		if m.state.Phase != Closed {
@@ -173,7 +173,7 @@
 	}
 }
 
-// controllerChanged voids what is conditional on the controllers' records.
+// controllerChanged fails what is conditional on the controllers' records.
 func (m *model) controllerChanged() {
 	if m.pending == Activate || m.pending == Finalize {
 		m.pending = NoStep
@@ -205,27 +205,27 @@
 	}
 }
 
-// broken says which invariant does not hold, or "".
+// broken returns which invariant does not hold, or "".
 func (m *model) broken() string {
-	for form, there := range m.forms {
-		if there && Level(form) > m.state.Level {
-			return fmt.Sprintf("form %d is stored at level %d", form, m.state.Level)
+	for level, there := range m.levels {
+		if there && Level(level) > m.state.Level {
+			return fmt.Sprintf("encoding %d is stored at level %d", level, m.state.Level)
 		}
 	}
 	if m.owner > 0 {
-		for form, there := range m.forms {
-			if r := m.processes[m.owner-1].reads(); there && Level(form) > r.High {
-				return fmt.Sprintf("the owner reads %s, form %d is stored", r, form)
+		for level, there := range m.levels {
+			if r := m.processes[m.owner-1].reads(); there && Level(level) > r.High {
+				return fmt.Sprintf("the owner reads %s, encoding %d is stored", r, level)
 			}
 		}
 	}
-	if m.state.Level > 3 || m.state.check2() != nil {
+	if m.state.Level > 3 || m.state.validateWithoutEpoch() != nil {
 		return fmt.Sprintf("state %+v makes no sense", m.state)
 	}
 	return ""
 }
 
-// badStep says what is wrong with a transition, or "".
+// badStep returns what is wrong with a transition, or "".
 func badStep(m, n model) string {
 	if d := int(n.state.Level) - int(m.state.Level); d > 1 || d < -1 {
 		return fmt.Sprintf("from level %d to %d", m.state.Level, n.state.Level)
@@ -239,15 +239,15 @@
 	return ""
 }
 
-// check2 is the state's check, with the epoch that the model leaves out.
-func (s State) check2() error {
+// validateWithoutEpoch validates a state with the epoch that the model leaves out.
+func (s State) validateWithoutEpoch() error {
 	s.Epoch = 1
 	return s.validate()
 }
 
 func start() model {
 	m := model{state: Initial}
-	m.forms[1] = true
+	m.levels[1] = true
 	return m
 }
 
--- a/internal/rollout/txn_test.go
+++ b/internal/rollout/txn_test.go
@@ -47,7 +47,7 @@
 	return ans.Revision
 }
 
-// settled is a cluster of two controllers, in a state, with its view and versions.
+// settled returns the view and revisions of a cluster of two controllers in a state.
 func settled(t *testing.T, c *store.Client, s State) (View, Revisions) {
 	t.Helper()
 	view := View{Now: time.UnixMilli(0), Members: []string{"n0", "n1"}, Controllers: map[string]Registered{}, Leading: true, Current: true, Partitions: 2, MaxTxnChanges: 10}
@@ -62,15 +62,15 @@
 	return view, Revisions{State: put(t, c, StateKey, s), Leader: leader}
 }
 
-// Whatever a step rests on voids it when it has changed before the step is applied: a
-// leader that was frozen meanwhile, or whose transaction is late, changes nothing.
-func TestStepsAreVoidWhenAnythingHasChanged(t *testing.T) {
+// A step fails when anything that it rests on has changed before it is applied: a leader that
+// was frozen meanwhile, or whose transaction is late, changes nothing.
+func TestStepsFailWhenAnythingHasChanged(t *testing.T) {
 	all := []string{StateKey, "leader", ControllerKey("n0"), ControllerKey("n1")}
 	some := []string{StateKey, "leader"}
 	for _, x := range []struct {
 		step  Step
 		state State
-		voids []string
+		rests []string // the keys that it rests on
 	}{
 		{Activate, Initial, all},
 		{Finalize, State{Level: 1, Phase: Activated, Request: RequestFinalize}, all},
@@ -80,7 +80,7 @@
 		{Close, State{Level: 2, Phase: Reverting, Epoch: 1, Held: true}, some},
 		{Open, State{Level: 2, Phase: Closed, Epoch: 1, Held: true}, []string{StateKey}},
 	} {
-		for _, changed := range append([]string{""}, x.voids...) {
+		for _, changed := range append([]string{""}, x.rests...) {
 			state, c := newStore()
 			view, at := settled(t, c, x.state)
 			step, next := Decide(x.state, view)
@@ -188,7 +188,7 @@
 	}
 }
 
-// racing is a state service at which another operator's change comes between a command's
+// racing is a key-value store at which another operator's change comes between a command's
 // reading and its writing.
 type racing struct {
 	*store.Client
@@ -212,7 +212,7 @@
 		t.Errorf("the second one is told %v", err)
 	}
 	if now, _, err := op.state(t.Context()); err != nil || now != other {
-		t.Errorf("%+v after the first one's wish: %v", now, err)
+		t.Errorf("%+v after the first one's request: %v", now, err)
 	}
 	op.Store = c
 	if _, err := op.Submit(t.Context(), RequestAbort); err != nil {
--- a/internal/store/writer_test.go
+++ b/internal/store/writer_test.go
@@ -18,18 +18,18 @@
 	"eiderhitch/internal/wire"
 )
 
-func withWriter(t *testing.T, judge network.Policy, f func(t *testing.T, w *simulation.Environment, wr *store.Writer, c *store.Client)) {
+func withWriter(t *testing.T, judge network.Policy, f func(t *testing.T, w *simulation.Environment, writer *store.Writer, c *store.Client)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		w := simulation.New(ctx, nil, nil)
 		net := w.Network.NewTransport()
 		net.SetPolicy(judge)
 		c := store.NewClient("state:1", net)
-		wr := store.NewWriter(c, 32, 60, 3, halfOf)
+		writer := store.NewWriter(c, 32, 60, 3, halfOf)
 		done := make(chan struct{})
-		go func() { defer close(done); wr.Run(ctx) }()
+		go func() { defer close(done); writer.Run(ctx) }()
 		defer func() { cancel(); <-done; time.Sleep(time.Minute) }()
-		f(t, w, wr, c)
+		f(t, w, writer, c)
 	})
 }
 
@@ -37,34 +37,34 @@
 	return []wire.Condition{{Key: key, Revision: stamp}}, []wire.Change{{Put: key, Value: json.RawMessage("1")}}
 }
 
-// Every unit gets one result, whatever else shares its transaction, and the
+// Every write gets one result, whatever else shares its transaction, and the
 // limits of a transaction hold.
-func TestUnitsAreIndependent(t *testing.T) {
-	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, wr *store.Writer, _ *store.Client) {
+func TestWritesAreIndependent(t *testing.T) {
+	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, writer *store.Writer, _ *store.Client) {
 		var mu sync.Mutex
 		got := map[int]error{}
 		var wg sync.WaitGroup
 		for i := range 200 {
-			u := &store.Write{}
-			u.Conditions, u.Changes = put(fmt.Sprintf("k%d", i), uint64(i%5/4)) // each fifth must fail
+			write := &store.Write{}
+			write.Conditions, write.Changes = put(fmt.Sprintf("k%d", i), uint64(i%5/4)) // each fifth must fail
 			wg.Add(1)
-			u.Done = func(_ uint64, err error) {
+			write.Done = func(_ uint64, err error) {
 				defer wg.Done()
 				mu.Lock()
 				defer mu.Unlock()
 				if _, ok := got[i]; ok {
-					t.Errorf("unit %d has two results", i)
+					t.Errorf("write %d has two results", i)
 				}
 				got[i] = err
 			}
-			if !wr.Submit(u) {
+			if !writer.Submit(write) {
 				t.Fatal("queue is full")
 			}
 		}
 		wg.Wait()
 		for i := range 200 {
 			if fails := i%5 == 4; errors.Is(got[i], store.ErrConflict) != fails || !fails && got[i] != nil {
-				t.Errorf("unit %d: %v", i, got[i])
+				t.Errorf("write %d: %v", i, got[i])
 			}
 		}
 		if w.Store.OverLimits > 0 {
@@ -75,12 +75,12 @@
 
 // "Cancelled" and "done" of one job, submitted together, must not both be granted.
 func TestRivalsDoNotShareATransaction(t *testing.T) {
-	withWriter(t, nil, func(t *testing.T, _ *simulation.Environment, wr *store.Writer, _ *store.Client) {
+	withWriter(t, nil, func(t *testing.T, _ *simulation.Environment, writer *store.Writer, _ *store.Client) {
 		results := make(chan error, 8)
 		for range 8 {
-			u := &store.Write{Done: func(_ uint64, err error) { results <- err }}
-			u.Conditions, u.Changes = put("job", 0)
-			wr.Submit(u)
+			write := &store.Write{Done: func(_ uint64, err error) { results <- err }}
+			write.Conditions, write.Changes = put("job", 0)
+			writer.Submit(write)
 		}
 		granted := 0
 		for range 8 {
@@ -97,7 +97,7 @@
 }
 
 // A try without an answer that is applied late can't be applied twice, and an
-// urgent unit is answered at once while the service refuses.
+// urgent write is answered at once while the store refuses.
 func TestUnansweredAndRefused(t *testing.T) {
 	tries := 0
 	withWriter(t, func(_ *http.Request) network.Fault {
@@ -105,11 +105,11 @@
 			return network.ExecuteLate
 		}
 		return network.Deliver
-	}, func(t *testing.T, w *simulation.Environment, wr *store.Writer, c *store.Client) {
+	}, func(t *testing.T, w *simulation.Environment, writer *store.Writer, c *store.Client) {
 		results := make(chan error, 2)
-		u := &store.Write{Done: func(_ uint64, err error) { results <- err }}
-		u.Conditions, u.Changes = put("k", 0)
-		wr.Submit(u)
+		write := &store.Write{Done: func(_ uint64, err error) { results <- err }}
+		write.Conditions, write.Changes = put("k", 0)
+		writer.Submit(write)
 		if err := <-results; err != nil {
 			t.Fatal(err)
 		}
@@ -120,18 +120,35 @@
 		}
 		w.Store.SetDown(true)
 		start := time.Now()
-		u = &store.Write{Urgent: true, Done: func(_ uint64, err error) { results <- err }}
-		u.Conditions, u.Changes = put("k2", 0)
-		wr.Submit(u)
+		write = &store.Write{Urgent: true, Done: func(_ uint64, err error) { results <- err }}
+		write.Conditions, write.Changes = put("k2", 0)
+		writer.Submit(write)
 		if err := <-results; !errors.Is(err, store.ErrNotExecuted) || time.Since(start) > time.Second {
 			t.Errorf("%v after %v", err, time.Since(start))
 		}
 	})
 }
 
+// submitSteadily submits writes, each of its own key below prefix, at a rate until ctx ends, as
+// long as they don't queue for seconds. It counts those that are stored.
+func submitSteadily(ctx context.Context, writer *store.Writer, prefix string, perSecond int, stored *atomic.Int64) {
+	for n := 0; ctx.Err() == nil; n++ {
+		write := &store.Write{Done: func(_ uint64, err error) {
+			if err == nil {
+				stored.Add(1)
+			}
+		}}
+		write.Conditions, write.Changes = put(fmt.Sprintf("%s/%d", prefix, n), 0)
+		if writer.Backlog() < 2*time.Second {
+			writer.Submit(write)
+		}
+		time.Sleep(time.Second / time.Duration(perSecond))
+	}
+}
+
 // The limit of changes is for all controllers together, and they need different
 // shares of it: without a word between them, three writers, one of whom wants
-// almost all, neither storm the state service nor leave much of its limit unused.
+// almost all, neither overload the store nor leave much of its limit unused.
 func TestWritersShareTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -140,22 +157,9 @@
 		var wg sync.WaitGroup
 		var stored [3]atomic.Int64
 		for i, want := range []int{200, 10, 10} {
-			wr := store.NewWriter(store.NewClient("state:1", w.Network.NewTransport()), 32, 60, 3, halfOf)
-			wg.Go(func() { wr.Run(ctx) })
-			wg.Go(func() {
-				for n := 0; ctx.Err() == nil; n++ {
-					u := &store.Write{Done: func(_ uint64, err error) {
-						if err == nil {
-							stored[i].Add(1)
-						}
-					}}
-					u.Conditions, u.Changes = put(fmt.Sprintf("k%d/%d", i, n), 0)
-					if wr.Backlog() < 2*time.Second {
-						wr.Submit(u)
-					}
-					time.Sleep(time.Second / time.Duration(want))
-				}
-			})
+			writer := store.NewWriter(store.NewClient("state:1", w.Network.NewTransport()), 32, 60, 3, halfOf)
+			wg.Go(func() { writer.Run(ctx) })
+			wg.Go(func() { submitSteadily(ctx, writer, fmt.Sprintf("k%d", i), want, &stored[i]) })
 		}
 		time.Sleep(time.Minute)
 		cancel()
@@ -171,16 +175,16 @@
 	})
 }
 
-// A contested unit may fail, and then all that shares its transaction is sent,
+// A contested write may fail, and then all that shares its transaction is sent,
 // and counted, again: it shares with few.
 func TestContestedShareWithFew(t *testing.T) {
-	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, wr *store.Writer, _ *store.Client) {
+	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, writer *store.Writer, _ *store.Client) {
 		var wg sync.WaitGroup
 		for i := range 60 {
 			wg.Add(1)
-			u := &store.Write{Contested: true, Done: func(uint64, error) { wg.Done() }}
-			u.Conditions, u.Changes = put(fmt.Sprintf("k%d", i), 0)
-			wr.Submit(u)
+			write := &store.Write{Contested: true, Done: func(uint64, error) { wg.Done() }}
+			write.Conditions, write.Changes = put(fmt.Sprintf("k%d", i), 0)
+			writer.Submit(write)
 		}
 		wg.Wait()
 		if w.Store.MostChanges == 0 || w.Store.MostChanges > 8 {
@@ -189,9 +193,9 @@
 	})
 }
 
-// Early units don't wait behind usual ones that were submitted before them.
+// Early writes don't wait behind usual ones that were submitted before them.
 func TestEarlyGoFirst(t *testing.T) {
-	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, wr *store.Writer, _ *store.Client) {
+	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, writer *store.Writer, _ *store.Client) {
 		w.Store.ChangesPerSecond = 60
 		var mu sync.Mutex
 		var order []bool
@@ -199,14 +203,14 @@
 		for i := range 400 {
 			early := i >= 350
 			wg.Add(1)
-			u := &store.Write{Early: early, Done: func(uint64, error) {
+			write := &store.Write{Early: early, Done: func(uint64, error) {
 				defer wg.Done()
 				mu.Lock()
 				defer mu.Unlock()
 				order = append(order, early)
 			}}
-			u.Conditions, u.Changes = put(fmt.Sprintf("k%d", i), 0)
-			wr.Submit(u)
+			write.Conditions, write.Changes = put(fmt.Sprintf("k%d", i), 0)
+			writer.Submit(write)
 		}
 		wg.Wait()
 		late := 0
@@ -216,47 +220,47 @@
 			}
 		}
 		if late > 0 {
-			t.Errorf("%d of 50 early units are not among the first 150 of 400", late)
+			t.Errorf("%d of 50 early writes are not among the first 150 of 400", late)
 		}
 	})
 }
 
-// A unit that is void by the time of its turn fails nothing that would have shared
+// A write that is cancelled by the time of its turn fails nothing that would have shared
 // its transaction.
-func TestVoidUnits(t *testing.T) {
-	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, wr *store.Writer, c *store.Client) {
+func TestCancelledWrites(t *testing.T) {
+	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, writer *store.Writer, c *store.Client) {
 		w.Store.ChangesPerSecond = 60
 		var wg sync.WaitGroup
-		var stored, void atomic.Int64
+		var stored, cancelled atomic.Int64
 		var units []*store.Write
 		for i := range 300 {
 			wg.Add(1)
 			bad := i >= 100 && i%10 == 0
-			u := &store.Write{Done: func(_ uint64, err error) {
+			write := &store.Write{Done: func(_ uint64, err error) {
 				defer wg.Done()
 				switch {
 				case err == nil:
 					stored.Add(1)
 				case bad && errors.Is(err, store.ErrConflict):
-					void.Add(1)
+					cancelled.Add(1)
 				}
 			}}
-			u.Conditions, u.Changes = put(fmt.Sprintf("k%d", i), 0)
+			write.Conditions, write.Changes = put(fmt.Sprintf("k%d", i), 0)
 			if bad {
-				u.Conditions[0].Revision = 99 // would fail
-				units = append(units, u)
+				write.Conditions[0].Revision = 99 // would fail
+				units = append(units, write)
 			}
-			wr.Submit(u)
+			writer.Submit(write)
 		}
-		for _, u := range units {
-			u.Cancel()
+		for _, write := range units {
+			write.Cancel()
 		}
 		wg.Wait()
-		if stored.Load() != 280 || void.Load() != 20 {
-			t.Errorf("%d units are stored and %d void", stored.Load(), void.Load())
+		if stored.Load() != 280 || cancelled.Load() != 20 {
+			t.Errorf("%d writes are stored and %d cancelled", stored.Load(), cancelled.Load())
 		}
 		if n := c.Stats().Conflicts; n > 0 {
-			t.Errorf("%d transactions failed for void units", n)
+			t.Errorf("%d transactions failed for cancelled writes", n)
 		}
 	})
 }
--- a/internal/wire/decode_test.go
+++ b/internal/wire/decode_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-func report(t *rapid.T) Heartbeat {
+func drawHeartbeat(t *rapid.T) Heartbeat {
 	text := rapid.OneOf(rapid.StringMatching(`[a-z]{1,6}-[0-9]{1,6}`), rapid.String())
 	r := Heartbeat{Machine: text.Draw(t, "machine"), Addr: "10.0.0.1:9000", Type: text.Draw(t, "type"), Zone: text.Draw(t, "zone"),
-		Spot: rapid.Bool().Draw(t, "spot"), Incarnation: rapid.Uint64().Draw(t, "session"), Sequence: rapid.Uint64().Draw(t, "seq"), Token: rapid.Uint64().Draw(t, "token")}
+		Spot: rapid.Bool().Draw(t, "spot"), Incarnation: rapid.Uint64().Draw(t, "incarnation"), Sequence: rapid.Uint64().Draw(t, "sequence"), Token: rapid.Uint64().Draw(t, "token")}
 	if rapid.Bool().Draw(t, "noticed") {
 		n := rapid.Float64Range(0, 1e6).Draw(t, "notice")
 		r.NoticeS = &n
@@ -24,15 +24,15 @@
 }
 
 // What the fast decoder makes of a document is what the standard one makes of it,
-// also where the document is spoilt: whatever the standard one refuses is refused.
+// also where the document is damaged: whatever the standard one refuses is refused.
 func TestDecodeAsTheStandardDoes(t *testing.T) {
 	refused := 0
 	rapid.Check(t, func(t *rapid.T) {
-		raw, err := json.Marshal(report(t))
+		raw, err := json.Marshal(drawHeartbeat(t))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if rapid.Bool().Draw(t, "spoilt") {
+		if rapid.Bool().Draw(t, "damaged") {
 			at := rapid.IntRange(0, len(raw)-1).Draw(t, "at")
 			raw[at] = rapid.SampledFrom([]byte(`{}[]",:x0-. \n`)).Draw(t, "byte")
 		}
@@ -48,6 +48,6 @@
 		}
 	})
 	if refused == 0 {
-		t.Error("no document was spoilt enough to be refused")
+		t.Error("no document was damaged enough to be refused")
 	}
 }
