--- a/cmd/eiderhitch/upgrade.go
+++ b/cmd/eiderhitch/upgrade.go
@@ -82,10 +82,10 @@
 	// Straight to the key-value store, as controllers go: no proxy of the operator's shell.
 	transport := &http.Transport{DisableCompression: true}
 	return &rollout.Operator{
-		Store:         store.NewClient(platform.External.State, transport),
+		Store:         store.NewClient(platform.External.Store, transport),
 		Members:       platform.Nodes(),
 		Partitions:    platform.Settings.Count,
-		MaxTxnChanges: platform.Settings.State.TxnOps,
+		MaxTxnChanges: platform.Settings.Store.TxnOps,
 	}, nil
 }
 
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -35,10 +35,10 @@
 	Addr string `toml:"peer_addr"`
 }
 
-// Endpoints are the addresses (host:port) of the services that a controller calls.
+// Endpoints are the addresses (host:port) of the cloud and of the key-value store.
 type Endpoints struct {
 	Cloud string `toml:"cloud"`
-	State string `toml:"state"` // the key-value store
+	Store string `toml:"state"`
 }
 
 // Settings are those that all controllers have in common.
@@ -49,7 +49,7 @@
 	Teams      []Team         `toml:"teams"`
 	Objectives []Objective    `toml:"objectives"`
 	Workers    WorkerSettings `toml:"workers"`
-	State      StoreLimits    `toml:"state"`
+	Store      StoreLimits    `toml:"state"`
 	Cloud      CloudSettings  `toml:"cloud"`
 	Limits     ResourceLimits `toml:"limits"`
 }
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := p.Settings.State; s.RPS != 100 || s.WriteRPS != 40 || s.ValueKB != 2 || s.TxnOps != 10 {
+	if s := p.Settings.Store; s.RPS != 100 || s.WriteRPS != 40 || s.ValueKB != 2 || s.TxnOps != 10 {
 		t.Errorf("limits %+v", s)
 	}
 	for _, x := range []string{"rps = 0.0", "rps = -1.0", "write_rps = nan", "write_rps = inf", "value_kb = 0.1", "txn_ops = 3", "txn_ops = \"few\""} {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -40,8 +40,8 @@
 // store's limits to the next ones before it looks at them.
 func (p *Platform) validate() error {
 	for _, validate := range []func() error{
-		p.validateAddresses, p.validatePeers, p.Settings.State.lowerToNext, p.validateCluster, p.validatePositive,
-		p.Settings.Limits.validate, p.Settings.State.validate, p.Settings.Workers.validate, p.validateTeams,
+		p.validateAddresses, p.validatePeers, p.Settings.Store.lowerToNext, p.validateCluster, p.validatePositive,
+		p.Settings.Limits.validate, p.Settings.Store.validate, p.Settings.Workers.validate, p.validateTeams,
 	} {
 		if err := validate(); err != nil {
 			return err
@@ -58,7 +58,7 @@
 		{"api_addr", p.APIAddr},
 		{"mesh_addr", p.PeerAddr},
 		{"external.cloud", p.External.Cloud},
-		{"external.state", p.External.State},
+		{"external.state", p.External.Store},
 	} {
 		if err := validateAddress(setting.name, setting.addr); err != nil {
 			return err
@@ -118,10 +118,10 @@
 		{"settings.workers.report_s", s.Workers.ReportS},
 		{"settings.workers.lease_s", s.Workers.LeaseS},
 		{"settings.workers.cancel_s", s.Workers.CancelS},
-		{"settings.state.rps", s.State.RPS},
-		{"settings.state.write_rps", s.State.WriteRPS},
-		{"settings.state.value_kb", s.State.ValueKB},
-		{"settings.state.txn_ops", float64(s.State.TxnOps)},
+		{"settings.state.rps", s.Store.RPS},
+		{"settings.state.write_rps", s.Store.WriteRPS},
+		{"settings.state.value_kb", s.Store.ValueKB},
+		{"settings.state.txn_ops", float64(s.Store.TxnOps)},
 		{"settings.cloud.rps", s.Cloud.RPS},
 		{"settings.limits.mem_mb", s.Limits.MemMB},
 		{"settings.limits.max_sockets", float64(s.Limits.MaxSockets)},
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -390,7 +390,7 @@
 	if spec.Gang {
 		// It counts whole, also if the rest of it is dealt later (assignRemainder).
 		chunks = c.fitTransaction(chunks)
-	} else if most := c.cfg.Settings.State.TxnOps / 2; len(chunks) > most {
+	} else if most := c.cfg.Settings.Store.TxnOps / 2; len(chunks) > most {
 		for _, g := range chunks[most:] {
 			got -= len(g.Tasks)
 		}
@@ -424,7 +424,7 @@
 	size := 0
 	for i := range chunks {
 		size += chunks[i].Encode(c.encoding()).Size() + recordOverhead
-		if i > 0 && (i == c.cfg.Settings.State.TxnOps || size > store.MaxTxnBytes) {
+		if i > 0 && (i == c.cfg.Settings.Store.TxnOps || size > store.MaxTxnBytes) {
 			return chunks[:i]
 		}
 	}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -35,12 +35,12 @@
 	for i := 1; i < count; i++ {
 		cfg.Peers = append(cfg.Peers, config.Peer{Name: fmt.Sprintf("n%d", i), Addr: "10.0.0.2:80"})
 	}
-	cfg.External.State, cfg.External.Cloud = "state:1", "cloud:1"
+	cfg.External.Store, cfg.External.Cloud = "state:1", "cloud:1"
 	s := &cfg.Settings
 	s.Count, s.Zones = count, []string{"a", "b"}
 	s.Teams = []config.Team{{Name: "red", CPUs: 800}, {Name: "blue"}}
 	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 4, 24, 54
-	s.State.RPS, s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps = 150, 60, 8, 32
+	s.Store.RPS, s.Store.WriteRPS, s.Store.ValueKB, s.Store.TxnOps = 150, 60, 8, 32
 	s.Cloud.RPS, s.Cloud.ListLagS = 6, 3
 	c := newController(ctx, cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), clients{state: nowhere{}, cloud: nowhere{}, workers: nowhere{}, send: func(string, []byte) {}})
 	c.replica.Load(nil, 0, &wire.WatchResponse{})
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -136,13 +136,13 @@
 				cfg.Peers = append(cfg.Peers, config.Peer{Name: other.Name, Addr: other.Addr})
 			}
 		}
-		cfg.External.State, cfg.External.Cloud = simulation.StoreAddr, simulation.CloudAddr
+		cfg.External.Store, cfg.External.Cloud = simulation.StoreAddr, simulation.CloudAddr
 		s := &cfg.Settings
 		s.Count, s.Zones = controllers, []string{"a", "b"}
 		s.Teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 24}, {Name: "blue"}}
 		s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = env.HeartbeatInterval.Seconds(), env.LeaseTTL.Seconds(), env.CancelWithin.Seconds()
 		s.Workers.GangWaitS, s.Workers.GangPeerS = env.GangWait.Seconds(), env.GangPeerTimeout.Seconds()
-		s.State.RPS, s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps = 250, 60, 8, 32
+		s.Store.RPS, s.Store.WriteRPS, s.Store.ValueKB, s.Store.TxnOps = 250, 60, 8, 32
 		s.Cloud.RPS, s.Cloud.ListLagS = 6, 3
 		c.nodes = append(c.nodes, &node{cfg: cfg, net: env.Network.NewTransport(), version: presentVersion})
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -25,7 +25,7 @@
 	cfg := &config.Platform{Name: "n0"}
 	cfg.Settings.Count = controllers
 	cfg.Settings.Workers.ReportS, cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS = 1, 10, 35
-	cfg.Settings.State.RPS, cfg.Settings.State.WriteRPS, cfg.Settings.State.ValueKB, cfg.Settings.State.TxnOps = 100, 40, 8, 32
+	cfg.Settings.Store.RPS, cfg.Settings.Store.WriteRPS, cfg.Settings.Store.ValueKB, cfg.Settings.Store.TxnOps = 100, 40, 8, 32
 	cfg.Settings.Cloud.RPS = 1
 	c := newController(t.Context(), cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), clients{})
 	c.replica.Load(nil, 0, &wire.WatchResponse{})
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -50,21 +50,21 @@
 	if out.jitter == nil {
 		out.jitter = rand.N[time.Duration]
 	}
-	st := store.NewClient(cfg.External.State, out.state)
+	st := store.NewClient(cfg.External.Store, out.state)
 	c := &controller{
 		cfg: cfg, operator: op, log: log.With("node", cfg.Name), processID: fmt.Sprintf("%016x", rand.Uint64()), ctx: ctx,
 		events: newEventQueue(), cloudCalls: make(chan func(), cloudQueue),
-		stateClient: st, stateWriter: store.NewWriter(st, s.State.TxnOps, s.State.WriteRPS, s.Count, out.jitter),
+		stateClient: st, stateWriter: store.NewWriter(st, s.Store.TxnOps, s.Store.WriteRPS, s.Count, out.jitter),
 		cloudClient: cloud.NewClient(cfg.External.Cloud, s.Cloud.RPS, out.cloud), workerClient: workerclient.NewClient(out.workers), send: out.send, jitter: out.jitter,
 		maxStaleness: config.MaxStaleness(s.Workers.CancelS, s.Workers.LeaseS), leaseExpiry: config.LeaseExpiry(s.Workers.CancelS, s.Workers.LeaseS),
 		jobs: map[string]*job{}, finished: map[string]uint8{}, groupByKey: map[string]*taskGroup{},
-		holders: map[string]record.LeaseHolder{}, terminated: map[string]bool{}, tombstones: map[string]tombstone{}, loans: map[string]*machineLoan{}, teamIndex: map[string]scheduling.TeamIndex{}, objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.State.ValueKB),
+		holders: map[string]record.LeaseHolder{}, terminated: map[string]bool{}, tombstones: map[string]tombstone{}, loans: map[string]*machineLoan{}, teamIndex: map[string]scheduling.TeamIndex{}, objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.Store.ValueKB),
 		leasedKeys: newLeasedKeys(rollout.Initial.Keys(), s.Count), machines: map[string]*machine{}, peers: map[string]*peerController{}, terminating: map[string]bool{},
 		attemptEnds: map[scheduling.Task]attemptEnd{}, maxDirects: cfg.DirectCommands(), metrics: newMetrics(), schedulingPass: 1,
 	}
 	c.replica = replica.New(c)
 	c.reader = replica.NewReader(ctx, replica.Config{
-		Prefix: keyPrefix, Controllers: s.Count, RequestsPerSecond: s.State.RPS, Jitter: out.jitter, Loaded: c.archiveFinished, Log: c.log,
+		Prefix: keyPrefix, Controllers: s.Count, RequestsPerSecond: s.Store.RPS, Jitter: out.jitter, Loaded: c.archiveFinished, Log: c.log,
 	}, c.replica, st, loopAt{c, priorityState})
 	c.rollout = newRolloutState(cfg, op)
 	c.now = time.Now()
--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -104,7 +104,7 @@
 		c.kill(i)
 	}
 	for i, n := range c.nodes {
-		n.cfg.Settings.State.ValueKB, n.cfg.Settings.State.TxnOps = float64(value)/1024, ops
+		n.cfg.Settings.Store.ValueKB, n.cfg.Settings.Store.TxnOps = float64(value)/1024, ops
 		c.start(i)
 	}
 }
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -23,7 +23,7 @@
 func setUpFleet(n *node) {
 	s := &n.cfg.Settings
 	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 10, 50, 110
-	s.State.RPS, s.State.WriteRPS = 1000, 300
+	s.Store.RPS, s.Store.WriteRPS = 1000, 300
 	s.Cloud.RPS = 12
 	s.Limits.MaxSockets = 8000
 }
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -218,7 +218,7 @@
 	if len(chosen) == 0 {
 		return
 	}
-	chosen = chosen[:min(len(chosen), c.cfg.Settings.State.TxnOps/2)]
+	chosen = chosen[:min(len(chosen), c.cfg.Settings.Store.TxnOps/2)]
 	c.log.Debug("machines are kept for gangs", "machines", len(chosen))
 	c.borrowMachines(chosen, nil, record.MachineLoan{Job: reserveLoanJob})
 }
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -38,7 +38,7 @@
 	c.env.Store.SetLimits(int(valueKB*1024), ops)
 	time.Sleep(500 * time.Millisecond)
 	for i, n := range c.nodes {
-		n.cfg.Settings.State.ValueKB, n.cfg.Settings.State.TxnOps = valueKB, ops
+		n.cfg.Settings.Store.ValueKB, n.cfg.Settings.Store.TxnOps = valueKB, ops
 		c.start(i)
 	}
 }
--- a/internal/controller/instances.go
+++ b/internal/controller/instances.go
@@ -128,7 +128,7 @@
 		c.submitWrite(&store.Write{Early: true, Conditions: []wire.Condition{right, {Key: key}}, Changes: []wire.Change{{Put: key, Value: record.JSON(names)}}},
 			func(error) { c.cancelTermination(names) })
 	}
-	most := int(c.cfg.Settings.State.ValueKB*1024) / 2
+	most := int(c.cfg.Settings.Store.ValueKB*1024) / 2
 	for _, n := range names {
 		inst, m := c.leadership.instances[n], c.machineNamed(n)
 		delete(c.leadership.instances, n)
@@ -238,7 +238,7 @@
 	write := &store.Write{Conditions: []wire.Condition{c.leaderCondition()}}
 	keep := 2*time.Minute + 4*config.Seconds(c.cfg.Settings.Cloud.ListLagS)
 	for key, g := range c.tombstones {
-		if len(write.Changes) == c.cfg.Settings.State.TxnOps/4 {
+		if len(write.Changes) == c.cfg.Settings.Store.TxnOps/4 {
 			break
 		}
 		bound := slices.ContainsFunc(g.names, func(n string) bool {
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -286,7 +286,7 @@
 }
 
 // maxValueBytes is how large a stored value may be.
-func (c *controller) maxValueBytes() int { return int(c.cfg.Settings.State.ValueKB * 1024) }
+func (c *controller) maxValueBytes() int { return int(c.cfg.Settings.Store.ValueKB * 1024) }
 
 // splitToFit is a record's stored form, in as many pieces as the limit of a value asks for: one
 // that was written while more was allowed, or whose names are long, is split when it is
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -20,7 +20,7 @@
 func TestRecordsFitTheLimit(t *testing.T) {
 	c := lone(t)
 	rapid.Check(t, func(t *rapid.T) {
-		c.cfg.Settings.State.ValueKB = rapid.Float64Range(0.5, 8).Draw(t, "value_kb")
+		c.cfg.Settings.Store.ValueKB = rapid.Float64Range(0.5, 8).Draw(t, "value_kb")
 		group := &taskGroup{key: "x", done: rapid.IntRange(0, 50).Draw(t, "done")}
 		n := rapid.IntRange(1, 128).Draw(t, "tasks")
 		bound := 0
@@ -80,7 +80,7 @@
 		large := c.env.Store.CountLargerThan(1 << 10)
 		c.env.Store.SetLimits(1<<10, 10)
 		for i, n := range c.nodes {
-			n.cfg.Settings.State.ValueKB, n.cfg.Settings.State.TxnOps = 1, 10
+			n.cfg.Settings.Store.ValueKB, n.cfg.Settings.Store.TxnOps = 1, 10
 			c.start(i)
 		}
 		if large == 0 {
@@ -113,7 +113,7 @@
 		}
 		c.env.Store.SetLimits(1<<10, 10)
 		for i, n := range c.nodes {
-			n.cfg.Settings.State.ValueKB, n.cfg.Settings.State.TxnOps = 1, 10
+			n.cfg.Settings.Store.ValueKB, n.cfg.Settings.Store.TxnOps = 1, 10
 			c.start(i)
 		}
 		if status, _ := c.call(trace.Submit, "wk-2", body("wk-2"), nil, 20*time.Second); status != http.StatusUnprocessableEntity {
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -205,7 +205,7 @@
 		}
 	}
 	// As many as one change can be; the others follow in the next steps.
-	chosen = chosen[:min(len(chosen), c.cfg.Settings.State.TxnOps)]
+	chosen = chosen[:min(len(chosen), c.cfg.Settings.Store.TxnOps)]
 	c.log.Info("machines are borrowed for a group", "job", j.id, "machines", len(chosen))
 	c.borrowMachines(chosen, []wire.Condition{{Key: jobKey(j.id), Revision: j.revision}}, record.MachineLoan{Job: j.id, Priority: claim.Priority, Guaranteed: claim.Guaranteed, Team: j.spec.Team})
 	return true
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -21,7 +21,7 @@
 // is in two zones; an owner that binds one meanwhile loses by its record's version.
 func (c *controller) moveToOtherZone(summaries []*planning.MachineSummary, group *taskGroup) bool {
 	job, spec := group.job, group.job.spec
-	if !spec.SingleZone || group.zone == "" || c.now.Sub(group.inPartitionSince) < zonePatience || !spec.Gang && len(job.groups) > c.cfg.Settings.State.TxnOps {
+	if !spec.SingleZone || group.zone == "" || c.now.Sub(group.inPartitionSince) < zonePatience || !spec.Gang && len(job.groups) > c.cfg.Settings.Store.TxnOps {
 		return false
 	}
 	need := 1
@@ -183,7 +183,7 @@
 		moved.partition, moved.zone = part, zone
 		value := c.encodeGroup(&moved, group.done, group.bindings).At(group.key)
 		size += len(value) + recordOverhead
-		if n := len(write.Changes); n > 0 && (n == c.cfg.Settings.State.TxnOps || size > store.MaxTxnBytes) {
+		if n := len(write.Changes); n > 0 && (n == c.cfg.Settings.Store.TxnOps || size > store.MaxTxnBytes) {
 			break
 		}
 		write.Conditions = append(write.Conditions, wire.Condition{Key: group.key, Revision: group.revision})
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -36,7 +36,7 @@
 
 func newRolloutState(cfg *config.Platform, op *config.Operator) rolloutState {
 	s := &cfg.Settings
-	perSecond := s.State.WriteRPS * op.RewriteShare / float64(s.Count)
+	perSecond := s.Store.WriteRPS * op.RewriteShare / float64(s.Count)
 	supported := rollout.Supported
 	if op.HighestLevel > 0 {
 		supported.High = min(supported.High, rollout.Level(op.HighestLevel))
@@ -166,7 +166,7 @@
 func (c *controller) rolloutView() rollout.View {
 	l := &c.rollout
 	return rollout.View{Now: c.now, Members: c.cfg.Nodes(), Controllers: l.controllers, Leading: c.isLeader(), Current: c.replica.Cursor() >= l.version,
-		RecordsAbove: l.countNewer(), UnreadableRecords: len(l.unreadable), Partitions: c.loanPartition(), MaxTxnChanges: c.cfg.Settings.State.TxnOps,
+		RecordsAbove: l.countNewer(), UnreadableRecords: len(l.unreadable), Partitions: c.loanPartition(), MaxTxnChanges: c.cfg.Settings.Store.TxnOps,
 		FinalizeAfter: c.operator.FinalizeAfter}
 }
 
--- a/internal/controller/rollout_cluster_test.go
+++ b/internal/controller/rollout_cluster_test.go
@@ -62,13 +62,13 @@
 
 // storeClient reaches the state service as an operator does.
 func (c *cluster) storeClient() *store.Client {
-	return store.NewClient(c.nodes[0].cfg.External.State, c.user)
+	return store.NewClient(c.nodes[0].cfg.External.Store, c.user)
 }
 
 // upgradeOperator is an operator of the cluster.
 func (c *cluster) upgradeOperator() *rollout.Operator {
 	cfg := c.nodes[0].cfg
-	return &rollout.Operator{Store: c.storeClient(), Members: cfg.Nodes(), Partitions: cfg.Settings.Count, MaxTxnChanges: cfg.Settings.State.TxnOps}
+	return &rollout.Operator{Store: c.storeClient(), Members: cfg.Nodes(), Partitions: cfg.Settings.Count, MaxTxnChanges: cfg.Settings.Store.TxnOps}
 }
 
 // wish has an operator's wish stored, as the command does.
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -204,7 +204,7 @@
 // what it knows is in docs/design.md.
 func TestProductionReadsOurRecords(t *testing.T) {
 	c := lone(t)
-	c.cfg.Settings.State.ValueKB = 0.5
+	c.cfg.Settings.Store.ValueKB = 0.5
 	m := c.machineNamed("host-000231")
 	m.addr = "10.1.0.232:9000"
 	spec := &wire.Job{ID: "wk-2", Team: "t", Gang: true, Tasks: 3, CPUs: 2, CheckpointS: 4, MachineTypes: []string{"small"}}
