--- a/internal/codec/checksum.go
+++ b/internal/codec/checksum.go
@@ -22,7 +22,8 @@
 	header := binary.AppendUvarint(nil, uint64(len(name)))
 	header = append(header, name...)
 	header = append(header, encoding)
-	_, _ = hash.Write(header) // a hash.Hash never returns an error
+	// Write of a hash.Hash never returns an error.
+	_, _ = hash.Write(header)
 	_, _ = hash.Write(content)
 	var sum [ChecksumSize]byte
 	hash.Sum(sum[:0])
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -44,9 +44,9 @@
 	c.resolveWhere(func(write *Write) error {
 		switch {
 		case write.cancelled.Load():
-			return ErrConflict
+			return errWriteCancelled
 		case !write.Expires.IsZero() && !now.Before(write.Expires):
-			return ErrOutcomeUnknown
+			return errWriteExpired
 		default:
 			return nil
 		}
@@ -59,7 +59,7 @@
 	// Users' writes don't queue behind those of records for the local rate limit: they
 	// are few, and after an outage there are seconds' worth of records.
 	if err := c.writer.rate.wait(ctx, len(txn.Changes), c.pending[0].immediate()); err != nil {
-		c.resolveAll(0, ErrOutcomeUnknown)
+		c.resolveAll(0, errWriterStopped)
 		return
 	}
 	response, err := c.writer.client.Txn(ctx, txn)
@@ -143,7 +143,7 @@
 func (c *commit) wait(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-		c.resolveAll(0, ErrOutcomeUnknown)
+		c.resolveAll(0, errWriterStopped)
 	case <-time.After(c.backoff + c.writer.jitter(c.backoff)):
 		c.backoff = min(2*c.backoff, maxBackoff)
 	}
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -28,3 +28,10 @@
 	// later.
 	ErrOutcomeUnknown = errors.New("key-value store: no answer")
 )
+
+// Errors of writes whose Writer didn't wait for an answer of the store.
+var (
+	errWriteCancelled = fmt.Errorf("write cancelled: %w", ErrConflict)
+	errWriteExpired   = fmt.Errorf("write expired: %w", ErrOutcomeUnknown)
+	errWriterStopped  = fmt.Errorf("writer stopped: %w", ErrOutcomeUnknown)
+)
