--- a/internal/tools/docs/operations_test.go
+++ b/internal/tools/docs/operations_test.go
@@ -131,6 +131,27 @@
 	}
 }
 
+// TestChangedLogLines fails when the table of changed lines has one as former that is
+// still logged, or one as present that nothing logs.
+func TestChangedLogLines(t *testing.T) {
+	logged := loggedLines(t)
+	lines, _, _ := strings.Cut(section(t, readPage(t, "operations.md"), "Log lines that have changed"), "| in `err=`")
+	for _, cell := range column(lines, 0) {
+		for _, line := range codeSpans(cell) {
+			if _, ok := logged[line]; ok {
+				t.Errorf("operations.md has the line %q as former; it is logged", line)
+			}
+		}
+	}
+	for _, cell := range column(lines, 1) {
+		for _, line := range codeSpans(cell) {
+			if _, ok := logged[line]; !ok {
+				t.Errorf("operations.md has the line %q as present; nothing logs it", line)
+			}
+		}
+	}
+}
+
 // TestRunbookHasEveryCounter fails when a counter or latency of the regular line is
 // missing in the runbook.
 func TestRunbookHasEveryCounter(t *testing.T) {
