--- a/cmd/eiderhitch/upgrade_test.go
+++ b/cmd/eiderhitch/upgrade_test.go
@@ -51,15 +51,15 @@
 max_sockets = 100
 `
 
-// stateService is a simulated one on loopback with a settings file that names it.
-type stateService struct {
+// simulatedStore is a simulated key-value store on loopback with a settings file that names it.
+type simulatedStore struct {
 	t      *testing.T
-	state  *kv.Store
+	store  *kv.Store
 	client *store.Client
 	file   string
 }
 
-func newStateService(t *testing.T) *stateService {
+func newSimulatedStore(t *testing.T) *simulatedStore {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -68,21 +68,21 @@
 	server := &http.Server{Handler: state}
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() { _ = server.Close() })
-	s := &stateService{t: t, state: state, client: store.NewClient(l.Addr().String(), http.DefaultTransport), file: filepath.Join(t.TempDir(), "n0.toml")}
+	s := &simulatedStore{t: t, store: state, client: store.NewClient(l.Addr().String(), http.DefaultTransport), file: filepath.Join(t.TempDir(), "n0.toml")}
 	if err := os.WriteFile(s.file, fmt.Appendf(nil, settings, l.Addr().String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func (s *stateService) put(key string, raw []byte) {
+func (s *simulatedStore) put(key string, raw []byte) {
 	s.t.Helper()
 	if _, err := s.client.Txn(s.t.Context(), &wire.Txn{Changes: []wire.Change{{Put: key, Value: raw}}}); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-func (s *stateService) register(names ...string) {
+func (s *simulatedStore) register(names ...string) {
 	s.t.Helper()
 	for _, name := range names {
 		s.put(rollout.ControllerKey(name), rollout.Controller{Node: name, Build: "test", Range: rollout.Supported}.Encode())
@@ -90,12 +90,12 @@
 }
 
 // flags are a command's flags.
-func (s *stateService) flags(asJSON bool) clusterFlags {
+func (s *simulatedStore) flags(asJSON bool) clusterFlags {
 	return clusterFlags{Config: s.file, JSON: asJSON}
 }
 
 func TestStatusIsShown(t *testing.T) {
-	s := newStateService(t)
+	s := newSimulatedStore(t)
 	s.register("n0")
 	g := &record.TaskGroup{Tasks: []record.Binding{{Task: 1}}}
 	s.put("e/group/wk-1/0", g.Encode(record.PlainJSON).At("e/group/wk-1/0"))
@@ -125,7 +125,7 @@
 // What can't be carried out is refused with a status and one line of its own, and changes
 // nothing.
 func TestRequestsThatAreNotCarriedOut(t *testing.T) {
-	s := newStateService(t)
+	s := newSimulatedStore(t)
 	s.register("n0")
 	active := rollout.State{Level: 1, Phase: rollout.Activated}
 	for _, x := range []struct {
@@ -149,7 +149,7 @@
 			t.Errorf("%s: %v", x.name, err)
 		}
 		var now rollout.State
-		_ = json.Unmarshal(s.state.Values(rollout.StateKey)[rollout.StateKey], &now)
+		_ = json.Unmarshal(s.store.Values(rollout.StateKey)[rollout.StateKey], &now)
 		if x.status == exitRefused && now != x.state {
 			t.Errorf("%s: %+v became %+v", x.name, x.state, now)
 		}
@@ -158,7 +158,7 @@
 
 // A leader that carries a request out is waited for.
 func TestRequestIsWaitedFor(t *testing.T) {
-	s := newStateService(t)
+	s := newSimulatedStore(t)
 	s.register("n0", "n1")
 	s.put(rollout.StateKey, rollout.State{Level: 1, Phase: rollout.Activated}.Encode())
 	go func() {
@@ -174,7 +174,7 @@
 
 // Bad input ends with a status that is not 0 and one line that says what is wrong.
 func TestBadInput(t *testing.T) {
-	s := newStateService(t)
+	s := newSimulatedStore(t)
 	s.put(rollout.StateKey, []byte(`{"level":1,"phase":"dissolved"}`))
 	flags := s.flags(false)
 	if err := flags.show(&bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), "dissolved") {
@@ -196,7 +196,7 @@
 
 // The platform starts a controller with its settings file alone.
 func TestRunIsTheDefaultCommand(t *testing.T) {
-	s := newStateService(t)
+	s := newSimulatedStore(t)
 	for _, args := range [][]string{{"--config", s.file}, {"run", "--config", s.file}, {"--check", "--config", s.file}} {
 		var c cli
 		parser, err := kong.New(&c, kong.Vars{"version": "x"})
