--- a/internal/tools/docs/names_test.go
+++ b/internal/tools/docs/names_test.go
@@ -92,6 +92,28 @@
 	}
 }
 
+// testFunction matches the name of a test wherever a page has it, as in a command.
+var testFunction = regexp.MustCompile(`\bTest[A-Z][A-Za-z0-9]*`)
+
+// TestPagesNameExistingTests fails when a page, or a command on it, names a test that
+// doesn't exist any more.
+func TestPagesNameExistingTests(t *testing.T) {
+	known := identifiers(t)
+	const placeholder = "TestName"
+	checked := 0
+	for _, name := range livePages {
+		for _, test := range testFunction.FindAllString(readPage(t, name), -1) {
+			checked++
+			if !known[test] && test != placeholder {
+				t.Errorf("%s names %s, which doesn't exist", name, test)
+			}
+		}
+	}
+	if checked < 50 {
+		t.Errorf("only %d tests are named on the pages", checked)
+	}
+}
+
 // link matches a link of a page to a file of the repository.
 var link = regexp.MustCompile(`\]\(([A-Za-z0-9_./-]+)(?:#[a-z0-9-]+)?\)`)
 
