--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -123,13 +123,13 @@
 	if err := c.call(ctx, request{http.MethodPost, "/rentals", launch}, &response); err != nil {
 		return nil, err
 	}
-	return response.Machines, nil
+	return response.Names, nil
 }
 
 // Terminate returns at most MaxTerminate machines. Without an error they are gone, with all
 // that was on them. Unknown names are ignored.
 func (c *Client) Terminate(ctx context.Context, names []string) error {
-	return c.call(ctx, request{http.MethodPost, "/rentals/release", wire.MachineNames{Machines: names}}, nil)
+	return c.call(ctx, request{http.MethodPost, "/rentals/release", wire.MachineNames{Names: names}}, nil)
 }
 
 // List reads the whole list of machines, page by page. It lags, and may be older than the
@@ -146,10 +146,10 @@
 		if err := c.call(ctx, request{http.MethodGet, "/rentals?" + query.Encode(), nil}, &page); err != nil {
 			return nil, err
 		}
-		all = append(all, page.Machines...)
-		if !page.More || len(page.Machines) == 0 {
+		all = append(all, page.Instances...)
+		if !page.More || len(page.Instances) == 0 {
 			return all, nil
 		}
-		after = page.Machines[len(page.Machines)-1].Name
+		after = page.Instances[len(page.Instances)-1].Name
 	}
 }
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -37,7 +37,7 @@
 		{"types", "GET http://cloud:1/machine_types", func(ctx context.Context, c *cloud.Client) error { _, err := c.MachineTypes(ctx); return err }},
 		{"launch", `POST http://cloud:1/rentals {"charter":"r","hull":"g8","shore":"a","driftwood":false,"howMany":2}`,
 			func(ctx context.Context, c *cloud.Client) error {
-				_, err := c.Launch(ctx, wire.LaunchRequest{Request: "r", Type: "g8", Zone: "a", Count: 2})
+				_, err := c.Launch(ctx, wire.LaunchRequest{IdempotencyKey: "r", Type: "g8", Zone: "a", Count: 2})
 				return err
 			}},
 		{"terminate", `POST http://cloud:1/rentals/release {"perches":["m"]}`,
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -78,7 +78,7 @@
 		id++
 		stamp++
 		spec := &wire.Job{ID: fmt.Sprintf("wk-%06d", id), Class: class, Team: team, Service: kind == wire.Service, Priority: priority, Tasks: tasks,
-			CPUs: cpus, RAM: 2, Image: "img", EstimateS: 40, DeadlineS: 200}
+			CPUs: cpus, RAMGB: 2, Image: "img", EstimateS: 40, DeadlineS: 200}
 		c.replica.Put(jobKey(spec.ID), record.JSON(record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: spec}), stamp)
 		return spec.ID
 	}
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -195,8 +195,8 @@
 	if v.Spec != nil {
 		job.spec = v.Spec
 		job.acceptedAt = time.UnixMilli(v.AcceptedAtMS)
-		job.taskSize = scheduling.NewResources(v.Spec.CPUs, v.Spec.GPUs, v.Spec.RAM)
-		job.equivalenceClass = fmt.Sprint(v.Spec.CPUs, v.Spec.GPUs, v.Spec.RAM, v.Spec.MachineTypes, v.Spec.Zone, v.Spec.Spot, v.Spec.Priority, v.Spec.AllOrNothing(), v.Spec.Team)
+		job.taskSize = scheduling.NewResources(v.Spec.CPUs, v.Spec.GPUs, v.Spec.RAMGB)
+		job.equivalenceClass = fmt.Sprint(v.Spec.CPUs, v.Spec.GPUs, v.Spec.RAMGB, v.Spec.MachineTypes, v.Spec.Zone, v.Spec.Spot, v.Spec.Priority, v.Spec.AllOrNothing(), v.Spec.Team)
 		job.team = c.team(v.Spec.Team)
 	}
 	if job.finalState != unfinishedJob {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -98,8 +98,8 @@
 
 // testTypes are the machine types that the cloud has.
 var testTypes = []wire.MachineType{
-	{Name: "small", CPUs: 4, RAM: 16, CacheGB: 20, FetchGBPS: 1, Price: 0.4, SpotPrice: 0.1, BootS: 5, Zones: []string{"a", "b"}},
-	{Name: "large", CPUs: 16, RAM: 64, CacheGB: 50, FetchGBPS: 1, Price: 1.2, SpotPrice: 0.3, BootS: 8, Zones: []string{"a"}},
+	{Name: "small", CPUs: 4, RAMGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 0.4, SpotPrice: 0.1, BootS: 5, Zones: []string{"a", "b"}},
+	{Name: "large", CPUs: 16, RAMGB: 64, CacheGB: 50, FetchGBPS: 1, Price: 1.2, SpotPrice: 0.3, BootS: 8, Zones: []string{"a"}},
 }
 
 // usualControllers is how many controllers most clusters have.
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -30,7 +30,7 @@
 	c := newController(t.Context(), cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), clients{})
 	c.replica.Load(nil, 0, &wire.WatchResponse{})
 	c.replica.NoteRead(c.now)
-	c.machineTypes = map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAM: 8}}
+	c.machineTypes = map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAMGB: 8}}
 	p := c.partitions[0]
 	p.token, p.active, p.ownedSince = 1, true, c.now.Add(-time.Minute)
 	p.cells, p.reservations = scheduling.NewPartition(), map[scheduling.Task]reservation{}
@@ -54,7 +54,7 @@
 		c := lone(t)
 		p := c.partitions[0]
 		c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, true)
-		spec := &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}
+		spec := &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAMGB: 1, Team: "t", NoDeadline: true}
 		c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 2)
 		key := groupKey("wk-1", 0)
 		c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
@@ -147,7 +147,7 @@
 	c := lone(t)
 	p := c.partitions[0]
 	c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAM: 1, Team: "t", NoDeadline: true}}), 2)
+	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAMGB: 1, Team: "t", NoDeadline: true}}), 2)
 	key := groupKey("wk-1", 0)
 	c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
 	group := c.groupByKey[key]
@@ -250,7 +250,7 @@
 		c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
 		for i, team := range []string{"blue", "red"} {
 			id := fmt.Sprintf("wk-%d", i+1)
-			c.replica.Put(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAM: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
+			c.replica.Put(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAMGB: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
 		}
 		c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 10)
 		c.replica.Put(groupKey("wk-2", 0), raw(t, record.TaskGroup{Guaranteed: true, Tasks: []record.Binding{{}}}), 11)
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -82,9 +82,9 @@
 	if !found {
 		return "unknown team"
 	}
-	need := scheduling.NewResources(spec.CPUs, spec.GPUs, spec.RAM)
+	need := scheduling.NewResources(spec.CPUs, spec.GPUs, spec.RAMGB)
 	for _, t := range c.machineTypes {
-		if !scheduling.NewResources(t.CPUs, t.GPUs, t.RAM).Contains(need) {
+		if !scheduling.NewResources(t.CPUs, t.GPUs, t.RAMGB).Contains(need) {
 			continue
 		}
 		for _, z := range t.Zones {
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -246,7 +246,7 @@
 		if loan.Job != reserveLoanJob || loan.Acknowledged || t == nil || !allowed(class.spec, zone, m.machineType, m.zone, m.spot) {
 			continue
 		}
-		n := scheduling.NewResources(t.CPUs, t.GPUs, t.RAM).CountFitting(class.need, class.spec.Tasks)
+		n := scheduling.NewResources(t.CPUs, t.GPUs, t.RAMGB).CountFitting(class.need, class.spec.Tasks)
 		if len(m.bindings) == 0 {
 			empty += n
 		} else {
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -107,7 +107,7 @@
 		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, Token: 1,
 			Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: state, Reason: why}, {Task: "wk-1/1", Attempt: 1, State: wire.Gathering}}}, p, true)
 	}
-	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAM: 1}}), 2)
+	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAMGB: 1}}), 2)
 	bound := func(num int32) record.Binding {
 		return record.Binding{Task: num, Attempt: 1, Machine: "host-1", Incarnation: 1}
 	}
--- a/internal/controller/instances.go
+++ b/internal/controller/instances.go
@@ -22,7 +22,7 @@
 	}
 	c.leadership.launchRequests++
 	epoch := c.leadership.epoch
-	req := wire.LaunchRequest{Request: fmt.Sprintf("r-%d-%d", epoch, c.leadership.launchRequests), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: n}
+	req := wire.LaunchRequest{IdempotencyKey: fmt.Sprintf("r-%d-%d", epoch, c.leadership.launchRequests), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: n}
 	c.leadership.launching[o] = n
 	started := c.now
 	c.queueCloudCall(func() {
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -272,7 +272,7 @@
 		if loan.Job != j.id || listed[m.index] || t == nil || !allowed(j.spec, zone, m.machineType, m.zone, m.spot) {
 			continue
 		}
-		room += scheduling.NewResources(t.CPUs, t.GPUs, t.RAM).Minus(m.serviceUse()).CountFitting(j.taskSize, n)
+		room += scheduling.NewResources(t.CPUs, t.GPUs, t.RAMGB).Minus(m.serviceUse()).CountFitting(j.taskSize, n)
 	}
 	return room
 }
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -124,7 +124,7 @@
 	if p.token == 0 || t == nil || m.terminated || m.heartbeatAt.IsZero() {
 		return
 	}
-	p.cells.SetMachine(m.index, scheduling.NewResources(t.CPUs, t.GPUs, t.RAM))
+	p.cells.SetMachine(m.index, scheduling.NewResources(t.CPUs, t.GPUs, t.RAMGB))
 }
 
 // partitionOfMachine is the part that a machine is in by what is stored.
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -154,13 +154,13 @@
 		if inst.reported || t == nil || c.terminating[name] || c.now.Sub(inst.launchedAt) > config.Seconds(usualBootFactor*t.BootS) {
 			continue
 		}
-		size := scheduling.NewResources(t.CPUs, t.GPUs, t.RAM)
+		size := scheduling.NewResources(t.CPUs, t.GPUs, t.RAMGB)
 		out = append(out, &planning.MachineSummary{ID: -1, Type: inst.machineType, Zone: inst.zone, Spot: inst.spot, Size: size, Free: size, Booting: true})
 	}
 	for o, n := range c.leadership.launching {
 		t := c.machineTypes[o.Type]
 		for range n {
-			size := scheduling.NewResources(t.CPUs, t.GPUs, t.RAM)
+			size := scheduling.NewResources(t.CPUs, t.GPUs, t.RAMGB)
 			out = append(out, &planning.MachineSummary{ID: -1, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Size: size, Free: size, Booting: true})
 		}
 	}
@@ -186,7 +186,7 @@
 				if spot {
 					price = t.SpotPrice
 				}
-				out = append(out, planning.PricedOffer{Offer: o, Size: scheduling.NewResources(t.CPUs, t.GPUs, t.RAM), Price: price, BootS: t.BootS})
+				out = append(out, planning.PricedOffer{Offer: o, Size: scheduling.NewResources(t.CPUs, t.GPUs, t.RAMGB), Price: price, BootS: t.BootS})
 			}
 		}
 	}
--- a/internal/controller/summaries.go
+++ b/internal/controller/summaries.go
@@ -32,7 +32,7 @@
 		if flags&peer.Reachable == 0 || flags&(peer.TerminationNotice|peer.Cordoned|peer.Unreachable) != 0 {
 			return
 		}
-		size := scheduling.NewResources(t.CPUs, t.GPUs, t.RAM)
+		size := scheduling.NewResources(t.CPUs, t.GPUs, t.RAMGB)
 		if loan := c.loans[m.name]; loan != nil && !loan.Acknowledged {
 			return // on its way to the leader
 		}
--- a/internal/simulation/agent/agent.go
+++ b/internal/simulation/agent/agent.go
@@ -109,7 +109,7 @@
 	}
 	a.booted, a.renewedAt = true, time.Now()
 	a.fleet.recorder.Record(trace.MachineUp{At: time.Now(), Machine: a.instance.Name, Type: a.instance.Type, Zone: a.instance.Zone, Spot: a.instance.Spot,
-		Capacity: scheduling.NewResources(a.machineType.CPUs, a.machineType.GPUs, a.machineType.RAM)})
+		Capacity: scheduling.NewResources(a.machineType.CPUs, a.machineType.GPUs, a.machineType.RAMGB)})
 }
 
 // advanceIfAlive moves the tasks on to now; false: there is no machine any more.
--- a/internal/simulation/cloud/cloud.go
+++ b/internal/simulation/cloud/cloud.go
@@ -113,8 +113,8 @@
 		reply(w, http.StatusBadRequest, struct{}{})
 		return
 	}
-	if names, repeated := c.launched[request.Request]; repeated {
-		reply(w, http.StatusOK, wire.MachineNames{Machines: names})
+	if names, repeated := c.launched[request.IdempotencyKey]; repeated {
+		reply(w, http.StatusOK, wire.MachineNames{Names: names})
 		return
 	}
 	count := min(request.Count, c.capacity-c.countInstances())
@@ -126,8 +126,8 @@
 	for range count {
 		names = append(names, c.launch(&request))
 	}
-	c.launched[request.Request] = names
-	reply(w, http.StatusOK, wire.MachineNames{Machines: names})
+	c.launched[request.IdempotencyKey] = names
+	reply(w, http.StatusOK, wire.MachineNames{Names: names})
 }
 
 // launch launches one machine and returns its name.
@@ -172,7 +172,7 @@
 		return
 	}
 	for number, i := range c.instances {
-		if i != nil && slices.Contains(request.Machines, i.Name) {
+		if i != nil && slices.Contains(request.Names, i.Name) {
 			i.agent.Terminate()
 			c.instances[number] = nil
 		}
@@ -182,7 +182,7 @@
 
 // list is the list of machines whose names come after one.
 func (c *Cloud) list(after string) wire.InstanceList {
-	out := wire.InstanceList{Machines: []wire.Instance{}}
+	out := wire.InstanceList{Instances: []wire.Instance{}}
 	for _, i := range c.instances {
 		if i == nil || i.Name <= after {
 			continue
@@ -192,7 +192,7 @@
 		if i.agent.IsUp() {
 			listed.State = instanceRunning
 		}
-		out.Machines = append(out.Machines, listed)
+		out.Instances = append(out.Instances, listed)
 	}
 	return out
 }
--- a/internal/simulation/rules/check_test.go
+++ b/internal/simulation/rules/check_test.go
@@ -58,7 +58,7 @@
 
 // testJob is a job of two tasks, of which two fill a machine.
 func testJob(id string) *wire.Job {
-	return &wire.Job{ID: id, Team: "red", Tasks: 2, CPUs: 2, RAM: 1}
+	return &wire.Job{ID: id, Team: "red", Tasks: 2, CPUs: 2, RAMGB: 1}
 }
 
 // testMachines are two on-demand machines in zone a, m1 and m3, and the spot machine m2 in
--- a/internal/simulation/rules/model.go
+++ b/internal/simulation/rules/model.go
@@ -46,7 +46,7 @@
 	if j.spec == nil {
 		return scheduling.Resources{}
 	}
-	return scheduling.NewResources(j.spec.CPUs, j.spec.GPUs, j.spec.RAM)
+	return scheduling.NewResources(j.spec.CPUs, j.spec.GPUs, j.spec.RAMGB)
 }
 
 // job is the job of an ID, which may be one that nobody submitted.
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -5,7 +5,7 @@
 	Name      string   `json:"label"`
 	CPUs      float64  `json:"cpus"`
 	GPUs      float64  `json:"cards"`
-	RAM       float64  `json:"ramGb"`      // GB
+	RAMGB     float64  `json:"ramGb"`
 	CacheGB   float64  `json:"cacheGb"`    // image cache
 	FetchGBPS float64  `json:"pullGbPerS"` // GB a second, of an image
 	Price     float64  `json:"price"`
@@ -21,16 +21,16 @@
 
 // LaunchRequest asks the cloud for machines.
 type LaunchRequest struct {
-	Request string `json:"charter"` // idempotency key, never reused for another request
-	Type    string `json:"hull"`
-	Zone    string `json:"shore"`
-	Spot    bool   `json:"driftwood"`
-	Count   int    `json:"howMany"`
+	IdempotencyKey string `json:"charter"` // idempotency key, never reused for another request
+	Type           string `json:"hull"`
+	Zone           string `json:"shore"`
+	Spot           bool   `json:"driftwood"`
+	Count          int    `json:"howMany"`
 }
 
 // MachineNames lists machines by name.
 type MachineNames struct {
-	Machines []string `json:"perches"`
+	Names []string `json:"perches"`
 }
 
 // Instance is one machine in the cloud's list.
@@ -46,6 +46,6 @@
 
 // InstanceList is one page of the cloud's list.
 type InstanceList struct {
-	Machines []Instance `json:"perches"`
-	More     bool       `json:"truncated"`
+	Instances []Instance `json:"perches"`
+	More      bool       `json:"truncated"`
 }
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -22,7 +22,7 @@
 	Tasks    int     `json:"Tasks"` // number of tasks
 	CPUs     float64 `json:"CPUs"`
 	GPUs     float64 `json:"GPUs"`
-	RAM      float64 `json:"RAM"` // GB
+	RAMGB    float64 `json:"RAM"`
 	Image    string  `json:"Image"`
 	ImageGB  float64 `json:"ImageGB"`
 	// MachineTypes are the allowed ones; nil: any.
--- a/internal/wire/parse_job.go
+++ b/internal/wire/parse_job.go
@@ -49,26 +49,26 @@
 // jobBody is a submission as it comes; nil: the field is missing or null. Users see this
 // type's name in the texts of encoding/json.
 type jobBody struct {
-	ID        *string  `json:"nameId"`
-	Class     *string  `json:"flock"`
-	Team      *string  `json:"crew"`
-	Kind      *string  `json:"shape"`
-	Priority  *string  `json:"rank"`
-	Tasks     *float64 `json:"eggs"`
-	CPUs      *float64 `json:"cpus"`
-	GPUs      *float64 `json:"cards"`
-	RAM       *float64 `json:"ramGb"`
-	Image     *string  `json:"plumage"`
-	ImageGB   *float64 `json:"imageGb"`
-	Types     []string `json:"hulls"`
-	Zone      *string  `json:"shore"`
-	OneZone   *bool    `json:"samePlace"`
-	Spread    *bool    `json:"spread"`
-	Spot      *bool    `json:"driftwood"`
-	EstimateS *float64 `json:"reckonS"`
-	CheckS    *float64 `json:"moultS"`
-	SaveS     *float64 `json:"stowS"`
-	DeadlineS *float64 `json:"dueS"`
+	ID           *string  `json:"nameId"`
+	Class        *string  `json:"flock"`
+	Team         *string  `json:"crew"`
+	Kind         *string  `json:"shape"`
+	Priority     *string  `json:"rank"`
+	Tasks        *float64 `json:"eggs"`
+	CPUs         *float64 `json:"cpus"`
+	GPUs         *float64 `json:"cards"`
+	RAMGB        *float64 `json:"ramGb"`
+	Image        *string  `json:"plumage"`
+	ImageGB      *float64 `json:"imageGb"`
+	MachineTypes []string `json:"hulls"`
+	Zone         *string  `json:"shore"`
+	SingleZone   *bool    `json:"samePlace"`
+	Spread       *bool    `json:"spread"`
+	Spot         *bool    `json:"driftwood"`
+	EstimateS    *float64 `json:"reckonS"`
+	CheckpointS  *float64 `json:"moultS"`
+	SaveS        *float64 `json:"stowS"`
+	DeadlineS    *float64 `json:"dueS"`
 }
 
 // ParseJob decodes and validates a submission. Every error is a FieldError of the first
@@ -178,10 +178,10 @@
 	}{
 		{"cpus", b.CPUs, &job.CPUs},
 		{"cards", b.GPUs, &job.GPUs},
-		{"ramGb", b.RAM, &job.RAM},
+		{"ramGb", b.RAMGB, &job.RAMGB},
 		{"imageGb", b.ImageGB, &job.ImageGB},
 		{"reckonS", b.EstimateS, &job.EstimateS},
-		{"moultS", b.CheckS, &job.CheckpointS},
+		{"moultS", b.CheckpointS, &job.CheckpointS},
 		{"stowS", b.SaveS, &job.SaveS},
 		{"dueS", deadline, &job.DeadlineS},
 	} {
@@ -197,18 +197,18 @@
 }
 
 func (b *jobBody) parseMachineTypes(job *Job) error {
-	if len(b.Types) > maxMachineTypes {
+	if len(b.MachineTypes) > maxMachineTypes {
 		return fieldErrorf("hulls", "more than %d", maxMachineTypes)
 	}
-	for _, name := range b.Types {
+	for _, name := range b.MachineTypes {
 		if !validName(name) {
 			return fieldErrorf("hulls", "names must have 1 to %d bytes", maxName)
 		}
 	}
-	if b.Types != nil && len(b.Types) == 0 {
+	if b.MachineTypes != nil && len(b.MachineTypes) == 0 {
 		return fieldErrorf("hulls", "an empty list allows no type")
 	}
-	job.MachineTypes = b.Types
+	job.MachineTypes = b.MachineTypes
 	return nil
 }
 
@@ -229,7 +229,7 @@
 		from *bool
 		to   *bool
 	}{
-		{"samePlace", b.OneZone, &job.SingleZone},
+		{"samePlace", b.SingleZone, &job.SingleZone},
 		{"spread", b.Spread, &job.Spread},
 		{"driftwood", b.Spot, &job.Spot},
 	} {
