--- /dev/null
+++ b/internal/scheduling/invariants.go
@@ -0,0 +1,91 @@
+package scheduling
+
+import "fmt"
+
+// CheckInvariants returns an error if the partition contradicts itself or the paper's
+// state machines. Tests call it after every event.
+func (p *Partition) CheckInvariants() error {
+	cellsOfTask := map[Task]int{}
+	for index, machine := range p.machines {
+		if err := p.checkMachine(machine, cellsOfTask); err != nil {
+			return fmt.Errorf("machine %d: %w", index, err)
+		}
+	}
+	if err := p.checkUsedCells(cellsOfTask); err != nil {
+		return err
+	}
+	return p.checkPreemptingGroups()
+}
+
+// checkMachine checks a machine's cells and free room, and counts the cells of each task.
+func (p *Partition) checkMachine(machine *partitionMachine, cellsOfTask map[Task]int) error {
+	free := machine.size
+	for _, cell := range machine.cells {
+		free = free.Minus(cell.Size)
+		if err := p.checkCell(cell); err != nil {
+			return err
+		}
+		if cell.State != Reserved {
+			cellsOfTask[cell.User]++
+		}
+	}
+	if free != machine.free {
+		return fmt.Errorf("free room is %v, its cells leave %v", machine.free, free)
+	}
+	return nil
+}
+
+// checkCell checks a cell's state against its user and the group that has reserved it.
+func (p *Partition) checkCell(cell *Cell) error {
+	used := cell.State == Used || cell.State == Reserving
+	if used && p.usedCells[cell.User] != cell {
+		return fmt.Errorf("task %v has another cell than the one it uses", cell.User)
+	}
+	reserved := cell.State == Reserved || cell.State == Reserving
+	if reserved != (cell.reservedBy != nil) {
+		return fmt.Errorf("%v cell, reserved by a group: %v", cell.State, cell.reservedBy != nil)
+	}
+	if !reserved {
+		return nil
+	}
+	if cell.reservedBy.State != Preempting {
+		return fmt.Errorf("cell is reserved by a group that is %v", cell.reservedBy.State)
+	}
+	if used && !cell.reservedBy.Claim.CanPreempt(cell.userClaim) {
+		return fmt.Errorf("claim %v preempts %v", cell.reservedBy.Claim, cell.userClaim)
+	}
+	return nil
+}
+
+// checkUsedCells checks that each task that uses a cell has exactly this one.
+func (p *Partition) checkUsedCells(cellsOfTask map[Task]int) error {
+	for task, cell := range p.usedCells {
+		if cellsOfTask[task] != 1 {
+			return fmt.Errorf("task %v has %d cells", task, cellsOfTask[task])
+		}
+		if cell.User != task {
+			return fmt.Errorf("cell of task %v is listed for task %v", cell.User, task)
+		}
+	}
+	return nil
+}
+
+// checkPreemptingGroups checks that tasks of Preempting groups use no cells, and that
+// these groups count their victims right and have some.
+func (p *Partition) checkPreemptingGroups() error {
+	for task, group := range p.preempting {
+		if p.usedCells[task] != nil {
+			return fmt.Errorf("task %v is preempting and uses a cell", task)
+		}
+		reserving := 0
+		for _, cell := range group.cells {
+			if cell.State == Reserving {
+				reserving++
+			}
+		}
+		if reserving != group.victims || reserving == 0 {
+			return fmt.Errorf("group of task %v counts %d victims and has %d Reserving cells", task, group.victims, reserving)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/scheduling/invariants_test.go
@@ -0,0 +1,120 @@
+package scheduling
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// partitionModel drives a partition with random events.
+type partitionModel struct {
+	partition *Partition
+	machines  int
+	nextTask  int32
+	groups    []*Group
+}
+
+// testMachineSize is the size of all machines of generated partitions.
+var testMachineSize = NewResources(8, 0, 16)
+
+func newPartitionModel(t *rapid.T) *partitionModel {
+	model := &partitionModel{
+		partition: NewPartition(),
+		machines:  rapid.IntRange(1, 4).Draw(t, "machines"),
+	}
+	for index := range model.machines {
+		model.partition.SetMachine(MachineIndex(index), testMachineSize)
+	}
+	return model
+}
+
+// runningTasks lists the tasks that use a cell, in order.
+func (m *partitionModel) runningTasks() []Task {
+	var running []Task
+	for number := range m.nextTask {
+		task := Task{Number: number}
+		if m.partition.CellOf(task) != nil {
+			running = append(running, task)
+		}
+	}
+	return running
+}
+
+// Request has a new group ask for cells.
+func (m *partitionModel) Request(t *rapid.T) {
+	group := &Group{
+		TaskSize: NewResources(float64(rapid.IntRange(1, 5).Draw(t, "cpus")), 0, 1),
+		Claim: Claim{
+			Priority:   rapid.IntRange(0, 3).Draw(t, "priority"),
+			Guaranteed: rapid.Bool().Draw(t, "guaranteed"),
+			Team:       TeamIndex(rapid.IntRange(0, 2).Draw(t, "team")),
+		},
+	}
+	for range rapid.IntRange(1, 4).Draw(t, "tasks") {
+		group.Tasks = append(group.Tasks, Task{Number: m.nextTask})
+		m.nextTask++
+	}
+	m.partition.Request(group, anyMachine)
+	m.groups = append(m.groups, group)
+	started := 0
+	for _, task := range group.Tasks {
+		if m.partition.CellOf(task) != nil {
+			started++
+		}
+	}
+	if started != 0 && started != len(group.Tasks) {
+		t.Fatalf("expected all %d tasks of a gang to use cells or none, got %d", len(group.Tasks), started)
+	}
+}
+
+// Release ends a running task.
+func (m *partitionModel) Release(t *rapid.T) {
+	running := m.runningTasks()
+	if len(running) == 0 {
+		return
+	}
+	group := m.partition.Release(rapid.SampledFrom(running).Draw(t, "task"))
+	if group != nil && group.State != Allocated {
+		t.Fatalf("expected the group that Release returns to be Allocated, got %v", group.State)
+	}
+}
+
+// Cancel cancels the reservations of a group, if it has any.
+func (m *partitionModel) Cancel(t *rapid.T) {
+	if len(m.groups) > 0 {
+		m.partition.Cancel(rapid.SampledFrom(m.groups).Draw(t, "group"))
+	}
+}
+
+// LoseMachine ends all tasks of a machine and replaces it by an empty one.
+func (m *partitionModel) LoseMachine(t *rapid.T) {
+	index := MachineIndex(rapid.IntRange(0, m.machines-1).Draw(t, "machine"))
+	for _, task := range m.runningTasks() {
+		if m.partition.CellOf(task).Machine == index {
+			m.partition.Release(task)
+		}
+	}
+	m.partition.RemoveMachine(index)
+	m.partition.SetMachine(index, testMachineSize)
+}
+
+// Check is called by rapid after every event.
+func (m *partitionModel) Check(t *rapid.T) {
+	if err := m.partition.CheckInvariants(); err != nil {
+		t.Fatal(err)
+	}
+	for index, machine := range m.partition.machines {
+		if !machine.free.Contains(Resources{}) {
+			t.Fatalf("machine %d: expected free room of zero or more, got %v", index, machine.free)
+		}
+	}
+}
+
+// Any order of requests, ends of tasks, cancellations and lost machines keeps the
+// invariants: no cell is owned twice, no machine is over-committed, and cells are reserved
+// only by claims that may preempt their users.
+func TestEventsKeepInvariants(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		t.Repeat(rapid.StateMachineActions(newPartitionModel(t)))
+	})
+}
--- /dev/null
+++ b/internal/scheduling/partition.go
@@ -0,0 +1,206 @@
+package scheduling
+
+import "fmt"
+
+// partitionMachine is a machine of a partition with the cells carved out of it.
+type partitionMachine struct {
+	index MachineIndex
+	// position in Partition.machineList.
+	position int
+	// size is zero, and free is negative, while the machine is not known: its bindings
+	// may be adopted before it reports.
+	size, free Resources
+	known      bool
+	cells      []*Cell
+}
+
+// Partition holds the cells of one partition's machines.
+type Partition struct {
+	machines map[MachineIndex]*partitionMachine
+	// machineList has the same machines, to be scanned by requests.
+	machineList []*partitionMachine
+	// usedCells has the cell of each task whose cell is Used or Reserving.
+	usedCells map[Task]*Cell
+	// preempting has the group of each task whose group is Preempting.
+	preempting map[Task]*Group
+	// lastSequence is the sequence number of the cell allocated last.
+	lastSequence int64
+}
+
+// NewPartition returns a partition without machines.
+func NewPartition() *Partition {
+	return &Partition{
+		machines:   map[MachineIndex]*partitionMachine{},
+		usedCells:  map[Task]*Cell{},
+		preempting: map[Task]*Group{},
+	}
+}
+
+// SetMachine adds a machine to the partition, or changes its size.
+func (p *Partition) SetMachine(index MachineIndex, size Resources) {
+	machine := p.machine(index)
+	machine.free = machine.free.Plus(size.Minus(machine.size))
+	machine.size, machine.known = size, true
+}
+
+// machine returns the machine of that index, which is added if it is missing.
+func (p *Partition) machine(index MachineIndex) *partitionMachine {
+	machine := p.machines[index]
+	if machine == nil {
+		machine = &partitionMachine{index: index, position: len(p.machineList)}
+		p.machines[index] = machine
+		p.machineList = append(p.machineList, machine)
+	}
+	return machine
+}
+
+// RemoveMachine cancels the reservations on a machine and removes it, unless a task still
+// uses a cell of it.
+func (p *Partition) RemoveMachine(index MachineIndex) {
+	machine := p.machines[index]
+	if machine == nil {
+		return
+	}
+	for _, cell := range append([]*Cell(nil), machine.cells...) {
+		if cell.reservedBy != nil {
+			p.Cancel(cell.reservedBy)
+		}
+	}
+	if len(machine.cells) > 0 {
+		return
+	}
+	delete(p.machines, index)
+	last := len(p.machineList) - 1
+	p.machineList[machine.position] = p.machineList[last]
+	p.machineList[machine.position].position = machine.position
+	p.machineList[last] = nil
+	p.machineList = p.machineList[:last]
+}
+
+// Free returns what is free on a machine.
+func (p *Partition) Free(index MachineIndex) Resources {
+	if machine := p.machines[index]; machine != nil {
+		return machine.free
+	}
+	return Resources{}
+}
+
+// CellOf returns the cell that a task uses, or nil.
+func (p *Partition) CellOf(task Task) *Cell { return p.usedCells[task] }
+
+// Tasks lists the tasks that use a cell, in no particular order.
+func (p *Partition) Tasks() []Task {
+	tasks := make([]Task, 0, len(p.usedCells))
+	for task := range p.usedCells {
+		tasks = append(tasks, task)
+	}
+	return tasks
+}
+
+// PreemptingGroup returns the Preempting group of a task, or nil.
+func (p *Partition) PreemptingGroup(task Task) *Group { return p.preempting[task] }
+
+// Adopt makes a stored binding's cell Used. It rebuilds the cells from the persistent
+// states after a failover: a cell that the task uses elsewhere is released, and a
+// reservation of its group is cancelled.
+func (p *Partition) Adopt(task Task, index MachineIndex, size Resources, claim Claim) {
+	if cell := p.usedCells[task]; cell != nil {
+		if cell.Machine == index {
+			return
+		}
+		p.Release(task)
+	}
+	if group := p.preempting[task]; group != nil {
+		p.Cancel(group)
+	}
+	p.use(task, index, size, claim)
+}
+
+// Release ends a task's use of its cell, once it is proven that the task has ended. A
+// Used cell becomes Free (e1), a Reserving one Reserved. If it was the last one that a
+// group waited for, the group is Allocated and returned.
+func (p *Partition) Release(task Task) *Group {
+	cell := p.usedCells[task]
+	if cell == nil {
+		return nil
+	}
+	delete(p.usedCells, task)
+	if cell.State == Used {
+		p.detach(cell)
+		return nil
+	}
+	cell.vacate()
+	group := cell.reservedBy
+	if group.victims > 0 {
+		return nil
+	}
+	p.allocate(group)
+	return group
+}
+
+// Cancel ends the reservations of a Preempting group, which is Pending again (e5, e7 of
+// the group): Reserving cells are returned to their victims (e4), Reserved ones are Free
+// (e7). It does nothing to a group in another state.
+func (p *Partition) Cancel(g *Group) {
+	if g.State != Preempting {
+		return
+	}
+	g.State = Pending
+	for _, cell := range g.cells {
+		if cell.State == Reserving {
+			cell.returnToUser()
+		} else {
+			p.detach(cell)
+		}
+	}
+	g.cells, g.victims = nil, 0
+	for _, task := range g.Tasks {
+		delete(p.preempting, task)
+	}
+}
+
+// allocate turns a Preempting group, all of whose cells are Reserved, into an Allocated
+// one (e2 of the group, e8 of its cells). Its reserved slices become one Used cell for
+// each task; what its victims held beyond that is Free.
+func (p *Partition) allocate(g *Group) {
+	for _, cell := range g.cells {
+		p.detach(cell)
+	}
+	g.cells = nil
+	g.State = Allocated
+	for i, task := range g.Tasks {
+		delete(p.preempting, task)
+		p.use(task, g.Machines[i], g.TaskSize, g.Claim)
+	}
+}
+
+// use carves a Used cell for a task out of a machine's free room (e0).
+func (p *Partition) use(task Task, index MachineIndex, size Resources, claim Claim) {
+	p.lastSequence++
+	cell := &Cell{
+		Machine: index, Size: size, State: Used,
+		User: task, userClaim: claim, sequence: p.lastSequence,
+	}
+	p.usedCells[task] = cell
+	p.attach(cell)
+}
+
+// attach takes a cell out of its machine's free room.
+func (p *Partition) attach(cell *Cell) {
+	machine := p.machine(cell.Machine)
+	machine.cells = append(machine.cells, cell)
+	machine.free = machine.free.Minus(cell.Size)
+}
+
+// detach returns a cell to its machine's free room.
+func (p *Partition) detach(cell *Cell) {
+	machine := p.machines[cell.Machine]
+	for i, other := range machine.cells {
+		if other == cell {
+			machine.cells = append(machine.cells[:i], machine.cells[i+1:]...)
+			machine.free = machine.free.Plus(cell.Size)
+			return
+		}
+	}
+	panic(fmt.Sprintf("scheduling: machine %d lacks a cell that is claimed on it", cell.Machine))
+}
--- /dev/null
+++ b/internal/scheduling/partition_test.go
@@ -0,0 +1,80 @@
+package scheduling
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+const rebuildMachines = MachineIndex(3)
+
+// storedBinding is what a controller stores of an allocated task.
+type storedBinding struct {
+	machine MachineIndex
+	size    Resources
+	claim   Claim
+}
+
+// drawPartition has random groups request cells, and some of their tasks end.
+func drawPartition(t *rapid.T) (*Partition, []*Group) {
+	partition := NewPartition()
+	for index := range rebuildMachines {
+		partition.SetMachine(index, testMachineSize)
+	}
+	var groups []*Group
+	for i := range int32(rapid.IntRange(1, 25).Draw(t, "groups")) {
+		priority := rapid.IntRange(0, 3).Draw(t, "priority")
+		cpus := float64(rapid.IntRange(1, 5).Draw(t, "cpus"))
+		group := newTestGroup(priority, cpus, 2*i, 2*i+1)
+		partition.Request(group, anyMachine)
+		groups = append(groups, group)
+		if rapid.Bool().Draw(t, "end a task") {
+			if running := partition.Tasks(); len(running) > 0 {
+				partition.Release(running[0])
+			}
+		}
+	}
+	return partition, groups
+}
+
+// storedBindings returns the bindings of the allocated groups' tasks that run.
+func storedBindings(partition *Partition, groups []*Group) map[Task]storedBinding {
+	stored := map[Task]storedBinding{}
+	for _, group := range groups {
+		for i, task := range group.Tasks {
+			if group.State == Allocated && partition.CellOf(task) != nil {
+				stored[task] = storedBinding{group.Machines[i], group.TaskSize, group.Claim}
+			}
+		}
+	}
+	return stored
+}
+
+// The persistent states suffice after a failover: cells rebuilt from the stored bindings
+// alone are those from before, but for reservations, which are volatile.
+func TestRebuildFromBindings(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		before, groups := drawPartition(t)
+		rebuilt := NewPartition()
+		for task, binding := range storedBindings(before, groups) {
+			rebuilt.Adopt(task, binding.machine, binding.size, binding.claim)
+		}
+		for index := range rebuildMachines {
+			rebuilt.SetMachine(index, testMachineSize)
+		}
+		if err := rebuilt.CheckInvariants(); err != nil {
+			t.Fatal(err)
+		}
+		if len(rebuilt.Tasks()) != len(before.Tasks()) {
+			t.Fatalf("expected %d used cells, got %d", len(before.Tasks()), len(rebuilt.Tasks()))
+		}
+		for _, group := range groups {
+			before.Cancel(group) // Preempting groups are Pending after a failure (ec)
+		}
+		for index := range rebuildMachines {
+			if rebuilt.Free(index) != before.Free(index) {
+				t.Fatalf("machine %d: expected %v to be free, got %v", index, before.Free(index), rebuilt.Free(index))
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/scheduling/request_test.go
@@ -0,0 +1,82 @@
+package scheduling
+
+import "testing"
+
+// anyMachine rates all machines alike.
+func anyMachine(MachineIndex, Resources) float64 { return 0 }
+
+// newTestGroup returns a Pending group of tasks with these numbers.
+func newTestGroup(priority int, cpus float64, numbers ...int32) *Group {
+	group := &Group{TaskSize: NewResources(cpus, 0, 1), Claim: Claim{Priority: priority}}
+	for _, number := range numbers {
+		group.Tasks = append(group.Tasks, Task{Number: number})
+	}
+	return group
+}
+
+// newTestPartition returns a partition with one machine of four CPUs.
+func newTestPartition() *Partition {
+	partition := NewPartition()
+	partition.SetMachine(0, NewResources(4, 0, 8))
+	return partition
+}
+
+func expectState(t *testing.T, name string, group *Group, expected GroupState) {
+	t.Helper()
+	if group.State != expected {
+		t.Fatalf("%s: expected %v, got %v", name, expected, group.State)
+	}
+}
+
+// A preempting group waits until every victim has ended, and then gets all its cells.
+func TestPreemptingGroupWaitsForAllVictims(t *testing.T) {
+	partition := newTestPartition()
+	low, high := newTestGroup(0, 2, 0, 1), newTestGroup(2, 4, 2)
+	partition.Request(low, anyMachine)
+	partition.Request(high, anyMachine)
+	expectState(t, "lower group", low, Allocated)
+	expectState(t, "higher group", high, Preempting)
+	if cell := partition.CellOf(Task{Number: 0}); cell.State != Reserving {
+		t.Fatalf("victim's cell: expected %v, got %v", Reserving, cell.State)
+	}
+	if partition.Release(Task{Number: 0}) != nil {
+		t.Fatal("expected no group to be allocated while a victim still runs")
+	}
+	if partition.Release(Task{Number: 1}) != high {
+		t.Fatal("expected the higher group to be allocated after its last victim")
+	}
+	expectState(t, "higher group after its last victim", high, Allocated)
+}
+
+// Cancelling a preempting group returns the cells to its victims.
+func TestCancelReturnsCells(t *testing.T) {
+	partition := newTestPartition()
+	partition.Request(newTestGroup(0, 3, 0), anyMachine)
+	high := newTestGroup(2, 4, 1)
+	partition.Request(high, anyMachine)
+	partition.Cancel(high)
+	expectState(t, "cancelled group", high, Pending)
+	if cell := partition.CellOf(Task{Number: 0}); cell.State != Used {
+		t.Fatalf("victim's cell: expected %v, got %v", Used, cell.State)
+	}
+	if expected := NewResources(1, 0, 7); partition.Free(0) != expected {
+		t.Fatalf("free room: expected %v, got %v", expected, partition.Free(0))
+	}
+}
+
+// A still higher group overwrites a reservation: the group that made it is Pending again.
+// One of equal priority doesn't.
+func TestHigherGroupOverwritesReservation(t *testing.T) {
+	partition := newTestPartition()
+	partition.Request(newTestGroup(0, 4, 0), anyMachine)
+	middle, highest, equal := newTestGroup(1, 4, 1), newTestGroup(3, 4, 2), newTestGroup(3, 4, 3)
+	partition.Request(middle, anyMachine)
+	partition.Request(highest, anyMachine)
+	expectState(t, "overwritten group", middle, Pending)
+	expectState(t, "highest group", highest, Preempting)
+	if partition.Release(Task{Number: 0}) != highest {
+		t.Fatal("expected the cell to be allocated to the highest group")
+	}
+	partition.Request(equal, anyMachine)
+	expectState(t, "group of equal priority", equal, Pending)
+}
