--- a/internal/planning/assignment.go
+++ b/internal/planning/assignment.go
@@ -2,195 +2,213 @@
 
 import "eiderhitch/internal/scheduling"
 
-// MinTasksPerPartition is how many tasks of an array a part is dealt at least, if there
-// are that many: each record costs changes of its own, to deal it, to bind and
-// to end its tasks and to clear it up, and changes are what the state service
-// allows least of.
+// MinTasksPerPartition is how many tasks of an array a partition is assigned at least, if
+// there are that many. Each stored group costs writes of its own, to assign it, to bind
+// and to end its tasks and to clear it up, and writes are what the key-value store allows
+// least of.
 const MinTasksPerPartition = 24
 
-// Assignment asks for room for like tasks of one job.
+// Assignment asks for room for tasks of one job, which are all alike.
 type Assignment struct {
 	TaskSize scheduling.Resources
 	Count    int
 	Claim    scheduling.Claim
 	Allowed  MachineFilter
-	// QuotaShort: the team's limit is short. What is dealt but can't run yet would
-	// hold the limit against others of the team.
+	// QuotaShort is set if the team's limit is short. Tasks that are assigned but can't
+	// run yet would hold the limit against others of the team.
 	QuotaShort bool
-	// Forced: the tasks are dealt where they may be, room or not, to take the next
-	// cells that come free.
+	// Forced tasks are assigned where they may run, room or not, to take the next cells
+	// that become free.
 	Forced bool
 }
 
-// PerPartition decides how many tasks of an array each part is dealt: what free room
-// there is, what ends soon (ahead, which it counts down), then what lower claims
-// hold. It takes that room from the hosts.
-func (d *Assignment) PerPartition(hosts []*MachineSummary, ahead []int) []int {
-	out := make([]int, len(ahead))
-	left := d.Count
-	give := func(p, k int) {
-		out[p] += k
-		left -= k
-	}
-	for h, k := range PlaceInFreeRoom(hosts, d.Allowed, d.TaskSize, left) {
-		give(h.Partition, k)
-	}
-	for p := range ahead {
-		if left > 0 && !d.QuotaShort && ahead[p] > 0 && partitionAllows(hosts, p, d.Allowed) {
-			k := min(left, ahead[p])
-			ahead[p] -= k
-			give(p, k)
-		}
+// PerPartition decides how many tasks of an array each partition is assigned: for what
+// room is free, for what becomes free soon (ahead, which it counts down), then for what
+// may be preempted. It takes that room from the machines.
+func (a *Assignment) PerPartition(machines []*MachineSummary, ahead []int) []int {
+	s := spread{Assignment: a, machines: machines, ahead: ahead, tasks: make([]int, len(ahead)), remaining: a.Count}
+	s.assignFreeRoom()
+	s.assignAhead()
+	s.assignByPreemption()
+	if a.Forced && s.remaining == a.Count {
+		s.assignForced()
+	}
+	s.enlargeSmallShares()
+	return s.tasks
+}
+
+// spread is a PerPartition in progress.
+type spread struct {
+	*Assignment
+	machines []*MachineSummary
+	ahead    []int
+	// tasks is how many each partition is assigned, remaining how many are not yet.
+	tasks     []int
+	remaining int
+}
+
+func (s *spread) assign(partition, count int) {
+	s.tasks[partition] += count
+	s.remaining -= count
+}
+
+// assignFreeRoom assigns tasks to the partitions of machines that have free room.
+func (s *spread) assignFreeRoom() {
+	for machine, count := range PlaceInFreeRoom(s.machines, s.Allowed, s.TaskSize, s.remaining) {
+		s.assign(machine.Partition, count)
 	}
-	for left > 0 {
-		h := PlaceByPreemption(hosts, d.Allowed, d.TaskSize, d.Claim)
-		if h == nil {
-			break
+}
+
+// assignAhead assigns tasks for what becomes free soon.
+func (s *spread) assignAhead() {
+	for partition := range s.ahead {
+		if s.remaining == 0 || s.QuotaShort || s.ahead[partition] <= 0 || !s.allowsPartition(s.machines, partition) {
+			continue
 		}
-		give(h.Partition, 1)
+		count := min(s.remaining, s.ahead[partition])
+		s.ahead[partition] -= count
+		s.assign(partition, count)
 	}
-	if d.Forced && left == d.Count {
-		best := -1
-		for p := range ahead {
-			if (best < 0 || ahead[p] > ahead[best]) && partitionAllows(hosts, p, d.Allowed) {
-				best = p
-			}
+}
+
+// assignByPreemption assigns tasks where their owner can preempt others for them.
+func (s *spread) assignByPreemption() {
+	for s.remaining > 0 {
+		machine := PlaceByPreemption(s.machines, s.Allowed, s.TaskSize, s.Claim)
+		if machine == nil {
+			return
 		}
-		if best >= 0 {
-			ahead[best] -= left
-			give(best, left)
+		s.assign(machine.Partition, 1)
+	}
+}
+
+// assignForced assigns all tasks to the partition where most becomes free soon.
+func (s *spread) assignForced() {
+	best, found := 0, false
+	for partition := range s.ahead {
+		if (!found || s.ahead[partition] > s.ahead[best]) && s.allowsPartition(s.machines, partition) {
+			best, found = partition, true
 		}
 	}
-	for p, k := range out {
-		// Few large records rather than many small ones; what is dealt too much
-		// now is dealt less ahead later.
-		if more := min(MinTasksPerPartition-k, left); k > 0 && more > 0 && !d.QuotaShort {
-			ahead[p] -= more
-			give(p, more)
+	if found {
+		s.ahead[best] -= s.remaining
+		s.assign(best, s.remaining)
+	}
+}
+
+// enlargeSmallShares raises shares to MinTasksPerPartition: few large groups are stored
+// rather than many small ones. What is assigned too much now is assigned less ahead later.
+func (s *spread) enlargeSmallShares() {
+	if s.QuotaShort {
+		return
+	}
+	for partition, count := range s.tasks {
+		more := min(MinTasksPerPartition-count, s.remaining)
+		if count > 0 && more > 0 {
+			s.ahead[partition] -= more
+			s.assign(partition, more)
 		}
 	}
-	return out
 }
 
-// partitionAllows tells whether a part has a machine that a task may be on.
-func partitionAllows(hosts []*MachineSummary, p int, can MachineFilter) bool {
-	for _, h := range hosts {
-		if h.Partition == p && can(h) {
+// allowsPartition reports whether a partition has a machine that the tasks may be on.
+func (a *Assignment) allowsPartition(machines []*MachineSummary, partition int) bool {
+	for _, machine := range machines {
+		if machine.Partition == partition && a.Allowed(machine) {
 			return true
 		}
 	}
 	return false
 }
 
-// OnePartition chooses the part for a group that is reserved together, one of parts,
-// and takes its room there; false if no part can hold it.
-func (d *Assignment) OnePartition(hosts []*MachineSummary, parts int) (int, bool) {
-	if d.Count == 1 {
-		// The part of the fullest machine that fits keeps machines packed.
-		for h := range PlaceInFreeRoom(hosts, d.Allowed, d.TaskSize, 1) {
-			return h.Partition, true
-		}
-		if h := PlaceByPreemption(hosts, d.Allowed, d.TaskSize, d.Claim); h != nil {
-			return h.Partition, true
+// OnePartition chooses the partition for a gang, whose cells are reserved together, and
+// takes its room there. It reports false if no partition can hold it, in which case
+// nothing has changed.
+func (a *Assignment) OnePartition(machines []*MachineSummary, partitions int) (partition int, found bool) {
+	if a.Count == 1 {
+		return a.onMachine(machines)
+	}
+	partition, free := a.freestPartition(machines, partitions)
+	if free >= a.Count {
+		PlaceInFreeRoom(machines, a.within(partition), a.TaskSize, a.Count)
+		return partition, true
+	}
+	for partition := range partitions {
+		trial := CloneSummaries(machines)
+		if a.placeAll(trial, a.within(partition)) {
+			for i := range machines {
+				*machines[i] = *trial[i]
+			}
+			return partition, true
 		}
-		return 0, false
 	}
-	free := make([]int, parts)
-	for _, h := range hosts {
-		if d.Allowed(h) {
-			free[h.Partition] += h.Free.CountFitting(d.TaskSize, d.Count)
+	return 0, false
+}
+
+// onMachine chooses the partition for a single task: that of the fullest machine with room
+// for it, which keeps machines packed.
+func (a *Assignment) onMachine(machines []*MachineSummary) (partition int, found bool) {
+	for machine := range PlaceInFreeRoom(machines, a.Allowed, a.TaskSize, 1) {
+		return machine.Partition, true
+	}
+	if machine := PlaceByPreemption(machines, a.Allowed, a.TaskSize, a.Claim); machine != nil {
+		return machine.Partition, true
+	}
+	return 0, false
+}
+
+// freestPartition returns the partition with free room for the most tasks, and for how
+// many; no machine counts for more than all of them.
+func (a *Assignment) freestPartition(machines []*MachineSummary, partitions int) (partition, tasks int) {
+	free := make([]int, partitions)
+	for _, machine := range machines {
+		if a.Allowed(machine) {
+			free[machine.Partition] += machine.Free.CountFitting(a.TaskSize, a.Count)
 		}
 	}
 	best := 0
-	for p := range free {
-		if free[p] > free[best] {
-			best = p
+	for partition := range free {
+		if free[partition] > free[best] {
+			best = partition
 		}
 	}
-	in := func(p int) MachineFilter {
-		return func(h *MachineSummary) bool { return h.Partition == p && d.Allowed(h) }
-	}
-	if free[best] >= d.Count {
-		PlaceInFreeRoom(hosts, in(best), d.TaskSize, d.Count)
-		return best, true
-	}
-	for p := range free {
-		trial := CloneSummaries(hosts)
-		got := 0
-		for _, k := range PlaceInFreeRoom(trial, in(p), d.TaskSize, d.Count) {
-			got += k
-		}
-		for got < d.Count && PlaceByPreemption(trial, in(p), d.TaskSize, d.Claim) != nil {
-			got++
-		}
-		if got == d.Count {
-			for i := range hosts {
-				*hosts[i] = *trial[i]
-			}
-			return p, true
-		}
+	return best, free[best]
+}
+
+// within restricts the machines that are allowed to those of one partition.
+func (a *Assignment) within(partition int) MachineFilter {
+	return func(machine *MachineSummary) bool {
+		return machine.Partition == partition && a.Allowed(machine)
 	}
-	return 0, false
 }
 
-// CloneSummaries copies hosts, so that a plan can be tried.
-func CloneSummaries(hosts []*MachineSummary) []*MachineSummary {
-	all := make([]MachineSummary, len(hosts))
-	out := make([]*MachineSummary, len(hosts))
-	for i, h := range hosts {
-		all[i] = *h
-		out[i] = &all[i]
+// placeAll places all tasks on machines, by preemption where no room is free. It reports
+// false if not all find room.
+func (a *Assignment) placeAll(machines []*MachineSummary, allowed MachineFilter) bool {
+	remaining := a.Count
+	for _, count := range PlaceInFreeRoom(machines, allowed, a.TaskSize, a.Count) {
+		remaining -= count
+	}
+	for remaining > 0 && PlaceByPreemption(machines, allowed, a.TaskSize, a.Claim) != nil {
+		remaining--
 	}
-	return out
+	return remaining == 0
 }
 
-// AssignAhead is how many tasks a part may be dealt beyond its free room: what ends
-// there while a cell would wait for its next task, twice over. bound tasks of the
-// given estimate run there.
+const (
+	// aheadTurnarounds is how many turnarounds of a cell are assigned for ahead: tasks
+	// don't end evenly.
+	aheadTurnarounds = 2
+	// maxAheadShare limits tasks assigned ahead to this share of those that run: tasks
+	// shorter than the turnaround would have more assigned than can begin.
+	maxAheadShare = 0.5
+	// minEstimateS is the least run time of a task that is counted on, in seconds.
+	minEstimateS = 1
+)
+
+// AssignAhead returns how many tasks a partition may be assigned beyond its free room:
+// what ends there while a cell would wait for its next task, twice over. bound tasks of
+// the given estimated run time run there; estimate and turnaround are in seconds.
 func AssignAhead(bound int, estimate, turnaround float64) float64 {
-	return float64(bound) * min(0.5, 2*turnaround/max(estimate, 1))
-}
-
-// QuotaUse is a record's tasks that count for its team's limit.
-type QuotaUse struct {
-	Priority int
-	// Running tasks hold cells; May is how many may, at least those that do or
-	// are to.
-	Running, Allowed int
-	TaskSize         scheduling.Resources
-	// Fixed: tasks that are dealt but don't run can't be held back now.
-	Fixed bool
-}
-
-// Throttle makes room within a team's limit for a job of the given level that
-// lacks some: dealt tasks that don't run yet stand back, then tasks of lower jobs
-// that run are stopped. from lists what there is, the least urgent first; the
-// result tells for each how many may run from now, or -1 where nothing changes.
-func Throttle(from []QuotaUse, level int, lack scheduling.Resources) []int {
-	out := make([]int, len(from))
-	for i := range out {
-		out[i] = -1
-	}
-	for _, running := range []bool{false, true} {
-		for i, s := range from {
-			least, may := s.Running, s.Allowed
-			if out[i] >= 0 {
-				may = out[i]
-			}
-			if running {
-				if s.Priority >= level {
-					continue
-				}
-				least = 0
-			} else if s.Fixed {
-				continue
-			}
-			for may > least && (lack.CPU > 0 || lack.GPU > 0) {
-				may--
-				lack = lack.Minus(s.TaskSize)
-				out[i] = may
-			}
-		}
-	}
-	return out
+	return float64(bound) * min(maxAheadShare, aheadTurnarounds*turnaround/max(estimate, minEstimateS))
 }
--- a/internal/planning/assignment_test.go
+++ b/internal/planning/assignment_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
@@ -10,344 +11,181 @@
 	"eiderhitch/internal/scheduling"
 )
 
-const testParts = 3
-
-func drawClaim(t *rapid.T, name string) scheduling.Claim {
-	return scheduling.Claim{Priority: rapid.IntRange(0, 3).Draw(t, name+" level"), Guaranteed: rapid.Bool().Draw(t, name+" own"), Team: scheduling.TeamIndex(rapid.IntRange(0, 2).Draw(t, name+" team"))}
+func drawAssignment(t *rapid.T) *Assignment {
+	filter, _ := drawOfferFilter(t, "a")
+	return &Assignment{
+		TaskSize:   drawCPUs(t, "task cpus", 1, 5),
+		Count:      rapid.IntRange(1, 40).Draw(t, "count"),
+		Claim:      drawClaim(t, "claim"),
+		QuotaShort: rapid.Bool().Draw(t, "quota short"),
+		Forced:     rapid.Bool().Draw(t, "forced"),
+		Allowed:    func(machine *MachineSummary) bool { return filter(machine.offer()) },
+	}
 }
 
-// drawHosts draws a fleet whose hosts hold no more than they have.
-func drawHosts(t *rapid.T) []*MachineSummary {
-	var hosts []*MachineSummary
-	for i := range rapid.IntRange(0, 8).Draw(t, "hosts") {
-		size := scheduling.NewResources(float64(rapid.SampledFrom([]int{4, 16}).Draw(t, "cpus")), 0, 64)
-		h := &MachineSummary{ID: scheduling.MachineIndex(i), Type: fmt.Sprint(size.CPU), Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
-			Partition: rapid.IntRange(0, testParts-1).Draw(t, "part"), Size: size, Free: size}
-		for range rapid.IntRange(0, 6).Draw(t, "claims") {
-			c := Usage{Claim: drawClaim(t, "held"), Size: scheduling.NewResources(float64(rapid.IntRange(1, 4).Draw(t, "held cpus")), 0, 1)}
-			if h.Free.Contains(c.Size) {
-				h.Free = h.Free.Minus(c.Size)
-				h.Usages = append(h.Usages, c)
-			}
+// freeRoom returns how many tasks fit into the free room of each partition.
+func (a *Assignment) freeRoom(machines []*MachineSummary) []int {
+	room := make([]int, testPartitions)
+	for _, machine := range machines {
+		if a.Allowed(machine) {
+			room[machine.Partition] += machine.Free.CountFitting(a.TaskSize, unlimited)
 		}
-		hosts = append(hosts, h)
 	}
-	return hosts
+	return room
 }
 
-// room is how many tasks fit on the allowed hosts of each part at the most, when
-// all that the claim evicts is stopped.
-func (d *Assignment) room(hosts []*MachineSummary) []int {
-	out := make([]int, testParts)
-	for _, h := range hosts {
-		if !d.Allowed(h) {
-			continue
-		}
-		free := h.Free
-		for _, c := range h.Usages {
-			if d.Claim.CanPreempt(c.Claim) {
-				free = free.Plus(c.Size)
+// preemptibleRoom returns how many tasks fit into each partition at most, if all is
+// preempted that may be.
+func (a *Assignment) preemptibleRoom(machines []*MachineSummary) []int {
+	preempted := CloneSummaries(machines)
+	for _, machine := range preempted {
+		for _, usage := range machine.Usages {
+			if a.Claim.CanPreempt(usage.Claim) {
+				machine.Free = machine.Free.Plus(usage.Size)
 			}
 		}
-		out[h.Partition] += free.CountFitting(d.TaskSize, 1000)
 	}
-	return out
+	return a.freeRoom(preempted)
 }
 
-func drawDealing(t *rapid.T) *Assignment {
-	zone, spot := rapid.SampledFrom([]string{"", "a"}).Draw(t, "only zone"), rapid.Bool().Draw(t, "spot may be")
-	return &Assignment{TaskSize: scheduling.NewResources(float64(rapid.IntRange(1, 5).Draw(t, "need")), 0, 1), Count: rapid.IntRange(1, 40).Draw(t, "count"),
-		Claim: drawClaim(t, "own"), QuotaShort: rapid.Bool().Draw(t, "tight"), Forced: rapid.Bool().Draw(t, "must"),
-		Allowed: func(h *MachineSummary) bool { return (zone == "" || h.Zone == zone) && (spot || !h.Spot) }}
+// mostTasks returns how many tasks PerPartition may assign to a partition at most.
+func (a *Assignment) mostTasks(room, ahead int) int {
+	most := room
+	if a.Forced {
+		most = max(most, a.Count)
+	}
+	if !a.QuotaShort {
+		most += max(ahead, 0) + MinTasksPerPartition
+	}
+	return most
 }
 
-// What is dealt never exceeds what was asked, goes only to parts with a host that
-// the tasks may be on, evicts only what the claim strictly exceeds, and beyond the
-// room that there is goes no further than the allowance and one record. Where the
-// limit is tight it stays within the room. The same input gives the same plan.
-func TestSpread(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		hosts, d := drawHosts(t), drawDealing(t)
-		ahead := make([]int, testParts)
-		for p := range ahead {
-			ahead[p] = rapid.IntRange(-5, 10).Draw(t, "ahead")
-		}
-		room, allowance := d.room(hosts), append([]int(nil), ahead...)
-		again, aheadAgain := CloneSummaries(hosts), append([]int(nil), ahead...)
-		got := d.PerPartition(hosts, ahead)
-		if other := d.PerPartition(again, aheadAgain); !cmp.Equal(got, other) {
-			t.Fatalf("%v, and again %v", got, other)
-		}
-		sum := 0
-		for p, n := range got {
-			sum += n
-			most := room[p]
-			if d.Forced {
-				most = max(most, d.Count)
-			}
-			if !d.QuotaShort {
-				most += max(allowance[p], 0) + MinTasksPerPartition
-			}
-			if n > most || n > 0 && !partitionAllows(hosts, p, d.Allowed) {
-				t.Fatalf("part %d with room for %d is dealt %d", p, room[p], n)
-			}
-		}
-		if d.Forced && sum == 0 {
-			for p := range got {
-				if partitionAllows(hosts, p, d.Allowed) {
-					t.Fatal("tasks that must begin are not dealt")
-				}
-			}
-		}
-		if sum > d.Count {
-			t.Fatalf("%d of %d tasks are dealt", sum, d.Count)
-		}
-		for _, h := range hosts {
-			if !h.Free.Contains(scheduling.Resources{}) {
-				t.Fatalf("host %d has %v left", h.ID, h.Free)
-			}
-		}
-	})
+func sum(numbers []int) int {
+	total := 0
+	for _, number := range numbers {
+		total += number
+	}
+	return total
 }
 
-// A group is dealt whole to one part that can hold it, or not at all, in which
-// case nothing has changed; it is not refused where one part has free room.
-func TestWhole(t *testing.T) {
+// What is assigned never exceeds what was asked for, goes only to partitions with a
+// machine that the tasks may be on, preempts only what the claim may, and beyond the room
+// that there is goes no further than what becomes free and one stored group. Where the
+// quota is short it stays within the room. The same input gives the same result.
+func TestPerPartition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		hosts, d := drawHosts(t), drawDealing(t)
-		d.Count = rapid.IntRange(1, 8).Draw(t, "members")
-		for _, h := range hosts {
-			h.sortVictimsFirst() // the order of claims is no trace
+		machines, assignment := drawMachines(t), drawAssignment(t)
+		ahead := make([]int, testPartitions)
+		for partition := range ahead {
+			ahead[partition] = rapid.IntRange(-5, 10).Draw(t, "ahead")
 		}
-		before, room := CloneSummaries(hosts), d.room(hosts)
-		free := make([]int, testParts)
-		for _, h := range hosts {
-			if d.Allowed(h) {
-				free[h.Partition] += h.Free.CountFitting(d.TaskSize, 1000)
-			}
+		room, aheadBefore := assignment.preemptibleRoom(machines), slices.Clone(ahead)
+		machinesAgain, aheadAgain := CloneSummaries(machines), slices.Clone(ahead)
+		assigned := assignment.PerPartition(machines, ahead)
+		if again := assignment.PerPartition(machinesAgain, aheadAgain); !cmp.Equal(assigned, again) {
+			t.Fatalf("expected the same result twice, got %v and %v", assigned, again)
 		}
-		p, ok := d.OnePartition(hosts, testParts)
-		switch {
-		case ok && room[p] < d.Count:
-			t.Fatalf("part %d has room for %d of %d", p, room[p], d.Count)
-		case !ok && !cmp.Equal(before, CloneSummaries(hosts), cmp.AllowUnexported(MachineSummary{})):
-			t.Fatal("a refused group leaves traces")
-		case !ok:
-			for p := range free {
-				if free[p] >= d.Count {
-					t.Fatalf("part %d has free room for the group", p)
-				}
+		anyAllowed := false
+		for partition, count := range assigned {
+			allowed := assignment.allowsPartition(machines, partition)
+			anyAllowed = anyAllowed || allowed
+			if most := assignment.mostTasks(room[partition], aheadBefore[partition]); count > most {
+				t.Fatalf("partition %d with room for %d: expected at most %d tasks, got %d", partition, room[partition], most, count)
 			}
-		}
-		for i, h := range hosts {
-			for _, c := range before[i].Usages {
-				if !d.Claim.CanPreempt(c.Claim) && !containsClaim(h.Usages, c) {
-					t.Fatalf("%v evicts %v", d.Claim, c.Claim)
-				}
+			if count > 0 && !allowed {
+				t.Fatalf("partition %d allows no task: expected none, got %d", partition, count)
 			}
 		}
-	})
-}
-
-func containsClaim(list []Usage, c Usage) bool {
-	for _, x := range list {
-		if x == c {
-			return true
-		}
-	}
-	return false
-}
-
-// Squeezing stops no task of equal or higher work and no more than is lacking,
-// and leaves nothing lacking that it could have got.
-func TestSqueeze(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		var from []QuotaUse
-		for range rapid.IntRange(0, 6).Draw(t, "records") {
-			running := rapid.IntRange(0, 5).Draw(t, "running")
-			from = append(from, QuotaUse{Priority: rapid.IntRange(0, 3).Draw(t, "level"), Running: running,
-				Allowed: running + rapid.IntRange(0, 5).Draw(t, "waiting"), TaskSize: scheduling.NewResources(float64(rapid.IntRange(1, 3).Draw(t, "cpus")), 0, 1), Fixed: rapid.Bool().Draw(t, "fixed")})
-		}
-		level, lack := rapid.IntRange(0, 3).Draw(t, "own level"), scheduling.NewResources(float64(rapid.IntRange(0, 20).Draw(t, "lack")), 0, 0)
-		rest, largest, more := lack.CPU, int64(0), int64(0)
-		for i, may := range Throttle(from, level, lack) {
-			s := from[i]
-			if may < 0 {
-				may = s.Allowed
-			}
-			if may > s.Allowed || may < s.Running && s.Priority >= level {
-				t.Fatalf("%+v may run %d for level %d", s, may, level)
-			}
-			rest -= s.TaskSize.CPU * int64(s.Allowed-may)
-			largest = max(largest, s.TaskSize.CPU)
-			if s.Priority < level {
-				more += s.TaskSize.CPU * int64(may)
-			} else if !s.Fixed {
-				more += s.TaskSize.CPU * int64(max(0, may-s.Running))
-			}
+		if assignment.Forced && anyAllowed && sum(assigned) == 0 {
+			t.Fatal("expected forced tasks to be assigned, got none")
 		}
-		if rest <= -max(largest, 1) || rest > 0 && more > 0 {
-			t.Fatalf("of %d, %d is still lacking; %d more could stand back", lack.CPU, rest, more)
+		if sum(assigned) > assignment.Count {
+			t.Fatalf("expected at most %d tasks, got %d", assignment.Count, sum(assigned))
 		}
+		expectNoOvercommit(t, machines)
 	})
 }
 
-// Whatever small work keeps coming, every job begins and ends: once it is time to
-// begin it goes before all others, and once it has waited too long it does so in
-// its turn, which comes in every span of twenty seconds and leaves most of them to
-// others.
-func TestNothingWaitsForEver(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		draw := func(name string) *JobOrder {
-			return &JobOrder{DeadlineS: rapid.Float64Range(1, 500).Draw(t, name+" deadline"), EstimateS: rapid.Float64Range(1, 200).Draw(t, name+" estimate"),
-				RemainingWork: rapid.Float64Range(1, 1e6).Draw(t, name+" left"), Started: rapid.Bool().Draw(t, name+" begun"), AgeS: rapid.Float64Range(0, 60).Draw(t, name+" age")}
-		}
-		old, young := draw("old"), draw("young")
-		young.Started = true
-		old.Started, old.OverdueTurn, old.AgeS = true, true, waitFactor*old.DeadlineS+startWithinS+1
-		if old.Urgency().Compare(young.Urgency()) >= 0 {
-			t.Fatalf("%+v still stands back behind %+v", old, young)
-		}
-		old.Started, old.AgeS = false, forceStartAfterS+1
-		if old.Urgency().Compare(young.Urgency()) >= 0 {
-			t.Fatalf("%+v has not begun and stands back behind %+v", old, young)
-		}
-		from, turns := rapid.Int64Range(0, 1<<40).Draw(t, "from"), 0
-		for i := range int64(20) {
-			if IsOverdueTurn(from + i) {
-				turns++
-			}
+func expectNoOvercommit(t *rapid.T, machines []*MachineSummary) {
+	t.Helper()
+	for _, machine := range machines {
+		if !machine.Free.Contains(scheduling.Resources{}) {
+			t.Fatalf("machine %d: expected free room of zero or more, got %v", machine.ID, machine.Free)
 		}
-		if turns == 0 || turns > 10 {
-			t.Fatalf("%d turns in 20 seconds", turns)
-		}
-	})
+	}
 }
 
-// No machine is rented of a type, zone or kind that no want allows, what is
-// planned and what is there hold what is asked for where an offer can, and the
-// same input gives the same plan.
-func TestFleet(t *testing.T) {
-	offers := []PricedOffer{
-		{Offer: Offer{Type: "4000", Zone: "a"}, Size: scheduling.NewResources(4, 0, 64), Price: 0.4, BootS: 50},
-		{Offer: Offer{Type: "16000", Zone: "a"}, Size: scheduling.NewResources(16, 0, 64), Price: 1, BootS: 25},
-		{Offer: Offer{Type: "16000", Zone: "b", Spot: true}, Size: scheduling.NewResources(16, 0, 64), Price: 0.3, BootS: 25},
-	}
+// A gang is assigned to one partition that can hold all of it, or not at all, in which
+// case nothing has changed; it is not refused where one partition has free room.
+func TestOnePartition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		hosts := drawHosts(t)
-		zone, spot := rapid.SampledFrom([]string{"", "a", "c"}).Draw(t, "only zone"), rapid.Bool().Draw(t, "spot may be")
-		w := Demand{Class: "x", TaskSize: scheduling.NewResources(float64(rapid.IntRange(1, 4).Draw(t, "need")), 0, 1), Count: rapid.IntRange(1, 60).Draw(t, "count"), AllOrNothing: true,
-			Allows: func(o Offer) bool { return (zone == "" || o.Zone == zone) && (spot || !o.Spot) }}
-		plan := func() *ScalingPlan {
-			f := &ScalingPlan{Machines: CloneSummaries(hosts), Offers: offers, RunningByClass: map[string]int{}, Launches: map[Offer]int{}}
-			f.Place(w)
-			return f
+		machines, assignment := drawMachines(t), drawAssignment(t)
+		assignment.Count = rapid.IntRange(1, 8).Draw(t, "gang size")
+		for _, machine := range machines {
+			machine.sortVictimsFirst() // the order of usages may change
 		}
-		f := plan()
-		if d := cmp.Diff(f.Launches, plan().Launches); d != "" {
-			t.Fatal(d)
+		before, free, room := CloneSummaries(machines), assignment.freeRoom(machines), assignment.preemptibleRoom(machines)
+		partition, found := assignment.OnePartition(machines, testPartitions)
+		if found && room[partition] < assignment.Count {
+			t.Fatalf("expected a partition with room for %d, got %d with room for %d", assignment.Count, partition, room[partition])
 		}
-		room := 0
-		for _, h := range hosts {
-			if w.on(h) {
-				room += h.Free.CountFitting(w.TaskSize, w.Count)
-			}
+		if !found && !cmp.Equal(before, CloneSummaries(machines), cmp.AllowUnexported(MachineSummary{})) {
+			t.Fatal("expected a refused gang to change nothing")
 		}
-		rented := 0
-		for o, n := range f.Launches {
-			if !w.Allows(o) {
-				t.Fatalf("%d of %+v are rented", n, o)
-			}
-			for _, x := range offers {
-				if x.Offer == o {
-					rented += n * x.Size.CountFitting(w.TaskSize, 1000)
-				}
-			}
-		}
-		if f.Shortage != (room < w.Count) || zone != "c" && room+rented < w.Count || room >= w.Count && rented > 0 {
-			t.Fatalf("room for %d, rented for %d, asked %d, unmet %v", room, rented, w.Count, f.Shortage)
+		if !found && slices.Max(free) >= assignment.Count {
+			t.Fatalf("expected a gang of %d to be assigned where free room is %v", assignment.Count, free)
 		}
+		expectOnlyVictimsMissing(t, assignment.Claim, before, machines)
 	})
 }
 
-// Only what has been free for a whole window counts as surplus.
-func TestSurplus(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		var s FreeHistory
-		var at []float64
-		var free []int64
-		now := 0.0
-		for range 30 {
-			now += rapid.Float64Range(0.1, 3).Draw(t, "step")
-			at, free = append(at, now), append(free, rapid.Int64Range(-5, 50).Draw(t, "free"))
-			least, ok := s.Add(now, free[len(free)-1], 10)
-			for i := range at {
-				if now-at[i] <= 10 && free[i] < least {
-					t.Fatalf("%d was free at %v, %d is the least at %v", free[i], at[i], least, now)
-				}
-			}
-			if ok && now-at[0] < 9 {
-				t.Fatalf("surplus after %v", now-at[0])
+// expectOnlyVictimsMissing checks that only what the claim may preempt is gone.
+func expectOnlyVictimsMissing(t *rapid.T, claim scheduling.Claim, before, after []*MachineSummary) {
+	t.Helper()
+	for i, machine := range after {
+		for _, usage := range before[i].Usages {
+			if !claim.CanPreempt(usage.Claim) && !slices.Contains(machine.Usages, usage) {
+				t.Fatalf("expected %v not to preempt %v", claim, usage.Claim)
 			}
 		}
-	})
+	}
 }
 
-// fleetOf is a fleet of n hosts of two types, a tenth with room, all running
-// arrays.
-func fleetOf(n int) []*MachineSummary {
-	hosts := make([]*MachineSummary, n)
-	for i := range hosts {
+// busyMachines returns machines of two types, a tenth of them free, the others full of
+// tasks of priority 1.
+func busyMachines(count int) []*MachineSummary {
+	machines := make([]*MachineSummary, count)
+	for i := range machines {
 		size := scheduling.NewResources(float64(4+12*(i%2)), 0, 64)
-		h := &MachineSummary{ID: scheduling.MachineIndex(i), Type: fmt.Sprint(i % 2), Zone: "a", Spot: i%3 == 0, Partition: i % 5, Size: size, Free: size}
-		for h.Free.CPU > 0 && i%10 != 0 {
-			h.Free = h.Free.Minus(scheduling.NewResources(2, 0, 1))
-			h.Usages = append(h.Usages, Usage{Claim: scheduling.Claim{Priority: 1}, Size: scheduling.NewResources(2, 0, 1)})
+		machine := &MachineSummary{
+			ID: scheduling.MachineIndex(i), Type: fmt.Sprint(i % 2), Zone: "a", Spot: i%3 == 0,
+			Partition: i % 5, Size: size, Free: size,
 		}
-		hosts[i] = h
+		usage := Usage{Claim: scheduling.Claim{Priority: 1}, Size: scheduling.NewResources(2, 0, 1)}
+		for machine.Free.CPU > 0 && i%10 != 0 {
+			machine.Free = machine.Free.Minus(usage.Size)
+			machine.Usages = append(machine.Usages, usage)
+		}
+		machines[i] = machine
 	}
-	return hosts
+	return machines
 }
 
-// BenchmarkSpread deals an array and a service to fleets of several sizes.
-func BenchmarkSpread(b *testing.B) {
-	for _, n := range []int{50, 500, 5000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			hosts := fleetOf(n)
+// BenchmarkAssignment assigns an array and a service among several numbers of machines.
+func BenchmarkAssignment(b *testing.B) {
+	for _, count := range []int{50, 500, 5000} {
+		b.Run(fmt.Sprint(count), func(b *testing.B) {
+			machines := busyMachines(count)
 			for b.Loop() {
-				trial := CloneSummaries(hosts)
-				d := Assignment{TaskSize: scheduling.NewResources(2, 0, 4), Count: 40, Claim: scheduling.Claim{Priority: 1}, Allowed: func(h *MachineSummary) bool { return !h.Booting }}
-				d.PerPartition(trial, make([]int, 5))
-				d.Count, d.Claim.Priority = 1, 2
-				d.OnePartition(trial, 5)
+				trial := CloneSummaries(machines)
+				assignment := Assignment{
+					TaskSize: scheduling.NewResources(2, 0, 4), Count: 40, Claim: scheduling.Claim{Priority: 1},
+					Allowed: func(machine *MachineSummary) bool { return !machine.Booting },
+				}
+				assignment.PerPartition(trial, make([]int, 5))
+				assignment.Count, assignment.Claim.Priority = 1, 2
+				assignment.OnePartition(trial, 5)
 			}
 		})
 	}
 }
-
-// Many like services that come apart are planned for as if each were looked at by
-// itself: in bulk, larger machines would be chosen, which come up later.
-func TestServicesApart(t *testing.T) {
-	offers := []PricedOffer{
-		{Offer: Offer{Type: "small", Zone: "a"}, Size: scheduling.NewResources(4, 0, 64), Price: 0.3, BootS: 25},
-		{Offer: Offer{Type: "large", Zone: "a"}, Size: scheduling.NewResources(16, 0, 64), Price: 1, BootS: 50},
-	}
-	rapid.Check(t, func(t *rapid.T) {
-		hosts, n := drawHosts(t), rapid.IntRange(2, 40).Draw(t, "services")
-		like := rapid.IntRange(0, 100).Draw(t, "like")
-		w := Demand{Class: "x", TaskSize: scheduling.NewResources(float64(rapid.IntRange(1, 4).Draw(t, "need")), 0, 1), Count: 1, AllOrNothing: true,
-			Allows: func(Offer) bool { return true }}
-		fleet := func() *ScalingPlan {
-			return &ScalingPlan{Machines: CloneSummaries(hosts), Offers: offers, RunningByClass: map[string]int{"x": like}, Launches: map[Offer]int{}}
-		}
-		apart, together := fleet(), fleet()
-		for range n {
-			apart.Place(w)
-		}
-		w.Groups = n
-		together.Place(w)
-		if d := cmp.Diff(apart.Launches, together.Launches); d != "" {
-			t.Fatal(d)
-		}
-	})
-}
--- /dev/null
+++ b/internal/planning/generators_test.go
@@ -0,0 +1,66 @@
+package planning
+
+import (
+	"fmt"
+
+	"pgregory.net/rapid"
+
+	"eiderhitch/internal/scheduling"
+)
+
+// testPartitions is how many partitions generated machines are spread over.
+const testPartitions = 3
+
+// unlimited is more than any generated machine holds tasks.
+const unlimited = 1000
+
+func anyMachine(*MachineSummary) bool { return true }
+
+func anyOffer(Offer) bool { return true }
+
+func drawClaim(t *rapid.T, name string) scheduling.Claim {
+	return scheduling.Claim{
+		Priority:   rapid.IntRange(0, 3).Draw(t, name+" priority"),
+		Guaranteed: rapid.Bool().Draw(t, name+" guaranteed"),
+		Team:       scheduling.TeamIndex(rapid.IntRange(0, 2).Draw(t, name+" team")),
+	}
+}
+
+// drawCPUs draws a task size of so many CPUs and little RAM.
+func drawCPUs(t *rapid.T, name string, least, most int) scheduling.Resources {
+	return scheduling.NewResources(float64(rapid.IntRange(least, most).Draw(t, name)), 0, 1)
+}
+
+// drawMachines draws machines whose usages fit on them.
+func drawMachines(t *rapid.T) []*MachineSummary {
+	var machines []*MachineSummary
+	for i := range rapid.IntRange(0, 8).Draw(t, "machines") {
+		size := scheduling.NewResources(float64(rapid.SampledFrom([]int{4, 16}).Draw(t, "machine cpus")), 0, 64)
+		machine := &MachineSummary{
+			ID:        scheduling.MachineIndex(i),
+			Type:      fmt.Sprint(size.CPU),
+			Zone:      rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"),
+			Spot:      rapid.Bool().Draw(t, "spot"),
+			Partition: rapid.IntRange(0, testPartitions-1).Draw(t, "partition"),
+			Size:      size,
+			Free:      size,
+		}
+		for range rapid.IntRange(0, 6).Draw(t, "usages") {
+			usage := Usage{Claim: drawClaim(t, "usage"), Size: drawCPUs(t, "usage cpus", 1, 4)}
+			if machine.Free.Contains(usage.Size) {
+				machine.Free = machine.Free.Minus(usage.Size)
+				machine.Usages = append(machine.Usages, usage)
+			}
+		}
+		machines = append(machines, machine)
+	}
+	return machines
+}
+
+// drawOfferFilter draws a filter that may restrict the zone to one of the given ones, and
+// may exclude spot instances.
+func drawOfferFilter(t *rapid.T, zones ...string) (filter OfferFilter, onlyZone string) {
+	onlyZone = rapid.SampledFrom(append([]string{""}, zones...)).Draw(t, "only zone")
+	spot := rapid.Bool().Draw(t, "spot allowed")
+	return func(offer Offer) bool { return (onlyZone == "" || offer.Zone == onlyZone) && (spot || !offer.Spot) }, onlyZone
+}
--- /dev/null
+++ b/internal/planning/headroom.go
@@ -0,0 +1,69 @@
+package planning
+
+import "math"
+
+// Headroom returns for how many more services of a class room is kept, with so many
+// there: the number of services that run at a time varies by about its square root.
+func Headroom(services int, factor float64) int {
+	return int(math.Ceil(factor * math.Sqrt(float64(services))))
+}
+
+// FreeHistory records how many CPUs were free of late. Arrays spread over all machines,
+// so that few are ever idle by themselves: when more is free all the time than a machine
+// holds, one without services can be drained.
+type FreeHistory struct {
+	samples []freeSample
+}
+
+type freeSample struct {
+	// atS is in seconds.
+	atS  float64
+	cpus int64
+}
+
+// minCoveredTenths: tenths of a window that samples have to cover, so that one that came a
+// little late doesn't count as a gap.
+const minCoveredTenths = 9
+
+// Reset forgets all samples, as there is a shortage.
+func (h *FreeHistory) Reset() { h.samples = nil }
+
+// Add records how many CPUs are free at a time, and returns the least of the last window.
+// It reports false as long as the samples don't cover the window. Times are in seconds.
+func (h *FreeHistory) Add(at float64, free int64, window float64) (least int64, covered bool) {
+	h.samples = append(h.samples, freeSample{at, free})
+	for at-h.samples[0].atS > window {
+		h.samples = h.samples[1:]
+	}
+	least = free
+	for _, sample := range h.samples {
+		least = min(least, sample.cpus)
+	}
+	return least, at-h.samples[0].atS >= window*minCoveredTenths/10
+}
+
+// Subtract lowers all samples, as a machine is being drained.
+func (h *FreeHistory) Subtract(cpus int64) {
+	for i := range h.samples {
+		h.samples[i].cpus -= cpus
+	}
+}
+
+// LeastUsedMachine returns the on-demand machine of which the least share is used, of
+// those that have at most the given CPUs, run nothing of that priority or a higher one,
+// and pass the filter; nil if there is none.
+func LeastUsedMachine(machines []*MachineSummary, maxCPUs int64, priority int, allowed MachineFilter) *MachineSummary {
+	var best *MachineSummary
+	bestUsed := int64(0)
+	for _, machine := range machines {
+		if machine.Spot || machine.Size.CPU > maxCPUs || !allowed(machine) || machine.runsPriority(priority) {
+			continue
+		}
+		// Shares are compared without division: used/size < bestUsed/bestSize.
+		used := machine.Used().CPU
+		if best == nil || used*best.Size.CPU < bestUsed*machine.Size.CPU {
+			best, bestUsed = machine, used
+		}
+	}
+	return best
+}
--- a/internal/planning/job_order.go
+++ b/internal/planning/job_order.go
@@ -4,90 +4,125 @@
 
 // JobOrder is what the order of jobs depends on. Times are in seconds.
 type JobOrder struct {
-	// AllOrNothing jobs are started together or not at all; like those without a
-	// deadline they go by their age alone.
+	// AllOrNothing jobs are started together or not at all. Like those without a deadline
+	// they are ordered by age alone.
 	AllOrNothing, NoDeadline bool
-	Started                  bool // a task has been placed before
-	OverdueTurn              bool // of those that have waited too long, see Turn
-	AgeS                     float64
-	EstimateS                float64 // of one task's run time
-	DeadlineS                float64
-	ObjectiveS               float64 // in which it should be done however late it is; 0: none
-	RemainingWork            float64 // work: unfinished tasks, their estimates and CPUs
+	// Started is set once a task of the job has been placed.
+	Started bool
+	// OverdueTurn is set while it is the turn of overdue jobs, see IsOverdueTurn.
+	OverdueTurn bool
+	AgeS        float64
+	// EstimateS is the estimated run time of one task.
+	EstimateS float64
+	DeadlineS float64
+	// ObjectiveS is the service-level objective of the job's class: the time in which it
+	// should be done however late it is. Zero means that there is none.
+	ObjectiveS float64
+	// RemainingWork is the unfinished tasks times their estimated run time and CPUs.
+	RemainingWork float64
 }
 
-// Urgency orders jobs of one priority. When more is asked than can be done, the
-// most jobs are in time if those that can't be any more stand back, and of the
-// others the one with the least left to do goes first. That alone would leave the
-// largest jobs to wait for ever. So a job that has not begun in time comes forward
-// with its first few tasks, and those that have waited too long have a share of
-// the time in which they go first.
+// Lateness is how a job stands with its deadline; the lowest goes first.
+type Lateness int
+
+// The values of Lateness.
+const (
+	// Overdue jobs have waited too long, and it is the turn of such jobs.
+	Overdue Lateness = iota - 2
+	// MustStart jobs have to start now to have started in time.
+	MustStart
+	// InTime jobs can meet their deadline, or have none.
+	InTime
+	// SlightlyLate jobs can be done within slightlyLateFactor times their deadline.
+	SlightlyLate
+	// Late jobs can be done within their class's objective.
+	Late
+	// Hopeless jobs can't.
+	Hopeless
+)
+
+// Urgency orders jobs of one priority. When there is more work than can be done, most
+// jobs are in time if those that can't be any more go last, and of the others the one
+// with the least work left goes first. That alone would starve the largest jobs. So the
+// first few tasks of a job that has not started in time go first, and jobs that have
+// waited too long have a share of the time in which they do.
 type Urgency struct {
-	// Lateness is -2: has waited too long, and it is its turn; -1: must begin; 0: in
-	// time, or has no deadline; 1: late by half as much again; 2: late, and may
-	// still be done within what its class is meant to be; 3: hopeless.
-	Lateness      int
+	Lateness      Lateness
 	RemainingWork float64
 }
 
-// The largest jobs, too, must begin within four minutes, and no job may wait for
-// ever for others that come later.
 const (
+	// startWithinS is the time in which the largest jobs, too, have to start, in seconds.
 	startWithinS = 240.0
-	// forceStartAfterS leaves the machines time to be rented and to boot.
+	// forceStartAfterS is when a start is forced: the rest of the time is for machines to
+	// be launched and to boot.
 	forceStartAfterS = startWithinS / 2
-	// waitFactor is how many times its deadline a job that has begun may be over
-	// before it has waited too long.
-	waitFactor = 3
-
-	latenessOverdue, latenessMustStart = -2, -1
+	// overdueFactor is how many times its deadline a job may wait before it is overdue: no
+	// job may wait for ever for others that come later.
+	overdueFactor = 3
+	// slightlyLateFactor is how many times its deadline a job that is slightly late takes.
+	slightlyLateFactor = 1.5
 
-	// Those that have waited too long go first for turnOf seconds in turnEvery:
-	// with more of them than can be done, all others would be late as well.
+	// Overdue jobs go first for overdueTurnS seconds in every overdueCycleS: with more of
+	// them than can be done, all others would be late as well.
 	overdueTurnS, overdueCycleS = 5, 20
 )
 
-// MinStartTasks is how many tasks of a job that must begin come forward.
+// MinStartTasks is how many tasks of a job that must start are forced.
 const MinStartTasks = 2
 
-// IsOverdueTurn tells whether it is the turn of those that have waited too long, at a time
-// of day in seconds.
+// IsOverdueTurn reports whether it is the turn of overdue jobs at a time in seconds.
 func IsOverdueTurn(second int64) bool { return second%overdueCycleS < overdueTurnS }
 
-// Urgency of the job now.
+// Urgency returns the urgency of the job now.
 func (j *JobOrder) Urgency() Urgency {
-	if j.AllOrNothing || j.NoDeadline {
+	switch {
+	case j.orderedByAge():
 		return Urgency{}
+	case j.HasOverdueTurn():
+		return Urgency{Lateness: Overdue} // without remaining work: the oldest goes first
+	case j.MustStart():
+		return Urgency{Lateness: MustStart}
 	}
-	if j.HasOverdueTurn() {
-		return Urgency{Lateness: latenessOverdue} // the oldest first
-	}
-	if j.MustStart() {
-		return Urgency{Lateness: latenessMustStart}
-	}
-	u := Urgency{RemainingWork: j.RemainingWork}
+	return Urgency{Lateness: j.lateness(), RemainingWork: j.RemainingWork}
+}
+
+// lateness is how the job will stand with its deadline if its tasks start now.
+func (j *JobOrder) lateness() Lateness {
+	done := j.doneS()
 	switch {
-	case j.AgeS+j.EstimateS <= j.DeadlineS:
-	case j.AgeS+j.EstimateS <= 1.5*j.DeadlineS:
-		u.Lateness = 1
-	case j.AgeS+j.EstimateS <= j.ObjectiveS:
-		u.Lateness = 2
-	default:
-		u.Lateness = 3
+	case done <= j.DeadlineS:
+		return InTime
+	case done <= slightlyLateFactor*j.DeadlineS:
+		return SlightlyLate
+	case done <= j.ObjectiveS:
+		return Late
 	}
-	return u
+	return Hopeless
 }
 
-// HasOverdueTurn tells whether the job has waited too long and it is the turn of such jobs.
+// doneS is the job's age when tasks that start now are done.
+func (j *JobOrder) doneS() float64 { return j.AgeS + j.EstimateS }
+
+func (j *JobOrder) orderedByAge() bool { return j.AllOrNothing || j.NoDeadline }
+
+// HasOverdueTurn reports whether the job is overdue and it is the turn of such jobs.
 func (j *JobOrder) HasOverdueTurn() bool {
-	return !j.AllOrNothing && !j.NoDeadline && j.OverdueTurn && j.AgeS > max(startWithinS, waitFactor*j.DeadlineS)
+	return !j.orderedByAge() && j.OverdueTurn && j.AgeS > max(startWithinS, overdueFactor*j.DeadlineS)
 }
 
-// ForcedTasks is how many tasks of the job are dealt even where there is no room, so
-// that they take the next cells that come free. pending are dealt and not placed.
+// MustStart reports whether nothing of the job has ever been placed, and it is time.
+func (j *JobOrder) MustStart() bool {
+	return !j.orderedByAge() && !j.Started && j.AgeS > forceStartAfterS
+}
+
+// ForcedTasks returns how many tasks of the job are assigned even where there is no room,
+// so that they take the next cells that become free: none while there are assigned tasks
+// that are not placed yet, which is what pending counts.
 func (j *JobOrder) ForcedTasks(pending int) int {
 	switch {
 	case pending > 0:
+		return 0
 	case j.HasOverdueTurn():
 		return MinTasksPerPartition
 	case j.MustStart():
@@ -96,29 +131,35 @@
 	return 0
 }
 
-// MustStart tells whether nothing of the job has ever been placed, and it is time.
-func (j *JobOrder) MustStart() bool {
-	return !j.AllOrNothing && !j.NoDeadline && !j.Started && j.AgeS > forceStartAfterS
-}
-
 // Compare is negative if u goes before v.
 func (u Urgency) Compare(v Urgency) int {
 	return cmp.Or(cmp.Compare(u.Lateness, v.Lateness), cmp.Compare(u.RemainingWork, v.RemainingWork))
 }
 
-// WindowS is the time within which an array's waiting tasks should be through, so
-// that few machines do rather than many for a moment.
+// The window of an array is a few run times of its tasks, so that machines which are
+// launched for it are used more than once, but at least a time in which that pays, and no
+// more than a part of the time to its deadline, as estimates are not exact.
+const (
+	windowRunTimes      = 2
+	minWindowS          = 30
+	windowDeadlineShare = 0.6
+	minDeadlineWindowS  = 10
+)
+
+// WindowS returns the time in seconds within which an array's waiting tasks should be
+// done, so that few machines are launched rather than many for a short time. It is zero
+// for jobs that are started together.
 func (j *JobOrder) WindowS() float64 {
 	if j.AllOrNothing {
 		return 0
 	}
-	w := max(2*j.EstimateS, 30)
-	if !j.NoDeadline {
-		until := j.DeadlineS
-		if j.AgeS+j.EstimateS > 1.5*j.DeadlineS {
-			until = max(until, j.ObjectiveS)
-		}
-		w = min(w, max((until-j.AgeS)*0.6, 10))
+	window := max(windowRunTimes*j.EstimateS, minWindowS)
+	if j.NoDeadline {
+		return window
+	}
+	until := j.DeadlineS
+	if j.doneS() > slightlyLateFactor*j.DeadlineS {
+		until = max(until, j.ObjectiveS)
 	}
-	return w
+	return min(window, max((until-j.AgeS)*windowDeadlineShare, minDeadlineWindowS))
 }
--- /dev/null
+++ b/internal/planning/quota.go
@@ -0,0 +1,54 @@
+package planning
+
+import "eiderhitch/internal/scheduling"
+
+// Quota is a team's quota and what its tasks use of it. RAM is not limited.
+type Quota struct {
+	// Guaranteed and Limit are without effect where a field is zero.
+	Guaranteed, Limit scheduling.Resources
+	// Used counts for the limit, GuaranteedUsed for the guaranteed quota.
+	Used, GuaranteedUsed scheduling.Resources
+}
+
+// Room returns how many more tasks of a size the limit permits, at most count.
+func (q *Quota) Room(size scheduling.Resources, count int) int {
+	return remainingTasks(q.Limit, q.Used, size, count)
+}
+
+// GuaranteedRoom returns how many more tasks of a size fit into the guaranteed quota, at
+// most count.
+func (q *Quota) GuaranteedRoom(size scheduling.Resources, count int) int {
+	if q.Guaranteed == (scheduling.Resources{}) {
+		return 0
+	}
+	return remainingTasks(q.Guaranteed, q.GuaranteedUsed, size, count)
+}
+
+// Shortfall returns by how much a demand exceeds what the limit leaves.
+func (q *Quota) Shortfall(demand scheduling.Resources) scheduling.Resources {
+	return scheduling.Resources{
+		CPU: excess(q.Limit.CPU, q.Used.CPU+demand.CPU),
+		GPU: excess(q.Limit.GPU, q.Used.GPU+demand.GPU),
+	}
+}
+
+// excess returns by how much an amount exceeds a limit; none is exceeded if it is zero.
+func excess(limit, amount int64) int64 {
+	if limit <= 0 {
+		return 0
+	}
+	return max(0, amount-limit)
+}
+
+func remainingTasks(limit, used, size scheduling.Resources, count int) int {
+	count = remainingOfResource(limit.CPU, used.CPU, size.CPU, count)
+	return remainingOfResource(limit.GPU, used.GPU, size.GPU, count)
+}
+
+// remainingOfResource limits count by how often size fits into what is left of a limit.
+func remainingOfResource(limit, used, size int64, count int) int {
+	if limit <= 0 || size <= 0 {
+		return count
+	}
+	return min(count, int(max(0, limit-used)/size))
+}
--- /dev/null
+++ b/internal/planning/throttle.go
@@ -0,0 +1,61 @@
+package planning
+
+import "eiderhitch/internal/scheduling"
+
+// QuotaUse is how many tasks of a stored group count for its team's quota.
+type QuotaUse struct {
+	Priority int
+	// Running tasks hold cells.
+	Running int
+	// Allowed is how many tasks may run: at least those that do, or are to.
+	Allowed  int
+	TaskSize scheduling.Resources
+	// Fixed is set if tasks that are assigned but don't run can't be throttled now.
+	Fixed bool
+}
+
+// unthrottled marks a group for which Throttle changes nothing.
+const unthrottled = -1
+
+// Throttle makes room within a team's limit for a job of that priority, which lacks the
+// given amount. Assigned tasks that don't run yet are held back first, then running tasks
+// of lower priority are stopped. uses lists the team's groups, the least urgent first; the
+// result has for each how many of its tasks may run from now on, or -1 where nothing
+// changes.
+func Throttle(uses []QuotaUse, priority int, shortfall scheduling.Resources) []int {
+	t := throttling{uses: uses, allowed: make([]int, len(uses)), shortfall: shortfall}
+	for i := range t.allowed {
+		t.allowed[i] = unthrottled
+	}
+	for i, use := range uses {
+		if !use.Fixed {
+			t.lower(i, use.Running)
+		}
+	}
+	for i, use := range uses {
+		if use.Priority < priority {
+			t.lower(i, 0)
+		}
+	}
+	return t.allowed
+}
+
+// throttling is a Throttle in progress.
+type throttling struct {
+	uses      []QuotaUse
+	allowed   []int
+	shortfall scheduling.Resources
+}
+
+// lower allows a group fewer tasks, as far as that is needed, but no fewer than least.
+func (t *throttling) lower(i, least int) {
+	allowed := t.allowed[i]
+	if allowed == unthrottled {
+		allowed = t.uses[i].Allowed
+	}
+	for allowed > least && (t.shortfall.CPU > 0 || t.shortfall.GPU > 0) {
+		allowed--
+		t.shortfall = t.shortfall.Minus(t.uses[i].TaskSize)
+		t.allowed[i] = allowed
+	}
+}
--- /dev/null
+++ b/internal/planning/throttle_test.go
@@ -0,0 +1,57 @@
+package planning
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"eiderhitch/internal/scheduling"
+)
+
+func drawQuotaUses(t *rapid.T) []QuotaUse {
+	var uses []QuotaUse
+	for range rapid.IntRange(0, 6).Draw(t, "groups") {
+		running := rapid.IntRange(0, 5).Draw(t, "running")
+		uses = append(uses, QuotaUse{
+			Priority: rapid.IntRange(0, 3).Draw(t, "priority"),
+			Running:  running,
+			Allowed:  running + rapid.IntRange(0, 5).Draw(t, "waiting"),
+			TaskSize: drawCPUs(t, "cpus", 1, 3),
+			Fixed:    rapid.Bool().Draw(t, "fixed"),
+		})
+	}
+	return uses
+}
+
+// Throttle stops no task of equal or higher priority and no more than is lacking, and
+// leaves nothing lacking that it could have got.
+func TestThrottle(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		uses := drawQuotaUses(t)
+		priority := rapid.IntRange(0, 3).Draw(t, "job's priority")
+		shortfall := scheduling.NewResources(float64(rapid.IntRange(0, 20).Draw(t, "shortfall")), 0, 0)
+		remaining, largest, throttleable := shortfall.CPU, int64(0), int64(0)
+		for i, allowed := range Throttle(uses, priority, shortfall) {
+			use := uses[i]
+			if allowed < 0 {
+				allowed = use.Allowed
+			}
+			if allowed > use.Allowed || allowed < use.Running && use.Priority >= priority {
+				t.Fatalf("%+v: %d tasks may run for a job of priority %d", use, allowed, priority)
+			}
+			remaining -= use.TaskSize.CPU * int64(use.Allowed-allowed)
+			largest = max(largest, use.TaskSize.CPU)
+			if use.Priority < priority {
+				throttleable += use.TaskSize.CPU * int64(allowed)
+			} else if !use.Fixed {
+				throttleable += use.TaskSize.CPU * int64(max(0, allowed-use.Running))
+			}
+		}
+		if remaining <= -max(largest, 1) {
+			t.Fatalf("expected no more than %d to be throttled, got %d more", shortfall.CPU, -remaining)
+		}
+		if remaining > 0 && throttleable > 0 {
+			t.Fatalf("expected nothing to be lacking, got %d while %d could be throttled", remaining, throttleable)
+		}
+	})
+}
