--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -21,7 +21,7 @@
 
 // LaunchRequest asks the cloud for machines.
 type LaunchRequest struct {
-	IdempotencyKey string `json:"charter"` // idempotency key, never reused for another request
+	IdempotencyKey string `json:"charter"` // never reused for another request
 	Type           string `json:"hull"`
 	Zone           string `json:"shore"`
 	Spot           bool   `json:"driftwood"`
