--- a/internal/controller/allocations_test.go
+++ b/internal/controller/allocations_test.go
@@ -36,60 +36,74 @@
 // as many machines: the collector's work follows from it, and with a fraction of a
 // core there is hardly any time for that.
 func TestHotPathsAllocateLittle(t *testing.T) {
-	type path struct {
+	for _, x := range []struct {
 		name  string
 		bound float64
-		f     func(c *controller) func()
-	}
-	paths := []path{
-		{"a report without news", 4, func(c *controller) func() {
-			m := c.ours()
-			heartbeat := c.reportOf(m)
-			return func() { heartbeat.Sequence++; c.handleHeartbeat(heartbeat) }
-		}},
-		{"a report decoded", 24, func(c *controller) func() {
-			raw := record.JSON(c.reportOf(c.ours()))
-			return func() {
-				if _, err := wire.ParseHeartbeat(raw); err != nil {
-					t.Error(err)
-				}
-			}
-		}},
-		{"a step of a part with nothing to do", 2, func(c *controller) func() {
-			for _, job := range c.unfinished { // nothing waits
-				if job.spec.Class == "clean" {
-					job.retryAt = c.now.Add(time.Hour)
-				}
-			}
-			return func() { c.schedulePartitions() }
-		}},
-		{"a record stored by another controller", 8, func(c *controller) func() {
-			var group *taskGroup
-			for first := range c.allGroups() {
-				if first.partition != 0 && first.boundCount > 0 && len(first.bindings) == 1 {
-					group = first
-				}
-			}
-			raw, stamp := c.encodeGroup(group, group.done, group.bindings).At(group.key), group.revision
-			return func() { stamp++; c.replica.Put(group.key, raw, stamp) }
-		}},
-		{"a poll of a job that is over", 2, func(c *controller) func() {
-			c.finished["wk-1"] = doneJob
-			return func() {
-				if job := c.lookupJob("wk-1"); job.response().State != wire.Done {
-					t.Error("not done")
+		path  func(t *testing.T, c *controller) func()
+	}{
+		{"a heartbeat without news", 4, heartbeatPath},
+		{"a heartbeat decoded", 24, decodePath},
+		{"a step of a partition with nothing to do", 2, idlePath},
+		{"a record stored by another controller", 8, replicaPath},
+		{"a query of a finished job", 2, queryPath},
+	} {
+		for _, machines := range []int{50, 500} {
+			t.Run(fmt.Sprintf("%s, %d machines", x.name, machines), func(t *testing.T) {
+				got := testing.AllocsPerRun(50, x.path(t, crowded(t, machines)))
+				t.Logf("%v allocations", got)
+				if got > x.bound {
+					t.Errorf("%v allocations, want at most %v", got, x.bound)
 				}
-			}
-		}},
+			})
+		}
 	}
-	for _, x := range paths {
-		for _, machines := range []int{50, 500} {
-			c := crowded(t, machines)
-			got := testing.AllocsPerRun(50, x.f(c))
-			t.Logf("%s, %d machines: %v allocations", x.name, machines, got)
-			if got > x.bound {
-				t.Errorf("%s, %d machines: %v allocations, %v are the bound", x.name, machines, got, x.bound)
-			}
+}
+
+func heartbeatPath(_ *testing.T, c *controller) func() {
+	heartbeat := c.reportOf(c.ours())
+	return func() {
+		heartbeat.Sequence++
+		c.handleHeartbeat(heartbeat)
+	}
+}
+
+func decodePath(t *testing.T, c *controller) func() {
+	raw := record.JSON(c.reportOf(c.ours()))
+	return func() {
+		if _, err := wire.ParseHeartbeat(raw); err != nil {
+			t.Error(err)
+		}
+	}
+}
+
+func idlePath(_ *testing.T, c *controller) func() {
+	for _, job := range c.unfinished { // nothing waits
+		if job.spec.Class == "clean" {
+			job.retryAt = c.now.Add(time.Hour)
+		}
+	}
+	return c.schedulePartitions
+}
+
+func replicaPath(_ *testing.T, c *controller) func() {
+	var group *taskGroup
+	for g := range c.allGroups() {
+		if g.partition != 0 && g.boundCount > 0 && len(g.bindings) == 1 {
+			group = g
+		}
+	}
+	raw, revision := c.encodeGroup(group, group.done, group.bindings).At(group.key), group.revision
+	return func() {
+		revision++
+		c.replica.Put(group.key, raw, revision)
+	}
+}
+
+func queryPath(t *testing.T, c *controller) func() {
+	c.finished["wk-1"] = doneJob
+	return func() {
+		if state := c.lookupJob("wk-1").response().State; state != wire.Done {
+			t.Errorf("the job is %q, want %q", state, wire.Done)
 		}
 	}
 }
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -10,7 +10,7 @@
 		c.t.Error(violation)
 	}
 	c.checkStored()
-	if n := c.env.Store.OverLimits; n > 0 {
+	if n := c.env.Store.Stats().OverLimits; n > 0 {
 		c.t.Errorf("%d transactions were beyond the limits, want none", n)
 	}
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -265,6 +265,13 @@
 	c.startAll()
 }
 
+// setPolicies sets what happens to the requests of all controllers; nil: they are delivered.
+func (c *cluster) setPolicies(policy network.Policy) {
+	for _, n := range c.nodes {
+		n.transport.SetPolicy(policy)
+	}
+}
+
 // replaceEach ends one controller after the other and starts it again at once.
 func (c *cluster) replaceEach() {
 	for i := range c.nodes {
--- a/internal/controller/gang_clauses_test.go
+++ b/internal/controller/gang_phases_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"net/http"
-	"strings"
 	"testing"
 	"time"
 
@@ -15,10 +14,10 @@
 
 // The clauses of the protocol on gangs; docs/design.md lists them with their tests.
 
-// phase brings a gang of four to a state of its life.
-type phase struct {
+// gangPhase is a phase of a gang's life, and how a gang that was just submitted comes to it.
+type gangPhase struct {
 	name  string
-	reach func(*testing.T, *cluster)
+	reach func(*cluster)
 }
 
 // gangTasks is how many tasks the gangs of these tests have.
@@ -40,27 +39,27 @@
 			return
 		}
 	}
-	c.t.Fatalf("not %s: %v", state, c.env.TaskStates("wk-9"))
+	c.t.Fatalf("tasks by state: %v, want %d %s", c.env.TaskStates("wk-9"), least, state)
 }
 
-var gangPhases = []phase{
-	{"fetching", func(_ *testing.T, c *cluster) { c.reaches(wire.Fetching, gangTasks) }},
-	{"gathering", func(_ *testing.T, c *cluster) {
+var gangPhases = []gangPhase{
+	{"fetching", func(c *cluster) { c.reaches(wire.Fetching, gangTasks) }},
+	{"gathering", func(c *cluster) {
 		c.reaches(wire.Fetching, gangTasks)
 		c.on("wk-9").SetImageDelay(4 * time.Second)
 		c.reaches(wire.Gathering, 1)
 	}},
-	{"running", func(_ *testing.T, c *cluster) {
+	{"running", func(c *cluster) {
 		c.reaches(wire.Running, gangTasks)
 		time.Sleep(6 * time.Second)
 	}},
-	{"saving", func(_ *testing.T, c *cluster) {
+	{"saving", func(c *cluster) {
 		c.reaches(wire.Running, gangTasks)
 		time.Sleep(6 * time.Second)
 		c.drain(c.on("wk-9"))
 		c.reaches(wire.Saving, 1)
 	}},
-	{"ended", func(_ *testing.T, c *cluster) { // and not known to have: nothing can be stored
+	{"ended", func(c *cluster) { // and not known to have: nothing can be stored
 		c.reaches(wire.Running, gangTasks)
 		time.Sleep(18 * time.Second)
 		c.env.Store.SetDown(true)
@@ -69,158 +68,156 @@
 	}},
 }
 
-// drain has a machine emptied, as one that seems to be sick is.
-func (c *cluster) drain(w *agent.Agent) {
+// drain has a machine cordoned, as one on which tasks fail is.
+func (c *cluster) drain(a *agent.Agent) {
 	for _, n := range c.nodes {
-		n.controller().call(c.ctx, priorityState, func() {
-			m := n.controller().machineNamed(w.Name())
-			m.cordoned, m.cordonedAt = true, n.controller().now
+		ctl := n.controller()
+		ctl.call(c.ctx, priorityState, func() {
+			m := ctl.machineNamed(a.Name())
+			m.cordoned, m.cordonedAt = true, ctl.now
 		})
 	}
 }
 
+// gangEvent is something that happens to a gang.
+type gangEvent struct {
+	name   string
+	happen func(c *cluster)
+}
+
+var gangEvents = []gangEvent{
+	{"cancelled", func(c *cluster) { c.tryCancelJob("wk-9") }},
+	{"evicted", func(c *cluster) {
+		c.env.Cloud.SetCapacity(0)
+		c.submit(newSubmission(submission{ID: "wk-91", Kind: wire.Array, Team: "blue", Priority: "production", Tasks: 40, CPUs: 2, EstimateS: 3}))
+	}},
+	{"spot notice", func(c *cluster) { c.on("wk-9").TerminateAfter(8 * time.Second) }},
+	{"taken without notice", func(c *cluster) { c.on("wk-9").Terminate() }},
+	{"drained", func(c *cluster) { c.drain(c.on("wk-9")) }},
+	{"machine hangs", func(c *cluster) {
+		a := c.on("wk-9")
+		a.SetHanging(true)
+		time.AfterFunc(8*time.Second, func() { a.SetHanging(false) })
+	}},
+	{"machine cut off", func(c *cluster) {
+		a := c.on("wk-9")
+		a.SetIsolated(true)
+		time.AfterFunc(25*time.Second, func() { a.SetIsolated(false) })
+	}},
+	{"commands late", func(c *cluster) {
+		for _, n := range c.nodes {
+			n.transport.SetDelay(3*time.Second, 4*time.Second)
+		}
+		c.setPolicies(onlyWhen(isAgentRequest, network.ExecuteLate))
+		time.AfterFunc(15*time.Second, func() { c.setPolicies(nil) })
+	}},
+	{"all controllers end", (*cluster).restartAll},
+	{"leader ends", func(c *cluster) {
+		c.kill(0)
+		time.Sleep(7 * time.Second)
+		c.start(0)
+	}},
+	{"done and cancelled", func(c *cluster) {
+		go c.ask(1, submitRequest(gangOfPhases(), nil))
+		c.tryCancelJob("wk-9")
+	}},
+}
+
 // A gang meets each of what may happen to it in each phase of its life: no rule breaks, and
 // it is done in the end, or gone soon if it was cancelled.
 func TestGangInEveryPhase(t *testing.T) {
-	events := []struct {
-		name string
-		do   func(c *cluster)
-	}{
-		{"cancelled", func(c *cluster) { c.tryCancelJob("wk-9") }},
-		{"evicted", func(c *cluster) {
-			c.env.Cloud.SetCapacity(0)
-			c.submit(newSubmission(submission{ID: "wk-91", Kind: wire.Array, Team: "blue", Priority: "production", Tasks: 40, CPUs: 2, EstimateS: 3}))
-		}},
-		{"spot notice", func(c *cluster) { c.on("wk-9").TerminateAfter(8 * time.Second) }},
-		{"taken without notice", func(c *cluster) { c.on("wk-9").Terminate() }},
-		{"drained", func(c *cluster) { c.drain(c.on("wk-9")) }},
-		{"machine hangs", func(c *cluster) {
-			w := c.on("wk-9")
-			w.SetHanging(true)
-			time.AfterFunc(8*time.Second, func() { w.SetHanging(false) })
-		}},
-		{"machine cut off", func(c *cluster) {
-			w := c.on("wk-9")
-			w.SetIsolated(true)
-			time.AfterFunc(25*time.Second, func() { w.SetIsolated(false) })
-		}},
-		{"commands late", func(c *cluster) {
-			for _, n := range c.nodes {
-				n.transport.SetDelay(3*time.Second, 4*time.Second)
-				n.transport.SetPolicy(func(r *http.Request) network.Fault {
-					if strings.HasPrefix(r.URL.Host, "10.1.") {
-						return network.ExecuteLate
-					}
-					return network.Deliver
-				})
-				time.AfterFunc(15*time.Second, func() { n.transport.SetPolicy(nil) })
-			}
-		}},
-		{"all controllers end", (*cluster).restartAll},
-		{"leader ends", func(c *cluster) {
-			c.kill(0)
-			time.Sleep(7 * time.Second)
-			c.start(0)
-		}},
-		{"done and cancelled", func(c *cluster) {
-			go c.ask(1, submitRequest(gangOfPhases(), nil))
-			c.tryCancelJob("wk-9")
-		}},
-	}
-	for _, p := range gangPhases {
-		for _, e := range events {
-			t.Run(p.name+", "+e.name, func(t *testing.T) {
-				runCluster(t, func(c *cluster) {
-					c.runServices(2, 2)
-					c.submit(gangOfPhases())
-					p.reach(t, c)
-					e.do(c)
-					time.Sleep(40 * time.Second)
-					c.env.Cloud.SetCapacity(20)
-					c.env.SetSettled()
-					c.await("it is over", 3*time.Minute, func() bool {
-						s := c.state("wk-9")
-						return s == wire.Done || s == wire.Cancelled
-					})
-					if n := c.env.Completed("wk-9"); n != 0 && n != gangTasks {
-						t.Errorf("%d of %d tasks are done", n, gangTasks)
-					}
-				})
+	for _, phase := range gangPhases {
+		for _, event := range gangEvents {
+			t.Run(phase.name+", "+event.name, func(t *testing.T) {
+				runCluster(t, func(c *cluster) { c.checkGangEvent(phase, event) })
 			})
 		}
 	}
 }
 
-// An orderly stop with a member that hears of it late, by its next report, saves; with one
+func (c *cluster) checkGangEvent(phase gangPhase, event gangEvent) {
+	c.t.Helper()
+	c.runServices(2, 2)
+	c.submit(gangOfPhases())
+	phase.reach(c)
+	event.happen(c)
+	time.Sleep(40 * time.Second)
+	c.env.Cloud.SetCapacity(20)
+	c.env.SetSettled()
+	c.await("it is finished", 3*time.Minute, func() bool {
+		s := c.state("wk-9")
+		return s == wire.Done || s == wire.Cancelled
+	})
+	if n := c.env.Completed("wk-9"); n != 0 && n != gangTasks {
+		c.t.Errorf("%d of %d tasks are done, want none or all", n, gangTasks)
+	}
+}
+
+// stopObstacle keeps members of a gang from hearing of a stop.
+type stopObstacle struct {
+	name  string
+	begin func(c *cluster, a *agent.Agent) (end func())
+	saves bool // the gang saves its progress all the same
+}
+
+var stopObstacles = []stopObstacle{
+	{"all are reached", func(*cluster, *agent.Agent) func() { return doNothing }, true},
+	{"one hears by its heartbeat", func(c *cluster, a *agent.Agent) func() {
+		c.setPolicies(onlyWhen(func(r *http.Request) bool { return r.URL.Host == a.Addr() }, network.Drop))
+		return func() { c.setPolicies(nil) }
+	}, true},
+	{"none sends heartbeats for a while", func(c *cluster, _ *agent.Agent) func() {
+		set := func(notSending bool) {
+			for _, a := range c.env.Cloud.Agents() {
+				a.SetNotSending(notSending)
+			}
+		}
+		set(true)
+		return func() { set(false) }
+	}, true},
+	{"one is cut off", func(_ *cluster, a *agent.Agent) func() {
+		a.SetIsolated(true)
+		return func() { a.SetIsolated(false) }
+	}, false},
+}
+
+// An orderly stop with a member that hears of it late, by its next heartbeat, saves; with one
 // that can't be reached nothing is saved, and the gang goes on from its last checkpoint.
 func TestOrderlyStopNeedsAllMembers(t *testing.T) {
-	for _, x := range []struct {
-		name  string
-		hold  func(c *cluster, w *agent.Agent) (undo func())
-		saves bool
-	}{
-		{"all are reached", func(*cluster, *agent.Agent) func() { return func() {} }, true},
-		{"one hears by its report", func(c *cluster, w *agent.Agent) func() {
-			for _, n := range c.nodes {
-				n.transport.SetPolicy(func(r *http.Request) network.Fault {
-					if r.URL.Host == w.Addr() {
-						return network.Drop
-					}
-					return network.Deliver
-				})
-			}
-			return func() {
-				for _, n := range c.nodes {
-					n.transport.SetPolicy(nil)
-				}
-			}
-		}, true},
-		{"none reports for a while", func(c *cluster, _ *agent.Agent) func() {
-			for _, w := range c.env.Cloud.Agents() {
-				w.SetNotSending(true)
-			}
-			return func() {
-				for _, w := range c.env.Cloud.Agents() {
-					w.SetNotSending(false)
-				}
-			}
-		}, true},
-		{"one is cut off", func(_ *cluster, w *agent.Agent) func() {
-			w.SetIsolated(true)
-			return func() { w.SetIsolated(false) }
-		}, false},
-	} {
+	for _, x := range stopObstacles {
 		t.Run(x.name, func(t *testing.T) {
-			runCluster(t, func(c *cluster) {
-				b := gangOfPhases()
-				b.Priority = "low"
-				b.EstimateS = 60
-				c.submit(b)
-				c.reaches(wire.Running, gangTasks)
-				time.Sleep(21 * time.Second)
-				w := c.on("wk-9")
-				undo := x.hold(c, w)
-				c.drain(w)
-				if x.saves {
-					time.Sleep(6 * time.Second) // to hear and to save, and less than a lease
-					if n := c.env.Running("wk-9"); n > 0 {
-						t.Errorf("%d tasks have not heard in time", n)
-					}
-					undo()
-				}
-				c.await("it has left", 40*time.Second, func() bool { return c.env.Running("wk-9") == 0 })
-				if saved := c.env.Checkpoint("wk-9") >= 20*time.Second; saved != x.saves {
-					t.Errorf("%v are saved", c.env.Checkpoint("wk-9"))
-				}
-				if !x.saves {
-					undo()
-				}
-				c.awaitDone("wk-9", 4*time.Minute)
-			})
+			runCluster(t, func(c *cluster) { c.checkOrderlyStop(x) })
 		})
 	}
 }
 
+func (c *cluster) checkOrderlyStop(x stopObstacle) {
+	c.t.Helper()
+	gang := gangOfPhases()
+	gang.Priority, gang.EstimateS = "low", 60
+	c.submit(gang)
+	c.reaches(wire.Running, gangTasks)
+	time.Sleep(21 * time.Second)
+	a := c.on("wk-9")
+	end := x.begin(c, a)
+	c.drain(a)
+	if x.saves {
+		time.Sleep(6 * time.Second) // to hear and to save, and less than a lease
+		if n := c.env.Running("wk-9"); n > 0 {
+			c.t.Errorf("%d tasks have not stopped in time, want none", n)
+		}
+		end()
+	}
+	c.await("it has left", 40*time.Second, func() bool { return c.env.Running("wk-9") == 0 })
+	if checkpoint := c.env.Checkpoint("wk-9"); (checkpoint >= 20*time.Second) != x.saves {
+		c.t.Errorf("%v of progress are saved; saved at all: want %v", checkpoint, x.saves)
+	}
+	if !x.saves {
+		end()
+	}
+	c.awaitDone("wk-9", 4*time.Minute)
+}
+
 // A team at its limit with a gang whose machine can't be reached: what is cancelled counts
 // until it is proved gone, so another gang of the team begins only then. The rule checker
 // counts what is on machines at each instant.
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -29,16 +29,14 @@
 	return bound, dealt
 }
 
-// setStateLimits gives the state service other limits, and ends all controllers and starts
+// setStoreLimits gives the key-value store other limits, and ends all controllers and starts
 // them again with these in their settings.
-func (c *cluster) setStateLimits(valueKB float64, ops int) {
-	for i := range c.nodes {
-		c.kill(i)
-	}
-	c.env.Store.SetLimits(int(valueKB*1024), ops)
+func (c *cluster) setStoreLimits(valueKB float64, txnChanges int) {
+	c.killAll()
+	c.env.Store.SetLimits(int(valueKB*1024), txnChanges)
 	time.Sleep(500 * time.Millisecond)
 	for i, n := range c.nodes {
-		n.cfg.Settings.Store.ValueKB, n.cfg.Settings.Store.TxnOps = valueKB, ops
+		n.cfg.Settings.Store.ValueKB, n.cfg.Settings.Store.TxnOps = valueKB, txnChanges
 		c.start(i)
 	}
 }
@@ -80,79 +78,104 @@
 		tasks   int
 		cpus    float64
 	}{
-		{"present limits", 8, 32, 3700, 0.04}, {"coming limits", 2, 10, 400, 0.25}, {"least limits", 0.5, 4, 60, 1},
+		{"present limits", 8, 32, 3700, 0.04},
+		{"coming limits", 2, 10, 400, 0.25},
+		{"least limits", 0.5, 4, 60, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			runCluster(t, func(c *cluster) {
-				c.setStateLimits(x.valueKB, x.ops)
+				c.setStoreLimits(x.valueKB, x.ops)
 				c.submit(bigGang(x.tasks, x.cpus))
 				c.startsAfterBindings(x.tasks)
 				c.awaitDone("wk-9", 2*time.Minute)
 				if n := c.env.Completed("wk-9"); n != x.tasks {
-					t.Errorf("%d tasks are done", n)
+					t.Errorf("%d tasks are done, want %d", n, x.tasks)
 				}
 			})
 		})
 	}
 }
 
-// What happens while such a gang is dealt or bound in part: whoever takes over completes
+// partialGangTasks is how many tasks the gangs have that meet something in the middle of
+// their transactions.
+const partialGangTasks = 400
+
+// What happens while such a gang is assigned or bound in part: whoever takes over completes
 // it or gives it back, a cancellation leaves nothing, lower limits split what is stored.
 func TestGangBoundInPart(t *testing.T) {
-	const tasks = 400
-	// dealtInPart and boundInPart tell whether a gang is between two transactions.
-	dealtInPart := func(_, dealt int) bool { return dealt > 0 && dealt < tasks }
-	boundInPart := func(bound, _ int) bool { return bound > 0 && bound < tasks }
+	inPart := func(count int) bool { return count > 0 && count < partialGangTasks }
 	for _, phase := range []struct {
-		name string
-		at   func(bound, dealt int) bool
-	}{{"dealt", dealtInPart}, {"bound", boundInPart}} {
-		for _, what := range []string{"all restart", "one restarts", "cancelled", "lower limits", "machine dies"} {
-			t.Run(phase.name+" in part, "+what, func(t *testing.T) {
+		name  string
+		holds func(bound, assigned int) bool
+	}{
+		{"assigned", func(_, assigned int) bool { return inPart(assigned) }},
+		{"bound", func(bound, _ int) bool { return inPart(bound) }},
+	} {
+		for _, x := range []struct {
+			name  string
+			check func(c *cluster)
+		}{
+			{"all restart", thenDone((*cluster).restartAll)},
+			{"one restarts", thenDone(func(c *cluster) {
+				c.kill(0)
+				time.Sleep(8 * time.Second)
+				c.start(0)
+			})},
+			{"cancelled", (*cluster).checkPartialGangCancelled},
+			{"lower limits", thenDone(func(c *cluster) { c.setStoreLimits(1, 8) })},
+			{"machine dies", thenDone(func(c *cluster) { c.env.Cloud.Agents()[0].Terminate() })},
+		} {
+			t.Run(phase.name+" in part, "+x.name, func(t *testing.T) {
 				runCluster(t, func(c *cluster) {
-					c.setStateLimits(2, 10)
-					c.env.Store.ChangesPerSecond = 12 // it stays in part for a while
-					c.submit(bigGang(tasks, 0.25))
-					met := false
-					for until := time.Now().Add(2 * time.Minute); !met && time.Now().Before(until); time.Sleep(time.Millisecond) {
-						met = phase.at(c.storedBindings("wk-9"))
-					}
-					if !met {
-						t.Fatal("it is never in this phase")
-					}
-					switch what {
-					case "all restart":
-						c.restartAll()
-					case "one restarts":
-						c.kill(0)
-						time.Sleep(8 * time.Second)
-						c.start(0)
-					case "cancelled":
-						c.cancelJob("wk-9")
-						started := c.env.Trace.Accepted("wk-9") // it may have been bound whole meanwhile
-						c.await("its records are gone", time.Minute, func() bool { return len(c.env.Store.Keys(groupPrefix)) == 0 })
-						if n := c.env.Trace.Accepted("wk-9"); started == 0 && n > 0 || c.env.Running("wk-9") > 0 {
-							t.Errorf("%d tasks were started after its user was told, %d run", n-started, c.env.Running("wk-9"))
-						}
-						c.submit(bigGang(tasks, 0.25)) // it stays cancelled, and its cells are free
-						other := bigGang(tasks, 0.25)
-						other.ID = "wk-10"
-						c.submit(other)
-						c.awaitDone("wk-10", 2*time.Minute)
-						return
-					case "lower limits":
-						c.setStateLimits(1, 8)
-					case "machine dies":
-						c.env.Cloud.Agents()[0].Terminate()
-					}
-					c.env.SetSettled()
-					c.awaitDone("wk-9", 3*time.Minute)
+					c.setStoreLimits(2, 10)
+					c.env.Store.SetRate(12) // it stays in part for a while
+					c.submit(bigGang(partialGangTasks, 0.25))
+					c.awaitBindings(phase.holds)
+					x.check(c)
 				})
 			})
 		}
 	}
 }
 
+// thenDone has something happen to the gang, which must be done in the end.
+func thenDone(happen func(*cluster)) func(*cluster) {
+	return func(c *cluster) {
+		c.t.Helper()
+		happen(c)
+		c.env.SetSettled()
+		c.awaitDone("wk-9", 3*time.Minute)
+	}
+}
+
+// awaitBindings waits until something holds of how many tasks of the gang are bound and
+// assigned; it may do so for the time between two transactions.
+func (c *cluster) awaitBindings(holds func(bound, assigned int) bool) {
+	c.t.Helper()
+	for until := time.Now().Add(2 * time.Minute); time.Now().Before(until); time.Sleep(time.Millisecond) {
+		if holds(c.storedBindings("wk-9")) {
+			return
+		}
+	}
+	c.t.Fatal("the gang is never in this phase")
+}
+
+// checkPartialGangCancelled cancels the gang, of which nothing stays.
+func (c *cluster) checkPartialGangCancelled() {
+	c.t.Helper()
+	c.cancelJob("wk-9")
+	started := c.env.Trace.Accepted("wk-9") // it may have been bound whole meanwhile
+	c.await("its records are gone", time.Minute, func() bool { return len(c.env.Store.Keys(groupPrefix)) == 0 })
+	if n := c.env.Trace.Accepted("wk-9"); started == 0 && n > 0 || c.env.Running("wk-9") > 0 {
+		c.t.Errorf("%d tasks were started after its user was told, %d run, want none", n-started, c.env.Running("wk-9"))
+	}
+	c.submit(bigGang(partialGangTasks, 0.25)) // it stays cancelled, and its cells are free
+	other := bigGang(partialGangTasks, 0.25)
+	other.ID = "wk-10"
+	c.submit(other)
+	c.awaitDone("wk-10", 2*time.Minute)
+}
+
 // A gang that waits in a part without room goes to where there is room for it: another
 // part, or machines of several that are borrowed for it. The first transaction of a move
 // may be the last of its leader: the other records follow the first one.
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -63,42 +63,50 @@
 // attempt, which completes it; after that the whole stops and starts again, under one
 // new number for all.
 func TestGangLosesAMember(t *testing.T) {
-	for _, x := range []struct {
-		name    string
-		ran     bool
-		attempt uint64
-		do      func(*agent.Agent)
-	}{
-		{"dies while waiting", false, 1, (*agent.Agent).Terminate}, {"dies while running", true, 2, (*agent.Agent).Terminate},
-		{"back at once while waiting", false, 1, (*agent.Agent).Restart}, {"back at once while running", true, 2, (*agent.Agent).Restart},
+	for _, x := range []lostMemberCase{
+		{"dies while waiting", false, 1, (*agent.Agent).Terminate},
+		{"dies while running", true, 2, (*agent.Agent).Terminate},
+		{"back at once while waiting", false, 1, (*agent.Agent).Restart},
+		{"back at once while running", true, 2, (*agent.Agent).Restart},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			runCluster(t, func(c *cluster) {
-				c.runServices(8, 2)
-				for i := range 6 { // room in all parts
-					c.cancelJob(fmt.Sprintf("wk-%d", i+1))
-				}
-				b := gangSubmission("wk-9", "blue", "urgent", 4, 20)
-				b.ImageGB, b.Image, b.MachineTypes = 7, "gang", []string{"small"}
-				c.submit(b)
-				c.await("it is placed", time.Minute, func() bool { return c.attemptsOf("wk-9")[1] == 4 })
-				if x.ran {
-					c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-9") == 4 })
-					time.Sleep(6 * time.Second)
-				} else {
-					time.Sleep(3 * time.Second)
-				}
-				x.do(c.on("wk-9"))
-				c.await("it runs again", time.Minute, func() bool {
-					return c.env.Running("wk-9") == 4 && c.attemptsOf("wk-9")[x.attempt] == 4
-				})
-				c.env.SetSettled()
-				c.awaitDone("wk-9", 2*time.Minute)
-			})
+			runCluster(t, func(c *cluster) { c.checkLostMember(x) })
 		})
 	}
 }
 
+// lostMemberCase is a row of TestGangLosesAMember.
+type lostMemberCase struct {
+	name    string
+	runs    bool   // when it loses the machine
+	attempt uint64 // that runs in the end
+	lose    func(*agent.Agent)
+}
+
+func (c *cluster) checkLostMember(x lostMemberCase) {
+	c.t.Helper()
+	c.runServices(8, 2)
+	for i := range 6 { // room in all partitions
+		c.cancelJob(fmt.Sprintf("wk-%d", i+1))
+	}
+	gang := gangSubmission("wk-9", "blue", "urgent", 4, 20)
+	gang.ImageGB, gang.Image, gang.MachineTypes = 7, "gang", []string{"small"}
+	c.submit(gang)
+	c.await("it is placed", time.Minute, func() bool { return c.attemptsOf("wk-9")[1] == 4 })
+	if x.runs {
+		c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-9") == 4 })
+		time.Sleep(6 * time.Second)
+	} else {
+		time.Sleep(3 * time.Second)
+	}
+	x.lose(c.on("wk-9"))
+	c.await("it runs again", time.Minute, func() bool {
+		return c.env.Running("wk-9") == 4 && c.attemptsOf("wk-9")[x.attempt] == 4
+	})
+	c.env.SetSettled()
+	c.awaitDone("wk-9", 2*time.Minute)
+}
+
 // A gang that has to make room is stopped in order, all of it at once, with time to save,
 // and goes on from there.
 func TestGangSavesWhenItIsEvicted(t *testing.T) {
@@ -110,11 +118,11 @@
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "blue", Priority: "urgent", Tasks: 40, CPUs: 2, EstimateS: 5}))
 		c.await("it has left", 20*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
 		if p := c.env.Checkpoint("wk-1"); p < 20*time.Second {
-			t.Errorf("%v are saved", p)
+			t.Errorf("%v of progress are saved, want at least 20 s", p)
 		}
 		c.awaitDone("wk-1", 3*time.Minute)
 		if n := c.env.Completed("wk-1"); n != 4 {
-			t.Errorf("%d tasks are done", n)
+			t.Errorf("%d tasks are done, want 4", n)
 		}
 	})
 }
@@ -141,45 +149,55 @@
 // harm it.
 func TestGangInEachPhase(t *testing.T) {
 	for after := range 6 {
-		for _, what := range []string{"cancel", "kill all", "kill leader"} {
-			t.Run(fmt.Sprint(what, after), func(t *testing.T) {
+		for _, x := range []struct {
+			name  string
+			check func(c *cluster)
+		}{
+			{"cancel", (*cluster).checkGangCancelled},
+			{"kill all", func(c *cluster) {
+				c.restartAll()
+				c.checkGangGoesOn()
+			}},
+			{"kill leader", func(c *cluster) {
+				c.kill(0)
+				time.Sleep(5 * time.Second)
+				c.start(0)
+				c.checkGangGoesOn()
+			}},
+		} {
+			t.Run(fmt.Sprint(x.name, after), func(t *testing.T) {
 				runCluster(t, func(c *cluster) {
 					c.runServices(3, 2)
-					b := gangSubmission("wk-9", "blue", "urgent", 5, 15)
-					b.ImageGB, b.SingleZone = 4, true
-					c.submit(b)
+					gang := gangSubmission("wk-9", "blue", "urgent", 5, 15)
+					gang.ImageGB, gang.SingleZone = 4, true
+					c.submit(gang)
 					time.Sleep(time.Duration(after*2500+300) * time.Millisecond)
-					switch what {
-					case "cancel":
-						c.cancelJob("wk-9")
-						time.Sleep(4 * time.Second)
-						if n := c.env.Running("wk-9"); n > 0 {
-							t.Errorf("%d tasks run", n)
-						}
-						return
-					case "kill all":
-						for i := range c.nodes {
-							c.kill(i)
-						}
-						time.Sleep(500 * time.Millisecond)
-						for i := range c.nodes {
-							c.start(i)
-						}
-					case "kill leader":
-						c.kill(0)
-						time.Sleep(5 * time.Second)
-						c.start(0)
-					}
-					c.awaitDone("wk-9", 2*time.Minute)
-					if n := len(c.attemptsOf("wk-9")); n > 1 {
-						t.Errorf("%v", c.attemptsOf("wk-9"))
-					}
+					x.check(c)
 				})
 			})
 		}
 	}
 }
 
+// checkGangCancelled cancels the gang, whose tasks are soon gone.
+func (c *cluster) checkGangCancelled() {
+	c.t.Helper()
+	c.cancelJob("wk-9")
+	time.Sleep(4 * time.Second)
+	if n := c.env.Running("wk-9"); n > 0 {
+		c.t.Errorf("%d tasks of the cancelled gang run, want none", n)
+	}
+}
+
+// checkGangGoesOn checks that the gang is done, in one attempt.
+func (c *cluster) checkGangGoesOn() {
+	c.t.Helper()
+	c.awaitDone("wk-9", 2*time.Minute)
+	if attempts := c.attemptsOf("wk-9"); len(attempts) > 1 {
+		c.t.Errorf("tasks by attempt: %v, want one attempt", attempts)
+	}
+}
+
 // Gangs among endless small work: each begins before long, none waits for another's cells.
 func TestGangsAmongSmallWork(t *testing.T) {
 	runCluster(t, func(c *cluster) {
@@ -203,7 +221,7 @@
 			}
 		}
 		if len(begun) < 3 {
-			t.Errorf("gangs begun: %v", begun)
+			t.Errorf("gangs begun: %v, want all three", begun)
 		}
 		for i := range 3 {
 			c.awaitDone(fmt.Sprintf("wk-10%d", i), 5*time.Minute)
@@ -218,8 +236,8 @@
 		time.Sleep(5 * time.Second)
 		for range 2 {
 			b := gangSubmission("wk-1", "red", "normal", 13, 5) // 26 of 24 CPUs
-			if answer := c.call(submitRequest(b, nil), 10*time.Second); answer.status != 422 {
-				t.Errorf("beyond the limit: status %d", answer.status)
+			if answer := c.call(submitRequest(b, nil), 10*time.Second); answer.status != http.StatusUnprocessableEntity {
+				t.Errorf("beyond the limit: status %d, want 422", answer.status)
 			}
 		}
 		b := gangSubmission("wk-1", "red", "normal", 12, 5)
@@ -252,7 +270,7 @@
 			b := gangSubmission(id, "blue", "normal", 3, 5)
 			x.change(b)
 			if answer := c.call(submitRequest(b, nil), 10*time.Second); answer.status != x.status {
-				t.Errorf("%s: status %d, not %d", x.name, answer.status, x.status)
+				t.Errorf("%s: status %d, want %d", x.name, answer.status, x.status)
 			}
 		}
 		c.submit(gangSubmission("wk-7", "blue", "normal", 3, 200))
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -20,51 +20,74 @@
 	c := lone(t)
 	rapid.Check(t, func(t *rapid.T) {
 		c.cfg.Settings.Store.ValueKB = rapid.Float64Range(0.5, 8).Draw(t, "value_kb")
-		group := &taskGroup{key: "x", done: rapid.IntRange(0, 50).Draw(t, "done")}
-		n := rapid.IntRange(1, 128).Draw(t, "tasks")
-		bound := 0
-		for i := range n {
-			e := binding{task: int32(i * 700), attempt: 3}
-			if rapid.Bool().Draw(t, "bound") {
-				e.machine = &machine{name: fmt.Sprint("host-", i, strings.Repeat("0", rapid.IntRange(1, 40).Draw(t, "name"))), addr: "10.1.200.200:9000"}
-				e.incarnation = 12
-				bound++
-			}
-			group.bindings = append(group.bindings, e)
-		}
-		if rapid.Bool().Draw(t, "capped") {
-			group.throttle = 1 + rapid.IntRange(bound, n).Draw(t, "may")
-		}
-		before := group.allowedTasks()
-		tasks, may, done, there := 0, 0, 0, 0
+		group := drawGroup(t)
 		if rapid.Bool().Draw(t, "checked") {
 			c.rollout.state = rollout.State{Level: rollout.ChecksumLevel, Phase: rollout.Stable, Epoch: 1}
 		}
+		want := groupContents{tasks: len(group.bindings), allowed: group.allowedTasks(), done: group.done}
+		for _, b := range group.bindings {
+			if b.machine != nil {
+				want.bound++
+			}
+		}
+		var got groupContents
 		for _, piece := range c.splitToFit(group, group.done, group.bindings) {
 			raw := piece.At(groupKey("wk-1", 0))
 			if len(raw) > c.maxValueBytes() || piece.Encoding() != c.encoding() {
-				t.Fatalf("%d bytes of %d, form %d", len(raw), c.maxValueBytes(), piece.Encoding())
-			}
-			v, _, err := record.DecodeTaskGroup(groupKey("wk-1", 0), raw)
-			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("a piece has %d bytes and encoding %d, want at most %d and %d", len(raw), piece.Encoding(), c.maxValueBytes(), c.encoding())
 			}
-			x := taskGroup{throttle: v.Throttle}
-			for _, e := range v.Tasks {
-				x.bindings = append(x.bindings, binding{task: e.Task})
-				if e.Machine != "" {
-					there++
-				}
-			}
-			tasks, may, done = tasks+len(v.Tasks), may+x.allowedTasks(), done+v.Done
+			got.add(t, raw)
 		}
-		if tasks != n || may != before || done != group.done || there != bound {
-			t.Fatalf("%d of %d tasks, %d of %d may run, %d of %d done, %d of %d bound", tasks, n, may, before, done, group.done, there, bound)
+		if got != want {
+			t.Fatalf("the pieces have %+v, want %+v", got, want)
 		}
 	})
 }
 
-// The state service lowers its limits while there are records that were written under
+// drawGroup is a task group of which some tasks are bound, to machines with names and
+// addresses of several lengths.
+func drawGroup(t *rapid.T) *taskGroup {
+	group := &taskGroup{key: "x", done: rapid.IntRange(0, 50).Draw(t, "done")}
+	n := rapid.IntRange(1, 128).Draw(t, "tasks")
+	bound := 0
+	for i := range n {
+		b := binding{task: int32(i * 700), attempt: 3}
+		if rapid.Bool().Draw(t, "bound") {
+			name := fmt.Sprint("host-", i, strings.Repeat("0", rapid.IntRange(1, 40).Draw(t, "name")))
+			b.machine = &machine{name: name, addr: "10.1.200.200:9000"}
+			b.incarnation = 12
+			bound++
+		}
+		group.bindings = append(group.bindings, b)
+	}
+	if rapid.Bool().Draw(t, "throttled") {
+		group.throttle = 1 + rapid.IntRange(bound, n).Draw(t, "allowed")
+	}
+	return group
+}
+
+// groupContents are counts of the tasks of a stored group, or of the pieces of one.
+type groupContents struct{ tasks, allowed, done, bound int }
+
+// add counts a stored piece.
+func (g *groupContents) add(t *rapid.T, raw []byte) {
+	stored, _, err := record.DecodeTaskGroup(groupKey("wk-1", 0), raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	piece := taskGroup{throttle: stored.Throttle}
+	for _, task := range stored.Tasks {
+		piece.bindings = append(piece.bindings, binding{task: task.Task})
+		if task.Machine != "" {
+			g.bound++
+		}
+	}
+	g.tasks += len(stored.Tasks)
+	g.allowed += piece.allowedTasks()
+	g.done += stored.Done
+}
+
+// The key-value store lowers its limits while there are records that were written under
 // the former ones: they are read, split when they are written again, and nothing beyond
 // the new limits is ever sent, let alone again and again.
 func TestLowerLimitsOverLargeRecords(t *testing.T) {
@@ -73,9 +96,7 @@
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 400, CPUs: 1, EstimateS: 4}))
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "red", Priority: "normal", Tasks: 60, CPUs: 2, EstimateS: 4}))
 		c.await("it runs", time.Minute, func() bool { return c.env.Completed("wk-1") > 20 })
-		for i := range c.nodes {
-			c.kill(i)
-		}
+		c.killAll()
 		large := c.env.Store.CountLargerThan(1 << 10)
 		c.env.Store.SetLimits(1<<10, 10)
 		for i, n := range c.nodes {
@@ -107,9 +128,7 @@
 		}
 		c.submit(body("wk-1"))
 		c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-1") > 0 })
-		for i := range c.nodes {
-			c.kill(i)
-		}
+		c.killAll()
 		c.env.Store.SetLimits(1<<10, 10)
 		for i, n := range c.nodes {
 			n.cfg.Settings.Store.ValueKB, n.cfg.Settings.Store.TxnOps = 1, 10
--- /dev/null
+++ b/internal/controller/overload_test.go
@@ -0,0 +1,209 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"net/http"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"eiderhitch/internal/simulation/agent"
+	"eiderhitch/internal/wire"
+)
+
+// starve gives every controller's event loop processor time in bursts only, each at a
+// phase of its own, until the function that it returns is called.
+func (c *cluster) starve(busy, free time.Duration) (stop func()) {
+	ctx, cancel := context.WithCancel(c.ctx)
+	var wg sync.WaitGroup
+	for i, n := range c.nodes {
+		ctl := n.controller()
+		wg.Go(func() {
+			time.Sleep(time.Duration(i) * (busy + free) / time.Duration(len(c.nodes)))
+			for ctx.Err() == nil {
+				ctl.enqueue(priorityState, func() { time.Sleep(busy) })
+				time.Sleep(busy + free)
+			}
+		})
+	}
+	return func() { cancel(); wg.Wait() }
+}
+
+// leaseOwners tells which node holds each leased key.
+func (c *cluster) leaseOwners() map[string]string {
+	out := map[string]string{}
+	ctl := c.nodes[0].controller()
+	ctl.call(c.ctx, priorityState, func() {
+		for key, h := range ctl.holders {
+			out[key] = h.Node
+		}
+	})
+	return out
+}
+
+// Controllers that are all slow serve on: no leased key changes hands, since whoever got
+// it would be as slow, no machine is taken for dead whose answers merely wait to be
+// read, and what users are told to come back with is taken before long.
+func TestSlowControllersServeOn(t *testing.T) {
+	for _, busy := range []time.Duration{700 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
+		t.Run(busy.String(), func(t *testing.T) {
+			runCluster(t, func(c *cluster) { c.checkSlowControllers(busy) })
+		})
+	}
+}
+
+func (c *cluster) checkSlowControllers(busy time.Duration) {
+	c.t.Helper()
+	c.runServices(4, 2)
+	time.Sleep(10 * time.Second)
+	owners, used := c.leaseOwners(), c.usedMachines()
+	stop := c.starve(busy, 300*time.Millisecond)
+	time.Sleep(time.Minute)
+	if now := c.leaseOwners(); !maps.Equal(owners, now) {
+		c.t.Errorf("leased keys changed hands: from %v to %v", owners, now)
+	}
+	c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 6, CPUs: 2, EstimateS: 5}))
+	c.await("the array begins", 40*time.Second, func() bool { return c.env.Running("wk-9")+c.env.Completed("wk-9") > 0 })
+	if !c.servicesRun(4, 2) {
+		c.t.Error("replicas are missing, want all to run")
+	}
+	there := c.env.Cloud.Agents()
+	for _, a := range used {
+		if !slices.Contains(there, a) {
+			c.t.Errorf("%s was terminated though it answers", a.Name())
+		}
+	}
+	stop()
+	c.awaitDone("wk-9", 2*time.Minute)
+}
+
+// usedMachines are the machines that tasks are bound to.
+func (c *cluster) usedMachines() []*agent.Agent {
+	var used []*agent.Agent
+	for _, a := range c.env.Cloud.Agents() {
+		if c.countBoundTo(a.Name()) > 0 {
+			used = append(used, a)
+		}
+	}
+	return used
+}
+
+// A controller whose event loop is stuck loses its leased keys: its leases are not renewed
+// without it for ever.
+func TestStuckControllerLosesItsLeases(t *testing.T) {
+	runCluster(t, func(c *cluster) {
+		const stuck = 2
+		c.runServices(4, 2)
+		time.Sleep(10 * time.Second)
+		before := c.leaseOwners()
+		c.nodes[stuck].controller().enqueue(priorityState, func() { time.Sleep(time.Minute) })
+		time.Sleep(3*c.nodes[0].controller().operator.LeaseTTL + time.Second)
+		name := c.nodes[stuck].cfg.Name
+		for key, node := range c.leaseOwners() {
+			if before[key] == name && node == name {
+				t.Errorf("%s is still with the stuck controller %s", key, name)
+			}
+		}
+		time.Sleep(time.Minute)
+		if !c.servicesRun(4, 2) {
+			t.Error("replicas are missing, want all to run")
+		}
+	})
+}
+
+// impatience is for how long users wait for an answer to a query.
+const impatience = 1800 * time.Millisecond
+
+// Users of a controller that has no time for them are told at once when to come
+// back, instead of waiting in vain behind others, and are served when it has.
+func TestUsersAreTurnedAwayAtOnce(t *testing.T) {
+	runCluster(t, func(c *cluster) {
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 2, CPUs: 2, EstimateS: 5}))
+		c.awaitDone("wk-1", 2*time.Minute)
+		ctl := c.nodes[0].controller()
+		ctx, cancel := context.WithCancel(c.ctx)
+		var wg sync.WaitGroup
+		wg.Go(func() {
+			for ctx.Err() == nil {
+				ctl.call(c.ctx, priorityState, func() { time.Sleep(900 * time.Millisecond) })
+				time.Sleep(time.Millisecond) // or it would be luck whether users have a turn
+			}
+		})
+		const users = 400
+		counts := &userCounts{t: t}
+		for i := range users {
+			time.Sleep(25 * time.Millisecond)
+			id := "wk-1"
+			if i%2 != 0 {
+				id = fmt.Sprintf("wk-%d", 1000+i)
+			}
+			wg.Go(func() { counts.query(c.ctx, ctl, id) })
+		}
+		cancel()
+		wg.Wait()
+		if counts.turnedAway < 100 || counts.served < 4 {
+			t.Errorf("of %d users %d were turned away at once, %d served; want at least 100 and 4", users, counts.turnedAway, counts.served)
+		}
+		time.Sleep(time.Second)
+		limit, done := context.WithTimeout(c.ctx, impatience)
+		defer done()
+		if answer := ctl.Poll(limit, "wk-1"); answer.Status != http.StatusOK {
+			t.Errorf("status %d when there is time again, want 200", answer.Status)
+		}
+	})
+}
+
+// userCounts counts users by what they were answered.
+type userCounts struct {
+	t *testing.T
+
+	mu                 sync.Mutex
+	turnedAway, served int
+}
+
+// query asks for a job, and counts the answer.
+func (u *userCounts) query(ctx context.Context, ctl *controller, id string) {
+	limit, done := context.WithTimeout(ctx, impatience)
+	defer done()
+	begun := time.Now()
+	answer := ctl.Poll(limit, id)
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	switch {
+	case answer.Status == http.StatusServiceUnavailable && answer.RetryAfter < 1:
+		u.t.Error("a user is turned away without a time to come back")
+	case answer.Status == http.StatusServiceUnavailable && time.Since(begun) == 0:
+		u.turnedAway++
+	case answer.Status == http.StatusOK:
+		u.served++
+	}
+}
+
+// What has the higher priority is done first, whatever came first in time.
+func TestPrioritiesInOrder(t *testing.T) {
+	in := newEventQueue()
+	var got []priority
+	for _, p := range []priority{priorityUsers, priorityWorkers, priorityState, priorityUsers, priorityState, priorityWorkers} {
+		f := func() { got = append(got, p) }
+		if p == priorityUsers {
+			in.putUserRequest(f)
+		} else {
+			in.put(t.Context(), p, f)
+		}
+	}
+	if !in.hasBefore(priorityUsers) {
+		t.Error("events wait before those of users, and the queue does not say so")
+	}
+	for f := in.next(); f != nil; f = in.next() {
+		f()
+	}
+	if !slices.Equal(got, []priority{priorityState, priorityState, priorityWorkers, priorityWorkers, priorityUsers, priorityUsers}) {
+		t.Errorf("done in the order %v, want the highest priority first", got)
+	}
+	if in.hasBefore(priorities) {
+		t.Error("events are left, want none")
+	}
+}
--- a/internal/controller/processes_test.go
+++ b/internal/controller/processes_test.go
@@ -286,7 +286,7 @@
 	for _, breach := range p.env.Violations() {
 		t.Error(breach)
 	}
-	if n := p.env.Store.OverLimits; n > 0 {
+	if n := p.env.Store.Stats().OverLimits; n > 0 {
 		t.Errorf("%d transactions were beyond the limits", n)
 	}
 }
--- a/internal/simulation/kv/store.go
+++ b/internal/simulation/kv/store.go
@@ -25,21 +25,19 @@
 	maxBodyBytes = 64 << 10
 )
 
-// Store is a key-value store. Its exported fields may be set before it is used, and read
-// when nobody uses it any more.
-type Store struct {
-	// ChangesPerSecond limits the changes of all callers together, with bursts of one
-	// second's worth; 0: no limit.
-	ChangesPerSecond float64
-	// OverLimits counts the transactions that were refused for good: too many changes, too
-	// large a value.
+// Stats are counts of transactions.
+type Stats struct {
+	// OverLimits are those that were refused for good: too many changes, too large a value.
 	OverLimits int
-	// Throttled counts the transactions that were too much at the time, Admitted the others.
-	// Both count only if there is a limit.
+	// Throttled are those that were too much at the time, Admitted the others. Both count
+	// only if there is a limit of changes a second.
 	Throttled, Admitted int
-	// MostChanges is the most changes that a transaction had.
+	// MostChanges is the most changes that one had.
 	MostChanges int
+}
 
+// Store is a key-value store. It may be used from several goroutines.
+type Store struct {
 	mu            sync.Mutex
 	revision      uint64
 	entries       map[string]entry
@@ -51,6 +49,8 @@
 	maxChanges    int
 	maxValueBytes int
 	beforeTxn     func(*wire.Txn)
+	stats         Stats
+	rate          float64 // changes a second that are admitted; 0: no limit
 	budget        float64 // changes that may be made now
 	budgetAt      time.Time
 }
@@ -87,6 +87,21 @@
 	s.maxValueBytes, s.maxChanges = maxValueBytes, maxChanges
 }
 
+// SetRate limits the changes a second of all callers together, with bursts of one second's
+// worth; 0: no limit.
+func (s *Store) SetRate(changes float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.rate = changes
+}
+
+// Stats are the counts so far.
+func (s *Store) Stats() Stats {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.stats
+}
+
 // BeforeTxn has a function change each transaction before it is carried out, as if another
 // caller's change came at that very moment; nil: none does.
 func (s *Store) BeforeTxn(f func(*wire.Txn)) {
--- a/internal/simulation/kv/txn.go
+++ b/internal/simulation/kv/txn.go
@@ -19,11 +19,11 @@
 		s.beforeTxn(&txn)
 	}
 	if !s.isWithinLimits(&txn, len(body)) {
-		s.OverLimits++
+		s.stats.OverLimits++
 		reply(w, http.StatusBadRequest, struct{}{})
 		return
 	}
-	s.MostChanges = max(s.MostChanges, len(txn.Changes))
+	s.stats.MostChanges = max(s.stats.MostChanges, len(txn.Changes))
 	if !s.admit(len(txn.Changes)) {
 		reply(w, http.StatusTooManyRequests, struct{}{})
 		return
@@ -55,18 +55,18 @@
 
 // admit tells whether the limit of changes a second allows some more, and counts them.
 func (s *Store) admit(changes int) bool {
-	if s.ChangesPerSecond <= 0 {
+	if s.rate <= 0 {
 		return true
 	}
 	now := time.Now()
-	s.budget = min(s.ChangesPerSecond, s.budget+now.Sub(s.budgetAt).Seconds()*s.ChangesPerSecond)
+	s.budget = min(s.rate, s.budget+now.Sub(s.budgetAt).Seconds()*s.rate)
 	s.budgetAt = now
 	if s.budget < float64(changes) {
-		s.Throttled++
+		s.stats.Throttled++
 		return false
 	}
 	s.budget -= float64(changes)
-	s.Admitted++
+	s.stats.Admitted++
 	return true
 }
 
--- a/internal/store/writer_test.go
+++ b/internal/store/writer_test.go
@@ -67,7 +67,7 @@
 				t.Errorf("write %d: %v", i, got[i])
 			}
 		}
-		if w.Store.OverLimits > 0 {
+		if w.Store.Stats().OverLimits > 0 {
 			t.Error("a transaction was beyond the limits")
 		}
 	})
@@ -153,7 +153,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		w := simulation.New(ctx, nil, nil)
-		w.Store.ChangesPerSecond = 60
+		w.Store.SetRate(60)
 		var wg sync.WaitGroup
 		var stored [3]atomic.Int64
 		for i, want := range []int{200, 10, 10} {
@@ -169,8 +169,8 @@
 		if a+b+c < 60*60*3/4 || b < 500 || c < 500 {
 			t.Errorf("%d, %d and %d changes stored in a minute", a, b, c)
 		}
-		if w.Store.Throttled*5 > w.Store.Admitted {
-			t.Errorf("%d transactions refused, %d taken", w.Store.Throttled, w.Store.Admitted)
+		if w.Store.Stats().Throttled*5 > w.Store.Stats().Admitted {
+			t.Errorf("%d transactions refused, %d taken", w.Store.Stats().Throttled, w.Store.Stats().Admitted)
 		}
 	})
 }
@@ -187,8 +187,8 @@
 			writer.Submit(write)
 		}
 		wg.Wait()
-		if w.Store.MostChanges == 0 || w.Store.MostChanges > 8 {
-			t.Errorf("%d contested changes in one transaction", w.Store.MostChanges)
+		if w.Store.Stats().MostChanges == 0 || w.Store.Stats().MostChanges > 8 {
+			t.Errorf("%d contested changes in one transaction", w.Store.Stats().MostChanges)
 		}
 	})
 }
@@ -196,7 +196,7 @@
 // Early writes don't wait behind usual ones that were submitted before them.
 func TestEarlyGoFirst(t *testing.T) {
 	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, writer *store.Writer, _ *store.Client) {
-		w.Store.ChangesPerSecond = 60
+		w.Store.SetRate(60)
 		var mu sync.Mutex
 		var order []bool
 		var wg sync.WaitGroup
@@ -229,7 +229,7 @@
 // its transaction.
 func TestCancelledWrites(t *testing.T) {
 	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, writer *store.Writer, c *store.Client) {
-		w.Store.ChangesPerSecond = 60
+		w.Store.SetRate(60)
 		var wg sync.WaitGroup
 		var stored, cancelled atomic.Int64
 		var units []*store.Write
