--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -17,11 +17,12 @@
 	"eiderhitch/internal/wire"
 )
 
-// lone is a brain that owns its only part, without any world around it.
+// lone is a controller that owns its only partition, without anything around it.
 func lone(t *testing.T) *controller { return loneAmong(t, 1) }
 
-// loneAmong is the same in a cluster of several, of whose parts it owns the first.
+// loneAmong is the same in a cluster of several, of whose partitions it owns the first.
 func loneAmong(t *testing.T, controllers int) *controller {
+	t.Helper()
 	cfg := &config.Platform{Name: "n0"}
 	cfg.Settings.Count = controllers
 	cfg.Settings.Workers.ReportS, cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS = 1, 10, 35
@@ -37,7 +38,9 @@
 	return c
 }
 
+// raw is the JSON of a value.
 func raw(t *testing.T, v any) json.RawMessage {
+	t.Helper()
 	out, err := json.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
@@ -51,41 +54,43 @@
 // controller), and no cell stays taken.
 func TestClaimsEndWithTheirRecord(t *testing.T) {
 	for _, how := range []string{"deleted", "moved"} {
-		c := lone(t)
-		p := c.partitions[0]
-		c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, true)
-		spec := &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAMGB: 1, Team: "t", NoDeadline: true}
-		c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 2)
-		key := groupKey("wk-1", 0)
-		c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
-		c.placeGroup(p, c.groupByKey[key], map[placementClass]bool{})
-		if len(p.reservations) != 2 {
-			t.Fatalf("%d tasks have claimed cells", len(p.reservations))
-		}
-		left := 0
-		if how == "deleted" {
-			c.replica.Delete(key, 4)
-		} else {
-			c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 1}}}), 4)
-			left = 1
-		}
-		if len(p.reservations) != left || len(p.cells.Tasks()) != left {
-			t.Errorf("%s: %d claims and %d cells are left", how, len(p.reservations), len(p.cells.Tasks()))
-		}
-		if err := p.cells.CheckInvariants(); err != nil {
-			t.Error(err)
-		}
-		c.putTombstone(tombstonePrefix+"host-1", []string{"host-1"})
-		if len(p.reservations) != 0 || len(p.cells.Tasks()) != 0 {
-			t.Errorf("%s: %d claims and %d cells on a lost machine", how, len(p.reservations), len(p.cells.Tasks()))
-		}
+		t.Run(how, func(t *testing.T) {
+			c := lone(t)
+			p := c.partitions[0]
+			c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, true)
+			spec := &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAMGB: 1, Team: "t", NoDeadline: true}
+			c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 2)
+			key := groupKey("wk-1", 0)
+			c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+			c.placeGroup(p, c.groupByKey[key], map[placementClass]bool{})
+			if len(p.reservations) != 2 {
+				t.Fatalf("%d tasks have claimed cells, want 2", len(p.reservations))
+			}
+			left := 0
+			if how == "deleted" {
+				c.replica.Delete(key, 4)
+			} else {
+				c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 1}}}), 4)
+				left = 1
+			}
+			if len(p.reservations) != left || len(p.cells.Tasks()) != left {
+				t.Errorf("%d reservations and %d cells are left, want %d of each", len(p.reservations), len(p.cells.Tasks()), left)
+			}
+			if err := p.cells.CheckInvariants(); err != nil {
+				t.Error(err)
+			}
+			c.putTombstone(tombstonePrefix+"host-1", []string{"host-1"})
+			if len(p.reservations) != 0 || len(p.cells.Tasks()) != 0 {
+				t.Errorf("%d reservations and %d cells on a lost machine, want none", len(p.reservations), len(p.cells.Tasks()))
+			}
+		})
 	}
 }
 
-// Markers of machines that are gone are deleted in one transaction, not asked for
-// again at each tick until the first is stored: with a hundred of them that took
-// up all changes that the state service allows, and dealing waited for seconds.
-func TestGoneMarkersAreDeletedOnce(t *testing.T) {
+// Tombstones are deleted in one transaction, not asked for again at each tick until
+// the first is stored: with a hundred of them that took up all changes that the
+// key-value store allows, and assignment waited for seconds.
+func TestTombstonesAreDeletedOnce(t *testing.T) {
 	c := lone(t)
 	c.becomeLeader(5)
 	c.leadership.active = true
@@ -99,13 +104,13 @@
 		c.deleteTombstones()
 	}
 	if queued == 0 || c.stateWriter.Backlog() != queued {
-		t.Errorf("the backlog is %v after one call, %v after many", queued, c.stateWriter.Backlog())
+		t.Errorf("the backlog is %v after one call, %v after many; want the same, and not 0", queued, c.stateWriter.Backlog())
 	}
 }
 
-// A team at its limit has room for one more task many times a second; the cap of
-// a record that stood back is raised for several at once, not for each.
-func TestCapsRiseInSteps(t *testing.T) {
+// A team at its limit has room for one more task many times a second; the throttle of
+// a group is raised for several at once, not for each.
+func TestThrottlesRiseInSteps(t *testing.T) {
 	c := lone(t)
 	c.becomeLeader(5)
 	c.leadership.active = true
@@ -136,13 +141,13 @@
 		c.now = c.now.Add(100 * time.Millisecond)
 	}
 	if changes == 0 || changes > 3 || group.allowedTasks() != 9 {
-		t.Errorf("%d changes, %d of 9 may run", changes, group.allowedTasks())
+		t.Errorf("%d changes, %d tasks may run; want 1 to 3 changes and 9 tasks", changes, group.allowedTasks())
 	}
 }
 
-// A record moves to another part while a write of it is on its way and its tasks
+// A record moves to another partition while a write of it is on its way and its tasks
 // have claimed cells. No cell stays taken: one that no record knew of would have
-// been lost until the part changed hands.
+// been lost until the partition changed hands.
 func TestClaimsOfAMovedRecord(t *testing.T) {
 	c := lone(t)
 	p := c.partitions[0]
@@ -158,7 +163,7 @@
 	group.writing = true // the leader's move, of this very process
 	c.replica.Put(key, raw(t, record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 4)
 	if len(p.reservations) != 0 || len(p.cells.Tasks()) != 0 {
-		t.Errorf("%d claims and %d cells are left", len(p.reservations), len(p.cells.Tasks()))
+		t.Errorf("%d reservations and %d cells are left, want none", len(p.reservations), len(p.cells.Tasks()))
 	}
 }
 
@@ -176,10 +181,10 @@
 	}
 }
 
-// Machines that die together are released together, and what is stored of that is
-// one change, not one for each: their tasks wait for it. The marker names them all,
-// the form of older versions is understood, and deleting it forgets them all.
-func TestGoneTogether(t *testing.T) {
+// Machines that die together are terminated together, and what is stored of that is
+// one change, not one for each: their tasks wait for it. The tombstone names them all,
+// the encoding of older versions is understood, and deleting it forgets them all.
+func TestMachinesGoneTogether(t *testing.T) {
 	c := lone(t)
 	c.becomeLeader(5)
 	c.leadership.active = true
@@ -190,83 +195,97 @@
 	}
 	c.storeTombstones(names)
 	if n := c.stateWriter.Backlog(); n > time.Second/10 {
-		t.Errorf("the backlog is %v", n)
+		t.Errorf("the backlog is %v, want at most 100 ms", n)
 	}
 	c.replica.Put(tombstonePrefix+"host-000001", record.JSON(names[1:4]), 20)
 	c.replica.Put(tombstonePrefix+"host-000009", record.JSON(true), 21)
 	for i, gone := range map[int]bool{0: false, 1: true, 2: true, 3: true, 4: false, 9: true} {
 		if c.machineNamed(names[i]).terminated != gone {
-			t.Errorf("%s is gone: %v", names[i], !gone)
+			t.Errorf("%s is terminated: %v, want %v", names[i], !gone, gone)
 		}
 	}
 	c.replica.Delete(tombstonePrefix+"host-000001", 22)
 	if len(c.terminated) != 1 || len(c.tombstones) != 1 {
-		t.Errorf("%d machines and %d markers are left", len(c.terminated), len(c.tombstones))
+		t.Errorf("%d machines and %d tombstones are left, want one of each", len(c.terminated), len(c.tombstones))
 	}
 }
 
-// A controller that no worker reaches gives its rights up. Many machines that fall
-// silent together are told from chance in a few seconds, few only in many: their
-// leases run, and they must still find the successor. What a process that stood
-// still finds in its sockets it has to read first.
-func TestNoWorkerReaches(t *testing.T) {
+// A controller that no agent reaches steps down. Many machines that fall silent
+// together are no chance after a few seconds, few only after many: their leases run,
+// and they must still find the successor. What a process that stood still finds in
+// its sockets it has to read first.
+func TestStepsDownWhenNoAgentReachesIt(t *testing.T) {
 	for _, x := range []struct {
-		machines int
-		after    time.Duration
-		woke     bool
-		gives    bool
+		name      string
+		machines  int
+		after     time.Duration
+		resumed   bool // it stood still until just now
+		stepsDown bool
 	}{
-		{200, 4 * time.Second, false, true}, {200, time.Second, false, false}, {200, 4 * time.Second, true, false},
-		{3, 4 * time.Second, false, false}, {3, 9 * time.Second, false, true},
+		{"many machines, seconds", 200, 4 * time.Second, false, true},
+		{"many machines, one second", 200, time.Second, false, false},
+		{"many machines, resumed", 200, 4 * time.Second, true, false},
+		{"few machines, seconds", 3, 4 * time.Second, false, false},
+		{"few machines, many seconds", 3, 9 * time.Second, false, true},
 	} {
-		c := lone(t)
-		leased := c.leasedKeys[c.partitions[0].key]
-		leased.token = 1
-		for i := range x.machines {
-			c.machineNamed(fmt.Sprintf("host-%d", i)).heartbeatAt = c.now
-		}
-		c.now = c.now.Add(x.after)
-		if x.woke {
-			c.resumedFromPauseAt = c.now
-		}
-		c.stepDownIfUnheard()
-		if gave := leased.token == 0; gave != x.gives {
-			t.Errorf("%+v: rights given up: %v", x, gave)
-		}
+		t.Run(x.name, func(t *testing.T) {
+			c := lone(t)
+			leased := c.leasedKeys[c.partitions[0].key]
+			leased.token = 1
+			for i := range x.machines {
+				c.machineNamed(fmt.Sprintf("host-%d", i)).heartbeatAt = c.now
+			}
+			c.now = c.now.Add(x.after)
+			if x.resumed {
+				c.resumedFromPauseAt = c.now
+			}
+			c.stepDownIfUnheard()
+			if got := leased.token == 0; got != x.stepsDown {
+				t.Errorf("it steps down: %v, want %v", got, x.stepsDown)
+			}
+		})
 	}
 }
 
-// An array's task within its team's guarantee stops others' after a while. Where
-// cells come free all the time it waits for one of those first, but not for long:
-// what is stopped has run for nothing.
+// An array's task within its team's guaranteed quota preempts others' after a while.
+// Where cells come free all the time it waits for one of those first, but not for
+// long: what is preempted has run for nothing.
 func TestHeadOfTheQueueWaits(t *testing.T) {
 	for _, x := range []struct {
-		waited time.Duration
-		ends   int
-		evicts bool
-	}{{2 * time.Second, 0, false}, {4 * time.Second, 0, true}, {4 * time.Second, 50, false}, {7 * time.Second, 50, true}} {
-		c := lone(t)
-		p := c.partitions[0]
-		c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
-		for i, team := range []string{"blue", "red"} {
-			id := fmt.Sprintf("wk-%d", i+1)
-			c.replica.Put(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAMGB: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
-		}
-		c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 10)
-		c.replica.Put(groupKey("wk-2", 0), raw(t, record.TaskGroup{Guaranteed: true, Tasks: []record.Binding{{}}}), 11)
-		group := c.groupByKey[groupKey("wk-2", 0)]
-		group.inPartitionSince = c.now.Add(-x.waited)
-		p.freedCellsBefore, p.freedCellsSince = x.ends, c.now
-		c.placeGroup(p, group, map[placementClass]bool{})
-		if evicts := p.cells.PreemptingGroup(group.task(0)) != nil; evicts != x.evicts {
-			t.Errorf("%+v: evicts: %v", x, evicts)
-		}
+		name     string
+		waited   time.Duration
+		ends     int // cells that came free of late
+		preempts bool
+	}{
+		{"waits a little", 2 * time.Second, 0, false},
+		{"waits", 4 * time.Second, 0, true},
+		{"waits where cells come free", 4 * time.Second, 50, false},
+		{"waits for long where cells come free", 7 * time.Second, 50, true},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			c := lone(t)
+			p := c.partitions[0]
+			c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+			for i, team := range []string{"blue", "red"} {
+				id := fmt.Sprintf("wk-%d", i+1)
+				c.replica.Put(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAMGB: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
+			}
+			c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 10)
+			c.replica.Put(groupKey("wk-2", 0), raw(t, record.TaskGroup{Guaranteed: true, Tasks: []record.Binding{{}}}), 11)
+			group := c.groupByKey[groupKey("wk-2", 0)]
+			group.inPartitionSince = c.now.Add(-x.waited)
+			p.freedCellsBefore, p.freedCellsSince = x.ends, c.now
+			c.placeGroup(p, group, map[placementClass]bool{})
+			if got := p.cells.PreemptingGroup(group.task(0)) != nil; got != x.preempts {
+				t.Errorf("it preempts: %v, want %v", got, x.preempts)
+			}
+		})
 	}
 }
 
 // Jobs are known for ever, by little more than their names: whoever asks gets the
-// answer that was given last, and each that is over costs what it is planned to.
-func TestJobsThatAreOver(t *testing.T) {
+// answer that was given last, and each that is finished costs what it is planned to.
+func TestFinishedJobsCostLittle(t *testing.T) {
 	const jobs, each = 20_000, 100
 	c := lone(t)
 	held := func() uint64 {
@@ -291,20 +310,20 @@
 		n := len(c.finished)
 		c.archiveFinished()
 		if len(c.finished) > n {
-			t.Fatalf("%d jobs are laid down before all of them is known", len(c.finished)-n)
+			t.Fatalf("%d jobs are archived before all of them is known, want none", len(c.finished)-n)
 		}
 		c.replica.Apply(&wire.WatchResponse{Revision: stamp + 1})
 		c.archiveFinished()
 	}
 	if n := int(held()-before) / jobs; n > each {
-		t.Errorf("a job that is over holds %d bytes", n)
+		t.Errorf("a finished job holds %d bytes, want at most %d", n, each)
 	}
 	for _, x := range []struct {
 		id    string
 		state string
 	}{{"wk-00000000", wire.Cancelled}, {"wk-00000001", wire.Cancelled}, {"wk-00000002", wire.Done}, {"wk-00000003", wire.Done}} {
 		if job := c.lookupJob(x.id); job == nil || job.response().State != x.state {
-			t.Errorf("%s is %+v", x.id, job)
+			t.Errorf("%s is %+v, want it %s", x.id, job, x.state)
 		}
 	}
 	if c.lookupJob("wk-99999999") != nil {
@@ -321,7 +340,7 @@
 
 // A cancellation of our own is known before a binding that was stored just before it.
 // Until all changes up to it are known its tasks count for the team's limit as if the
-// job were not over: the leader once gave their room away while one of them ran.
+// job were not finished: the leader once gave their room away while one of them ran.
 func TestCancelledBeforeItsBindingIsKnown(t *testing.T) {
 	c := lone(t)
 	c.cfg.Settings.Teams = []config.Team{{Name: "t", CPUsMax: 100}}
@@ -330,7 +349,7 @@
 	used := func(when string, want int64) {
 		t.Helper()
 		if got := c.quotas()[team].Used.CPU; got != want*1000 {
-			t.Errorf("%s %d milli-CPUs count, not %d", when, got, want*1000)
+			t.Errorf("%s %d milli-CPUs count, want %d", when, got, want*1000)
 		}
 	}
 	group := func(machine string) json.RawMessage {
@@ -339,7 +358,7 @@
 	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 10)
 	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{}}}), 11)
 	c.replica.Apply(&wire.WatchResponse{Revision: 11})
-	used("dealt:", 2)
+	used("assigned:", 2)
 	gone := raw(t, record.Job{FinalState: cancelledJob, Spec: spec})
 	c.replica.Put(jobKey("wk-1"), gone, 20) // our own write's result
 	used("cancelled here:", 2)
@@ -349,11 +368,11 @@
 	c.replica.Apply(&wire.WatchResponse{Revision: 22, Events: []wire.Event{{Put: groupKey("wk-1", 0), Value: group(""), Revision: 22}}})
 	used("proven gone:", 0)
 
-	// The same where not even the dealing is known yet.
+	// The same where not even the assignment is known yet.
 	c.replica.Put(jobKey("wk-2"), raw(t, record.Job{Spec: spec}), 30)
 	c.replica.Apply(&wire.WatchResponse{Revision: 30})
 	c.replica.Put(jobKey("wk-2"), gone, 40)
 	c.replica.Apply(&wire.WatchResponse{Revision: 41, Events: []wire.Event{
 		{Put: groupKey("wk-2", 0), Value: group("host-2"), Revision: 35}, {Put: jobKey("wk-2"), Value: gone, Revision: 40}}})
-	used("dealt and bound before it was cancelled here:", 2)
+	used("assigned and bound before it was cancelled here:", 2)
 }
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -5,6 +5,7 @@
 	"flag"
 	"fmt"
 	"log/slog"
+	"net/http"
 	"testing"
 	"time"
 
@@ -66,8 +67,8 @@
 	env.SetSettled()
 	c.await("the array is done", 40*time.Minute, func() bool { return c.state("wk-1") == wire.Done })
 	c.await("the services run", 2*time.Minute, func() bool { return env.Running("wk-2") == 20 })
-	if answer := c.ask(0, queryRequest("wk-1")); answer.status != 200 {
-		c.t.Errorf("a poll is answered %d", answer.status)
+	if answer := c.ask(0, queryRequest("wk-1")); answer.status != http.StatusOK {
+		c.t.Errorf("a query is answered with status %d, want 200", answer.status)
 	}
 }
 
--- a/internal/controller/gang_phases_test.go
+++ b/internal/controller/gang_phases_test.go
@@ -236,7 +236,7 @@
 	})
 }
 
-// Who is told that others are gone, or never came, is not to blame: neither the machine
+// Members that exit since others are gone, or never came, are not to blame: neither the machine
 // nor the job is barred, rested or counted as failing.
 func TestNobodyIsBlamedForMissingMembers(t *testing.T) {
 	c := lone(t)
@@ -304,7 +304,7 @@
 }
 
 // One task that is done is all done: in one change with the job's fate, whether the others'
-// reports have come or say that others are gone; and a controller that takes over when
+// heartbeats have come or say that others are gone; and a controller that takes over when
 // only a part of the records is stored as done ends the rest.
 func TestOneDoneIsAllDone(t *testing.T) {
 	setUp := func(t *testing.T, records int) (*controller, *partition, []*taskGroup) {
@@ -325,7 +325,7 @@
 		}
 		return ctl, p, groups
 	}
-	report := func(ctl *controller, p *partition, seq uint64, whys map[int]string) {
+	heartbeat := func(ctl *controller, p *partition, seq uint64, whys map[int]string) {
 		heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, Token: 1}
 		for n := range 4 {
 			if why, ok := whys[n]; ok {
@@ -342,21 +342,21 @@
 		"others are said stopped": {0: wire.ReasonStopped, 3: wire.ReasonDone},
 	} {
 		ctl, p, groups := setUp(t, 1)
-		report(ctl, p, 2, whys)
+		heartbeat(ctl, p, 2, whys)
 		update := ctl.planUpdate(p, groups[0])
 		if update.done != 4 || len(update.bindings) != 0 || !ctl.endsJob(groups[0], &update) {
 			t.Errorf("%s: %d done, %d left", name, update.done, len(update.bindings))
 		}
 	}
-	c, part, recs := setUp(t, 1)
-	report(c, part, 2, map[int]string{0: wire.ReasonPeersGone, 1: wire.ReasonPeersGone, 2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
-	if update := c.planUpdate(part, recs[0]); update.done != 0 || len(update.bindings) != 4 {
+	c, p, recs := setUp(t, 1)
+	heartbeat(c, p, 2, map[int]string{0: wire.ReasonPeersGone, 1: wire.ReasonPeersGone, 2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
+	if update := c.planUpdate(p, recs[0]); update.done != 0 || len(update.bindings) != 4 {
 		t.Errorf("none is done: %d done, %d left", update.done, len(update.bindings))
 	}
-	c, part, recs = setUp(t, 2)
+	c, p, recs = setUp(t, 2)
 	c.replica.Put(recs[0].key, raw(t, record.TaskGroup{Done: 2, Tasks: []record.Binding{}}), 9) // by the owner before
-	report(c, part, 2, map[int]string{2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
-	if update := c.planUpdate(part, recs[1]); update.done != 2 || !c.endsJob(recs[1], &update) {
+	heartbeat(c, p, 2, map[int]string{2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
+	if update := c.planUpdate(p, recs[1]); update.done != 2 || !c.endsJob(recs[1], &update) {
 		t.Errorf("half is stored as done: %d more are", update.done)
 	}
 }
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -11,8 +11,8 @@
 	"eiderhitch/internal/wire"
 )
 
-// A gang asks for cells when all of its tasks are dealt and all its records are in one part
-// and zone, and for what it lacks of an attempt that waits; else for nothing.
+// A gang asks for cells when all of its tasks are assigned and all its records are in one
+// partition and zone, and for what it lacks of an attempt that waits; else for nothing.
 func TestGangIsReservedWhole(t *testing.T) {
 	all := []record.TaskGroup{{Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}}}, {Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}}
 	for _, x := range []struct {
@@ -20,30 +20,32 @@
 		records []record.TaskGroup
 		asks    bool
 	}{
-		{"all are dealt", all, true},
-		{"some are not dealt", all[:1], false},
-		{"in two parts", []record.TaskGroup{all[0], {Partition: 1, Zone: "a", Tasks: all[1].Tasks}}, false},
+		{"all are assigned", all, true},
+		{"some are not assigned", all[:1], false},
+		{"in two partitions", []record.TaskGroup{all[0], {Partition: 1, Zone: "a", Tasks: all[1].Tasks}}, false},
 		{"in two zones", []record.TaskGroup{all[0], {Zone: "b", Tasks: all[1].Tasks}}, false},
 		{"done already", []record.TaskGroup{all[0], {Zone: "a", Done: 2, Tasks: []record.Binding{}}}, false},
 	} {
-		c := lone(t)
-		c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 1}}), 2)
-		for k, v := range x.records {
-			c.replica.Put(groupKey("wk-1", k), raw(t, v), uint64(3+k))
-		}
-		asked := false
-		c.placeGang(c.partitions[0], c.groupByKey[groupKey("wk-1", 0)], nil, func(...scheduling.Task) bool {
-			asked = true
-			return true
+		t.Run(x.name, func(t *testing.T) {
+			c := lone(t)
+			c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 1}}), 2)
+			for k, v := range x.records {
+				c.replica.Put(groupKey("wk-1", k), raw(t, v), uint64(3+k))
+			}
+			asked := false
+			c.placeGang(c.partitions[0], c.groupByKey[groupKey("wk-1", 0)], nil, func(...scheduling.Task) bool {
+				asked = true
+				return true
+			})
+			if asked != x.asks {
+				t.Errorf("cells are asked for: %v, want %v", asked, x.asks)
+			}
 		})
-		if asked != x.asks {
-			t.Errorf("%s: cells are asked for: %v", x.name, asked)
-		}
 	}
 }
 
 // Room that is kept for gangs, or lent for one, is open to others when it has been unused
-// for long, however often they were dealt something meanwhile.
+// for long, however often they were assigned something meanwhile.
 func TestUnusedRoomIsOpen(t *testing.T) {
 	for _, x := range []struct {
 		name   string
@@ -51,28 +53,32 @@
 		unused time.Duration
 		open   bool
 	}{
-		{"kept of late", reserveLoanJob, reserveMaxUnused - time.Second, false}, {"kept for long", reserveLoanJob, reserveMaxUnused + time.Second, true},
-		{"lent of late", "wk-2", reserveMaxUnused + time.Second, false}, {"lent for long", "wk-2", loanMaxUnused + time.Second, true},
+		{"kept of late", reserveLoanJob, reserveMaxUnused - time.Second, false},
+		{"kept for long", reserveLoanJob, reserveMaxUnused + time.Second, true},
+		{"lent of late", "wk-2", reserveMaxUnused + time.Second, false},
+		{"lent for long", "wk-2", loanMaxUnused + time.Second, true},
 	} {
-		c := lone(t)
-		m := c.machineNamed("host-1")
-		c.loans["host-1"] = &machineLoan{MachineLoan: record.MachineLoan{Job: x.job, Acknowledged: true}}
-		c.leadership.since, m.inPartitionSince, m.lastBoundAt = c.now.Add(-time.Hour), c.now.Add(-time.Hour), c.now.Add(-x.unused)
-		summary := &planning.MachineSummary{ID: m.index, Partition: c.loanPartition(), Type: "small", Zone: "a", Size: scheduling.NewResources(4, 0, 8), Free: scheduling.NewResources(4, 0, 8)}
-		array := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 9}, acceptedAt: c.now.Add(-time.Hour), assignedAt: c.now}
-		if got := c.reserveAllows(array, summary); got != x.open {
-			t.Errorf("%s: open is %v", x.name, got)
-		}
-		if gang := (&job{id: "wk-3", spec: &wire.Job{ID: "wk-3", Gang: true}}); !c.reserveAllows(gang, summary) {
-			t.Errorf("%s: it is not open to gangs", x.name)
-		}
-		// A gang that has been dealt there and lacks room holds no more than is kept.
-		c.replica.Put(jobKey("wk-3"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
-		c.replica.Put(groupKey("wk-3", 0), raw(t, record.TaskGroup{Partition: c.loanPartition(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
-		c.placeAssigned([]*planning.MachineSummary{summary}, c.byUrgency())
-		if held := summary.Free.CPU < 4000; held == x.open {
-			t.Errorf("%s: a gang without whole room holds it: %v", x.name, held)
-		}
+		t.Run(x.name, func(t *testing.T) {
+			c := lone(t)
+			m := c.machineNamed("host-1")
+			c.loans["host-1"] = &machineLoan{MachineLoan: record.MachineLoan{Job: x.job, Acknowledged: true}}
+			c.leadership.since, m.inPartitionSince, m.lastBoundAt = c.now.Add(-time.Hour), c.now.Add(-time.Hour), c.now.Add(-x.unused)
+			summary := &planning.MachineSummary{ID: m.index, Partition: c.loanPartition(), Type: "small", Zone: "a", Size: scheduling.NewResources(4, 0, 8), Free: scheduling.NewResources(4, 0, 8)}
+			array := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 9}, acceptedAt: c.now.Add(-time.Hour), assignedAt: c.now}
+			if got := c.reserveAllows(array, summary); got != x.open {
+				t.Errorf("open to arrays: %v, want %v", got, x.open)
+			}
+			if gang := (&job{id: "wk-3", spec: &wire.Job{ID: "wk-3", Gang: true}}); !c.reserveAllows(gang, summary) {
+				t.Error("it is not open to gangs")
+			}
+			// A gang that has been assigned there and lacks room holds no more than is kept.
+			c.replica.Put(jobKey("wk-3"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
+			c.replica.Put(groupKey("wk-3", 0), raw(t, record.TaskGroup{Partition: c.loanPartition(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
+			c.placeAssigned([]*planning.MachineSummary{summary}, c.byUrgency())
+			if held := summary.Free.CPU < 4000; held == x.open {
+				t.Errorf("a gang without whole room holds it: %v, want %v", held, !x.open)
+			}
+		})
 	}
 }
 
@@ -85,9 +91,9 @@
 	group := c.groupByKey[groupKey("wk-1", 0)]
 	group.inPartitionSince = c.now.Add(-zonePatience - time.Second)
 	var summaries []*planning.MachineSummary
-	for i, part := range []int{0, c.loanPartition()} {
+	for i, partition := range []int{0, c.loanPartition()} {
 		m := c.machineNamed([]string{"host-1", "host-2"}[i])
-		summaries = append(summaries, &planning.MachineSummary{ID: m.index, Partition: part, Type: "small", Zone: "b", Size: scheduling.NewResources(4, 0, 8), Free: scheduling.NewResources(4, 0, 8)})
+		summaries = append(summaries, &planning.MachineSummary{ID: m.index, Partition: partition, Type: "small", Zone: "b", Size: scheduling.NewResources(4, 0, 8), Free: scheduling.NewResources(4, 0, 8)})
 	}
 	if !c.moveToOtherZone(summaries, group) || c.leadership.writesInFlight != 1 {
 		t.Errorf("it stays where there is no room for it (%d transactions)", c.leadership.writesInFlight)
@@ -103,24 +109,24 @@
 	c := lone(t)
 	p := c.partitions[0]
 	m := c.machineNamed("host-1")
-	report := func(seq uint64, state, why string) {
-		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, Token: 1,
-			Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: state, Reason: why}, {Task: "wk-1/1", Attempt: 1, State: wire.Gathering}}}, p, true)
+	heartbeat := func(sequence uint64, state, reason string) {
+		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: sequence, Token: 1,
+			Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: state, Reason: reason}, {Task: "wk-1/1", Attempt: 1, State: wire.Gathering}}}, p, true)
 	}
 	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAMGB: 1}}), 2)
 	bound := func(num int32) record.Binding {
 		return record.Binding{Task: num, Attempt: 1, Machine: "host-1", Incarnation: 1}
 	}
 	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{bound(0), bound(1), {Task: 2, Attempt: 1}}}), 3)
-	report(2, wire.Gathering, "")
+	heartbeat(2, wire.Gathering, "")
 	c.placeGroup(p, c.groupByKey[groupKey("wk-1", 0)], map[placementClass]bool{})
 	if len(p.reservations) != 1 {
-		t.Fatalf("%d tasks have claimed cells, not the one that is lost", len(p.reservations))
+		t.Fatalf("%d tasks have claimed cells, want the one that is lost", len(p.reservations))
 	}
-	report(3, wire.Exited, wire.ReasonIncompleteGang)
+	heartbeat(3, wire.Exited, wire.ReasonIncompleteGang)
 	c.stopGangs(p)
 	if len(p.reservations) != 0 {
-		t.Errorf("%d claims are left", len(p.reservations))
+		t.Errorf("%d reservations are left, want none", len(p.reservations))
 	}
 }
 
@@ -135,11 +141,11 @@
 			c.submit(service)
 		}
 		c.await("a service runs on each machine", time.Minute, func() bool { return c.serving() == 3 })
-		parts := map[int]bool{}
+		partitions := map[int]bool{}
 		for _, w := range c.env.Cloud.Agents() {
-			parts[partitionOf(w.Name(), 3)] = true
+			partitions[partitionOf(w.Name(), 3)] = true
 		}
-		if len(parts) < 2 {
+		if len(partitions) < 2 {
 			t.Fatal("all machines are in one partition")
 		}
 		c.env.SetSettled()
@@ -197,8 +203,8 @@
 	})
 }
 
-// What runs on a machine and is no service, or has just been told something, keeps it from
-// changing hands.
+// What runs on a machine and is no service, or a command on its way, keeps it from changing
+// hands.
 func TestOnlyServices(t *testing.T) {
 	c := crowded(t, 50)
 	p := c.partitions[0]
@@ -226,7 +232,7 @@
 		"a job that is cancelled":     {func() { m.bindings[0].group.job.finalState = cancelledJob }, func() { m.bindings[0].group.job.finalState = unfinishedJob }},
 		"a record on its way":         {func() { m.bindings[0].group.writing = true }, func() { m.bindings[0].group.writing = false }},
 		"a task that fetches":         {func() { m.tasks[0].State = wire.Fetching }, func() { m.tasks[0].State = wire.Running }},
-		"an earlier session":          {func() { m.incarnation++ }, func() { m.incarnation-- }},
+		"an earlier incarnation":      {func() { m.incarnation++ }, func() { m.incarnation-- }},
 	} {
 		change.do()
 		if c.runsOnlyServices(m, p) {
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -12,8 +12,8 @@
 )
 
 // storedBindings counts a job's tasks that are bound to a machine by what is stored, and
-// those that are dealt.
-func (c *cluster) storedBindings(id string) (bound, dealt int) {
+// those that are assigned.
+func (c *cluster) storedBindings(id string) (bound, assigned int) {
 	for _, raw := range c.env.Store.Values(groupPrefix + id + "/") {
 		var v record.TaskGroup
 		if err := json.Unmarshal(raw, &v); err != nil {
@@ -24,9 +24,9 @@
 				bound++
 			}
 		}
-		dealt += len(v.Tasks)
+		assigned += len(v.Tasks)
 	}
-	return bound, dealt
+	return bound, assigned
 }
 
 // setStoreLimits gives the key-value store other limits, and ends all controllers and starts
@@ -176,8 +176,8 @@
 	c.awaitDone("wk-10", 2*time.Minute)
 }
 
-// A gang that waits in a part without room goes to where there is room for it: another
-// part, or machines of several that are borrowed for it. The first transaction of a move
+// A gang that waits in a partition without room goes to where there is room for it: another
+// partition, or machines of several that are lent for it. The first transaction of a move
 // may be the last of its leader: the other records follow the first one.
 func TestGangMovesWhole(t *testing.T) {
 	c := loneAmong(t, 3)
@@ -201,30 +201,30 @@
 	if c.leadership.writesInFlight != 0 {
 		t.Error("records that are together move")
 	}
-	host := func(id scheduling.MachineIndex, part int, free float64) *planning.MachineSummary {
+	host := func(id scheduling.MachineIndex, partition int, free float64) *planning.MachineSummary {
 		name := []string{"host-1", "host-2", "host-3"}[id]
 		if m := c.machineNamed(name); m.index != id {
 			t.Fatal("machines are numbered otherwise")
 		}
-		summary := &planning.MachineSummary{ID: id, Type: "small", Zone: "a", Partition: part, Size: scheduling.NewResources(4, 0, 8), Free: scheduling.NewResources(free, 0, 8)}
+		summary := &planning.MachineSummary{ID: id, Type: "small", Zone: "a", Partition: partition, Size: scheduling.NewResources(4, 0, 8), Free: scheduling.NewResources(free, 0, 8)}
 		if free < 4 {
 			summary.Usages = []planning.Usage{{Claim: scheduling.Claim{Priority: 3}, Size: summary.Size.Minus(summary.Free)}}
 		}
 		return summary
 	}
 	if c.moveGang([]*planning.MachineSummary{host(0, 0, 4), host(1, 1, 2), host(2, 1, 2)}, job) {
-		t.Error("it moves or borrows where there is no room for all of it")
+		t.Error("it moves, or machines are lent, where there is no room for all of it")
 	}
 	if !c.moveGang([]*planning.MachineSummary{host(0, 0, 4), host(1, 0, 4), host(2, 1, 0)}, job) || c.leadership.writesInFlight != 1 {
-		t.Error("it does not move to the part with room")
+		t.Error("it does not move to the partition with room")
 	}
 	c.leadership.writesInFlight = 0
 	if !c.moveGang([]*planning.MachineSummary{host(0, 0, 4), host(1, 1, 4), host(2, 1, 0)}, job) || c.leadership.writesInFlight != 1 {
-		t.Error("no machines of two parts are borrowed for it")
+		t.Error("no machines of two partitions are lent for it")
 	}
 }
 
-// A gang that is dealt in part counts whole for its team's limit, within its guarantee or
+// A gang that is assigned in part counts whole for its team's limit, within its guarantee or
 // not: what it lacks is not given to others in between.
 func TestGangDealtInPartCountsWhole(t *testing.T) {
 	for _, own := range []bool{false, true} {
--- a/internal/controller/job_lifecycle_test.go
+++ b/internal/controller/job_lifecycle_test.go
@@ -68,7 +68,7 @@
 }
 
 // A large array and a flood of small ones: records and transactions stay within
-// the limits, what is done leaves little behind, reports keep being answered.
+// the limits, what is done leaves little behind, heartbeats keep being answered.
 func TestFlood(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 1500, CPUs: 1, EstimateS: 1}))
@@ -90,7 +90,7 @@
 }
 
 // A stored record that can't be decoded is named and left alone: its user is
-// told to come back, nothing is dealt twice, and the rest goes on.
+// told to come back, nothing is assigned twice, and the rest goes on.
 func TestUndecodableRecord(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		time.Sleep(3 * time.Second)
--- a/internal/controller/late_requests_test.go
+++ b/internal/controller/late_requests_test.go
@@ -71,7 +71,7 @@
 
 // A transaction that is applied a minute late finds none of its conditions true
 // again: no key that may be created under "does not exist" is deleted while the
-// rest of its conditions can still hold. (A dealing that came back to life handed
+// rest of its conditions can still hold. (An assignment that came back to life handed
 // tasks out twice, and a job was called done too early.)
 func TestVeryLateTransactions(t *testing.T) {
 	runCluster(t, func(c *cluster) {
--- a/internal/controller/level_history_test.go
+++ b/internal/controller/level_history_test.go
@@ -13,7 +13,7 @@
 type levelHistory struct {
 	*cluster
 	state   rollout.State
-	checked map[string]bool // groups that are stored in the checked form
+	checked map[string]bool // groups that are stored with a checksum
 }
 
 func (h *levelHistory) check(e wire.Event) {
@@ -26,10 +26,10 @@
 		h.checkState(e)
 	}
 	if strings.HasPrefix(key, groupPrefix) {
-		form := record.EncodingOf(e.Value)
-		h.checked[key] = form == record.Checksummed
-		if rollout.Level(form) > h.state.Level {
-			h.t.Errorf("%s is stored in form %d at level %d", key, form, h.state.Level)
+		encoding := record.EncodingOf(e.Value)
+		h.checked[key] = encoding == record.Checksummed
+		if rollout.Level(encoding) > h.state.Level {
+			h.t.Errorf("%s is stored in encoding %d at level %d", key, encoding, h.state.Level)
 		}
 	}
 	if e.Put != "" && isLeaseKey(key) {
@@ -54,17 +54,17 @@
 	h.state = state
 	for key, there := range h.checked {
 		if there && state.Level == rollout.BaseLevel {
-			h.t.Errorf("%s is in the checked form at the base level", key)
+			h.t.Errorf("%s has a checksum at the base level", key)
 		}
 	}
 }
 
-// isLeaseKey tells whether a key is that of a right at any level.
+// isLeaseKey tells whether a key is a leased one at any level.
 func isLeaseKey(key string) bool {
 	return strings.HasSuffix(key, "/leader") || strings.Contains(key, "/part/")
 }
 
-// checkLease checks that a right is taken under the keys of the level in force, by a
+// checkLease checks that a leased key is taken under the keys of the level in force, by a
 // process that reads it.
 func (h *levelHistory) checkLease(e wire.Event) {
 	h.t.Helper()
--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -49,7 +49,7 @@
 	})
 }
 
-// After an outage for longer than reports may be answered, no machine is taken to be
+// After an outage for longer than heartbeats may be answered, no machine is taken to be
 // silent: this controller heard none since it did not listen.
 func TestMachinesAreKeptAfterALongOutage(t *testing.T) {
 	runCluster(t, func(c *cluster) {
@@ -107,7 +107,7 @@
 }
 
 // An owner starts nothing on the strength of an old read: somebody may have told a user
-// "cancelled" since. It goes on answering reports, so that what runs goes on.
+// "cancelled" since. It goes on answering heartbeats, so that what runs goes on.
 func TestNoStartAfterAnOldRead(t *testing.T) {
 	c := lone(t)
 	p := c.partitions[0]
@@ -123,7 +123,7 @@
 		t.Errorf("commands %v on an old read", cmds)
 	}
 	if !c.isFresh(c.maxStaleness) {
-		t.Error("reports are not answered any more")
+		t.Error("heartbeats are not answered any more")
 	}
 }
 
@@ -165,7 +165,7 @@
 	}
 }
 
-// Tasks of a record that may not run all move to a part that has room, and take so much
+// Tasks of a record that may not run all move to a partition that has room, and take so much
 // of its cap along: no more may run than before, and none waits beside the room.
 func TestCappedRecordIsSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -202,7 +202,7 @@
 		if hold <= 0 {
 			return // refused as a setting
 		}
-		// The controller's clock is slow, the worker's too, by the bound of each.
+		// The controller's clock is slow, the agent's too, by the bound of each.
 		const drift = 0.0005
 		read := rapid.Float64Range(-5, 0).Draw(t, "read before the cancellation")
 		last := read + hold.Seconds()*(1+drift)
@@ -234,17 +234,17 @@
 		before := c.env.Starts()
 		time.Sleep(20 * time.Second)
 		if n := c.env.Starts() - before; n > 0 || c.env.Running("wk-1") != 12 {
-			t.Errorf("%d starts, %d tasks run", n, c.env.Running("wk-1"))
+			t.Errorf("%d starts, %d tasks run; want none and 12", n, c.env.Running("wk-1"))
 		}
 		c.env.Cloud.SetDown(false)
 		c.awaitDone("wk-3", 3*time.Minute)
 	})
 }
 
-// Where all machines have died and the cloud gives no others, nobody hears a worker. The
-// rights don't go round for that: each change of hands would begin the wait for the
+// Where all machines have died and the cloud gives no others, no agent reaches anybody. The
+// leased keys don't go round for that: each change of hands would begin the wait for the
 // leases anew, and what ran would never be proven gone.
-func TestRightsStayWhereNobodyHearsWorkers(t *testing.T) {
+func TestLeasesStayWhereNoAgentReachesAnybody(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.runServices(6, 2)
 		time.Sleep(10 * time.Second)
@@ -260,7 +260,7 @@
 		}
 		for i := range 6 {
 			if s := c.state(fmt.Sprintf("wk-%d", i+1)); s != wire.Queued {
-				t.Errorf("a service of dead machines is %s", s)
+				t.Errorf("a service of dead machines is %s, want %s", s, wire.Queued)
 			}
 		}
 		c.env.Cloud.SetDown(false)
@@ -268,10 +268,10 @@
 	})
 }
 
-// A task of a record that another part is in charge of ends on a machine of ours, which
+// A task of a record that another partition is in charge of ends on a machine of ours, which
 // was lent and is back: its cell is free again, and its end is stored by us, since nobody
 // else will ever know. Its job waited for ever.
-func TestEndOfAnotherPartsTask(t *testing.T) {
+func TestEndOfAnotherPartitionsTask(t *testing.T) {
 	c := lone(t)
 	c.partitions = append([]*partition{c.partitions[0], {index: 1, key: rollout.Initial.Keys().Partition(1)}}, &partition{index: 2, key: rollout.Initial.Keys().Leader()})
 	p := c.partitions[0]
@@ -284,9 +284,9 @@
 	group := c.groupByKey[key]
 	m := c.machineNamed("host-1")
 	if m.partition != 0 || p.cells.CellOf(group.task(0)) == nil {
-		t.Fatalf("part %d, cell %v", m.partition, p.cells.CellOf(group.task(0)))
+		t.Fatalf("partition %d, cell %v; want 0 and a cell", m.partition, p.cells.CellOf(group.task(0)))
 	}
-	m.heartbeatAt, m.incarnation = c.now, 2 // a later session: the first one's task is gone
+	m.heartbeatAt, m.incarnation = c.now, 2 // a later incarnation: the first one's task is gone
 	c.reconcile(m, p)
 	c.schedulePartition(p)
 	c.now = c.now.Add(maxEndsDelay + time.Second) // ends wait for each other
@@ -294,7 +294,7 @@
 	if !group.writing || c.stateWriter.Backlog() == 0 {
 		t.Error("its end is not stored")
 	}
-	// The same where the record's own part has stored the end.
+	// The same where the record's own partition has stored the end.
 	group.writing = false
 	key = groupKey("wk-1", 1)
 	c.replica.Put(key, raw(t, value("host-2")), 8)
--- a/internal/controller/rollout_cluster_test.go
+++ b/internal/controller/rollout_cluster_test.go
@@ -19,7 +19,7 @@
 	return n.operatorConfig
 }
 
-// stateTransport is how a node reaches the state service.
+// stateTransport is how a node reaches the key-value store.
 func (n *node) stateTransport() http.RoundTripper {
 	if n.version.unaware {
 		return unawareView{n.transport}
@@ -60,7 +60,7 @@
 	})
 }
 
-// storeClient reaches the state service as an operator does.
+// storeClient reaches the key-value store as an operator does.
 func (c *cluster) storeClient() *store.Client {
 	return store.NewClient(c.nodes[0].cfg.External.Store, c.clientTransport)
 }
@@ -71,11 +71,11 @@
 	return &rollout.Operator{Store: c.storeClient(), Members: cfg.Nodes(), Partitions: cfg.Settings.Count, MaxTxnChanges: cfg.Settings.Store.TxnOps}
 }
 
-// requestUpgrade has an operator's wish stored, as the command does.
+// requestUpgrade has an operator's request stored, as the command does.
 func (c *cluster) requestUpgrade(w rollout.Request) {
 	c.t.Helper()
 	op := c.upgradeOperator()
-	c.await("the wish is stored", time.Minute, func() bool {
+	c.await("the request is stored", time.Minute, func() bool {
 		_, err := op.Submit(c.ctx, w)
 		if err != nil {
 			c.t.Log(err)
--- a/internal/controller/rollout_rows_test.go
+++ b/internal/controller/rollout_rows_test.go
@@ -11,10 +11,10 @@
 	"eiderhitch/internal/rollout"
 )
 
-// Upgrades that meet troubles, as schedules of faults; whatever happens is judged by the
-// rule checker, and no record may ever be stored in a form that the level in force at that
+// Upgrades under faults, as schedules; whatever happens is judged by the rule checker, and
+// no record may ever be stored in an encoding that the level in force at that
 // moment does not allow.
-func TestUpgradesMeetTroubles(t *testing.T) {
+func TestUpgradesUnderFaults(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
 		name   string
@@ -51,7 +51,7 @@
 }
 
 // settleUpgrade checks that there is a way on from wherever a schedule ended: up to the
-// level that all controllers read, with all records in its form.
+// level that all controllers read, with all records in its encoding.
 func (c *cluster) settleUpgrade() {
 	c.t.Helper()
 	ready := func() bool {
@@ -67,25 +67,25 @@
 		time.Sleep(2 * time.Second)
 		return ready()
 	})
-	c.await("records are in its form", 2*time.Minute, func() bool { return c.countEncodings()[record.PlainJSON] == 0 })
+	c.await("records are in its encoding", 2*time.Minute, func() bool { return c.countEncodings()[record.PlainJSON] == 0 })
 }
 
 // upgradeCombinations is how many generated schedules of upgrades are played.
 var upgradeCombinations = flag.Int("upgrades", 10, "generated schedules of upgrades and faults to play")
 
 // Generated schedules of upgrades, of controllers that come back as other versions, and
-// of troubles.
+// of other faults.
 func TestGeneratedUpgradeSchedules(t *testing.T) {
 	t.Parallel()
 	steps := []fault{{kind: finalizeUpgrade}, {kind: finalizeUpgrade}, {kind: abortUpgrade}, {kind: finalizeAndAbort}, {kind: startUnaware, duration: 12}, {kind: startUnaware, duration: 12}, {kind: startBaseLevel, duration: 12},
 		{kind: startUnaware, target: allNodes, duration: 20}}
-	troubles := []fault{{kind: killController, duration: 0.3}, {kind: killController, duration: 6}, {kind: killController, target: allNodes, duration: 0.5}, {kind: killController, target: allNodes, duration: 13}, {kind: storeDown, duration: 30}, {kind: storeRefuses, duration: 15},
+	others := []fault{{kind: killController, duration: 0.3}, {kind: killController, duration: 6}, {kind: killController, target: allNodes, duration: 0.5}, {kind: killController, target: allNodes, duration: 13}, {kind: storeDown, duration: 30}, {kind: storeRefuses, duration: 15},
 		{kind: lateWrites, target: allNodes, duration: 30, share: 0.3}, {kind: lostResponses, target: allNodes, duration: 30, share: 0.3}, {kind: storeSlow, target: allNodes, duration: 20, share: 0.4}, {kind: agentsAndUsersOnly, duration: 30},
 		{kind: noPeers, target: allNodes, duration: 30}, {kind: machinesIsolated, target: 2, duration: 20}, {kind: terminateMachines, target: 2}, {kind: cancelJobs, target: 3}, {kind: submitJobs, target: 5}, {kind: submitGangs, target: 3}, {kind: lateCommands, target: allNodes, duration: 30, share: 0.3}, {kind: queryAllControllers, duration: 30}}
 	for seed := *firstSeed; seed < *firstSeed+uint64(*upgradeCombinations); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			faults := generateUpgradeSchedule(seed, steps, troubles)
+			faults := generateUpgradeSchedule(seed, steps, others)
 			logScheduleOnFailure(t, seed, faults)
 			runUpgradeCluster(t, func(c *cluster) {
 				c.runSchedule(seed, 10, faults)
@@ -96,11 +96,11 @@
 }
 
 // generateUpgradeSchedule is the schedule that follows from a seed.
-func generateUpgradeSchedule(seed uint64, steps, troubles []fault) []fault {
+func generateUpgradeSchedule(seed uint64, steps, others []fault) []fault {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	var faults []fault
 	for range 8 + rng.IntN(7) {
-		f := troubles[rng.IntN(len(troubles))]
+		f := others[rng.IntN(len(others))]
 		if rng.IntN(2) == 0 {
 			f = steps[rng.IntN(len(steps))]
 		}
--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -36,7 +36,7 @@
 		c.requestUpgrade(rollout.RequestAbort)
 		c.awaitLevel(1, rollout.Stable, time.Minute)
 		if f := c.countEncodings(); f[record.Checksummed] > 0 {
-			t.Errorf("records by form after the way back: %v", f)
+			t.Errorf("records by encoding after the way back: %v, want none with a checksum", f)
 		}
 		if !c.rolloutState().Held {
 			t.Error("the level is not held after the way back")
@@ -60,7 +60,7 @@
 	c.await("records are rewritten", time.Minute, func() bool { return c.countEncodings()[record.PlainJSON] == 0 })
 }
 
-// holdsLease tells whether a node is the holder of any right.
+// holdsLease tells whether a node holds any leased key.
 func (c *cluster) holdsLease(i int) bool {
 	for key, raw := range c.env.Store.Values(keyPrefix) {
 		var h record.LeaseHolder
@@ -71,8 +71,8 @@
 	return false
 }
 
-// A version that knows levels and not the one in force serves nobody, holds no right, and
-// asks the state service no more than it has to. Back as the present one it serves.
+// A version that knows levels and not the one in force serves nobody, holds no leased key, and
+// asks the key-value store no more than it has to. Back as the present one it serves.
 func TestControllerOfALowerLevelIsKeptOut(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.final()
@@ -89,14 +89,14 @@
 		for range watched {
 			time.Sleep(time.Second)
 			if c.nodes[0].controller().Ready() || c.holdsLease(0) {
-				t.Fatal("it is ready, or holds a right")
+				t.Fatal("it is ready, or holds a leased key")
 			}
 			if answer := c.ask(0, queryRequest("wk-1")); answer.status != http.StatusServiceUnavailable {
 				t.Fatalf("a user is answered %d", answer.status)
 			}
 		}
 		if n := calls.Load(); n > 4*watched {
-			t.Errorf("%d calls of the state service in %d s", n, watched)
+			t.Errorf("%d calls of the key-value store in %d s", n, watched)
 		}
 		if n := c.env.Running("wk-1"); n != 3 {
 			t.Errorf("%d replicas run", n)
@@ -106,7 +106,7 @@
 	})
 }
 
-// A version without levels that comes back after the switch holds no right, even alone; a
+// A version without levels that comes back after the switch holds no leased key, even alone; a
 // job that it accepts runs, and what it can't read it does not answer for.
 func TestControllerWithoutLevelsAfterTheSwitch(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
@@ -131,7 +131,7 @@
 		for range 25 {
 			time.Sleep(time.Second)
 			if c.holdsLease(0) {
-				t.Fatal("it holds a right")
+				t.Fatal("it holds a leased key")
 			}
 		}
 		c.start(1)
@@ -142,7 +142,7 @@
 	})
 }
 
-// damageRecord changes one letter of a stored value, and returns what puts it right again.
+// damageRecord changes one letter of a stored value, and returns what mends it.
 func (c *cluster) damageRecord(key string) func() {
 	c.t.Helper()
 	good := c.env.Store.Values(key)[key]
@@ -161,7 +161,7 @@
 
 // A record that is damaged is seen to be, also by controllers that never saw it whole:
 // its tasks go on running, are started nowhere else, and count for their team's limit; its
-// users are told to come back. Once it is put right all goes on.
+// users are told to come back. Once it is mended all goes on.
 func TestDamagedRecordIsLeftAlone(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.final()
@@ -331,8 +331,8 @@
 	})
 }
 
-// Each sibling is sent frames of a version that it reads: the checked one where the level
-// is active and the sibling's present process has said so, the plain one else.
+// Each peer is sent frames of a version that it reads: the checked one where the level
+// is active and the peer's present process has said so, the plain one else.
 func TestFramesOfMixedLevels(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		var mu sync.Mutex
--- a/internal/controller/unaware_view_test.go
+++ b/internal/controller/unaware_view_test.go
@@ -12,7 +12,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// unawareView shows the state service as a version without levels takes it: it has no use
+// unawareView shows the key-value store as a version without levels takes it: it has no use
 // for the keys of levels, and can't decode a group that is not an object.
 type unawareView struct{ inner http.RoundTripper }
 
--- a/internal/controller/upgrade_faults_test.go
+++ b/internal/controller/upgrade_faults_test.go
@@ -32,10 +32,10 @@
 
 // tryUpgradeRequest asks for something once; that it is refused, or the answer lost, is no
 // fault.
-func (s *scheduleRun) tryUpgradeRequest(wish rollout.Request) {
-	_, err := s.upgradeOperator().Submit(s.ctx, wish)
+func (s *scheduleRun) tryUpgradeRequest(request rollout.Request) {
+	_, err := s.upgradeOperator().Submit(s.ctx, request)
 	if err != nil && testing.Verbose() {
-		s.t.Logf("%s: %v", wish, err)
+		s.t.Logf("%s: %v", request, err)
 	}
 }
 
