--- /dev/null
+++ b/internal/controller/crowded_fleet_test.go
@@ -0,0 +1,169 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	"eiderhitch/internal/config"
+	"eiderhitch/internal/peer"
+	"eiderhitch/internal/record"
+	"eiderhitch/internal/rollout"
+	"eiderhitch/internal/wire"
+)
+
+// silentNetwork is a network on which nobody answers.
+type silentNetwork struct{}
+
+// RoundTrip waits until the caller gives up.
+func (silentNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
+	<-r.Context().Done()
+	return nil, r.Context().Err()
+}
+
+// What a crowded fleet has.
+const (
+	crowdedControllers = 5
+	tasksPerMachine    = 8 // of 2 CPUs, which fill a large machine
+	// ownedToken is the fencing token of the partition that the controller owns.
+	ownedToken = 11
+)
+
+// crowdedFleet builds what a controller knows of a crowded fleet.
+type crowdedFleet struct {
+	*controller
+	revision uint64
+	jobCount int
+}
+
+// crowded returns the leader, who also owns partition 0 of five, of a fleet of the given
+// size: half of it runs services, half an array's tasks, all of it is full, and more arrays
+// of several classes wait.
+func crowded(tb testing.TB, machines int) *controller {
+	tb.Helper()
+	f := &crowdedFleet{controller: newCrowdedController(tb), revision: 10}
+	f.addPeers()
+	f.lead()
+	f.bindTasks(f.addMachines(machines))
+	for i := range machines / 10 {
+		f.addJob(&wire.Job{Class: "clean", Team: []string{"red", "blue"}[i%2], Priority: 1, Tasks: 40, CPUs: []float64{1, 2}[i/2%2]})
+	}
+	f.replica.Apply(&wire.WatchResponse{Revision: f.revision})
+	return f.controller
+}
+
+// newCrowdedController is a controller of a cluster of five that reaches nobody.
+func newCrowdedController(tb testing.TB) *controller {
+	tb.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	tb.Cleanup(cancel)
+	cfg := &config.Platform{Name: "n0", Zone: "a", APIAddr: "10.0.0.1:80"}
+	for i := 1; i < crowdedControllers; i++ {
+		cfg.Peers = append(cfg.Peers, config.Peer{Name: fmt.Sprintf("n%d", i), Addr: "10.0.0.2:80"})
+	}
+	cfg.External.Store, cfg.External.Cloud = "state:1", "cloud:1"
+	s := &cfg.Settings
+	s.Count, s.Zones = crowdedControllers, []string{"a", "b"}
+	s.Teams = []config.Team{{Name: "red", CPUs: 800}, {Name: "blue"}}
+	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 4, 24, 54
+	s.Store.RPS, s.Store.WriteRPS, s.Store.ValueKB, s.Store.TxnOps = 150, 60, 8, 32
+	s.Cloud.RPS, s.Cloud.ListLagS = 6, 3
+	c := newController(ctx, cfg, config.DefaultOperator(), testLogger(), clients{state: silentNetwork{}, cloud: silentNetwork{}, workers: silentNetwork{}, send: func(string, []byte) {}})
+	c.replica.Load(nil, 0, &wire.WatchResponse{})
+	c.replica.NoteRead(c.now)
+	c.startedAt = c.now.Add(-time.Hour)
+	c.putMachineTypes(testTypes)
+	return c
+}
+
+// put stores a record at the next revision.
+func (f *crowdedFleet) put(key string, value any) {
+	f.revision++
+	f.replica.Put(key, record.JSON(value), f.revision)
+}
+
+// addPeers has each controller own the partition of its number.
+func (f *crowdedFleet) addPeers() {
+	for i := range crowdedControllers {
+		node := fmt.Sprintf("n%d", i)
+		f.put(rollout.Initial.Keys().Partition(i), record.LeaseHolder{Node: node, ProcessID: "x"})
+		f.vouchFor(node, i)
+	}
+}
+
+// vouchFor has a peer say for the next hour that it owns a partition.
+func (c *controller) vouchFor(node string, partition int) {
+	if p := c.peers[node]; p != nil {
+		p.status = &peer.Status{Node: node, Fresh: true, Eligible: true, Partitions: []uint64{uint64(partition)}}
+		p.heardAt, p.heardSince = c.now.Add(time.Hour), c.now
+	}
+}
+
+// lead has the controller own partition 0 and lead, both for an hour.
+func (f *crowdedFleet) lead() {
+	p := f.partitions[0]
+	f.leasedKeys[p.key].token = ownedToken
+	f.takeOverPartition(p, ownedToken)
+	p.active, p.ownedSince = true, f.now.Add(-time.Hour)
+	f.becomeLeader(f.revision)
+	f.leadership.active, f.leadership.since = true, f.now.Add(-time.Hour)
+}
+
+// addMachines adds machines that were just heard of, each to its partition.
+func (f *crowdedFleet) addMachines(count int) []*machine {
+	var all []*machine
+	for i := range count {
+		m := f.machineNamed(fmt.Sprintf("host-%06d", i))
+		m.machineType, m.zone, m.addr = "large", "a", "10.1.0.1:1"
+		m.incarnation, m.sequence, m.heartbeatAt, m.leaseRenewedAt, m.answeredAt = 1, 1, f.now, f.now, f.now
+		f.setMachineSize(m)
+		all = append(all, m)
+		if m.partition != 0 {
+			status := f.peers[fmt.Sprintf("n%d", m.partition)].status
+			status.Machines = append(status.Machines, peer.Machine{Name: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: 1, Flags: peer.Reachable})
+		}
+	}
+	return all
+}
+
+// addJob adds an accepted job, and returns its ID.
+func (f *crowdedFleet) addJob(spec *wire.Job) string {
+	f.jobCount++
+	spec.ID = fmt.Sprintf("wk-%06d", f.jobCount)
+	spec.RAMGB, spec.Image, spec.EstimateS, spec.DeadlineS = 2, "img", 40, 200
+	f.put(jobKey(spec.ID), record.Job{AcceptedAtMS: f.now.UnixMilli(), Spec: spec})
+	return spec.ID
+}
+
+// bindTasks fills every other machine with services, and the others with tasks of one array.
+func (f *crowdedFleet) bindTasks(machines []*machine) {
+	array := f.addJob(&wire.Job{Class: "clean", Team: "blue", Priority: 1, Tasks: len(machines) * tasksPerMachine / 2, CPUs: 2})
+	arrayTasks := map[int][]record.Binding{} // by partition
+	number := int32(0)
+	for i, m := range machines {
+		for range tasksPerMachine {
+			if i%2 == 0 {
+				f.bindService(m)
+				continue
+			}
+			arrayTasks[m.partition] = append(arrayTasks[m.partition], record.Binding{Task: number, Attempt: 1, Machine: m.name, Incarnation: 1})
+			number++
+		}
+	}
+	groups := 0
+	for partition, tasks := range arrayTasks {
+		for len(tasks) > 0 {
+			n := min(len(tasks), f.maxGroupTasks)
+			f.put(groupKey(array, groups), record.TaskGroup{Partition: partition, Tasks: tasks[:n]})
+			tasks, groups = tasks[n:], groups+1
+		}
+	}
+}
+
+// bindService adds a service of one task that runs on a machine.
+func (f *crowdedFleet) bindService(m *machine) {
+	id := f.addJob(&wire.Job{Class: "feed", Team: "red", Service: true, Priority: 2, Tasks: 1, CPUs: 2})
+	f.put(groupKey(id, 0), record.TaskGroup{Partition: m.partition, Guaranteed: true, Tasks: []record.Binding{{Attempt: 1, Machine: m.name, Incarnation: 1}}})
+}
