--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -474,7 +474,7 @@
 	j.assignedAt = c.now
 	c.leadership.writesInFlight++
 	epoch := c.leadership.epoch
-	c.submitWrite(write, func(err error) {
+	c.SubmitWrite(write, func(err error) {
 		for _, group := range used {
 			group.writing = false
 		}
--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -211,7 +211,7 @@
 	group.writing, group.write = true, write
 	c.metrics.count(countStored, 1)
 	term := p.token
-	c.submitWrite(write, func(err error) {
+	c.SubmitWrite(write, func(err error) {
 		group.writing, group.write = false, nil
 		if ending {
 			job.finishing = false
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -47,8 +47,7 @@
 		return c.putRegistration(strings.TrimPrefix(key, rollout.ControllerPrefix), raw, stamp)
 	}
 	return decodeInto(raw, func(v record.LeaseHolder) {
-		c.holders[key] = v
-		c.observeHolder(key, v, stamp)
+		c.election.ObserveHolder(key, v, stamp)
 	})
 }
 
@@ -141,8 +140,7 @@
 	case strings.HasPrefix(key, rollout.ControllerPrefix):
 		delete(c.rollout.controllers, strings.TrimPrefix(key, rollout.ControllerPrefix))
 	default:
-		delete(c.holders, key)
-		c.observeVacancy(key)
+		c.election.ObserveVacancy(key)
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,8 +8,8 @@
 
 	"eiderhitch/internal/cloud"
 	"eiderhitch/internal/config"
+	"eiderhitch/internal/election"
 	"eiderhitch/internal/peer"
-	"eiderhitch/internal/record"
 	"eiderhitch/internal/replica"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
@@ -48,7 +48,6 @@
 	machineTypes       map[string]*wire.MachineType
 	machineTypesStored bool
 	rollout            rolloutState
-	holders            map[string]record.LeaseHolder
 	terminated         map[string]bool // machines that surely are, as long as a marker says so
 	tombstones         map[string]tombstone
 	loans              map[string]*machineLoan // by machine
@@ -59,11 +58,11 @@
 	// readyAt is when this controller last was ready; nil: it is not.
 	readyAt atomic.Pointer[time.Time]
 
-	leasedKeys     map[string]*leasedKey
+	election       *election.Elector
 	partitions     []*partition
 	machines       map[string]*machine
 	machineByIndex []*machine
-	peers          map[string]*peerController
+	peers          *peer.Registry
 	send           func(sibling string, frame []byte)
 	jitter         func(time.Duration) time.Duration
 	leadership     leadership
@@ -78,9 +77,6 @@
 	directQueue                 []*machine
 	passDue                     bool
 	schedulingPass              uint64 // decisions of parts taken so far
-	// backoffUntil: this controller gave its rights up and takes none before then.
-	backoffUntil  time.Time
-	steppedDownAt time.Time // when it last did
 	// resumedFromPauseAt: this process stood still until then.
 	resumedFromPauseAt time.Time
 	lastHeartbeatAt    time.Time // of any worker's last report
@@ -94,24 +90,6 @@
 	metrics                *metrics
 }
 
-// sibling is what another controller told last.
-type peerController struct {
-	status          *peer.Status
-	heardAt         time.Time
-	heardSince      time.Time // since when it has been heard without a gap
-	formerProcessID string    // the process before the present one
-}
-
-// leasedKey is a leased key that this process holds or is about to.
-type leasedKey struct {
-	key          string
-	token        uint64 // of the write that gave it; 0: not held
-	lease        uint64
-	pending      bool
-	vacantSince  time.Time // since when the key is seen vacant
-	backoffUntil time.Time // not taken before then: it was given back
-}
-
 // partition is one hash part of the machines.
 type partition struct {
 	index            int
@@ -210,9 +188,9 @@
 	return c.replica.FreshWithin(limit, c.now)
 }
 
-// submitWrite submits a unit; then runs in the actor with the result, after the
+// SubmitWrite submits a unit; then runs in the actor with the result, after the
 // replica has taken the changes in.
-func (c *controller) submitWrite(write *store.Write, then func(err error)) {
+func (c *controller) SubmitWrite(write *store.Write, then func(err error)) {
 	begun := c.now
 	write.Done = func(rev uint64, err error) {
 		// Never block the writer on a full inbox that waits for the writer.
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -5,7 +5,11 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"net/http"
 	"runtime"
+	"slices"
+	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -28,7 +32,7 @@
 	cfg.Settings.Workers.ReportS, cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS = 1, 10, 35
 	cfg.Settings.Store.RPS, cfg.Settings.Store.WriteRPS, cfg.Settings.Store.ValueKB, cfg.Settings.Store.TxnOps = 100, 40, 8, 32
 	cfg.Settings.Cloud.RPS = 1
-	c := newController(t.Context(), cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), clients{})
+	c := newController(t.Context(), cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), clients{state: &grantingStore{}})
 	c.replica.Load(nil, 0, &wire.WatchResponse{})
 	c.replica.NoteRead(c.now)
 	c.machineTypes = map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAMGB: 8}}
@@ -38,6 +42,35 @@
 	return c
 }
 
+// acquireKeys has a lone controller hold its keys since a while ago.
+func acquireKeys(t *testing.T, c *controller) {
+	t.Helper()
+	c.partitions[0].token = 0
+	c.campaign()
+	vacant := func(p *partition) bool { return c.election.Token(p.key) == 0 }
+	for slices.ContainsFunc(c.partitions, vacant) { // or the test runs into its time limit
+		f, _ := c.events.take(t.Context().Done(), nil)
+		f()
+	}
+	for _, p := range c.partitions {
+		p.active, p.ownedSince = true, c.now.Add(-time.Minute)
+	}
+}
+
+// grantingStore is a key-value store that grants every lease and takes every transaction;
+// its watches show no change.
+type grantingStore struct{ revision atomic.Uint64 }
+
+// RoundTrip answers with what suits all calls: a lease, and a revision.
+func (s *grantingStore) RoundTrip(r *http.Request) (*http.Response, error) {
+	revision := uint64(0)
+	if r.Method == http.MethodPost {
+		revision = 1000 + s.revision.Add(1)
+	}
+	body := io.NopCloser(strings.NewReader(fmt.Sprintf(`{"mooring":1,"logmark":%d}`, revision)))
+	return &http.Response{StatusCode: http.StatusOK, Body: body, Header: http.Header{}}, nil
+}
+
 // raw is the JSON of a value.
 func raw(t *testing.T, v any) json.RawMessage {
 	t.Helper()
@@ -230,8 +263,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := lone(t)
-			leased := c.leasedKeys[c.partitions[0].key]
-			leased.token = 1
+			acquireKeys(t, c)
 			for i := range x.machines {
 				c.machineNamed(fmt.Sprintf("host-%d", i)).heartbeatAt = c.now
 			}
@@ -239,8 +271,8 @@
 			if x.resumed {
 				c.resumedFromPauseAt = c.now
 			}
-			c.stepDownIfUnheard()
-			if got := leased.token == 0; got != x.stepsDown {
+			c.stepDownIfUnreachable()
+			if got := c.partitions[0].token == 0; got != x.stepsDown {
 				t.Errorf("it steps down: %v, want %v", got, x.stepsDown)
 			}
 		})
--- a/internal/controller/crowded_fleet_test.go
+++ b/internal/controller/crowded_fleet_test.go
@@ -95,16 +95,13 @@
 
 // vouchFor has a peer say for the next hour that it owns a partition.
 func (c *controller) vouchFor(node string, partition int) {
-	if p := c.peers[node]; p != nil {
-		p.status = &peer.Status{Node: node, Fresh: true, Eligible: true, Partitions: []uint64{uint64(partition)}}
-		p.heardAt, p.heardSince = c.now.Add(time.Hour), c.now
-	}
+	status := &peer.Status{Node: node, Fresh: true, Eligible: true, Partitions: []uint64{uint64(partition)}}
+	c.peers.Update(status, c.now.Add(time.Hour))
 }
 
 // lead has the controller own partition 0 and lead, both for an hour.
 func (f *crowdedFleet) lead() {
 	p := f.partitions[0]
-	f.leasedKeys[p.key].token = ownedToken
 	f.takeOverPartition(p, ownedToken)
 	p.active, p.ownedSince = true, f.now.Add(-time.Hour)
 	f.becomeLeader(f.revision)
@@ -121,7 +118,7 @@
 		f.setMachineSize(m)
 		all = append(all, m)
 		if m.partition != 0 {
-			status := f.peers[fmt.Sprintf("n%d", m.partition)].status
+			status := f.peers.Peer(fmt.Sprintf("n%d", m.partition)).Status
 			status.Machines = append(status.Machines, peer.Machine{Name: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: 1, Flags: peer.Reachable})
 		}
 	}
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -13,10 +13,9 @@
 	"eiderhitch/internal/api"
 	"eiderhitch/internal/cloud"
 	"eiderhitch/internal/config"
+	"eiderhitch/internal/election"
 	"eiderhitch/internal/peer"
-	"eiderhitch/internal/record"
 	"eiderhitch/internal/replica"
-	"eiderhitch/internal/rollout"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/workerclient"
@@ -58,8 +57,8 @@
 		cloudClient: cloud.NewClient(cfg.External.Cloud, s.Cloud.RPS, out.cloud), workerClient: workerclient.NewClient(out.workers), send: out.send, jitter: out.jitter,
 		maxStaleness: config.MaxStaleness(s.Workers.CancelS, s.Workers.LeaseS), leaseExpiry: config.LeaseExpiry(s.Workers.CancelS, s.Workers.LeaseS),
 		jobs: map[string]*job{}, finished: map[string]uint8{}, groupByKey: map[string]*taskGroup{},
-		holders: map[string]record.LeaseHolder{}, terminated: map[string]bool{}, tombstones: map[string]tombstone{}, loans: map[string]*machineLoan{}, teamIndex: map[string]scheduling.TeamIndex{}, objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.Store.ValueKB),
-		leasedKeys: newLeasedKeys(rollout.Initial.Keys(), s.Count), machines: map[string]*machine{}, peers: map[string]*peerController{}, terminating: map[string]bool{},
+		terminated: map[string]bool{}, tombstones: map[string]tombstone{}, loans: map[string]*machineLoan{}, teamIndex: map[string]scheduling.TeamIndex{}, objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.Store.ValueKB),
+		machines: map[string]*machine{}, terminating: map[string]bool{},
 		attemptEnds: map[scheduling.Task]attemptEnd{}, maxDirects: cfg.DirectCommands(), metrics: newMetrics(), schedulingPass: 1,
 	}
 	c.replica = replica.New(c)
@@ -77,12 +76,25 @@
 	}
 	// The last one is the leader's: machines that other parts have lent.
 	c.partitions = append(c.partitions, &partition{index: s.Count, key: c.leaderKey()})
-	for _, x := range cfg.Peers {
-		c.peers[x.Name] = &peerController{}
-	}
+	c.peers = peer.NewRegistry(names(cfg.Peers))
+	c.election = election.New(ctx, election.Config{
+		Node: cfg.Name, ProcessID: c.processID, Nodes: cfg.Nodes(), TTL: op.LeaseTTL, StartedAt: c.startedAt,
+		HeartbeatInterval: config.Seconds(s.Workers.ReportS), WorkLifetime: c.maxStaleness + c.leaseExpiry, Log: c.log,
+	}, election.Services{
+		Store: st, Replica: c.replica, Reader: c.reader, Writer: c, Loop: loopAt{c, priorityState}, Listener: c,
+	}, leaseKeys(c.rollout.keys, s.Count))
 	return c
 }
 
+// names are those of the other controllers.
+func names(peers []config.Peer) []string {
+	var out []string
+	for _, p := range peers {
+		out = append(out, p.Name)
+	}
+	return out
+}
+
 // Run serves until ctx ends.
 func Run(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger) error {
 	ctx, cancel := context.WithCancel(ctx)
@@ -210,8 +222,7 @@
 	}
 	c.campaign()
 	c.advanceRollout()
-	c.stepDownIfUnheard()
-	c.stepDownIfIsolatedLeader()
+	c.stepDownIfUnreachable()
 	c.syncCloud()
 	if !c.now.Before(due.pass) {
 		c.runPass(due, c.now)
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -92,7 +92,7 @@
 	out := map[string]leaseHolder{}
 	ctl := c.nodes[0].controller()
 	ctl.call(c.ctx, priorityState, func() {
-		for key, h := range ctl.holders {
+		for key, h := range ctl.election.Holders() {
 			out[key] = leaseHolder{h.Node, ctl.replica.Revision(key)}
 		}
 	})
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"eiderhitch/internal/api"
+	"eiderhitch/internal/peer"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
@@ -136,7 +137,7 @@
 			check = true
 		default:
 			result = make(chan error, 1)
-			c.submitWrite(&store.Write{Urgent: true,
+			c.SubmitWrite(&store.Write{Urgent: true,
 				Conditions: []wire.Condition{{Key: jobKey(spec.ID)}},
 				Changes:    []wire.Change{{Put: jobKey(spec.ID), Value: record.JSON(record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: spec})}},
 			}, func(err error) { result <- err })
@@ -246,7 +247,7 @@
 				result <- store.ErrConflict
 				return
 			}
-			c.submitWrite(&store.Write{Urgent: true,
+			c.SubmitWrite(&store.Write{Urgent: true,
 				Conditions: []wire.Condition{{Key: jobKey(id), Revision: job.revision}},
 				Changes:    []wire.Change{{Put: jobKey(id), Value: c.cancelledValue(job)}},
 			}, func(err error) { result <- err })
@@ -298,10 +299,10 @@
 	ready := c.replica.Loaded() && len(c.machineTypes) > 0 && c.isFresh(c.operator.LeaseTTL+2*time.Second)
 	if !ready {
 		heard, ok := false, false
-		for _, s := range c.peers {
-			if s.status != nil && c.now.Sub(s.heardAt) < 2500*time.Millisecond {
+		for _, p := range c.peers.All() {
+			if p.Heard(peer.Timeout, c.now) {
 				heard = true
-				ok = ok || s.status.Fresh
+				ok = ok || p.Status.Fresh
 			}
 		}
 		ready = heard && !ok
--- a/internal/controller/instances.go
+++ b/internal/controller/instances.go
@@ -125,7 +125,7 @@
 		names := batches[right].names
 		delete(batches, right)
 		key := tombstonePrefix + names[0]
-		c.submitWrite(&store.Write{Early: true, Conditions: []wire.Condition{right, {Key: key}}, Changes: []wire.Change{{Put: key, Value: record.JSON(names)}}},
+		c.SubmitWrite(&store.Write{Early: true, Conditions: []wire.Condition{right, {Key: key}}, Changes: []wire.Change{{Put: key, Value: record.JSON(names)}}},
 			func(error) { c.cancelTermination(names) })
 	}
 	most := int(c.cfg.Settings.Store.ValueKB*1024) / 2
@@ -169,7 +169,7 @@
 	if c.leadership.active {
 		return
 	}
-	if s := c.peers[c.holders[c.leaderKey()].Node]; s != nil && c.now.Sub(s.heardAt) < 4*time.Second {
+	if leader := c.peers.Peer(c.ownerOf(c.leaderKey())); leader != nil && c.now.Sub(leader.HeardAt) < 4*time.Second {
 		return
 	}
 	var names []string
@@ -254,7 +254,7 @@
 	}
 	epoch := c.leadership.epoch
 	c.leadership.deletingTombstones = true
-	c.submitWrite(write, func(error) {
+	c.SubmitWrite(write, func(error) {
 		if c.leadership.epoch == epoch {
 			c.leadership.deletingTombstones = false
 		}
@@ -271,7 +271,7 @@
 		c.putMachineTypes(list)
 		if !c.machineTypesStored {
 			c.machineTypesStored = true
-			c.submitWrite(&store.Write{Conditions: []wire.Condition{{Key: machineTypesKey}}, Changes: []wire.Change{{Put: machineTypesKey, Value: record.JSON(list)}}}, func(error) {})
+			c.SubmitWrite(&store.Write{Conditions: []wire.Condition{{Key: machineTypesKey}}, Changes: []wire.Change{{Put: machineTypesKey, Value: record.JSON(list)}}}, func(error) {})
 		}
 	})
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -133,7 +133,7 @@
 			if job.spec != nil && !job.spec.Service && !job.finishing && n == finished && finished == job.spec.Tasks {
 				budget--
 				job.finishing = true
-				c.submitWrite(&store.Write{
+				c.SubmitWrite(&store.Write{
 					Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(job.id), Revision: job.revision}},
 					Changes:    []wire.Change{{Put: jobKey(job.id), Value: record.JSON(record.Job{FinalState: doneJob})}},
 				}, func(error) { job.finishing = false })
@@ -146,7 +146,7 @@
 			}
 			budget--
 			group.writing = true
-			c.submitWrite(&store.Write{
+			c.SubmitWrite(&store.Write{
 				Conditions: []wire.Condition{c.leaderCondition(), {Key: group.key, Revision: group.revision}},
 				Changes:    []wire.Change{{Delete: group.key}},
 			}, func(err error) {
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -106,7 +106,7 @@
 		loan.writing = true
 		v := loan.MachineLoan
 		v.Acknowledged = true
-		c.submitWrite(&store.Write{Prompt: true,
+		c.SubmitWrite(&store.Write{Prompt: true,
 			Conditions: []wire.Condition{{Key: p.key, Revision: p.token}, {Key: loanPrefix + name, Revision: loan.revision}},
 			Changes:    []wire.Change{{Put: loanPrefix + name, Value: record.JSON(v)}},
 		}, func(error) { loan.writing = false })
@@ -305,7 +305,7 @@
 	}
 	c.leadership.writesInFlight++
 	epoch := c.leadership.epoch
-	c.submitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
+	c.SubmitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
 }
 
 // reviewLoans fences machines that came in and hands back those that are not
@@ -379,7 +379,7 @@
 // returnLoan ends a lending.
 func (c *controller) returnLoan(name string, loan *machineLoan) {
 	loan.writing, loan.returning = true, true
-	c.submitWrite(&store.Write{
+	c.SubmitWrite(&store.Write{
 		Conditions: []wire.Condition{c.leaderCondition(), {Key: loanPrefix + name, Revision: loan.revision}},
 		Changes:    []wire.Change{{Delete: loanPrefix + name}},
 	}, func(error) { loan.writing, loan.returning = false, false })
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -233,7 +233,7 @@
 	}
 	p := c.partitions[c.machineNamed(heartbeat.Machine).partition]
 	if p.token == 0 {
-		h, ok := c.holders[p.key]
+		h, ok := c.election.Holder(p.key)
 		if !ok || h.Node == c.cfg.Name {
 			return api.Response{Status: http.StatusServiceUnavailable, Reason: "no owner"}
 		}
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -61,7 +61,7 @@
 	}
 	c.leadership.writesInFlight++
 	epoch := c.leadership.epoch
-	c.submitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
+	c.SubmitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
 	return true
 }
 
@@ -134,7 +134,7 @@
 	c.log.Debug("tasks move to another part", "job", group.job.id, "tasks", len(move), "part", best)
 	c.leadership.writesInFlight++
 	epoch := c.leadership.epoch
-	c.submitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
+	c.SubmitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
 	return true
 }
 
@@ -194,7 +194,7 @@
 	}
 	c.leadership.writesInFlight++
 	epoch := c.leadership.epoch
-	c.submitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
+	c.SubmitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
 	return true
 }
 
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -37,7 +37,7 @@
 	out := map[string]string{}
 	ctl := c.nodes[0].controller()
 	ctl.call(c.ctx, priorityState, func() {
-		for key, h := range ctl.holders {
+		for key, h := range ctl.election.Holders() {
 			out[key] = h.Node
 		}
 	})
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -116,9 +116,7 @@
 	}
 	l.refusal = refusal
 	if refusal != nil {
-		for key := range c.leasedKeys {
-			c.resign(key)
-		}
+		c.election.ResignAll()
 	}
 	if keys := state.Keys(); keys != l.keys {
 		c.switchLeaseKeys(keys)
@@ -131,26 +129,14 @@
 // switchLeaseKeys gives all rights up, whose keys nobody may hold any more, and has them taken
 // under other keys from now on.
 func (c *controller) switchLeaseKeys(keys rollout.Keys) {
-	for key := range c.leasedKeys {
-		c.onLost(key, "rights have other keys now")
-	}
+	c.election.SetKeys(leaseKeys(keys, c.loanPartition())) // under the former names this loses all
 	c.rollout.keys = keys
-	c.leasedKeys = newLeasedKeys(keys, c.loanPartition())
 	for _, p := range c.partitions {
 		p.key = keys.Partition(p.index)
 	}
 	c.partitions[c.loanPartition()].key = keys.Leader()
 }
 
-// newLeasedKeys are the rights of a cluster under a set of keys, none of them held.
-func newLeasedKeys(keys rollout.Keys, partitions int) map[string]*leasedKey {
-	rights := map[string]*leasedKey{keys.Leader(): {key: keys.Leader()}}
-	for n := range partitions {
-		rights[keys.Partition(n)] = &leasedKey{key: keys.Partition(n)}
-	}
-	return rights
-}
-
 // putRegistration takes in what a controller stores about itself.
 func (c *controller) putRegistration(name string, raw json.RawMessage, stamp uint64) error {
 	registration, err := rollout.DecodeController(raw)
@@ -184,7 +170,7 @@
 	txn := rollout.Txn(l.state, step, next, view, rollout.Revisions{State: l.version, Leader: c.leadership.token})
 	l.writing = true
 	c.log.Info("feature level step", "step", step, "from", l.state.Level, "phase", l.state.Phase)
-	c.submitWrite(&store.Write{Prompt: true, Contested: true, Conditions: txn.Conditions, Changes: txn.Changes}, func(err error) {
+	c.SubmitWrite(&store.Write{Prompt: true, Contested: true, Conditions: txn.Conditions, Changes: txn.Changes}, func(err error) {
 		if err == nil {
 			l.writing = false
 			return
@@ -224,7 +210,7 @@
 	if !ok || c.rollout.state.Active() < rollout.ChecksumLevel || registration.High < rollout.ChecksumLevel {
 		return peer.PlainFrame
 	}
-	if s := c.peers[name]; s.status != nil && s.status.ProcessID != registration.ProcessID {
+	if p := c.peers.Peer(name); p.Status != nil && p.Status.ProcessID != registration.ProcessID {
 		return peer.PlainFrame
 	}
 	return peer.ChecksummedFrame
--- a/internal/controller/summaries.go
+++ b/internal/controller/summaries.go
@@ -15,6 +15,15 @@
 // hears nothing of it, unless the owner loses its part.
 const maxOwnerSilence = 90 * time.Second
 
+// ownerTimeout is how long after its last status an owner counts as in touch.
+const ownerTimeout = 3 * time.Second
+
+// ownerOf is the controller that holds a leased key; "" if nobody does.
+func (c *controller) ownerOf(key string) string {
+	holder, _ := c.election.Holder(key)
+	return holder.Node
+}
+
 // machineSummaries are the machines that owners vouch for, with what is bound on them.
 func (c *controller) machineSummaries() []*planning.MachineSummary {
 	var out []*planning.MachineSummary
@@ -64,19 +73,18 @@
 			}
 			continue
 		}
-		h := c.holders[p.key]
-		s := c.peers[h.Node]
-		if s == nil || s.status == nil {
+		s := c.peers.Peer(c.ownerOf(p.key))
+		if s == nil || s.Status == nil {
 			continue
 		}
 		// An owner that we don't hear, though it holds its part, works on: the
 		// connections between controllers say nothing of who lives. Its machines
 		// are taken for what they were last, with what the records bind there.
-		if c.now.Sub(s.heardAt) > maxOwnerSilence {
+		if c.now.Sub(s.HeardAt) > maxOwnerSilence {
 			continue
 		}
-		for i := range s.status.Machines {
-			x := &s.status.Machines[i]
+		for i := range s.Status.Machines {
+			x := &s.Status.Machines[i]
 			m := c.machineNamed(x.Name)
 			if m.partition != p.index {
 				continue
@@ -201,25 +209,12 @@
 
 // handlePeerStatus takes a sibling's status in.
 func (c *controller) handlePeerStatus(s *peer.Status) {
-	x := c.peers[s.Node]
-	if x == nil {
-		return // not one of ours
+	if !c.peers.Update(s, c.now) || c.ownerOf(c.leaderKey()) != s.Node {
+		return
 	}
-	if x.status != nil && x.status.ProcessID != s.ProcessID {
-		if x.formerProcessID == s.ProcessID {
-			return // of a process that is dead
-		}
-		x.formerProcessID = x.status.ProcessID
-	}
-	if c.now.Sub(x.heardAt) > 2500*time.Millisecond {
-		x.heardSince = c.now
-	}
-	x.status, x.heardAt = s, c.now
-	if c.holders[c.leaderKey()].Node == s.Node {
-		c.draining = map[string]bool{}
-		for _, name := range s.Draining {
-			c.draining[name] = true
-		}
+	c.draining = map[string]bool{}
+	for _, name := range s.Draining {
+		c.draining[name] = true
 	}
 }
 
@@ -249,11 +244,11 @@
 		c.leadership.ownerInTouchSince, c.leadership.ownerInTouch = make([]time.Time, len(c.partitions)), make([]string, len(c.partitions))
 	}
 	for i, p := range c.partitions {
-		owner := c.holders[p.key].Node
+		owner := c.ownerOf(p.key)
 		ok := p.active
 		if p.token == 0 {
-			s := c.peers[owner]
-			ok = s != nil && s.status != nil && c.now.Sub(s.heardAt) < 3*time.Second && slices.Contains(s.status.Partitions, uint64(i))
+			s := c.peers.Peer(owner)
+			ok = s != nil && s.Heard(ownerTimeout, c.now) && slices.Contains(s.Status.Partitions, uint64(i))
 		}
 		if !ok || c.leadership.ownerInTouch[i] != owner {
 			c.leadership.ownerInTouchSince[i], c.leadership.ownerInTouch[i] = time.Time{}, owner
@@ -275,9 +270,9 @@
 			}
 			continue
 		}
-		if s := c.peers[c.holders[p.key].Node]; s != nil && s.status != nil && c.now.Sub(s.heardAt) < 3*time.Second {
-			for i := range s.status.Machines {
-				x := &s.status.Machines[i]
+		if s := c.peers.Peer(c.ownerOf(p.key)); s != nil && s.Heard(ownerTimeout, c.now) {
+			for i := range s.Status.Machines {
+				x := &s.Status.Machines[i]
 				if m := c.machineNamed(x.Name); m.partition == p.index && !m.terminated {
 					if x.Flags&peer.Cordoned != 0 && m.cordonedAt.IsZero() {
 						m.cordonedAt = c.now
--- a/internal/controller/throttle.go
+++ b/internal/controller/throttle.go
@@ -73,7 +73,7 @@
 	group.writing, group.throttledAt = true, c.now
 	c.metrics.count(countThrottled, 1)
 	c.leadership.writesInFlight++
-	c.submitWrite(&store.Write{Early: true, Contested: true,
+	c.SubmitWrite(&store.Write{Early: true, Contested: true,
 		Conditions: []wire.Condition{c.leaderCondition(), {Key: group.key, Revision: group.revision}},
 		Changes:    []wire.Change{{Put: group.key, Value: c.encodeGroup(&changed, group.done, group.bindings).At(group.key)}},
 	}, func(err error) { group.writing = false; c.leaderWriteDone(epoch, err) })
--- /dev/null
+++ b/internal/election/campaign.go
@@ -0,0 +1,98 @@
+package election
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// vacancyWait is how long a key must be vacant before a controller takes it that it
+	// is not meant for.
+	vacancyWait = 300 * time.Millisecond
+	// preferredWait is how long it waits instead while the preferred owner can take the
+	// key itself, or may only have started.
+	preferredWait = 2 * time.Second
+	// leaderStagger is by how much longer each controller waits than the one before it
+	// in the order of names, so that not all of them campaign for the leadership at once.
+	leaderStagger = 100 * time.Millisecond
+	// minTenure is how long a partition stays with an owner at least, and settledPeer
+	// how long the preferred owner must have been heard without a gap, before the
+	// partition is handed over to it: partitions must not change hands to and fro.
+	minTenure   = 5 * time.Second
+	settledPeer = 4 * time.Second
+	// startupGrace is how long after its start a controller takes the others for alive
+	// although it has not heard them yet.
+	startupGrace = 2 * time.Second
+)
+
+// Partition is what a campaign needs to know of a partition.
+type Partition struct {
+	Index int
+	Key   string
+	// Owned: this process owns it, since OwnedSince.
+	Owned      bool
+	OwnedSince time.Time
+	// Settled tells whether every machine of it on which something is bound has been
+	// heard since then.
+	Settled func() bool
+}
+
+// Peers is what is known of the other controllers.
+type Peers interface {
+	// Eligible reports whether a controller would take keys over.
+	Eligible(node string) bool
+	// HeardSince is since when a controller has been heard without a gap.
+	HeardSince(node string) time.Time
+	// Silent reports whether there are others and none of them was heard for d.
+	Silent(d time.Duration) bool
+	// HearWorkers reports whether a machine reports to any of the others, and whether all
+	// of them have told of late.
+	HearWorkers() (any, allKnown bool)
+}
+
+// preferredOwner is the controller that a partition should be with, so that partitions
+// spread evenly.
+func (e *Elector) preferredOwner(partition int) string {
+	return e.Nodes[partition%len(e.Nodes)]
+}
+
+// Campaign acquires vacant keys, and hands partitions over to their preferred owners. It
+// is for a controller that is eligible to hold keys.
+func (e *Elector) Campaign(partitions []Partition, leaderKey string, peers Peers) {
+	for i := range partitions {
+		if p := &partitions[i]; p.Owned {
+			e.handOver(p, peers)
+		} else {
+			e.tryAcquire(p.Key, e.vacancyWait(p, peers))
+		}
+	}
+	e.tryAcquire(leaderKey, leaderStagger*time.Duration(slices.Index(e.Nodes, e.Node)))
+}
+
+// vacancyWait is how long a partition's key must be vacant before it is taken here.
+func (e *Elector) vacancyWait(p *Partition, peers Peers) time.Duration {
+	preferred := e.preferredOwner(p.Index)
+	switch {
+	case preferred == e.Node:
+		return 0
+	case peers.Eligible(preferred) || e.Loop.Now().Sub(e.StartedAt) < startupGrace:
+		return preferredWait
+	}
+	return vacancyWait
+}
+
+// handOver resigns a partition whose preferred owner is another controller, if that has
+// been there for a while and nothing of the partition is unsettled. Each change of hands
+// begins the wait for workers' leases anew: a partition whose machines had all died went
+// back and forth between its preferred owner, which heard no worker, and another, and
+// their tasks were never proven gone.
+func (e *Elector) handOver(p *Partition, peers Peers) {
+	now, preferred := e.Loop.Now(), e.preferredOwner(p.Index)
+	if preferred == e.Node || !peers.Eligible(preferred) || now.Sub(p.OwnedSince) <= minTenure {
+		return
+	}
+	if now.Sub(peers.HeardSince(preferred)) > settledPeer && p.Settled() {
+		e.Log.Info("partition handed over", "partition", p.Index, "to", preferred)
+		e.Resign(p.Key)
+	}
+}
--- /dev/null
+++ b/internal/election/election_test.go
@@ -0,0 +1,429 @@
+package election
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"maps"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"eiderhitch/internal/record"
+	"eiderhitch/internal/store"
+	"eiderhitch/internal/wire"
+)
+
+const (
+	testTTL    = 2 * time.Second
+	leaderKey  = "e/leader"
+	partition0 = "e/part/0"
+)
+
+// fakeStore is a key-value store in memory with leases that do expire.
+type fakeStore struct {
+	mu       sync.Mutex
+	revision uint64
+	leases   map[uint64]time.Time // until when each lives
+	keys     map[string]storedKey
+	watchers []*process
+	// loseAnswers: transactions are applied, and the answers get lost.
+	loseAnswers bool
+}
+
+type storedKey struct {
+	holder   record.LeaseHolder
+	revision uint64
+	lease    uint64
+}
+
+func newFakeStore() *fakeStore {
+	return &fakeStore{leases: map[uint64]time.Time{}, keys: map[string]storedKey{}}
+}
+
+func (s *fakeStore) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.revision++
+	s.leases[s.revision] = time.Now().Add(ttl)
+	return s.revision, nil
+}
+
+func (s *fakeStore) RenewLease(_ context.Context, lease uint64) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expire()
+	if _, lives := s.leases[lease]; !lives {
+		return store.ErrLeaseExpired
+	}
+	s.leases[lease] = time.Now().Add(testTTL)
+	return nil
+}
+
+func (s *fakeStore) RevokeLease(_ context.Context, lease uint64) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.leases, lease)
+	s.expire()
+	return nil
+}
+
+func (s *fakeStore) Txn(_ context.Context, txn *wire.Txn) (*wire.TxnResponse, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expire()
+	for _, condition := range txn.Conditions {
+		if s.keys[condition.Key].revision != condition.Revision {
+			return &wire.TxnResponse{}, store.ErrConflict
+		}
+	}
+	s.revision++
+	for _, change := range txn.Changes {
+		if _, lives := s.leases[change.Lease]; !lives {
+			return nil, store.ErrLeaseExpired
+		}
+		var holder record.LeaseHolder
+		if err := json.Unmarshal(change.Value, &holder); err != nil {
+			return nil, err
+		}
+		s.keys[change.Put] = storedKey{holder, s.revision, change.Lease}
+		s.tell(change.Put)
+	}
+	if s.loseAnswers {
+		return nil, store.ErrOutcomeUnknown
+	}
+	return &wire.TxnResponse{Revision: s.revision}, nil
+}
+
+// expire deletes the keys whose leases have expired.
+func (s *fakeStore) expire() {
+	for lease, until := range s.leases {
+		if time.Now().After(until) {
+			delete(s.leases, lease)
+		}
+	}
+	for key, stored := range s.keys {
+		if _, lives := s.leases[stored.lease]; !lives {
+			s.revision++
+			delete(s.keys, key)
+			s.tell(key)
+		}
+	}
+}
+
+// tell has every process learn of a key's present state.
+func (s *fakeStore) tell(key string) {
+	stored := s.keys[key]
+	for _, p := range s.watchers {
+		go p.Enqueue(func() { p.observe(key, stored) })
+	}
+}
+
+// process is a controller around an elector: replica, event loop and listener in one.
+type process struct {
+	mu        sync.Mutex
+	elector   *Elector
+	store     *fakeStore
+	revisions map[string]uint64
+	held      map[string]uint64
+	stalled   bool // its event loop does nothing
+}
+
+func newProcess(ctx context.Context, s *fakeStore, node, id string) *process {
+	p := &process{store: s, revisions: map[string]uint64{}, held: map[string]uint64{}}
+	config := Config{Node: node, ProcessID: id, Nodes: []string{"n0", "n1"}, TTL: testTTL, StartedAt: time.Now(),
+		HeartbeatInterval: time.Second, WorkLifetime: 30 * time.Second, Log: slog.New(slog.DiscardHandler)}
+	p.elector = New(ctx, config, Services{Store: s, Replica: p, Reader: p, Writer: p, Loop: p, Listener: p}, []string{leaderKey, partition0})
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.watchers = append(s.watchers, p)
+	return p
+}
+
+func (p *process) Now() time.Time { return time.Now() }
+
+func (p *process) Enqueue(f func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for p.stalled {
+		p.mu.Unlock()
+		time.Sleep(10 * time.Millisecond)
+		p.mu.Lock()
+	}
+	f()
+}
+
+func (p *process) Revision(key string) uint64 { return p.revisions[key] }
+
+func (p *process) Put(key string, value json.RawMessage, revision uint64) {
+	var holder record.LeaseHolder
+	if err := json.Unmarshal(value, &holder); err != nil {
+		panic(err)
+	}
+	p.observe(key, storedKey{holder: holder, revision: revision})
+}
+
+func (p *process) observe(key string, stored storedKey) {
+	switch {
+	case stored.revision == 0 && p.revisions[key] != 0:
+		delete(p.revisions, key)
+		p.elector.ObserveVacancy(key)
+	case stored.revision > p.revisions[key]:
+		p.revisions[key] = stored.revision
+		p.elector.ObserveHolder(key, stored.holder, stored.revision)
+	}
+}
+
+func (p *process) AfterSuccessfulRead(f func()) {
+	go func() {
+		p.store.mu.Lock()
+		stored := maps.Clone(p.store.keys)
+		p.store.mu.Unlock()
+		p.Enqueue(func() {
+			for key, value := range stored {
+				p.observe(key, value)
+			}
+			f()
+		})
+	}()
+}
+
+func (p *process) SubmitWrite(write *store.Write, done func(error)) {
+	go func() {
+		response, err := p.store.Txn(context.Background(), &wire.Txn{Conditions: write.Conditions, Changes: write.Changes})
+		p.Enqueue(func() {
+			if err == nil {
+				p.Put(write.Changes[0].Put, write.Changes[0].Value, response.Revision)
+			}
+			done(err)
+		})
+	}()
+}
+
+func (p *process) KeyAcquired(key string, token uint64) { p.held[key] = token }
+func (p *process) KeyLost(key string)                   { delete(p.held, key) }
+func (p *process) TokenRaised(key string, token uint64) { p.held[key] = token }
+
+// campaign campaigns for partition 0 and the leadership, ten times a second, for d.
+func (p *process) campaign(d time.Duration, peers Peers) {
+	for until := time.Now().Add(d); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
+		p.store.mu.Lock()
+		p.store.expire()
+		p.store.mu.Unlock()
+		p.Enqueue(func() {
+			p.elector.Campaign([]Partition{{Index: 0, Key: partition0, Owned: p.elector.Token(partition0) != 0, OwnedSince: time.Now().Add(-time.Minute),
+				Settled: func() bool { return true }}}, leaderKey, peers)
+		})
+	}
+	synctest.Wait()
+}
+
+// token is the token of a key that a process holds; 0: none.
+func (p *process) token(key string) uint64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.held[key]
+}
+
+// fakePeers are others that are all alike.
+type fakePeers struct{ eligible, silent, hear, allKnown bool }
+
+func (f fakePeers) Eligible(string) bool      { return f.eligible }
+func (fakePeers) HeardSince(string) time.Time { return time.Time{} }
+func (f fakePeers) Silent(time.Duration) bool { return f.silent }
+func (f fakePeers) HearWorkers() (bool, bool) { return f.hear, f.allKnown }
+
+// inCluster runs f on fake time with two processes that campaign for the same keys.
+func inCluster(t *testing.T, f func(ctx context.Context, s *fakeStore, first, second *process)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		s := newFakeStore()
+		f(ctx, s, newProcess(ctx, s, "n0", "a"), newProcess(ctx, s, "n1", "b"))
+		cancel()
+		time.Sleep(time.Minute) // whatever still waits ends
+	})
+}
+
+// A key has one holder, who keeps it while the lease is renewed; a later holder's token is
+// higher.
+func TestFailover(t *testing.T) {
+	inCluster(t, func(_ context.Context, _ *fakeStore, first, second *process) {
+		first.campaign(time.Second, fakePeers{})
+		before := first.token(partition0)
+		second.campaign(5*time.Second, fakePeers{})
+		if before == 0 || first.token(partition0) != before || second.token(partition0) != 0 {
+			t.Fatalf("tokens of partition 0: %d, then %d and %d", before, first.token(partition0), second.token(partition0))
+		}
+		first.mu.Lock()
+		first.stalled = true
+		first.mu.Unlock()
+		second.campaign(3*testTTL, fakePeers{})
+		if after := second.token(partition0); after <= before {
+			t.Errorf("after the first process stalled, the second one's token is %d, want more than %d", after, before)
+		}
+		first.mu.Lock()
+		first.stalled = false
+		first.mu.Unlock()
+		time.Sleep(time.Second)
+		synctest.Wait()
+		if token := first.token(partition0); token != 0 {
+			t.Errorf("the first process still holds partition 0 under %d", token)
+		}
+	})
+}
+
+// A process takes the keys of its controller's former process at once: that one is dead.
+func TestRestartTakesItsOwnKeys(t *testing.T) {
+	inCluster(t, func(ctx context.Context, s *fakeStore, first, _ *process) {
+		first.campaign(time.Second, fakePeers{})
+		before := first.token(partition0)
+		restarted := newProcess(ctx, s, "n0", "c")
+		restarted.observe(partition0, s.keys[partition0])
+		restarted.campaign(200*time.Millisecond, fakePeers{})
+		if after := restarted.token(partition0); after <= before || first.token(partition0) != 0 {
+			t.Errorf("the restarted process has token %d, the former one %d; want one above %d, and 0", after, first.token(partition0), before)
+		}
+	})
+}
+
+// A partition that is not with its preferred owner is handed over once that can take it,
+// and is left to it for a while.
+func TestHandOverToPreferredOwner(t *testing.T) {
+	inCluster(t, func(_ context.Context, _ *fakeStore, first, second *process) {
+		second.campaign(startupGrace+preferredWait, fakePeers{})
+		if second.token(partition0) == 0 {
+			t.Fatal("a vacant partition is not taken in the absence of its preferred owner")
+		}
+		second.campaign(resignBackoff/2, fakePeers{eligible: true})
+		if token := second.token(partition0); token != 0 {
+			t.Fatalf("the partition is kept under token %d", token)
+		}
+		first.campaign(time.Second, fakePeers{eligible: true})
+		if first.token(partition0) == 0 {
+			t.Error("the preferred owner has not taken it")
+		}
+	})
+}
+
+// RaiseToken gives a higher token, also where the answer to its transaction got lost.
+func TestRaiseToken(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		lost bool
+	}{{"answered", false}, {"answer lost", true}} {
+		t.Run(test.name, func(t *testing.T) {
+			inCluster(t, func(_ context.Context, s *fakeStore, first, _ *process) {
+				first.campaign(time.Second, fakePeers{})
+				before := first.token(partition0)
+				s.mu.Lock()
+				s.loseAnswers = test.lost
+				s.mu.Unlock()
+				first.Enqueue(func() {
+					if !first.elector.RaiseToken(partition0) || first.elector.RaiseToken(partition0) {
+						t.Error("a token is raised by one transaction at a time")
+					}
+				})
+				time.Sleep(time.Second)
+				synctest.Wait()
+				if after := first.token(partition0); after <= before {
+					t.Errorf("token %d, want more than %d", after, before)
+				}
+			})
+		})
+	}
+}
+
+// fakeWorkers are how workers reach a controller.
+type fakeWorkers struct {
+	reporting     int
+	heard         Heard
+	resumed, last time.Time
+}
+
+func (w fakeWorkers) Reporting() int            { return w.reporting }
+func (w fakeWorkers) Heard(time.Duration) Heard { return w.heard }
+func (w fakeWorkers) LastHeartbeat() time.Time  { return w.last }
+func (w fakeWorkers) ResumedAt() time.Time      { return w.resumed }
+
+// A controller that hears no worker steps down only where that may help somebody.
+func TestStepDownIfUnheard(t *testing.T) {
+	unheard := Heard{Known: 3}
+	for _, test := range []struct {
+		name    string
+		workers fakeWorkers
+		peers   fakePeers
+		want    bool
+	}{
+		{"a peer hears workers", fakeWorkers{heard: unheard}, fakePeers{hear: true, allKnown: true}, true},
+		{"what peers hear is not known", fakeWorkers{heard: unheard}, fakePeers{}, true},
+		{"no peer hears workers either", fakeWorkers{heard: unheard}, fakePeers{allKnown: true}, false},
+		{"a worker is heard", fakeWorkers{heard: Heard{Known: 3, Any: true}}, fakePeers{hear: true}, false},
+		{"too few machines are known", fakeWorkers{heard: Heard{Known: 1}}, fakePeers{hear: true}, false},
+		{"the partition is young", fakeWorkers{heard: Heard{Known: 3, Young: true}}, fakePeers{hear: true}, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			inCluster(t, func(_ context.Context, _ *fakeStore, first, _ *process) {
+				first.campaign(time.Second, fakePeers{})
+				first.Enqueue(func() { first.elector.StepDownIfUnheard(test.workers, test.peers) })
+				if got := first.token(partition0) == 0; got != test.want {
+					t.Errorf("stepped down: %v, want %v", got, test.want)
+				}
+				if got := first.elector.BackingOff(); got != test.want {
+					t.Errorf("backing off: %v, want %v", got, test.want)
+				}
+			})
+		})
+	}
+}
+
+// Where all machines have died nobody hears any: then a controller steps down once in the
+// time that leases need to expire, not again and again.
+func TestStepDownOnceWhereNobodyHears(t *testing.T) {
+	inCluster(t, func(_ context.Context, _ *fakeStore, first, _ *process) {
+		workers, stepDowns := fakeWorkers{heard: Heard{Known: 3}}, 0
+		for range 4 {
+			first.campaign(stepDownBackoff+time.Second, fakePeers{})
+			first.Enqueue(func() { first.elector.StepDownIfUnheard(workers, fakePeers{}) })
+			if first.token(partition0) == 0 {
+				stepDowns++
+			}
+		}
+		if stepDowns != 1 {
+			t.Errorf("%d of 4 times, want 1: the time for leases to expire has not passed", stepDowns)
+		}
+	})
+}
+
+// A leader that neither workers nor peers reach steps down if there are other owners.
+func TestStepDownIfIsolated(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		other     bool
+		reporting int
+		peers     fakePeers
+		want      bool
+	}{
+		{"isolated", true, 0, fakePeers{silent: true}, true},
+		{"it owns everything", false, 0, fakePeers{silent: true}, false},
+		{"workers report", true, 1, fakePeers{silent: true}, false},
+		{"peers are heard", true, 0, fakePeers{}, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			inCluster(t, func(_ context.Context, _ *fakeStore, first, _ *process) {
+				first.campaign(time.Second, fakePeers{})
+				if test.other {
+					first.Enqueue(func() { first.elector.ObserveHolder("e/part/1", record.LeaseHolder{Node: "n1", ProcessID: "b"}, 900) })
+				}
+				since := time.Now().Add(-minLeaderTenure)
+				first.Enqueue(func() {
+					first.elector.StepDownIfIsolated(leaderKey, since, []string{partition0, "e/part/1"}, fakeWorkers{reporting: test.reporting}, test.peers)
+				})
+				if got := first.token(leaderKey) == 0; got != test.want {
+					t.Errorf("leadership handed back: %v, want %v", got, test.want)
+				}
+			})
+		})
+	}
+}
