--- a/internal/controller/allocations_test.go
+++ b/internal/controller/allocations_test.go
@@ -100,7 +100,7 @@
 }
 
 func queryPath(t *testing.T, c *controller) func() {
-	c.finished["wk-1"] = doneJob
+	c.finished["wk-1"] = record.Done
 	return func() {
 		if state := c.lookupJob("wk-1").response().State; state != wire.Done {
 			t.Errorf("the job is %q, want %q", state, wire.Done)
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -36,7 +36,7 @@
 	// A gang that is dealt in several transactions counts whole from the first on: it
 	// can't be begun without the rest.
 	for _, job := range c.unfinished {
-		if job.finalState != unfinishedJob || job.spec == nil {
+		if job.finalState != record.Unfinished || job.spec == nil {
 			continue
 		}
 		// What a record that can't be decoded binds may run: it counts until it is known.
@@ -66,7 +66,7 @@
 	wants, lost := c.placeAssigned(summaries, byUrgency)
 	var jobs []*job
 	for _, j := range c.unfinished {
-		if j.finalState == unfinishedJob && j.spec != nil && j.revision != 0 && !j.hasUnreadableRecords() && j.hasWaitingTasks() {
+		if j.finalState == record.Unfinished && j.spec != nil && j.revision != 0 && !j.hasUnreadableRecords() && j.hasWaitingTasks() {
 			jobs = append(jobs, j)
 		}
 	}
@@ -179,7 +179,7 @@
 func (c *controller) placeAssigned(summaries []*planning.MachineSummary, byUrgency func(x, y *job) int) (wants []planning.Demand, lost map[*taskGroup]int) {
 	var groups, stuck []*taskGroup
 	for group := range c.allGroups() {
-		if group.job.finalState == unfinishedJob && group.job.spec != nil && group.job.revision != 0 && group.allowedTasks() > group.boundTasks() {
+		if group.job.finalState == record.Unfinished && group.job.spec != nil && group.job.revision != 0 && group.allowedTasks() > group.boundTasks() {
 			groups = append(groups, group)
 		}
 	}
--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -96,7 +96,7 @@
 	update := groupUpdate{done: group.done, oversized: group.size > c.maxValueBytes()}
 	job := group.job
 	gang := job.spec.Gang
-	if gang && job.gangIsDone() && job.finalState == unfinishedJob {
+	if gang && job.gangIsDone() && job.finalState == record.Unfinished {
 		c.planGangDone(group, &update)
 		return update
 	}
@@ -115,7 +115,7 @@
 			}
 			bound.machine, bound.incarnation = nil, 0
 		}
-		if a, ok := p.reservations[t]; ok && bound.machine == nil && job.finalState == unfinishedJob && (!gang || attempt > 0) {
+		if a, ok := p.reservations[t]; ok && bound.machine == nil && job.finalState == record.Unfinished && (!gang || attempt > 0) {
 			if a.machine.terminated || !c.usable(a.machine, p) {
 				delete(p.reservations, t)
 				c.freeCell(p, t)
@@ -163,7 +163,7 @@
 		}
 		return c.now.Sub(group.bindingsPendingSince) < c.bindingsDelay()
 	}
-	if len(update.bindings) == 0 || group.job.finalState != unfinishedJob {
+	if len(update.bindings) == 0 || group.job.finalState != record.Unfinished {
 		return false
 	}
 	// Ends alone can wait a little for each other: writes are scarce.
@@ -185,7 +185,7 @@
 	// Services first: when hundreds of machines are lost together, or all leases have
 	// ended in an outage, what is to be stored takes longer than users wait.
 	write := &store.Write{Prompt: job.spec.Gang && len(update.newlyBound) > 0, Early: job.spec.AllOrNothing(), Conditions: []wire.Condition{{Key: p.key, Revision: p.token}, {Key: group.key, Revision: group.revision}}}
-	if job.finalState == unfinishedJob {
+	if job.finalState == record.Unfinished {
 		// Binding and completing race with a cancellation: only one can hold.
 		write.Conditions = append(write.Conditions, wire.Condition{Key: jobKey(job.id), Revision: job.revision})
 	}
@@ -206,7 +206,7 @@
 	ending := c.endsJob(group, update)
 	if ending {
 		job.finishing = true
-		write.Changes = append(write.Changes, wire.Change{Put: jobKey(job.id), Value: record.JSON(record.Job{FinalState: doneJob})})
+		write.Changes = append(write.Changes, wire.Change{Put: jobKey(job.id), Value: record.JSON(record.Job{FinalState: record.Done})})
 	}
 	group.writing, group.write = true, write
 	c.metrics.count(countStored, 1)
@@ -216,7 +216,7 @@
 		if ending {
 			job.finishing = false
 		}
-		if job.finalState != unfinishedJob && group.partition == p.index {
+		if job.finalState != record.Unfinished && group.partition == p.index {
 			c.cancelReservations(group, true) // what came to it while the write was on its way
 		}
 		switch {
@@ -231,7 +231,7 @@
 // endsJob tells whether an update completes the last tasks of a job.
 func (c *controller) endsJob(group *taskGroup, update *groupUpdate) bool {
 	job := group.job
-	if job.finalState != unfinishedJob || job.finishing || update.done == group.done {
+	if job.finalState != record.Unfinished || job.finishing || update.done == group.done {
 		return false
 	}
 	_, finished := job.assignedTasks()
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -172,11 +172,11 @@
 // for the team's limit.
 func (c *controller) archiveFinished() {
 	c.unfinished = slices.DeleteFunc(c.unfinished, func(j *job) bool {
-		if j.finalState == unfinishedJob || len(j.groups) > 0 || j.revision > c.replica.Cursor() || j.hasUnreadableRecords() {
+		if j.finalState == record.Unfinished || len(j.groups) > 0 || j.revision > c.replica.Cursor() || j.hasUnreadableRecords() {
 			return false
 		}
 		j.inUnfinished = false
-		c.finished[j.id] = uint8(j.finalState)
+		c.finished[j.id] = j.finalState
 		delete(c.jobs, j.id)
 		c.replica.Forget(jobKey(j.id)) // never written again
 		return true
@@ -186,7 +186,7 @@
 func (c *controller) putJob(id string, v *record.Job, stamp uint64) {
 	job := c.job(id)
 	if job.revision != 0 && job.finalState != v.FinalState {
-		c.log.Info("job is over", "job", id, "fate", finalStateNames[v.FinalState])
+		c.log.Info("job is over", "job", id, "fate", v.FinalState.String())
 	}
 	before := job.finalState
 	job.revision, job.finalState = stamp, v.FinalState
@@ -197,10 +197,10 @@
 		job.equivalenceClass = fmt.Sprint(v.Spec.CPUs, v.Spec.GPUs, v.Spec.RAMGB, v.Spec.MachineTypes, v.Spec.Zone, v.Spec.Spot, v.Spec.Priority, v.Spec.AllOrNothing(), v.Spec.Team)
 		job.team = c.team(v.Spec.Team)
 	}
-	if job.finalState != unfinishedJob {
+	if job.finalState != record.Unfinished {
 		c.releaseJobDetails(job)
 		for _, group := range job.groups {
-			if before == unfinishedJob {
+			if before == record.Unfinished {
 				group.cancelWrite() // it has the former version of the job among its conditions
 			}
 			c.cancelReservations(group, !group.writing)
@@ -216,7 +216,7 @@
 
 // releaseJobDetails drops what a final job needs no more; its fate is kept for ever.
 func (c *controller) releaseJobDetails(j *job) {
-	if j.finalState != unfinishedJob && len(j.groups) == 0 && j.revision <= c.replica.Cursor() {
+	if j.finalState != record.Unfinished && len(j.groups) == 0 && j.revision <= c.replica.Cursor() {
 		j.spec, j.groups, j.groupOfTask = nil, nil, nil
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -3,13 +3,14 @@
 import (
 	"context"
 	"log/slog"
-	"sync/atomic"
 	"time"
 
 	"eiderhitch/internal/cloud"
 	"eiderhitch/internal/config"
 	"eiderhitch/internal/election"
+	"eiderhitch/internal/frontend"
 	"eiderhitch/internal/peer"
+	"eiderhitch/internal/record"
 	"eiderhitch/internal/replica"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
@@ -41,9 +42,9 @@
 	startedAt time.Time
 	// Indices over the stored records.
 	jobs               map[string]*job
-	finished           map[string]uint8 // fates of jobs that are over and cleared up
-	unfinished         []*job           // those that are not over and cleared up, and some that are
-	groups             []*taskGroup     // by dense index; nil where deleted
+	finished           map[string]record.FinalState // of the jobs that are over and archived
+	unfinished         []*job                       // those that are not over and cleared up, and some that are
+	groups             []*taskGroup                 // by dense index; nil where deleted
 	groupByKey         map[string]*taskGroup
 	machineTypes       map[string]*wire.MachineType
 	machineTypesStored bool
@@ -55,8 +56,7 @@
 	objectiveSeconds   map[string]float64 // by class: seconds in which its jobs should be done
 	maxGroupTasks      int
 
-	// readyAt is when this controller last was ready; nil: it is not.
-	readyAt atomic.Pointer[time.Time]
+	*frontend.Frontend
 
 	election       *election.Elector
 	partitions     []*partition
@@ -183,6 +183,9 @@
 // Call runs f and waits for it; false if ctx ended first.
 func (l loopAt) Call(ctx context.Context, f func()) bool { return l.call(ctx, l.at, f) }
 
+// RetryAfterS is in how many seconds a user who was turned away should come back.
+func (l loopAt) RetryAfterS() int { return l.events.retryAfterS() }
+
 // isFresh tells whether the replica is current enough to act on: see MaxStaleness.
 func (c *controller) isFresh(limit time.Duration) bool {
 	return c.replica.FreshWithin(limit, c.now)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -334,7 +334,7 @@
 		if i%2 == 0 { // it ran while this controller did, else it is read after a start
 			c.replica.Put(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), stamp)
 		}
-		c.replica.Put(jobKey(spec.ID), raw(t, record.Job{FinalState: cancelledJob + i/2%2}), stamp+1)
+		c.replica.Put(jobKey(spec.ID), raw(t, record.Job{FinalState: record.Cancelled + record.FinalState(i/2%2)}), stamp+1)
 		if i%500 != 499 {
 			continue
 		}
@@ -365,7 +365,7 @@
 	spec.ID = "wk-00000002"
 	c.replica = replica.New(c) // which knows nothing of it yet
 	c.replica.Put(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), 14)
-	if job := c.lookupJob(spec.ID); job.finalState != doneJob || len(c.jobs) != 0 {
+	if job := c.lookupJob(spec.ID); job.finalState != record.Done || len(c.jobs) != 0 {
 		t.Errorf("%s went back to %s", spec.ID, job.response().State)
 	}
 }
@@ -391,7 +391,7 @@
 	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{}}}), 11)
 	c.replica.Apply(&wire.WatchResponse{Revision: 11})
 	used("assigned:", 2)
-	gone := raw(t, record.Job{FinalState: cancelledJob, Spec: spec})
+	gone := raw(t, record.Job{FinalState: record.Cancelled, Spec: spec})
 	c.replica.Put(jobKey("wk-1"), gone, 20) // our own write's result
 	used("cancelled here:", 2)
 	c.replica.Apply(&wire.WatchResponse{Revision: 21, Events: []wire.Event{
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -14,7 +14,9 @@
 	"eiderhitch/internal/cloud"
 	"eiderhitch/internal/config"
 	"eiderhitch/internal/election"
+	"eiderhitch/internal/frontend"
 	"eiderhitch/internal/peer"
+	"eiderhitch/internal/record"
 	"eiderhitch/internal/replica"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
@@ -56,7 +58,7 @@
 		stateClient: st, stateWriter: store.NewWriter(st, s.Store.TxnOps, s.Store.WriteRPS, s.Count, out.jitter),
 		cloudClient: cloud.NewClient(cfg.External.Cloud, s.Cloud.RPS, out.cloud), workerClient: workerclient.NewClient(out.workers), send: out.send, jitter: out.jitter,
 		maxStaleness: config.MaxStaleness(s.Workers.CancelS, s.Workers.LeaseS), leaseExpiry: config.LeaseExpiry(s.Workers.CancelS, s.Workers.LeaseS),
-		jobs: map[string]*job{}, finished: map[string]uint8{}, groupByKey: map[string]*taskGroup{},
+		jobs: map[string]*job{}, finished: map[string]record.FinalState{}, groupByKey: map[string]*taskGroup{},
 		terminated: map[string]bool{}, tombstones: map[string]tombstone{}, loans: map[string]*machineLoan{}, teamIndex: map[string]scheduling.TeamIndex{}, objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.Store.ValueKB),
 		machines: map[string]*machine{}, terminating: map[string]bool{},
 		attemptEnds: map[scheduling.Task]attemptEnd{}, maxDirects: cfg.DirectCommands(), metrics: newMetrics(), schedulingPass: 1,
@@ -76,6 +78,9 @@
 	}
 	// The last one is the leader's: machines that other parts have lent.
 	c.partitions = append(c.partitions, &partition{index: s.Count, key: c.leaderKey()})
+	c.Frontend = frontend.New(frontend.Config{
+		JobKey: jobKey, LeaseTTL: op.LeaseTTL, MaxValueBytes: c.maxValueBytes(), Quotas: s.Teams, Log: c.log,
+	}, clusterView{c}, loopAt{c, priorityUsers}, c.metrics)
 	c.peers = peer.NewRegistry(names(cfg.Peers))
 	c.election = election.New(ctx, election.Config{
 		Node: cfg.Name, ProcessID: c.processID, Nodes: cfg.Nodes(), TTL: op.LeaseTTL, StartedAt: c.startedAt,
@@ -216,7 +221,7 @@
 			c.heartbeatsResumedAt = c.now
 		}
 	}
-	c.updateReadiness()
+	c.UpdateReadiness()
 	if !c.replica.Loaded() {
 		return
 	}
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"eiderhitch/internal/config"
+	"eiderhitch/internal/record"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
@@ -56,7 +57,7 @@
 
 // gangMustStop tells whether a gang is to be stopped: one of its tasks has to go.
 func (c *controller) gangMustStop(j *job) bool {
-	if j.finalState != unfinishedJob {
+	if j.finalState != record.Unfinished {
 		return true
 	}
 	for _, group := range j.groups {
@@ -79,7 +80,7 @@
 func (c *controller) stopGangs(p *partition) {
 	for _, group := range p.groups {
 		job := group.job
-		if group.boundCount == 0 || job.spec == nil || !job.spec.Gang || job.finalState != unfinishedJob {
+		if group.boundCount == 0 || job.spec == nil || !job.spec.Gang || job.finalState != record.Unfinished {
 			continue
 		}
 		c.failIncompleteGang(job)
@@ -119,7 +120,7 @@
 // stopGraceS is what a task is given to save when it is stopped: what it asks for, unless
 // there is nothing to save. A gang saves together or not at all.
 func (c *controller) stopGraceS(j *job) float64 {
-	if j.finalState != unfinishedJob || j.spec == nil || j.spec.CheckpointS == 0 || j.spec.Gang && c.gangBroken(j) {
+	if j.finalState != record.Unfinished || j.spec == nil || j.spec.CheckpointS == 0 || j.spec.Gang && c.gangBroken(j) {
 		return 0
 	}
 	return j.spec.SaveS
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -116,7 +116,7 @@
 		class.live = 0
 	}
 	for _, job := range c.unfinished {
-		if job.spec == nil || !job.spec.Gang || job.finalState != unfinishedJob {
+		if job.spec == nil || !job.spec.Gang || job.finalState != record.Unfinished {
 			continue
 		}
 		class := reserve.classes[job.spec.Class]
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -229,7 +229,7 @@
 		"a start in an answer":        {func() { m.startInResponse = true }, func() { m.startInResponse = false }},
 		"an older token":              {func() { m.token-- }, func() { m.token++ }},
 		"a task that is no service":   {func() { spec.Service = false }, func() { spec.Service = true }},
-		"a job that is cancelled":     {func() { m.bindings[0].group.job.finalState = cancelledJob }, func() { m.bindings[0].group.job.finalState = unfinishedJob }},
+		"a job that is cancelled":     {func() { m.bindings[0].group.job.finalState = record.Cancelled }, func() { m.bindings[0].group.job.finalState = record.Unfinished }},
 		"a record on its way":         {func() { m.bindings[0].group.writing = true }, func() { m.bindings[0].group.writing = false }},
 		"a task that fetches":         {func() { m.tasks[0].State = wire.Fetching }, func() { m.tasks[0].State = wire.Running }},
 		"an earlier incarnation":      {func() { m.incarnation++ }, func() { m.incarnation-- }},
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -4,7 +4,6 @@
 package controller
 
 import (
-	"encoding/json"
 	"hash/fnv"
 	"strconv"
 	"strings"
@@ -48,19 +47,10 @@
 	return int(v % uint32(parts))
 }
 
-// Fates of a job.
-const (
-	unfinishedJob = iota
-	cancelledJob
-	doneJob
-)
-
-var finalStateNames = map[int]string{unfinishedJob: "live", cancelledJob: "cancelled", doneJob: "done"}
-
 type job struct {
 	id          string
 	revision    uint64
-	finalState  int
+	finalState  record.FinalState
 	acceptedAt  time.Time
 	spec        *wire.Job
 	taskSize    scheduling.Resources
@@ -217,7 +207,7 @@
 // binding that was stored just before it: counted for nothing until then, the task
 // ran beside what its room was given to.
 func (group *taskGroup) quotaTasks(cursor uint64) int {
-	if group.job.finalState != unfinishedJob && group.job.revision <= cursor {
+	if group.job.finalState != record.Unfinished && group.job.revision <= cursor {
 		return group.boundTasks()
 	}
 	return max(group.boundTasks(), group.allowedTasks())
@@ -318,18 +308,3 @@
 	}
 	return append(c.splitToFit(&first, done, stay), c.splitToFit(&second, 0, leave)...)
 }
-
-// cancelledValue is a cancelled job's stored form. The description stays: its tasks count
-// for the team's limit until they are gone, also for a controller that starts later. Of
-// one too large for that, what placing it would need is left out.
-func (c *controller) cancelledValue(j *job) json.RawMessage {
-	v := record.Job{FinalState: cancelledJob, AcceptedAtMS: j.acceptedAt.UnixMilli(), Spec: j.spec}
-	out := record.JSON(v)
-	if len(out) > c.maxValueBytes() {
-		short := *j.spec
-		short.MachineTypes, short.Image, short.Class = nil, "", ""
-		v.Spec = &short
-		out = record.JSON(v)
-	}
-	return out
-}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -99,7 +99,7 @@
 	}
 	waiting, dealt := 0, 0
 	for _, job := range c.unfinished {
-		if job.finalState == unfinishedJob && job.spec != nil {
+		if job.finalState == record.Unfinished && job.spec != nil {
 			n, _ := job.assignedTasks()
 			waiting += job.spec.Tasks - n
 			for _, group := range job.groups {
@@ -125,17 +125,17 @@
 		if job.revision == 0 || len(job.groups) == 0 {
 			continue
 		}
-		if job.finalState == unfinishedJob && job.hasUnreadableRecords() {
+		if job.finalState == record.Unfinished && job.hasUnreadableRecords() {
 			continue
 		}
-		if job.finalState == unfinishedJob {
+		if job.finalState == record.Unfinished {
 			n, finished := job.assignedTasks()
 			if job.spec != nil && !job.spec.Service && !job.finishing && n == finished && finished == job.spec.Tasks {
 				budget--
 				job.finishing = true
 				c.SubmitWrite(&store.Write{
 					Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(job.id), Revision: job.revision}},
-					Changes:    []wire.Change{{Put: jobKey(job.id), Value: record.JSON(record.Job{FinalState: doneJob})}},
+					Changes:    []wire.Change{{Put: jobKey(job.id), Value: record.JSON(record.Job{FinalState: record.Done})}},
 				}, func(error) { job.finishing = false })
 			}
 			continue
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -136,7 +136,7 @@
 	}
 	for _, x := range m.bindings {
 		group := x.group
-		if group.job.spec == nil || !group.job.spec.Service || group.job.finalState != unfinishedJob || group.writing {
+		if group.job.spec == nil || !group.job.spec.Service || group.job.finalState != record.Unfinished || group.writing {
 			return false
 		}
 		bound, cell := group.binding(x.task.Number), p.cells.CellOf(x.task)
@@ -336,7 +336,7 @@
 		return loan.Acknowledged && c.reserveKeeps(m) || !loan.Acknowledged && c.now.Sub(loan.since) < reserveLoanTimeout
 	}
 	job := c.jobs[loan.Job]
-	if job == nil || job.finalState != unfinishedJob || job.spec == nil || m.terminated || !c.jobNeedsLoan(job, p.index) {
+	if job == nil || job.finalState != record.Unfinished || job.spec == nil || m.terminated || !c.jobNeedsLoan(job, p.index) {
 		return false
 	}
 	if m.machineType != "" && !allowed(job.spec, c.zoneOfJob(job), m.machineType, m.zone, m.spot) {
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -8,6 +8,7 @@
 
 	"eiderhitch/internal/api"
 	"eiderhitch/internal/config"
+	"eiderhitch/internal/record"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 	"eiderhitch/internal/workerclient"
@@ -530,7 +531,7 @@
 	if group.job.spec != nil && group.job.spec.Gang {
 		return c.gangMustStop(group.job)
 	}
-	return group.job.finalState != unfinishedJob || c.mustPreempt(group, t, m, p)
+	return group.job.finalState != record.Unfinished || c.mustPreempt(group, t, m, p)
 }
 
 // stopDecider asks shouldStop for the tasks of one machine, and once for all those of a gang:
@@ -573,7 +574,7 @@
 	for i := range m.tasks {
 		t := &m.tasks[i]
 		job, group, bound := c.lookup(t.Task)
-		if bound == nil && job != nil && job.hasUnreadableRecords() && job.finalState == unfinishedJob {
+		if bound == nil && job != nil && job.hasUnreadableRecords() && job.finalState == record.Unfinished {
 			continue // it may well be bound there, in the record that can't be decoded
 		}
 		if bound == nil || bound.machine != m || bound.attempt != t.Attempt || bound.incarnation != m.incarnation {
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -2,6 +2,7 @@
 
 import (
 	"log/slog"
+	"net/http"
 	"sync"
 	"time"
 
@@ -92,6 +93,22 @@
 	m.mu.Unlock()
 }
 
+// Submission counts a submission by the status of its response, and how long that took.
+func (m *metrics) Submission(status int, took time.Duration) {
+	m.observe(latencySubmit, took)
+	switch {
+	case status == http.StatusCreated:
+		m.count(countAccepted, 1)
+	case status >= http.StatusInternalServerError:
+		m.count(countUnavailable, 1)
+	case status >= http.StatusBadRequest:
+		m.count(countRefused, 1)
+	}
+}
+
+// Poll counts a user's poll.
+func (m *metrics) Poll() { m.count(countPolls, 1) }
+
 // addBusyTime adds the time since begun to a duty.
 func (m *metrics) addBusyTime(d activity, begun time.Time) {
 	m.mu.Lock()
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"eiderhitch/internal/planning"
+	"eiderhitch/internal/record"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
@@ -202,7 +203,7 @@
 // it, follow their first one.
 func (c *controller) completeGangMoves() {
 	for _, job := range c.unfinished {
-		if job.finalState != unfinishedJob || job.spec == nil || !job.spec.Gang || job.revision == 0 || len(job.groups) < 2 {
+		if job.finalState != record.Unfinished || job.spec == nil || !job.spec.Gang || job.revision == 0 || len(job.groups) < 2 {
 			continue
 		}
 		if first := job.firstGroup(); !job.groupsTogether(first.partition, first.zone) {
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"eiderhitch/internal/planning"
+	"eiderhitch/internal/record"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
@@ -37,7 +38,7 @@
 	// Most records have nothing to do: all their tasks run.
 	var mine []*taskGroup
 	for _, group := range p.groups {
-		if group.job.spec != nil && (group.hasUnstoredEnds || group.size > c.maxValueBytes() || group.job.finalState == unfinishedJob && group.boundCount < len(group.bindings)) {
+		if group.job.spec != nil && (group.hasUnstoredEnds || group.size > c.maxValueBytes() || group.job.finalState == record.Unfinished && group.boundCount < len(group.bindings)) {
 			mine = append(mine, group)
 		}
 	}
@@ -48,7 +49,7 @@
 	full := map[placementClass]bool{}
 	p.unplaced = 0
 	for _, group := range mine {
-		if !group.writing && group.job.finalState == unfinishedJob && !c.now.Before(group.job.retryAt) {
+		if !group.writing && group.job.finalState == record.Unfinished && !c.now.Before(group.job.retryAt) {
 			c.placeGroup(p, group, full)
 		}
 	}
@@ -333,8 +334,7 @@
 
 // allowed tells whether a job's task may be on a machine at all.
 func allowed(spec *wire.Job, pinned, typ, zone string, spot bool) bool {
-	return (len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, typ)) && (spec.Zone == "" || spec.Zone == zone) &&
-		(pinned == "" || pinned == zone) && (!spot || spec.Spot)
+	return (pinned == "" || pinned == zone) && spec.Allows(typ, zone, spot)
 }
 
 // probeUnreachable asks machines directly that have not reported in time, or seem not
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -11,6 +11,7 @@
 
 	"eiderhitch/internal/api"
 	"eiderhitch/internal/config"
+	"eiderhitch/internal/frontend"
 	"eiderhitch/internal/peer"
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/rollout"
@@ -234,7 +235,7 @@
 	if c.rollout.refusal == nil {
 		return api.Response{}, false
 	}
-	return unavailableResponse(c.rollout.refusal.Error()), true
+	return frontend.Unavailable(c.rollout.refusal.Error()), true
 }
 
 // register keeps this controller's range of levels stored while the process lives.
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -9,6 +9,7 @@
 	"eiderhitch/internal/config"
 	"eiderhitch/internal/peer"
 	"eiderhitch/internal/planning"
+	"eiderhitch/internal/record"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
@@ -114,7 +115,7 @@
 	byClass := map[string]*planning.Demand{}
 	var order []string
 	for _, job := range c.unfinished {
-		if job.finalState != unfinishedJob || job.spec == nil || !job.spec.Service {
+		if job.finalState != record.Unfinished || job.spec == nil || !job.spec.Service {
 			continue
 		}
 		w := byClass[job.spec.Class]
--- a/internal/controller/throttle.go
+++ b/internal/controller/throttle.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"eiderhitch/internal/planning"
+	"eiderhitch/internal/record"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
@@ -19,7 +20,7 @@
 	level := j.spec.Priority
 	var from []*taskGroup
 	for group := range c.allGroups() {
-		if group.job == j || group.job.spec == nil || group.job.team != j.team || group.job.finalState != unfinishedJob || group.job.spec.AllOrNothing() || group.job.spec.Priority > level {
+		if group.job == j || group.job.spec == nil || group.job.team != j.team || group.job.finalState != record.Unfinished || group.job.spec.AllOrNothing() || group.job.spec.Priority > level {
 			continue
 		}
 		if group.throttle != 0 { // what is on its way out already
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -217,7 +217,7 @@
 		}
 	}
 	strict(jobKey("wk-2"), record.JSON(record.Job{AcceptedAtMS: 5, Spec: spec}))
-	strict(jobKey("wk-2"), c.cancelledValue(&job{spec: spec, acceptedAt: c.now}))
+	strict(jobKey("wk-2"), record.CancelledJob(spec, c.now, c.maxValueBytes()))
 	for _, piece := range c.splitToFit(group, 2, append(entries, make([]binding, 60)...)) {
 		strict(groupKey("wk-2", 0), piece.At(groupKey("wk-2", 0)))
 	}
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -26,9 +26,9 @@
 // Job is the record of a job. One that is done keeps only its final state, one that is
 // cancelled its Spec, too, while tasks of it may be left.
 type Job struct {
-	FinalState   int       `json:"f"`            // 0: not final
-	AcceptedAtMS int64     `json:"at,omitempty"` // in milliseconds since the epoch
-	Spec         *wire.Job `json:"j,omitempty"`
+	FinalState   FinalState `json:"f"`
+	AcceptedAtMS int64      `json:"at,omitempty"` // in milliseconds since the epoch
+	Spec         *wire.Job  `json:"j,omitempty"`
 }
 
 // TaskGroup is the record of some tasks of a job that one partition places. A task that is done
