--- /dev/null
+++ b/internal/frontend/frontend_test.go
@@ -0,0 +1,199 @@
+package frontend
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"log/slog"
+	"net/http"
+	"testing"
+	"time"
+
+	"eiderhitch/internal/record"
+	"eiderhitch/internal/store"
+	"eiderhitch/internal/wire"
+)
+
+// fakeCluster is a cluster's state, and the event loop that it is on.
+type fakeCluster struct {
+	starting, stale, full bool
+	refusal               error
+	jobs                  map[string]*Job
+	unreadable            map[string]bool
+	types                 map[string]*wire.MachineType
+	peersHeard, peerFresh bool
+	// readErr is the result of reads; onRead is what a read finds.
+	readErr error
+	onRead  func()
+	// writeErr is the result of writes, which are kept.
+	writeErr error
+	writes   []*store.Write
+}
+
+func newFakeCluster() *fakeCluster {
+	return &fakeCluster{jobs: map[string]*Job{}, unreadable: map[string]bool{},
+		types: map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAMGB: 8, Zones: []string{"a"}}}}
+}
+
+func (c *fakeCluster) Loaded() bool                               { return !c.starting }
+func (c *fakeCluster) FreshWithin(time.Duration) bool             { return !c.stale }
+func (c *fakeCluster) Refusal() error                             { return c.refusal }
+func (c *fakeCluster) Job(id string) *Job                         { return c.jobs[id] }
+func (c *fakeCluster) Unreadable(id string) bool                  { return c.unreadable[id] }
+func (c *fakeCluster) MachineTypes() map[string]*wire.MachineType { return c.types }
+func (c *fakeCluster) PeersFresh() (heard, fresh bool)            { return c.peersHeard, c.peerFresh }
+func (c *fakeCluster) Now() time.Time                             { return time.Now() }
+func (c *fakeCluster) RetryAfterS() int                           { return 7 }
+func (c *fakeCluster) Submission(int, time.Duration)              {}
+func (c *fakeCluster) Poll()                                      {}
+
+func (c *fakeCluster) Call(_ context.Context, f func()) bool {
+	if c.full {
+		return false
+	}
+	f()
+	return true
+}
+
+func (c *fakeCluster) AfterRead(f func(error)) {
+	if c.onRead != nil {
+		c.onRead()
+	}
+	f(c.readErr)
+}
+
+func (c *fakeCluster) SubmitWrite(write *store.Write, done func(error)) {
+	c.writes = append(c.writes, write)
+	done(c.writeErr)
+}
+
+func (c *fakeCluster) frontend() *Frontend {
+	return New(Config{JobKey: func(id string) string { return "e/job/" + id }, LeaseTTL: time.Second, MaxValueBytes: 8 << 10,
+		Quotas: Quotas{{Name: "red", CPUsMax: 8}}, Log: slog.New(slog.DiscardHandler)}, c, c, c)
+}
+
+func running(id string) *Job {
+	return &Job{State: wire.JobState{ID: id, State: wire.Running}, Revision: 5, Spec: &wire.Job{ID: id, Team: "red"}}
+}
+
+func final(id, state string) *Job {
+	return &Job{State: wire.JobState{ID: id, State: state}, Final: true, Revision: 5}
+}
+
+var job = &wire.Job{ID: "wk-1", Team: "red", Tasks: 1, CPUs: 2, RAMGB: 1}
+
+// Each state of the cluster has its answer to a submission, a poll and a cancellation.
+func TestAnswers(t *testing.T) {
+	const created, ok, notFound, unprocessable, unavailable = http.StatusCreated, http.StatusOK, http.StatusNotFound, http.StatusUnprocessableEntity, http.StatusServiceUnavailable
+	for _, test := range []struct {
+		name                 string
+		cluster              func(c *fakeCluster)
+		submit, poll, cancel int
+	}{
+		{"new job", func(*fakeCluster) {}, created, notFound, notFound},
+		{"known job", func(c *fakeCluster) { c.jobs["wk-1"] = running("wk-1") }, ok, ok, ok},
+		{"done job", func(c *fakeCluster) { c.jobs["wk-1"] = final("wk-1", wire.Done) }, ok, ok, ok},
+		{"job that another controller has stored", func(c *fakeCluster) {
+			c.writeErr, c.onRead = store.ErrConflict, func() { c.jobs["wk-1"] = running("wk-1") }
+		}, ok, ok, unavailable},
+		{"starting", func(c *fakeCluster) { c.starting = true }, unavailable, unavailable, unavailable},
+		{"must not serve", func(c *fakeCluster) { c.refusal = errors.New("level 3 is in force") }, unavailable, unavailable, unavailable},
+		{"queue is full", func(c *fakeCluster) { c.full = true }, unavailable, unavailable, unavailable},
+		{"machine types are not known", func(c *fakeCluster) { c.types = nil }, unavailable, notFound, notFound},
+		{"machine types are not known, job is", func(c *fakeCluster) { c.types, c.jobs["wk-1"] = nil, running("wk-1") }, ok, ok, ok},
+		{"store out of reach", func(c *fakeCluster) { c.stale, c.readErr = true, store.ErrNotExecuted }, unavailable, unavailable, unavailable},
+		{"store out of reach, job done", func(c *fakeCluster) {
+			c.stale, c.readErr, c.jobs["wk-1"] = true, store.ErrNotExecuted, final("wk-1", wire.Done)
+		}, ok, ok, ok},
+		{"write has no known outcome", func(c *fakeCluster) { c.writeErr, c.jobs["wk-1"] = store.ErrOutcomeUnknown, running("wk-1") }, ok, ok, unavailable},
+		{"record can't be decoded", func(c *fakeCluster) { c.jobs["wk-1"], c.unreadable["wk-1"] = running("wk-1"), true }, unavailable, unavailable, unavailable},
+		{"record of a done job can't be decoded", func(c *fakeCluster) {
+			c.jobs["wk-1"], c.unreadable["wk-1"] = final("wk-1", wire.Done), true
+		}, ok, ok, ok},
+		{"unsatisfiable job", func(c *fakeCluster) { c.types["small"].CPUs = 1 }, unprocessable, notFound, notFound},
+		{"unsatisfiable job that was accepted before", func(c *fakeCluster) {
+			c.types["small"].CPUs, c.jobs["wk-1"] = 1, running("wk-1")
+		}, ok, ok, ok},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			ask := func(what string, want int, f func(f *Frontend) int) {
+				t.Helper()
+				c := newFakeCluster()
+				test.cluster(c)
+				if got := f(c.frontend()); got != want {
+					t.Errorf("%s: status %d, want %d", what, got, want)
+				}
+			}
+			ask("submission", test.submit, func(f *Frontend) int { return f.Submit(t.Context(), job).Status })
+			ask("poll", test.poll, func(f *Frontend) int { return f.Poll(t.Context(), "wk-1").Status })
+			cancelLimit, stop := context.WithTimeout(t.Context(), 50*time.Millisecond) // a conflict is tried again
+			defer stop()
+			ask("cancellation", test.cancel, func(f *Frontend) int { return f.Cancel(cancelLimit, "wk-1").Status })
+		})
+	}
+}
+
+// A cancellation is conditional on the job's record as it was read, and keeps its
+// description.
+func TestCancellationIsACompareAndSwap(t *testing.T) {
+	c := newFakeCluster()
+	c.jobs["wk-1"] = running("wk-1")
+	if response := c.frontend().Cancel(t.Context(), "wk-1"); response.Body != (wire.JobState{ID: "wk-1", State: wire.Cancelled}) {
+		t.Fatalf("answered %+v", response)
+	}
+	if len(c.writes) != 1 || c.writes[0].Conditions[0] != (wire.Condition{Key: "e/job/wk-1", Revision: 5}) {
+		t.Fatalf("written: %+v", c.writes)
+	}
+	var stored record.Job
+	if err := json.Unmarshal(c.writes[0].Changes[0].Value, &stored); err != nil || stored.FinalState != record.Cancelled || stored.Spec == nil {
+		t.Errorf("stored: %+v, %v", stored, err)
+	}
+}
+
+func TestUnsatisfiable(t *testing.T) {
+	quotas := Quotas{{Name: "red", CPUsMax: 8, GPUsMax: 1}, {Name: "blue"}}
+	types := map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, GPUs: 1, RAMGB: 8, Zones: []string{"a"}}}
+	for _, test := range []struct {
+		name string
+		job  wire.Job
+		want string
+	}{
+		{"unknown team", wire.Job{Team: "green", Tasks: 1, CPUs: 1}, "unknown team"},
+		{"array of many tasks", wire.Job{Team: "red", Tasks: 100, CPUs: 4}, ""},
+		{"task above the CPU limit", wire.Job{Team: "red", Tasks: 1, CPUs: 8.5}, "more than the team's limit"},
+		{"service at the CPU limit", wire.Job{Team: "red", Service: true, Tasks: 2, CPUs: 4}, ""},
+		{"service above the CPU limit", wire.Job{Team: "red", Service: true, Tasks: 3, CPUs: 4}, "more than the team's limit"},
+		{"gang above the GPU limit", wire.Job{Team: "red", Gang: true, Tasks: 2, CPUs: 1, GPUs: 1}, "more than the team's limit"},
+		{"team without a limit", wire.Job{Team: "blue", Service: true, Tasks: 1000, CPUs: 4}, ""},
+		{"no machine is large enough", wire.Job{Team: "blue", Tasks: 1, CPUs: 5}, "a task fits no allowed machine type"},
+		{"no machine of an allowed type", wire.Job{Team: "blue", Tasks: 1, CPUs: 1, MachineTypes: []string{"large"}}, "a task fits no allowed machine type"},
+		{"no machine in the zone", wire.Job{Team: "blue", Tasks: 1, CPUs: 1, Zone: "b"}, "a task fits no allowed machine type"},
+	} {
+		if got := quotas.Unsatisfiable(&test.job, types); got != test.want {
+			t.Errorf("%s: %q, want %q", test.name, got, test.want)
+		}
+	}
+}
+
+func TestReadiness(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		cluster func(c *fakeCluster)
+		want    bool
+	}{
+		{"fresh", func(*fakeCluster) {}, true},
+		{"starting", func(c *fakeCluster) { c.starting = true }, false},
+		{"alone without the store", func(c *fakeCluster) { c.stale, c.peersHeard, c.peerFresh = true, true, true }, false},
+		{"nobody reaches the store", func(c *fakeCluster) { c.stale, c.peersHeard = true, true }, true},
+		{"no peer is heard", func(c *fakeCluster) { c.stale = true }, false},
+		{"must not serve", func(c *fakeCluster) { c.refusal = errors.New("level 3 is in force") }, false},
+	} {
+		c := newFakeCluster()
+		test.cluster(c)
+		f := c.frontend()
+		f.UpdateReadiness()
+		if got := f.Ready(); got != test.want {
+			t.Errorf("%s: ready is %v, want %v", test.name, got, test.want)
+		}
+	}
+}
