--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -13,7 +13,7 @@
 	"eiderhitch/internal/wire"
 )
 
-func (c *controller) quotas() []planning.Quota {
+func (c *clusterState) quotas() []planning.Quota {
 	out := make([]planning.Quota, len(c.teamIndex))
 	for i := range c.cfg.Settings.Teams {
 		t := &c.cfg.Settings.Teams[i]
@@ -61,7 +61,7 @@
 
 // assign gives waiting tasks to parts that have room for them, highest claims
 // first, and returns what found none.
-func (c *controller) assign(summaries []*planning.MachineSummary) []planning.Demand {
+func (c *leader) assign(summaries []*planning.MachineSummary) []planning.Demand {
 	byUrgency := c.byUrgency()
 	wants, lost := c.placeAssigned(summaries, byUrgency)
 	var jobs []*job
@@ -157,7 +157,7 @@
 // make some. Where there is none, nothing of its team is held back or stopped for it: the
 // room that came of that went to others, who were stopped for it in turn, several times a
 // second.
-func (c *controller) placeable(summaries []*planning.MachineSummary, j *job) bool {
+func (c *leader) placeable(summaries []*planning.MachineSummary, j *job) bool {
 	zone := ""
 	if j.spec.SingleZone {
 		zone = c.zoneOfJob(j)
@@ -176,7 +176,7 @@
 // placeAssigned has the tasks that are dealt and not placed yet take the room in
 // their parts, and moves those that find none to parts that have it. It returns
 // what found none anywhere, and how much of each record that is.
-func (c *controller) placeAssigned(summaries []*planning.MachineSummary, byUrgency func(x, y *job) int) (wants []planning.Demand, lost map[*taskGroup]int) {
+func (c *leader) placeAssigned(summaries []*planning.MachineSummary, byUrgency func(x, y *job) int) (wants []planning.Demand, lost map[*taskGroup]int) {
 	var groups, stuck []*taskGroup
 	for group := range c.allGroups() {
 		if group.job.finalState == record.Unfinished && group.job.spec != nil && group.job.revision != 0 && group.allowedTasks() > group.boundTasks() {
@@ -251,7 +251,7 @@
 }
 
 // slackS is the time until a job's deadline, or until it should be done all the same.
-func (c *controller) slackS(j *job) float64 {
+func (c *clusterState) slackS(j *job) float64 {
 	if j.spec.NoDeadline {
 		return math.Inf(1)
 	}
@@ -264,7 +264,7 @@
 }
 
 // demand is what a job's tasks that found no room ask of the fleet.
-func (c *controller) demand(j *job, zone string, n int) planning.Demand {
+func (c *clusterState) demand(j *job, zone string, n int) planning.Demand {
 	spec, o := j.spec, c.jobOrder(j)
 	return planning.Demand{Class: spec.Class, TaskSize: j.taskSize, Count: n, AllOrNothing: spec.AllOrNothing(), EstimateS: spec.EstimateS, WindowS: o.WindowS(), SlackS: c.slackS(j),
 		Allows: func(o planning.Offer) bool { return allowed(spec, zone, o.Type, o.Zone, o.Spot) }}
@@ -275,13 +275,13 @@
 
 // turnaround is about how long a cell stays empty when its next task has not
 // been dealt yet: the end is stored, the leader deals, the binding is stored.
-func (c *controller) turnaround() time.Duration {
+func (c *clusterState) turnaround() time.Duration {
 	return c.endsDelay() + 2*min(c.stateWriter.Backlog(), 5*time.Second) + time.Second
 }
 
 // assignAhead is how many tasks each part may be dealt beyond its free room, so
 // that an ending task's cell is taken again without asking the leader.
-func (c *controller) assignAhead(lost map[*taskGroup]int) []int {
+func (c *clusterState) assignAhead(lost map[*taskGroup]int) []int {
 	ahead := make([]float64, len(c.partitions))
 	t := c.turnaround().Seconds()
 	for group := range c.allGroups() {
@@ -309,7 +309,7 @@
 }
 
 // assignJob deals as many of a job's tasks as there is room for now.
-func (c *controller) assignJob(summaries []*planning.MachineSummary, limits []planning.Quota, j *job, ask assignmentRequest) planning.Demand {
+func (c *leader) assignJob(summaries []*planning.MachineSummary, limits []planning.Quota, j *job, ask assignmentRequest) planning.Demand {
 	dealt, left := ask.assigned, ask.remaining
 	spec := j.spec
 	lim := &limits[j.team]
@@ -420,7 +420,7 @@
 }
 
 // fitTransaction is how much of a list of records one transaction can create.
-func (c *controller) fitTransaction(chunks []record.TaskGroup) []record.TaskGroup {
+func (c *clusterState) fitTransaction(chunks []record.TaskGroup) []record.TaskGroup {
 	size := 0
 	for i := range chunks {
 		size += chunks[i].Encode(c.encoding()).Size() + recordOverhead
@@ -438,7 +438,7 @@
 // assignRemainder deals the tasks of a gang that did not fit into the transactions before, to
 // where those are. Which tasks are dealt is known by number alone, so there is one
 // transaction at a time; a new leader goes on where the last one stopped.
-func (c *controller) assignRemainder(j *job, dealt int) {
+func (c *leader) assignRemainder(j *job, dealt int) {
 	first := j.firstGroup()
 	var chunks []record.TaskGroup
 	for next := dealt; next < j.spec.Tasks; next += c.maxGroupTasks {
@@ -450,7 +450,7 @@
 // writeAssignment stores the records of one dealing. All of them are written together or
 // not at all: which tasks are dealt already is known by their number alone, so a gap,
 // left by one write that failed, would have a later dealing hand out tasks twice.
-func (c *controller) writeAssignment(j *job, chunks []record.TaskGroup) {
+func (c *leader) writeAssignment(j *job, chunks []record.TaskGroup) {
 	if len(chunks) == 0 {
 		return
 	}
@@ -499,7 +499,7 @@
 }
 
 // zoneOfJob is the zone that a samePlace job's tasks are in already, or are to be.
-func (c *controller) zoneOfJob(j *job) string {
+func (c *clusterState) zoneOfJob(j *job) string {
 	for _, group := range j.groups {
 		if group.zone != "" && len(group.bindings) > 0 {
 			return group.zone
@@ -509,7 +509,7 @@
 }
 
 // candidateZones lists the zones to try; "" stands for any.
-func (c *controller) candidateZones(j *job, summaries []*planning.MachineSummary) []string {
+func (c *clusterState) candidateZones(j *job, summaries []*planning.MachineSummary) []string {
 	if !j.spec.SingleZone && !j.spec.Spread {
 		return []string{""}
 	}
@@ -534,7 +534,7 @@
 }
 
 // zoneSpreadRoom is how many more tasks may go to a zone: half of all, rounded up.
-func (c *controller) zoneSpreadRoom(j *job, zone string, more []record.TaskGroup) int {
+func (c *clusterState) zoneSpreadRoom(j *job, zone string, more []record.TaskGroup) int {
 	n := (j.spec.Tasks + 1) / 2
 	for _, group := range j.groups {
 		if group.zone == zone {
--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -22,14 +22,14 @@
 // endsDelay is how long ended attempts of a record wait for others now: writes
 // are scarce, and the more of them wait, the more one should carry. Their cells
 // are free meanwhile.
-func (c *controller) endsDelay() time.Duration {
+func (c *clusterState) endsDelay() time.Duration {
 	return min(minEndsDelay+2*c.stateWriter.Backlog(), maxEndsDelay)
 }
 
 // bindingsDelay is how long the new bindings of an array's record wait for others
 // while more of its tasks are to come: cells come free one by one, many times a
 // second, and a change for each would take up what the state service allows.
-func (c *controller) bindingsDelay() time.Duration {
+func (c *clusterState) bindingsDelay() time.Duration {
 	return min(400*time.Millisecond+c.stateWriter.Backlog(), time.Second)
 }
 
@@ -54,7 +54,7 @@
 }
 
 // storeGroup writes what has changed of a record, if anything.
-func (c *controller) storeGroup(p *partition, group *taskGroup) {
+func (c *partitionOwner) storeGroup(p *partition, group *taskGroup) {
 	update := c.planUpdate(p, group)
 	if c.now.Before(group.retryWriteAt) {
 		return
@@ -78,7 +78,7 @@
 
 // bindingAttempt is the attempt of the next bindings of a gang's record; 0: none may be
 // made, since not all of its tasks have cells.
-func (c *controller) bindingAttempt(p *partition, group *taskGroup) uint64 {
+func (c *clusterState) bindingAttempt(p *partition, group *taskGroup) uint64 {
 	attempt, there := c.gangAttempt(group.job)
 	if there {
 		return attempt // what is missing of it
@@ -92,7 +92,7 @@
 }
 
 // planUpdate works out what is to be stored of a record: ended attempts, new bindings.
-func (c *controller) planUpdate(p *partition, group *taskGroup) groupUpdate {
+func (c *clusterState) planUpdate(p *partition, group *taskGroup) groupUpdate {
 	update := groupUpdate{done: group.done, oversized: group.size > c.maxValueBytes()}
 	job := group.job
 	gang := job.spec.Gang
@@ -138,7 +138,7 @@
 }
 
 // planGangDone has all tasks of a gang's record done: one of the gang is.
-func (c *controller) planGangDone(group *taskGroup, update *groupUpdate) {
+func (c *clusterState) planGangDone(group *taskGroup, update *groupUpdate) {
 	for i := range group.bindings {
 		t := group.task(group.bindings[i].task)
 		if o, ok := c.attemptEnds[t]; ok {
@@ -150,7 +150,7 @@
 }
 
 // updateCanWait tells whether an array's update can wait for more to come.
-func (c *controller) updateCanWait(group *taskGroup, update *groupUpdate) bool {
+func (c *clusterState) updateCanWait(group *taskGroup, update *groupUpdate) bool {
 	if group.job.spec.AllOrNothing() {
 		return false
 	}
@@ -180,7 +180,7 @@
 }
 
 // writeUpdate has the state service carry an update out.
-func (c *controller) writeUpdate(p *partition, group *taskGroup, update *groupUpdate) {
+func (c *partitionOwner) writeUpdate(p *partition, group *taskGroup, update *groupUpdate) {
 	job := group.job
 	// Services first: when hundreds of machines are lost together, or all leases have
 	// ended in an outage, what is to be stored takes longer than users wait.
@@ -229,7 +229,7 @@
 }
 
 // endsJob tells whether an update completes the last tasks of a job.
-func (c *controller) endsJob(group *taskGroup, update *groupUpdate) bool {
+func (c *clusterState) endsJob(group *taskGroup, update *groupUpdate) bool {
 	job := group.job
 	if job.finalState != record.Unfinished || job.finishing || update.done == group.done {
 		return false
@@ -240,7 +240,7 @@
 
 // updateFailed gives up the claims of an update that is not stored as far as we know; what
 // the state service really has is read before anything else is done.
-func (c *controller) updateFailed(p *partition, group *taskGroup, update *groupUpdate, err error) {
+func (c *clusterState) updateFailed(p *partition, group *taskGroup, update *groupUpdate, err error) {
 	c.log.Debug("record write failed", "key", group.key, "err", err)
 	if errors.Is(err, store.ErrInvalid) {
 		c.log.Error("record is refused as invalid", "key", group.key, "entries", len(update.bindings))
@@ -259,7 +259,7 @@
 }
 
 // updateStored has what an update binds started, and forgets the ends that it stored.
-func (c *controller) updateStored(group *taskGroup, update *groupUpdate, elsewhere []*machine) {
+func (c *partitionOwner) updateStored(group *taskGroup, update *groupUpdate, elsewhere []*machine) {
 	job := group.job
 	c.metrics.count(countBound, len(update.newlyBound))
 	for _, t := range update.newlyBound {
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -78,7 +78,7 @@
 
 // noteUndecodable names a record that this version can't read. Nothing is guessed:
 // its job is neither dealt nor ended, and its user is told to come back.
-func (c *controller) noteUndecodable(key string, err error) {
+func (c *clusterState) noteUndecodable(key string, err error) {
 	c.log.Error("stored record can't be decoded; it is left alone", "key", key, "err", err)
 	c.metrics.count(countUndecodable, 1)
 	id, ok := strings.CutPrefix(key, jobPrefix)
@@ -144,7 +144,7 @@
 	}
 }
 
-func (c *controller) job(id string) *job {
+func (c *clusterState) job(id string) *job {
 	j := c.jobs[id]
 	if j == nil {
 		if j = c.lookupJob(id); j == nil {
@@ -158,7 +158,7 @@
 
 // restoreJob puts a job among those that the leader goes through. Jobs are remembered
 // for ever: a step must not cost more for each that has ever been.
-func (c *controller) restoreJob(j *job) {
+func (c *clusterState) restoreJob(j *job) {
 	if !j.inUnfinished {
 		j.inUnfinished = true
 		c.unfinished = append(c.unfinished, j)
@@ -170,7 +170,7 @@
 // of it is left is known only once all changes before its last one are: a record that
 // was stored before a cancellation of ours may be seen after it, and its tasks count
 // for the team's limit.
-func (c *controller) archiveFinished() {
+func (c *clusterState) archiveFinished() {
 	c.unfinished = slices.DeleteFunc(c.unfinished, func(j *job) bool {
 		if j.finalState == record.Unfinished || len(j.groups) > 0 || j.revision > c.replica.Cursor() || j.hasUnreadableRecords() {
 			return false
@@ -215,13 +215,13 @@
 }
 
 // releaseJobDetails drops what a final job needs no more; its fate is kept for ever.
-func (c *controller) releaseJobDetails(j *job) {
+func (c *clusterState) releaseJobDetails(j *job) {
 	if j.finalState != record.Unfinished && len(j.groups) == 0 && j.revision <= c.replica.Cursor() {
 		j.spec, j.groups, j.groupOfTask = nil, nil, nil
 	}
 }
 
-func (c *controller) team(name string) scheduling.TeamIndex {
+func (c *clusterState) team(name string) scheduling.TeamIndex {
 	t, ok := c.teamIndex[name]
 	if !ok {
 		t = scheduling.TeamIndex(len(c.teamIndex))
@@ -230,7 +230,7 @@
 	return t
 }
 
-func (c *controller) putMachineTypes(list []wire.MachineType) {
+func (c *clusterState) putMachineTypes(list []wire.MachineType) {
 	c.machineTypes = map[string]*wire.MachineType{}
 	for i := range list {
 		c.machineTypes[list[i].Name] = &list[i]
@@ -241,7 +241,7 @@
 	c.requestPass()
 }
 
-func (c *controller) putTombstone(key string, names []string) {
+func (c *clusterState) putTombstone(key string, names []string) {
 	c.tombstones[key] = tombstone{names, c.now}
 	for _, name := range names {
 		c.terminated[name] = true
@@ -268,7 +268,7 @@
 }
 
 // markGroupReadable notes that a group's record can be decoded, or is gone.
-func (c *controller) markGroupReadable(key string) {
+func (c *clusterState) markGroupReadable(key string) {
 	delete(c.rollout.unreadable, key)
 	if id, _, ok := splitGroupKey(key); ok {
 		if job := c.jobs[id]; job != nil {
@@ -278,7 +278,7 @@
 }
 
 // newGroup begins a record that has not been seen before.
-func (c *controller) newGroup(key, id string, k int) *taskGroup {
+func (c *clusterState) newGroup(key, id string, k int) *taskGroup {
 	job := c.job(id)
 	group := &taskGroup{key: key, index: scheduling.GroupIndex(len(c.groups)), number: k, job: job, inPartitionSince: c.now, partition: -1}
 	c.groups = append(c.groups, group)
@@ -292,7 +292,7 @@
 }
 
 // putBindings takes a record's tasks in, with the machines that they are bound to.
-func (c *controller) putBindings(group *taskGroup, tasks []record.Binding) {
+func (c *clusterState) putBindings(group *taskGroup, tasks []record.Binding) {
 	entries := make([]binding, 0, len(tasks))
 	placed := 0
 	for _, x := range tasks {
@@ -362,7 +362,7 @@
 }
 
 // allGroups goes through all records there are.
-func (c *controller) allGroups() iter.Seq[*taskGroup] {
+func (c *clusterState) allGroups() iter.Seq[*taskGroup] {
 	return func(yield func(*taskGroup) bool) {
 		for _, p := range c.partitions {
 			for _, group := range p.groups {
@@ -375,7 +375,7 @@
 }
 
 // moveToPartition moves a record to another part's list; -1: to none.
-func (c *controller) moveToPartition(group *taskGroup, part int) {
+func (c *clusterState) moveToPartition(group *taskGroup, part int) {
 	if group.listPosition > 0 && group.partition == part {
 		return
 	}
@@ -392,7 +392,7 @@
 	}
 }
 
-func (c *controller) unlinkBindings(group *taskGroup) {
+func (c *clusterState) unlinkBindings(group *taskGroup) {
 	for i := range group.bindings {
 		bound := &group.bindings[i]
 		if bound.machine != nil {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -2,92 +2,24 @@
 
 import (
 	"context"
-	"log/slog"
 	"time"
 
-	"eiderhitch/internal/cloud"
-	"eiderhitch/internal/config"
-	"eiderhitch/internal/election"
 	"eiderhitch/internal/frontend"
-	"eiderhitch/internal/peer"
-	"eiderhitch/internal/record"
-	"eiderhitch/internal/replica"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
-	"eiderhitch/internal/wire"
-	"eiderhitch/internal/workerclient"
 )
 
-// controller is the actor's state. Only the actor's goroutine touches it.
+// controller runs the event loop and wires the components together. Only the event loop's
+// goroutine touches its state and that of the components, but for the methods of frontend
+// and election that say otherwise.
 type controller struct {
-	cfg       *config.Platform
-	operator  *config.Operator
-	log       *slog.Logger
-	processID string
-	ctx       context.Context
-	events    *eventQueue
-	// cloudCalls holds calls to the cloud that wait for their turn.
-	cloudCalls   chan func()
-	stateClient  *store.Client
-	stateWriter  *store.Writer
-	cloudClient  *cloud.Client
-	workerClient *workerclient.Client
-	now          time.Time // of the event in work
-	maxStaleness time.Duration
-	leaseExpiry  time.Duration // a worker's lease, with drift and margin
-
-	replica *replica.Replica
-	reader  *replica.Reader
-
-	startedAt time.Time
-	// Indices over the stored records.
-	jobs               map[string]*job
-	finished           map[string]record.FinalState // of the jobs that are over and archived
-	unfinished         []*job                       // those that are not over and cleared up, and some that are
-	groups             []*taskGroup                 // by dense index; nil where deleted
-	groupByKey         map[string]*taskGroup
-	machineTypes       map[string]*wire.MachineType
-	machineTypesStored bool
-	rollout            rolloutState
-	terminated         map[string]bool // machines that surely are, as long as a marker says so
-	tombstones         map[string]tombstone
-	loans              map[string]*machineLoan // by machine
-	teamIndex          map[string]scheduling.TeamIndex
-	objectiveSeconds   map[string]float64 // by class: seconds in which its jobs should be done
-	maxGroupTasks      int
-
+	*clusterState
+	*partitionOwner
+	*leader
+	*autoscaler
 	*frontend.Frontend
 
-	election       *election.Elector
-	partitions     []*partition
-	machines       map[string]*machine
-	machineByIndex []*machine
-	peers          *peer.Registry
-	send           func(sibling string, frame []byte)
-	jitter         func(time.Duration) time.Duration
-	leadership     leadership
-	draining       map[string]bool // machines that the leader wants to return
-	// Machines that are being released, and those of them not asked for yet.
-	terminating       map[string]bool
-	toTerminate       []string
-	terminateInFlight bool
-	attemptEnds       map[scheduling.Task]attemptEnd
-	// Direct commands that are open, the most that may be, and who waits.
-	directsInFlight, maxDirects int
-	directQueue                 []*machine
-	passDue                     bool
-	schedulingPass              uint64 // decisions of parts taken so far
-	// resumedFromPauseAt: this process stood still until then.
-	resumedFromPauseAt time.Time
-	lastHeartbeatAt    time.Time // of any worker's last report
-	// acceptsHeartbeats: reports are taken (MaxStaleness). resumedAt is when they last were again after
-	// an outage: machines could not be heard before.
-	acceptsHeartbeats   bool
-	heartbeatsResumedAt time.Time
-	// lastTick is when the actor last came to its duties, laggedAt when it last
-	// came late to them: see lagging.
-	lastTick, lastLaggedAt time.Time
-	metrics                *metrics
+	send func(peer string, frame []byte)
 }
 
 // partition is one hash part of the machines.
@@ -141,11 +73,11 @@
 }
 
 // enqueue runs f in the actor; it blocks while the lane is full.
-func (c *controller) enqueue(l priority, f func()) { c.events.put(c.ctx, l, f) }
+func (c *clusterState) enqueue(l priority, f func()) { c.events.put(c.ctx, l, f) }
 
 // call runs f in the actor and waits for it. False means that f has not been run and
 // won't be, or that ctx ended meanwhile: nobody waits for what it says any more.
-func (c *controller) call(ctx context.Context, l priority, f func()) bool {
+func (c *clusterState) call(ctx context.Context, l priority, f func()) bool {
 	ready := make(chan struct{})
 	g := func() {
 		if ctx.Err() == nil {
@@ -170,7 +102,7 @@
 
 // loopAt is the event loop as components see it that queue functions at one priority.
 type loopAt struct {
-	*controller
+	*clusterState
 	at priority
 }
 
@@ -187,13 +119,13 @@
 func (l loopAt) RetryAfterS() int { return l.events.retryAfterS() }
 
 // isFresh tells whether the replica is current enough to act on: see MaxStaleness.
-func (c *controller) isFresh(limit time.Duration) bool {
+func (c *clusterState) isFresh(limit time.Duration) bool {
 	return c.replica.FreshWithin(limit, c.now)
 }
 
 // SubmitWrite submits a unit; then runs in the actor with the result, after the
 // replica has taken the changes in.
-func (c *controller) SubmitWrite(write *store.Write, then func(err error)) {
+func (c *clusterState) SubmitWrite(write *store.Write, then func(err error)) {
 	begun := c.now
 	write.Done = func(rev uint64, err error) {
 		// Never block the writer on a full inbox that waits for the writer.
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -16,10 +16,7 @@
 	"eiderhitch/internal/election"
 	"eiderhitch/internal/frontend"
 	"eiderhitch/internal/peer"
-	"eiderhitch/internal/record"
 	"eiderhitch/internal/replica"
-	"eiderhitch/internal/scheduling"
-	"eiderhitch/internal/store"
 	"eiderhitch/internal/workerclient"
 )
 
@@ -51,54 +48,34 @@
 	if out.jitter == nil {
 		out.jitter = rand.N[time.Duration]
 	}
-	st := store.NewClient(cfg.External.Store, out.state)
+	state := newClusterState(ctx, cfg, op, log, out)
+	lead := &leader{clusterState: state}
 	c := &controller{
-		cfg: cfg, operator: op, log: log.With("node", cfg.Name), processID: fmt.Sprintf("%016x", rand.Uint64()), ctx: ctx,
-		events: newEventQueue(), cloudCalls: make(chan func(), cloudQueue),
-		stateClient: st, stateWriter: store.NewWriter(st, s.Store.TxnOps, s.Store.WriteRPS, s.Count, out.jitter),
-		cloudClient: cloud.NewClient(cfg.External.Cloud, s.Cloud.RPS, out.cloud), workerClient: workerclient.NewClient(out.workers), send: out.send, jitter: out.jitter,
-		maxStaleness: config.MaxStaleness(s.Workers.CancelS, s.Workers.LeaseS), leaseExpiry: config.LeaseExpiry(s.Workers.CancelS, s.Workers.LeaseS),
-		jobs: map[string]*job{}, finished: map[string]record.FinalState{}, groupByKey: map[string]*taskGroup{},
-		terminated: map[string]bool{}, tombstones: map[string]tombstone{}, loans: map[string]*machineLoan{}, teamIndex: map[string]scheduling.TeamIndex{}, objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.Store.ValueKB),
-		machines: map[string]*machine{}, terminating: map[string]bool{},
-		attemptEnds: map[scheduling.Task]attemptEnd{}, maxDirects: cfg.DirectCommands(), metrics: newMetrics(), schedulingPass: 1,
-	}
-	c.replica = replica.New(c)
-	c.reader = replica.NewReader(ctx, replica.Config{
+		clusterState:   state,
+		partitionOwner: &partitionOwner{clusterState: state, workerClient: workerclient.NewClient(out.workers), maxDirects: cfg.DirectCommands()},
+		leader:         lead,
+		autoscaler:     &autoscaler{leader: lead, cloudClient: cloud.NewClient(cfg.External.Cloud, s.Cloud.RPS, out.cloud), cloudCalls: make(chan func(), cloudQueue)},
+		send:           out.send,
+	}
+	state.replica = replica.New(c)
+	state.reader = replica.NewReader(ctx, replica.Config{
 		Prefix: keyPrefix, Controllers: s.Count, RequestsPerSecond: s.Store.RPS, Jitter: out.jitter, Loaded: c.archiveFinished, Log: c.log,
-	}, c.replica, st, loopAt{c, priorityState})
-	c.rollout = newRolloutState(cfg, op)
-	c.now = time.Now()
-	c.startedAt = c.now
-	for _, t := range s.Teams {
-		c.team(t.Name)
-	}
-	for n := range s.Count {
-		c.partitions = append(c.partitions, &partition{index: n, key: c.rollout.keys.Partition(n)})
-	}
-	// The last one is the leader's: machines that other parts have lent.
-	c.partitions = append(c.partitions, &partition{index: s.Count, key: c.leaderKey()})
-	c.Frontend = frontend.New(frontend.Config{
-		JobKey: jobKey, LeaseTTL: op.LeaseTTL, MaxValueBytes: c.maxValueBytes(), Quotas: s.Teams, Log: c.log,
-	}, clusterView{c}, loopAt{c, priorityUsers}, c.metrics)
-	c.peers = peer.NewRegistry(names(cfg.Peers))
-	c.election = election.New(ctx, election.Config{
+	}, state.replica, state.stateClient, loopAt{state, priorityState})
+	state.election = election.New(ctx, election.Config{
 		Node: cfg.Name, ProcessID: c.processID, Nodes: cfg.Nodes(), TTL: op.LeaseTTL, StartedAt: c.startedAt,
 		HeartbeatInterval: config.Seconds(s.Workers.ReportS), WorkLifetime: c.maxStaleness + c.leaseExpiry, Log: c.log,
 	}, election.Services{
-		Store: st, Replica: c.replica, Reader: c.reader, Writer: c, Loop: loopAt{c, priorityState}, Listener: c,
+		Store: state.stateClient, Replica: state.replica, Reader: state.reader, Writer: c, Loop: loopAt{state, priorityState}, Listener: c,
 	}, leaseKeys(c.rollout.keys, s.Count))
+	c.Frontend = frontend.New(frontend.Config{
+		JobKey: jobKey, LeaseTTL: op.LeaseTTL, MaxValueBytes: c.maxValueBytes(), Quotas: s.Teams, Log: c.log,
+	}, clusterView{c}, loopAt{state, priorityUsers}, c.metrics)
 	return c
 }
 
-// names are those of the other controllers.
-func names(peers []config.Peer) []string {
-	var out []string
-	for _, p := range peers {
-		out = append(out, p.Name)
-	}
-	return out
-}
+// newProcessID draws a name that no other process has: a restarted controller has the name
+// of its former self.
+func newProcessID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
 // Run serves until ctx ends.
 func Run(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger) error {
@@ -259,12 +236,12 @@
 
 // lagging tells whether this process gets so little processor time just now that it
 // can't tell who is late: others or itself.
-func (c *controller) lagging() bool {
+func (c *clusterState) lagging() bool {
 	return !c.lastTick.IsZero() && c.now.Sub(c.lastTick) > tickInterval+maxLag
 }
 
 // laggedSince tells whether it did at any time since t.
-func (c *controller) laggedSince(t time.Time) bool { return c.lagging() || c.lastLaggedAt.After(t) }
+func (c *clusterState) laggedSince(t time.Time) bool { return c.lagging() || c.lastLaggedAt.After(t) }
 
 func (c *controller) runCloudCalls() {
 	for {
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -32,7 +32,7 @@
 }
 
 // eligible tells whether this controller should hold leased keys.
-func (c *controller) eligible() bool {
+func (c *clusterState) eligible() bool {
 	return c.isFresh(c.operator.LeaseTTL) && !c.election.BackingOff() && c.rollout.refusal == nil
 }
 
@@ -109,7 +109,7 @@
 
 // raiseToken rewrites a partition's key: a higher token, which fences commands that may
 // still be under way.
-func (c *controller) raiseToken(p *partition) {
+func (c *clusterState) raiseToken(p *partition) {
 	if c.now.Sub(p.tokenRaisedAt) < minTokenRaiseInterval {
 		return
 	}
@@ -159,7 +159,7 @@
 }
 
 // learnMachinesFromPeers takes in what peers know of their machines.
-func (c *controller) learnMachinesFromPeers() {
+func (c *clusterState) learnMachinesFromPeers() {
 	for _, other := range c.peers.All() {
 		if other.Status == nil {
 			continue
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -37,7 +37,7 @@
 }
 
 // lookupJob is the job of that name, if one was ever accepted.
-func (c *controller) lookupJob(id string) *job {
+func (c *clusterState) lookupJob(id string) *job {
 	if j := c.jobs[id]; j != nil && j.revision != 0 {
 		return j
 	}
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -19,7 +19,7 @@
 
 // gangAttempt is the present attempt of a gang, and whether any task of it may still be
 // on a machine. Without one the next binding is a new attempt.
-func (c *controller) gangAttempt(j *job) (attempt uint64, there bool) {
+func (c *clusterState) gangAttempt(j *job) (attempt uint64, there bool) {
 	for _, group := range j.groups {
 		for i := range group.bindings {
 			bound := &group.bindings[i]
@@ -31,7 +31,7 @@
 }
 
 // missingMembers counts the members of a gang's present attempt that are gone.
-func (c *controller) missingMembers(j *job, attempt uint64) int {
+func (c *clusterState) missingMembers(j *job, attempt uint64) int {
 	n := 0
 	for _, group := range j.groups {
 		for i := range group.bindings {
@@ -47,7 +47,7 @@
 
 // gangBroken tells whether a gang has lost a member of an attempt that has run, or can't be
 // completed: the others stop, and the gang starts whole again.
-func (c *controller) gangBroken(j *job) bool {
+func (c *clusterState) gangBroken(j *job) bool {
 	attempt, there := c.gangAttempt(j)
 	if !there || attempt == 0 || j.startedAttempt != attempt && j.failedAttempt != attempt {
 		return false
@@ -56,7 +56,7 @@
 }
 
 // gangMustStop tells whether a gang is to be stopped: one of its tasks has to go.
-func (c *controller) gangMustStop(j *job) bool {
+func (c *clusterState) gangMustStop(j *job) bool {
 	if j.finalState != record.Unfinished {
 		return true
 	}
@@ -77,7 +77,7 @@
 // stopGangs has gangs that are to be stopped hear it at once, on all their machines: an
 // orderly stop has to reach every task within gang_peer_s of the first, and what runs on
 // without the others is of no use.
-func (c *controller) stopGangs(p *partition) {
+func (c *partitionOwner) stopGangs(p *partition) {
 	for _, group := range p.groups {
 		job := group.job
 		if group.boundCount == 0 || job.spec == nil || !job.spec.Gang || job.finalState != record.Unfinished {
@@ -119,7 +119,7 @@
 
 // stopGraceS is what a task is given to save when it is stopped: what it asks for, unless
 // there is nothing to save. A gang saves together or not at all.
-func (c *controller) stopGraceS(j *job) float64 {
+func (c *clusterState) stopGraceS(j *job) float64 {
 	if j.finalState != record.Unfinished || j.spec == nil || j.spec.CheckpointS == 0 || j.spec.Gang && c.gangBroken(j) {
 		return 0
 	}
@@ -128,7 +128,7 @@
 
 // placeGang asks for cells for a gang: for all of its tasks, or for those that were lost
 // before it ran, which complete the attempt that waits for them.
-func (c *controller) placeGang(p *partition, group *taskGroup, pending []scheduling.Task, request func(...scheduling.Task) bool) {
+func (c *clusterState) placeGang(p *partition, group *taskGroup, pending []scheduling.Task, request func(...scheduling.Task) bool) {
 	job := group.job
 	if dealt, _ := job.assignedTasks(); dealt < job.spec.Tasks || !job.groupsTogether(p.index, group.zone) {
 		return // a group is reserved whole, in one part
@@ -166,7 +166,7 @@
 
 // failIncompleteGang ends an attempt that was bound in part and can't be completed: without
 // room for the rest nothing would be started, nor given back.
-func (c *controller) failIncompleteGang(j *job) {
+func (c *clusterState) failIncompleteGang(j *job) {
 	attempt, there := c.gangAttempt(j)
 	switch {
 	case !there || j.gangBound():
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -64,7 +64,7 @@
 
 // mayUseReserve tells whether a job may be placed on machines that the leader has in its
 // own part: those that are there for it, and gangs; others only after a long wait.
-func (c *controller) mayUseReserve(j *job) bool {
+func (c *leader) mayUseReserve(j *job) bool {
 	since := j.acceptedAt
 	if j.assignedAt.After(since) {
 		since = j.assignedAt
@@ -75,13 +75,13 @@
 // reserveAllows tells whether a job may be placed on a machine as far as that is kept for
 // others: one of the leader's own part is, until its room has been unused for long.
 // However long a job waits, it is dealt tasks now and then, and began to wait anew each time.
-func (c *controller) reserveAllows(j *job, summary *planning.MachineSummary) bool {
+func (c *leader) reserveAllows(j *job, summary *planning.MachineSummary) bool {
 	return summary.Partition != c.loanPartition() || c.mayUseReserve(j) || c.unusedForLong(summary)
 }
 
 // unusedForLong tells whether nothing has been placed for long on a machine of the
 // leader's own part.
-func (c *controller) unusedForLong(summary *planning.MachineSummary) bool {
+func (c *leader) unusedForLong(summary *planning.MachineSummary) bool {
 	m := c.machineByIndex[summary.ID]
 	limit := reserveMaxUnused
 	if loan := c.loans[m.name]; loan != nil && loan.Job != reserveLoanJob {
@@ -97,7 +97,7 @@
 }
 
 // outranksReserve tells whether a job goes before gangs.
-func (c *controller) outranksReserve(j *job) bool {
+func (c *leader) outranksReserve(j *job) bool {
 	for _, class := range c.leadership.gangReserve.classes {
 		if j.spec.Priority > class.spec.Priority {
 			return true
@@ -107,7 +107,7 @@
 }
 
 // updateReserve notes which gangs there are, and which machines of the pool are wanted.
-func (c *controller) updateReserve(summaries []*planning.MachineSummary) {
+func (c *leader) updateReserve(summaries []*planning.MachineSummary) {
 	reserve := &c.leadership.gangReserve
 	if reserve.classes == nil {
 		reserve.classes = map[string]*gangClass{}
@@ -171,13 +171,13 @@
 }
 
 // reserveKeeps tells whether a machine of the pool stays there.
-func (c *controller) reserveKeeps(m *machine) bool {
+func (c *leader) reserveKeeps(m *machine) bool {
 	return len(m.bindings) > 0 || c.leadership.gangReserve.keep[m.index] || c.now.Sub(m.inPartitionSince) < reserveMinHold
 }
 
 // fillReserve borrows machines for the pool while it lacks room: empty ones, or such as
 // will come empty soon.
-func (c *controller) fillReserve(summaries []*planning.MachineSummary) {
+func (c *leader) fillReserve(summaries []*planning.MachineSummary) {
 	reserve := &c.leadership.gangReserve
 	reserve.shortfall = nil
 	if len(reserve.classes) == 0 {
@@ -239,7 +239,7 @@
 
 // incomingReserveRoom is for how many tasks of a class there will be room on machines that are on
 // their way to the pool: empty ones, and such as come empty some time.
-func (c *controller) incomingReserveRoom(class *gangClass, zone string) (empty, busy int) {
+func (c *clusterState) incomingReserveRoom(class *gangClass, zone string) (empty, busy int) {
 	for name, loan := range c.loans {
 		m := c.machineNamed(name)
 		t := c.machineTypes[m.machineType]
@@ -257,7 +257,7 @@
 }
 
 // loanCandidates are hosts of other parts that may be lent, the emptiest and largest first.
-func (c *controller) loanCandidates(summaries []*planning.MachineSummary, fits func(*planning.MachineSummary) bool) []*planning.MachineSummary {
+func (c *leader) loanCandidates(summaries []*planning.MachineSummary, fits func(*planning.MachineSummary) bool) []*planning.MachineSummary {
 	var can []*planning.MachineSummary
 	for _, summary := range summaries {
 		if fits(summary) && summary.Partition != c.loanPartition() && !summary.InUse && !summary.RunsService && !c.leadership.draining[c.machineByIndex[summary.ID].name] {
@@ -289,7 +289,7 @@
 
 // reserveZone is the zone in which the pool has the most room for a gang that must be in
 // one; "" for any.
-func (c *controller) reserveZone(summaries []*planning.MachineSummary, class *gangClass) string {
+func (c *clusterState) reserveZone(summaries []*planning.MachineSummary, class *gangClass) string {
 	if !class.spec.SingleZone {
 		return ""
 	}
--- a/internal/controller/instances.go
+++ b/internal/controller/instances.go
@@ -14,9 +14,21 @@
 	"eiderhitch/internal/wire"
 )
 
+// autoscaler launches and terminates machines for the leader, and terminates those of this
+// controller's partitions that nobody reaches while no leader is heard.
+type autoscaler struct {
+	*leader
+	cloudClient *cloud.Client
+	// cloudCalls are calls to the cloud that wait for their turn.
+	cloudCalls chan func()
+	// toTerminate are machines of which the cloud has not been asked yet.
+	toTerminate       []string
+	terminateInFlight bool
+}
+
 // launchInstances asks the cloud for machines. The name is unique for all time: the
 // leader's term never comes again.
-func (c *controller) launchInstances(o planning.Offer, n int) {
+func (c *autoscaler) launchInstances(o planning.Offer, n int) {
 	if c.leadership.launching[o] > 0 {
 		return
 	}
@@ -59,7 +71,7 @@
 }
 
 // queueCloudCall queues a call to the cloud; false if too many wait.
-func (c *controller) queueCloudCall(f func()) bool {
+func (c *autoscaler) queueCloudCall(f func()) bool {
 	select {
 	case c.cloudCalls <- f:
 		return true
@@ -73,7 +85,7 @@
 // is on its way at a time, and the next takes all that have come up meanwhile:
 // the cloud allows few calls, and a call for each machine had the last of forty
 // dead ones wait for twenty seconds.
-func (c *controller) terminateInstances(names []string) {
+func (c *autoscaler) terminateInstances(names []string) {
 	for _, n := range names {
 		if !c.terminating[n] {
 			c.terminating[n] = true
@@ -105,7 +117,7 @@
 }
 
 // cancelTermination forgets that machines were to be released: if need be they are again.
-func (c *controller) cancelTermination(names []string) {
+func (c *clusterState) cancelTermination(names []string) {
 	for _, n := range names {
 		delete(c.terminating, n)
 	}
@@ -115,7 +127,7 @@
 // the machine's part. All of a release share a marker: with one for each, some
 // hundred machines that die together took up what the state service allows while
 // their tasks waited for it.
-func (c *controller) storeTombstones(names []string) {
+func (c *leader) storeTombstones(names []string) {
 	type batch struct {
 		names []string
 		size  int
@@ -165,7 +177,7 @@
 // terminateUnreachable has an owner that hears nothing of the leader return its silent
 // machines itself. The leader could not know of them, and their tasks would wait
 // for the whole lease.
-func (c *controller) terminateUnreachable() {
+func (c *autoscaler) terminateUnreachable() {
 	if c.leadership.active {
 		return
 	}
@@ -190,7 +202,7 @@
 const listCallShare = 0.15
 
 // syncCloud keeps the list of machines and the types current.
-func (c *controller) syncCloud() {
+func (c *autoscaler) syncCloud() {
 	if c.now.Sub(c.leadership.machineTypesFetchedAt) > time.Minute || len(c.machineTypes) == 0 && c.now.Sub(c.leadership.machineTypesFetchedAt) > 2*time.Second {
 		if c.isLeader() || len(c.machineTypes) == 0 && c.replica.Loaded() {
 			c.leadership.machineTypesFetchedAt = c.now
@@ -231,7 +243,7 @@
 // the machine any more and no list can show it. One transaction at a time: asked
 // for again at each tick until the first was stored, a hundred markers took up
 // all that the state service allows.
-func (c *controller) deleteTombstones() {
+func (c *leader) deleteTombstones() {
 	if c.leadership.deletingTombstones || c.stateWriter.Backlog() > time.Second {
 		return
 	}
@@ -261,7 +273,7 @@
 	})
 }
 
-func (c *controller) fetchMachineTypes() {
+func (c *autoscaler) fetchMachineTypes() {
 	list, err := c.cloudClient.MachineTypes(c.ctx)
 	c.enqueue(priorityWorkers, func() {
 		if err != nil || len(list) == 0 {
@@ -278,7 +290,7 @@
 
 // applyInstanceList takes the cloud's list in: machines that failed are gone, ones that
 // nobody knows of are used.
-func (c *controller) applyInstanceList(list []wire.Instance) {
+func (c *autoscaler) applyInstanceList(list []wire.Instance) {
 	c.leadership.listed = true
 	var failed []string
 	lag := config.Seconds(2 * c.cfg.Settings.Cloud.ListLagS)
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -261,7 +261,7 @@
 }
 
 // encodeGroup is a record with other entries, in the form that records are written in now.
-func (c *controller) encodeGroup(group *taskGroup, done int, entries []binding) record.Content {
+func (c *clusterState) encodeGroup(group *taskGroup, done int, entries []binding) record.Content {
 	return group.record(done, entries).Encode(c.encoding())
 }
 
@@ -276,12 +276,12 @@
 }
 
 // maxValueBytes is how large a stored value may be.
-func (c *controller) maxValueBytes() int { return int(c.cfg.Settings.Store.ValueKB * 1024) }
+func (c *clusterState) maxValueBytes() int { return int(c.cfg.Settings.Store.ValueKB * 1024) }
 
 // splitToFit is a record's stored form, in as many pieces as the limit of a value asks for: one
 // that was written while more was allowed, or whose names are long, is split when it is
 // written again. The first piece is the record itself.
-func (c *controller) splitToFit(group *taskGroup, done int, entries []binding) []record.Content {
+func (c *clusterState) splitToFit(group *taskGroup, done int, entries []binding) []record.Content {
 	v := c.encodeGroup(group, done, entries)
 	if v.Size() <= c.maxValueBytes() || len(entries) < 2 {
 		return []record.Content{v}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -10,6 +10,13 @@
 	"eiderhitch/internal/wire"
 )
 
+// leader decides for the whole cluster while this controller leads: which partition gets
+// which tasks, within the teams' quotas, and which machines are lent to its own partition.
+type leader struct {
+	*clusterState
+	leadership leadership
+}
+
 // leadership is what only the leader knows. It is rebuilt after a take-over.
 type leadership struct {
 	epoch          uint64 // version of the write that gave the lead: tells one lead from another
@@ -41,7 +48,7 @@
 	isolatedZones map[string]bool
 }
 
-func (c *controller) becomeLeader(stamp uint64) {
+func (c *leader) becomeLeader(stamp uint64) {
 	c.leadership = leadership{epoch: stamp, token: stamp, since: c.now, instances: map[string]*instance{}, idleSince: map[string]time.Time{},
 		refusedUntil: map[planning.Offer]time.Time{}, backoff: map[planning.Offer]time.Duration{}, launching: map[planning.Offer]int{}, isolatedSince: map[string]time.Time{}}
 	// A former leader's late writes fail by its key's version; what it did
@@ -54,10 +61,10 @@
 }
 
 // isLeader tells whether this controller acts as the leader now.
-func (c *controller) isLeader() bool { return c.leadership.active && c.isFresh(c.operator.LeaseTTL) }
+func (c *leader) isLeader() bool { return c.leadership.active && c.isFresh(c.operator.LeaseTTL) }
 
 // lead deals work to parts and rents and returns machines.
-func (c *controller) runLeader() {
+func (c *autoscaler) runLeader() {
 	if !c.isLeader() {
 		return
 	}
@@ -85,7 +92,7 @@
 }
 
 // logUsage logs now and then how full the machines are.
-func (c *controller) logUsage(summaries []*planning.MachineSummary) {
+func (c *leader) logUsage(summaries []*planning.MachineSummary) {
 	if c.now.Sub(c.leadership.usageLoggedAt) < usageLogInterval {
 		return
 	}
@@ -113,7 +120,7 @@
 }
 
 // finishJobs ends jobs whose tasks are all done and clears up behind final ones.
-func (c *controller) finishJobs() {
+func (c *leader) finishJobs() {
 	c.archiveFinished()
 	budget := 8
 	// What is over can wait while the state service has more to do.
@@ -163,7 +170,7 @@
 
 // leaderWriteDone counts a leader's write off. After a failed one the replica is
 // read before anything more is dealt: it may have been applied all the same.
-func (c *controller) leaderWriteDone(epoch uint64, err error) {
+func (c *leader) leaderWriteDone(epoch uint64, err error) {
 	if c.leadership.epoch != epoch {
 		return
 	}
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -32,12 +32,12 @@
 	since        time.Time
 }
 
-func (loan *machineLoan) claim(c *controller) scheduling.Claim {
+func (loan *machineLoan) claim(c *clusterState) scheduling.Claim {
 	return scheduling.Claim{Priority: loan.Priority, Guaranteed: loan.Guaranteed, Team: c.team(loan.Team)}
 }
 
 // loanedMachines are the machines that are lent, in one order for all that is decided.
-func (c *controller) loanedMachines() []string {
+func (c *clusterState) loanedMachines() []string {
 	if len(c.loans) == 0 {
 		return nil
 	}
@@ -45,7 +45,7 @@
 }
 
 // loanPartition is the number of the leader's own part.
-func (c *controller) loanPartition() int { return len(c.partitions) - 1 }
+func (c *clusterState) loanPartition() int { return len(c.partitions) - 1 }
 
 func (c *controller) putLoan(name string, v *record.MachineLoan, stamp uint64) {
 	m := c.machineNamed(name)
@@ -60,7 +60,7 @@
 	}
 }
 
-func (c *controller) deleteLoan(name string) {
+func (c *clusterState) deleteLoan(name string) {
 	m := c.machineNamed(name)
 	delete(c.loans, name)
 	if p := c.partitions[m.hashPartition]; c.updatePartition(m) && p.token != 0 {
@@ -69,7 +69,7 @@
 }
 
 // updatePartition takes a machine out of the part that it was in, if it is in another now.
-func (c *controller) updatePartition(m *machine) bool {
+func (c *clusterState) updatePartition(m *machine) bool {
 	before, now := m.partition, c.partitionOfMachine(m)
 	if now == before {
 		return false
@@ -94,7 +94,7 @@
 
 // acknowledgeLoans hands over machines of a part of ours on which nothing is bound
 // or about to be, apart from services that go along.
-func (c *controller) acknowledgeLoans(p *partition) {
+func (c *clusterState) acknowledgeLoans(p *partition) {
 	for _, name := range c.loanedMachines() {
 		loan, m := c.loans[name], c.machineNamed(name)
 		if loan.Acknowledged || loan.writing || m.hashPartition != p.index || len(m.bindings) > 0 && !c.movesWithServices(loan, m, p) {
@@ -115,7 +115,7 @@
 
 // movesWithServices tells whether all that is bound to a machine is services that go with it to the
 // leader's part: they stay, and were there before the machine was chosen.
-func (c *controller) movesWithServices(loan *machineLoan, m *machine, p *partition) bool {
+func (c *clusterState) movesWithServices(loan *machineLoan, m *machine, p *partition) bool {
 	if loan.Job == reserveLoanJob || !c.runsOnlyServices(m, p) {
 		return false
 	}
@@ -130,7 +130,7 @@
 // runsOnlyServices tells whether all that is bound to a machine of ours is services that run, and
 // no command of ours can still be under way there. Such a machine may change hands with
 // them: whatever ends them later is proven, and stored, as after any take-over.
-func (c *controller) runsOnlyServices(m *machine, p *partition) bool {
+func (c *clusterState) runsOnlyServices(m *machine, p *partition) bool {
 	if !c.usable(m, p) || m.token != p.token || m.unansweredStartToken == p.token || m.directInFlight || m.directCarriesStart || m.startInResponse {
 		return false
 	}
@@ -155,7 +155,7 @@
 }
 
 // hasLoanFor tells whether machines are lent, or being lent, for a job.
-func (c *controller) hasLoanFor(j *job) bool {
+func (c *clusterState) hasLoanFor(j *job) bool {
 	for _, loan := range c.loans {
 		if loan.Job == j.id {
 			return true
@@ -169,7 +169,7 @@
 
 // borrow takes machines from other parts for a whole group of n tasks. It
 // reports whether they are on their way.
-func (c *controller) borrow(summaries []*planning.MachineSummary, j *job, zone string, n int, claim scheduling.Claim) bool {
+func (c *leader) borrow(summaries []*planning.MachineSummary, j *job, zone string, n int, claim scheduling.Claim) bool {
 	coming := c.expectedRoom(summaries, j, zone, n)
 	if coming >= n {
 		return true
@@ -218,7 +218,7 @@
 // machinesBesideServices are machines that together have room for a group beside services that
 // stay. They are in several parts, or the group would be dealt to one: it waited for ever
 // beside room, since no machine with a service was lent.
-func (c *controller) machinesBesideServices(summaries []*planning.MachineSummary, j *job, zone string, n int) []*planning.MachineSummary {
+func (c *leader) machinesBesideServices(summaries []*planning.MachineSummary, j *job, zone string, n int) []*planning.MachineSummary {
 	if c.now.Sub(j.acceptedAt) < borrowServiceMachinesAfter {
 		return nil
 	}
@@ -255,7 +255,7 @@
 
 // expectedRoom is for how many of n tasks of a job there is room in the leader's part, or
 // will be once the machines that are being lent for it have come.
-func (c *controller) expectedRoom(summaries []*planning.MachineSummary, j *job, zone string, n int) int {
+func (c *clusterState) expectedRoom(summaries []*planning.MachineSummary, j *job, zone string, n int) int {
 	room := 0
 	listed := map[scheduling.MachineIndex]bool{}
 	for _, summary := range summaries {
@@ -290,7 +290,7 @@
 
 // borrowMachines lends machines to the leader's part, if the parts that they are in have
 // not changed hands meanwhile.
-func (c *controller) borrowMachines(chosen []*planning.MachineSummary, cond []wire.Condition, v record.MachineLoan) {
+func (c *leader) borrowMachines(chosen []*planning.MachineSummary, cond []wire.Condition, v record.MachineLoan) {
 	write := &store.Write{Prompt: true, Conditions: append([]wire.Condition{c.leaderCondition()}, cond...)}
 	parts := map[int]bool{}
 	for _, summary := range chosen {
@@ -310,7 +310,7 @@
 
 // reviewLoans fences machines that came in and hands back those that are not
 // needed: nothing stays lent for ever.
-func (c *controller) reviewLoans() {
+func (c *leader) reviewLoans() {
 	p := c.partitions[c.loanPartition()]
 	for _, name := range c.loanedMachines() {
 		loan, m := c.loans[name], c.machineNamed(name)
@@ -331,7 +331,7 @@
 }
 
 // loanStillNeeded tells whether a machine is still wanted where it is lent to, and can be had.
-func (c *controller) loanStillNeeded(loan *machineLoan, m *machine, p *partition) bool {
+func (c *leader) loanStillNeeded(loan *machineLoan, m *machine, p *partition) bool {
 	if loan.Job == reserveLoanJob {
 		return loan.Acknowledged && c.reserveKeeps(m) || !loan.Acknowledged && c.now.Sub(loan.since) < reserveLoanTimeout
 	}
@@ -354,7 +354,7 @@
 
 // jobNeedsLoan tells whether a job has tasks that machines lent to a part are for: some that
 // wait there, or a whole group that waits and has found no room where it was dealt to.
-func (c *controller) jobNeedsLoan(j *job, part int) bool {
+func (c *clusterState) jobNeedsLoan(j *job, part int) bool {
 	waits, bound := len(j.groups) == 0, 0
 	for _, group := range j.groups {
 		waits = waits || group.boundTasks() < len(group.bindings)
@@ -377,7 +377,7 @@
 }
 
 // returnLoan ends a lending.
-func (c *controller) returnLoan(name string, loan *machineLoan) {
+func (c *leader) returnLoan(name string, loan *machineLoan) {
 	loan.writing, loan.returning = true, true
 	c.SubmitWrite(&store.Write{
 		Conditions: []wire.Condition{c.leaderCondition(), {Key: loanPrefix + name, Revision: loan.revision}},
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -85,7 +85,7 @@
 	*s = slices.DeleteFunc(*s, func(x machineBinding) bool { return x.task == t })
 }
 
-func (c *controller) machineNamed(name string) *machine {
+func (c *clusterState) machineNamed(name string) *machine {
 	m := c.machines[name]
 	if m == nil {
 		m = &machine{name: name, index: scheduling.MachineIndex(len(c.machineByIndex)), hashPartition: partitionOf(name, c.cfg.Settings.Count), images: map[string]bool{}, fetching: map[string]time.Time{}, failedJobs: map[string]time.Time{}}
@@ -111,7 +111,7 @@
 
 // expectsHeartbeat tells whether a machine should report to its part's owner: it has of
 // late, or work is bound to it and it has not reported since a take-over.
-func (c *controller) expectsHeartbeat(m *machine, within time.Duration) bool {
+func (c *clusterState) expectsHeartbeat(m *machine, within time.Duration) bool {
 	if m.heartbeatAt.IsZero() {
 		return len(m.bindings) > 0
 	}
@@ -119,7 +119,7 @@
 }
 
 // setMachineSize makes a machine's cells known to its part once its type is.
-func (c *controller) setMachineSize(m *machine) {
+func (c *clusterState) setMachineSize(m *machine) {
 	p := c.partitions[m.partition]
 	t := c.machineTypes[m.machineType]
 	if p.token == 0 || t == nil || m.terminated || m.heartbeatAt.IsZero() {
@@ -129,7 +129,7 @@
 }
 
 // partitionOfMachine is the part that a machine is in by what is stored.
-func (c *controller) partitionOfMachine(m *machine) int {
+func (c *clusterState) partitionOfMachine(m *machine) int {
 	if loan := c.loans[m.name]; loan != nil && loan.Acknowledged {
 		return c.loanPartition()
 	}
@@ -137,7 +137,7 @@
 }
 
 // addToPartition puts a machine among those of its part.
-func (c *controller) addToPartition(m *machine) {
+func (c *clusterState) addToPartition(m *machine) {
 	if !m.listed {
 		m.listed = true
 		p := c.partitions[m.partition]
@@ -166,14 +166,14 @@
 
 // heartbeatOverdueAfter is how long a machine may be quiet before it is asked directly: the
 // longest usual pause between two reports and some time on the way.
-func (c *controller) heartbeatOverdueAfter() time.Duration {
+func (c *clusterState) heartbeatOverdueAfter() time.Duration {
 	return config.Seconds(1.25*c.cfg.Settings.Workers.ReportS) + 500*time.Millisecond
 }
 
 // unreachableAfter is how long a machine may be quiet before it counts as silent, if
 // it can't be asked. It is well above what a worker needs to find its node's
 // successor (an answer outstanding for 4 s, then 1 s to the next).
-func (c *controller) unreachableAfter() time.Duration {
+func (c *clusterState) unreachableAfter() time.Duration {
 	w := &c.cfg.Settings.Workers
 	return max(3*config.Seconds(w.ReportS), config.Seconds(0.6*w.LeaseS), 7*time.Second)
 }
@@ -192,7 +192,7 @@
 // heardSince is when a machine was last heard, or since when it could have been. While
 // this controller answers no reports (MaxStaleness) it hears none: after a long outage all
 // machines would else be found silent at once, and returned with all that they run.
-func (c *controller) heardSince(m *machine, p *partition) time.Time {
+func (c *clusterState) heardSince(m *machine, p *partition) time.Time {
 	t := p.ownsMachineSince(m)
 	if c.heartbeatsResumedAt.After(t) {
 		t = c.heartbeatsResumedAt
@@ -206,14 +206,14 @@
 // usable tells whether an owner may place on its machine. It must have shown a token
 // of ours: a report without may be a copy that comes late, after a take-over even
 // of a machine that died long ago, and nothing is known yet to compare it with.
-func (c *controller) usable(m *machine, p *partition) bool {
+func (c *clusterState) usable(m *machine, p *partition) bool {
 	return !m.terminated && m.heartbeatAt.After(p.ownsMachineSince(m)) && m.incarnation > 0 && m.token >= p.firstToken && !m.notReceiving(p) &&
 		c.now.Sub(m.heartbeatAt) < max(2*config.Seconds(c.cfg.Settings.Workers.ReportS), 3*time.Second)
 }
 
 // leaseExpired tells whether a machine's lease has surely ended: nobody has sent
 // it an answer that could renew it for a whole lease, a former owner included.
-func (c *controller) leaseExpired(m *machine, p *partition) bool {
+func (c *clusterState) leaseExpired(m *machine, p *partition) bool {
 	last := p.ownsMachineSince(m).Add(p.formerOwnerStaleness)
 	if m.leaseRenewedAt.After(last) {
 		last = m.leaseRenewedAt
@@ -272,7 +272,7 @@
 }
 
 // applyHeartbeat takes in the newest that a machine told; false if it was not new.
-func (c *controller) applyHeartbeat(m *machine, heartbeat *wire.Heartbeat, p *partition, viaReport bool) bool {
+func (c *partitionOwner) applyHeartbeat(m *machine, heartbeat *wire.Heartbeat, p *partition, viaReport bool) bool {
 	if heartbeat.Incarnation < m.incarnation || heartbeat.Incarnation == m.incarnation && heartbeat.Sequence <= m.sequence {
 		return false
 	}
@@ -321,7 +321,7 @@
 }
 
 // reconcile draws proofs from a machine's newest report.
-func (c *controller) reconcile(m *machine, p *partition) {
+func (c *clusterState) reconcile(m *machine, p *partition) {
 	// An older owner's start may still be under way until the machine has
 	// shown our token; one of ours while a direct command is unanswered.
 	settled := m.token == p.token && m.unansweredStartToken != p.token && !m.directCarriesStart && !m.startInResponse
@@ -384,7 +384,7 @@
 
 func (s shownTasks) has(t scheduling.Task) bool { return slices.Contains(s, t) }
 
-func (c *controller) lookup(name string) (*job, *taskGroup, *binding) {
+func (c *clusterState) lookup(name string) (*job, *taskGroup, *binding) {
 	id, num, ok := parseTask(name)
 	if !ok {
 		return nil, nil, nil
@@ -401,7 +401,7 @@
 }
 
 // noteTaskEnd learns from how a task ended.
-func (c *controller) noteTaskEnd(m *machine, j *job, why string) {
+func (c *clusterState) noteTaskEnd(m *machine, j *job, why string) {
 	switch why {
 	case wire.ReasonDone:
 		clear(m.failedJobs)
@@ -454,7 +454,7 @@
 // updateCordon decides whether a machine is sick: it has failed tasks of several jobs
 // of late. Mistaken jobs say nothing of it: two of them, failing on each machine in
 // turn, would else have the whole fleet emptied and returned.
-func (c *controller) updateCordon(m *machine) {
+func (c *clusterState) updateCordon(m *machine) {
 	n := 0
 	for id, at := range m.failedJobs {
 		if job := c.jobs[id]; job == nil || c.now.Sub(at) > jobAvoidance {
@@ -470,13 +470,13 @@
 }
 
 // avoidsJob tells whether a machine gets none of a job just now.
-func (c *controller) avoidsJob(m *machine, j *job) bool {
+func (c *clusterState) avoidsJob(m *machine, j *job) bool {
 	at, ok := m.failedJobs[j.id]
 	return ok && c.now.Sub(at) < jobAvoidance
 }
 
 // endAttempt notes the proven end of an attempt; the record is rewritten in step.
-func (c *controller) endAttempt(group *taskGroup, bound *binding, o attemptEnd) {
+func (c *clusterState) endAttempt(group *taskGroup, bound *binding, o attemptEnd) {
 	t := group.task(bound.task)
 	if old, ok := c.attemptEnds[t]; ok && old.attempt == bound.attempt {
 		return
@@ -502,7 +502,7 @@
 }
 
 // endAllAttempts ends every attempt on a machine that is gone or whose lease is over.
-func (c *controller) endAllAttempts(m *machine, why string) {
+func (c *clusterState) endAllAttempts(m *machine, why string) {
 	p := c.partitions[m.partition]
 	if p.token == 0 {
 		return
@@ -527,7 +527,7 @@
 }
 
 // shouldStop tells whether a bound task should not be there.
-func (c *controller) shouldStop(group *taskGroup, t scheduling.Task, m *machine, p *partition) bool {
+func (c *clusterState) shouldStop(group *taskGroup, t scheduling.Task, m *machine, p *partition) bool {
 	if group.job.spec != nil && group.job.spec.Gang {
 		return c.gangMustStop(group.job)
 	}
@@ -537,7 +537,7 @@
 // stopDecider asks shouldStop for the tasks of one machine, and once for all those of a gang:
 // whether a gang stops is known only from all of its tasks, of which there may be thousands.
 type stopDecider struct {
-	b     *controller
+	b     *clusterState
 	gang  *job
 	stops bool
 }
@@ -553,7 +553,7 @@
 }
 
 // mustPreempt tells whether a task has to leave its machine.
-func (c *controller) mustPreempt(group *taskGroup, t scheduling.Task, m *machine, p *partition) bool {
+func (c *clusterState) mustPreempt(group *taskGroup, t scheduling.Task, m *machine, p *partition) bool {
 	if cell := p.cells.CellOf(t); cell != nil && cell.State == scheduling.Reserving || group.exceedsThrottle(t.Number) {
 		return true
 	}
@@ -565,7 +565,7 @@
 }
 
 // commands are what a machine should do, by its newest report.
-func (c *controller) commands(m *machine, p *partition) []wire.Command {
+func (c *clusterState) commands(m *machine, p *partition) []wire.Command {
 	var stops, starts []wire.Command
 	var there []string // tasks with an attempt that can't be reaped yet
 	shown := make(shownTasks, 0, len(m.tasks))
@@ -625,7 +625,7 @@
 }
 
 // sendCommandsNow sends a machine's commands at once, without waiting for its report.
-func (c *controller) sendCommandsNow(m *machine) {
+func (c *partitionOwner) sendCommandsNow(m *machine) {
 	p := c.partitions[m.partition]
 	if p.token == 0 || !p.active || m.terminated || m.addr == "" || !m.heartbeatAt.After(p.ownedSince) {
 		return
@@ -649,7 +649,7 @@
 // queueDirect has a machine wait for its turn: so many direct commands are open that
 // more would take the sockets of workers and users, since each to a machine that
 // is silent holds one until it times out.
-func (c *controller) queueDirect(m *machine) {
+func (c *partitionOwner) queueDirect(m *machine) {
 	if !m.directQueued {
 		m.directQueued = true
 		c.directQueue = append(c.directQueue, m)
@@ -657,7 +657,7 @@
 }
 
 // sendQueuedDirect gives those that wait for direct commands their turn.
-func (c *controller) sendQueuedDirect() {
+func (c *partitionOwner) sendQueuedDirect() {
 	for n := len(c.directQueue); n > 0 && c.directsInFlight < c.maxDirects; n-- {
 		m := c.directQueue[0]
 		c.directQueue = c.directQueue[1:]
@@ -674,7 +674,7 @@
 }
 
 // ping tells a machine our token, whether it has something to do or not.
-func (c *controller) ping(m *machine, p *partition) {
+func (c *partitionOwner) ping(m *machine, p *partition) {
 	if m.directInFlight || c.now.Before(m.directBackoffUntil) || m.incarnation == 0 || m.addr == "" || !c.isFresh(c.maxStaleness) {
 		return
 	}
@@ -686,7 +686,7 @@
 	c.sendDirect(m, p, nil)
 }
 
-func (c *controller) sendDirect(m *machine, p *partition, cmds []wire.Command) {
+func (c *partitionOwner) sendDirect(m *machine, p *partition, cmds []wire.Command) {
 	m.directInFlight, m.directAgain, m.pingQueued = true, false, false
 	c.directsInFlight++
 	for _, command := range cmds {
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -20,7 +20,7 @@
 // machines. Bound to it for good, the job waited beside other zones' empty machines
 // for as long as the first one had none. Its tasks are all proven gone, so that nothing
 // is in two zones; an owner that binds one meanwhile loses by its record's version.
-func (c *controller) moveToOtherZone(summaries []*planning.MachineSummary, group *taskGroup) bool {
+func (c *leader) moveToOtherZone(summaries []*planning.MachineSummary, group *taskGroup) bool {
 	job, spec := group.job, group.job.spec
 	if !spec.SingleZone || group.zone == "" || c.now.Sub(group.inPartitionSince) < zonePatience || !spec.Gang && len(job.groups) > c.cfg.Settings.Store.TxnOps {
 		return false
@@ -68,7 +68,7 @@
 
 // moveUnplaced gives waiting tasks of a record whose part has no room to a part
 // that has. Its owner's writes lose by the record's version.
-func (c *controller) moveUnplaced(summaries []*planning.MachineSummary, group *taskGroup, n int) bool {
+func (c *leader) moveUnplaced(summaries []*planning.MachineSummary, group *taskGroup, n int) bool {
 	spec := group.job.spec
 	if spec.Gang {
 		return c.moveGang(summaries, group.job)
@@ -143,7 +143,7 @@
 // Where none has, machines of several parts are borrowed for it: a gang that was dealt
 // to a part which then lost its room waited for ever beside machines that had room for
 // it together.
-func (c *controller) moveGang(summaries []*planning.MachineSummary, j *job) bool {
+func (c *leader) moveGang(summaries []*planning.MachineSummary, j *job) bool {
 	first, tasks := j.firstGroup(), 0
 	for _, group := range j.groups {
 		if group.boundTasks() > 0 {
@@ -170,7 +170,7 @@
 // relocate has a gang's records go to a part and zone, the first record first and as many
 // as one transaction holds. The others follow (completeGangMoves); the gang is reserved when
 // all are together. False if it can't be now.
-func (c *controller) relocate(j *job, part int, zone string) bool {
+func (c *leader) relocate(j *job, part int, zone string) bool {
 	write := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
 	size := 0
 	for _, group := range j.groupsInOrder() {
@@ -201,7 +201,7 @@
 
 // completeGangMoves has the records of gangs that moved in part, by this leader or one before
 // it, follow their first one.
-func (c *controller) completeGangMoves() {
+func (c *leader) completeGangMoves() {
 	for _, job := range c.unfinished {
 		if job.finalState != record.Unfinished || job.spec == nil || !job.spec.Gang || job.revision == 0 || len(job.groups) < 2 {
 			continue
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -9,13 +9,25 @@
 	"eiderhitch/internal/record"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
+	"eiderhitch/internal/workerclient"
 )
 
+// partitionOwner places tasks on the machines of the partitions that this controller owns,
+// and sends commands to them.
+type partitionOwner struct {
+	*clusterState
+	workerClient *workerclient.Client
+	// directsInFlight direct commands are under way, of maxDirects at most; directQueue
+	// are the machines that wait for one.
+	directsInFlight, maxDirects int
+	directQueue                 []*machine
+}
+
 // requestPass has the decisions taken soon: events in a burst share one pass.
-func (c *controller) requestPass() { c.passDue = true }
+func (c *clusterState) requestPass() { c.passDue = true }
 
 // schedulePartitions takes the decisions of all parts that are ours.
-func (c *controller) schedulePartitions() {
+func (c *partitionOwner) schedulePartitions() {
 	defer c.metrics.addBusyTime(activityPartitions, time.Now())
 	for _, p := range c.partitions {
 		if p.active && c.isFresh(c.operator.LeaseTTL) {
@@ -26,7 +38,7 @@
 
 // schedulePartition lets the pending tasks of a part claim cells, highest claims first,
 // and stores what changed: ended attempts and new bindings.
-func (c *controller) schedulePartition(p *partition) {
+func (c *partitionOwner) schedulePartition(p *partition) {
 	p.removeMachines(func(m *machine) bool { return m.terminated && len(m.bindings) == 0 })
 	for _, m := range p.machines {
 		if len(m.bindings) > 0 && (m.terminated || c.leaseExpired(m, p)) {
@@ -82,7 +94,7 @@
 }
 
 // jobOrder is what a job's place among others depends on.
-func (c *controller) jobOrder(j *job) *planning.JobOrder {
+func (c *clusterState) jobOrder(j *job) *planning.JobOrder {
 	_, finished := j.assignedTasks()
 	return &planning.JobOrder{AllOrNothing: j.spec.AllOrNothing(), NoDeadline: j.spec.NoDeadline, Started: j.hasStarted(), OverdueTurn: planning.IsOverdueTurn(c.now.Unix()),
 		AgeS: c.now.Sub(j.acceptedAt).Seconds(), EstimateS: j.spec.EstimateS, DeadlineS: j.spec.DeadlineS, ObjectiveS: c.objectiveSeconds[j.spec.Class],
@@ -93,7 +105,7 @@
 const arrivalBucketS = 10
 
 // byUrgency compares jobs by priority and urgency, each looked at once.
-func (c *controller) byUrgency() func(x, y *job) int {
+func (c *clusterState) byUrgency() func(x, y *job) int {
 	known := map[*job]planning.Urgency{}
 	of := func(j *job) planning.Urgency {
 		u, ok := known[j]
@@ -125,7 +137,7 @@
 // start together, everything else one by one. Tasks of one shape are alike, so
 // the first that finds no room speaks for all behind it; full is what has found
 // none in this step.
-func (c *controller) placeGroup(p *partition, group *taskGroup, full map[placementClass]bool) {
+func (c *partitionOwner) placeGroup(p *partition, group *taskGroup, full map[placementClass]bool) {
 	pending, busy, started := c.unplacedTasks(p, group)
 	if over := len(pending) - max(0, group.allowedTasks()-(len(group.bindings)-len(pending))); over > 0 {
 		pending = pending[:len(pending)-over]
@@ -225,7 +237,7 @@
 
 // unplacedTasks lists a record's tasks that neither are nor claim to be anywhere;
 // busy: others do; started: some have run before.
-func (c *controller) unplacedTasks(p *partition, group *taskGroup) (out []scheduling.Task, busy, started bool) {
+func (c *clusterState) unplacedTasks(p *partition, group *taskGroup) (out []scheduling.Task, busy, started bool) {
 	for i := range group.bindings {
 		bound := &group.bindings[i]
 		t := group.task(bound.task)
@@ -247,7 +259,7 @@
 }
 
 // scorer rates machines for a record's tasks; negative: not allowed.
-func (c *controller) scorer(p *partition, group *taskGroup) scheduling.ScoreFunc {
+func (c *clusterState) scorer(p *partition, group *taskGroup) scheduling.ScoreFunc {
 	spec := group.job.spec
 	return func(mi scheduling.MachineIndex, free scheduling.Resources) float64 {
 		m := c.machineByIndex[mi]
@@ -279,7 +291,7 @@
 // fetchCost is what the fetch of a job's image adds to a machine's score. Images
 // that are fetched at a time may share a machine's rate, so some hundred services
 // that come together start far later if each machine takes one of every image.
-func (c *controller) fetchCost(m *machine, spec *wire.Job) float64 {
+func (c *clusterState) fetchCost(m *machine, spec *wire.Job) float64 {
 	if m.images[spec.Image] {
 		return cachedImageScore
 	}
@@ -307,7 +319,7 @@
 
 // schedulable tells whether anything may be placed on a machine now. It is looked up
 // once in a step, not for each task.
-func (c *controller) schedulable(m *machine, p *partition) bool {
+func (c *clusterState) schedulable(m *machine, p *partition) bool {
 	if m.schedulableStep != c.schedulingPass {
 		m.schedulableStep = c.schedulingPass
 		m.schedulable = c.usable(m, p) && m.terminationAt.IsZero() && !m.cordoned && !c.now.Before(m.avoidUntil) &&
@@ -318,7 +330,7 @@
 
 // runsService tells whether a service is bound to a machine, see planning.MachineSummary. It is
 // looked up once in a step.
-func (c *controller) runsService(m *machine) bool {
+func (c *clusterState) runsService(m *machine) bool {
 	if m.runsServiceStep != c.schedulingPass {
 		m.runsServiceStep, m.runsService = c.schedulingPass, false
 		for _, x := range m.bindings {
@@ -339,7 +351,7 @@
 
 // probeUnreachable asks machines directly that have not reported in time, or seem not
 // to hear us.
-func (c *controller) probeUnreachable() {
+func (c *partitionOwner) probeUnreachable() {
 	for _, p := range c.partitions {
 		if !p.active {
 			continue
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -5,7 +5,7 @@
 // Claims of tasks on cells, kept in line with the stored records.
 
 // adoptBindings brings the cells of a part of ours in line with a stored record.
-func (c *controller) adoptBindings(group *taskGroup) {
+func (c *clusterState) adoptBindings(group *taskGroup) {
 	if group.job.spec == nil {
 		return
 	}
@@ -30,7 +30,7 @@
 
 // cancelReservations gives up what a record's tasks claim without a stored binding; of
 // cells whose binding may be on its way only if those, too, are void.
-func (c *controller) cancelReservations(group *taskGroup, all bool) {
+func (c *clusterState) cancelReservations(group *taskGroup, all bool) {
 	p := c.partitions[group.partition]
 	if p.token == 0 {
 		return
@@ -50,7 +50,7 @@
 // releaseCells gives up whatever tasks hold in a part of ours that leave a
 // record. Left behind, their cells would never be free again, and a look at
 // their record would find none.
-func (c *controller) releaseCells(group *taskGroup, kept map[int32]bool) {
+func (c *clusterState) releaseCells(group *taskGroup, kept map[int32]bool) {
 	p := c.partitions[group.partition]
 	if p.token == 0 {
 		return
@@ -70,13 +70,13 @@
 
 // freeCell ends a task's use of its cell; a group that waited for it may now
 // be Allocated.
-func (c *controller) freeCell(p *partition, t scheduling.Task) {
+func (c *clusterState) freeCell(p *partition, t scheduling.Task) {
 	if g := p.cells.Release(t); g != nil {
 		c.reserveCells(p, g)
 	}
 }
 
-func (c *controller) reserveCells(p *partition, g *scheduling.Group) {
+func (c *clusterState) reserveCells(p *partition, g *scheduling.Group) {
 	for i, t := range g.Tasks {
 		m := c.machineByIndex[g.Machines[i]]
 		p.reservations[t] = reservation{m, m.incarnation}
@@ -86,7 +86,7 @@
 }
 
 // noteFetch notes that a machine fetches an image for a task that it is given.
-func (c *controller) noteFetch(m *machine, image string) {
+func (c *clusterState) noteFetch(m *machine, image string) {
 	if image != "" && !m.images[image] {
 		m.fetching[image] = c.now
 	}
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -48,15 +48,15 @@
 }
 
 // leaderKey is the key of the lead.
-func (c *controller) leaderKey() string { return c.rollout.keys.Leader() }
+func (c *clusterState) leaderKey() string { return c.rollout.keys.Leader() }
 
 // leaderCondition has a write fail if this controller does not lead any more.
-func (c *controller) leaderCondition() wire.Condition {
+func (c *leader) leaderCondition() wire.Condition {
 	return wire.Condition{Key: c.leaderKey(), Revision: c.leadership.token}
 }
 
 // encoding is the form in which records are written.
-func (c *controller) encoding() record.Encoding { return encodingOf(c.rollout.state.Writes()) }
+func (c *clusterState) encoding() record.Encoding { return encodingOf(c.rollout.state.Writes()) }
 
 // encodingOf is the form of records at a feature level.
 func encodingOf(l rollout.Level) record.Encoding {
@@ -90,7 +90,7 @@
 
 // putRolloutState takes the stored state in. One that can't be read was written by a version
 // that knows more: this one must not serve.
-func (c *controller) putRolloutState(raw json.RawMessage, stamp uint64) error {
+func (c *clusterState) putRolloutState(raw json.RawMessage, stamp uint64) error {
 	state, err := rollout.DecodeState(raw)
 	if err != nil {
 		state = c.rollout.state
@@ -101,7 +101,7 @@
 
 // setRolloutState follows a new state: rights are held under its keys, and by controllers alone
 // that read what it allows to be stored.
-func (c *controller) setRolloutState(state rollout.State, version uint64, unknown error) {
+func (c *clusterState) setRolloutState(state rollout.State, version uint64, unknown error) {
 	l := &c.rollout
 	before := l.state
 	l.state, l.version = state, version
@@ -129,7 +129,7 @@
 
 // switchLeaseKeys gives all rights up, whose keys nobody may hold any more, and has them taken
 // under other keys from now on.
-func (c *controller) switchLeaseKeys(keys rollout.Keys) {
+func (c *clusterState) switchLeaseKeys(keys rollout.Keys) {
 	c.election.SetKeys(leaseKeys(keys, c.loanPartition())) // under the former names this loses all
 	c.rollout.keys = keys
 	for _, p := range c.partitions {
@@ -139,7 +139,7 @@
 }
 
 // putRegistration takes in what a controller stores about itself.
-func (c *controller) putRegistration(name string, raw json.RawMessage, stamp uint64) error {
+func (c *clusterState) putRegistration(name string, raw json.RawMessage, stamp uint64) error {
 	registration, err := rollout.DecodeController(raw)
 	if err != nil {
 		delete(c.rollout.controllers, name) // unknown, as if it were not there
@@ -183,7 +183,7 @@
 
 // rewriteGroups has records of a partition stored in the form that is written now, a
 // few at a time: users' writes go before, and so does all that has a backlog.
-func (c *controller) rewriteGroups(p *partition) {
+func (c *partitionOwner) rewriteGroups(p *partition) {
 	if c.rollout.countOutdated() == 0 || c.stateWriter.Backlog() > rewriteBacklog {
 		return
 	}
@@ -206,7 +206,7 @@
 
 // frameVersion is the version of frames for a sibling: the checked one if it is active,
 // and the process that the sibling is now has said that it reads it.
-func (c *controller) frameVersion(name string) peer.Version {
+func (c *clusterState) frameVersion(name string) peer.Version {
 	registration, ok := c.rollout.controllers[name]
 	if !ok || c.rollout.state.Active() < rollout.ChecksumLevel || registration.High < rollout.ChecksumLevel {
 		return peer.PlainFrame
@@ -231,7 +231,7 @@
 }
 
 // refusal is the answer of a controller that must not serve; false: it may.
-func (c *controller) refusal() (api.Response, bool) {
+func (c *clusterState) refusal() (api.Response, bool) {
 	if c.rollout.refusal == nil {
 		return api.Response{}, false
 	}
@@ -259,7 +259,7 @@
 )
 
 // logRollout adds the levels to the regular counters.
-func (c *controller) logRollout(log *slog.Logger) {
+func (c *clusterState) logRollout(log *slog.Logger) {
 	l := &c.rollout
 	if l.version == 0 {
 		return
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -25,7 +25,7 @@
 }
 
 // scale rents for what found no room and returns what is not wanted.
-func (c *controller) scale(summaries []*planning.MachineSummary, wants []planning.Demand) {
+func (c *autoscaler) scale(summaries []*planning.MachineSummary, wants []planning.Demand) {
 	if len(c.machineTypes) == 0 {
 		return
 	}
@@ -71,7 +71,7 @@
 
 // drainSurplus empties machines that the fleet has not needed of late: one takes no
 // more work, and is returned when it is empty.
-func (c *controller) drainSurplus(summaries []*planning.MachineSummary, spare []planning.Demand, level int, short bool) {
+func (c *leader) drainSurplus(summaries []*planning.MachineSummary, spare []planning.Demand, level int, short bool) {
 	if c.leadership.draining == nil {
 		c.leadership.draining = map[string]bool{}
 	}
@@ -110,7 +110,7 @@
 }
 
 // headroom keeps room for services to come.
-func (c *controller) headroom() (out []planning.Demand, level int) {
+func (c *clusterState) headroom() (out []planning.Demand, level int) {
 	level = math.MaxInt
 	byClass := map[string]*planning.Demand{}
 	var order []string
@@ -138,7 +138,7 @@
 }
 
 // bootTimeout is how long a machine may take to come up before it is given back.
-func (c *controller) bootTimeout(t *wire.MachineType) time.Duration {
+func (c *clusterState) bootTimeout(t *wire.MachineType) time.Duration {
 	return config.Seconds(c.operator.BootPatience*t.BootS + 10)
 }
 
@@ -147,7 +147,7 @@
 const usualBootFactor = 1.6
 
 // booting are machines that are rented and have not reported yet.
-func (c *controller) booting() []*planning.MachineSummary {
+func (c *leader) booting() []*planning.MachineSummary {
 	var out []*planning.MachineSummary
 	for name, inst := range c.leadership.instances {
 		t := c.machineTypes[inst.machineType]
@@ -168,7 +168,7 @@
 	return out
 }
 
-func (c *controller) offers() []planning.PricedOffer {
+func (c *leader) offers() []planning.PricedOffer {
 	var out []planning.PricedOffer
 	for _, t := range c.machineTypes {
 		for _, z := range t.Zones {
@@ -200,7 +200,7 @@
 // idleTimeout is how long a machine may be unused before it is returned: as long as
 // its idling costs no more than it would to boot an ordinary one in its place,
 // so that waiting is never more than twice as dear as knowing the future.
-func (c *controller) idleTimeout(t *wire.MachineType, spot bool) time.Duration {
+func (c *clusterState) idleTimeout(t *wire.MachineType, spot bool) time.Duration {
 	s := t.BootS * c.operator.IdleBoots
 	if spot && t.SpotPrice > 0 {
 		s *= max(t.Price/t.SpotPrice, 1)
@@ -209,7 +209,7 @@
 }
 
 // terminateIdle releases machines that are idle.
-func (c *controller) terminateIdle(summaries []*planning.MachineSummary) {
+func (c *autoscaler) terminateIdle(summaries []*planning.MachineSummary) {
 	var names []string
 	wanted := map[string]bool{}
 	for _, summary := range summaries {
@@ -234,7 +234,7 @@
 // terminateLost releases machines that are overdue, silent or suspect. Silent ones wait
 // for the first list of a new lead: only the list tells the zone of a machine that
 // has not reported since a take-over, and its zone may be cut off.
-func (c *controller) terminateLost() {
+func (c *autoscaler) terminateLost() {
 	var names []string
 	for name, inst := range c.leadership.instances {
 		t := c.machineTypes[inst.machineType]
@@ -264,7 +264,7 @@
 const minIsolatedMachines = 5
 
 // zoneOf is a machine's zone, if anybody has told it.
-func (c *controller) zoneOf(m *machine) string {
+func (c *leader) zoneOf(m *machine) string {
 	if inst := c.leadership.instances[m.name]; m.zone == "" && inst != nil {
 		return inst.zone
 	}
@@ -277,7 +277,7 @@
 // returning the machines would stop it, and the other zones may have no room to
 // take it. They are kept until it must have ended anyhow, and nothing new is rented
 // there. Tasks there are still proven gone by leases and sessions alone.
-func (c *controller) detectIsolatedZones() {
+func (c *leader) detectIsolatedZones() {
 	out, all := map[string]int{}, map[string]int{}
 	c.eachReportedMachine(func(m *machine, flags uint8) {
 		if flags&peer.NotHeardYet != 0 && flags&peer.Unreachable == 0 {
--- /dev/null
+++ b/internal/controller/state.go
@@ -0,0 +1,127 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"eiderhitch/internal/config"
+	"eiderhitch/internal/election"
+	"eiderhitch/internal/peer"
+	"eiderhitch/internal/record"
+	"eiderhitch/internal/replica"
+	"eiderhitch/internal/scheduling"
+	"eiderhitch/internal/store"
+	"eiderhitch/internal/wire"
+)
+
+// clusterState is what every component of a controller may look at: the settings, the time
+// of the event in work, the records with their indices, and the machines with what is known
+// of them. It changes with the records (package replica), with workers' heartbeats and with
+// what peers and the cloud say; it decides nothing.
+type clusterState struct {
+	cfg       *config.Platform
+	operator  *config.Operator
+	log       *slog.Logger
+	metrics   *metrics
+	processID string
+	startedAt time.Time
+	// now is the time of the event in work.
+	now time.Time
+	// maxStaleness is how long after the start of the last successful read heartbeats may
+	// be answered (config.MaxStaleness); leaseExpiry is how long after the last answer a
+	// worker's lease has surely expired (config.LeaseExpiry).
+	maxStaleness time.Duration
+	leaseExpiry  time.Duration
+
+	ctx         context.Context
+	events      *eventQueue
+	stateClient *store.Client
+	stateWriter *store.Writer
+	replica     *replica.Replica
+	reader      *replica.Reader
+	election    *election.Elector
+	peers       *peer.Registry
+
+	// jobs are those that are not archived; finished has the final states of the others.
+	jobs     map[string]*job
+	finished map[string]record.FinalState
+	// unfinished are the jobs that are not final, and some that are and not archived yet.
+	unfinished []*job
+	groups     []*taskGroup // by dense index; nil where deleted
+	groupByKey map[string]*taskGroup
+	teamIndex  map[string]scheduling.TeamIndex
+	// objectiveSeconds is, by class, in how many seconds its jobs should be done.
+	objectiveSeconds map[string]float64
+	maxGroupTasks    int
+	// attemptEnds are proven ends of attempts that are not stored yet.
+	attemptEnds map[scheduling.Task]attemptEnd
+	rollout     rolloutState
+
+	machineTypes       map[string]*wire.MachineType
+	machineTypesStored bool
+	machines           map[string]*machine
+	machineByIndex     []*machine
+	partitions         []*partition // the last one is the leader's, of machines on loan
+	loans              map[string]*machineLoan
+	// terminated are the machines that surely are, as long as a tombstone says so.
+	terminated map[string]bool
+	tombstones map[string]tombstone
+	// draining are the machines that the leader wants to terminate; terminating those of
+	// which the cloud has been, or is to be, asked for that.
+	draining    map[string]bool
+	terminating map[string]bool
+
+	// passDue: a scheduling pass is wanted; schedulingPass counts the passes.
+	passDue        bool
+	schedulingPass uint64
+
+	lastHeartbeatAt time.Time // of any worker
+	// acceptsHeartbeats: the replica is fresh enough to answer them (maxStaleness).
+	// heartbeatsResumedAt is when they last were accepted again after an outage: no machine
+	// could be heard before.
+	acceptsHeartbeats   bool
+	heartbeatsResumedAt time.Time
+	// resumedFromPauseAt is until when this process last stood still.
+	resumedFromPauseAt time.Time
+	// lastTick is when the event loop last came to its timers, lastLaggedAt when it last
+	// came late to them: see lagging.
+	lastTick, lastLaggedAt time.Time
+}
+
+func newClusterState(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger, out clients) *clusterState {
+	s := &cfg.Settings
+	client := store.NewClient(cfg.External.Store, out.state)
+	c := &clusterState{
+		cfg: cfg, operator: op, log: log.With("node", cfg.Name), metrics: newMetrics(), processID: newProcessID(), now: time.Now(),
+		maxStaleness: config.MaxStaleness(s.Workers.CancelS, s.Workers.LeaseS),
+		leaseExpiry:  config.LeaseExpiry(s.Workers.CancelS, s.Workers.LeaseS),
+		ctx:          ctx, events: newEventQueue(), stateClient: client,
+		stateWriter: store.NewWriter(client, s.Store.TxnOps, s.Store.WriteRPS, s.Count, out.jitter),
+		peers:       peer.NewRegistry(names(cfg.Peers)),
+
+		jobs: map[string]*job{}, finished: map[string]record.FinalState{}, groupByKey: map[string]*taskGroup{},
+		teamIndex: map[string]scheduling.TeamIndex{}, objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.Store.ValueKB),
+		attemptEnds: map[scheduling.Task]attemptEnd{}, rollout: newRolloutState(cfg, op),
+		machines: map[string]*machine{}, loans: map[string]*machineLoan{},
+		terminated: map[string]bool{}, tombstones: map[string]tombstone{}, terminating: map[string]bool{}, schedulingPass: 1,
+	}
+	c.startedAt = c.now
+	for _, t := range s.Teams {
+		c.team(t.Name)
+	}
+	for n := range s.Count {
+		c.partitions = append(c.partitions, &partition{index: n, key: c.rollout.keys.Partition(n)})
+	}
+	c.partitions = append(c.partitions, &partition{index: s.Count, key: c.leaderKey()})
+	return c
+}
+
+// names are those of the other controllers.
+func names(peers []config.Peer) []string {
+	var out []string
+	for _, p := range peers {
+		out = append(out, p.Name)
+	}
+	return out
+}
--- a/internal/controller/summaries.go
+++ b/internal/controller/summaries.go
@@ -19,13 +19,13 @@
 const ownerTimeout = 3 * time.Second
 
 // ownerOf is the controller that holds a leased key; "" if nobody does.
-func (c *controller) ownerOf(key string) string {
+func (c *clusterState) ownerOf(key string) string {
 	holder, _ := c.election.Holder(key)
 	return holder.Node
 }
 
 // machineSummaries are the machines that owners vouch for, with what is bound on them.
-func (c *controller) machineSummaries() []*planning.MachineSummary {
+func (c *leader) machineSummaries() []*planning.MachineSummary {
 	var out []*planning.MachineSummary
 	add := func(m *machine, flags uint8) {
 		t := c.machineTypes[m.machineType]
@@ -99,7 +99,7 @@
 }
 
 // machineFlags are what an owner says of its machine.
-func (c *controller) machineFlags(m *machine, p *partition) uint8 {
+func (c *clusterState) machineFlags(m *machine, p *partition) uint8 {
 	var f uint8
 	if c.usable(m, p) {
 		f |= peer.Reachable
@@ -124,7 +124,7 @@
 
 // unreachable: the machine neither reports nor answers direct commands, while most
 // others of the part do, or it reports and hears nothing.
-func (c *controller) unreachable(m *machine, p *partition) bool {
+func (c *clusterState) unreachable(m *machine, p *partition) bool {
 	// While no reports are taken (MaxStaleness) all are quiet. The leader, back from the
 	// same outage a moment earlier, returned the machines of which a sibling said so.
 	if m.terminated || !c.isFresh(c.maxStaleness) || !c.seemsUnreachable(m, p) {
@@ -137,7 +137,7 @@
 // mostUnreachable tells whether most of a part's machines are quiet. It is counted once
 // for all that is decided at a time: counted anew for each quiet machine, some
 // hundred of them that fall silent together would take up the processor.
-func (c *controller) mostUnreachable(p *partition) bool {
+func (c *clusterState) mostUnreachable(p *partition) bool {
 	if p.countedAt != c.now {
 		p.countedAt = c.now
 		quiet, all := 0, 0
@@ -161,7 +161,7 @@
 	return p.mostUnreachable
 }
 
-func (c *controller) seemsUnreachable(m *machine, p *partition) bool {
+func (c *clusterState) seemsUnreachable(m *machine, p *partition) bool {
 	if m.notReceiving(p) && c.now.Sub(p.ownsMachineSince(m)) > c.unreachableAfter() && c.now.Sub(m.heartbeatAt) < c.heartbeatOverdueAfter() {
 		return true // it reports all the same, so that commands can't be late
 	}
@@ -220,7 +220,7 @@
 
 // ownerLongInTouch tells whether a part has had an owner in touch with the leader for
 // long enough that all machines of it must have reported.
-func (c *controller) ownerLongInTouch(p int) bool {
+func (c *leader) ownerLongInTouch(p int) bool {
 	since := c.leadership.ownerInTouchSince[p]
 	if c.heartbeatsResumedAt.After(since) && !since.IsZero() {
 		since = c.heartbeatsResumedAt // machines could not report before
@@ -229,7 +229,7 @@
 }
 
 // allOwnersInTouch tells whether every part's owner is in touch.
-func (c *controller) allOwnersInTouch() bool {
+func (c *leader) allOwnersInTouch() bool {
 	for i := range c.partitions {
 		if c.leadership.ownerInTouchSince[i].IsZero() {
 			return false
@@ -239,7 +239,7 @@
 }
 
 // updateOwnersInTouch notes for each part since when its owner has been in touch.
-func (c *controller) updateOwnersInTouch() {
+func (c *leader) updateOwnersInTouch() {
 	if c.leadership.ownerInTouchSince == nil {
 		c.leadership.ownerInTouchSince, c.leadership.ownerInTouch = make([]time.Time, len(c.partitions)), make([]string, len(c.partitions))
 	}
@@ -260,7 +260,7 @@
 }
 
 // eachReportedMachine calls f for each machine that its owner tells about.
-func (c *controller) eachReportedMachine(f func(*machine, uint8)) {
+func (c *clusterState) eachReportedMachine(f func(*machine, uint8)) {
 	for _, p := range c.partitions {
 		if p.token != 0 && p.active {
 			for _, m := range p.machines {
--- a/internal/controller/throttle.go
+++ b/internal/controller/throttle.go
@@ -16,7 +16,7 @@
 // the team's lower jobs are stopped, dealt ones that don't run yet, of equal jobs
 // too, stand back. Else what is dealt of an array would hold the limit against a
 // service for minutes.
-func (c *controller) throttleTeam(j *job, lack scheduling.Resources) {
+func (c *leader) throttleTeam(j *job, lack scheduling.Resources) {
 	level := j.spec.Priority
 	var from []*taskGroup
 	for group := range c.allGroups() {
@@ -49,10 +49,10 @@
 // throttleInterval spaces the changes of one record's cap that are not for more urgent
 // work: a team at its limit has a task end, and so room for one more, many times a
 // second, and a change for each of them would take up the state service's limit.
-func (c *controller) throttleInterval() time.Duration { return 2*time.Second + c.turnaround() }
+func (c *clusterState) throttleInterval() time.Duration { return 2*time.Second + c.turnaround() }
 
 // unthrottle lets tasks run again that had to stand back, as the limit permits.
-func (c *controller) unthrottle(j *job, lim *planning.Quota) {
+func (c *leader) unthrottle(j *job, lim *planning.Quota) {
 	for _, group := range j.groups {
 		if group.throttle == 0 || group.writing || group.allowedTasks() == len(group.bindings) || c.now.Sub(group.throttledAt) < c.throttleInterval() {
 			continue
@@ -64,7 +64,7 @@
 	}
 }
 
-func (c *controller) setThrottle(group *taskGroup, n int) {
+func (c *leader) setThrottle(group *taskGroup, n int) {
 	changed := *group
 	changed.throttle = n + 1
 	if n >= len(group.bindings) {
