--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,3 +1,7 @@
+// Package controller runs a controller of the cluster: it wires the components together and
+// runs the event loop that owns their state. Goroutines for connections, for the key-value
+// store and for calls to the cloud and to workers talk to the event loop through its queue
+// of events.
 package controller
 
 import (
@@ -5,7 +9,6 @@
 	"time"
 
 	"eiderhitch/internal/frontend"
-	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 )
 
@@ -22,56 +25,12 @@
 	send func(peer string, frame []byte)
 }
 
-// partition is one hash part of the machines.
-type partition struct {
-	index            int
-	key              string
-	token            uint64 // stamp of our holding; 0: not ours
-	firstToken       uint64 // the first of our terms since it was last taken
-	mostNotReceiving bool   // most of its machines seem not to hear us: see machine.notReceiving
-	ownedSince       time.Time
-	active           bool // replica was read after the take-over
-	cells            *scheduling.Partition
-	reservations     map[scheduling.Task]reservation
-	tokenRaiseDue    bool
-	tokenRaisedAt    time.Time
-	// machines are those that are in the part, whoever owns it.
-	machines []*machine
-	groups   []*taskGroup // that it is in charge of
-	// foreignGroups are records of other parts of which tasks have ended on a machine of this
-	// one, as on one that was lent and came back when its borrower ended: nobody else
-	// knows, and who is in charge of the record would wait for ever.
-	foreignGroups map[*taskGroup]bool
-	unplaced      int // tasks that found no cell in this step so far
-	// Cells that came free since endsSince, and in the time before that.
-	freedCells, freedCellsBefore int
-	freedCellsSince              time.Time
-	// mostUnreachable as counted at a time, see there.
-	mostUnreachable bool
-	countedAt       time.Time
-	// formerOwnerStaleness is how long a former owner may go on answering reports.
-	formerOwnerStaleness time.Duration
-}
-
-// reservation is a claimed cell whose binding is not stored yet.
-type reservation struct {
-	machine     *machine
-	incarnation uint64
-}
-
 // tombstone is a marker of machines that are gone, and since when it is known.
 type tombstone struct {
 	names []string
 	at    time.Time
 }
 
-// attemptEnd is the proven end of an attempt.
-type attemptEnd struct {
-	attempt uint64
-	done    bool
-	failed  bool
-}
-
 // enqueue runs f in the actor; it blocks while the lane is full.
 func (c *clusterState) enqueue(l priority, f func()) { c.events.put(c.ctx, l, f) }
 
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -2,20 +2,15 @@
 
 import (
 	"context"
-	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"net"
 	"net/http"
-	"sync"
 	"time"
 
-	"eiderhitch/internal/api"
 	"eiderhitch/internal/cloud"
 	"eiderhitch/internal/config"
 	"eiderhitch/internal/election"
 	"eiderhitch/internal/frontend"
-	"eiderhitch/internal/peer"
 	"eiderhitch/internal/replica"
 	"eiderhitch/internal/workerclient"
 )
@@ -73,68 +68,6 @@
 	return c
 }
 
-// newProcessID draws a name that no other process has: a restarted controller has the name
-// of its former self.
-func newProcessID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
-
-// Run serves until ctx ends.
-func Run(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger) error {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	apiL, err := net.Listen("tcp", cfg.APIAddr)
-	if err != nil {
-		return fmt.Errorf("api_addr: %w", err)
-	}
-	meshL, err := net.Listen("tcp", cfg.PeerAddr)
-	if err != nil {
-		apiL.Close()
-		return fmt.Errorf("mesh_addr: %w", err)
-	}
-	s := &cfg.Settings
-	transport := func(perHost, idle int, keep time.Duration) *http.Transport {
-		return &http.Transport{MaxConnsPerHost: perHost, MaxIdleConnsPerHost: perHost, MaxIdleConns: idle, IdleConnTimeout: keep, DisableCompression: true}
-	}
-	state, cl, fl := transport(16, 16, 30*time.Second), transport(4, 4, 30*time.Second), transport(1, cfg.DirectCommands(), 20*time.Second)
-	senders := map[string]*peer.Sender{}
-	for _, x := range cfg.Peers {
-		senders[x.Name] = peer.NewSender(x.Addr)
-	}
-	c := newController(ctx, cfg, op, log, clients{state: state, cloud: cl, workers: fl, send: func(sibling string, frame []byte) {
-		senders[sibling].Offer(frame)
-	}})
-	c.log.Info("controller starts", "boot", c.processID, "parts", s.Count, "hold", c.maxStaleness)
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	defer cancel()
-	defer func() { state.CloseIdleConnections(); cl.CloseIdleConnections(); fl.CloseIdleConnections() }()
-	wg.Go(func() {
-		peer.Serve(ctx, meshL, c.log, func(s *peer.Status) { c.enqueue(priorityWorkers, func() { c.handlePeerStatus(s) }) })
-	})
-	for _, s := range senders {
-		wg.Go(func() { s.Run(ctx) })
-	}
-	c.start(&wg)
-	conns := cfg.Connections()
-	err = api.Serve(ctx, apiL, c, c.log, api.Limits{Connections: conns, Requests: max(conns/2, 4)})
-	if ctx.Err() != nil {
-		return nil
-	}
-	return err
-}
-
-// start begins the long-lived duties.
-func (c *controller) start(wg *sync.WaitGroup) {
-	wg.Go(func() { c.stateWriter.Run(c.ctx) })
-	wg.Go(func() { c.reader.Follow(c.ctx) })
-	for range 2 {
-		wg.Go(c.runCloudCalls)
-	}
-	if c.operator.FeatureLevels {
-		wg.Go(c.register)
-	}
-	wg.Go(c.loop)
-}
-
 // loop is the actor: it alone touches the brain's state.
 //
 // The order of its duties when there is too little processor time for all: first the
@@ -165,84 +98,6 @@
 	}
 }
 
-// schedule are when the actor's duties are next due.
-type schedule struct{ status, metrics, leader, pass time.Time }
-
-// runPass has the parts decide. Steps that take long are taken less often: reports,
-// renewals and users must not wait for them.
-func (c *controller) runPass(due *schedule, now time.Time) {
-	c.passDue = false
-	c.schedulePartitions()
-	due.pass = now.Add(max(minPassInterval, passRestFactor*time.Since(now)))
-}
-
-// maxPlanningDelay is how long the leader's planning waits for reports that wait.
-const maxPlanningDelay = time.Second
-
-// onTick does what is due by the time.
-func (c *controller) onTick(due *schedule) {
-	c.now = time.Now()
-	if !c.lastTick.IsZero() {
-		c.metrics.noteLag(c.now.Sub(c.lastTick) - tickInterval)
-		if c.now.Sub(c.lastTick) > pauseThreshold {
-			c.resumedFromPauseAt = c.now
-		}
-		if c.lagging() {
-			c.lastLaggedAt = c.now
-		}
-	}
-	c.lastTick = c.now
-	if serves := c.isFresh(c.maxStaleness); serves != c.acceptsHeartbeats {
-		c.acceptsHeartbeats = serves
-		if serves && c.lastHeartbeatAt.After(c.startedAt) {
-			c.heartbeatsResumedAt = c.now
-		}
-	}
-	c.UpdateReadiness()
-	if !c.replica.Loaded() {
-		return
-	}
-	c.campaign()
-	c.advanceRollout()
-	c.stepDownIfUnreachable()
-	c.syncCloud()
-	if !c.now.Before(due.pass) {
-		c.runPass(due, c.now)
-	}
-	if wait := c.now.Sub(due.leader); wait >= 0 && (wait > maxPlanningDelay || !c.events.hasBefore(priorityUsers)) {
-		begun := time.Now()
-		c.runLeader()
-		due.leader = c.now.Add(max(2*tickInterval, passRestFactor*time.Since(begun)))
-	}
-	if !c.now.Before(due.status) {
-		due.status = c.now.Add(statusInterval)
-		begun := time.Now()
-		c.probeUnreachable()
-		c.terminateUnreachable()
-		c.broadcastStatus()
-		c.metrics.addBusyTime(activityStatus, begun)
-	}
-	if c.now.After(due.metrics) {
-		due.metrics = c.now.Add(metricsInterval)
-		c.archiveFinished()
-		c.metrics.log(c.log, len(c.jobs)+len(c.finished), len(c.machines), c.stateClient.Stats())
-		c.logRollout(c.log)
-	}
-}
-
-// maxLag is how late a tick is when answers to direct commands may well be here
-// and not be looked at yet.
-const maxLag = workerclient.PingTimeout / 4
-
-// lagging tells whether this process gets so little processor time just now that it
-// can't tell who is late: others or itself.
-func (c *clusterState) lagging() bool {
-	return !c.lastTick.IsZero() && c.now.Sub(c.lastTick) > tickInterval+maxLag
-}
-
-// laggedSince tells whether it did at any time since t.
-func (c *clusterState) laggedSince(t time.Time) bool { return c.lagging() || c.lastLaggedAt.After(t) }
-
 func (c *controller) runCloudCalls() {
 	for {
 		select {
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -36,17 +36,6 @@
 	return s
 }
 
-// lookupJob is the job of that name, if one was ever accepted.
-func (c *clusterState) lookupJob(id string) *job {
-	if j := c.jobs[id]; j != nil && j.revision != 0 {
-		return j
-	}
-	if fate, ok := c.finished[id]; ok {
-		return &job{id: id, revision: 1, finalState: fate}
-	}
-	return nil
-}
-
 // clusterView is the state that the frontend answers users from.
 type clusterView struct{ *controller }
 
--- /dev/null
+++ b/internal/controller/job.go
@@ -0,0 +1,97 @@
+package controller
+
+import (
+	"time"
+
+	"eiderhitch/internal/record"
+	"eiderhitch/internal/scheduling"
+	"eiderhitch/internal/wire"
+)
+
+// markReadable notes that a record of the job can be decoded, or is gone.
+func (j *job) markReadable(key string) { delete(j.unreadable, key) }
+
+// hasUnreadableRecords tells whether a record of the job can't be decoded.
+func (j *job) hasUnreadableRecords() bool { return len(j.unreadable) > 0 }
+
+type job struct {
+	id          string
+	revision    uint64
+	finalState  record.FinalState
+	acceptedAt  time.Time
+	spec        *wire.Job
+	taskSize    scheduling.Resources
+	team        scheduling.TeamIndex
+	groups      []*taskGroup
+	groupOfTask map[int32]*taskGroup // of each task that is dealt and not done
+
+	inUnfinished bool // among controller.unfinished
+	// unreadable are the keys of its records that can't be decoded.
+	unreadable       map[string]bool
+	equivalenceClass string // what jobs alike in need and permissions share
+	nextGroupNumber  int
+	assignedAt       time.Time
+	finishing        bool            // a write of the fate is in flight
+	failedOn         map[string]bool // machines on which tasks of it failed
+	retryAt          time.Time       // nothing of it is placed before then
+
+	// Of a gang: the last attempt that was seen to run, that can't be completed, that
+	// was told to stop; and whether a task of it, and so all, got done.
+	startedAttempt, failedAttempt, stoppedAttempt uint64
+	gangCompleted                                 bool
+	// incompleteSince is since when only some tasks of a gang's attempt have been bound.
+	incompleteSince time.Time
+}
+
+// newGroupNumber is the number of a record that the job has never had.
+func (j *job) newGroupNumber() int {
+	for _, group := range j.groups {
+		j.nextGroupNumber = max(j.nextGroupNumber, group.number+1)
+	}
+	j.nextGroupNumber++
+	return j.nextGroupNumber - 1
+}
+
+func (j *job) assignedTasks() (n, finished int) {
+	for _, group := range j.groups {
+		n += len(group.bindings) + group.done
+		finished += group.done
+	}
+	return n, finished
+}
+
+// hasWaitingTasks tells whether tasks of the job have not been dealt yet, or stand back.
+func (j *job) hasWaitingTasks() bool {
+	n := 0
+	for _, group := range j.groups {
+		if group.throttle != 0 {
+			return true
+		}
+		n += len(group.bindings) + group.done
+	}
+	return n < j.spec.Tasks
+}
+
+// unplacedTasks counts the tasks that are dealt and neither placed nor done.
+func (j *job) unplacedTasks() int {
+	n := 0
+	for _, group := range j.groups {
+		n += len(group.bindings) - group.boundTasks()
+	}
+	return n
+}
+
+// hasStarted tells whether a task of the job has ever been placed.
+func (j *job) hasStarted() bool {
+	for _, group := range j.groups {
+		if group.done > 0 {
+			return true
+		}
+		for i := range group.bindings {
+			if group.bindings[i].attempt > 0 {
+				return true
+			}
+		}
+	}
+	return false
+}
