--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -192,27 +192,3 @@
 	}
 	return out, busy, started
 }
-
-// probeUnreachable asks machines directly that have not reported in time, or seem not
-// to hear us.
-func (c *partitionOwner) probeUnreachable() {
-	for _, p := range c.partitions {
-		if !p.active {
-			continue
-		}
-		all, deaf := 0, 0
-		for _, m := range p.machines {
-			if m.terminated || !c.expectsHeartbeat(m, 3*time.Minute) {
-				continue
-			}
-			all++
-			if m.leaseExpiredUnheard || m.unanswered >= unansweredLimit {
-				deaf++
-			}
-			if m.leaseExpiredUnheard || m.unanswered > 0 || c.now.Sub(c.heardSince(m, p)) > c.heartbeatOverdueAfter() {
-				c.ping(m, p)
-			}
-		}
-		p.mostNotReceiving = deaf*2 > all
-	}
-}
--- a/internal/controller/summaries.go
+++ b/internal/controller/summaries.go
@@ -8,7 +8,6 @@
 	"eiderhitch/internal/peer"
 	"eiderhitch/internal/planning"
 	"eiderhitch/internal/scheduling"
-	"eiderhitch/internal/workerclient"
 )
 
 // maxOwnerSilence is how long the leader deals by what an owner told last when it
@@ -122,69 +121,6 @@
 	return f
 }
 
-// unreachable: the machine neither reports nor answers direct commands, while most
-// others of the part do, or it reports and hears nothing.
-func (c *clusterState) unreachable(m *machine, p *partition) bool {
-	// While no reports are taken (MaxStaleness) all are quiet. The leader, back from the
-	// same outage a moment earlier, returned the machines of which a sibling said so.
-	if m.terminated || !c.isFresh(c.maxStaleness) || !c.seemsUnreachable(m, p) {
-		return false
-	}
-	// A machine whose lease is over has lost its tasks anyhow.
-	return !c.mostUnreachable(p) || c.leaseExpired(m, p)
-}
-
-// mostUnreachable tells whether most of a part's machines are quiet. It is counted once
-// for all that is decided at a time: counted anew for each quiet machine, some
-// hundred of them that fall silent together would take up the processor.
-func (c *clusterState) mostUnreachable(p *partition) bool {
-	if p.countedAt != c.now {
-		p.countedAt = c.now
-		quiet, all := 0, 0
-		for _, m := range p.machines {
-			if m.terminated || !c.expectsHeartbeat(m, 2*time.Minute) {
-				continue
-			}
-			// Where workers reach us, of other parts too, one that has not reported
-			// since we came says nothing about us: a part of few machines may well
-			// have lost most of them.
-			if m.heartbeatAt.IsZero() && c.lastHeartbeatAt.After(p.ownsMachineSince(m)) {
-				continue
-			}
-			all++
-			if c.seemsUnreachable(m, p) {
-				quiet++
-			}
-		}
-		p.mostUnreachable = quiet*2 > all
-	}
-	return p.mostUnreachable
-}
-
-func (c *clusterState) seemsUnreachable(m *machine, p *partition) bool {
-	if m.notReceiving(p) && c.now.Sub(p.ownsMachineSince(m)) > c.unreachableAfter() && c.now.Sub(m.heartbeatAt) < c.heartbeatOverdueAfter() {
-		return true // it reports all the same, so that commands can't be late
-	}
-	since := c.heardSince(m, p)
-	if c.now.Sub(since) > c.leaseExpiry+c.unreachableAfter() && c.now.Sub(c.resumedFromPauseAt) > c.unreachableAfter() && c.now.Sub(c.lastHeartbeatAt) < c.heartbeatOverdueAfter() {
-		return true // whatever it answers: its lease is over, and it takes no work
-	}
-	if m.answeredAt.After(since) {
-		since = m.answeredAt
-	}
-	if m.unanswered >= unansweredLimit {
-		after := c.heartbeatOverdueAfter()
-		if !m.heartbeatAt.After(p.ownsMachineSince(m)) {
-			// It is asked as soon as the part is taken over, and must not be found
-			// silent sooner than by an owner who goes on: whether its whole zone is
-			// out of reach shows no earlier.
-			after += unansweredLimit * workerclient.PingTimeout
-		}
-		return c.now.Sub(since) > after
-	}
-	return c.now.Sub(since) > c.unreachableAfter()
-}
-
 // peerStatus tells the siblings about this controller and its machines.
 func (c *controller) peerStatus() *peer.Status {
 	s := &peer.Status{Node: c.cfg.Name, ProcessID: c.processID, Fresh: c.isFresh(c.operator.LeaseTTL), Eligible: c.eligible()}
