--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -51,7 +51,7 @@
 	var stops, starts []wire.Command
 	var there []string // tasks with an attempt that can't be reaped yet
 	shown := make(shownTasks, 0, len(m.tasks))
-	open := m.unansweredStartToken == p.token || m.directCarriesStart || m.startInResponse
+	open := m.startMayArrive(p)
 	stop := stopDecider{b: c}
 	for i := range m.tasks {
 		t := &m.tasks[i]
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -14,11 +14,11 @@
 	if p.token == 0 || !p.active || m.terminated || m.addr == "" || !m.heartbeatAt.After(p.ownedSince) {
 		return
 	}
-	if m.directInFlight {
-		m.directAgain = true
+	if m.direct.inFlight {
+		m.direct.repeat = true
 		return
 	}
-	if c.now.Before(m.directBackoffUntil) || !c.isFresh(c.maxStaleness) {
+	if c.now.Before(m.direct.backoffUntil) || !c.isFresh(c.maxStaleness) {
 		return
 	}
 	if c.directsInFlight >= c.maxDirects {
@@ -34,8 +34,8 @@
 // more would take the sockets of workers and users, since each to a machine that
 // is silent holds one until it times out.
 func (c *partitionOwner) queueDirect(m *machine) {
-	if !m.directQueued {
-		m.directQueued = true
+	if !m.direct.queued {
+		m.direct.queued = true
 		c.directQueue = append(c.directQueue, m)
 	}
 }
@@ -45,9 +45,9 @@
 	for n := len(c.directQueue); n > 0 && c.directsInFlight < c.maxDirects; n-- {
 		m := c.directQueue[0]
 		c.directQueue = c.directQueue[1:]
-		m.directQueued = false
-		if ping := m.pingQueued; ping {
-			m.pingQueued = false
+		m.direct.queued = false
+		if ping := m.direct.pingQueued; ping {
+			m.direct.pingQueued = false
 			if p := c.partitions[m.partition]; p.token != 0 && !m.terminated {
 				c.ping(m, p)
 			}
@@ -59,11 +59,11 @@
 
 // ping tells a machine our token, whether it has something to do or not.
 func (c *partitionOwner) ping(m *machine, p *partition) {
-	if m.directInFlight || c.now.Before(m.directBackoffUntil) || m.incarnation == 0 || m.addr == "" || !c.isFresh(c.maxStaleness) {
+	if m.direct.inFlight || c.now.Before(m.direct.backoffUntil) || m.incarnation == 0 || m.addr == "" || !c.isFresh(c.maxStaleness) {
 		return
 	}
 	if c.directsInFlight >= c.maxDirects/2 { // the rest is for commands
-		m.pingQueued = true
+		m.direct.pingQueued = true
 		c.queueDirect(m)
 		return
 	}
@@ -71,11 +71,11 @@
 }
 
 func (c *partitionOwner) sendDirect(m *machine, p *partition, cmds []wire.Command) {
-	m.directInFlight, m.directAgain, m.pingQueued = true, false, false
+	m.direct.inFlight, m.direct.repeat, m.direct.pingQueued = true, false, false
 	c.directsInFlight++
 	for _, command := range cmds {
 		if command.Op == wire.OpStart {
-			m.directCarriesStart = true
+			m.direct.carriesStart = true
 		}
 	}
 	term, addr := p.token, m.addr
@@ -94,22 +94,22 @@
 		c.enqueue(priorityWorkers, func() {
 			c.directsInFlight--
 			defer c.sendQueuedDirect()
-			started := m.directCarriesStart
-			m.directInFlight, m.directCarriesStart = false, false
+			started := m.direct.carriesStart
+			m.direct.inFlight, m.direct.carriesStart = false, false
 			if err != nil {
 				// The commands may be executed minutes from now, as long as
 				// token and session match: until a higher token is seen, no
 				// absence from a report proves anything.
 				if started {
-					m.unansweredStartToken = term
+					m.direct.unansweredStartToken = term
 				}
 				// With too little processor time it is we who were late: a hundred
 				// machines asked at a take-over would all seem dead.
 				if !c.laggedSince(begun) {
-					m.unanswered++
+					m.direct.unanswered++
 				}
-				if m.unanswered >= unansweredLimit {
-					m.directBackoffUntil = c.now.Add(3 * time.Second)
+				if m.direct.unanswered >= unansweredLimit {
+					m.direct.backoffUntil = c.now.Add(3 * time.Second)
 				}
 				c.log.Debug("direct command unanswered", "machine", m.name, "err", err)
 				return
@@ -120,8 +120,8 @@
 			if p.token != 0 && heartbeat.Token <= p.token {
 				c.applyHeartbeat(m, heartbeat, p, false)
 			}
-			if m.directAgain || !ok {
-				m.directAgain = false
+			if m.direct.repeat || !ok {
+				m.direct.repeat = false
 				c.sendCommandsNow(m)
 			}
 		})
--- a/internal/controller/direct_commands_test.go
+++ b/internal/controller/direct_commands_test.go
@@ -36,7 +36,7 @@
 		}
 	}
 	for _, m := range p.machines {
-		if m.directInFlight {
+		if m.direct.inFlight {
 			asked[m.name] = true
 		}
 	}
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -151,7 +151,7 @@
 	// so that they turn to us.
 	for _, m := range p.machines {
 		if !m.terminated {
-			m.directBackoffUntil = time.Time{}
+			m.direct.backoffUntil = time.Time{}
 			c.ping(m, p)
 		}
 	}
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -224,8 +224,8 @@
 	}
 	spec := m.bindings[0].group.job.spec
 	for name, change := range map[string]struct{ do, undo func() }{
-		"a command without an answer": {func() { m.unansweredStartToken = p.token }, func() { m.unansweredStartToken = 0 }},
-		"a command on its way":        {func() { m.directInFlight = true }, func() { m.directInFlight = false }},
+		"a command without an answer": {func() { m.direct.unansweredStartToken = p.token }, func() { m.direct.unansweredStartToken = 0 }},
+		"a command on its way":        {func() { m.direct.inFlight = true }, func() { m.direct.inFlight = false }},
 		"a start in an answer":        {func() { m.startInResponse = true }, func() { m.startInResponse = false }},
 		"an older token":              {func() { m.token-- }, func() { m.token++ }},
 		"a task that is no service":   {func() { spec.Service = false }, func() { spec.Service = true }},
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -67,8 +67,8 @@
 	if heartbeat.Incarnation > m.incarnation && m.incarnation > 0 {
 		c.log.Info("machine begins a new session", "machine", m.name, "session", heartbeat.Incarnation)
 		m.images, m.fetching = map[string]bool{}, map[string]time.Time{}
-		m.unansweredStartToken, m.startInResponse = 0, false // commands of an earlier session are refused
-		m.leaseExpiredUnheard = !m.leaseRenewedAt.IsZero()   // it lost its lease: did it hear us at all?
+		m.direct.unansweredStartToken, m.startInResponse = 0, false // commands of an earlier session are refused
+		m.leaseExpiredUnheard = !m.leaseRenewedAt.IsZero()          // it lost its lease: did it hear us at all?
 	}
 	// Most reports say nothing that changes a decision: a tick comes soon enough.
 	news := heartbeat.Incarnation != m.incarnation || heartbeat.Token != m.token || (heartbeat.NoticeS == nil) != m.terminationAt.IsZero() || viaReport && !c.usable(m, p)
@@ -77,7 +77,7 @@
 	first := m.heartbeatAt.Before(p.ownedSince)
 	m.answeredAt = c.now
 	if !viaReport {
-		m.leaseExpiredUnheard, m.unanswered = false, 0
+		m.leaseExpiredUnheard, m.direct.unanswered = false, 0
 	}
 	if viaReport {
 		m.heartbeatAt = c.now
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -38,7 +38,7 @@
 // Nothing is placed on it, and it is replaced if it stays so. When that seems so
 // of most machines, it is we who can't be heard: they are all alike then.
 func (m *machine) notReceiving(p *partition) bool {
-	return (m.leaseExpiredUnheard || m.unanswered >= unansweredLimit) && !p.mostNotReceiving
+	return (m.leaseExpiredUnheard || m.direct.unanswered >= unansweredLimit) && !p.mostNotReceiving
 }
 
 // heardSince is when a machine was last heard, or since when it could have been. While
@@ -123,7 +123,7 @@
 	if m.answeredAt.After(since) {
 		since = m.answeredAt
 	}
-	if m.unanswered >= unansweredLimit {
+	if m.direct.unanswered >= unansweredLimit {
 		after := c.heartbeatOverdueAfter()
 		if !m.heartbeatAt.After(p.ownsMachineSince(m)) {
 			// It is asked as soon as the part is taken over, and must not be found
@@ -149,10 +149,10 @@
 				continue
 			}
 			all++
-			if m.leaseExpiredUnheard || m.unanswered >= unansweredLimit {
+			if m.leaseExpiredUnheard || m.direct.unanswered >= unansweredLimit {
 				deaf++
 			}
-			if m.leaseExpiredUnheard || m.unanswered > 0 || c.now.Sub(c.heardSince(m, p)) > c.heartbeatOverdueAfter() {
+			if m.leaseExpiredUnheard || m.direct.unanswered > 0 || c.now.Sub(c.heardSince(m, p)) > c.heartbeatOverdueAfter() {
 				c.ping(m, p)
 			}
 		}
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -131,7 +131,7 @@
 // no command of ours can still be under way there. Such a machine may change hands with
 // them: whatever ends them later is proven, and stored, as after any take-over.
 func (c *clusterState) runsOnlyServices(m *machine, p *partition) bool {
-	if !c.usable(m, p) || m.token != p.token || m.unansweredStartToken == p.token || m.directInFlight || m.directCarriesStart || m.startInResponse {
+	if !c.usable(m, p) || m.token != p.token || m.direct.inFlight || m.startMayArrive(p) {
 		return false
 	}
 	for _, x := range m.bindings {
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -35,32 +35,47 @@
 	cordoned              bool
 	cordonedAt            time.Time
 
-	// Direct commands.
-	directInFlight       bool
-	directCarriesStart   bool   // the one in flight carries a start
-	directAgain          bool   // more came up while one was in flight
-	directQueued         bool   // for its turn, see queueDirect
-	pingQueued           bool   // to be told our token
-	unansweredStartToken uint64 // term of a start that went unanswered
-	// startInResponse: an answer to a report carries a start, and no later report has
-	// come yet. The worker handles one report at a time, so the next one proves
-	// that the answer was executed or dropped; until then the start may still
-	// arrive, and neither absence nor a reap is safe.
-	startInResponse    bool
-	directBackoffUntil time.Time // no direct commands before then
-	answeredAt         time.Time
-	// A machine may report and yet hear nothing: neither our answers nor direct
-	// commands. unanswered counts the latter since the last that was answered;
-	// lapsed means that it lost its lease although we answered its reports, and
-	// has not answered us since.
-	unanswered          int
+	// startInResponse: a response to a heartbeat carries a start, and no later heartbeat
+	// has come. A worker has one heartbeat in flight at a time, so the next one proves that
+	// the response was executed or dropped. Until then the start may still arrive, and
+	// neither absence nor forgetting an exited task is safe.
+	startInResponse bool
+	// answeredAt is when the machine last sent anything new: a heartbeat, or its answer to a
+	// direct command.
+	answeredAt time.Time
+	// leaseExpiredUnheard: the machine lost its lease although its heartbeats were answered,
+	// and has not answered a direct command since. It may send without receiving anything.
 	leaseExpiredUnheard bool
+	direct              directState
 
-	// Looked up once in a step, see controller.schedulable and pinnedBy.
+	// Looked up once in a step, see clusterState.schedulable and clusterState.runsService.
 	schedulable, runsService         bool
 	schedulableStep, runsServiceStep uint64
 }
 
+// directState is the state of the direct commands to one machine.
+type directState struct {
+	inFlight     bool // a request is under way; there is one at a time
+	carriesStart bool // the one under way carries a start
+	repeat       bool // commands were wanted while one was under way: they are sent after it
+	queued       bool // the machine waits for a slot
+	pingQueued   bool // it waits for a slot to be pinged
+	// unansweredStartToken is the token of a start that went unanswered and may arrive as
+	// long as the machine has seen no higher one; 0: none.
+	unansweredStartToken uint64
+	// backoffUntil: nothing is sent before then.
+	backoffUntil time.Time
+	// unanswered counts the requests without an answer since the last answer.
+	unanswered int
+}
+
+// startMayArrive tells whether a start that the machine was sent may still arrive: one in a
+// response to a heartbeat, in a direct command under way, or in one that went unanswered
+// under the owner's present token.
+func (m *machine) startMayArrive(p *partition) bool {
+	return m.direct.unansweredStartToken == p.token || m.direct.carriesStart || m.startInResponse
+}
+
 // machineBindings are the tasks that are bound to a machine: few, and gone through in every
 // step and with every report.
 type machineBindings []machineBinding
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -250,7 +250,7 @@
 	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Service: true, Tasks: 1, CPUs: 1}}), 5)
 	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1, Addr: "10.1.0.1:1"}}}), 6)
 	m := c.machineNamed("host-1")
-	m.unanswered = unansweredLimit
+	m.direct.unanswered = unansweredLimit
 	for _, reached := range []bool{false, true} {
 		c.now = c.now.Add(6 * time.Second)
 		if reached {
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -11,8 +11,8 @@
 func (c *clusterState) reconcile(m *machine, p *partition) {
 	// An older owner's start may still be under way until the machine has
 	// shown our token; one of ours while a direct command is unanswered.
-	settled := m.token == p.token && m.unansweredStartToken != p.token && !m.directCarriesStart && !m.startInResponse
-	if m.unansweredStartToken == p.token && m.unansweredStartToken != 0 && !m.directInFlight {
+	settled := m.token == p.token && !m.startMayArrive(p)
+	if m.direct.unansweredStartToken == p.token && m.direct.unansweredStartToken != 0 && !m.direct.inFlight {
 		p.tokenRaiseDue = true
 	}
 	shown := make(shownTasks, 0, len(m.tasks))
