--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -24,13 +24,7 @@
 }
 
 // Encode returns the stored encoding.
-func (c Controller) Encode() json.RawMessage {
-	raw, err := json.Marshal(c)
-	if err != nil {
-		panic(fmt.Sprintf("rollout: encode controller: %v", err)) // plain data always encodes
-	}
-	return raw
-}
+func (c Controller) Encode() json.RawMessage { return encode(c) }
 
 // DecodeController decodes what Encode returned, and validates it.
 func DecodeController(raw []byte) (Controller, error) {
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -83,13 +83,7 @@
 }
 
 // Encode returns the stored encoding.
-func (s State) Encode() json.RawMessage {
-	raw, err := json.Marshal(s)
-	if err != nil {
-		panic(fmt.Sprintf("rollout: encode state: %v", err)) // plain data always encodes
-	}
-	return raw
-}
+func (s State) Encode() json.RawMessage { return encode(s) }
 
 // DecodeState decodes what Encode returned. A state that makes no sense is an error: it was
 // written by a version that knows more, or by hand.
--- a/internal/rollout/txn.go
+++ b/internal/rollout/txn.go
@@ -57,9 +57,5 @@
 }
 
 func closedLeaseValue(level Level) json.RawMessage {
-	raw, err := json.Marshal(closedLease{Node: ClosedNode(level)})
-	if err != nil {
-		panic(fmt.Sprintf("rollout: encode closed key: %v", err)) // plain data always encodes
-	}
-	return raw
+	return encode(closedLease{Node: ClosedNode(level)})
 }
