--- a/internal/planning/assignment.go
+++ b/internal/planning/assignment.go
@@ -26,7 +26,10 @@
 // room is free, for what becomes free soon (ahead, which it counts down), then for what
 // may be preempted. It takes that room from the machines.
 func (a *Assignment) PerPartition(machines []*MachineSummary, ahead []int) []int {
-	s := spread{Assignment: a, machines: machines, ahead: ahead, tasks: make([]int, len(ahead)), remaining: a.Count}
+	s := spread{
+		Assignment: a, machines: machines, ahead: ahead,
+		tasks: make([]int, len(ahead)), remaining: a.Count,
+	}
 	s.assignFreeRoom()
 	s.assignAhead()
 	s.assignByPreemption()
@@ -61,11 +64,14 @@
 
 // assignAhead assigns tasks for what becomes free soon.
 func (s *spread) assignAhead() {
+	if s.QuotaShort {
+		return
+	}
 	for partition := range s.ahead {
-		if s.remaining == 0 || s.QuotaShort || s.ahead[partition] <= 0 || !s.allowsPartition(s.machines, partition) {
+		count := min(s.remaining, s.ahead[partition])
+		if count <= 0 || !s.allowsPartition(s.machines, partition) {
 			continue
 		}
-		count := min(s.remaining, s.ahead[partition])
 		s.ahead[partition] -= count
 		s.assign(partition, count)
 	}
@@ -208,7 +214,7 @@
 
 // AssignAhead returns how many tasks a partition may be assigned beyond its free room:
 // what ends there while a cell would wait for its next task, twice over. bound tasks of
-// the given estimated run time run there; estimate and turnaround are in seconds.
-func AssignAhead(bound int, estimate, turnaround float64) float64 {
-	return float64(bound) * min(maxAheadShare, aheadTurnarounds*turnaround/max(estimate, minEstimateS))
+// the given estimated run time run there.
+func AssignAhead(bound int, estimateS, turnaroundS float64) float64 {
+	return float64(bound) * min(maxAheadShare, aheadTurnarounds*turnaroundS/max(estimateS, minEstimateS))
 }
--- a/internal/planning/bin_packing.go
+++ b/internal/planning/bin_packing.go
@@ -4,7 +4,9 @@
 
 // PlaceInFreeRoom has up to count tasks of a size take free room on the machines that the
 // filter allows, the fullest first, and returns how many each machine got.
-func PlaceInFreeRoom(machines []*MachineSummary, allowed MachineFilter, size scheduling.Resources, count int) map[*MachineSummary]int {
+func PlaceInFreeRoom(
+	machines []*MachineSummary, allowed MachineFilter, size scheduling.Resources, count int,
+) map[*MachineSummary]int {
 	placed := map[*MachineSummary]int{}
 	for count > 0 {
 		var best *MachineSummary
@@ -68,7 +70,9 @@
 
 // PlaceByPreemption finds the machine on which preempting the fewest tasks of the lowest
 // priority makes room for one task, and takes that room. It returns nil if there is none.
-func PlaceByPreemption(machines []*MachineSummary, allowed MachineFilter, size scheduling.Resources, claim scheduling.Claim) *MachineSummary {
+func PlaceByPreemption(
+	machines []*MachineSummary, allowed MachineFilter, size scheduling.Resources, claim scheduling.Claim,
+) *MachineSummary {
 	var best preemption
 	for _, machine := range machines {
 		if machine.Booting || !allowed(machine) {
@@ -94,7 +98,9 @@
 
 // preemptFor preempts usages until the size fits, as far as the claim may, and returns what
 // would be free and used on the machine then. The machine keeps them for now.
-func (m *MachineSummary) preemptFor(size scheduling.Resources, claim scheduling.Claim) (free scheduling.Resources, usages []Usage, cost float64) {
+func (m *MachineSummary) preemptFor(
+	size scheduling.Resources, claim scheduling.Claim,
+) (free scheduling.Resources, usages []Usage, cost float64) {
 	m.sortVictimsFirst()
 	free, usages = m.Free, m.Usages
 	for len(usages) > 0 && !free.Contains(size) && claim.CanPreempt(usages[0].Claim) {
--- a/internal/planning/headroom.go
+++ b/internal/planning/headroom.go
@@ -8,7 +8,7 @@
 	return int(math.Ceil(factor * math.Sqrt(float64(services))))
 }
 
-// FreeHistory records how many CPUs were free of late. Arrays spread over all machines,
+// FreeHistory records how much CPU was free of late, in thousandths. Arrays spread over all machines,
 // so that few are ever idle by themselves: when more is free all the time than a machine
 // holds, one without services can be drained.
 type FreeHistory struct {
@@ -16,9 +16,8 @@
 }
 
 type freeSample struct {
-	// atS is in seconds.
-	atS  float64
-	cpus int64
+	atS float64 // in seconds
+	cpu int64   // in thousandths
 }
 
 // minCoveredTenths: tenths of a window that samples have to cover, so that one that came a
@@ -28,35 +27,37 @@
 // Reset forgets all samples, as there is a shortage.
 func (h *FreeHistory) Reset() { h.samples = nil }
 
-// Add records how many CPUs are free at a time, and returns the least of the last window.
-// It reports false as long as the samples don't cover the window. Times are in seconds.
-func (h *FreeHistory) Add(at float64, free int64, window float64) (least int64, covered bool) {
-	h.samples = append(h.samples, freeSample{at, free})
-	for at-h.samples[0].atS > window {
+// Add records how much CPU is free at a time, and returns the least of the last window. It
+// reports false as long as the samples don't cover the window. Times are in seconds.
+func (h *FreeHistory) Add(atS float64, freeCPU int64, windowS float64) (leastCPU int64, covered bool) {
+	h.samples = append(h.samples, freeSample{atS, freeCPU})
+	for atS-h.samples[0].atS > windowS {
 		h.samples = h.samples[1:]
 	}
-	least = free
+	leastCPU = freeCPU
 	for _, sample := range h.samples {
-		least = min(least, sample.cpus)
+		leastCPU = min(leastCPU, sample.cpu)
 	}
-	return least, at-h.samples[0].atS >= window*minCoveredTenths/10
+	return leastCPU, atS-h.samples[0].atS >= windowS*minCoveredTenths/10
 }
 
 // Subtract lowers all samples, as a machine is being drained.
-func (h *FreeHistory) Subtract(cpus int64) {
+func (h *FreeHistory) Subtract(cpu int64) {
 	for i := range h.samples {
-		h.samples[i].cpus -= cpus
+		h.samples[i].cpu -= cpu
 	}
 }
 
 // LeastUsedMachine returns the on-demand machine of which the least share is used, of
-// those that have at most the given CPUs, run nothing of that priority or a higher one,
-// and pass the filter; nil if there is none.
-func LeastUsedMachine(machines []*MachineSummary, maxCPUs int64, priority int, allowed MachineFilter) *MachineSummary {
+// those that have at most maxCPU thousandths of a CPU, run nothing of that priority or a
+// higher one, and pass the filter; nil if there is none.
+func LeastUsedMachine(
+	machines []*MachineSummary, maxCPU int64, priority int, allowed MachineFilter,
+) *MachineSummary {
 	var best *MachineSummary
 	bestUsed := int64(0)
 	for _, machine := range machines {
-		if machine.Spot || machine.Size.CPU > maxCPUs || !allowed(machine) || machine.runsPriority(priority) {
+		if machine.Spot || machine.Size.CPU > maxCPU || !allowed(machine) || machine.runsPriority(priority) {
 			continue
 		}
 		// Shares are compared without division: used/size < bestUsed/bestSize.
--- a/internal/planning/job_order_test.go
+++ b/internal/planning/job_order_test.go
@@ -42,3 +42,52 @@
 		}
 	})
 }
+
+func TestUrgencyOfJobs(t *testing.T) {
+	const deadlineS, objectiveS = 100, 400
+	for _, row := range []struct {
+		name     string
+		job      JobOrder
+		expected Lateness
+	}{
+		{"meets its deadline", JobOrder{AgeS: 40, EstimateS: 60}, InTime},
+		{"late by up to half of its deadline", JobOrder{AgeS: 90, EstimateS: 60}, SlightlyLate},
+		{"within its objective", JobOrder{AgeS: 90, EstimateS: 310}, Late},
+		{"beyond its objective", JobOrder{AgeS: 90, EstimateS: 311}, Hopeless},
+		{"has not started for too long", JobOrder{AgeS: forceStartAfterS + 1, EstimateS: 1}, MustStart},
+		{"has started", JobOrder{Started: true, AgeS: forceStartAfterS + 1, EstimateS: 1}, SlightlyLate},
+		{"overdue in its turn", JobOrder{Started: true, OverdueTurn: true, AgeS: 301, EstimateS: 1}, Overdue},
+		{"overdue out of its turn", JobOrder{Started: true, AgeS: 301, EstimateS: 1}, Late},
+		{"without a deadline", JobOrder{NoDeadline: true, OverdueTurn: true, AgeS: 1000, EstimateS: 1}, InTime},
+		{"all or nothing", JobOrder{AllOrNothing: true, OverdueTurn: true, AgeS: 1000, EstimateS: 1}, InTime},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			row.job.DeadlineS, row.job.ObjectiveS = deadlineS, objectiveS
+			if got := row.job.Urgency().Lateness; got != row.expected {
+				t.Errorf("%+v: expected lateness %d, got %d", row.job, row.expected, got)
+			}
+		})
+	}
+}
+
+func TestForcedTasks(t *testing.T) {
+	overdue := JobOrder{Started: true, OverdueTurn: true, AgeS: startWithinS + 1, DeadlineS: 1}
+	unstarted := JobOrder{AgeS: forceStartAfterS + 1, DeadlineS: 1000}
+	for _, row := range []struct {
+		name     string
+		job      JobOrder
+		pending  int
+		expected int
+	}{
+		{"overdue in its turn", overdue, 0, MinTasksPerPartition},
+		{"must start", unstarted, 0, MinStartTasks},
+		{"assigned tasks wait already", unstarted, 1, 0},
+		{"neither", JobOrder{Started: true, DeadlineS: 1000}, 0, 0},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			if got := row.job.ForcedTasks(row.pending); got != row.expected {
+				t.Errorf("expected %d forced tasks, got %d", row.expected, got)
+			}
+		})
+	}
+}
--- a/internal/planning/offer.go
+++ b/internal/planning/offer.go
@@ -27,9 +27,11 @@
 // CheapestOffer returns the offer that serves count tasks of a size for the least money
 // for each task, boot time included, and how many machines of it are needed; none if the
 // task fits on no machine. likely is how many such tasks may share the machines before
-// long: a large machine's price is spread over that many. patience is the time, in
+// long: a large machine's price is spread over that many. patienceS is the time, in
 // seconds, over which a machine's boot time is spread.
-func CheapestOffer(offers []PricedOffer, size scheduling.Resources, count, likely int, patience float64) (best PricedOffer, machines int) {
+func CheapestOffer(
+	offers []PricedOffer, size scheduling.Resources, count, likely int, patienceS float64,
+) (best PricedOffer, machines int) {
 	bestCost := math.Inf(1)
 	likely = max(likely, count)
 	for _, offer := range offers {
@@ -38,7 +40,7 @@
 			continue
 		}
 		likelyMachines := divideRoundingUp(likely, fitting)
-		cost := offer.Price * float64(likelyMachines) / float64(likely) * (1 + offer.BootS/patience)
+		cost := offer.Price * float64(likelyMachines) / float64(likely) * (1 + offer.BootS/patienceS)
 		if cost < bestCost {
 			best, machines, bestCost = offer, divideRoundingUp(count, fitting), cost
 		}
--- a/internal/planning/throttle_test.go
+++ b/internal/planning/throttle_test.go
@@ -1,6 +1,7 @@
 package planning
 
 import (
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -55,3 +56,30 @@
 		}
 	})
 }
+
+func TestThrottleOrder(t *testing.T) {
+	size := scheduling.NewResources(1, 0, 0)
+	waiting := QuotaUse{Priority: 1, Running: 2, Allowed: 5, TaskSize: size}
+	lower := QuotaUse{Priority: 0, Running: 3, Allowed: 3, TaskSize: size}
+	fixed := QuotaUse{Priority: 1, Running: 2, Allowed: 5, TaskSize: size, Fixed: true}
+	for _, row := range []struct {
+		name      string
+		uses      []QuotaUse
+		shortfall float64
+		expected  []int
+	}{
+		{"nothing is lacking", []QuotaUse{lower, waiting}, 0, []int{unthrottled, unthrottled}},
+		{"waiting tasks before running ones", []QuotaUse{lower, waiting}, 2, []int{unthrottled, 3}},
+		{"running ones of lower priority then", []QuotaUse{lower, waiting}, 4, []int{2, 2}},
+		{"no running ones of equal priority", []QuotaUse{waiting}, 4, []int{2}},
+		{"no fixed ones", []QuotaUse{fixed, lower}, 1, []int{unthrottled, 2}},
+		{"the least urgent first", []QuotaUse{waiting, waiting}, 4, []int{2, 4}},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			got := Throttle(row.uses, 1, scheduling.NewResources(row.shortfall, 0, 0))
+			if !slices.Equal(got, row.expected) {
+				t.Errorf("expected %v tasks to be allowed, got %v", row.expected, got)
+			}
+		})
+	}
+}
--- a/internal/scheduling/invariants.go
+++ b/internal/scheduling/invariants.go
@@ -84,7 +84,8 @@
 			}
 		}
 		if reserving != group.victims || reserving == 0 {
-			return fmt.Errorf("group of task %v counts %d victims and has %d Reserving cells", task, group.victims, reserving)
+			return fmt.Errorf("group of task %v counts %d victims and has %d Reserving cells",
+				task, group.victims, reserving)
 		}
 	}
 	return nil
--- a/internal/scheduling/request.go
+++ b/internal/scheduling/request.go
@@ -45,7 +45,10 @@
 // the group is Allocated (e0: all cells were Free, or Reserved for groups that it may
 // preempt) or Preempting (e1), or still Pending, in which case nothing has changed.
 func (p *Partition) Request(g *Group, score ScoreFunc) {
-	r := request{partition: p, group: g, score: score, placements: make([]placement, 0, len(g.Tasks))}
+	r := request{
+		partition: p, group: g, score: score,
+		placements: make([]placement, 0, len(g.Tasks)),
+	}
 	promised := promises{room: map[MachineIndex]Resources{}, cells: map[*Cell]bool{}}
 	for range g.Tasks {
 		if !r.placeTask(&promised) {
--- a/internal/scheduling/request_test.go
+++ b/internal/scheduling/request_test.go
@@ -80,3 +80,41 @@
 	partition.Request(equal, anyMachine)
 	expectState(t, "group of equal priority", equal, Pending)
 }
+
+// Of the cells that may be preempted, those of the lowest weight are, then larger ones,
+// then those allocated last. Machines are compared by what that costs.
+func TestChoiceOfVictims(t *testing.T) {
+	type running struct {
+		task    int32
+		machine MachineIndex
+		cpus    float64
+		claim   Claim
+	}
+	for _, row := range []struct {
+		name     string
+		running  []running
+		cpus     float64 // that the preempting group asks for
+		expected int32   // a task that is to be a victim
+	}{
+		{"lower priority", []running{{0, 0, 2, Claim{Priority: 1}}, {1, 0, 2, Claim{}}}, 2, 1},
+		{"not guaranteed", []running{{0, 0, 2, Claim{Guaranteed: true}}, {1, 0, 2, Claim{}}}, 2, 1},
+		{"larger cell", []running{{0, 0, 3, Claim{}}, {1, 0, 1, Claim{}}}, 1, 0},
+		{"allocated last", []running{{0, 0, 2, Claim{}}, {1, 0, 2, Claim{}}}, 2, 1},
+		{"two rather than a higher one", []running{{0, 0, 4, Claim{Priority: 1}}, {1, 1, 2, Claim{}}, {2, 1, 2, Claim{}}}, 4, 2},
+		{"one rather than two", []running{{0, 0, 2, Claim{}}, {1, 0, 2, Claim{}}, {2, 1, 4, Claim{}}}, 4, 2},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			partition := NewPartition()
+			for _, r := range row.running {
+				partition.SetMachine(r.machine, NewResources(4, 0, 8))
+				partition.Adopt(Task{Number: r.task}, r.machine, NewResources(r.cpus, 0, 1), r.claim)
+			}
+			preemptor := newTestGroup(3, row.cpus, 100)
+			partition.Request(preemptor, anyMachine)
+			expectState(t, "preempting group", preemptor, Preempting)
+			if cell := partition.CellOf(Task{Number: row.expected}); cell.State != Reserving {
+				t.Errorf("cell of task %d: expected %v, got %v", row.expected, Reserving, cell.State)
+			}
+		})
+	}
+}
