--- /dev/null
+++ b/internal/workerclient/slots_test.go
@@ -0,0 +1,91 @@
+package workerclient_test
+
+import (
+	"slices"
+	"testing"
+
+	"eiderhitch/internal/workerclient"
+)
+
+// Pings use half of the slots, so that commands find the other half whatever is pinged.
+func TestPingsLeaveSlotsForCommands(t *testing.T) {
+	for _, x := range []struct{ maximum, open, pings, commands int }{
+		{8, 0, 4, 8},
+		{8, 3, 1, 5},
+		{8, 4, 0, 4},
+		{8, 8, 0, 0},
+		{1, 0, 0, 1},
+	} {
+		for purpose, want := range map[workerclient.Purpose]int{workerclient.Ping: x.pings, workerclient.Commands: x.commands} {
+			s := workerclient.NewSlots[string](x.maximum)
+			for range x.open {
+				s.Acquire("busy")
+			}
+			got := 0
+			for ; s.Available(purpose); got++ {
+				s.Acquire("m")
+			}
+			if got != want || s.Open() != x.open+want {
+				t.Errorf("%d of %d open: %d are left for purpose %d (%d open then), want %d", x.open, x.maximum, got, purpose, s.Open(), want)
+			}
+			s.Release()
+			if s.Open() != x.open+want-1 {
+				t.Errorf("%d open after a release, want %d", s.Open(), x.open+want-1)
+			}
+		}
+	}
+}
+
+// turn is a machine that has its turn, and what it waited for.
+type turn struct {
+	machine string
+	purpose workerclient.Purpose
+}
+
+// Machines have their turns in the order in which they came, each once.
+func TestMachinesWaitInOrder(t *testing.T) {
+	for _, x := range []struct {
+		name string
+		wait func(s *workerclient.Slots[string])
+		want []turn
+	}{
+		{"nobody waits", func(*workerclient.Slots[string]) {}, nil},
+		{"in order", func(s *workerclient.Slots[string]) {
+			s.Wait("b", workerclient.Commands)
+			s.Wait("a", workerclient.Ping)
+		}, []turn{{"b", workerclient.Commands}, {"a", workerclient.Ping}}},
+		{"once", func(s *workerclient.Slots[string]) {
+			s.Wait("a", workerclient.Commands)
+			s.Wait("b", workerclient.Commands)
+			s.Wait("a", workerclient.Commands)
+		}, []turn{{"a", workerclient.Commands}, {"b", workerclient.Commands}}},
+		{"a ping after commands", func(s *workerclient.Slots[string]) {
+			s.Wait("a", workerclient.Commands)
+			s.Wait("a", workerclient.Ping)
+		}, []turn{{"a", workerclient.Ping}}},
+		{"commands after a ping", func(s *workerclient.Slots[string]) {
+			s.Wait("a", workerclient.Ping)
+			s.Wait("a", workerclient.Commands)
+		}, []turn{{"a", workerclient.Ping}}},
+		{"what is sent meanwhile serves as the ping", func(s *workerclient.Slots[string]) {
+			s.Wait("a", workerclient.Ping)
+			s.Acquire("a")
+		}, []turn{{"a", workerclient.Commands}}},
+		{"again after its turn", func(s *workerclient.Slots[string]) {
+			s.Wait("a", workerclient.Ping)
+			s.Next()
+			s.Wait("a", workerclient.Commands)
+		}, []turn{{"a", workerclient.Commands}}},
+	} {
+		s := workerclient.NewSlots[string](8)
+		x.wait(s)
+		var got []turn
+		for s.Waiting() > 0 {
+			machine, purpose := s.Next()
+			got = append(got, turn{machine, purpose})
+		}
+		if !slices.Equal(got, x.want) {
+			t.Errorf("%s: %v, want %v", x.name, got, x.want)
+		}
+	}
+}
