--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -90,7 +90,7 @@
 		t.Run(how, func(t *testing.T) {
 			c := lone(t)
 			p := c.partitions[0]
-			c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, true)
+			c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, workerRequest)
 			spec := &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAMGB: 1, Team: "t", NoDeadline: true}
 			c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 2)
 			key := groupKey("wk-1", 0)
@@ -184,7 +184,7 @@
 func TestClaimsOfAMovedRecord(t *testing.T) {
 	c := lone(t)
 	p := c.partitions[0]
-	c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+	c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
 	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAMGB: 1, Team: "t", NoDeadline: true}}), 2)
 	key := groupKey("wk-1", 0)
 	c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
@@ -297,7 +297,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			c := lone(t)
 			p := c.partitions[0]
-			c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+			c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
 			for i, team := range []string{"blue", "red"} {
 				id := fmt.Sprintf("wk-%d", i+1)
 				c.replica.Put(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAMGB: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -2,13 +2,31 @@
 
 import (
 	"context"
+	"slices"
 	"time"
 
 	"eiderhitch/internal/wire"
 	"eiderhitch/internal/workerclient"
 )
 
-// sendCommandsNow sends a machine's commands at once, without waiting for its report.
+const (
+	// unansweredLimit is how many direct commands in a row go unanswered by a machine that
+	// counts as not receiving. A single one is lost to a moment's congestion.
+	unansweredLimit = 2
+	// unansweredBackoff is how long a machine gets no direct commands after that: each of
+	// them holds a slot until it times out.
+	unansweredBackoff = 3 * time.Second
+)
+
+// directRequest is a request with direct commands under way.
+type directRequest struct {
+	machine   *machine
+	partition *partition
+	token     uint64 // the partition's when it was sent
+	sentAt    time.Time
+}
+
+// sendCommandsNow sends a machine's commands at once, without waiting for its heartbeat.
 func (c *partitionOwner) sendCommandsNow(m *machine) {
 	p := c.partitions[m.partition]
 	if p.token == 0 || !p.active || m.terminated || m.addr == "" || !m.heartbeatAt.After(p.ownedSince) {
@@ -21,109 +39,106 @@
 	if c.now.Before(m.direct.backoffUntil) || !c.isFresh(c.maxStaleness) {
 		return
 	}
-	if c.directsInFlight >= c.maxDirects {
-		c.queueDirect(m)
+	if !c.directSlots.Available(workerclient.Commands) {
+		c.directSlots.Wait(m, workerclient.Commands)
 		return
 	}
-	if cmds := c.commands(m, p); len(cmds) > 0 {
-		c.sendDirect(m, p, cmds)
-	}
-}
-
-// queueDirect has a machine wait for its turn: so many direct commands are open that
-// more would take the sockets of workers and users, since each to a machine that
-// is silent holds one until it times out.
-func (c *partitionOwner) queueDirect(m *machine) {
-	if !m.direct.queued {
-		m.direct.queued = true
-		c.directQueue = append(c.directQueue, m)
+	if commands := c.commands(m, p); len(commands) > 0 {
+		c.sendDirect(m, p, commands)
 	}
 }
 
-// sendQueuedDirect gives those that wait for direct commands their turn.
+// sendQueuedDirect gives the machines that wait for a slot their turn.
 func (c *partitionOwner) sendQueuedDirect() {
-	for n := len(c.directQueue); n > 0 && c.directsInFlight < c.maxDirects; n-- {
-		m := c.directQueue[0]
-		c.directQueue = c.directQueue[1:]
-		m.direct.queued = false
-		if ping := m.direct.pingQueued; ping {
-			m.direct.pingQueued = false
-			if p := c.partitions[m.partition]; p.token != 0 && !m.terminated {
-				c.ping(m, p)
-			}
-			continue
+	for n := c.directSlots.Waiting(); n > 0 && c.directSlots.Available(workerclient.Commands); n-- {
+		m, purpose := c.directSlots.Next()
+		if purpose == workerclient.Commands {
+			c.sendCommandsNow(m)
+		} else if p := c.partitions[m.partition]; p.token != 0 && !m.terminated {
+			c.ping(m, p)
 		}
-		c.sendCommandsNow(m)
 	}
 }
 
-// ping tells a machine our token, whether it has something to do or not.
+// ping shows a machine the partition's token, whether it has something to do or not. Its
+// answer is as good as a heartbeat, but renews no lease.
 func (c *partitionOwner) ping(m *machine, p *partition) {
 	if m.direct.inFlight || c.now.Before(m.direct.backoffUntil) || m.incarnation == 0 || m.addr == "" || !c.isFresh(c.maxStaleness) {
 		return
 	}
-	if c.directsInFlight >= c.maxDirects/2 { // the rest is for commands
-		m.direct.pingQueued = true
-		c.queueDirect(m)
+	if !c.directSlots.Available(workerclient.Ping) {
+		c.directSlots.Wait(m, workerclient.Ping)
 		return
 	}
 	c.sendDirect(m, p, nil)
 }
 
-func (c *partitionOwner) sendDirect(m *machine, p *partition, cmds []wire.Command) {
-	m.direct.inFlight, m.direct.repeat, m.direct.pingQueued = true, false, false
-	c.directsInFlight++
-	for _, command := range cmds {
-		if command.Op == wire.OpStart {
-			m.direct.carriesStart = true
-		}
+// sendDirect sends commands to a machine; none: a ping. The result is handled on the event
+// loop.
+func (c *partitionOwner) sendDirect(m *machine, p *partition, commands []wire.Command) {
+	c.directSlots.Acquire(m)
+	m.direct.inFlight, m.direct.repeat = true, false
+	m.direct.carriesStart = slices.ContainsFunc(commands, isStart)
+	request := directRequest{machine: m, partition: p, token: p.token, sentAt: c.now}
+	body := &wire.CommandRequest{Token: p.token, Incarnation: m.incarnation, Commands: commands}
+	timeout := workerclient.Timeout
+	if len(commands) == 0 {
+		timeout = workerclient.PingTimeout
 	}
-	term, addr := p.token, m.addr
-	d := &wire.CommandRequest{Token: term, Incarnation: m.incarnation, Commands: cmds}
-	// Counted from the decision, not from when it is sent: a process that stood
-	// still in between has no right to send it any more.
-	limit := workerclient.Timeout
-	if len(cmds) == 0 {
-		limit = workerclient.PingTimeout
-	}
-	begun := c.now
-	ctx, cancel := context.WithDeadline(c.ctx, begun.Add(limit))
+	addr := m.addr
+	// The deadline counts from the decision, not from the sending: a process that was
+	// suspended in between must not send what may have been revoked meanwhile.
+	ctx, cancel := context.WithDeadline(c.ctx, request.sentAt.Add(timeout))
 	go func() {
 		defer cancel()
-		heartbeat, ok, err := c.workerClient.Send(ctx, addr, d)
+		heartbeat, executed, err := c.workerClient.Send(ctx, addr, body)
 		c.enqueue(priorityWorkers, func() {
-			c.directsInFlight--
-			defer c.sendQueuedDirect()
-			started := m.direct.carriesStart
-			m.direct.inFlight, m.direct.carriesStart = false, false
+			c.directSlots.Release()
 			if err != nil {
-				// The commands may be executed minutes from now, as long as
-				// token and session match: until a higher token is seen, no
-				// absence from a report proves anything.
-				if started {
-					m.direct.unansweredStartToken = term
-				}
-				// With too little processor time it is we who were late: a hundred
-				// machines asked at a take-over would all seem dead.
-				if !c.laggedSince(begun) {
-					m.direct.unanswered++
-				}
-				if m.direct.unanswered >= unansweredLimit {
-					m.direct.backoffUntil = c.now.Add(3 * time.Second)
-				}
-				c.log.Debug("direct command unanswered", "machine", m.name, "err", err)
-				return
-			}
-			if heartbeat.Machine != m.name {
-				return
-			}
-			if p.token != 0 && heartbeat.Token <= p.token {
-				c.applyHeartbeat(m, heartbeat, p, false)
-			}
-			if m.direct.repeat || !ok {
-				m.direct.repeat = false
-				c.sendCommandsNow(m)
+				c.directUnanswered(request, err)
+			} else {
+				c.directAnswered(request, heartbeat, executed)
 			}
+			c.sendQueuedDirect()
 		})
 	}()
 }
+
+func isStart(command wire.Command) bool { return command.Op == wire.OpStart }
+
+// directUnanswered notes that a request has no answer. Its commands may be executed minutes
+// later, as long as token and incarnation match: until the machine has seen a higher token,
+// that a task is absent from its heartbeats proves nothing.
+func (c *partitionOwner) directUnanswered(request directRequest, err error) {
+	m := request.machine
+	if m.direct.carriesStart {
+		m.direct.unansweredStartToken = request.token
+	}
+	m.direct.inFlight, m.direct.carriesStart = false, false
+	// A controller with too little processor time may not have come to the answer yet:
+	// hundreds of machines that are pinged after a failover would all seem dead.
+	if !c.laggedSince(request.sentAt) {
+		m.direct.unanswered++
+	}
+	if m.direct.unanswered >= unansweredLimit {
+		m.direct.backoffUntil = c.now.Add(unansweredBackoff)
+	}
+	c.log.Debug("direct command unanswered", "machine", m.name, "err", err)
+}
+
+// directAnswered takes the heartbeat in that a worker answers a request with, and sends what
+// was wanted meanwhile, or was not executed.
+func (c *partitionOwner) directAnswered(request directRequest, heartbeat *wire.Heartbeat, executed bool) {
+	m, p := request.machine, request.partition
+	m.direct.inFlight, m.direct.carriesStart = false, false
+	if heartbeat.Machine != m.name {
+		return // its address has come to another machine
+	}
+	if p.token != 0 && heartbeat.Token <= p.token {
+		c.applyHeartbeat(m, heartbeat, p, directAnswer)
+	}
+	if m.direct.repeat || !executed {
+		m.direct.repeat = false
+		c.sendCommandsNow(m)
+	}
+}
--- a/internal/controller/direct_commands_test.go
+++ b/internal/controller/direct_commands_test.go
@@ -17,22 +17,24 @@
 func TestDirectCommandsAreBounded(t *testing.T) {
 	c := crowded(t, 2000)
 	p := c.partitions[0]
-	c.maxDirects = 40
+	c.directSlots = workerclient.NewSlots[*machine](40)
 	c.now = c.now.Add(20 * time.Second)
 	c.replica.NoteRead(c.now)
 	c.probeUnreachable()
-	if c.directsInFlight != 20 || c.directsInFlight+len(c.directQueue) != len(p.machines) || len(p.machines) < 300 {
-		t.Fatalf("%d commands are open and %d machines wait, of %d", c.directsInFlight, len(c.directQueue), len(p.machines))
+	if c.directSlots.Open() != 20 || c.directSlots.Open()+c.directSlots.Waiting() != len(p.machines) || len(p.machines) < 300 {
+		t.Fatalf("%d commands are open and %d machines wait, of %d", c.directSlots.Open(), c.directSlots.Waiting(), len(p.machines))
 	}
 	asked := map[string]bool{}
-	for rounds := 0; len(c.directQueue) > 0; rounds++ {
+	for rounds := 0; c.directSlots.Waiting() > 0; rounds++ {
 		if rounds > len(p.machines)/20 {
 			t.Fatal("a machine never has its turn")
 		}
-		c.directsInFlight = 0
+		for c.directSlots.Open() > 0 {
+			c.directSlots.Release()
+		}
 		c.sendQueuedDirect()
-		if c.directsInFlight > 20 {
-			t.Fatalf("%d commands are open", c.directsInFlight)
+		if c.directSlots.Open() > 20 {
+			t.Fatalf("%d commands are open", c.directSlots.Open())
 		}
 	}
 	for _, m := range p.machines {
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -47,7 +47,7 @@
 	lead := &leader{clusterState: state}
 	c := &controller{
 		clusterState:   state,
-		partitionOwner: &partitionOwner{clusterState: state, workerClient: workerclient.NewClient(out.workers), maxDirects: cfg.DirectCommands()},
+		partitionOwner: &partitionOwner{clusterState: state, workerClient: workerclient.NewClient(out.workers), directSlots: workerclient.NewSlots[*machine](cfg.DirectCommands())},
 		leader:         lead,
 		autoscaler:     &autoscaler{leader: lead, cloudClient: cloud.NewClient(cfg.External.Cloud, s.Cloud.RPS, out.cloud), cloudCalls: make(chan func(), cloudQueue)},
 		send:           out.send,
--- a/internal/controller/gang_phases_test.go
+++ b/internal/controller/gang_phases_test.go
@@ -278,7 +278,7 @@
 		c := lone(t)
 		p := c.partitions[0]
 		m := c.machineNamed("host-1")
-		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
 		c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2, CPUs: 1, CheckpointS: 5, SaveS: 2, Team: "t"}}), 2)
 		tasks := []record.Binding{{Task: 0, Attempt: 1, Machine: "host-1", Incarnation: 1}, {Task: 1, Attempt: 1, Machine: "host-1", Incarnation: 1}}
 		if x.lost {
@@ -292,7 +292,7 @@
 				heartbeat.Tasks[1].State = wire.Gathering
 			}
 		}
-		c.applyHeartbeat(m, heartbeat, p, true)
+		c.applyHeartbeat(m, heartbeat, p, workerRequest)
 		job := c.jobs["wk-1"]
 		if got := c.gangBroken(job); got != x.broken {
 			t.Errorf("%s: broken is %v", x.name, got)
@@ -311,7 +311,7 @@
 		ctl := lone(t)
 		p := ctl.partitions[0]
 		m := ctl.machineNamed("host-1")
-		ctl.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+		ctl.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
 		ctl.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: ctl.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 4, CPUs: 1, Team: "t"}}), 2)
 		var groups []*taskGroup
 		for k := range records {
@@ -334,7 +334,7 @@
 				heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: fmt.Sprint("wk-1/", n), Attempt: 1, State: wire.Running})
 			}
 		}
-		ctl.applyHeartbeat(ctl.machineNamed("host-1"), heartbeat, p, true)
+		ctl.applyHeartbeat(ctl.machineNamed("host-1"), heartbeat, p, workerRequest)
 	}
 	for name, whys := range map[string]map[int]string{
 		"only one is heard":       {2: wire.ReasonDone},
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -111,7 +111,7 @@
 	m := c.machineNamed("host-1")
 	heartbeat := func(sequence uint64, state, reason string) {
 		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: sequence, Token: 1,
-			Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: state, Reason: reason}, {Task: "wk-1/1", Attempt: 1, State: wire.Gathering}}}, p, true)
+			Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: state, Reason: reason}, {Task: "wk-1/1", Attempt: 1, State: wire.Gathering}}}, p, workerRequest)
 	}
 	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAMGB: 1}}), 2)
 	bound := func(num int32) record.Binding {
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -9,7 +9,18 @@
 	"eiderhitch/internal/wire"
 )
 
-// handleHeartbeat takes a worker's report in and answers it.
+// heartbeatSource is how a heartbeat has come.
+type heartbeatSource int
+
+const (
+	// workerRequest: the worker sent it by itself. The response may renew its lease.
+	workerRequest heartbeatSource = iota
+	// directAnswer: it is the answer to a direct command, which shows that the machine
+	// receives what it is sent, and renews no lease.
+	directAnswer
+)
+
+// handleHeartbeat takes a worker's heartbeat in and answers it.
 func (c *controller) handleHeartbeat(heartbeat *wire.Heartbeat) api.Response {
 	c.metrics.count(countHeartbeats, 1)
 	c.lastHeartbeatAt = c.now
@@ -20,90 +31,129 @@
 	if refusal, refused := c.refusal(); refused {
 		return refusal
 	}
-	p := c.partitions[c.machineNamed(heartbeat.Machine).partition]
+	m := c.machineNamed(heartbeat.Machine)
+	p := c.partitions[m.partition]
+	if refusal, refused := c.refuseHeartbeat(heartbeat, p); refused {
+		return refusal
+	}
+	// The response renews the lease from when the heartbeat was sent. One that is not new
+	// was sent before the newest came in. It may be a copy that arrives long after its
+	// machine died, and must not put off the proof that the machine's lease has expired.
+	sentBefore := m.answeredAt
+	newer := c.applyHeartbeat(m, heartbeat, p, workerRequest)
+	if newer {
+		sentBefore = c.now
+	}
+	if sentBefore.After(m.leaseRenewedAt) {
+		m.leaseRenewedAt = sentBefore
+	}
+	response := wire.HeartbeatResponse{Token: p.token, Commands: []wire.Command{}}
+	if newer && !m.terminated && p.active {
+		response.Commands = append(response.Commands, c.commands(m, p)...)
+		for _, command := range response.Commands {
+			m.startInResponse = m.startInResponse || isStart(command)
+		}
+	}
+	return api.Response{Status: http.StatusOK, Body: response}
+}
+
+// refuseHeartbeat returns the response to a heartbeat that this controller may not act on.
+func (c *controller) refuseHeartbeat(heartbeat *wire.Heartbeat, p *partition) (refusal api.Response, refused bool) {
 	if p.token == 0 {
-		h, ok := c.election.Holder(p.key)
-		if !ok || h.Node == c.cfg.Name {
-			return api.Response{Status: http.StatusServiceUnavailable, Reason: "no owner"}
+		holder, ok := c.election.Holder(p.key)
+		if !ok || holder.Node == c.cfg.Name {
+			return api.Response{Status: http.StatusServiceUnavailable, Reason: "no owner"}, true
 		}
 		c.metrics.count(countRedirected, 1)
-		return api.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Node: h.Node}}
+		return api.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Node: holder.Node}}, true
 	}
 	if heartbeat.Token > p.token {
-		// A later owner has spoken to it: we have been replaced.
-		return api.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{}}
+		// A later owner has spoken to it: this one has been replaced.
+		return api.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{}}, true
 	}
 	if !c.isFresh(c.maxStaleness) {
-		// See MaxStaleness: a user may have been told "cancelled" meanwhile.
-		return api.Response{Status: http.StatusServiceUnavailable, Reason: "state service out of reach"}
-	}
-	m := c.machineNamed(heartbeat.Machine)
-	told := m.answeredAt
-	newer := c.applyHeartbeat(m, heartbeat, p, true)
-	ans := wire.HeartbeatResponse{Token: p.token, Commands: []wire.Command{}}
-	// The answer renews the lease from when the report was sent. One that is not
-	// new was sent before the newest came in; it may be a copy that comes long
-	// after its machine died, which must not put off the proof of that.
-	if newer {
-		told = c.now
+		// Somebody may have told a user "cancelled" meanwhile: see config.MaxStaleness.
+		return api.Response{Status: http.StatusServiceUnavailable, Reason: "state service out of reach"}, true
 	}
-	if told.After(m.leaseRenewedAt) {
-		m.leaseRenewedAt = told
-	}
-	if newer && !m.terminated && p.active {
-		ans.Commands = append(ans.Commands, c.commands(m, p)...)
-		for _, command := range ans.Commands {
-			m.startInResponse = m.startInResponse || command.Op == wire.OpStart
-		}
-	}
-	return api.Response{Status: http.StatusOK, Body: ans}
+	return api.Response{}, false
 }
 
-// applyHeartbeat takes in the newest that a machine told; false if it was not new.
-func (c *partitionOwner) applyHeartbeat(m *machine, heartbeat *wire.Heartbeat, p *partition, viaReport bool) bool {
-	if heartbeat.Incarnation < m.incarnation || heartbeat.Incarnation == m.incarnation && heartbeat.Sequence <= m.sequence {
+// applyHeartbeat takes in what a machine says, if it is newer than what is known of it, and
+// tells whether it is.
+func (c *partitionOwner) applyHeartbeat(m *machine, heartbeat *wire.Heartbeat, p *partition, source heartbeatSource) bool {
+	if !m.isNewer(heartbeat) {
 		return false
 	}
 	if heartbeat.Incarnation > m.incarnation && m.incarnation > 0 {
-		c.log.Info("machine begins a new session", "machine", m.name, "session", heartbeat.Incarnation)
-		m.images, m.fetching = map[string]bool{}, map[string]time.Time{}
-		m.direct.unansweredStartToken, m.startInResponse = 0, false // commands of an earlier session are refused
-		m.leaseExpiredUnheard = !m.leaseRenewedAt.IsZero()          // it lost its lease: did it hear us at all?
+		c.beginIncarnation(m, heartbeat.Incarnation)
 	}
-	// Most reports say nothing that changes a decision: a tick comes soon enough.
-	news := heartbeat.Incarnation != m.incarnation || heartbeat.Token != m.token || (heartbeat.NoticeS == nil) != m.terminationAt.IsZero() || viaReport && !c.usable(m, p)
+	changesDecisions := c.changesDecisions(m, heartbeat, p, source)
 	m.incarnation, m.sequence, m.token = heartbeat.Incarnation, heartbeat.Sequence, heartbeat.Token
 	m.addr, m.machineType, m.zone, m.spot = heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
-	first := m.heartbeatAt.Before(p.ownedSince)
 	m.answeredAt = c.now
-	if !viaReport {
+	switch source {
+	case workerRequest:
+		c.noteWorkerRequest(m, p)
+	case directAnswer:
 		m.leaseExpiredUnheard, m.direct.unanswered = false, 0
 	}
-	if viaReport {
-		m.heartbeatAt = c.now
-		m.startInResponse = false
-		c.setMachineSize(m)
-	}
-	if first && viaReport {
-		c.log.Debug("machine reports", "machine", m.name, "type", m.machineType, "part", p.index)
-	}
-	if heartbeat.NoticeS == nil {
-		m.terminationAt = time.Time{}
-	} else {
-		if m.terminationAt.IsZero() {
-			c.log.Info("machine will be taken", "machine", m.name, "notice_s", *heartbeat.NoticeS)
-		}
-		m.terminationAt = c.now.Add(config.Seconds(*heartbeat.NoticeS))
-	}
+	c.noteTerminationNotice(m, heartbeat.NoticeS)
 	m.tasks = heartbeat.Tasks
 	if p.active && !m.terminated {
 		c.reconcile(m, p)
 	}
-	if viaReport && (m.leaseExpiredUnheard || m.token < p.firstToken) {
-		c.ping(m, p) // it answers, and shows our token, if it hears us
+	if source == workerRequest && (m.leaseExpiredUnheard || m.token < p.firstToken) {
+		c.ping(m, p) // if it receives anything, its answer shows the present token
 	}
-	if news {
+	if changesDecisions {
 		c.requestPass()
 	}
 	return true
 }
+
+// isNewer tells whether a heartbeat is newer than all that the machine has sent so far.
+func (m *machine) isNewer(heartbeat *wire.Heartbeat) bool {
+	return heartbeat.Incarnation > m.incarnation ||
+		heartbeat.Incarnation == m.incarnation && heartbeat.Sequence > m.sequence
+}
+
+// beginIncarnation notes that a machine's lease expired: its agent has ended all tasks and
+// forgotten them, and refuses what is sent to the earlier incarnation.
+func (c *partitionOwner) beginIncarnation(m *machine, incarnation uint64) {
+	c.log.Info("machine begins a new session", "machine", m.name, "session", incarnation)
+	m.images, m.fetching = map[string]bool{}, map[string]time.Time{}
+	m.direct.unansweredStartToken, m.startInResponse = 0, false
+	m.leaseExpiredUnheard = !m.leaseRenewedAt.IsZero()
+}
+
+// changesDecisions tells whether a heartbeat asks for a scheduling pass. Most say nothing
+// that changes a decision, and for them the next timer comes soon enough.
+func (c *partitionOwner) changesDecisions(m *machine, heartbeat *wire.Heartbeat, p *partition, source heartbeatSource) bool {
+	noticed, known := heartbeat.NoticeS != nil, !m.terminationAt.IsZero()
+	return heartbeat.Incarnation != m.incarnation || heartbeat.Token != m.token || noticed != known ||
+		source == workerRequest && !c.usable(m, p)
+}
+
+// noteWorkerRequest notes that a machine has sent a heartbeat by itself.
+func (c *partitionOwner) noteWorkerRequest(m *machine, p *partition) {
+	first := m.heartbeatAt.Before(p.ownedSince)
+	m.heartbeatAt = c.now
+	m.startInResponse = false
+	c.setMachineSize(m)
+	if first {
+		c.log.Debug("machine reports", "machine", m.name, "type", m.machineType, "part", p.index)
+	}
+}
+
+// noteTerminationNotice notes in how many seconds the cloud takes a machine; nil: it has no
+// notice.
+func (c *partitionOwner) noteTerminationNotice(m *machine, noticeS *float64) {
+	if noticeS == nil {
+		m.terminationAt = time.Time{}
+		return
+	}
+	if m.terminationAt.IsZero() {
+		c.log.Info("machine will be taken", "machine", m.name, "notice_s", *noticeS)
+	}
+	m.terminationAt = c.now.Add(config.Seconds(*noticeS))
+}
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -30,10 +30,6 @@
 	return max(3*config.Seconds(w.ReportS), config.Seconds(0.6*w.LeaseS), 7*time.Second)
 }
 
-// unansweredLimit is how many direct commands in a row go unanswered by a machine that
-// can't be reached.
-const unansweredLimit = 2
-
 // notReceiving tells whether a machine seems to hear nothing of us, whatever it reports.
 // Nothing is placed on it, and it is replaced if it stays so. When that seems so
 // of most machines, it is we who can't be heard: they are all alike then.
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -58,8 +58,6 @@
 	inFlight     bool // a request is under way; there is one at a time
 	carriesStart bool // the one under way carries a start
 	repeat       bool // commands were wanted while one was under way: they are sent after it
-	queued       bool // the machine waits for a slot
-	pingQueued   bool // it waits for a slot to be pinged
 	// unansweredStartToken is the token of a start that went unanswered and may arrive as
 	// long as the machine has seen no higher one; 0: none.
 	unansweredStartToken uint64
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -89,7 +89,7 @@
 		usable                       bool
 	}{{0, 1, 7, false}, {12, 1, 8, false}, {20, 1, 9, true}, {12, 1, 8, true}, {12, 2, 1, false}, {21, 2, 2, true}} {
 		c.now = c.now.Add(time.Second)
-		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: x.incarnation, Sequence: x.sequence, Token: x.token}, p, true)
+		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: x.incarnation, Sequence: x.sequence, Token: x.token}, p, workerRequest)
 		if got := c.usable(m, p); got != x.usable {
 			t.Errorf("after heartbeat %+v the machine is usable: %v, want %v", x, got, x.usable)
 		}
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -15,10 +15,7 @@
 type partitionOwner struct {
 	*clusterState
 	workerClient *workerclient.Client
-	// directsInFlight direct commands are under way, of maxDirects at most; directQueue
-	// are the machines that wait for one.
-	directsInFlight, maxDirects int
-	directQueue                 []*machine
+	directSlots  *workerclient.Slots[*machine]
 }
 
 // requestPass has the decisions taken soon: events in a burst share one pass.
--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -112,7 +112,7 @@
 	c := lone(t)
 	p := c.partitions[0]
 	m := c.machineNamed("host-1")
-	c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, true)
+	c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
 	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
 	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 3)
 	if cmds := c.commands(m, p); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
