--- a/internal/tools/docs/architecture_test.go
+++ b/internal/tools/docs/architecture_test.go
@@ -233,3 +233,41 @@
 	}
 	return prefixes
 }
+
+// TestPackagesImportThoseBelow fails when a package imports one that stands above it in the
+// page's table.
+func TestPackagesImportThoseBelow(t *testing.T) {
+	const module = "eiderhitch/"
+	order := map[string]int{}
+	for i, cell := range column(section(t, readPage(t, "architecture.md"), "Packages"), 0) {
+		if spans := codeSpans(cell); len(spans) == 1 {
+			order[spans[0]] = i
+		}
+	}
+	for directory, files := range sourcePackages(t) {
+		for _, file := range files {
+			for _, spec := range file.Imports {
+				imported, ours := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), module)
+				if ours && order[imported] <= order[directory] {
+					t.Errorf("%s imports %s, which is not below it in architecture.md", directory, imported)
+				}
+			}
+		}
+	}
+}
+
+// TestArchitectureNamesTheControllersFiles fails when a file of the controller is missing
+// in the page's table of its components.
+func TestArchitectureNamesTheControllersFiles(t *testing.T) {
+	spans := codeSpans(readPage(t, "architecture.md"))
+	files, err := filepath.Glob(filepath.Join(root, "internal", "controller", "*.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, file := range files {
+		name := filepath.Base(file)
+		if !strings.HasSuffix(name, "_test.go") && !slices.Contains(spans, name) {
+			t.Errorf("architecture.md lacks internal/controller/%s", name)
+		}
+	}
+}
