--- a/internal/planning/assignment.go
+++ b/internal/planning/assignment.go
@@ -202,11 +202,11 @@
 }
 
 const (
-	// aheadTurnarounds is how many turnarounds of a cell are assigned for ahead: tasks
-	// don't end evenly.
+	// aheadTurnarounds is for how many turnarounds of a cell tasks are assigned ahead: for
+	// one a cell would wait whenever more tasks than usual end.
 	aheadTurnarounds = 2
-	// maxAheadShare limits tasks assigned ahead to this share of those that run: tasks
-	// shorter than the turnaround would have more assigned than can begin.
+	// maxAheadShare limits the tasks assigned ahead to a share of those that run. Without
+	// it, short tasks would have more assigned than run.
 	maxAheadShare = 0.5
 	// minEstimateS is the least run time of a task that is counted on, in seconds.
 	minEstimateS = 1
--- a/internal/planning/headroom.go
+++ b/internal/planning/headroom.go
@@ -20,8 +20,8 @@
 	cpu int64   // in thousandths
 }
 
-// minCoveredTenths: tenths of a window that samples have to cover, so that one that came a
-// little late doesn't count as a gap.
+// minCoveredTenths is how many tenths of a window the samples have to cover. Not all: the
+// oldest one that is kept is younger than the window by up to the time between two.
 const minCoveredTenths = 9
 
 // Reset forgets all samples, as there is a shortage.
--- a/internal/planning/scaling.go
+++ b/internal/planning/scaling.go
@@ -57,12 +57,12 @@
 	// bootPatienceS is the time in seconds over which a machine's boot is spread when
 	// offers are compared: about how long machines stay.
 	bootPatienceS = 100
-	// likelyDivisor: a quarter of a class's running tasks is counted on to share the
-	// machines that are launched for it.
+	// likelyDivisor is the part of a class's running tasks, a quarter, that is counted on
+	// to share the machines launched for it before long.
 	likelyDivisor = 4
-	// hopelessDivisor: where a deadline can't be met, an eighth of the tasks is launched
-	// machines for.
-	hopelessDivisor = 8
+	// lateDivisor is the part of the tasks, an eighth, for which machines are launched
+	// where none can be up in time: the work is not urgent any more.
+	lateDivisor = 8
 )
 
 // Place has a demand take what room there is, and plans launches for the rest.
@@ -83,7 +83,7 @@
 	// The work has to be done some time, but it is not urgent: once there are machines
 	// for such tasks it waits for them.
 	if !slices.ContainsFunc(p.Machines, demand.allowsMachine) {
-		p.launch(&demand, late, divideRoundingUp(tasks, hopelessDivisor))
+		p.launch(&demand, late, divideRoundingUp(tasks, lateDivisor))
 	}
 }
 
--- a/internal/scheduling/cell.go
+++ b/internal/scheduling/cell.go
@@ -43,7 +43,7 @@
 	c.State, c.reservedBy = Used, nil
 }
 
-// vacate turns a Reserving cell, whose user is gone, into a Reserved one.
+// vacate turns a Reserving cell, whose user has ended, into a Reserved one (e9).
 func (c *Cell) vacate() {
 	c.State = Reserved
 	c.reservedBy.victims--
--- a/internal/scheduling/partition.go
+++ b/internal/scheduling/partition.go
@@ -117,7 +117,7 @@
 }
 
 // Release ends a task's use of its cell, once it is proven that the task has ended. A
-// Used cell becomes Free (e1), a Reserving one Reserved. If it was the last one that a
+// Used cell becomes Free (e1), a Reserving one Reserved (e9). If it was the last one that a
 // group waited for, the group is Allocated and returned.
 func (p *Partition) Release(task Task) *Group {
 	cell := p.usedCells[task]
