--- a/internal/planning/assignment_test.go
+++ b/internal/planning/assignment_test.go
@@ -151,6 +151,84 @@
 	}
 }
 
+// Shares beyond the free room: small ones are enlarged unless the quota is short, and
+// forced tasks go where most becomes free.
+func TestSharesBeyondFreeRoom(t *testing.T) {
+	size := scheduling.NewResources(4, 0, 8)
+	equalPriority := []Usage{{Size: size}} // which can't be preempted
+	for _, row := range []struct {
+		name          string
+		machines      []MachineSummary
+		assignment    Assignment
+		ahead         []int
+		expected      []int
+		expectedAhead []int
+	}{
+		{
+			name:       "small share",
+			machines:   []MachineSummary{{Partition: 1, Size: size, Free: size}},
+			assignment: Assignment{Count: 100},
+			ahead:      []int{0, 0, 0}, expected: []int{0, MinTasksPerPartition, 0}, expectedAhead: []int{0, 4 - MinTasksPerPartition, 0},
+		},
+		{
+			name:       "small share of a small array",
+			machines:   []MachineSummary{{Partition: 1, Size: size, Free: size}},
+			assignment: Assignment{Count: 10},
+			ahead:      []int{0, 0, 0}, expected: []int{0, 10, 0}, expectedAhead: []int{0, -6, 0},
+		},
+		{
+			name:       "small share, quota short",
+			machines:   []MachineSummary{{Partition: 1, Size: size, Free: size}},
+			assignment: Assignment{Count: 100, QuotaShort: true},
+			ahead:      []int{0, 5, 0}, expected: []int{0, 4, 0}, expectedAhead: []int{0, 5, 0},
+		},
+		{
+			name:       "ahead, where there are machines",
+			machines:   []MachineSummary{{Partition: 0, Usages: equalPriority}, {Partition: 2, Usages: equalPriority}},
+			assignment: Assignment{Count: 60},
+			ahead:      []int{25, 25, 25}, expected: []int{25, 0, 25}, expectedAhead: []int{0, 25, 0},
+		},
+		{
+			name:       "forced, where most becomes free",
+			machines:   []MachineSummary{{Partition: 0, Usages: equalPriority}, {Partition: 2, Usages: equalPriority}},
+			assignment: Assignment{Count: 10, Forced: true},
+			ahead:      []int{-3, 5, -1}, expected: []int{0, 0, 10}, expectedAhead: []int{-3, 5, -11},
+		},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			var machines []*MachineSummary
+			for i := range row.machines {
+				machines = append(machines, &row.machines[i])
+			}
+			row.assignment.TaskSize, row.assignment.Allowed = scheduling.NewResources(1, 0, 1), anyMachine
+			if got := row.assignment.PerPartition(machines, row.ahead); !slices.Equal(got, row.expected) {
+				t.Errorf("expected tasks %v, got %v", row.expected, got)
+			}
+			if !slices.Equal(row.ahead, row.expectedAhead) {
+				t.Errorf("expected ahead to become %v, got %v", row.expectedAhead, row.ahead)
+			}
+		})
+	}
+}
+
+func TestAssignAhead(t *testing.T) {
+	for _, row := range []struct {
+		name                             string
+		bound                            int
+		estimateS, turnaroundS, expected float64
+	}{
+		{"what ends within two turnarounds", 10, 100, 5, 1},
+		{"at most half of what runs", 10, 10, 5, 5},
+		{"very short tasks", 10, 0, 0.125, 2.5},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			if got := AssignAhead(row.bound, row.estimateS, row.turnaroundS); got != row.expected {
+				t.Errorf("expected %v tasks, got %v", row.expected, got)
+			}
+		})
+	}
+}
+
 // busyMachines returns machines of two types, a tenth of them free, the others full of
 // tasks of priority 1.
 func busyMachines(count int) []*MachineSummary {
--- a/internal/planning/headroom_test.go
+++ b/internal/planning/headroom_test.go
@@ -4,6 +4,8 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"eiderhitch/internal/scheduling"
 )
 
 // Only what has been free for a whole window counts.
@@ -29,3 +31,57 @@
 		}
 	})
 }
+
+func TestHeadroom(t *testing.T) {
+	for _, row := range []struct {
+		name     string
+		services int
+		factor   float64
+		expected int
+	}{
+		{"none", 0, 1, 0},
+		{"square root", 16, 1, 4},
+		{"rounded up", 10, 1, 4},
+		{"factor", 16, 0.5, 2},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			if got := Headroom(row.services, row.factor); got != row.expected {
+				t.Errorf("expected room for %d services, got %d", row.expected, got)
+			}
+		})
+	}
+}
+
+func TestLeastUsedMachine(t *testing.T) {
+	const priority, maxCPU = 2, 16_000
+	machine := func(id scheduling.MachineIndex, cpus, used float64, usedPriority int) *MachineSummary {
+		usage := Usage{Claim: scheduling.Claim{Priority: usedPriority}, Size: scheduling.NewResources(used, 0, 1)}
+		return &MachineSummary{ID: id, Size: scheduling.NewResources(cpus, 0, 64), Usages: []Usage{usage}}
+	}
+	spot := machine(0, 16, 1, 1)
+	spot.Spot = true
+	const refused = 7
+	for _, row := range []struct {
+		name     string
+		machines []*MachineSummary
+		expected scheduling.MachineIndex // notLaunched: none
+	}{
+		{"least share", []*MachineSummary{machine(0, 4, 2, 1), machine(1, 16, 4, 1)}, 1},
+		{"the first of equal ones", []*MachineSummary{machine(0, 4, 2, 1), machine(1, 8, 4, 1)}, 0},
+		{"no spot instance", []*MachineSummary{spot, machine(1, 16, 4, 1)}, 1},
+		{"no larger one", []*MachineSummary{machine(0, 17, 1, 1), machine(1, 16, 4, 1)}, 1},
+		{"none that runs that priority", []*MachineSummary{machine(0, 16, 1, priority), machine(1, 16, 4, 1)}, 1},
+		{"none that the filter refuses", []*MachineSummary{machine(refused, 16, 1, 1)}, notLaunched},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			allowed := func(machine *MachineSummary) bool { return machine.ID != refused }
+			got := notLaunched
+			if best := LeastUsedMachine(row.machines, maxCPU, priority, allowed); best != nil {
+				got = best.ID
+			}
+			if got != row.expected {
+				t.Errorf("expected machine %d, got %d", row.expected, got)
+			}
+		})
+	}
+}
--- a/internal/planning/job_order_test.go
+++ b/internal/planning/job_order_test.go
@@ -91,3 +91,24 @@
 		})
 	}
 }
+
+func TestWindow(t *testing.T) {
+	for _, row := range []struct {
+		name      string
+		job       JobOrder
+		expectedS float64
+	}{
+		{"started together", JobOrder{AllOrNothing: true, EstimateS: 60, DeadlineS: 100}, 0},
+		{"run times of tasks", JobOrder{NoDeadline: true, EstimateS: 60}, 120},
+		{"short tasks", JobOrder{NoDeadline: true, EstimateS: 5}, 30},
+		{"share of the time to the deadline", JobOrder{EstimateS: 60, DeadlineS: 100}, 60},
+		{"little time to the deadline", JobOrder{AgeS: 95, EstimateS: 3, DeadlineS: 100}, 10},
+		{"time to the objective once it is late", JobOrder{AgeS: 300, EstimateS: 60, DeadlineS: 100, ObjectiveS: 400}, 60},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			if got := row.job.WindowS(); got != row.expectedS {
+				t.Errorf("expected %v s, got %v s", row.expectedS, got)
+			}
+		})
+	}
+}
--- a/internal/planning/scaling_test.go
+++ b/internal/planning/scaling_test.go
@@ -101,3 +101,63 @@
 		}
 	})
 }
+
+// Machines that are up too late for an array's deadline are launched for a part of it
+// only, and only if there are none of the kind; spot instances are worth their price.
+func TestPlaceLateArray(t *testing.T) {
+	const tasks = 16
+	size := scheduling.NewResources(1, 0, 1)
+	onDemand, spot := Offer{Type: "on demand"}, Offer{Type: "spot", Spot: true}
+	for _, row := range []struct {
+		name     string
+		slackS   float64
+		machine  Offer // of which there is one, full
+		allows   Offer
+		expected int
+	}{
+		{name: "in time", slackS: 45, allows: onDemand, expected: tasks},
+		{name: "late", slackS: 44, allows: onDemand, expected: tasks / lateDivisor},
+		{name: "late, and there is a machine", slackS: 44, machine: onDemand, allows: onDemand, expected: 0},
+		{name: "in time, and there is a machine", slackS: 45, machine: onDemand, allows: onDemand, expected: tasks},
+		{name: "late spot instances", slackS: 44, machine: spot, allows: spot, expected: tasks},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			plan := newScalingPlan([]*MachineSummary{{Type: row.machine.Type, Spot: row.machine.Spot}}, []PricedOffer{
+				{Offer: onDemand, Size: size, Price: 1, BootS: 25},
+				{Offer: spot, Size: size, Price: 1, BootS: 25},
+			}, 0)
+			plan.Place(Demand{
+				Class: "x", TaskSize: size, Count: tasks, EstimateS: 20, SlackS: row.slackS,
+				Allows: func(offer Offer) bool { return offer == row.allows },
+			})
+			if got := plan.Launches[row.allows]; got != row.expected {
+				t.Errorf("expected %d machines, got %d", row.expected, got)
+			}
+		})
+	}
+}
+
+// A quarter of what runs of a class is counted on to share the machines launched for it.
+func TestLikelyTasksChooseLargerMachines(t *testing.T) {
+	offers := []PricedOffer{
+		{Offer: Offer{Type: "small"}, Size: scheduling.NewResources(4, 0, 64), Price: 0.4, BootS: 25},
+		{Offer: Offer{Type: "large"}, Size: scheduling.NewResources(16, 0, 64), Price: 1, BootS: 25},
+	}
+	for _, row := range []struct {
+		name     string
+		running  int
+		expected string
+	}{
+		{"none run", 0, "small"},
+		{"30 run, 7 are likely", 30, "small"},
+		{"40 run, 10 are likely", 40, "large"},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			plan := newScalingPlan(nil, offers, row.running)
+			plan.Place(Demand{Class: "x", TaskSize: scheduling.NewResources(1, 0, 1), Count: 1, AllOrNothing: true, Allows: anyOffer})
+			if expected := map[Offer]int{{Type: row.expected}: 1}; !cmp.Equal(plan.Launches, expected) {
+				t.Errorf("expected launches %v, got %v", expected, plan.Launches)
+			}
+		})
+	}
+}
--- a/internal/scheduling/request_test.go
+++ b/internal/scheduling/request_test.go
@@ -1,6 +1,9 @@
 package scheduling
 
-import "testing"
+import (
+	"slices"
+	"testing"
+)
 
 // anyMachine rates all machines alike.
 func anyMachine(MachineIndex, Resources) float64 { return 0 }
@@ -118,3 +121,16 @@
 		})
 	}
 }
+
+// Of machines with the same score the one with the lowest index is chosen.
+func TestEqualScoresPreferLowerIndex(t *testing.T) {
+	partition := NewPartition()
+	for _, index := range []MachineIndex{2, 0, 1} {
+		partition.SetMachine(index, NewResources(4, 0, 8))
+	}
+	group := newTestGroup(0, 4, 0, 1, 2)
+	partition.Request(group, anyMachine)
+	if expected := []MachineIndex{0, 1, 2}; !slices.Equal(group.Machines, expected) {
+		t.Errorf("expected machines %v, got %v", expected, group.Machines)
+	}
+}
