--- a/internal/planning/scaling_test.go
+++ b/internal/planning/scaling_test.go
@@ -139,10 +139,6 @@
 
 // A quarter of what runs of a class is counted on to share the machines launched for it.
 func TestLikelyTasksChooseLargerMachines(t *testing.T) {
-	offers := []PricedOffer{
-		{Offer: Offer{Type: "small"}, Size: scheduling.NewResources(4, 0, 64), Price: 0.4, BootS: 25},
-		{Offer: Offer{Type: "large"}, Size: scheduling.NewResources(16, 0, 64), Price: 1, BootS: 25},
-	}
 	for _, row := range []struct {
 		name     string
 		running  int
@@ -153,7 +149,7 @@
 		{"40 run, 10 are likely", 40, "large"},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			plan := newScalingPlan(nil, offers, row.running)
+			plan := newScalingPlan(nil, smallAndLarge, row.running)
 			plan.Place(Demand{Class: "x", TaskSize: scheduling.NewResources(1, 0, 1), Count: 1, AllOrNothing: true, Allows: anyOffer})
 			if expected := map[Offer]int{{Type: row.expected}: 1}; !cmp.Equal(plan.Launches, expected) {
 				t.Errorf("expected launches %v, got %v", expected, plan.Launches)
