--- /dev/null
+++ b/internal/autoscaler/drain.go
@@ -0,0 +1,134 @@
+package autoscaler
+
+import (
+	"time"
+
+	"eiderhitch/internal/config"
+	"eiderhitch/internal/planning"
+	"eiderhitch/internal/wire"
+)
+
+const (
+	// minIdleTimeout is the least time that an idle machine is kept.
+	minIdleTimeout = 10 * time.Second
+	milliCPUs      = 1000 // in a CPU
+)
+
+// Draining reports whether a machine is drained, as the leader announced it last. Its owner
+// places nothing on it.
+func (a *Autoscaler) Draining(name string) bool { return a.announcedDraining[name] }
+
+// DrainedByLeader reports whether this controller, as the leader, has a machine drained.
+func (a *Autoscaler) DrainedByLeader(name string) bool { return a.term.draining[name] }
+
+// DrainedMachines names the machines that this controller, as the leader, has drained.
+func (a *Autoscaler) DrainedMachines() []string {
+	var names []string
+	for name := range a.term.draining {
+		names = append(names, name)
+	}
+	return names
+}
+
+// ObserveDraining takes in which machines the leader announces as draining.
+func (a *Autoscaler) ObserveDraining(names []string) {
+	a.announcedDraining = map[string]bool{}
+	for _, name := range names {
+		a.announcedDraining[name] = true
+	}
+}
+
+// idleTimeout is how long a machine may be idle before it is terminated: as long as its
+// idling costs no more than it would to boot an on-demand one in its place, so that waiting
+// is never more than twice as dear as knowing the future.
+func (a *Autoscaler) idleTimeout(machineType *wire.MachineType, spot bool) time.Duration {
+	seconds := machineType.BootS * a.Operator.IdleBoots
+	if spot && machineType.SpotPrice > 0 {
+		seconds *= max(machineType.Price/machineType.SpotPrice, 1)
+	}
+	return max(config.Seconds(seconds), minIdleTimeout)
+}
+
+// nameOf is the name of the machine that a summary is of.
+func (a *Autoscaler) nameOf(summary *planning.MachineSummary) string {
+	return a.Machines.At(summary.ID).Name
+}
+
+// drainSurplus has a machine drained that the fleet has not needed of late: it takes no more
+// work, and is terminated when it is empty. In a shortage none is.
+func (a *Autoscaler) drainSurplus(summaries []*planning.MachineSummary, room *headroom, shortage bool) {
+	a.announcedDraining = a.term.draining
+	if shortage {
+		clear(a.term.draining)
+		a.term.freeHistory.Reset()
+		return
+	}
+	window := a.longestIdleTimeout(summaries)
+	age := a.Loop.Now().Sub(a.Cluster.Leadership().Since)
+	leastFree, covered := a.term.freeHistory.Add(age.Seconds(), a.surplusCPUs(summaries, room), window.Seconds())
+	if !covered || age < window {
+		return // not seen for long enough
+	}
+	best := planning.LeastUsedMachine(summaries, leastFree, room.priority, func(summary *planning.MachineSummary) bool {
+		return summary.Partition != a.LoanPartition && !a.term.draining[a.nameOf(summary)]
+	})
+	if best == nil {
+		return
+	}
+	name := a.nameOf(best)
+	a.term.draining[name] = true
+	a.term.freeHistory.Subtract(best.Size.CPU - best.Used().CPU)
+	a.Log.Info("machine is drained", "machine", name, "spare_cpus", leastFree/milliCPUs)
+}
+
+// longestIdleTimeout is that of the on-demand machines of any type in use.
+func (a *Autoscaler) longestIdleTimeout(summaries []*planning.MachineSummary) time.Duration {
+	types := a.Machines.Types()
+	longest := time.Duration(0)
+	for _, summary := range summaries {
+		longest = max(longest, a.idleTimeout(types[summary.Type], false))
+	}
+	return longest
+}
+
+// surplusCPUs is how much is free beyond the headroom, in thousandths of a CPU. Negative: it
+// is less.
+func (a *Autoscaler) surplusCPUs(summaries []*planning.MachineSummary, room *headroom) int64 {
+	free := int64(0)
+	for _, summary := range summaries {
+		if !a.term.draining[a.nameOf(summary)] {
+			free += summary.Size.CPU - summary.Used().CPU
+		}
+	}
+	for _, demand := range room.demands {
+		free -= demand.TaskSize.CPU * int64(demand.Count)
+	}
+	return free
+}
+
+// terminateIdle terminates machines that have been idle for long, and drained ones as soon
+// as they are.
+func (a *Autoscaler) terminateIdle(summaries []*planning.MachineSummary) {
+	var names []string
+	for _, summary := range summaries {
+		m := a.Machines.At(summary.ID)
+		switch {
+		case m.Bound || summary.InUse:
+			delete(a.term.idleSince, m.Name)
+		case a.idleForLong(&m):
+			names = append(names, m.Name)
+		}
+	}
+	a.terminate(names)
+}
+
+// idleForLong notes that a machine is idle, and tells whether it has been for too long. An
+// outage, in which no heartbeats were accepted, tells nothing of what is needed.
+func (a *Autoscaler) idleForLong(m *Machine) bool {
+	since := a.term.idleSince[m.Name]
+	if since.IsZero() || since.Before(a.Cluster.HeartbeatsResumedAt()) {
+		a.term.idleSince[m.Name] = a.Loop.Now()
+		return false
+	}
+	return a.announcedDraining[m.Name] || a.Loop.Now().Sub(since) > a.idleTimeout(a.Machines.Types()[m.Type], m.Spot)
+}
--- /dev/null
+++ b/internal/autoscaler/fake_test.go
@@ -0,0 +1,239 @@
+package autoscaler
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"iter"
+	"log/slog"
+	"slices"
+	"testing"
+	"time"
+
+	"eiderhitch/internal/config"
+	"eiderhitch/internal/planning"
+	"eiderhitch/internal/scheduling"
+	"eiderhitch/internal/store"
+	"eiderhitch/internal/wire"
+)
+
+// fakeCloud answers by what a test sets, and keeps what it was asked.
+type fakeCloud struct {
+	// launch answers launches; nil: all that is asked for is launched.
+	launch       func(wire.LaunchRequest) ([]string, error)
+	launches     []wire.LaunchRequest
+	terminateErr error
+	terminations [][]string
+	list         []wire.Instance
+	listErr      error
+	lists        int
+	types        []wire.MachineType
+	typesErr     error
+	typeReads    int
+}
+
+func (c *fakeCloud) Launch(_ context.Context, request wire.LaunchRequest) ([]string, error) {
+	c.launches = append(c.launches, request)
+	if c.launch != nil {
+		return c.launch(request)
+	}
+	var names []string
+	for i := range request.Count {
+		names = append(names, fmt.Sprintf("%s-%d", request.IdempotencyKey, i))
+	}
+	return names, nil
+}
+
+func (c *fakeCloud) Terminate(_ context.Context, names []string) error {
+	c.terminations = append(c.terminations, slices.Clone(names))
+	return c.terminateErr
+}
+
+func (c *fakeCloud) List(context.Context) ([]wire.Instance, error) {
+	c.lists++
+	return c.list, c.listErr
+}
+
+func (c *fakeCloud) MachineTypes(context.Context) ([]wire.MachineType, error) {
+	c.typeReads++
+	return c.types, c.typesErr
+}
+
+// fakeCluster are the machines, the cluster, the queue of writes and the event loop around
+// an autoscaler. Calls to the cloud wait until a test has them made.
+type fakeCluster struct {
+	cloud    fakeCloud
+	now      time.Time
+	machines []*ReportedMachine // by index
+	// silent are the machines that no owner tells about, known all the same.
+	silent      map[string]bool
+	neverUp     []string // marked as terminated
+	unreachable []string
+	types       map[string]*wire.MachineType
+
+	starting      bool
+	leadership    Leadership
+	leaderHeardAt time.Time
+	partition     wire.Condition
+	ownersLost    bool
+	resumedAt     time.Time
+	unreadable    bool
+	tombstones    map[string]Tombstone
+
+	writes []*store.Write
+	done   []func(error)
+	queue  *store.Writer
+}
+
+const (
+	leaderEpoch   = 5
+	loanPartition = 1
+	hour          = time.Hour
+)
+
+var (
+	leaderCondition    = wire.Condition{Key: "e/leader", Revision: 7}
+	partitionCondition = wire.Condition{Key: "e/partition/0", Revision: 3}
+	small              = planning.Offer{Type: "small", Zone: "a"}
+)
+
+// newFakeCluster is one that this controller has led for an hour.
+func newFakeCluster() *fakeCluster {
+	now := time.Unix(1_000_000_000, 0)
+	return &fakeCluster{
+		now:        now,
+		silent:     map[string]bool{},
+		types:      map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAMGB: 16, Price: 0.4, SpotPrice: 0.1, BootS: 40, Zones: []string{"a"}}},
+		leadership: Leadership{Epoch: leaderEpoch, Since: now.Add(-hour), Active: true, Acting: true, Condition: leaderCondition},
+		tombstones: map[string]Tombstone{},
+		queue:      store.NewWriter(nil, 32, 40, 1, nil),
+	}
+}
+
+// follow has another controller lead.
+func (c *fakeCluster) follow() {
+	c.leadership = Leadership{Condition: wire.Condition{Key: leaderCondition.Key}}
+}
+
+// autoscaler is one in this cluster, at the start of its term if this controller leads.
+func (c *fakeCluster) autoscaler(t *testing.T) *Autoscaler {
+	t.Helper()
+	a := New(Config{
+		CloudSettings: config.CloudSettings{RPS: 6, ListLagS: 3}, Operator: config.DefaultOperator(),
+		TombstonePrefix: "e/gone/", MachineTypesKey: "e/types", MaxValueBytes: 8 << 10, MaxChanges: 32, LoanPartition: loanPartition,
+		HeartbeatOverdueAfter: time.Second, WorkLifetime: time.Minute, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+	}, Services{Cloud: &c.cloud, Machines: c, Cluster: c, Writer: c, Loop: c})
+	if c.leadership.Epoch != 0 {
+		a.StartTerm()
+	}
+	return a
+}
+
+// add adds machines of the small type that are up in zone a.
+func (c *fakeCluster) add(count int) {
+	for range count {
+		name := fmt.Sprintf("host-%06d", len(c.machines))
+		c.machines = append(c.machines, &ReportedMachine{Machine: Machine{Name: name, Type: "small", Zone: "a"}, Reachable: true})
+	}
+}
+
+// summaries are those of all machines, with what is bound using all of its machine.
+func (c *fakeCluster) summaries() []*planning.MachineSummary {
+	var all []*planning.MachineSummary
+	for i, m := range c.machines {
+		size := sizeOf(c.types[m.Type])
+		summary := &planning.MachineSummary{ID: scheduling.MachineIndex(i), Type: m.Type, Zone: m.Zone, Spot: m.Spot, Partition: m.Partition, Size: size, Free: size}
+		if m.Bound {
+			summary.Free, summary.Usages = scheduling.Resources{}, []planning.Usage{{Size: size}}
+		}
+		all = append(all, summary)
+	}
+	return all
+}
+
+// workload is one of what waits alone.
+func (c *fakeCluster) workload(waiting ...planning.Demand) *Workload {
+	return &Workload{Machines: c.summaries(), Waiting: waiting, Services: slices.Values([]Service(nil))}
+}
+
+// demand is one for tasks that fill a machine each.
+func (c *fakeCluster) demand(tasks int) planning.Demand {
+	return planning.Demand{Class: "c", TaskSize: sizeOf(c.types["small"]), Count: tasks, AllOrNothing: true,
+		Allows: func(offer planning.Offer) bool { return !offer.Spot }}
+}
+
+// makeCalls makes the calls to the cloud that wait, and those that come up by that.
+func (c *fakeCluster) makeCalls(a *Autoscaler) {
+	for len(a.calls) > 0 {
+		f := <-a.calls
+		f(context.Background())
+	}
+}
+
+func (c *fakeCluster) find(name string) *ReportedMachine {
+	for _, m := range c.machines {
+		if m.Name == name {
+			return m
+		}
+	}
+	return nil
+}
+
+func (c *fakeCluster) Machine(name string) Machine {
+	if m := c.find(name); m != nil {
+		return m.Machine
+	}
+	return Machine{Name: name}
+}
+
+func (c *fakeCluster) Lookup(name string) (Machine, bool) {
+	return c.Machine(name), c.find(name) != nil
+}
+
+func (c *fakeCluster) At(index scheduling.MachineIndex) Machine { return c.machines[index].Machine }
+
+func (c *fakeCluster) EachReported(f func(ReportedMachine)) {
+	for _, m := range c.machines {
+		if !c.silent[m.Name] {
+			f(*m)
+		}
+	}
+}
+
+func (c *fakeCluster) UnreachableInUse() []string            { return c.unreachable }
+func (c *fakeCluster) MarkTerminated(name string)            { c.neverUp = append(c.neverUp, name) }
+func (c *fakeCluster) Types() map[string]*wire.MachineType   { return c.types }
+func (c *fakeCluster) Loaded() bool                          { return !c.starting }
+func (c *fakeCluster) Leadership() Leadership                { return c.leadership }
+func (c *fakeCluster) LeaderHeardAt() time.Time              { return c.leaderHeardAt }
+func (c *fakeCluster) PartitionCondition(int) wire.Condition { return c.partition }
+func (c *fakeCluster) AllOwnersInTouch() bool                { return !c.ownersLost }
+func (c *fakeCluster) OwnerLongInTouch(int) bool             { return !c.ownersLost }
+func (c *fakeCluster) HeartbeatsResumedAt() time.Time        { return c.resumedAt }
+func (c *fakeCluster) HasUnreadableRecords() bool            { return c.unreadable }
+func (c *fakeCluster) Now() time.Time                        { return c.now }
+func (c *fakeCluster) Enqueue(f func())                      { f() }
+func (c *fakeCluster) Backlog() time.Duration                { return c.queue.Backlog() }
+
+func (c *fakeCluster) SetTypes(types []wire.MachineType) {
+	c.types = map[string]*wire.MachineType{}
+	for i := range types {
+		c.types[types[i].Name] = &types[i]
+	}
+}
+
+func (c *fakeCluster) Tombstones() iter.Seq[Tombstone] {
+	return func(yield func(Tombstone) bool) {
+		for _, tombstone := range c.tombstones {
+			if !yield(tombstone) {
+				return
+			}
+		}
+	}
+}
+
+// SubmitWrite keeps a write in the queue, where nothing stores it.
+func (c *fakeCluster) SubmitWrite(write *store.Write, done func(error)) {
+	c.writes, c.done = append(c.writes, write), append(c.done, done)
+	c.queue.Submit(write)
+}
--- /dev/null
+++ b/internal/autoscaler/launch.go
@@ -0,0 +1,136 @@
+package autoscaler
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"eiderhitch/internal/cloud"
+	"eiderhitch/internal/planning"
+	"eiderhitch/internal/scheduling"
+	"eiderhitch/internal/wire"
+)
+
+const (
+	// maxLaunch is how many machines of an offer one call asks for: the rest is planned
+	// anew once it is known how many there were.
+	maxLaunch = 50
+	// minLaunchBackoff and maxLaunchBackoff bound how long an offer that has too little
+	// capacity is not asked for again. It doubles each time.
+	minLaunchBackoff = 5 * time.Second
+	maxLaunchBackoff = 40 * time.Second
+	// launchRetryDelay is that after a call that failed otherwise, which tells nothing
+	// of capacity.
+	launchRetryDelay = 3 * time.Second
+)
+
+// launch asks the cloud for machines, unless it has been asked for such already. The
+// idempotency key is unique for all time: an epoch never comes again.
+func (a *Autoscaler) launch(offer planning.Offer, count int) {
+	if a.term.launching[offer] > 0 {
+		return
+	}
+	a.term.launchRequests++
+	request := wire.LaunchRequest{
+		IdempotencyKey: fmt.Sprintf("r-%d-%d", a.Cluster.Leadership().Epoch, a.term.launchRequests),
+		Type:           offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count,
+	}
+	a.term.launching[offer] = count
+	launchedAt := a.Loop.Now()
+	var names []string
+	var err error
+	done := a.inThisTerm(func() {
+		delete(a.term.launching, offer)
+		if err == nil {
+			a.addInstances(offer, names, launchedAt)
+			a.Log.Info("instances launched", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "asked", count, "got", len(names))
+		}
+		if err == nil && len(names) == count {
+			delete(a.term.backoff, offer)
+			return
+		}
+		a.backOff(offer, err)
+		a.Log.Debug("launch not filled", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "asked", count, "err", err)
+	})
+	a.queueCall(func(ctx context.Context) {
+		names, err = a.Cloud.Launch(ctx, request)
+		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) && !errors.Is(err, cloud.ErrRefused) {
+			names, err = a.Cloud.Launch(ctx, request) // unanswered: the same key launches nothing twice
+		}
+		a.Loop.Enqueue(done)
+	})
+}
+
+// addInstances notes machines that the cloud has launched.
+func (a *Autoscaler) addInstances(offer planning.Offer, names []string, launchedAt time.Time) {
+	for _, name := range names {
+		if a.term.instances[name] == nil {
+			a.term.instances[name] = &instance{machineType: offer.Type, zone: offer.Zone, spot: offer.Spot, launchedAt: launchedAt}
+		}
+	}
+}
+
+// backOff has an offer not asked for again for a while. Each type, zone and kind has a
+// capacity of its own.
+func (a *Autoscaler) backOff(offer planning.Offer, err error) {
+	delay := min(max(2*a.term.backoff[offer], minLaunchBackoff), maxLaunchBackoff)
+	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
+		delay = launchRetryDelay
+	}
+	a.term.backoff[offer] = delay
+	a.term.refusedUntil[offer] = a.Loop.Now().Add(delay)
+}
+
+// offers are what may be launched now, in a fixed order.
+func (a *Autoscaler) offers() []planning.PricedOffer {
+	var all []planning.PricedOffer
+	for _, machineType := range a.Machines.Types() {
+		for _, zone := range machineType.Zones {
+			if a.term.isolatedZones[zone] {
+				continue // what comes up there can't be reached either
+			}
+			all = append(all, a.offersOf(machineType, zone)...)
+		}
+	}
+	slices.SortFunc(all, func(x, y planning.PricedOffer) int {
+		return cmp.Or(cmp.Compare(x.Type, y.Type), cmp.Compare(x.Zone, y.Zone), onDemandFirst(x.Offer, y.Offer))
+	})
+	return all
+}
+
+// offersOf are those of a machine type in a zone.
+func (a *Autoscaler) offersOf(machineType *wire.MachineType, zone string) []planning.PricedOffer {
+	var offers []planning.PricedOffer
+	for _, spot := range []bool{false, true} {
+		offer := planning.Offer{Type: machineType.Name, Zone: zone, Spot: spot}
+		if spot && !a.Operator.Spot || a.Loop.Now().Before(a.term.refusedUntil[offer]) {
+			continue
+		}
+		price := machineType.Price
+		if spot {
+			price = machineType.SpotPrice
+		}
+		offers = append(offers, planning.PricedOffer{Offer: offer, Size: sizeOf(machineType), Price: price, BootS: machineType.BootS})
+	}
+	return offers
+}
+
+// onDemandFirst orders two offers: spot instances come last.
+func onDemandFirst(x, y planning.Offer) int {
+	switch {
+	case x.Spot == y.Spot:
+		return 0
+	case y.Spot:
+		return -1
+	default:
+		return 1
+	}
+}
+
+// sizeOf are the resources of a machine type.
+func sizeOf(machineType *wire.MachineType) scheduling.Resources {
+	return scheduling.NewResources(machineType.CPUs, machineType.GPUs, machineType.RAMGB)
+}
--- /dev/null
+++ b/internal/autoscaler/launch_test.go
@@ -0,0 +1,219 @@
+package autoscaler
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"eiderhitch/internal/cloud"
+	"eiderhitch/internal/planning"
+	"eiderhitch/internal/wire"
+)
+
+// An offer that was not filled is not asked for again for a while: for longer each time when
+// the cloud has no capacity, for a short one when the call failed.
+func TestLaunchBackoff(t *testing.T) {
+	capacity := fmt.Errorf("cloud: %w", cloud.ErrNoCapacity)
+	refused := fmt.Errorf("cloud: %w", cloud.ErrRefused)
+	for _, test := range []struct {
+		name    string
+		results []error // of one launch after the other; nil: filled
+		got     int     // machines that a filled launch brings, of 2
+		backoff time.Duration
+		calls   int
+	}{
+		{"filled", []error{nil}, 2, 0, 1},
+		{"half filled", []error{nil}, 1, 5 * time.Second, 1},
+		{"no capacity", []error{capacity}, 0, 5 * time.Second, 1},
+		{"no capacity twice", []error{capacity, capacity}, 0, 10 * time.Second, 2},
+		{"no capacity for long", []error{capacity, capacity, capacity, capacity, capacity}, 0, 40 * time.Second, 5},
+		{"filled after no capacity", []error{capacity, nil}, 2, 0, 2},
+		{"refused", []error{refused}, 0, 3 * time.Second, 1},
+		{"no answer", []error{errors.New("no answer")}, 0, 3 * time.Second, 2},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newFakeCluster()
+			a := c.autoscaler(t)
+			for _, result := range test.results {
+				c.cloud.launch = func(wire.LaunchRequest) ([]string, error) {
+					return []string{"new-1", "new-2"}[:test.got], result
+				}
+				c.now = c.now.Add(time.Minute)
+				a.launch(small, 2)
+				c.makeCalls(a)
+			}
+			if a.term.backoff[small] != test.backoff || len(c.cloud.launches) != test.calls {
+				t.Errorf("backoff %v after %d calls, want %v after %d", a.term.backoff[small], len(c.cloud.launches), test.backoff, test.calls)
+			}
+			if len(a.term.instances) != test.got {
+				t.Errorf("%d instances, want %d", len(a.term.instances), test.got)
+			}
+			isSmall := func(offer planning.PricedOffer) bool { return offer.Offer == small }
+			if offered := slices.ContainsFunc(a.offers(), isSmall); offered != (test.backoff == 0) {
+				t.Errorf("it is on offer: %v, with a backoff of %v", offered, test.backoff)
+			}
+		})
+	}
+}
+
+// Who got no answer repeats the very request, and a launch that follows is another one.
+func TestIdempotencyKeys(t *testing.T) {
+	c := newFakeCluster()
+	a := c.autoscaler(t)
+	c.cloud.launch = func(wire.LaunchRequest) ([]string, error) {
+		if len(c.cloud.launches) == 1 {
+			return nil, errors.New("no answer")
+		}
+		return []string{"new-1"}, nil
+	}
+	a.launch(small, 1)
+	a.launch(small, 1) // while the first is under way: it is not made
+	c.makeCalls(a)
+	a.launch(small, 1)
+	c.makeCalls(a)
+	var keys []string
+	for _, request := range c.cloud.launches {
+		keys = append(keys, request.IdempotencyKey)
+	}
+	if want := []string{"r-5-1", "r-5-1", "r-5-2"}; fmt.Sprint(keys) != fmt.Sprint(want) {
+		t.Errorf("keys %v, want %v", keys, want)
+	}
+}
+
+// What a call of a former term brings is not counted as the present term's: only the cloud's
+// list tells of it.
+func TestResultsOfAFormerTermAreDropped(t *testing.T) {
+	c := newFakeCluster()
+	a := c.autoscaler(t)
+	a.launch(small, 2)
+	a.syncInstances()
+	c.cloud.list = []wire.Instance{{Name: "new-1", Type: "small", Zone: "a"}}
+	c.leadership.Epoch++
+	a.StartTerm()
+	c.makeCalls(a)
+	if len(c.cloud.launches) != 1 || c.cloud.lists != 1 || len(a.term.instances) != 0 || a.term.listed {
+		t.Errorf("%d launches, %d lists, instances %v, listed %v; want one each, and nothing known", len(c.cloud.launches), c.cloud.lists, a.term.instances, a.term.listed)
+	}
+	a.launch(small, 1)
+	if len(a.calls) != 1 {
+		t.Error("the new term's launch waits for the former term's")
+	}
+}
+
+// Nothing is launched before the leader knows what there is.
+func TestNothingIsLaunchedBeforeTheFleetIsKnown(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		cluster func(c *fakeCluster)
+		listed  bool
+		want    bool
+	}{
+		{"new, not listed", func(*fakeCluster) {}, false, false},
+		{"new, listed", func(*fakeCluster) {}, true, true},
+		{"new, listed, an owner is not heard", func(c *fakeCluster) { c.ownersLost = true }, true, false},
+		{"old, not listed", func(c *fakeCluster) { c.leadership.Since = c.now.Add(-11 * time.Second) }, false, true},
+		{"heartbeats have only just resumed", func(c *fakeCluster) { c.resumedAt = c.now.Add(-2 * time.Second) }, true, false},
+		{"no types", func(c *fakeCluster) { c.types = nil }, true, false},
+		{"isolated zone", func(c *fakeCluster) { c.add(6); c.isolate("a", "b") }, true, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newFakeCluster()
+			c.leadership.Since = c.now
+			waiting := c.demand(3)
+			test.cluster(c)
+			a := c.autoscaler(t)
+			a.term.listed = test.listed
+			a.DetectIsolatedZones()
+			a.Scale(&Workload{Services: c.workload().Services})
+			if len(a.calls) != 0 {
+				t.Error("machines are launched that nobody needs")
+			}
+			work := c.workload(waiting)
+			work.Machines = nil
+			a.Scale(work)
+			c.makeCalls(a)
+			if got := len(c.cloud.launches) > 0; got != test.want {
+				t.Errorf("launches: %+v, want some: %v", c.cloud.launches, test.want)
+			}
+			if test.want && (c.cloud.launches[0].Count != 3 || c.cloud.launches[0].Spot) {
+				t.Errorf("launches: %+v, want 3 on demand", c.cloud.launches)
+			}
+		})
+	}
+}
+
+// One call asks for a limited number of machines.
+func TestLargeLaunchesAreCut(t *testing.T) {
+	c := newFakeCluster()
+	a := c.autoscaler(t)
+	a.Scale(c.workload(c.demand(80)))
+	c.makeCalls(a)
+	if len(c.cloud.launches) != 1 || c.cloud.launches[0].Count != 50 {
+		t.Errorf("launches: %+v, want one of 50", c.cloud.launches)
+	}
+}
+
+// What is booting is counted on, and not launched again, until it is overdue.
+func TestBootingMachinesAreCountedOn(t *testing.T) {
+	c := newFakeCluster()
+	a := c.autoscaler(t)
+	a.Scale(c.workload(c.demand(3)))
+	a.Scale(c.workload(c.demand(3)))
+	c.makeCalls(a)
+	c.now = c.now.Add(60 * time.Second)
+	a.Scale(c.workload(c.demand(3)))
+	c.makeCalls(a)
+	if booting, _ := a.Counts(); booting != 3 || len(c.cloud.launches) != 1 {
+		t.Errorf("%d machines are booting after %d launches, want 3 after 1", booting, len(c.cloud.launches))
+	}
+	c.now = c.now.Add(5 * time.Second) // 1.6 times of 40 seconds
+	if booting, _ := a.Counts(); booting != 0 {
+		t.Errorf("%d machines are counted on, want none when overdue", booting)
+	}
+}
+
+// Run makes calls until its context ends, and not after.
+func TestRunEndsWithItsContext(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newFakeCluster()
+		a := c.autoscaler(t)
+		ctx, cancel := context.WithCancel(t.Context())
+		ended := false
+		go func() { a.Run(ctx); ended = true }()
+		a.launch(small, 1)
+		synctest.Wait()
+		if len(c.cloud.launches) != 1 {
+			t.Errorf("%d launches, want 1", len(c.cloud.launches))
+		}
+		cancel()
+		synctest.Wait()
+		if !ended {
+			t.Fatal("it goes on")
+		}
+		a.launch(small, 1)
+		synctest.Wait()
+		if len(c.cloud.launches) != 1 {
+			t.Errorf("%d launches, want 1", len(c.cloud.launches))
+		}
+	})
+}
+
+// A full queue takes no more, and says so.
+func TestQueueOfCallsIsBounded(t *testing.T) {
+	c := newFakeCluster()
+	a := c.autoscaler(t)
+	for i := range callQueueLength {
+		if !a.queueCall(func(context.Context) {}) {
+			t.Fatalf("call %d is not taken", i)
+		}
+	}
+	a.terminate([]string{"host-000000"})
+	a.syncInstances()
+	if a.Terminating("host-000000") || a.terminationInFlight || a.term.listInFlight {
+		t.Error("calls that were not taken count as under way")
+	}
+}
--- /dev/null
+++ b/internal/autoscaler/lost.go
@@ -0,0 +1,80 @@
+package autoscaler
+
+import (
+	"time"
+
+	"eiderhitch/internal/config"
+	"eiderhitch/internal/wire"
+)
+
+const (
+	// bootMarginS, in seconds, is added to the time that a machine may take to come up, for the call
+	// and its first heartbeat.
+	bootMarginS = 10
+	// cordonedTimeout is how long tasks may go on on a cordoned machine before it is
+	// terminated with them.
+	cordonedTimeout = 15 * time.Second
+	// leaderTimeout is how long after it was last heard the leader is relied on to
+	// terminate machines that can't be reached.
+	leaderTimeout = 4 * time.Second
+)
+
+// bootTimeout is how long a machine may take to come up before it is terminated.
+func (a *Autoscaler) bootTimeout(machineType *wire.MachineType) time.Duration {
+	return config.Seconds(a.Operator.BootPatience*machineType.BootS + bootMarginS)
+}
+
+// TerminateLost terminates machines that are overdue, unreachable or cordoned, for the
+// leader.
+func (a *Autoscaler) TerminateLost() {
+	names := a.overdueInstances()
+	a.Machines.EachReported(func(m ReportedMachine) {
+		if a.lost(&m) {
+			names = append(names, m.Name)
+		}
+	})
+	a.terminate(names)
+}
+
+// overdueInstances are those that have not come up in time, and those that no owner tells
+// of any more: they died while their partition, or they themselves, changed hands. Only its
+// partition's owner can tell whether a machine is up: after a failover a machine may be old
+// and busy and not have sent a heartbeat yet.
+func (a *Autoscaler) overdueInstances() []string {
+	var names []string
+	types := a.Machines.Types()
+	for name, inst := range a.term.instances {
+		machineType := types[inst.machineType]
+		if machineType == nil || a.term.isolatedZones[inst.zone] {
+			continue
+		}
+		since := inst.launchedAt
+		if inst.reported {
+			since = inst.seenAt
+		}
+		if a.Loop.Now().Sub(since) > a.bootTimeout(machineType) && a.Cluster.OwnerLongInTouch(a.Machines.Machine(name).Partition) {
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
+// lost tells whether a machine is no more use. Unreachable ones wait for the first list of
+// a new term: only the list tells the zone of a machine that has not sent a heartbeat since
+// a failover, and its zone may be isolated.
+func (a *Autoscaler) lost(m *ReportedMachine) bool {
+	if m.Unreachable && a.term.listed && !a.term.isolatedZones[a.zoneOf(&m.Machine)] {
+		return true
+	}
+	return m.Cordoned && (!m.Bound || a.Loop.Now().Sub(m.CordonedAt) > cordonedTimeout)
+}
+
+// TerminateUnreachable has an owner that hears nothing of the leader terminate its
+// unreachable machines itself. The leader could not know of them, and their tasks would
+// wait for the whole lease.
+func (a *Autoscaler) TerminateUnreachable() {
+	if a.Cluster.Leadership().Active || a.Loop.Now().Sub(a.Cluster.LeaderHeardAt()) < leaderTimeout {
+		return
+	}
+	a.terminate(a.Machines.UnreachableInUse())
+}
--- /dev/null
+++ b/internal/autoscaler/tombstones_test.go
@@ -0,0 +1,211 @@
+package autoscaler
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"eiderhitch/internal/cloud"
+	"eiderhitch/internal/wire"
+)
+
+// Tombstones are deleted in one transaction, not asked for again at each tick until
+// the first is stored: with a hundred of them that took up all changes that the
+// key-value store allows, and assignment waited for seconds.
+func TestTombstonesAreDeletedOnce(t *testing.T) {
+	c := newFakeCluster()
+	a := c.autoscaler(t)
+	for i := range 3 {
+		key := fmt.Sprint("e/gone/host-", i)
+		c.tombstones[key] = Tombstone{Key: key, Names: []string{fmt.Sprint("host-", i)}, KnownSince: c.now}
+	}
+	c.now = c.now.Add(hour)
+	a.deleteTombstones()
+	queued := c.Backlog()
+	for range 20 {
+		a.deleteTombstones()
+	}
+	if queued == 0 || c.Backlog() != queued {
+		t.Errorf("the backlog is %v after one call, %v after many; want the same, and not 0", queued, c.Backlog())
+	}
+	if len(c.writes) != 1 || len(c.writes[0].Changes) != 3 || !slices.Equal(c.writes[0].Conditions, []wire.Condition{leaderCondition}) {
+		t.Errorf("written: %+v, want one deletion of 3 tombstones by the leader", c.writes)
+	}
+	c.done[0](nil)
+	a.deleteTombstones()
+	if len(c.writes) != 2 {
+		t.Errorf("%d transactions, want another one once the first is stored", len(c.writes))
+	}
+}
+
+// A tombstone is kept while a list of the cloud may show its machines, and while a record
+// binds tasks to one of them.
+func TestTombstonesThatAreNeededStay(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		age  time.Duration
+		used bool
+		want int
+	}{
+		{"new", 130 * time.Second, false, 0},
+		{"old", 133 * time.Second, false, 1},
+		{"old and in use", 133 * time.Second, true, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newFakeCluster()
+			c.add(2)
+			c.machines[1].Bound = test.used
+			c.tombstones["e/gone/x"] = Tombstone{Key: "e/gone/x", Names: []string{"host-000000", "host-000001"}, KnownSince: c.now.Add(-test.age)}
+			c.autoscaler(t).deleteTombstones()
+			if len(c.writes) != test.want {
+				t.Errorf("%d transactions, want %d", len(c.writes), test.want)
+			}
+		})
+	}
+}
+
+// Machines that die together are terminated together, and what is stored of that is
+// one change, not one for each: their tasks wait for it.
+func TestMachinesTerminatedTogetherShareATombstone(t *testing.T) {
+	c := newFakeCluster()
+	a := c.autoscaler(t)
+	c.add(240)
+	var names []string
+	for _, m := range c.machines {
+		names = append(names, m.Name)
+	}
+	a.storeTombstones(names)
+	if n := c.Backlog(); n > time.Second/10 {
+		t.Errorf("the backlog is %v, want at most 100 ms", n)
+	}
+	if len(c.writes) != 1 || len(c.writes[0].Changes) != 1 {
+		t.Fatalf("%d transactions, want one of one change", len(c.writes))
+	}
+	var stored []string
+	change := c.writes[0].Changes[0]
+	if err := json.Unmarshal(change.Value, &stored); err != nil || change.Put != "e/gone/host-000000" || !slices.Equal(stored, names) {
+		t.Errorf("stored under %s: %v, %v; want all names under the first", change.Put, stored, err)
+	}
+}
+
+// No tombstone is larger than half of what a value may hold, and the name that fills it.
+func TestManyMachinesHaveSeveralTombstones(t *testing.T) {
+	c := newFakeCluster()
+	a := c.autoscaler(t)
+	c.add(600)
+	var names []string
+	for _, m := range c.machines {
+		names = append(names, m.Name)
+	}
+	a.storeTombstones(names)
+	var all []string
+	for _, write := range c.writes {
+		var stored []string
+		if err := json.Unmarshal(write.Changes[0].Value, &stored); err != nil || len(write.Changes[0].Value) > 4<<10+20 {
+			t.Errorf("a tombstone of %d bytes: %v", len(write.Changes[0].Value), err)
+		}
+		all = append(all, stored...)
+	}
+	if !slices.Equal(all, names) || len(c.writes) != 3 {
+		t.Errorf("%d names in %d tombstones, want all %d in 3", len(all), len(c.writes), len(names))
+	}
+}
+
+// Who holds the fencing token stores the tombstone; what never was up has none.
+func TestTombstoneIsStoredByWhoeverMay(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		cluster   func(c *fakeCluster)
+		launched  bool // and not up yet
+		condition *wire.Condition
+	}{
+		{"leader", func(*fakeCluster) {}, false, &leaderCondition},
+		{"leader who owns the partition", func(c *fakeCluster) { c.partition = partitionCondition }, false, &leaderCondition},
+		{"owner", func(c *fakeCluster) { c.follow(); c.partition = partitionCondition }, false, &partitionCondition},
+		{"neither", func(c *fakeCluster) { c.follow() }, false, nil},
+		{"leader, never up", func(*fakeCluster) {}, true, nil},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newFakeCluster()
+			test.cluster(c)
+			a := c.autoscaler(t)
+			c.add(1)
+			if test.launched {
+				a.addInstances(small, []string{"host-000000"}, c.now)
+			}
+			a.terminate([]string{"host-000000"})
+			c.makeCalls(a)
+			if test.condition == nil {
+				checkNoTombstone(t, c, a, test.launched)
+			} else {
+				checkTombstone(t, c, a, *test.condition)
+			}
+		})
+	}
+}
+
+// checkNoTombstone checks that none is stored for host-000000, and that it is taken for
+// terminated if it never was up.
+func checkNoTombstone(t *testing.T, c *fakeCluster, a *Autoscaler, neverUp bool) {
+	t.Helper()
+	if len(c.writes) != 0 || a.Terminating("host-000000") {
+		t.Errorf("%d transactions, terminating: %v; want neither", len(c.writes), a.Terminating("host-000000"))
+	}
+	if got := len(c.neverUp) == 1; got != neverUp {
+		t.Errorf("taken for terminated: %v, want %v", got, neverUp)
+	}
+}
+
+// checkTombstone checks that one is stored for host-000000, which is being terminated until
+// then.
+func checkTombstone(t *testing.T, c *fakeCluster, a *Autoscaler, condition wire.Condition) {
+	t.Helper()
+	if len(c.writes) != 1 || c.writes[0].Conditions[0] != condition || c.writes[0].Conditions[1] != (wire.Condition{Key: "e/gone/host-000000"}) {
+		t.Fatalf("written: %+v, want one tombstone under %v", c.writes, condition)
+	}
+	if !a.Terminating("host-000000") {
+		t.Error("it is not being terminated while the tombstone is stored")
+	}
+	c.done[0](nil)
+	if a.Terminating("host-000000") {
+		t.Error("it is still being terminated once the tombstone is stored")
+	}
+}
+
+// One call terminates all machines that have come up since the one before, up to what the
+// cloud takes; after a failed one they may be asked for again.
+func TestTerminationsAreBatched(t *testing.T) {
+	c := newFakeCluster()
+	a := c.autoscaler(t)
+	c.add(1 + cloud.MaxTerminate + 5)
+	for _, m := range c.machines {
+		a.terminate([]string{m.Name})
+		a.terminate([]string{m.Name})
+	}
+	c.makeCalls(a)
+	var sizes []int
+	for _, names := range c.cloud.terminations {
+		sizes = append(sizes, len(names))
+	}
+	if !slices.Equal(sizes, []int{1, cloud.MaxTerminate, 5}) {
+		t.Errorf("calls for %v machines, want 1, %d and 5", sizes, cloud.MaxTerminate)
+	}
+
+	c = newFakeCluster()
+	a = c.autoscaler(t)
+	c.add(1)
+	c.cloud.terminateErr = errors.New("no answer")
+	for range 2 {
+		a.terminate([]string{"host-000000"})
+		c.makeCalls(a)
+		if a.Terminating("host-000000") || len(c.writes) != 0 {
+			t.Errorf("terminating: %v, %d transactions; want neither after a failed call", a.Terminating("host-000000"), len(c.writes))
+		}
+	}
+	if len(c.cloud.terminations) != 2 {
+		t.Errorf("%d calls, want 2", len(c.cloud.terminations))
+	}
+}
--- /dev/null
+++ b/internal/autoscaler/zones.go
@@ -0,0 +1,78 @@
+package autoscaler
+
+const (
+	// minIsolatedMachines is how many machines must be out of reach together before that
+	// says something of their zone: some may well die at a time.
+	minIsolatedMachines = 5
+)
+
+// zoneHeadcount is how many machines there are in a zone, and how many of them can't be
+// reached.
+type zoneHeadcount struct{ all, outOfReach int }
+
+// mostReachable reports whether at least half of them can be reached.
+func (h zoneHeadcount) mostReachable() bool { return h.outOfReach*2 <= h.all }
+
+// zoneOf is a machine's zone, if anybody has told it; else "".
+func (a *Autoscaler) zoneOf(m *Machine) string {
+	if inst := a.term.instances[m.Name]; m.Zone == "" && inst != nil {
+		return inst.zone
+	}
+	return m.Zone
+}
+
+// IsolatedZones names the zones that seem isolated.
+func (a *Autoscaler) IsolatedZones() []string {
+	var zones []string
+	for zone := range a.term.isolatedZones {
+		zones = append(zones, zone)
+	}
+	return zones
+}
+
+// DetectIsolatedZones finds zones that seem isolated: most machines there are out of reach
+// while those of another zone are not. What runs in such a zone goes on for as long as its
+// controllers may answer heartbeats, and its workers' leases after that, so terminating the
+// machines would stop it, and the other zones may have no room to take it. They are kept
+// until it must have ended anyhow, and nothing new is launched there. Tasks there are still
+// proven gone by leases and agents' incarnations alone.
+func (a *Autoscaler) DetectIsolatedZones() {
+	zones := a.countMachinesByZone()
+	someZoneIsWell := false
+	for zone, count := range zones {
+		someZoneIsWell = someZoneIsWell || zone != "" && count.mostReachable()
+	}
+	a.term.isolatedZones = map[string]bool{}
+	for zone, count := range zones {
+		if zone == "" || !someZoneIsWell || count.mostReachable() || count.outOfReach < minIsolatedMachines {
+			delete(a.term.isolatedSince, zone)
+			continue
+		}
+		since, known := a.term.isolatedSince[zone]
+		if !known {
+			since = a.Loop.Now()
+			a.term.isolatedSince[zone] = since
+			a.Log.Info("zone seems isolated", "zone", zone, "machines", count.all, "out_of_reach", count.outOfReach)
+		}
+		a.term.isolatedZones[zone] = a.Loop.Now().Sub(since) < a.WorkLifetime
+	}
+}
+
+// countMachinesByZone counts the machines that owners tell about. Those whose owner has only
+// just come do not count: after a crash of all controllers that is so everywhere.
+func (a *Autoscaler) countMachinesByZone() map[string]zoneHeadcount {
+	zones := map[string]zoneHeadcount{}
+	a.Machines.EachReported(func(m ReportedMachine) {
+		if m.NotHeardYet && !m.Unreachable {
+			return
+		}
+		zone := a.zoneOf(&m.Machine)
+		count := zones[zone]
+		count.all++
+		if !m.Reachable {
+			count.outOfReach++
+		}
+		zones[zone] = count
+	})
+	return zones
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -19,7 +19,6 @@
 	*clusterState
 	*partitionOwner
 	*leader
-	*autoscaler
 	*frontend.Frontend
 
 	send func(peer string, frame []byte)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -120,27 +120,6 @@
 	}
 }
 
-// Tombstones are deleted in one transaction, not asked for again at each tick until
-// the first is stored: with a hundred of them that took up all changes that the
-// key-value store allows, and assignment waited for seconds.
-func TestTombstonesAreDeletedOnce(t *testing.T) {
-	c := lone(t)
-	c.becomeLeader(5)
-	c.leadership.active = true
-	for i := range 3 {
-		c.putTombstone(fmt.Sprint(tombstonePrefix, "host-", i), []string{fmt.Sprint("host-", i)})
-	}
-	c.now = c.now.Add(time.Hour)
-	c.deleteTombstones()
-	queued := c.stateWriter.Backlog()
-	for range 20 {
-		c.deleteTombstones()
-	}
-	if queued == 0 || c.stateWriter.Backlog() != queued {
-		t.Errorf("the backlog is %v after one call, %v after many; want the same, and not 0", queued, c.stateWriter.Backlog())
-	}
-}
-
 // A team at its limit has room for one more task many times a second; the throttle of
 // a group is raised for several at once, not for each.
 func TestThrottlesRiseInSteps(t *testing.T) {
@@ -214,22 +193,15 @@
 	}
 }
 
-// Machines that die together are terminated together, and what is stored of that is
-// one change, not one for each: their tasks wait for it. The tombstone names them all,
-// the encoding of older versions is understood, and deleting it forgets them all.
+// Machines that died together share a tombstone. It names them all, the encoding of older
+// versions is understood, and deleting it forgets them all.
 func TestMachinesGoneTogether(t *testing.T) {
 	c := lone(t)
-	c.becomeLeader(5)
-	c.leadership.active = true
 	var names []string
 	for i := range 240 {
 		names = append(names, fmt.Sprintf("host-%06d", i))
 		c.machineNamed(names[i]).heartbeatAt = c.now
 	}
-	c.storeTombstones(names)
-	if n := c.stateWriter.Backlog(); n > time.Second/10 {
-		t.Errorf("the backlog is %v, want at most 100 ms", n)
-	}
 	c.replica.Put(tombstonePrefix+"host-000001", record.JSON(names[1:4]), 20)
 	c.replica.Put(tombstonePrefix+"host-000009", record.JSON(true), 21)
 	for i, gone := range map[int]bool{0: false, 1: true, 2: true, 3: true, 4: false, 9: true} {
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -21,7 +21,6 @@
 	metricsInterval  = 30 * time.Second
 	usageLogInterval = 10 * time.Second
 	watchWait        = 1500 * time.Millisecond
-	cloudQueue       = 64
 	// pauseThreshold is how late a tick is when it is we who did not run.
 	pauseThreshold  = time.Second
 	minPassInterval = 50 * time.Millisecond
@@ -44,12 +43,10 @@
 		out.jitter = rand.N[time.Duration]
 	}
 	state := newClusterState(ctx, cfg, op, log, out)
-	lead := &leader{clusterState: state}
 	c := &controller{
 		clusterState:   state,
 		partitionOwner: &partitionOwner{clusterState: state, workerClient: workerclient.NewClient(out.workers), directSlots: workerclient.NewSlots[*machine](cfg.DirectCommands())},
-		leader:         lead,
-		autoscaler:     &autoscaler{leader: lead, cloudClient: cloud.NewClient(cfg.External.Cloud, s.Cloud.RPS, out.cloud), cloudCalls: make(chan func(), cloudQueue)},
+		leader:         &leader{clusterState: state},
 		send:           out.send,
 	}
 	state.replica = replica.New(c)
@@ -62,6 +59,7 @@
 	}, election.Services{
 		Store: state.stateClient, Replica: state.replica, Reader: state.reader, Writer: c, Loop: loopAt{state, priorityState}, Listener: c,
 	}, leaseKeys(c.rollout.keys, s.Count))
+	state.autoscaler = newAutoscaler(c, cloud.NewClient(cfg.External.Cloud, s.Cloud.RPS, out.cloud))
 	c.Frontend = frontend.New(frontend.Config{
 		JobKey: jobKey, LeaseTTL: op.LeaseTTL, MaxValueBytes: c.maxValueBytes(), Quotas: s.Teams, Log: c.log,
 	}, clusterView{c}, loopAt{state, priorityUsers}, c.metrics)
@@ -97,14 +95,3 @@
 		}
 	}
 }
-
-func (c *controller) runCloudCalls() {
-	for {
-		select {
-		case <-c.ctx.Done():
-			return
-		case f := <-c.cloudCalls:
-			f()
-		}
-	}
-}
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -76,6 +76,7 @@
 func (c *controller) KeyLost(key string) {
 	if key == c.leaderKey() {
 		c.leadership = leadership{}
+		c.autoscaler.EndTerm()
 	}
 	for _, p := range c.partitions {
 		if p.key == key {
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -260,7 +260,7 @@
 func (c *leader) loanCandidates(summaries []*planning.MachineSummary, fits func(*planning.MachineSummary) bool) []*planning.MachineSummary {
 	var can []*planning.MachineSummary
 	for _, summary := range summaries {
-		if fits(summary) && summary.Partition != c.loanPartition() && !summary.InUse && !summary.RunsService && !c.leadership.draining[c.machineByIndex[summary.ID].name] {
+		if fits(summary) && summary.Partition != c.loanPartition() && !summary.InUse && !summary.RunsService && !c.autoscaler.DrainedByLeader(c.machineByIndex[summary.ID].name) {
 			can = append(can, summary)
 		}
 	}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -27,30 +27,14 @@
 	assignAhead    []int
 	usageLoggedAt  time.Time
 	// since when, and by whom, each part is vouched for without a gap
-	ownerInTouchSince     []time.Time
-	ownerInTouch          []string
-	draining              map[string]bool      // being emptied
-	freeHistory           planning.FreeHistory // free CPUs of late
-	instances             map[string]*instance
-	idleSince             map[string]time.Time
-	refusedUntil          map[planning.Offer]time.Time // no requests before then
-	backoff               map[planning.Offer]time.Duration
-	launching             map[planning.Offer]int
-	launchRequests        int
-	listedAt              time.Time
-	listInFlight          bool
-	deletingTombstones    bool // of gone markers
-	listed                bool // the list has been read since the lead was taken
-	machineTypesFetchedAt time.Time
-	gangReserve           gangReserve
-	// since when most of a zone's machines are out of reach, see detectIsolatedZones
-	isolatedSince map[string]time.Time
-	isolatedZones map[string]bool
+	ownerInTouchSince []time.Time
+	ownerInTouch      []string
+	gangReserve       gangReserve
 }
 
 func (c *leader) becomeLeader(stamp uint64) {
-	c.leadership = leadership{epoch: stamp, token: stamp, since: c.now, instances: map[string]*instance{}, idleSince: map[string]time.Time{},
-		refusedUntil: map[planning.Offer]time.Time{}, backoff: map[planning.Offer]time.Duration{}, launching: map[planning.Offer]int{}, isolatedSince: map[string]time.Time{}}
+	c.leadership = leadership{epoch: stamp, token: stamp, since: c.now}
+	c.autoscaler.StartTerm()
 	// A former leader's late writes fail by its key's version; what it did
 	// store is read before anything is dealt.
 	c.reader.AfterSuccessfulRead(func() {
@@ -63,8 +47,8 @@
 // isLeader tells whether this controller acts as the leader now.
 func (c *leader) isLeader() bool { return c.leadership.active && c.isFresh(c.operator.LeaseTTL) }
 
-// lead deals work to parts and rents and returns machines.
-func (c *autoscaler) runLeader() {
+// runLeader assigns work to partitions and launches and terminates machines.
+func (c *leader) runLeader() {
 	if !c.isLeader() {
 		return
 	}
@@ -72,10 +56,10 @@
 	c.finishJobs()
 	c.updateOwnersInTouch()
 	summaries := c.machineSummaries() // first: it notes which machines are up
-	c.detectIsolatedZones()
+	c.autoscaler.DetectIsolatedZones()
 	// What is lost goes back at once, however long it takes until what is dealt is
 	// stored: others' tasks wait for the proof.
-	c.terminateLost()
+	c.autoscaler.TerminateLost()
 	if c.leadership.writesInFlight > 0 {
 		return
 	}
@@ -87,8 +71,8 @@
 	if c.leadership.writesInFlight > 0 {
 		return
 	}
-	wants := c.assign(summaries)
-	c.scale(summaries, wants)
+	waiting := c.assign(summaries)
+	c.autoscaler.Scale(c.workload(summaries, waiting))
 }
 
 // logUsage logs now and then how full the machines are.
@@ -114,8 +98,9 @@
 			}
 		}
 	}
-	c.log.Info("fleet", "up", len(summaries), "booting", len(c.booting()), "cpus", size.CPU/1000, "free_cpus", free.CPU/1000,
-		"spot_cpus", spot.CPU/1000, "spot_free_cpus", spotFree.CPU/1000, "closing", len(c.leadership.draining),
+	booting, draining := c.autoscaler.Counts()
+	c.log.Info("fleet", "up", len(summaries), "booting", booting, "cpus", size.CPU/1000, "free_cpus", free.CPU/1000,
+		"spot_cpus", spot.CPU/1000, "spot_free_cpus", spotFree.CPU/1000, "closing", draining,
 		"tasks_waiting", waiting, "tasks_dealt", dealt)
 }
 
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -181,7 +181,7 @@
 	keep := c.now.Sub(j.acceptedAt) > reserveMachinesAfter
 	var can []*planning.MachineSummary
 	for _, summary := range summaries {
-		if summary.Booting || summary.Partition == c.loanPartition() || summary.InUse || c.leadership.draining[c.machineByIndex[summary.ID].name] || !allowed(j.spec, zone, summary.Type, summary.Zone, summary.Spot) {
+		if summary.Booting || summary.Partition == c.loanPartition() || summary.InUse || c.autoscaler.DrainedByLeader(c.machineByIndex[summary.ID].name) || !allowed(j.spec, zone, summary.Type, summary.Zone, summary.Spot) {
 			continue
 		}
 		if keep && !summary.RunsService || !slices.ContainsFunc(summary.Usages, func(x planning.Usage) bool { return !claim.CanPreempt(x.Claim) }) {
@@ -226,7 +226,7 @@
 	coming := 0
 	for _, summary := range summaries {
 		fits := summary.Free.CountFitting(j.taskSize, n)
-		if summary.Booting || fits == 0 || c.leadership.draining[c.machineByIndex[summary.ID].name] || !allowed(j.spec, zone, summary.Type, summary.Zone, summary.Spot) {
+		if summary.Booting || fits == 0 || c.autoscaler.DrainedByLeader(c.machineByIndex[summary.ID].name) || !allowed(j.spec, zone, summary.Type, summary.Zone, summary.Spot) {
 			continue
 		}
 		switch {
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -234,8 +234,8 @@
 	for i, n := range c.nodes {
 		ctl := n.controller()
 		ctl.call(c.ctx, priorityState, func() {
-			if ctl.isLeader() && len(ctl.leadership.isolatedZones) > 0 {
-				c.t.Errorf("controller %d takes zones %v to be cut off, want none", i, ctl.leadership.isolatedZones)
+			if ctl.isLeader() && len(ctl.autoscaler.IsolatedZones()) > 0 {
+				c.t.Errorf("controller %d takes zones %v to be cut off, want none", i, ctl.autoscaler.IsolatedZones())
 			}
 		})
 	}
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -28,7 +28,7 @@
 	case strings.HasPrefix(key, jobPrefix):
 		return c.putJobValue(key, raw, stamp)
 	case key == machineTypesKey:
-		return decodeInto(raw, func(v []wire.MachineType) { c.putMachineTypes(v); c.machineTypesStored = true })
+		return decodeInto(raw, func(v []wire.MachineType) { c.putMachineTypes(v); c.autoscaler.MachineTypesStored() })
 	case strings.HasPrefix(key, tombstonePrefix):
 		names := []string{strings.TrimPrefix(key, tombstonePrefix)} // of an older version: true
 		var more []string
--- a/internal/controller/scoring.go
+++ b/internal/controller/scoring.go
@@ -72,7 +72,7 @@
 	if m.schedulableStep != c.schedulingPass {
 		m.schedulableStep = c.schedulingPass
 		m.schedulable = c.usable(m, p) && m.terminationAt.IsZero() && !m.cordoned && !c.now.Before(m.avoidUntil) &&
-			(!c.draining[m.name] || p.index == c.loanPartition()) && !c.terminating[m.name] && (c.loans[m.name] == nil || p.index == c.loanPartition() && !c.loans[m.name].returning)
+			(!c.autoscaler.Draining(m.name) || p.index == c.loanPartition()) && !c.autoscaler.Terminating(m.name) && (c.loans[m.name] == nil || p.index == c.loanPartition() && !c.loans[m.name].returning)
 	}
 	return m.schedulable
 }
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -68,9 +68,7 @@
 func (c *controller) start(wg *sync.WaitGroup) {
 	wg.Go(func() { c.stateWriter.Run(c.ctx) })
 	wg.Go(func() { c.reader.Follow(c.ctx) })
-	for range 2 {
-		wg.Go(c.runCloudCalls)
-	}
+	wg.Go(func() { c.autoscaler.Run(c.ctx) })
 	if c.operator.FeatureLevels {
 		wg.Go(c.register)
 	}
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -5,6 +5,7 @@
 	"log/slog"
 	"time"
 
+	"eiderhitch/internal/autoscaler"
 	"eiderhitch/internal/config"
 	"eiderhitch/internal/election"
 	"eiderhitch/internal/peer"
@@ -42,6 +43,7 @@
 	reader      *replica.Reader
 	election    *election.Elector
 	peers       *peer.Registry
+	autoscaler  *autoscaler.Autoscaler
 
 	// jobs are those that are not archived; finished has the final states of the others.
 	jobs     map[string]*job
@@ -58,19 +60,14 @@
 	attemptEnds map[scheduling.Task]attemptEnd
 	rollout     rolloutState
 
-	machineTypes       map[string]*wire.MachineType
-	machineTypesStored bool
-	machines           map[string]*machine
-	machineByIndex     []*machine
-	partitions         []*partition // the last one is the leader's, of machines on loan
-	loans              map[string]*machineLoan
+	machineTypes   map[string]*wire.MachineType
+	machines       map[string]*machine
+	machineByIndex []*machine
+	partitions     []*partition // the last one is the leader's, of machines on loan
+	loans          map[string]*machineLoan
 	// terminated are the machines that surely are, as long as a tombstone says so.
 	terminated map[string]bool
 	tombstones map[string]tombstone
-	// draining are the machines that the leader wants to terminate; terminating those of
-	// which the cloud has been, or is to be, asked for that.
-	draining    map[string]bool
-	terminating map[string]bool
 
 	// passDue: a scheduling pass is wanted; schedulingPass counts the passes.
 	passDue        bool
@@ -104,7 +101,7 @@
 		teamIndex: map[string]scheduling.TeamIndex{}, objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.Store.ValueKB),
 		attemptEnds: map[scheduling.Task]attemptEnd{}, rollout: newRolloutState(cfg, op),
 		machines: map[string]*machine{}, loans: map[string]*machineLoan{},
-		terminated: map[string]bool{}, tombstones: map[string]tombstone{}, terminating: map[string]bool{}, schedulingPass: 1,
+		terminated: map[string]bool{}, tombstones: map[string]tombstone{}, schedulingPass: 1,
 	}
 	c.startedAt = c.now
 	for _, t := range s.Teams {
--- a/internal/controller/summaries.go
+++ b/internal/controller/summaries.go
@@ -28,15 +28,10 @@
 	var out []*planning.MachineSummary
 	add := func(m *machine, flags uint8) {
 		t := c.machineTypes[m.machineType]
-		if t == nil || m.terminated || c.terminating[m.name] {
+		if t == nil || m.terminated || c.autoscaler.Terminating(m.name) {
 			return
 		}
-		inst := c.leadership.instances[m.name]
-		if inst == nil {
-			inst = &instance{machineType: m.machineType, zone: m.zone, spot: m.spot, launchedAt: c.now}
-			c.leadership.instances[m.name] = inst
-		}
-		inst.reported, inst.seenAt = true, c.now
+		c.autoscaler.MachineUp(m.forAutoscaler())
 		if flags&peer.Reachable == 0 || flags&(peer.TerminationNotice|peer.Cordoned|peer.Unreachable) != 0 {
 			return
 		}
@@ -55,7 +50,7 @@
 			summary.Usages = append(summary.Usages, planning.Usage{Claim: group.claim(), Size: group.job.taskSize})
 			summary.RunsService = summary.RunsService || group.job.spec.AllOrNothing()
 		}
-		if c.leadership.draining[m.name] {
+		if c.autoscaler.DrainedByLeader(m.name) {
 			summary.Free, summary.Usages = scheduling.Resources{}, nil // no room for anybody
 		}
 		out = append(out, summary)
@@ -123,10 +118,7 @@
 
 // peerStatus tells the siblings about this controller and its machines.
 func (c *controller) peerStatus() *peer.Status {
-	s := &peer.Status{Node: c.cfg.Name, ProcessID: c.processID, Fresh: c.isFresh(c.operator.LeaseTTL), Eligible: c.eligible()}
-	for name := range c.leadership.draining {
-		s.Draining = append(s.Draining, name)
-	}
+	s := &peer.Status{Node: c.cfg.Name, ProcessID: c.processID, Fresh: c.isFresh(c.operator.LeaseTTL), Eligible: c.eligible(), Draining: c.autoscaler.DrainedMachines()}
 	for _, p := range c.partitions {
 		if p.token == 0 || !p.active {
 			continue
@@ -148,10 +140,7 @@
 	if !c.peers.Update(s, c.now) || c.ownerOf(c.leaderKey()) != s.Node {
 		return
 	}
-	c.draining = map[string]bool{}
-	for _, name := range s.Draining {
-		c.draining[name] = true
-	}
+	c.autoscaler.ObserveDraining(s.Draining)
 }
 
 // ownerLongInTouch tells whether a part has had an owner in touch with the leader for
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -46,7 +46,7 @@
 	c.campaign()
 	c.advanceRollout()
 	c.stepDownIfUnreachable()
-	c.syncCloud()
+	c.autoscaler.Sync()
 	if !c.now.Before(due.pass) {
 		c.runPass(due, c.now)
 	}
@@ -59,7 +59,7 @@
 		due.status = c.now.Add(statusInterval)
 		begun := time.Now()
 		c.probeUnreachable()
-		c.terminateUnreachable()
+		c.autoscaler.TerminateUnreachable()
 		c.broadcastStatus()
 		c.metrics.addBusyTime(activityStatus, begun)
 	}
--- a/internal/planning/bin_packing_test.go
+++ b/internal/planning/bin_packing_test.go
@@ -68,7 +68,7 @@
 	for _, row := range []struct {
 		name     string
 		machines []MachineSummary
-		expected scheduling.MachineIndex // notLaunched: none
+		expected scheduling.MachineIndex // NotLaunched: none
 	}{
 		{"lower priority", []MachineSummary{{Usages: []Usage{usage(1, 4)}}, {Usages: []Usage{usage(0, 4)}}}, 1},
 		{"fewer victims", []MachineSummary{{Usages: []Usage{usage(0, 2), usage(0, 2)}}, {Usages: []Usage{usage(0, 4)}}}, 1},
@@ -76,8 +76,8 @@
 		{"one that stays for a service", []MachineSummary{{Usages: []Usage{usage(0, 4)}}, {RunsService: true, Usages: []Usage{usage(0, 4)}}}, 1},
 		{"lower index", []MachineSummary{{Usages: []Usage{usage(0, 4)}}, {Usages: []Usage{usage(0, 4)}}}, 0},
 		{"not while booting", []MachineSummary{{Booting: true, Usages: []Usage{usage(0, 4)}}, {Usages: []Usage{usage(1, 4)}}}, 1},
-		{"not of equal priority", []MachineSummary{{Usages: []Usage{usage(priority, 4)}}}, notLaunched},
-		{"not enough", []MachineSummary{{Usages: []Usage{usage(0, 2), usage(priority, 2)}}}, notLaunched},
+		{"not of equal priority", []MachineSummary{{Usages: []Usage{usage(priority, 4)}}}, NotLaunched},
+		{"not enough", []MachineSummary{{Usages: []Usage{usage(0, 2), usage(priority, 2)}}}, NotLaunched},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			var machines []*MachineSummary
@@ -86,7 +86,7 @@
 				machines = append(machines, &row.machines[i])
 			}
 			chosen := PlaceByPreemption(machines, anyMachine, scheduling.NewResources(4, 0, 1), scheduling.Claim{Priority: priority})
-			got := notLaunched
+			got := NotLaunched
 			if chosen != nil {
 				got = chosen.ID
 			}
--- a/internal/planning/headroom_test.go
+++ b/internal/planning/headroom_test.go
@@ -64,18 +64,18 @@
 	for _, row := range []struct {
 		name     string
 		machines []*MachineSummary
-		expected scheduling.MachineIndex // notLaunched: none
+		expected scheduling.MachineIndex // NotLaunched: none
 	}{
 		{"least share", []*MachineSummary{machine(0, 4, 2, 1), machine(1, 16, 4, 1)}, 1},
 		{"the first of equal ones", []*MachineSummary{machine(0, 4, 2, 1), machine(1, 8, 4, 1)}, 0},
 		{"no spot instance", []*MachineSummary{spot, machine(1, 16, 4, 1)}, 1},
 		{"no larger one", []*MachineSummary{machine(0, 17, 1, 1), machine(1, 16, 4, 1)}, 1},
 		{"none that runs that priority", []*MachineSummary{machine(0, 16, 1, priority), machine(1, 16, 4, 1)}, 1},
-		{"none that the filter refuses", []*MachineSummary{machine(refused, 16, 1, 1)}, notLaunched},
+		{"none that the filter refuses", []*MachineSummary{machine(refused, 16, 1, 1)}, NotLaunched},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			allowed := func(machine *MachineSummary) bool { return machine.ID != refused }
-			got := notLaunched
+			got := NotLaunched
 			if best := LeastUsedMachine(row.machines, maxCPU, priority, allowed); best != nil {
 				got = best.ID
 			}
--- a/internal/planning/machine_summary.go
+++ b/internal/planning/machine_summary.go
@@ -10,7 +10,7 @@
 // MachineSummary is a machine as the leader sees it: what is free on it, and what could
 // be had by preemption.
 type MachineSummary struct {
-	// ID is the machine's index, or notLaunched.
+	// ID is the machine's index, or NotLaunched.
 	ID         scheduling.MachineIndex
 	Type, Zone string
 	Spot       bool
@@ -29,8 +29,8 @@
 	RunsService bool
 }
 
-// notLaunched is the ID of machines that have no index yet.
-const notLaunched scheduling.MachineIndex = -1
+// NotLaunched is the ID of machines that have no index yet.
+const NotLaunched scheduling.MachineIndex = -1
 
 // Usage is a task's use of a machine.
 type Usage struct {
--- a/internal/planning/scaling.go
+++ b/internal/planning/scaling.go
@@ -132,7 +132,7 @@
 	planned := make([]*MachineSummary, count)
 	for i := range planned {
 		planned[i] = &MachineSummary{
-			ID: notLaunched, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot,
+			ID: NotLaunched, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot,
 			Size: offer.Size, Free: offer.Size, Booting: true,
 		}
 	}
