--- /dev/null
+++ b/internal/reconcile/fake_test.go
@@ -0,0 +1,98 @@
+package reconcile_test
+
+import (
+	"slices"
+
+	"eiderhitch/internal/reconcile"
+	"eiderhitch/internal/scheduling"
+	"eiderhitch/internal/wire"
+)
+
+// incarnation is that of the machine's agent in all rows.
+const incarnation = 3
+
+// boundTask is a bound task of the rows. Its number is its place among the bound tasks.
+type boundTask struct {
+	name    string
+	attempt uint64
+	// sinceIncarnation is what it is bound to; 0: the present one.
+	sinceIncarnation uint64
+	service          bool
+	mustStop         bool
+	graceS           float64
+	ended            bool
+	gangIncomplete   bool
+	// unbound: the machine's list of bindings still has it, its record no more.
+	unbound bool
+}
+
+// records are the stored records of a row.
+type records struct {
+	bound      []boundTask
+	unreadable []string // tasks that a record may have that can't be decoded
+	// stopsAsked are the tasks for which MustStop was asked.
+	stopsAsked []string
+}
+
+func (r *records) binding(i int) reconcile.Binding {
+	since := r.bound[i].sinceIncarnation
+	if since == 0 {
+		since = incarnation
+	}
+	return reconcile.Binding{Task: scheduling.Task{Group: 7, Number: int32(i)}, Attempt: r.bound[i].attempt, Incarnation: since}
+}
+
+func (r *records) Lookup(task string) reconcile.Record {
+	i := slices.IndexFunc(r.bound, func(b boundTask) bool { return b.name == task && !b.unbound })
+	if i < 0 {
+		return reconcile.Record{Unreadable: slices.Contains(r.unreadable, task)}
+	}
+	return reconcile.Record{Bound: true, Binding: r.binding(i), RunsToCompletion: !r.bound[i].service}
+}
+
+func (r *records) BindingCount() int { return len(r.bound) }
+
+func (r *records) Binding(i int) (reconcile.Binding, bool) { return r.binding(i), !r.bound[i].unbound }
+
+func (r *records) TaskName(task scheduling.Task) string { return r.bound[task.Number].name }
+
+func (r *records) MustStop(task scheduling.Task) bool {
+	r.stopsAsked = append(r.stopsAsked, r.bound[task.Number].name)
+	return r.bound[task.Number].mustStop
+}
+
+func (r *records) StopGraceS(task scheduling.Task) float64 { return r.bound[task.Number].graceS }
+
+func (r *records) Ended(binding reconcile.Binding) bool { return r.bound[binding.Task.Number].ended }
+
+func (r *records) GangComplete(task scheduling.Task) bool {
+	return !r.bound[task.Number].gangIncomplete
+}
+
+// settled is a machine of which no start can arrive any more, with the tasks of its newest
+// heartbeat.
+func settled(tasks ...wire.TaskStatus) reconcile.Machine {
+	return reconcile.Machine{Incarnation: incarnation, TokenShown: true, StartsAllowed: true, Tasks: tasks}
+}
+
+// awaitingStart is a machine to which a start may be under way.
+func awaitingStart(tasks ...wire.TaskStatus) reconcile.Machine {
+	machine := settled(tasks...)
+	machine.StartMayArrive = true
+	return machine
+}
+
+// withoutToken is a machine that has not shown its owner's token.
+func withoutToken(tasks ...wire.TaskStatus) reconcile.Machine {
+	machine := settled(tasks...)
+	machine.TokenShown = false
+	return machine
+}
+
+func status(name string, attempt uint64, state string) wire.TaskStatus {
+	return wire.TaskStatus{Task: name, Attempt: attempt, State: state}
+}
+
+func exited(name string, attempt uint64, reason string) wire.TaskStatus {
+	return wire.TaskStatus{Task: name, Attempt: attempt, State: wire.Exited, Reason: reason}
+}
