--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -1,106 +1,81 @@
 package controller
 
 import (
-	"slices"
-
+	"eiderhitch/internal/reconcile"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
 
-// reconcile draws proofs from a machine's newest report.
+// reconcile learns from a machine's newest heartbeat what has become of the tasks that are
+// bound to it, and notes the ends of attempts that it proves.
 func (c *clusterState) reconcile(m *machine, p *partition) {
-	// An older owner's start may still be under way until the machine has
-	// shown our token; one of ours while a direct command is unanswered.
-	settled := m.token == p.token && !m.startMayArrive(p)
+	// A start that went unanswered may arrive until the machine has seen a higher token.
 	if m.direct.unansweredStartToken == p.token && m.direct.unansweredStartToken != 0 && !m.direct.inFlight {
 		p.tokenRaiseDue = true
 	}
-	shown := make(shownTasks, 0, len(m.tasks))
-	for i := range m.tasks {
-		t := &m.tasks[i]
-		job, group, bound := c.lookup(t.Task)
-		if bound == nil || bound.machine != m || bound.attempt != t.Attempt || bound.incarnation != m.incarnation {
-			continue
-		}
-		shown.add(group.task(bound.task))
-		if job.spec != nil && job.spec.Gang {
-			job.noteGangTask(t)
-		}
-		if job.spec != nil && (t.State == wire.Running || t.State == wire.Gathering || t.State == wire.Saving) && job.spec.Image != "" {
-			m.images[job.spec.Image] = true
-			delete(m.fetching, job.spec.Image)
-		}
-		if t.State != wire.Exited {
-			continue
-		}
-		o := attemptEnd{attempt: bound.attempt, done: t.Reason == wire.ReasonDone && job.spec != nil && !job.spec.Service, failed: t.Reason == wire.ReasonError}
-		if old, ok := c.attemptEnds[group.task(bound.task)]; !ok || old.attempt != bound.attempt {
-			c.noteTaskEnd(m, job, t.Reason)
-		}
-		c.endAttempt(group, bound, o)
-	}
-	if len(shown) == len(m.bindings) {
-		return
-	}
-	stop := stopDecider{b: c}
-	for _, x := range m.bindings {
-		t, group := x.task, x.group
-		bound := group.binding(t.Number)
-		if bound == nil || bound.machine != m {
-			continue
-		}
-		if bound.incarnation < m.incarnation {
-			c.endAttempt(group, bound, attemptEnd{attempt: bound.attempt}) // the earlier session killed all
-			continue
-		}
-		if settled && !shown.has(t) && stop.shouldStop(group, t, m, p) {
-			c.endAttempt(group, bound, attemptEnd{attempt: bound.attempt})
-		}
+	view, records := c.reconcileView(m, p)
+	for finding := range reconcile.Findings(view, records) {
+		c.applyFinding(m, finding)
 	}
 }
 
-// shownTasks are the bound tasks that a machine's report shows: few, so that a list
-// serves better than a map would.
-type shownTasks []scheduling.Task
-
-func (s *shownTasks) add(t scheduling.Task) {
-	if !s.has(t) { // a report may name one twice
-		*s = append(*s, t)
+// applyFinding learns from what has become of one attempt.
+func (c *clusterState) applyFinding(m *machine, finding reconcile.Finding) {
+	task := finding.Binding.Task
+	group := c.groups[task.Group]
+	if finding.Status != nil {
+		c.noteShownTask(m, group.job, finding.Status)
+	}
+	if !finding.EndsAttempt() {
+		return
 	}
+	if finding.Status != nil && !c.hasEnded(task, finding.Binding.Attempt) {
+		c.noteTaskEnd(m, group.job, finding.Status.Reason)
+	}
+	c.endAttempt(group, group.binding(task.Number), attemptEnd{
+		attempt: finding.Binding.Attempt,
+		done:    finding.Case == reconcile.TaskCompleted,
+		failed:  finding.Case == reconcile.TaskFailed,
+	})
 }
 
-func (s shownTasks) has(t scheduling.Task) bool { return slices.Contains(s, t) }
-
-func (c *clusterState) lookup(name string) (*job, *taskGroup, *binding) {
-	id, num, ok := parseTask(name)
-	if !ok {
-		return nil, nil, nil
+// noteShownTask learns from a bound task that a heartbeat shows: how far its gang is, and
+// that its machine has its image.
+func (c *clusterState) noteShownTask(m *machine, j *job, status *wire.TaskStatus) {
+	if j.spec == nil {
+		return
 	}
-	j := c.jobs[id]
-	if j == nil {
-		return nil, nil, nil
+	if j.spec.Gang {
+		j.noteGangTask(status)
 	}
-	group := j.groupOfTask[num]
-	if group == nil {
-		return j, nil, nil
+	hasImage := status.State == wire.Running || status.State == wire.Gathering || status.State == wire.Saving
+	if hasImage && j.spec.Image != "" {
+		m.images[j.spec.Image] = true
+		delete(m.fetching, j.spec.Image)
 	}
-	return j, group, group.binding(num)
 }
 
-// endAttempt notes the proven end of an attempt; the record is rewritten in step.
-func (c *clusterState) endAttempt(group *taskGroup, bound *binding, o attemptEnd) {
+// hasEnded tells whether an attempt is proven to have ended, though that is not stored yet.
+func (c *clusterState) hasEnded(task scheduling.Task, attempt uint64) bool {
+	end, known := c.attemptEnds[task]
+	return known && end.attempt == attempt
+}
+
+// endAttempt notes the proven end of an attempt and frees its cell. The scheduling pass
+// stores it.
+func (c *clusterState) endAttempt(group *taskGroup, bound *binding, end attemptEnd) {
 	t := group.task(bound.task)
-	if old, ok := c.attemptEnds[t]; ok && old.attempt == bound.attempt {
+	if c.hasEnded(t, bound.attempt) {
 		return
 	}
-	c.attemptEnds[t] = o
+	c.attemptEnds[t] = end
 	group.hasUnstoredEnds = true
-	if o.done {
+	if end.done {
 		c.metrics.count(countDone, 1)
 	} else {
 		c.metrics.count(countLost, 1)
 	}
-	c.log.Debug("attempt over", "task", taskName(group.job.id, bound.task), "attempt", bound.attempt, "machine", bound.machine.name, "done", o.done)
+	c.log.Debug("attempt over", "task", taskName(group.job.id, bound.task), "attempt", bound.attempt, "machine", bound.machine.name, "done", end.done)
 	p := c.partitions[bound.machine.partition]
 	if p.index != group.partition {
 		if p.foreignGroups == nil {
@@ -113,24 +88,24 @@
 	c.requestPass()
 }
 
-// endAllAttempts ends every attempt on a machine that is gone or whose lease is over.
-func (c *clusterState) endAllAttempts(m *machine, why string) {
+// endAllAttempts ends every attempt on a machine that is terminated or whose lease has
+// expired.
+func (c *clusterState) endAllAttempts(m *machine, reason string) {
 	p := c.partitions[m.partition]
 	if p.token == 0 {
 		return
 	}
 	before := len(c.attemptEnds)
-	for _, x := range m.bindings {
-		t, group := x.task, x.group
-		if bound := group.binding(t.Number); bound != nil && bound.machine == m {
-			c.endAttempt(group, bound, attemptEnd{attempt: bound.attempt})
+	for _, entry := range m.bindings {
+		if bound := entry.group.binding(entry.task.Number); bound != nil && bound.machine == m {
+			c.endAttempt(entry.group, bound, attemptEnd{attempt: bound.attempt})
 		}
 	}
-	if n := len(c.attemptEnds) - before; n > 0 {
-		c.log.Info("tasks of a machine are lost", "machine", m.name, "tasks", n, "why", why)
+	if ended := len(c.attemptEnds) - before; ended > 0 {
+		c.log.Info("tasks of a machine are lost", "machine", m.name, "tasks", ended, "why", reason)
 	}
-	for t, a := range p.reservations {
-		if a.machine == m && !c.groups[t.Group].writing {
+	for t, claimed := range p.reservations {
+		if claimed.machine == m && !c.groups[t.Group].writing {
 			delete(p.reservations, t)
 			c.freeCell(p, t)
 		}
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -58,6 +58,7 @@
 	maxGroupTasks    int
 	// attemptEnds are proven ends of attempts that are not stored yet.
 	attemptEnds map[scheduling.Task]attemptEnd
+	records     machineRecords // see reconcileView
 	rollout     rolloutState
 
 	machineTypes   map[string]*wire.MachineType
