--- a/internal/tools/docs/operations_test.go
+++ b/internal/tools/docs/operations_test.go
@@ -3,6 +3,8 @@
 import (
 	"go/ast"
 	"go/token"
+	"os"
+	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
@@ -131,6 +133,23 @@
 	}
 }
 
+// TestFormerLogLinesAreListed fails when a line that was logged before the lines were
+// renamed is neither logged any more nor in the table of changed lines.
+func TestFormerLogLinesAreListed(t *testing.T) {
+	former, err := os.ReadFile(filepath.Join("testdata", "log-lines-0.1.txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	logged := loggedLines(t)
+	listed := codeSpans(strings.Join(column(section(t, readPage(t, "operations.md"), "Log lines that have changed"), 0), "\n"))
+	for line := range strings.Lines(string(former)) {
+		line = strings.TrimSpace(line)
+		if _, ok := logged[line]; !ok && !slices.Contains(listed, line) {
+			t.Errorf("operations.md doesn't say what became of the line %q", line)
+		}
+	}
+}
+
 // TestChangedLogLines fails when the table of changed lines has one as former that is
 // still logged, or one as present that nothing logs.
 func TestChangedLogLines(t *testing.T) {
