--- a/internal/controller/cancellation_gap_test.go
+++ b/internal/controller/cancellation_gap_test.go
@@ -9,7 +9,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// gapCase is a variant of TestGap.
+// gapCase is a variant of TestCancellationGap.
 type gapCase struct {
 	name      string
 	successor bool // another has taken the owner's keys before the outage
@@ -25,7 +25,7 @@
 // the store is down for all for longer than cancel_s, while agents go on sending heartbeats
 // to the old owner. What was cancelled must be gone in time all the same, whatever state its
 // tasks are in, whoever holds the leased keys by then, and by any clock.
-func TestGap(t *testing.T) {
+func TestCancellationGap(t *testing.T) {
 	for _, x := range []gapCase{
 		{"alone", false, false, 0},
 		{"successor", true, false, 0},
--- a/internal/controller/fault_test.go
+++ b/internal/controller/fault_test.go
@@ -4,8 +4,7 @@
 	"fmt"
 )
 
-// fault is one fault of a schedule: what happens, when, for how long, and to whom. Rows
-// give the fields in this order.
+// fault is one fault of a schedule: what happens, when, for how long, and to whom.
 type fault struct {
 	at       float64 // seconds after the work has begun
 	kind     faultKind
@@ -70,5 +69,5 @@
 
 // String is the fault as a row of a test.
 func (f fault) String() string {
-	return fmt.Sprintf("{%.1f, %s, %d, %.1f, %.2f}", f.at, f.kind, f.target, f.duration, f.share)
+	return fmt.Sprintf("{at: %.1f, kind: %s, target: %d, duration: %.1f, share: %.2f}", f.at, f.kind, f.target, f.duration, f.share)
 }
--- a/internal/controller/gang_phases_test.go
+++ b/internal/controller/gang_phases_test.go
@@ -238,7 +238,7 @@
 
 // Members that exit since others are gone, or never came, are not to blame: neither the machine
 // nor the job is barred, rested or counted as failing.
-func TestNobodyIsBlamedForMissingMembers(t *testing.T) {
+func TestMissingMembersBlameNobody(t *testing.T) {
 	c := lone(t)
 	m := c.machineNamed("host-1")
 	j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2}}
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -46,7 +46,7 @@
 
 // Room that is kept for gangs, or lent for one, is open to others when it has been unused
 // for long, however often they were assigned something meanwhile.
-func TestUnusedRoomIsOpen(t *testing.T) {
+func TestUnusedReserveIsOpen(t *testing.T) {
 	for _, x := range []struct {
 		name   string
 		job    string // that the machine is lent for
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -226,7 +226,7 @@
 
 // A gang that is assigned in part counts whole for its team's limit, within its guarantee or
 // not: what it lacks is not given to others in between.
-func TestGangDealtInPartCountsWhole(t *testing.T) {
+func TestGangAssignedInPartCountsWhole(t *testing.T) {
 	for _, own := range []bool{false, true} {
 		c := lone(t)
 		c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 5, CPUs: 2}}), 2)
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -109,7 +109,7 @@
 
 // A gang that has to make room is stopped in order, all of it at once, with time to save,
 // and goes on from there.
-func TestGangSavesWhenItIsEvicted(t *testing.T) {
+func TestPreemptedGangSavesItsProgress(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(gangSubmission("wk-1", "blue", "low", 4, 60))
 		c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-1") == 4 })
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -148,7 +148,7 @@
 // A zone that is cut off works on inside for as long as its controllers may
 // answer, and its leases then run. Its machines are not terminated meanwhile: that
 // would stop all that runs there, and other zones may have no room for it.
-func TestCutZoneIsNotReturned(t *testing.T) {
+func TestIsolatedZoneIsNotTerminated(t *testing.T) {
 	for _, x := range []struct {
 		name        string
 		leaderFails bool
--- a/internal/controller/regressions_test.go
+++ b/internal/controller/regressions_test.go
@@ -80,7 +80,7 @@
 // as soon as its lease has ended, which it tells when it is asked, and it is replaced
 // however well it answers. (Moving the replicas before the lease ends was tried: they
 // lacked for as long.)
-func TestMuteMachine(t *testing.T) {
+func TestMachineNotSending(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.runServices(5, 2)
 		time.Sleep(10 * time.Second)
@@ -129,7 +129,7 @@
 
 // Jobs that fail wherever they are put don't speak against machines; a machine that
 // fails others' tasks is sick; and neither is barred from the other for good.
-func TestWhoIsToBlameForFailures(t *testing.T) {
+func TestFailuresBlameMachineOrJob(t *testing.T) {
 	c := lone(t)
 	job := func(id string) *job {
 		c.replica.Put(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 9, CPUs: 1, Team: "t"}}), uint64(len(c.jobs))+5)
@@ -167,7 +167,7 @@
 
 // Tasks of a record that may not run all move to a partition that has room, and take so much
 // of its cap along: no more may run than before, and none waits beside the room.
-func TestCappedRecordIsSplit(t *testing.T) {
+func TestThrottledRecordIsSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "tasks")
 		may := rapid.IntRange(1, n).Draw(t, "may run")
@@ -194,7 +194,7 @@
 // Whatever the settings, what is answered last, within the hold time of a read that began
 // before a cancellation, has ended on the slowest clock within cancel_s; and a former
 // owner's time and a successor's don't add up, since each counts from a read of its own.
-func TestHoldTimeKeepsCancellations(t *testing.T) {
+func TestMaxStalenessKeepsCancellations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lease := rapid.Float64Range(0.5, 600).Draw(t, "lease")
 		cancel := lease + rapid.Float64Range(0.05, 600).Draw(t, "more")
--- /dev/null
+++ b/internal/controller/upgrade_schedules_test.go
@@ -0,0 +1,255 @@
+package controller
+
+import (
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"eiderhitch/internal/record"
+	"eiderhitch/internal/rollout"
+)
+
+// Upgrades under faults, as schedules; whatever happens is judged by the rule checker, and
+// no record may ever be stored in an encoding that the level in force at that
+// moment does not allow.
+func TestUpgradesUnderFaults(t *testing.T) {
+	t.Parallel()
+	for _, x := range upgradeSchedules {
+		t.Run(x.name, func(t *testing.T) {
+			t.Parallel()
+			runUpgradeCluster(t, func(c *cluster) {
+				c.runSchedule(7, 12, x.faults)
+				c.settleUpgrade()
+			})
+		})
+	}
+}
+
+// upgradeSchedules are upgrades that faults come to.
+var upgradeSchedules = []struct {
+	name   string
+	faults []fault
+}{
+	{"an old controller comes before, during and after the switch", []fault{
+		{at: 1, kind: startUnaware, target: 1, duration: 14},
+		{at: 25, kind: finalizeUpgrade},
+		{at: 25.1, kind: startUnaware, target: 2, duration: 12},
+		{at: 50, kind: startUnaware, target: leaderNode, duration: 20},
+	}},
+	{"old controllers alone after the switch", []fault{
+		{at: 5, kind: finalizeUpgrade},
+		{at: 15, kind: startUnaware, target: allNodes, duration: 25},
+	}},
+	{"old controllers come while records are rewritten", []fault{
+		{at: 5, kind: finalizeUpgrade},
+		{at: 6, kind: startUnaware, target: leaderNode, duration: 15},
+		{at: 7, kind: submitJobs, target: 6},
+	}},
+	{"a controller of the base level comes before it is final", []fault{
+		{at: 1, kind: startBaseLevel, target: 0, duration: 10},
+		{at: 25, kind: finalizeUpgrade},
+		{at: 25.05, kind: startBaseLevel, target: 1, duration: 10},
+		{at: 50, kind: startBaseLevel, target: leaderNode, duration: 15},
+	}},
+	{"controllers of the base level come after it is final", []fault{
+		{at: 5, kind: finalizeUpgrade},
+		{at: 15, kind: startBaseLevel, target: leaderNode, duration: 15},
+		{at: 45, kind: startBaseLevel, target: allNodes, duration: 20},
+	}},
+	{"abandoned before it is final, and begun again", []fault{
+		{at: 5, kind: abortUpgrade},
+		{at: 15, kind: startUnaware, target: 0, duration: 10},
+		{at: 30, kind: finalizeUpgrade},
+		{at: 40, kind: finalizeUpgrade},
+	}},
+	{"rolled back while records are rewritten", []fault{
+		{at: 5, kind: finalizeUpgrade},
+		{at: 6, kind: abortUpgrade},
+		{at: 12, kind: startUnaware, target: allNodes, duration: 25},
+		{at: 40, kind: submitJobs, target: 6},
+	}},
+	{"up, back and up again", []fault{
+		{at: 5, kind: finalizeUpgrade},
+		{at: 15, kind: abortUpgrade},
+		{at: 30, kind: finalizeUpgrade},
+		{at: 35, kind: finalizeUpgrade},
+		{at: 45, kind: abortUpgrade},
+	}},
+	{"the way back is given up", []fault{
+		{at: 5, kind: finalizeUpgrade},
+		{at: 14, kind: storeSlow, target: allNodes, duration: 10, share: 0.6},
+		{at: 15, kind: abortUpgrade},
+		{at: 15.8, kind: finalizeUpgrade},
+	}},
+	{"the leader ends as the level is raised", []fault{
+		{at: 5, kind: finalizeUpgrade},
+		{at: 5.05, kind: killController, target: leaderNode, duration: 3},
+		{at: 20, kind: finalizeUpgrade},
+		{at: 20.15, kind: killController, target: leaderNode, duration: 0.3},
+		{at: 35, kind: abortUpgrade},
+		{at: 35.2, kind: killController, target: leaderNode, duration: 0.3},
+	}},
+	{"all end just after a step", []fault{
+		{at: 5, kind: finalizeUpgrade},
+		{at: 5.4, kind: killController, target: allNodes, duration: 0.5},
+		{at: 25, kind: abortUpgrade},
+		{at: 26.2, kind: killController, target: allNodes, duration: 13},
+	}},
+	{"two operators at once", []fault{
+		{at: 5, kind: finalizeAndAbort},
+		{at: 20, kind: finalizeAndAbort},
+		{at: 35, kind: finalizeAndAbort},
+		{at: 50, kind: finalizeAndAbort},
+	}},
+	{"answers to transactions are lost", []fault{
+		{at: 0, kind: lostResponses, target: allNodes, duration: 60, share: 0.5},
+		{at: 5, kind: finalizeUpgrade},
+		{at: 20, kind: abortUpgrade},
+		{at: 40, kind: finalizeUpgrade},
+	}},
+	{"late transactions", []fault{
+		{at: 0, kind: lateWrites, target: allNodes, duration: 60, share: 0.4},
+		{at: 5, kind: finalizeUpgrade},
+		{at: 15, kind: killController, target: leaderNode, duration: 4},
+		{at: 25, kind: abortUpgrade},
+		{at: 30, kind: killController, target: leaderNode, duration: 4},
+	}},
+	{"the leader is alone while the level is raised by another", []fault{
+		{at: 4, kind: agentsAndUsersOnly, target: leaderNode, duration: 30},
+		{at: 14, kind: finalizeUpgrade},
+		{at: 25, kind: cancelJobs, target: 4},
+		{at: 50, kind: agentsAndUsersOnly, target: leaderNode, duration: 25},
+		{at: 60, kind: abortUpgrade},
+	}},
+	{"outage of the state service at each step", []fault{
+		{at: 4.9, kind: finalizeUpgrade},
+		{at: 5, kind: storeDown, duration: 20},
+		{at: 40, kind: abortUpgrade},
+		{at: 40.3, kind: storeDown, duration: 40},
+	}},
+	{"limits fall in the middle", []fault{
+		{at: 5, kind: finalizeUpgrade},
+		{at: 6, kind: lowerLimits},
+		{at: 7, kind: submitGangs, target: 3},
+		{at: 25, kind: abortUpgrade},
+		{at: 26, kind: submitGangs, target: 3},
+	}},
+	{"gangs are bound and machines lent at each step", []fault{
+		{at: 0, kind: submitGangs, target: 4},
+		{at: 1, kind: finalizeUpgrade},
+		{at: 10, kind: submitGangs, target: 4},
+		{at: 10.3, kind: abortUpgrade},
+		{at: 20, kind: submitGangs, target: 4},
+		{at: 22, kind: finalizeUpgrade},
+		{at: 24, kind: finalizeUpgrade},
+	}},
+	{"machines die and are cut off while leased keys change", []fault{
+		{at: 5, kind: machinesIsolated, target: 3, duration: 25},
+		{at: 5, kind: terminateMachines, target: 2},
+		{at: 5.1, kind: finalizeUpgrade},
+		{at: 20, kind: machinesNotReceiving, target: 3, duration: 20},
+		{at: 21, kind: abortUpgrade},
+		{at: 30, kind: cancelJobs, target: 4},
+	}},
+}
+
+// settleUpgrade checks that there is a way on from wherever a schedule ended: up to the
+// level that all controllers read, with all records in its encoding.
+func (c *cluster) settleUpgrade() {
+	c.t.Helper()
+	ready := func() bool {
+		s := c.rolloutState()
+		return s.Level == rollout.Supported.High && s.Phase == rollout.Stable && !s.Held
+	}
+	op := c.upgradeOperator()
+	c.await("the level is final", 2*time.Minute, func() bool {
+		if ready() {
+			return true
+		}
+		_, _ = op.Submit(c.ctx, rollout.RequestFinalize)
+		time.Sleep(2 * time.Second)
+		return ready()
+	})
+	c.await("records are in its encoding", 2*time.Minute, func() bool { return c.countEncodings()[record.PlainJSON] == 0 })
+}
+
+// upgradeCombinations is how many generated schedules of upgrades are played.
+var upgradeCombinations = flag.Int("upgrades", 10, "generated schedules of upgrades and faults to play")
+
+// upgradeGeneratorSeed draws schedules of upgrades, apart from what users do in them.
+const upgradeGeneratorSeed = 5
+
+// generatedUpgradeSteps are the steps of upgrades that a schedule is drawn from, and
+// generatedOtherFaults the other faults, with their usual durations; those that are there
+// twice come more often.
+var (
+	generatedUpgradeSteps = []fault{
+		{kind: finalizeUpgrade},
+		{kind: finalizeUpgrade},
+		{kind: abortUpgrade},
+		{kind: finalizeAndAbort},
+		{kind: startUnaware, duration: 12},
+		{kind: startUnaware, duration: 12},
+		{kind: startBaseLevel, duration: 12},
+		{kind: startUnaware, target: allNodes, duration: 20},
+	}
+	generatedOtherFaults = []fault{
+		{kind: killController, duration: 0.3},
+		{kind: killController, duration: 6},
+		{kind: killController, target: allNodes, duration: 0.5},
+		{kind: killController, target: allNodes, duration: 13},
+		{kind: storeDown, duration: 30},
+		{kind: storeRefuses, duration: 15},
+		{kind: lateWrites, target: allNodes, duration: 30, share: 0.3},
+		{kind: lostResponses, target: allNodes, duration: 30, share: 0.3},
+		{kind: storeSlow, target: allNodes, duration: 20, share: 0.4},
+		{kind: agentsAndUsersOnly, duration: 30},
+		{kind: noPeers, target: allNodes, duration: 30},
+		{kind: machinesIsolated, target: 2, duration: 20},
+		{kind: terminateMachines, target: 2},
+		{kind: cancelJobs, target: 3},
+		{kind: submitJobs, target: 5},
+		{kind: submitGangs, target: 3},
+		{kind: lateCommands, target: allNodes, duration: 30, share: 0.3},
+		{kind: queryAllControllers, duration: 30},
+	}
+)
+
+// Generated schedules of upgrades, of controllers that come back as other versions, and
+// of other faults.
+func TestGeneratedUpgradeSchedules(t *testing.T) {
+	t.Parallel()
+	for seed := *firstSeed; seed < *firstSeed+uint64(*upgradeCombinations); seed++ {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			faults := generateUpgradeSchedule(seed)
+			logScheduleOnFailure(t, seed, faults)
+			runUpgradeCluster(t, func(c *cluster) {
+				c.runSchedule(seed, 10, faults)
+				c.settleUpgrade()
+			})
+		})
+	}
+}
+
+// generateUpgradeSchedule is the schedule that follows from a seed.
+func generateUpgradeSchedule(seed uint64) []fault {
+	rng := rand.New(rand.NewPCG(seed, upgradeGeneratorSeed))
+	var faults []fault
+	for range 8 + rng.IntN(7) {
+		f := generatedOtherFaults[rng.IntN(len(generatedOtherFaults))]
+		if rng.IntN(2) == 0 {
+			f = generatedUpgradeSteps[rng.IntN(len(generatedUpgradeSteps))]
+		}
+		f.at = float64(rng.IntN(700)) / 10
+		f.duration *= 0.4 + 0.8*rng.Float64()
+		if f.target == 0 {
+			f.target = drawController(rng)
+		}
+		faults = append(faults, f)
+	}
+	sortByTime(faults)
+	return faults
+}
--- a/internal/planning/assignment_test.go
+++ b/internal/planning/assignment_test.go
@@ -5,10 +5,10 @@
 	"slices"
 	"testing"
 
-	"eiderhitch/internal/scheduling"
-
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
+
+	"eiderhitch/internal/scheduling"
 )
 
 func drawAssignment(t *rapid.T) *Assignment {
