--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -256,12 +256,6 @@
 // EndTerm forgets what only the leader may decide by.
 func (a *Autoscaler) EndTerm() { a.term = term{} }
 
-// inThisTerm returns a function that calls f, unless the present term is over by then.
-func (a *Autoscaler) inThisTerm(f func()) func() {
-	epoch := a.Cluster.Leadership().Epoch
-	return func() {
-		if a.Cluster.Leadership().Epoch == epoch {
-			f()
-		}
-	}
-}
+// epoch tells the present term from all others. Results of what a former term began are
+// dropped by it.
+func (a *Autoscaler) epoch() uint64 { return a.Cluster.Leadership().Epoch }
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -59,25 +59,30 @@
 		return
 	}
 	a.term.listInFlight, a.term.listedAt = true, a.Loop.Now()
-	var list []wire.Instance
-	var err error
-	done := a.inThisTerm(func() {
-		a.term.listInFlight = false
-		if err != nil {
-			a.Log.Debug("instance list failed", "err", err)
-			return
-		}
-		a.applyInstanceList(list)
-	})
+	epoch := a.epoch()
 	queued := a.queueCall(func(ctx context.Context) {
-		list, err = a.Cloud.List(ctx)
-		a.Loop.Enqueue(done)
+		list, err := a.Cloud.List(ctx)
+		a.Loop.Enqueue(func() {
+			if a.epoch() == epoch {
+				a.listReceived(list, err)
+			}
+		})
 	})
 	if !queued {
 		a.term.listInFlight = false
 	}
 }
 
+// listReceived takes in the result of a list of this term.
+func (a *Autoscaler) listReceived(list []wire.Instance, err error) {
+	a.term.listInFlight = false
+	if err != nil {
+		a.Log.Debug("instance list failed", "err", err)
+		return
+	}
+	a.applyInstanceList(list)
+}
+
 // listInterval is the time between two lists.
 func (a *Autoscaler) listInterval() time.Duration {
 	pages := 1 + len(a.term.instances)/cloud.MaxList
--- a/internal/autoscaler/launch.go
+++ b/internal/autoscaler/launch.go
@@ -34,36 +34,50 @@
 		return
 	}
 	a.term.launchRequests++
+	a.term.launching[offer] = count
+	epoch, launchedAt := a.epoch(), a.Loop.Now()
 	request := wire.LaunchRequest{
-		IdempotencyKey: fmt.Sprintf("r-%d-%d", a.Cluster.Leadership().Epoch, a.term.launchRequests),
+		IdempotencyKey: fmt.Sprintf("r-%d-%d", epoch, a.term.launchRequests),
 		Type:           offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count,
 	}
-	a.term.launching[offer] = count
-	launchedAt := a.Loop.Now()
-	var names []string
-	var err error
-	done := a.inThisTerm(func() {
-		delete(a.term.launching, offer)
-		if err == nil {
-			a.addInstances(offer, names, launchedAt)
-			a.Log.Info("instances launched", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "asked", count, "got", len(names))
-		}
-		if err == nil && len(names) == count {
-			delete(a.term.backoff, offer)
-			return
-		}
-		a.backOff(offer, err)
-		a.Log.Debug("launch not filled", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "asked", count, "err", err)
-	})
 	a.queueCall(func(ctx context.Context) {
-		names, err = a.Cloud.Launch(ctx, request)
+		names, err := a.Cloud.Launch(ctx, request)
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) && !errors.Is(err, cloud.ErrRefused) {
 			names, err = a.Cloud.Launch(ctx, request) // unanswered: the same key launches nothing twice
 		}
-		a.Loop.Enqueue(done)
+		a.Loop.Enqueue(func() {
+			if a.epoch() == epoch {
+				a.applyLaunch(launchResult{offer: offer, asked: count, launchedAt: launchedAt, names: names, err: err})
+			}
+		})
 	})
 }
 
+// launchResult is what became of a launch.
+type launchResult struct {
+	offer      planning.Offer
+	asked      int
+	launchedAt time.Time
+	names      []string
+	err        error
+}
+
+// applyLaunch takes in the result of a launch of this term.
+func (a *Autoscaler) applyLaunch(result launchResult) {
+	offer := result.offer
+	delete(a.term.launching, offer)
+	if result.err == nil {
+		a.addInstances(offer, result.names, result.launchedAt)
+		a.Log.Info("instances launched", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "asked", result.asked, "got", len(result.names))
+	}
+	if result.err == nil && len(result.names) == result.asked {
+		delete(a.term.backoff, offer)
+		return
+	}
+	a.backOff(offer, result.err)
+	a.Log.Debug("launch not filled", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "asked", result.asked, "err", result.err)
+}
+
 // addInstances notes machines that the cloud has launched.
 func (a *Autoscaler) addInstances(offer planning.Offer, names []string, launchedAt time.Time) {
 	for _, name := range names {
--- a/internal/autoscaler/tombstones.go
+++ b/internal/autoscaler/tombstones.go
@@ -107,11 +107,15 @@
 		return
 	}
 	a.term.deletingTombstones = true
-	done := a.inThisTerm(func() { a.term.deletingTombstones = false })
+	epoch := a.epoch()
 	a.Writer.SubmitWrite(&store.Write{
 		Conditions: []wire.Condition{a.Cluster.Leadership().Condition},
 		Changes:    changes,
-	}, func(error) { done() })
+	}, func(error) {
+		if a.epoch() == epoch {
+			a.term.deletingTombstones = false
+		}
+	})
 }
 
 // obsoleteTombstones are the deletions of tombstones that nobody needs, at most limit.
