--- a/internal/controller/cordons.go
+++ b/internal/controller/cordons.go
@@ -6,49 +6,70 @@
 	"eiderhitch/internal/wire"
 )
 
-// noteTaskEnd learns from how a task ended.
-func (c *clusterState) noteTaskEnd(m *machine, j *job, why string) {
-	switch why {
+const (
+	// failedTaskRest is how long nothing is placed on a machine after a task failed there:
+	// until it is known whether machine or job is at fault. A faulty machine fails what it
+	// gets at once, and would take in a whole job array.
+	failedTaskRest = 5 * time.Second
+	// refusedStartRest is the same after it refused a start: until its heartbeats show what
+	// it has.
+	refusedStartRest = time.Second
+
+	// failedMachinesLimit is on how many machines a job's tasks have failed when that begins
+	// to speak against the job.
+	failedMachinesLimit = 3
+	// A job that failed there rests for minFailedJobRest, and twice as long with each
+	// further machine, up to maxFailedJobRest.
+	minFailedJobRest      = time.Second
+	maxFailedJobRest      = 30 * time.Second
+	maxFailedJobDoublings = 5
+
+	// cordoningJobs is how many jobs' tasks a machine has failed when it is cordoned.
+	cordoningJobs = 2
+	// jobAvoidance is how long a machine that failed a job's task gets none of it. It may be
+	// the only one that fits, and have been faulty for a while only: with no limit the job
+	// waited for ever beside an empty machine.
+	jobAvoidance = time.Minute
+)
+
+// noteTaskEnd learns from why a task exited.
+func (c *clusterState) noteTaskEnd(m *machine, j *job, reason string) {
+	switch reason {
 	case wire.ReasonDone:
 		clear(m.failedJobs)
 	case wire.ReasonError:
-		// A machine that fails tasks of several jobs is sick; a job that fails
-		// on several machines is its user's mistake. Until it is clear which,
-		// both rest a while: a sick machine fails what it gets at once and
-		// would else eat a whole array.
-		m.failedJobs[j.id] = c.now
-		if j.failedOn == nil {
-			j.failedOn = map[string]bool{}
-		}
-		j.failedOn[m.name] = true
-		if n := len(j.failedOn); n >= failedMachinesLimit {
-			j.retryAt = c.now.Add(min(time.Second<<min(n-failedMachinesLimit, 5), 30*time.Second))
-		}
-		m.avoidUntil = c.now.Add(5 * time.Second)
-		c.updateCordon(m)
-		if j.failsEverywhere() {
-			for name := range j.failedOn {
-				c.updateCordon(c.machineNamed(name))
-			}
-		}
-		c.log.Info("task failed", "job", j.id, "machine", m.name)
+		c.noteTaskFailure(m, j)
 	case wire.ReasonNoRoom, wire.ReasonInUse, wire.ReasonUnknownTask:
-		m.avoidUntil = c.now.Add(time.Second)
-		c.log.Info("start refused", "job", j.id, "machine", m.name, "why", why)
+		m.avoidUntil = c.now.Add(refusedStartRest)
+		c.log.Info("start refused", "job", j.id, "machine", m.name, "why", reason)
 	}
 }
 
-// failedMachinesLimit is on how many machines a job's tasks have failed when that begins to
-// speak against the job.
-const failedMachinesLimit = 3
-
-// jobAvoidance is how long a machine that failed a job's task gets none of it. It may be
-// the only one that fits, and have been sick for a while only: barred for good, the
-// job waited beside an empty machine for ever.
-const jobAvoidance = time.Minute
+// noteTaskFailure notes that a task exited with an error. A machine that fails tasks of
+// several jobs is faulty; a job that fails on several machines was submitted with a mistake.
+// Until it is clear which of them it is, both rest.
+func (c *clusterState) noteTaskFailure(m *machine, j *job) {
+	m.failedJobs[j.id] = c.now
+	if j.failedOn == nil {
+		j.failedOn = map[string]bool{}
+	}
+	j.failedOn[m.name] = true
+	if machines := len(j.failedOn); machines >= failedMachinesLimit {
+		doublings := min(machines-failedMachinesLimit, maxFailedJobDoublings)
+		j.retryAt = c.now.Add(min(minFailedJobRest<<doublings, maxFailedJobRest))
+	}
+	m.avoidUntil = c.now.Add(failedTaskRest)
+	c.updateCordon(m)
+	if j.failsEverywhere() {
+		for name := range j.failedOn {
+			c.updateCordon(c.machineNamed(name))
+		}
+	}
+	c.log.Info("task failed", "job", j.id, "machine", m.name)
+}
 
-// failsEverywhere tells whether a job fails wherever it is put, as one does that its user
-// submitted with a mistake. Nothing of it has ever got done.
+// failsEverywhere tells whether a job fails on every machine, as one does that was submitted
+// with a mistake: it has failed on several, and no task of it has completed.
 func (j *job) failsEverywhere() bool {
 	if len(j.failedOn) < failedMachinesLimit {
 		return false
@@ -57,26 +78,26 @@
 	return finished == 0
 }
 
-// updateCordon decides whether a machine is sick: it has failed tasks of several jobs
-// of late. Mistaken jobs say nothing of it: two of them, failing on each machine in
-// turn, would else have the whole fleet emptied and returned.
+// updateCordon cordons a machine that has lately failed tasks of several jobs, or ends that.
+// Jobs that fail everywhere don't count: two of them, failing on each machine in turn, would
+// have the whole fleet drained and terminated.
 func (c *clusterState) updateCordon(m *machine) {
-	n := 0
+	failed := 0
 	for id, at := range m.failedJobs {
 		if job := c.jobs[id]; job == nil || c.now.Sub(at) > jobAvoidance {
 			delete(m.failedJobs, id)
 		} else if !job.failsEverywhere() {
-			n++
+			failed++
 		}
 	}
-	if sick := n >= 2; sick != m.cordoned {
-		m.cordoned, m.cordonedAt = sick, c.now
-		c.log.Info("machine fails tasks of several jobs", "machine", m.name, "sick", sick)
+	if cordoned := failed >= cordoningJobs; cordoned != m.cordoned {
+		m.cordoned, m.cordonedAt = cordoned, c.now
+		c.log.Info("machine fails tasks of several jobs", "machine", m.name, "sick", cordoned)
 	}
 }
 
-// avoidsJob tells whether a machine gets none of a job just now.
+// avoidsJob tells whether a machine gets no task of a job at present.
 func (c *clusterState) avoidsJob(m *machine, j *job) bool {
-	at, ok := m.failedJobs[j.id]
-	return ok && c.now.Sub(at) < jobAvoidance
+	at, failed := m.failedJobs[j.id]
+	return failed && c.now.Sub(at) < jobAvoidance
 }
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -7,8 +7,35 @@
 	"eiderhitch/internal/workerclient"
 )
 
-// expectsHeartbeat tells whether a machine should report to its part's owner: it has of
-// late, or work is bound to it and it has not reported since a take-over.
+const (
+	// longestHeartbeatPause is the longest pause between two heartbeats, in intervals:
+	// workers vary theirs by a quarter.
+	longestHeartbeatPause = 1.25
+	// heartbeatTransit is how long a heartbeat may be on its way.
+	heartbeatTransit = 500 * time.Millisecond
+
+	// A machine counts as unreachable when it has been silent for unreachableHeartbeats
+	// intervals, for unreachableLeaseShare of its lease, and for minUnreachableAfter. The
+	// last is well above what a worker needs to find its controller's successor: 4 s for a
+	// response that does not come, and 1 s until it tries the next.
+	unreachableHeartbeats = 3
+	unreachableLeaseShare = 0.6
+	minUnreachableAfter   = 7 * time.Second
+
+	// Nothing is placed on a machine that has been silent for usableHeartbeats intervals,
+	// and for minUsableFor: one heartbeat may be lost.
+	usableHeartbeats = 2
+	minUsableFor     = 3 * time.Second
+
+	// silentMachineMemory is for how long a silent machine is pinged and told about: well
+	// beyond the time after which it is terminated or found dead.
+	silentMachineMemory = 3 * time.Minute
+	// countedSilence is for how long it speaks for what most machines of its partition do.
+	countedSilence = 2 * time.Minute
+)
+
+// expectsHeartbeat tells whether a machine should send heartbeats to its partition's owner:
+// it has within a time, or tasks are bound to it and it has sent none since a failover.
 func (c *clusterState) expectsHeartbeat(m *machine, within time.Duration) bool {
 	if m.heartbeatAt.IsZero() {
 		return len(m.bindings) > 0
@@ -16,142 +43,164 @@
 	return c.now.Sub(m.heartbeatAt) <= within
 }
 
-// heartbeatOverdueAfter is how long a machine may be quiet before it is asked directly: the
-// longest usual pause between two reports and some time on the way.
+// heartbeatOverdueAfter is how long a machine may be silent before it is pinged.
 func (c *clusterState) heartbeatOverdueAfter() time.Duration {
-	return config.Seconds(1.25*c.cfg.Settings.Workers.ReportS) + 500*time.Millisecond
+	return config.Seconds(longestHeartbeatPause*c.cfg.Settings.Workers.ReportS) + heartbeatTransit
 }
 
-// unreachableAfter is how long a machine may be quiet before it counts as silent, if
-// it can't be asked. It is well above what a worker needs to find its node's
-// successor (an answer outstanding for 4 s, then 1 s to the next).
+// unreachableAfter is how long a machine may be silent before it counts as unreachable, if
+// it can't be pinged.
 func (c *clusterState) unreachableAfter() time.Duration {
 	w := &c.cfg.Settings.Workers
-	return max(3*config.Seconds(w.ReportS), config.Seconds(0.6*w.LeaseS), 7*time.Second)
+	return max(unreachableHeartbeats*config.Seconds(w.ReportS), config.Seconds(unreachableLeaseShare*w.LeaseS), minUnreachableAfter)
+}
+
+// usableFor is how long after its last heartbeat tasks are placed on a machine.
+func (c *clusterState) usableFor() time.Duration {
+	return max(usableHeartbeats*config.Seconds(c.cfg.Settings.Workers.ReportS), minUsableFor)
+}
+
+// seemsNotReceiving tells whether a machine lost its lease although its heartbeats were
+// answered, or does not answer direct commands.
+func (m *machine) seemsNotReceiving() bool {
+	return m.leaseExpiredUnheard || m.direct.unanswered >= unansweredLimit
 }
 
-// notReceiving tells whether a machine seems to hear nothing of us, whatever it reports.
-// Nothing is placed on it, and it is replaced if it stays so. When that seems so
-// of most machines, it is we who can't be heard: they are all alike then.
+// notReceiving tells whether a machine receives nothing, whatever it sends. Nothing is placed
+// on it, and it is replaced if it stays so. When most machines seem to receive nothing, it is
+// this controller whose messages are lost, and they are all usable.
 func (m *machine) notReceiving(p *partition) bool {
-	return (m.leaseExpiredUnheard || m.direct.unanswered >= unansweredLimit) && !p.mostNotReceiving
+	return m.seemsNotReceiving() && !p.mostNotReceiving
 }
 
-// heardSince is when a machine was last heard, or since when it could have been. While
-// this controller answers no reports (MaxStaleness) it hears none: after a long outage all
-// machines would else be found silent at once, and returned with all that they run.
+// heardSince is when a machine was last heard, or since when it could have been. A controller
+// that answers no heartbeats (see config.MaxStaleness) hears nothing: after a long outage all
+// machines would at once count as unreachable, and be terminated with all that they run.
 func (c *clusterState) heardSince(m *machine, p *partition) time.Time {
-	t := p.ownsMachineSince(m)
-	if c.heartbeatsResumedAt.After(t) {
-		t = c.heartbeatsResumedAt
+	since := p.ownsMachineSince(m)
+	if c.heartbeatsResumedAt.After(since) {
+		since = c.heartbeatsResumedAt
 	}
-	if m.heartbeatAt.After(t) {
+	if m.heartbeatAt.After(since) {
 		return m.heartbeatAt
 	}
-	return t
+	return since
 }
 
-// usable tells whether an owner may place on its machine. It must have shown a token
-// of ours: a report without may be a copy that comes late, after a take-over even
-// of a machine that died long ago, and nothing is known yet to compare it with.
+// usable tells whether an owner may place tasks on its machine. It must have shown a token of
+// this owner: a heartbeat with an earlier one may be a late copy, after a failover even of a
+// machine that died long ago, and there is nothing to compare it with.
 func (c *clusterState) usable(m *machine, p *partition) bool {
-	return !m.terminated && m.heartbeatAt.After(p.ownsMachineSince(m)) && m.incarnation > 0 && m.token >= p.firstToken && !m.notReceiving(p) &&
-		c.now.Sub(m.heartbeatAt) < max(2*config.Seconds(c.cfg.Settings.Workers.ReportS), 3*time.Second)
+	heard := m.heartbeatAt.After(p.ownsMachineSince(m)) && m.incarnation > 0 && m.token >= p.firstToken
+	return heard && !m.terminated && !m.notReceiving(p) && c.now.Sub(m.heartbeatAt) < c.usableFor()
 }
 
-// leaseExpired tells whether a machine's lease has surely ended: nobody has sent
-// it an answer that could renew it for a whole lease, a former owner included.
+// leaseExpired tells whether a machine's lease has surely expired: nobody, not even a former
+// owner, has sent it a response that could renew it for the whole lease.
 func (c *clusterState) leaseExpired(m *machine, p *partition) bool {
-	last := p.ownsMachineSince(m).Add(p.formerOwnerStaleness)
-	if m.leaseRenewedAt.After(last) {
-		last = m.leaseRenewedAt
+	renewed := p.ownsMachineSince(m).Add(p.formerOwnerStaleness)
+	if m.leaseRenewedAt.After(renewed) {
+		renewed = m.leaseRenewedAt
 	}
-	return c.now.Sub(last) > c.leaseExpiry
+	return c.now.Sub(renewed) > c.leaseExpiry
 }
 
-// unreachable: the machine neither reports nor answers direct commands, while most
-// others of the part do, or it reports and hears nothing.
+// unreachable tells whether a machine neither sends heartbeats nor answers direct commands,
+// while most others of its partition do, or sends and receives nothing.
 func (c *clusterState) unreachable(m *machine, p *partition) bool {
-	// While no reports are taken (MaxStaleness) all are quiet. The leader, back from the
-	// same outage a moment earlier, returned the machines of which a sibling said so.
+	// While no heartbeats are answered all machines are silent. The leader may be back from
+	// the same outage a moment earlier, and would terminate those that a peer calls
+	// unreachable.
 	if m.terminated || !c.isFresh(c.maxStaleness) || !c.seemsUnreachable(m, p) {
 		return false
 	}
-	// A machine whose lease is over has lost its tasks anyhow.
+	// A machine whose lease has expired has lost its tasks anyhow.
 	return !c.mostUnreachable(p) || c.leaseExpired(m, p)
 }
 
-// mostUnreachable tells whether most of a part's machines are quiet. It is counted once
-// for all that is decided at a time: counted anew for each quiet machine, some
-// hundred of them that fall silent together would take up the processor.
+// mostUnreachable tells whether most of a partition's machines seem unreachable. It is
+// counted once for all decisions of one event: counted for each silent machine, hundreds that
+// fall silent together would take up the processor.
 func (c *clusterState) mostUnreachable(p *partition) bool {
 	if p.countedAt != c.now {
 		p.countedAt = c.now
-		quiet, all := 0, 0
+		unreachable, all := 0, 0
 		for _, m := range p.machines {
-			if m.terminated || !c.expectsHeartbeat(m, 2*time.Minute) {
+			if m.terminated || !c.expectsHeartbeat(m, countedSilence) {
 				continue
 			}
-			// Where workers reach us, of other parts too, one that has not reported
-			// since we came says nothing about us: a part of few machines may well
-			// have lost most of them.
+			// Where heartbeats arrive, also from other partitions, a machine that has sent
+			// none since a failover says nothing about this controller: a partition of few
+			// machines may well have lost most of them.
 			if m.heartbeatAt.IsZero() && c.lastHeartbeatAt.After(p.ownsMachineSince(m)) {
 				continue
 			}
 			all++
 			if c.seemsUnreachable(m, p) {
-				quiet++
+				unreachable++
 			}
 		}
-		p.mostUnreachable = quiet*2 > all
+		p.mostUnreachable = unreachable*2 > all
 	}
 	return p.mostUnreachable
 }
 
+// seemsUnreachable tells the same as unreachable by the machine alone.
 func (c *clusterState) seemsUnreachable(m *machine, p *partition) bool {
-	if m.notReceiving(p) && c.now.Sub(p.ownsMachineSince(m)) > c.unreachableAfter() && c.now.Sub(m.heartbeatAt) < c.heartbeatOverdueAfter() {
-		return true // it reports all the same, so that commands can't be late
+	if c.sendsWithoutReceiving(m, p) || c.silentBeyondLease(m, p) {
+		return true
 	}
 	since := c.heardSince(m, p)
-	if c.now.Sub(since) > c.leaseExpiry+c.unreachableAfter() && c.now.Sub(c.resumedFromPauseAt) > c.unreachableAfter() && c.now.Sub(c.lastHeartbeatAt) < c.heartbeatOverdueAfter() {
-		return true // whatever it answers: its lease is over, and it takes no work
-	}
 	if m.answeredAt.After(since) {
 		since = m.answeredAt
 	}
-	if m.direct.unanswered >= unansweredLimit {
-		after := c.heartbeatOverdueAfter()
-		if !m.heartbeatAt.After(p.ownsMachineSince(m)) {
-			// It is asked as soon as the part is taken over, and must not be found
-			// silent sooner than by an owner who goes on: whether its whole zone is
-			// out of reach shows no earlier.
-			after += unansweredLimit * workerclient.PingTimeout
-		}
-		return c.now.Sub(since) > after
+	if m.direct.unanswered < unansweredLimit {
+		return c.now.Sub(since) > c.unreachableAfter()
+	}
+	after := c.heartbeatOverdueAfter()
+	if !m.heartbeatAt.After(p.ownsMachineSince(m)) {
+		// It is pinged right after a failover, and must not count as unreachable sooner than
+		// with an owner that goes on: that its whole zone is cut off shows no earlier.
+		after += unansweredLimit * workerclient.PingTimeout
 	}
-	return c.now.Sub(since) > c.unreachableAfter()
+	return c.now.Sub(since) > after
+}
+
+// sendsWithoutReceiving tells whether a machine sends heartbeats and receives nothing, with
+// enough time to have received something.
+func (c *clusterState) sendsWithoutReceiving(m *machine, p *partition) bool {
+	return m.notReceiving(p) && c.now.Sub(p.ownsMachineSince(m)) > c.unreachableAfter() && c.now.Sub(m.heartbeatAt) < c.heartbeatOverdueAfter()
+}
+
+// silentBeyondLease tells whether a machine has sent no heartbeat for so long that its lease
+// has expired, though others' heartbeats arrive. It takes no work, whatever it answers to
+// direct commands.
+func (c *clusterState) silentBeyondLease(m *machine, p *partition) bool {
+	silent := c.now.Sub(c.heardSince(m, p)) > c.leaseExpiry+c.unreachableAfter()
+	return silent && c.now.Sub(c.resumedFromPauseAt) > c.unreachableAfter() && c.now.Sub(c.lastHeartbeatAt) < c.heartbeatOverdueAfter()
 }
 
-// probeUnreachable asks machines directly that have not reported in time, or seem not
-// to hear us.
+// probeUnreachable pings the machines whose heartbeats are overdue, or that seem to receive
+// nothing.
 func (c *partitionOwner) probeUnreachable() {
 	for _, p := range c.partitions {
 		if !p.active {
 			continue
 		}
-		all, deaf := 0, 0
+		all, notReceiving := 0, 0
 		for _, m := range p.machines {
-			if m.terminated || !c.expectsHeartbeat(m, 3*time.Minute) {
+			if m.terminated || !c.expectsHeartbeat(m, silentMachineMemory) {
 				continue
 			}
 			all++
-			if m.leaseExpiredUnheard || m.direct.unanswered >= unansweredLimit {
-				deaf++
+			if m.seemsNotReceiving() {
+				notReceiving++
 			}
-			if m.leaseExpiredUnheard || m.direct.unanswered > 0 || c.now.Sub(c.heardSince(m, p)) > c.heartbeatOverdueAfter() {
+			overdue := c.now.Sub(c.heardSince(m, p)) > c.heartbeatOverdueAfter()
+			if m.leaseExpiredUnheard || m.direct.unanswered > 0 || overdue {
 				c.ping(m, p)
 			}
 		}
-		p.mostNotReceiving = deaf*2 > all
+		p.mostNotReceiving = notReceiving*2 > all
 	}
 }
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -13,27 +13,33 @@
 	name, addr, machineType, zone string
 	spot                          bool
 	index                         scheduling.MachineIndex
-	hashPartition                 int             // its part, unless it is lent
-	partition                     int             // the part that it is in now
-	listed                        bool            // among that part's machines
-	inPartitionSince              time.Time       // when it last came to another part
-	lastBoundAt                   time.Time       // when a task was last bound to it there, of one that is lent
-	bindings                      machineBindings // by stored bindings
-	terminated                    bool
-
-	// Known to the owner, from reports.
-	incarnation, sequence uint64
-	token                 uint64
-	heartbeatAt           time.Time // last report
-	leaseRenewedAt        time.Time // last time we sent a 200, which may have renewed its lease
-	terminationAt         time.Time // when the cloud takes it; zero: no notice
-	tasks                 []wire.TaskStatus
-	images                map[string]bool
-	fetching              map[string]time.Time // images that are being fetched, since when
-	avoidUntil            time.Time            // nothing is placed on it before then
-	failedJobs            map[string]time.Time // jobs of which a task failed here, and when
-	cordoned              bool
-	cordonedAt            time.Time
+	// hashPartition is the partition of its name; partition is the one that it is in, which
+	// is another while it is lent. listed: it is among the machines of that.
+	hashPartition int
+	partition     int
+	listed        bool
+	// inPartitionSince is when it last came to another partition; lastBoundAt, for one that
+	// is lent, when a task was last bound to it there.
+	inPartitionSince time.Time
+	lastBoundAt      time.Time
+	bindings         machineBindings // by the records
+	terminated       bool
+
+	// What the owner of its partition knows by its heartbeats.
+
+	incarnation, sequence uint64 // of its newest heartbeat
+	token                 uint64 // the highest that its agent has seen
+	heartbeatAt           time.Time
+	// leaseRenewedAt is when the last response was sent that may have renewed its lease.
+	leaseRenewedAt time.Time
+	terminationAt  time.Time // when the cloud takes it; zero: it has no notice
+	tasks          []wire.TaskStatus
+	images         map[string]bool
+	fetching       map[string]time.Time // images that are being fetched, since when
+	avoidUntil     time.Time            // nothing is placed on it before then
+	failedJobs     map[string]time.Time // jobs of which a task failed on it, and when
+	cordoned       bool
+	cordonedAt     time.Time
 
 	// startInResponse: a response to a heartbeat carries a start, and no later heartbeat
 	// has come. A worker has one heartbeat in flight at a time, so the next one proves that
@@ -48,7 +54,7 @@
 	leaseExpiredUnheard bool
 	direct              directState
 
-	// Looked up once in a step, see clusterState.schedulable and clusterState.runsService.
+	// Worked out once in a scheduling pass, see clusterState.schedulable and clusterState.runsService.
 	schedulable, runsService         bool
 	schedulableStep, runsServiceStep uint64
 }
@@ -75,58 +81,68 @@
 }
 
 // machineBindings are the tasks that are bound to a machine: few, and gone through in every
-// step and with every report.
+// scheduling pass and with every heartbeat.
 type machineBindings []machineBinding
 
+// machineBinding is one of them, with the group whose record binds it.
 type machineBinding struct {
 	task  scheduling.Task
 	group *taskGroup
 }
 
-func (s *machineBindings) add(t scheduling.Task, group *taskGroup) {
-	s.remove(t)
-	*s = append(*s, machineBinding{t, group})
+func (s *machineBindings) add(task scheduling.Task, group *taskGroup) {
+	s.remove(task)
+	*s = append(*s, machineBinding{task, group})
 }
 
-func (s *machineBindings) remove(t scheduling.Task) {
-	*s = slices.DeleteFunc(*s, func(x machineBinding) bool { return x.task == t })
+func (s *machineBindings) remove(task scheduling.Task) {
+	*s = slices.DeleteFunc(*s, func(x machineBinding) bool { return x.task == task })
 }
 
+// machineNamed returns the machine of a name, which is made known if it is not yet.
 func (c *clusterState) machineNamed(name string) *machine {
 	m := c.machines[name]
-	if m == nil {
-		m = &machine{name: name, index: scheduling.MachineIndex(len(c.machineByIndex)), hashPartition: partitionOf(name, c.cfg.Settings.Count), images: map[string]bool{}, fetching: map[string]time.Time{}, failedJobs: map[string]time.Time{}}
-		m.terminated = c.terminated[name]
-		m.partition = c.partitionOfMachine(m)
-		c.machines[name] = m
-		c.machineByIndex = append(c.machineByIndex, m)
-		c.addToPartition(m)
+	if m != nil {
+		return m
 	}
+	m = &machine{
+		name:          name,
+		index:         scheduling.MachineIndex(len(c.machineByIndex)),
+		hashPartition: partitionOf(name, c.cfg.Settings.Count),
+		terminated:    c.terminated[name],
+		images:        map[string]bool{},
+		fetching:      map[string]time.Time{},
+		failedJobs:    map[string]time.Time{},
+	}
+	m.partition = c.partitionOfMachine(m)
+	c.machines[name] = m
+	c.machineByIndex = append(c.machineByIndex, m)
+	c.addToPartition(m)
 	return m
 }
 
-// introduce notes what others have said of a machine: its address, and a session
-// that it has begun. Only the machine's own reports tell more.
-func (m *machine) introduce(addr string, session uint64) {
+// introduce notes what others have said of a machine: its address, and an incarnation of its
+// agent. Only the machine's own heartbeats tell more.
+func (m *machine) introduce(addr string, incarnation uint64) {
 	if m.addr == "" {
 		m.addr = addr
 	}
-	if session > m.incarnation {
-		m.incarnation, m.sequence = session, 0
+	if incarnation > m.incarnation {
+		m.incarnation, m.sequence = incarnation, 0
 	}
 }
 
-// setMachineSize makes a machine's cells known to its part once its type is.
+// setMachineSize makes a machine's cells known to its partition once its type is known.
 func (c *clusterState) setMachineSize(m *machine) {
 	p := c.partitions[m.partition]
-	t := c.machineTypes[m.machineType]
-	if p.token == 0 || t == nil || m.terminated || m.heartbeatAt.IsZero() {
+	machineType := c.machineTypes[m.machineType]
+	if p.token == 0 || machineType == nil || m.terminated || m.heartbeatAt.IsZero() {
 		return
 	}
-	p.cells.SetMachine(m.index, scheduling.NewResources(t.CPUs, t.GPUs, t.RAMGB))
+	p.cells.SetMachine(m.index, scheduling.NewResources(machineType.CPUs, machineType.GPUs, machineType.RAMGB))
 }
 
-// partitionOfMachine is the part that a machine is in by what is stored.
+// partitionOfMachine is the partition that a machine is in by the records.
 func (c *clusterState) partitionOfMachine(m *machine) int {
 	if loan := c.loans[m.name]; loan != nil && loan.Acknowledged {
 		return c.loanPartition()
@@ -134,7 +150,7 @@
 	return m.hashPartition
 }
 
-// addToPartition puts a machine among those of its part.
+// addToPartition puts a machine among those of its partition.
 func (c *clusterState) addToPartition(m *machine) {
 	if !m.listed {
 		m.listed = true
@@ -143,10 +159,10 @@
 	}
 }
 
-// removeMachines takes machines out of a part's list.
-func (p *partition) removeMachines(out func(*machine) bool) {
+// removeMachines takes machines out of a partition's list.
+func (p *partition) removeMachines(leaves func(*machine) bool) {
 	p.machines = slices.DeleteFunc(p.machines, func(m *machine) bool {
-		if !out(m) {
+		if !leaves(m) {
 			return false
 		}
 		m.listed = false
@@ -154,7 +170,7 @@
 	})
 }
 
-// ownsMachineSince is since when a part's owner has had a machine.
+// ownsMachineSince is since when a partition's owner has had a machine.
 func (p *partition) ownsMachineSince(m *machine) time.Time {
 	if m.inPartitionSince.After(p.ownedSince) {
 		return m.inPartitionSince
--- a/internal/controller/summaries.go
+++ b/internal/controller/summaries.go
@@ -126,7 +126,7 @@
 		s.Partitions = append(s.Partitions, uint64(p.index))
 		for _, m := range p.machines {
 			if m.terminated || !m.heartbeatAt.After(p.ownedSince) && len(m.bindings) == 0 || m.incarnation == 0 ||
-				c.now.Sub(c.heardSince(m, p)) > 3*time.Minute {
+				c.now.Sub(c.heardSince(m, p)) > silentMachineMemory {
 				continue
 			}
 			s.Machines = append(s.Machines, peer.Machine{Name: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: m.incarnation, Flags: c.machineFlags(m, p)})
@@ -189,7 +189,7 @@
 	for _, p := range c.partitions {
 		if p.token != 0 && p.active {
 			for _, m := range p.machines {
-				if !m.terminated && (!m.heartbeatAt.IsZero() || len(m.bindings) > 0) && c.now.Sub(c.heardSince(m, p)) < 3*time.Minute {
+				if !m.terminated && (!m.heartbeatAt.IsZero() || len(m.bindings) > 0) && c.now.Sub(c.heardSince(m, p)) < silentMachineMemory {
 					f(m, c.machineFlags(m, p))
 				}
 			}
