--- a/internal/controller/cordons.go
+++ b/internal/controller/cordons.go
@@ -92,7 +92,7 @@
 	}
 	if cordoned := failed >= cordoningJobs; cordoned != m.cordoned {
 		m.cordoned, m.cordonedAt = cordoned, c.now
-		c.log.Info("machine fails tasks of several jobs", "machine", m.name, "sick", cordoned)
+		c.log.Info("machine cordon changed", "machine", m.name, "cordoned", cordoned)
 	}
 }
 
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -120,7 +120,7 @@
 // beginIncarnation notes that a machine's lease expired: its agent has ended all tasks and
 // forgotten them, and refuses what is sent to the earlier incarnation.
 func (c *partitionOwner) beginIncarnation(m *machine, incarnation uint64) {
-	c.log.Info("machine begins a new session", "machine", m.name, "session", incarnation)
+	c.log.Info("machine begins a new incarnation", "machine", m.name, "incarnation", incarnation)
 	m.images, m.fetching = map[string]bool{}, map[string]time.Time{}
 	m.direct.unansweredStartToken, m.startInResponse = 0, false
 	m.leaseExpiredUnheard = !m.leaseRenewedAt.IsZero()
@@ -141,7 +141,7 @@
 	m.startInResponse = false
 	c.setMachineSize(m)
 	if first {
-		c.log.Debug("machine reports", "machine", m.name, "type", m.machineType, "part", p.index)
+		c.log.Debug("first heartbeat of a machine", "machine", m.name, "type", m.machineType, "partition", p.index)
 	}
 }
 
@@ -153,7 +153,7 @@
 		return
 	}
 	if m.terminationAt.IsZero() {
-		c.log.Info("machine will be taken", "machine", m.name, "notice_s", *noticeS)
+		c.log.Info("machine has a termination notice", "machine", m.name, "notice_s", *noticeS)
 	}
 	m.terminationAt = c.now.Add(config.Seconds(*noticeS))
 }
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -75,7 +75,7 @@
 	} else {
 		c.metrics.count(countLost, 1)
 	}
-	c.log.Debug("attempt over", "task", taskName(group.job.id, bound.task), "attempt", bound.attempt, "machine", bound.machine.name, "done", end.done)
+	c.log.Debug("attempt ended", "task", taskName(group.job.id, bound.task), "attempt", bound.attempt, "machine", bound.machine.name, "done", end.done)
 	p := c.partitions[bound.machine.partition]
 	if p.index != group.partition {
 		if p.foreignGroups == nil {
