--- a/internal/tools/docs/operations_test.go
+++ b/internal/tools/docs/operations_test.go
@@ -5,6 +5,7 @@
 	"go/token"
 	"os"
 	"path/filepath"
+	"regexp"
 	"slices"
 	"strconv"
 	"strings"
@@ -119,11 +120,11 @@
 // after a line that nothing logs.
 func TestRunbookSymptomsNameLoggedLines(t *testing.T) {
 	logged := loggedLines(t)
-	attribute := func(span string) bool { return strings.Contains(span, "=") || !strings.Contains(span, " ") }
+	isAttribute := func(span string) bool { return strings.Contains(span, "=") || !strings.Contains(span, " ") }
 	cells := column(section(t, readPage(t, "operations.md"), "Symptoms"), 1)
 	for _, cell := range cells {
 		for _, line := range codeSpans(cell) {
-			if _, ok := logged[line]; !ok && !attribute(line) {
+			if _, ok := logged[line]; !ok && !isAttribute(line) {
 				t.Errorf("operations.md names the line %q, which nothing logs", line)
 			}
 		}
@@ -133,6 +134,60 @@
 	}
 }
 
+// attribute matches an attribute of a log line, with a value or without.
+var attribute = regexp.MustCompile(`^([a-z_]+)=`)
+
+// TestRunbookNamesLoggedAttributes fails when the runbook searches for an attribute that no
+// line has.
+func TestRunbookNamesLoggedAttributes(t *testing.T) {
+	logged := loggedStrings(t)
+	before, rest, _ := strings.Cut(readPage(t, "operations.md"), "\n## Log lines that have changed\n")
+	_, after, _ := strings.Cut(rest, "\n## ")
+	checked := 0
+	for _, span := range codeSpans(before + after) {
+		match := attribute.FindStringSubmatch(strings.TrimPrefix(span, "grep "))
+		if match == nil {
+			continue
+		}
+		checked++
+		if !logged[match[1]] {
+			t.Errorf("operations.md names the attribute %s, which no line has", span)
+		}
+	}
+	if checked < 10 {
+		t.Errorf("only %d attributes were found", checked)
+	}
+}
+
+// loggedStrings are the strings in the calls of loggers: lines, and names of attributes.
+func loggedStrings(t *testing.T) map[string]bool {
+	t.Helper()
+	found := map[string]bool{}
+	add := func(node ast.Node) bool {
+		if literal, ok := node.(*ast.BasicLit); ok && literal.Kind == token.STRING {
+			if text, err := strconv.Unquote(literal.Value); err == nil {
+				found[text] = true
+			}
+		}
+		return true
+	}
+	for _, files := range sourcePackages(t) {
+		for _, file := range files {
+			ast.Inspect(file, func(node ast.Node) bool {
+				call, ok := node.(*ast.CallExpr)
+				if !ok {
+					return true
+				}
+				if method, ok := call.Fun.(*ast.SelectorExpr); ok && isLogger(method.X) {
+					ast.Inspect(call, add)
+				}
+				return true
+			})
+		}
+	}
+	return found
+}
+
 // TestFormerLogLinesAreListed fails when a line that was logged before the lines were
 // renamed is neither logged any more nor in the table of changed lines.
 func TestFormerLogLinesAreListed(t *testing.T) {
