--- a/internal/controller/direct_commands_test.go
+++ b/internal/controller/direct_commands_test.go
@@ -79,3 +79,63 @@
 		})
 	}
 }
+
+// What is known after requests went unanswered: whether a start may still arrive, and
+// whether the machine is left alone for a while.
+func TestUnansweredDirectCommands(t *testing.T) {
+	for _, x := range []struct {
+		name         string
+		carriesStart bool
+		lagged       bool // this process had too little processor time meanwhile
+		times        int
+		unanswered   int
+		startToken   uint64
+		backoff      time.Duration
+	}{
+		{name: "a stop", times: 1, unanswered: 1},
+		{name: "a start", carriesStart: true, times: 1, unanswered: 1, startToken: 1},
+		{name: "twice", times: 2, unanswered: 2, backoff: 3 * time.Second},
+		{name: "the answer may have come and not been handled", carriesStart: true, lagged: true, times: 3, startToken: 1},
+	} {
+		c := lone(t)
+		p := c.partitions[0]
+		m := c.machineNamed("host-1")
+		for range x.times {
+			m.direct.inFlight, m.direct.carriesStart = true, x.carriesStart
+			request := directRequest{machine: m, partition: p, token: p.token, sentAt: c.now}
+			c.now = c.now.Add(time.Second)
+			if x.lagged {
+				c.lastLaggedAt = c.now
+			}
+			c.directUnanswered(request, http.ErrServerClosed)
+		}
+		want := directState{unanswered: x.unanswered, unansweredStartToken: x.startToken}
+		if x.backoff > 0 {
+			want.backoffUntil = c.now.Add(x.backoff)
+		}
+		if m.direct != want {
+			t.Errorf("%s: %+v, want %+v", x.name, m.direct, want)
+		}
+	}
+}
+
+// An address may have come to another machine: its answer says nothing of the one that was
+// asked.
+func TestAnswerOfAnotherMachine(t *testing.T) {
+	for name, heard := range map[string]bool{"host-1": true, "host-2": false} {
+		c := lone(t)
+		p := c.partitions[0]
+		m := c.machineNamed("host-1")
+		m.direct.inFlight, m.direct.carriesStart, m.direct.unanswered = true, true, 1
+		c.directAnswered(directRequest{machine: m, partition: p, token: p.token, sentAt: c.now}, &wire.Heartbeat{Machine: name, Incarnation: 1, Sequence: 1, Token: 1}, true)
+		if m.direct.inFlight || m.direct.carriesStart {
+			t.Errorf("%s answers: the request is still under way", name)
+		}
+		if got := m.incarnation == 1 && m.direct.unanswered == 0; got != heard {
+			t.Errorf("%s answers: host-1 is heard: %v, want %v", name, got, heard)
+		}
+		if !m.heartbeatAt.IsZero() || !m.leaseRenewedAt.IsZero() {
+			t.Errorf("%s answers: an answer counts as a heartbeat", name)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/liveness_test.go
@@ -0,0 +1,132 @@
+package controller
+
+import (
+	"testing"
+	"time"
+)
+
+// The limits follow the workers' settings, above what a lost heartbeat or a worker's search
+// for another controller takes.
+func TestLivenessLimits(t *testing.T) {
+	for _, x := range []struct {
+		intervalS, leaseS            float64
+		overdue, unreachable, usable time.Duration
+	}{
+		{1, 10, 1750 * time.Millisecond, 7 * time.Second, 3 * time.Second},
+		{2, 60, 3 * time.Second, 36 * time.Second, 4 * time.Second},
+		{5, 10, 6750 * time.Millisecond, 15 * time.Second, 10 * time.Second},
+		{10, 50, 13 * time.Second, 30 * time.Second, 20 * time.Second},
+	} {
+		c := lone(t)
+		c.cfg.Settings.Workers.ReportS, c.cfg.Settings.Workers.LeaseS = x.intervalS, x.leaseS
+		if got := c.heartbeatOverdueAfter(); got != x.overdue {
+			t.Errorf("interval %v s, lease %v s: a heartbeat is overdue after %v, want %v", x.intervalS, x.leaseS, got, x.overdue)
+		}
+		if got := c.unreachableAfter(); got != x.unreachable {
+			t.Errorf("interval %v s, lease %v s: a machine is unreachable after %v, want %v", x.intervalS, x.leaseS, got, x.unreachable)
+		}
+		if got := c.usableFor(); got != x.usable {
+			t.Errorf("interval %v s, lease %v s: a machine is usable for %v, want %v", x.intervalS, x.leaseS, got, x.usable)
+		}
+	}
+}
+
+// heardMachine is a machine of a lone controller that has just sent a heartbeat.
+func heardMachine(c *controller) (*machine, *partition) {
+	p := c.partitions[0]
+	p.firstToken = p.token
+	m := c.machineNamed("host-1")
+	m.incarnation, m.sequence, m.token = 1, 1, p.token
+	m.heartbeatAt, m.answeredAt, m.leaseRenewedAt, c.lastHeartbeatAt = c.now, c.now, c.now, c.now
+	return m, p
+}
+
+func TestUsableMachine(t *testing.T) {
+	for _, x := range []struct {
+		name   string
+		change func(c *controller, m *machine, p *partition)
+		want   bool
+	}{
+		{"heard just now", func(*controller, *machine, *partition) {}, true},
+		{"heard a while ago", func(c *controller, _ *machine, _ *partition) { c.now = c.now.Add(2900 * time.Millisecond) }, true},
+		{"not heard any more", func(c *controller, _ *machine, _ *partition) { c.now = c.now.Add(3 * time.Second) }, false},
+		{"heard before the failover", func(c *controller, _ *machine, p *partition) { p.ownedSince = c.now }, false},
+		{"heard before it came to the partition", func(c *controller, m *machine, _ *partition) { m.inPartitionSince = c.now }, false},
+		{"a late copy with a former owner's token", func(_ *controller, _ *machine, p *partition) { p.firstToken++ }, false},
+		{"known by its records alone", func(_ *controller, m *machine, _ *partition) { m.incarnation = 0 }, false},
+		{"terminated", func(_ *controller, m *machine, _ *partition) { m.terminated = true }, false},
+		{"one command unanswered", func(_ *controller, m *machine, _ *partition) { m.direct.unanswered = 1 }, true},
+		{"two commands unanswered", func(_ *controller, m *machine, _ *partition) { m.direct.unanswered = 2 }, false},
+		{"two unanswered, as of most machines", func(_ *controller, m *machine, p *partition) { m.direct.unanswered, p.mostNotReceiving = 2, true }, true},
+		{"lost its lease though it was answered", func(_ *controller, m *machine, _ *partition) { m.leaseExpiredUnheard = true }, false},
+	} {
+		c := lone(t)
+		m, p := heardMachine(c)
+		x.change(c, m, p)
+		if got := c.usable(m, p); got != x.want {
+			t.Errorf("%s: usable %v, want %v", x.name, got, x.want)
+		}
+	}
+}
+
+// unreachableRow is what has become of a machine that has just been heard, and whether it
+// seems unreachable then.
+type unreachableRow struct {
+	name   string
+	after  time.Duration // since it was heard
+	change func(c *controller, m *machine, p *partition)
+	want   bool
+}
+
+// beyondLease is when the lease of a machine that is silent has surely expired.
+const beyondLease = time.Minute
+
+var unreachableRows = []unreachableRow{
+	{"silent for a while", 6900 * time.Millisecond, nil, false},
+	{"silent for long", 7100 * time.Millisecond, nil, true},
+	{"silent, answers a ping", 7100 * time.Millisecond, func(c *controller, m *machine, _ *partition) { m.answeredAt = c.now }, false},
+	{"silent during an outage", 7100 * time.Millisecond, func(c *controller, _ *machine, _ *partition) { c.heartbeatsResumedAt = c.now }, false},
+	{"one ping unanswered", 1800 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.direct.unanswered = 1 }, false},
+	{"pings unanswered, heartbeats come", 1700 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.direct.unanswered = 2 }, true},
+	{"pings unanswered by most machines, heartbeats come", 1700 * time.Millisecond, func(_ *controller, m *machine, p *partition) { m.direct.unanswered, p.mostNotReceiving = 2, true }, false},
+	{"pings unanswered, overdue", 1800 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.direct.unanswered = 2 }, true},
+	{"pings unanswered right after a failover", 3700 * time.Millisecond, failedOverUnanswered, false},
+	{"pings unanswered a while after a failover", 3800 * time.Millisecond, failedOverUnanswered, true},
+	{"sends without receiving", 0, func(_ *controller, m *machine, _ *partition) { m.leaseExpiredUnheard = true }, true},
+	{"sends without receiving, as most do", 0, func(_ *controller, m *machine, p *partition) { m.leaseExpiredUnheard, p.mostNotReceiving = true, true }, false},
+	{"sends without receiving, right after a failover", 0, func(c *controller, m *machine, p *partition) {
+		m.leaseExpiredUnheard, p.ownedSince = true, c.now.Add(-time.Second)
+	}, false},
+	{"answers pings beyond its lease, others are heard", beyondLease, answersPings, true},
+	{"answers pings beyond its lease, nobody is heard", beyondLease, func(c *controller, m *machine, p *partition) {
+		answersPings(c, m, p)
+		c.lastHeartbeatAt = m.heartbeatAt
+	}, false},
+	{"answers pings beyond its lease, this process was suspended", beyondLease, func(c *controller, m *machine, p *partition) {
+		answersPings(c, m, p)
+		c.resumedFromPauseAt = c.now
+	}, false},
+}
+
+func failedOverUnanswered(_ *controller, m *machine, p *partition) {
+	p.ownedSince, m.heartbeatAt, m.direct.unanswered = m.heartbeatAt, time.Time{}, 2
+	m.answeredAt = time.Time{}
+}
+
+func answersPings(c *controller, m *machine, _ *partition) {
+	m.answeredAt, c.lastHeartbeatAt = c.now, c.now
+}
+
+func TestMachineSeemsUnreachable(t *testing.T) {
+	for _, x := range unreachableRows {
+		c := lone(t)
+		m, p := heardMachine(c)
+		c.now = c.now.Add(x.after)
+		if x.change != nil {
+			x.change(c, m, p)
+		}
+		if got := c.seemsUnreachable(m, p); got != x.want {
+			t.Errorf("%s: unreachable %v, want %v", x.name, got, x.want)
+		}
+	}
+}
