--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -29,7 +29,7 @@
 // bindingsDelay is how long the new bindings of an array's record wait for others
 // while more of its tasks are to come: cells come free one by one, many times a
 // second, and a change for each would take up what the state service allows.
-func (c *clusterState) bindingsDelay() time.Duration {
+func (c *partitionOwner) bindingsDelay() time.Duration {
 	return min(400*time.Millisecond+c.stateWriter.Backlog(), time.Second)
 }
 
@@ -78,8 +78,8 @@
 
 // bindingAttempt is the attempt of the next bindings of a gang's record; 0: none may be
 // made, since not all of its tasks have cells.
-func (c *clusterState) bindingAttempt(p *partition, group *taskGroup) uint64 {
-	attempt, there := c.gangAttempt(group.job)
+func (c *partitionOwner) bindingAttempt(p *partition, group *taskGroup) uint64 {
+	attempt, there := group.job.gangAttempt()
 	if there {
 		return attempt // what is missing of it
 	}
@@ -92,7 +92,7 @@
 }
 
 // planUpdate works out what is to be stored of a record: ended attempts, new bindings.
-func (c *clusterState) planUpdate(p *partition, group *taskGroup) groupUpdate {
+func (c *partitionOwner) planUpdate(p *partition, group *taskGroup) groupUpdate {
 	update := groupUpdate{done: group.done, oversized: group.size > c.maxValueBytes()}
 	job := group.job
 	gang := job.spec.Gang
@@ -138,7 +138,7 @@
 }
 
 // planGangDone has all tasks of a gang's record done: one of the gang is.
-func (c *clusterState) planGangDone(group *taskGroup, update *groupUpdate) {
+func (c *partitionOwner) planGangDone(group *taskGroup, update *groupUpdate) {
 	for i := range group.bindings {
 		t := group.task(group.bindings[i].task)
 		if o, ok := c.attemptEnds[t]; ok {
@@ -150,7 +150,7 @@
 }
 
 // updateCanWait tells whether an array's update can wait for more to come.
-func (c *clusterState) updateCanWait(group *taskGroup, update *groupUpdate) bool {
+func (c *partitionOwner) updateCanWait(group *taskGroup, update *groupUpdate) bool {
 	if group.job.spec.AllOrNothing() {
 		return false
 	}
@@ -229,7 +229,7 @@
 }
 
 // endsJob tells whether an update completes the last tasks of a job.
-func (c *clusterState) endsJob(group *taskGroup, update *groupUpdate) bool {
+func (c *partitionOwner) endsJob(group *taskGroup, update *groupUpdate) bool {
 	job := group.job
 	if job.finalState != record.Unfinished || job.finishing || update.done == group.done {
 		return false
@@ -240,7 +240,7 @@
 
 // updateFailed gives up the claims of an update that is not stored as far as we know; what
 // the state service really has is read before anything else is done.
-func (c *clusterState) updateFailed(p *partition, group *taskGroup, update *groupUpdate, err error) {
+func (c *partitionOwner) updateFailed(p *partition, group *taskGroup, update *groupUpdate, err error) {
 	c.log.Debug("record write failed", "key", group.key, "err", err)
 	if errors.Is(err, store.ErrInvalid) {
 		c.log.Error("record is refused as invalid", "key", group.key, "entries", len(update.bindings))
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -3,13 +3,35 @@
 import (
 	"iter"
 	"slices"
+	"time"
 
 	"eiderhitch/internal/record"
+	"eiderhitch/internal/replica"
 	"eiderhitch/internal/scheduling"
 )
 
+// catalog is the index of jobs and task groups. A job stays in it until it is final and all
+// of its task groups are deleted; then it is archived, and only its final state is kept.
+type catalog struct {
+	// jobs are those that are not archived; finished has the final states of the others.
+	jobs     map[string]*job
+	finished map[string]record.FinalState
+	// unfinished are the jobs that are not final, and some that are and not archived yet.
+	unfinished []*job
+	groups     []*taskGroup // by dense index; nil where deleted
+	groupByKey map[string]*taskGroup
+	teamIndex  map[string]scheduling.TeamIndex
+}
+
+func newCatalog() *catalog {
+	return &catalog{
+		jobs: map[string]*job{}, finished: map[string]record.FinalState{},
+		groupByKey: map[string]*taskGroup{}, teamIndex: map[string]scheduling.TeamIndex{},
+	}
+}
+
 // lookupJob is the job of that name, if one was ever accepted.
-func (c *clusterState) lookupJob(id string) *job {
+func (c *catalog) lookupJob(id string) *job {
 	if j := c.jobs[id]; j != nil && j.revision != 0 {
 		return j
 	}
@@ -19,7 +41,8 @@
 	return nil
 }
 
-func (c *clusterState) job(id string) *job {
+// job is the job of that id; one that was never seen is added.
+func (c *catalog) job(id string) *job {
 	j := c.jobs[id]
 	if j == nil {
 		if j = c.lookupJob(id); j == nil {
@@ -33,7 +56,7 @@
 
 // restoreJob puts a job among those that the leader goes through. Jobs are remembered
 // for ever: a step must not cost more for each that has ever been.
-func (c *clusterState) restoreJob(j *job) {
+func (c *catalog) restoreJob(j *job) {
 	if !j.inUnfinished {
 		j.inUnfinished = true
 		c.unfinished = append(c.unfinished, j)
@@ -45,27 +68,39 @@
 // of it is left is known only once all changes before its last one are: a record that
 // was stored before a cancellation of ours may be seen after it, and its tasks count
 // for the team's limit.
-func (c *clusterState) archiveFinished() {
+func (c *catalog) archiveFinished(records *replica.Replica) {
 	c.unfinished = slices.DeleteFunc(c.unfinished, func(j *job) bool {
-		if j.finalState == record.Unfinished || len(j.groups) > 0 || j.revision > c.replica.Cursor() || j.hasUnreadableRecords() {
+		if j.finalState == record.Unfinished || len(j.groups) > 0 || j.revision > records.Cursor() || j.hasUnreadableRecords() {
 			return false
 		}
 		j.inUnfinished = false
 		c.finished[j.id] = j.finalState
 		delete(c.jobs, j.id)
-		c.replica.Forget(jobKey(j.id)) // never written again
+		records.Forget(jobKey(j.id)) // never written again
 		return true
 	})
 }
 
-// releaseJobDetails drops what a final job needs no more; its fate is kept for ever.
-func (c *clusterState) releaseJobDetails(j *job) {
-	if j.finalState != record.Unfinished && len(j.groups) == 0 && j.revision <= c.replica.Cursor() {
-		j.spec, j.groups, j.groupOfTask = nil, nil, nil
+// lookup finds a task by its name: its job, the task group that it is assigned in, and its
+// binding. What is not known is nil.
+func (c *catalog) lookup(name string) (*job, *taskGroup, *binding) {
+	id, num, ok := parseTask(name)
+	if !ok {
+		return nil, nil, nil
+	}
+	j := c.jobs[id]
+	if j == nil {
+		return nil, nil, nil
+	}
+	group := j.groupOfTask[num]
+	if group == nil {
+		return j, nil, nil
 	}
+	return j, group, group.binding(num)
 }
 
-func (c *clusterState) team(name string) scheduling.TeamIndex {
+// team is the index of a team; one that is not configured gets the next.
+func (c *catalog) team(name string) scheduling.TeamIndex {
 	t, ok := c.teamIndex[name]
 	if !ok {
 		t = scheduling.TeamIndex(len(c.teamIndex))
@@ -75,9 +110,9 @@
 }
 
 // newGroup begins a record that has not been seen before.
-func (c *clusterState) newGroup(key, id string, k int) *taskGroup {
+func (c *catalog) newGroup(key, id string, number int, now time.Time) *taskGroup {
 	job := c.job(id)
-	group := &taskGroup{key: key, index: scheduling.GroupIndex(len(c.groups)), number: k, job: job, inPartitionSince: c.now, partition: -1}
+	group := &taskGroup{key: key, index: scheduling.GroupIndex(len(c.groups)), number: number, job: job, inPartitionSince: now, partition: -1}
 	c.groups = append(c.groups, group)
 	c.groupByKey[key] = group
 	c.restoreJob(job)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -312,12 +312,12 @@
 		}
 		// What was stored before the last change of a job may not be known yet.
 		n := len(c.finished)
-		c.archiveFinished()
+		c.archiveFinished(c.replica)
 		if len(c.finished) > n {
 			t.Fatalf("%d jobs are archived before all of them is known, want none", len(c.finished)-n)
 		}
 		c.replica.Apply(&wire.WatchResponse{Revision: stamp + 1})
-		c.archiveFinished()
+		c.archiveFinished(c.replica)
 	}
 	if n := int(held()-before) / jobs; n > each {
 		t.Errorf("a finished job holds %d bytes, want at most %d", n, each)
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -51,7 +51,7 @@
 	}
 	state.replica = replica.New(c)
 	state.reader = replica.NewReader(ctx, replica.Config{
-		Prefix: keyPrefix, Controllers: s.Count, RequestsPerSecond: s.Store.RPS, Jitter: out.jitter, Loaded: c.archiveFinished, Log: c.log,
+		Prefix: keyPrefix, Controllers: s.Count, RequestsPerSecond: s.Store.RPS, Jitter: out.jitter, Loaded: func() { c.archiveFinished(c.replica) }, Log: c.log,
 	}, state.replica, state.stateClient, loopAt{state, priorityState})
 	state.election = election.New(ctx, election.Config{
 		Node: cfg.Name, ProcessID: c.processID, Nodes: cfg.Nodes(), TTL: op.LeaseTTL, StartedAt: c.startedAt,
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -19,7 +19,7 @@
 
 // gangAttempt is the present attempt of a gang, and whether any task of it may still be
 // on a machine. Without one the next binding is a new attempt.
-func (c *clusterState) gangAttempt(j *job) (attempt uint64, there bool) {
+func (j *job) gangAttempt() (attempt uint64, there bool) {
 	for _, group := range j.groups {
 		for i := range group.bindings {
 			bound := &group.bindings[i]
@@ -48,7 +48,7 @@
 // gangBroken tells whether a gang has lost a member of an attempt that has run, or can't be
 // completed: the others stop, and the gang starts whole again.
 func (c *clusterState) gangBroken(j *job) bool {
-	attempt, there := c.gangAttempt(j)
+	attempt, there := j.gangAttempt()
 	if !there || attempt == 0 || j.startedAttempt != attempt && j.failedAttempt != attempt {
 		return false
 	}
@@ -84,7 +84,7 @@
 			continue
 		}
 		c.failIncompleteGang(job)
-		attempt, _ := c.gangAttempt(job)
+		attempt, _ := job.gangAttempt()
 		if job.stoppedAttempt == attempt || !c.gangMustStop(job) {
 			continue
 		}
@@ -128,7 +128,7 @@
 
 // placeGang asks for cells for a gang: for all of its tasks, or for those that were lost
 // before it ran, which complete the attempt that waits for them.
-func (c *clusterState) placeGang(p *partition, group *taskGroup, pending []scheduling.Task, request func(...scheduling.Task) bool) {
+func (c *partitionOwner) placeGang(p *partition, group *taskGroup, pending []scheduling.Task, request func(...scheduling.Task) bool) {
 	job := group.job
 	if dealt, _ := job.assignedTasks(); dealt < job.spec.Tasks || !job.groupsTogether(p.index, group.zone) {
 		return // a group is reserved whole, in one part
@@ -138,7 +138,7 @@
 			return
 		}
 	}
-	if attempt, there := c.gangAttempt(job); there && (job.startedAttempt == attempt || job.failedAttempt == attempt || job.stoppedAttempt == attempt) || job.gangIsDone() {
+	if attempt, there := job.gangAttempt(); there && (job.startedAttempt == attempt || job.failedAttempt == attempt || job.stoppedAttempt == attempt) || job.gangIsDone() {
 		return // it starts again when all are back
 	}
 	request(pending...)
@@ -166,8 +166,8 @@
 
 // failIncompleteGang ends an attempt that was bound in part and can't be completed: without
 // room for the rest nothing would be started, nor given back.
-func (c *clusterState) failIncompleteGang(j *job) {
-	attempt, there := c.gangAttempt(j)
+func (c *partitionOwner) failIncompleteGang(j *job) {
+	attempt, there := j.gangAttempt()
 	switch {
 	case !there || j.gangBound():
 		j.incompleteSince = time.Time{}
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -95,3 +95,11 @@
 	}
 	return false
 }
+
+// releaseDetails drops what a final job needs no more; its final state is kept for ever. The
+// replica has all changes up to cursor.
+func (j *job) releaseDetails(cursor uint64) {
+	if j.finalState != record.Unfinished && len(j.groups) == 0 && j.revision <= cursor {
+		j.spec, j.groups, j.groupOfTask = nil, nil, nil
+	}
+}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -106,7 +106,7 @@
 
 // finishJobs ends jobs whose tasks are all done and clears up behind final ones.
 func (c *leader) finishJobs() {
-	c.archiveFinished()
+	c.archiveFinished(c.replica)
 	budget := 8
 	// What is over can wait while the state service has more to do.
 	clear := c.stateWriter.Backlog() < time.Second
@@ -147,7 +147,7 @@
 					return
 				}
 				group.writing = false
-				c.releaseJobDetails(job)
+				job.releaseDetails(c.replica.Cursor())
 			})
 		}
 	}
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -169,7 +169,7 @@
 
 // unplacedTasks lists a record's tasks that neither are nor claim to be anywhere;
 // busy: others do; started: some have run before.
-func (c *clusterState) unplacedTasks(p *partition, group *taskGroup) (out []scheduling.Task, busy, started bool) {
+func (c *partitionOwner) unplacedTasks(p *partition, group *taskGroup) (out []scheduling.Task, busy, started bool) {
 	for i := range group.bindings {
 		bound := &group.bindings[i]
 		t := group.task(bound.task)
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -76,7 +76,7 @@
 
 // noteUndecodable names a record that this version can't read. Nothing is guessed:
 // its job is neither dealt nor ended, and its user is told to come back.
-func (c *clusterState) noteUndecodable(key string, err error) {
+func (c *controller) noteUndecodable(key string, err error) {
 	c.log.Error("stored record can't be decoded; it is left alone", "key", key, "err", err)
 	c.metrics.count(countUndecodable, 1)
 	id, ok := strings.CutPrefix(key, jobPrefix)
@@ -151,7 +151,7 @@
 		job.team = c.team(v.Spec.Team)
 	}
 	if job.finalState != record.Unfinished {
-		c.releaseJobDetails(job)
+		job.releaseDetails(c.replica.Cursor())
 		for _, group := range job.groups {
 			if before == record.Unfinished {
 				group.cancelWrite() // it has the former version of the job among its conditions
@@ -178,7 +178,7 @@
 	c.requestPass()
 }
 
-func (c *clusterState) putTombstone(key string, names []string) {
+func (c *controller) putTombstone(key string, names []string) {
 	c.tombstones[key] = tombstone{names, c.now}
 	for _, name := range names {
 		c.terminated[name] = true
@@ -198,7 +198,7 @@
 }
 
 // markGroupReadable notes that a group's record can be decoded, or is gone.
-func (c *clusterState) markGroupReadable(key string) {
+func (c *controller) markGroupReadable(key string) {
 	delete(c.rollout.unreadable, key)
 	if id, _, ok := splitGroupKey(key); ok {
 		if job := c.jobs[id]; job != nil {
@@ -208,7 +208,7 @@
 }
 
 // putBindings takes a record's tasks in, with the machines that they are bound to.
-func (c *clusterState) putBindings(group *taskGroup, tasks []record.Binding) {
+func (c *controller) putBindings(group *taskGroup, tasks []record.Binding) {
 	entries := make([]binding, 0, len(tasks))
 	placed := 0
 	for _, x := range tasks {
@@ -242,7 +242,7 @@
 	c.markGroupReadable(key)
 	group := c.groupByKey[key]
 	if group == nil {
-		group = c.newGroup(key, id, k)
+		group = c.newGroup(key, id, k, c.now)
 	} else {
 		c.rollout.groupsByEncoding[group.encoding]--
 	}
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -90,7 +90,7 @@
 
 // putRolloutState takes the stored state in. One that can't be read was written by a version
 // that knows more: this one must not serve.
-func (c *clusterState) putRolloutState(raw json.RawMessage, stamp uint64) error {
+func (c *controller) putRolloutState(raw json.RawMessage, stamp uint64) error {
 	state, err := rollout.DecodeState(raw)
 	if err != nil {
 		state = c.rollout.state
@@ -101,7 +101,7 @@
 
 // setRolloutState follows a new state: rights are held under its keys, and by controllers alone
 // that read what it allows to be stored.
-func (c *clusterState) setRolloutState(state rollout.State, version uint64, unknown error) {
+func (c *controller) setRolloutState(state rollout.State, version uint64, unknown error) {
 	l := &c.rollout
 	before := l.state
 	l.state, l.version = state, version
@@ -129,7 +129,7 @@
 
 // switchLeaseKeys gives all rights up, whose keys nobody may hold any more, and has them taken
 // under other keys from now on.
-func (c *clusterState) switchLeaseKeys(keys rollout.Keys) {
+func (c *controller) switchLeaseKeys(keys rollout.Keys) {
 	c.election.SetKeys(leaseKeys(keys, c.loanPartition())) // under the former names this loses all
 	c.rollout.keys = keys
 	for _, p := range c.partitions {
@@ -139,7 +139,7 @@
 }
 
 // putRegistration takes in what a controller stores about itself.
-func (c *clusterState) putRegistration(name string, raw json.RawMessage, stamp uint64) error {
+func (c *controller) putRegistration(name string, raw json.RawMessage, stamp uint64) error {
 	registration, err := rollout.DecodeController(raw)
 	if err != nil {
 		delete(c.rollout.controllers, name) // unknown, as if it were not there
@@ -206,7 +206,7 @@
 
 // frameVersion is the version of frames for a sibling: the checked one if it is active,
 // and the process that the sibling is now has said that it reads it.
-func (c *clusterState) frameVersion(name string) peer.Version {
+func (c *controller) frameVersion(name string) peer.Version {
 	registration, ok := c.rollout.controllers[name]
 	if !ok || c.rollout.state.Active() < rollout.ChecksumLevel || registration.High < rollout.ChecksumLevel {
 		return peer.PlainFrame
@@ -259,7 +259,7 @@
 )
 
 // logRollout adds the levels to the regular counters.
-func (c *clusterState) logRollout(log *slog.Logger) {
+func (c *controller) logRollout(log *slog.Logger) {
 	l := &c.rollout
 	if l.version == 0 {
 		return
--- a/internal/controller/scoring.go
+++ b/internal/controller/scoring.go
@@ -8,7 +8,7 @@
 )
 
 // scorer rates machines for a record's tasks; negative: not allowed.
-func (c *clusterState) scorer(p *partition, group *taskGroup) scheduling.ScoreFunc {
+func (c *partitionOwner) scorer(p *partition, group *taskGroup) scheduling.ScoreFunc {
 	spec := group.job.spec
 	return func(mi scheduling.MachineIndex, free scheduling.Resources) float64 {
 		m := c.machineByIndex[mi]
@@ -40,7 +40,7 @@
 // fetchCost is what the fetch of a job's image adds to a machine's score. Images
 // that are fetched at a time may share a machine's rate, so some hundred services
 // that come together start far later if each machine takes one of every image.
-func (c *clusterState) fetchCost(m *machine, spec *wire.Job) float64 {
+func (c *partitionOwner) fetchCost(m *machine, spec *wire.Job) float64 {
 	if m.images[spec.Image] {
 		return cachedImageScore
 	}
@@ -68,7 +68,7 @@
 
 // schedulable tells whether anything may be placed on a machine now. It is looked up
 // once in a step, not for each task.
-func (c *clusterState) schedulable(m *machine, p *partition) bool {
+func (c *partitionOwner) schedulable(m *machine, p *partition) bool {
 	if m.schedulableStep != c.schedulingPass {
 		m.schedulableStep = c.schedulingPass
 		m.schedulable = c.usable(m, p) && m.terminationAt.IsZero() && !m.cordoned && !c.now.Before(m.avoidUntil) &&
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -9,7 +9,6 @@
 	"eiderhitch/internal/config"
 	"eiderhitch/internal/election"
 	"eiderhitch/internal/peer"
-	"eiderhitch/internal/record"
 	"eiderhitch/internal/replica"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
@@ -21,6 +20,8 @@
 // of them. It changes with the records (package replica), with workers' heartbeats and with
 // what peers and the cloud say; it decides nothing.
 type clusterState struct {
+	*catalog
+
 	cfg       *config.Platform
 	operator  *config.Operator
 	log       *slog.Logger
@@ -45,14 +46,6 @@
 	peers       *peer.Registry
 	autoscaler  *autoscaler.Autoscaler
 
-	// jobs are those that are not archived; finished has the final states of the others.
-	jobs     map[string]*job
-	finished map[string]record.FinalState
-	// unfinished are the jobs that are not final, and some that are and not archived yet.
-	unfinished []*job
-	groups     []*taskGroup // by dense index; nil where deleted
-	groupByKey map[string]*taskGroup
-	teamIndex  map[string]scheduling.TeamIndex
 	// objectiveSeconds is, by class, in how many seconds its jobs should be done.
 	objectiveSeconds map[string]float64
 	maxGroupTasks    int
@@ -98,8 +91,7 @@
 		stateWriter: store.NewWriter(client, s.Store.TxnOps, s.Store.WriteRPS, s.Count, out.jitter),
 		peers:       peer.NewRegistry(names(cfg.Peers)),
 
-		jobs: map[string]*job{}, finished: map[string]record.FinalState{}, groupByKey: map[string]*taskGroup{},
-		teamIndex: map[string]scheduling.TeamIndex{}, objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.Store.ValueKB),
+		catalog: newCatalog(), objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.Store.ValueKB),
 		attemptEnds: map[scheduling.Task]attemptEnd{}, rollout: newRolloutState(cfg, op),
 		machines: map[string]*machine{}, loans: map[string]*machineLoan{},
 		terminated: map[string]bool{}, tombstones: map[string]tombstone{}, schedulingPass: 1,
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -65,7 +65,7 @@
 	}
 	if c.now.After(due.metrics) {
 		due.metrics = c.now.Add(metricsInterval)
-		c.archiveFinished()
+		c.archiveFinished(c.replica)
 		c.metrics.log(c.log, len(c.jobs)+len(c.finished), len(c.machines), c.stateClient.Stats())
 		c.logRollout(c.log)
 	}
