--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -7,7 +7,6 @@
 
 	"eiderhitch/internal/config"
 	"eiderhitch/internal/record"
-	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/wire"
 )
 
@@ -126,22 +125,22 @@
 	return j.spec.SaveS
 }
 
-// placeGang asks for cells for a gang: for all of its tasks, or for those that were lost
-// before it ran, which complete the attempt that waits for them.
-func (c *partitionOwner) placeGang(p *partition, group *taskGroup, pending []scheduling.Task, request func(...scheduling.Task) bool) {
+// gangMayReserve tells whether cells may be reserved for a gang's unplaced tasks: for all of
+// its tasks, or for those that were lost before it ran, which complete the attempt that waits
+// for them. All of it must be assigned to one partition, and nothing of it being written.
+func (c *partitionOwner) gangMayReserve(p *partition, group *taskGroup) bool {
 	job := group.job
-	if dealt, _ := job.assignedTasks(); dealt < job.spec.Tasks || !job.groupsTogether(p.index, group.zone) {
-		return // a group is reserved whole, in one part
+	if assigned, _ := job.assignedTasks(); assigned < job.spec.Tasks || !job.groupsTogether(p.index, group.zone) {
+		return false
 	}
 	for _, other := range job.groups {
 		if other.writing {
-			return
+			return false
 		}
 	}
-	if attempt, there := job.gangAttempt(); there && (job.startedAttempt == attempt || job.failedAttempt == attempt || job.stoppedAttempt == attempt) || job.gangIsDone() {
-		return // it starts again when all are back
-	}
-	request(pending...)
+	attempt, bound := job.gangAttempt()
+	mustEnd := bound && (job.startedAttempt == attempt || job.failedAttempt == attempt || job.stoppedAttempt == attempt)
+	return !mustEnd && !job.gangIsDone() // it starts again when all tasks of the attempt have ended
 }
 
 // gangBound tells whether every task of a gang's present attempt has a stored binding.
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -32,12 +32,7 @@
 			for k, v := range x.records {
 				c.replica.Put(groupKey("wk-1", k), raw(t, v), uint64(3+k))
 			}
-			asked := false
-			c.placeGang(c.partitions[0], c.groupByKey[groupKey("wk-1", 0)], nil, func(...scheduling.Task) bool {
-				asked = true
-				return true
-			})
-			if asked != x.asks {
+			if asked := c.gangMayReserve(c.partitions[0], c.groupByKey[groupKey("wk-1", 0)]); asked != x.asks {
 				t.Errorf("cells are asked for: %v, want %v", asked, x.asks)
 			}
 		})
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -18,10 +18,13 @@
 	directSlots  *workerclient.Slots[*machine]
 }
 
-// requestPass has the decisions taken soon: events in a burst share one pass.
+// evictionPatience is how many times evict-after a task at the head of the queue waits.
+const evictionPatience = 2
+
+// requestPass asks for a scheduling pass soon: events in a burst share one.
 func (c *clusterState) requestPass() { c.passDue = true }
 
-// schedulePartitions takes the decisions of all parts that are ours.
+// schedulePartitions runs a scheduling pass over all partitions that this controller owns.
 func (c *partitionOwner) schedulePartitions() {
 	defer c.metrics.addBusyTime(activityPartitions, time.Now())
 	for _, p := range c.partitions {
@@ -31,40 +34,87 @@
 	}
 }
 
-// schedulePartition lets the pending tasks of a part claim cells, highest claims first,
-// and stores what changed: ended attempts and new bindings.
+// schedulePartition reserves cells for the pending tasks of a partition, those of the highest
+// priority first, and stores what changed: ended attempts and new bindings.
 func (c *partitionOwner) schedulePartition(p *partition) {
 	p.removeMachines(func(m *machine) bool { return m.terminated && len(m.bindings) == 0 })
+	c.endExpiredAttempts(p)
+	c.schedulingPass++
+	groups := c.groupsToSchedule(p)
+	c.placeGroups(p, groups)
+	c.storeGroups(p, groups)
+	c.storeForeignGroups(p)
+	c.rewriteGroups(p)
+	c.stopGangs(p)
+	c.acknowledgeLoans(p)
+	if p.tokenRaiseDue {
+		c.raiseToken(p)
+	}
+}
+
+// endExpiredAttempts ends the attempts on machines that are terminated or whose leases have
+// expired.
+func (c *partitionOwner) endExpiredAttempts(p *partition) {
 	for _, m := range p.machines {
 		if len(m.bindings) > 0 && (m.terminated || c.leaseExpired(m, p)) {
 			c.endAllAttempts(m, "its lease is over")
 		}
 	}
-	c.schedulingPass++
+}
+
+// groupsToSchedule lists the task groups of a partition that a pass may change, in the order
+// in which they may reserve cells. Most groups have nothing to do: all their tasks run.
+func (c *partitionOwner) groupsToSchedule(p *partition) []*taskGroup {
 	byUrgency := c.byUrgency()
-	// Most records have nothing to do: all their tasks run.
-	var mine []*taskGroup
+	var groups []*taskGroup
 	for _, group := range p.groups {
-		if group.job.spec != nil && (group.hasUnstoredEnds || group.size > c.maxValueBytes() || group.job.finalState == record.Unfinished && group.boundCount < len(group.bindings)) {
-			mine = append(mine, group)
+		if c.needsScheduling(group) {
+			groups = append(groups, group)
 		}
 	}
-	slices.SortFunc(mine, func(first, second *taskGroup) int {
-		cx, cy := first.claim(), second.claim()
-		return cmp.Or(cmp.Compare(cy.Priority, cx.Priority), compareBool(cy.Guaranteed, cx.Guaranteed), byUrgency(first.job, second.job), cmp.Compare(first.number, second.number))
+	slices.SortFunc(groups, func(first, second *taskGroup) int {
+		claim, other := first.claim(), second.claim()
+		return cmp.Or(
+			cmp.Compare(other.Priority, claim.Priority),
+			compareBool(other.Guaranteed, claim.Guaranteed),
+			byUrgency(first.job, second.job),
+			cmp.Compare(first.number, second.number))
 	})
-	full := map[placementClass]bool{}
+	return groups
+}
+
+// needsScheduling tells whether a task group has ends to store, is stored in too large a
+// form, or waits for cells.
+func (c *partitionOwner) needsScheduling(group *taskGroup) bool {
+	if group.job.spec == nil {
+		return false
+	}
+	waits := group.job.finalState == record.Unfinished && group.boundCount < len(group.bindings)
+	return group.hasUnstoredEnds || group.size > c.maxValueBytes() || waits
+}
+
+// placeGroups reserves cells for the task groups that wait for them.
+func (c *partitionOwner) placeGroups(p *partition, groups []*taskGroup) {
+	exhausted := map[placementClass]bool{}
 	p.unplaced = 0
-	for _, group := range mine {
+	for _, group := range groups {
 		if !group.writing && group.job.finalState == record.Unfinished && !c.now.Before(group.job.retryAt) {
-			c.placeGroup(p, group, full)
+			c.placeGroup(p, group, exhausted)
 		}
 	}
-	for _, group := range mine {
+}
+
+// storeGroups stores what changed of a partition's task groups.
+func (c *partitionOwner) storeGroups(p *partition, groups []*taskGroup) {
+	for _, group := range groups {
 		if !group.writing {
 			c.storeGroup(p, group)
 		}
 	}
+}
+
+// storeForeignGroups stores the ends of other partitions' tasks on machines of this one.
+func (c *partitionOwner) storeForeignGroups(p *partition) {
 	for group := range p.foreignGroups {
 		if c.groups[group.index] != group || !group.hasUnstoredEnds || group.partition == p.index {
 			delete(p.foreignGroups, group)
@@ -72,120 +122,190 @@
 			c.storeGroup(p, group)
 		}
 	}
-	c.rewriteGroups(p)
-	c.stopGangs(p)
-	c.acknowledgeLoans(p)
-	if p.tokenRaiseDue {
-		c.raiseToken(p)
-	}
 }
 
 // placementClass is what decides where tasks may be placed: where there is no room for one,
-// there is none for all others of the same shape.
+// there is none for all others of the same class.
 type placementClass struct {
 	equivalenceClass, zone string
 	claim                  scheduling.Claim
 	noPreemption           bool
 }
 
-// placeGroup asks for cells for a record's pending tasks: all of a service's first
-// start together, everything else one by one. Tasks of one shape are alike, so
-// the first that finds no room speaks for all behind it; full is what has found
-// none in this step.
-func (c *partitionOwner) placeGroup(p *partition, group *taskGroup, full map[placementClass]bool) {
-	pending, busy, started := c.unplacedTasks(p, group)
-	if over := len(pending) - max(0, group.allowedTasks()-(len(group.bindings)-len(pending))); over > 0 {
-		pending = pending[:len(pending)-over]
+// placement is the search for cells for the pending tasks of one task group.
+type placement struct {
+	owner     *partitionOwner
+	partition *partition
+	group     *taskGroup
+	class     placementClass
+	score     scheduling.ScoreFunc
+	// patient: the group may preempt only where too few cells come free by themselves.
+	patient bool
+	// exhausted are the classes that found no room in this pass.
+	exhausted map[placementClass]bool
+}
+
+// newPlacement prepares the search for one task group. An array's tasks wait a little before
+// they preempt others: cells come free all the time, and what is preempted has run for
+// nothing.
+func (c *partitionOwner) newPlacement(p *partition, group *taskGroup, exhausted map[placementClass]bool) placement {
+	waited := c.now.Sub(group.inPartitionSince)
+	array := !group.job.spec.AllOrNothing()
+	return placement{
+		owner:     c,
+		partition: p,
+		group:     group,
+		class: placementClass{
+			equivalenceClass: group.job.equivalenceClass,
+			zone:             group.zone,
+			claim:            group.claim(),
+			noPreemption:     array && waited < c.operator.EvictAfter,
+		},
+		score:     c.scorer(p, group),
+		patient:   array && waited < evictionPatience*c.operator.EvictAfter,
+		exhausted: exhausted,
 	}
+}
+
+// placeGroup reserves cells for a group's pending tasks: all of a gang, and all of a service
+// that has never started, together, everything else one by one. exhausted are the classes
+// that found no room in this pass.
+func (c *partitionOwner) placeGroup(p *partition, group *taskGroup, exhausted map[placementClass]bool) {
+	pending, started := c.unplacedTasks(p, group)
+	unthrottled := max(0, group.allowedTasks()-(len(group.bindings)-len(pending)))
+	pending = pending[:min(len(pending), unthrottled)]
 	if len(pending) == 0 {
 		return
 	}
 	spec := group.job.spec
 	if spec.Gang || spec.Service && !started {
-		// All records of the job in this part are one group.
-		for _, other := range group.job.groups {
-			if other == group || other.partition != p.index {
-				continue
-			}
-			if other.number < group.number {
-				return // asked for with the first record
-			}
-			more, otherBusy, otherStarted := c.unplacedTasks(p, other)
-			pending, busy, started = append(pending, more...), busy || otherBusy, started || otherStarted
+		var first bool
+		pending, started, first = c.unplacedTasksOfJob(p, group, pending, started)
+		if !first {
+			return // placed with the job's first group
 		}
 	}
-	score := c.scorer(p, group)
-	// An array's tasks wait a little before they stop others: cells come
-	// free all the time, and what is stopped has run for nothing.
-	s := placementClass{group.job.equivalenceClass, group.zone, group.claim(), !spec.AllOrNothing() && c.now.Sub(group.inPartitionSince) < c.operator.EvictAfter}
-	// Where tasks end all the time, those at the head of the queue have a free cell
-	// before long; only what is behind them stops others, until all have waited.
-	patient := !spec.AllOrNothing() && c.now.Sub(group.inPartitionSince) < evictionPatience*c.operator.EvictAfter
-	request := func(tasks ...scheduling.Task) bool {
-		if patient && !s.noPreemption {
-			s.noPreemption = p.unplaced < p.freedCellsWithin(c.now, c.operator.EvictAfter)
-			defer func() { s.noPreemption = false }()
+	search := c.newPlacement(p, group, exhausted)
+	switch {
+	case spec.Gang:
+		if c.gangMayReserve(p, group) {
+			search.request(pending...)
 		}
-		// Machines that failed a job are barred to it alone.
-		alike := len(tasks) == 1 && len(group.job.failedOn) == 0
-		if alike && full[s] {
-			p.unplaced++
-			return false
+	case spec.Service && !started:
+		search.request(pending...)
+	default:
+		search.placeEach(pending)
+	}
+}
+
+// unplacedTasksOfJob adds the unplaced tasks of the job's other task groups in the partition
+// to those of one group. It reports whether any has been bound before, and whether the group
+// is the job's first there, with which the others are placed.
+func (c *partitionOwner) unplacedTasksOfJob(p *partition, group *taskGroup, pending []scheduling.Task, started bool) (all []scheduling.Task, anyStarted, first bool) {
+	for _, other := range group.job.groups {
+		if other == group || other.partition != p.index {
+			continue
 		}
-		g := &scheduling.Group{Tasks: tasks, TaskSize: group.job.taskSize, Claim: s.claim, NoPreemption: s.noPreemption}
-		p.cells.Request(g, score)
-		switch g.State {
-		case scheduling.Allocated:
-			c.reserveCells(p, g)
-		case scheduling.Preempting:
-			c.metrics.count(countPreempting, g.Victims())
-			c.log.Debug("group preempts", "job", group.job.id, "tasks", len(tasks))
-			for _, mi := range g.Machines {
-				c.sendCommandsNow(c.machineByIndex[mi])
-			}
-		case scheduling.Pending:
-			full[s] = full[s] || alike
-			p.unplaced++
+		if other.number < group.number {
+			return nil, false, false
 		}
-		return g.State != scheduling.Pending
+		more, otherStarted := c.unplacedTasks(p, other)
+		pending, started = append(pending, more...), started || otherStarted
 	}
-	if spec.Gang {
-		c.placeGang(p, group, pending, request)
-		return
+	return pending, started, true
+}
+
+// placeEach requests cells for tasks one by one, until there is no room for the next.
+func (s *placement) placeEach(tasks []scheduling.Task) {
+	for i, task := range tasks {
+		if s.request(task) {
+			continue
+		}
+		// The first tasks wait for the cells that come free; those behind them may preempt.
+		laterMayPreempt := s.patient && !s.class.noPreemption && i < s.freedCellsSoon()
+		if !laterMayPreempt {
+			return
+		}
 	}
-	if spec.Service && !started {
-		request(pending...)
-		return
+}
+
+// freedCellsSoon is about how many cells come free before a task that waits may preempt.
+func (s *placement) freedCellsSoon() int {
+	return s.partition.freedCellsWithin(s.owner.now, s.owner.operator.EvictAfter)
+}
+
+// classNow is the group's class at this point of the pass. Where tasks end all the time,
+// those at the head of the queue have a free cell before long; only what is behind them
+// preempts others, until all have waited.
+func (s *placement) classNow() placementClass {
+	class := s.class
+	if s.patient && !class.noPreemption {
+		class.noPreemption = s.partition.unplaced < s.freedCellsSoon()
 	}
-	for i, t := range pending {
-		if !request(t) && (!patient || s.noPreemption || i >= p.freedCellsWithin(c.now, c.operator.EvictAfter)) {
-			return
+	return class
+}
+
+// request asks for cells for tasks that are placed together; false: there is no room. Tasks
+// of one class are alike, so the first that finds no room speaks for all behind it.
+func (s *placement) request(tasks ...scheduling.Task) bool {
+	class := s.classNow()
+	// A job that avoids machines on which it failed is alike to no other.
+	alike := len(tasks) == 1 && len(s.group.job.failedOn) == 0
+	if alike && s.exhausted[class] {
+		s.partition.unplaced++
+		return false
+	}
+	request := &scheduling.Group{Tasks: tasks, TaskSize: s.group.job.taskSize, Claim: class.claim, NoPreemption: class.noPreemption}
+	s.partition.cells.Request(request, s.score)
+	switch request.State {
+	case scheduling.Allocated:
+		s.owner.reserveCells(s.partition, request)
+	case scheduling.Preempting:
+		s.owner.preempt(s.group.job, request)
+	case scheduling.Pending:
+		if alike {
+			s.exhausted[class] = true
 		}
+		s.partition.unplaced++
 	}
+	return request.State != scheduling.Pending
 }
 
-// evictionPatience is how many times evict-after a task at the head of the queue waits.
-const evictionPatience = 2
+// preempt has the victims of a Preempting group stopped.
+func (c *partitionOwner) preempt(j *job, request *scheduling.Group) {
+	c.metrics.count(countPreempting, request.Victims())
+	c.log.Debug("group preempts", "job", j.id, "tasks", len(request.Tasks))
+	for _, index := range request.Machines {
+		c.sendCommandsNow(c.machineByIndex[index])
+	}
+}
 
-// unplacedTasks lists a record's tasks that neither are nor claim to be anywhere;
-// busy: others do; started: some have run before.
-func (c *partitionOwner) unplacedTasks(p *partition, group *taskGroup) (out []scheduling.Task, busy, started bool) {
+// unplacedTasks lists a group's tasks that neither are bound nor have, or wait for, a
+// reservation; started: some have been bound before.
+func (c *partitionOwner) unplacedTasks(p *partition, group *taskGroup) (unplaced []scheduling.Task, started bool) {
 	for i := range group.bindings {
 		bound := &group.bindings[i]
-		t := group.task(bound.task)
+		task := group.task(bound.task)
 		started = started || bound.attempt > 0
-		there := bound.machine != nil
-		if o, ok := c.attemptEnds[t]; there && ok && o.attempt == bound.attempt && !o.done && !group.job.spec.Gang {
-			// Proven gone: its end and its next cell are stored together. Stored one
-			// after the other, they had the replicas of some hundred dead machines
-			// wait twice for the state service.
-			there = false
-		}
-		if _, ok := p.reservations[t]; ok || there || p.cells.PreemptingGroup(t) != nil {
-			busy = true
+		if c.holdsMachine(group, bound) || p.cells.PreemptingGroup(task) != nil {
 			continue
 		}
-		out = append(out, t)
+		if _, reserved := p.reservations[task]; !reserved {
+			unplaced = append(unplaced, task)
+		}
+	}
+	return unplaced, started
+}
+
+// holdsMachine tells whether a task is bound and not known to be lost. A lost task is placed
+// again, unless it is a gang's, before its end is stored: its end and its next binding are
+// then stored together. Stored one after the other, they had the replicas of some hundred
+// dead machines wait twice for the key-value store.
+func (c *partitionOwner) holdsMachine(group *taskGroup, bound *binding) bool {
+	if bound.machine == nil {
+		return false
 	}
-	return out, busy, started
+	end, ended := c.attemptEnds[group.task(bound.task)]
+	lost := ended && end.attempt == bound.attempt && !end.done
+	return !lost || group.job.spec.Gang
 }
