--- a/internal/controller/job_order.go
+++ b/internal/controller/job_order.go
@@ -9,9 +9,17 @@
 // jobOrder is what a job's place among others depends on.
 func (c *clusterState) jobOrder(j *job) *planning.JobOrder {
 	_, finished := j.assignedTasks()
-	return &planning.JobOrder{AllOrNothing: j.spec.AllOrNothing(), NoDeadline: j.spec.NoDeadline, Started: j.hasStarted(), OverdueTurn: planning.IsOverdueTurn(c.now.Unix()),
-		AgeS: c.now.Sub(j.acceptedAt).Seconds(), EstimateS: j.spec.EstimateS, DeadlineS: j.spec.DeadlineS, ObjectiveS: c.objectiveSeconds[j.spec.Class],
-		RemainingWork: float64(j.spec.Tasks-finished) * j.spec.EstimateS * j.spec.CPUs}
+	return &planning.JobOrder{
+		AllOrNothing:  j.spec.AllOrNothing(),
+		NoDeadline:    j.spec.NoDeadline,
+		Started:       j.hasStarted(),
+		OverdueTurn:   planning.IsOverdueTurn(c.now.Unix()),
+		AgeS:          c.now.Sub(j.acceptedAt).Seconds(),
+		EstimateS:     j.spec.EstimateS,
+		DeadlineS:     j.spec.DeadlineS,
+		ObjectiveS:    c.objectiveSeconds[j.spec.Class],
+		RemainingWork: float64(j.spec.Tasks-finished) * j.spec.EstimateS * j.spec.CPUs,
+	}
 }
 
 // arrivalBucketS is within how many seconds jobs count as coming at the same time.
@@ -20,7 +28,7 @@
 // byUrgency compares jobs by priority and urgency, each looked at once.
 func (c *clusterState) byUrgency() func(x, y *job) int {
 	known := map[*job]planning.Urgency{}
-	of := func(j *job) planning.Urgency {
+	urgency := func(j *job) planning.Urgency {
 		u, ok := known[j]
 		if !ok {
 			u = c.jobOrder(j).Urgency()
@@ -29,13 +37,25 @@
 		return u
 	}
 	return func(x, y *job) int {
-		// Of those that come at about the same time the ones with one image go
-		// together: a machine that comes up fetches one for all that it takes.
-		return cmp.Or(cmp.Compare(y.spec.Priority, x.spec.Priority), of(x).Compare(of(y)), cmp.Compare(x.acceptedAt.Unix()/arrivalBucketS, y.acceptedAt.Unix()/arrivalBucketS),
-			cmp.Compare(x.spec.Image, y.spec.Image), x.acceptedAt.Compare(y.acceptedAt), cmp.Compare(x.id, y.id))
+		return cmp.Or(
+			cmp.Compare(y.spec.Priority, x.spec.Priority),
+			urgency(x).Compare(urgency(y)),
+			compareArrival(x, y))
 	}
 }
 
+// compareArrival compares jobs by when they came. Of those that came at about the same time
+// the ones with one image go together: a machine that comes up fetches one for all that it
+// takes.
+func compareArrival(x, y *job) int {
+	return cmp.Or(
+		cmp.Compare(x.acceptedAt.Unix()/arrivalBucketS, y.acceptedAt.Unix()/arrivalBucketS),
+		cmp.Compare(x.spec.Image, y.spec.Image),
+		x.acceptedAt.Compare(y.acceptedAt),
+		cmp.Compare(x.id, y.id))
+}
+
+// compareBool orders false before true.
 func compareBool(x, y bool) int {
 	if x == y {
 		return 0
--- a/internal/controller/scoring.go
+++ b/internal/controller/scoring.go
@@ -7,93 +7,135 @@
 	"eiderhitch/internal/wire"
 )
 
-// scorer rates machines for a record's tasks; negative: not allowed.
+// A machine's score for a task is baseScore with what speaks for the machine taken off and
+// what speaks against it added: the machine with the lowest score is chosen.
+const (
+	// notAllowed is the score of a machine on which a task must not be placed.
+	notAllowed = -1
+	baseScore  = 1000.0
+	// spotScore prefers spot machines: dearer ones are left to those who need them.
+	spotScore = -500
+	// serviceScore prefers machines that run a service: they stay anyhow.
+	serviceScore = -150
+	// Free room scores one for each CPU: tight packing leaves whole machines free to be
+	// returned. Machines with more than maxScoredMilliCPUs free are alike.
+	maxScoredMilliCPUs = 100_000
+	milliCPUsPerScore  = 1000
+)
+
+// The score of the fetch of an image: of one that is cached, and for each second that a
+// fetch takes. Users notice the seconds of a service more than those of an array.
+const (
+	cachedImageScore  = -400
+	serviceFetchScore = 10
+	arrayFetchScore   = 3
+	maxFetchScore     = 600
+	// startedFetchShare is what is left, on average, of a fetch that has begun.
+	startedFetchShare = 0.5
+	// fetchTimeout is how long a fetch counts; one that nobody waits for is given up.
+	fetchTimeout = time.Minute
+)
+
+// scorer returns the function that scores machines for a group's tasks.
 func (c *partitionOwner) scorer(p *partition, group *taskGroup) scheduling.ScoreFunc {
 	spec := group.job.spec
-	return func(mi scheduling.MachineIndex, free scheduling.Resources) float64 {
-		m := c.machineByIndex[mi]
-		if !c.schedulable(m, p) || !allowed(spec, group.zone, m.machineType, m.zone, m.spot) || len(m.failedJobs) > 0 && c.avoidsJob(m, group.job) {
-			return -1
+	return func(index scheduling.MachineIndex, free scheduling.Resources) float64 {
+		m := c.machineByIndex[index]
+		if !c.mayPlace(p, group, m) {
+			return notAllowed
 		}
-		s := 1000.0 + c.fetchCost(m, spec)
+		score := baseScore + c.fetchScore(m, spec)
 		if m.spot {
-			s -= 500 // what is dear is left to those who need it
+			score += spotScore
 		}
 		if c.runsService(m) {
-			s -= 150 // it stays anyhow
+			score += serviceScore
 		}
-		// Tight packing leaves whole machines free to be returned.
-		return s + float64(min(free.CPU, 100_000))/1000
+		return score + float64(min(free.CPU, maxScoredMilliCPUs))/milliCPUsPerScore
 	}
 }
 
-// What a machine scores for an image that is there, and what it costs for each
-// second that a fetch takes. Users notice those of a service.
-const (
-	cachedImageScore  = -400
-	serviceFetchScore = 10
-	arrayFetchScore   = 3
-	maxFetchScore     = 600
-	fetchTimeout      = time.Minute // a fetch that nobody waits for is given up
-)
+// mayPlace tells whether a group's tasks may be placed on a machine now.
+func (c *partitionOwner) mayPlace(p *partition, group *taskGroup, m *machine) bool {
+	return c.schedulable(m, p) &&
+		allowed(group.job.spec, group.zone, m.machineType, m.zone, m.spot) &&
+		(len(m.failedJobs) == 0 || !c.avoidsJob(m, group.job))
+}
 
-// fetchCost is what the fetch of a job's image adds to a machine's score. Images
-// that are fetched at a time may share a machine's rate, so some hundred services
-// that come together start far later if each machine takes one of every image.
-func (c *partitionOwner) fetchCost(m *machine, spec *wire.Job) float64 {
+// fetchScore is what the fetch of a job's image adds to a machine's score. Images that are
+// fetched at the same time may share a machine's rate, so some hundred services that come
+// together start far later if each machine takes one of every image.
+func (c *partitionOwner) fetchScore(m *machine, spec *wire.Job) float64 {
 	if m.images[spec.Image] {
 		return cachedImageScore
 	}
-	t := c.machineTypes[m.machineType]
-	if t == nil || !(t.FetchGBPS > 0) {
+	machineType := c.machineTypes[m.machineType]
+	if machineType == nil || !(machineType.FetchGBPS > 0) {
 		return 0
 	}
-	others, part := 0, 1.0
-	for image, at := range m.fetching {
-		switch {
-		case c.now.Sub(at) > fetchTimeout:
-			delete(m.fetching, image)
-		case image == spec.Image:
-			part = 0.5 // some of it is there
-		default:
-			others++
-		}
+	m.dropOldFetches(c.now)
+	share, others := 1.0, len(m.fetching)
+	if _, started := m.fetching[spec.Image]; started {
+		share, others = startedFetchShare, others-1
 	}
-	each := arrayFetchScore
+	perSecond := float64(arrayFetchScore)
 	if spec.AllOrNothing() {
-		each = serviceFetchScore
+		perSecond = serviceFetchScore
+	}
+	return min(perSecond*share*spec.ImageGB*float64(1+others)/machineType.FetchGBPS, maxFetchScore)
+}
+
+// dropOldFetches forgets the fetches that have taken too long.
+func (m *machine) dropOldFetches(now time.Time) {
+	for image, since := range m.fetching {
+		if now.Sub(since) > fetchTimeout {
+			delete(m.fetching, image)
+		}
 	}
-	return min(float64(each)*part*spec.ImageGB*float64(1+others)/t.FetchGBPS, maxFetchScore)
 }
 
-// schedulable tells whether anything may be placed on a machine now. It is looked up
-// once in a step, not for each task.
+// schedulable tells whether anything may be placed on a machine now. It is looked up once in
+// a pass, not for each task.
 func (c *partitionOwner) schedulable(m *machine, p *partition) bool {
 	if m.schedulableStep != c.schedulingPass {
 		m.schedulableStep = c.schedulingPass
 		m.schedulable = c.usable(m, p) && m.terminationAt.IsZero() && !m.cordoned && !c.now.Before(m.avoidUntil) &&
-			(!c.autoscaler.Draining(m.name) || p.index == c.loanPartition()) && !c.autoscaler.Terminating(m.name) && (c.loans[m.name] == nil || p.index == c.loanPartition() && !c.loans[m.name].returning)
+			!c.autoscaler.Terminating(m.name) && !c.reservedElsewhere(m, p)
 	}
 	return m.schedulable
 }
 
-// runsService tells whether a service is bound to a machine, see planning.MachineSummary. It is
-// looked up once in a step.
+// reservedElsewhere tells whether a machine is kept free by the leader: it is being drained,
+// or on loan. Where the leader places tasks itself, only loans that are being returned are.
+func (c *partitionOwner) reservedElsewhere(m *machine, p *partition) bool {
+	loan := c.loans[m.name]
+	if p.index == c.loanPartition() {
+		return loan != nil && loan.returning
+	}
+	return loan != nil || c.autoscaler.Draining(m.name)
+}
+
+// runsService tells whether a service is bound to a machine, see planning.MachineSummary. It
+// is looked up once in a pass.
 func (c *clusterState) runsService(m *machine) bool {
 	if m.runsServiceStep != c.schedulingPass {
-		m.runsServiceStep, m.runsService = c.schedulingPass, false
-		for _, x := range m.bindings {
-			group := x.group
-			if group.job.spec != nil && group.job.spec.AllOrNothing() {
-				m.runsService = true
-				break
-			}
-		}
+		m.runsServiceStep, m.runsService = c.schedulingPass, m.hasServiceBinding()
 	}
 	return m.runsService
 }
 
-// allowed tells whether a job's task may be on a machine at all.
-func allowed(spec *wire.Job, pinned, typ, zone string, spot bool) bool {
-	return (pinned == "" || pinned == zone) && spec.Allows(typ, zone, spot)
+// hasServiceBinding tells whether a task of a service or gang is bound to a machine.
+func (m *machine) hasServiceBinding() bool {
+	for _, x := range m.bindings {
+		if spec := x.group.job.spec; spec != nil && spec.AllOrNothing() {
+			return true
+		}
+	}
+	return false
+}
+
+// allowed tells whether a job's task may be on a machine at all; pinnedZone is the zone that
+// its group must be in, if any.
+func allowed(spec *wire.Job, pinnedZone, machineType, zone string, spot bool) bool {
+	return (pinnedZone == "" || pinnedZone == zone) && spec.Allows(machineType, zone, spot)
 }
