--- /dev/null
+++ b/internal/controller/bindings_write.go
@@ -0,0 +1,191 @@
+package controller
+
+import (
+	"errors"
+	"slices"
+
+	"eiderhitch/internal/record"
+	"eiderhitch/internal/store"
+	"eiderhitch/internal/wire"
+)
+
+// updateWrite is the write of a task group's update on its way to the key-value store.
+type updateWrite struct {
+	partition *partition
+	group     *taskGroup
+	update    *groupUpdate
+	// token is the fencing token that the write is made under.
+	token uint64
+	// finishesJob: the write also makes the job final.
+	finishesJob bool
+	// splitMachines are those of new bindings of a group that is stored in several pieces:
+	// a task may have moved to another piece, where the group does not show its machine.
+	splitMachines []*machine
+}
+
+// writeUpdate submits the write that carries an update out.
+func (c *partitionOwner) writeUpdate(p *partition, group *taskGroup, update *groupUpdate) {
+	job := group.job
+	w := &updateWrite{partition: p, group: group, update: update, token: p.token, finishesJob: c.endsJob(group, update)}
+	write := &store.Write{
+		Prompt: job.spec.Gang && len(update.newlyBound) > 0,
+		// Services first: when hundreds of machines are lost together, or all leases have
+		// expired in an outage, what is to be stored takes longer than users wait.
+		Early:      job.spec.AllOrNothing(),
+		Conditions: updateConditions(p, group),
+	}
+	c.addPieces(w, write)
+	if w.finishesJob {
+		job.finishing = true
+		final := record.JSON(record.Job{FinalState: record.Done})
+		write.Changes = append(write.Changes, wire.Change{Put: jobKey(job.id), Value: final})
+	}
+	group.writing, group.write = true, write
+	c.metrics.count(countStored, 1)
+	c.SubmitWrite(write, func(err error) { c.updateCompleted(w, err) })
+}
+
+// updateConditions have a write fail if the partition has another owner by then, or the task
+// group has been written by somebody else.
+func updateConditions(p *partition, group *taskGroup) []wire.Condition {
+	conditions := []wire.Condition{
+		{Key: p.key, Revision: p.token},
+		{Key: group.key, Revision: group.revision},
+	}
+	if job := group.job; job.finalState == record.Unfinished {
+		// Binding and completing race with a cancellation: only one can hold.
+		conditions = append(conditions, wire.Condition{Key: jobKey(job.id), Revision: job.revision})
+	}
+	return conditions
+}
+
+// addPieces adds a task group's content to its write, in new groups what does not fit into one
+// value. New groups come first: what moves to them is adopted there before it is given up
+// here.
+func (c *partitionOwner) addPieces(w *updateWrite, write *store.Write) {
+	job := w.group.job
+	pieces := c.splitToFit(w.group, w.update.done, w.update.bindings)
+	if len(pieces) > 1 {
+		for _, task := range w.update.newlyBound {
+			w.splitMachines = append(w.splitMachines, w.partition.reservations[task].machine)
+		}
+	}
+	for _, piece := range pieces[1:] {
+		key := groupKey(job.id, job.newGroupNumber())
+		write.Conditions = append(write.Conditions, wire.Condition{Key: key})
+		write.Changes = append(write.Changes, wire.Change{Put: key, Value: piece.At(key)})
+	}
+	write.Changes = append(write.Changes, wire.Change{Put: w.group.key, Value: pieces[0].At(w.group.key)})
+}
+
+// endsJob tells whether an update completes the last tasks of a job.
+func (c *partitionOwner) endsJob(group *taskGroup, update *groupUpdate) bool {
+	job := group.job
+	if job.finalState != record.Unfinished || job.finishing || update.done == group.done {
+		return false
+	}
+	_, finished := job.assignedTasks()
+	return finished+update.done-group.done == job.spec.Tasks
+}
+
+// updateCompleted takes in the result of a write.
+func (c *partitionOwner) updateCompleted(w *updateWrite, err error) {
+	group, job := w.group, w.group.job
+	group.writing, group.write = false, nil
+	if w.finishesJob {
+		job.finishing = false
+	}
+	if job.finalState != record.Unfinished && group.partition == w.partition.index {
+		c.cancelReservations(group, true) // what came to it while the write was on its way
+	}
+	switch {
+	case err != nil:
+		c.updateFailed(w, err)
+	case w.partition.token == w.token:
+		c.updateStored(w)
+	}
+}
+
+// updateFailed gives up the reservations of an update that is not stored as far as is known;
+// what the key-value store really has is read before anything else is done.
+func (c *partitionOwner) updateFailed(w *updateWrite, err error) {
+	p, group := w.partition, w.group
+	c.log.Debug("record write failed", "key", group.key, "err", err)
+	if errors.Is(err, store.ErrInvalid) {
+		c.log.Error("record is refused as invalid", "key", group.key, "entries", len(w.update.bindings))
+		group.retryWriteAt = c.now.Add(invalidWriteBackoff)
+	}
+	if p.token != 0 {
+		for _, task := range w.update.newlyBound {
+			if _, ok := p.reservations[task]; ok {
+				delete(p.reservations, task)
+				c.freeCell(p, task)
+			}
+		}
+	}
+	group.writing = true
+	c.reader.AfterSuccessfulRead(func() {
+		group.writing = false
+		c.requestPass()
+	})
+}
+
+// updateStored has what an update binds started, and forgets the ends that it stored.
+func (c *partitionOwner) updateStored(w *updateWrite) {
+	c.noteBound(w)
+	for _, x := range w.update.ended {
+		if c.attemptEnds[x.task] == x.end {
+			delete(c.attemptEnds, x.task)
+		}
+	}
+	for _, m := range w.machinesToCommand() {
+		c.sendCommandsNow(m)
+	}
+	c.requestPass()
+}
+
+// noteBound counts and logs the new bindings of an update that is stored.
+func (c *partitionOwner) noteBound(w *updateWrite) {
+	job := w.group.job
+	c.metrics.count(countBound, len(w.update.newlyBound))
+	for _, task := range w.update.newlyBound {
+		bound := w.group.binding(task.Number)
+		if bound == nil || bound.machine == nil {
+			continue
+		}
+		c.log.Debug("task bound", "task", taskName(job.id, task.Number), "attempt", bound.attempt, "machine", bound.machine.name)
+		if bound.attempt == 1 {
+			c.metrics.observe(latencyBind, c.now.Sub(job.acceptedAt))
+		}
+	}
+}
+
+// machinesToCommand lists, each once, the machines on which a stored update has something
+// started. A gang starts when all of it is bound, also on machines that were bound before
+// the last.
+func (w *updateWrite) machinesToCommand() []*machine {
+	group, job := w.group, w.group.job
+	listed := map[*machine]bool{}
+	var machines []*machine
+	add := func(m *machine) {
+		if !listed[m] {
+			listed[m] = true
+			machines = append(machines, m)
+		}
+	}
+	for _, m := range w.splitMachines {
+		add(m)
+	}
+	if len(w.update.newlyBound) > 0 && job.spec != nil && job.spec.Gang && job.gangBound() {
+		for m := range job.machines() {
+			add(m)
+		}
+	}
+	for i := range group.bindings {
+		bound := &group.bindings[i]
+		if bound.machine != nil && slices.Contains(w.update.newlyBound, group.task(bound.task)) {
+			add(bound.machine)
+		}
+	}
+	return machines
+}
