--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -30,13 +30,13 @@
 	}
 }
 
-// lookupJob is the job of that name, if one was ever accepted.
+// lookupJob is the job of that id, if one was ever accepted.
 func (c *catalog) lookupJob(id string) *job {
 	if j := c.jobs[id]; j != nil && j.revision != 0 {
 		return j
 	}
-	if fate, ok := c.finished[id]; ok {
-		return &job{id: id, revision: 1, finalState: fate}
+	if final, ok := c.finished[id]; ok {
+		return &job{id: id, revision: 1, finalState: final}
 	}
 	return nil
 }
@@ -54,8 +54,8 @@
 	return j
 }
 
-// restoreJob puts a job among those that the leader goes through. Jobs are remembered
-// for ever: a step must not cost more for each that has ever been.
+// restoreJob puts a job among the unfinished ones, which the leader goes through. Jobs are
+// remembered for ever: a pass must not cost more for each that has ever been.
 func (c *catalog) restoreJob(j *job) {
 	if !j.inUnfinished {
 		j.inUnfinished = true
@@ -63,14 +63,14 @@
 	}
 }
 
-// archiveFinished takes jobs that are over and cleared up out of those at hand. Of each no
-// more is kept than its fate, which is for ever: some fifty bytes a job. That nothing
-// of it is left is known only once all changes before its last one are: a record that
-// was stored before a cancellation of ours may be seen after it, and its tasks count
-// for the team's limit.
+// archiveFinished archives the jobs that are final and have no task groups left. Of each no
+// more is kept than its final state, for ever: some fifty bytes a job. That nothing of it is
+// left is known only once all changes before its last one are: a task group that was stored
+// before a cancellation by this controller may be read after it, and its tasks count for
+// the team's quota.
 func (c *catalog) archiveFinished(records *replica.Replica) {
 	c.unfinished = slices.DeleteFunc(c.unfinished, func(j *job) bool {
-		if j.finalState == record.Unfinished || len(j.groups) > 0 || j.revision > records.Cursor() || j.hasUnreadableRecords() {
+		if !j.isCleared(records.Cursor()) || j.hasUnreadableRecords() {
 			return false
 		}
 		j.inUnfinished = false
@@ -84,7 +84,7 @@
 // lookup finds a task by its name: its job, the task group that it is assigned in, and its
 // binding. What is not known is nil.
 func (c *catalog) lookup(name string) (*job, *taskGroup, *binding) {
-	id, num, ok := parseTask(name)
+	id, number, ok := parseTask(name)
 	if !ok {
 		return nil, nil, nil
 	}
@@ -92,11 +92,11 @@
 	if j == nil {
 		return nil, nil, nil
 	}
-	group := j.groupOfTask[num]
+	group := j.groupOfTask[number]
 	if group == nil {
 		return j, nil, nil
 	}
-	return j, group, group.binding(num)
+	return j, group, group.binding(number)
 }
 
 // team is the index of a team; one that is not configured gets the next.
@@ -109,10 +109,13 @@
 	return t
 }
 
-// newGroup begins a record that has not been seen before.
+// newGroup adds a task group that has not been seen before.
 func (c *catalog) newGroup(key, id string, number int, now time.Time) *taskGroup {
 	job := c.job(id)
-	group := &taskGroup{key: key, index: scheduling.GroupIndex(len(c.groups)), number: number, job: job, inPartitionSince: now, partition: -1}
+	group := &taskGroup{
+		key: key, index: scheduling.GroupIndex(len(c.groups)), number: number, job: job,
+		inPartitionSince: now, partition: noPartition,
+	}
 	c.groups = append(c.groups, group)
 	c.groupByKey[key] = group
 	c.restoreJob(job)
@@ -123,7 +126,14 @@
 	return group
 }
 
-// allGroups goes through all records there are.
+// removeGroup removes a task group that is stored no more.
+func (c *catalog) removeGroup(group *taskGroup) {
+	group.job.groups = slices.DeleteFunc(group.job.groups, func(other *taskGroup) bool { return other == group })
+	delete(c.groupByKey, group.key)
+	c.groups[group.index] = nil
+}
+
+// allGroups goes through all task groups there are.
 func (c *clusterState) allGroups() iter.Seq[*taskGroup] {
 	return func(yield func(*taskGroup) bool) {
 		for _, p := range c.partitions {
@@ -136,33 +146,31 @@
 	}
 }
 
-// moveToPartition moves a record to another part's list; -1: to none.
-func (c *clusterState) moveToPartition(group *taskGroup, part int) {
-	if group.listPosition > 0 && group.partition == part {
-		return
-	}
+// moveToPartition moves a task group to another partition's list, or to none.
+func (c *clusterState) moveToPartition(group *taskGroup, to int) {
 	if group.listPosition > 0 {
-		l := c.partitions[group.partition].groups
-		last := l[len(l)-1]
-		l[group.listPosition-1], last.listPosition = last, group.listPosition
-		l[len(l)-1] = nil
-		c.partitions[group.partition].groups, group.listPosition = l[:len(l)-1], 0
+		if group.partition == to {
+			return
+		}
+		c.partitions[group.partition].removeGroup(group)
 	}
-	if part >= 0 {
-		c.partitions[part].groups = append(c.partitions[part].groups, group)
-		group.listPosition = len(c.partitions[part].groups)
+	if to != noPartition {
+		c.partitions[to].addGroup(group)
 	}
 }
 
+// unlinkBindings removes a group's tasks from the machines that they are bound to, and from
+// their job.
 func (c *clusterState) unlinkBindings(group *taskGroup) {
 	for i := range group.bindings {
 		bound := &group.bindings[i]
-		if bound.machine != nil {
-			bound.machine.bindings.remove(group.task(bound.task))
-			// Of a machine that is in another part than the record, as one that was lent
-			// and died: adopted there, the cell would stay taken for good.
-			if p := c.partitions[bound.machine.partition]; bound.machine.partition != group.partition && p.token != 0 {
-				c.freeCell(p, group.task(bound.task))
+		task := group.task(bound.task)
+		if m := bound.machine; m != nil {
+			m.bindings.remove(task)
+			// Of a machine that is in another partition than the group, as one that was on
+			// loan and failed: adopted there, the cell would stay taken for good.
+			if p := c.partitions[m.partition]; p.index != group.partition && p.token != 0 {
+				c.freeCell(p, task)
 			}
 		}
 		if group.job.groupOfTask[bound.task] == group {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -24,12 +24,6 @@
 	send func(peer string, frame []byte)
 }
 
-// tombstone is a marker of machines that are gone, and since when it is known.
-type tombstone struct {
-	names []string
-	at    time.Time
-}
-
 // enqueue runs f in the actor; it blocks while the lane is full.
 func (c *clusterState) enqueue(l priority, f func()) { c.events.put(c.ctx, l, f) }
 
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -8,12 +8,21 @@
 	"eiderhitch/internal/wire"
 )
 
+// markUnreadable notes that a record of the job can't be decoded.
+func (j *job) markUnreadable(key string) {
+	if j.unreadable == nil {
+		j.unreadable = map[string]bool{}
+	}
+	j.unreadable[key] = true
+}
+
 // markReadable notes that a record of the job can be decoded, or is gone.
 func (j *job) markReadable(key string) { delete(j.unreadable, key) }
 
 // hasUnreadableRecords tells whether a record of the job can't be decoded.
 func (j *job) hasUnreadableRecords() bool { return len(j.unreadable) > 0 }
 
+// job is a job that is not archived, with its task groups.
 type job struct {
 	id          string
 	revision    uint64
@@ -23,27 +32,27 @@
 	taskSize    scheduling.Resources
 	team        scheduling.TeamIndex
 	groups      []*taskGroup
-	groupOfTask map[int32]*taskGroup // of each task that is dealt and not done
+	groupOfTask map[int32]*taskGroup // of each task that is assigned and not done
 
-	inUnfinished bool // among controller.unfinished
+	inUnfinished bool // listed in catalog.unfinished
 	// unreadable are the keys of its records that can't be decoded.
 	unreadable       map[string]bool
 	equivalenceClass string // what jobs alike in need and permissions share
 	nextGroupNumber  int
 	assignedAt       time.Time
-	finishing        bool            // a write of the fate is in flight
+	finishing        bool            // a write of the final state is in flight
 	failedOn         map[string]bool // machines on which tasks of it failed
 	retryAt          time.Time       // nothing of it is placed before then
 
 	// Of a gang: the last attempt that was seen to run, that can't be completed, that
-	// was told to stop; and whether a task of it, and so all, got done.
+	// was sent a stop; and whether a task of it, and so all, is done.
 	startedAttempt, failedAttempt, stoppedAttempt uint64
 	gangCompleted                                 bool
 	// incompleteSince is since when only some tasks of a gang's attempt have been bound.
 	incompleteSince time.Time
 }
 
-// newGroupNumber is the number of a record that the job has never had.
+// newGroupNumber is the number of a task group that the job has never had.
 func (j *job) newGroupNumber() int {
 	for _, group := range j.groups {
 		j.nextGroupNumber = max(j.nextGroupNumber, group.number+1)
@@ -52,6 +61,8 @@
 	return j.nextGroupNumber - 1
 }
 
+// assignedTasks counts the tasks that are or were assigned to partitions, and those of them
+// that are done.
 func (j *job) assignedTasks() (n, finished int) {
 	for _, group := range j.groups {
 		n += len(group.bindings) + group.done
@@ -60,7 +71,7 @@
 	return n, finished
 }
 
-// hasWaitingTasks tells whether tasks of the job have not been dealt yet, or stand back.
+// hasWaitingTasks tells whether tasks of the job have not been assigned yet, or are throttled.
 func (j *job) hasWaitingTasks() bool {
 	n := 0
 	for _, group := range j.groups {
@@ -72,7 +83,7 @@
 	return n < j.spec.Tasks
 }
 
-// unplacedTasks counts the tasks that are dealt and neither placed nor done.
+// unplacedTasks counts the tasks that are assigned and neither bound nor done.
 func (j *job) unplacedTasks() int {
 	n := 0
 	for _, group := range j.groups {
@@ -81,7 +92,7 @@
 	return n
 }
 
-// hasStarted tells whether a task of the job has ever been placed.
+// hasStarted tells whether a task of the job has ever been bound.
 func (j *job) hasStarted() bool {
 	for _, group := range j.groups {
 		if group.done > 0 {
@@ -96,10 +107,16 @@
 	return false
 }
 
+// isCleared tells whether a job is final and has no task groups left. The replica has all
+// changes up to cursor.
+func (j *job) isCleared(cursor uint64) bool {
+	return j.finalState != record.Unfinished && len(j.groups) == 0 && j.revision <= cursor
+}
+
 // releaseDetails drops what a final job needs no more; its final state is kept for ever. The
 // replica has all changes up to cursor.
 func (j *job) releaseDetails(cursor uint64) {
-	if j.finalState != record.Unfinished && len(j.groups) == 0 && j.revision <= cursor {
+	if j.isCleared(cursor) {
 		j.spec, j.groups, j.groupOfTask = nil, nil, nil
 	}
 }
--- a/internal/controller/keys.go
+++ b/internal/controller/keys.go
@@ -5,14 +5,7 @@
 	"strings"
 )
 
-// splitGroupKey takes a group record's key apart.
-func splitGroupKey(key string) (id string, k int, ok bool) {
-	id, num, ok := strings.Cut(strings.TrimPrefix(key, groupPrefix), "/")
-	k, err := strconv.Atoi(num)
-	return id, k, ok && err == nil
-}
-
-// Keys of the stored records.
+// Keys of the stored records. Those of leases and of the rollout are in package rollout.
 const (
 	keyPrefix       = "e/"
 	machineTypesKey = "e/types"
@@ -22,14 +15,64 @@
 	loanPrefix      = "e/lend/"
 )
 
+// keyKind is the kind of record that a key holds.
+type keyKind int
+
+const (
+	otherKind keyKind = iota // not a record of this package
+	jobKind
+	groupKind
+	machineTypesKind
+	tombstoneKind
+	loanKind
+)
+
+// parseKey returns the kind of a key, and what follows the kind's prefix: the name of the
+// job, the task group or the machine.
+func parseKey(key string) (kind keyKind, name string) {
+	if key == machineTypesKey {
+		return machineTypesKind, ""
+	}
+	if name, ok := strings.CutPrefix(key, groupPrefix); ok {
+		return groupKind, name
+	}
+	if name, ok := strings.CutPrefix(key, jobPrefix); ok {
+		return jobKind, name
+	}
+	if name, ok := strings.CutPrefix(key, tombstonePrefix); ok {
+		return tombstoneKind, name
+	}
+	if name, ok := strings.CutPrefix(key, loanPrefix); ok {
+		return loanKind, name
+	}
+	return otherKind, ""
+}
+
+// jobKey is the key of a job.
 func jobKey(id string) string { return jobPrefix + id }
 
-func groupKey(id string, k int) string { return groupPrefix + id + "/" + strconv.Itoa(k) }
+// groupKey is the key of a job's task group.
+func groupKey(id string, number int) string { return groupPrefix + id + "/" + strconv.Itoa(number) }
+
+// tombstoneKey is the key of a tombstone; it has the name of its first machine.
+func tombstoneKey(machine string) string { return tombstonePrefix + machine }
+
+// loanKey is the key of a machine's loan.
+func loanKey(machine string) string { return loanPrefix + machine }
+
+// splitGroupKey takes a task group's key apart.
+func splitGroupKey(key string) (id string, number int, ok bool) {
+	id, digits, ok := strings.Cut(strings.TrimPrefix(key, groupPrefix), "/")
+	number, err := strconv.Atoi(digits)
+	return id, number, ok && err == nil
+}
 
-func taskName(id string, n int32) string { return id + "/" + strconv.Itoa(int(n)) }
+// taskName is the name by which workers know a job's task.
+func taskName(id string, number int32) string { return id + "/" + strconv.Itoa(int(number)) }
 
-func parseTask(s string) (id string, num int32, ok bool) {
-	id, digits, ok := strings.Cut(s, "/")
+// parseTask takes a task's name apart.
+func parseTask(name string) (id string, number int32, ok bool) {
+	id, digits, ok := strings.Cut(name, "/")
 	n, err := strconv.ParseInt(digits, 10, 32)
 	return id, int32(n), ok && err == nil
 }
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -7,38 +7,38 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// partition is one hash part of the machines.
+// partition is one hash partition of the machines, or the leader's, of machines on loan.
 type partition struct {
 	index            int
 	key              string
-	token            uint64 // stamp of our holding; 0: not ours
-	firstToken       uint64 // the first of our terms since it was last taken
-	mostNotReceiving bool   // most of its machines seem not to hear us: see machine.notReceiving
+	token            uint64 // fencing token of its lease; 0: not owned by this controller
+	firstToken       uint64 // the first token since the lease was last acquired
+	mostNotReceiving bool   // most of its machines seem not to receive: see machine.notReceiving
 	ownedSince       time.Time
-	active           bool // replica was read after the take-over
+	active           bool // the replica was read after the failover
 	cells            *scheduling.Partition
 	reservations     map[scheduling.Task]reservation
 	tokenRaiseDue    bool
 	tokenRaisedAt    time.Time
-	// machines are those that are in the part, whoever owns it.
+	// machines are those that are in the partition, whoever owns it.
 	machines []*machine
-	groups   []*taskGroup // that it is in charge of
-	// foreignGroups are records of other parts of which tasks have ended on a machine of this
-	// one, as on one that was lent and came back when its borrower ended: nobody else
-	// knows, and who is in charge of the record would wait for ever.
+	groups   []*taskGroup // that are assigned to it
+	// foreignGroups are task groups of other partitions of which tasks have ended on a machine
+	// of this one, as on one that was on loan and came back when its borrower ended: nobody
+	// else knows, and the owner of the group would wait for ever.
 	foreignGroups map[*taskGroup]bool
-	unplaced      int // tasks that found no cell in this step so far
-	// Cells that came free since endsSince, and in the time before that.
+	unplaced      int // tasks that found no cell in this pass so far
+	// Cells that came free since freedCellsSince, and in the window before that.
 	freedCells, freedCellsBefore int
 	freedCellsSince              time.Time
 	// mostUnreachable as counted at a time, see there.
 	mostUnreachable bool
 	countedAt       time.Time
-	// formerOwnerStaleness is how long a former owner may go on answering reports.
+	// formerOwnerStaleness is how long a former owner may go on answering heartbeats.
 	formerOwnerStaleness time.Duration
 }
 
-// reservation is a claimed cell whose binding is not stored yet.
+// reservation is a reserved cell whose binding is not stored yet.
 type reservation struct {
 	machine     *machine
 	incarnation uint64
@@ -51,7 +51,7 @@
 	failed  bool
 }
 
-// freedCellsWindow is the time over which a part's ends are counted.
+// freedCellsWindow is the time over which the cells that come free are counted.
 const freedCellsWindow = 5 * time.Second
 
 // countFreedCell counts a cell that came free.
@@ -74,14 +74,32 @@
 	return int(int64(p.freedCellsBefore) * int64(d) / int64(freedCellsWindow))
 }
 
-// partitionOf is the part that a machine belongs to.
-func partitionOf(machine string, parts int) int {
+// mixingFactor is an odd number without a pattern, which spreads changes over all bits.
+const mixingFactor = 0x2c1b3c6d
+
+// addGroup adds a task group to those of the partition.
+func (p *partition) addGroup(group *taskGroup) {
+	p.groups = append(p.groups, group)
+	group.listPosition = len(p.groups)
+}
+
+// removeGroup removes a task group from those of the partition. The last takes its place.
+func (p *partition) removeGroup(group *taskGroup) {
+	end := len(p.groups) - 1
+	last := p.groups[end]
+	p.groups[group.listPosition-1], last.listPosition = last, group.listPosition
+	p.groups[end] = nil
+	p.groups, group.listPosition = p.groups[:end], 0
+}
+
+// partitionOf is the hash partition that a machine belongs to, of count.
+func partitionOf(machine string, count int) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(machine))
 	// FNV's low bits alone are uneven for names that differ in a digit.
 	v := h.Sum32()
 	v ^= v >> 15
-	v *= 0x2c1b3c6d
+	v *= mixingFactor
 	v ^= v >> 12
-	return int(v % uint32(parts))
+	return int(v % uint32(count))
 }
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"slices"
 	"strings"
 	"time"
 
@@ -13,43 +12,78 @@
 	"eiderhitch/internal/wire"
 )
 
-// What the stored values mean: their decoding and the indices over them.
+// What the replica tells of stored values: their decoding by the kind of their keys, and what
+// follows from their changes.
 
-// decodeRecord takes a stored value in by the kind of its key. An error means that the value
-// can't be read.
-func (c *controller) decodeRecord(key string, raw json.RawMessage, stamp uint64) error {
+// PutValue takes in a value that is new or has changed.
+func (c *controller) PutValue(key string, value json.RawMessage, revision uint64) {
+	if err := c.decodeRecord(key, value, revision); err != nil {
+		c.noteUndecodable(key, err)
+	}
+}
+
+// DeleteValue forgets a stored value.
+func (c *controller) DeleteValue(key string) {
+	kind, name := parseKey(key)
 	switch {
-	case strings.HasPrefix(key, groupPrefix):
-		v, form, err := record.DecodeTaskGroup(key, raw)
-		if err != nil {
-			return err
-		}
-		return c.putGroup(key, v, storedValue{revision: stamp, size: len(raw), encoding: form})
-	case strings.HasPrefix(key, jobPrefix):
-		return c.putJobValue(key, raw, stamp)
-	case key == machineTypesKey:
-		return decodeInto(raw, func(v []wire.MachineType) { c.putMachineTypes(v); c.autoscaler.MachineTypesStored() })
-	case strings.HasPrefix(key, tombstonePrefix):
-		names := []string{strings.TrimPrefix(key, tombstonePrefix)} // of an older version: true
-		var more []string
-		if wire.Decode(raw, &more) == nil && len(more) > 0 {
-			names = more
-		}
-		c.putTombstone(key, names)
-		return nil
-	case strings.HasPrefix(key, loanPrefix):
-		return decodeInto(raw, func(v record.MachineLoan) { c.putLoan(strings.TrimPrefix(key, loanPrefix), &v, stamp) })
+	case kind == groupKind:
+		c.deleteGroup(key)
+	case kind == tombstoneKind:
+		c.deleteTombstone(key)
+	case kind == loanKind:
+		c.deleteLoan(name)
 	case key == rollout.StateKey:
-		return c.putRolloutState(raw, stamp)
+		c.setRolloutState(rollout.Initial, 0, nil)
 	case strings.HasPrefix(key, rollout.ControllerPrefix):
-		return c.putRegistration(strings.TrimPrefix(key, rollout.ControllerPrefix), raw, stamp)
+		delete(c.rollout.controllers, strings.TrimPrefix(key, rollout.ControllerPrefix))
+	default:
+		c.election.ObserveVacancy(key)
+	}
+}
+
+// ChangesApplied counts the time that the changes of a watch took.
+func (c *controller) ChangesApplied(begun time.Time) {
+	c.metrics.addBusyTime(activityReplica, begun)
+}
+
+// decodeRecord takes a stored value in by the kind of its key. An error means that the value
+// can't be decoded.
+func (c *controller) decodeRecord(key string, raw json.RawMessage, revision uint64) error {
+	kind, name := parseKey(key)
+	switch kind {
+	case groupKind:
+		return c.putGroupValue(key, raw, revision)
+	case jobKind:
+		return c.putJobValue(key, name, raw, revision)
+	case machineTypesKind:
+		return decodeInto(raw, func(list []wire.MachineType) {
+			c.putMachineTypes(list)
+			c.autoscaler.MachineTypesStored()
+		})
+	case tombstoneKind:
+		c.putTombstone(key, tombstoneNames(name, raw))
+		return nil
+	case loanKind:
+		return decodeInto(raw, func(loan record.MachineLoan) { c.putLoan(name, &loan, revision) })
+	case otherKind:
 	}
-	return decodeInto(raw, func(v record.LeaseHolder) {
-		c.election.ObserveHolder(key, v, stamp)
+	return c.decodeOther(key, raw, revision)
+}
+
+// decodeOther takes in the records of a rollout and the holders of leased keys.
+func (c *controller) decodeOther(key string, raw json.RawMessage, revision uint64) error {
+	if key == rollout.StateKey {
+		return c.putRolloutState(raw, revision)
+	}
+	if name, ok := strings.CutPrefix(key, rollout.ControllerPrefix); ok {
+		return c.putRegistration(name, raw, revision)
+	}
+	return decodeInto(raw, func(holder record.LeaseHolder) {
+		c.election.ObserveHolder(key, holder, revision)
 	})
 }
 
-// decodeInto takes a value in if it can be read.
+// decodeInto takes a value in if it can be decoded.
 func decodeInto[T any](raw json.RawMessage, take func(T)) error {
 	var v T
 	if err := wire.Decode(raw, &v); err != nil {
@@ -59,114 +93,87 @@
 	return nil
 }
 
-func (c *controller) putJobValue(key string, raw json.RawMessage, stamp uint64) error {
-	var v record.Job
-	if err := wire.Decode(raw, &v); err != nil {
-		return err
-	}
-	id := strings.TrimPrefix(key, jobPrefix)
-	if _, over := c.finished[id]; over {
-		c.replica.Forget(key) // it stays so, whatever comes late
-		return nil
-	}
-	c.putJob(id, &v, stamp)
-	c.job(id).markReadable(key)
-	return nil
-}
-
-// noteUndecodable names a record that this version can't read. Nothing is guessed:
-// its job is neither dealt nor ended, and its user is told to come back.
+// noteUndecodable names a record that this version can't decode. Nothing is guessed: its job
+// is neither assigned nor ended, and its user is told to come back.
 func (c *controller) noteUndecodable(key string, err error) {
 	c.log.Error("stored record can't be decoded; it is left alone", "key", key, "err", err)
 	c.metrics.count(countUndecodable, 1)
-	id, ok := strings.CutPrefix(key, jobPrefix)
-	if strings.HasPrefix(key, groupPrefix) {
-		id, _, ok = splitGroupKey(key)
+	var job *job
+	switch kind, name := parseKey(key); kind {
+	case jobKind:
+		job = c.job(name)
+	case groupKind:
 		c.rollout.unreadable[key] = true
+		if id, _, ok := splitGroupKey(key); ok {
+			job = c.job(id)
+		}
+	default:
 	}
-	if !ok {
-		return
-	}
-	job := c.job(id)
-	if job.unreadable == nil {
-		job.unreadable = map[string]bool{}
+	if job != nil {
+		job.markUnreadable(key)
 	}
-	job.unreadable[key] = true
 }
 
-// PutValue takes in a value that is new or has changed.
-func (c *controller) PutValue(key string, value json.RawMessage, revision uint64) {
-	if err := c.decodeRecord(key, value, revision); err != nil {
-		c.noteUndecodable(key, err)
+// putJobValue takes a job in, unless it is archived: a final job stays so, whatever comes
+// late.
+func (c *controller) putJobValue(key, id string, raw json.RawMessage, revision uint64) error {
+	var v record.Job
+	if err := wire.Decode(raw, &v); err != nil {
+		return err
 	}
-}
-
-// ChangesApplied counts the time that the changes of a watch took.
-func (c *controller) ChangesApplied(begun time.Time) {
-	c.metrics.addBusyTime(activityReplica, begun)
-}
-
-// DeleteValue forgets a stored value.
-func (c *controller) DeleteValue(key string) {
-	switch {
-	case strings.HasPrefix(key, groupPrefix):
-		c.markGroupReadable(key)
-		if group := c.groupByKey[key]; group != nil {
-			c.rollout.groupsByEncoding[group.encoding]--
-			c.releaseCells(group, nil)
-			c.unlinkBindings(group)
-			c.moveToPartition(group, -1)
-			group.job.groups = slices.DeleteFunc(group.job.groups, func(first *taskGroup) bool { return first == group })
-			delete(c.groupByKey, key)
-			c.groups[group.index] = nil
-		}
-	case strings.HasPrefix(key, tombstonePrefix):
-		for _, n := range c.tombstones[key].names {
-			delete(c.terminated, n)
-		}
-		delete(c.tombstones, key)
-	case strings.HasPrefix(key, loanPrefix):
-		c.deleteLoan(strings.TrimPrefix(key, loanPrefix))
-	case key == rollout.StateKey:
-		c.setRolloutState(rollout.Initial, 0, nil)
-	case strings.HasPrefix(key, rollout.ControllerPrefix):
-		delete(c.rollout.controllers, strings.TrimPrefix(key, rollout.ControllerPrefix))
-	default:
-		c.election.ObserveVacancy(key)
+	if _, archived := c.finished[id]; archived {
+		c.replica.Forget(key)
+		return nil
 	}
+	c.putJob(id, &v, revision)
+	c.job(id).markReadable(key)
+	return nil
 }
 
-func (c *controller) putJob(id string, v *record.Job, stamp uint64) {
+// putJob takes a job in.
+func (c *controller) putJob(id string, v *record.Job, revision uint64) {
 	job := c.job(id)
 	if job.revision != 0 && job.finalState != v.FinalState {
 		c.log.Info("job is over", "job", id, "fate", v.FinalState.String())
 	}
 	before := job.finalState
-	job.revision, job.finalState = stamp, v.FinalState
+	job.revision, job.finalState = revision, v.FinalState
 	if v.Spec != nil {
-		job.spec = v.Spec
-		job.acceptedAt = time.UnixMilli(v.AcceptedAtMS)
-		job.taskSize = scheduling.NewResources(v.Spec.CPUs, v.Spec.GPUs, v.Spec.RAMGB)
-		job.equivalenceClass = fmt.Sprint(v.Spec.CPUs, v.Spec.GPUs, v.Spec.RAMGB, v.Spec.MachineTypes, v.Spec.Zone, v.Spec.Spot, v.Spec.Priority, v.Spec.AllOrNothing(), v.Spec.Team)
-		job.team = c.team(v.Spec.Team)
+		c.setSpec(job, v)
 	}
 	if job.finalState != record.Unfinished {
 		job.releaseDetails(c.replica.Cursor())
-		for _, group := range job.groups {
-			if before == record.Unfinished {
-				group.cancelWrite() // it has the former version of the job among its conditions
-			}
-			c.cancelReservations(group, !group.writing)
-			for i := range group.bindings {
-				if m := group.bindings[i].machine; m != nil {
-					c.sendCommandsNow(m)
-				}
+		c.stopFinalJob(job, before)
+	}
+	c.requestPass()
+}
+
+// setSpec notes what a job asks for, and what follows from that.
+func (c *controller) setSpec(job *job, v *record.Job) {
+	spec := v.Spec
+	job.spec = spec
+	job.acceptedAt = time.UnixMilli(v.AcceptedAtMS)
+	job.taskSize = scheduling.NewResources(spec.CPUs, spec.GPUs, spec.RAMGB)
+	job.equivalenceClass = fmt.Sprint(spec.CPUs, spec.GPUs, spec.RAMGB, spec.MachineTypes, spec.Zone, spec.Spot, spec.Priority, spec.AllOrNothing(), spec.Team)
+	job.team = c.team(spec.Team)
+}
+
+// stopFinalJob gives up what a final job has reserved, and has its tasks stopped.
+func (c *controller) stopFinalJob(job *job, before record.FinalState) {
+	for _, group := range job.groups {
+		if before == record.Unfinished {
+			group.cancelWrite() // it has the former version of the job among its conditions
+		}
+		c.cancelReservations(group, !group.writing)
+		for i := range group.bindings {
+			if m := group.bindings[i].machine; m != nil {
+				c.sendCommandsNow(m)
 			}
 		}
 	}
-	c.requestPass()
 }
 
+// putMachineTypes takes in the list of machine types.
 func (c *clusterState) putMachineTypes(list []wire.MachineType) {
 	c.machineTypes = map[string]*wire.MachineType{}
 	for i := range list {
@@ -178,6 +185,23 @@
 	c.requestPass()
 }
 
+// tombstone is a stored marker of machines that are terminated.
+type tombstone struct {
+	names []string
+	at    time.Time // since when it is known
+}
+
+// tombstoneNames are the machines of a tombstone. One that an older version wrote has the
+// value true, and its only machine in its key.
+func tombstoneNames(name string, raw json.RawMessage) []string {
+	var names []string
+	if wire.Decode(raw, &names) == nil && len(names) > 0 {
+		return names
+	}
+	return []string{name}
+}
+
+// putTombstone notes that machines are terminated.
 func (c *controller) putTombstone(key string, names []string) {
 	c.tombstones[key] = tombstone{names, c.now}
 	for _, name := range names {
@@ -190,89 +214,10 @@
 	c.requestPass()
 }
 
-// storedValue is what is known of a value besides its content.
-type storedValue struct {
-	revision uint64
-	size     int
-	encoding record.Encoding
-}
-
-// markGroupReadable notes that a group's record can be decoded, or is gone.
-func (c *controller) markGroupReadable(key string) {
-	delete(c.rollout.unreadable, key)
-	if id, _, ok := splitGroupKey(key); ok {
-		if job := c.jobs[id]; job != nil {
-			job.markReadable(key)
-		}
+// deleteTombstone forgets that machines are terminated: nothing refers to them any more.
+func (c *controller) deleteTombstone(key string) {
+	for _, name := range c.tombstones[key].names {
+		delete(c.terminated, name)
 	}
-}
-
-// putBindings takes a record's tasks in, with the machines that they are bound to.
-func (c *controller) putBindings(group *taskGroup, tasks []record.Binding) {
-	entries := make([]binding, 0, len(tasks))
-	placed := 0
-	for _, x := range tasks {
-		bound := binding{task: x.Task, attempt: x.Attempt, incarnation: x.Incarnation}
-		if x.Machine != "" {
-			bound.machine = c.machineNamed(x.Machine)
-			if bound.machine.partition == c.loanPartition() && !group.binds(x.Task, x.Attempt, bound.machine) {
-				bound.machine.lastBoundAt = c.now
-			}
-			bound.machine.bindings.add(group.task(x.Task), group)
-			bound.machine.introduce(x.Addr, x.Incarnation)
-			c.addToPartition(bound.machine) // one that is gone may have been forgotten
-			placed++
-		}
-		entries = append(entries, bound)
-		group.job.groupOfTask[x.Task] = group
-	}
-	group.bindings, group.boundCount = entries, placed
-}
-
-// putGroup takes a placement record in.
-func (c *controller) putGroup(key string, v *record.TaskGroup, as storedValue) error {
-	id, k, ok := splitGroupKey(key)
-	if !ok {
-		c.log.Error("stored key is malformed; it is left alone", "key", key)
-		return nil
-	}
-	if v.Partition < 0 || v.Partition >= len(c.partitions) {
-		return fmt.Errorf("part %d does not exist", v.Partition)
-	}
-	c.markGroupReadable(key)
-	group := c.groupByKey[key]
-	if group == nil {
-		group = c.newGroup(key, id, k, c.now)
-	} else {
-		c.rollout.groupsByEncoding[group.encoding]--
-	}
-	c.rollout.groupsByEncoding[as.encoding]++
-	if group.partition != v.Partition || group.zone != v.Zone {
-		if group.partition >= 0 {
-			// A binding of ours that is being stored fails, or came before. What waits
-			// for cells in another zone must not get them there.
-			c.cancelReservations(group, true)
-		}
-		group.inPartitionSince = c.now
-	}
-	if group.partition >= 0 {
-		kept := make(map[int32]bool, len(v.Tasks))
-		for _, x := range v.Tasks {
-			kept[x.Task] = true
-		}
-		c.releaseCells(group, kept)
-	}
-	c.unlinkBindings(group)
-	c.moveToPartition(group, v.Partition)
-	group.size, group.encoding = as.size, as.encoding
-	group.revision, group.partition, group.zone, group.guaranteed, group.done, group.throttle = as.revision, v.Partition, v.Zone, v.Guaranteed, v.Done, v.Throttle
-	c.putBindings(group, v.Tasks)
-	c.adoptBindings(group)
-	for i := range group.bindings {
-		if m := group.bindings[i].machine; m != nil && group.exceedsThrottle(group.bindings[i].task) {
-			c.sendCommandsNow(m)
-		}
-	}
-	c.requestPass()
-	return nil
+	delete(c.tombstones, key)
 }
