--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -202,7 +202,7 @@
 	p := &process{controller: ctl, version: n.version, cancel: cancel, running: &sync.WaitGroup{}}
 	c.noteProcess(p)
 	n.process.Store(p)
-	ctl.start(p.running)
+	ctl.start(ctx, p.running)
 	c.env.Network.Serve(n.cfg.APIAddr, n.handler(api.Handler(ctl, api.Limits{Connections: 100, Requests: 50})))
 }
 
--- a/internal/controller/event_queue.go
+++ b/internal/controller/event_queue.go
@@ -6,31 +6,34 @@
 	"time"
 )
 
-// priority is one of the actor's queues. Where there is more to do than processor time
-// for it, a lane is looked at only while those before it are empty.
+// priority is that of an event. Where there is more to do than processor time for it, events
+// of a priority run only while there are none of those before it.
 type priority int
 
 const (
-	// priorityState is for what the state service has said: it tells that rights are
+	// priorityState is for what the key-value store has said: it tells that leases are
 	// lost, and what of our own is stored.
 	priorityState priority = iota
-	// priorityWorkers is for reports, answers to direct commands, the cloud's answers
-	// and siblings. A report that is answered too late costs a lease, and with it work
-	// that must then be done once more.
+	// priorityWorkers is for heartbeats, answers to direct commands, the cloud's answers
+	// and peers. A heartbeat that is answered too late costs a worker's lease, and with it
+	// work that must then be done once more.
 	priorityWorkers
 	// priorityUsers is for users, who can be told to come back.
 	priorityUsers
 	priorities
 )
 
-// queueSize bounds each lane; who finds it full waits, users excepted.
+// queueSize bounds the events of each priority; who finds it full waits, users excepted.
 const queueSize = 1024
 
-// maxUserWait is how long a user's request may have waited for the actor for others to
+// maxUserWait is how long a user's request may have waited for the event loop for others to
 // queue behind it. It is well below the time in which users give up.
 const maxUserWait = 500 * time.Millisecond
 
-// eventQueue holds what the actor is to do.
+// maxRetryAfter is the longest that a user is told to wait before the next try.
+const maxRetryAfter = 30 * time.Second
+
+// eventQueue holds what the event loop is to do.
 type eventQueue struct {
 	queues [priorities]chan func()
 	// nextUserQueuedAt is when the user's request that is next, or one before it, was queued.
@@ -38,17 +41,17 @@
 }
 
 func newEventQueue() *eventQueue {
-	in := &eventQueue{}
-	for l := range in.queues {
-		in.queues[l] = make(chan func(), queueSize)
+	q := &eventQueue{}
+	for p := range q.queues {
+		q.queues[p] = make(chan func(), queueSize)
 	}
-	return in
+	return q
 }
 
-// put queues f; false if ctx ends while the lane is full.
-func (in *eventQueue) put(ctx context.Context, l priority, f func()) bool {
+// put queues an event; false if ctx ends while the queue is full.
+func (q *eventQueue) put(ctx context.Context, at priority, event func()) bool {
 	select {
-	case in.queues[l] <- f:
+	case q.queues[at] <- event:
 		return true
 	case <-ctx.Done():
 		return false
@@ -57,16 +60,21 @@
 
 // putUserRequest queues a user's request unless those before it wait for too long already:
 // then all are better off if it is told at once to come back.
-func (in *eventQueue) putUserRequest(f func()) bool {
-	at := time.Now()
-	if in.userWait(at) > maxUserWait {
+func (q *eventQueue) putUserRequest(request func()) bool {
+	queuedAt := time.Now()
+	if q.userWait(queuedAt) > maxUserWait {
 		return false
 	}
-	if len(in.queues[priorityUsers]) == 0 {
-		in.nextUserQueuedAt.Store(&at)
+	users := q.queues[priorityUsers]
+	if len(users) == 0 {
+		q.nextUserQueuedAt.Store(&queuedAt)
+	}
+	event := func() {
+		q.nextUserQueuedAt.Store(&queuedAt)
+		request()
 	}
 	select {
-	case in.queues[priorityUsers] <- func() { in.nextUserQueuedAt.Store(&at); f() }:
+	case users <- event:
 		return true
 	default:
 		return false
@@ -74,59 +82,60 @@
 }
 
 // userWait is about how long the user's request that is next has waited.
-func (in *eventQueue) userWait(now time.Time) time.Duration {
-	first := in.nextUserQueuedAt.Load()
-	if first == nil || len(in.queues[priorityUsers]) == 0 {
+func (q *eventQueue) userWait(now time.Time) time.Duration {
+	queuedAt := q.nextUserQueuedAt.Load()
+	if queuedAt == nil || len(q.queues[priorityUsers]) == 0 {
 		return 0
 	}
-	return now.Sub(*first)
+	return now.Sub(*queuedAt)
 }
 
-// next is what comes first by the order of the lanes; nil if there is nothing.
-func (in *eventQueue) next() func() {
-	for _, c := range in.queues {
+// next is the first event by priority; nil if there is none.
+func (q *eventQueue) next() func() {
+	for _, queue := range q.queues {
 		select {
-		case f := <-c:
-			return f
+		case event := <-queue:
+			return event
 		default:
 		}
 	}
 	return nil
 }
 
-// take waits for a tick, which comes before everything, or for what comes first; it
-// returns neither once done is closed.
-func (in *eventQueue) take(done <-chan struct{}, tick <-chan time.Time) (f func(), ticked bool) {
+// take waits for a tick, which comes before all events, or for the first event by priority;
+// it returns neither once done is closed.
+func (q *eventQueue) take(done <-chan struct{}, tick <-chan time.Time) (event func(), ticked bool) {
 	select {
 	case <-tick:
 		return nil, true
 	default:
 	}
-	if f = in.next(); f != nil {
-		return f, false
+	if event = q.next(); event != nil {
+		return event, false
 	}
 	select {
 	case <-done:
 	case <-tick:
 		return nil, true
-	case f = <-in.queues[priorityState]:
-	case f = <-in.queues[priorityWorkers]:
-	case f = <-in.queues[priorityUsers]:
+	case event = <-q.queues[priorityState]:
+	case event = <-q.queues[priorityWorkers]:
+	case event = <-q.queues[priorityUsers]:
 	}
-	return f, false
+	return event, false
 }
 
-// hasBefore tells whether anything waits in a lane before l.
-func (in *eventQueue) hasBefore(l priority) bool {
-	for _, c := range in.queues[:l] {
-		if len(c) > 0 {
+// hasBefore tells whether an event of a priority before the given one waits.
+func (q *eventQueue) hasBefore(limit priority) bool {
+	for _, queue := range q.queues[:limit] {
+		if len(queue) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// retryAfterS is in how many seconds a user who is turned away should come back.
-func (in *eventQueue) retryAfterS() int {
-	return 1 + int(min(in.userWait(time.Now()), 29*time.Second)/time.Second)
+// retryAfterS is in how many seconds a user who is turned away should come back: about when
+// those that wait now are answered.
+func (q *eventQueue) retryAfterS() int {
+	return 1 + int(min(q.userWait(time.Now()), maxRetryAfter-time.Second)/time.Second)
 }
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -107,8 +107,8 @@
 		v := loan.MachineLoan
 		v.Acknowledged = true
 		c.SubmitWrite(&store.Write{Prompt: true,
-			Conditions: []wire.Condition{{Key: p.key, Revision: p.token}, {Key: loanPrefix + name, Revision: loan.revision}},
-			Changes:    []wire.Change{{Put: loanPrefix + name, Value: record.JSON(v)}},
+			Conditions: []wire.Condition{{Key: p.key, Revision: p.token}, {Key: loanKey(name), Revision: loan.revision}},
+			Changes:    []wire.Change{{Put: loanKey(name), Value: record.JSON(v)}},
 		}, func(error) { loan.writing = false })
 	}
 }
@@ -295,7 +295,7 @@
 	parts := map[int]bool{}
 	for _, summary := range chosen {
 		summary.InUse, summary.Free = true, scheduling.Resources{}
-		key := loanPrefix + c.machineByIndex[summary.ID].name
+		key := loanKey(c.machineByIndex[summary.ID].name)
 		write.Conditions = append(write.Conditions, wire.Condition{Key: key})
 		if !parts[summary.Partition] {
 			parts[summary.Partition] = true
@@ -380,7 +380,7 @@
 func (c *leader) returnLoan(name string, loan *machineLoan) {
 	loan.writing, loan.returning = true, true
 	c.SubmitWrite(&store.Write{
-		Conditions: []wire.Condition{c.leaderCondition(), {Key: loanPrefix + name, Revision: loan.revision}},
-		Changes:    []wire.Change{{Delete: loanPrefix + name}},
+		Conditions: []wire.Condition{c.leaderCondition(), {Key: loanKey(name), Revision: loan.revision}},
+		Changes:    []wire.Change{{Delete: loanKey(name)}},
 	}, func(error) { loan.writing, loan.returning = false, false })
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -11,6 +11,7 @@
 	"eiderhitch/internal/store"
 )
 
+// counter is something that is counted. Its name is that of its log attribute.
 type counter int
 
 const (
@@ -24,42 +25,59 @@
 	countDone
 	countLost
 	countPreempting
-	countAssigned    // records dealt
-	countMoved       // records moved to another part
-	countThrottled   // records held back, or let go, for a team's limit
-	countStored      // records rewritten by their owner
-	countRewritten   // of these, for their form alone
+	countAssigned    // task groups assigned by the leader
+	countMoved       // task groups moved to another partition
+	countThrottled   // task groups throttled, or unthrottled, for a team's quota
+	countStored      // task groups written by their owner
+	countRewritten   // of these, for their encoding alone
 	countUndecodable // stored values that could not be decoded
 	counters
 )
 
-var counterNames = [counters]string{"accepted", "refused", "unavailable", "polls", "reports", "redirected", "bound", "done", "lost", "evicting", "dealt", "moved", "capped", "stored", "rewritten", "undecodable"}
+var counterNames = [counters]string{
+	countAccepted: "accepted", countRefused: "refused", countUnavailable: "unavailable", countPolls: "polls",
+	countHeartbeats: "reports", countRedirected: "redirected", countBound: "bound", countDone: "done",
+	countLost: "lost", countPreempting: "evicting", countAssigned: "dealt", countMoved: "moved",
+	countThrottled: "capped", countStored: "stored", countRewritten: "rewritten", countUndecodable: "undecodable",
+}
+
+func (c counter) String() string { return counterNames[c] }
 
+// latency is a duration that is measured. Its name begins those of its log attributes.
 type latency int
 
 const (
-	latencyEvent  latency = iota // the actor's time for an event
+	latencyEvent  latency = iota // the event loop's time for an event
 	latencySubmit                // from a submission's arrival to its answer
-	latencyCommit                // from a record's submission to its result
+	latencyCommit                // from a transaction's submission to its result
 	latencyBind                  // from a job's acceptance to a task's first binding
 	latencies
 )
 
-var latencyNames = [latencies]string{"event", "submit", "commit", "bind"}
+var latencyNames = [latencies]string{
+	latencyEvent: "event", latencySubmit: "submit", latencyCommit: "commit", latencyBind: "bind",
+}
+
+func (l latency) String() string { return latencyNames[l] }
 
-// activity is a kind of work of the actor.
+// activity is a kind of work of the event loop. Its name begins that of its log attribute.
 type activity int
 
 const (
-	activityHeartbeat  activity = iota // workers' reports
+	activityHeartbeat  activity = iota // workers' heartbeats
 	activityReplica                    // changes of the stored records
-	activityLeader                     // the leader's decisions
-	activityPartitions                 // the parts' decisions
-	activityStatus                     // telling the siblings
+	activityLeader                     // the leader's planning
+	activityPartitions                 // the partitions' scheduling passes
+	activityStatus                     // telling the peers
 	activities
 )
 
-var activityNames = [activities]string{"report", "replica", "lead", "parts", "status"}
+var activityNames = [activities]string{
+	activityHeartbeat: "report", activityReplica: "replica", activityLeader: "lead",
+	activityPartitions: "parts", activityStatus: "status",
+}
+
+func (a activity) String() string { return activityNames[a] }
 
 // metrics counts cheaply; the totals since the last line are logged at intervals.
 type metrics struct {
@@ -67,30 +85,39 @@
 	counts    [counters]int64
 	latencies [latencies]*hdrhistogram.Histogram
 	busyTime  [activities]time.Duration
-	maxLag    time.Duration // the latest that a tick of the actor came
+	maxLag    time.Duration // the latest that a tick of the event loop came
 	usage     *usage
 }
 
-const maxLatency = 10 * time.Minute
+const (
+	// maxLatency is the longest latency that is told from longer ones.
+	maxLatency = 10 * time.Minute
+	// latencyDigits is how many significant digits of a latency are kept.
+	latencyDigits = 2
+)
 
+// newMetrics returns metrics that start from zero.
 func newMetrics() *metrics {
 	m := &metrics{usage: newUsage()}
 	for i := range m.latencies {
-		m.latencies[i] = hdrhistogram.New(1, maxLatency.Microseconds(), 2)
+		m.latencies[i] = hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)
 	}
 	return m
 }
 
-func (m *metrics) count(index counter, n int) {
+// count adds n to a counter.
+func (m *metrics) count(c counter, n int) {
 	m.mu.Lock()
-	m.counts[index] += int64(n)
-	m.mu.Unlock()
+	defer m.mu.Unlock()
+	m.counts[c] += int64(n)
 }
 
+// observe adds a duration to a latency's distribution.
 func (m *metrics) observe(l latency, d time.Duration) {
+	within := min(max(d, time.Microsecond), maxLatency)
 	m.mu.Lock()
-	_ = m.latencies[l].RecordValue(min(max(d, time.Microsecond), maxLatency).Microseconds())
-	m.mu.Unlock()
+	defer m.mu.Unlock()
+	_ = m.latencies[l].RecordValue(within.Microseconds()) // fails only beyond the bounds
 }
 
 // Submission counts a submission by the status of its response, and how long that took.
@@ -109,40 +136,57 @@
 // Poll counts a user's poll.
 func (m *metrics) Poll() { m.count(countPolls, 1) }
 
-// addBusyTime adds the time since begun to a duty.
-func (m *metrics) addBusyTime(d activity, begun time.Time) {
+// addBusyTime adds the time since begun to an activity.
+func (m *metrics) addBusyTime(a activity, begun time.Time) {
 	m.mu.Lock()
-	m.busyTime[d] += time.Since(begun)
-	m.mu.Unlock()
+	defer m.mu.Unlock()
+	m.busyTime[a] += time.Since(begun)
 }
 
-// noteLag notes by how much a tick of the actor came too late.
+// noteLag notes by how much a tick of the event loop came too late.
 func (m *metrics) noteLag(d time.Duration) {
 	m.mu.Lock()
+	defer m.mu.Unlock()
 	m.maxLag = max(m.maxLag, d)
-	m.mu.Unlock()
 }
 
+// log logs the totals since the last time, and begins again from zero.
 func (m *metrics) log(log *slog.Logger, jobs, machines int, state store.Stats) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	args := []any{"jobs", jobs, "machines", machines}
+	attributes := []any{"jobs", jobs, "machines", machines}
 	for i, n := range m.counts {
-		args = append(args, counterNames[i], n)
-	}
-	for i, h := range m.latencies {
-		if h.TotalCount() > 0 {
-			args = append(args, latencyNames[i]+"_p50_us", h.ValueAtQuantile(50), latencyNames[i]+"_p99_us", h.ValueAtQuantile(99))
-		}
-		h.Reset()
+		attributes = append(attributes, counter(i).String(), n)
 	}
+	attributes = append(attributes, m.latencyAttributes()...)
 	for i, t := range m.busyTime {
-		args = append(args, activityNames[i]+"_ms", t.Milliseconds())
+		attributes = append(attributes, activity(i).String()+"_ms", t.Milliseconds())
 	}
-	args = append(args, "state_watches", state.Watches, "state_txns", state.Txns, "state_changes", state.Changes, "state_taken", state.Applied,
-		"state_renewals", state.Renewals, "state_refused", state.Refused, "state_conflicts", state.Conflicts)
-	args = append(args, "lag_ms", m.maxLag.Milliseconds())
-	args = append(args, m.usage.logAttributes()...)
+	attributes = append(attributes, storeAttributes(state)...)
+	attributes = append(attributes, "lag_ms", m.maxLag.Milliseconds())
+	attributes = append(attributes, m.usage.logAttributes()...)
 	m.counts, m.busyTime, m.maxLag = [counters]int64{}, [activities]time.Duration{}, 0
-	log.Info("counters", args...)
+	log.Info("counters", attributes...)
+}
+
+// latencyAttributes are the log attributes of the latencies that were observed, which begin
+// anew.
+func (m *metrics) latencyAttributes() []any {
+	var attributes []any
+	for i, histogram := range m.latencies {
+		if histogram.TotalCount() > 0 {
+			name := latency(i).String()
+			attributes = append(attributes, name+"_p50_us", histogram.ValueAtQuantile(50), name+"_p99_us", histogram.ValueAtQuantile(99))
+		}
+		histogram.Reset()
+	}
+	return attributes
+}
+
+// storeAttributes are the log attributes of the calls to the key-value store.
+func storeAttributes(s store.Stats) []any {
+	return []any{
+		"state_watches", s.Watches, "state_txns", s.Txns, "state_changes", s.Changes, "state_taken", s.Applied,
+		"state_renewals", s.Renewals, "state_refused", s.Refused, "state_conflicts", s.Conflicts,
+	}
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -239,10 +240,10 @@
 }
 
 // register keeps this controller's range of levels stored while the process lives.
-func (c *controller) register() {
+func (c *controller) register(ctx context.Context) {
 	registration := rollout.Controller{Node: c.cfg.Name, ProcessID: c.processID, Build: Build, Range: c.rollout.supported}
 	r := &rollout.Registrar{Store: c.stateClient, Controller: registration, TTL: registrationTTLs * c.operator.LeaseTTL, Log: c.log}
-	if err := r.Run(c.ctx); err != nil && !errors.Is(err, c.ctx.Err()) {
+	if err := r.Run(ctx); err != nil && !errors.Is(err, ctx.Err()) {
 		c.log.Error("registration ended", "err", err)
 	}
 }
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -15,62 +15,136 @@
 	"eiderhitch/internal/peer"
 )
 
-// newProcessID draws a name that no other process has: a restarted controller has the name
-// of its former self.
-func newProcessID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
-
-// Run serves until ctx ends.
+// Run serves until ctx ends, and returns when all that it started has ended.
 func Run(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger) error {
+	sockets, err := listen(cfg)
+	if err != nil {
+		return err
+	}
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	apiL, err := net.Listen("tcp", cfg.APIAddr)
+	var background sync.WaitGroup
+	defer background.Wait()
+	defer cancel() // ends what the line above waits for
+
+	transports := newTransports(cfg)
+	defer transports.closeIdle()
+	senders := newPeerSenders(cfg.Peers)
+	c := newController(ctx, cfg, op, log, clients{
+		state: transports.store, cloud: transports.cloud, workers: transports.workers, send: senders.offer,
+	})
+	c.log.Info("controller starts", "process_id", c.processID, "partitions", cfg.Settings.Count, "max_staleness", c.maxStaleness)
+	background.Go(func() { peer.Serve(ctx, sockets.peers, c.log, c.enqueuePeerStatus) })
+	senders.start(ctx, &background)
+	c.start(ctx, &background)
+	return c.serveAPI(ctx, sockets.api)
+}
+
+// sockets are what a controller listens on. Each is closed by the server that is given it.
+type sockets struct{ api, peers net.Listener }
+
+// listen opens the sockets.
+func listen(cfg *config.Platform) (*sockets, error) {
+	apiListener, err := net.Listen("tcp", cfg.APIAddr)
 	if err != nil {
-		return fmt.Errorf("api_addr: %w", err)
+		return nil, fmt.Errorf("api_addr: %w", err)
 	}
-	meshL, err := net.Listen("tcp", cfg.PeerAddr)
+	peerListener, err := net.Listen("tcp", cfg.PeerAddr)
 	if err != nil {
-		apiL.Close()
-		return fmt.Errorf("mesh_addr: %w", err)
+		apiListener.Close()
+		return nil, fmt.Errorf("mesh_addr: %w", err)
 	}
-	s := &cfg.Settings
-	transport := func(perHost, idle int, keep time.Duration) *http.Transport {
-		return &http.Transport{MaxConnsPerHost: perHost, MaxIdleConnsPerHost: perHost, MaxIdleConns: idle, IdleConnTimeout: keep, DisableCompression: true}
+	return &sockets{api: apiListener, peers: peerListener}, nil
+}
+
+// Bounds of the connections to other systems.
+const (
+	storeConnections = 16
+	cloudConnections = 4
+	// workerConnections is for each worker: it handles one command at a time.
+	workerConnections = 1
+	// serviceIdleTimeout and workerIdleTimeout are how long unused connections are kept.
+	serviceIdleTimeout = 30 * time.Second
+	workerIdleTimeout  = 20 * time.Second
+)
+
+// transports are the pools of connections to other systems.
+type transports struct{ store, cloud, workers *http.Transport }
+
+func newTransports(cfg *config.Platform) *transports {
+	return &transports{
+		store:   newTransport(storeConnections, storeConnections, serviceIdleTimeout),
+		cloud:   newTransport(cloudConnections, cloudConnections, serviceIdleTimeout),
+		workers: newTransport(workerConnections, cfg.DirectCommands(), workerIdleTimeout),
 	}
-	state, cl, fl := transport(16, 16, 30*time.Second), transport(4, 4, 30*time.Second), transport(1, cfg.DirectCommands(), 20*time.Second)
-	senders := map[string]*peer.Sender{}
-	for _, x := range cfg.Peers {
-		senders[x.Name] = peer.NewSender(x.Addr)
+}
+
+// newTransport returns a pool of at most perHost connections to each host, of which
+// maxIdle may be idle together.
+func newTransport(perHost, maxIdle int, idleTimeout time.Duration) *http.Transport {
+	return &http.Transport{
+		MaxConnsPerHost: perHost, MaxIdleConnsPerHost: perHost, MaxIdleConns: maxIdle,
+		IdleConnTimeout: idleTimeout, DisableCompression: true,
 	}
-	c := newController(ctx, cfg, op, log, clients{state: state, cloud: cl, workers: fl, send: func(sibling string, frame []byte) {
-		senders[sibling].Offer(frame)
-	}})
-	c.log.Info("controller starts", "boot", c.processID, "parts", s.Count, "hold", c.maxStaleness)
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	defer cancel()
-	defer func() { state.CloseIdleConnections(); cl.CloseIdleConnections(); fl.CloseIdleConnections() }()
-	wg.Go(func() {
-		peer.Serve(ctx, meshL, c.log, func(s *peer.Status) { c.enqueue(priorityWorkers, func() { c.handlePeerStatus(s) }) })
-	})
-	for _, s := range senders {
-		wg.Go(func() { s.Run(ctx) })
+}
+
+func (t *transports) closeIdle() {
+	t.store.CloseIdleConnections()
+	t.cloud.CloseIdleConnections()
+	t.workers.CloseIdleConnections()
+}
+
+// peerSenders send status frames to the other controllers, by name.
+type peerSenders map[string]*peer.Sender
+
+func newPeerSenders(peers []config.Peer) peerSenders {
+	senders := peerSenders{}
+	for _, p := range peers {
+		senders[p.Name] = peer.NewSender(p.Addr)
+	}
+	return senders
+}
+
+// offer has a frame sent to a peer, in place of an older one that waits.
+func (s peerSenders) offer(name string, frame []byte) { s[name].Offer(frame) }
+
+// start runs the senders until ctx ends.
+func (s peerSenders) start(ctx context.Context, running *sync.WaitGroup) {
+	for _, sender := range s {
+		running.Go(func() { sender.Run(ctx) })
 	}
-	c.start(&wg)
-	conns := cfg.Connections()
-	err = api.Serve(ctx, apiL, c, c.log, api.Limits{Connections: conns, Requests: max(conns/2, 4)})
+}
+
+// enqueuePeerStatus has the event loop take in what a peer has sent.
+func (c *controller) enqueuePeerStatus(status *peer.Status) {
+	c.enqueue(priorityWorkers, func() { c.handlePeerStatus(status) })
+}
+
+// minAPIRequests is how many requests are handled at a time at least.
+const minAPIRequests = 4
+
+// serveAPI answers users and workers until ctx ends.
+func (c *controller) serveAPI(ctx context.Context, listener net.Listener) error {
+	connections := c.cfg.Connections()
+	limits := api.Limits{Connections: connections, Requests: max(connections/2, minAPIRequests)}
+	err := api.Serve(ctx, listener, c, c.log, limits)
 	if ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-// start begins the long-lived duties.
-func (c *controller) start(wg *sync.WaitGroup) {
-	wg.Go(func() { c.stateWriter.Run(c.ctx) })
-	wg.Go(func() { c.reader.Follow(c.ctx) })
-	wg.Go(func() { c.autoscaler.Run(c.ctx) })
+// newProcessID draws a name that no other process has: a restarted controller has the name
+// of its former self.
+func newProcessID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
+
+// start runs the controller's goroutines until ctx ends, which is the one that the controller
+// was made with.
+func (c *controller) start(ctx context.Context, running *sync.WaitGroup) {
+	running.Go(func() { c.stateWriter.Run(ctx) })
+	running.Go(func() { c.reader.Follow(ctx) })
+	running.Go(func() { c.autoscaler.Run(ctx) })
 	if c.operator.FeatureLevels {
-		wg.Go(c.register)
+		running.Go(func() { c.register(ctx) })
 	}
-	wg.Go(c.loop)
+	running.Go(func() { c.loop(ctx) })
 }
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -6,26 +6,58 @@
 	"eiderhitch/internal/workerclient"
 )
 
-// schedule are when the actor's duties are next due.
-type schedule struct{ status, metrics, leader, pass time.Time }
-
-// runPass has the parts decide. Steps that take long are taken less often: reports,
-// renewals and users must not wait for them.
-func (c *controller) runPass(due *schedule, now time.Time) {
-	c.passDue = false
-	c.schedulePartitions()
-	due.pass = now.Add(max(minPassInterval, passRestFactor*time.Since(now)))
-}
+const (
+	// tickInterval is how often the event loop looks at its timers.
+	tickInterval = 100 * time.Millisecond
+	// statusInterval is how often peers are told this controller's status.
+	statusInterval = 500 * time.Millisecond
+	// metricsInterval is how often the counters are logged.
+	metricsInterval = 30 * time.Second
+	// usageLogInterval is how often the leader logs the use of the machines.
+	usageLogInterval = 10 * time.Second
+	// pauseThreshold is how late a tick is when it is this process that did not run.
+	pauseThreshold = time.Second
+	// minPassInterval is the least time between two scheduling passes.
+	minPassInterval = 50 * time.Millisecond
+	// minPlanningInterval is the least time between two passes of the leader's planning.
+	minPlanningInterval = 2 * tickInterval
+	// passRestFactor is how many times a pass's duration passes before the next.
+	passRestFactor = 5
+	// maxPlanningDelay is how long the leader's planning waits for heartbeats that wait.
+	maxPlanningDelay = time.Second
+	// maxLag is how late a tick is when answers to direct commands may well be here
+	// and not be looked at yet.
+	maxLag = workerclient.PingTimeout / 4
+)
 
-// maxPlanningDelay is how long the leader's planning waits for reports that wait.
-const maxPlanningDelay = time.Second
+// schedule is when the event loop's timers are next due.
+type schedule struct{ status, metrics, leader, pass time.Time }
 
 // onTick does what is due by the time.
 func (c *controller) onTick(due *schedule) {
+	c.noteTick()
+	c.updateAcceptsHeartbeats()
+	c.UpdateReadiness()
+	if !c.replica.Loaded() {
+		return
+	}
+	c.campaign()
+	c.advanceRollout()
+	c.stepDownIfUnreachable()
+	c.autoscaler.Sync()
+	c.passTimer(due)
+	c.planningTimer(due)
+	c.statusTimer(due)
+	c.metricsTimer(due)
+}
+
+// noteTick notes the time, and by how much the tick is late.
+func (c *controller) noteTick() {
 	c.now = time.Now()
 	if !c.lastTick.IsZero() {
-		c.metrics.noteLag(c.now.Sub(c.lastTick) - tickInterval)
-		if c.now.Sub(c.lastTick) > pauseThreshold {
+		sinceLast := c.now.Sub(c.lastTick)
+		c.metrics.noteLag(sinceLast - tickInterval)
+		if sinceLast > pauseThreshold {
 			c.resumedFromPauseAt = c.now
 		}
 		if c.lagging() {
@@ -33,50 +65,73 @@
 		}
 	}
 	c.lastTick = c.now
-	if serves := c.isFresh(c.maxStaleness); serves != c.acceptsHeartbeats {
-		c.acceptsHeartbeats = serves
-		if serves && c.lastHeartbeatAt.After(c.startedAt) {
-			c.heartbeatsResumedAt = c.now
-		}
-	}
-	c.UpdateReadiness()
-	if !c.replica.Loaded() {
+}
+
+// updateAcceptsHeartbeats notes whether heartbeats are answered, and since when they are
+// again. No machine could be heard before.
+func (c *controller) updateAcceptsHeartbeats() {
+	accepts := c.isFresh(c.maxStaleness)
+	if accepts == c.acceptsHeartbeats {
 		return
 	}
-	c.campaign()
-	c.advanceRollout()
-	c.stepDownIfUnreachable()
-	c.autoscaler.Sync()
+	c.acceptsHeartbeats = accepts
+	if accepts && c.lastHeartbeatAt.After(c.startedAt) {
+		c.heartbeatsResumedAt = c.now
+	}
+}
+
+// passTimer runs a scheduling pass that no event has asked for.
+func (c *controller) passTimer(due *schedule) {
 	if !c.now.Before(due.pass) {
 		c.runPass(due, c.now)
 	}
-	if wait := c.now.Sub(due.leader); wait >= 0 && (wait > maxPlanningDelay || !c.events.hasBefore(priorityUsers)) {
-		begun := time.Now()
-		c.runLeader()
-		due.leader = c.now.Add(max(2*tickInterval, passRestFactor*time.Since(begun)))
-	}
-	if !c.now.Before(due.status) {
-		due.status = c.now.Add(statusInterval)
-		begun := time.Now()
-		c.probeUnreachable()
-		c.autoscaler.TerminateUnreachable()
-		c.broadcastStatus()
-		c.metrics.addBusyTime(activityStatus, begun)
+}
+
+// runPass runs a scheduling pass. Passes that take long are taken less often: heartbeats,
+// lease renewals and users must not wait for them.
+func (c *controller) runPass(due *schedule, now time.Time) {
+	c.passDue = false
+	c.schedulePartitions()
+	due.pass = now.Add(max(minPassInterval, passRestFactor*time.Since(now)))
+}
+
+// planningTimer has the leader plan. Heartbeats and the key-value store's answers that wait
+// come first, but not for long.
+func (c *controller) planningTimer(due *schedule) {
+	late := c.now.Sub(due.leader)
+	if late < 0 || late <= maxPlanningDelay && c.events.hasBefore(priorityUsers) {
+		return
 	}
-	if c.now.After(due.metrics) {
-		due.metrics = c.now.Add(metricsInterval)
-		c.archiveFinished(c.replica)
-		c.metrics.log(c.log, len(c.jobs)+len(c.finished), len(c.machines), c.stateClient.Stats())
-		c.logRollout(c.log)
+	begun := time.Now()
+	c.runLeader()
+	due.leader = c.now.Add(max(minPlanningInterval, passRestFactor*time.Since(begun)))
+}
+
+// statusTimer checks the machines and tells the peers this controller's status.
+func (c *controller) statusTimer(due *schedule) {
+	if c.now.Before(due.status) {
+		return
 	}
+	due.status = c.now.Add(statusInterval)
+	defer c.metrics.addBusyTime(activityStatus, time.Now())
+	c.probeUnreachable()
+	c.autoscaler.TerminateUnreachable()
+	c.broadcastStatus()
 }
 
-// maxLag is how late a tick is when answers to direct commands may well be here
-// and not be looked at yet.
-const maxLag = workerclient.PingTimeout / 4
+// metricsTimer logs the counters.
+func (c *controller) metricsTimer(due *schedule) {
+	if !c.now.After(due.metrics) {
+		return
+	}
+	due.metrics = c.now.Add(metricsInterval)
+	c.archiveFinished(c.replica)
+	c.metrics.log(c.log, len(c.jobs)+len(c.finished), len(c.machines), c.stateClient.Stats())
+	c.logRollout(c.log)
+}
 
-// lagging tells whether this process gets so little processor time just now that it
-// can't tell who is late: others or itself.
+// lagging tells whether this process gets so little processor time just now that it can't
+// tell who is late: others or itself.
 func (c *clusterState) lagging() bool {
 	return !c.lastTick.IsZero() && c.now.Sub(c.lastTick) > tickInterval+maxLag
 }
