--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -24,34 +24,38 @@
 	send func(peer string, frame []byte)
 }
 
-// enqueue runs f in the actor; it blocks while the lane is full.
-func (c *clusterState) enqueue(l priority, f func()) { c.events.put(c.ctx, l, f) }
+// enqueue has the event loop run an event; it blocks while the queue is full.
+func (c *clusterState) enqueue(at priority, event func()) { c.events.put(c.ctx, at, event) }
 
-// call runs f in the actor and waits for it. False means that f has not been run and
-// won't be, or that ctx ended meanwhile: nobody waits for what it says any more.
-func (c *clusterState) call(ctx context.Context, l priority, f func()) bool {
-	ready := make(chan struct{})
-	g := func() {
+// call has the event loop run an event and waits for it. False means that it has not been run
+// and won't be, or that ctx ended meanwhile: nobody waits for what it says any more.
+func (c *clusterState) call(ctx context.Context, at priority, event func()) bool {
+	done := make(chan struct{})
+	awaited := func() {
 		if ctx.Err() == nil {
-			f()
-			close(ready)
+			event()
+			close(done)
 		}
 	}
-	if l == priorityUsers {
-		if !c.events.putUserRequest(g) {
-			return false
-		}
-	} else if !c.events.put(ctx, l, g) {
+	if !c.putCall(ctx, at, awaited) {
 		return false
 	}
 	select {
-	case <-ready:
+	case <-done:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
+// putCall queues an event that somebody waits for; false: it won't be run.
+func (c *clusterState) putCall(ctx context.Context, at priority, event func()) bool {
+	if at == priorityUsers {
+		return c.events.putUserRequest(event)
+	}
+	return c.events.put(ctx, at, event)
+}
+
 // loopAt is the event loop as components see it that queue functions at one priority.
 type loopAt struct {
 	*clusterState
@@ -61,11 +65,11 @@
 // Now is the time of the event that the loop works on.
 func (l loopAt) Now() time.Time { return l.now }
 
-// Enqueue queues f; it blocks while the queue is full.
-func (l loopAt) Enqueue(f func()) { l.enqueue(l.at, f) }
+// Enqueue queues an event; it blocks while the queue is full.
+func (l loopAt) Enqueue(event func()) { l.enqueue(l.at, event) }
 
-// Call runs f and waits for it; false if ctx ended first.
-func (l loopAt) Call(ctx context.Context, f func()) bool { return l.call(ctx, l.at, f) }
+// Call runs an event and waits for it; false if ctx ended first.
+func (l loopAt) Call(ctx context.Context, event func()) bool { return l.call(ctx, l.at, event) }
 
 // RetryAfterS is in how many seconds a user who was turned away should come back.
 func (l loopAt) RetryAfterS() int { return l.events.retryAfterS() }
@@ -75,18 +79,18 @@
 	return c.replica.FreshWithin(limit, c.now)
 }
 
-// SubmitWrite submits a unit; then runs in the actor with the result, after the
-// replica has taken the changes in.
-func (c *clusterState) SubmitWrite(write *store.Write, then func(err error)) {
+// SubmitWrite submits a write; done runs on the event loop with the result, after the replica
+// has taken the changes in.
+func (c *clusterState) SubmitWrite(write *store.Write, done func(err error)) {
 	begun := c.now
-	write.Done = func(rev uint64, err error) {
-		// Never block the writer on a full inbox that waits for the writer.
+	write.Done = func(revision uint64, err error) {
+		// The writer never waits for a full queue of events that waits for the writer.
 		go c.enqueue(priorityState, func() {
 			c.metrics.observe(latencyCommit, c.now.Sub(begun))
 			if err == nil {
-				c.replica.ApplyTxn(write.Changes, rev)
+				c.replica.ApplyTxn(write.Changes, revision)
 			}
-			then(err)
+			done(err)
 		})
 	}
 	if !c.stateWriter.Submit(write) {
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -1,128 +1,99 @@
 package controller
 
 import (
-	"iter"
-	"slices"
 	"time"
 
 	"eiderhitch/internal/config"
 	"eiderhitch/internal/record"
-	"eiderhitch/internal/wire"
 )
 
-// A gang's tasks run at the same time or none does. They find each other by the number
-// of their attempt, which is one for all of them and only rises. An attempt begins when
-// every task of the one before is proven gone, with cells for all of them. Until it has
-// run, a task that is lost is replaced under the same number; a gang that has run, or
-// that can't be completed any more, stops whole and starts whole.
+// What a partition's owner decides for gangs. See gang_attempt.go for what a gang is.
 
-// gangAttempt is the present attempt of a gang, and whether any task of it may still be
-// on a machine. Without one the next binding is a new attempt.
-func (j *job) gangAttempt() (attempt uint64, there bool) {
-	for _, group := range j.groups {
-		for i := range group.bindings {
-			bound := &group.bindings[i]
-			attempt = max(attempt, bound.attempt)
-			there = there || bound.machine != nil
-		}
+// isMissing tells whether a member of a gang's present attempt has ended or is lost.
+func (c *clusterState) isMissing(group *taskGroup, bound *binding, attempt uint64) bool {
+	if bound.machine == nil {
+		return bound.attempt == attempt
 	}
-	return attempt, there
+	end, ended := c.attemptEnds[group.task(bound.task)]
+	return ended && end.attempt == bound.attempt && !end.done
 }
 
-// missingMembers counts the members of a gang's present attempt that are gone.
-func (c *clusterState) missingMembers(j *job, attempt uint64) int {
-	n := 0
-	for _, group := range j.groups {
-		for i := range group.bindings {
-			bound := &group.bindings[i]
-			o, ended := c.attemptEnds[group.task(bound.task)]
-			if bound.machine == nil && bound.attempt == attempt || bound.machine != nil && ended && o.attempt == bound.attempt && !o.done {
-				n++
-			}
+// hasMissingMember tells whether a member of a gang's present attempt has ended or is lost.
+func (c *clusterState) hasMissingMember(j *job, attempt uint64) bool {
+	for bound, group := range j.bindings() {
+		if c.isMissing(group, bound, attempt) {
+			return true
 		}
 	}
-	return n
+	return false
 }
 
 // gangBroken tells whether a gang has lost a member of an attempt that has run, or can't be
 // completed: the others stop, and the gang starts whole again.
 func (c *clusterState) gangBroken(j *job) bool {
-	attempt, there := j.gangAttempt()
-	if !there || attempt == 0 || j.startedAttempt != attempt && j.failedAttempt != attempt {
+	attempt, bound := j.gangAttempt()
+	if !bound || attempt == 0 {
 		return false
 	}
-	return j.failedAttempt == attempt || c.missingMembers(j, attempt) > 0
+	return j.failedAttempt == attempt || j.startedAttempt == attempt && c.hasMissingMember(j, attempt)
 }
 
-// gangMustStop tells whether a gang is to be stopped: one of its tasks has to go.
+// gangMustStop tells whether a gang is to be stopped: one of its tasks has to leave its
+// machine.
 func (c *clusterState) gangMustStop(j *job) bool {
 	if j.finalState != record.Unfinished {
 		return true
 	}
-	for _, group := range j.groups {
-		for i := range group.bindings {
-			m := group.bindings[i].machine
-			if m == nil || c.partitions[m.partition].token == 0 {
-				continue // nowhere, or another's to say
-			}
-			if c.mustPreempt(group, group.task(group.bindings[i].task), m, c.partitions[m.partition]) {
-				return true
-			}
+	for bound, group := range j.bindings() {
+		m := bound.machine
+		if m == nil {
+			continue
+		}
+		p := c.partitions[m.partition]
+		owned := p.token != 0 // of other machines their owner decides
+		if owned && c.mustPreempt(group, group.task(bound.task), m, p) {
+			return true
 		}
 	}
 	return c.gangBroken(j)
 }
 
+// stopGraceS is what a task is given to save when it is stopped: what it asks for, unless
+// there is nothing to save. A gang saves together or not at all.
+func (c *clusterState) stopGraceS(j *job) float64 {
+	if j.finalState != record.Unfinished || j.spec == nil || j.spec.CheckpointS == 0 || j.spec.Gang && c.gangBroken(j) {
+		return 0
+	}
+	return j.spec.SaveS
+}
+
 // stopGangs has gangs that are to be stopped hear it at once, on all their machines: an
 // orderly stop has to reach every task within gang_peer_s of the first, and what runs on
 // without the others is of no use.
 func (c *partitionOwner) stopGangs(p *partition) {
 	for _, group := range p.groups {
 		job := group.job
-		if group.boundCount == 0 || job.spec == nil || !job.spec.Gang || job.finalState != record.Unfinished {
-			continue
-		}
-		c.failIncompleteGang(job)
-		attempt, _ := job.gangAttempt()
-		if job.stoppedAttempt == attempt || !c.gangMustStop(job) {
-			continue
-		}
-		job.stoppedAttempt = attempt
-		for _, other := range job.groups {
-			c.cancelReservations(other, !other.writing) // what was to replace a task of it
-		}
-		c.log.Debug("gang is stopped", "job", job.id, "attempt", attempt, "broken", c.gangBroken(job))
-		for m := range job.machines() {
-			c.sendCommandsNow(m)
+		if group.boundCount > 0 && job.spec != nil && job.spec.Gang && job.finalState == record.Unfinished {
+			c.failIncompleteGang(job)
+			c.stopGang(job)
 		}
 	}
 }
 
-// noteGangTask learns from the state of a gang's task. After a take-over the reports are all
-// there is to tell whether an attempt has run.
-func (j *job) noteGangTask(t *wire.TaskStatus) {
-	switch t.State {
-	case wire.Running, wire.Saving:
-		j.startedAttempt = max(j.startedAttempt, t.Attempt)
-	case wire.Exited:
-		switch t.Reason {
-		case wire.ReasonDone:
-			j.gangCompleted = true // they complete together
-		case wire.ReasonIncompleteGang, wire.ReasonError:
-			j.failedAttempt = max(j.failedAttempt, t.Attempt)
-		case wire.ReasonPeersGone:
-			j.startedAttempt = max(j.startedAttempt, t.Attempt)
-		}
+// stopGang stops the present attempt of a gang if it must, and has not been stopped yet.
+func (c *partitionOwner) stopGang(j *job) {
+	attempt, _ := j.gangAttempt()
+	if j.stoppedAttempt == attempt || !c.gangMustStop(j) {
+		return
 	}
-}
-
-// stopGraceS is what a task is given to save when it is stopped: what it asks for, unless
-// there is nothing to save. A gang saves together or not at all.
-func (c *clusterState) stopGraceS(j *job) float64 {
-	if j.finalState != record.Unfinished || j.spec == nil || j.spec.CheckpointS == 0 || j.spec.Gang && c.gangBroken(j) {
-		return 0
+	j.stoppedAttempt = attempt
+	for _, group := range j.groups {
+		c.cancelReservations(group, !group.writing) // what was to replace a task of it
+	}
+	c.log.Debug("gang is stopped", "job", j.id, "attempt", attempt, "broken", c.gangBroken(j))
+	for m := range j.machines() {
+		c.sendCommandsNow(m)
 	}
-	return j.spec.SaveS
 }
 
 // gangMayReserve tells whether cells may be reserved for a gang's unplaced tasks: for all of
@@ -143,32 +114,12 @@
 	return !mustEnd && !job.gangIsDone() // it starts again when all tasks of the attempt have ended
 }
 
-// gangBound tells whether every task of a gang's present attempt has a stored binding.
-// None is started before: a gang that takes several transactions to bind would hold
-// machines for tasks that can't run, if the rest fails.
-func (j *job) gangBound() bool {
-	n := 0
-	for _, group := range j.groups {
-		if group.boundCount < len(group.bindings) {
-			return false
-		}
-		n += group.boundCount
-	}
-	return n == j.spec.Tasks
-}
-
-// gangIsDone tells whether a gang is done. Its tasks complete together, so one that is
-// stored as done speaks for all, also to a controller that never saw its report.
-func (j *job) gangIsDone() bool {
-	return j.gangCompleted || slices.ContainsFunc(j.groups, func(group *taskGroup) bool { return group.done > 0 })
-}
-
 // failIncompleteGang ends an attempt that was bound in part and can't be completed: without
 // room for the rest nothing would be started, nor given back.
 func (c *partitionOwner) failIncompleteGang(j *job) {
-	attempt, there := j.gangAttempt()
+	attempt, bound := j.gangAttempt()
 	switch {
-	case !there || j.gangBound():
+	case !bound || j.gangBound():
 		j.incompleteSince = time.Time{}
 	case j.incompleteSince.IsZero():
 		j.incompleteSince = c.now
@@ -178,16 +129,3 @@
 		c.log.Info("gang can't be completed and is bound anew", "job", j.id, "attempt", attempt)
 	}
 }
-
-// machines goes through the machines that a job's tasks are bound to, one for each task.
-func (j *job) machines() iter.Seq[*machine] {
-	return func(yield func(*machine) bool) {
-		for _, group := range j.groups {
-			for i := range group.bindings {
-				if m := group.bindings[i].machine; m != nil && !yield(m) {
-					return
-				}
-			}
-		}
-	}
-}
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -2,54 +2,58 @@
 
 import "eiderhitch/internal/scheduling"
 
-// Claims of tasks on cells, kept in line with the stored records.
+// The cells of tasks, kept in line with the stored records.
 
-// adoptBindings brings the cells of a part of ours in line with a stored record.
+// adoptBindings brings the cells of this controller's partitions in line with a stored task
+// group.
 func (c *clusterState) adoptBindings(group *taskGroup) {
 	if group.job.spec == nil {
 		return
 	}
 	for i := range group.bindings {
-		bound := &group.bindings[i]
-		if bound.machine == nil {
-			continue
-		}
-		p := c.partitions[bound.machine.partition]
-		if p.token == 0 {
-			continue
-		}
-		t := group.task(bound.task)
-		if o, ok := c.attemptEnds[t]; ok && o.attempt == bound.attempt {
-			continue // its cell is free already, on proof
-		}
-		delete(p.reservations, t)
-		p.cells.Adopt(t, bound.machine.index, group.job.taskSize, group.claim())
-		c.noteFetch(bound.machine, group.job.spec.Image)
+		c.adoptBinding(group, &group.bindings[i])
 	}
 }
 
-// cancelReservations gives up what a record's tasks claim without a stored binding; of
-// cells whose binding may be on its way only if those, too, are void.
+// adoptBinding has a bound task use its cell, unless the cell is free already because the
+// attempt is proven to have ended.
+func (c *clusterState) adoptBinding(group *taskGroup, bound *binding) {
+	if bound.machine == nil {
+		return
+	}
+	p := c.partitions[bound.machine.partition]
+	if p.token == 0 {
+		return
+	}
+	task := group.task(bound.task)
+	if end, ok := c.attemptEnds[task]; ok && end.attempt == bound.attempt {
+		return
+	}
+	delete(p.reservations, task)
+	p.cells.Adopt(task, bound.machine.index, group.job.taskSize, group.claim())
+	c.noteFetch(bound.machine, group.job.spec.Image)
+}
+
+// cancelReservations gives up the cells that a group's tasks wait for; with all also those
+// that they have reserved, for which a binding may be on its way to the key-value store.
 func (c *clusterState) cancelReservations(group *taskGroup, all bool) {
 	p := c.partitions[group.partition]
 	if p.token == 0 {
 		return
 	}
 	for i := range group.bindings {
-		t := group.task(group.bindings[i].task)
-		if g := p.cells.PreemptingGroup(t); g != nil {
-			p.cells.Cancel(g)
-		}
-		if _, ok := p.reservations[t]; ok && all {
-			delete(p.reservations, t)
-			c.freeCell(p, t)
+		task := group.task(group.bindings[i].task)
+		p.cancelPreempting(task)
+		if _, ok := p.reservations[task]; ok && all {
+			delete(p.reservations, task)
+			c.freeCell(p, task)
 		}
 	}
 }
 
-// releaseCells gives up whatever tasks hold in a part of ours that leave a
-// record. Left behind, their cells would never be free again, and a look at
-// their record would find none.
+// releaseCells gives up whatever tasks that leave a group hold in this controller's partition.
+// Left behind, their cells would never be free again, and their group would not be found
+// when their machine fails.
 func (c *clusterState) releaseCells(group *taskGroup, kept map[int32]bool) {
 	p := c.partitions[group.partition]
 	if p.token == 0 {
@@ -59,28 +63,34 @@
 		if kept[group.bindings[i].task] {
 			continue
 		}
-		t := group.task(group.bindings[i].task)
-		if g := p.cells.PreemptingGroup(t); g != nil {
-			p.cells.Cancel(g)
-		}
-		delete(p.reservations, t)
-		c.freeCell(p, t)
+		task := group.task(group.bindings[i].task)
+		p.cancelPreempting(task)
+		delete(p.reservations, task)
+		c.freeCell(p, task)
+	}
+}
+
+// cancelPreempting gives up what a task, together with others perhaps, waits for.
+func (p *partition) cancelPreempting(task scheduling.Task) {
+	if request := p.cells.PreemptingGroup(task); request != nil {
+		p.cells.Cancel(request)
 	}
 }
 
-// freeCell ends a task's use of its cell; a group that waited for it may now
-// be Allocated.
-func (c *clusterState) freeCell(p *partition, t scheduling.Task) {
-	if g := p.cells.Release(t); g != nil {
-		c.reserveCells(p, g)
+// freeCell ends a task's use of its cell; a group that waited for it may now be Allocated.
+func (c *clusterState) freeCell(p *partition, task scheduling.Task) {
+	if request := p.cells.Release(task); request != nil {
+		c.reserveCells(p, request)
 	}
 }
 
-func (c *clusterState) reserveCells(p *partition, g *scheduling.Group) {
-	for i, t := range g.Tasks {
-		m := c.machineByIndex[g.Machines[i]]
-		p.reservations[t] = reservation{m, m.incarnation}
-		c.noteFetch(m, c.groups[t.Group].job.spec.Image)
+// reserveCells notes the cells of an Allocated group. Their bindings are stored by the next
+// scheduling pass.
+func (c *clusterState) reserveCells(p *partition, request *scheduling.Group) {
+	for i, task := range request.Tasks {
+		m := c.machineByIndex[request.Machines[i]]
+		p.reservations[task] = reservation{m, m.incarnation}
+		c.noteFetch(m, c.groups[task.Group].job.spec.Image)
 	}
 	c.requestPass()
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -21,19 +21,19 @@
 )
 
 // rolloutState is what a controller knows of feature levels: the stored state, who reads what,
-// and in which forms records are stored. The decisions are in internal/rollout.
+// and in which encodings records are stored. The decisions are in internal/rollout.
 type rolloutState struct {
 	supported rollout.Range
 	state     rollout.State
 	version   uint64 // of the stored state; 0: none is stored
 	// refusal is why this process must not serve; nil: it may.
 	refusal          error
-	keys             rollout.Keys // of the rights
+	keys             rollout.Keys // of the leases
 	controllers      map[string]rollout.Registered
-	groupsByEncoding map[record.Encoding]int // records by the form they are stored in
+	groupsByEncoding map[record.Encoding]int // task groups by the encoding that they are stored in
 	unreadable       map[string]bool         // keys of groups that can't be decoded
-	writing          bool                    // a step is on its way
-	rewrites         *rate.Limiter           // of records that are rewritten for their form alone
+	writing          bool                    // the write of a step is under way
+	rewrites         *rate.Limiter           // of groups that are rewritten for their encoding alone
 }
 
 func newRolloutState(cfg *config.Platform, op *config.Operator) rolloutState {
@@ -43,46 +43,56 @@
 	if op.HighestLevel > 0 {
 		supported.High = min(supported.High, rollout.Level(op.HighestLevel))
 	}
-	return rolloutState{supported: supported, state: rollout.Initial, keys: rollout.Initial.Keys(),
-		controllers: map[string]rollout.Registered{}, groupsByEncoding: map[record.Encoding]int{}, unreadable: map[string]bool{},
-		rewrites: rate.NewLimiter(rate.Limit(perSecond), 1)}
+	return rolloutState{
+		supported:        supported,
+		state:            rollout.Initial,
+		keys:             rollout.Initial.Keys(),
+		controllers:      map[string]rollout.Registered{},
+		groupsByEncoding: map[record.Encoding]int{},
+		unreadable:       map[string]bool{},
+		rewrites:         rate.NewLimiter(rate.Limit(perSecond), 1),
+	}
 }
 
-// leaderKey is the key of the lead.
+// leaderKey is the key of the leadership's lease.
 func (c *clusterState) leaderKey() string { return c.rollout.keys.Leader() }
 
-// leaderCondition has a write fail if this controller does not lead any more.
+// leaderCondition has a write fail if this controller is not the leader any more.
 func (c *leader) leaderCondition() wire.Condition {
 	return wire.Condition{Key: c.leaderKey(), Revision: c.leadership.token}
 }
 
-// encoding is the form in which records are written.
+// encoding is that in which task groups are written.
 func (c *clusterState) encoding() record.Encoding { return encodingOf(c.rollout.state.Writes()) }
 
-// encodingOf is the form of records at a feature level.
-func encodingOf(l rollout.Level) record.Encoding {
-	if l >= rollout.ChecksumLevel {
+// encodingOf is the encoding of task groups at a feature level.
+func encodingOf(level rollout.Level) record.Encoding {
+	if level >= rollout.ChecksumLevel {
 		return record.Checksummed
 	}
 	return record.PlainJSON
 }
 
-// countOutdated counts the records that are not stored in the form in which they are written.
-func (l *rolloutState) countOutdated() int {
+// countOutdated counts the task groups that are not stored in the encoding in which they are
+// written.
+func (s *rolloutState) countOutdated() int {
+	written := encodingOf(s.state.Writes())
 	n := 0
-	for form, count := range l.groupsByEncoding {
-		if form != encodingOf(l.state.Writes()) {
+	for encoding, count := range s.groupsByEncoding {
+		if encoding != written {
 			n += count
 		}
 	}
 	return n
 }
 
-// countNewer counts the records that are stored in a form above that in which they are written.
-func (l *rolloutState) countNewer() int {
+// countNewer counts the task groups that are stored in an encoding above that in which they
+// are written.
+func (s *rolloutState) countNewer() int {
+	written := encodingOf(s.state.Writes())
 	n := 0
-	for form, count := range l.groupsByEncoding {
-		if form > encodingOf(l.state.Writes()) {
+	for encoding, count := range s.groupsByEncoding {
+		if encoding > written {
 			n += count
 		}
 	}
@@ -91,36 +101,26 @@
 
 // putRolloutState takes the stored state in. One that can't be read was written by a version
 // that knows more: this one must not serve.
-func (c *controller) putRolloutState(raw json.RawMessage, stamp uint64) error {
+func (c *controller) putRolloutState(raw json.RawMessage, revision uint64) error {
 	state, err := rollout.DecodeState(raw)
 	if err != nil {
 		state = c.rollout.state
 	}
-	c.setRolloutState(state, stamp, err)
+	c.setRolloutState(state, revision, err)
 	return nil
 }
 
-// setRolloutState follows a new state: rights are held under its keys, and by controllers alone
-// that read what it allows to be stored.
+// setRolloutState follows a new state: leases are held under its keys, and by controllers alone
+// that read what it allows to be stored. unknown is why it can't be read, if it can't.
 func (c *controller) setRolloutState(state rollout.State, version uint64, unknown error) {
-	l := &c.rollout
-	before := l.state
-	l.state, l.version = state, version
+	before := c.rollout.state
+	c.rollout.state, c.rollout.version = state, version
 	refusal := unknown
-	if refusal == nil && !state.Admits(l.supported) {
-		refusal = fmt.Errorf("feature level %d is in force, this version reads %s", state.Level, l.supported)
-	}
-	if refusal != nil && (l.refusal == nil || l.refusal.Error() != refusal.Error()) {
-		c.log.Error("this controller must not serve", "why", refusal)
-	}
-	if refusal == nil && l.refusal != nil {
-		c.log.Info("this controller may serve again", "level", state.Level)
-	}
-	l.refusal = refusal
-	if refusal != nil {
-		c.election.ResignAll()
+	if refusal == nil && !state.Admits(c.rollout.supported) {
+		refusal = &unsupportedLevelError{level: state.Level, supported: c.rollout.supported}
 	}
-	if keys := state.Keys(); keys != l.keys {
+	c.setRefusal(refusal)
+	if keys := state.Keys(); keys != c.rollout.keys {
 		c.switchLeaseKeys(keys)
 	}
 	if before != state {
@@ -128,8 +128,34 @@
 	}
 }
 
-// switchLeaseKeys gives all rights up, whose keys nobody may hold any more, and has them taken
-// under other keys from now on.
+// unsupportedLevelError tells that the feature level in force is none that this version reads.
+type unsupportedLevelError struct {
+	level     rollout.Level
+	supported rollout.Range
+}
+
+func (e *unsupportedLevelError) Error() string {
+	return fmt.Sprintf("feature level %d is in force, this version reads %s", e.level, e.supported)
+}
+
+// setRefusal notes why this process must not serve, or that it may, and has it resign from all
+// leases if it must not.
+func (c *controller) setRefusal(refusal error) {
+	before := c.rollout.refusal
+	c.rollout.refusal = refusal
+	switch {
+	case refusal != nil:
+		if before == nil || before.Error() != refusal.Error() {
+			c.log.Error("this controller must not serve", "why", refusal)
+		}
+		c.election.ResignAll()
+	case before != nil:
+		c.log.Info("this controller may serve again", "level", c.rollout.state.Level)
+	}
+}
+
+// switchLeaseKeys resigns from all leases, whose keys nobody may hold any more, and has them
+// acquired under other keys from now on.
 func (c *controller) switchLeaseKeys(keys rollout.Keys) {
 	c.election.SetKeys(leaseKeys(keys, c.loanPartition())) // under the former names this loses all
 	c.rollout.keys = keys
@@ -140,61 +166,72 @@
 }
 
 // putRegistration takes in what a controller stores about itself.
-func (c *controller) putRegistration(name string, raw json.RawMessage, stamp uint64) error {
+func (c *controller) putRegistration(name string, raw json.RawMessage, revision uint64) error {
 	registration, err := rollout.DecodeController(raw)
 	if err != nil {
 		delete(c.rollout.controllers, name) // unknown, as if it were not there
 		return err
 	}
-	c.rollout.controllers[name] = rollout.Registered{Controller: registration, Revision: stamp}
+	c.rollout.controllers[name] = rollout.Registered{Controller: registration, Revision: revision}
 	return nil
 }
 
 // rolloutView is what the next step rests on.
 func (c *controller) rolloutView() rollout.View {
-	l := &c.rollout
-	return rollout.View{Now: c.now, Members: c.cfg.Nodes(), Controllers: l.controllers, Leading: c.isLeader(), Current: c.replica.Cursor() >= l.version,
-		RecordsAbove: l.countNewer(), UnreadableRecords: len(l.unreadable), Partitions: c.loanPartition(), MaxTxnChanges: c.cfg.Settings.Store.TxnOps,
-		FinalizeAfter: c.operator.FinalizeAfter}
+	s := &c.rollout
+	return rollout.View{
+		Now:               c.now,
+		Members:           c.cfg.Nodes(),
+		Controllers:       s.controllers,
+		Leading:           c.isLeader(),
+		Current:           c.replica.Cursor() >= s.version,
+		RecordsAbove:      s.countNewer(),
+		UnreadableRecords: len(s.unreadable),
+		Partitions:        c.loanPartition(),
+		MaxTxnChanges:     c.cfg.Settings.Store.TxnOps,
+		FinalizeAfter:     c.operator.FinalizeAfter,
+	}
 }
 
 // advanceRollout takes the next step of an upgrade or of the way back, if there is one.
 func (c *controller) advanceRollout() {
-	l := &c.rollout
-	if l.writing || l.version == 0 && !c.operator.FeatureLevels || l.refusal != nil || !c.isFresh(c.operator.LeaseTTL) {
+	s := &c.rollout
+	enabled := s.version != 0 || c.operator.FeatureLevels
+	if !enabled || s.writing || s.refusal != nil || !c.isFresh(c.operator.LeaseTTL) {
 		return
 	}
 	view := c.rolloutView()
-	step, next := rollout.Decide(l.state, view)
+	step, next := rollout.Decide(s.state, view)
 	if step == rollout.NoStep {
 		return
 	}
-	txn := rollout.Txn(l.state, step, next, view, rollout.Revisions{State: l.version, Leader: c.leadership.token})
-	l.writing = true
-	c.log.Info("feature level step", "step", step, "from", l.state.Level, "phase", l.state.Phase)
-	c.SubmitWrite(&store.Write{Prompt: true, Contested: true, Conditions: txn.Conditions, Changes: txn.Changes}, func(err error) {
+	txn := rollout.Txn(s.state, step, next, view, rollout.Revisions{State: s.version, Leader: c.leadership.token})
+	s.writing = true
+	c.log.Info("feature level step", "step", step, "from", s.state.Level, "phase", s.state.Phase)
+	write := &store.Write{Prompt: true, Contested: true, Conditions: txn.Conditions, Changes: txn.Changes}
+	c.SubmitWrite(write, func(err error) {
 		if err == nil {
-			l.writing = false
+			s.writing = false
 			return
 		}
 		c.log.Info("feature level step failed", "step", step, "err", err)
-		c.reader.AfterSuccessfulRead(func() { l.writing = false }) // perhaps it was applied all the same
+		c.reader.AfterSuccessfulRead(func() { s.writing = false }) // perhaps it was applied all the same
 	})
 }
 
-// rewriteGroups has records of a partition stored in the form that is written now, a
+// rewriteGroups has task groups of a partition stored in the encoding that is written now, a
 // few at a time: users' writes go before, and so does all that has a backlog.
 func (c *partitionOwner) rewriteGroups(p *partition) {
 	if c.rollout.countOutdated() == 0 || c.stateWriter.Backlog() > rewriteBacklog {
 		return
 	}
-	form := c.encoding()
+	encoding := c.encoding()
 	for _, group := range p.groups {
-		if group.encoding == form || group.writing || group.job.spec == nil || c.now.Before(group.retryWriteAt) {
+		if group.encoding == encoding || group.writing || group.job.spec == nil || c.now.Before(group.retryWriteAt) {
 			continue
 		}
-		if group.record(group.done, group.bindings).Encode(form).Encoding() != form {
-			continue // the form can't hold it
+		if c.encodeGroup(group, group.done, group.bindings).Encoding() != encoding {
+			continue // that encoding can't hold it
 		}
 		if !c.rollout.rewrites.AllowN(c.now, 1) {
 			return
@@ -205,8 +242,8 @@
 	}
 }
 
-// frameVersion is the version of frames for a sibling: the checked one if it is active,
-// and the process that the sibling is now has said that it reads it.
+// frameVersion is the version of frames for a peer: the checksummed one if it is active, and
+// the process that the peer is now has said that it reads it.
 func (c *controller) frameVersion(name string) peer.Version {
 	registration, ok := c.rollout.controllers[name]
 	if !ok || c.rollout.state.Active() < rollout.ChecksumLevel || registration.High < rollout.ChecksumLevel {
@@ -218,16 +255,16 @@
 	return peer.ChecksummedFrame
 }
 
-// broadcastStatus sends this controller's status to all siblings.
+// broadcastStatus sends this controller's status to all peers.
 func (c *controller) broadcastStatus() {
 	status := c.peerStatus()
 	frames := map[peer.Version][]byte{}
-	for _, sibling := range c.cfg.Peers {
-		version := c.frameVersion(sibling.Name)
+	for _, p := range c.cfg.Peers {
+		version := c.frameVersion(p.Name)
 		if frames[version] == nil {
 			frames[version] = peer.AppendStatus(nil, status, version)
 		}
-		c.send(sibling.Name, frames[version])
+		c.send(p.Name, frames[version])
 	}
 }
 
@@ -252,7 +289,7 @@
 var Build = "unknown"
 
 const (
-	// registrationTTLs is how many times longer than a right a registration outlives its
+	// registrationTTLs is how many times longer than a lease a registration outlives its
 	// process: a slow controller should not look as if it had left.
 	registrationTTLs = 3
 	// rewriteBacklog is how much may wait to be stored while records are rewritten.
@@ -261,10 +298,13 @@
 
 // logRollout adds the levels to the regular counters.
 func (c *controller) logRollout(log *slog.Logger) {
-	l := &c.rollout
-	if l.version == 0 {
+	s := &c.rollout
+	if s.version == 0 {
 		return
 	}
-	log.Info("levels", "level", l.state.Level, "phase", l.state.Phase, "plain_records", l.groupsByEncoding[record.PlainJSON],
-		"checked_records", l.groupsByEncoding[record.Checksummed], "unreadable_records", len(l.unreadable), "controllers", len(l.controllers))
+	log.Info("levels", "level", s.state.Level, "phase", s.state.Phase,
+		"plain_records", s.groupsByEncoding[record.PlainJSON],
+		"checked_records", s.groupsByEncoding[record.Checksummed],
+		"unreadable_records", len(s.unreadable),
+		"controllers", len(s.controllers))
 }
