--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"iter"
 	"slices"
 	"time"
 
@@ -133,32 +132,6 @@
 	c.groups[group.index] = nil
 }
 
-// allGroups goes through all task groups there are.
-func (c *clusterState) allGroups() iter.Seq[*taskGroup] {
-	return func(yield func(*taskGroup) bool) {
-		for _, p := range c.partitions {
-			for _, group := range p.groups {
-				if !yield(group) {
-					return
-				}
-			}
-		}
-	}
-}
-
-// moveToPartition moves a task group to another partition's list, or to none.
-func (c *clusterState) moveToPartition(group *taskGroup, to int) {
-	if group.listPosition > 0 {
-		if group.partition == to {
-			return
-		}
-		c.partitions[group.partition].removeGroup(group)
-	}
-	if to != noPartition {
-		c.partitions[to].addGroup(group)
-	}
-}
-
 // unlinkBindings removes a group's tasks from the machines that they are bound to, and from
 // their job.
 func (c *clusterState) unlinkBindings(group *taskGroup) {
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -239,7 +239,7 @@
 
 // incomingReserveRoom is for how many tasks of a class there will be room on machines that are on
 // their way to the pool: empty ones, and such as come empty some time.
-func (c *clusterState) incomingReserveRoom(class *gangClass, zone string) (empty, busy int) {
+func (c *machineRegistry) incomingReserveRoom(class *gangClass, zone string) (empty, busy int) {
 	for name, loan := range c.loans {
 		m := c.machineNamed(name)
 		t := c.machineTypes[m.machineType]
@@ -289,7 +289,7 @@
 
 // reserveZone is the zone in which the pool has the most room for a gang that must be in
 // one; "" for any.
-func (c *clusterState) reserveZone(summaries []*planning.MachineSummary, class *gangClass) string {
+func (c *machineRegistry) reserveZone(summaries []*planning.MachineSummary, class *gangClass) string {
 	if !class.spec.SingleZone {
 		return ""
 	}
--- a/internal/controller/group_records.go
+++ b/internal/controller/group_records.go
@@ -7,9 +7,6 @@
 	"eiderhitch/internal/record"
 )
 
-// noPartition is the partition of a task group that is not stored.
-const noPartition = -1
-
 // storedValue is what is known of a value besides its content.
 type storedValue struct {
 	revision uint64
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -37,7 +37,7 @@
 }
 
 // loanedMachines are the machines that are lent, in one order for all that is decided.
-func (c *clusterState) loanedMachines() []string {
+func (c *machineRegistry) loanedMachines() []string {
 	if len(c.loans) == 0 {
 		return nil
 	}
@@ -45,7 +45,7 @@
 }
 
 // loanPartition is the number of the leader's own part.
-func (c *clusterState) loanPartition() int { return len(c.partitions) - 1 }
+func (c *machineRegistry) loanPartition() int { return len(c.partitions) - 1 }
 
 func (c *controller) putLoan(name string, v *record.MachineLoan, stamp uint64) {
 	m := c.machineNamed(name)
@@ -155,7 +155,7 @@
 }
 
 // hasLoanFor tells whether machines are lent, or being lent, for a job.
-func (c *clusterState) hasLoanFor(j *job) bool {
+func (c *machineRegistry) hasLoanFor(j *job) bool {
 	for _, loan := range c.loans {
 		if loan.Job == j.id {
 			return true
@@ -255,7 +255,7 @@
 
 // expectedRoom is for how many of n tasks of a job there is room in the leader's part, or
 // will be once the machines that are being lent for it have come.
-func (c *clusterState) expectedRoom(summaries []*planning.MachineSummary, j *job, zone string, n int) int {
+func (c *machineRegistry) expectedRoom(summaries []*planning.MachineSummary, j *job, zone string, n int) int {
 	room := 0
 	listed := map[scheduling.MachineIndex]bool{}
 	for _, summary := range summaries {
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -99,28 +99,6 @@
 	*s = slices.DeleteFunc(*s, func(x machineBinding) bool { return x.task == task })
 }
 
-// machineNamed returns the machine of a name, which is made known if it is not yet.
-func (c *clusterState) machineNamed(name string) *machine {
-	m := c.machines[name]
-	if m != nil {
-		return m
-	}
-	m = &machine{
-		name:          name,
-		index:         scheduling.MachineIndex(len(c.machineByIndex)),
-		hashPartition: partitionOf(name, c.cfg.Settings.Count),
-		terminated:    c.terminated[name],
-		images:        map[string]bool{},
-		fetching:      map[string]time.Time{},
-		failedJobs:    map[string]time.Time{},
-	}
-	m.partition = c.partitionOfMachine(m)
-	c.machines[name] = m
-	c.machineByIndex = append(c.machineByIndex, m)
-	c.addToPartition(m)
-	return m
-}
-
 // introduce notes what others have said of a machine: its address, and an incarnation of its
 // agent. Only the machine's own heartbeats tell more.
 func (m *machine) introduce(addr string, incarnation uint64) {
@@ -132,33 +110,6 @@
 	}
 }
 
-// setMachineSize makes a machine's cells known to its partition once its type is known.
-func (c *clusterState) setMachineSize(m *machine) {
-	p := c.partitions[m.partition]
-	machineType := c.machineTypes[m.machineType]
-	if p.token == 0 || machineType == nil || m.terminated || m.heartbeatAt.IsZero() {
-		return
-	}
-	p.cells.SetMachine(m.index, scheduling.NewResources(machineType.CPUs, machineType.GPUs, machineType.RAMGB))
-}
-
-// partitionOfMachine is the partition that a machine is in by the records.
-func (c *clusterState) partitionOfMachine(m *machine) int {
-	if loan := c.loans[m.name]; loan != nil && loan.Acknowledged {
-		return c.loanPartition()
-	}
-	return m.hashPartition
-}
-
-// addToPartition puts a machine among those of its partition.
-func (c *clusterState) addToPartition(m *machine) {
-	if !m.listed {
-		m.listed = true
-		p := c.partitions[m.partition]
-		p.machines = append(p.machines, m)
-	}
-}
-
 // removeMachines takes machines out of a partition's list.
 func (p *partition) removeMachines(leaves func(*machine) bool) {
 	p.machines = slices.DeleteFunc(p.machines, func(m *machine) bool {
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -12,7 +12,6 @@
 	"eiderhitch/internal/replica"
 	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
-	"eiderhitch/internal/wire"
 )
 
 // clusterState is what every component of a controller may look at: the settings, the time
@@ -21,6 +20,7 @@
 // what peers and the cloud say; it decides nothing.
 type clusterState struct {
 	*catalog
+	*machineRegistry
 
 	cfg       *config.Platform
 	operator  *config.Operator
@@ -54,15 +54,6 @@
 	records     machineRecords // see reconcileView
 	rollout     rolloutState
 
-	machineTypes   map[string]*wire.MachineType
-	machines       map[string]*machine
-	machineByIndex []*machine
-	partitions     []*partition // the last one is the leader's, of machines on loan
-	loans          map[string]*machineLoan
-	// terminated are the machines that surely are, as long as a tombstone says so.
-	terminated map[string]bool
-	tombstones map[string]tombstone
-
 	// passDue: a scheduling pass is wanted; schedulingPass counts the passes.
 	passDue        bool
 	schedulingPass uint64
@@ -93,8 +84,7 @@
 
 		catalog: newCatalog(), objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.Store.ValueKB),
 		attemptEnds: map[scheduling.Task]attemptEnd{}, rollout: newRolloutState(cfg, op),
-		machines: map[string]*machine{}, loans: map[string]*machineLoan{},
-		terminated: map[string]bool{}, tombstones: map[string]tombstone{}, schedulingPass: 1,
+		machineRegistry: newMachineRegistry(), schedulingPass: 1,
 	}
 	c.startedAt = c.now
 	for _, t := range s.Teams {
