--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -86,9 +86,43 @@
 	group.endsPendingSince, group.bindingsPendingSince = time.Time{}, time.Time{}
 }
 
+// updatePlan works out the update of one task group.
+type updatePlan struct {
+	owner     *partitionOwner
+	partition *partition
+	group     *taskGroup
+	// mayBind: the group's tasks may be bound; gangAttempt is their attempt if they are a
+	// gang's.
+	mayBind     bool
+	gangAttempt uint64
+	update      groupUpdate
+}
+
+// planUpdate works out what is to be stored of a task group: ended attempts, new bindings.
+func (c *partitionOwner) planUpdate(p *partition, group *taskGroup) groupUpdate {
+	job := group.job
+	plan := updatePlan{
+		owner: c, partition: p, group: group,
+		mayBind: job.finalState == record.Unfinished,
+		update:  groupUpdate{done: group.done, oversized: group.size > c.maxValueBytes()},
+	}
+	if job.spec.Gang {
+		if plan.mayBind && job.gangIsDone() {
+			plan.gangDone()
+			return plan.update
+		}
+		plan.gangAttempt = p.bindingAttempt(group)
+		plan.mayBind = plan.mayBind && plan.gangAttempt > 0
+	}
+	for _, bound := range group.bindings {
+		plan.task(bound)
+	}
+	return plan.update
+}
+
 // bindingAttempt is the attempt of the next bindings of a gang's group; 0: none may be made,
 // since not all of its tasks have cells.
-func (c *partitionOwner) bindingAttempt(p *partition, group *taskGroup) uint64 {
+func (p *partition) bindingAttempt(group *taskGroup) uint64 {
 	attempt, bound := group.job.gangAttempt()
 	if bound {
 		return attempt // what is missing of it
@@ -101,80 +135,66 @@
 	return attempt + 1
 }
 
-// planUpdate works out what is to be stored of a task group: ended attempts, new bindings.
-func (c *partitionOwner) planUpdate(p *partition, group *taskGroup) groupUpdate {
-	update := groupUpdate{done: group.done, oversized: group.size > c.maxValueBytes()}
-	job := group.job
-	mayBind := job.finalState == record.Unfinished
-	var gangAttempt uint64
-	if job.spec.Gang {
-		if mayBind && job.gangIsDone() {
-			c.planGangDone(group, &update)
-			return update
-		}
-		gangAttempt = c.bindingAttempt(p, group)
-		mayBind = mayBind && gangAttempt > 0
+// task plans one task.
+func (plan *updatePlan) task(bound binding) {
+	if plan.end(&bound) {
+		return // a task that is done has no binding any more
 	}
-	for _, bound := range group.bindings {
-		if c.planEnd(group, &bound, &update) {
-			continue // a task that is done has no binding any more
-		}
-		if mayBind && bound.machine == nil && c.planBinding(p, group, &bound, gangAttempt) {
-			update.newlyBound = append(update.newlyBound, group.task(bound.task))
-			update.changed = true
-		}
-		if bound.machine == nil {
-			update.unplaced++
-		}
-		update.bindings = append(update.bindings, bound)
+	if plan.mayBind && bound.machine == nil && plan.bind(&bound) {
+		plan.update.newlyBound = append(plan.update.newlyBound, plan.group.task(bound.task))
+		plan.update.changed = true
+	}
+	if bound.machine == nil {
+		plan.update.unplaced++
 	}
-	return update
+	plan.update.bindings = append(plan.update.bindings, bound)
 }
 
-// planEnd has the proven end of a bound task's attempt stored, if there is one; true: the
-// task is done. One that is lost waits for a machine again.
-func (c *partitionOwner) planEnd(group *taskGroup, bound *binding, update *groupUpdate) (done bool) {
-	task := group.task(bound.task)
-	end, ended := c.attemptEnds[task]
+// end has the proven end of a bound task's attempt stored, if there is one; true: the task is
+// done. One that is lost waits for a machine again.
+func (plan *updatePlan) end(bound *binding) (done bool) {
+	task := plan.group.task(bound.task)
+	end, ended := plan.owner.attemptEnds[task]
 	if !ended || bound.machine == nil || end.attempt != bound.attempt {
 		return false
 	}
-	update.ended = append(update.ended, endedTask{task, end})
-	update.changed = true
+	plan.update.ended = append(plan.update.ended, endedTask{task, end})
+	plan.update.changed = true
 	if end.done {
-		update.done++
+		plan.update.done++
 		return true
 	}
 	bound.machine, bound.incarnation = nil, 0
 	return false
 }
 
-// planBinding binds a task to the machine on which it has a reservation; false: it has none,
-// or the machine can't be used any more, in which case the reservation is given up.
-func (c *partitionOwner) planBinding(p *partition, group *taskGroup, bound *binding, gangAttempt uint64) bool {
-	task := group.task(bound.task)
+// bind binds a task to the machine on which it has a reservation; false: it has none, or the
+// machine can't be used any more, in which case the reservation is given up.
+func (plan *updatePlan) bind(bound *binding) bool {
+	p, task := plan.partition, plan.group.task(bound.task)
 	reserved, ok := p.reservations[task]
 	if !ok {
 		return false
 	}
-	if reserved.machine.terminated || !c.usable(reserved.machine, p) {
+	if reserved.machine.terminated || !plan.owner.usable(reserved.machine, p) {
 		delete(p.reservations, task)
-		c.freeCell(p, task)
+		plan.owner.freeCell(p, task)
 		return false
 	}
 	bound.machine, bound.incarnation = reserved.machine, reserved.machine.incarnation
 	bound.attempt++
-	if group.job.spec.Gang {
-		bound.attempt = gangAttempt
+	if plan.group.job.spec.Gang {
+		bound.attempt = plan.gangAttempt
 	}
 	return true
 }
 
-// planGangDone has all tasks of a gang's group done: one of the gang is.
-func (c *partitionOwner) planGangDone(group *taskGroup, update *groupUpdate) {
+// gangDone has all tasks of a gang's group done: one of the gang is.
+func (plan *updatePlan) gangDone() {
+	group, update := plan.group, &plan.update
 	for i := range group.bindings {
 		task := group.task(group.bindings[i].task)
-		if end, ok := c.attemptEnds[task]; ok {
+		if end, ok := plan.owner.attemptEnds[task]; ok {
 			update.ended = append(update.ended, endedTask{task, end})
 		}
 	}
--- a/internal/controller/bindings_write.go
+++ b/internal/controller/bindings_write.go
@@ -11,6 +11,7 @@
 
 // updateWrite is the write of a task group's update on its way to the key-value store.
 type updateWrite struct {
+	owner     *partitionOwner
 	partition *partition
 	group     *taskGroup
 	update    *groupUpdate
@@ -26,7 +27,10 @@
 // writeUpdate submits the write that carries an update out.
 func (c *partitionOwner) writeUpdate(p *partition, group *taskGroup, update *groupUpdate) {
 	job := group.job
-	w := &updateWrite{partition: p, group: group, update: update, token: p.token, finishesJob: c.endsJob(group, update)}
+	w := &updateWrite{
+		owner: c, partition: p, group: group, update: update,
+		token: p.token, finishesJob: c.endsJob(group, update),
+	}
 	write := &store.Write{
 		Prompt: job.spec.Gang && len(update.newlyBound) > 0,
 		// Services first: when hundreds of machines are lost together, or all leases have
@@ -34,7 +38,7 @@
 		Early:      job.spec.AllOrNothing(),
 		Conditions: updateConditions(p, group),
 	}
-	c.addPieces(w, write)
+	w.addPieces(write)
 	if w.finishesJob {
 		job.finishing = true
 		final := record.JSON(record.Job{FinalState: record.Done})
@@ -42,7 +46,7 @@
 	}
 	group.writing, group.write = true, write
 	c.metrics.count(countStored, 1)
-	c.SubmitWrite(write, func(err error) { c.updateCompleted(w, err) })
+	c.SubmitWrite(write, w.completed)
 }
 
 // updateConditions have a write fail if the partition has another owner by then, or the task
@@ -62,9 +66,9 @@
 // addPieces adds a task group's content to its write, in new groups what does not fit into one
 // value. New groups come first: what moves to them is adopted there before it is given up
 // here.
-func (c *partitionOwner) addPieces(w *updateWrite, write *store.Write) {
+func (w *updateWrite) addPieces(write *store.Write) {
 	job := w.group.job
-	pieces := c.splitToFit(w.group, w.update.done, w.update.bindings)
+	pieces := w.owner.splitToFit(w.group, w.update.done, w.update.bindings)
 	if len(pieces) > 1 {
 		for _, task := range w.update.newlyBound {
 			w.splitMachines = append(w.splitMachines, w.partition.reservations[task].machine)
@@ -88,28 +92,27 @@
 	return finished+update.done-group.done == job.spec.Tasks
 }
 
-// updateCompleted takes in the result of a write.
-func (c *partitionOwner) updateCompleted(w *updateWrite, err error) {
+// completed takes in the result of the write.
+func (w *updateWrite) completed(err error) {
 	group, job := w.group, w.group.job
 	group.writing, group.write = false, nil
 	if w.finishesJob {
 		job.finishing = false
 	}
 	if job.finalState != record.Unfinished && group.partition == w.partition.index {
-		c.cancelReservations(group, true) // what came to it while the write was on its way
+		w.owner.cancelReservations(group, true) // what came to it while the write was on its way
 	}
 	switch {
 	case err != nil:
-		c.updateFailed(w, err)
+		w.failed(err)
 	case w.partition.token == w.token:
-		c.updateStored(w)
+		w.stored()
 	}
 }
 
-// updateFailed gives up the reservations of an update that is not stored as far as is known;
-// what the key-value store really has is read before anything else is done.
-func (c *partitionOwner) updateFailed(w *updateWrite, err error) {
-	p, group := w.partition, w.group
+// failed gives up the reservations of an update that is not stored as far as is known; what the key-value store really has is read before anything else is done.
+func (w *updateWrite) failed(err error) {
+	c, p, group := w.owner, w.partition, w.group
 	c.log.Debug("record write failed", "key", group.key, "err", err)
 	if errors.Is(err, store.ErrInvalid) {
 		c.log.Error("record is refused as invalid", "key", group.key, "entries", len(w.update.bindings))
@@ -130,9 +133,10 @@
 	})
 }
 
-// updateStored has what an update binds started, and forgets the ends that it stored.
-func (c *partitionOwner) updateStored(w *updateWrite) {
-	c.noteBound(w)
+// stored has what the update binds started, and forgets the ends that it stored.
+func (w *updateWrite) stored() {
+	c := w.owner
+	w.noteBound()
 	for _, x := range w.update.ended {
 		if c.attemptEnds[x.task] == x.end {
 			delete(c.attemptEnds, x.task)
@@ -144,9 +148,9 @@
 	c.requestPass()
 }
 
-// noteBound counts and logs the new bindings of an update that is stored.
-func (c *partitionOwner) noteBound(w *updateWrite) {
-	job := w.group.job
+// noteBound counts and logs the new bindings of a stored update.
+func (w *updateWrite) noteBound() {
+	c, job := w.owner, w.group.job
 	c.metrics.count(countBound, len(w.update.newlyBound))
 	for _, task := range w.update.newlyBound {
 		bound := w.group.binding(task.Number)
