--- a/internal/controller/bindings_write.go
+++ b/internal/controller/bindings_write.go
@@ -115,7 +115,7 @@
 	c, p, group := w.owner, w.partition, w.group
 	c.log.Debug("record write failed", "key", group.key, "err", err)
 	if errors.Is(err, store.ErrInvalid) {
-		c.log.Error("record is refused as invalid", "key", group.key, "entries", len(w.update.bindings))
+		c.log.Error("record is refused as invalid", "key", group.key, "bindings", len(w.update.bindings))
 		group.retryWriteAt = c.now.Add(invalidWriteBackoff)
 	}
 	if p.token != 0 {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -112,7 +112,7 @@
 			if err := p.cells.CheckInvariants(); err != nil {
 				t.Error(err)
 			}
-			c.putTombstone(tombstonePrefix+"host-1", []string{"host-1"})
+			recordApplier{c}.putTombstone(tombstonePrefix+"host-1", []string{"host-1"})
 			if len(p.reservations) != 0 || len(p.cells.Tasks()) != 0 {
 				t.Errorf("%d reservations and %d cells on a lost machine, want none", len(p.reservations), len(p.cells.Tasks()))
 			}
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -37,7 +37,7 @@
 		leader:         &leader{clusterState: state},
 		send:           out.send,
 	}
-	state.replica = replica.New(c)
+	state.replica = replica.New(recordApplier{c})
 	state.reader = c.newReader(ctx, out.jitter)
 	state.election = c.newElector(ctx)
 	state.autoscaler = newAutoscaler(c, cloud.NewClient(cfg.External.Cloud, cfg.Settings.Cloud.RPS, out.cloud))
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -8,20 +8,6 @@
 	"eiderhitch/internal/wire"
 )
 
-// markUnreadable notes that a record of the job can't be decoded.
-func (j *job) markUnreadable(key string) {
-	if j.unreadable == nil {
-		j.unreadable = map[string]bool{}
-	}
-	j.unreadable[key] = true
-}
-
-// markReadable notes that a record of the job can be decoded, or is gone.
-func (j *job) markReadable(key string) { delete(j.unreadable, key) }
-
-// hasUnreadableRecords tells whether a record of the job can't be decoded.
-func (j *job) hasUnreadableRecords() bool { return len(j.unreadable) > 0 }
-
 // job is a job that is not archived, with its task groups.
 type job struct {
 	id          string
@@ -120,3 +106,17 @@
 		j.spec, j.groups, j.groupOfTask = nil, nil, nil
 	}
 }
+
+// markUnreadable notes that a record of the job can't be decoded.
+func (j *job) markUnreadable(key string) {
+	if j.unreadable == nil {
+		j.unreadable = map[string]bool{}
+	}
+	j.unreadable[key] = true
+}
+
+// markReadable notes that a record of the job can be decoded, or is gone.
+func (j *job) markReadable(key string) { delete(j.unreadable, key) }
+
+// hasUnreadableRecords tells whether a record of the job can't be decoded.
+func (j *job) hasUnreadableRecords() bool { return len(j.unreadable) > 0 }
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -12,74 +12,75 @@
 	"eiderhitch/internal/wire"
 )
 
-// What the replica tells of stored values: their decoding by the kind of their keys, and what
-// follows from their changes.
+// recordApplier applies the changes of the replica to a controller's state: it decodes stored
+// values by the kind of their keys, and has done what follows from their changes.
+type recordApplier struct{ *controller }
 
 // PutValue takes in a value that is new or has changed.
-func (c *controller) PutValue(key string, value json.RawMessage, revision uint64) {
-	if err := c.decodeRecord(key, value, revision); err != nil {
-		c.noteUndecodable(key, err)
+func (a recordApplier) PutValue(key string, value json.RawMessage, revision uint64) {
+	if err := a.decodeRecord(key, value, revision); err != nil {
+		a.noteUndecodable(key, err)
 	}
 }
 
 // DeleteValue forgets a stored value.
-func (c *controller) DeleteValue(key string) {
+func (a recordApplier) DeleteValue(key string) {
 	kind, name := parseKey(key)
 	switch {
 	case kind == groupKind:
-		c.deleteGroup(key)
+		a.deleteGroup(key)
 	case kind == tombstoneKind:
-		c.deleteTombstone(key)
+		a.deleteTombstone(key)
 	case kind == loanKind:
-		c.deleteLoan(name)
+		a.deleteLoan(name)
 	case key == rollout.StateKey:
-		c.setRolloutState(rollout.Initial, 0, nil)
+		a.setRolloutState(rollout.Initial, 0, nil)
 	case strings.HasPrefix(key, rollout.ControllerPrefix):
-		delete(c.rollout.controllers, strings.TrimPrefix(key, rollout.ControllerPrefix))
+		delete(a.rollout.controllers, strings.TrimPrefix(key, rollout.ControllerPrefix))
 	default:
-		c.election.ObserveVacancy(key)
+		a.election.ObserveVacancy(key)
 	}
 }
 
 // ChangesApplied counts the time that the changes of a watch took.
-func (c *controller) ChangesApplied(begun time.Time) {
-	c.metrics.addBusyTime(activityReplica, begun)
+func (a recordApplier) ChangesApplied(begun time.Time) {
+	a.metrics.addBusyTime(activityReplica, begun)
 }
 
 // decodeRecord takes a stored value in by the kind of its key. An error means that the value
 // can't be decoded.
-func (c *controller) decodeRecord(key string, raw json.RawMessage, revision uint64) error {
+func (a recordApplier) decodeRecord(key string, raw json.RawMessage, revision uint64) error {
 	kind, name := parseKey(key)
 	switch kind {
 	case groupKind:
-		return c.putGroupValue(key, raw, revision)
+		return a.putGroupValue(key, raw, revision)
 	case jobKind:
-		return c.putJobValue(key, name, raw, revision)
+		return a.putJobValue(key, name, raw, revision)
 	case machineTypesKind:
 		return decodeInto(raw, func(list []wire.MachineType) {
-			c.putMachineTypes(list)
-			c.autoscaler.MachineTypesStored()
+			a.putMachineTypes(list)
+			a.autoscaler.MachineTypesStored()
 		})
 	case tombstoneKind:
-		c.putTombstone(key, tombstoneNames(name, raw))
+		a.putTombstone(key, tombstoneNames(name, raw))
 		return nil
 	case loanKind:
-		return decodeInto(raw, func(loan record.MachineLoan) { c.putLoan(name, &loan, revision) })
+		return decodeInto(raw, func(loan record.MachineLoan) { a.putLoan(name, &loan, revision) })
 	case otherKind:
 	}
-	return c.decodeOther(key, raw, revision)
+	return a.decodeOther(key, raw, revision)
 }
 
 // decodeOther takes in the records of a rollout and the holders of leased keys.
-func (c *controller) decodeOther(key string, raw json.RawMessage, revision uint64) error {
+func (a recordApplier) decodeOther(key string, raw json.RawMessage, revision uint64) error {
 	if key == rollout.StateKey {
-		return c.putRolloutState(raw, revision)
+		return a.putRolloutState(raw, revision)
 	}
 	if name, ok := strings.CutPrefix(key, rollout.ControllerPrefix); ok {
-		return c.putRegistration(name, raw, revision)
+		return a.putRegistration(name, raw, revision)
 	}
 	return decodeInto(raw, func(holder record.LeaseHolder) {
-		c.election.ObserveHolder(key, holder, revision)
+		a.election.ObserveHolder(key, holder, revision)
 	})
 }
 
@@ -95,17 +96,17 @@
 
 // noteUndecodable names a record that this version can't decode. Nothing is guessed: its job
 // is neither assigned nor ended, and its user is told to come back.
-func (c *controller) noteUndecodable(key string, err error) {
-	c.log.Error("stored record can't be decoded; it is left alone", "key", key, "err", err)
-	c.metrics.count(countUndecodable, 1)
+func (a recordApplier) noteUndecodable(key string, err error) {
+	a.log.Error("stored record can't be decoded; it is left alone", "key", key, "err", err)
+	a.metrics.count(countUndecodable, 1)
 	var job *job
 	switch kind, name := parseKey(key); kind {
 	case jobKind:
-		job = c.job(name)
+		job = a.job(name)
 	case groupKind:
-		c.rollout.unreadable[key] = true
+		a.rollout.unreadable[key] = true
 		if id, _, ok := splitGroupKey(key); ok {
-			job = c.job(id)
+			job = a.job(id)
 		}
 	default:
 	}
@@ -116,58 +117,58 @@
 
 // putJobValue takes a job in, unless it is archived: a final job stays so, whatever comes
 // late.
-func (c *controller) putJobValue(key, id string, raw json.RawMessage, revision uint64) error {
+func (a recordApplier) putJobValue(key, id string, raw json.RawMessage, revision uint64) error {
 	var v record.Job
 	if err := wire.Decode(raw, &v); err != nil {
 		return err
 	}
-	if _, archived := c.finished[id]; archived {
-		c.replica.Forget(key)
+	if _, archived := a.finished[id]; archived {
+		a.replica.Forget(key)
 		return nil
 	}
-	c.putJob(id, &v, revision)
-	c.job(id).markReadable(key)
+	a.putJob(id, &v, revision)
+	a.job(id).markReadable(key)
 	return nil
 }
 
 // putJob takes a job in.
-func (c *controller) putJob(id string, v *record.Job, revision uint64) {
-	job := c.job(id)
+func (a recordApplier) putJob(id string, v *record.Job, revision uint64) {
+	job := a.job(id)
 	if job.revision != 0 && job.finalState != v.FinalState {
-		c.log.Info("job is over", "job", id, "fate", v.FinalState.String())
+		a.log.Info("job is over", "job", id, "final_state", v.FinalState.String())
 	}
 	before := job.finalState
 	job.revision, job.finalState = revision, v.FinalState
 	if v.Spec != nil {
-		c.setSpec(job, v)
+		a.setSpec(job, v)
 	}
 	if job.finalState != record.Unfinished {
-		job.releaseDetails(c.replica.Cursor())
-		c.stopFinalJob(job, before)
+		job.releaseDetails(a.replica.Cursor())
+		a.stopFinalJob(job, before)
 	}
-	c.requestPass()
+	a.requestPass()
 }
 
 // setSpec notes what a job asks for, and what follows from that.
-func (c *controller) setSpec(job *job, v *record.Job) {
+func (a recordApplier) setSpec(job *job, v *record.Job) {
 	spec := v.Spec
 	job.spec = spec
 	job.acceptedAt = time.UnixMilli(v.AcceptedAtMS)
 	job.taskSize = scheduling.NewResources(spec.CPUs, spec.GPUs, spec.RAMGB)
 	job.equivalenceClass = fmt.Sprint(spec.CPUs, spec.GPUs, spec.RAMGB, spec.MachineTypes, spec.Zone, spec.Spot, spec.Priority, spec.AllOrNothing(), spec.Team)
-	job.team = c.team(spec.Team)
+	job.team = a.team(spec.Team)
 }
 
 // stopFinalJob gives up what a final job has reserved, and has its tasks stopped.
-func (c *controller) stopFinalJob(job *job, before record.FinalState) {
+func (a recordApplier) stopFinalJob(job *job, before record.FinalState) {
 	for _, group := range job.groups {
 		if before == record.Unfinished {
 			group.cancelWrite() // it has the former version of the job among its conditions
 		}
-		c.cancelReservations(group, !group.writing)
+		a.cancelReservations(group, !group.writing)
 		for i := range group.bindings {
 			if m := group.bindings[i].machine; m != nil {
-				c.sendCommandsNow(m)
+				a.sendCommandsNow(m)
 			}
 		}
 	}
@@ -202,22 +203,22 @@
 }
 
 // putTombstone notes that machines are terminated.
-func (c *controller) putTombstone(key string, names []string) {
-	c.tombstones[key] = tombstone{names, c.now}
+func (a recordApplier) putTombstone(key string, names []string) {
+	a.tombstones[key] = tombstone{names, a.now}
 	for _, name := range names {
-		c.terminated[name] = true
-		if m := c.machines[name]; m != nil {
+		a.terminated[name] = true
+		if m := a.machines[name]; m != nil {
 			m.terminated = true
-			c.endAllAttempts(m, "machine is gone")
+			a.endAllAttempts(m, "machine is gone")
 		}
 	}
-	c.requestPass()
+	a.requestPass()
 }
 
 // deleteTombstone forgets that machines are terminated: nothing refers to them any more.
-func (c *controller) deleteTombstone(key string) {
-	for _, name := range c.tombstones[key].names {
-		delete(c.terminated, name)
+func (a recordApplier) deleteTombstone(key string) {
+	for _, name := range a.tombstones[key].names {
+		delete(a.terminated, name)
 	}
-	delete(c.tombstones, key)
+	delete(a.tombstones, key)
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -101,12 +101,12 @@
 
 // putRolloutState takes the stored state in. One that can't be read was written by a version
 // that knows more: this one must not serve.
-func (c *controller) putRolloutState(raw json.RawMessage, revision uint64) error {
+func (a recordApplier) putRolloutState(raw json.RawMessage, revision uint64) error {
 	state, err := rollout.DecodeState(raw)
 	if err != nil {
-		state = c.rollout.state
+		state = a.rollout.state
 	}
-	c.setRolloutState(state, revision, err)
+	a.setRolloutState(state, revision, err)
 	return nil
 }
 
@@ -166,13 +166,13 @@
 }
 
 // putRegistration takes in what a controller stores about itself.
-func (c *controller) putRegistration(name string, raw json.RawMessage, revision uint64) error {
+func (a recordApplier) putRegistration(name string, raw json.RawMessage, revision uint64) error {
 	registration, err := rollout.DecodeController(raw)
 	if err != nil {
-		delete(c.rollout.controllers, name) // unknown, as if it were not there
+		delete(a.rollout.controllers, name) // unknown, as if it were not there
 		return err
 	}
-	c.rollout.controllers[name] = rollout.Registered{Controller: registration, Revision: revision}
+	a.rollout.controllers[name] = rollout.Registered{Controller: registration, Revision: revision}
 	return nil
 }
 
