--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -6,10 +6,18 @@
 
 import (
 	"context"
+	"log/slog"
+	"math/rand/v2"
+	"net/http"
 	"time"
 
+	"eiderhitch/internal/cloud"
+	"eiderhitch/internal/config"
+	"eiderhitch/internal/election"
 	"eiderhitch/internal/frontend"
+	"eiderhitch/internal/replica"
 	"eiderhitch/internal/store"
+	"eiderhitch/internal/workerclient"
 )
 
 // controller runs the event loop and wires the components together. Only the event loop's
@@ -24,56 +32,6 @@
 	send func(peer string, frame []byte)
 }
 
-// enqueue has the event loop run an event; it blocks while the queue is full.
-func (c *clusterState) enqueue(at priority, event func()) { c.events.put(c.ctx, at, event) }
-
-// call has the event loop run an event and waits for it. False means that it has not been run
-// and won't be, or that ctx ended meanwhile: nobody waits for what it says any more.
-func (c *clusterState) call(ctx context.Context, at priority, event func()) bool {
-	done := make(chan struct{})
-	awaited := func() {
-		if ctx.Err() == nil {
-			event()
-			close(done)
-		}
-	}
-	if !c.putCall(ctx, at, awaited) {
-		return false
-	}
-	select {
-	case <-done:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
-// putCall queues an event that somebody waits for; false: it won't be run.
-func (c *clusterState) putCall(ctx context.Context, at priority, event func()) bool {
-	if at == priorityUsers {
-		return c.events.putUserRequest(event)
-	}
-	return c.events.put(ctx, at, event)
-}
-
-// loopAt is the event loop as components see it that queue functions at one priority.
-type loopAt struct {
-	*clusterState
-	at priority
-}
-
-// Now is the time of the event that the loop works on.
-func (l loopAt) Now() time.Time { return l.now }
-
-// Enqueue queues an event; it blocks while the queue is full.
-func (l loopAt) Enqueue(event func()) { l.enqueue(l.at, event) }
-
-// Call runs an event and waits for it; false if ctx ended first.
-func (l loopAt) Call(ctx context.Context, event func()) bool { return l.call(ctx, l.at, event) }
-
-// RetryAfterS is in how many seconds a user who was turned away should come back.
-func (l loopAt) RetryAfterS() int { return l.events.retryAfterS() }
-
 // isFresh tells whether the replica is current enough to act on: see MaxStaleness.
 func (c *clusterState) isFresh(limit time.Duration) bool {
 	return c.replica.FreshWithin(limit, c.now)
@@ -98,3 +56,70 @@
 		write.Done(0, store.ErrNotExecuted)
 	}
 }
+
+// clients is how a controller reaches the world.
+type clients struct {
+	state, cloud, workers http.RoundTripper
+	// send hands a status frame to a peer.
+	send func(peer string, frame []byte)
+	// jitter draws a duration below the given one; nil: at random.
+	jitter func(time.Duration) time.Duration
+}
+
+// newController makes the components of a controller and connects them. Calls to other
+// systems end with ctx.
+func newController(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger, out clients) *controller {
+	if out.jitter == nil {
+		out.jitter = rand.N[time.Duration]
+	}
+	state := newClusterState(ctx, cfg, op, log, out)
+	c := &controller{
+		clusterState:   state,
+		partitionOwner: &partitionOwner{clusterState: state, workerClient: workerclient.NewClient(out.workers), directSlots: workerclient.NewSlots[*machine](cfg.DirectCommands())},
+		leader:         &leader{clusterState: state},
+		send:           out.send,
+	}
+	state.replica = replica.New(recordApplier{c})
+	state.reader = c.newReader(ctx, out.jitter)
+	state.election = c.newElector(ctx)
+	state.autoscaler = newAutoscaler(c, cloud.NewClient(cfg.External.Cloud, cfg.Settings.Cloud.RPS, out.cloud))
+	c.Frontend = frontend.New(frontend.Config{
+		JobKey: jobKey, LeaseTTL: op.LeaseTTL, MaxValueBytes: c.maxValueBytes(), Quotas: cfg.Settings.Teams, Log: c.log,
+	}, clusterView{c}, loopAt{state.eventLoop, priorityUsers}, c.metrics)
+	return c
+}
+
+// newReader makes the reader that keeps the replica up to date.
+func (c *controller) newReader(ctx context.Context, jitter func(time.Duration) time.Duration) *replica.Reader {
+	s := &c.cfg.Settings
+	return replica.NewReader(ctx, replica.Config{
+		Prefix:            keyPrefix,
+		Controllers:       s.Count,
+		RequestsPerSecond: s.Store.RPS,
+		Jitter:            jitter,
+		Loaded:            func() { c.archiveFinished(c.replica) },
+		Log:               c.log,
+	}, c.replica, c.stateClient, loopAt{c.eventLoop, priorityState})
+}
+
+// newElector makes the elector of the partitions' leases and the leader's.
+func (c *controller) newElector(ctx context.Context) *election.Elector {
+	s := &c.cfg.Settings
+	return election.New(ctx, election.Config{
+		Node:              c.cfg.Name,
+		ProcessID:         c.processID,
+		Nodes:             c.cfg.Nodes(),
+		TTL:               c.operator.LeaseTTL,
+		StartedAt:         c.startedAt,
+		HeartbeatInterval: config.Seconds(s.Workers.ReportS),
+		WorkLifetime:      c.maxStaleness + c.leaseExpiry,
+		Log:               c.log,
+	}, election.Services{
+		Store:    c.stateClient,
+		Replica:  c.replica,
+		Reader:   c.reader,
+		Writer:   c,
+		Loop:     loopAt{c.eventLoop, priorityState},
+		Listener: c,
+	}, leaseKeys(c.rollout.keys, s.Count))
+}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -335,7 +335,7 @@
 	}
 	// A late copy of an older change does not bring it back.
 	spec.ID = "wk-00000002"
-	c.replica = replica.New(c) // which knows nothing of it yet
+	c.replica = replica.New(recordApplier{c}) // which knows nothing of it yet
 	c.replica.Put(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), 14)
 	if job := c.lookupJob(spec.ID); job.finalState != record.Done || len(c.jobs) != 0 {
 		t.Errorf("%s went back to %s", spec.ID, job.response().State)
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -2,86 +2,87 @@
 
 import (
 	"context"
-	"log/slog"
-	"math/rand/v2"
-	"net/http"
 	"time"
-
-	"eiderhitch/internal/cloud"
-	"eiderhitch/internal/config"
-	"eiderhitch/internal/election"
-	"eiderhitch/internal/frontend"
-	"eiderhitch/internal/replica"
-	"eiderhitch/internal/workerclient"
 )
 
-// clients is how a controller reaches the world.
-type clients struct {
-	state, cloud, workers http.RoundTripper
-	// send hands a status frame to a peer.
-	send func(peer string, frame []byte)
-	// jitter draws a duration below the given one; nil: at random.
-	jitter func(time.Duration) time.Duration
+// eventLoop is the queue of events and the time of the event in work. Its methods that queue
+// events may be called by any goroutine; all else belongs to the one that runs the events.
+type eventLoop struct {
+	// ctx ends the event loop.
+	ctx    context.Context
+	events *eventQueue
+	// now is the time of the event in work.
+	now time.Time
+	// resumedFromPauseAt is until when this process last stood still.
+	resumedFromPauseAt time.Time
+	// lastTick is when the event loop last came to its timers, lastLaggedAt when it last
+	// came late to them: see lagging.
+	lastTick, lastLaggedAt time.Time
+}
+
+func newEventLoop(ctx context.Context) *eventLoop {
+	return &eventLoop{ctx: ctx, events: newEventQueue(), now: time.Now()}
 }
 
-// newController makes the components of a controller and connects them. Calls to other
-// systems end with ctx.
-func newController(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger, out clients) *controller {
-	if out.jitter == nil {
-		out.jitter = rand.N[time.Duration]
+// enqueue has the event loop run an event; it blocks while the queue is full.
+func (l *eventLoop) enqueue(at priority, event func()) { l.events.put(l.ctx, at, event) }
+
+// call has the event loop run an event and waits for it. False means that it has not been run
+// and won't be, or that ctx ended meanwhile: nobody waits for what it says any more.
+func (l *eventLoop) call(ctx context.Context, at priority, event func()) bool {
+	done := make(chan struct{})
+	awaited := func() {
+		if ctx.Err() == nil {
+			event()
+			close(done)
+		}
+	}
+	if !l.putCall(ctx, at, awaited) {
+		return false
+	}
+	select {
+	case <-done:
+		return true
+	case <-ctx.Done():
+		return false
 	}
-	state := newClusterState(ctx, cfg, op, log, out)
-	c := &controller{
-		clusterState:   state,
-		partitionOwner: &partitionOwner{clusterState: state, workerClient: workerclient.NewClient(out.workers), directSlots: workerclient.NewSlots[*machine](cfg.DirectCommands())},
-		leader:         &leader{clusterState: state},
-		send:           out.send,
+}
+
+// putCall queues an event that somebody waits for; false: it won't be run.
+func (l *eventLoop) putCall(ctx context.Context, at priority, event func()) bool {
+	if at == priorityUsers {
+		return l.events.putUserRequest(event)
 	}
-	state.replica = replica.New(recordApplier{c})
-	state.reader = c.newReader(ctx, out.jitter)
-	state.election = c.newElector(ctx)
-	state.autoscaler = newAutoscaler(c, cloud.NewClient(cfg.External.Cloud, cfg.Settings.Cloud.RPS, out.cloud))
-	c.Frontend = frontend.New(frontend.Config{
-		JobKey: jobKey, LeaseTTL: op.LeaseTTL, MaxValueBytes: c.maxValueBytes(), Quotas: cfg.Settings.Teams, Log: c.log,
-	}, clusterView{c}, loopAt{state, priorityUsers}, c.metrics)
-	return c
+	return l.events.put(ctx, at, event)
 }
 
-// newReader makes the reader that keeps the replica up to date.
-func (c *controller) newReader(ctx context.Context, jitter func(time.Duration) time.Duration) *replica.Reader {
-	s := &c.cfg.Settings
-	return replica.NewReader(ctx, replica.Config{
-		Prefix:            keyPrefix,
-		Controllers:       s.Count,
-		RequestsPerSecond: s.Store.RPS,
-		Jitter:            jitter,
-		Loaded:            func() { c.archiveFinished(c.replica) },
-		Log:               c.log,
-	}, c.replica, c.stateClient, loopAt{c.clusterState, priorityState})
+// lagging tells whether this process gets so little processor time just now that it can't
+// tell who is late: others or itself.
+func (l *eventLoop) lagging() bool {
+	return !l.lastTick.IsZero() && l.now.Sub(l.lastTick) > tickInterval+maxLag
 }
 
-// newElector makes the elector of the partitions' leases and the leader's.
-func (c *controller) newElector(ctx context.Context) *election.Elector {
-	s := &c.cfg.Settings
-	return election.New(ctx, election.Config{
-		Node:              c.cfg.Name,
-		ProcessID:         c.processID,
-		Nodes:             c.cfg.Nodes(),
-		TTL:               c.operator.LeaseTTL,
-		StartedAt:         c.startedAt,
-		HeartbeatInterval: config.Seconds(s.Workers.ReportS),
-		WorkLifetime:      c.maxStaleness + c.leaseExpiry,
-		Log:               c.log,
-	}, election.Services{
-		Store:    c.stateClient,
-		Replica:  c.replica,
-		Reader:   c.reader,
-		Writer:   c,
-		Loop:     loopAt{c.clusterState, priorityState},
-		Listener: c,
-	}, leaseKeys(c.rollout.keys, s.Count))
+// laggedSince tells whether it did at any time since t.
+func (l *eventLoop) laggedSince(t time.Time) bool { return l.lagging() || l.lastLaggedAt.After(t) }
+
+// loopAt is the event loop as components see it that queue functions at one priority.
+type loopAt struct {
+	*eventLoop
+	at priority
 }
 
+// Now is the time of the event that the loop works on.
+func (l loopAt) Now() time.Time { return l.now }
+
+// Enqueue queues an event; it blocks while the queue is full.
+func (l loopAt) Enqueue(event func()) { l.enqueue(l.at, event) }
+
+// Call runs an event and waits for it; false if ctx ended first.
+func (l loopAt) Call(ctx context.Context, event func()) bool { return l.call(ctx, l.at, event) }
+
+// RetryAfterS is in how many seconds a user who was turned away should come back.
+func (l loopAt) RetryAfterS() int { return l.events.retryAfterS() }
+
 // loop is the event loop: it alone touches the controller's state.
 //
 // The order of work when there is too little processor time for all: first the timers, which
--- a/internal/controller/group_records.go
+++ b/internal/controller/group_records.go
@@ -135,3 +135,23 @@
 		}
 	}
 }
+
+// unlinkBindings removes a group's tasks from the machines that they are bound to, and from
+// their job.
+func (c *clusterState) unlinkBindings(group *taskGroup) {
+	for i := range group.bindings {
+		bound := &group.bindings[i]
+		task := group.task(bound.task)
+		if m := bound.machine; m != nil {
+			m.bindings.remove(task)
+			// Of a machine that is in another partition than the group, as one that was on
+			// loan and failed: adopted there, the cell would stay taken for good.
+			if p := c.partitions[m.partition]; p.index != group.partition && p.token != 0 {
+				c.freeCell(p, task)
+			}
+		}
+		if group.job.groupOfTask[bound.task] == group {
+			delete(group.job.groupOfTask, bound.task)
+		}
+	}
+}
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -19,6 +19,7 @@
 // of them. It changes with the records (package replica), with workers' heartbeats and with
 // what peers and the cloud say; it decides nothing.
 type clusterState struct {
+	*eventLoop
 	*catalog
 	*machineRegistry
 
@@ -28,16 +29,12 @@
 	metrics   *metrics
 	processID string
 	startedAt time.Time
-	// now is the time of the event in work.
-	now time.Time
 	// maxStaleness is how long after the start of the last successful read heartbeats may
 	// be answered (config.MaxStaleness); leaseExpiry is how long after the last answer a
 	// worker's lease has surely expired (config.LeaseExpiry).
 	maxStaleness time.Duration
 	leaseExpiry  time.Duration
 
-	ctx         context.Context
-	events      *eventQueue
 	stateClient *store.Client
 	stateWriter *store.Writer
 	replica     *replica.Replica
@@ -64,29 +61,37 @@
 	// could be heard before.
 	acceptsHeartbeats   bool
 	heartbeatsResumedAt time.Time
-	// resumedFromPauseAt is until when this process last stood still.
-	resumedFromPauseAt time.Time
-	// lastTick is when the event loop last came to its timers, lastLaggedAt when it last
-	// came late to them: see lagging.
-	lastTick, lastLaggedAt time.Time
 }
 
+// newClusterState returns the state of a controller that knows nothing yet.
 func newClusterState(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger, out clients) *clusterState {
 	s := &cfg.Settings
+	loop := newEventLoop(ctx)
 	client := store.NewClient(cfg.External.Store, out.state)
 	c := &clusterState{
-		cfg: cfg, operator: op, log: log.With("node", cfg.Name), metrics: newMetrics(), processID: newProcessID(), now: time.Now(),
+		eventLoop:       loop,
+		catalog:         newCatalog(),
+		machineRegistry: newMachineRegistry(),
+
+		cfg:          cfg,
+		operator:     op,
+		log:          log.With("node", cfg.Name),
+		metrics:      newMetrics(),
+		processID:    newProcessID(),
+		startedAt:    loop.now,
 		maxStaleness: config.MaxStaleness(s.Workers.CancelS, s.Workers.LeaseS),
 		leaseExpiry:  config.LeaseExpiry(s.Workers.CancelS, s.Workers.LeaseS),
-		ctx:          ctx, events: newEventQueue(), stateClient: client,
+
+		stateClient: client,
 		stateWriter: store.NewWriter(client, s.Store.TxnOps, s.Store.WriteRPS, s.Count, out.jitter),
-		peers:       peer.NewRegistry(names(cfg.Peers)),
+		peers:       peer.NewRegistry(peerNames(cfg.Peers)),
 
-		catalog: newCatalog(), objectiveSeconds: cfg.ObjectiveSeconds(), maxGroupTasks: maxBindingsFor(s.Store.ValueKB),
-		attemptEnds: map[scheduling.Task]attemptEnd{}, rollout: newRolloutState(cfg, op),
-		machineRegistry: newMachineRegistry(), schedulingPass: 1,
+		objectiveSeconds: cfg.ObjectiveSeconds(),
+		maxGroupTasks:    maxBindingsFor(s.Store.ValueKB),
+		attemptEnds:      map[scheduling.Task]attemptEnd{},
+		rollout:          newRolloutState(cfg, op),
+		schedulingPass:   1,
 	}
-	c.startedAt = c.now
 	for _, t := range s.Teams {
 		c.team(t.Name)
 	}
@@ -97,11 +102,11 @@
 	return c
 }
 
-// names are those of the other controllers.
-func names(peers []config.Peer) []string {
-	var out []string
+// peerNames are the names of the other controllers.
+func peerNames(peers []config.Peer) []string {
+	var names []string
 	for _, p := range peers {
-		out = append(out, p.Name)
+		names = append(names, p.Name)
 	}
-	return out
+	return names
 }
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -129,12 +129,3 @@
 	c.metrics.log(c.log, len(c.jobs)+len(c.finished), len(c.machines), c.stateClient.Stats())
 	c.logRollout(c.log)
 }
-
-// lagging tells whether this process gets so little processor time just now that it can't
-// tell who is late: others or itself.
-func (c *clusterState) lagging() bool {
-	return !c.lastTick.IsZero() && c.now.Sub(c.lastTick) > tickInterval+maxLag
-}
-
-// laggedSince tells whether it did at any time since t.
-func (c *clusterState) laggedSince(t time.Time) bool { return c.lagging() || c.lastLaggedAt.After(t) }
