--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -80,24 +80,6 @@
 	})
 }
 
-// lookup finds a task by its name: its job, the task group that it is assigned in, and its
-// binding. What is not known is nil.
-func (c *catalog) lookup(name string) (*job, *taskGroup, *binding) {
-	id, number, ok := parseTask(name)
-	if !ok {
-		return nil, nil, nil
-	}
-	j := c.jobs[id]
-	if j == nil {
-		return nil, nil, nil
-	}
-	group := j.groupOfTask[number]
-	if group == nil {
-		return j, nil, nil
-	}
-	return j, group, group.binding(number)
-}
-
 // team is the index of a team; one that is not configured gets the next.
 func (c *catalog) team(name string) scheduling.TeamIndex {
 	t, ok := c.teamIndex[name]
--- a/internal/controller/keys.go
+++ b/internal/controller/keys.go
@@ -54,9 +54,6 @@
 // groupKey is the key of a job's task group.
 func groupKey(id string, number int) string { return groupPrefix + id + "/" + strconv.Itoa(number) }
 
-// tombstoneKey is the key of a tombstone; it has the name of its first machine.
-func tombstoneKey(machine string) string { return tombstonePrefix + machine }
-
 // loanKey is the key of a machine's loan.
 func loanKey(machine string) string { return loanPrefix + machine }
 
