--- a/internal/reconcile/differences_test.go
+++ b/internal/reconcile/differences_test.go
@@ -128,3 +128,13 @@
 		}
 	}
 }
+
+// Where all that is bound is shown, nothing is asked of the bindings: it comes with every
+// heartbeat.
+func TestDifferencesWithoutNewsAskForLittle(t *testing.T) {
+	r := &records{bound: []boundTask{{name: "wk-1/0", attempt: 1}, {name: "wk-1/1", attempt: 1}}}
+	machine := settled(status("wk-1/0", 1, wire.Running), status("wk-1/1", 1, wire.Running))
+	if got := reconcile.Differences(machine, r); len(got) > 0 || r.bindingsAsked > 0 {
+		t.Errorf("differences %v, and asked for %d bindings", got, r.bindingsAsked)
+	}
+}
--- a/internal/reconcile/fake_test.go
+++ b/internal/reconcile/fake_test.go
@@ -32,6 +32,8 @@
 	unreadable []string // tasks that a record may have that can't be decoded
 	// stopsAsked are the tasks for which MustStop was asked.
 	stopsAsked []string
+	// bindingsAsked counts the calls of Binding.
+	bindingsAsked int
 }
 
 func (r *records) binding(i int) reconcile.Binding {
@@ -52,7 +54,10 @@
 
 func (r *records) BindingCount() int { return len(r.bound) }
 
-func (r *records) Binding(i int) (reconcile.Binding, bool) { return r.binding(i), !r.bound[i].unbound }
+func (r *records) Binding(i int) (reconcile.Binding, bool) {
+	r.bindingsAsked++
+	return r.binding(i), !r.bound[i].unbound
+}
 
 func (r *records) TaskName(task scheduling.Task) string { return r.bound[task.Number].name }
 
--- a/internal/reconcile/findings_test.go
+++ b/internal/reconcile/findings_test.go
@@ -73,6 +73,9 @@
 	{"absent and cancelled", settled(),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}},
 		[]foundTask{{reconcile.ProvenAbsent, "wk-1/0", 2, false}}},
+	{"cancelled and still running, another is missing", settled(status("wk-1/0", 2, wire.Running)),
+		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}, {name: "wk-1/1", attempt: 1}}},
+		[]foundTask{{reconcile.TaskPresent, "wk-1/0", 2, true}}},
 	{"absent and cancelled, another attempt is there", settled(status("wk-1/0", 1, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}},
 		[]foundTask{{reconcile.ProvenAbsent, "wk-1/0", 2, false}}},
@@ -139,11 +142,11 @@
 
 // What a machine shows is enough where nothing is missing: whether a task must stop may be
 // costly to tell, and heartbeats come hundreds of times a second.
-func TestFindingsWithoutNewsAskForNoStops(t *testing.T) {
+func TestFindingsWithoutNewsAskForLittle(t *testing.T) {
 	r := &records{bound: []boundTask{{name: "wk-1/0", attempt: 1}, {name: "wk-1/1", attempt: 1}}}
 	for range reconcile.Findings(settled(status("wk-1/0", 1, wire.Running), status("wk-1/1", 1, wire.Running)), r) {
 	}
-	if len(r.stopsAsked) > 0 {
-		t.Errorf("asked whether %v must stop", r.stopsAsked)
+	if len(r.stopsAsked) > 0 || r.bindingsAsked > 0 {
+		t.Errorf("asked whether %v must stop, and for %d bindings", r.stopsAsked, r.bindingsAsked)
 	}
 }
