--- a/internal/tools/docs/operations_test.go
+++ b/internal/tools/docs/operations_test.go
@@ -209,7 +209,7 @@
 // still logged, or one as present that nothing logs.
 func TestChangedLogLines(t *testing.T) {
 	logged := loggedLines(t)
-	lines, _, _ := strings.Cut(section(t, readPage(t, "operations.md"), "Log lines that have changed"), "| in `err=`")
+	lines, _, _ := strings.Cut(section(t, readPage(t, "operations.md"), "Log lines that have changed"), "| attributes before")
 	for _, cell := range column(lines, 0) {
 		for _, line := range codeSpans(cell) {
 			if _, ok := logged[line]; ok {
