--- a/internal/controller/reservations.go
+++ b/internal/controller/cells.go
@@ -2,11 +2,27 @@
 
 import "eiderhitch/internal/scheduling"
 
-// The cells of tasks, kept in line with the stored records.
+// cellRegistry keeps the cells and reservations of this controller's partitions in line with
+// the stored task groups and with the ends of attempts.
+type cellRegistry struct {
+	*eventLoop
+	*catalog
+	*machineRegistry
+
+	// attemptEnds are proven ends of attempts that are not stored yet.
+	attemptEnds map[scheduling.Task]attemptEnd
+}
+
+func newCellRegistry(loop *eventLoop, jobs *catalog, machines *machineRegistry) *cellRegistry {
+	return &cellRegistry{
+		eventLoop: loop, catalog: jobs, machineRegistry: machines,
+		attemptEnds: map[scheduling.Task]attemptEnd{},
+	}
+}
 
 // adoptBindings brings the cells of this controller's partitions in line with a stored task
 // group.
-func (c *clusterState) adoptBindings(group *taskGroup) {
+func (c *cellRegistry) adoptBindings(group *taskGroup) {
 	if group.job.spec == nil {
 		return
 	}
@@ -17,7 +33,7 @@
 
 // adoptBinding has a bound task use its cell, unless the cell is free already because the
 // attempt is proven to have ended.
-func (c *clusterState) adoptBinding(group *taskGroup, bound *binding) {
+func (c *cellRegistry) adoptBinding(group *taskGroup, bound *binding) {
 	if bound.machine == nil {
 		return
 	}
@@ -26,7 +42,7 @@
 		return
 	}
 	task := group.task(bound.task)
-	if end, ok := c.attemptEnds[task]; ok && end.attempt == bound.attempt {
+	if c.hasEnded(task, bound.attempt) {
 		return
 	}
 	delete(p.reservations, task)
@@ -36,7 +52,7 @@
 
 // cancelReservations gives up the cells that a group's tasks wait for; with all also those
 // that they have reserved, for which a binding may be on its way to the key-value store.
-func (c *clusterState) cancelReservations(group *taskGroup, all bool) {
+func (c *cellRegistry) cancelReservations(group *taskGroup, all bool) {
 	p := c.partitions[group.partition]
 	if p.token == 0 {
 		return
@@ -54,7 +70,7 @@
 // releaseCells gives up whatever tasks that leave a group hold in this controller's partition.
 // Left behind, their cells would never be free again, and their group would not be found
 // when their machine fails.
-func (c *clusterState) releaseCells(group *taskGroup, kept map[int32]bool) {
+func (c *cellRegistry) releaseCells(group *taskGroup, kept map[int32]bool) {
 	p := c.partitions[group.partition]
 	if p.token == 0 {
 		return
@@ -78,7 +94,7 @@
 }
 
 // freeCell ends a task's use of its cell; a group that waited for it may now be Allocated.
-func (c *clusterState) freeCell(p *partition, task scheduling.Task) {
+func (c *cellRegistry) freeCell(p *partition, task scheduling.Task) {
 	if request := p.cells.Release(task); request != nil {
 		c.reserveCells(p, request)
 	}
@@ -86,7 +102,7 @@
 
 // reserveCells notes the cells of an Allocated group. Their bindings are stored by the next
 // scheduling pass.
-func (c *clusterState) reserveCells(p *partition, request *scheduling.Group) {
+func (c *cellRegistry) reserveCells(p *partition, request *scheduling.Group) {
 	for i, task := range request.Tasks {
 		m := c.machineByIndex[request.Machines[i]]
 		p.reservations[task] = reservation{m, m.incarnation}
@@ -96,8 +112,15 @@
 }
 
 // noteFetch notes that a machine fetches an image for a task that it is given.
-func (c *clusterState) noteFetch(m *machine, image string) {
+func (c *cellRegistry) noteFetch(m *machine, image string) {
 	if image != "" && !m.images[image] {
 		m.fetching[image] = c.now
 	}
 }
+
+// isLost tells whether the attempt that a task is bound for is proven to have ended before the
+// task was done.
+func (c *cellRegistry) isLost(group *taskGroup, bound *binding) bool {
+	end, ended := c.attemptEnds[group.task(bound.task)]
+	return ended && end.attempt == bound.attempt && !end.done
+}
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -18,6 +18,8 @@
 	// lastTick is when the event loop last came to its timers, lastLaggedAt when it last
 	// came late to them: see lagging.
 	lastTick, lastLaggedAt time.Time
+	// passDue: a scheduling pass is wanted.
+	passDue bool
 }
 
 func newEventLoop(ctx context.Context) *eventLoop {
@@ -56,6 +58,9 @@
 	return l.events.put(ctx, at, event)
 }
 
+// requestPass asks for a scheduling pass soon: events in a burst share one.
+func (l *eventLoop) requestPass() { l.passDue = true }
+
 // lagging tells whether this process gets so little processor time just now that it can't
 // tell who is late: others or itself.
 func (l *eventLoop) lagging() bool {
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -14,8 +14,7 @@
 	if bound.machine == nil {
 		return bound.attempt == attempt
 	}
-	end, ended := c.attemptEnds[group.task(bound.task)]
-	return ended && end.attempt == bound.attempt && !end.done
+	return c.isLost(group, bound)
 }
 
 // hasMissingMember tells whether a member of a gang's present attempt has ended or is lost.
--- a/internal/controller/group_records.go
+++ b/internal/controller/group_records.go
@@ -138,7 +138,7 @@
 
 // unlinkBindings removes a group's tasks from the machines that they are bound to, and from
 // their job.
-func (c *clusterState) unlinkBindings(group *taskGroup) {
+func (c *cellRegistry) unlinkBindings(group *taskGroup) {
 	for i := range group.bindings {
 		bound := &group.bindings[i]
 		task := group.task(bound.task)
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -21,9 +21,6 @@
 // evictionPatience is how many times evict-after a task at the head of the queue waits.
 const evictionPatience = 2
 
-// requestPass asks for a scheduling pass soon: events in a burst share one.
-func (c *clusterState) requestPass() { c.passDue = true }
-
 // schedulePartitions runs a scheduling pass over all partitions that this controller owns.
 func (c *partitionOwner) schedulePartitions() {
 	defer c.metrics.addBusyTime(activityPartitions, time.Now())
@@ -302,10 +299,5 @@
 // then stored together. Stored one after the other, they had the replicas of some hundred
 // dead machines wait twice for the key-value store.
 func (c *partitionOwner) holdsMachine(group *taskGroup, bound *binding) bool {
-	if bound.machine == nil {
-		return false
-	}
-	end, ended := c.attemptEnds[group.task(bound.task)]
-	lost := ended && end.attempt == bound.attempt && !end.done
-	return !lost || group.job.spec.Gang
+	return bound.machine != nil && (group.job.spec.Gang || !c.isLost(group, bound))
 }
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -56,7 +56,7 @@
 }
 
 // hasEnded tells whether an attempt is proven to have ended, though that is not stored yet.
-func (c *clusterState) hasEnded(task scheduling.Task, attempt uint64) bool {
+func (c *cellRegistry) hasEnded(task scheduling.Task, attempt uint64) bool {
 	end, known := c.attemptEnds[task]
 	return known && end.attempt == attempt
 }
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -10,7 +10,6 @@
 	"eiderhitch/internal/election"
 	"eiderhitch/internal/peer"
 	"eiderhitch/internal/replica"
-	"eiderhitch/internal/scheduling"
 	"eiderhitch/internal/store"
 )
 
@@ -22,6 +21,7 @@
 	*eventLoop
 	*catalog
 	*machineRegistry
+	*cellRegistry
 
 	cfg       *config.Platform
 	operator  *config.Operator
@@ -46,13 +46,10 @@
 	// objectiveSeconds is, by class, in how many seconds its jobs should be done.
 	objectiveSeconds map[string]float64
 	maxGroupTasks    int
-	// attemptEnds are proven ends of attempts that are not stored yet.
-	attemptEnds map[scheduling.Task]attemptEnd
-	records     machineRecords // see reconcileView
-	rollout     rolloutState
+	records          machineRecords // see reconcileView
+	rollout          rolloutState
 
-	// passDue: a scheduling pass is wanted; schedulingPass counts the passes.
-	passDue        bool
+	// schedulingPass counts the scheduling passes.
 	schedulingPass uint64
 
 	lastHeartbeatAt time.Time // of any worker
@@ -66,12 +63,13 @@
 // newClusterState returns the state of a controller that knows nothing yet.
 func newClusterState(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger, out clients) *clusterState {
 	s := &cfg.Settings
-	loop := newEventLoop(ctx)
+	loop, jobs, machines := newEventLoop(ctx), newCatalog(), newMachineRegistry()
 	client := store.NewClient(cfg.External.Store, out.state)
 	c := &clusterState{
 		eventLoop:       loop,
-		catalog:         newCatalog(),
-		machineRegistry: newMachineRegistry(),
+		catalog:         jobs,
+		machineRegistry: machines,
+		cellRegistry:    newCellRegistry(loop, jobs, machines),
 
 		cfg:          cfg,
 		operator:     op,
@@ -88,7 +86,6 @@
 
 		objectiveSeconds: cfg.ObjectiveSeconds(),
 		maxGroupTasks:    maxBindingsFor(s.Store.ValueKB),
-		attemptEnds:      map[scheduling.Task]attemptEnd{},
 		rollout:          newRolloutState(cfg, op),
 		schedulingPass:   1,
 	}
