--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -7,7 +7,7 @@
 )
 
 // commands returns what a machine should do, by its newest heartbeat.
-func (c *clusterState) commands(m *machine, p *partition) []wire.Command {
+func (c *partitionOwner) commands(m *machine, p *partition) []wire.Command {
 	var commands []wire.Command
 	view, records := c.reconcileView(m, p)
 	for _, difference := range reconcile.Differences(view, records) {
@@ -24,7 +24,7 @@
 	if cell := p.cells.CellOf(t); cell != nil && cell.State == scheduling.Reserving || group.exceedsThrottle(t.Number) {
 		return true
 	}
-	if loan := c.loans[m.name]; loan != nil && !loan.Acknowledged && loan.claim(c).CanPreempt(group.claim()) {
+	if loan := c.loans[m.name]; loan != nil && !loan.Acknowledged && loan.claim(c.catalog).CanPreempt(group.claim()) {
 		return true
 	}
 	// A task that can save is stopped before its machine is taken.
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -110,7 +110,7 @@
 
 // raiseToken rewrites a partition's key: a higher token, which fences commands that may
 // still be under way.
-func (c *clusterState) raiseToken(p *partition) {
+func (c *partitionOwner) raiseToken(p *partition) {
 	if c.now.Sub(p.tokenRaisedAt) < minTokenRaiseInterval {
 		return
 	}
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -32,8 +32,8 @@
 	since        time.Time
 }
 
-func (loan *machineLoan) claim(c *clusterState) scheduling.Claim {
-	return scheduling.Claim{Priority: loan.Priority, Guaranteed: loan.Guaranteed, Team: c.team(loan.Team)}
+func (loan *machineLoan) claim(teams *catalog) scheduling.Claim {
+	return scheduling.Claim{Priority: loan.Priority, Guaranteed: loan.Guaranteed, Team: teams.team(loan.Team)}
 }
 
 // loanedMachines are the machines that are lent, in one order for all that is decided.
@@ -94,7 +94,7 @@
 
 // acknowledgeLoans hands over machines of a part of ours on which nothing is bound
 // or about to be, apart from services that go along.
-func (c *clusterState) acknowledgeLoans(p *partition) {
+func (c *partitionOwner) acknowledgeLoans(p *partition) {
 	for _, name := range c.loanedMachines() {
 		loan, m := c.loans[name], c.machineNamed(name)
 		if loan.Acknowledged || loan.writing || m.hashPartition != p.index || len(m.bindings) > 0 && !c.movesWithServices(loan, m, p) {
@@ -115,12 +115,12 @@
 
 // movesWithServices tells whether all that is bound to a machine is services that go with it to the
 // leader's part: they stay, and were there before the machine was chosen.
-func (c *clusterState) movesWithServices(loan *machineLoan, m *machine, p *partition) bool {
+func (c *partitionOwner) movesWithServices(loan *machineLoan, m *machine, p *partition) bool {
 	if loan.Job == reserveLoanJob || !c.runsOnlyServices(m, p) {
 		return false
 	}
 	for _, x := range m.bindings {
-		if x.group.revision > loan.lentRevision || loan.claim(c).CanPreempt(x.group.claim()) {
+		if x.group.revision > loan.lentRevision || loan.claim(c.catalog).CanPreempt(x.group.claim()) {
 			return false
 		}
 	}
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -8,7 +8,7 @@
 
 // reconcile learns from a machine's newest heartbeat what has become of the tasks that are
 // bound to it, and notes the ends of attempts that it proves.
-func (c *clusterState) reconcile(m *machine, p *partition) {
+func (c *partitionOwner) reconcile(m *machine, p *partition) {
 	// A start that went unanswered may arrive until the machine has seen a higher token.
 	if m.direct.unansweredStartToken == p.token && m.direct.unansweredStartToken != 0 && !m.direct.inFlight {
 		p.tokenRaiseDue = true
@@ -20,7 +20,7 @@
 }
 
 // applyFinding learns from what has become of one attempt.
-func (c *clusterState) applyFinding(m *machine, finding reconcile.Finding) {
+func (c *partitionOwner) applyFinding(m *machine, finding reconcile.Finding) {
 	task := finding.Binding.Task
 	group := c.groups[task.Group]
 	if finding.Status != nil {
@@ -41,7 +41,7 @@
 
 // noteShownTask learns from a bound task that a heartbeat shows: how far its gang is, and
 // that its machine has its image.
-func (c *clusterState) noteShownTask(m *machine, j *job, status *wire.TaskStatus) {
+func (c *partitionOwner) noteShownTask(m *machine, j *job, status *wire.TaskStatus) {
 	if j.spec == nil {
 		return
 	}
