--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -9,33 +9,43 @@
 
 // partition is one hash partition of the machines, or the leader's, of machines on loan.
 type partition struct {
-	index            int
-	key              string
-	token            uint64 // fencing token of its lease; 0: not owned by this controller
-	firstToken       uint64 // the first token since the lease was last acquired
-	mostNotReceiving bool   // most of its machines seem not to receive: see machine.notReceiving
-	ownedSince       time.Time
-	active           bool // the replica was read after the failover
-	cells            *scheduling.Partition
-	reservations     map[scheduling.Task]reservation
-	tokenRaiseDue    bool
-	tokenRaisedAt    time.Time
-	// machines are those that are in the partition, whoever owns it.
+	index int
+	key   string
+
+	// token is the fencing token of this controller's lease of the partition; 0: it does not
+	// own it. firstToken is the first since the lease was last acquired, at ownedSince.
+	token, firstToken uint64
+	ownedSince        time.Time
+	// active: the replica was read after the failover.
+	active bool
+	// formerOwnerStaleness is how long a former owner may go on answering heartbeats.
+	formerOwnerStaleness time.Duration
+	// tokenRaiseDue: a higher token is needed; tokenRaisedAt is when one was last asked for.
+	tokenRaiseDue bool
+	tokenRaisedAt time.Time
+
+	// machines are those that are in the partition, whoever owns it; groups are assigned to it.
 	machines []*machine
-	groups   []*taskGroup // that are assigned to it
+	groups   []*taskGroup
 	// foreignGroups are task groups of other partitions of which tasks have ended on a machine
 	// of this one, as on one that was on loan and came back when its borrower ended: nobody
 	// else knows, and the owner of the group would wait for ever.
 	foreignGroups map[*taskGroup]bool
-	unplaced      int // tasks that found no cell in this pass so far
-	// Cells that came free since freedCellsSince, and in the window before that.
+
+	cells        *scheduling.Partition
+	reservations map[scheduling.Task]reservation
+	// unplaced counts the tasks that found no cell in this pass so far.
+	unplaced int
+	// freedCells counts the cells that came free since freedCellsSince, freedCellsBefore
+	// those of the window before that.
 	freedCells, freedCellsBefore int
 	freedCellsSince              time.Time
-	// mostUnreachable as counted at a time, see there.
+
+	// mostNotReceiving: most of its machines seem not to receive, see machine.notReceiving.
+	mostNotReceiving bool
+	// mostUnreachable: most of its machines seem unreachable, as counted at countedAt.
 	mostUnreachable bool
 	countedAt       time.Time
-	// formerOwnerStaleness is how long a former owner may go on answering heartbeats.
-	formerOwnerStaleness time.Duration
 }
 
 // reservation is a reserved cell whose binding is not stored yet.
