--- a/internal/controller/allocations_test.go
+++ b/internal/controller/allocations_test.go
@@ -116,14 +116,14 @@
 		n := float64(len(c.partitions[0].machines))
 		var frame []byte
 		if got := testing.AllocsPerRun(20, func() { frame = peer.AppendStatus(nil, c.peerStatus(), peer.PlainFrame) }); got > 30 {
-			t.Errorf("%d machines: %v allocations to send a status", machines, got)
+			t.Errorf("%d machines: %v allocations to send a status, want at most 30", machines, got)
 		}
 		s := &peer.Status{}
 		if got := testing.AllocsPerRun(20, func() { *s = *c.peerStatus() }); got > 20 {
-			t.Errorf("%d machines: %v allocations to make a status", machines, got)
+			t.Errorf("%d machines: %v allocations to make a status, want at most 20", machines, got)
 		}
 		if len(frame) > int(n)*64+64 {
-			t.Errorf("%d machines: %d bytes", machines, len(frame))
+			t.Errorf("%d machines: a frame of %d bytes, want at most %d", machines, len(frame), int(n)*64+64)
 		}
 	}
 }
@@ -141,7 +141,7 @@
 			all.Changes, all.Txns = all.Changes+s.Changes, all.Txns+s.Txns
 		}
 		if all.Changes > tasks/4 || all.Txns > tasks/4 {
-			t.Errorf("%d changes in %d transactions for %d tasks", all.Changes, all.Txns, tasks)
+			t.Errorf("%d changes in %d transactions for %d tasks, want at most %d of each", all.Changes, all.Txns, tasks, tasks/4)
 		}
 		t.Logf("%d changes in %d transactions for %d tasks", all.Changes, all.Txns, tasks)
 	})
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -170,7 +170,7 @@
 	group := c.groupByKey[key]
 	c.placeGroup(p, group, map[placementClass]bool{})
 	if len(p.reservations) != 2 {
-		t.Fatalf("%d tasks have claimed cells", len(p.reservations))
+		t.Fatalf("%d tasks have claimed cells, want 2", len(p.reservations))
 	}
 	group.writing = true // the leader's move, of this very process
 	c.replica.Put(key, raw(t, record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 4)
--- a/internal/controller/direct_commands_test.go
+++ b/internal/controller/direct_commands_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 	if len(asked) != len(p.machines) {
-		t.Errorf("%d of %d machines were asked", len(asked), len(p.machines))
+		t.Errorf("%d of %d machines were asked, want all", len(asked), len(p.machines))
 	}
 }
 
@@ -74,7 +74,7 @@
 			c.sendDirect(m, c.partitions[0], []wire.Command{{Op: wire.OpStart, Task: "wk-1/0", Attempt: 1}})
 			synctest.Wait()
 			if sent := out.sent.Load() > 0; sent == still {
-				t.Errorf("stood still %v: sent %v", still, sent)
+				t.Errorf("stood still: %v; sent: %v, want %v", still, sent, !still)
 			}
 		})
 	}
--- a/internal/controller/gang_phases_test.go
+++ b/internal/controller/gang_phases_test.go
@@ -231,7 +231,7 @@
 		c.submit(gangSubmission("wk-10", "red", "normal", 12, 10))
 		c.await("the next one runs", time.Minute, func() bool { return c.env.Running("wk-10") == 12 })
 		if after := time.Since(cancelled); after < 5*time.Second {
-			t.Errorf("it began %v after the cancellation, with a machine that nobody has heard", after)
+			t.Errorf("it began %v after the cancellation, with a machine that nobody has heard; want at least 5 s", after)
 		}
 	})
 }
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -166,7 +166,7 @@
 		c.await("the machines are handed back", time.Minute, func() bool { return len(c.env.Store.Keys(loanPrefix)) == 0 })
 		time.Sleep(15 * time.Second)
 		if c.serving() != 3 || c.env.Starts() != starts {
-			t.Errorf("%d of 3 services run, %d starts since the gang began", c.serving(), c.env.Starts()-starts)
+			t.Errorf("%d of 3 services run, %d starts since the gang began; want all and none", c.serving(), c.env.Starts()-starts)
 		}
 		c.cancelJob("wk-1")
 		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
@@ -185,7 +185,7 @@
 		time.Sleep(9 * time.Second)
 		c.start(leader)
 		if n := c.env.Running("wk-2") + c.env.Running("wk-3"); n != 2 {
-			c.t.Errorf("%d of 2 services run after a change of leader", n)
+			c.t.Errorf("%d of 2 services run after a change of leader, want both", n)
 		}
 		for _, w := range c.env.Cloud.Agents() {
 			if w.TaskState("wk-2/0") != "" {
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -193,7 +193,7 @@
 	c.leadership.active = true
 	c.runLeader()
 	if c.leadership.writesInFlight != 1 {
-		t.Errorf("%d transactions have the records follow the first", c.leadership.writesInFlight)
+		t.Errorf("%d transactions have the records follow the first, want 1", c.leadership.writesInFlight)
 	}
 	c.leadership.writesInFlight = 0
 	c.replica.Put(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 5)
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -55,7 +55,7 @@
 			}
 		}
 	}
-	c.t.Fatalf("%s is nowhere", id)
+	c.t.Fatalf("%s is on no machine, want one", id)
 	return nil
 }
 
@@ -282,13 +282,13 @@
 		}
 		c.restartAll()
 		if answer := c.call(submitRequest(gangSubmission("wk-6", "red", "normal", 10, 200), nil), 20*time.Second); answer.status != http.StatusOK || answer.state != wire.Running {
-			t.Errorf("repeated after a restart with lower limits: %d %v", answer.status, answer.state)
+			t.Errorf("repeated after a restart with lower limits: status %d, %q; want 200, %q", answer.status, answer.state, wire.Running)
 		}
 		if answer := c.call(submitRequest(gangSubmission("wk-7", "blue", "normal", 3, 200), nil), 20*time.Second); answer.status != http.StatusOK || answer.state != wire.Cancelled {
-			t.Errorf("a cancelled one, repeated: %d %v", answer.status, answer.state)
+			t.Errorf("a cancelled one, repeated: status %d, %q; want 200, %q", answer.status, answer.state, wire.Cancelled)
 		}
 		if answer := c.call(queryRequest("wk-77"), 10*time.Second); answer.status != http.StatusNotFound {
-			t.Errorf("an unknown one: %d", answer.status)
+			t.Errorf("an unknown one: status %d, want 404", answer.status)
 		}
 		c.cancelJob("wk-6")
 		c.await("it is gone", 30*time.Second, func() bool { return c.env.Running("wk-6") == 0 })
--- a/internal/controller/job_lifecycle_test.go
+++ b/internal/controller/job_lifecycle_test.go
@@ -23,7 +23,7 @@
 		c.await("records are cleared up", time.Minute, func() bool { return len(c.env.Store.Keys(groupPrefix)) == 0 })
 		c.await("machines are returned", time.Minute, func() bool { return len(c.env.Cloud.Agents()) == 0 })
 		if s := c.state("wk-2"); s != wire.Cancelled {
-			t.Errorf("the service is %s", s)
+			t.Errorf("the service is %q, want %q", s, wire.Cancelled)
 		}
 	})
 }
@@ -81,7 +81,7 @@
 			return c.state("wk-1") == wire.Done
 		})
 		if most > 120 {
-			t.Errorf("%d records of one array", most)
+			t.Errorf("%d records of one array, want at most 120", most)
 		}
 		for i := range 60 {
 			c.awaitDone(fmt.Sprintf("wk-%d", i+2), time.Minute)
@@ -114,7 +114,7 @@
 		time.Sleep(5 * time.Second)
 		for _, id := range []string{"wk-8", "wk-9"} {
 			if answer := c.call(queryRequest(id), 3*time.Second); answer.status != 0 {
-				t.Errorf("%s: status %d", id, answer.status)
+				t.Errorf("%s, whose record can't be decoded: status %d, want no final answer", id, answer.status)
 			}
 		}
 	})
--- a/internal/controller/late_requests_test.go
+++ b/internal/controller/late_requests_test.go
@@ -64,7 +64,7 @@
 		c.awaitDone("wk-1", 3*time.Minute)
 		time.Sleep(time.Minute)
 		if n := c.env.Running("wk-2"); n != 0 {
-			t.Errorf("%d cancelled tasks run", n)
+			t.Errorf("%d cancelled tasks run, want none", n)
 		}
 	})
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -111,7 +111,7 @@
 		c.cancelJob("wk-2")
 		c.awaitDone("wk-1", 20*time.Minute)
 		if n := c.env.Store.CountLargerThan(1 << 10); n > 0 {
-			t.Errorf("%d records are too large still", n)
+			t.Errorf("%d records are too large still, want none", n)
 		}
 	})
 }
@@ -135,10 +135,10 @@
 			c.start(i)
 		}
 		if answer := c.call(submitRequest(body("wk-2"), nil), 20*time.Second); answer.status != http.StatusUnprocessableEntity {
-			t.Errorf("a description that can't be stored: status %d", answer.status)
+			t.Errorf("a description that can't be stored: status %d, want 422", answer.status)
 		}
 		if answer := c.call(submitRequest(body("wk-1"), nil), 20*time.Second); answer.status != http.StatusOK {
-			t.Errorf("an accepted one, repeated: status %d", answer.status)
+			t.Errorf("an accepted one, repeated: status %d, want 200", answer.status)
 		}
 		c.cancelJob("wk-1")
 		c.await("its tasks are gone", 30*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
--- a/internal/controller/loans_test.go
+++ b/internal/controller/loans_test.go
@@ -87,6 +87,6 @@
 	c.replica.Put(key, raw(t, value("host-2")), 8)
 	c.replica.Put(key, raw(t, value("")), 9)
 	if len(p.cells.Tasks()) != 0 {
-		t.Errorf("cells %v are left", p.cells.Tasks())
+		t.Errorf("cells %v are left, want none", p.cells.Tasks())
 	}
 }
--- a/internal/controller/processes_test.go
+++ b/internal/controller/processes_test.go
@@ -287,6 +287,6 @@
 		t.Error(breach)
 	}
 	if n := p.env.Store.Stats().OverLimits; n > 0 {
-		t.Errorf("%d transactions were beyond the limits", n)
+		t.Errorf("%d transactions were beyond the limits, want none", n)
 	}
 }
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -69,7 +69,7 @@
 			all += c.env.Completed(fmt.Sprintf("wk-%d", i+1))
 		}
 		if done := c.env.Completed("wk-1"); done*12 < all {
-			t.Errorf("%d of %d tasks done in ten minutes are the largest job's", done, all)
+			t.Errorf("%d of %d tasks done in ten minutes are the largest job's, want at least one in 12", done, all)
 		}
 	})
 }
--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -43,7 +43,7 @@
 		}
 		c.awaitDone("wk-2", 5*time.Minute)
 		if n := c.env.Running("wk-1"); n != 3 {
-			t.Errorf("%d replicas of the service run", n)
+			t.Errorf("%d replicas of the service run, want 3", n)
 		}
 	})
 }
@@ -92,14 +92,14 @@
 				t.Fatal("it is ready, or holds a leased key")
 			}
 			if answer := c.ask(0, queryRequest("wk-1")); answer.status != http.StatusServiceUnavailable {
-				t.Fatalf("a user is answered %d", answer.status)
+				t.Fatalf("a user is answered with status %d, want 503", answer.status)
 			}
 		}
 		if n := calls.Load(); n > 4*watched {
-			t.Errorf("%d calls of the key-value store in %d s", n, watched)
+			t.Errorf("%d calls of the key-value store in %d s, want at most %d", n, watched, 4*watched)
 		}
 		if n := c.env.Running("wk-1"); n != 3 {
-			t.Errorf("%d replicas run", n)
+			t.Errorf("%d replicas run, want 3", n)
 		}
 		c.replace(0, presentVersion)
 		c.await("it serves again", 20*time.Second, func() bool { return c.nodes[0].controller().Ready() && c.holdsLease(0) })
@@ -114,7 +114,7 @@
 		c.replace(0, unawareVersion)
 		time.Sleep(5 * time.Second)
 		if answer := c.ask(0, queryRequest("wk-2")); answer.status != http.StatusServiceUnavailable {
-			t.Errorf("it answers %d for a job whose records it can't read", answer.status)
+			t.Errorf("status %d for a job whose records it can't read, want 503", answer.status)
 		}
 		body := newSubmission(submission{ID: "wk-3", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 4, CPUs: 1, EstimateS: 3})
 		spec, err := wire.ParseJob(body.body(t))
@@ -123,7 +123,7 @@
 		}
 		c.env.Upload(spec)
 		if answer := c.ask(0, submitRequest(body, spec)); answer.status != http.StatusCreated {
-			t.Errorf("a submission is answered %d", answer.status)
+			t.Errorf("a submission is answered with status %d, want 201", answer.status)
 		}
 		c.await("the job that it accepted is done", time.Minute, func() bool { return c.env.Completed("wk-3") == 4 })
 		c.kill(1)
@@ -176,11 +176,11 @@
 		}
 		time.Sleep(30 * time.Second)
 		if n := c.env.Running("wk-2"); n != 12 || c.env.Trace.Accepted("wk-2") != starts {
-			t.Errorf("%d of 12 tasks run, %d were started after the damage", n, c.env.Trace.Accepted("wk-2")-starts)
+			t.Errorf("%d of 12 tasks run, %d were started after the damage; want all and none", n, c.env.Trace.Accepted("wk-2")-starts)
 		}
 		for i := range c.nodes {
 			if answer := c.ask(i, queryRequest("wk-2")); answer.status != http.StatusServiceUnavailable {
-				t.Errorf("node %d answers %d", i, answer.status)
+				t.Errorf("node %d answers with status %d, want 503", i, answer.status)
 			}
 		}
 		used := 0.0
@@ -189,7 +189,7 @@
 			used = float64(ctl.quotas()[ctl.team("blue")].Used.CPU) / 1000
 		})
 		if used < 12+6 {
-			t.Errorf("%v CPUs count for the team's limit", used)
+			t.Errorf("%v CPUs count for the team's limit, want at least 18", used)
 		}
 		for _, f := range undo {
 			f()
@@ -215,7 +215,7 @@
 		c.awaitLevel(2, rollout.Reverting, 10*time.Second)
 		time.Sleep(20 * time.Second)
 		if s := c.rolloutState(); s.Phase != rollout.Reverting || s.Epoch != 1 {
-			t.Errorf("%+v while a record is left", s)
+			t.Errorf("%+v while a record is left, want phase %s in epoch 1", s, rollout.Reverting)
 		}
 		status, err := c.upgradeOperator().Status(c.ctx)
 		if err != nil || len(status.Blockers) != 1 || status.Blockers[0].Kind != rollout.BlockRecords || status.Records["form 2"] != 1 {
@@ -350,7 +350,7 @@
 			defer mu.Unlock()
 			for path, version := range want {
 				if last[path] != version {
-					t.Errorf("%s: version %d, not %d", path, last[path], version)
+					t.Errorf("%s: frame version %d, want %d", path, last[path], version)
 				}
 			}
 		}
