--- /dev/null
+++ b/internal/controller/fleet_usage.go
@@ -0,0 +1,47 @@
+package controller
+
+import (
+	"eiderhitch/internal/planning"
+	"eiderhitch/internal/record"
+	"eiderhitch/internal/scheduling"
+)
+
+// milliCPUs is how many units of scheduling.Resources.CPU one CPU is.
+const milliCPUs = 1000
+
+// logUsage logs now and then how full the machines are.
+func (c *leader) logUsage(summaries []*planning.MachineSummary) {
+	if c.now.Sub(c.leadership.usageLoggedAt) < usageLogInterval {
+		return
+	}
+	c.leadership.usageLoggedAt = c.now
+	var size, free, spot, spotFree scheduling.Resources
+	for _, summary := range summaries {
+		size, free = size.Plus(summary.Size), free.Plus(summary.Free)
+		if summary.Spot {
+			spot, spotFree = spot.Plus(summary.Size), spotFree.Plus(summary.Free)
+		}
+	}
+	waiting, unplaced := c.countWaitingTasks()
+	booting, draining := c.autoscaler.Counts()
+	c.log.Info("fleet", "up", len(summaries), "booting", booting,
+		"cpus", size.CPU/milliCPUs, "free_cpus", free.CPU/milliCPUs,
+		"spot_cpus", spot.CPU/milliCPUs, "spot_free_cpus", spotFree.CPU/milliCPUs,
+		"draining", draining, "tasks_waiting", waiting, "tasks_unplaced", unplaced)
+}
+
+// countWaitingTasks counts the tasks that are not assigned to a partition, and those that
+// are and are not placed yet.
+func (c *leader) countWaitingTasks() (waiting, unplaced int) {
+	for _, job := range c.unfinished {
+		if job.finalState != record.Unfinished || job.spec == nil {
+			continue
+		}
+		assigned, _ := job.assignedTasks()
+		waiting += job.spec.Tasks - assigned
+		for _, group := range job.groups {
+			unplaced += len(group.bindings) - group.boundTasks()
+		}
+	}
+	return waiting, unplaced
+}
--- /dev/null
+++ b/internal/controller/job_completion.go
@@ -0,0 +1,91 @@
+package controller
+
+import (
+	"time"
+
+	"eiderhitch/internal/record"
+	"eiderhitch/internal/store"
+	"eiderhitch/internal/wire"
+)
+
+const (
+	// maxFinishWrites is how many writes of one step end jobs and delete their groups.
+	maxFinishWrites = 8
+	// maxCleanupBacklog is the delay of stored writes from which on groups of final jobs
+	// are not deleted: they can wait while the key-value store has more to do.
+	maxCleanupBacklog = time.Second
+)
+
+// finishJobs ends jobs whose tasks are all done and deletes the groups of final ones.
+func (c *leader) finishJobs() {
+	c.archiveFinished(c.replica)
+	budget := maxFinishWrites
+	mayDelete := c.stateWriter.Backlog() < maxCleanupBacklog
+	for _, job := range c.unfinished {
+		if budget == 0 {
+			return
+		}
+		if job.revision == 0 || len(job.groups) == 0 {
+			continue
+		}
+		switch {
+		case job.finalState != record.Unfinished:
+			if mayDelete {
+				budget -= c.deleteGroups(job, budget)
+			}
+		case job.allTasksDone():
+			budget--
+			c.storeJobDone(job)
+		}
+	}
+}
+
+// allTasksDone tells whether a job is to be ended: all of its tasks are done, and that is
+// not being stored yet.
+func (j *job) allTasksDone() bool {
+	if j.hasUnreadableRecords() || j.spec == nil || j.spec.Service || j.finishing {
+		return false
+	}
+	assigned, finished := j.assignedTasks()
+	return assigned == finished && finished == j.spec.Tasks
+}
+
+// storeJobDone stores that a job is done.
+func (c *leader) storeJobDone(j *job) {
+	j.finishing = true
+	c.SubmitWrite(&store.Write{
+		Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}},
+		Changes:    []wire.Change{{Put: jobKey(j.id), Value: record.JSON(record.Job{FinalState: record.Done})}},
+	}, func(error) { j.finishing = false })
+}
+
+// deleteGroups deletes groups of a final job that bind nothing any more, at most limit of
+// them, and returns how many.
+func (c *leader) deleteGroups(j *job, limit int) int {
+	deleted := 0
+	for _, group := range j.groups {
+		if deleted == limit {
+			break
+		}
+		if !group.writing && group.boundTasks() == 0 {
+			deleted++
+			c.deleteGroupRecord(group)
+		}
+	}
+	return deleted
+}
+
+func (c *leader) deleteGroupRecord(group *taskGroup) {
+	group.writing = true
+	c.SubmitWrite(&store.Write{
+		Conditions: []wire.Condition{c.leaderCondition(), {Key: group.key, Revision: group.revision}},
+		Changes:    []wire.Change{{Delete: group.key}},
+	}, func(err error) {
+		if err != nil { // its owner wrote it meanwhile: not before that is known
+			c.reader.AfterSuccessfulRead(func() { group.writing = false })
+			return
+		}
+		group.writing = false
+		group.job.releaseDetails(c.replica.Cursor())
+	})
+}
--- /dev/null
+++ b/internal/controller/owners_in_touch.go
@@ -0,0 +1,78 @@
+package controller
+
+import (
+	"slices"
+	"time"
+
+	"eiderhitch/internal/config"
+)
+
+const (
+	// ownerTimeout is how long after its last status an owner counts as in touch.
+	ownerTimeout = 3 * time.Second
+	// ownerSettleTime is what an owner is given, besides two heartbeats, to hear all of its
+	// machines.
+	ownerSettleTime = 12 * time.Second
+)
+
+// ownerInTouch is a partition's owner, and since when it has been in touch with the leader
+// without a gap; zero if it is not.
+type ownerInTouch struct {
+	node  string
+	since time.Time
+}
+
+// ownerOf is the controller that holds a leased key; "" if nobody does.
+func (c *clusterState) ownerOf(key string) string {
+	holder, _ := c.election.Holder(key)
+	return holder.Node
+}
+
+// updateOwnersInTouch notes for each partition since when its owner has been in touch.
+func (c *leader) updateOwnersInTouch() {
+	if c.leadership.ownersInTouch == nil {
+		c.leadership.ownersInTouch = make([]ownerInTouch, len(c.partitions))
+	}
+	for i, p := range c.partitions {
+		known, owner := &c.leadership.ownersInTouch[i], c.ownerOf(p.key)
+		inTouch := c.isInTouch(p, owner)
+		if !inTouch || known.node != owner {
+			*known = ownerInTouch{node: owner}
+		}
+		if inTouch && known.since.IsZero() {
+			known.since = c.now
+		}
+	}
+}
+
+// isInTouch tells whether a partition's owner says, and lately, that it owns it.
+func (c *leader) isInTouch(p *partition, owner string) bool {
+	if p.token != 0 {
+		return p.active
+	}
+	registered := c.peers.Peer(owner)
+	return registered != nil && registered.Heard(ownerTimeout, c.now) && slices.Contains(registered.Status.Partitions, uint64(p.index))
+}
+
+// ownerLongInTouch tells whether a partition has had an owner in touch with the leader for
+// long enough that all machines of it must have sent heartbeats.
+func (c *leader) ownerLongInTouch(partition int) bool {
+	since := c.leadership.ownersInTouch[partition].since
+	if since.IsZero() {
+		return false
+	}
+	if c.heartbeatsResumedAt.After(since) {
+		since = c.heartbeatsResumedAt // before that no machine could be heard
+	}
+	return c.now.Sub(since) > 2*config.Seconds(c.cfg.Settings.Workers.ReportS)+ownerSettleTime
+}
+
+// allOwnersInTouch tells whether every partition's owner is in touch.
+func (c *leader) allOwnersInTouch() bool {
+	for i := range c.partitions {
+		if c.leadership.ownersInTouch[i].since.IsZero() {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/controller/peer_status.go
@@ -0,0 +1,63 @@
+package controller
+
+import (
+	"eiderhitch/internal/peer"
+)
+
+// peerStatus tells the peers about this controller and its machines.
+func (c *controller) peerStatus() *peer.Status {
+	status := &peer.Status{Node: c.cfg.Name, ProcessID: c.processID, Fresh: c.isFresh(c.operator.LeaseTTL), Eligible: c.eligible(), Draining: c.autoscaler.DrainedMachines()}
+	for _, p := range c.partitions {
+		if p.token == 0 || !p.active {
+			continue
+		}
+		status.Partitions = append(status.Partitions, uint64(p.index))
+		for _, m := range p.machines {
+			if c.isReportedToPeers(m, p) {
+				status.Machines = append(status.Machines, peer.Machine{Name: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: m.incarnation, Flags: c.machineFlags(m, p)})
+			}
+		}
+	}
+	return status
+}
+
+// isReportedToPeers tells whether the peers are told about a machine of ours: it has been
+// heard, or something is bound to it.
+func (c *clusterState) isReportedToPeers(m *machine, p *partition) bool {
+	if m.terminated || m.incarnation == 0 || c.now.Sub(c.heardSince(m, p)) > silentMachineMemory {
+		return false
+	}
+	return m.heartbeatAt.After(p.ownedSince) || len(m.bindings) > 0
+}
+
+// machineFlags are what an owner tells of its machine.
+func (c *clusterState) machineFlags(m *machine, p *partition) uint8 {
+	var flags uint8
+	if c.usable(m, p) {
+		flags |= peer.Reachable
+	}
+	if !m.terminationAt.IsZero() {
+		flags |= peer.TerminationNotice
+	}
+	if m.cordoned {
+		flags |= peer.Cordoned
+	}
+	if m.spot {
+		flags |= peer.Spot
+	}
+	if c.unreachable(m, p) {
+		flags |= peer.Unreachable
+	}
+	if !m.heartbeatAt.After(p.ownsMachineSince(m)) {
+		flags |= peer.NotHeardYet
+	}
+	return flags
+}
+
+// handlePeerStatus takes in what a peer tells.
+func (c *controller) handlePeerStatus(status *peer.Status) {
+	if !c.peers.Update(status, c.now) || c.ownerOf(c.leaderKey()) != status.Node {
+		return
+	}
+	c.autoscaler.ObserveDraining(status.Draining)
+}
