--- /dev/null
+++ b/internal/controller/assignment_writes.go
@@ -0,0 +1,109 @@
+package controller
+
+import (
+	"cmp"
+	"slices"
+
+	"eiderhitch/internal/record"
+	"eiderhitch/internal/store"
+	"eiderhitch/internal/wire"
+)
+
+// recordOverhead is about what a record adds to a transaction besides its value: its key,
+// twice, and the words round it.
+const recordOverhead = 200
+
+// submitDecision submits a write of the leader, who decides nothing more until it has been
+// answered (leaderWriteDone). Meanwhile the groups count as being written.
+func (c *leader) submitDecision(write *store.Write, groups ...*taskGroup) {
+	for _, group := range groups {
+		group.writing = true
+	}
+	c.leadership.writesInFlight++
+	epoch := c.leadership.epoch
+	c.SubmitWrite(write, func(err error) {
+		for _, group := range groups {
+			group.writing = false
+		}
+		c.leaderWriteDone(epoch, err)
+	})
+}
+
+// newTaskGroupRecord is the record of tasks that are assigned for the first time.
+func newTaskGroupRecord(partition int, zone string, guaranteed bool, first int32, tasks int) record.TaskGroup {
+	group := record.TaskGroup{Partition: partition, Zone: zone, Guaranteed: guaranteed}
+	for number := first; number < first+int32(tasks); number++ {
+		group.Tasks = append(group.Tasks, record.Binding{Task: number})
+	}
+	return group
+}
+
+// fitTransaction is how much of a list of groups one transaction can create.
+func (c *clusterState) fitTransaction(groups []record.TaskGroup) []record.TaskGroup {
+	size := 0
+	for i := range groups {
+		size += groups[i].Encode(c.encoding()).Size() + recordOverhead
+		if i > 0 && (i == c.cfg.Settings.Store.TxnOps || size > store.MaxTxnBytes) {
+			return groups[:i]
+		}
+	}
+	return groups
+}
+
+// assignRemainder assigns the tasks of a gang that did not fit into the transactions
+// before, to where those are. Which tasks are assigned is known by number alone, so there
+// is one transaction at a time; a new leader goes on where the last one stopped.
+func (c *leader) assignRemainder(j *job, assigned int) {
+	first := j.firstGroup()
+	var groups []record.TaskGroup
+	for next := assigned; next < j.spec.Tasks; next += c.maxGroupTasks {
+		size := min(c.maxGroupTasks, j.spec.Tasks-next)
+		groups = append(groups, newTaskGroupRecord(first.partition, first.zone, first.guaranteed, int32(next), size))
+	}
+	c.writeAssignment(j, c.fitTransaction(groups))
+}
+
+// writeAssignment stores the groups of one assignment. All of them are written together or
+// not at all: which tasks are assigned already is known by their number alone, so a gap,
+// left by one write that failed, would have a later assignment hand out tasks twice.
+func (c *leader) writeAssignment(j *job, groups []record.TaskGroup) {
+	if len(groups) == 0 {
+		return
+	}
+	write := &store.Write{Prompt: j.spec.Gang, Early: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
+	reusable := j.emptyGroups()
+	var reused []*taskGroup
+	tasks := 0
+	for _, group := range groups {
+		tasks += len(group.Tasks)
+		var key string
+		var revision uint64
+		if len(reusable) > 0 {
+			empty := reusable[0]
+			reused, reusable = append(reused, empty), reusable[1:]
+			key, revision, group.Done = empty.key, empty.revision, empty.done
+		} else {
+			key = groupKey(j.id, j.newGroupNumber())
+		}
+		write.Conditions = append(write.Conditions, wire.Condition{Key: key, Revision: revision})
+		write.Changes = append(write.Changes, wire.Change{Put: key, Value: group.Encode(c.encoding()).At(key)})
+	}
+	j.assignedAt = c.now
+	c.submitDecision(write, reused...)
+	c.metrics.count(countAssigned, len(groups))
+	c.log.Debug("tasks assigned", "job", j.id, "tasks", tasks, "records", len(groups))
+}
+
+// emptyGroups are groups whose tasks are all done. They are used again, so that a large
+// array leaves few behind. None is deleted while its job lives: an assignment that is
+// applied minutes late must not find its key absent once more.
+func (j *job) emptyGroups() []*taskGroup {
+	var empty []*taskGroup
+	for _, group := range j.groups {
+		if len(group.bindings) == 0 && !group.writing {
+			empty = append(empty, group)
+		}
+	}
+	slices.SortFunc(empty, func(first, second *taskGroup) int { return cmp.Compare(first.number, second.number) })
+	return empty
+}
--- /dev/null
+++ b/internal/controller/demand.go
@@ -0,0 +1,39 @@
+package controller
+
+import (
+	"math"
+
+	"eiderhitch/internal/planning"
+)
+
+// slackS is the time in seconds until a job's deadline, or until its service-level
+// objective if it can't meet that.
+func (c *clusterState) slackS(j *job) float64 {
+	if j.spec.NoDeadline {
+		return math.Inf(1)
+	}
+	age := c.now.Sub(j.acceptedAt).Seconds()
+	slack := j.spec.DeadlineS - age
+	if slack < j.spec.EstimateS {
+		slack = max(slack, c.objectiveSeconds[j.spec.Class]-age)
+	}
+	return slack
+}
+
+// demand is what count tasks of a job that found no room ask of the fleet; zone is the one
+// in which they must be, "" for any.
+func (c *clusterState) demand(j *job, zone string, count int) planning.Demand {
+	spec, order := j.spec, c.jobOrder(j)
+	return planning.Demand{
+		Class:        spec.Class,
+		TaskSize:     j.taskSize,
+		Count:        count,
+		AllOrNothing: spec.AllOrNothing(),
+		EstimateS:    spec.EstimateS,
+		WindowS:      order.WindowS(),
+		SlackS:       c.slackS(j),
+		Allows: func(offer planning.Offer) bool {
+			return allowed(spec, zone, offer.Type, offer.Zone, offer.Spot)
+		},
+	}
+}
--- /dev/null
+++ b/internal/controller/gang_moves.go
@@ -0,0 +1,102 @@
+package controller
+
+import (
+	"cmp"
+	"slices"
+
+	"eiderhitch/internal/planning"
+	"eiderhitch/internal/record"
+	"eiderhitch/internal/store"
+)
+
+// moveGang has a gang of which nothing is bound go whole to a partition that has room for
+// it. Where none has, machines of several partitions are borrowed for it: a gang that was
+// assigned to a partition which then lost its room waited for ever beside machines that had
+// room for it together.
+func (c *leader) moveGang(summaries []*planning.MachineSummary, j *job) bool {
+	first, tasks := j.firstGroup(), 0
+	for _, group := range j.groups {
+		if group.boundTasks() > 0 {
+			return false // its present attempt is completed, or ends, where it is
+		}
+		tasks += len(group.bindings)
+	}
+	if tasks < j.spec.Tasks {
+		return false // the rest is assigned first
+	}
+	mayUse := func(summary *planning.MachineSummary) bool {
+		return !summary.Booting && summary.Partition != first.partition && allowed(j.spec, first.zone, summary.Type, summary.Zone, summary.Spot)
+	}
+	request := &planning.Assignment{TaskSize: j.taskSize, Count: tasks, Claim: first.claim(), Allowed: mayUse}
+	partition, ok := request.OnePartition(summaries, len(c.partitions))
+	if !ok {
+		return tasks > 1 && c.borrow(summaries, j, loanRequest{zone: first.zone, tasks: tasks, claim: first.claim()})
+	}
+	c.metrics.count(countMoved, 1)
+	c.log.Debug("gang moves to another partition", "job", j.id, "tasks", tasks, "partition", partition)
+	return c.relocate(j, partition, first.zone)
+}
+
+// relocate has a gang's groups go to a partition and zone, the first one first and as many
+// as one transaction holds. The others follow (completeGangMoves); the gang is reserved when
+// all are together. It reports false if that can't be now.
+func (c *leader) relocate(j *job, partition int, zone string) bool {
+	write := c.newMoveWrite(j)
+	size := 0
+	for _, group := range j.groupsInOrder() {
+		if group.partition == partition && group.zone == zone {
+			continue
+		}
+		if group.writing || group.boundTasks() > 0 || group.size > c.maxValueBytes() {
+			return false // its owner ends bindings, or splits it, first
+		}
+		moved := *group
+		moved.partition, moved.zone = partition, zone
+		value := c.encodeGroup(&moved, group.done, group.bindings).At(group.key)
+		size += len(value) + recordOverhead
+		if n := len(write.Changes); n > 0 && (n == c.cfg.Settings.Store.TxnOps || size > store.MaxTxnBytes) {
+			break
+		}
+		addGroup(write, group, value)
+	}
+	if len(write.Changes) == 0 {
+		return false
+	}
+	c.submitDecision(write)
+	return true
+}
+
+// completeGangMoves has the groups of gangs that have moved incompletely, by this leader or
+// one before it, follow their first one.
+func (c *leader) completeGangMoves() {
+	for _, job := range c.unfinished {
+		if job.finalState != record.Unfinished || job.spec == nil || !job.spec.Gang || job.revision == 0 || len(job.groups) < 2 {
+			continue
+		}
+		if first := job.firstGroup(); !job.groupsTogether(first.partition, first.zone) {
+			c.relocate(job, first.partition, first.zone)
+		}
+	}
+}
+
+// groupsInOrder are a job's groups by their numbers.
+func (j *job) groupsInOrder() []*taskGroup {
+	groups := slices.Clone(j.groups)
+	slices.SortFunc(groups, func(first, second *taskGroup) int { return cmp.Compare(first.number, second.number) })
+	return groups
+}
+
+// firstGroup is the group that a gang's others follow.
+func (j *job) firstGroup() *taskGroup {
+	return slices.MinFunc(j.groups, func(first, second *taskGroup) int { return cmp.Compare(first.number, second.number) })
+}
+
+// groupsTogether tells whether all groups of a job are in one partition and zone.
+func (j *job) groupsTogether(partition int, zone string) bool {
+	for _, group := range j.groups {
+		if group.partition != partition || group.zone != zone {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/controller/job_assignment.go
@@ -0,0 +1,195 @@
+package controller
+
+import (
+	"slices"
+
+	"eiderhitch/internal/planning"
+	"eiderhitch/internal/record"
+	"eiderhitch/internal/scheduling"
+)
+
+// assignmentRequest asks for tasks of a job to be assigned.
+type assignmentRequest struct {
+	// assigned is how many tasks of the job are assigned already, remaining how many are
+	// to be.
+	assigned, remaining int
+	// forced tasks are assigned even where there is no room.
+	forced bool
+}
+
+// jobAssignment is the assignment of one job's tasks in progress.
+type jobAssignment struct {
+	pass *assignmentPass
+	job  *job
+	// count is how many tasks the team's quota permits; found how many of them have been
+	// given to a partition.
+	count, found int
+	claim        scheduling.Claim
+	// guaranteedRoom is how many more tasks the team's guaranteed quota has room for.
+	guaranteedRoom int
+	quotaShort     bool
+	forced         bool
+	nextTask       int32
+	groups         []record.TaskGroup
+}
+
+// assignWithinQuota assigns as many of a job's tasks as there is room for now, and returns
+// the demand of those that the quota permits and that found no room.
+func (a *assignmentPass) assignWithinQuota(j *job, request assignmentRequest) planning.Demand {
+	count := a.tasksWithinQuota(j, request.remaining)
+	if count == 0 {
+		return planning.Demand{}
+	}
+	assignment := a.newJobAssignment(j, request, count)
+	if borrowed := assignment.assignToZones(); borrowed {
+		return planning.Demand{}
+	}
+	assignment.fitTransaction()
+	assignment.chargeQuota()
+	a.writeAssignment(j, assignment.groups)
+	return a.demand(j, a.requiredZone(j), count-assignment.found)
+}
+
+// tasksWithinQuota is how many tasks of a job its team's limit has room for: all or none if
+// they start together.
+func (a *assignmentPass) tasksWithinQuota(j *job, remaining int) int {
+	count := a.teamQuotas[j.team].Room(j.taskSize, remaining)
+	if j.spec.AllOrNothing() && count < remaining {
+		return 0
+	}
+	return count
+}
+
+func (a *assignmentPass) newJobAssignment(j *job, request assignmentRequest, count int) jobAssignment {
+	quota := &a.teamQuotas[j.team]
+	guaranteed := quota.GuaranteedRoom(j.taskSize, count)
+	if j.spec.Gang && guaranteed < count {
+		guaranteed = 0 // a gang has one claim for all of its tasks
+	}
+	// Where a team's limit is short, tasks that are assigned but can't run yet would hold
+	// the limit against others of the team, and would have to be throttled again.
+	ample := request.remaining + planning.MinTasksPerPartition*len(a.partitions)
+	return jobAssignment{
+		pass:           a,
+		job:            j,
+		count:          count,
+		claim:          scheduling.Claim{Priority: j.spec.Priority, Guaranteed: guaranteed > 0, Team: j.team},
+		guaranteedRoom: guaranteed,
+		quotaShort:     quota.Room(j.taskSize, ample) < ample,
+		forced:         request.forced,
+		nextTask:       int32(request.assigned),
+	}
+}
+
+// assignToZones assigns the tasks, zone by zone. It reports whether machines are borrowed
+// for the job instead, in which case nothing is to be stored.
+func (s *jobAssignment) assignToZones() (borrowed bool) {
+	zones := s.pass.candidateZones(s.job, s.pass.summaries)
+	rounds := len(zones)
+	if s.pass.outranksReserve(s.job) {
+		// The gang reserve is for more urgent work only if there is no other room.
+		zones = slices.Concat(zones, zones)
+	}
+	for i, zone := range zones {
+		count := s.tasksForZone(zone)
+		if count <= 0 {
+			continue
+		}
+		request := s.planningRequest(zone, count, i >= rounds)
+		if s.job.spec.AllOrNothing() {
+			if s.assignWhole(request, zone) {
+				return true
+			}
+			continue
+		}
+		s.assignSpread(request, zone)
+		if s.found == s.count {
+			break
+		}
+	}
+	return false
+}
+
+// tasksForZone is how many more tasks may go to a zone.
+func (s *jobAssignment) tasksForZone(zone string) int {
+	count := s.count - s.found
+	if s.job.spec.Spread {
+		count = min(count, s.pass.zoneSpreadRoom(s.job, zone, s.groups))
+	}
+	return count
+}
+
+// planningRequest asks for room for count tasks in a zone.
+func (s *jobAssignment) planningRequest(zone string, count int, withReserve bool) *planning.Assignment {
+	leader, job := s.pass.leader, s.job
+	mayUse := func(summary *planning.MachineSummary) bool {
+		return !summary.Booting && (withReserve || leader.reserveAllows(job, summary)) && allowed(job.spec, zone, summary.Type, summary.Zone, summary.Spot)
+	}
+	return &planning.Assignment{TaskSize: job.taskSize, Count: count, Claim: s.claim, Allowed: mayUse, QuotaShort: s.quotaShort, Forced: s.forced}
+}
+
+// assignWhole assigns tasks that start together to one partition, so that their cells are
+// reserved together; its owner preempts others where there is no free room. Where no
+// partition has room it borrows machines, and reports whether they are on their way.
+func (s *jobAssignment) assignWhole(request *planning.Assignment, zone string) (borrowed bool) {
+	partition, ok := request.OnePartition(s.pass.summaries, len(s.pass.partitions))
+	if !ok {
+		return request.Count > 1 && s.pass.borrow(s.pass.summaries, s.job, loanRequest{zone: zone, tasks: request.Count, claim: s.claim})
+	}
+	s.add(partition, zone, request.Count)
+	return false
+}
+
+// assignSpread assigns tasks of an array to all partitions that have room.
+func (s *jobAssignment) assignSpread(request *planning.Assignment, zone string) {
+	for partition, count := range request.PerPartition(s.pass.summaries, s.pass.ahead) {
+		count = min(count, s.count-s.found)
+		if count > 0 {
+			s.add(partition, zone, count)
+		}
+	}
+}
+
+// add assigns the next count tasks to a partition, in groups that can be stored. A group
+// has one claim, so those within the guaranteed quota are groups of their own.
+func (s *jobAssignment) add(partition int, zone string, count int) {
+	s.found += count
+	for count > 0 {
+		size := min(count, s.pass.maxGroupTasks)
+		if s.guaranteedRoom > 0 {
+			size = min(size, s.guaranteedRoom)
+		}
+		s.groups = append(s.groups, newTaskGroupRecord(partition, zone, s.guaranteedRoom > 0, s.nextTask, size))
+		s.guaranteedRoom = max(0, s.guaranteedRoom-size)
+		s.nextTask += int32(size)
+		count -= size
+	}
+}
+
+// fitTransaction leaves out groups that can't be stored in one transaction. A gang counts
+// whole all the same: the rest of it is assigned later (assignRemainder).
+func (s *jobAssignment) fitTransaction() {
+	if s.job.spec.Gang {
+		s.groups = s.pass.fitTransaction(s.groups)
+		return
+	}
+	limit := s.pass.cfg.Settings.Store.TxnOps / 2 // there is a condition for each change
+	if len(s.groups) <= limit {
+		return
+	}
+	for i := range s.groups[limit:] {
+		s.found -= len(s.groups[limit+i].Tasks)
+	}
+	s.groups = s.groups[:limit]
+}
+
+// chargeQuota counts the assigned tasks for the team's quota.
+func (s *jobAssignment) chargeQuota() {
+	quota := &s.pass.teamQuotas[s.job.team]
+	quota.Used = quota.Used.Plus(s.job.taskSize.Times(s.found))
+	for i := range s.groups {
+		if group := &s.groups[i]; group.Guaranteed {
+			quota.GuaranteedUsed = quota.GuaranteedUsed.Plus(s.job.taskSize.Times(len(group.Tasks)))
+		}
+	}
+}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -22,9 +22,8 @@
 	// active is set once everything that a former leader stored has been read.
 	active bool
 	since  time.Time
-	// writesInFlight counts decisions that are not known to be stored, see leaderWriteDone.
+	// writesInFlight counts decisions that are not known to be stored, see submitDecision.
 	writesInFlight int
-	assignAhead    []int
 	usageLoggedAt  time.Time
 	// ownersInTouch are the partitions' owners, by partition, see updateOwnersInTouch.
 	ownersInTouch []ownerInTouch
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -167,9 +167,17 @@
 // reserveMachinesAfter is how long a group waits for whole room before machines are kept for it.
 const reserveMachinesAfter = 8 * time.Second
 
+// loanRequest asks for machines for tasks of a job that start together.
+type loanRequest struct {
+	zone  string // in which they must be; "" for any
+	tasks int
+	claim scheduling.Claim
+}
+
 // borrow takes machines from other parts for a whole group of n tasks. It
 // reports whether they are on their way.
-func (c *leader) borrow(summaries []*planning.MachineSummary, j *job, zone string, n int, claim scheduling.Claim) bool {
+func (c *leader) borrow(summaries []*planning.MachineSummary, j *job, request loanRequest) bool {
+	zone, n, claim := request.zone, request.tasks, request.claim
 	coming := c.expectedRoom(summaries, j, zone, n)
 	if coming >= n {
 		return true
@@ -303,9 +311,7 @@
 		}
 		write.Changes = append(write.Changes, wire.Change{Put: key, Value: record.JSON(v)})
 	}
-	c.leadership.writesInFlight++
-	epoch := c.leadership.epoch
-	c.SubmitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
+	c.submitDecision(write)
 }
 
 // reviewLoans fences machines that came in and hands back those that are not
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -1,235 +1,211 @@
 package controller
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
 	"eiderhitch/internal/planning"
-	"eiderhitch/internal/record"
 	"eiderhitch/internal/store"
 	"eiderhitch/internal/wire"
 )
 
-// zonePatience is how long a samePlace job of which nothing runs waits for room in the
-// zone that it was dealt to before it goes to another.
+// zonePatience is how long a single-zone job of which nothing runs waits for room in the
+// zone that it was assigned to before it goes to another.
 const zonePatience = 15 * time.Second
 
-// moveToOtherZone has a samePlace job of which no task is anywhere go to another zone, if
-// there is no room in the one that it was dealt to, perhaps since that has lost its
+// newMoveWrite is a write that moves groups of a job, without any changes yet.
+func (c *leader) newMoveWrite(j *job) *store.Write {
+	return &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
+}
+
+// addGroup has a write replace the stored group by a changed one.
+func addGroup(write *store.Write, group *taskGroup, value []byte) {
+	write.Conditions = append(write.Conditions, wire.Condition{Key: group.key, Revision: group.revision})
+	write.Changes = append(write.Changes, wire.Change{Put: group.key, Value: value})
+}
+
+// moveToOtherZone has a single-zone job of which no task is anywhere go to another zone, if
+// there is no room in the one that it was assigned to, perhaps since that has lost its
 // machines. Bound to it for good, the job waited beside other zones' empty machines
 // for as long as the first one had none. Its tasks are all proven gone, so that nothing
-// is in two zones; an owner that binds one meanwhile loses by its record's version.
+// is in two zones; an owner that binds one meanwhile loses by its group's revision.
 func (c *leader) moveToOtherZone(summaries []*planning.MachineSummary, group *taskGroup) bool {
-	job, spec := group.job, group.job.spec
-	if !spec.SingleZone || group.zone == "" || c.now.Sub(group.inPartitionSince) < zonePatience || !spec.Gang && len(job.groups) > c.cfg.Settings.Store.TxnOps {
+	job := group.job
+	if !c.mayChangeZone(group) {
 		return false
 	}
-	need := 1
-	for _, other := range job.groups {
-		if other.writing || other.zone != group.zone || other.boundTasks() > 0 {
-			return false // one has moved already in this step, and others follow it
-		}
-		if spec.AllOrNothing() {
-			need = max(need, len(other.bindings))
-		}
-	}
-	room := map[string]int{}
-	for _, summary := range summaries {
-		if !summary.Booting && c.reserveAllows(job, summary) && allowed(spec, "", summary.Type, summary.Zone, summary.Spot) {
-			room[summary.Zone] += summary.Free.CountFitting(job.taskSize, need)
-		}
-	}
-	best := group.zone
-	for z, n := range room {
-		if n > room[best] || n == room[best] && z < best {
-			best = z
-		}
+	tasks, ok := tasksToMove(group)
+	if !ok {
+		return false
 	}
-	if best == group.zone || room[best] < need || room[group.zone] >= need {
+	room := c.roomByZone(summaries, job, tasks)
+	zone := zoneWithMostRoom(room, group.zone)
+	if zone == group.zone || room[zone] < tasks || room[group.zone] >= tasks {
 		return false
 	}
-	c.log.Info("job goes to another zone", "job", job.id, "from", group.zone, "to", best)
-	if spec.Gang {
-		return c.relocate(job, job.firstGroup().partition, best)
+	c.log.Info("job moves to another zone", "job", job.id, "from", group.zone, "to", zone)
+	if job.spec.Gang {
+		return c.relocate(job, job.firstGroup().partition, zone)
 	}
-	write := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(job.id), Revision: job.revision}}}
+	write := c.newMoveWrite(job)
 	for _, other := range job.groups {
 		moved := *other
-		moved.zone = best
-		write.Conditions = append(write.Conditions, wire.Condition{Key: other.key, Revision: other.revision})
-		write.Changes = append(write.Changes, wire.Change{Put: other.key, Value: c.encodeGroup(&moved, other.done, other.bindings).At(other.key)})
+		moved.zone = zone
+		addGroup(write, other, c.encodeGroup(&moved, other.done, other.bindings).At(other.key))
 	}
-	c.leadership.writesInFlight++
-	epoch := c.leadership.epoch
-	c.SubmitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
+	c.submitDecision(write)
 	return true
 }
 
-// moveUnplaced gives waiting tasks of a record whose part has no room to a part
-// that has. Its owner's writes lose by the record's version.
-func (c *leader) moveUnplaced(summaries []*planning.MachineSummary, group *taskGroup, n int) bool {
-	spec := group.job.spec
-	if spec.Gang {
-		return c.moveGang(summaries, group.job)
-	}
-	if spec.AllOrNothing() && n < len(group.bindings) && group.boundTasks() == 0 {
-		n = len(group.bindings) // a group that has not started moves whole
-	}
-	perPart := make([]int, len(c.partitions))
-	can := func(summary *planning.MachineSummary) bool {
-		return !summary.Booting && summary.Partition != group.partition && (c.now.Sub(group.inPartitionSince) > reserveOpensAfter || c.reserveAllows(group.job, summary)) && allowed(spec, group.zone, summary.Type, summary.Zone, summary.Spot)
-	}
-	trial := planning.CloneSummaries(summaries)
-	for summary, k := range planning.PlaceInFreeRoom(trial, can, group.job.taskSize, n) {
-		perPart[summary.Partition] += k
+// mayChangeZone tells whether the job of a group has waited for long enough in its zone, and
+// may be in another. Only gangs move in several transactions.
+func (c *leader) mayChangeZone(group *taskGroup) bool {
+	job := group.job
+	if !job.spec.SingleZone || group.zone == "" || c.now.Sub(group.inPartitionSince) < zonePatience {
+		return false
 	}
-	best, most := -1, 0
-	for p, k := range perPart {
-		if k > most {
-			best, most = p, k
+	return job.spec.Gang || len(job.groups) <= c.cfg.Settings.Store.TxnOps
+}
+
+// tasksToMove is for how many tasks another zone must have room if the job of a group is to
+// move there. It reports false if the job must stay: a task of it is placed, or some of its
+// groups have moved already in this step, and the others follow them.
+func tasksToMove(group *taskGroup) (tasks int, ok bool) {
+	tasks = 1
+	for _, other := range group.job.groups {
+		if other.writing || other.zone != group.zone || other.boundTasks() > 0 {
+			return 0, false
+		}
+		if group.job.spec.AllOrNothing() {
+			tasks = max(tasks, len(other.bindings))
 		}
 	}
-	if best < 0 && n == 1 {
-		if summary := planning.PlaceByPreemption(trial, can, group.job.taskSize, group.claim()); summary != nil {
-			best, most = summary.Partition, 1
+	return tasks, true
+}
+
+// roomByZone is for how many tasks of a job there is free room in each zone; no machine
+// counts for more than limit of them.
+func (c *leader) roomByZone(summaries []*planning.MachineSummary, j *job, limit int) map[string]int {
+	room := map[string]int{}
+	for _, summary := range summaries {
+		if !summary.Booting && c.reserveAllows(j, summary) && allowed(j.spec, "", summary.Type, summary.Zone, summary.Spot) {
+			room[summary.Zone] += summary.Free.CountFitting(j.taskSize, limit)
 		}
 	}
-	taken := false
-	if spec.AllOrNothing() && group.boundTasks() == 0 && most < n {
-		// A group that has not started, or lost all, may evict where it goes.
-		if best, taken = (&planning.Assignment{TaskSize: group.job.taskSize, Count: n, Claim: group.claim(), Allowed: can}).OnePartition(summaries, len(c.partitions)); !taken {
-			return n > 1 && c.borrow(summaries, group.job, group.zone, n, group.claim())
+	return room
+}
+
+// zoneWithMostRoom is the zone with the most room, of equals the first by name.
+func zoneWithMostRoom(room map[string]int, present string) string {
+	best := present
+	for zone, count := range room {
+		if count > room[best] || count == room[best] && zone < best {
+			best = zone
 		}
-		most = n
 	}
-	if best < 0 {
-		return false
+	return best
+}
+
+// moveUnplaced gives count waiting tasks of a group whose partition has no room to a
+// partition that has. Its owner's writes lose by the group's revision.
+func (c *leader) moveUnplaced(summaries []*planning.MachineSummary, group *taskGroup, count int) bool {
+	if group.job.spec.Gang {
+		return c.moveGang(summaries, group.job)
 	}
-	var move, stay []binding
-	for _, bound := range group.bindings {
-		if bound.machine == nil && len(move) < most {
-			move = append(move, bound)
-		} else {
-			stay = append(stay, bound)
+	starts := group.job.spec.AllOrNothing() && group.boundTasks() == 0
+	if starts {
+		count = max(count, len(group.bindings)) // what has not started moves whole
+	}
+	mayUse := c.otherPartitionsOf(group)
+	target := c.findMoveTarget(summaries, group, count, mayUse)
+	if starts && target.tasks < count {
+		// What has not started, or lost all, may preempt others where it goes.
+		request := planning.Assignment{TaskSize: group.job.taskSize, Count: count, Claim: group.claim(), Allowed: mayUse}
+		partition, ok := request.OnePartition(summaries, len(c.partitions))
+		if !ok {
+			return count > 1 && c.borrow(summaries, group.job, loanRequest{zone: group.zone, tasks: count, claim: group.claim()})
 		}
+		target = moveTarget{partition: partition, tasks: count, roomTaken: true}
 	}
-	if len(move) == 0 {
+	moving, staying := group.bindingsToMove(target.tasks)
+	if len(moving) == 0 {
 		return false
 	}
-	in := func(summary *planning.MachineSummary) bool { return summary.Partition == best && can(summary) }
-	if !taken {
-		planning.PlaceInFreeRoom(summaries, in, group.job.taskSize, len(move))
-	}
-	write := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(group.job.id), Revision: group.job.revision}, {Key: group.key, Revision: group.revision}}}
-	left, moved := group.split(stay, move)
-	moved.partition = best
-	if len(stay) == 0 {
-		write.Changes = []wire.Change{{Put: group.key, Value: c.encodeGroup(&moved, group.done, move).At(group.key)}}
-	} else {
-		key := groupKey(group.job.id, group.job.newGroupNumber())
-		write.Conditions = append(write.Conditions, wire.Condition{Key: key})
-		write.Changes = []wire.Change{{Put: group.key, Value: c.encodeGroup(&left, group.done, stay).At(group.key)}, {Put: key, Value: c.encodeGroup(&moved, 0, move).At(key)}}
+	if !target.roomTaken {
+		inTarget := func(summary *planning.MachineSummary) bool {
+			return summary.Partition == target.partition && mayUse(summary)
+		}
+		planning.PlaceInFreeRoom(summaries, inTarget, group.job.taskSize, len(moving))
 	}
-	c.metrics.count(countMoved, 1)
-	c.log.Debug("tasks move to another part", "job", group.job.id, "tasks", len(move), "part", best)
-	c.leadership.writesInFlight++
-	epoch := c.leadership.epoch
-	c.SubmitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
+	c.writeMove(group, target.partition, moving, staying)
 	return true
 }
 
-// moveGang has a gang of which nothing is bound go whole to a part that has room for it.
-// Where none has, machines of several parts are borrowed for it: a gang that was dealt
-// to a part which then lost its room waited for ever beside machines that had room for
-// it together.
-func (c *leader) moveGang(summaries []*planning.MachineSummary, j *job) bool {
-	first, tasks := j.firstGroup(), 0
-	for _, group := range j.groups {
-		if group.boundTasks() > 0 {
-			return false // its present attempt is completed, or ends, where it is
-		}
-		tasks += len(group.bindings)
+// otherPartitionsOf allows the machines of other partitions that a group may move to. After
+// a long wait those that are kept for gangs are among them.
+func (c *leader) otherPartitionsOf(group *taskGroup) planning.MachineFilter {
+	ignoresReserve := c.now.Sub(group.inPartitionSince) > reserveOpensAfter
+	return func(summary *planning.MachineSummary) bool {
+		return !summary.Booting && summary.Partition != group.partition && (ignoresReserve || c.reserveAllows(group.job, summary)) &&
+			allowed(group.job.spec, group.zone, summary.Type, summary.Zone, summary.Spot)
 	}
-	if tasks < j.spec.Tasks {
-		return false // the rest is dealt first
-	}
-	can := func(summary *planning.MachineSummary) bool {
-		return !summary.Booting && summary.Partition != first.partition && allowed(j.spec, first.zone, summary.Type, summary.Zone, summary.Spot)
-	}
-	d := &planning.Assignment{TaskSize: j.taskSize, Count: tasks, Claim: first.claim(), Allowed: can}
-	part, ok := d.OnePartition(summaries, len(c.partitions))
-	if !ok {
-		return tasks > 1 && c.borrow(summaries, j, first.zone, tasks, first.claim())
-	}
-	c.metrics.count(countMoved, 1)
-	c.log.Debug("gang moves to another part", "job", j.id, "tasks", tasks, "part", part)
-	return c.relocate(j, part, first.zone)
 }
 
-// relocate has a gang's records go to a part and zone, the first record first and as many
-// as one transaction holds. The others follow (completeGangMoves); the gang is reserved when
-// all are together. False if it can't be now.
-func (c *leader) relocate(j *job, part int, zone string) bool {
-	write := &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
-	size := 0
-	for _, group := range j.groupsInOrder() {
-		if group.partition == part && group.zone == zone {
-			continue
-		}
-		if group.writing || group.boundTasks() > 0 || group.size > c.maxValueBytes() {
-			return false // its owner ends bindings, or splits it, first
-		}
-		moved := *group
-		moved.partition, moved.zone = part, zone
-		value := c.encodeGroup(&moved, group.done, group.bindings).At(group.key)
-		size += len(value) + recordOverhead
-		if n := len(write.Changes); n > 0 && (n == c.cfg.Settings.Store.TxnOps || size > store.MaxTxnBytes) {
-			break
-		}
-		write.Conditions = append(write.Conditions, wire.Condition{Key: group.key, Revision: group.revision})
-		write.Changes = append(write.Changes, wire.Change{Put: group.key, Value: value})
-	}
-	if len(write.Changes) == 0 {
-		return false
-	}
-	c.leadership.writesInFlight++
-	epoch := c.leadership.epoch
-	c.SubmitWrite(write, func(err error) { c.leaderWriteDone(epoch, err) })
-	return true
+// moveTarget is the partition that tasks may move to, and how many of them; no tasks, if
+// there is none. roomTaken is set if their room is taken from the summaries already.
+type moveTarget struct {
+	partition, tasks int
+	roomTaken        bool
 }
 
-// completeGangMoves has the records of gangs that moved in part, by this leader or one before
-// it, follow their first one.
-func (c *leader) completeGangMoves() {
-	for _, job := range c.unfinished {
-		if job.finalState != record.Unfinished || job.spec == nil || !job.spec.Gang || job.revision == 0 || len(job.groups) < 2 {
-			continue
+// findMoveTarget returns the partition with free room for the most of count tasks of a
+// group; for a single one, where others can be preempted for it.
+func (c *leader) findMoveTarget(summaries []*planning.MachineSummary, group *taskGroup, count int, mayUse planning.MachineFilter) moveTarget {
+	perPartition := make([]int, len(c.partitions))
+	trial := planning.CloneSummaries(summaries)
+	for summary, placed := range planning.PlaceInFreeRoom(trial, mayUse, group.job.taskSize, count) {
+		perPartition[summary.Partition] += placed
+	}
+	var best moveTarget
+	for partition, placed := range perPartition {
+		if placed > best.tasks {
+			best = moveTarget{partition: partition, tasks: placed}
 		}
-		if first := job.firstGroup(); !job.groupsTogether(first.partition, first.zone) {
-			c.relocate(job, first.partition, first.zone)
+	}
+	if best.tasks == 0 && count == 1 {
+		if summary := planning.PlaceByPreemption(trial, mayUse, group.job.taskSize, group.claim()); summary != nil {
+			best = moveTarget{partition: summary.Partition, tasks: 1}
 		}
 	}
+	return best
 }
 
-// groupsInOrder are a job's records by their numbers.
-func (j *job) groupsInOrder() []*taskGroup {
-	out := slices.Clone(j.groups)
-	slices.SortFunc(out, func(first, second *taskGroup) int { return cmp.Compare(first.number, second.number) })
-	return out
-}
-
-// firstGroup is the record by which a gang's others go.
-func (j *job) firstGroup() *taskGroup {
-	return slices.MinFunc(j.groups, func(first, second *taskGroup) int { return cmp.Compare(first.number, second.number) })
+// bindingsToMove divides a group's bindings: of those that are not placed, limit move.
+func (group *taskGroup) bindingsToMove(limit int) (moving, staying []binding) {
+	for _, bound := range group.bindings {
+		if bound.machine == nil && len(moving) < limit {
+			moving = append(moving, bound)
+		} else {
+			staying = append(staying, bound)
+		}
+	}
+	return moving, staying
 }
 
-// groupsTogether tells whether all records of a job are in one part and zone.
-func (j *job) groupsTogether(part int, zone string) bool {
-	for _, group := range j.groups {
-		if group.partition != part || group.zone != zone {
-			return false
-		}
+// writeMove stores that some bindings of a group go to another partition; those that stay
+// keep the group's key.
+func (c *leader) writeMove(group *taskGroup, partition int, moving, staying []binding) {
+	write := c.newMoveWrite(group.job)
+	left, moved := group.split(staying, moving)
+	moved.partition = partition
+	if len(staying) == 0 {
+		addGroup(write, group, c.encodeGroup(&moved, group.done, moving).At(group.key))
+	} else {
+		addGroup(write, group, c.encodeGroup(&left, group.done, staying).At(group.key))
+		key := groupKey(group.job.id, group.job.newGroupNumber())
+		write.Conditions = append(write.Conditions, wire.Condition{Key: key})
+		write.Changes = append(write.Changes, wire.Change{Put: key, Value: c.encodeGroup(&moved, 0, moving).At(key)})
 	}
-	return true
+	c.metrics.count(countMoved, 1)
+	c.log.Debug("tasks move to another partition", "job", group.job.id, "tasks", len(moving), "partition", partition)
+	c.submitDecision(write)
 }
--- a/internal/planning/quota.go
+++ b/internal/planning/quota.go
@@ -52,3 +52,12 @@
 	}
 	return min(count, int(max(0, limit-used)/size))
 }
+
+// Charge counts an amount as used; guaranteed tells whether it counts for the guaranteed
+// quota, too.
+func (q *Quota) Charge(use scheduling.Resources, guaranteed bool) {
+	q.Used = q.Used.Plus(use)
+	if guaranteed {
+		q.GuaranteedUsed = q.GuaranteedUsed.Plus(use)
+	}
+}
--- a/internal/planning/quota_test.go
+++ b/internal/planning/quota_test.go
@@ -36,3 +36,16 @@
 		t.Errorf("without a guaranteed quota: expected room for none, got %d", room)
 	}
 }
+
+// All use counts for the limit, only guaranteed use for the guaranteed quota.
+func TestQuotaCharge(t *testing.T) {
+	quota := Quota{Used: scheduling.NewResources(1, 0, 0), GuaranteedUsed: scheduling.NewResources(1, 0, 0)}
+	quota.Charge(scheduling.NewResources(2, 0, 0), false)
+	quota.Charge(scheduling.NewResources(4, 1, 0), true)
+	if want := scheduling.NewResources(7, 1, 0); quota.Used != want {
+		t.Errorf("expected %v to be used, got %v", want, quota.Used)
+	}
+	if want := scheduling.NewResources(5, 1, 0); quota.GuaranteedUsed != want {
+		t.Errorf("expected %v of the guaranteed quota to be used, got %v", want, quota.GuaranteedUsed)
+	}
+}
