--- /dev/null
+++ b/internal/controller/gang_reserve_fill.go
@@ -0,0 +1,172 @@
+package controller
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"eiderhitch/internal/planning"
+	"eiderhitch/internal/record"
+)
+
+// fillReserve borrows machines for the gang reserve while it lacks room: empty ones, or such
+// as will be empty soon.
+func (c *leader) fillReserve(summaries []*planning.MachineSummary) {
+	reserve := &c.leadership.gangReserve
+	reserve.shortfall = nil
+	if len(reserve.classes) == 0 {
+		return
+	}
+	fill := reserveFill{
+		leader:    c,
+		reserve:   reserve,
+		summaries: planning.CloneSummaries(summaries),
+		limit:     max(reserveMinMachines, int(reserveMaxShare*float64(len(summaries)))) - len(c.loans),
+	}
+	for _, class := range reserve.sorted() {
+		fill.addClass(class)
+	}
+	if len(fill.chosen) == 0 {
+		return
+	}
+	chosen := fill.chosen[:min(len(fill.chosen), c.cfg.Settings.Store.TxnOps/2)]
+	c.log.Debug("machines borrowed for the gang reserve", "machines", len(chosen))
+	c.borrowMachines(chosen, record.MachineLoan{Job: reserveLoanJob})
+}
+
+// reserveFill is a round of fillReserve.
+type reserveFill struct {
+	*leader
+	reserve *gangReserve
+	// summaries have what is left after the classes before.
+	summaries []*planning.MachineSummary
+	// limit is how many more machines may be borrowed.
+	limit  int
+	chosen []*planning.MachineSummary
+}
+
+// addClass chooses machines for the next gangs of a class, and notes what is to be launched
+// for them if too little is coming.
+func (f *reserveFill) addClass(class *gangClass) {
+	zone := f.reserveZone(f.summaries, class)
+	lacking := class.room() - f.takeFreeRoom(class, zone)
+	empty, busy := f.incomingReserveRoom(class, zone)
+	if lacking-empty <= 0 {
+		return
+	}
+	if count := lacking - empty - busy; count > 0 {
+		f.reserve.shortfall = append(f.reserve.shortfall, class.demand(zone, count))
+	}
+	candidates := f.reserveCandidates(class, zone)
+	firstBusy := slices.IndexFunc(candidates, func(summary *planning.MachineSummary) bool { return len(summary.Usages) > 0 })
+	if firstBusy < 0 {
+		firstBusy = len(candidates)
+	}
+	// Machines that are empty are had at once, whatever else will be empty some time:
+	// arrays would fill them, and gangs wait for the others for most of a minute.
+	taken := f.take(candidates[:firstBusy], class, lacking-empty)
+	room := 0
+	for _, summary := range taken {
+		room += summary.Size.CountFitting(class.need, class.spec.Tasks)
+	}
+	f.take(candidates[firstBusy:], class, lacking-empty-busy-room)
+}
+
+// take chooses machines with room for a number of tasks of a class.
+func (f *reserveFill) take(candidates []*planning.MachineSummary, class *gangClass, tasks int) []*planning.MachineSummary {
+	taken, _ := takeMachines(candidates, tasks, f.limit, func(summary *planning.MachineSummary, tasks int) int {
+		return summary.Size.CountFitting(class.need, tasks)
+	})
+	for _, summary := range taken {
+		summary.InUse = true
+	}
+	f.limit -= len(taken)
+	f.chosen = append(f.chosen, taken...)
+	return taken
+}
+
+// takeFreeRoom takes free room of the reserve for the next gangs of a class, and returns for
+// how many tasks there is.
+func (f *reserveFill) takeFreeRoom(class *gangClass, zone string) int {
+	found := 0
+	for _, summary := range f.summaries {
+		if summary.Partition != f.loanPartition() || summary.Booting || !allowed(class.spec, zone, summary.Type, summary.Zone, summary.Spot) {
+			continue
+		}
+		count := summary.Free.CountFitting(class.need, class.room()-found)
+		summary.Free = summary.Free.Minus(class.need.Times(count))
+		found += count
+	}
+	return found
+}
+
+// reserveCandidates are machines without services that may be borrowed for the reserve, the
+// emptiest and largest first.
+func (f *reserveFill) reserveCandidates(class *gangClass, zone string) []*planning.MachineSummary {
+	candidates := slices.DeleteFunc(f.loanableMachines(f.summaries, class.spec, zone), func(summary *planning.MachineSummary) bool {
+		return summary.RunsService
+	})
+	slices.SortFunc(candidates, func(x, y *planning.MachineSummary) int {
+		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(y.Size.CPU, x.Size.CPU), cmp.Compare(x.ID, y.ID))
+	})
+	return candidates
+}
+
+// incomingReserveRoom is for how many tasks of a class there will be room on machines that
+// are on their way to the reserve: empty ones, and such as will be empty some time.
+func (r *machineRegistry) incomingReserveRoom(class *gangClass, zone string) (empty, busy int) {
+	for loan, m := range r.loansFor(reserveLoanJob, class.spec, zone) {
+		if loan.Acknowledged {
+			continue
+		}
+		count := r.sizeOf(m).CountFitting(class.need, class.spec.Tasks)
+		if len(m.bindings) == 0 {
+			empty += count
+		} else {
+			busy += count
+		}
+	}
+	return empty, busy
+}
+
+// demand is what count tasks of a class's next gangs ask of the fleet.
+func (class *gangClass) demand(zone string, count int) planning.Demand {
+	spec := class.spec
+	return planning.Demand{
+		Class:        spec.Class,
+		TaskSize:     class.need,
+		Count:        count,
+		AllOrNothing: true,
+		EstimateS:    spec.EstimateS,
+		SlackS:       math.Inf(1),
+		Allows: func(offer planning.Offer) bool {
+			return allowed(spec, zone, offer.Type, offer.Zone, offer.Spot)
+		},
+	}
+}
+
+// reserveZone is the zone in which the reserve has the most room for a gang that must be in
+// one; "" for any. Of equals it is the one with the most machines.
+func (r *machineRegistry) reserveZone(summaries []*planning.MachineSummary, class *gangClass) string {
+	if !class.spec.SingleZone {
+		return ""
+	}
+	room, machines := map[string]int{}, map[string]int{}
+	for _, summary := range summaries {
+		if summary.Booting || !allowed(class.spec, "", summary.Type, summary.Zone, summary.Spot) {
+			continue
+		}
+		machines[summary.Zone]++
+		if summary.Partition == r.loanPartition() {
+			room[summary.Zone] += summary.Free.CountFitting(class.need, class.spec.Tasks)
+		}
+	}
+	best := ""
+	for zone := range machines {
+		before := cmp.Or(cmp.Compare(room[best], room[zone]), cmp.Compare(machines[best], machines[zone]), cmp.Compare(zone, best))
+		if best == "" || before < 0 {
+			best = zone
+		}
+	}
+	return best
+}
--- /dev/null
+++ b/internal/controller/loan_owner.go
@@ -0,0 +1,47 @@
+package controller
+
+import (
+	"eiderhitch/internal/record"
+	"eiderhitch/internal/store"
+	"eiderhitch/internal/wire"
+)
+
+// acknowledgeLoans hands over machines of a partition of ours on which nothing is bound or
+// about to be, apart from services that go along.
+func (c *partitionOwner) acknowledgeLoans(p *partition) {
+	for _, name := range c.loanedMachines() {
+		loan, m := c.loans[name], c.machineNamed(name)
+		if loan.Acknowledged || loan.writing || m.hashPartition != p.index {
+			continue
+		}
+		if len(m.bindings) > 0 && !c.movesWithServices(loan, m, p) || p.hasReservationOn(m) {
+			continue
+		}
+		c.acknowledgeLoan(name, loan, p)
+	}
+}
+
+func (c *partitionOwner) acknowledgeLoan(name string, loan *machineLoan, p *partition) {
+	loan.writing = true
+	acknowledged := loan.MachineLoan
+	acknowledged.Acknowledged = true
+	c.SubmitWrite(&store.Write{
+		Prompt:     true,
+		Conditions: []wire.Condition{{Key: p.key, Revision: p.token}, {Key: loanKey(name), Revision: loan.revision}},
+		Changes:    []wire.Change{{Put: loanKey(name), Value: record.JSON(acknowledged)}},
+	}, func(error) { loan.writing = false })
+}
+
+// movesWithServices tells whether all that is bound to a machine is services that go with
+// it to the leader's partition: they stay, and were there before the machine was chosen.
+func (c *partitionOwner) movesWithServices(loan *machineLoan, m *machine, p *partition) bool {
+	if loan.Job == reserveLoanJob || !c.runsOnlyServices(m, p) {
+		return false
+	}
+	for _, x := range m.bindings {
+		if x.group.revision > loan.lentRevision || loan.claim(c.catalog).CanPreempt(x.group.claim()) {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/controller/loan_selection.go
@@ -0,0 +1,168 @@
+package controller
+
+import (
+	"cmp"
+	"iter"
+	"slices"
+	"time"
+
+	"eiderhitch/internal/planning"
+	"eiderhitch/internal/scheduling"
+	"eiderhitch/internal/wire"
+)
+
+const (
+	// reserveMachinesAfter is how long a job waits for whole room before machines are kept
+	// for it until they are empty.
+	reserveMachinesAfter = 8 * time.Second
+	// borrowServiceMachinesAfter is how long a job waits for room until machines are
+	// borrowed with the services on them: before that others may well become free.
+	borrowServiceMachinesAfter = 30 * time.Second
+)
+
+// loanRequest asks for machines for tasks of a job that start together.
+type loanRequest struct {
+	zone  string // in which they must be; "" for any
+	tasks int
+	claim scheduling.Claim
+}
+
+// loanableMachines are machines of other partitions on which a job's tasks may be and that
+// nothing else needs.
+func (c *leader) loanableMachines(summaries []*planning.MachineSummary, spec *wire.Job, zone string) []*planning.MachineSummary {
+	var loanable []*planning.MachineSummary
+	for _, summary := range summaries {
+		if summary.Partition != c.loanPartition() && !summary.InUse && c.availableFor(summary, spec, zone) {
+			loanable = append(loanable, summary)
+		}
+	}
+	return loanable
+}
+
+// availableFor tells whether a machine is up, is not to be drained, and may run a job's tasks.
+func (c *leader) availableFor(summary *planning.MachineSummary, spec *wire.Job, zone string) bool {
+	return !summary.Booting && !c.autoscaler.DrainedByLeader(c.machineByIndex[summary.ID].name) && allowed(spec, zone, summary.Type, summary.Zone, summary.Spot)
+}
+
+// takeMachines takes machines in their order, at most limit, until they have room for a
+// number of tasks. It returns for how many they lack room.
+func takeMachines(candidates []*planning.MachineSummary, tasks, limit int, room func(summary *planning.MachineSummary, tasks int) int) (chosen []*planning.MachineSummary, lacking int) {
+	for _, summary := range candidates {
+		if tasks <= 0 || len(chosen) >= limit {
+			break
+		}
+		tasks -= room(summary, tasks)
+		chosen = append(chosen, summary)
+	}
+	return chosen, tasks
+}
+
+// machinesToClear are machines that together, once they are empty, have room for a job
+// besides what is coming for it already; none if there are too few.
+//
+// Among endless work of its own priority a job that starts whole would never find whole
+// room: what becomes free is taken one cell at a time. One that has waited has machines
+// kept for it on which nothing is that stays, until they are empty (the paper leaves room
+// for "reservation during waiting").
+func (c *leader) machinesToClear(summaries []*planning.MachineSummary, j *job, request loanRequest, coming int) []*planning.MachineSummary {
+	keep := c.now.Sub(j.acceptedAt) > reserveMachinesAfter
+	stays := func(usage planning.Usage) bool { return !request.claim.CanPreempt(usage.Claim) }
+	candidates := slices.DeleteFunc(c.loanableMachines(summaries, j.spec, request.zone), func(summary *planning.MachineSummary) bool {
+		return (!keep || summary.RunsService) && slices.ContainsFunc(summary.Usages, stays)
+	})
+	sizeFor := func(summary *planning.MachineSummary, tasks int) int {
+		return summary.Size.CountFitting(j.taskSize, tasks)
+	}
+	slices.SortFunc(candidates, func(x, y *planning.MachineSummary) int {
+		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(sizeFor(y, request.tasks), sizeFor(x, request.tasks)), cmp.Compare(x.ID, y.ID))
+	})
+	chosen, lacking := takeMachines(candidates, request.tasks-coming, len(candidates), sizeFor)
+	if lacking > 0 {
+		return nil
+	}
+	return chosen
+}
+
+// machinesBesideServices are machines that together have room for a job beside services
+// that stay; none if there are too few. They are in several partitions, or the job would be
+// assigned to one: it waited for ever beside room, since no machine with a service was
+// lent.
+func (c *leader) machinesBesideServices(summaries []*planning.MachineSummary, j *job, request loanRequest) []*planning.MachineSummary {
+	if c.now.Sub(j.acceptedAt) < borrowServiceMachinesAfter {
+		return nil
+	}
+	freeFor := func(summary *planning.MachineSummary, tasks int) int {
+		return summary.Free.CountFitting(j.taskSize, tasks)
+	}
+	coming := 0
+	for _, summary := range summaries {
+		if summary.Partition == c.loanPartition() && c.availableFor(summary, j.spec, request.zone) {
+			coming += freeFor(summary, request.tasks)
+		}
+	}
+	candidates := slices.DeleteFunc(c.loanableMachines(summaries, j.spec, request.zone), func(summary *planning.MachineSummary) bool {
+		return freeFor(summary, request.tasks) == 0
+	})
+	slices.SortFunc(candidates, func(x, y *planning.MachineSummary) int {
+		return cmp.Or(cmp.Compare(freeFor(y, request.tasks), freeFor(x, request.tasks)), cmp.Compare(x.ID, y.ID))
+	})
+	chosen, lacking := takeMachines(candidates, request.tasks-coming, len(candidates), freeFor)
+	if lacking > 0 {
+		return nil
+	}
+	return chosen
+}
+
+// loansFor goes through the loans for a job on whose machines tasks may be, with the sizes
+// of the machines.
+func (r *machineRegistry) loansFor(jobID string, spec *wire.Job, zone string) iter.Seq2[*machineLoan, *machine] {
+	return func(yield func(*machineLoan, *machine) bool) {
+		for name, loan := range r.loans {
+			m := r.machineNamed(name)
+			if loan.Job != jobID || r.machineTypes[m.machineType] == nil || !allowed(spec, zone, m.machineType, m.zone, m.spot) {
+				continue
+			}
+			if !yield(loan, m) {
+				return
+			}
+		}
+	}
+}
+
+// sizeOf is the size of a machine whose type is known.
+func (r *machineRegistry) sizeOf(m *machine) scheduling.Resources {
+	t := r.machineTypes[m.machineType]
+	return scheduling.NewResources(t.CPUs, t.GPUs, t.RAMGB)
+}
+
+// expectedRoom is for how many tasks of a job there is room in the leader's partition, or
+// will be once the machines that are being lent for it have come.
+func (r *machineRegistry) expectedRoom(summaries []*planning.MachineSummary, j *job, request loanRequest) int {
+	room := 0
+	listed := map[scheduling.MachineIndex]bool{}
+	for _, summary := range summaries {
+		listed[summary.ID] = true
+		loan := r.loans[r.machineByIndex[summary.ID].name]
+		mayUse := loan != nil && (loan.Job == j.id || j.spec.Gang)
+		if summary.Partition == r.loanPartition() && mayUse && allowed(j.spec, request.zone, summary.Type, summary.Zone, summary.Spot) {
+			room += summary.Free.CountFitting(j.taskSize, request.tasks)
+		}
+	}
+	for _, m := range r.loansFor(j.id, j.spec, request.zone) {
+		if !listed[m.index] {
+			room += r.sizeOf(m).Minus(m.serviceUse()).CountFitting(j.taskSize, request.tasks)
+		}
+	}
+	return room
+}
+
+// serviceUse is what services use of a machine.
+func (m *machine) serviceUse() scheduling.Resources {
+	var use scheduling.Resources
+	for _, x := range m.bindings {
+		if spec := x.group.job.spec; spec != nil && spec.Service {
+			use = use.Plus(x.group.job.taskSize)
+		}
+	}
+	return use
+}
