--- a/internal/controller/gang_reserve_fill.go
+++ b/internal/controller/gang_reserve_fill.go
@@ -74,7 +74,7 @@
 
 // take chooses machines with room for a number of tasks of a class.
 func (f *reserveFill) take(candidates []*planning.MachineSummary, class *gangClass, tasks int) []*planning.MachineSummary {
-	taken, _ := takeMachines(candidates, tasks, f.limit, func(summary *planning.MachineSummary, tasks int) int {
+	taken, _ := planning.TakeMachines(candidates, tasks, f.limit, func(summary *planning.MachineSummary, tasks int) int {
 		return summary.Size.CountFitting(class.need, tasks)
 	})
 	for _, summary := range taken {
--- /dev/null
+++ b/internal/controller/gang_reserve_test.go
@@ -0,0 +1,51 @@
+package controller
+
+import (
+	"testing"
+	"time"
+
+	"eiderhitch/internal/planning"
+	"eiderhitch/internal/scheduling"
+	"eiderhitch/internal/wire"
+)
+
+// The reserve is for the largest gang of each class of late, and counts those that live.
+func TestLargestGangOfEachClass(t *testing.T) {
+	reserve := gangReserve{classes: map[string]*gangClass{}}
+	now := time.Now()
+	for _, spec := range []*wire.Job{
+		{ID: "wk-1", Class: "train", Tasks: 4, CPUs: 1},
+		{ID: "wk-2", Class: "train", Tasks: 9, CPUs: 2},
+		{ID: "wk-3", Class: "train", Tasks: 6, CPUs: 3},
+		{ID: "wk-4", Class: "eval", Tasks: 2, CPUs: 1},
+	} {
+		reserve.noteGang(&job{id: spec.ID, spec: spec, taskSize: scheduling.NewResources(spec.CPUs, 0, 0)}, now)
+	}
+	train := reserve.classes["train"]
+	if train.spec.ID != "wk-2" || train.need != scheduling.NewResources(2, 0, 0) || train.live != 3 || !train.seen.Equal(now) {
+		t.Errorf("class train is %+v of %s, want 3 gangs, the largest wk-2", train, train.spec.ID)
+	}
+	sorted := reserve.sorted()
+	if len(sorted) != 2 || sorted[0] != train || sorted[1].live != 1 {
+		t.Errorf("%d classes, want train before eval", len(sorted))
+	}
+	if got, want := train.room(), 9*(1+2); got != want { // the square root of 3, rounded up
+		t.Errorf("room for %d tasks is asked for, want %d", got, want)
+	}
+}
+
+// Machines are kept for twice the room of a class, the first ones first.
+func TestMachinesKeptForGangs(t *testing.T) {
+	reserve := gangReserve{classes: map[string]*gangClass{
+		"train": {spec: &wire.Job{Class: "train", Tasks: 4}, need: scheduling.NewResources(1, 0, 0)},
+	}}
+	size := scheduling.NewResources(4, 0, 0)
+	var machines []*planning.MachineSummary
+	for i := range 4 {
+		machines = append(machines, &planning.MachineSummary{ID: scheduling.MachineIndex(i), Size: size, Free: size})
+	}
+	reserve.chooseMachinesToKeep(machines)
+	if len(reserve.keep) != 2 || !reserve.keep[0] || !reserve.keep[1] {
+		t.Errorf("machines %v are kept, want 0 and 1", reserve.keep)
+	}
+}
--- a/internal/controller/loan_owner.go
+++ b/internal/controller/loan_owner.go
@@ -39,7 +39,7 @@
 		return false
 	}
 	for _, x := range m.bindings {
-		if x.group.revision > loan.lentRevision || loan.claim(c.catalog).CanPreempt(x.group.claim()) {
+		if x.group.revision > loan.firstRevision || loan.claim(c.catalog).CanPreempt(x.group.claim()) {
 			return false
 		}
 	}
--- a/internal/controller/loan_selection.go
+++ b/internal/controller/loan_selection.go
@@ -44,19 +44,6 @@
 	return !summary.Booting && !c.autoscaler.DrainedByLeader(c.machineByIndex[summary.ID].name) && allowed(spec, zone, summary.Type, summary.Zone, summary.Spot)
 }
 
-// takeMachines takes machines in their order, at most limit, until they have room for a
-// number of tasks. It returns for how many they lack room.
-func takeMachines(candidates []*planning.MachineSummary, tasks, limit int, room func(summary *planning.MachineSummary, tasks int) int) (chosen []*planning.MachineSummary, lacking int) {
-	for _, summary := range candidates {
-		if tasks <= 0 || len(chosen) >= limit {
-			break
-		}
-		tasks -= room(summary, tasks)
-		chosen = append(chosen, summary)
-	}
-	return chosen, tasks
-}
-
 // machinesToClear are machines that together, once they are empty, have room for a job
 // besides what is coming for it already; none if there are too few.
 //
@@ -76,7 +63,7 @@
 	slices.SortFunc(candidates, func(x, y *planning.MachineSummary) int {
 		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(sizeFor(y, request.tasks), sizeFor(x, request.tasks)), cmp.Compare(x.ID, y.ID))
 	})
-	chosen, lacking := takeMachines(candidates, request.tasks-coming, len(candidates), sizeFor)
+	chosen, lacking := planning.TakeMachines(candidates, request.tasks-coming, len(candidates), sizeFor)
 	if lacking > 0 {
 		return nil
 	}
@@ -86,7 +73,7 @@
 // machinesBesideServices are machines that together have room for a job beside services
 // that stay; none if there are too few. They are in several partitions, or the job would be
 // assigned to one: it waited for ever beside room, since no machine with a service was
-// lent.
+// borrowed.
 func (c *leader) machinesBesideServices(summaries []*planning.MachineSummary, j *job, request loanRequest) []*planning.MachineSummary {
 	if c.now.Sub(j.acceptedAt) < borrowServiceMachinesAfter {
 		return nil
@@ -106,7 +93,7 @@
 	slices.SortFunc(candidates, func(x, y *planning.MachineSummary) int {
 		return cmp.Or(cmp.Compare(freeFor(y, request.tasks), freeFor(x, request.tasks)), cmp.Compare(x.ID, y.ID))
 	})
-	chosen, lacking := takeMachines(candidates, request.tasks-coming, len(candidates), freeFor)
+	chosen, lacking := planning.TakeMachines(candidates, request.tasks-coming, len(candidates), freeFor)
 	if lacking > 0 {
 		return nil
 	}
@@ -136,7 +123,7 @@
 }
 
 // expectedRoom is for how many tasks of a job there is room in the leader's partition, or
-// will be once the machines that are being lent for it have come.
+// will be once the machines that are borrowed for it have arrived.
 func (r *machineRegistry) expectedRoom(summaries []*planning.MachineSummary, j *job, request loanRequest) int {
 	room := 0
 	listed := map[scheduling.MachineIndex]bool{}
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -25,11 +25,11 @@
 // machineLoan is a machine that is on loan to the leader's partition, or is to be.
 type machineLoan struct {
 	record.MachineLoan
-	revision     uint64
-	lentRevision uint64 // of the write that began the loan, as far as that was seen
-	writing      bool
-	returning    bool // it is being handed back: nothing is placed on it any more
-	since        time.Time
+	revision      uint64
+	firstRevision uint64 // of the write that began the loan, as far as that was seen
+	writing       bool
+	returning     bool // it is being handed back: nothing is placed on it any more
+	since         time.Time
 }
 
 func (loan *machineLoan) claim(teams *catalog) scheduling.Claim {
@@ -61,7 +61,7 @@
 	m := c.machineNamed(name)
 	loan := c.loans[name]
 	if loan == nil {
-		loan = &machineLoan{since: c.now, lentRevision: revision}
+		loan = &machineLoan{since: c.now, firstRevision: revision}
 		c.loans[name] = loan
 	}
 	loan.MachineLoan, loan.revision = *v, revision
--- a/internal/controller/unplaced_tasks.go
+++ b/internal/controller/unplaced_tasks.go
@@ -77,7 +77,7 @@
 	mayUse := func(summary *planning.MachineSummary) bool {
 		return summary.Partition == group.partition && !summary.Booting && allowed(spec, group.zone, summary.Type, summary.Zone, summary.Spot)
 	}
-	if spec.Gang && group.partition == c.loanPartition() && freeRoomFor(summaries, mayUse, size, count) < count {
+	if spec.Gang && group.partition == c.loanPartition() && planning.FreeRoomFor(summaries, mayUse, size, count) < count {
 		// It gathers room there, but holds none for long that it can't use.
 		inPartition := mayUse
 		mayUse = func(summary *planning.MachineSummary) bool { return inPartition(summary) && !c.unusedForLong(summary) }
@@ -91,17 +91,6 @@
 	return count
 }
 
-// freeRoomFor is for how many of count tasks machines have free room.
-func freeRoomFor(summaries []*planning.MachineSummary, mayUse planning.MachineFilter, size scheduling.Resources, count int) int {
-	room := 0
-	for _, summary := range summaries {
-		if mayUse(summary) {
-			room += summary.Free.CountFitting(size, count-room)
-		}
-	}
-	return room
-}
-
 // moveStuckGroups moves groups that found no room in their partitions to others, and
 // returns the demand of those that find none there either.
 func (c *leader) moveStuckGroups(summaries []*planning.MachineSummary, stuck []*taskGroup, unplaced map[*taskGroup]int) []planning.Demand {
--- /dev/null
+++ b/internal/planning/selection.go
@@ -0,0 +1,31 @@
+package planning
+
+import "eiderhitch/internal/scheduling"
+
+// FreeRoomFor returns for how many tasks of a size, at most count, the machines that the
+// filter allows have free room.
+func FreeRoomFor(machines []*MachineSummary, allowed MachineFilter, size scheduling.Resources, count int) int {
+	room := 0
+	for _, machine := range machines {
+		if allowed(machine) {
+			room += machine.Free.CountFitting(size, count-room)
+		}
+	}
+	return room
+}
+
+// RoomFunc returns for how many tasks, at most limit, a machine has room.
+type RoomFunc func(machine *MachineSummary, limit int) int
+
+// TakeMachines takes machines in their order, at most limit of them, until they have room
+// for a number of tasks, and returns for how many tasks they lack room.
+func TakeMachines(machines []*MachineSummary, tasks, limit int, room RoomFunc) (taken []*MachineSummary, lacking int) {
+	for _, machine := range machines {
+		if tasks <= 0 || len(taken) >= limit {
+			break
+		}
+		tasks -= room(machine, tasks)
+		taken = append(taken, machine)
+	}
+	return taken, tasks
+}
