--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -88,8 +88,8 @@
 		c.beginIncarnation(m, heartbeat.Incarnation)
 	}
 	changesDecisions := c.changesDecisions(m, heartbeat, p, source)
-	m.incarnation, m.sequence, m.token = heartbeat.Incarnation, heartbeat.Sequence, heartbeat.Token
-	m.addr, m.machineType, m.zone, m.spot = heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
+	m.noteIdentity(heartbeat)
+	m.tasks = heartbeat.Tasks
 	m.answeredAt = c.now
 	switch source {
 	case workerRequest:
@@ -98,7 +98,6 @@
 		m.leaseExpiredUnheard, m.direct.unanswered = false, 0
 	}
 	c.noteTerminationNotice(m, heartbeat.NoticeS)
-	m.tasks = heartbeat.Tasks
 	if p.active && !m.terminated {
 		c.reconcile(m, p)
 	}
@@ -117,6 +116,17 @@
 		heartbeat.Incarnation == m.incarnation && heartbeat.Sequence > m.sequence
 }
 
+// noteIdentity takes in what a heartbeat says of the machine and its agent.
+func (m *machine) noteIdentity(heartbeat *wire.Heartbeat) {
+	m.incarnation = heartbeat.Incarnation
+	m.sequence = heartbeat.Sequence
+	m.token = heartbeat.Token
+	m.addr = heartbeat.Addr
+	m.machineType = heartbeat.Type
+	m.zone = heartbeat.Zone
+	m.spot = heartbeat.Spot
+}
+
 // beginIncarnation notes that a machine's lease expired: its agent has ended all tasks and
 // forgotten them, and refuses what is sent to the earlier incarnation.
 func (c *partitionOwner) beginIncarnation(m *machine, incarnation uint64) {
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -1,4 +1,6 @@
-// Package workerclient sends commands straight to workers.
+// Package workerclient sends commands straight to workers, without waiting for their next
+// heartbeat. Client sends them; Slots limits how many are open, and queues the machines that
+// wait.
 package workerclient
 
 import (
