--- a/internal/controller/bindings_write.go
+++ b/internal/controller/bindings_write.go
@@ -157,7 +157,8 @@
 		if bound == nil || bound.machine == nil {
 			continue
 		}
-		c.log.Debug("task bound", "task", taskName(job.id, task.Number), "attempt", bound.attempt, "machine", bound.machine.name)
+		name := taskName(job.id, task.Number)
+		c.log.Debug("task bound", "task", name, "attempt", bound.attempt, "machine", bound.machine.name)
 		if bound.attempt == 1 {
 			c.metrics.observe(latencyBind, c.now.Sub(job.acceptedAt))
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -74,10 +74,14 @@
 	}
 	state := newClusterState(ctx, cfg, op, log, out)
 	c := &controller{
-		clusterState:   state,
-		partitionOwner: &partitionOwner{clusterState: state, workerClient: workerclient.NewClient(out.workers), directSlots: workerclient.NewSlots[*machine](cfg.DirectCommands())},
-		leader:         &leader{clusterState: state},
-		send:           out.send,
+		clusterState: state,
+		partitionOwner: &partitionOwner{
+			clusterState: state,
+			workerClient: workerclient.NewClient(out.workers),
+			directSlots:  workerclient.NewSlots[*machine](cfg.DirectCommands()),
+		},
+		leader: &leader{clusterState: state},
+		send:   out.send,
 	}
 	state.replica = replica.New(recordApplier{c})
 	state.reader = c.newReader(ctx, out.jitter)
--- /dev/null
+++ b/internal/controller/keys_test.go
@@ -0,0 +1,47 @@
+package controller
+
+import "testing"
+
+// The keys of records are told apart by their prefixes, and those of other packages are none
+// of this one's.
+func TestKeysHaveTheirKind(t *testing.T) {
+	for _, x := range []struct {
+		key  string
+		kind keyKind
+		name string
+	}{
+		{key: jobKey("wk-1"), kind: jobKind, name: "wk-1"},
+		{key: groupKey("wk-1", 3), kind: groupKind, name: "wk-1/3"},
+		{key: machineTypesKey, kind: machineTypesKind},
+		{key: tombstonePrefix + "host-1", kind: tombstoneKind, name: "host-1"},
+		{key: loanKey("host-1"), kind: loanKind, name: "host-1"},
+		{key: "e/part/1", kind: otherKind},
+		{key: "e/leader", kind: otherKind},
+		{key: "e/types/more", kind: otherKind},
+	} {
+		t.Run(x.key, func(t *testing.T) {
+			if kind, name := parseKey(x.key); kind != x.kind || name != x.name {
+				t.Errorf("kind %d, name %q, want %d and %q", kind, name, x.kind, x.name)
+			}
+		})
+	}
+}
+
+// Keys of task groups and names of tasks are taken apart into what they were made of; what was
+// not made so is refused.
+func TestNamesAreTakenApart(t *testing.T) {
+	if id, number, ok := splitGroupKey(groupKey("wk-1", 12)); !ok || id != "wk-1" || number != 12 {
+		t.Errorf("job %q, number %d, ok %v, want wk-1 and 12", id, number, ok)
+	}
+	if id, number, ok := parseTask(taskName("wk-1", 12)); !ok || id != "wk-1" || number != 12 {
+		t.Errorf("job %q, number %d, ok %v, want wk-1 and 12", id, number, ok)
+	}
+	for _, name := range []string{"wk-1", "wk-1/", "wk-1/x", "wk-1/1/2"} {
+		if _, _, ok := splitGroupKey(groupPrefix + name); ok {
+			t.Errorf("the group's key %q is accepted", groupPrefix+name)
+		}
+		if _, _, ok := parseTask(name); ok {
+			t.Errorf("the task's name %q is accepted", name)
+		}
+	}
+}
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -176,11 +176,11 @@
 	}
 	spec := group.job.spec
 	if spec.Gang || spec.Service && !started {
-		var first bool
-		pending, started, first = c.unplacedTasksOfJob(p, group, pending, started)
-		if !first {
-			return // placed with the job's first group
+		if !p.isFirstOfJob(group) {
+			return
 		}
+		more, otherStarted := c.unplacedTasksOfOthers(p, group)
+		pending, started = append(pending, more...), started || otherStarted
 	}
 	search := c.newPlacement(p, group, exhausted)
 	switch {
@@ -195,21 +195,28 @@
 	}
 }
 
-// unplacedTasksOfJob adds the unplaced tasks of the job's other task groups in the partition
-// to those of one group. It reports whether any has been bound before, and whether the group
-// is the job's first there, with which the others are placed.
-func (c *partitionOwner) unplacedTasksOfJob(p *partition, group *taskGroup, pending []scheduling.Task, started bool) (all []scheduling.Task, anyStarted, first bool) {
+// isFirstOfJob tells whether a group is the job's first in a partition. Of a gang, or a service
+// that has never started, the others are placed with it.
+func (p *partition) isFirstOfJob(group *taskGroup) bool {
+	for _, other := range group.job.groups {
+		if other.partition == p.index && other.number < group.number {
+			return false
+		}
+	}
+	return true
+}
+
+// unplacedTasksOfOthers lists the unplaced tasks of a job's other task groups in the partition;
+// started: some of them have been bound before.
+func (c *partitionOwner) unplacedTasksOfOthers(p *partition, group *taskGroup) (unplaced []scheduling.Task, started bool) {
 	for _, other := range group.job.groups {
 		if other == group || other.partition != p.index {
 			continue
 		}
-		if other.number < group.number {
-			return nil, false, false
-		}
 		more, otherStarted := c.unplacedTasks(p, other)
-		pending, started = append(pending, more...), started || otherStarted
+		unplaced, started = append(unplaced, more...), started || otherStarted
 	}
-	return pending, started, true
+	return unplaced, started
 }
 
 // placeEach requests cells for tasks one by one, until there is no room for the next.
@@ -252,7 +259,10 @@
 		s.partition.unplaced++
 		return false
 	}
-	request := &scheduling.Group{Tasks: tasks, TaskSize: s.group.job.taskSize, Claim: class.claim, NoPreemption: class.noPreemption}
+	request := &scheduling.Group{
+		Tasks: tasks, TaskSize: s.group.job.taskSize,
+		Claim: class.claim, NoPreemption: class.noPreemption,
+	}
 	s.partition.cells.Request(request, s.score)
 	switch request.State {
 	case scheduling.Allocated:
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -155,10 +155,18 @@
 	job.spec = spec
 	job.acceptedAt = time.UnixMilli(v.AcceptedAtMS)
 	job.taskSize = scheduling.NewResources(spec.CPUs, spec.GPUs, spec.RAMGB)
-	job.equivalenceClass = fmt.Sprint(spec.CPUs, spec.GPUs, spec.RAMGB, spec.MachineTypes, spec.Zone, spec.Spot, spec.Priority, spec.AllOrNothing(), spec.Team)
+	job.equivalenceClass = equivalenceClass(spec)
 	job.team = a.team(spec.Team)
 }
 
+// equivalenceClass is the same for jobs of which any task can be placed where another's can.
+func equivalenceClass(spec *wire.Job) string {
+	return fmt.Sprint(
+		spec.CPUs, spec.GPUs, spec.RAMGB,
+		spec.MachineTypes, spec.Zone, spec.Spot,
+		spec.Priority, spec.AllOrNothing(), spec.Team)
+}
+
 // stopFinalJob gives up what a final job has reserved, and has its tasks stopped.
 func (a recordApplier) stopFinalJob(job *job, before record.FinalState) {
 	for _, group := range job.groups {
