--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -95,7 +95,7 @@
 			c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 2)
 			key := groupKey("wk-1", 0)
 			c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
-			c.placeGroup(p, c.groupByKey[key], map[placementClass]bool{})
+			c.placeGroup(p, c.groupByKey[key])
 			if len(p.reservations) != 2 {
 				t.Fatalf("%d tasks have claimed cells, want 2", len(p.reservations))
 			}
@@ -168,7 +168,7 @@
 	key := groupKey("wk-1", 0)
 	c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
 	group := c.groupByKey[key]
-	c.placeGroup(p, group, map[placementClass]bool{})
+	c.placeGroup(p, group)
 	if len(p.reservations) != 2 {
 		t.Fatalf("%d tasks have claimed cells, want 2", len(p.reservations))
 	}
@@ -279,7 +279,7 @@
 			group := c.groupByKey[groupKey("wk-2", 0)]
 			group.inPartitionSince = c.now.Add(-x.waited)
 			p.freedCellsBefore, p.freedCellsSince = x.ends, c.now
-			c.placeGroup(p, group, map[placementClass]bool{})
+			c.placeGroup(p, group)
 			if got := p.cells.PreemptingGroup(group.task(0)) != nil; got != x.preempts {
 				t.Errorf("it preempts: %v, want %v", got, x.preempts)
 			}
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -114,7 +114,7 @@
 	}
 	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{bound(0), bound(1), {Task: 2, Attempt: 1}}}), 3)
 	heartbeat(2, wire.Gathering, "")
-	c.placeGroup(p, c.groupByKey[groupKey("wk-1", 0)], map[placementClass]bool{})
+	c.placeGroup(p, c.groupByKey[groupKey("wk-1", 0)])
 	if len(p.reservations) != 1 {
 		t.Fatalf("%d tasks have claimed cells, want the one that is lost", len(p.reservations))
 	}
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -34,8 +34,10 @@
 
 	cells        *scheduling.Partition
 	reservations map[scheduling.Task]reservation
-	// unplaced counts the tasks that found no cell in this pass so far.
-	unplaced int
+	// unplaced counts the tasks that found no cell in this pass so far; exhausted are the
+	// classes of those for which there is no room.
+	unplaced  int
+	exhausted map[placementClass]bool
 	// freedCells counts the cells that came free since freedCellsSince, freedCellsBefore
 	// those of the window before that.
 	freedCells, freedCellsBefore int
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -92,11 +92,11 @@
 
 // placeGroups reserves cells for the task groups that wait for them.
 func (c *partitionOwner) placeGroups(p *partition, groups []*taskGroup) {
-	exhausted := map[placementClass]bool{}
+	clear(p.exhausted)
 	p.unplaced = 0
 	for _, group := range groups {
 		if !group.writing && group.job.finalState == record.Unfinished && !c.now.Before(group.job.retryAt) {
-			c.placeGroup(p, group, exhausted)
+			c.placeGroup(p, group)
 		}
 	}
 }
@@ -138,14 +138,12 @@
 	score     scheduling.ScoreFunc
 	// patient: the group may preempt only where too few cells come free by themselves.
 	patient bool
-	// exhausted are the classes that found no room in this pass.
-	exhausted map[placementClass]bool
 }
 
 // newPlacement prepares the search for one task group. An array's tasks wait a little before
 // they preempt others: cells come free all the time, and what is preempted has run for
 // nothing.
-func (c *partitionOwner) newPlacement(p *partition, group *taskGroup, exhausted map[placementClass]bool) placement {
+func (c *partitionOwner) newPlacement(p *partition, group *taskGroup) placement {
 	waited := c.now.Sub(group.inPartitionSince)
 	array := !group.job.spec.AllOrNothing()
 	return placement{
@@ -158,16 +156,14 @@
 			claim:            group.claim(),
 			noPreemption:     array && waited < c.operator.EvictAfter,
 		},
-		score:     c.scorer(p, group),
-		patient:   array && waited < evictionPatience*c.operator.EvictAfter,
-		exhausted: exhausted,
+		score:   c.scorer(p, group),
+		patient: array && waited < evictionPatience*c.operator.EvictAfter,
 	}
 }
 
 // placeGroup reserves cells for a group's pending tasks: all of a gang, and all of a service
-// that has never started, together, everything else one by one. exhausted are the classes
-// that found no room in this pass.
-func (c *partitionOwner) placeGroup(p *partition, group *taskGroup, exhausted map[placementClass]bool) {
+// that has never started, together, everything else one by one.
+func (c *partitionOwner) placeGroup(p *partition, group *taskGroup) {
 	pending, started := c.unplacedTasks(p, group)
 	unthrottled := max(0, group.allowedTasks()-(len(group.bindings)-len(pending)))
 	pending = pending[:min(len(pending), unthrottled)]
@@ -182,7 +178,7 @@
 		more, otherStarted := c.unplacedTasksOfOthers(p, group)
 		pending, started = append(pending, more...), started || otherStarted
 	}
-	search := c.newPlacement(p, group, exhausted)
+	search := c.newPlacement(p, group)
 	switch {
 	case spec.Gang:
 		if c.gangMayReserve(p, group) {
@@ -255,7 +251,7 @@
 	class := s.classNow()
 	// A job that avoids machines on which it failed is alike to no other.
 	alike := len(tasks) == 1 && len(s.group.job.failedOn) == 0
-	if alike && s.exhausted[class] {
+	if alike && s.partition.exhausted[class] {
 		s.partition.unplaced++
 		return false
 	}
@@ -271,13 +267,21 @@
 		s.owner.preempt(s.group.job, request)
 	case scheduling.Pending:
 		if alike {
-			s.exhausted[class] = true
+			s.partition.noteExhausted(class)
 		}
 		s.partition.unplaced++
 	}
 	return request.State != scheduling.Pending
 }
 
+// noteExhausted notes that there is no room for a class in this pass.
+func (p *partition) noteExhausted(class placementClass) {
+	if p.exhausted == nil {
+		p.exhausted = map[placementClass]bool{}
+	}
+	p.exhausted[class] = true
+}
+
 // preempt has the victims of a Preempting group stopped.
 func (c *partitionOwner) preempt(j *job, request *scheduling.Group) {
 	c.metrics.count(countPreempting, request.Victims())
