--- a/internal/controller/process_usage.go
+++ b/internal/controller/process_usage.go
@@ -10,44 +10,66 @@
 // processor time are only brought up to date by its collections.
 type usage struct {
 	samples []runtimemetrics.Sample
-	cpu, gc time.Duration // at the last reading
+	// processTime and collectorTime are those at the last reading.
+	processTime, collectorTime time.Duration
 }
 
-// What is read of the runtime, in the order of the samples.
+// sample is what is read of the runtime, by its place among the samples.
+type sample int
+
 const (
-	uGC = iota
-	uLive
-	uGoal
-	uStacks
-	uMapped
-	uReleased
-	uGoroutines
+	sampleCollectorTime sample = iota
+	sampleLiveHeap
+	sampleHeapGoal
+	sampleStacks
+	sampleMapped
+	sampleReleased
+	sampleGoroutines
+	samples
 )
 
+var sampleNames = [samples]string{
+	sampleCollectorTime: "/cpu/classes/gc/total:cpu-seconds",
+	sampleLiveHeap:      "/gc/heap/live:bytes",
+	sampleHeapGoal:      "/gc/heap/goal:bytes",
+	sampleStacks:        "/memory/classes/heap/stacks:bytes",
+	sampleMapped:        "/memory/classes/total:bytes",
+	sampleReleased:      "/memory/classes/heap/released:bytes",
+	sampleGoroutines:    "/sched/goroutines:goroutines",
+}
+
+// newUsage returns a usage that has read nothing yet.
 func newUsage() *usage {
-	names := []string{
-		uGC: "/cpu/classes/gc/total:cpu-seconds", uLive: "/gc/heap/live:bytes", uGoal: "/gc/heap/goal:bytes",
-		uStacks: "/memory/classes/heap/stacks:bytes", uMapped: "/memory/classes/total:bytes",
-		uReleased: "/memory/classes/heap/released:bytes", uGoroutines: "/sched/goroutines:goroutines",
-	}
-	u := &usage{samples: make([]runtimemetrics.Sample, len(names))}
-	for i, n := range names {
-		u.samples[i].Name = n
+	u := &usage{samples: make([]runtimemetrics.Sample, samples)}
+	for i, name := range sampleNames {
+		u.samples[i].Name = name
 	}
 	return u
 }
 
+// count is a sample that is a whole number.
+func (u *usage) count(s sample) uint64 { return u.samples[s].Value.Uint64() }
+
+// kilobytes is a sample of bytes, in units of 1024.
+func (u *usage) kilobytes(s sample) uint64 { return u.count(s) >> 10 }
+
 // logAttributes are the log attributes of what was used since the last time: processor time
 // of the process and of its collector, and the memory that it holds now.
 func (u *usage) logAttributes() []any {
 	runtimemetrics.Read(u.samples)
-	kb := func(i int) uint64 { return u.samples[i].Value.Uint64() >> 10 }
-	cpu, gc := processTime(), time.Duration(u.samples[uGC].Value.Float64()*float64(time.Second))
-	out := []any{"cpu_ms", (cpu - u.cpu).Milliseconds(), "gc_ms", (gc - u.gc).Milliseconds(),
-		"live_kb", kb(uLive), "goal_kb", kb(uGoal), "stacks_kb", kb(uStacks), "runtime_kb", kb(uMapped) - kb(uReleased),
-		"goroutines", u.samples[uGoroutines].Value.Uint64()}
-	u.cpu, u.gc = cpu, gc
-	return out
+	process := processTime()
+	collector := time.Duration(u.samples[sampleCollectorTime].Value.Float64() * float64(time.Second))
+	attributes := []any{
+		"cpu_ms", (process - u.processTime).Milliseconds(),
+		"gc_ms", (collector - u.collectorTime).Milliseconds(),
+		"live_kb", u.kilobytes(sampleLiveHeap),
+		"goal_kb", u.kilobytes(sampleHeapGoal),
+		"stacks_kb", u.kilobytes(sampleStacks),
+		"runtime_kb", u.kilobytes(sampleMapped) - u.kilobytes(sampleReleased),
+		"goroutines", u.count(sampleGoroutines),
+	}
+	u.processTime, u.collectorTime = process, collector
+	return attributes
 }
 
 // processTime is the processor time of the process so far; 0 where it can't be told.
