--- /dev/null
+++ b/internal/autoscaler/drain_test.go
@@ -0,0 +1,206 @@
+package autoscaler
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"eiderhitch/internal/planning"
+	"eiderhitch/internal/store"
+	"eiderhitch/internal/wire"
+)
+
+// surplusWorkload is one of machines of which a quarter is in use, and no more is wanted.
+func (c *fakeCluster) surplusWorkload() *Workload {
+	work := c.workload()
+	for _, summary := range work.Machines {
+		used := summary.Size
+		used.CPU /= 4
+		summary.InUse, summary.Free, summary.Usages = true, summary.Size.Minus(used), []planning.Usage{{Size: used}}
+	}
+	return work
+}
+
+// scaleFor has an autoscaler decide each second for a while.
+func (c *fakeCluster) scaleFor(a *Autoscaler, while time.Duration, work func() *Workload) {
+	for range int(while / time.Second) {
+		a.Scale(work())
+		c.now = c.now.Add(time.Second)
+	}
+}
+
+// idleWindow is how long the small type's machines are kept: 0.4 boot times of 40 s.
+const idleWindow = 16 * time.Second
+
+// A new leader drains nothing before it has led for the whole window.
+func TestNewLeaderDrainsNothing(t *testing.T) {
+	c := newFakeCluster()
+	c.leadership.Since = c.now
+	c.add(2)
+	a := c.autoscaler(t)
+	c.scaleFor(a, idleWindow, c.surplusWorkload)
+	if names := a.DrainedMachines(); len(names) != 0 {
+		t.Errorf("drained within the window: %v, want none", names)
+	}
+	a.Scale(c.surplusWorkload())
+	if names := a.DrainedMachines(); len(names) != 1 {
+		t.Errorf("drained after the window: %v, want one", names)
+	}
+}
+
+// After a shortage the surplus has to last for the whole window once more.
+func TestSurplusIsMeasuredAnewAfterAShortage(t *testing.T) {
+	c := newFakeCluster()
+	c.add(2)
+	a := c.autoscaler(t)
+	c.scaleFor(a, idleWindow-2*time.Second, c.surplusWorkload)
+	short := c.surplusWorkload()
+	short.Waiting = []planning.Demand{c.demand(9)}
+	a.Scale(short)
+	c.now = c.now.Add(time.Second)
+	c.scaleFor(a, idleWindow/2, c.surplusWorkload)
+	if names := a.DrainedMachines(); len(names) != 0 {
+		t.Errorf("drained: %v, want none", names)
+	}
+}
+
+// The headroom for services is no surplus.
+func TestHeadroomIsNotDrained(t *testing.T) {
+	c := newFakeCluster()
+	c.add(2)
+	a := c.autoscaler(t)
+	a.Operator.Headroom = 1
+	c.scaleFor(a, 2*idleWindow, func() *Workload {
+		work := c.surplusWorkload()
+		demand := c.demand(0)
+		demand.TaskSize.CPU = 3000
+		work.Services = slices.Values([]Service{{Class: "c", Priority: 1, Tasks: 1, Demand: func() planning.Demand { return demand }}})
+		return work
+	})
+	if names := a.DrainedMachines(); len(names) != 0 {
+		t.Errorf("drained: %v, want none: with 3 of 6 CPUs kept free no machine is surplus", names)
+	}
+}
+
+// What is free on a machine that is drained counts as free no more, nor as having been so.
+func TestDrainedMachinesAreNoSurplus(t *testing.T) {
+	c := newFakeCluster()
+	c.add(2)
+	a := c.autoscaler(t)
+	for len(a.DrainedMachines()) == 0 {
+		a.Scale(c.surplusWorkload())
+		c.now = c.now.Add(time.Second)
+	}
+	work := c.surplusWorkload()
+	for _, summary := range work.Machines { // the tasks of the other one have ended
+		if !a.DrainedByLeader(a.nameOf(summary)) {
+			summary.Free, summary.Usages = summary.Size, nil
+		}
+	}
+	a.Scale(work)
+	if names := a.DrainedMachines(); len(names) != 1 {
+		t.Errorf("drained: %v, want one: the other has been free for a moment", names)
+	}
+}
+
+// A machine that is wanted, or was in between, is not idle for long.
+func TestWantedMachinesAreNotIdle(t *testing.T) {
+	c := newFakeCluster()
+	c.add(1)
+	c.machines[0].Partition = loanPartition
+	a := c.autoscaler(t)
+	c.scaleFor(a, 2*idleWindow, c.surplusWorkload) // planned for
+	c.scaleFor(a, idleWindow-time.Second, func() *Workload { return c.workload() })
+	c.machines[0].Bound = true
+	a.Scale(c.workload())
+	c.machines[0].Bound = false
+	c.scaleFor(a, idleWindow, func() *Workload { return c.workload() })
+	if len(a.calls) != 0 {
+		t.Error("it is terminated, though it was in use of late")
+	}
+}
+
+// A terminated machine is forgotten: it neither counts as drained nor as idle.
+func TestTerminatedMachinesAreForgotten(t *testing.T) {
+	c := newFakeCluster()
+	c.add(1)
+	a := c.autoscaler(t)
+	a.MachineUp(c.machines[0].Machine)
+	a.term.draining["host-000000"], a.term.idleSince["host-000000"] = true, c.now
+	a.terminate([]string{"host-000000"})
+	c.makeCalls(a)
+	if len(a.term.draining)+len(a.term.idleSince)+len(a.term.instances) != 0 {
+		t.Errorf("draining %v, idle %v, instances %v; want none", a.term.draining, a.term.idleSince, a.term.instances)
+	}
+}
+
+// The list lags: what it shows of machines that are terminated, or being so, says nothing.
+func TestTerminatedMachinesOfTheListStayForgotten(t *testing.T) {
+	c := newFakeCluster()
+	c.add(2)
+	c.machines[0].Terminated = true
+	a := c.autoscaler(t)
+	a.terminating["host-000001"] = true
+	for _, state := range []string{"", wire.InstanceFailed} {
+		a.applyInstanceList([]wire.Instance{{Name: "host-000000", Type: "small", State: state}, {Name: "host-000001", Type: "small", State: state}})
+	}
+	if len(a.term.instances) != 0 || len(a.calls) != 0 {
+		t.Errorf("instances %v, %d calls; want none", a.term.instances, len(a.calls))
+	}
+}
+
+// Tombstones wait while the key-value store has much to do.
+func TestTombstonesStayWhileWritesWait(t *testing.T) {
+	c := newFakeCluster()
+	c.tombstones["e/gone/x"] = Tombstone{Key: "e/gone/x", KnownSince: c.now.Add(-hour)}
+	c.queue.Submit(&store.Write{Changes: make([]wire.Change, 200)})
+	if c.Backlog() <= time.Second {
+		t.Fatalf("the backlog is %v, want more than a second", c.Backlog())
+	}
+	c.autoscaler(t).deleteTombstones()
+	if len(c.writes) != 0 {
+		t.Errorf("written: %+v, want nothing", c.writes)
+	}
+}
+
+// A zone that was isolated once is given the whole time when it is again.
+func TestZoneIsIsolatedAgain(t *testing.T) {
+	c := newFakeCluster()
+	c.add(6)
+	c.isolate("a", "b")
+	a := c.autoscaler(t)
+	a.DetectIsolatedZones()
+	for _, reachable := range []bool{true, false} {
+		for _, m := range c.machines[:6] {
+			m.Reachable = reachable
+		}
+		c.now = c.now.Add(time.Minute)
+		a.DetectIsolatedZones()
+	}
+	if !a.term.isolatedZones["a"] {
+		t.Error("its machines are not kept")
+	}
+}
+
+// Work of services preempts what is below them, so that room is headroom; and what is up is
+// not booting.
+func TestLowerPriorityIsHeadroom(t *testing.T) {
+	c := newFakeCluster()
+	c.add(1)
+	c.machines[0].Bound = true
+	a := c.autoscaler(t)
+	a.Operator.Headroom = 1
+	a.MachineUp(c.machines[0].Machine)
+	if booting, _ := a.Counts(); booting != 0 {
+		t.Errorf("%d machines are booting, want none", booting)
+	}
+	demand := c.demand(0)
+	for priority, launches := range map[int]int{0: 1, 1: 0} {
+		work := c.workload()
+		work.Services = slices.Values([]Service{{Class: "c", Priority: priority, Tasks: 1, Demand: func() planning.Demand { return demand }}})
+		plan, _ := a.plan(work, a.headroomFor(work.Services))
+		if plan.Launches[small] != launches {
+			t.Errorf("priority %d above tasks of 0: launches %v, want %d", priority, plan.Launches, launches)
+		}
+	}
+}
--- a/internal/autoscaler/launch_test.go
+++ b/internal/autoscaler/launch_test.go
@@ -170,6 +170,10 @@
 	if booting, _ := a.Counts(); booting != 3 || len(c.cloud.launches) != 1 {
 		t.Errorf("%d machines are booting after %d launches, want 3 after 1", booting, len(c.cloud.launches))
 	}
+	a.terminate([]string{"r-5-1-0"})
+	if booting, _ := a.Counts(); booting != 2 {
+		t.Errorf("%d machines are counted on, want 2 without the one that is being terminated", booting)
+	}
 	c.now = c.now.Add(5 * time.Second) // 1.6 times of 40 seconds
 	if booting, _ := a.Counts(); booting != 0 {
 		t.Errorf("%d machines are counted on, want none when overdue", booting)
--- a/internal/autoscaler/machines_test.go
+++ b/internal/autoscaler/machines_test.go
@@ -109,6 +109,10 @@
 		{"does not come up", func(c *fakeCluster, a *Autoscaler) {
 			a.addInstances(small, []string{"new-1"}, c.now.Add(-111*time.Second))
 		}, 1},
+		{"does not come up in an isolated zone", func(c *fakeCluster, a *Autoscaler) {
+			a.addInstances(small, []string{"new-1"}, c.now.Add(-111*time.Second))
+			a.term.isolatedZones = map[string]bool{"a": true}
+		}, 0},
 		{"does not come up, its owner has only just come", func(c *fakeCluster, a *Autoscaler) {
 			a.addInstances(small, []string{"new-1"}, c.now.Add(-111*time.Second))
 			c.ownersLost = true
@@ -248,6 +252,7 @@
 	a := c.autoscaler(t)
 	a.MachineUp(c.machines[0].Machine) // not on the list, which lags: it stays
 	a.addInstances(small, []string{"new-1", "new-2"}, c.now.Add(-17*time.Second))
+	a.addInstances(small, []string{"new-3"}, c.now.Add(-16*time.Second)) // twice the lag of 3 s, and 10 s
 	c.cloud.list = []wire.Instance{
 		{Name: "new-1", Type: "small", Zone: "a"},
 		{Name: "old-1", Type: "small", Zone: "a", AgeS: 30},
@@ -260,7 +265,7 @@
 		known = append(known, name)
 	}
 	slices.Sort(known)
-	if want := []string{"host-000000", "new-1", "old-1"}; !slices.Equal(known, want) {
+	if want := []string{"host-000000", "new-1", "new-3", "old-1"}; !slices.Equal(known, want) {
 		t.Errorf("instances %v, want %v", known, want)
 	}
 	if age := c.now.Sub(a.term.instances["old-1"].launchedAt); age != 30*time.Second {
--- a/internal/autoscaler/tombstones_test.go
+++ b/internal/autoscaler/tombstones_test.go
@@ -41,6 +41,22 @@
 	}
 }
 
+// The result of a former term's deletion does not end the wait for the present term's.
+func TestDeletionOfAFormerTerm(t *testing.T) {
+	c := newFakeCluster()
+	c.tombstones["e/gone/x"] = Tombstone{Key: "e/gone/x", KnownSince: c.now.Add(-hour)}
+	a := c.autoscaler(t)
+	a.deleteTombstones()
+	c.leadership.Epoch++
+	a.StartTerm()
+	a.deleteTombstones()
+	c.done[0](nil)
+	a.deleteTombstones()
+	if len(c.writes) != 2 {
+		t.Errorf("%d transactions, want one of each term", len(c.writes))
+	}
+}
+
 // A tombstone is kept while a list of the cloud may show its machines, and while a record
 // binds tasks to one of them.
 func TestTombstonesThatAreNeededStay(t *testing.T) {
@@ -166,6 +182,9 @@
 	if len(c.writes) != 1 || c.writes[0].Conditions[0] != condition || c.writes[0].Conditions[1] != (wire.Condition{Key: "e/gone/host-000000"}) {
 		t.Fatalf("written: %+v, want one tombstone under %v", c.writes, condition)
 	}
+	if !c.writes[0].Early {
+		t.Error("the tombstone waits behind usual writes, and tasks for it")
+	}
 	if !a.Terminating("host-000000") {
 		t.Error("it is not being terminated while the tombstone is stored")
 	}
