--- a/internal/autoscaler/launch.go
+++ b/internal/autoscaler/launch.go
@@ -29,6 +29,8 @@
 
 // launch asks the cloud for machines, unless it has been asked for such already. The
 // idempotency key is unique for all time: an epoch never comes again.
+//
+// One that the queue of calls has no room for counts as under way until the term ends.
 func (a *Autoscaler) launch(offer planning.Offer, count int) {
 	if a.term.launching[offer] > 0 {
 		return
