--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -10,7 +10,7 @@
 // What a partition's owner decides for gangs. See gang_attempt.go for what a gang is.
 
 // isMissing tells whether a member of a gang's present attempt has ended or is lost.
-func (c *clusterState) isMissing(group *taskGroup, bound *binding, attempt uint64) bool {
+func (c *cellRegistry) isMissing(group *taskGroup, bound *binding, attempt uint64) bool {
 	if bound.machine == nil {
 		return bound.attempt == attempt
 	}
@@ -18,7 +18,7 @@
 }
 
 // hasMissingMember tells whether a member of a gang's present attempt has ended or is lost.
-func (c *clusterState) hasMissingMember(j *job, attempt uint64) bool {
+func (c *cellRegistry) hasMissingMember(j *job, attempt uint64) bool {
 	for bound, group := range j.bindings() {
 		if c.isMissing(group, bound, attempt) {
 			return true
@@ -29,7 +29,7 @@
 
 // gangBroken tells whether a gang has lost a member of an attempt that has run, or can't be
 // completed: the others stop, and the gang starts whole again.
-func (c *clusterState) gangBroken(j *job) bool {
+func (c *cellRegistry) gangBroken(j *job) bool {
 	attempt, bound := j.gangAttempt()
 	if !bound || attempt == 0 {
 		return false
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -70,10 +70,10 @@
 	}
 }
 
-func (c *clusterState) deleteLoan(name string) {
-	m := c.machineNamed(name)
-	delete(c.loans, name)
-	if p := c.partitions[m.hashPartition]; c.updatePartition(m) && p.token != 0 {
+func (a recordApplier) deleteLoan(name string) {
+	m := a.machineNamed(name)
+	delete(a.loans, name)
+	if p := a.partitions[m.hashPartition]; a.updatePartition(m) && p.token != 0 {
 		p.tokenRaiseDue = true
 	}
 }
