--- a/internal/controller/cordons.go
+++ b/internal/controller/cordons.go
@@ -33,7 +33,7 @@
 )
 
 // noteTaskEnd learns from why a task exited.
-func (c *clusterState) noteTaskEnd(m *machine, j *job, reason string) {
+func (c *partitionOwner) noteTaskEnd(m *machine, j *job, reason string) {
 	switch reason {
 	case wire.ReasonDone:
 		clear(m.failedJobs)
@@ -48,7 +48,7 @@
 // noteTaskFailure notes that a task exited with an error. A machine that fails tasks of
 // several jobs is faulty; a job that fails on several machines was submitted with a mistake.
 // Until it is clear which of them it is, both rest.
-func (c *clusterState) noteTaskFailure(m *machine, j *job) {
+func (c *partitionOwner) noteTaskFailure(m *machine, j *job) {
 	m.failedJobs[j.id] = c.now
 	if j.failedOn == nil {
 		j.failedOn = map[string]bool{}
@@ -81,7 +81,7 @@
 // updateCordon cordons a machine that has lately failed tasks of several jobs, or ends that.
 // Jobs that fail everywhere don't count: two of them, failing on each machine in turn, would
 // have the whole fleet drained and terminated.
-func (c *clusterState) updateCordon(m *machine) {
+func (c *partitionOwner) updateCordon(m *machine) {
 	failed := 0
 	for id, at := range m.failedJobs {
 		if job := c.jobs[id]; job == nil || c.now.Sub(at) > jobAvoidance {
