--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -165,20 +165,28 @@
 	return work
 }
 
-// services are the services that are not finished.
+// services are the services that are not finished. All of a class share the demand of the
+// first one: there are thousands of them, and the autoscaler asks once for each class.
 func (c *clusterState) services() iter.Seq[autoscaler.Service] {
 	return func(yield func(autoscaler.Service) bool) {
+		demands := map[string]func() planning.Demand{}
 		for _, job := range c.unfinished {
 			if job.finalState != record.Unfinished || job.spec == nil || !job.spec.Service {
 				continue
 			}
-			service := autoscaler.Service{
-				Class: job.spec.Class, Priority: job.spec.Priority, Tasks: job.spec.Tasks,
-				Demand: func() planning.Demand { return c.demand(job, "", 0) },
+			class := job.spec.Class
+			if demands[class] == nil {
+				demands[class] = c.serviceDemand(job)
 			}
-			if !yield(service) {
+			if !yield(autoscaler.Service{Class: class, Priority: job.spec.Priority, Tasks: job.spec.Tasks, Demand: demands[class]}) {
 				return
 			}
 		}
 	}
 }
+
+// serviceDemand returns the demand for services like a job, of no tasks yet, when it is
+// called.
+func (c *clusterState) serviceDemand(j *job) func() planning.Demand {
+	return func() planning.Demand { return c.demand(j, "", 0) }
+}
