--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -42,7 +42,7 @@
 }
 
 // jobsToAssign returns the jobs with tasks that wait, the most urgent first.
-func (c *leader) jobsToAssign(byUrgency func(x, y *job) int) []*job {
+func (c *catalog) jobsToAssign(byUrgency func(x, y *job) int) []*job {
 	var jobs []*job
 	for _, j := range c.unfinished {
 		if j.finalState == record.Unfinished && j.spec != nil && j.revision != 0 && !j.hasUnreadableRecords() && j.hasWaitingTasks() {
--- a/internal/controller/fleet_usage.go
+++ b/internal/controller/fleet_usage.go
@@ -32,7 +32,7 @@
 
 // countWaitingTasks counts the tasks that are not assigned to a partition, and those that
 // are and are not placed yet.
-func (c *leader) countWaitingTasks() (waiting, unplaced int) {
+func (c *catalog) countWaitingTasks() (waiting, unplaced int) {
 	for _, job := range c.unfinished {
 		if job.finalState != record.Unfinished || job.spec == nil {
 			continue
--- a/internal/controller/throttle.go
+++ b/internal/controller/throttle.go
@@ -42,7 +42,7 @@
 
 // groupsToThrottle returns the groups of a team's other jobs that may be throttled for a
 // job, and what throttled groups are about to release.
-func (c *leader) groupsToThrottle(j *job) (groups []*taskGroup, released scheduling.Resources) {
+func (c *machineRegistry) groupsToThrottle(j *job) (groups []*taskGroup, released scheduling.Resources) {
 	for group := range c.allGroups() {
 		other := group.job
 		if other == j || other.spec == nil || other.team != j.team || other.finalState != record.Unfinished || other.spec.AllOrNothing() || other.spec.Priority > j.spec.Priority {
--- a/internal/controller/unplaced_tasks.go
+++ b/internal/controller/unplaced_tasks.go
@@ -57,7 +57,7 @@
 
 // groupsToPlace returns the groups with tasks that may run and are not placed, the most
 // urgent first.
-func (c *leader) groupsToPlace(byUrgency func(x, y *job) int) []*taskGroup {
+func (c *machineRegistry) groupsToPlace(byUrgency func(x, y *job) int) []*taskGroup {
 	var groups []*taskGroup
 	for group := range c.allGroups() {
 		if group.job.finalState == record.Unfinished && group.job.spec != nil && group.job.revision != 0 && group.allowedTasks() > group.boundTasks() {
