--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -214,7 +214,7 @@
 	// draining are the machines that are drained.
 	draining map[string]bool
 	// freeHistory are the free CPUs of late.
-	freeHistory planning.FreeHistory
+	freeHistory planning.FreeCPUHistory
 
 	// launching is how many machines have been asked for in calls under way, and
 	// launchRequests how many of those calls there were.
--- a/internal/autoscaler/drain.go
+++ b/internal/autoscaler/drain.go
@@ -51,7 +51,7 @@
 
 // nameOf is the name of the machine that a summary is of.
 func (a *Autoscaler) nameOf(summary *planning.MachineSummary) string {
-	return a.Machines.At(summary.ID).Name
+	return a.Machines.At(summary.Index).Name
 }
 
 // drainSurplus has a machine drained that the fleet has not needed of late: it takes no more
@@ -77,7 +77,7 @@
 	}
 	name := a.nameOf(best)
 	a.term.draining[name] = true
-	a.term.freeHistory.Subtract(best.Size.CPU - best.Used().CPU)
+	a.term.freeHistory.Subtract(best.Size.CPU - best.UsedResources().CPU)
 	a.Log.Info("machine is drained", "machine", name, "spare_cpus", leastFree/milliCPUs)
 }
 
@@ -97,7 +97,7 @@
 	free := int64(0)
 	for _, summary := range summaries {
 		if !a.term.draining[a.nameOf(summary)] {
-			free += summary.Size.CPU - summary.Used().CPU
+			free += summary.Size.CPU - summary.UsedResources().CPU
 		}
 	}
 	for _, demand := range room.demands {
@@ -111,7 +111,7 @@
 func (a *Autoscaler) terminateIdle(summaries []*planning.MachineSummary) {
 	var names []string
 	for _, summary := range summaries {
-		m := a.Machines.At(summary.ID)
+		m := a.Machines.At(summary.Index)
 		switch {
 		case m.Bound || summary.InUse:
 			delete(a.term.idleSince, m.Name)
--- a/internal/autoscaler/drain_test.go
+++ b/internal/autoscaler/drain_test.go
@@ -16,7 +16,7 @@
 	for _, summary := range work.Machines {
 		used := summary.Size
 		used.CPU /= 4
-		summary.InUse, summary.Free, summary.Usages = true, summary.Size.Minus(used), []planning.Usage{{Size: used}}
+		summary.InUse, summary.FreeResources, summary.Usages = true, summary.Size.Minus(used), []planning.TaskUsage{{Size: used}}
 	}
 	return work
 }
@@ -94,7 +94,7 @@
 	work := c.surplusWorkload()
 	for _, summary := range work.Machines { // the tasks of the other one have ended
 		if !a.DrainedByLeader(a.nameOf(summary)) {
-			summary.Free, summary.Usages = summary.Size, nil
+			summary.FreeResources, summary.Usages = summary.Size, nil
 		}
 	}
 	a.Scale(work)
--- a/internal/autoscaler/fake_test.go
+++ b/internal/autoscaler/fake_test.go
@@ -139,9 +139,9 @@
 	var all []*planning.MachineSummary
 	for i, m := range c.machines {
 		size := sizeOf(c.types[m.Type])
-		summary := &planning.MachineSummary{ID: scheduling.MachineIndex(i), Type: m.Type, Zone: m.Zone, Spot: m.Spot, Partition: m.Partition, Size: size, Free: size}
+		summary := &planning.MachineSummary{Index: scheduling.MachineIndex(i), Type: m.Type, Zone: m.Zone, Spot: m.Spot, Partition: m.Partition, Size: size, FreeResources: size}
 		if m.Bound {
-			summary.Free, summary.Usages = scheduling.Resources{}, []planning.Usage{{Size: size}}
+			summary.FreeResources, summary.Usages = scheduling.Resources{}, []planning.TaskUsage{{Size: size}}
 		}
 		all = append(all, summary)
 	}
@@ -156,7 +156,7 @@
 // demand is one for tasks that fill a machine each.
 func (c *fakeCluster) demand(tasks int) planning.Demand {
 	return planning.Demand{Class: "c", TaskSize: sizeOf(c.types["small"]), Count: tasks, AllOrNothing: true,
-		Allows: func(offer planning.Offer) bool { return !offer.Spot }}
+		AllowsOffer: func(offer planning.Offer) bool { return !offer.Spot }}
 }
 
 // makeCalls makes the calls to the cloud that wait, and those that come up by that.
--- a/internal/autoscaler/machines_test.go
+++ b/internal/autoscaler/machines_test.go
@@ -213,7 +213,7 @@
 		for _, summary := range work.Machines { // a quarter of each is in use
 			used := summary.Size
 			used.CPU /= 4
-			summary.InUse, summary.Free, summary.Usages = true, summary.Size.Minus(used), []planning.Usage{{Size: used}}
+			summary.InUse, summary.FreeResources, summary.Usages = true, summary.Size.Minus(used), []planning.TaskUsage{{Size: used}}
 		}
 		return work
 	}
--- a/internal/autoscaler/scale.go
+++ b/internal/autoscaler/scale.go
@@ -76,15 +76,15 @@
 // there was too little room without the headroom.
 func (a *Autoscaler) plan(work *Workload, room *headroom) (plan *planning.ScalingPlan, shortage bool) {
 	plan = &planning.ScalingPlan{
-		Machines:       append(slices.Clone(work.Machines), a.booting()...),
-		Offers:         a.offers(),
-		RunningByClass: work.RunningByClass,
-		Launches:       map[planning.Offer]int{},
+		Machines:            append(slices.Clone(work.Machines), a.booting()...),
+		Offers:              a.offers(),
+		RunningTasksByClass: work.RunningByClass,
+		Launches:            map[planning.Offer]int{},
 	}
 	placeAll(plan, work.Waiting)
 	placeAll(plan, work.Reserve)
 	shortage = plan.Shortage
-	planning.CountLowerPriorityAsFree(plan.Machines, room.priority)
+	planning.TreatLowerPriorityAsFree(plan.Machines, room.priority)
 	placeAll(plan, room.demands)
 	return plan, shortage
 }
@@ -160,5 +160,5 @@
 // bootingMachine is an empty machine that is not up yet.
 func bootingMachine(machineType *wire.MachineType, offer planning.Offer) *planning.MachineSummary {
 	size := sizeOf(machineType)
-	return &planning.MachineSummary{ID: planning.NotLaunched, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Size: size, Free: size, Booting: true}
+	return &planning.MachineSummary{Index: planning.UnassignedIndex, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Size: size, FreeResources: size, Booting: true}
 }
--- a/internal/controller/allocations_test.go
+++ b/internal/controller/allocations_test.go
@@ -49,7 +49,7 @@
 	} {
 		for _, machines := range []int{50, 500} {
 			t.Run(fmt.Sprintf("%s, %d machines", x.name, machines), func(t *testing.T) {
-				got := testing.AllocsPerRun(50, x.path(t, crowded(t, machines)))
+				got := testing.AllocsPerRun(50, x.path(t, newFullFleetController(t, machines)))
 				t.Logf("%v allocations", got)
 				if got > x.bound {
 					t.Errorf("%v allocations, want at most %v", got, x.bound)
@@ -77,7 +77,7 @@
 }
 
 func idlePath(_ *testing.T, c *controller) func() {
-	for _, job := range c.unfinished { // nothing waits
+	for _, job := range c.activeJobs { // nothing waits
 		if job.spec.Class == "clean" {
 			job.retryAt = c.now.Add(time.Hour)
 		}
@@ -92,7 +92,7 @@
 			group = g
 		}
 	}
-	raw, revision := c.encodeGroup(group, group.done, group.bindings).At(group.key), group.revision
+	raw, revision := c.encodeGroup(group, group.doneTasks, group.bindings).At(group.key), group.revision
 	return func() {
 		revision++
 		c.replica.Put(group.key, raw, revision)
@@ -100,9 +100,9 @@
 }
 
 func queryPath(t *testing.T, c *controller) func() {
-	c.finished["wk-1"] = record.Done
+	c.finalStates["wk-1"] = record.Done
 	return func() {
-		if state := c.lookupJob("wk-1").response().State; state != wire.Done {
+		if state := c.lookupJob("wk-1").jobState().State; state != wire.Done {
 			t.Errorf("the job is %q, want %q", state, wire.Done)
 		}
 	}
@@ -112,7 +112,7 @@
 // for each machine.
 func TestStatusFrameAllocatesLittle(t *testing.T) {
 	for _, machines := range []int{50, 500} {
-		c := crowded(t, machines)
+		c := newFullFleetController(t, machines)
 		n := float64(len(c.partitions[0].machines))
 		var frame []byte
 		if got := testing.AllocsPerRun(20, func() { frame = peer.AppendStatus(nil, c.peerStatus(), peer.PlainFrame) }); got > 30 {
@@ -150,7 +150,7 @@
 func BenchmarkReport(b *testing.B) {
 	for _, n := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := crowded(b, n)
+			c := newFullFleetController(b, n)
 			heartbeat := c.reportOf(c.ours())
 			raw := record.JSON(heartbeat)
 			for b.Loop() {
@@ -169,14 +169,14 @@
 func BenchmarkRecord(b *testing.B) {
 	for _, n := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := crowded(b, n)
+			c := newFullFleetController(b, n)
 			var group *taskGroup
 			for first := range c.allGroups() {
 				if group == nil || len(first.bindings) > len(group.bindings) {
 					group = first
 				}
 			}
-			raw, stamp := c.encodeGroup(group, group.done, group.bindings).At(group.key), group.revision+1<<32
+			raw, stamp := c.encodeGroup(group, group.doneTasks, group.bindings).At(group.key), group.revision+1<<32
 			for b.Loop() {
 				stamp++
 				c.replica.Put(group.key, raw, stamp)
@@ -188,7 +188,7 @@
 func BenchmarkStatus(b *testing.B) {
 	for _, n := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := crowded(b, n)
+			c := newFullFleetController(b, n)
 			for b.Loop() {
 				peer.AppendStatus(nil, c.peerStatus(), peer.PlainFrame)
 			}
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -21,7 +21,7 @@
 // assign gives waiting tasks to partitions that have room for them, the most urgent jobs
 // first, and returns what found no room.
 func (c *leader) assign(summaries []*planning.MachineSummary) []planning.Demand {
-	byUrgency := c.byUrgency()
+	byUrgency := c.urgencyComparator()
 	demands, unplaced := c.placeAssigned(summaries, byUrgency)
 	waiting := c.jobsToAssign(byUrgency)
 	pass := assignmentPass{
@@ -44,7 +44,7 @@
 // jobsToAssign returns the jobs with tasks that wait, the most urgent first.
 func (c *catalog) jobsToAssign(byUrgency func(x, y *job) int) []*job {
 	var jobs []*job
-	for _, j := range c.unfinished {
+	for _, j := range c.activeJobs {
 		if j.finalState == record.Unfinished && j.spec != nil && j.revision != 0 && !j.hasUnreadableRecords() && j.hasWaitingTasks() {
 			jobs = append(jobs, j)
 		}
@@ -82,7 +82,7 @@
 	if !a.teamsShortOfQuota[j.team] {
 		a.unthrottle(j, &a.teamQuotas[j.team])
 	}
-	assigned, _ := j.assignedTasks()
+	assigned, _ := j.countAssignedTasks()
 	remaining := j.spec.Tasks - assigned
 	switch {
 	case remaining <= 0:
@@ -97,7 +97,7 @@
 
 // deferArray notes the demand of an array that was assigned tasks a moment ago.
 func (a *assignmentPass) deferArray(j *job, remaining int) {
-	count := a.teamQuotas[j.team].Room(j.taskSize, remaining)
+	count := a.teamQuotas[j.team].RemainingTasks(j.taskSize, remaining)
 	if !a.teamsShortOfQuota[j.team] && count < remaining && a.isPlaceable(j) {
 		a.teamsShortOfQuota[j.team] = true
 	}
@@ -108,27 +108,27 @@
 // machines have room for, and notes the demand of the others.
 func (a *assignmentPass) assignTasks(j *job, assigned, remaining int) {
 	quota := &a.teamQuotas[j.team]
-	forced := a.jobOrder(j).ForcedTasks(j.unplacedTasks())
+	forced := a.jobOrder(j).ForcedTaskCount(j.countUnplacedTasks())
 	if forced > 0 {
 		remaining = min(remaining, forced)
 	}
 	if a.classesWithoutRoom[j.equivalenceClass] && !j.spec.AllOrNothing() && forced == 0 {
 		// Jobs of a class are decided about together: where one found no room, none behind
 		// it will.
-		a.demands = append(a.demands, a.demand(j, "", quota.Room(j.taskSize, remaining)))
+		a.demands = append(a.demands, a.demand(j, "", quota.RemainingTasks(j.taskSize, remaining)))
 		return
 	}
 	if a.joinReplicaDemand(j) {
 		return
 	}
-	usedBefore := quota.Used
+	usedBefore := quota.Usage
 	a.throttleForQuota(j, remaining)
 	unassigned := a.assignWithinQuota(j, assignmentRequest{assigned: assigned, remaining: remaining, forced: forced > 0})
 	a.noteDemand(j, unassigned)
-	if j.spec.AllOrNothing() && quota.Used == usedBefore && (a.now.Sub(j.acceptedAt) < quotaHoldTime || a.isPlaceable(j)) {
+	if j.spec.AllOrNothing() && quota.Usage == usedBefore && (a.now.Sub(j.acceptedAt) < quotaHoldTime || a.isPlaceable(j)) {
 		// What such a job waits for is not for those behind it, unless no machine has come
 		// for it in good time: none may ever.
-		quota.Used = usedBefore.Plus(j.taskSize.Times(remaining))
+		quota.Usage = usedBefore.Plus(j.taskSize.Times(remaining))
 	}
 }
 
@@ -138,11 +138,11 @@
 func (a *assignmentPass) joinReplicaDemand(j *job) bool {
 	index, found := a.replicaDemands[j.equivalenceClass]
 	quota := &a.teamQuotas[j.team]
-	if !found || j.spec.Tasks != 1 || quota.Room(j.taskSize, 1) < 1 {
+	if !found || j.spec.Tasks != 1 || quota.RemainingTasks(j.taskSize, 1) < 1 {
 		return false
 	}
-	quota.Used = quota.Used.Plus(j.taskSize)
-	a.demands[index].Groups++
+	quota.Usage = quota.Usage.Plus(j.taskSize)
+	a.demands[index].GroupCount++
 	return true
 }
 
@@ -150,7 +150,7 @@
 // little room for the job.
 func (a *assignmentPass) throttleForQuota(j *job, remaining int) {
 	quota := &a.teamQuotas[j.team]
-	if quota.Room(j.taskSize, remaining) < remaining && a.isPlaceable(j) {
+	if quota.RemainingTasks(j.taskSize, remaining) < remaining && a.isPlaceable(j) {
 		a.teamsShortOfQuota[j.team] = true
 		a.throttleTeam(j, quota.Shortfall(j.taskSize.Times(remaining)))
 	}
@@ -162,7 +162,7 @@
 		return
 	}
 	if j.spec.AllOrNothing() && j.spec.Tasks == 1 && !a.hasLoanFor(j) {
-		a.replicaDemands[j.equivalenceClass], unassigned.Groups = len(a.demands), 1
+		a.replicaDemands[j.equivalenceClass], unassigned.GroupCount = len(a.demands), 1
 	}
 	a.demands = append(a.demands, unassigned)
 	a.classesWithoutRoom[j.equivalenceClass] = true
@@ -189,10 +189,10 @@
 func (c *leader) placeable(summaries []*planning.MachineSummary, j *job) bool {
 	zone := c.requiredZone(j)
 	mayUse := func(summary *planning.MachineSummary) bool {
-		return !summary.Booting && c.reserveAllows(j, summary) && allowed(j.spec, zone, summary.Type, summary.Zone, summary.Spot)
+		return !summary.Booting && c.reserveAllows(j, summary) && allowsMachine(j.spec, zone, summary.Type, summary.Zone, summary.Spot)
 	}
 	for _, summary := range summaries {
-		if mayUse(summary) && summary.Free.Contains(j.taskSize) {
+		if mayUse(summary) && summary.FreeResources.Contains(j.taskSize) {
 			return true
 		}
 	}
--- a/internal/controller/assignment_writes.go
+++ b/internal/controller/assignment_writes.go
@@ -17,13 +17,13 @@
 // answered (leaderWriteDone). Meanwhile the groups count as being written.
 func (c *leader) submitDecision(write *store.Write, groups ...*taskGroup) {
 	for _, group := range groups {
-		group.writing = true
+		group.writeInFlight = true
 	}
 	c.leadership.writesInFlight++
 	epoch := c.leadership.epoch
 	c.SubmitWrite(write, func(err error) {
 		for _, group := range groups {
-			group.writing = false
+			group.writeInFlight = false
 		}
 		c.leaderWriteDone(epoch, err)
 	})
@@ -42,7 +42,7 @@
 func (c *clusterState) fitTransaction(groups []record.TaskGroup) []record.TaskGroup {
 	size := 0
 	for i := range groups {
-		size += groups[i].Encode(c.encoding()).Size() + recordOverhead
+		size += groups[i].Encode(c.writeEncoding()).Size() + recordOverhead
 		if i > 0 && (i == c.cfg.Settings.Store.TxnOps || size > store.MaxTxnBytes) {
 			return groups[:i]
 		}
@@ -81,16 +81,16 @@
 		if len(reusable) > 0 {
 			empty := reusable[0]
 			reused, reusable = append(reused, empty), reusable[1:]
-			key, revision, group.Done = empty.key, empty.revision, empty.done
+			key, revision, group.Done = empty.key, empty.revision, empty.doneTasks
 		} else {
 			key = groupKey(j.id, j.newGroupNumber())
 		}
 		write.Conditions = append(write.Conditions, wire.Condition{Key: key, Revision: revision})
-		write.Changes = append(write.Changes, wire.Change{Put: key, Value: group.Encode(c.encoding()).At(key)})
+		write.Changes = append(write.Changes, wire.Change{Put: key, Value: group.Encode(c.writeEncoding()).At(key)})
 	}
 	j.assignedAt = c.now
 	c.submitDecision(write, reused...)
-	c.metrics.count(countAssigned, len(groups))
+	c.metrics.count(countAssignedGroups, len(groups))
 	c.log.Debug("tasks assigned", "job", j.id, "tasks", tasks, "records", len(groups))
 }
 
@@ -100,7 +100,7 @@
 func (j *job) emptyGroups() []*taskGroup {
 	var empty []*taskGroup
 	for _, group := range j.groups {
-		if len(group.bindings) == 0 && !group.writing {
+		if len(group.bindings) == 0 && !group.writeInFlight {
 			empty = append(empty, group)
 		}
 	}
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -20,7 +20,7 @@
 		CloudSettings: c.cfg.Settings.Cloud, Operator: c.operator,
 		TombstonePrefix: tombstonePrefix, MachineTypesKey: machineTypesKey,
 		MaxValueBytes: c.maxValueBytes(), MaxChanges: c.cfg.Settings.Store.TxnOps,
-		LoanPartition: c.loanPartition(), HeartbeatOverdueAfter: c.heartbeatOverdueAfter(),
+		LoanPartition: c.loanPartition(), HeartbeatOverdueAfter: c.heartbeatTimeout(),
 		WorkLifetime: c.maxStaleness + c.leaseExpiry, Log: c.log,
 	}, autoscaler.Services{
 		Cloud: client, Machines: machineView{c}, Cluster: leadershipView{c}, Writer: writeQueue{c.clusterState},
@@ -28,8 +28,8 @@
 	})
 }
 
-// forAutoscaler is what the autoscaler knows of a machine.
-func (m *machine) forAutoscaler() autoscaler.Machine {
+// autoscalerMachine is what the autoscaler knows of a machine.
+func (m *machine) autoscalerMachine() autoscaler.Machine {
 	return autoscaler.Machine{Name: m.name, Type: m.machineType, Zone: m.zone, Spot: m.spot, Partition: m.partition, Bound: len(m.bindings) > 0, Terminated: m.terminated}
 }
 
@@ -38,7 +38,7 @@
 
 // Machine is the machine of that name, which is known from then on.
 func (v machineView) Machine(name string) autoscaler.Machine {
-	return v.machineNamed(name).forAutoscaler()
+	return v.getOrAddMachine(name).autoscalerMachine()
 }
 
 // Lookup is the machine of that name, if it is known.
@@ -47,19 +47,19 @@
 	if m == nil {
 		return autoscaler.Machine{}, false
 	}
-	return m.forAutoscaler(), true
+	return m.autoscalerMachine(), true
 }
 
 // At is the machine with an index.
 func (v machineView) At(index scheduling.MachineIndex) autoscaler.Machine {
-	return v.machineByIndex[index].forAutoscaler()
+	return v.machineByIndex[index].autoscalerMachine()
 }
 
 // EachReported calls f for each machine that its owner tells about.
 func (v machineView) EachReported(f func(autoscaler.ReportedMachine)) {
 	v.eachReportedMachine(func(m *machine, flags uint8) {
 		f(autoscaler.ReportedMachine{
-			Machine:     m.forAutoscaler(),
+			Machine:     m.autoscalerMachine(),
 			Reachable:   flags&peer.Reachable != 0,
 			Unreachable: flags&peer.Unreachable != 0,
 			NotHeardYet: flags&peer.NotHeardYet != 0,
@@ -77,11 +77,11 @@
 	}
 	var names []string
 	for _, p := range v.partitions {
-		if !p.active {
+		if !p.takeoverComplete {
 			continue
 		}
 		for _, m := range p.machines {
-			if len(m.bindings) > 0 && v.unreachable(m, p) {
+			if len(m.bindings) > 0 && v.isUnreachable(m, p) {
 				names = append(names, m.name)
 			}
 		}
@@ -90,13 +90,13 @@
 }
 
 // MarkTerminated takes a machine that never was for terminated.
-func (v machineView) MarkTerminated(name string) { v.machineNamed(name).terminated = true }
+func (v machineView) MarkTerminated(name string) { v.getOrAddMachine(name).terminated = true }
 
 // Types are the machine types by name.
 func (v machineView) Types() map[string]*wire.MachineType { return v.machineTypes }
 
 // SetTypes replaces them.
-func (v machineView) SetTypes(types []wire.MachineType) { v.putMachineTypes(types) }
+func (v machineView) SetTypes(types []wire.MachineType) { v.setMachineTypes(types) }
 
 // leadershipView is the cluster as package autoscaler asks for it.
 type leadershipView struct{ *controller }
@@ -107,7 +107,7 @@
 // Leadership is how far this controller leads.
 func (v leadershipView) Leadership() autoscaler.Leadership {
 	own := &v.leadership
-	return autoscaler.Leadership{Epoch: own.epoch, Since: own.since, Active: own.active, Acting: v.isLeader(), Condition: v.leaderCondition()}
+	return autoscaler.Leadership{Epoch: own.epoch, Since: own.startedAt, Active: own.active, Acting: v.isLeader(), Condition: v.leaderCondition()}
 }
 
 // LeaderHeardAt is when the leader was last heard; zero: never, or it is no peer.
@@ -125,17 +125,17 @@
 }
 
 // AllOwnersInTouch reports whether the leader hears every partition's owner.
-func (v leadershipView) AllOwnersInTouch() bool { return v.allOwnersInTouch() }
+func (v leadershipView) AllOwnersInTouch() bool { return v.allOwnersResponsive() }
 
 // OwnerLongInTouch reports whether the leader has heard a partition's owner for so long that
 // all machines of the partition must have reported.
-func (v leadershipView) OwnerLongInTouch(partition int) bool { return v.ownerLongInTouch(partition) }
+func (v leadershipView) OwnerLongInTouch(partition int) bool { return v.isOwnerViewComplete(partition) }
 
 // HeartbeatsResumedAt is when heartbeats were last accepted again after an outage.
 func (v leadershipView) HeartbeatsResumedAt() time.Time { return v.heartbeatsResumedAt }
 
 // HasUnreadableRecords reports whether some record can't be decoded.
-func (v leadershipView) HasUnreadableRecords() bool { return len(v.rollout.unreadable) > 0 }
+func (v leadershipView) HasUnreadableRecords() bool { return len(v.rollout.unreadableGroups) > 0 }
 
 // Tombstones are all that are stored.
 func (v leadershipView) Tombstones() iter.Seq[autoscaler.Tombstone] {
@@ -159,7 +159,7 @@
 	work := &autoscaler.Workload{Machines: summaries, Waiting: waiting, Reserve: c.leadership.gangReserve.shortfall, RunningByClass: map[string]int{}, Services: c.services()}
 	for group := range c.allGroups() {
 		if group.job.spec != nil {
-			work.RunningByClass[group.job.spec.Class] += group.boundTasks()
+			work.RunningByClass[group.job.spec.Class] += group.boundTaskCount()
 		}
 	}
 	return work
@@ -170,7 +170,7 @@
 func (c *clusterState) services() iter.Seq[autoscaler.Service] {
 	return func(yield func(autoscaler.Service) bool) {
 		demands := map[string]func() planning.Demand{}
-		for _, job := range c.unfinished {
+		for _, job := range c.activeJobs {
 			if job.finalState != record.Unfinished || job.spec == nil || !job.spec.Service {
 				continue
 			}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -8,10 +8,10 @@
 func BenchmarkLeadStep(b *testing.B) {
 	for _, n := range []int{50, 500, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := crowded(b, n)
+			c := newFullFleetController(b, n)
 			for b.Loop() {
 				c.leadership.writesInFlight = 0
-				c.runLeader()
+				c.runLeaderPass()
 			}
 		})
 	}
@@ -20,7 +20,7 @@
 func BenchmarkStepPart(b *testing.B) {
 	for _, n := range []int{50, 500, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := crowded(b, n)
+			c := newFullFleetController(b, n)
 			for b.Loop() {
 				c.schedulePartitions()
 			}
--- a/internal/controller/bindings_write.go
+++ b/internal/controller/bindings_write.go
@@ -20,9 +20,9 @@
 	token uint64
 	// finishesJob: the write also makes the job final.
 	finishesJob bool
-	// splitMachines are those of new bindings of a group that is stored in several pieces:
+	// newlyBoundMachines are those of new bindings of a group that is stored in several pieces:
 	// a task may have moved to another piece, where the group does not show its machine.
-	splitMachines []*machine
+	newlyBoundMachines []*machine
 }
 
 // writeUpdate submits the write that carries an update out.
@@ -30,10 +30,10 @@
 	job := group.job
 	w := &updateWrite{
 		owner: c, partition: p, group: group, update: update,
-		token: p.token, finishesJob: c.endsJob(group, update),
+		token: p.token, finishesJob: c.completesJob(group, update),
 	}
 	write := &store.Write{
-		Prompt: job.spec.Gang && len(update.newlyBound) > 0,
+		Prompt: job.spec.Gang && len(update.newlyBoundTasks) > 0,
 		// Services first: when hundreds of machines are lost together, or all leases have
 		// expired in an outage, what is to be stored takes longer than users wait.
 		Early:      job.spec.AllOrNothing(),
@@ -41,12 +41,12 @@
 	}
 	w.addPieces(write)
 	if w.finishesJob {
-		job.finishing = true
-		write.Changes = append(write.Changes, wire.Change{Put: jobKey(job.id), Value: c.doneJob(job)})
+		job.finalWriteInFlight = true
+		write.Changes = append(write.Changes, wire.Change{Put: jobKey(job.id), Value: c.doneJobRecord(job)})
 	}
-	group.writing, group.write = true, write
-	c.metrics.count(countStored, 1)
-	c.SubmitWrite(write, w.completed)
+	group.writeInFlight, group.pendingWrite = true, write
+	c.metrics.count(countStoredGroups, 1)
+	c.SubmitWrite(write, w.handleResult)
 }
 
 // updateConditions have a write fail if the partition has another owner by then, or the task
@@ -68,10 +68,10 @@
 // here.
 func (w *updateWrite) addPieces(write *store.Write) {
 	job := w.group.job
-	pieces := w.owner.splitToFit(w.group, w.update.done, w.update.bindings)
+	pieces := w.owner.splitToFit(w.group, w.update.doneTasks, w.update.bindings)
 	if len(pieces) > 1 {
-		for _, task := range w.update.newlyBound {
-			w.splitMachines = append(w.splitMachines, w.partition.reservations[task].machine)
+		for _, task := range w.update.newlyBoundTasks {
+			w.newlyBoundMachines = append(w.newlyBoundMachines, w.partition.reservations[task].machine)
 		}
 	}
 	for _, piece := range pieces[1:] {
@@ -82,52 +82,52 @@
 	write.Changes = append(write.Changes, wire.Change{Put: w.group.key, Value: pieces[0].At(w.group.key)})
 }
 
-// doneJob is the record of a job that is done. Tasks of a gang may still be on machines.
-func (c *partitionOwner) doneJob(j *job) json.RawMessage {
+// doneJobRecord is the record of a job that is done. Tasks of a gang may still be on machines.
+func (c *partitionOwner) doneJobRecord(j *job) json.RawMessage {
 	if j.spec.Gang {
 		return record.DoneGang(j.spec, j.acceptedAt, c.maxValueBytes())
 	}
 	return record.JSON(record.Job{FinalState: record.Done})
 }
 
-// endsJob tells whether an update completes the last tasks of a job. A gang's tasks complete
+// completesJob tells whether an update completes the last tasks of a job. A gang's tasks complete
 // together: with the first that is shown as done the job is, and the bindings of the others
 // stay until they are proven to have ended. A task whose machine hangs is still there.
-func (c *partitionOwner) endsJob(group *taskGroup, update *groupUpdate) bool {
+func (c *partitionOwner) completesJob(group *taskGroup, update *groupUpdate) bool {
 	job := group.job
-	if job.finalState != record.Unfinished || job.finishing {
+	if job.finalState != record.Unfinished || job.finalWriteInFlight {
 		return false
 	}
 	if update.gangDone {
 		return true
 	}
-	if update.done == group.done {
+	if update.doneTasks == group.doneTasks {
 		return false
 	}
-	_, finished := job.assignedTasks()
-	return finished+update.done-group.done == job.spec.Tasks
+	_, finished := job.countAssignedTasks()
+	return finished+update.doneTasks-group.doneTasks == job.spec.Tasks
 }
 
 // completed takes in the result of the write.
-func (w *updateWrite) completed(err error) {
+func (w *updateWrite) handleResult(err error) {
 	group, job := w.group, w.group.job
-	group.writing, group.write = false, nil
+	group.writeInFlight, group.pendingWrite = false, nil
 	if w.finishesJob {
-		job.finishing = false
+		job.finalWriteInFlight = false
 	}
 	if job.finalState != record.Unfinished && group.partition == w.partition.index {
 		w.owner.cancelReservations(group, true) // what came to it while the write was on its way
 	}
 	switch {
 	case err != nil:
-		w.failed(err)
+		w.handleFailure(err)
 	case w.partition.token == w.token:
-		w.stored()
+		w.handleSuccess()
 	}
 }
 
 // failed gives up the reservations of an update that is not stored as far as is known; what the key-value store really has is read before anything else is done.
-func (w *updateWrite) failed(err error) {
+func (w *updateWrite) handleFailure(err error) {
 	c, p, group := w.owner, w.partition, w.group
 	c.log.Debug("record write failed", "key", group.key, "err", err)
 	if errors.Is(err, store.ErrInvalid) {
@@ -135,40 +135,40 @@
 		group.retryWriteAt = c.now.Add(invalidWriteBackoff)
 	}
 	if p.token != 0 {
-		for _, task := range w.update.newlyBound {
+		for _, task := range w.update.newlyBoundTasks {
 			if _, ok := p.reservations[task]; ok {
 				delete(p.reservations, task)
 				c.freeCell(p, task)
 			}
 		}
 	}
-	group.writing = true
+	group.writeInFlight = true
 	c.reader.AfterSuccessfulRead(func() {
-		group.writing = false
-		c.requestPass()
+		group.writeInFlight = false
+		c.requestSchedulingPass()
 	})
 }
 
 // stored has what the update binds started, and forgets the ends that it stored.
-func (w *updateWrite) stored() {
+func (w *updateWrite) handleSuccess() {
 	c := w.owner
-	w.noteBound()
-	for _, x := range w.update.ended {
-		if c.attemptEnds[x.task] == x.end {
-			delete(c.attemptEnds, x.task)
+	w.reportNewBindings()
+	for _, x := range w.update.endedTasks {
+		if c.unstoredEnds[x.task] == x.end {
+			delete(c.unstoredEnds, x.task)
 		}
 	}
 	for _, m := range w.machinesToCommand() {
 		c.sendCommandsNow(m)
 	}
-	c.requestPass()
+	c.requestSchedulingPass()
 }
 
-// noteBound counts and logs the new bindings of a stored update.
-func (w *updateWrite) noteBound() {
+// reportNewBindings counts and logs the new bindings of a stored update.
+func (w *updateWrite) reportNewBindings() {
 	c, job := w.owner, w.group.job
-	c.metrics.count(countBound, len(w.update.newlyBound))
-	for _, task := range w.update.newlyBound {
+	c.metrics.count(countBoundTasks, len(w.update.newlyBoundTasks))
+	for _, task := range w.update.newlyBoundTasks {
 		bound := w.group.binding(task.Number)
 		if bound == nil || bound.machine == nil {
 			continue
@@ -176,7 +176,7 @@
 		name := taskName(job.id, task.Number)
 		c.log.Debug("task bound", "task", name, "attempt", bound.attempt, "machine", bound.machine.name)
 		if bound.attempt == 1 {
-			c.metrics.observe(latencyBind, c.now.Sub(job.acceptedAt))
+			c.metrics.observeLatency(latencyBind, c.now.Sub(job.acceptedAt))
 		}
 	}
 }
@@ -194,17 +194,17 @@
 			machines = append(machines, m)
 		}
 	}
-	for _, m := range w.splitMachines {
+	for _, m := range w.newlyBoundMachines {
 		add(m)
 	}
-	if len(w.update.newlyBound) > 0 && job.spec != nil && job.spec.Gang && job.gangBound() {
-		for m := range job.machines() {
+	if len(w.update.newlyBoundTasks) > 0 && job.spec != nil && job.spec.Gang && job.isGangBound() {
+		for m := range job.boundMachines() {
 			add(m)
 		}
 	}
 	for i := range group.bindings {
 		bound := &group.bindings[i]
-		if bound.machine != nil && slices.Contains(w.update.newlyBound, group.task(bound.task)) {
+		if bound.machine != nil && slices.Contains(w.update.newlyBoundTasks, group.task(bound.task)) {
 			add(bound.machine)
 		}
 	}
--- a/internal/controller/cells.go
+++ b/internal/controller/cells.go
@@ -9,14 +9,14 @@
 	*catalog
 	*machineRegistry
 
-	// attemptEnds are proven ends of attempts that are not stored yet.
-	attemptEnds map[scheduling.Task]attemptEnd
+	// unstoredEnds are proven ends of attempts that are not stored yet.
+	unstoredEnds map[scheduling.TaskID]attemptEnd
 }
 
 func newCellRegistry(loop *eventLoop, jobs *catalog, machines *machineRegistry) *cellRegistry {
 	return &cellRegistry{
 		eventLoop: loop, catalog: jobs, machineRegistry: machines,
-		attemptEnds: map[scheduling.Task]attemptEnd{},
+		unstoredEnds: map[scheduling.TaskID]attemptEnd{},
 	}
 }
 
@@ -42,12 +42,12 @@
 		return
 	}
 	task := group.task(bound.task)
-	if c.hasEnded(task, bound.boundAttempt()) {
+	if c.hasUnstoredEnd(task, bound.boundAttempt()) {
 		return
 	}
 	delete(p.reservations, task)
-	p.cells.Adopt(task, bound.machine.index, group.job.taskSize, group.claim())
-	c.noteFetch(bound.machine, group.job.spec.Image)
+	p.cells.ApplyBinding(task, bound.machine.index, group.job.taskSize, group.claim())
+	c.trackFetch(bound.machine, group.job.spec.Image)
 }
 
 // cancelReservations gives up the cells that a group's tasks wait for; with all also those
@@ -59,7 +59,7 @@
 	}
 	for i := range group.bindings {
 		task := group.task(group.bindings[i].task)
-		p.cancelPreempting(task)
+		p.cancelPreemption(task)
 		if _, ok := p.reservations[task]; ok && all {
 			delete(p.reservations, task)
 			c.freeCell(p, task)
@@ -67,10 +67,10 @@
 	}
 }
 
-// releaseCells gives up whatever tasks that leave a group hold in this controller's partition.
+// releaseCellsExcept gives up whatever tasks that leave a group hold in this controller's partition.
 // Left behind, their cells would never be free again, and their group would not be found
 // when their machine fails.
-func (c *cellRegistry) releaseCells(group *taskGroup, kept map[int32]bool) {
+func (c *cellRegistry) releaseCellsExcept(group *taskGroup, kept map[int32]bool) {
 	p := c.partitions[group.partition]
 	if p.token == 0 {
 		return
@@ -80,65 +80,65 @@
 			continue
 		}
 		task := group.task(group.bindings[i].task)
-		p.cancelPreempting(task)
+		p.cancelPreemption(task)
 		delete(p.reservations, task)
 		c.freeCell(p, task)
 	}
 }
 
-// cancelPreempting gives up what a task, together with others perhaps, waits for.
-func (p *partition) cancelPreempting(task scheduling.Task) {
+// cancelPreemption gives up what a task, together with others perhaps, waits for.
+func (p *partition) cancelPreemption(task scheduling.TaskID) {
 	if request := p.cells.PreemptingGroup(task); request != nil {
-		p.cells.Cancel(request)
+		p.cells.CancelReservations(request)
 	}
 }
 
 // freeCell ends a task's use of its cell; a group that waited for it may now be Allocated.
-func (c *cellRegistry) freeCell(p *partition, task scheduling.Task) {
+func (c *cellRegistry) freeCell(p *partition, task scheduling.TaskID) {
 	if request := p.cells.Release(task); request != nil {
-		c.reserveCells(p, request)
+		c.recordReservations(p, request)
 	}
 }
 
-// forgetStaleEnds forgets the ends of bindings that a group no longer has: somebody has stored
+// dropStaleEnds forgets the ends of bindings that a group no longer has: somebody has stored
 // them. A write that is carried out while its answer is lost leaves them behind.
-func (c *cellRegistry) forgetStaleEnds(group *taskGroup, former []binding) {
-	if len(c.attemptEnds) == 0 {
+func (c *cellRegistry) dropStaleEnds(group *taskGroup, former []binding) {
+	if len(c.unstoredEnds) == 0 {
 		return
 	}
 	for i := range former {
 		task := group.task(former[i].task)
-		end, known := c.attemptEnds[task]
+		end, known := c.unstoredEnds[task]
 		if !known {
 			continue
 		}
-		if bound := group.binding(task.Number); bound == nil || end.of != bound.boundAttempt() {
-			delete(c.attemptEnds, task)
+		if bound := group.binding(task.Number); bound == nil || end.attempt != bound.boundAttempt() {
+			delete(c.unstoredEnds, task)
 		}
 	}
 }
 
-// reserveCells notes the cells of an Allocated group. Their bindings are stored by the next
+// recordReservations notes the cells of an Allocated group. Their bindings are stored by the next
 // scheduling pass.
-func (c *cellRegistry) reserveCells(p *partition, request *scheduling.Group) {
+func (c *cellRegistry) recordReservations(p *partition, request *scheduling.AffinityGroup) {
 	for i, task := range request.Tasks {
 		m := c.machineByIndex[request.Machines[i]]
 		p.reservations[task] = reservation{m, m.incarnation}
-		c.noteFetch(m, c.groups[task.Group].job.spec.Image)
+		c.trackFetch(m, c.groups[task.Group].job.spec.Image)
 	}
-	c.requestPass()
+	c.requestSchedulingPass()
 }
 
-// noteFetch notes that a machine fetches an image for a task that it is given.
-func (c *cellRegistry) noteFetch(m *machine, image string) {
-	if image != "" && !m.images[image] {
-		m.fetching[image] = c.now
+// trackFetch notes that a machine fetches an image for a task that it is given.
+func (c *cellRegistry) trackFetch(m *machine, image string) {
+	if image != "" && !m.cachedImages[image] {
+		m.fetchStartedAt[image] = c.now
 	}
 }
 
 // isLost tells whether the attempt that a task is bound for is proven to have ended before the
 // task was done.
 func (c *cellRegistry) isLost(group *taskGroup, bound *binding) bool {
-	end, ended := c.attemptEnds[group.task(bound.task)]
-	return ended && end.of == bound.boundAttempt() && !end.done
+	end, ended := c.unstoredEnds[group.task(bound.task)]
+	return ended && end.attempt == bound.boundAttempt() && !end.done
 }
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -11,7 +11,7 @@
 	for _, violation := range c.env.Violations() {
 		c.t.Error(violation)
 	}
-	c.checkStored()
+	c.checkStoredRecords()
 	if n := c.env.Store.Stats().OverLimits; n > 0 {
 		c.t.Errorf("%d transactions were beyond the limits, want none", n)
 	}
@@ -24,9 +24,9 @@
 	if ctl == nil {
 		return
 	}
-	answers := ctl.call(c.ctx, priorityState, func() {
+	answers := ctl.call(c.ctx, priorityStore, func() {
 		for _, p := range ctl.partitions {
-			if p.token != 0 && p.active {
+			if p.token != 0 && p.takeoverComplete {
 				c.checkPartition(i, ctl, p)
 			}
 		}
@@ -43,13 +43,13 @@
 	if err := p.cells.CheckInvariants(); err != nil {
 		c.t.Errorf("node %d partition %d: %v", i, p.index, err)
 	}
-	for _, t := range p.cells.Tasks() {
+	for _, t := range p.cells.AllocatedTasks() {
 		if group := ctl.groups[t.Group]; group == nil || group.binding(t.Number) == nil {
 			c.t.Errorf("node %d partition %d: cell of %v, which no record has", i, p.index, t)
 		}
 	}
 	for t := range p.reservations {
-		if p.cells.CellOf(t) == nil {
+		if p.cells.Cell(t) == nil {
 			c.t.Errorf("node %d partition %d: %v is reserved without a cell", i, p.index, t)
 		}
 		if group := ctl.groups[t.Group]; group != nil && ctl.isBoundAndReserved(group, t) {
@@ -60,7 +60,7 @@
 
 // isBoundAndReserved tells whether a task with a reservation has a binding that nobody takes
 // for ended: the reservation would bind it anew as soon as it ends.
-func (c *controller) isBoundAndReserved(group *taskGroup, task scheduling.Task) bool {
+func (c *controller) isBoundAndReserved(group *taskGroup, task scheduling.TaskID) bool {
 	bound := group.binding(task.Number)
-	return bound != nil && bound.machine != nil && !group.writing && !c.isLost(group, bound)
+	return bound != nil && bound.machine != nil && !group.writeInFlight && !c.isLost(group, bound)
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -87,7 +87,7 @@
 func (n *node) isLeader(ctx context.Context) bool {
 	leads := false
 	if p := n.process.Load(); p != nil {
-		p.controller.call(ctx, priorityState, func() { leads = p.controller.isLeader() })
+		p.controller.call(ctx, priorityStore, func() { leads = p.controller.isLeader() })
 	}
 	return leads
 }
@@ -158,7 +158,7 @@
 	env.Network.SetLatency(network.Latency{Seed: *networkSeed, Jitter: *networkJitter})
 	c := &cluster{t: t, logs: &logBuffer{}, ctx: ctx, env: env, clientTransport: env.Network.NewTransport(), writtenByTest: map[string]bool{}, readableByProcess: map[string]rollout.Range{}}
 	for i := range members {
-		c.nodes = append(c.nodes, &node{cfg: testPlatform(env, members, i), transport: env.Network.NewTransport(), version: presentVersion})
+		c.nodes = append(c.nodes, &node{cfg: testPlatform(env, members, i), transport: env.Network.NewTransport(), version: currentVersion})
 	}
 	return c
 }
@@ -191,23 +191,23 @@
 	ctx, cancel := context.WithCancel(c.ctx)
 	cfg := *n.cfg // tests change the node's settings for its next process
 	ctl := newController(ctx, &cfg, n.operatorSettings(), c.logger(), c.clientsOf(i))
-	ctl.rollout.supported = n.version.supported
+	ctl.rollout.supportedLevels = n.version.supportedLevels
 	p := &process{controller: ctl, version: n.version, cancel: cancel, running: &sync.WaitGroup{}}
-	c.noteProcess(p)
+	c.recordProcess(p)
 	n.process.Store(p)
 	ctl.start(ctx, p.running)
 	c.env.Network.Serve(n.cfg.APIAddr, n.handler(api.Handler(ctl, api.Limits{Connections: 100, Requests: 50})))
 }
 
 // clientsOf is how a node's controller reaches all others.
-func (c *cluster) clientsOf(i int) clients {
+func (c *cluster) clientsOf(i int) dependencies {
 	n := c.nodes[i]
-	return clients{
-		state: n.stateTransport(), cloud: n.transport, workers: n.transport,
+	return dependencies{
+		store: n.storeTransport(), cloud: n.transport, workers: n.transport,
 		jitter: func(most time.Duration) time.Duration {
 			return time.Duration(network.Draw(uint64(i), n.cfg.Name) * float64(most))
 		},
-		send: func(to string, frame []byte) { c.sendFrame(n, to, frame) },
+		sendFrame: func(to string, frame []byte) { c.sendFrame(n, to, frame) },
 	}
 }
 
@@ -294,7 +294,7 @@
 		if observe := c.frameObserver.Load(); observe != nil {
 			(*observe)(from.cfg.Name, to, version)
 		}
-		if receiver.version.unaware && version != peer.PlainFrame {
+		if receiver.version.predatesLevels && version != peer.PlainFrame {
 			continue // refused by name
 		}
 		status, err := peer.ReadStatus(bytes.NewReader(frame))
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -7,7 +7,7 @@
 )
 
 // commands returns what a machine should do, by its newest heartbeat.
-func (c *partitionOwner) commands(m *machine, p *partition) []wire.Command {
+func (c *partitionOwner) commandsFor(m *machine, p *partition) []wire.Command {
 	var commands []wire.Command
 	view, records := c.reconcileView(m, p)
 	for _, difference := range reconcile.Differences(view, records) {
@@ -18,10 +18,10 @@
 	return commands
 }
 
-// mustPreempt tells whether a task has to leave its machine for other work, or since the
+// mustLeaveMachine tells whether a task has to leave its machine for other work, or since the
 // machine itself is about to go.
-func (c *clusterState) mustPreempt(group *taskGroup, t scheduling.Task, m *machine, p *partition) bool {
-	if cell := p.cells.CellOf(t); cell != nil && cell.State == scheduling.Reserving || group.exceedsThrottle(t.Number) {
+func (c *clusterState) mustLeaveMachine(group *taskGroup, t scheduling.TaskID, m *machine, p *partition) bool {
+	if cell := p.cells.Cell(t); cell != nil && cell.State == scheduling.CellReserving || group.exceedsThrottle(t.Number) {
 		return true
 	}
 	if loan := c.loans[m.name]; loan != nil && !loan.Acknowledged && loan.claim(c.catalog).CanPreempt(group.claim()) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -29,7 +29,7 @@
 	*leader
 	*frontend.Frontend
 
-	send func(peer string, frame []byte)
+	sendFrame func(peer string, frame []byte)
 }
 
 // isFresh tells whether the replica is current enough to act on: see MaxStaleness.
@@ -43,8 +43,8 @@
 	begun := c.now
 	write.Done = func(revision uint64, err error) {
 		// The writer never waits for a full queue of events that waits for the writer.
-		go c.enqueue(priorityState, func() {
-			c.metrics.observe(latencyCommit, c.now.Sub(begun))
+		go c.enqueue(priorityStore, func() {
+			c.metrics.observeLatency(latencyCommit, c.now.Sub(begun))
 			if err == nil {
 				c.replica.ApplyTxn(write.Changes, revision)
 			}
@@ -58,17 +58,17 @@
 }
 
 // clients is how a controller reaches the world.
-type clients struct {
-	state, cloud, workers http.RoundTripper
+type dependencies struct {
+	store, cloud, workers http.RoundTripper
 	// send hands a status frame to a peer.
-	send func(peer string, frame []byte)
+	sendFrame func(peer string, frame []byte)
 	// jitter draws a duration below the given one; nil: at random.
 	jitter func(time.Duration) time.Duration
 }
 
 // newController makes the components of a controller and connects them. Calls to other
 // systems end with ctx.
-func newController(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger, out clients) *controller {
+func newController(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger, out dependencies) *controller {
 	if out.jitter == nil {
 		out.jitter = rand.N[time.Duration]
 	}
@@ -80,8 +80,8 @@
 			workerClient: workerclient.NewClient(out.workers),
 			directSlots:  workerclient.NewSlots[*machine](cfg.DirectCommands()),
 		},
-		leader: &leader{clusterState: state},
-		send:   out.send,
+		leader:    &leader{clusterState: state},
+		sendFrame: out.sendFrame,
 	}
 	state.replica = replica.New(recordApplier{c})
 	state.reader = c.newReader(ctx, out.jitter)
@@ -101,9 +101,9 @@
 		Controllers:       s.Count,
 		RequestsPerSecond: s.Store.RPS,
 		Jitter:            jitter,
-		Loaded:            func() { c.archiveFinished(c.replica) },
+		Loaded:            func() { c.archiveFinishedJobs(c.replica) },
 		Log:               c.log,
-	}, c.replica, c.stateClient, loopAt{c.eventLoop, priorityState})
+	}, c.replica, c.stateClient, loopAt{c.eventLoop, priorityStore})
 }
 
 // newElector makes the elector of the partitions' leases and the leader's.
@@ -123,7 +123,7 @@
 		Replica:  c.replica,
 		Reader:   c.reader,
 		Writer:   c,
-		Loop:     loopAt{c.eventLoop, priorityState},
+		Loop:     loopAt{c.eventLoop, priorityStore},
 		Listener: c,
-	}, leaseKeys(c.rollout.keys, s.Count))
+	}, leaseKeys(c.rollout.leaseKeys, s.Count))
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -22,23 +22,23 @@
 )
 
 // lone is a controller that owns its only partition, without anything around it.
-func lone(t *testing.T) *controller { return loneAmong(t, 1) }
+func newTestController(t *testing.T) *controller { return newTestControllerInCluster(t, 1) }
 
-// loneAmong is the same in a cluster of several, of whose partitions it owns the first.
-func loneAmong(t *testing.T, controllers int) *controller {
+// newTestControllerInCluster is the same in a cluster of several, of whose partitions it owns the first.
+func newTestControllerInCluster(t *testing.T, controllers int) *controller {
 	t.Helper()
 	cfg := &config.Platform{Name: "n0"}
 	cfg.Settings.Count = controllers
 	cfg.Settings.Workers.ReportS, cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS = 1, 10, 35
 	cfg.Settings.Store.RPS, cfg.Settings.Store.WriteRPS, cfg.Settings.Store.ValueKB, cfg.Settings.Store.TxnOps = 100, 40, 8, 32
 	cfg.Settings.Cloud.RPS = 1
-	c := newController(t.Context(), cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), clients{state: &grantingStore{}})
+	c := newController(t.Context(), cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), dependencies{store: &grantingStore{}})
 	c.replica.Load(nil, 0, &wire.WatchResponse{})
 	c.replica.NoteRead(c.now)
 	c.machineTypes = map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAMGB: 8}}
 	p := c.partitions[0]
-	p.token, p.active, p.ownedSince = 1, true, c.now.Add(-time.Minute)
-	p.cells, p.reservations = scheduling.NewPartition(), map[scheduling.Task]reservation{}
+	p.token, p.takeoverComplete, p.ownedSince = 1, true, c.now.Add(-time.Minute)
+	p.cells, p.reservations = scheduling.NewPartition(), map[scheduling.TaskID]reservation{}
 	return c
 }
 
@@ -53,7 +53,7 @@
 		f()
 	}
 	for _, p := range c.partitions {
-		p.active, p.ownedSince = true, c.now.Add(-time.Minute)
+		p.takeoverComplete, p.ownedSince = true, c.now.Add(-time.Minute)
 	}
 }
 
@@ -72,7 +72,7 @@
 }
 
 // raw is the JSON of a value.
-func raw(t *testing.T, v any) json.RawMessage {
+func marshalJSON(t *testing.T, v any) json.RawMessage {
 	t.Helper()
 	out, err := json.Marshal(v)
 	if err != nil {
@@ -88,13 +88,13 @@
 func TestClaimsEndWithTheirRecord(t *testing.T) {
 	for _, how := range []string{"deleted", "moved"} {
 		t.Run(how, func(t *testing.T) {
-			c := lone(t)
+			c := newTestController(t)
 			p := c.partitions[0]
-			c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, workerRequest)
+			c.applyHeartbeat(c.getOrAddMachine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, workerRequest)
 			spec := &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAMGB: 1, Team: "t", NoDeadline: true}
-			c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 2)
+			c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: spec}), 2)
 			key := groupKey("wk-1", 0)
-			c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+			c.replica.Put(key, marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
 			c.placeGroup(p, c.groupByKey[key])
 			if len(p.reservations) != 2 {
 				t.Fatalf("%d tasks have claimed cells, want 2", len(p.reservations))
@@ -103,18 +103,18 @@
 			if how == "deleted" {
 				c.replica.Delete(key, 4)
 			} else {
-				c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 1}}}), 4)
+				c.replica.Put(key, marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Task: 1}}}), 4)
 				left = 1
 			}
-			if len(p.reservations) != left || len(p.cells.Tasks()) != left {
-				t.Errorf("%d reservations and %d cells are left, want %d of each", len(p.reservations), len(p.cells.Tasks()), left)
+			if len(p.reservations) != left || len(p.cells.AllocatedTasks()) != left {
+				t.Errorf("%d reservations and %d cells are left, want %d of each", len(p.reservations), len(p.cells.AllocatedTasks()), left)
 			}
 			if err := p.cells.CheckInvariants(); err != nil {
 				t.Error(err)
 			}
 			recordApplier{c}.putTombstone(tombstonePrefix+"host-1", []string{"host-1"})
-			if len(p.reservations) != 0 || len(p.cells.Tasks()) != 0 {
-				t.Errorf("%d reservations and %d cells on a lost machine, want none", len(p.reservations), len(p.cells.Tasks()))
+			if len(p.reservations) != 0 || len(p.cells.AllocatedTasks()) != 0 {
+				t.Errorf("%d reservations and %d cells on a lost machine, want none", len(p.reservations), len(p.cells.AllocatedTasks()))
 			}
 		})
 	}
@@ -123,37 +123,37 @@
 // A team at its limit has room for one more task many times a second; the throttle of
 // a group is raised for several at once, not for each.
 func TestThrottlesRiseInSteps(t *testing.T) {
-	c := lone(t)
+	c := newTestController(t)
 	c.becomeLeader(5)
 	c.leadership.active = true
-	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 9, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 9, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
 	g := record.TaskGroup{Throttle: 1}
 	for i := range int32(9) {
 		g.Tasks = append(g.Tasks, record.Binding{Task: i})
 	}
 	key := groupKey("wk-1", 0)
-	c.replica.Put(key, raw(t, g), 7)
+	c.replica.Put(key, marshalJSON(t, g), 7)
 	group := c.groupByKey[key]
 	changes, stamp := 0, uint64(8)
 	for free := 1; free <= 60; free++ { // a task of the team ends every 100 ms
 		lim := planning.Quota{Limit: scheduling.NewResources(float64(min(free, 9)), 0, 0)}
-		lim.Used = group.job.taskSize.Times(group.quotaTasks(c.replica.Cursor()))
-		before := group.throttledAt
+		lim.Usage = group.job.taskSize.Times(group.quotaTaskCount(c.replica.Cursor()))
+		before := group.throttleChangedAt
 		c.unthrottle(group.job, &lim)
-		if group.throttledAt != before { // stored at once
+		if group.throttleChangedAt != before { // stored at once
 			changes++
 			stamp++
 			g.Throttle = min(free, 9) + 1
 			if g.Throttle > 9 {
 				g.Throttle = 0
 			}
-			group.writing = false
-			c.replica.Put(key, raw(t, g), stamp)
+			group.writeInFlight = false
+			c.replica.Put(key, marshalJSON(t, g), stamp)
 		}
 		c.now = c.now.Add(100 * time.Millisecond)
 	}
-	if changes == 0 || changes > 3 || group.allowedTasks() != 9 {
-		t.Errorf("%d changes, %d tasks may run; want 1 to 3 changes and 9 tasks", changes, group.allowedTasks())
+	if changes == 0 || changes > 3 || group.bindLimit() != 9 {
+		t.Errorf("%d changes, %d tasks may run; want 1 to 3 changes and 9 tasks", changes, group.bindLimit())
 	}
 }
 
@@ -161,33 +161,33 @@
 // have claimed cells. No cell stays taken: one that no record knew of would have
 // been lost until the partition changed hands.
 func TestClaimsOfAMovedRecord(t *testing.T) {
-	c := lone(t)
+	c := newTestController(t)
 	p := c.partitions[0]
-	c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
-	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAMGB: 1, Team: "t", NoDeadline: true}}), 2)
+	c.applyHeartbeat(c.getOrAddMachine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAMGB: 1, Team: "t", NoDeadline: true}}), 2)
 	key := groupKey("wk-1", 0)
-	c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+	c.replica.Put(key, marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
 	group := c.groupByKey[key]
 	c.placeGroup(p, group)
 	if len(p.reservations) != 2 {
 		t.Fatalf("%d tasks have claimed cells, want 2", len(p.reservations))
 	}
-	group.writing = true // the leader's move, of this very process
-	c.replica.Put(key, raw(t, record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 4)
-	if len(p.reservations) != 0 || len(p.cells.Tasks()) != 0 {
-		t.Errorf("%d reservations and %d cells are left, want none", len(p.reservations), len(p.cells.Tasks()))
+	group.writeInFlight = true // the leader's move, of this very process
+	c.replica.Put(key, marshalJSON(t, record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 4)
+	if len(p.reservations) != 0 || len(p.cells.AllocatedTasks()) != 0 {
+		t.Errorf("%d reservations and %d cells are left, want none", len(p.reservations), len(p.cells.AllocatedTasks()))
 	}
 }
 
 // The result of a write of ours may come after a later deletion is known: the
 // record must not come back to life.
 func TestLateResultOfADeletedRecord(t *testing.T) {
-	c := lone(t)
-	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
+	c := newTestController(t)
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
 	key := groupKey("wk-1", 0)
-	c.replica.Put(key, raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}}}), 3)
+	c.replica.Put(key, marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}}}), 3)
 	c.replica.Apply(&wire.WatchResponse{Revision: 9, Events: []wire.Event{{Delete: key, Revision: 9}}})
-	c.replica.Put(key, raw(t, record.TaskGroup{Done: 1}), 5)
+	c.replica.Put(key, marshalJSON(t, record.TaskGroup{Done: 1}), 5)
 	if c.groupByKey[key] != nil || len(c.jobs["wk-1"].groups) != 0 {
 		t.Error("a deleted record is back")
 	}
@@ -196,22 +196,22 @@
 // Machines that died together share a tombstone. It names them all, the encoding of older
 // versions is understood, and deleting it forgets them all.
 func TestMachinesGoneTogether(t *testing.T) {
-	c := lone(t)
+	c := newTestController(t)
 	var names []string
 	for i := range 240 {
 		names = append(names, fmt.Sprintf("host-%06d", i))
-		c.machineNamed(names[i]).heartbeatAt = c.now
+		c.getOrAddMachine(names[i]).heartbeatAt = c.now
 	}
 	c.replica.Put(tombstonePrefix+"host-000001", record.JSON(names[1:4]), 20)
 	c.replica.Put(tombstonePrefix+"host-000009", record.JSON(true), 21)
 	for i, gone := range map[int]bool{0: false, 1: true, 2: true, 3: true, 4: false, 9: true} {
-		if c.machineNamed(names[i]).terminated != gone {
+		if c.getOrAddMachine(names[i]).terminated != gone {
 			t.Errorf("%s is terminated: %v, want %v", names[i], !gone, gone)
 		}
 	}
 	c.replica.Delete(tombstonePrefix+"host-000001", 22)
-	if len(c.terminated) != 1 || len(c.tombstones) != 1 {
-		t.Errorf("%d machines and %d tombstones are left, want one of each", len(c.terminated), len(c.tombstones))
+	if len(c.terminatedMachines) != 1 || len(c.tombstones) != 1 {
+		t.Errorf("%d machines and %d tombstones are left, want one of each", len(c.terminatedMachines), len(c.tombstones))
 	}
 }
 
@@ -234,10 +234,10 @@
 		{"few machines, many seconds", 3, 9 * time.Second, false, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c := lone(t)
+			c := newTestController(t)
 			acquireKeys(t, c)
 			for i := range x.machines {
-				c.machineNamed(fmt.Sprintf("host-%d", i)).heartbeatAt = c.now
+				c.getOrAddMachine(fmt.Sprintf("host-%d", i)).heartbeatAt = c.now
 			}
 			c.now = c.now.Add(x.after)
 			if x.resumed {
@@ -267,18 +267,18 @@
 		{"waits for long where cells come free", 7 * time.Second, 50, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c := lone(t)
+			c := newTestController(t)
 			p := c.partitions[0]
-			c.applyHeartbeat(c.machineNamed("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
+			c.applyHeartbeat(c.getOrAddMachine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
 			for i, team := range []string{"blue", "red"} {
 				id := fmt.Sprintf("wk-%d", i+1)
-				c.replica.Put(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAMGB: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
+				c.replica.Put(jobKey(id), marshalJSON(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAMGB: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
 			}
-			c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 10)
-			c.replica.Put(groupKey("wk-2", 0), raw(t, record.TaskGroup{Guaranteed: true, Tasks: []record.Binding{{}}}), 11)
+			c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 10)
+			c.replica.Put(groupKey("wk-2", 0), marshalJSON(t, record.TaskGroup{Guaranteed: true, Tasks: []record.Binding{{}}}), 11)
 			group := c.groupByKey[groupKey("wk-2", 0)]
-			group.inPartitionSince = c.now.Add(-x.waited)
-			p.freedCellsBefore, p.freedCellsSince = x.ends, c.now
+			group.partitionAssignedAt = c.now.Add(-x.waited)
+			p.freedInPreviousWindow, p.freedWindowStart = x.ends, c.now
 			c.placeGroup(p, group)
 			if got := p.cells.PreemptingGroup(group.task(0)) != nil; got != x.preempts {
 				t.Errorf("it preempts: %v, want %v", got, x.preempts)
@@ -291,7 +291,7 @@
 // answer that was given last, and each that is finished costs what it is planned to.
 func TestFinishedJobsCostLittle(t *testing.T) {
 	const jobs, each = 20_000, 100
-	c := lone(t)
+	c := newTestController(t)
 	held := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
@@ -304,20 +304,20 @@
 		spec.ID = fmt.Sprintf("wk-%08d", i)
 		stamp := uint64(2*i + 10)
 		if i%2 == 0 { // it ran while this controller did, else it is read after a start
-			c.replica.Put(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), stamp)
+			c.replica.Put(jobKey(spec.ID), marshalJSON(t, record.Job{Spec: spec}), stamp)
 		}
-		c.replica.Put(jobKey(spec.ID), raw(t, record.Job{FinalState: record.Cancelled + record.FinalState(i/2%2)}), stamp+1)
+		c.replica.Put(jobKey(spec.ID), marshalJSON(t, record.Job{FinalState: record.Cancelled + record.FinalState(i/2%2)}), stamp+1)
 		if i%500 != 499 {
 			continue
 		}
 		// What was stored before the last change of a job may not be known yet.
-		n := len(c.finished)
-		c.archiveFinished(c.replica)
-		if len(c.finished) > n {
-			t.Fatalf("%d jobs are archived before all of them is known, want none", len(c.finished)-n)
+		n := len(c.finalStates)
+		c.archiveFinishedJobs(c.replica)
+		if len(c.finalStates) > n {
+			t.Fatalf("%d jobs are archived before all of them is known, want none", len(c.finalStates)-n)
 		}
 		c.replica.Apply(&wire.WatchResponse{Revision: stamp + 1})
-		c.archiveFinished(c.replica)
+		c.archiveFinishedJobs(c.replica)
 	}
 	if n := int(held()-before) / jobs; n > each {
 		t.Errorf("a finished job holds %d bytes, want at most %d", n, each)
@@ -326,7 +326,7 @@
 		id    string
 		state string
 	}{{"wk-00000000", wire.Cancelled}, {"wk-00000001", wire.Cancelled}, {"wk-00000002", wire.Done}, {"wk-00000003", wire.Done}} {
-		if job := c.lookupJob(x.id); job == nil || job.response().State != x.state {
+		if job := c.lookupJob(x.id); job == nil || job.jobState().State != x.state {
 			t.Errorf("%s is %+v, want it %s", x.id, job, x.state)
 		}
 	}
@@ -336,9 +336,9 @@
 	// A late copy of an older change does not bring it back.
 	spec.ID = "wk-00000002"
 	c.replica = replica.New(recordApplier{c}) // which knows nothing of it yet
-	c.replica.Put(jobKey(spec.ID), raw(t, record.Job{Spec: spec}), 14)
+	c.replica.Put(jobKey(spec.ID), marshalJSON(t, record.Job{Spec: spec}), 14)
 	if job := c.lookupJob(spec.ID); job.finalState != record.Done || len(c.jobs) != 0 {
-		t.Errorf("%s went back to %s", spec.ID, job.response().State)
+		t.Errorf("%s went back to %s", spec.ID, job.jobState().State)
 	}
 }
 
@@ -346,24 +346,24 @@
 // Until all changes up to it are known its tasks count for the team's limit as if the
 // job were not finished: the leader once gave their room away while one of them ran.
 func TestCancelledBeforeItsBindingIsKnown(t *testing.T) {
-	c := lone(t)
+	c := newTestController(t)
 	c.cfg.Settings.Teams = []config.Team{{Name: "t", CPUsMax: 100}}
-	team := c.team("t")
+	team := c.getOrAddTeam("t")
 	spec := &wire.Job{ID: "wk-1", Team: "t", Service: true, Tasks: 1, CPUs: 2, Image: "img"}
 	used := func(when string, want int64) {
 		t.Helper()
-		if got := c.quotas()[team].Used.CPU; got != want*1000 {
+		if got := c.quotas()[team].Usage.CPU; got != want*1000 {
 			t.Errorf("%s %d milli-CPUs count, want %d", when, got, want*1000)
 		}
 	}
 	group := func(machine string) json.RawMessage {
-		return raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: machine, Incarnation: 1}}})
+		return marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: machine, Incarnation: 1}}})
 	}
-	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: spec}), 10)
-	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{}}}), 11)
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: spec}), 10)
+	c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{}}}), 11)
 	c.replica.Apply(&wire.WatchResponse{Revision: 11})
 	used("assigned:", 2)
-	gone := raw(t, record.Job{FinalState: record.Cancelled, Spec: spec})
+	gone := marshalJSON(t, record.Job{FinalState: record.Cancelled, Spec: spec})
 	c.replica.Put(jobKey("wk-1"), gone, 20) // our own write's result
 	used("cancelled here:", 2)
 	c.replica.Apply(&wire.WatchResponse{Revision: 21, Events: []wire.Event{
@@ -373,7 +373,7 @@
 	used("proven gone:", 0)
 
 	// The same where not even the assignment is known yet.
-	c.replica.Put(jobKey("wk-2"), raw(t, record.Job{Spec: spec}), 30)
+	c.replica.Put(jobKey("wk-2"), marshalJSON(t, record.Job{Spec: spec}), 30)
 	c.replica.Apply(&wire.WatchResponse{Revision: 30})
 	c.replica.Put(jobKey("wk-2"), gone, 40)
 	c.replica.Apply(&wire.WatchResponse{Revision: 41, Events: []wire.Event{
--- a/internal/controller/cordons.go
+++ b/internal/controller/cordons.go
@@ -32,15 +32,15 @@
 	jobAvoidance = time.Minute
 )
 
-// noteTaskEnd learns from why a task exited.
-func (c *partitionOwner) noteTaskEnd(m *machine, j *job, reason string) {
+// handleTaskEnd learns from why a task exited.
+func (c *partitionOwner) handleTaskEnd(m *machine, j *job, reason string) {
 	switch reason {
 	case wire.ReasonDone:
 		clear(m.failedJobs)
 	case wire.ReasonError:
 		c.noteTaskFailure(m, j)
 	case wire.ReasonNoRoom, wire.ReasonInUse, wire.ReasonUnknownTask:
-		m.avoidUntil = c.now.Add(refusedStartRest)
+		m.placementBackoffUntil = c.now.Add(refusedStartRest)
 		c.log.Info("start refused", "job", j.id, "machine", m.name, "why", reason)
 	}
 }
@@ -50,19 +50,19 @@
 // Until it is clear which of them it is, both rest.
 func (c *partitionOwner) noteTaskFailure(m *machine, j *job) {
 	m.failedJobs[j.id] = c.now
-	if j.failedOn == nil {
-		j.failedOn = map[string]bool{}
+	if j.failedMachines == nil {
+		j.failedMachines = map[string]bool{}
 	}
-	j.failedOn[m.name] = true
-	if machines := len(j.failedOn); machines >= failedMachinesLimit {
+	j.failedMachines[m.name] = true
+	if machines := len(j.failedMachines); machines >= failedMachinesLimit {
 		doublings := min(machines-failedMachinesLimit, maxFailedJobDoublings)
 		j.retryAt = c.now.Add(min(minFailedJobRest<<doublings, maxFailedJobRest))
 	}
-	m.avoidUntil = c.now.Add(failedTaskRest)
+	m.placementBackoffUntil = c.now.Add(failedTaskRest)
 	c.updateCordon(m)
 	if j.failsEverywhere() {
-		for name := range j.failedOn {
-			c.updateCordon(c.machineNamed(name))
+		for name := range j.failedMachines {
+			c.updateCordon(c.getOrAddMachine(name))
 		}
 	}
 	c.log.Info("task failed", "job", j.id, "machine", m.name)
@@ -71,10 +71,10 @@
 // failsEverywhere tells whether a job fails on every machine, as one does that was submitted
 // with a mistake: it has failed on several, and no task of it has completed.
 func (j *job) failsEverywhere() bool {
-	if len(j.failedOn) < failedMachinesLimit {
+	if len(j.failedMachines) < failedMachinesLimit {
 		return false
 	}
-	_, finished := j.assignedTasks()
+	_, finished := j.countAssignedTasks()
 	return finished == 0
 }
 
--- a/internal/controller/cordons_test.go
+++ b/internal/controller/cordons_test.go
@@ -11,12 +11,12 @@
 // A job that fails on machine after machine is tried ever more rarely, and each machine that
 // failed it rests a moment.
 func TestFailedJobRestsLongerWithEachMachine(t *testing.T) {
-	c := lone(t)
+	c := newTestController(t)
 	j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 20}}
 	c.jobs["wk-1"] = j
 	for i, want := range []time.Duration{0, 0, 1, 2, 4, 8, 16, 30, 30} {
-		m := c.machineNamed(fmt.Sprint("host-", i))
-		c.noteTaskEnd(m, j, wire.ReasonError)
+		m := c.getOrAddMachine(fmt.Sprint("host-", i))
+		c.handleTaskEnd(m, j, wire.ReasonError)
 		rest := time.Duration(0)
 		if !j.retryAt.IsZero() {
 			rest = j.retryAt.Sub(c.now)
@@ -24,7 +24,7 @@
 		if rest != want*time.Second {
 			t.Errorf("after failures on %d machines the job rests for %v, want %v", i+1, rest, want*time.Second)
 		}
-		if got := m.avoidUntil.Sub(c.now); got != 5*time.Second {
+		if got := m.placementBackoffUntil.Sub(c.now); got != 5*time.Second {
 			t.Errorf("a machine that failed a task rests for %v, want 5 s", got)
 		}
 	}
@@ -33,15 +33,15 @@
 // A machine that refuses a start rests until it has been heard again; nobody is to blame.
 func TestRefusedStartBlamesNobody(t *testing.T) {
 	for _, reason := range []string{wire.ReasonNoRoom, wire.ReasonInUse, wire.ReasonUnknownTask} {
-		c := lone(t)
-		m := c.machineNamed("host-1")
+		c := newTestController(t)
+		m := c.getOrAddMachine("host-1")
 		j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 1}}
-		c.noteTaskEnd(m, j, reason)
-		if got := m.avoidUntil.Sub(c.now); got != time.Second {
+		c.handleTaskEnd(m, j, reason)
+		if got := m.placementBackoffUntil.Sub(c.now); got != time.Second {
 			t.Errorf("%s: the machine rests for %v, want 1 s", reason, got)
 		}
-		if len(m.failedJobs) > 0 || len(j.failedOn) > 0 || !j.retryAt.IsZero() || m.cordoned {
-			t.Errorf("%s: somebody is blamed: %v %v %v %v", reason, m.failedJobs, j.failedOn, j.retryAt, m.cordoned)
+		if len(m.failedJobs) > 0 || len(j.failedMachines) > 0 || !j.retryAt.IsZero() || m.cordoned {
+			t.Errorf("%s: somebody is blamed: %v %v %v %v", reason, m.failedJobs, j.failedMachines, j.retryAt, m.cordoned)
 		}
 	}
 }
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -25,15 +25,15 @@
 func (c *clusterState) demand(j *job, zone string, count int) planning.Demand {
 	spec, order := j.spec, c.jobOrder(j)
 	return planning.Demand{
-		Class:        spec.Class,
-		TaskSize:     j.taskSize,
-		Count:        count,
-		AllOrNothing: spec.AllOrNothing(),
-		EstimateS:    spec.EstimateS,
-		WindowS:      order.WindowS(),
-		SlackS:       c.slackS(j),
-		Allows: func(offer planning.Offer) bool {
-			return allowed(spec, zone, offer.Type, offer.Zone, offer.Spot)
+		Class:             spec.Class,
+		TaskSize:          j.taskSize,
+		Count:             count,
+		AllOrNothing:      spec.AllOrNothing(),
+		EstimateS:         spec.EstimateS,
+		CompletionWindowS: order.CompletionWindowS(),
+		SlackS:            c.slackS(j),
+		AllowsOffer: func(offer planning.Offer) bool {
+			return allowsMachine(spec, zone, offer.Type, offer.Zone, offer.Spot)
 		},
 	}
 }
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -29,27 +29,27 @@
 // sendCommandsNow sends a machine's commands at once, without waiting for its heartbeat.
 func (c *partitionOwner) sendCommandsNow(m *machine) {
 	p := c.partitions[m.partition]
-	if p.token == 0 || !p.active || m.terminated || m.addr == "" || !m.heartbeatAt.After(p.ownedSince) {
+	if p.token == 0 || !p.takeoverComplete || m.terminated || m.addr == "" || !m.heartbeatAt.After(p.ownedSince) {
 		return
 	}
-	if m.direct.inFlight {
-		m.direct.repeat = true
+	if m.commandState.inFlight {
+		m.commandState.sendAgain = true
 		return
 	}
-	if c.now.Before(m.direct.backoffUntil) || !c.isFresh(c.maxStaleness) {
+	if c.now.Before(m.commandState.backoffUntil) || !c.isFresh(c.maxStaleness) {
 		return
 	}
 	if !c.directSlots.Available(workerclient.Commands) {
 		c.directSlots.Wait(m, workerclient.Commands)
 		return
 	}
-	if commands := c.commands(m, p); len(commands) > 0 {
-		c.sendDirect(m, p, commands)
+	if commands := c.commandsFor(m, p); len(commands) > 0 {
+		c.sendDirectRequest(m, p, commands)
 	}
 }
 
-// sendQueuedDirect gives the machines that wait for a slot their turn.
-func (c *partitionOwner) sendQueuedDirect() {
+// sendQueuedRequests gives the machines that wait for a slot their turn.
+func (c *partitionOwner) sendQueuedRequests() {
 	for n := c.directSlots.Waiting(); n > 0 && c.directSlots.Available(workerclient.Commands); n-- {
 		m, purpose := c.directSlots.Next()
 		if purpose == workerclient.Commands {
@@ -63,22 +63,22 @@
 // ping shows a machine the partition's token, whether it has something to do or not. Its
 // answer is as good as a heartbeat, but renews no lease.
 func (c *partitionOwner) ping(m *machine, p *partition) {
-	if m.direct.inFlight || c.now.Before(m.direct.backoffUntil) || m.incarnation == 0 || m.addr == "" || !c.isFresh(c.maxStaleness) {
+	if m.commandState.inFlight || c.now.Before(m.commandState.backoffUntil) || m.incarnation == 0 || m.addr == "" || !c.isFresh(c.maxStaleness) {
 		return
 	}
 	if !c.directSlots.Available(workerclient.Ping) {
 		c.directSlots.Wait(m, workerclient.Ping)
 		return
 	}
-	c.sendDirect(m, p, nil)
+	c.sendDirectRequest(m, p, nil)
 }
 
-// sendDirect sends commands to a machine; none: a ping. The result is handled on the event
+// sendDirectRequest sends commands to a machine; none: a ping. The result is handled on the event
 // loop.
-func (c *partitionOwner) sendDirect(m *machine, p *partition, commands []wire.Command) {
+func (c *partitionOwner) sendDirectRequest(m *machine, p *partition, commands []wire.Command) {
 	c.directSlots.Acquire(m)
-	m.direct.inFlight, m.direct.repeat = true, false
-	m.direct.carriesStart = slices.ContainsFunc(commands, isStart)
+	m.commandState.inFlight, m.commandState.sendAgain = true, false
+	m.commandState.carriesStart = slices.ContainsFunc(commands, isStartCommand)
 	request := directRequest{machine: m, partition: p, token: p.token, sentAt: c.now}
 	body := &wire.CommandRequest{Token: p.token, Incarnation: m.incarnation, Commands: commands}
 	timeout := workerclient.Timeout
@@ -95,50 +95,50 @@
 		c.enqueue(priorityWorkers, func() {
 			c.directSlots.Release()
 			if err != nil {
-				c.directUnanswered(request, err)
+				c.handleDirectFailure(request, err)
 			} else {
-				c.directAnswered(request, heartbeat, executed)
+				c.handleDirectAnswer(request, heartbeat, executed)
 			}
-			c.sendQueuedDirect()
+			c.sendQueuedRequests()
 		})
 	}()
 }
 
-func isStart(command wire.Command) bool { return command.Op == wire.OpStart }
+func isStartCommand(command wire.Command) bool { return command.Op == wire.OpStart }
 
-// directUnanswered notes that a request has no answer. Its commands may be executed minutes
+// handleDirectFailure notes that a request has no answer. Its commands may be executed minutes
 // later, as long as token and incarnation match: until the machine has seen a higher token,
 // that a task is absent from its heartbeats proves nothing.
-func (c *partitionOwner) directUnanswered(request directRequest, err error) {
+func (c *partitionOwner) handleDirectFailure(request directRequest, err error) {
 	m := request.machine
-	if m.direct.carriesStart {
-		m.direct.unansweredStartToken = request.token
+	if m.commandState.carriesStart {
+		m.commandState.unansweredStartToken = request.token
 	}
-	m.direct.inFlight, m.direct.carriesStart = false, false
+	m.commandState.inFlight, m.commandState.carriesStart = false, false
 	// A controller with too little processor time may not have come to the answer yet:
 	// hundreds of machines that are pinged after a failover would all seem dead.
-	if !c.laggedSince(request.sentAt) {
-		m.direct.unanswered++
+	if !c.hasLaggedSince(request.sentAt) {
+		m.commandState.unanswered++
 	}
-	if m.direct.unanswered >= unansweredLimit {
-		m.direct.backoffUntil = c.now.Add(unansweredBackoff)
+	if m.commandState.unanswered >= unansweredLimit {
+		m.commandState.backoffUntil = c.now.Add(unansweredBackoff)
 	}
 	c.log.Debug("direct command unanswered", "machine", m.name, "err", err)
 }
 
-// directAnswered takes the heartbeat in that a worker answers a request with, and sends what
+// handleDirectAnswer takes the heartbeat in that a worker answers a request with, and sends what
 // was wanted meanwhile, or was not executed.
-func (c *partitionOwner) directAnswered(request directRequest, heartbeat *wire.Heartbeat, executed bool) {
+func (c *partitionOwner) handleDirectAnswer(request directRequest, heartbeat *wire.Heartbeat, executed bool) {
 	m, p := request.machine, request.partition
-	m.direct.inFlight, m.direct.carriesStart = false, false
+	m.commandState.inFlight, m.commandState.carriesStart = false, false
 	if heartbeat.Machine != m.name {
 		return // its address has come to another machine
 	}
 	if p.token != 0 && heartbeat.Token <= p.token {
-		c.applyHeartbeat(m, heartbeat, p, directAnswer)
+		c.applyHeartbeat(m, heartbeat, p, directCommandResponse)
 	}
-	if m.direct.repeat || !executed {
-		m.direct.repeat = false
+	if m.commandState.sendAgain || !executed {
+		m.commandState.sendAgain = false
 		c.sendCommandsNow(m)
 	}
 }
--- a/internal/controller/direct_commands_test.go
+++ b/internal/controller/direct_commands_test.go
@@ -14,13 +14,13 @@
 // Direct commands that hang hold a socket each: when hundreds of machines fall
 // silent together, few are asked at a time, half of the places are kept for
 // commands, and each machine has its turn.
-func TestDirectCommandsAreBounded(t *testing.T) {
-	c := crowded(t, 2000)
+func TestDirectRequestsAreLimited(t *testing.T) {
+	c := newFullFleetController(t, 2000)
 	p := c.partitions[0]
 	c.directSlots = workerclient.NewSlots[*machine](40)
 	c.now = c.now.Add(20 * time.Second)
 	c.replica.NoteRead(c.now)
-	c.probeUnreachable()
+	c.probeMachines()
 	if c.directSlots.Open() != 20 || c.directSlots.Open()+c.directSlots.Waiting() != len(p.machines) || len(p.machines) < 300 {
 		t.Fatalf("%d commands are open and %d machines wait, of %d", c.directSlots.Open(), c.directSlots.Waiting(), len(p.machines))
 	}
@@ -32,13 +32,13 @@
 		for c.directSlots.Open() > 0 {
 			c.directSlots.Release()
 		}
-		c.sendQueuedDirect()
+		c.sendQueuedRequests()
 		if c.directSlots.Open() > 20 {
 			t.Fatalf("%d commands are open", c.directSlots.Open())
 		}
 	}
 	for _, m := range p.machines {
-		if m.direct.inFlight {
+		if m.commandState.inFlight {
 			asked[m.name] = true
 		}
 	}
@@ -60,18 +60,18 @@
 
 // A process that stands still between a decision and its sending has lost the right
 // to it by the time it wakes: the command is not sent.
-func TestNoCommandIsSentAfterAPause(t *testing.T) {
+func TestSuspendedProcessSendsNoCommand(t *testing.T) {
 	for _, still := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			c := lone(t)
+			c := newTestController(t)
 			out := &countingTransport{}
 			c.workerClient = workerclient.NewClient(out)
-			m := c.machineNamed("host-1")
+			m := c.getOrAddMachine("host-1")
 			m.addr, m.incarnation, m.heartbeatAt = "10.1.0.1:1", 1, c.now
 			if still {
 				time.Sleep(5 * time.Second) // b.now is when it was decided
 			}
-			c.sendDirect(m, c.partitions[0], []wire.Command{{Op: wire.OpStart, Task: "wk-1/0", Attempt: 1}})
+			c.sendDirectRequest(m, c.partitions[0], []wire.Command{{Op: wire.OpStart, Task: "wk-1/0", Attempt: 1}})
 			synctest.Wait()
 			if sent := out.sent.Load() > 0; sent == still {
 				t.Errorf("stood still: %v; sent: %v, want %v", still, sent, !still)
@@ -97,41 +97,41 @@
 		{name: "twice", times: 2, unanswered: 2, backoff: 3 * time.Second},
 		{name: "the answer may have come and not been handled", carriesStart: true, lagged: true, times: 3, startToken: 1},
 	} {
-		c := lone(t)
+		c := newTestController(t)
 		p := c.partitions[0]
-		m := c.machineNamed("host-1")
+		m := c.getOrAddMachine("host-1")
 		for range x.times {
-			m.direct.inFlight, m.direct.carriesStart = true, x.carriesStart
+			m.commandState.inFlight, m.commandState.carriesStart = true, x.carriesStart
 			request := directRequest{machine: m, partition: p, token: p.token, sentAt: c.now}
 			c.now = c.now.Add(time.Second)
 			if x.lagged {
 				c.lastLaggedAt = c.now
 			}
-			c.directUnanswered(request, http.ErrServerClosed)
+			c.handleDirectFailure(request, http.ErrServerClosed)
 		}
-		want := directState{unanswered: x.unanswered, unansweredStartToken: x.startToken}
+		want := directCommandState{unanswered: x.unanswered, unansweredStartToken: x.startToken}
 		if x.backoff > 0 {
 			want.backoffUntil = c.now.Add(x.backoff)
 		}
-		if m.direct != want {
-			t.Errorf("%s: %+v, want %+v", x.name, m.direct, want)
+		if m.commandState != want {
+			t.Errorf("%s: %+v, want %+v", x.name, m.commandState, want)
 		}
 	}
 }
 
 // An address may have come to another machine: its answer says nothing of the one that was
 // asked.
-func TestAnswerOfAnotherMachine(t *testing.T) {
+func TestAnswerFromAnotherMachine(t *testing.T) {
 	for name, heard := range map[string]bool{"host-1": true, "host-2": false} {
-		c := lone(t)
+		c := newTestController(t)
 		p := c.partitions[0]
-		m := c.machineNamed("host-1")
-		m.direct.inFlight, m.direct.carriesStart, m.direct.unanswered = true, true, 1
-		c.directAnswered(directRequest{machine: m, partition: p, token: p.token, sentAt: c.now}, &wire.Heartbeat{Machine: name, Incarnation: 1, Sequence: 1, Token: 1}, true)
-		if m.direct.inFlight || m.direct.carriesStart {
+		m := c.getOrAddMachine("host-1")
+		m.commandState.inFlight, m.commandState.carriesStart, m.commandState.unanswered = true, true, 1
+		c.handleDirectAnswer(directRequest{machine: m, partition: p, token: p.token, sentAt: c.now}, &wire.Heartbeat{Machine: name, Incarnation: 1, Sequence: 1, Token: 1}, true)
+		if m.commandState.inFlight || m.commandState.carriesStart {
 			t.Errorf("%s answers: the request is still under way", name)
 		}
-		if got := m.incarnation == 1 && m.direct.unanswered == 0; got != heard {
+		if got := m.incarnation == 1 && m.commandState.unanswered == 0; got != heard {
 			t.Errorf("%s answers: host-1 is heard: %v, want %v", name, got, heard)
 		}
 		if !m.heartbeatAt.IsZero() || !m.leaseRenewedAt.IsZero() {
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -58,8 +58,8 @@
 	return l.events.put(ctx, at, event)
 }
 
-// requestPass asks for a scheduling pass soon: events in a burst share one.
-func (l *eventLoop) requestPass() { l.passDue = true }
+// requestSchedulingPass asks for a scheduling pass soon: events in a burst share one.
+func (l *eventLoop) requestSchedulingPass() { l.passDue = true }
 
 // lagging tells whether this process gets so little processor time just now that it can't
 // tell who is late: others or itself.
@@ -67,8 +67,8 @@
 	return !l.lastTick.IsZero() && l.now.Sub(l.lastTick) > tickInterval+maxLag
 }
 
-// laggedSince tells whether it did at any time since t.
-func (l *eventLoop) laggedSince(t time.Time) bool { return l.lagging() || l.lastLaggedAt.After(t) }
+// hasLaggedSince tells whether it did at any time since t.
+func (l *eventLoop) hasLaggedSince(t time.Time) bool { return l.lagging() || l.lastLaggedAt.After(t) }
 
 // loopAt is the event loop as components see it that queue functions at one priority.
 type loopAt struct {
@@ -115,7 +115,7 @@
 func (c *controller) runEvent(event func(), due *schedule) {
 	c.now = time.Now()
 	event()
-	c.metrics.observe(latencyEvent, time.Since(c.now))
+	c.metrics.observeLatency(latencyEvent, time.Since(c.now))
 	if c.passDue && c.now.After(due.pass) && !c.events.hasBefore(priorityUsers) {
 		c.runPass(due, time.Now())
 	}
--- a/internal/controller/event_queue.go
+++ b/internal/controller/event_queue.go
@@ -11,9 +11,9 @@
 type priority int
 
 const (
-	// priorityState is for what the key-value store has said: it tells that leases are
+	// priorityStore is for what the key-value store has said: it tells that leases are
 	// lost, and what of our own is stored.
-	priorityState priority = iota
+	priorityStore priority = iota
 	// priorityWorkers is for heartbeats, answers to direct commands, the cloud's answers
 	// and peers. A heartbeat that is answered too late costs a worker's lease, and with it
 	// work that must then be done once more.
@@ -117,7 +117,7 @@
 	case <-done:
 	case <-tick:
 		return nil, true
-	case event = <-q.queues[priorityState]:
+	case event = <-q.queues[priorityStore]:
 	case event = <-q.queues[priorityWorkers]:
 	case event = <-q.queues[priorityUsers]:
 	}
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -32,13 +32,13 @@
 }
 
 // eligible tells whether this controller should hold leased keys.
-func (c *clusterState) eligible() bool {
+func (c *clusterState) isEligible() bool {
 	return c.isFresh(c.operator.LeaseTTL) && !c.election.BackingOff() && c.rollout.refusal == nil
 }
 
 // campaign acquires vacant keys and hands partitions over to their preferred owners.
 func (c *controller) campaign() {
-	if !c.eligible() {
+	if !c.isEligible() {
 		return
 	}
 	owned := c.partitions[:c.loanPartition()]
@@ -57,7 +57,7 @@
 	for _, p := range c.partitions[:c.loanPartition()] {
 		keys = append(keys, p.key)
 	}
-	c.election.StepDownIfIsolated(c.leaderKey(), c.leadership.since, keys, workers, peers)
+	c.election.StepDownIfIsolated(c.leaderKey(), c.leadership.startedAt, keys, workers, peers)
 }
 
 // KeyAcquired begins to act as the owner of a partition, or as the leader.
@@ -80,7 +80,7 @@
 	}
 	for _, p := range c.partitions {
 		if p.key == key {
-			p.token, p.active = 0, false
+			p.token, p.takeoverComplete = 0, false
 			p.cells, p.reservations = nil, nil
 			p.cancelWrites()
 		}
@@ -111,26 +111,26 @@
 // raiseToken rewrites a partition's key: a higher token, which fences commands that may
 // still be under way.
 func (c *partitionOwner) raiseToken(p *partition) {
-	if c.now.Sub(p.tokenRaisedAt) < minTokenRaiseInterval {
+	if c.now.Sub(p.tokenRaiseRequestedAt) < minTokenRaiseInterval {
 		return
 	}
 	if c.election.RaiseToken(p.key) {
-		p.tokenRaiseDue, p.tokenRaisedAt = false, c.now
+		p.tokenRaiseDue, p.tokenRaiseRequestedAt = false, c.now
 	}
 }
 
 // takeOverPartition takes a partition over: the replica is read once more, so that it has
 // all that former owners stored, then the cells are rebuilt from it.
 func (c *controller) takeOverPartition(p *partition, token uint64) {
-	p.firstToken, p.ownedSince, p.active = token, c.now, false
-	p.ownTokens = nil
+	p.firstToken, p.ownedSince, p.takeoverComplete = token, c.now, false
+	p.recentTokens = nil
 	p.setToken(token)
-	p.cells, p.reservations = scheduling.NewPartition(), map[scheduling.Task]reservation{}
+	p.cells, p.reservations = scheduling.NewPartition(), map[scheduling.TaskID]reservation{}
 	// A former owner's last read may have begun just before its key went; it may go on
 	// answering heartbeats for the maximum staleness after that. Whether there was one
 	// can't be told here, not even after our own restart: the process before it may have
 	// been a successor itself.
-	p.formerOwnerStaleness = c.maxStaleness
+	p.formerOwnerMaxStaleness = c.maxStaleness
 	c.reader.AfterSuccessfulRead(func() { c.activatePartition(p, token) })
 }
 
@@ -140,10 +140,10 @@
 	if p.token != token {
 		return
 	}
-	p.active = true
-	for t := range c.attemptEnds {
+	p.takeoverComplete = true
+	for t := range c.unstoredEnds {
 		if group := c.groups[t.Group]; group == nil || group.partition == p.index {
-			delete(c.attemptEnds, t)
+			delete(c.unstoredEnds, t)
 		}
 	}
 	for group := range c.allGroups() {
@@ -154,11 +154,11 @@
 	// so that they turn to us.
 	for _, m := range p.machines {
 		if !m.terminated {
-			m.direct.backoffUntil = time.Time{}
+			m.commandState.backoffUntil = time.Time{}
 			c.ping(m, p)
 		}
 	}
-	c.requestPass()
+	c.requestSchedulingPass()
 }
 
 // learnMachinesFromPeers takes in what peers know of their machines.
@@ -168,7 +168,7 @@
 			continue
 		}
 		for _, x := range other.Status.Machines {
-			m := c.machineNamed(x.Name)
+			m := c.getOrAddMachine(x.Name)
 			if m.machineType == "" {
 				m.machineType, m.zone, m.spot = x.Type, x.Zone, x.Flags&peer.Spot != 0
 			}
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -93,7 +93,7 @@
 func (c *cluster) leaseHolders() map[string]leaseHolder {
 	out := map[string]leaseHolder{}
 	ctl := c.nodes[0].controller()
-	ctl.call(c.ctx, priorityState, func() {
+	ctl.call(c.ctx, priorityStore, func() {
 		for key, h := range ctl.election.Holders() {
 			out[key] = leaseHolder{h.Node, ctl.replica.Revision(key)}
 		}
@@ -111,7 +111,7 @@
 func (c *cluster) countAssignedPartitions() int {
 	partitions := map[int]bool{}
 	for _, n := range c.nodes {
-		n.controller().call(c.ctx, priorityState, func() {
+		n.controller().call(c.ctx, priorityStore, func() {
 			if n.controller().isLeader() {
 				for _, summary := range n.controller().machineSummaries() {
 					partitions[summary.Partition] = true
@@ -208,8 +208,8 @@
 	for _, a := range c.env.Cloud.Agents() {
 		for _, n := range c.nodes {
 			ctl := n.controller()
-			ctl.call(c.ctx, priorityState, func() {
-				m := ctl.machineNamed(a.Name())
+			ctl.call(c.ctx, priorityStore, func() {
+				m := ctl.getOrAddMachine(a.Name())
 				if ctl.partitions[m.partition].token != 0 && !ctl.isLeader() && len(m.bindings) > 0 {
 					found = a
 				}
@@ -275,9 +275,9 @@
 // fencing tokens.
 func (c *cluster) ownedPartitions(i int) (count int, tokens uint64) {
 	ctl := c.nodes[i].controller()
-	ctl.call(c.ctx, priorityState, func() {
+	ctl.call(c.ctx, priorityStore, func() {
 		for _, p := range ctl.partitions {
-			if p.token != 0 && p.active {
+			if p.token != 0 && p.takeoverComplete {
 				count, tokens = count+1, tokens+p.token
 			}
 		}
@@ -288,17 +288,17 @@
 // An owner starts nothing on the strength of an old read: somebody may have told a user
 // "cancelled" since. It goes on answering heartbeats, so that what runs goes on.
 func TestNoStartAfterAnOldRead(t *testing.T) {
-	c := lone(t)
+	c := newTestController(t)
 	p := c.partitions[0]
-	m := c.machineNamed("host-1")
+	m := c.getOrAddMachine("host-1")
 	c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
-	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
-	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 3)
-	if cmds := c.commands(m, p); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
+	c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 3)
+	if cmds := c.commandsFor(m, p); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
 		t.Fatalf("commands %v, want one start", cmds)
 	}
 	c.now = c.now.Add(c.operator.LeaseTTL + time.Second)
-	if cmds := c.commands(m, p); len(cmds) != 0 {
+	if cmds := c.commandsFor(m, p); len(cmds) != 0 {
 		t.Errorf("commands %v on an old read, want none", cmds)
 	}
 	if !c.isFresh(c.maxStaleness) {
--- a/internal/controller/fault_machine_effects_test.go
+++ b/internal/controller/fault_machine_effects_test.go
@@ -44,7 +44,7 @@
 	agents := s.env.Cloud.Agents()
 	bound := map[string]int{}
 	for _, a := range agents {
-		bound[a.Name()] = s.countBoundTo(a.Name())
+		bound[a.Name()] = s.countTasksBoundTo(a.Name())
 	}
 	slices.SortStableFunc(agents, func(x, y *agent.Agent) int { return bound[y.Name()] - bound[x.Name()] })
 	return agents[:min(count, len(agents))]
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -76,7 +76,7 @@
 // rest waits for its turn, and what waits is neither refused nor given up.
 func TestMassLossFitsTheQueue(t *testing.T) {
 	const machines = 4000
-	c := crowded(t, machines)
+	c := newFullFleetController(t, machines)
 	var log bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelError}))
 	p := c.partitions[0]
@@ -84,7 +84,7 @@
 		m.terminated = true
 		c.endAllAttempts(m, "test")
 	}
-	lost := len(c.attemptEnds)
+	lost := len(c.unstoredEnds)
 	for range 3 {
 		c.schedulePartition(p)
 	}
@@ -93,11 +93,11 @@
 	}
 	waiting := 0
 	for _, group := range p.groups {
-		if !group.writing && group.hasUnstoredEnds {
+		if !group.writeInFlight && group.hasUnstoredEnds {
 			waiting++
 		}
 	}
-	if waiting == 0 || len(c.attemptEnds) != lost {
-		t.Errorf("%d records wait, %d of %d ends are remembered", waiting, len(c.attemptEnds), lost)
+	if waiting == 0 || len(c.unstoredEnds) != lost {
+		t.Errorf("%d records wait, %d of %d ends are remembered", waiting, len(c.unstoredEnds), lost)
 	}
 }
--- a/internal/controller/fleet_usage.go
+++ b/internal/controller/fleet_usage.go
@@ -17,9 +17,9 @@
 	c.leadership.usageLoggedAt = c.now
 	var size, free, spot, spotFree scheduling.Resources
 	for _, summary := range summaries {
-		size, free = size.Plus(summary.Size), free.Plus(summary.Free)
+		size, free = size.Plus(summary.Size), free.Plus(summary.FreeResources)
 		if summary.Spot {
-			spot, spotFree = spot.Plus(summary.Size), spotFree.Plus(summary.Free)
+			spot, spotFree = spot.Plus(summary.Size), spotFree.Plus(summary.FreeResources)
 		}
 	}
 	waiting, unplaced := c.countWaitingTasks()
@@ -33,14 +33,14 @@
 // countWaitingTasks counts the tasks that are not assigned to a partition, and those that
 // are and are not placed yet.
 func (c *catalog) countWaitingTasks() (waiting, unplaced int) {
-	for _, job := range c.unfinished {
+	for _, job := range c.activeJobs {
 		if job.finalState != record.Unfinished || job.spec == nil {
 			continue
 		}
-		assigned, _ := job.assignedTasks()
+		assigned, _ := job.countAssignedTasks()
 		waiting += job.spec.Tasks - assigned
 		for _, group := range job.groups {
-			unplaced += len(group.bindings) - group.boundTasks()
+			unplaced += len(group.bindings) - group.boundTaskCount()
 		}
 	}
 	return waiting, unplaced
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -14,7 +14,7 @@
 // What package frontend asks of the controller.
 
 // response is what a user is told of a known job.
-func (j *job) response() wire.JobState {
+func (j *job) jobState() wire.JobState {
 	s := wire.JobState{ID: j.id}
 	switch j.finalState {
 	case record.Done:
@@ -25,8 +25,8 @@
 		s.State = wire.Queued
 		running, finished := 0, 0
 		for _, group := range j.groups {
-			running += group.boundTasks()
-			finished += group.done
+			running += group.boundTaskCount()
+			finished += group.doneTasks
 		}
 		if running > 0 {
 			s.State = wire.Running
@@ -60,7 +60,7 @@
 	if j == nil {
 		return nil
 	}
-	return &frontend.Job{State: j.response(), Final: j.finalState != record.Unfinished, Revision: j.revision, Spec: j.spec, AcceptedAt: j.acceptedAt}
+	return &frontend.Job{State: j.jobState(), Final: j.finalState != record.Unfinished, Revision: j.revision, Spec: j.spec, AcceptedAt: j.acceptedAt}
 }
 
 // Unreadable reports whether a record of the job can't be decoded.
--- a/internal/controller/crowded_fleet_test.go
+++ b/internal/controller/full_fleet_test.go
@@ -15,25 +15,25 @@
 	"eiderhitch/internal/wire"
 )
 
-// silentNetwork is a network on which nobody answers.
-type silentNetwork struct{}
+// unresponsiveTransport is a network on which nobody answers.
+type unresponsiveTransport struct{}
 
 // RoundTrip waits until the caller gives up.
-func (silentNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
+func (unresponsiveTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
 
 // What a crowded fleet has.
 const (
-	crowdedControllers = 5
-	tasksPerMachine    = 8 // of 2 CPUs, which fill a large machine
+	fullFleetControllers = 5
+	tasksPerMachine      = 8 // of 2 CPUs, which fill a large machine
 	// ownedToken is the fencing token of the partition that the controller owns.
 	ownedToken = 11
 )
 
-// crowdedFleet builds what a controller knows of a crowded fleet.
-type crowdedFleet struct {
+// fullFleet builds what a controller knows of a crowded fleet.
+type fullFleet struct {
 	*controller
 	revision uint64
 	jobCount int
@@ -42,9 +42,9 @@
 // crowded returns the leader, who also owns partition 0 of five, of a fleet of the given
 // size: half of it runs services, half an array's tasks, all of it is full, and more arrays
 // of several classes wait.
-func crowded(tb testing.TB, machines int) *controller {
+func newFullFleetController(tb testing.TB, machines int) *controller {
 	tb.Helper()
-	f := &crowdedFleet{controller: newCrowdedController(tb), revision: 10}
+	f := &fullFleet{controller: newIsolatedController(tb), revision: 10}
 	f.addPeers()
 	f.lead()
 	f.bindTasks(f.addMachines(machines))
@@ -55,39 +55,39 @@
 	return f.controller
 }
 
-// newCrowdedController is a controller of a cluster of five that reaches nobody.
-func newCrowdedController(tb testing.TB) *controller {
+// newIsolatedController is a controller of a cluster of five that reaches nobody.
+func newIsolatedController(tb testing.TB) *controller {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(cancel)
 	cfg := &config.Platform{Name: "n0", Zone: "a", APIAddr: "10.0.0.1:80"}
-	for i := 1; i < crowdedControllers; i++ {
+	for i := 1; i < fullFleetControllers; i++ {
 		cfg.Peers = append(cfg.Peers, config.Peer{Name: fmt.Sprintf("n%d", i), Addr: "10.0.0.2:80"})
 	}
 	cfg.External.Store, cfg.External.Cloud = "state:1", "cloud:1"
 	s := &cfg.Settings
-	s.Count, s.Zones = crowdedControllers, []string{"a", "b"}
+	s.Count, s.Zones = fullFleetControllers, []string{"a", "b"}
 	s.Teams = []config.Team{{Name: "red", CPUs: 800}, {Name: "blue"}}
 	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 4, 24, 54
 	s.Store.RPS, s.Store.WriteRPS, s.Store.ValueKB, s.Store.TxnOps = 150, 60, 8, 32
 	s.Cloud.RPS, s.Cloud.ListLagS = 6, 3
-	c := newController(ctx, cfg, config.DefaultOperator(), newTestLogger(io.Discard), clients{state: silentNetwork{}, cloud: silentNetwork{}, workers: silentNetwork{}, send: func(string, []byte) {}})
+	c := newController(ctx, cfg, config.DefaultOperator(), newTestLogger(io.Discard), dependencies{store: unresponsiveTransport{}, cloud: unresponsiveTransport{}, workers: unresponsiveTransport{}, sendFrame: func(string, []byte) {}})
 	c.replica.Load(nil, 0, &wire.WatchResponse{})
 	c.replica.NoteRead(c.now)
 	c.startedAt = c.now.Add(-time.Hour)
-	c.putMachineTypes(testTypes)
+	c.setMachineTypes(testTypes)
 	return c
 }
 
 // put stores a record at the next revision.
-func (f *crowdedFleet) put(key string, value any) {
+func (f *fullFleet) put(key string, value any) {
 	f.revision++
 	f.replica.Put(key, record.JSON(value), f.revision)
 }
 
 // addPeers has each controller own the partition of its number.
-func (f *crowdedFleet) addPeers() {
-	for i := range crowdedControllers {
+func (f *fullFleet) addPeers() {
+	for i := range fullFleetControllers {
 		node := fmt.Sprintf("n%d", i)
 		f.put(rollout.Initial.Keys().Partition(i), record.LeaseHolder{Node: node, ProcessID: "x"})
 		f.vouchFor(node, i)
@@ -101,21 +101,21 @@
 }
 
 // lead has the controller own partition 0 and lead, both for an hour.
-func (f *crowdedFleet) lead() {
+func (f *fullFleet) lead() {
 	p := f.partitions[0]
 	f.takeOverPartition(p, ownedToken)
-	p.active, p.ownedSince = true, f.now.Add(-time.Hour)
+	p.takeoverComplete, p.ownedSince = true, f.now.Add(-time.Hour)
 	f.becomeLeader(f.revision)
-	f.leadership.active, f.leadership.since = true, f.now.Add(-time.Hour)
+	f.leadership.active, f.leadership.startedAt = true, f.now.Add(-time.Hour)
 }
 
 // addMachines adds machines that were just heard of, each to its partition.
-func (f *crowdedFleet) addMachines(count int) []*machine {
+func (f *fullFleet) addMachines(count int) []*machine {
 	var all []*machine
 	for i := range count {
-		m := f.machineNamed(fmt.Sprintf("host-%06d", i))
+		m := f.getOrAddMachine(fmt.Sprintf("host-%06d", i))
 		m.machineType, m.zone, m.addr = "large", "a", "10.1.0.1:1"
-		m.incarnation, m.sequence, m.heartbeatAt, m.leaseRenewedAt, m.answeredAt = 1, 1, f.now, f.now, f.now
+		m.incarnation, m.sequence, m.heartbeatAt, m.leaseRenewedAt, m.lastMessageAt = 1, 1, f.now, f.now, f.now
 		f.setMachineSize(m)
 		all = append(all, m)
 		if m.partition != 0 {
@@ -127,7 +127,7 @@
 }
 
 // addJob adds an accepted job, and returns its ID.
-func (f *crowdedFleet) addJob(spec *wire.Job) string {
+func (f *fullFleet) addJob(spec *wire.Job) string {
 	f.jobCount++
 	spec.ID = fmt.Sprintf("wk-%06d", f.jobCount)
 	spec.RAMGB, spec.Image, spec.EstimateS, spec.DeadlineS = 2, "img", 40, 200
@@ -136,7 +136,7 @@
 }
 
 // bindTasks fills every other machine with services, and the others with tasks of one array.
-func (f *crowdedFleet) bindTasks(machines []*machine) {
+func (f *fullFleet) bindTasks(machines []*machine) {
 	array := f.addJob(&wire.Job{Class: "clean", Team: "blue", Priority: 1, Tasks: len(machines) * tasksPerMachine / 2, CPUs: 2})
 	arrayTasks := map[int][]record.Binding{} // by partition
 	number := int32(0)
@@ -161,7 +161,7 @@
 }
 
 // bindService adds a service of one task that runs on a machine.
-func (f *crowdedFleet) bindService(m *machine) {
+func (f *fullFleet) bindService(m *machine) {
 	id := f.addJob(&wire.Job{Class: "feed", Team: "red", Service: true, Priority: 2, Tasks: 1, CPUs: 2})
 	f.put(groupKey(id, 0), record.TaskGroup{Partition: m.partition, Guaranteed: true, Tasks: []record.Binding{{Attempt: 1, Machine: m.name, Incarnation: 1}}})
 }
--- a/internal/controller/gang_attempt.go
+++ b/internal/controller/gang_attempt.go
@@ -16,17 +16,17 @@
 // gangAttempt is the present attempt of a gang, and whether any task of it may still be on a
 // machine. If none is, the next binding begins a new attempt.
 func (j *job) gangAttempt() (attempt uint64, bound bool) {
-	for b := range j.bindings() {
+	for b := range j.allBindings() {
 		attempt = max(attempt, b.attempt)
 		bound = bound || b.machine != nil
 	}
 	return attempt, bound
 }
 
-// gangBound tells whether every task of a gang's present attempt has a stored binding.
+// isGangBound tells whether every task of a gang's present attempt has a stored binding.
 // None is started before: a gang that takes several transactions to bind would hold
 // machines for tasks that can't run, if the rest fails.
-func (j *job) gangBound() bool {
+func (j *job) isGangBound() bool {
 	n := 0
 	for _, group := range j.groups {
 		if group.boundCount < len(group.bindings) {
@@ -37,25 +37,25 @@
 	return n == j.spec.Tasks
 }
 
-// gangIsDone tells whether a gang is done. Its tasks complete together, so one that is
+// isGangDone tells whether a gang is done. Its tasks complete together, so one that is
 // stored as done speaks for all, also to a controller that never saw its heartbeat.
-func (j *job) gangIsDone() bool {
-	return j.gangCompleted || slices.ContainsFunc(j.groups, func(group *taskGroup) bool { return group.done > 0 })
+func (j *job) isGangDone() bool {
+	return j.gangCompleted || slices.ContainsFunc(j.groups, func(group *taskGroup) bool { return group.doneTasks > 0 })
 }
 
-// noteGangTask learns from the state of a gang's task. After a failover the heartbeats are all
+// observeGangTask learns from the state of a gang's task. After a failover the heartbeats are all
 // there is to tell whether an attempt has run.
-func (j *job) noteGangTask(t *wire.TaskStatus) {
+func (j *job) observeGangTask(t *wire.TaskStatus) {
 	switch t.State {
 	case wire.Running, wire.Saving:
 		j.startedAttempt = max(j.startedAttempt, t.Attempt)
 	case wire.Exited:
-		j.noteGangExit(t)
+		j.observeGangExit(t)
 	}
 }
 
-// noteGangExit learns from why a gang's task has exited.
-func (j *job) noteGangExit(t *wire.TaskStatus) {
+// observeGangExit learns from why a gang's task has exited.
+func (j *job) observeGangExit(t *wire.TaskStatus) {
 	switch t.Reason {
 	case wire.ReasonDone:
 		j.gangCompleted = true // they complete together
@@ -67,7 +67,7 @@
 }
 
 // bindings goes through the bindings of all of a job's tasks that are not done.
-func (j *job) bindings() iter.Seq2[*binding, *taskGroup] {
+func (j *job) allBindings() iter.Seq2[*binding, *taskGroup] {
 	return func(yield func(*binding, *taskGroup) bool) {
 		for _, group := range j.groups {
 			for i := range group.bindings {
@@ -80,9 +80,9 @@
 }
 
 // machines goes through the machines that a job's tasks are bound to, one for each task.
-func (j *job) machines() iter.Seq[*machine] {
+func (j *job) boundMachines() iter.Seq[*machine] {
 	return func(yield func(*machine) bool) {
-		for bound := range j.bindings() {
+		for bound := range j.allBindings() {
 			if bound.machine != nil && !yield(bound.machine) {
 				return
 			}
--- a/internal/controller/gang_ends_test.go
+++ b/internal/controller/gang_ends_test.go
@@ -23,7 +23,7 @@
 // never given up, and bound the tasks anew whenever they ended.
 // Shown by (seed 304): "record write failed ... a condition failed", then "task bound" and
 // "attempt ended" in turn for the same task and attempt=1, while no agent shows the task.
-func TestGangIsReplacedAfterLostAnswer(t *testing.T) {
+func TestGangMembersAreReplacedAfterLostWriteResponse(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		const services, left = 18, 2
 		c.runServices(services, 2)
@@ -33,21 +33,21 @@
 		gang := gangSubmission("wk-99", "blue", "urgent", 4, 20)
 		gang.ImageGB, gang.Image, gang.MachineTypes = 7, "gang", []string{"small"}
 		c.submit(gang)
-		c.await("it is placed", time.Minute, func() bool { return c.attemptsOf("wk-99")[1] == 4 })
+		c.await("it is placed", time.Minute, func() bool { return c.attemptCounts("wk-99")[1] == 4 })
 		time.Sleep(4 * time.Second)
-		c.setPolicies(loseOneAnswer("e/group/wk-99/"))
-		c.on("wk-99").Restart()
+		c.setPolicies(dropOneResponse("e/group/wk-99/"))
+		c.agentWithJob("wk-99").Restart()
 		c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-99") == 4 })
 		for i := range c.nodes {
 			c.checkPartitions(i)
 		}
-		c.on("wk-99").Restart()
+		c.agentWithJob("wk-99").Restart()
 		c.awaitDone("wk-99", 2*time.Minute)
 	})
 }
 
-// loseOneAnswer has the answer to the first transaction lost that writes a key with a prefix.
-func loseOneAnswer(prefix string) network.Policy {
+// dropOneResponse has the answer to the first transaction lost that writes a key with a prefix.
+func dropOneResponse(prefix string) network.Policy {
 	var lost atomic.Bool
 	return func(r *http.Request) network.Fault {
 		if isTxnRequest(r) && strings.Contains(requestBody(r), `"write":"`+prefix) && lost.CompareAndSwap(false, true) {
@@ -77,7 +77,7 @@
 // stays there until the machine goes on. Its room, and the team's limit, went to others.
 // Shown by (seed 138): "job is over ... final_state=done" 2.5 s before the trace has the gang's
 // task on the hanging machine stopped, and "tasks assigned" for the same team in between.
-func TestDoneGangCountsUntilItsTasksAreGone(t *testing.T) {
+func TestDoneGangCountsTowardQuotaUntilTasksEnd(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		const runTime, hangsBefore = 40 * time.Second, 1300 * time.Millisecond
 		gang := gangSubmission("wk-1", "red", "urgent", 4, runTime.Seconds())
@@ -90,30 +90,30 @@
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "red", Priority: "normal", Tasks: 60, CPUs: 1, EstimateS: 300, MachineTypes: []string{"large"}}))
 		c.await("its team is at its limit", runTime/2, func() bool { return c.env.Running("wk-2") == 16 })
 		time.Sleep(runTime - time.Since(started) - hangsBefore)
-		hanging := c.on("wk-1")
+		hanging := c.agentWithJob("wk-1")
 		hanging.SetHanging(true)
 		c.await("it is done", 10*time.Second, func() bool { return c.state("wk-1") == wire.Done })
-		if n := tasksOn(hanging, "wk-1", 4); n == 0 {
+		if n := countTasksOn(hanging, "wk-1", 4); n == 0 {
 			t.Error("the machine that hangs has no task of the gang, want one")
 		}
 		time.Sleep(4 * time.Second)
 		hanging.SetHanging(false)
 		c.await("all of the array's tasks are bound", time.Minute, func() bool { return c.env.Running("wk-2") == 24 })
-		c.await("nothing is left of the gang's cells", time.Minute, func() bool { return c.bindingsOf("wk-1") == 0 })
+		c.await("nothing is left of the gang's cells", time.Minute, func() bool { return c.countBindings("wk-1") == 0 })
 	})
 }
 
-// bindingsOf counts the bindings of a job that controllers know.
-func (c *cluster) bindingsOf(id string) int {
+// countBindings counts the bindings of a job that controllers know.
+func (c *cluster) countBindings(id string) int {
 	count := 0
-	for _, attempts := range c.attemptsOf(id) {
+	for _, attempts := range c.attemptCounts(id) {
 		count += attempts
 	}
 	return count
 }
 
-// tasksOn counts the tasks of a job that are on a machine.
-func tasksOn(machine *agent.Agent, job string, tasks int) int {
+// countTasksOn counts the tasks of a job that are on a machine.
+func countTasksOn(machine *agent.Agent, job string, tasks int) int {
 	count := 0
 	for number := range tasks {
 		if machine.TaskState(fmt.Sprint(job, "/", number)) != "" {
--- a/internal/controller/gang_moves.go
+++ b/internal/controller/gang_moves.go
@@ -16,7 +16,7 @@
 func (c *leader) moveGang(summaries []*planning.MachineSummary, j *job) bool {
 	first, tasks := j.firstGroup(), 0
 	for _, group := range j.groups {
-		if group.boundTasks() > 0 {
+		if group.boundTaskCount() > 0 {
 			return false // its present attempt is completed, or ends, where it is
 		}
 		tasks += len(group.bindings)
@@ -25,14 +25,14 @@
 		return false // the rest is assigned first
 	}
 	mayUse := func(summary *planning.MachineSummary) bool {
-		return !summary.Booting && summary.Partition != first.partition && allowed(j.spec, first.zone, summary.Type, summary.Zone, summary.Spot)
+		return !summary.Booting && summary.Partition != first.partition && allowsMachine(j.spec, first.zone, summary.Type, summary.Zone, summary.Spot)
 	}
-	request := &planning.Assignment{TaskSize: j.taskSize, Count: tasks, Claim: first.claim(), Allowed: mayUse}
-	partition, ok := request.OnePartition(summaries, len(c.partitions))
+	request := &planning.Assignment{TaskSize: j.taskSize, Count: tasks, Claim: first.claim(), AllowsMachine: mayUse}
+	partition, ok := request.ChoosePartition(summaries, len(c.partitions))
 	if !ok {
 		return tasks > 1 && c.borrow(summaries, j, loanRequest{zone: first.zone, tasks: tasks, claim: first.claim()})
 	}
-	c.metrics.count(countMoved, 1)
+	c.metrics.count(countMovedGroups, 1)
 	c.log.Debug("gang moves to another partition", "job", j.id, "tasks", tasks, "partition", partition)
 	return c.relocate(j, partition, first.zone)
 }
@@ -47,12 +47,12 @@
 		if group.partition == partition && group.zone == zone {
 			continue
 		}
-		if group.writing || group.boundTasks() > 0 || group.size > c.maxValueBytes() {
+		if group.writeInFlight || group.boundTaskCount() > 0 || group.storedSize > c.maxValueBytes() {
 			return false // its owner ends bindings, or splits it, first
 		}
 		moved := *group
 		moved.partition, moved.zone = partition, zone
-		value := c.encodeGroup(&moved, group.done, group.bindings).At(group.key)
+		value := c.encodeGroup(&moved, group.doneTasks, group.bindings).At(group.key)
 		size += len(value) + recordOverhead
 		if n := len(write.Changes); n > 0 && (n == c.cfg.Settings.Store.TxnOps || size > store.MaxTxnBytes) {
 			break
@@ -69,11 +69,11 @@
 // completeGangMoves has the groups of gangs that have moved incompletely, by this leader or
 // one before it, follow their first one.
 func (c *leader) completeGangMoves() {
-	for _, job := range c.unfinished {
+	for _, job := range c.activeJobs {
 		if job.finalState != record.Unfinished || job.spec == nil || !job.spec.Gang || job.revision == 0 || len(job.groups) < 2 {
 			continue
 		}
-		if first := job.firstGroup(); !job.groupsTogether(first.partition, first.zone) {
+		if first := job.firstGroup(); !job.hasAllGroupsIn(first.partition, first.zone) {
 			c.relocate(job, first.partition, first.zone)
 		}
 	}
@@ -91,8 +91,8 @@
 	return slices.MinFunc(j.groups, func(first, second *taskGroup) int { return cmp.Compare(first.number, second.number) })
 }
 
-// groupsTogether tells whether all groups of a job are in one partition and zone.
-func (j *job) groupsTogether(partition int, zone string) bool {
+// hasAllGroupsIn tells whether all groups of a job are in one partition and zone.
+func (j *job) hasAllGroupsIn(partition int, zone string) bool {
 	for _, group := range j.groups {
 		if group.partition != partition || group.zone != zone {
 			return false
--- a/internal/controller/gang_phases_test.go
+++ b/internal/controller/gang_phases_test.go
@@ -17,23 +17,23 @@
 
 // gangPhase is a phase of a gang's life, and how a gang that was just submitted comes to it.
 type gangPhase struct {
-	name  string
-	reach func(*cluster)
+	name       string
+	awaitPhase func(*cluster)
 }
 
 // gangTasks is how many tasks the gangs of these tests have.
 const gangTasks = 4
 
-// gangOfPhases is a gang that fetches for 4 s, gathers for 4 more if a machine is slow, and
+// phasedGangSubmission is a gang that fetches for 4 s, gathers for 4 more if a machine is slow, and
 // takes 3 s to save.
-func gangOfPhases() *submission {
+func phasedGangSubmission() *submission {
 	b := gangSubmission("wk-9", "blue", "normal", gangTasks, 20)
 	b.SaveS, b.ImageGB, b.Image, b.MachineTypes, b.SingleZone = 3, 4, "gang", []string{"small"}, true
 	return b
 }
 
 // reaches waits until enough tasks of the gang are in a state.
-func (c *cluster) reaches(state string, least int) {
+func (c *cluster) awaitGangState(state string, least int) {
 	c.t.Helper()
 	for until := time.Now().Add(time.Minute); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
 		if c.env.TaskStates("wk-9")[state] >= least {
@@ -44,37 +44,37 @@
 }
 
 var gangPhases = []gangPhase{
-	{"fetching", func(c *cluster) { c.reaches(wire.Fetching, gangTasks) }},
+	{"fetching", func(c *cluster) { c.awaitGangState(wire.Fetching, gangTasks) }},
 	{"gathering", func(c *cluster) {
-		c.reaches(wire.Fetching, gangTasks)
-		c.on("wk-9").SetImageDelay(4 * time.Second)
-		c.reaches(wire.Gathering, 1)
+		c.awaitGangState(wire.Fetching, gangTasks)
+		c.agentWithJob("wk-9").SetImageDelay(4 * time.Second)
+		c.awaitGangState(wire.Gathering, 1)
 	}},
 	{"running", func(c *cluster) {
-		c.reaches(wire.Running, gangTasks)
+		c.awaitGangState(wire.Running, gangTasks)
 		time.Sleep(6 * time.Second)
 	}},
 	{"saving", func(c *cluster) {
-		c.reaches(wire.Running, gangTasks)
+		c.awaitGangState(wire.Running, gangTasks)
 		time.Sleep(6 * time.Second)
-		c.drain(c.on("wk-9"))
-		c.reaches(wire.Saving, 1)
+		c.cordonMachine(c.agentWithJob("wk-9"))
+		c.awaitGangState(wire.Saving, 1)
 	}},
 	{"ended", func(c *cluster) { // and not known to have: nothing can be stored
-		c.reaches(wire.Running, gangTasks)
+		c.awaitGangState(wire.Running, gangTasks)
 		time.Sleep(18 * time.Second)
 		c.env.Store.SetDown(true)
-		c.reaches(wire.Exited, gangTasks)
+		c.awaitGangState(wire.Exited, gangTasks)
 		time.AfterFunc(2*time.Second, func() { c.env.Store.SetDown(false) })
 	}},
 }
 
 // drain has a machine cordoned, as one on which tasks fail is.
-func (c *cluster) drain(a *agent.Agent) {
+func (c *cluster) cordonMachine(a *agent.Agent) {
 	for _, n := range c.nodes {
 		ctl := n.controller()
-		ctl.call(c.ctx, priorityState, func() {
-			m := ctl.machineNamed(a.Name())
+		ctl.call(c.ctx, priorityStore, func() {
+			m := ctl.getOrAddMachine(a.Name())
 			m.cordoned, m.cordonedAt = true, ctl.now
 		})
 	}
@@ -82,8 +82,8 @@
 
 // gangEvent is something that happens to a gang.
 type gangEvent struct {
-	name   string
-	happen func(c *cluster)
+	name    string
+	trigger func(c *cluster)
 }
 
 var gangEvents = []gangEvent{
@@ -92,16 +92,16 @@
 		c.env.Cloud.SetCapacity(0)
 		c.submit(newSubmission(submission{ID: "wk-91", Kind: wire.Array, Team: "blue", Priority: "production", Tasks: 40, CPUs: 2, EstimateS: 3}))
 	}},
-	{"spot notice", func(c *cluster) { c.on("wk-9").TerminateAfter(8 * time.Second) }},
-	{"taken without notice", func(c *cluster) { c.on("wk-9").Terminate() }},
-	{"drained", func(c *cluster) { c.drain(c.on("wk-9")) }},
+	{"spot notice", func(c *cluster) { c.agentWithJob("wk-9").TerminateAfter(8 * time.Second) }},
+	{"taken without notice", func(c *cluster) { c.agentWithJob("wk-9").Terminate() }},
+	{"drained", func(c *cluster) { c.cordonMachine(c.agentWithJob("wk-9")) }},
 	{"machine hangs", func(c *cluster) {
-		a := c.on("wk-9")
+		a := c.agentWithJob("wk-9")
 		a.SetHanging(true)
 		time.AfterFunc(8*time.Second, func() { a.SetHanging(false) })
 	}},
 	{"machine cut off", func(c *cluster) {
-		a := c.on("wk-9")
+		a := c.agentWithJob("wk-9")
 		a.SetIsolated(true)
 		time.AfterFunc(25*time.Second, func() { a.SetIsolated(false) })
 	}},
@@ -119,14 +119,14 @@
 		c.start(0)
 	}},
 	{"done and cancelled", func(c *cluster) {
-		go c.ask(1, submitRequest(gangOfPhases(), nil))
+		go c.ask(1, submitRequest(phasedGangSubmission(), nil))
 		c.tryCancelJob("wk-9")
 	}},
 }
 
 // A gang meets each of what may happen to it in each phase of its life: no rule breaks, and
 // it is done in the end, or gone soon if it was cancelled.
-func TestGangInEveryPhase(t *testing.T) {
+func TestGangEventsInEachPhase(t *testing.T) {
 	for _, phase := range gangPhases {
 		for _, event := range gangEvents {
 			t.Run(phase.name+", "+event.name, func(t *testing.T) {
@@ -139,9 +139,9 @@
 func (c *cluster) checkGangEvent(phase gangPhase, event gangEvent) {
 	c.t.Helper()
 	c.runServices(2, 2)
-	c.submit(gangOfPhases())
-	phase.reach(c)
-	event.happen(c)
+	c.submit(phasedGangSubmission())
+	phase.awaitPhase(c)
+	event.trigger(c)
 	time.Sleep(40 * time.Second)
 	c.env.Cloud.SetCapacity(20)
 	c.env.SetSettled()
@@ -154,14 +154,14 @@
 	}
 }
 
-// stopObstacle keeps members of a gang from hearing of a stop.
-type stopObstacle struct {
-	name  string
-	begin func(c *cluster, a *agent.Agent) (end func())
-	saves bool // the gang saves its progress all the same
+// stopInterference keeps members of a gang from hearing of a stop.
+type stopInterference struct {
+	name   string
+	inject func(c *cluster, a *agent.Agent) (end func())
+	saves  bool // the gang saves its progress all the same
 }
 
-var stopObstacles = []stopObstacle{
+var stopInterferences = []stopInterference{
 	{"all are reached", func(*cluster, *agent.Agent) func() { return doNothing }, true},
 	{"one hears by its heartbeat", func(c *cluster, a *agent.Agent) func() {
 		c.setPolicies(onlyWhen(func(r *http.Request) bool { return r.URL.Host == a.Addr() }, network.Drop))
@@ -185,23 +185,23 @@
 // An orderly stop with a member that hears of it late, by its next heartbeat, saves; with one
 // that can't be reached nothing is saved, and the gang goes on from its last checkpoint.
 func TestOrderlyStopNeedsAllMembers(t *testing.T) {
-	for _, x := range stopObstacles {
+	for _, x := range stopInterferences {
 		t.Run(x.name, func(t *testing.T) {
 			runCluster(t, func(c *cluster) { c.checkOrderlyStop(x) })
 		})
 	}
 }
 
-func (c *cluster) checkOrderlyStop(x stopObstacle) {
+func (c *cluster) checkOrderlyStop(x stopInterference) {
 	c.t.Helper()
-	gang := gangOfPhases()
+	gang := phasedGangSubmission()
 	gang.Priority, gang.EstimateS = "low", 60
 	c.submit(gang)
-	c.reaches(wire.Running, gangTasks)
+	c.awaitGangState(wire.Running, gangTasks)
 	time.Sleep(21 * time.Second)
-	a := c.on("wk-9")
-	end := x.begin(c, a)
-	c.drain(a)
+	a := c.agentWithJob("wk-9")
+	end := x.inject(c, a)
+	c.cordonMachine(a)
 	if x.saves {
 		time.Sleep(6 * time.Second) // to hear and to save, and less than a lease
 		if n := c.env.Running("wk-9"); n > 0 {
@@ -222,11 +222,11 @@
 // A team at its limit with a gang whose machine can't be reached: what is cancelled counts
 // until it is proved gone, so another gang of the team begins only then. The rule checker
 // counts what is on machines at each instant.
-func TestLimitCountsGangUntilItIsGone(t *testing.T) {
+func TestCancelledGangCountsTowardQuotaUntilTasksEnd(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(gangSubmission("wk-9", "red", "normal", 12, 200)) // 24 of 24 CPUs
 		c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-9") == 12 })
-		c.on("wk-9").SetIsolated(true)
+		c.agentWithJob("wk-9").SetIsolated(true)
 		cancelled := time.Now()
 		c.cancelJob("wk-9")
 		c.submit(gangSubmission("wk-10", "red", "normal", 12, 10))
@@ -239,21 +239,21 @@
 
 // Members that exit since others are gone, or never came, are not to blame: neither the machine
 // nor the job is barred, rested or counted as failing.
-func TestMissingMembersBlameNobody(t *testing.T) {
-	c := lone(t)
-	m := c.machineNamed("host-1")
+func TestMissingGangMembersAreNotFailures(t *testing.T) {
+	c := newTestController(t)
+	m := c.getOrAddMachine("host-1")
 	j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2}}
 	c.jobs["wk-1"] = j
 	for _, why := range []string{wire.ReasonPeersGone, wire.ReasonIncompleteGang} {
 		for range 5 {
-			c.noteTaskEnd(m, j, why)
+			c.handleTaskEnd(m, j, why)
 		}
 	}
-	if len(m.failedJobs) > 0 || len(j.failedOn) > 0 || !m.avoidUntil.IsZero() || !j.retryAt.IsZero() || m.cordoned {
-		t.Errorf("machine: %v %v %v, job: %v %v", m.failedJobs, m.avoidUntil, m.cordoned, j.failedOn, j.retryAt)
+	if len(m.failedJobs) > 0 || len(j.failedMachines) > 0 || !m.placementBackoffUntil.IsZero() || !j.retryAt.IsZero() || m.cordoned {
+		t.Errorf("machine: %v %v %v, job: %v %v", m.failedJobs, m.placementBackoffUntil, m.cordoned, j.failedMachines, j.retryAt)
 	}
-	c.noteTaskEnd(m, j, wire.ReasonError)
-	if len(m.failedJobs) != 1 || len(j.failedOn) != 1 {
+	c.handleTaskEnd(m, j, wire.ReasonError)
+	if len(m.failedJobs) != 1 || len(j.failedMachines) != 1 {
 		t.Error("a failure is not noted")
 	}
 }
@@ -261,7 +261,7 @@
 // An attempt that has run and lost a task, or can't be completed, is broken: the others are
 // stopped at once, without time to save, rather than when they find out. One that waits is
 // not: its task is replaced.
-func TestWhenAnAttemptIsBroken(t *testing.T) {
+func TestBrokenGangAttempts(t *testing.T) {
 	for _, x := range []struct {
 		name   string
 		state  string
@@ -276,16 +276,16 @@
 		{"one has failed", wire.Exited, wire.ReasonError, false, true},
 		{"one has found out", wire.Exited, wire.ReasonPeersGone, false, true},
 	} {
-		c := lone(t)
+		c := newTestController(t)
 		p := c.partitions[0]
-		m := c.machineNamed("host-1")
+		m := c.getOrAddMachine("host-1")
 		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
-		c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2, CPUs: 1, CheckpointS: 5, SaveS: 2, Team: "t"}}), 2)
+		c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2, CPUs: 1, CheckpointS: 5, SaveS: 2, Team: "t"}}), 2)
 		tasks := []record.Binding{{Task: 0, Attempt: 1, Machine: "host-1", Incarnation: 1}, {Task: 1, Attempt: 1, Machine: "host-1", Incarnation: 1}}
 		if x.lost {
 			tasks[1] = record.Binding{Task: 1, Attempt: 1}
 		}
-		c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: tasks}), 3)
+		c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Tasks: tasks}), 3)
 		heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, Token: 1, Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: x.state, Reason: x.why}}}
 		if !x.lost {
 			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: "wk-1/1", Attempt: 1, State: wire.Running})
@@ -295,7 +295,7 @@
 		}
 		c.applyHeartbeat(m, heartbeat, p, workerRequest)
 		job := c.jobs["wk-1"]
-		if got := c.gangBroken(job); got != x.broken {
+		if got := c.isGangBroken(job); got != x.broken {
 			t.Errorf("%s: broken is %v", x.name, got)
 		}
 		if grace := c.stopGraceS(job); (grace > 0) == x.broken {
@@ -307,11 +307,11 @@
 // runningGang is a controller with a gang of four on one machine, stored in so many groups.
 func runningGang(t *testing.T, records int) (*controller, *partition, []*taskGroup) {
 	t.Helper()
-	ctl := lone(t)
+	ctl := newTestController(t)
 	p := ctl.partitions[0]
-	m := ctl.machineNamed("host-1")
+	m := ctl.getOrAddMachine("host-1")
 	ctl.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
-	ctl.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: ctl.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 4, CPUs: 1, Team: "t"}}), 2)
+	ctl.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: ctl.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 4, CPUs: 1, Team: "t"}}), 2)
 	var groups []*taskGroup
 	for k := range records {
 		var tasks []record.Binding
@@ -319,14 +319,14 @@
 			tasks = append(tasks, record.Binding{Task: int32(n), Attempt: 1, Machine: "host-1", Incarnation: 1})
 		}
 		key := groupKey("wk-1", k)
-		ctl.replica.Put(key, raw(t, record.TaskGroup{Tasks: tasks}), uint64(3+k))
+		ctl.replica.Put(key, marshalJSON(t, record.TaskGroup{Tasks: tasks}), uint64(3+k))
 		groups = append(groups, ctl.groupByKey[key])
 	}
 	return ctl, p, groups
 }
 
-// gangHeartbeat is the machine's next heartbeat: why which of the gang's tasks have exited.
-func gangHeartbeat(ctl *controller, p *partition, whys map[int]string) {
+// sendGangHeartbeat is the machine's next heartbeat: why which of the gang's tasks have exited.
+func sendGangHeartbeat(ctl *controller, p *partition, whys map[int]string) {
 	heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, Token: 1}
 	for n := range 4 {
 		if why, ok := whys[n]; ok {
@@ -335,13 +335,13 @@
 			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: fmt.Sprint("wk-1/", n), Attempt: 1, State: wire.Running})
 		}
 	}
-	ctl.applyHeartbeat(ctl.machineNamed("host-1"), heartbeat, p, workerRequest)
+	ctl.applyHeartbeat(ctl.getOrAddMachine("host-1"), heartbeat, p, workerRequest)
 }
 
 // One task that is done is all done: in one change with the job's fate, whether the others'
 // heartbeats have come or say that others are gone. Tasks that are still shown on their
 // machines stay bound: they count there until they are gone.
-func TestOneDoneIsAllDone(t *testing.T) {
+func TestGangCompletesWithItsFirstDoneTask(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		whys map[int]string
@@ -358,17 +358,17 @@
 
 // What is stored of a gang decides together with its heartbeats: where none is done, none is; a
 // controller that takes over when a part of the records is stored as done ends the rest.
-func TestDoneGangAfterAFailover(t *testing.T) {
+func TestDoneGangAfterFailover(t *testing.T) {
 	c, p, recs := runningGang(t, 1)
-	gangHeartbeat(c, p, map[int]string{0: wire.ReasonPeersGone, 1: wire.ReasonPeersGone, 2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
-	if update := c.planUpdate(p, recs[0]); update.done != 0 || len(update.bindings) != 4 {
-		t.Errorf("none is done: %d done, %d left", update.done, len(update.bindings))
+	sendGangHeartbeat(c, p, map[int]string{0: wire.ReasonPeersGone, 1: wire.ReasonPeersGone, 2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
+	if update := c.planUpdate(p, recs[0]); update.doneTasks != 0 || len(update.bindings) != 4 {
+		t.Errorf("none is done: %d done, %d left", update.doneTasks, len(update.bindings))
 	}
 	c, p, recs = runningGang(t, 2)
-	c.replica.Put(recs[0].key, raw(t, record.TaskGroup{Done: 2, Tasks: []record.Binding{}}), 9) // by the owner before
-	gangHeartbeat(c, p, map[int]string{2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
-	if update := c.planUpdate(p, recs[1]); update.done != 2 || !c.endsJob(recs[1], &update) {
-		t.Errorf("half is stored as done: %d more are", update.done)
+	c.replica.Put(recs[0].key, marshalJSON(t, record.TaskGroup{Done: 2, Tasks: []record.Binding{}}), 9) // by the owner before
+	sendGangHeartbeat(c, p, map[int]string{2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
+	if update := c.planUpdate(p, recs[1]); update.doneTasks != 2 || !c.completesJob(recs[1], &update) {
+		t.Errorf("half is stored as done: %d more are", update.doneTasks)
 	}
 }
 
@@ -377,7 +377,7 @@
 func checkDoneGang(t *testing.T, whys map[int]string, wantLeft []int32) {
 	t.Helper()
 	ctl, p, groups := runningGang(t, 1)
-	gangHeartbeat(ctl, p, whys)
+	sendGangHeartbeat(ctl, p, whys)
 	update := ctl.planUpdate(p, groups[0])
 	var left []int32
 	for _, bound := range update.bindings {
@@ -386,7 +386,7 @@
 		}
 		left = append(left, bound.task)
 	}
-	if update.done != 4-len(wantLeft) || !slices.Equal(left, wantLeft) || !ctl.endsJob(groups[0], &update) {
-		t.Errorf("%d done, %v left, ends the job: %v; want %v left and the job ended", update.done, left, ctl.endsJob(groups[0], &update), wantLeft)
+	if update.doneTasks != 4-len(wantLeft) || !slices.Equal(left, wantLeft) || !ctl.completesJob(groups[0], &update) {
+		t.Errorf("%d done, %v left, ends the job: %v; want %v left and the job ended", update.doneTasks, left, ctl.completesJob(groups[0], &update), wantLeft)
 	}
 }
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -18,8 +18,8 @@
 // loans that jobs across partitions have anyway: room for one gang of each class, as large
 // as the largest of late. Only gangs are assigned there.
 
-// reserveLoanJob stands for the gang reserve where a loan names the job that it is for.
-const reserveLoanJob = ""
+// gangReserveJobID stands for the gang reserve where a loan names the job that it is for.
+const gangReserveJobID = ""
 
 const (
 	// reserveClassTTL is how long a class of gangs is expected again after its last one.
@@ -76,7 +76,7 @@
 	if j.assignedAt.After(since) {
 		since = j.assignedAt
 	}
-	return j.spec.Gang || c.hasLoanFor(j) || c.now.Sub(since) > reserveOpensAfter && c.now.Sub(c.leadership.since) > reserveOpensAfter
+	return j.spec.Gang || c.hasLoanFor(j) || c.now.Sub(since) > reserveOpensAfter && c.now.Sub(c.leadership.startedAt) > reserveOpensAfter
 }
 
 // reserveAllows tells whether a job may be placed on a machine as far as that is kept for
@@ -90,13 +90,13 @@
 // unusedForLong tells whether nothing has been placed for long on a machine of the
 // leader's own partition.
 func (c *leader) unusedForLong(summary *planning.MachineSummary) bool {
-	m := c.machineByIndex[summary.ID]
+	m := c.machineByIndex[summary.Index]
 	limit := reserveMaxUnused
-	if loan := c.loans[m.name]; loan != nil && loan.Job != reserveLoanJob {
+	if loan := c.loans[m.name]; loan != nil && loan.Job != gangReserveJobID {
 		limit = loanMaxUnused
 	}
-	unused := c.leadership.since
-	for _, at := range []time.Time{m.inPartitionSince, m.lastBoundAt} {
+	unused := c.leadership.startedAt
+	for _, at := range []time.Time{m.partitionChangedAt, m.lastBoundAt} {
 		if at.After(unused) {
 			unused = at
 		}
@@ -123,7 +123,7 @@
 	for _, class := range reserve.classes {
 		class.live = 0
 	}
-	for _, job := range c.unfinished {
+	for _, job := range c.activeJobs {
 		if job.spec != nil && job.spec.Gang && job.finalState == record.Unfinished {
 			reserve.noteGang(job, c.now)
 		}
@@ -158,7 +158,7 @@
 		}
 	}
 	slices.SortFunc(machines, func(x, y *planning.MachineSummary) int {
-		return cmp.Or(cmp.Compare(len(y.Usages), len(x.Usages)), cmp.Compare(x.ID, y.ID))
+		return cmp.Or(cmp.Compare(len(y.Usages), len(x.Usages)), cmp.Compare(x.Index, y.Index))
 	})
 	return machines
 }
@@ -173,9 +173,9 @@
 			if tasks <= 0 {
 				break
 			}
-			if allowed(class.spec, "", summary.Type, summary.Zone, summary.Spot) {
-				tasks -= summary.Free.CountFitting(class.need, tasks)
-				reserve.keep[summary.ID] = true
+			if allowsMachine(class.spec, "", summary.Type, summary.Zone, summary.Spot) {
+				tasks -= summary.FreeResources.CountFitting(class.need, tasks)
+				reserve.keep[summary.Index] = true
 			}
 		}
 	}
@@ -195,5 +195,5 @@
 
 // reserveKeeps tells whether a machine of the reserve stays there.
 func (c *leader) reserveKeeps(m *machine) bool {
-	return len(m.bindings) > 0 || c.leadership.gangReserve.keep[m.index] || c.now.Sub(m.inPartitionSince) < reserveMinHold
+	return len(m.bindings) > 0 || c.leadership.gangReserve.keep[m.index] || c.now.Sub(m.partitionChangedAt) < reserveMinHold
 }
--- a/internal/controller/gang_reserve_fill.go
+++ b/internal/controller/gang_reserve_fill.go
@@ -31,7 +31,7 @@
 	}
 	chosen := fill.chosen[:min(len(fill.chosen), c.cfg.Settings.Store.TxnOps/2)]
 	c.log.Debug("machines borrowed for the gang reserve", "machines", len(chosen))
-	c.borrowMachines(chosen, record.MachineLoan{Job: reserveLoanJob})
+	c.borrowMachines(chosen, record.MachineLoan{Job: gangReserveJobID})
 }
 
 // reserveFill is a round of fillReserve.
@@ -74,7 +74,7 @@
 
 // take chooses machines with room for a number of tasks of a class.
 func (f *reserveFill) take(candidates []*planning.MachineSummary, class *gangClass, tasks int) []*planning.MachineSummary {
-	taken, _ := planning.TakeMachines(candidates, tasks, f.limit, func(summary *planning.MachineSummary, tasks int) int {
+	taken, _ := planning.SelectMachines(candidates, tasks, f.limit, func(summary *planning.MachineSummary, tasks int) int {
 		return summary.Size.CountFitting(class.need, tasks)
 	})
 	for _, summary := range taken {
@@ -90,11 +90,11 @@
 func (f *reserveFill) takeFreeRoom(class *gangClass, zone string) int {
 	found := 0
 	for _, summary := range f.summaries {
-		if summary.Partition != f.loanPartition() || summary.Booting || !allowed(class.spec, zone, summary.Type, summary.Zone, summary.Spot) {
+		if summary.Partition != f.loanPartition() || summary.Booting || !allowsMachine(class.spec, zone, summary.Type, summary.Zone, summary.Spot) {
 			continue
 		}
-		count := summary.Free.CountFitting(class.need, class.room()-found)
-		summary.Free = summary.Free.Minus(class.need.Times(count))
+		count := summary.FreeResources.CountFitting(class.need, class.room()-found)
+		summary.FreeResources = summary.FreeResources.Minus(class.need.Times(count))
 		found += count
 	}
 	return found
@@ -107,7 +107,7 @@
 		return summary.RunsService
 	})
 	slices.SortFunc(candidates, func(x, y *planning.MachineSummary) int {
-		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(y.Size.CPU, x.Size.CPU), cmp.Compare(x.ID, y.ID))
+		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(y.Size.CPU, x.Size.CPU), cmp.Compare(x.Index, y.Index))
 	})
 	return candidates
 }
@@ -115,7 +115,7 @@
 // incomingReserveRoom is for how many tasks of a class there will be room on machines that
 // are on their way to the reserve: empty ones, and such as will be empty some time.
 func (r *machineRegistry) incomingReserveRoom(class *gangClass, zone string) (empty, busy int) {
-	for loan, m := range r.loansFor(reserveLoanJob, class.spec, zone) {
+	for loan, m := range r.loansFor(gangReserveJobID, class.spec, zone) {
 		if loan.Acknowledged {
 			continue
 		}
@@ -139,8 +139,8 @@
 		AllOrNothing: true,
 		EstimateS:    spec.EstimateS,
 		SlackS:       math.Inf(1),
-		Allows: func(offer planning.Offer) bool {
-			return allowed(spec, zone, offer.Type, offer.Zone, offer.Spot)
+		AllowsOffer: func(offer planning.Offer) bool {
+			return allowsMachine(spec, zone, offer.Type, offer.Zone, offer.Spot)
 		},
 	}
 }
@@ -153,12 +153,12 @@
 	}
 	room, machines := map[string]int{}, map[string]int{}
 	for _, summary := range summaries {
-		if summary.Booting || !allowed(class.spec, "", summary.Type, summary.Zone, summary.Spot) {
+		if summary.Booting || !allowsMachine(class.spec, "", summary.Type, summary.Zone, summary.Spot) {
 			continue
 		}
 		machines[summary.Zone]++
 		if summary.Partition == r.loanPartition() {
-			room[summary.Zone] += summary.Free.CountFitting(class.need, class.spec.Tasks)
+			room[summary.Zone] += summary.FreeResources.CountFitting(class.need, class.spec.Tasks)
 		}
 	}
 	best := ""
--- a/internal/controller/gang_reserve_test.go
+++ b/internal/controller/gang_reserve_test.go
@@ -42,7 +42,7 @@
 	size := scheduling.NewResources(4, 0, 0)
 	var machines []*planning.MachineSummary
 	for i := range 4 {
-		machines = append(machines, &planning.MachineSummary{ID: scheduling.MachineIndex(i), Size: size, Free: size})
+		machines = append(machines, &planning.MachineSummary{Index: scheduling.MachineIndex(i), Size: size, FreeResources: size})
 	}
 	reserve.chooseMachinesToKeep(machines)
 	if len(reserve.keep) != 2 || !reserve.keep[0] || !reserve.keep[1] {
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -27,12 +27,12 @@
 		{"done already", []record.TaskGroup{all[0], {Zone: "a", Done: 2, Tasks: []record.Binding{}}}, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c := lone(t)
-			c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 1}}), 2)
+			c := newTestController(t)
+			c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 1}}), 2)
 			for k, v := range x.records {
-				c.replica.Put(groupKey("wk-1", k), raw(t, v), uint64(3+k))
+				c.replica.Put(groupKey("wk-1", k), marshalJSON(t, v), uint64(3+k))
 			}
-			if asked := c.gangMayReserve(c.partitions[0], c.groupByKey[groupKey("wk-1", 0)]); asked != x.asks {
+			if asked := c.canReserveGang(c.partitions[0], c.groupByKey[groupKey("wk-1", 0)]); asked != x.asks {
 				t.Errorf("cells are asked for: %v, want %v", asked, x.asks)
 			}
 		})
@@ -48,17 +48,17 @@
 		unused time.Duration
 		open   bool
 	}{
-		{"kept of late", reserveLoanJob, reserveMaxUnused - time.Second, false},
-		{"kept for long", reserveLoanJob, reserveMaxUnused + time.Second, true},
+		{"kept of late", gangReserveJobID, reserveMaxUnused - time.Second, false},
+		{"kept for long", gangReserveJobID, reserveMaxUnused + time.Second, true},
 		{"lent of late", "wk-2", reserveMaxUnused + time.Second, false},
 		{"lent for long", "wk-2", loanMaxUnused + time.Second, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c := lone(t)
-			m := c.machineNamed("host-1")
+			c := newTestController(t)
+			m := c.getOrAddMachine("host-1")
 			c.loans["host-1"] = &machineLoan{MachineLoan: record.MachineLoan{Job: x.job, Acknowledged: true}}
-			c.leadership.since, m.inPartitionSince, m.lastBoundAt = c.now.Add(-time.Hour), c.now.Add(-time.Hour), c.now.Add(-x.unused)
-			summary := &planning.MachineSummary{ID: m.index, Partition: c.loanPartition(), Type: "small", Zone: "a", Size: scheduling.NewResources(4, 0, 8), Free: scheduling.NewResources(4, 0, 8)}
+			c.leadership.startedAt, m.partitionChangedAt, m.lastBoundAt = c.now.Add(-time.Hour), c.now.Add(-time.Hour), c.now.Add(-x.unused)
+			summary := &planning.MachineSummary{Index: m.index, Partition: c.loanPartition(), Type: "small", Zone: "a", Size: scheduling.NewResources(4, 0, 8), FreeResources: scheduling.NewResources(4, 0, 8)}
 			array := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 9}, acceptedAt: c.now.Add(-time.Hour), assignedAt: c.now}
 			if got := c.reserveAllows(array, summary); got != x.open {
 				t.Errorf("open to arrays: %v, want %v", got, x.open)
@@ -67,10 +67,10 @@
 				t.Error("it is not open to gangs")
 			}
 			// A gang that has been assigned there and lacks room holds no more than is kept.
-			c.replica.Put(jobKey("wk-3"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
-			c.replica.Put(groupKey("wk-3", 0), raw(t, record.TaskGroup{Partition: c.loanPartition(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
-			c.placeAssigned([]*planning.MachineSummary{summary}, c.byUrgency())
-			if held := summary.Free.CPU < 4000; held == x.open {
+			c.replica.Put(jobKey("wk-3"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
+			c.replica.Put(groupKey("wk-3", 0), marshalJSON(t, record.TaskGroup{Partition: c.loanPartition(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
+			c.placeAssigned([]*planning.MachineSummary{summary}, c.urgencyComparator())
+			if held := summary.FreeResources.CPU < 4000; held == x.open {
 				t.Errorf("a gang without whole room holds it: %v, want %v", held, !x.open)
 			}
 		})
@@ -80,15 +80,15 @@
 // A samePlace gang goes to another zone where there is room for it together with what is
 // kept for gangs there.
 func TestOtherZoneCountsRoomForGangs(t *testing.T) {
-	c := loneAmong(t, 3)
-	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, SingleZone: true, Tasks: 3, CPUs: 2}}), 2)
-	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}}}), 3)
+	c := newTestControllerInCluster(t, 3)
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, SingleZone: true, Tasks: 3, CPUs: 2}}), 2)
+	c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}}}), 3)
 	group := c.groupByKey[groupKey("wk-1", 0)]
-	group.inPartitionSince = c.now.Add(-zonePatience - time.Second)
+	group.partitionAssignedAt = c.now.Add(-zonePatience - time.Second)
 	var summaries []*planning.MachineSummary
 	for i, partition := range []int{0, c.loanPartition()} {
-		m := c.machineNamed([]string{"host-1", "host-2"}[i])
-		summaries = append(summaries, &planning.MachineSummary{ID: m.index, Partition: partition, Type: "small", Zone: "b", Size: scheduling.NewResources(4, 0, 8), Free: scheduling.NewResources(4, 0, 8)})
+		m := c.getOrAddMachine([]string{"host-1", "host-2"}[i])
+		summaries = append(summaries, &planning.MachineSummary{Index: m.index, Partition: partition, Type: "small", Zone: "b", Size: scheduling.NewResources(4, 0, 8), FreeResources: scheduling.NewResources(4, 0, 8)})
 	}
 	if !c.moveToOtherZone(summaries, group) || c.leadership.writesInFlight != 1 {
 		t.Errorf("it stays where there is no room for it (%d transactions)", c.leadership.writesInFlight)
@@ -101,18 +101,18 @@
 
 // What was claimed to replace a task of an attempt is given up when the attempt is.
 func TestReplacementIsGivenUpWithItsAttempt(t *testing.T) {
-	c := lone(t)
+	c := newTestController(t)
 	p := c.partitions[0]
-	m := c.machineNamed("host-1")
+	m := c.getOrAddMachine("host-1")
 	heartbeat := func(sequence uint64, state, reason string) {
 		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: sequence, Token: 1,
 			Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: state, Reason: reason}, {Task: "wk-1/1", Attempt: 1, State: wire.Gathering}}}, p, workerRequest)
 	}
-	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAMGB: 1}}), 2)
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAMGB: 1}}), 2)
 	bound := func(num int32) record.Binding {
 		return record.Binding{Task: num, Attempt: 1, Machine: "host-1", Incarnation: 1}
 	}
-	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{bound(0), bound(1), {Task: 2, Attempt: 1}}}), 3)
+	c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{bound(0), bound(1), {Task: 2, Attempt: 1}}}), 3)
 	heartbeat(2, wire.Gathering, "")
 	c.placeGroup(p, c.groupByKey[groupKey("wk-1", 0)])
 	if len(p.reservations) != 1 {
@@ -138,7 +138,7 @@
 		c.await("a service runs on each machine", time.Minute, func() bool { return c.serving() == 3 })
 		partitions := map[int]bool{}
 		for _, w := range c.env.Cloud.Agents() {
-			partitions[partitionOf(w.Name(), 3)] = true
+			partitions[hashPartitionIndex(w.Name(), 3)] = true
 		}
 		if len(partitions) < 2 {
 			t.Fatal("all machines are in one partition")
@@ -201,7 +201,7 @@
 // What runs on a machine and is no service, or a command on its way, keeps it from changing
 // hands.
 func TestOnlyServices(t *testing.T) {
-	c := crowded(t, 50)
+	c := newFullFleetController(t, 50)
 	p := c.partitions[0]
 	var m *machine
 	for _, x := range p.machines {
@@ -219,13 +219,13 @@
 	}
 	spec := m.bindings[0].group.job.spec
 	for name, change := range map[string]struct{ do, undo func() }{
-		"a command without an answer": {func() { m.direct.unansweredStartToken = p.token }, func() { m.direct.unansweredStartToken = 0 }},
-		"a command on its way":        {func() { m.direct.inFlight = true }, func() { m.direct.inFlight = false }},
-		"a start in an answer":        {func() { m.startInResponse = true }, func() { m.startInResponse = false }},
+		"a command without an answer": {func() { m.commandState.unansweredStartToken = p.token }, func() { m.commandState.unansweredStartToken = 0 }},
+		"a command on its way":        {func() { m.commandState.inFlight = true }, func() { m.commandState.inFlight = false }},
+		"a start in an answer":        {func() { m.responseCarriesStart = true }, func() { m.responseCarriesStart = false }},
 		"an older token":              {func() { m.token-- }, func() { m.token++ }},
 		"a task that is no service":   {func() { spec.Service = false }, func() { spec.Service = true }},
 		"a job that is cancelled":     {func() { m.bindings[0].group.job.finalState = record.Cancelled }, func() { m.bindings[0].group.job.finalState = record.Unfinished }},
-		"a record on its way":         {func() { m.bindings[0].group.writing = true }, func() { m.bindings[0].group.writing = false }},
+		"a record on its way":         {func() { m.bindings[0].group.writeInFlight = true }, func() { m.bindings[0].group.writeInFlight = false }},
 		"a task that fetches":         {func() { m.tasks[0].State = wire.Fetching }, func() { m.tasks[0].State = wire.Running }},
 		"an earlier incarnation":      {func() { m.incarnation++ }, func() { m.incarnation-- }},
 	} {
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -41,16 +41,16 @@
 	}
 }
 
-// bigGang is a gang whose records and bindings take several transactions.
-func bigGang(tasks int, cpus float64) *submission {
+// largeGangSubmission is a gang whose records and bindings take several transactions.
+func largeGangSubmission(tasks int, cpus float64) *submission {
 	b := gangSubmission("wk-9", "blue", "urgent", tasks, 10)
 	b.CPUs, b.RAM, b.MachineTypes = cpus, 0.01, []string{"large"}
 	return b
 }
 
-// startsAfterBindings checks, until the gang runs, that no task of it is started before
+// checkStartsAfterBindings checks, until the gang runs, that no task of it is started before
 // the last of them has a stored binding.
-func (c *cluster) startsAfterBindings(tasks int) {
+func (c *cluster) checkStartsAfterBindings(tasks int) {
 	c.t.Helper()
 	for until := time.Now().Add(4 * time.Minute); time.Now().Before(until); time.Sleep(2 * time.Millisecond) {
 		started := c.env.Trace.Accepted("wk-9")
@@ -70,7 +70,7 @@
 // A gang whose records and bindings are more than a transaction may carry runs, at the
 // present limits and at those that are to come; no task of it is started before all have
 // a stored binding.
-func TestGangBeyondOneTransaction(t *testing.T) {
+func TestGangLargerThanOneTransaction(t *testing.T) {
 	for _, x := range []struct {
 		name    string
 		valueKB float64
@@ -85,8 +85,8 @@
 		t.Run(x.name, func(t *testing.T) {
 			runCluster(t, func(c *cluster) {
 				c.setStoreLimits(x.valueKB, x.ops)
-				c.submit(bigGang(x.tasks, x.cpus))
-				c.startsAfterBindings(x.tasks)
+				c.submit(largeGangSubmission(x.tasks, x.cpus))
+				c.checkStartsAfterBindings(x.tasks)
 				c.awaitDone("wk-9", 2*time.Minute)
 				if n := c.env.Completed("wk-9"); n != x.tasks {
 					t.Errorf("%d tasks are done, want %d", n, x.tasks)
@@ -102,7 +102,7 @@
 
 // What happens while such a gang is assigned or bound in part: whoever takes over completes
 // it or gives it back, a cancellation leaves nothing, lower limits split what is stored.
-func TestGangBoundInPart(t *testing.T) {
+func TestPartiallyBoundGang(t *testing.T) {
 	inPart := func(count int) bool { return count > 0 && count < partialGangTasks }
 	for _, phase := range []struct {
 		name  string
@@ -115,21 +115,21 @@
 			name  string
 			check func(c *cluster)
 		}{
-			{"all restart", thenDone((*cluster).restartAll)},
-			{"one restarts", thenDone(func(c *cluster) {
+			{"all restart", checkDoneAfter((*cluster).restartAll)},
+			{"one restarts", checkDoneAfter(func(c *cluster) {
 				c.kill(0)
 				time.Sleep(8 * time.Second)
 				c.start(0)
 			})},
 			{"cancelled", (*cluster).checkPartialGangCancelled},
-			{"lower limits", thenDone(func(c *cluster) { c.setStoreLimits(1, 8) })},
-			{"machine dies", thenDone(func(c *cluster) { c.env.Cloud.Agents()[0].Terminate() })},
+			{"lower limits", checkDoneAfter(func(c *cluster) { c.setStoreLimits(1, 8) })},
+			{"machine dies", checkDoneAfter(func(c *cluster) { c.env.Cloud.Agents()[0].Terminate() })},
 		} {
 			t.Run(phase.name+" in part, "+x.name, func(t *testing.T) {
 				runCluster(t, func(c *cluster) {
 					c.setStoreLimits(2, 10)
 					c.env.Store.SetRate(12) // it stays in part for a while
-					c.submit(bigGang(partialGangTasks, 0.25))
+					c.submit(largeGangSubmission(partialGangTasks, 0.25))
 					c.awaitBindings(phase.holds)
 					x.check(c)
 				})
@@ -138,8 +138,8 @@
 	}
 }
 
-// thenDone has something happen to the gang, which must be done in the end.
-func thenDone(happen func(*cluster)) func(*cluster) {
+// checkDoneAfter has something happen to the gang, which must be done in the end.
+func checkDoneAfter(happen func(*cluster)) func(*cluster) {
 	return func(c *cluster) {
 		c.t.Helper()
 		happen(c)
@@ -169,8 +169,8 @@
 	if n := c.env.Trace.Accepted("wk-9"); started == 0 && n > 0 || c.env.Running("wk-9") > 0 {
 		c.t.Errorf("%d tasks were started after its user was told, %d run, want none", n-started, c.env.Running("wk-9"))
 	}
-	c.submit(bigGang(partialGangTasks, 0.25)) // it stays cancelled, and its cells are free
-	other := bigGang(partialGangTasks, 0.25)
+	c.submit(largeGangSubmission(partialGangTasks, 0.25)) // it stays cancelled, and its cells are free
+	other := largeGangSubmission(partialGangTasks, 0.25)
 	other.ID = "wk-10"
 	c.submit(other)
 	c.awaitDone("wk-10", 2*time.Minute)
@@ -179,36 +179,36 @@
 // A gang that waits in a partition without room goes to where there is room for it: another
 // partition, or machines of several that are lent for it. The first transaction of a move
 // may be the last of its leader: the other records follow the first one.
-func TestGangMovesWhole(t *testing.T) {
-	c := loneAmong(t, 3)
+func TestGangMovesTogether(t *testing.T) {
+	c := newTestControllerInCluster(t, 3)
 	spec := &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 2, Priority: 1, SingleZone: true}
-	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: spec}), 2)
-	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
-	c.replica.Put(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 0, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 4)
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: spec}), 2)
+	c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+	c.replica.Put(groupKey("wk-1", 1), marshalJSON(t, record.TaskGroup{Partition: 0, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 4)
 	job := c.jobs["wk-1"]
-	if job.groupsTogether(1, "a") {
+	if job.hasAllGroupsIn(1, "a") {
 		t.Fatal("the records are together")
 	}
 	c.becomeLeader(1)
 	c.leadership.active = true
-	c.runLeader()
+	c.runLeaderPass()
 	if c.leadership.writesInFlight != 1 {
 		t.Errorf("%d transactions have the records follow the first, want 1", c.leadership.writesInFlight)
 	}
 	c.leadership.writesInFlight = 0
-	c.replica.Put(groupKey("wk-1", 1), raw(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 5)
+	c.replica.Put(groupKey("wk-1", 1), marshalJSON(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 5)
 	c.completeGangMoves()
 	if c.leadership.writesInFlight != 0 {
 		t.Error("records that are together move")
 	}
 	host := func(id scheduling.MachineIndex, partition int, free float64) *planning.MachineSummary {
 		name := []string{"host-1", "host-2", "host-3"}[id]
-		if m := c.machineNamed(name); m.index != id {
+		if m := c.getOrAddMachine(name); m.index != id {
 			t.Fatal("machines are numbered otherwise")
 		}
-		summary := &planning.MachineSummary{ID: id, Type: "small", Zone: "a", Partition: partition, Size: scheduling.NewResources(4, 0, 8), Free: scheduling.NewResources(free, 0, 8)}
+		summary := &planning.MachineSummary{Index: id, Type: "small", Zone: "a", Partition: partition, Size: scheduling.NewResources(4, 0, 8), FreeResources: scheduling.NewResources(free, 0, 8)}
 		if free < 4 {
-			summary.Usages = []planning.Usage{{Claim: scheduling.Claim{Priority: 3}, Size: summary.Size.Minus(summary.Free)}}
+			summary.Usages = []planning.TaskUsage{{Claim: scheduling.Claim{Priority: 3}, Size: summary.Size.Minus(summary.FreeResources)}}
 		}
 		return summary
 	}
@@ -226,14 +226,14 @@
 
 // A gang that is assigned in part counts whole for its team's limit, within its guarantee or
 // not: what it lacks is not given to others in between.
-func TestGangAssignedInPartCountsWhole(t *testing.T) {
+func TestPartiallyAssignedGangCountsWholeTowardQuota(t *testing.T) {
 	for _, own := range []bool{false, true} {
-		c := lone(t)
-		c.replica.Put(jobKey("wk-1"), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 5, CPUs: 2}}), 2)
-		c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Guaranteed: own, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
-		l := c.quotas()[c.team("t")]
-		if l.Used.CPU != 10_000 || (l.GuaranteedUsed.CPU == 10_000) != own {
-			t.Errorf("it counts for %v, within the guarantee (%v) for %v", l.Used, own, l.GuaranteedUsed)
+		c := newTestController(t)
+		c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 5, CPUs: 2}}), 2)
+		c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Guaranteed: own, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+		l := c.quotas()[c.getOrAddTeam("t")]
+		if l.Usage.CPU != 10_000 || (l.GuaranteedUsage.CPU == 10_000) != own {
+			t.Errorf("it counts for %v, within the guarantee (%v) for %v", l.Usage, own, l.GuaranteedUsage)
 		}
 	}
 }
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -18,14 +18,14 @@
 	return b
 }
 
-// attemptsOf are the attempts that a job's records name.
-func (c *cluster) attemptsOf(id string) map[uint64]int {
+// attemptCounts are the attempts that a job's records name.
+func (c *cluster) attemptCounts(id string) map[uint64]int {
 	out := map[uint64]int{}
 	for _, n := range c.nodes {
 		if !n.isRunning() {
 			continue
 		}
-		n.controller().call(c.ctx, priorityState, func() {
+		n.controller().call(c.ctx, priorityStore, func() {
 			if job := n.controller().jobs[id]; job != nil {
 				for _, group := range job.groups {
 					for i := range group.bindings {
@@ -40,13 +40,13 @@
 }
 
 // on is a machine that a job is bound to.
-func (c *cluster) on(id string) *agent.Agent {
+func (c *cluster) agentWithJob(id string) *agent.Agent {
 	c.t.Helper()
 	for _, w := range c.env.Cloud.Agents() {
 		for _, n := range c.nodes {
 			found := false
-			n.controller().call(c.ctx, priorityState, func() {
-				for _, x := range n.controller().machineNamed(w.Name()).bindings {
+			n.controller().call(c.ctx, priorityStore, func() {
+				for _, x := range n.controller().getOrAddMachine(w.Name()).bindings {
 					found = found || x.group.job.id == id
 				}
 			})
@@ -62,7 +62,7 @@
 // A gang loses a machine. Before it has run the lost tasks are replaced under the same
 // attempt, which completes it; after that the whole stops and starts again, under one
 // new number for all.
-func TestGangLosesAMember(t *testing.T) {
+func TestGangLosesMember(t *testing.T) {
 	for _, x := range []lostMemberCase{
 		{"dies while waiting", false, 1, (*agent.Agent).Terminate},
 		{"dies while running", true, 2, (*agent.Agent).Terminate},
@@ -75,7 +75,7 @@
 	}
 }
 
-// lostMemberCase is a row of TestGangLosesAMember.
+// lostMemberCase is a row of TestGangLosesMember.
 type lostMemberCase struct {
 	name    string
 	runs    bool   // when it loses the machine
@@ -95,16 +95,16 @@
 	gang := gangSubmission("wk-99", "blue", "urgent", 4, 20)
 	gang.ImageGB, gang.Image, gang.MachineTypes = 7, "gang", []string{"small"}
 	c.submit(gang)
-	c.await("it is placed", time.Minute, func() bool { return c.attemptsOf("wk-99")[1] == 4 })
+	c.await("it is placed", time.Minute, func() bool { return c.attemptCounts("wk-99")[1] == 4 })
 	if x.runs {
 		c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-99") == 4 })
 		time.Sleep(6 * time.Second)
 	} else {
 		time.Sleep(3 * time.Second)
 	}
-	x.lose(c.on("wk-99"))
+	x.lose(c.agentWithJob("wk-99"))
 	c.await("it runs again", time.Minute, func() bool {
-		return c.env.Running("wk-99") == 4 && c.attemptsOf("wk-99")[x.attempt] == 4
+		return c.env.Running("wk-99") == 4 && c.attemptCounts("wk-99")[x.attempt] == 4
 	})
 	c.env.SetSettled()
 	c.awaitDone("wk-99", 2*time.Minute)
@@ -132,14 +132,14 @@
 
 // A task whose machine hangs while it fetches leaves the others waiting: the gang ends
 // incomplete, and starts whole again elsewhere.
-func TestGangThatIsIncomplete(t *testing.T) {
+func TestIncompleteGangRestarts(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.runServices(4, 2)
 		b := gangSubmission("wk-9", "blue", "urgent", 4, 10)
 		b.ImageGB, b.Image, b.MachineTypes = 3, "gang", []string{"small"}
 		c.submit(b)
-		c.await("it is placed", time.Minute, func() bool { return c.attemptsOf("wk-9")[1] == 4 })
-		w := c.on("wk-9")
+		c.await("it is placed", time.Minute, func() bool { return c.attemptCounts("wk-9")[1] == 4 })
+		w := c.agentWithJob("wk-9")
 		w.SetIsolated(true) // it fetches on, and is heard of no more
 		time.Sleep(25 * time.Second)
 		w.SetIsolated(false)
@@ -150,7 +150,7 @@
 
 // Whatever a gang is at, a cancellation ends it, and a change of controllers does not
 // harm it.
-func TestGangInEachPhase(t *testing.T) {
+func TestGangCancelledOrControllersRestartedAtEachTime(t *testing.T) {
 	for after := range 6 {
 		for _, x := range []struct {
 			name  string
@@ -159,13 +159,13 @@
 			{"cancel", (*cluster).checkGangCancelled},
 			{"kill all", func(c *cluster) {
 				c.restartAll()
-				c.checkGangGoesOn()
+				c.checkGangCompletes()
 			}},
 			{"kill leader", func(c *cluster) {
 				c.kill(0)
 				time.Sleep(5 * time.Second)
 				c.start(0)
-				c.checkGangGoesOn()
+				c.checkGangCompletes()
 			}},
 		} {
 			t.Run(fmt.Sprint(x.name, after), func(t *testing.T) {
@@ -192,17 +192,17 @@
 	}
 }
 
-// checkGangGoesOn checks that the gang is done, in one attempt.
-func (c *cluster) checkGangGoesOn() {
+// checkGangCompletes checks that the gang is done, in one attempt.
+func (c *cluster) checkGangCompletes() {
 	c.t.Helper()
 	c.awaitDone("wk-9", 2*time.Minute)
-	if attempts := c.attemptsOf("wk-9"); len(attempts) > 1 {
+	if attempts := c.attemptCounts("wk-9"); len(attempts) > 1 {
 		c.t.Errorf("tasks by attempt: %v, want one attempt", attempts)
 	}
 }
 
 // Gangs among endless small work: each begins before long, none waits for another's cells.
-func TestGangsAmongSmallWork(t *testing.T) {
+func TestGangsAmongSmallTasks(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.env.Cloud.SetCapacity(6)
 		for i := range 12 {
@@ -234,7 +234,7 @@
 
 // A gang that can never run is refused, also when it is sent again; each of its tasks
 // alone would do.
-func TestGangsThatCanNotRun(t *testing.T) {
+func TestInfeasibleGangsAreRejected(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		time.Sleep(5 * time.Second)
 		for range 2 {
@@ -252,7 +252,7 @@
 // What users send for gangs and may get back: malformed ones are refused as such, one that
 // is known is never refused, whatever the settings say by now, and one that is cancelled
 // stays so.
-func TestAnswersForGangs(t *testing.T) {
+func TestGangAPIResponses(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		time.Sleep(5 * time.Second)
 		for i, x := range []struct {
--- a/internal/controller/group_records.go
+++ b/internal/controller/group_records.go
@@ -47,10 +47,10 @@
 	a.moveToPartition(group, v.Partition)
 	group.setContent(v, stored)
 	a.putBindings(group, v.Tasks)
-	a.forgetStaleEnds(group, former)
+	a.dropStaleEnds(group, former)
 	a.adoptBindings(group)
 	a.stopThrottled(group)
-	a.requestPass()
+	a.requestSchedulingPass()
 	return nil
 }
 
@@ -60,20 +60,20 @@
 		// A binding of ours that is being stored fails, or came before. What waits
 		// for cells in another zone must not get them there.
 		a.cancelReservations(group, true)
-		group.inPartitionSince = a.now
+		group.partitionAssignedAt = a.now
 	}
 	kept := make(map[int32]bool, len(v.Tasks))
 	for _, x := range v.Tasks {
 		kept[x.Task] = true
 	}
-	a.releaseCells(group, kept)
+	a.releaseCellsExcept(group, kept)
 }
 
 // setContent sets what a group's record says of the group as a whole.
 func (group *taskGroup) setContent(v *record.TaskGroup, stored storedValue) {
-	group.revision, group.size, group.encoding = stored.revision, stored.size, stored.encoding
+	group.revision, group.storedSize, group.encoding = stored.revision, stored.size, stored.encoding
 	group.partition, group.zone, group.guaranteed = v.Partition, v.Zone, v.Guaranteed
-	group.done, group.throttle = v.Done, v.Throttle
+	group.doneTasks, group.throttle = v.Done, v.Throttle
 }
 
 // putBindings takes in a group's tasks, with the machines that they are bound to.
@@ -95,7 +95,7 @@
 // bindMachine links the machine that a task is bound to with the task. The group has its
 // former bindings still.
 func (a recordApplier) bindMachine(group *taskGroup, task *record.Binding) *machine {
-	m := a.machineNamed(task.Machine)
+	m := a.getOrAddMachine(task.Machine)
 	if m.partition == a.loanPartition() && !group.binds(task.Task, task.Attempt, m) {
 		m.lastBoundAt = a.now
 	}
@@ -122,18 +122,18 @@
 		return
 	}
 	a.rollout.groupsByEncoding[group.encoding]--
-	a.releaseCells(group, nil)
+	a.releaseCellsExcept(group, nil)
 	a.unlinkBindings(group)
 	former := group.bindings
 	group.bindings = nil
-	a.forgetStaleEnds(group, former)
+	a.dropStaleEnds(group, former)
 	a.moveToPartition(group, noPartition)
 	a.removeGroup(group)
 }
 
 // markGroupReadable notes that a group's record can be decoded, or is deleted.
 func (a recordApplier) markGroupReadable(key string) {
-	delete(a.rollout.unreadable, key)
+	delete(a.rollout.unreadableGroups, key)
 	if id, _, ok := splitGroupKey(key); ok {
 		if job := a.jobs[id]; job != nil {
 			job.markReadable(key)
--- a/internal/controller/group_size.go
+++ b/internal/controller/group_size.go
@@ -26,7 +26,7 @@
 
 // encodeGroup is a task group with other bindings, in the encoding that is written now.
 func (c *clusterState) encodeGroup(group *taskGroup, done int, bindings []binding) record.Content {
-	return group.record(done, bindings).Encode(c.encoding())
+	return group.toRecord(done, bindings).Encode(c.writeEncoding())
 }
 
 // splitToFit is a task group's stored form, in as many pieces as the limit of a value asks
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -15,9 +15,9 @@
 const (
 	// workerRequest: the worker sent it by itself. The response may renew its lease.
 	workerRequest heartbeatSource = iota
-	// directAnswer: it is the answer to a direct command, which shows that the machine
+	// directCommandResponse: it is the answer to a direct command, which shows that the machine
 	// receives what it is sent, and renews no lease.
-	directAnswer
+	directCommandResponse
 )
 
 // handleHeartbeat takes a worker's heartbeat in and answers it.
@@ -28,10 +28,10 @@
 	if !c.replica.Loaded() {
 		return api.Response{Status: http.StatusServiceUnavailable, Reason: "starting"}
 	}
-	if refusal, refused := c.refusal(); refused {
+	if refusal, refused := c.refusalResponse(); refused {
 		return refusal
 	}
-	m := c.machineNamed(heartbeat.Machine)
+	m := c.getOrAddMachine(heartbeat.Machine)
 	p := c.partitions[m.partition]
 	if refusal, refused := c.refuseHeartbeat(heartbeat, p); refused {
 		return refusal
@@ -39,7 +39,7 @@
 	// The response renews the lease from when the heartbeat was sent. One that is not new
 	// was sent before the newest came in. It may be a copy that arrives long after its
 	// machine died, and must not put off the proof that the machine's lease has expired.
-	sentBefore := m.answeredAt
+	sentBefore := m.lastMessageAt
 	newer := c.applyHeartbeat(m, heartbeat, p, workerRequest)
 	if newer {
 		sentBefore = c.now
@@ -48,10 +48,10 @@
 		m.leaseRenewedAt = sentBefore
 	}
 	response := wire.HeartbeatResponse{Token: p.token, Commands: []wire.Command{}}
-	if newer && !m.terminated && p.active {
-		response.Commands = append(response.Commands, c.commands(m, p)...)
+	if newer && !m.terminated && p.takeoverComplete {
+		response.Commands = append(response.Commands, c.commandsFor(m, p)...)
 		for _, command := range response.Commands {
-			m.startInResponse = m.startInResponse || isStart(command)
+			m.responseCarriesStart = m.responseCarriesStart || isStartCommand(command)
 		}
 	}
 	return api.Response{Status: http.StatusOK, Body: response}
@@ -64,7 +64,7 @@
 		if !ok || holder.Node == c.cfg.Name {
 			return api.Response{Status: http.StatusServiceUnavailable, Reason: "no owner"}, true
 		}
-		c.metrics.count(countRedirected, 1)
+		c.metrics.count(countRedirectedHeartbeats, 1)
 		return api.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Node: holder.Node}}, true
 	}
 	if heartbeat.Token > p.token {
@@ -90,22 +90,22 @@
 	changesDecisions := c.changesDecisions(m, heartbeat, p, source)
 	m.noteIdentity(heartbeat)
 	m.tasks = heartbeat.Tasks
-	m.answeredAt = c.now
+	m.lastMessageAt = c.now
 	switch source {
 	case workerRequest:
 		c.noteWorkerRequest(m, p)
-	case directAnswer:
-		m.leaseExpiredUnheard, m.direct.unanswered = false, 0
+	case directCommandResponse:
+		m.leaseLostWhileHeard, m.commandState.unanswered = false, 0
 	}
 	c.noteTerminationNotice(m, heartbeat.NoticeS)
-	if p.active && !m.terminated {
+	if p.takeoverComplete && !m.terminated {
 		c.reconcile(m, p)
 	}
-	if source == workerRequest && (m.leaseExpiredUnheard || !p.isOwnToken(m.token)) {
+	if source == workerRequest && (m.leaseLostWhileHeard || !p.isOwnToken(m.token)) {
 		c.ping(m, p) // if it receives anything, its answer shows the present token
 	}
 	if changesDecisions {
-		c.requestPass()
+		c.requestSchedulingPass()
 	}
 	return true
 }
@@ -131,9 +131,9 @@
 // forgotten them, and refuses what is sent to the earlier incarnation.
 func (c *partitionOwner) beginIncarnation(m *machine, incarnation uint64) {
 	c.log.Info("machine begins a new incarnation", "machine", m.name, "incarnation", incarnation)
-	m.images, m.fetching = map[string]bool{}, map[string]time.Time{}
-	m.direct.unansweredStartToken, m.startInResponse = 0, false
-	m.leaseExpiredUnheard = !m.leaseRenewedAt.IsZero()
+	m.cachedImages, m.fetchStartedAt = map[string]bool{}, map[string]time.Time{}
+	m.commandState.unansweredStartToken, m.responseCarriesStart = 0, false
+	m.leaseLostWhileHeard = !m.leaseRenewedAt.IsZero()
 }
 
 // changesDecisions tells whether a heartbeat asks for a scheduling pass. Most say nothing
@@ -141,14 +141,14 @@
 func (c *partitionOwner) changesDecisions(m *machine, heartbeat *wire.Heartbeat, p *partition, source heartbeatSource) bool {
 	noticed, known := heartbeat.NoticeS != nil, !m.terminationAt.IsZero()
 	return heartbeat.Incarnation != m.incarnation || heartbeat.Token != m.token || noticed != known ||
-		source == workerRequest && !c.usable(m, p)
+		source == workerRequest && !c.isUsable(m, p)
 }
 
 // noteWorkerRequest notes that a machine has sent a heartbeat by itself.
 func (c *partitionOwner) noteWorkerRequest(m *machine, p *partition) {
 	first := m.heartbeatAt.Before(p.ownedSince)
 	m.heartbeatAt = c.now
-	m.startInResponse = false
+	m.responseCarriesStart = false
 	c.setMachineSize(m)
 	if first {
 		c.log.Debug("first heartbeat of a machine", "machine", m.name, "type", m.machineType, "partition", p.index)
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -20,15 +20,15 @@
 	groups      []*taskGroup
 	groupOfTask map[int32]*taskGroup // of each task that is assigned and not done
 
-	inUnfinished bool // listed in catalog.unfinished
+	inActiveJobs bool // listed in catalog.unfinished
 	// unreadable are the keys of its records that can't be decoded.
-	unreadable       map[string]bool
-	equivalenceClass string // what jobs alike in need and permissions share
-	nextGroupNumber  int
-	assignedAt       time.Time
-	finishing        bool            // a write of the final state is in flight
-	failedOn         map[string]bool // machines on which tasks of it failed
-	retryAt          time.Time       // nothing of it is placed before then
+	unreadableKeys     map[string]bool
+	equivalenceClass   string // what jobs alike in need and permissions share
+	nextGroupNumber    int
+	assignedAt         time.Time
+	finalWriteInFlight bool            // a write of the final state is in flight
+	failedMachines     map[string]bool // machines on which tasks of it failed
+	retryAt            time.Time       // nothing of it is placed before then
 
 	// Of a gang: the last attempt that was seen to run, that can't be completed, that
 	// was sent a stop; and whether a task of it, and so all, is done.
@@ -47,12 +47,12 @@
 	return j.nextGroupNumber - 1
 }
 
-// assignedTasks counts the tasks that are or were assigned to partitions, and those of them
+// countAssignedTasks counts the tasks that are or were assigned to partitions, and those of them
 // that are done.
-func (j *job) assignedTasks() (n, finished int) {
+func (j *job) countAssignedTasks() (n, finished int) {
 	for _, group := range j.groups {
-		n += len(group.bindings) + group.done
-		finished += group.done
+		n += len(group.bindings) + group.doneTasks
+		finished += group.doneTasks
 	}
 	return n, finished
 }
@@ -64,16 +64,16 @@
 		if group.throttle != 0 {
 			return true
 		}
-		n += len(group.bindings) + group.done
+		n += len(group.bindings) + group.doneTasks
 	}
 	return n < j.spec.Tasks
 }
 
 // unplacedTasks counts the tasks that are assigned and neither bound nor done.
-func (j *job) unplacedTasks() int {
+func (j *job) countUnplacedTasks() int {
 	n := 0
 	for _, group := range j.groups {
-		n += len(group.bindings) - group.boundTasks()
+		n += len(group.bindings) - group.boundTaskCount()
 	}
 	return n
 }
@@ -81,7 +81,7 @@
 // hasStarted tells whether a task of the job has ever been bound.
 func (j *job) hasStarted() bool {
 	for _, group := range j.groups {
-		if group.done > 0 {
+		if group.doneTasks > 0 {
 			return true
 		}
 		for i := range group.bindings {
@@ -109,14 +109,14 @@
 
 // markUnreadable notes that a record of the job can't be decoded.
 func (j *job) markUnreadable(key string) {
-	if j.unreadable == nil {
-		j.unreadable = map[string]bool{}
+	if j.unreadableKeys == nil {
+		j.unreadableKeys = map[string]bool{}
 	}
-	j.unreadable[key] = true
+	j.unreadableKeys[key] = true
 }
 
 // markReadable notes that a record of the job can be decoded, or is gone.
-func (j *job) markReadable(key string) { delete(j.unreadable, key) }
+func (j *job) markReadable(key string) { delete(j.unreadableKeys, key) }
 
 // hasUnreadableRecords tells whether a record of the job can't be decoded.
-func (j *job) hasUnreadableRecords() bool { return len(j.unreadable) > 0 }
+func (j *job) hasUnreadableRecords() bool { return len(j.unreadableKeys) > 0 }
--- a/internal/controller/job_assignment.go
+++ b/internal/controller/job_assignment.go
@@ -53,7 +53,7 @@
 // tasksWithinQuota is how many tasks of a job its team's limit has room for: all or none if
 // they start together.
 func (a *assignmentPass) tasksWithinQuota(j *job, remaining int) int {
-	count := a.teamQuotas[j.team].Room(j.taskSize, remaining)
+	count := a.teamQuotas[j.team].RemainingTasks(j.taskSize, remaining)
 	if j.spec.AllOrNothing() && count < remaining {
 		return 0
 	}
@@ -62,7 +62,7 @@
 
 func (a *assignmentPass) newJobAssignment(j *job, request assignmentRequest, count int) jobAssignment {
 	quota := &a.teamQuotas[j.team]
-	guaranteed := quota.GuaranteedRoom(j.taskSize, count)
+	guaranteed := quota.RemainingGuaranteedTasks(j.taskSize, count)
 	if j.spec.Gang && guaranteed < count {
 		guaranteed = 0 // a gang has one claim for all of its tasks
 	}
@@ -75,7 +75,7 @@
 		count:          count,
 		claim:          scheduling.Claim{Priority: j.spec.Priority, Guaranteed: guaranteed > 0, Team: j.team},
 		guaranteedRoom: guaranteed,
-		quotaShort:     quota.Room(j.taskSize, ample) < ample,
+		quotaShort:     quota.RemainingTasks(j.taskSize, ample) < ample,
 		forced:         request.forced,
 		nextTask:       int32(request.assigned),
 	}
@@ -123,16 +123,16 @@
 func (s *jobAssignment) planningRequest(zone string, count int, withReserve bool) *planning.Assignment {
 	leader, job := s.pass.leader, s.job
 	mayUse := func(summary *planning.MachineSummary) bool {
-		return !summary.Booting && (withReserve || leader.reserveAllows(job, summary)) && allowed(job.spec, zone, summary.Type, summary.Zone, summary.Spot)
+		return !summary.Booting && (withReserve || leader.reserveAllows(job, summary)) && allowsMachine(job.spec, zone, summary.Type, summary.Zone, summary.Spot)
 	}
-	return &planning.Assignment{TaskSize: job.taskSize, Count: count, Claim: s.claim, Allowed: mayUse, QuotaShort: s.quotaShort, Forced: s.forced}
+	return &planning.Assignment{TaskSize: job.taskSize, Count: count, Claim: s.claim, AllowsMachine: mayUse, QuotaLimited: s.quotaShort, Force: s.forced}
 }
 
 // assignWhole assigns tasks that start together to one partition, so that their cells are
 // reserved together; its owner preempts others where there is no free room. Where no
 // partition has room it borrows machines, and reports whether they are on their way.
 func (s *jobAssignment) assignWhole(request *planning.Assignment, zone string) (borrowed bool) {
-	partition, ok := request.OnePartition(s.pass.summaries, len(s.pass.partitions))
+	partition, ok := request.ChoosePartition(s.pass.summaries, len(s.pass.partitions))
 	if !ok {
 		return request.Count > 1 && s.pass.borrow(s.pass.summaries, s.job, loanRequest{zone: zone, tasks: request.Count, claim: s.claim})
 	}
@@ -142,7 +142,7 @@
 
 // assignSpread assigns tasks of an array to all partitions that have room.
 func (s *jobAssignment) assignSpread(request *planning.Assignment, zone string) {
-	for partition, count := range request.PerPartition(s.pass.summaries, s.pass.ahead) {
+	for partition, count := range request.SplitAmongPartitions(s.pass.summaries, s.pass.ahead) {
 		count = min(count, s.count-s.found)
 		if count > 0 {
 			s.add(partition, zone, count)
@@ -186,10 +186,10 @@
 // chargeQuota counts the assigned tasks for the team's quota.
 func (s *jobAssignment) chargeQuota() {
 	quota := &s.pass.teamQuotas[s.job.team]
-	quota.Used = quota.Used.Plus(s.job.taskSize.Times(s.found))
+	quota.Usage = quota.Usage.Plus(s.job.taskSize.Times(s.found))
 	for i := range s.groups {
 		if group := &s.groups[i]; group.Guaranteed {
-			quota.GuaranteedUsed = quota.GuaranteedUsed.Plus(s.job.taskSize.Times(len(group.Tasks)))
+			quota.GuaranteedUsage = quota.GuaranteedUsage.Plus(s.job.taskSize.Times(len(group.Tasks)))
 		}
 	}
 }
--- a/internal/controller/job_completion.go
+++ b/internal/controller/job_completion.go
@@ -18,10 +18,10 @@
 
 // finishJobs ends jobs whose tasks are all done and deletes the groups of final ones.
 func (c *leader) finishJobs() {
-	c.archiveFinished(c.replica)
+	c.archiveFinishedJobs(c.replica)
 	budget := maxFinishWrites
 	mayDelete := c.stateWriter.Backlog() < maxCleanupBacklog
-	for _, job := range c.unfinished {
+	for _, job := range c.activeJobs {
 		if budget == 0 {
 			return
 		}
@@ -43,20 +43,20 @@
 // allTasksDone tells whether a job is to be ended: all of its tasks are done, and that is
 // not being stored yet.
 func (j *job) allTasksDone() bool {
-	if j.hasUnreadableRecords() || j.spec == nil || j.spec.Service || j.finishing {
+	if j.hasUnreadableRecords() || j.spec == nil || j.spec.Service || j.finalWriteInFlight {
 		return false
 	}
-	assigned, finished := j.assignedTasks()
+	assigned, finished := j.countAssignedTasks()
 	return assigned == finished && finished == j.spec.Tasks
 }
 
 // storeJobDone stores that a job is done.
 func (c *leader) storeJobDone(j *job) {
-	j.finishing = true
+	j.finalWriteInFlight = true
 	c.SubmitWrite(&store.Write{
 		Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}},
 		Changes:    []wire.Change{{Put: jobKey(j.id), Value: record.JSON(record.Job{FinalState: record.Done})}},
-	}, func(error) { j.finishing = false })
+	}, func(error) { j.finalWriteInFlight = false })
 }
 
 // deleteGroups deletes groups of a final job that bind nothing any more, at most limit of
@@ -67,7 +67,7 @@
 		if deleted == limit {
 			break
 		}
-		if !group.writing && group.boundTasks() == 0 {
+		if !group.writeInFlight && group.boundTaskCount() == 0 {
 			deleted++
 			c.deleteGroupRecord(group)
 		}
@@ -76,16 +76,16 @@
 }
 
 func (c *leader) deleteGroupRecord(group *taskGroup) {
-	group.writing = true
+	group.writeInFlight = true
 	c.SubmitWrite(&store.Write{
 		Conditions: []wire.Condition{c.leaderCondition(), {Key: group.key, Revision: group.revision}},
 		Changes:    []wire.Change{{Delete: group.key}},
 	}, func(err error) {
 		if err != nil { // its owner wrote it meanwhile: not before that is known
-			c.reader.AfterSuccessfulRead(func() { group.writing = false })
+			c.reader.AfterSuccessfulRead(func() { group.writeInFlight = false })
 			return
 		}
-		group.writing = false
+		group.writeInFlight = false
 		group.job.releaseDetails(c.replica.Cursor())
 	})
 }
--- a/internal/controller/job_order.go
+++ b/internal/controller/job_order.go
@@ -7,18 +7,18 @@
 )
 
 // jobOrder is what a job's place among others depends on.
-func (c *clusterState) jobOrder(j *job) *planning.JobOrder {
-	_, finished := j.assignedTasks()
-	return &planning.JobOrder{
-		AllOrNothing:  j.spec.AllOrNothing(),
-		NoDeadline:    j.spec.NoDeadline,
-		Started:       j.hasStarted(),
-		OverdueTurn:   planning.IsOverdueTurn(c.now.Unix()),
-		AgeS:          c.now.Sub(j.acceptedAt).Seconds(),
-		EstimateS:     j.spec.EstimateS,
-		DeadlineS:     j.spec.DeadlineS,
-		ObjectiveS:    c.objectiveSeconds[j.spec.Class],
-		RemainingWork: float64(j.spec.Tasks-finished) * j.spec.EstimateS * j.spec.CPUs,
+func (c *clusterState) jobOrder(j *job) *planning.JobTiming {
+	_, finished := j.countAssignedTasks()
+	return &planning.JobTiming{
+		AllOrNothing:     j.spec.AllOrNothing(),
+		NoDeadline:       j.spec.NoDeadline,
+		Started:          j.hasStarted(),
+		OverdueTimeSlice: planning.IsOverdueTimeSlice(c.now.Unix()),
+		AgeS:             c.now.Sub(j.acceptedAt).Seconds(),
+		EstimateS:        j.spec.EstimateS,
+		DeadlineS:        j.spec.DeadlineS,
+		ObjectiveS:       c.objectiveSeconds[j.spec.Class],
+		RemainingWork:    float64(j.spec.Tasks-finished) * j.spec.EstimateS * j.spec.CPUs,
 	}
 }
 
@@ -26,7 +26,7 @@
 const arrivalBucketS = 10
 
 // byUrgency compares jobs by priority and urgency, each looked at once.
-func (c *clusterState) byUrgency() func(x, y *job) int {
+func (c *clusterState) urgencyComparator() func(x, y *job) int {
 	known := map[*job]planning.Urgency{}
 	urgency := func(j *job) planning.Urgency {
 		u, ok := known[j]
--- a/internal/controller/job_zones.go
+++ b/internal/controller/job_zones.go
@@ -38,8 +38,8 @@
 	}
 	free := map[string]int{}
 	for _, summary := range summaries {
-		if allowed(j.spec, "", summary.Type, summary.Zone, summary.Spot) {
-			free[summary.Zone] += summary.Free.CountFitting(j.taskSize, j.spec.Tasks)
+		if allowsMachine(j.spec, "", summary.Type, summary.Zone, summary.Spot) {
+			free[summary.Zone] += summary.FreeResources.CountFitting(j.taskSize, j.spec.Tasks)
 		}
 	}
 	var zones []string
--- a/internal/controller/keys.go
+++ b/internal/controller/keys.go
@@ -67,8 +67,8 @@
 // taskName is the name by which workers know a job's task.
 func taskName(id string, number int32) string { return id + "/" + strconv.Itoa(int(number)) }
 
-// parseTask takes a task's name apart.
-func parseTask(name string) (id string, number int32, ok bool) {
+// parseTaskName takes a task's name apart.
+func parseTaskName(name string) (id string, number int32, ok bool) {
 	id, digits, ok := strings.Cut(name, "/")
 	n, err := strconv.ParseInt(digits, 10, 32)
 	return id, int32(n), ok && err == nil
--- a/internal/controller/keys_test.go
+++ b/internal/controller/keys_test.go
@@ -33,14 +33,14 @@
 	if id, number, ok := splitGroupKey(groupKey("wk-1", 12)); !ok || id != "wk-1" || number != 12 {
 		t.Errorf("job %q, number %d, ok %v, want wk-1 and 12", id, number, ok)
 	}
-	if id, number, ok := parseTask(taskName("wk-1", 12)); !ok || id != "wk-1" || number != 12 {
+	if id, number, ok := parseTaskName(taskName("wk-1", 12)); !ok || id != "wk-1" || number != 12 {
 		t.Errorf("job %q, number %d, ok %v, want wk-1 and 12", id, number, ok)
 	}
 	for _, name := range []string{"wk-1", "wk-1/", "wk-1/x", "wk-1/1/2"} {
 		if _, _, ok := splitGroupKey(groupPrefix + name); ok {
 			t.Errorf("the group's key %q is accepted", groupPrefix+name)
 		}
-		if _, _, ok := parseTask(name); ok {
+		if _, _, ok := parseTaskName(name); ok {
 			t.Errorf("the task's name %q is accepted", name)
 		}
 	}
--- a/internal/controller/late_requests_test.go
+++ b/internal/controller/late_requests_test.go
@@ -73,7 +73,7 @@
 // again: no key that may be created under "does not exist" is deleted while the
 // rest of its conditions can still hold. (An assignment that came back to life handed
 // tasks out twice, and a job was called done too early.)
-func TestVeryLateTransactions(t *testing.T) {
+func TestTransactionsDelayedByFortySeconds(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		rng := rand.New(rand.NewPCG(3, 4))
 		var mu sync.Mutex
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -20,19 +20,19 @@
 	// token is the fencing token, the present revision of the leader's key.
 	token uint64
 	// active is set once everything that a former leader stored has been read.
-	active bool
-	since  time.Time
+	active    bool
+	startedAt time.Time
 	// writesInFlight counts decisions that are not known to be stored, see submitDecision.
 	writesInFlight int
 	usageLoggedAt  time.Time
-	// ownersInTouch are the partitions' owners, by partition, see updateOwnersInTouch.
-	ownersInTouch []ownerInTouch
-	gangReserve   gangReserve
+	// owners are the partitions' owners, by partition, see updateOwnerLiveness.
+	owners      []ownerLiveness
+	gangReserve gangReserve
 }
 
 // becomeLeader begins a leadership that a write of that revision gave to this controller.
 func (c *leader) becomeLeader(revision uint64) {
-	c.leadership = leadership{epoch: revision, token: revision, since: c.now}
+	c.leadership = leadership{epoch: revision, token: revision, startedAt: c.now}
 	c.autoscaler.StartTerm()
 	// A former leader's late writes fail by its fencing token; what it did store is read
 	// before anything is assigned.
@@ -46,15 +46,15 @@
 // isLeader tells whether this controller acts as the leader now.
 func (c *leader) isLeader() bool { return c.leadership.active && c.isFresh(c.operator.LeaseTTL) }
 
-// runLeader is one step of the leader: it assigns work to partitions, and launches and
+// runLeaderPass is one step of the leader: it assigns work to partitions, and launches and
 // terminates machines.
-func (c *leader) runLeader() {
+func (c *leader) runLeaderPass() {
 	if !c.isLeader() {
 		return
 	}
-	defer c.metrics.addBusyTime(activityLeader, time.Now())
+	defer c.metrics.addBusyTime(activityPlanning, time.Now())
 	c.finishJobs()
-	c.updateOwnersInTouch()
+	c.updateOwnerLiveness()
 	summaries := c.machineSummaries() // first: it notes which machines are up
 	c.autoscaler.DetectIsolatedZones()
 	// What is lost is terminated at once, however long it takes until assignments are
--- a/internal/controller/unaware_view_test.go
+++ b/internal/controller/legacy_store_view_test.go
@@ -12,12 +12,12 @@
 	"eiderhitch/internal/wire"
 )
 
-// unawareView shows the key-value store as a version without levels takes it: it has no use
+// legacyStoreView shows the key-value store as a version without levels takes it: it has no use
 // for the keys of levels, and can't decode a group that is not an object.
-type unawareView struct{ inner http.RoundTripper }
+type legacyStoreView struct{ inner http.RoundTripper }
 
 // RoundTrip hides from an answer what such a version would not see in it.
-func (v unawareView) RoundTrip(r *http.Request) (*http.Response, error) {
+func (v legacyStoreView) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := v.inner.RoundTrip(r)
 	if err != nil || resp.StatusCode != http.StatusOK || r.Method != http.MethodGet {
 		return resp, err
--- a/internal/controller/level_history_test.go
+++ b/internal/controller/level_history_test.go
@@ -8,15 +8,15 @@
 	"eiderhitch/internal/wire"
 )
 
-// levelHistory goes through all that was ever stored, in its order, and checks it against
+// levelHistoryChecker goes through all that was ever stored, in its order, and checks it against
 // the level in force at that moment.
-type levelHistory struct {
+type levelHistoryChecker struct {
 	*cluster
-	state   rollout.State
-	checked map[string]bool // groups that are stored with a checksum
+	state             rollout.State
+	checksummedGroups map[string]bool // groups that are stored with a checksum
 }
 
-func (h *levelHistory) check(e wire.Event) {
+func (h *levelHistoryChecker) checkEvent(e wire.Event) {
 	h.t.Helper()
 	key := e.Put + e.Delete
 	if isRolloutKey(key) && !h.upgrades {
@@ -27,7 +27,7 @@
 	}
 	if strings.HasPrefix(key, groupPrefix) {
 		encoding := record.EncodingOf(e.Value)
-		h.checked[key] = encoding == record.Checksummed
+		h.checksummedGroups[key] = encoding == record.Checksummed
 		if rollout.Level(encoding) > h.state.Level {
 			h.t.Errorf("%s is stored in encoding %d at level %d", key, encoding, h.state.Level)
 		}
@@ -39,7 +39,7 @@
 
 // checkState checks a change of the state: it follows from the one before, and a level
 // that is given up leaves nothing behind.
-func (h *levelHistory) checkState(e wire.Event) {
+func (h *levelHistoryChecker) checkState(e wire.Event) {
 	h.t.Helper()
 	state, err := rollout.DecodeState(e.Value)
 	if err != nil {
@@ -52,7 +52,7 @@
 		h.t.Errorf("from level %d to %d", h.state.Level, state.Level)
 	}
 	h.state = state
-	for key, there := range h.checked {
+	for key, there := range h.checksummedGroups {
 		if there && state.Level == rollout.BaseLevel {
 			h.t.Errorf("%s has a checksum at the base level", key)
 		}
@@ -66,7 +66,7 @@
 
 // checkLease checks that a leased key is taken under the keys of the level in force, by a
 // process that reads it.
-func (h *levelHistory) checkLease(e wire.Event) {
+func (h *levelHistoryChecker) checkLease(e wire.Event) {
 	h.t.Helper()
 	var holder record.LeaseHolder
 	if err := wire.Decode(e.Value, &holder); err != nil {
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -16,25 +16,25 @@
 
 // A record is written in pieces that fit, which have all of its tasks, no more of which
 // may run than before, and each binding.
-func TestRecordsFitTheLimit(t *testing.T) {
-	c := lone(t)
+func TestSplitRecordsFitValueLimit(t *testing.T) {
+	c := newTestController(t)
 	rapid.Check(t, func(t *rapid.T) {
 		c.cfg.Settings.Store.ValueKB = rapid.Float64Range(0.5, 8).Draw(t, "value_kb")
 		group := drawGroup(t)
 		if rapid.Bool().Draw(t, "checked") {
 			c.rollout.state = rollout.State{Level: rollout.ChecksumLevel, Phase: rollout.Stable, Epoch: 1}
 		}
-		want := groupContents{tasks: len(group.bindings), allowed: group.allowedTasks(), done: group.done}
+		want := groupContents{tasks: len(group.bindings), allowed: group.bindLimit(), done: group.doneTasks}
 		for _, b := range group.bindings {
 			if b.machine != nil {
 				want.bound++
 			}
 		}
 		var got groupContents
-		for _, piece := range c.splitToFit(group, group.done, group.bindings) {
+		for _, piece := range c.splitToFit(group, group.doneTasks, group.bindings) {
 			raw := piece.At(groupKey("wk-1", 0))
-			if len(raw) > c.maxValueBytes() || piece.Encoding() != c.encoding() {
-				t.Fatalf("a piece has %d bytes and encoding %d, want at most %d and %d", len(raw), piece.Encoding(), c.maxValueBytes(), c.encoding())
+			if len(raw) > c.maxValueBytes() || piece.Encoding() != c.writeEncoding() {
+				t.Fatalf("a piece has %d bytes and encoding %d, want at most %d and %d", len(raw), piece.Encoding(), c.maxValueBytes(), c.writeEncoding())
 			}
 			got.add(t, raw)
 		}
@@ -47,7 +47,7 @@
 // drawGroup is a task group of which some tasks are bound, to machines with names and
 // addresses of several lengths.
 func drawGroup(t *rapid.T) *taskGroup {
-	group := &taskGroup{key: "x", done: rapid.IntRange(0, 50).Draw(t, "done")}
+	group := &taskGroup{key: "x", doneTasks: rapid.IntRange(0, 50).Draw(t, "done")}
 	n := rapid.IntRange(1, 128).Draw(t, "tasks")
 	bound := 0
 	for i := range n {
@@ -83,14 +83,14 @@
 		}
 	}
 	g.tasks += len(stored.Tasks)
-	g.allowed += piece.allowedTasks()
+	g.allowed += piece.bindLimit()
 	g.done += stored.Done
 }
 
 // The key-value store lowers its limits while there are records that were written under
 // the former ones: they are read, split when they are written again, and nothing beyond
 // the new limits is ever sent, let alone again and again.
-func TestLowerLimitsOverLargeRecords(t *testing.T) {
+func TestLoweredValueLimitSplitsRecords(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.env.Cloud.SetCapacity(6)
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 400, CPUs: 1, EstimateS: 4}))
@@ -118,7 +118,7 @@
 
 // A job whose description can't be stored is refused for good, and one that was accepted
 // while more was allowed can still be asked for, submitted again and cancelled.
-func TestDescriptionsBeyondTheLimit(t *testing.T) {
+func TestJobSpecsLargerThanValueLimit(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		body := func(id string) *submission {
 			b := newSubmission(submission{ID: id, Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 300, CPUs: 1, EstimateS: 30})
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -27,9 +27,9 @@
 	usableHeartbeats = 2
 	minUsableFor     = 3 * time.Second
 
-	// silentMachineMemory is for how long a silent machine is pinged and told about: well
+	// silentMachineRetention is for how long a silent machine is pinged and told about: well
 	// beyond the time after which it is terminated or found dead.
-	silentMachineMemory = 3 * time.Minute
+	silentMachineRetention = 3 * time.Minute
 	// countedSilence is for how long it speaks for what most machines of its partition do.
 	countedSilence = 2 * time.Minute
 )
@@ -43,41 +43,41 @@
 	return c.now.Sub(m.heartbeatAt) <= within
 }
 
-// heartbeatOverdueAfter is how long a machine may be silent before it is pinged.
-func (c *clusterState) heartbeatOverdueAfter() time.Duration {
+// heartbeatTimeout is how long a machine may be silent before it is pinged.
+func (c *clusterState) heartbeatTimeout() time.Duration {
 	return config.Seconds(longestHeartbeatPause*c.cfg.Settings.Workers.ReportS) + heartbeatTransit
 }
 
-// unreachableAfter is how long a machine may be silent before it counts as unreachable, if
+// unreachableTimeout is how long a machine may be silent before it counts as unreachable, if
 // it can't be pinged.
-func (c *clusterState) unreachableAfter() time.Duration {
+func (c *clusterState) unreachableTimeout() time.Duration {
 	w := &c.cfg.Settings.Workers
 	return max(unreachableHeartbeats*config.Seconds(w.ReportS), config.Seconds(unreachableLeaseShare*w.LeaseS), minUnreachableAfter)
 }
 
-// usableFor is how long after its last heartbeat tasks are placed on a machine.
-func (c *clusterState) usableFor() time.Duration {
+// usableTimeout is how long after its last heartbeat tasks are placed on a machine.
+func (c *clusterState) usableTimeout() time.Duration {
 	return max(usableHeartbeats*config.Seconds(c.cfg.Settings.Workers.ReportS), minUsableFor)
 }
 
 // seemsNotReceiving tells whether a machine lost its lease although its heartbeats were
 // answered, or does not answer direct commands.
 func (m *machine) seemsNotReceiving() bool {
-	return m.leaseExpiredUnheard || m.direct.unanswered >= unansweredLimit
+	return m.leaseLostWhileHeard || m.commandState.unanswered >= unansweredLimit
 }
 
 // notReceiving tells whether a machine receives nothing, whatever it sends. Nothing is placed
 // on it, and it is replaced if it stays so. When most machines seem to receive nothing, it is
 // this controller whose messages are lost, and they are all usable.
-func (m *machine) notReceiving(p *partition) bool {
+func (m *machine) isNotReceiving(p *partition) bool {
 	return m.seemsNotReceiving() && !p.mostNotReceiving
 }
 
-// heardSince is when a machine was last heard, or since when it could have been. A controller
+// silentSince is when a machine was last heard, or since when it could have been. A controller
 // that answers no heartbeats (see config.MaxStaleness) hears nothing: after a long outage all
 // machines would at once count as unreachable, and be terminated with all that they run.
-func (c *clusterState) heardSince(m *machine, p *partition) time.Time {
-	since := p.ownsMachineSince(m)
+func (c *clusterState) silentSince(m *machine, p *partition) time.Time {
+	since := p.machineOwnedSince(m)
 	if c.heartbeatsResumedAt.After(since) {
 		since = c.heartbeatsResumedAt
 	}
@@ -90,15 +90,15 @@
 // usable tells whether an owner may place tasks on its machine. It must have shown a token of
 // this owner: a heartbeat with an earlier one may be a late copy, after a failover even of a
 // machine that died long ago, and there is nothing to compare it with.
-func (c *clusterState) usable(m *machine, p *partition) bool {
-	heard := m.heartbeatAt.After(p.ownsMachineSince(m)) && m.incarnation > 0 && p.isOwnToken(m.token)
-	return heard && !m.terminated && !m.notReceiving(p) && c.now.Sub(m.heartbeatAt) < c.usableFor()
+func (c *clusterState) isUsable(m *machine, p *partition) bool {
+	heard := m.heartbeatAt.After(p.machineOwnedSince(m)) && m.incarnation > 0 && p.isOwnToken(m.token)
+	return heard && !m.terminated && !m.isNotReceiving(p) && c.now.Sub(m.heartbeatAt) < c.usableTimeout()
 }
 
-// leaseExpired tells whether a machine's lease has surely expired: nobody, not even a former
+// isLeaseExpired tells whether a machine's lease has surely expired: nobody, not even a former
 // owner, has sent it a response that could renew it for the whole lease.
-func (c *clusterState) leaseExpired(m *machine, p *partition) bool {
-	renewed := p.ownsMachineSince(m).Add(p.formerOwnerStaleness)
+func (c *clusterState) isLeaseExpired(m *machine, p *partition) bool {
+	renewed := p.machineOwnedSince(m).Add(p.formerOwnerMaxStaleness)
 	if m.leaseRenewedAt.After(renewed) {
 		renewed = m.leaseRenewedAt
 	}
@@ -107,7 +107,7 @@
 
 // unreachable tells whether a machine neither sends heartbeats nor answers direct commands,
 // while most others of its partition do, or sends and receives nothing.
-func (c *clusterState) unreachable(m *machine, p *partition) bool {
+func (c *clusterState) isUnreachable(m *machine, p *partition) bool {
 	// While no heartbeats are answered all machines are silent. The leader may be back from
 	// the same outage a moment earlier, and would terminate those that a peer calls
 	// unreachable.
@@ -115,15 +115,15 @@
 		return false
 	}
 	// A machine whose lease has expired has lost its tasks anyhow.
-	return !c.mostUnreachable(p) || c.leaseExpired(m, p)
+	return !c.mostUnreachable(p) || c.isLeaseExpired(m, p)
 }
 
 // mostUnreachable tells whether most of a partition's machines seem unreachable. It is
 // counted once for all decisions of one event: counted for each silent machine, hundreds that
 // fall silent together would take up the processor.
 func (c *clusterState) mostUnreachable(p *partition) bool {
-	if p.countedAt != c.now {
-		p.countedAt = c.now
+	if p.unreachableCountedAt != c.now {
+		p.unreachableCountedAt = c.now
 		unreachable, all := 0, 0
 		for _, m := range p.machines {
 			if m.terminated || !c.expectsHeartbeat(m, countedSilence) {
@@ -132,7 +132,7 @@
 			// Where heartbeats arrive, also from other partitions, a machine that has sent
 			// none since a failover says nothing about this controller: a partition of few
 			// machines may well have lost most of them.
-			if m.heartbeatAt.IsZero() && c.lastHeartbeatAt.After(p.ownsMachineSince(m)) {
+			if m.heartbeatAt.IsZero() && c.lastHeartbeatAt.After(p.machineOwnedSince(m)) {
 				continue
 			}
 			all++
@@ -150,15 +150,15 @@
 	if c.sendsWithoutReceiving(m, p) || c.silentBeyondLease(m, p) {
 		return true
 	}
-	since := c.heardSince(m, p)
-	if m.answeredAt.After(since) {
-		since = m.answeredAt
+	since := c.silentSince(m, p)
+	if m.lastMessageAt.After(since) {
+		since = m.lastMessageAt
 	}
-	if m.direct.unanswered < unansweredLimit {
-		return c.now.Sub(since) > c.unreachableAfter()
+	if m.commandState.unanswered < unansweredLimit {
+		return c.now.Sub(since) > c.unreachableTimeout()
 	}
-	after := c.heartbeatOverdueAfter()
-	if !m.heartbeatAt.After(p.ownsMachineSince(m)) {
+	after := c.heartbeatTimeout()
+	if !m.heartbeatAt.After(p.machineOwnedSince(m)) {
 		// It is pinged right after a failover, and must not count as unreachable sooner than
 		// with an owner that goes on: that its whole zone is cut off shows no earlier.
 		after += unansweredLimit * workerclient.PingTimeout
@@ -169,35 +169,35 @@
 // sendsWithoutReceiving tells whether a machine sends heartbeats and receives nothing, with
 // enough time to have received something.
 func (c *clusterState) sendsWithoutReceiving(m *machine, p *partition) bool {
-	return m.notReceiving(p) && c.now.Sub(p.ownsMachineSince(m)) > c.unreachableAfter() && c.now.Sub(m.heartbeatAt) < c.heartbeatOverdueAfter()
+	return m.isNotReceiving(p) && c.now.Sub(p.machineOwnedSince(m)) > c.unreachableTimeout() && c.now.Sub(m.heartbeatAt) < c.heartbeatTimeout()
 }
 
 // silentBeyondLease tells whether a machine has sent no heartbeat for so long that its lease
 // has expired, though others' heartbeats arrive. It takes no work, whatever it answers to
 // direct commands.
 func (c *clusterState) silentBeyondLease(m *machine, p *partition) bool {
-	silent := c.now.Sub(c.heardSince(m, p)) > c.leaseExpiry+c.unreachableAfter()
-	return silent && c.now.Sub(c.resumedFromPauseAt) > c.unreachableAfter() && c.now.Sub(c.lastHeartbeatAt) < c.heartbeatOverdueAfter()
+	silent := c.now.Sub(c.silentSince(m, p)) > c.leaseExpiry+c.unreachableTimeout()
+	return silent && c.now.Sub(c.resumedFromPauseAt) > c.unreachableTimeout() && c.now.Sub(c.lastHeartbeatAt) < c.heartbeatTimeout()
 }
 
-// probeUnreachable pings the machines whose heartbeats are overdue, or that seem to receive
+// probeMachines pings the machines whose heartbeats are overdue, or that seem to receive
 // nothing.
-func (c *partitionOwner) probeUnreachable() {
+func (c *partitionOwner) probeMachines() {
 	for _, p := range c.partitions {
-		if !p.active {
+		if !p.takeoverComplete {
 			continue
 		}
 		all, notReceiving := 0, 0
 		for _, m := range p.machines {
-			if m.terminated || !c.expectsHeartbeat(m, silentMachineMemory) {
+			if m.terminated || !c.expectsHeartbeat(m, silentMachineRetention) {
 				continue
 			}
 			all++
 			if m.seemsNotReceiving() {
 				notReceiving++
 			}
-			overdue := c.now.Sub(c.heardSince(m, p)) > c.heartbeatOverdueAfter()
-			if m.leaseExpiredUnheard || m.direct.unanswered > 0 || overdue {
+			overdue := c.now.Sub(c.silentSince(m, p)) > c.heartbeatTimeout()
+			if m.leaseLostWhileHeard || m.commandState.unanswered > 0 || overdue {
 				c.ping(m, p)
 			}
 		}
