--- a/internal/controller/liveness_test.go
+++ b/internal/controller/liveness_test.go
@@ -17,15 +17,15 @@
 		{5, 10, 6750 * time.Millisecond, 15 * time.Second, 10 * time.Second},
 		{10, 50, 13 * time.Second, 30 * time.Second, 20 * time.Second},
 	} {
-		c := lone(t)
+		c := newTestController(t)
 		c.cfg.Settings.Workers.ReportS, c.cfg.Settings.Workers.LeaseS = x.intervalS, x.leaseS
-		if got := c.heartbeatOverdueAfter(); got != x.overdue {
+		if got := c.heartbeatTimeout(); got != x.overdue {
 			t.Errorf("interval %v s, lease %v s: a heartbeat is overdue after %v, want %v", x.intervalS, x.leaseS, got, x.overdue)
 		}
-		if got := c.unreachableAfter(); got != x.unreachable {
+		if got := c.unreachableTimeout(); got != x.unreachable {
 			t.Errorf("interval %v s, lease %v s: a machine is unreachable after %v, want %v", x.intervalS, x.leaseS, got, x.unreachable)
 		}
-		if got := c.usableFor(); got != x.usable {
+		if got := c.usableTimeout(); got != x.usable {
 			t.Errorf("interval %v s, lease %v s: a machine is usable for %v, want %v", x.intervalS, x.leaseS, got, x.usable)
 		}
 	}
@@ -35,9 +35,9 @@
 func heardMachine(c *controller) (*machine, *partition) {
 	p := c.partitions[0]
 	p.firstToken = p.token
-	m := c.machineNamed("host-1")
+	m := c.getOrAddMachine("host-1")
 	m.incarnation, m.sequence, m.token = 1, 1, p.token
-	m.heartbeatAt, m.answeredAt, m.leaseRenewedAt, c.lastHeartbeatAt = c.now, c.now, c.now, c.now
+	m.heartbeatAt, m.lastMessageAt, m.leaseRenewedAt, c.lastHeartbeatAt = c.now, c.now, c.now, c.now
 	return m, p
 }
 
@@ -51,19 +51,19 @@
 		{"heard a while ago", func(c *controller, _ *machine, _ *partition) { c.now = c.now.Add(2900 * time.Millisecond) }, true},
 		{"not heard any more", func(c *controller, _ *machine, _ *partition) { c.now = c.now.Add(3 * time.Second) }, false},
 		{"heard before the failover", func(c *controller, _ *machine, p *partition) { p.ownedSince = c.now }, false},
-		{"heard before it came to the partition", func(c *controller, m *machine, _ *partition) { m.inPartitionSince = c.now }, false},
+		{"heard before it came to the partition", func(c *controller, m *machine, _ *partition) { m.partitionChangedAt = c.now }, false},
 		{"a late copy with a former owner's token", func(_ *controller, _ *machine, p *partition) { p.firstToken++ }, false},
 		{"known by its records alone", func(_ *controller, m *machine, _ *partition) { m.incarnation = 0 }, false},
 		{"terminated", func(_ *controller, m *machine, _ *partition) { m.terminated = true }, false},
-		{"one command unanswered", func(_ *controller, m *machine, _ *partition) { m.direct.unanswered = 1 }, true},
-		{"two commands unanswered", func(_ *controller, m *machine, _ *partition) { m.direct.unanswered = 2 }, false},
-		{"two unanswered, as of most machines", func(_ *controller, m *machine, p *partition) { m.direct.unanswered, p.mostNotReceiving = 2, true }, true},
-		{"lost its lease though it was answered", func(_ *controller, m *machine, _ *partition) { m.leaseExpiredUnheard = true }, false},
+		{"one command unanswered", func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 1 }, true},
+		{"two commands unanswered", func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, false},
+		{"two unanswered, as of most machines", func(_ *controller, m *machine, p *partition) { m.commandState.unanswered, p.mostNotReceiving = 2, true }, true},
+		{"lost its lease though it was answered", func(_ *controller, m *machine, _ *partition) { m.leaseLostWhileHeard = true }, false},
 	} {
-		c := lone(t)
+		c := newTestController(t)
 		m, p := heardMachine(c)
 		x.change(c, m, p)
-		if got := c.usable(m, p); got != x.want {
+		if got := c.isUsable(m, p); got != x.want {
 			t.Errorf("%s: usable %v, want %v", x.name, got, x.want)
 		}
 	}
@@ -84,18 +84,18 @@
 var unreachableRows = []unreachableRow{
 	{"silent for a while", 6900 * time.Millisecond, nil, false},
 	{"silent for long", 7100 * time.Millisecond, nil, true},
-	{"silent, answers a ping", 7100 * time.Millisecond, func(c *controller, m *machine, _ *partition) { m.answeredAt = c.now }, false},
+	{"silent, answers a ping", 7100 * time.Millisecond, func(c *controller, m *machine, _ *partition) { m.lastMessageAt = c.now }, false},
 	{"silent during an outage", 7100 * time.Millisecond, func(c *controller, _ *machine, _ *partition) { c.heartbeatsResumedAt = c.now }, false},
-	{"one ping unanswered", 1800 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.direct.unanswered = 1 }, false},
-	{"pings unanswered, heartbeats come", 1700 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.direct.unanswered = 2 }, true},
-	{"pings unanswered by most machines, heartbeats come", 1700 * time.Millisecond, func(_ *controller, m *machine, p *partition) { m.direct.unanswered, p.mostNotReceiving = 2, true }, false},
-	{"pings unanswered, overdue", 1800 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.direct.unanswered = 2 }, true},
+	{"one ping unanswered", 1800 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 1 }, false},
+	{"pings unanswered, heartbeats come", 1700 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, true},
+	{"pings unanswered by most machines, heartbeats come", 1700 * time.Millisecond, func(_ *controller, m *machine, p *partition) { m.commandState.unanswered, p.mostNotReceiving = 2, true }, false},
+	{"pings unanswered, overdue", 1800 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, true},
 	{"pings unanswered right after a failover", 3700 * time.Millisecond, failedOverUnanswered, false},
 	{"pings unanswered a while after a failover", 3800 * time.Millisecond, failedOverUnanswered, true},
-	{"sends without receiving", 0, func(_ *controller, m *machine, _ *partition) { m.leaseExpiredUnheard = true }, true},
-	{"sends without receiving, as most do", 0, func(_ *controller, m *machine, p *partition) { m.leaseExpiredUnheard, p.mostNotReceiving = true, true }, false},
+	{"sends without receiving", 0, func(_ *controller, m *machine, _ *partition) { m.leaseLostWhileHeard = true }, true},
+	{"sends without receiving, as most do", 0, func(_ *controller, m *machine, p *partition) { m.leaseLostWhileHeard, p.mostNotReceiving = true, true }, false},
 	{"sends without receiving, right after a failover", 0, func(c *controller, m *machine, p *partition) {
-		m.leaseExpiredUnheard, p.ownedSince = true, c.now.Add(-time.Second)
+		m.leaseLostWhileHeard, p.ownedSince = true, c.now.Add(-time.Second)
 	}, false},
 	{"answers pings beyond its lease, others are heard", beyondLease, answersPings, true},
 	{"answers pings beyond its lease, nobody is heard", beyondLease, func(c *controller, m *machine, p *partition) {
@@ -109,17 +109,17 @@
 }
 
 func failedOverUnanswered(_ *controller, m *machine, p *partition) {
-	p.ownedSince, m.heartbeatAt, m.direct.unanswered = m.heartbeatAt, time.Time{}, 2
-	m.answeredAt = time.Time{}
+	p.ownedSince, m.heartbeatAt, m.commandState.unanswered = m.heartbeatAt, time.Time{}, 2
+	m.lastMessageAt = time.Time{}
 }
 
 func answersPings(c *controller, m *machine, _ *partition) {
-	m.answeredAt, c.lastHeartbeatAt = c.now, c.now
+	m.lastMessageAt, c.lastHeartbeatAt = c.now, c.now
 }
 
 func TestMachineSeemsUnreachable(t *testing.T) {
 	for _, x := range unreachableRows {
-		c := lone(t)
+		c := newTestController(t)
 		m, p := heardMachine(c)
 		c.now = c.now.Add(x.after)
 		if x.change != nil {
--- a/internal/controller/loan_leader.go
+++ b/internal/controller/loan_leader.go
@@ -48,8 +48,8 @@
 	write := &store.Write{Prompt: true, Conditions: append([]wire.Condition{c.leaderCondition()}, conditions...)}
 	guarded := map[int]bool{} // partitions on whose owner there is a condition
 	for _, summary := range chosen {
-		summary.InUse, summary.Free = true, scheduling.Resources{}
-		key := loanKey(c.machineByIndex[summary.ID].name)
+		summary.InUse, summary.FreeResources = true, scheduling.Resources{}
+		key := loanKey(c.machineByIndex[summary.Index].name)
 		write.Conditions = append(write.Conditions, wire.Condition{Key: key})
 		if !guarded[summary.Partition] {
 			guarded[summary.Partition] = true
@@ -66,11 +66,11 @@
 func (c *leader) reviewLoans() {
 	p := c.partitions[c.loanPartition()]
 	for _, name := range c.loanedMachines() {
-		loan, m := c.loans[name], c.machineNamed(name)
+		loan, m := c.loans[name], c.getOrAddMachine(name)
 		if loan.Acknowledged && loan.revision > p.token {
 			p.tokenRaiseDue = true // the former owner's tokens are below this revision
 		}
-		if loan.writing || loan.Acknowledged && !c.mayReturn(loan, m, p) {
+		if loan.writeInFlight || loan.Acknowledged && !c.mayReturn(loan, m, p) {
 			continue
 		}
 		if !c.loanStillNeeded(loan, m, p) {
@@ -84,7 +84,7 @@
 // former owner's and the binding ours, and neither could end it. Services that came with
 // the machine, or since, go back with it.
 func (c *leader) mayReturn(loan *machineLoan, m *machine, p *partition) bool {
-	if len(m.bindings) > 0 && (loan.Job == reserveLoanJob || !c.runsOnlyServices(m, p)) {
+	if len(m.bindings) > 0 && (loan.Job == gangReserveJobID || !c.runsOnlyServices(m, p)) {
 		return false
 	}
 	return !p.hasReservationOn(m)
@@ -93,25 +93,25 @@
 // loanStillNeeded tells whether there is still use for a machine where it is on loan to, and
 // it can be had.
 func (c *leader) loanStillNeeded(loan *machineLoan, m *machine, p *partition) bool {
-	if loan.Job == reserveLoanJob {
-		return loan.Acknowledged && c.reserveKeeps(m) || !loan.Acknowledged && c.now.Sub(loan.since) < reserveLoanTimeout
+	if loan.Job == gangReserveJobID {
+		return loan.Acknowledged && c.reserveKeeps(m) || !loan.Acknowledged && c.now.Sub(loan.firstSeenAt) < reserveLoanTimeout
 	}
 	job := c.jobs[loan.Job]
 	if job == nil || job.finalState != record.Unfinished || job.spec == nil || m.terminated || !c.jobNeedsLoan(job, p.index) {
 		return false
 	}
-	if m.machineType != "" && !allowed(job.spec, c.zoneOfJob(job), m.machineType, m.zone, m.spot) {
+	if m.machineType != "" && !allowsMachine(job.spec, c.zoneOfJob(job), m.machineType, m.zone, m.spot) {
 		return false
 	}
 	if loan.Acknowledged {
 		// One that has sent no heartbeat since it came died on the way: it is its owner's
 		// again, who finds out what has become of it.
-		since := p.ownsMachineSince(m)
-		return m.heartbeatAt.After(since) || c.now.Sub(since) < c.unreachableAfter()+loanHeartbeatGrace
+		since := p.machineOwnedSince(m)
+		return m.heartbeatAt.After(since) || c.now.Sub(since) < c.unreachableTimeout()+loanHeartbeatGrace
 	}
 	// An owner that does not release it in time may have more urgent work there by now.
 	patience := c.leaseExpiry + 2*config.Seconds(c.cfg.Settings.Workers.ReportS) + loanReleaseGrace
-	return c.now.Sub(loan.since) < patience
+	return c.now.Sub(loan.firstSeenAt) < patience
 }
 
 // jobNeedsLoan tells whether a job has tasks that machines on loan to a partition are for:
@@ -120,9 +120,9 @@
 func (c *clusterState) jobNeedsLoan(j *job, partition int) bool {
 	waits, bound := len(j.groups) == 0, 0
 	for _, group := range j.groups {
-		waits = waits || group.boundTasks() < len(group.bindings)
-		bound += group.boundTasks()
-		if group.partition == partition && group.boundTasks() < len(group.bindings) {
+		waits = waits || group.boundTaskCount() < len(group.bindings)
+		bound += group.boundTaskCount()
+		if group.partition == partition && group.boundTaskCount() < len(group.bindings) {
 			return true
 		}
 	}
@@ -131,9 +131,9 @@
 
 // returnLoan ends a loan.
 func (c *leader) returnLoan(name string, loan *machineLoan) {
-	loan.writing, loan.returning = true, true
+	loan.writeInFlight, loan.returnInFlight = true, true
 	c.SubmitWrite(&store.Write{
 		Conditions: []wire.Condition{c.leaderCondition(), {Key: loanKey(name), Revision: loan.revision}},
 		Changes:    []wire.Change{{Delete: loanKey(name)}},
-	}, func(error) { loan.writing, loan.returning = false, false })
+	}, func(error) { loan.writeInFlight, loan.returnInFlight = false, false })
 }
--- a/internal/controller/loan_owner.go
+++ b/internal/controller/loan_owner.go
@@ -10,11 +10,11 @@
 // about to be, apart from services that go along.
 func (c *partitionOwner) acknowledgeLoans(p *partition) {
 	for _, name := range c.loanedMachines() {
-		loan, m := c.loans[name], c.machineNamed(name)
-		if loan.Acknowledged || loan.writing || m.hashPartition != p.index {
+		loan, m := c.loans[name], c.getOrAddMachine(name)
+		if loan.Acknowledged || loan.writeInFlight || m.hashPartition != p.index {
 			continue
 		}
-		if len(m.bindings) > 0 && !c.movesWithServices(loan, m, p) || p.hasReservationOn(m) {
+		if len(m.bindings) > 0 && !c.canMoveWithServices(loan, m, p) || p.hasReservationOn(m) {
 			continue
 		}
 		c.acknowledgeLoan(name, loan, p)
@@ -22,20 +22,20 @@
 }
 
 func (c *partitionOwner) acknowledgeLoan(name string, loan *machineLoan, p *partition) {
-	loan.writing = true
+	loan.writeInFlight = true
 	acknowledged := loan.MachineLoan
 	acknowledged.Acknowledged = true
 	c.SubmitWrite(&store.Write{
 		Prompt:     true,
 		Conditions: []wire.Condition{{Key: p.key, Revision: p.token}, {Key: loanKey(name), Revision: loan.revision}},
 		Changes:    []wire.Change{{Put: loanKey(name), Value: record.JSON(acknowledged)}},
-	}, func(error) { loan.writing = false })
+	}, func(error) { loan.writeInFlight = false })
 }
 
-// movesWithServices tells whether all that is bound to a machine is services that go with
+// canMoveWithServices tells whether all that is bound to a machine is services that go with
 // it to the leader's partition: they stay, and were there before the machine was chosen.
-func (c *partitionOwner) movesWithServices(loan *machineLoan, m *machine, p *partition) bool {
-	if loan.Job == reserveLoanJob || !c.runsOnlyServices(m, p) {
+func (c *partitionOwner) canMoveWithServices(loan *machineLoan, m *machine, p *partition) bool {
+	if loan.Job == gangReserveJobID || !c.runsOnlyServices(m, p) {
 		return false
 	}
 	for _, x := range m.bindings {
--- a/internal/controller/loan_selection.go
+++ b/internal/controller/loan_selection.go
@@ -41,7 +41,7 @@
 
 // availableFor tells whether a machine is up, is not to be drained, and may run a job's tasks.
 func (c *leader) availableFor(summary *planning.MachineSummary, spec *wire.Job, zone string) bool {
-	return !summary.Booting && !c.autoscaler.DrainedByLeader(c.machineByIndex[summary.ID].name) && allowed(spec, zone, summary.Type, summary.Zone, summary.Spot)
+	return !summary.Booting && !c.autoscaler.DrainedByLeader(c.machineByIndex[summary.Index].name) && allowsMachine(spec, zone, summary.Type, summary.Zone, summary.Spot)
 }
 
 // machinesToClear are machines that together, once they are empty, have room for a job
@@ -53,7 +53,7 @@
 // for "reservation during waiting").
 func (c *leader) machinesToClear(summaries []*planning.MachineSummary, j *job, request loanRequest, coming int) []*planning.MachineSummary {
 	keep := c.now.Sub(j.acceptedAt) > reserveMachinesAfter
-	stays := func(usage planning.Usage) bool { return !request.claim.CanPreempt(usage.Claim) }
+	stays := func(usage planning.TaskUsage) bool { return !request.claim.CanPreempt(usage.Claim) }
 	candidates := slices.DeleteFunc(c.loanableMachines(summaries, j.spec, request.zone), func(summary *planning.MachineSummary) bool {
 		return (!keep || summary.RunsService) && slices.ContainsFunc(summary.Usages, stays)
 	})
@@ -61,9 +61,9 @@
 		return summary.Size.CountFitting(j.taskSize, tasks)
 	}
 	slices.SortFunc(candidates, func(x, y *planning.MachineSummary) int {
-		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(sizeFor(y, request.tasks), sizeFor(x, request.tasks)), cmp.Compare(x.ID, y.ID))
+		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(sizeFor(y, request.tasks), sizeFor(x, request.tasks)), cmp.Compare(x.Index, y.Index))
 	})
-	chosen, lacking := planning.TakeMachines(candidates, request.tasks-coming, len(candidates), sizeFor)
+	chosen, lacking := planning.SelectMachines(candidates, request.tasks-coming, len(candidates), sizeFor)
 	if lacking > 0 {
 		return nil
 	}
@@ -79,7 +79,7 @@
 		return nil
 	}
 	freeFor := func(summary *planning.MachineSummary, tasks int) int {
-		return summary.Free.CountFitting(j.taskSize, tasks)
+		return summary.FreeResources.CountFitting(j.taskSize, tasks)
 	}
 	coming := 0
 	for _, summary := range summaries {
@@ -91,9 +91,9 @@
 		return freeFor(summary, request.tasks) == 0
 	})
 	slices.SortFunc(candidates, func(x, y *planning.MachineSummary) int {
-		return cmp.Or(cmp.Compare(freeFor(y, request.tasks), freeFor(x, request.tasks)), cmp.Compare(x.ID, y.ID))
+		return cmp.Or(cmp.Compare(freeFor(y, request.tasks), freeFor(x, request.tasks)), cmp.Compare(x.Index, y.Index))
 	})
-	chosen, lacking := planning.TakeMachines(candidates, request.tasks-coming, len(candidates), freeFor)
+	chosen, lacking := planning.SelectMachines(candidates, request.tasks-coming, len(candidates), freeFor)
 	if lacking > 0 {
 		return nil
 	}
@@ -105,8 +105,8 @@
 func (r *machineRegistry) loansFor(jobID string, spec *wire.Job, zone string) iter.Seq2[*machineLoan, *machine] {
 	return func(yield func(*machineLoan, *machine) bool) {
 		for name, loan := range r.loans {
-			m := r.machineNamed(name)
-			if loan.Job != jobID || r.machineTypes[m.machineType] == nil || !allowed(spec, zone, m.machineType, m.zone, m.spot) {
+			m := r.getOrAddMachine(name)
+			if loan.Job != jobID || r.machineTypes[m.machineType] == nil || !allowsMachine(spec, zone, m.machineType, m.zone, m.spot) {
 				continue
 			}
 			if !yield(loan, m) {
@@ -128,11 +128,11 @@
 	room := 0
 	listed := map[scheduling.MachineIndex]bool{}
 	for _, summary := range summaries {
-		listed[summary.ID] = true
-		loan := r.loans[r.machineByIndex[summary.ID].name]
+		listed[summary.Index] = true
+		loan := r.loans[r.machineByIndex[summary.Index].name]
 		mayUse := loan != nil && (loan.Job == j.id || j.spec.Gang)
-		if summary.Partition == r.loanPartition() && mayUse && allowed(j.spec, request.zone, summary.Type, summary.Zone, summary.Spot) {
-			room += summary.Free.CountFitting(j.taskSize, request.tasks)
+		if summary.Partition == r.loanPartition() && mayUse && allowsMachine(j.spec, request.zone, summary.Type, summary.Zone, summary.Spot) {
+			room += summary.FreeResources.CountFitting(j.taskSize, request.tasks)
 		}
 	}
 	for _, m := range r.loansFor(j.id, j.spec, request.zone) {
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -25,15 +25,15 @@
 // machineLoan is a machine that is on loan to the leader's partition, or is to be.
 type machineLoan struct {
 	record.MachineLoan
-	revision      uint64
-	firstRevision uint64 // of the write that began the loan, as far as that was seen
-	writing       bool
-	returning     bool // it is being handed back: nothing is placed on it any more
-	since         time.Time
+	revision       uint64
+	firstRevision  uint64 // of the write that began the loan, as far as that was seen
+	writeInFlight  bool
+	returnInFlight bool // it is being handed back: nothing is placed on it any more
+	firstSeenAt    time.Time
 }
 
 func (loan *machineLoan) claim(teams *catalog) scheduling.Claim {
-	return scheduling.Claim{Priority: loan.Priority, Guaranteed: loan.Guaranteed, Team: teams.team(loan.Team)}
+	return scheduling.Claim{Priority: loan.Priority, Guaranteed: loan.Guaranteed, Team: teams.getOrAddTeam(loan.Team)}
 }
 
 // loanedMachines are the machines that are on loan, in one order for all that is decided.
@@ -58,10 +58,10 @@
 func (r *machineRegistry) loanPartition() int { return len(r.partitions) - 1 }
 
 func (c *controller) putLoan(name string, v *record.MachineLoan, revision uint64) {
-	m := c.machineNamed(name)
+	m := c.getOrAddMachine(name)
 	loan := c.loans[name]
 	if loan == nil {
-		loan = &machineLoan{since: c.now, firstRevision: revision}
+		loan = &machineLoan{firstSeenAt: c.now, firstRevision: revision}
 		c.loans[name] = loan
 	}
 	loan.MachineLoan, loan.revision = *v, revision
@@ -71,7 +71,7 @@
 }
 
 func (a recordApplier) deleteLoan(name string) {
-	m := a.machineNamed(name)
+	m := a.getOrAddMachine(name)
 	delete(a.loans, name)
 	if p := a.partitions[m.hashPartition]; a.updatePartition(m) && p.token != 0 {
 		p.tokenRaiseDue = true
@@ -88,7 +88,7 @@
 	c.log.Info("machine changes partitions", "machine", m.name, "from", before, "to", now)
 	p := c.partitions[before]
 	p.removeMachines(func(other *machine) bool { return other == m })
-	m.partition, m.inPartitionSince = now, c.now
+	m.partition, m.partitionChangedAt = now, c.now
 	c.addToPartition(m)
 	if p.token != 0 {
 		for _, x := range m.bindings { // services that go along
@@ -99,7 +99,7 @@
 	for _, x := range m.bindings {
 		c.adoptBindings(x.group)
 	}
-	c.requestPass()
+	c.requestSchedulingPass()
 	return true
 }
 
@@ -108,16 +108,16 @@
 // partitions with them: whatever ends them later is proven, and stored, as after any
 // failover.
 func (c *clusterState) runsOnlyServices(m *machine, p *partition) bool {
-	if !c.usable(m, p) || m.token != p.token || m.direct.inFlight || m.startMayArrive(p) {
+	if !c.isUsable(m, p) || m.token != p.token || m.commandState.inFlight || m.startMayArrive(p) {
 		return false
 	}
 	for _, x := range m.bindings {
 		group := x.group
-		if group.job.spec == nil || !group.job.spec.Service || group.job.finalState != record.Unfinished || group.writing {
+		if group.job.spec == nil || !group.job.spec.Service || group.job.finalState != record.Unfinished || group.writeInFlight {
 			return false
 		}
-		bound, cell := group.binding(x.task.Number), p.cells.CellOf(x.task)
-		if bound == nil || cell == nil || cell.State != scheduling.Used || !m.runs(taskName(group.job.id, bound.task), bound) {
+		bound, cell := group.binding(x.task.Number), p.cells.Cell(x.task)
+		if bound == nil || cell == nil || cell.State != scheduling.CellUsed || !m.runs(taskName(group.job.id, bound.task), bound) {
 			return false
 		}
 	}
--- a/internal/controller/loans_test.go
+++ b/internal/controller/loans_test.go
@@ -59,34 +59,34 @@
 // was lent and is back: its cell is free again, and its end is stored by us, since nobody
 // else will ever know. Its job waited for ever.
 func TestEndOfAnotherPartitionsTask(t *testing.T) {
-	c := lone(t)
+	c := newTestController(t)
 	c.partitions = append([]*partition{c.partitions[0], {index: 1, key: rollout.Initial.Keys().Partition(1)}}, &partition{index: 2, key: rollout.Initial.Keys().Leader()})
 	p := c.partitions[0]
-	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
 	key := groupKey("wk-1", 0)
 	value := func(machine string) record.TaskGroup {
 		return record.TaskGroup{Partition: 2, Tasks: []record.Binding{{Attempt: 1, Machine: machine, Incarnation: 1}, {Task: 1}}}
 	}
-	c.replica.Put(key, raw(t, value("host-1")), 7)
+	c.replica.Put(key, marshalJSON(t, value("host-1")), 7)
 	group := c.groupByKey[key]
-	m := c.machineNamed("host-1")
-	if m.partition != 0 || p.cells.CellOf(group.task(0)) == nil {
-		t.Fatalf("partition %d, cell %v; want 0 and a cell", m.partition, p.cells.CellOf(group.task(0)))
+	m := c.getOrAddMachine("host-1")
+	if m.partition != 0 || p.cells.Cell(group.task(0)) == nil {
+		t.Fatalf("partition %d, cell %v; want 0 and a cell", m.partition, p.cells.Cell(group.task(0)))
 	}
 	m.heartbeatAt, m.incarnation = c.now, 2 // a later incarnation: the first one's task is gone
 	c.reconcile(m, p)
 	c.schedulePartition(p)
-	c.now = c.now.Add(maxEndsDelay + time.Second) // ends wait for each other
+	c.now = c.now.Add(maxEndBatchingDelay + time.Second) // ends wait for each other
 	c.schedulePartition(p)
-	if !group.writing || c.stateWriter.Backlog() == 0 {
+	if !group.writeInFlight || c.stateWriter.Backlog() == 0 {
 		t.Error("its end is not stored")
 	}
 	// The same where the record's own partition has stored the end.
-	group.writing = false
+	group.writeInFlight = false
 	key = groupKey("wk-1", 1)
-	c.replica.Put(key, raw(t, value("host-2")), 8)
-	c.replica.Put(key, raw(t, value("")), 9)
-	if len(p.cells.Tasks()) != 0 {
-		t.Errorf("cells %v are left, want none", p.cells.Tasks())
+	c.replica.Put(key, marshalJSON(t, value("host-2")), 8)
+	c.replica.Put(key, marshalJSON(t, value("")), 9)
+	if len(p.cells.AllocatedTasks()) != 0 {
+		t.Errorf("cells %v are left, want none", p.cells.AllocatedTasks())
 	}
 }
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -15,15 +15,15 @@
 	index                         scheduling.MachineIndex
 	// hashPartition is the partition of its name; partition is the one that it is in, which
 	// is another while it is lent. listed: it is among the machines of that.
-	hashPartition int
-	partition     int
-	listed        bool
-	// inPartitionSince is when it last came to another partition; lastBoundAt, for one that
+	hashPartition   int
+	partition       int
+	inPartitionList bool
+	// partitionAssignedAt is when it last came to another partition; lastBoundAt, for one that
 	// is lent, when a task was last bound to it there.
-	inPartitionSince time.Time
-	lastBoundAt      time.Time
-	bindings         machineBindings // by the records
-	terminated       bool
+	partitionChangedAt time.Time
+	lastBoundAt        time.Time
+	bindings           machineBindings // by the records
+	terminated         bool
 
 	// What the owner of its partition knows by its heartbeats.
 
@@ -31,39 +31,39 @@
 	token                 uint64 // the highest that its agent has seen
 	heartbeatAt           time.Time
 	// leaseRenewedAt is when the last response was sent that may have renewed its lease.
-	leaseRenewedAt time.Time
-	terminationAt  time.Time // when the cloud takes it; zero: it has no notice
-	tasks          []wire.TaskStatus
-	images         map[string]bool
-	fetching       map[string]time.Time // images that are being fetched, since when
-	avoidUntil     time.Time            // nothing is placed on it before then
-	failedJobs     map[string]time.Time // jobs of which a task failed on it, and when
-	cordoned       bool
-	cordonedAt     time.Time
-
-	// startInResponse: a response to a heartbeat carries a start, and no later heartbeat
+	leaseRenewedAt        time.Time
+	terminationAt         time.Time // when the cloud takes it; zero: it has no notice
+	tasks                 []wire.TaskStatus
+	cachedImages          map[string]bool
+	fetchStartedAt        map[string]time.Time // images that are being fetched, since when
+	placementBackoffUntil time.Time            // nothing is placed on it before then
+	failedJobs            map[string]time.Time // jobs of which a task failed on it, and when
+	cordoned              bool
+	cordonedAt            time.Time
+
+	// responseCarriesStart: a response to a heartbeat carries a start, and no later heartbeat
 	// has come. A worker has one heartbeat in flight at a time, so the next one proves that
 	// the response was executed or dropped. Until then the start may still arrive, and
 	// neither absence nor forgetting an exited task is safe.
-	startInResponse bool
+	responseCarriesStart bool
 	// answeredAt is when the machine last sent anything new: a heartbeat, or its answer to a
 	// direct command.
-	answeredAt time.Time
-	// leaseExpiredUnheard: the machine lost its lease although its heartbeats were answered,
+	lastMessageAt time.Time
+	// leaseLostWhileHeard: the machine lost its lease although its heartbeats were answered,
 	// and has not answered a direct command since. It may send without receiving anything.
-	leaseExpiredUnheard bool
-	direct              directState
+	leaseLostWhileHeard bool
+	commandState        directCommandState
 
 	// Worked out once in a scheduling pass, see clusterState.schedulable and clusterState.runsService.
 	schedulable, runsService         bool
-	schedulableStep, runsServiceStep uint64
+	schedulablePass, runsServicePass uint64
 }
 
-// directState is the state of the direct commands to one machine.
-type directState struct {
+// directCommandState is the state of the direct commands to one machine.
+type directCommandState struct {
 	inFlight     bool // a request is under way; there is one at a time
 	carriesStart bool // the one under way carries a start
-	repeat       bool // commands were wanted while one was under way: they are sent after it
+	sendAgain    bool // commands were wanted while one was under way: they are sent after it
 	// unansweredStartToken is the token of a start that went unanswered and may arrive as
 	// long as the machine has seen no higher one; 0: none.
 	unansweredStartToken uint64
@@ -77,7 +77,7 @@
 // response to a heartbeat, in a direct command under way, or in one that went unanswered
 // under the owner's present token.
 func (m *machine) startMayArrive(p *partition) bool {
-	return m.direct.unansweredStartToken == p.token || m.direct.carriesStart || m.startInResponse
+	return m.commandState.unansweredStartToken == p.token || m.commandState.carriesStart || m.responseCarriesStart
 }
 
 // machineBindings are the tasks that are bound to a machine: few, and gone through in every
@@ -86,16 +86,16 @@
 
 // machineBinding is one of them, with the group whose record binds it.
 type machineBinding struct {
-	task  scheduling.Task
+	task  scheduling.TaskID
 	group *taskGroup
 }
 
-func (s *machineBindings) add(task scheduling.Task, group *taskGroup) {
+func (s *machineBindings) add(task scheduling.TaskID, group *taskGroup) {
 	s.remove(task)
 	*s = append(*s, machineBinding{task, group})
 }
 
-func (s *machineBindings) remove(task scheduling.Task) {
+func (s *machineBindings) remove(task scheduling.TaskID) {
 	*s = slices.DeleteFunc(*s, func(x machineBinding) bool { return x.task == task })
 }
 
@@ -116,15 +116,15 @@
 		if !leaves(m) {
 			return false
 		}
-		m.listed = false
+		m.inPartitionList = false
 		return true
 	})
 }
 
-// ownsMachineSince is since when a partition's owner has had a machine.
-func (p *partition) ownsMachineSince(m *machine) time.Time {
-	if m.inPartitionSince.After(p.ownedSince) {
-		return m.inPartitionSince
+// machineOwnedSince is since when a partition's owner has had a machine.
+func (p *partition) machineOwnedSince(m *machine) time.Time {
+	if m.partitionChangedAt.After(p.ownedSince) {
+		return m.partitionChangedAt
 	}
 	return p.ownedSince
 }
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -33,14 +33,14 @@
 	})
 }
 
-// countBoundTo counts the tasks that the records bind to a machine.
-func (c *cluster) countBoundTo(name string) int {
+// countTasksBoundTo counts the tasks that the records bind to a machine.
+func (c *cluster) countTasksBoundTo(name string) int {
 	for _, n := range c.nodes {
 		if !n.isRunning() {
 			continue
 		}
 		bound := -1
-		if n.controller().call(c.ctx, priorityState, func() { bound = len(n.controller().machineNamed(name).bindings) }) {
+		if n.controller().call(c.ctx, priorityStore, func() { bound = len(n.controller().getOrAddMachine(name).bindings) }) {
 			return bound
 		}
 	}
@@ -65,13 +65,13 @@
 		}
 		for range 20 {
 			time.Sleep(time.Second)
-			if n := c.countBoundTo(w.Name()); n > 0 {
+			if n := c.countTasksBoundTo(w.Name()); n > 0 {
 				t.Fatalf("%d tasks are bound to a machine that nothing reaches, want none", n)
 			}
 		}
 		w.SetNotReceiving(false)
 		c.submit(newSubmission(submission{ID: "wk-8", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 600, CPUs: 1, EstimateS: 6}))
-		c.await("it is used again", 20*time.Second, func() bool { return c.countBoundTo(w.Name()) > 0 })
+		c.await("it is used again", 20*time.Second, func() bool { return c.countTasksBoundTo(w.Name()) > 0 })
 		c.env.Cloud.SetDown(false)
 		c.awaitDone("wk-9", 10*time.Minute)
 	})
@@ -80,17 +80,17 @@
 // A heartbeat that shows no fencing token of ours may be a copy from before a failover:
 // until one does, nothing is placed on its machine.
 func TestHeartbeatFromBeforeAFailover(t *testing.T) {
-	c := lone(t)
+	c := newTestController(t)
 	p := c.partitions[0]
 	p.token, p.firstToken = 20, 20
-	m := c.machineNamed("host-1")
+	m := c.getOrAddMachine("host-1")
 	for _, x := range []struct {
 		token, incarnation, sequence uint64
 		usable                       bool
 	}{{0, 1, 7, false}, {12, 1, 8, false}, {20, 1, 9, true}, {12, 1, 8, true}, {12, 2, 1, false}, {21, 2, 2, true}} {
 		c.now = c.now.Add(time.Second)
 		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: x.incarnation, Sequence: x.sequence, Token: x.token}, p, workerRequest)
-		if got := c.usable(m, p); got != x.usable {
+		if got := c.isUsable(m, p); got != x.usable {
 			t.Errorf("after heartbeat %+v the machine is usable: %v, want %v", x, got, x.usable)
 		}
 	}
@@ -118,7 +118,7 @@
 	c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 30, CPUs: 1, EstimateS: 90})) // there is room to take
 	c.runServices(4, 2)
 	dead := c.env.Cloud.Agents()[0]
-	if c.countBoundTo(dead.Name()) == 0 {
+	if c.countTasksBoundTo(dead.Name()) == 0 {
 		c.t.Fatal("nothing runs on the first machine")
 	}
 	heartbeat := dead.LastHeartbeat()
@@ -135,7 +135,7 @@
 	}
 	// A whole lease, and after a failover what a former owner may have answered on top of it.
 	c.await("the replicas run elsewhere", c.nodes[0].maxStaleness(), func() bool { return c.servicesRun(4, 2) })
-	if n := c.countBoundTo(dead.Name()); n > 0 {
+	if n := c.countTasksBoundTo(dead.Name()); n > 0 {
 		c.t.Errorf("%d tasks are bound to the dead machine %s, want none", n, dead.Name())
 	}
 }
@@ -160,7 +160,7 @@
 		c.killAll()
 		time.Sleep(2 * time.Second)
 		c.startAll()
-		limit := c.nodes[0].controller().heartbeatOverdueAfter() + unansweredLimit*workerclient.PingTimeout + 2*time.Second
+		limit := c.nodes[0].controller().heartbeatTimeout() + unansweredLimit*workerclient.PingTimeout + 2*time.Second
 		for until := time.Now().Add(limit); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
 			c.checkNoZoneIsolated()
 		}
@@ -175,7 +175,7 @@
 func (c *cluster) busyMachine() *agent.Agent {
 	c.t.Helper()
 	for _, a := range c.env.Cloud.Agents() {
-		if c.countBoundTo(a.Name()) > 0 {
+		if c.countTasksBoundTo(a.Name()) > 0 {
 			return a
 		}
 	}
@@ -188,7 +188,7 @@
 	c.t.Helper()
 	for i, n := range c.nodes {
 		ctl := n.controller()
-		ctl.call(c.ctx, priorityState, func() {
+		ctl.call(c.ctx, priorityStore, func() {
 			if ctl.isLeader() && len(ctl.autoscaler.IsolatedZones()) > 0 {
 				c.t.Errorf("controller %d takes zones %v to be cut off, want none", i, ctl.autoscaler.IsolatedZones())
 			}
@@ -199,19 +199,19 @@
 // After a crash of all the only machine of a partition may be the one that died. Heartbeats
 // of other partitions' machines show that it is not we who can't be reached.
 func TestOnlyMachineOfAPartitionDied(t *testing.T) {
-	c := lone(t)
+	c := newTestController(t)
 	p := c.partitions[0]
-	p.ownedSince, p.formerOwnerStaleness, p.firstToken = c.now, c.maxStaleness, p.token
-	c.replica.Put(jobKey("wk-1"), raw(t, record.Job{Spec: &wire.Job{ID: "wk-1", Service: true, Tasks: 1, CPUs: 1}}), 5)
-	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1, Addr: "10.1.0.1:1"}}}), 6)
-	m := c.machineNamed("host-1")
-	m.direct.unanswered = unansweredLimit
+	p.ownedSince, p.formerOwnerMaxStaleness, p.firstToken = c.now, c.maxStaleness, p.token
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", Service: true, Tasks: 1, CPUs: 1}}), 5)
+	c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1, Addr: "10.1.0.1:1"}}}), 6)
+	m := c.getOrAddMachine("host-1")
+	m.commandState.unanswered = unansweredLimit
 	for _, reached := range []bool{false, true} {
 		c.now = c.now.Add(6 * time.Second)
 		if reached {
 			c.lastHeartbeatAt = c.now
 		}
-		if got := c.unreachable(m, p); got != reached {
+		if got := c.isUnreachable(m, p); got != reached {
 			t.Errorf("agents reach us: %v; the machine is found unreachable: %v, want %v", reached, got, reached)
 		}
 	}
@@ -224,7 +224,7 @@
 		c.runServices(4, 2)
 		var busy []*agent.Agent
 		for _, w := range c.env.Cloud.Agents() {
-			if c.countBoundTo(w.Name()) > 0 {
+			if c.countTasksBoundTo(w.Name()) > 0 {
 				busy = append(busy, w)
 			}
 		}
@@ -254,7 +254,7 @@
 		time.Sleep(10 * time.Second)
 		var w *agent.Agent
 		for _, x := range c.env.Cloud.Agents() {
-			if c.countBoundTo(x.Name()) > 0 {
+			if c.countTasksBoundTo(x.Name()) > 0 {
 				w = x
 			}
 		}
@@ -277,29 +277,29 @@
 // Jobs that fail wherever they are put don't speak against machines; a machine on which
 // others' tasks fail is cordoned; and neither is barred from the other for good.
 func TestFailuresBlameMachineOrJob(t *testing.T) {
-	c := lone(t)
+	c := newTestController(t)
 	job := func(id string) *job {
-		c.replica.Put(jobKey(id), raw(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 9, CPUs: 1, Team: "t"}}), uint64(len(c.jobs))+5)
+		c.replica.Put(jobKey(id), marshalJSON(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 9, CPUs: 1, Team: "t"}}), uint64(len(c.jobs))+5)
 		return c.jobs[id]
 	}
 	bad, worse := job("wk-1"), job("wk-2")
 	for i := range 4 {
-		m := c.machineNamed(fmt.Sprint("host-", i))
-		c.noteTaskEnd(m, bad, wire.ReasonError)
-		c.noteTaskEnd(m, worse, wire.ReasonError)
+		m := c.getOrAddMachine(fmt.Sprint("host-", i))
+		c.handleTaskEnd(m, bad, wire.ReasonError)
+		c.handleTaskEnd(m, worse, wire.ReasonError)
 	}
 	for i := range 4 {
-		if c.machineNamed(fmt.Sprint("host-", i)).cordoned {
+		if c.getOrAddMachine(fmt.Sprint("host-", i)).cordoned {
 			t.Errorf("machine %d is blamed for two mistaken jobs", i)
 		}
 	}
-	failing := c.machineNamed("host-9")
+	failing := c.getOrAddMachine("host-9")
 	good, fine := job("wk-3"), job("wk-4")
-	c.noteTaskEnd(failing, good, wire.ReasonError)
+	c.handleTaskEnd(failing, good, wire.ReasonError)
 	if failing.cordoned {
 		t.Error("a machine is blamed for one failure")
 	}
-	c.noteTaskEnd(failing, fine, wire.ReasonError)
+	c.handleTaskEnd(failing, fine, wire.ReasonError)
 	if !failing.cordoned {
 		t.Error("a machine that fails several jobs is not found")
 	}
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -12,37 +12,37 @@
 	*clusterState
 	machine   *machine
 	partition *partition
-	// gang is the last gang that was asked about, gangStops whether it has to stop: that is
+	// gang is the last gang that was asked about, lastGangMustStop whether it has to stop: that is
 	// known only from all of its tasks, of which there may be thousands.
-	gang      *job
-	gangStops bool
+	lastGang         *job
+	lastGangMustStop bool
 }
 
 // reconcileView is what package reconcile is told of a machine. It holds until the next
 // call: heartbeats come hundreds of times a second, and share one view.
-func (c *clusterState) reconcileView(m *machine, p *partition) (reconcile.Machine, *machineRecords) {
-	view := reconcile.Machine{
+func (c *clusterState) reconcileView(m *machine, p *partition) (reconcile.MachineState, *machineRecords) {
+	view := reconcile.MachineState{
 		Incarnation:    m.incarnation,
-		TokenShown:     m.token == p.token,
-		StartMayArrive: m.startMayArrive(p),
+		TokenConfirmed: m.token == p.token,
+		StartInFlight:  m.startMayArrive(p),
 		StartsAllowed:  c.isFresh(c.operator.LeaseTTL),
 		Tasks:          m.tasks,
 	}
-	c.records = machineRecords{clusterState: c, machine: m, partition: p}
-	return view, &c.records
+	c.reconcileRecords = machineRecords{clusterState: c, machine: m, partition: p}
+	return view, &c.reconcileRecords
 }
 
 // Lookup returns what the records have of a task.
-func (r *machineRecords) Lookup(task string) reconcile.Record {
-	id, number, ok := parseTask(task)
+func (r *machineRecords) Lookup(task string) reconcile.TaskRecord {
+	id, number, ok := parseTaskName(task)
 	if !ok {
-		return reconcile.Record{}
+		return reconcile.TaskRecord{}
 	}
 	job := r.jobs[id]
 	if job == nil {
-		return reconcile.Record{}
+		return reconcile.TaskRecord{}
 	}
-	found := reconcile.Record{RunsToCompletion: job.spec != nil && !job.spec.Service}
+	found := reconcile.TaskRecord{RunsToCompletion: job.spec != nil && !job.spec.Service}
 	group := job.groupOfTask[number]
 	var bound *binding
 	if group != nil {
@@ -76,36 +76,36 @@
 }
 
 // TaskName returns a bound task's name.
-func (r *machineRecords) TaskName(task scheduling.Task) string {
+func (r *machineRecords) TaskName(task scheduling.TaskID) string {
 	return taskName(r.groups[task.Group].job.id, task.Number)
 }
 
 // MustStop tells whether a bound task has to leave the machine. It is worked out once for
 // consecutive tasks of one gang.
-func (r *machineRecords) MustStop(task scheduling.Task) bool {
+func (r *machineRecords) MustStop(task scheduling.TaskID) bool {
 	group := r.groups[task.Group]
 	job := group.job
 	if job.spec == nil || !job.spec.Gang {
-		return job.finalState != record.Unfinished || r.mustPreempt(group, task, r.machine, r.partition)
+		return job.finalState != record.Unfinished || r.mustLeaveMachine(group, task, r.machine, r.partition)
 	}
-	if r.gang != job {
-		r.gang, r.gangStops = job, r.gangMustStop(job)
+	if r.lastGang != job {
+		r.lastGang, r.lastGangMustStop = job, r.mustStopGang(job)
 	}
-	return r.gangStops
+	return r.lastGangMustStop
 }
 
 // StopGraceS returns how many seconds a bound task has to save.
-func (r *machineRecords) StopGraceS(task scheduling.Task) float64 {
+func (r *machineRecords) StopGraceS(task scheduling.TaskID) float64 {
 	return r.stopGraceS(r.groups[task.Group].job)
 }
 
 // Ended tells whether an attempt is proven to have ended, though that is not stored yet.
-func (r *machineRecords) Ended(binding reconcile.Binding) bool {
-	return r.hasEnded(binding.Task, boundAttempt{attempt: binding.Attempt, machine: r.machine, incarnation: binding.Incarnation})
+func (r *machineRecords) HasEnded(binding reconcile.Binding) bool {
+	return r.hasUnstoredEnd(binding.Task, boundAttempt{attempt: binding.Attempt, machine: r.machine, incarnation: binding.Incarnation})
 }
 
-// GangComplete tells whether a bound task is of no gang, or all of its gang are bound.
-func (r *machineRecords) GangComplete(task scheduling.Task) bool {
+// IsGangComplete tells whether a bound task is of no gang, or all of its gang are bound.
+func (r *machineRecords) IsGangComplete(task scheduling.TaskID) bool {
 	job := r.groups[task.Group].job
-	return job.spec == nil || !job.spec.Gang || job.gangBound()
+	return job.spec == nil || !job.spec.Gang || job.isGangBound()
 }
--- a/internal/controller/machine_registry.go
+++ b/internal/controller/machine_registry.go
@@ -17,16 +17,16 @@
 	partitions     []*partition // the last one is the leader's, of machines on loan
 	loans          map[string]*machineLoan
 	// terminated are the machines that surely are, as long as a tombstone says so.
-	terminated map[string]bool
-	tombstones map[string]tombstone
+	terminatedMachines map[string]bool
+	tombstones         map[string]tombstone
 }
 
 func newMachineRegistry() *machineRegistry {
 	return &machineRegistry{
-		machines:   map[string]*machine{},
-		loans:      map[string]*machineLoan{},
-		terminated: map[string]bool{},
-		tombstones: map[string]tombstone{},
+		machines:           map[string]*machine{},
+		loans:              map[string]*machineLoan{},
+		terminatedMachines: map[string]bool{},
+		tombstones:         map[string]tombstone{},
 	}
 }
 
@@ -59,20 +59,20 @@
 // noPartition is the partition of a task group that is not stored.
 const noPartition = -1
 
-// machineNamed returns the machine of a name, which is made known if it is not yet.
-func (c *machineRegistry) machineNamed(name string) *machine {
+// getOrAddMachine returns the machine of a name, which is made known if it is not yet.
+func (c *machineRegistry) getOrAddMachine(name string) *machine {
 	m := c.machines[name]
 	if m != nil {
 		return m
 	}
 	m = &machine{
-		name:          name,
-		index:         scheduling.MachineIndex(len(c.machineByIndex)),
-		hashPartition: partitionOf(name, c.loanPartition()),
-		terminated:    c.terminated[name],
-		images:        map[string]bool{},
-		fetching:      map[string]time.Time{},
-		failedJobs:    map[string]time.Time{},
+		name:           name,
+		index:          scheduling.MachineIndex(len(c.machineByIndex)),
+		hashPartition:  hashPartitionIndex(name, c.loanPartition()),
+		terminated:     c.terminatedMachines[name],
+		cachedImages:   map[string]bool{},
+		fetchStartedAt: map[string]time.Time{},
+		failedJobs:     map[string]time.Time{},
 	}
 	m.partition = c.partitionOfMachine(m)
 	c.machines[name] = m
@@ -101,8 +101,8 @@
 
 // addToPartition puts a machine among those of its partition.
 func (c *machineRegistry) addToPartition(m *machine) {
-	if !m.listed {
-		m.listed = true
+	if !m.inPartitionList {
+		m.inPartitionList = true
 		p := c.partitions[m.partition]
 		p.machines = append(p.machines, m)
 	}
--- a/internal/controller/summaries.go
+++ b/internal/controller/machine_summaries.go
@@ -29,7 +29,7 @@
 
 // appendOwnSummaries appends the machines of a partition that this controller owns.
 func (c *leader) appendOwnSummaries(summaries []*planning.MachineSummary, p *partition) []*planning.MachineSummary {
-	if !p.active {
+	if !p.takeoverComplete {
 		return summaries
 	}
 	for _, m := range p.machines {
@@ -51,7 +51,7 @@
 	}
 	for i := range owner.Status.Machines {
 		reported := &owner.Status.Machines[i]
-		m := c.machineNamed(reported.Name)
+		m := c.getOrAddMachine(reported.Name)
 		if m.partition != p.index {
 			continue
 		}
@@ -70,7 +70,7 @@
 	if machineType == nil || m.terminated || c.autoscaler.Terminating(m.name) {
 		return summaries
 	}
-	c.autoscaler.MachineUp(m.forAutoscaler())
+	c.autoscaler.MachineUp(m.autoscalerMachine())
 	if flags&peer.Reachable == 0 || flags&(peer.TerminationNotice|peer.Cordoned|peer.Unreachable) != 0 {
 		return summaries
 	}
@@ -80,12 +80,12 @@
 	}
 	size := scheduling.NewResources(machineType.CPUs, machineType.GPUs, machineType.RAMGB)
 	summary := &planning.MachineSummary{
-		ID: m.index, Type: m.machineType, Zone: m.zone, Spot: m.spot, Partition: m.partition, Size: size, Free: size,
+		Index: m.index, Type: m.machineType, Zone: m.zone, Spot: m.spot, Partition: m.partition, Size: size, FreeResources: size,
 		InUse: loan != nil, // there is a use for it, even before anything is placed there
 	}
 	addUsages(summary, m)
 	if c.autoscaler.DrainedByLeader(m.name) {
-		summary.Free, summary.Usages = scheduling.Resources{}, nil // no room for anybody
+		summary.FreeResources, summary.Usages = scheduling.Resources{}, nil // no room for anybody
 	}
 	return append(summaries, summary)
 }
@@ -98,8 +98,8 @@
 		if job.spec == nil {
 			continue
 		}
-		summary.Free = summary.Free.Minus(job.taskSize)
-		summary.Usages = append(summary.Usages, planning.Usage{Claim: x.group.claim(), Size: job.taskSize})
+		summary.FreeResources = summary.FreeResources.Minus(job.taskSize)
+		summary.Usages = append(summary.Usages, planning.TaskUsage{Claim: x.group.claim(), Size: job.taskSize})
 		summary.RunsService = summary.RunsService || job.spec.AllOrNothing()
 	}
 }
@@ -107,7 +107,7 @@
 // eachReportedMachine calls visit for each machine that its owner tells about.
 func (c *clusterState) eachReportedMachine(visit func(m *machine, flags uint8)) {
 	for _, p := range c.partitions {
-		if p.token != 0 && p.active {
+		if p.token != 0 && p.takeoverComplete {
 			c.eachOwnMachine(p, visit)
 		} else {
 			c.eachPeerMachine(p, visit)
@@ -118,7 +118,7 @@
 func (c *clusterState) eachOwnMachine(p *partition, visit func(m *machine, flags uint8)) {
 	for _, m := range p.machines {
 		known := !m.heartbeatAt.IsZero() || len(m.bindings) > 0
-		if !m.terminated && known && c.now.Sub(c.heardSince(m, p)) < silentMachineMemory {
+		if !m.terminated && known && c.now.Sub(c.silentSince(m, p)) < silentMachineRetention {
 			visit(m, c.machineFlags(m, p))
 		}
 	}
@@ -131,7 +131,7 @@
 	}
 	for i := range owner.Status.Machines {
 		reported := &owner.Status.Machines[i]
-		m := c.machineNamed(reported.Name)
+		m := c.getOrAddMachine(reported.Name)
 		if m.partition != p.index || m.terminated {
 			continue
 		}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -15,30 +15,30 @@
 type counter int
 
 const (
-	countAccepted counter = iota
-	countRefused
-	countUnavailable
+	countAcceptedSubmissions counter = iota
+	countRefusedSubmissions
+	countUnavailableSubmissions
 	countPolls
 	countHeartbeats
-	countRedirected
-	countBound
-	countDone
-	countLost
-	countPreempting
-	countAssigned    // task groups assigned by the leader
-	countMoved       // task groups moved to another partition
-	countThrottled   // task groups throttled, or unthrottled, for a team's quota
-	countStored      // task groups written by their owner
-	countRewritten   // of these, for their encoding alone
-	countUndecodable // stored values that could not be decoded
+	countRedirectedHeartbeats
+	countBoundTasks
+	countDoneTasks
+	countLostTasks
+	countPreemptedTasks
+	countAssignedGroups    // task groups assigned by the leader
+	countMovedGroups       // task groups moved to another partition
+	countThrottledGroups   // task groups throttled, or unthrottled, for a team's quota
+	countStoredGroups      // task groups written by their owner
+	countRewrittenGroups   // of these, for their encoding alone
+	countUndecodableValues // stored values that could not be decoded
 	counters
 )
 
 var counterNames = [counters]string{
-	countAccepted: "accepted", countRefused: "refused", countUnavailable: "unavailable", countPolls: "polls",
-	countHeartbeats: "reports", countRedirected: "redirected", countBound: "bound", countDone: "done",
-	countLost: "lost", countPreempting: "evicting", countAssigned: "dealt", countMoved: "moved",
-	countThrottled: "capped", countStored: "stored", countRewritten: "rewritten", countUndecodable: "undecodable",
+	countAcceptedSubmissions: "accepted", countRefusedSubmissions: "refused", countUnavailableSubmissions: "unavailable", countPolls: "polls",
+	countHeartbeats: "reports", countRedirectedHeartbeats: "redirected", countBoundTasks: "bound", countDoneTasks: "done",
+	countLostTasks: "lost", countPreemptedTasks: "evicting", countAssignedGroups: "dealt", countMovedGroups: "moved",
+	countThrottledGroups: "capped", countStoredGroups: "stored", countRewrittenGroups: "rewritten", countUndecodableValues: "undecodable",
 }
 
 func (c counter) String() string { return counterNames[c] }
@@ -66,15 +66,15 @@
 const (
 	activityHeartbeat  activity = iota // workers' heartbeats
 	activityReplica                    // changes of the stored records
-	activityLeader                     // the leader's planning
-	activityPartitions                 // the partitions' scheduling passes
+	activityPlanning                   // the leader's planning
+	activityScheduling                 // the partitions' scheduling passes
 	activityStatus                     // telling the peers
 	activities
 )
 
 var activityNames = [activities]string{
-	activityHeartbeat: "report", activityReplica: "replica", activityLeader: "lead",
-	activityPartitions: "parts", activityStatus: "status",
+	activityHeartbeat: "report", activityReplica: "replica", activityPlanning: "lead",
+	activityScheduling: "parts", activityStatus: "status",
 }
 
 func (a activity) String() string { return activityNames[a] }
@@ -113,7 +113,7 @@
 }
 
 // observe adds a duration to a latency's distribution.
-func (m *metrics) observe(l latency, d time.Duration) {
+func (m *metrics) observeLatency(l latency, d time.Duration) {
 	within := min(max(d, time.Microsecond), maxLatency)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -122,14 +122,14 @@
 
 // Submission counts a submission by the status of its response, and how long that took.
 func (m *metrics) Submission(status int, took time.Duration) {
-	m.observe(latencySubmit, took)
+	m.observeLatency(latencySubmit, took)
 	switch {
 	case status == http.StatusCreated:
-		m.count(countAccepted, 1)
+		m.count(countAcceptedSubmissions, 1)
 	case status >= http.StatusInternalServerError:
-		m.count(countUnavailable, 1)
+		m.count(countUnavailableSubmissions, 1)
 	case status >= http.StatusBadRequest:
-		m.count(countRefused, 1)
+		m.count(countRefusedSubmissions, 1)
 	}
 }
 
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -50,7 +50,7 @@
 	for _, other := range job.groups {
 		moved := *other
 		moved.zone = zone
-		addGroup(write, other, c.encodeGroup(&moved, other.done, other.bindings).At(other.key))
+		addGroup(write, other, c.encodeGroup(&moved, other.doneTasks, other.bindings).At(other.key))
 	}
 	c.submitDecision(write)
 	return true
@@ -60,7 +60,7 @@
 // may be in another. Only gangs move in several transactions.
 func (c *leader) mayChangeZone(group *taskGroup) bool {
 	job := group.job
-	if !job.spec.SingleZone || group.zone == "" || c.now.Sub(group.inPartitionSince) < zonePatience {
+	if !job.spec.SingleZone || group.zone == "" || c.now.Sub(group.partitionAssignedAt) < zonePatience {
 		return false
 	}
 	return job.spec.Gang || len(job.groups) <= c.cfg.Settings.Store.TxnOps
@@ -72,7 +72,7 @@
 func tasksToMove(group *taskGroup) (tasks int, ok bool) {
 	tasks = 1
 	for _, other := range group.job.groups {
-		if other.writing || other.zone != group.zone || other.boundTasks() > 0 {
+		if other.writeInFlight || other.zone != group.zone || other.boundTaskCount() > 0 {
 			return 0, false
 		}
 		if group.job.spec.AllOrNothing() {
@@ -87,8 +87,8 @@
 func (c *leader) roomByZone(summaries []*planning.MachineSummary, j *job, limit int) map[string]int {
 	room := map[string]int{}
 	for _, summary := range summaries {
-		if !summary.Booting && c.reserveAllows(j, summary) && allowed(j.spec, "", summary.Type, summary.Zone, summary.Spot) {
-			room[summary.Zone] += summary.Free.CountFitting(j.taskSize, limit)
+		if !summary.Booting && c.reserveAllows(j, summary) && allowsMachine(j.spec, "", summary.Type, summary.Zone, summary.Spot) {
+			room[summary.Zone] += summary.FreeResources.CountFitting(j.taskSize, limit)
 		}
 	}
 	return room
@@ -111,7 +111,7 @@
 	if group.job.spec.Gang {
 		return c.moveGang(summaries, group.job)
 	}
-	starts := group.job.spec.AllOrNothing() && group.boundTasks() == 0
+	starts := group.job.spec.AllOrNothing() && group.boundTaskCount() == 0
 	if starts {
 		count = max(count, len(group.bindings)) // what has not started moves whole
 	}
@@ -119,8 +119,8 @@
 	target := c.findMoveTarget(summaries, group, count, mayUse)
 	if starts && target.tasks < count {
 		// What has not started, or lost all, may preempt others where it goes.
-		request := planning.Assignment{TaskSize: group.job.taskSize, Count: count, Claim: group.claim(), Allowed: mayUse}
-		partition, ok := request.OnePartition(summaries, len(c.partitions))
+		request := planning.Assignment{TaskSize: group.job.taskSize, Count: count, Claim: group.claim(), AllowsMachine: mayUse}
+		partition, ok := request.ChoosePartition(summaries, len(c.partitions))
 		if !ok {
 			return count > 1 && c.borrow(summaries, group.job, loanRequest{zone: group.zone, tasks: count, claim: group.claim()})
 		}
@@ -134,7 +134,7 @@
 		inTarget := func(summary *planning.MachineSummary) bool {
 			return summary.Partition == target.partition && mayUse(summary)
 		}
-		planning.PlaceInFreeRoom(summaries, inTarget, group.job.taskSize, len(moving))
+		planning.PlaceWithoutPreemption(summaries, inTarget, group.job.taskSize, len(moving))
 	}
 	c.writeMove(group, target.partition, moving, staying)
 	return true
@@ -143,10 +143,10 @@
 // otherPartitionsOf allows the machines of other partitions that a group may move to. After
 // a long wait those that are kept for gangs are among them.
 func (c *leader) otherPartitionsOf(group *taskGroup) planning.MachineFilter {
-	ignoresReserve := c.now.Sub(group.inPartitionSince) > reserveOpensAfter
+	ignoresReserve := c.now.Sub(group.partitionAssignedAt) > reserveOpensAfter
 	return func(summary *planning.MachineSummary) bool {
 		return !summary.Booting && summary.Partition != group.partition && (ignoresReserve || c.reserveAllows(group.job, summary)) &&
-			allowed(group.job.spec, group.zone, summary.Type, summary.Zone, summary.Spot)
+			allowsMachine(group.job.spec, group.zone, summary.Type, summary.Zone, summary.Spot)
 	}
 }
 
@@ -162,7 +162,7 @@
 func (c *leader) findMoveTarget(summaries []*planning.MachineSummary, group *taskGroup, count int, mayUse planning.MachineFilter) moveTarget {
 	perPartition := make([]int, len(c.partitions))
 	trial := planning.CloneSummaries(summaries)
-	for summary, placed := range planning.PlaceInFreeRoom(trial, mayUse, group.job.taskSize, count) {
+	for summary, placed := range planning.PlaceWithoutPreemption(trial, mayUse, group.job.taskSize, count) {
 		perPartition[summary.Partition] += placed
 	}
 	var best moveTarget
@@ -198,14 +198,14 @@
 	left, moved := group.split(staying, moving)
 	moved.partition = partition
 	if len(staying) == 0 {
-		addGroup(write, group, c.encodeGroup(&moved, group.done, moving).At(group.key))
+		addGroup(write, group, c.encodeGroup(&moved, group.doneTasks, moving).At(group.key))
 	} else {
-		addGroup(write, group, c.encodeGroup(&left, group.done, staying).At(group.key))
+		addGroup(write, group, c.encodeGroup(&left, group.doneTasks, staying).At(group.key))
 		key := groupKey(group.job.id, group.job.newGroupNumber())
 		write.Conditions = append(write.Conditions, wire.Condition{Key: key})
 		write.Changes = append(write.Changes, wire.Change{Put: key, Value: c.encodeGroup(&moved, 0, moving).At(key)})
 	}
-	c.metrics.count(countMoved, 1)
+	c.metrics.count(countMovedGroups, 1)
 	c.log.Debug("tasks move to another partition", "job", group.job.id, "tasks", len(moving), "partition", partition)
 	c.submitDecision(write)
 }
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -24,7 +24,7 @@
 		wg.Go(func() {
 			time.Sleep(time.Duration(i) * (busy + free) / time.Duration(len(c.nodes)))
 			for ctx.Err() == nil {
-				ctl.enqueue(priorityState, func() { time.Sleep(busy) })
+				ctl.enqueue(priorityStore, func() { time.Sleep(busy) })
 				time.Sleep(busy + free)
 			}
 		})
@@ -36,7 +36,7 @@
 func (c *cluster) leaseOwners() map[string]string {
 	out := map[string]string{}
 	ctl := c.nodes[0].controller()
-	ctl.call(c.ctx, priorityState, func() {
+	ctl.call(c.ctx, priorityStore, func() {
 		for key, h := range ctl.election.Holders() {
 			out[key] = h.Node
 		}
@@ -84,7 +84,7 @@
 func (c *cluster) usedMachines() []*agent.Agent {
 	var used []*agent.Agent
 	for _, a := range c.env.Cloud.Agents() {
-		if c.countBoundTo(a.Name()) > 0 {
+		if c.countTasksBoundTo(a.Name()) > 0 {
 			used = append(used, a)
 		}
 	}
@@ -99,7 +99,7 @@
 		c.runServices(4, 2)
 		time.Sleep(10 * time.Second)
 		before := c.leaseOwners()
-		c.nodes[stuck].controller().enqueue(priorityState, func() { time.Sleep(time.Minute) })
+		c.nodes[stuck].controller().enqueue(priorityStore, func() { time.Sleep(time.Minute) })
 		time.Sleep(3*c.nodes[0].controller().operator.LeaseTTL + time.Second)
 		name := c.nodes[stuck].cfg.Name
 		for key, node := range c.leaseOwners() {
@@ -128,7 +128,7 @@
 		var wg sync.WaitGroup
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				ctl.call(c.ctx, priorityState, func() { time.Sleep(900 * time.Millisecond) })
+				ctl.call(c.ctx, priorityStore, func() { time.Sleep(900 * time.Millisecond) })
 				time.Sleep(time.Millisecond) // or it would be luck whether users have a turn
 			}
 		})
@@ -186,7 +186,7 @@
 func TestPrioritiesInOrder(t *testing.T) {
 	in := newEventQueue()
 	var got []priority
-	for _, p := range []priority{priorityUsers, priorityWorkers, priorityState, priorityUsers, priorityState, priorityWorkers} {
+	for _, p := range []priority{priorityUsers, priorityWorkers, priorityStore, priorityUsers, priorityStore, priorityWorkers} {
 		f := func() { got = append(got, p) }
 		if p == priorityUsers {
 			in.putUserRequest(f)
@@ -200,7 +200,7 @@
 	for f := in.next(); f != nil; f = in.next() {
 		f()
 	}
-	if !slices.Equal(got, []priority{priorityState, priorityState, priorityWorkers, priorityWorkers, priorityUsers, priorityUsers}) {
+	if !slices.Equal(got, []priority{priorityStore, priorityStore, priorityWorkers, priorityWorkers, priorityUsers, priorityUsers}) {
 		t.Errorf("done in the order %v, want the highest priority first", got)
 	}
 	if in.hasBefore(priorities) {
--- a/internal/controller/owners_in_touch.go
+++ b/internal/controller/owner_liveness.go
@@ -15,9 +15,9 @@
 	ownerSettleTime = 12 * time.Second
 )
 
-// ownerInTouch is a partition's owner, and since when it has been in touch with the leader
+// ownerLiveness is a partition's owner, and since when it has been in touch with the leader
 // without a gap; zero if it is not.
-type ownerInTouch struct {
+type ownerLiveness struct {
 	node  string
 	since time.Time
 }
@@ -28,16 +28,16 @@
 	return holder.Node
 }
 
-// updateOwnersInTouch notes for each partition since when its owner has been in touch.
-func (c *leader) updateOwnersInTouch() {
-	if c.leadership.ownersInTouch == nil {
-		c.leadership.ownersInTouch = make([]ownerInTouch, len(c.partitions))
+// updateOwnerLiveness notes for each partition since when its owner has been in touch.
+func (c *leader) updateOwnerLiveness() {
+	if c.leadership.owners == nil {
+		c.leadership.owners = make([]ownerLiveness, len(c.partitions))
 	}
 	for i, p := range c.partitions {
-		known, owner := &c.leadership.ownersInTouch[i], c.ownerOf(p.key)
-		inTouch := c.isInTouch(p, owner)
+		known, owner := &c.leadership.owners[i], c.ownerOf(p.key)
+		inTouch := c.isOwnerResponsive(p, owner)
 		if !inTouch || known.node != owner {
-			*known = ownerInTouch{node: owner}
+			*known = ownerLiveness{node: owner}
 		}
 		if inTouch && known.since.IsZero() {
 			known.since = c.now
@@ -45,19 +45,19 @@
 	}
 }
 
-// isInTouch tells whether a partition's owner says, and lately, that it owns it.
-func (c *leader) isInTouch(p *partition, owner string) bool {
+// isOwnerResponsive tells whether a partition's owner says, and lately, that it owns it.
+func (c *leader) isOwnerResponsive(p *partition, owner string) bool {
 	if p.token != 0 {
-		return p.active
+		return p.takeoverComplete
 	}
 	registered := c.peers.Peer(owner)
 	return registered != nil && registered.Heard(ownerTimeout, c.now) && slices.Contains(registered.Status.Partitions, uint64(p.index))
 }
 
-// ownerLongInTouch tells whether a partition has had an owner in touch with the leader for
+// isOwnerViewComplete tells whether a partition has had an owner in touch with the leader for
 // long enough that all machines of it must have sent heartbeats.
-func (c *leader) ownerLongInTouch(partition int) bool {
-	since := c.leadership.ownersInTouch[partition].since
+func (c *leader) isOwnerViewComplete(partition int) bool {
+	since := c.leadership.owners[partition].since
 	if since.IsZero() {
 		return false
 	}
@@ -67,10 +67,10 @@
 	return c.now.Sub(since) > 2*config.Seconds(c.cfg.Settings.Workers.ReportS)+ownerSettleTime
 }
 
-// allOwnersInTouch tells whether every partition's owner is in touch.
-func (c *leader) allOwnersInTouch() bool {
+// allOwnersResponsive tells whether every partition's owner is in touch.
+func (c *leader) allOwnersResponsive() bool {
 	for i := range c.partitions {
-		if c.leadership.ownersInTouch[i].since.IsZero() {
+		if c.leadership.owners[i].since.IsZero() {
 			return false
 		}
 	}
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -16,53 +16,53 @@
 	// token is the fencing token of this controller's lease of the partition; 0: it does not
 	// own it. firstToken is the first since the lease was last acquired, at ownedSince.
 	token, firstToken uint64
-	// ownTokens are the newest tokens since then.
-	ownTokens  []uint64
-	ownedSince time.Time
+	// recentTokens are the newest tokens since then.
+	recentTokens []uint64
+	ownedSince   time.Time
 	// active: the replica was read after the failover.
-	active bool
-	// formerOwnerStaleness is how long a former owner may go on answering heartbeats.
-	formerOwnerStaleness time.Duration
-	// tokenRaiseDue: a higher token is needed; tokenRaisedAt is when one was last asked for.
-	tokenRaiseDue bool
-	tokenRaisedAt time.Time
+	takeoverComplete bool
+	// formerOwnerMaxStaleness is how long a former owner may go on answering heartbeats.
+	formerOwnerMaxStaleness time.Duration
+	// tokenRaiseDue: a higher token is needed; tokenRaiseRequestedAt is when one was last asked for.
+	tokenRaiseDue         bool
+	tokenRaiseRequestedAt time.Time
 
 	// machines are those that are in the partition, whoever owns it; groups are assigned to it.
 	machines []*machine
 	groups   []*taskGroup
-	// foreignGroups are task groups of other partitions of which tasks have ended on a machine
+	// otherPartitionsGroups are task groups of other partitions of which tasks have ended on a machine
 	// of this one, as on one that was on loan and came back when its borrower ended: nobody
 	// else knows, and the owner of the group would wait for ever.
-	foreignGroups map[*taskGroup]bool
+	otherPartitionsGroups map[*taskGroup]bool
 
 	cells        *scheduling.Partition
-	reservations map[scheduling.Task]reservation
+	reservations map[scheduling.TaskID]reservation
 	// unplaced counts the tasks that found no cell in this pass so far; exhausted are the
 	// classes of those for which there is no room.
-	unplaced  int
-	exhausted map[placementClass]bool
-	// freedCells counts the cells that came free since freedCellsSince, freedCellsBefore
+	unplacedInPass   int
+	exhaustedClasses map[placementClass]bool
+	// freedInWindow counts the cells that came free since freedWindowStart, freedInPreviousWindow
 	// those of the window before that.
-	freedCells, freedCellsBefore int
-	freedCellsSince              time.Time
+	freedInWindow, freedInPreviousWindow int
+	freedWindowStart                     time.Time
 
 	// mostNotReceiving: most of its machines seem not to receive, see machine.notReceiving.
 	mostNotReceiving bool
-	// mostUnreachable: most of its machines seem unreachable, as counted at countedAt.
-	mostUnreachable bool
-	countedAt       time.Time
+	// mostUnreachable: most of its machines seem unreachable, as counted at unreachableCountedAt.
+	mostUnreachable      bool
+	unreachableCountedAt time.Time
 }
 
-// maxOwnTokens is how many tokens of a partition are remembered. A machine that last showed an
+// maxRecentTokens is how many tokens of a partition are remembered. A machine that last showed an
 // older one is asked to show the present one.
-const maxOwnTokens = 32
+const maxRecentTokens = 32
 
 // setToken notes a new fencing token of this controller's lease.
 func (p *partition) setToken(token uint64) {
 	p.token = token
-	p.ownTokens = append(p.ownTokens, token)
-	if excess := len(p.ownTokens) - maxOwnTokens; excess > 0 {
-		p.ownTokens = slices.Delete(p.ownTokens, 0, excess)
+	p.recentTokens = append(p.recentTokens, token)
+	if excess := len(p.recentTokens) - maxRecentTokens; excess > 0 {
+		p.recentTokens = slices.Delete(p.recentTokens, 0, excess)
 	}
 }
 
@@ -73,7 +73,7 @@
 	if token < p.firstToken {
 		return false
 	}
-	return token == p.firstToken || token >= p.token || slices.Contains(p.ownTokens, token)
+	return token == p.firstToken || token >= p.token || slices.Contains(p.recentTokens, token)
 }
 
 // reservation is a reserved cell whose binding is not stored yet.
@@ -92,9 +92,9 @@
 
 // attemptEnd is the proven end of an attempt.
 type attemptEnd struct {
-	of     boundAttempt
-	done   bool
-	failed bool
+	attempt boundAttempt
+	done    bool
+	failed  bool
 }
 
 // freedCellsWindow is the time over which the cells that come free are counted.
@@ -102,22 +102,22 @@
 
 // countFreedCell counts a cell that came free.
 func (p *partition) countFreedCell(now time.Time) {
-	if now.Sub(p.freedCellsSince) > freedCellsWindow {
-		p.freedCellsBefore, p.freedCells = p.freedCells, 0
-		if now.Sub(p.freedCellsSince) > 2*freedCellsWindow {
-			p.freedCellsBefore = 0
+	if now.Sub(p.freedWindowStart) > freedCellsWindow {
+		p.freedInPreviousWindow, p.freedInWindow = p.freedInWindow, 0
+		if now.Sub(p.freedWindowStart) > 2*freedCellsWindow {
+			p.freedInPreviousWindow = 0
 		}
-		p.freedCellsSince = now
+		p.freedWindowStart = now
 	}
-	p.freedCells++
+	p.freedInWindow++
 }
 
-// freedCellsWithin is about how many cells come free in d.
-func (p *partition) freedCellsWithin(now time.Time, d time.Duration) int {
-	if now.Sub(p.freedCellsSince) > 2*freedCellsWindow {
+// estimateFreedCells is about how many cells come free in d.
+func (p *partition) estimateFreedCells(now time.Time, d time.Duration) int {
+	if now.Sub(p.freedWindowStart) > 2*freedCellsWindow {
 		return 0
 	}
-	return int(int64(p.freedCellsBefore) * int64(d) / int64(freedCellsWindow))
+	return int(int64(p.freedInPreviousWindow) * int64(d) / int64(freedCellsWindow))
 }
 
 // mixingFactor is an odd number without a pattern, which spreads changes over all bits.
@@ -138,8 +138,8 @@
 	p.groups, group.listPosition = p.groups[:end], 0
 }
 
-// partitionOf is the hash partition that a machine belongs to, of count.
-func partitionOf(machine string, count int) int {
+// hashPartitionIndex is the hash partition that a machine belongs to, of count.
+func hashPartitionIndex(machine string, count int) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(machine))
 	// FNV's low bits alone are uneven for names that differ in a digit.
--- a/internal/controller/peer_status.go
+++ b/internal/controller/peer_status.go
@@ -6,9 +6,9 @@
 
 // peerStatus tells the peers about this controller and its machines.
 func (c *controller) peerStatus() *peer.Status {
-	status := &peer.Status{Node: c.cfg.Name, ProcessID: c.processID, Fresh: c.isFresh(c.operator.LeaseTTL), Eligible: c.eligible(), Draining: c.autoscaler.DrainedMachines()}
+	status := &peer.Status{Node: c.cfg.Name, ProcessID: c.processID, Fresh: c.isFresh(c.operator.LeaseTTL), Eligible: c.isEligible(), Draining: c.autoscaler.DrainedMachines()}
 	for _, p := range c.partitions {
-		if p.token == 0 || !p.active {
+		if p.token == 0 || !p.takeoverComplete {
 			continue
 		}
 		status.Partitions = append(status.Partitions, uint64(p.index))
@@ -24,7 +24,7 @@
 // isReportedToPeers tells whether the peers are told about a machine of ours: it has been
 // heard, or something is bound to it.
 func (c *clusterState) isReportedToPeers(m *machine, p *partition) bool {
-	if m.terminated || m.incarnation == 0 || c.now.Sub(c.heardSince(m, p)) > silentMachineMemory {
+	if m.terminated || m.incarnation == 0 || c.now.Sub(c.silentSince(m, p)) > silentMachineRetention {
 		return false
 	}
 	return m.heartbeatAt.After(p.ownedSince) || len(m.bindings) > 0
@@ -33,7 +33,7 @@
 // machineFlags are what an owner tells of its machine.
 func (c *clusterState) machineFlags(m *machine, p *partition) uint8 {
 	var flags uint8
-	if c.usable(m, p) {
+	if c.isUsable(m, p) {
 		flags |= peer.Reachable
 	}
 	if !m.terminationAt.IsZero() {
@@ -45,10 +45,10 @@
 	if m.spot {
 		flags |= peer.Spot
 	}
-	if c.unreachable(m, p) {
+	if c.isUnreachable(m, p) {
 		flags |= peer.Unreachable
 	}
-	if !m.heartbeatAt.After(p.ownsMachineSince(m)) {
+	if !m.heartbeatAt.After(p.machineOwnedSince(m)) {
 		flags |= peer.NotHeardYet
 	}
 	return flags
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -18,14 +18,14 @@
 	directSlots  *workerclient.Slots[*machine]
 }
 
-// evictionPatience is how many times evict-after a task at the head of the queue waits.
-const evictionPatience = 2
+// evictionDelayFactor is how many times evict-after a task at the head of the queue waits.
+const evictionDelayFactor = 2
 
 // schedulePartitions runs a scheduling pass over all partitions that this controller owns.
 func (c *partitionOwner) schedulePartitions() {
-	defer c.metrics.addBusyTime(activityPartitions, time.Now())
+	defer c.metrics.addBusyTime(activityScheduling, time.Now())
 	for _, p := range c.partitions {
-		if p.active && c.isFresh(c.operator.LeaseTTL) {
+		if p.takeoverComplete && c.isFresh(c.operator.LeaseTTL) {
 			c.schedulePartition(p)
 		}
 	}
@@ -40,7 +40,7 @@
 	groups := c.groupsToSchedule(p)
 	c.placeGroups(p, groups)
 	c.storeGroups(p, groups)
-	c.storeForeignGroups(p)
+	c.storeOtherPartitionsGroups(p)
 	c.rewriteGroups(p)
 	c.stopGangs(p)
 	c.acknowledgeLoans(p)
@@ -53,7 +53,7 @@
 // expired.
 func (c *partitionOwner) endExpiredAttempts(p *partition) {
 	for _, m := range p.machines {
-		if len(m.bindings) > 0 && (m.terminated || c.leaseExpired(m, p)) {
+		if len(m.bindings) > 0 && (m.terminated || c.isLeaseExpired(m, p)) {
 			c.endAllAttempts(m, "its lease is over")
 		}
 	}
@@ -62,7 +62,7 @@
 // groupsToSchedule lists the task groups of a partition that a pass may change, in the order
 // in which they may reserve cells. Most groups have nothing to do: all their tasks run.
 func (c *partitionOwner) groupsToSchedule(p *partition) []*taskGroup {
-	byUrgency := c.byUrgency()
+	byUrgency := c.urgencyComparator()
 	var groups []*taskGroup
 	for _, group := range p.groups {
 		if c.needsScheduling(group) {
@@ -87,15 +87,15 @@
 		return false
 	}
 	waits := group.job.finalState == record.Unfinished && group.boundCount < len(group.bindings)
-	return group.hasUnstoredEnds || group.size > c.maxValueBytes() || waits
+	return group.hasUnstoredEnds || group.storedSize > c.maxValueBytes() || waits
 }
 
 // placeGroups reserves cells for the task groups that wait for them.
 func (c *partitionOwner) placeGroups(p *partition, groups []*taskGroup) {
-	clear(p.exhausted)
-	p.unplaced = 0
+	clear(p.exhaustedClasses)
+	p.unplacedInPass = 0
 	for _, group := range groups {
-		if !group.writing && group.job.finalState == record.Unfinished && !c.now.Before(group.job.retryAt) {
+		if !group.writeInFlight && group.job.finalState == record.Unfinished && !c.now.Before(group.job.retryAt) {
 			c.placeGroup(p, group)
 		}
 	}
@@ -104,18 +104,18 @@
 // storeGroups stores what changed of a partition's task groups.
 func (c *partitionOwner) storeGroups(p *partition, groups []*taskGroup) {
 	for _, group := range groups {
-		if !group.writing {
+		if !group.writeInFlight {
 			c.storeGroup(p, group)
 		}
 	}
 }
 
-// storeForeignGroups stores the ends of other partitions' tasks on machines of this one.
-func (c *partitionOwner) storeForeignGroups(p *partition) {
-	for group := range p.foreignGroups {
+// storeOtherPartitionsGroups stores the ends of other partitions' tasks on machines of this one.
+func (c *partitionOwner) storeOtherPartitionsGroups(p *partition) {
+	for group := range p.otherPartitionsGroups {
 		if c.groups[group.index] != group || !group.hasUnstoredEnds || group.partition == p.index {
-			delete(p.foreignGroups, group)
-		} else if !group.writing && group.job.spec != nil {
+			delete(p.otherPartitionsGroups, group)
+		} else if !group.writeInFlight && group.job.spec != nil {
 			c.storeGroup(p, group)
 		}
 	}
@@ -137,14 +137,14 @@
 	class     placementClass
 	score     scheduling.ScoreFunc
 	// patient: the group may preempt only where too few cells come free by themselves.
-	patient bool
+	prefersFreedCells bool
 }
 
 // newPlacement prepares the search for one task group. An array's tasks wait a little before
 // they preempt others: cells come free all the time, and what is preempted has run for
 // nothing.
 func (c *partitionOwner) newPlacement(p *partition, group *taskGroup) placement {
-	waited := c.now.Sub(group.inPartitionSince)
+	waited := c.now.Sub(group.partitionAssignedAt)
 	array := !group.job.spec.AllOrNothing()
 	return placement{
 		owner:     c,
@@ -156,8 +156,8 @@
 			claim:            group.claim(),
 			noPreemption:     array && waited < c.operator.EvictAfter,
 		},
-		score:   c.scorer(p, group),
-		patient: array && waited < evictionPatience*c.operator.EvictAfter,
+		score:             c.scorer(p, group),
+		prefersFreedCells: array && waited < evictionDelayFactor*c.operator.EvictAfter,
 	}
 }
 
@@ -165,7 +165,7 @@
 // that has never started, together, everything else one by one.
 func (c *partitionOwner) placeGroup(p *partition, group *taskGroup) {
 	pending, started := c.unplacedTasks(p, group)
-	unthrottled := max(0, group.allowedTasks()-(len(group.bindings)-len(pending)))
+	unthrottled := max(0, group.bindLimit()-(len(group.bindings)-len(pending)))
 	pending = pending[:min(len(pending), unthrottled)]
 	if len(pending) == 0 {
 		return
@@ -175,19 +175,19 @@
 		if !p.isFirstOfJob(group) {
 			return
 		}
-		more, otherStarted := c.unplacedTasksOfOthers(p, group)
+		more, otherStarted := c.unplacedTasksOfOtherGroups(p, group)
 		pending, started = append(pending, more...), started || otherStarted
 	}
 	search := c.newPlacement(p, group)
 	switch {
 	case spec.Gang:
-		if c.gangMayReserve(p, group) {
-			search.request(pending...)
+		if c.canReserveGang(p, group) {
+			search.requestCells(pending...)
 		}
 	case spec.Service && !started:
-		search.request(pending...)
+		search.requestCells(pending...)
 	default:
-		search.placeEach(pending)
+		search.placeIndividually(pending)
 	}
 }
 
@@ -202,9 +202,9 @@
 	return true
 }
 
-// unplacedTasksOfOthers lists the unplaced tasks of a job's other task groups in the partition;
+// unplacedTasksOfOtherGroups lists the unplaced tasks of a job's other task groups in the partition;
 // started: some of them have been bound before.
-func (c *partitionOwner) unplacedTasksOfOthers(p *partition, group *taskGroup) (unplaced []scheduling.Task, started bool) {
+func (c *partitionOwner) unplacedTasksOfOtherGroups(p *partition, group *taskGroup) (unplaced []scheduling.TaskID, started bool) {
 	for _, other := range group.job.groups {
 		if other == group || other.partition != p.index {
 			continue
@@ -215,76 +215,76 @@
 	return unplaced, started
 }
 
-// placeEach requests cells for tasks one by one, until there is no room for the next.
-func (s *placement) placeEach(tasks []scheduling.Task) {
+// placeIndividually requests cells for tasks one by one, until there is no room for the next.
+func (s *placement) placeIndividually(tasks []scheduling.TaskID) {
 	for i, task := range tasks {
-		if s.request(task) {
+		if s.requestCells(task) {
 			continue
 		}
 		// The first tasks wait for the cells that come free; those behind them may preempt.
-		laterMayPreempt := s.patient && !s.class.noPreemption && i < s.freedCellsSoon()
+		laterMayPreempt := s.prefersFreedCells && !s.class.noPreemption && i < s.expectedFreedCells()
 		if !laterMayPreempt {
 			return
 		}
 	}
 }
 
-// freedCellsSoon is about how many cells come free before a task that waits may preempt.
-func (s *placement) freedCellsSoon() int {
-	return s.partition.freedCellsWithin(s.owner.now, s.owner.operator.EvictAfter)
+// expectedFreedCells is about how many cells come free before a task that waits may preempt.
+func (s *placement) expectedFreedCells() int {
+	return s.partition.estimateFreedCells(s.owner.now, s.owner.operator.EvictAfter)
 }
 
-// classNow is the group's class at this point of the pass. Where tasks end all the time,
+// currentClass is the group's class at this point of the pass. Where tasks end all the time,
 // those at the head of the queue have a free cell before long; only what is behind them
 // preempts others, until all have waited.
-func (s *placement) classNow() placementClass {
+func (s *placement) currentClass() placementClass {
 	class := s.class
-	if s.patient && !class.noPreemption {
-		class.noPreemption = s.partition.unplaced < s.freedCellsSoon()
+	if s.prefersFreedCells && !class.noPreemption {
+		class.noPreemption = s.partition.unplacedInPass < s.expectedFreedCells()
 	}
 	return class
 }
 
 // request asks for cells for tasks that are placed together; false: there is no room. Tasks
 // of one class are alike, so the first that finds no room speaks for all behind it.
-func (s *placement) request(tasks ...scheduling.Task) bool {
-	class := s.classNow()
+func (s *placement) requestCells(tasks ...scheduling.TaskID) bool {
+	class := s.currentClass()
 	// A job that avoids machines on which it failed is alike to no other.
-	alike := len(tasks) == 1 && len(s.group.job.failedOn) == 0
-	if alike && s.partition.exhausted[class] {
-		s.partition.unplaced++
+	alike := len(tasks) == 1 && len(s.group.job.failedMachines) == 0
+	if alike && s.partition.exhaustedClasses[class] {
+		s.partition.unplacedInPass++
 		return false
 	}
-	request := &scheduling.Group{
+	request := &scheduling.AffinityGroup{
 		Tasks: tasks, TaskSize: s.group.job.taskSize,
 		Claim: class.claim, NoPreemption: class.noPreemption,
 	}
-	s.partition.cells.Request(request, s.score)
+	s.partition.cells.Schedule(request, s.score)
 	switch request.State {
-	case scheduling.Allocated:
-		s.owner.reserveCells(s.partition, request)
-	case scheduling.Preempting:
-		s.owner.preempt(s.group.job, request)
-	case scheduling.Pending:
+	case scheduling.GroupAllocated:
+		s.owner.recordReservations(s.partition, request)
+	case scheduling.GroupPreempting:
+		s.owner.stopVictims(s.group.job, request)
+	case scheduling.GroupPending:
 		if alike {
-			s.partition.noteExhausted(class)
+			s.partition.markExhausted(class)
 		}
-		s.partition.unplaced++
+		s.partition.unplacedInPass++
 	}
-	return request.State != scheduling.Pending
+	return request.State != scheduling.GroupPending
 }
 
-// noteExhausted notes that there is no room for a class in this pass.
-func (p *partition) noteExhausted(class placementClass) {
-	if p.exhausted == nil {
-		p.exhausted = map[placementClass]bool{}
+// markExhausted notes that there is no room for a class in this pass.
+func (p *partition) markExhausted(class placementClass) {
+	if p.exhaustedClasses == nil {
+		p.exhaustedClasses = map[placementClass]bool{}
 	}
-	p.exhausted[class] = true
+	p.exhaustedClasses[class] = true
 }
 
 // preempt has the victims of a Preempting group stopped.
-func (c *partitionOwner) preempt(j *job, request *scheduling.Group) {
-	c.metrics.count(countPreempting, request.Victims())
+func (c *partitionOwner) stopVictims(j *job, request *scheduling.AffinityGroup) {
+	c.metrics.count(countPreemptedTasks, request.VictimCount())
 	c.log.Debug("group preempts", "job", j.id, "tasks", len(request.Tasks))
 	for _, index := range request.Machines {
 		c.sendCommandsNow(c.machineByIndex[index])
@@ -293,12 +293,12 @@
 
 // unplacedTasks lists a group's tasks that neither are bound nor have, or wait for, a
 // reservation; started: some have been bound before.
-func (c *partitionOwner) unplacedTasks(p *partition, group *taskGroup) (unplaced []scheduling.Task, started bool) {
+func (c *partitionOwner) unplacedTasks(p *partition, group *taskGroup) (unplaced []scheduling.TaskID, started bool) {
 	for i := range group.bindings {
 		bound := &group.bindings[i]
 		task := group.task(bound.task)
 		started = started || bound.attempt > 0
-		if c.holdsMachine(group, bound) || p.cells.PreemptingGroup(task) != nil {
+		if c.isPlaced(group, bound) || p.cells.PreemptingGroup(task) != nil {
 			continue
 		}
 		if _, reserved := p.reservations[task]; !reserved {
@@ -308,10 +308,10 @@
 	return unplaced, started
 }
 
-// holdsMachine tells whether a task is bound and not known to be lost. A lost task is placed
+// isPlaced tells whether a task is bound and not known to be lost. A lost task is placed
 // again, unless it is a gang's, before its end is stored: its end and its next binding are
 // then stored together. Stored one after the other, they had the replicas of some hundred
 // dead machines wait twice for the key-value store.
-func (c *partitionOwner) holdsMachine(group *taskGroup, bound *binding) bool {
+func (c *partitionOwner) isPlaced(group *taskGroup, bound *binding) bool {
 	return bound.machine != nil && (group.job.spec.Gang || !c.isLost(group, bound))
 }
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -94,8 +94,8 @@
 		if len(left.bindings) == 0 {
 			left.throttle = 1 // it is the same record
 		}
-		if left.allowedTasks()+moved.allowedTasks() != may || len(left.bindings)+len(moved.bindings) != n || moved.allowedTasks() != leave || left.allowedTasks() < bound {
-			t.Fatalf("%d tasks of %d that stay may run, %d of %d that move; want %d in all", left.allowedTasks(), len(left.bindings), moved.allowedTasks(), len(moved.bindings), may)
+		if left.bindLimit()+moved.bindLimit() != may || len(left.bindings)+len(moved.bindings) != n || moved.bindLimit() != leave || left.bindLimit() < bound {
+			t.Fatalf("%d tasks of %d that stay may run, %d of %d that move; want %d in all", left.bindLimit(), len(left.bindings), moved.bindLimit(), len(moved.bindings), may)
 		}
 	})
 }
--- a/internal/controller/quota_usage.go
+++ b/internal/controller/quota_usage.go
@@ -15,10 +15,10 @@
 		}
 		// An assigned task counts for its team's limit whether it runs or not; one of a
 		// cancelled job until it is proven gone.
-		use := group.job.taskSize.Times(group.quotaTasks(c.replica.Cursor()))
+		use := group.job.taskSize.Times(group.quotaTaskCount(c.replica.Cursor()))
 		quotas[group.job.team].Charge(use, group.guaranteed)
 	}
-	for _, job := range c.unfinished {
+	for _, job := range c.activeJobs {
 		if job.finalState == record.Unfinished && job.spec != nil {
 			chargeUnknownTasks(&quotas[job.team], job)
 			chargeUnassignedMembers(&quotas[job.team], job)
@@ -29,12 +29,12 @@
 
 // configuredQuotas returns the teams' quotas as they are set, without any use.
 func (c *clusterState) configuredQuotas() []planning.Quota {
-	quotas := make([]planning.Quota, len(c.teamIndex))
+	quotas := make([]planning.Quota, len(c.teamIndexes))
 	for i := range c.cfg.Settings.Teams {
 		team := &c.cfg.Settings.Teams[i]
-		quotas[c.team(team.Name)] = planning.Quota{
-			Guaranteed: scheduling.NewResources(team.CPUs, team.GPUs, 0),
-			Limit:      scheduling.NewResources(team.CPUsMax, team.GPUsMax, 0),
+		quotas[c.getOrAddTeam(team.Name)] = planning.Quota{
+			Guarantee: scheduling.NewResources(team.CPUs, team.GPUs, 0),
+			Limit:     scheduling.NewResources(team.CPUsMax, team.GPUsMax, 0),
 		}
 	}
 	return quotas
@@ -46,8 +46,8 @@
 	if !j.hasUnreadableRecords() {
 		return
 	}
-	assigned, _ := j.assignedTasks()
-	unknown := min(j.spec.Tasks-assigned, len(j.unreadable)*maxGroupBindings)
+	assigned, _ := j.countAssignedTasks()
+	unknown := min(j.spec.Tasks-assigned, len(j.unreadableKeys)*maxGroupBindings)
 	quota.Charge(j.taskSize.Times(unknown), false)
 }
 
@@ -57,7 +57,7 @@
 	if !j.spec.Gang {
 		return
 	}
-	if assigned, _ := j.assignedTasks(); assigned > 0 && assigned < j.spec.Tasks {
+	if assigned, _ := j.countAssignedTasks(); assigned > 0 && assigned < j.spec.Tasks {
 		quota.Charge(j.taskSize.Times(j.spec.Tasks-assigned), j.firstGroup().guaranteed)
 	}
 }
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -10,83 +10,83 @@
 // bound to it, and notes the ends of attempts that it proves.
 func (c *partitionOwner) reconcile(m *machine, p *partition) {
 	// A start that went unanswered may arrive until the machine has seen a higher token.
-	if m.direct.unansweredStartToken == p.token && m.direct.unansweredStartToken != 0 && !m.direct.inFlight {
+	if m.commandState.unansweredStartToken == p.token && m.commandState.unansweredStartToken != 0 && !m.commandState.inFlight {
 		p.tokenRaiseDue = true
 	}
 	view, records := c.reconcileView(m, p)
-	for finding := range reconcile.Findings(view, records) {
+	for finding := range reconcile.Observations(view, records) {
 		c.applyFinding(m, finding)
 	}
 }
 
 // applyFinding learns from what has become of one attempt.
-func (c *partitionOwner) applyFinding(m *machine, finding reconcile.Finding) {
+func (c *partitionOwner) applyFinding(m *machine, finding reconcile.Observation) {
 	task := finding.Binding.Task
 	group := c.groups[task.Group]
 	if finding.Status != nil {
-		c.noteShownTask(m, group.job, finding.Status)
+		c.observeTask(m, group.job, finding.Status)
 	}
-	if !finding.EndsAttempt() {
+	if !finding.ProvesEnd() {
 		return
 	}
 	bound := group.binding(task.Number)
-	if finding.Status != nil && !c.hasEnded(task, bound.boundAttempt()) {
-		c.noteTaskEnd(m, group.job, finding.Status.Reason)
+	if finding.Status != nil && !c.hasUnstoredEnd(task, bound.boundAttempt()) {
+		c.handleTaskEnd(m, group.job, finding.Status.Reason)
 	}
 	c.endAttempt(group, bound, attemptEnd{
-		of:     bound.boundAttempt(),
-		done:   finding.Case == reconcile.TaskCompleted,
-		failed: finding.Case == reconcile.TaskFailed,
+		attempt: bound.boundAttempt(),
+		done:    finding.Kind == reconcile.TaskCompleted,
+		failed:  finding.Kind == reconcile.TaskFailed,
 	})
 }
 
-// noteShownTask learns from a bound task that a heartbeat shows: how far its gang is, and
+// observeTask learns from a bound task that a heartbeat shows: how far its gang is, and
 // that its machine has its image.
-func (c *partitionOwner) noteShownTask(m *machine, j *job, status *wire.TaskStatus) {
+func (c *partitionOwner) observeTask(m *machine, j *job, status *wire.TaskStatus) {
 	if j.spec == nil {
 		return
 	}
 	if j.spec.Gang {
-		j.noteGangTask(status)
+		j.observeGangTask(status)
 	}
 	hasImage := status.State == wire.Running || status.State == wire.Gathering || status.State == wire.Saving
 	if hasImage && j.spec.Image != "" {
-		m.images[j.spec.Image] = true
-		delete(m.fetching, j.spec.Image)
+		m.cachedImages[j.spec.Image] = true
+		delete(m.fetchStartedAt, j.spec.Image)
 	}
 }
 
-// hasEnded tells whether an attempt is proven to have ended, though that is not stored yet.
-func (c *cellRegistry) hasEnded(task scheduling.Task, attempt boundAttempt) bool {
-	end, known := c.attemptEnds[task]
-	return known && end.of == attempt
+// hasUnstoredEnd tells whether an attempt is proven to have ended, though that is not stored yet.
+func (c *cellRegistry) hasUnstoredEnd(task scheduling.TaskID, attempt boundAttempt) bool {
+	end, known := c.unstoredEnds[task]
+	return known && end.attempt == attempt
 }
 
 // endAttempt notes the proven end of an attempt and frees its cell. The scheduling pass
 // stores it.
 func (c *clusterState) endAttempt(group *taskGroup, bound *binding, end attemptEnd) {
 	t := group.task(bound.task)
-	if c.hasEnded(t, bound.boundAttempt()) {
+	if c.hasUnstoredEnd(t, bound.boundAttempt()) {
 		return
 	}
-	c.attemptEnds[t] = end
+	c.unstoredEnds[t] = end
 	group.hasUnstoredEnds = true
 	if end.done {
-		c.metrics.count(countDone, 1)
+		c.metrics.count(countDoneTasks, 1)
 	} else {
-		c.metrics.count(countLost, 1)
+		c.metrics.count(countLostTasks, 1)
 	}
 	c.log.Debug("attempt ended", "task", taskName(group.job.id, bound.task), "attempt", bound.attempt, "machine", bound.machine.name, "done", end.done)
 	p := c.partitions[bound.machine.partition]
 	if p.index != group.partition {
-		if p.foreignGroups == nil {
-			p.foreignGroups = map[*taskGroup]bool{}
+		if p.otherPartitionsGroups == nil {
+			p.otherPartitionsGroups = map[*taskGroup]bool{}
 		}
-		p.foreignGroups[group] = true
+		p.otherPartitionsGroups[group] = true
 	}
 	p.countFreedCell(c.now)
 	c.freeCell(p, t)
-	c.requestPass()
+	c.requestSchedulingPass()
 }
 
 // endAllAttempts ends every attempt on a machine that is terminated or whose lease has
@@ -96,17 +96,17 @@
 	if p.token == 0 {
 		return
 	}
-	before := len(c.attemptEnds)
+	before := len(c.unstoredEnds)
 	for _, entry := range m.bindings {
 		if bound := entry.group.binding(entry.task.Number); bound != nil && bound.machine == m {
-			c.endAttempt(entry.group, bound, attemptEnd{of: bound.boundAttempt()})
+			c.endAttempt(entry.group, bound, attemptEnd{attempt: bound.boundAttempt()})
 		}
 	}
-	if ended := len(c.attemptEnds) - before; ended > 0 {
+	if ended := len(c.unstoredEnds) - before; ended > 0 {
 		c.log.Info("tasks of a machine are lost", "machine", m.name, "tasks", ended, "why", reason)
 	}
 	for t, claimed := range p.reservations {
-		if claimed.machine == m && !c.groups[t.Group].writing {
+		if claimed.machine == m && !c.groups[t.Group].writeInFlight {
 			delete(p.reservations, t)
 			c.freeCell(p, t)
 		}
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -36,7 +36,7 @@
 	case key == rollout.StateKey:
 		a.setRolloutState(rollout.Initial, 0, nil)
 	case strings.HasPrefix(key, rollout.ControllerPrefix):
-		delete(a.rollout.controllers, strings.TrimPrefix(key, rollout.ControllerPrefix))
+		delete(a.rollout.registrations, strings.TrimPrefix(key, rollout.ControllerPrefix))
 	default:
 		a.election.ObserveVacancy(key)
 	}
@@ -58,7 +58,7 @@
 		return a.putJobValue(key, name, raw, revision)
 	case machineTypesKind:
 		return decodeInto(raw, func(list []wire.MachineType) {
-			a.putMachineTypes(list)
+			a.setMachineTypes(list)
 			a.autoscaler.MachineTypesStored()
 		})
 	case tombstoneKind:
@@ -98,15 +98,15 @@
 // is neither assigned nor ended, and its user is told to come back.
 func (a recordApplier) noteUndecodable(key string, err error) {
 	a.log.Error("stored record can't be decoded; it is left alone", "key", key, "err", err)
-	a.metrics.count(countUndecodable, 1)
+	a.metrics.count(countUndecodableValues, 1)
 	var job *job
 	switch kind, name := parseKey(key); kind {
 	case jobKind:
-		job = a.job(name)
+		job = a.getOrAddJob(name)
 	case groupKind:
-		a.rollout.unreadable[key] = true
+		a.rollout.unreadableGroups[key] = true
 		if id, _, ok := splitGroupKey(key); ok {
-			job = a.job(id)
+			job = a.getOrAddJob(id)
 		}
 	default:
 	}
@@ -122,18 +122,18 @@
 	if err := wire.Decode(raw, &v); err != nil {
 		return err
 	}
-	if _, archived := a.finished[id]; archived {
+	if _, archived := a.finalStates[id]; archived {
 		a.replica.Forget(key)
 		return nil
 	}
 	a.putJob(id, &v, revision)
-	a.job(id).markReadable(key)
+	a.getOrAddJob(id).markReadable(key)
 	return nil
 }
 
 // putJob takes a job in.
 func (a recordApplier) putJob(id string, v *record.Job, revision uint64) {
-	job := a.job(id)
+	job := a.getOrAddJob(id)
 	if job.revision != 0 && job.finalState != v.FinalState {
 		a.log.Info("job is over", "job", id, "final_state", v.FinalState.String())
 	}
@@ -146,7 +146,7 @@
 		job.releaseDetails(a.replica.Cursor())
 		a.stopFinalJob(job, before)
 	}
-	a.requestPass()
+	a.requestSchedulingPass()
 }
 
 // setSpec notes what a job asks for, and what follows from that.
@@ -156,7 +156,7 @@
 	job.acceptedAt = time.UnixMilli(v.AcceptedAtMS)
 	job.taskSize = scheduling.NewResources(spec.CPUs, spec.GPUs, spec.RAMGB)
 	job.equivalenceClass = equivalenceClass(spec)
-	job.team = a.team(spec.Team)
+	job.team = a.getOrAddTeam(spec.Team)
 }
 
 // equivalenceClass is the same for jobs of which any task can be placed where another's can.
@@ -173,7 +173,7 @@
 		if before == record.Unfinished {
 			group.cancelWrite() // it has the former version of the job among its conditions
 		}
-		a.cancelReservations(group, !group.writing)
+		a.cancelReservations(group, !group.writeInFlight)
 		for i := range group.bindings {
 			if m := group.bindings[i].machine; m != nil {
 				a.sendCommandsNow(m)
@@ -182,8 +182,8 @@
 	}
 }
 
-// putMachineTypes takes in the list of machine types.
-func (c *clusterState) putMachineTypes(list []wire.MachineType) {
+// setMachineTypes takes in the list of machine types.
+func (c *clusterState) setMachineTypes(list []wire.MachineType) {
 	c.machineTypes = map[string]*wire.MachineType{}
 	for i := range list {
 		c.machineTypes[list[i].Name] = &list[i]
@@ -191,7 +191,7 @@
 	for _, m := range c.machines {
 		c.setMachineSize(m)
 	}
-	c.requestPass()
+	c.requestSchedulingPass()
 }
 
 // tombstone is a stored marker of machines that are terminated.
@@ -214,19 +214,19 @@
 func (a recordApplier) putTombstone(key string, names []string) {
 	a.tombstones[key] = tombstone{names, a.now}
 	for _, name := range names {
-		a.terminated[name] = true
+		a.terminatedMachines[name] = true
 		if m := a.machines[name]; m != nil {
 			m.terminated = true
 			a.endAllAttempts(m, "machine is gone")
 		}
 	}
-	a.requestPass()
+	a.requestSchedulingPass()
 }
 
 // deleteTombstone forgets that machines are terminated: nothing refers to them any more.
 func (a recordApplier) deleteTombstone(key string) {
 	for _, name := range a.tombstones[key].names {
-		delete(a.terminated, name)
+		delete(a.terminatedMachines, name)
 	}
 	delete(a.tombstones, key)
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -23,15 +23,15 @@
 // rolloutState is what a controller knows of feature levels: the stored state, who reads what,
 // and in which encodings records are stored. The decisions are in internal/rollout.
 type rolloutState struct {
-	supported rollout.Range
-	state     rollout.State
-	version   uint64 // of the stored state; 0: none is stored
+	supportedLevels rollout.Range
+	state           rollout.State
+	revision        uint64 // of the stored state; 0: none is stored
 	// refusal is why this process must not serve; nil: it may.
 	refusal          error
-	keys             rollout.Keys // of the leases
-	controllers      map[string]rollout.Registered
+	leaseKeys        rollout.Keys // of the leases
+	registrations    map[string]rollout.Registered
 	groupsByEncoding map[record.Encoding]int // task groups by the encoding that they are stored in
-	unreadable       map[string]bool         // keys of groups that can't be decoded
+	unreadableGroups map[string]bool         // keys of groups that can't be decoded
 	writing          bool                    // the write of a step is under way
 	rewrites         *rate.Limiter           // of groups that are rewritten for their encoding alone
 }
@@ -44,18 +44,18 @@
 		supported.High = min(supported.High, rollout.Level(op.HighestLevel))
 	}
 	return rolloutState{
-		supported:        supported,
+		supportedLevels:  supported,
 		state:            rollout.Initial,
-		keys:             rollout.Initial.Keys(),
-		controllers:      map[string]rollout.Registered{},
+		leaseKeys:        rollout.Initial.Keys(),
+		registrations:    map[string]rollout.Registered{},
 		groupsByEncoding: map[record.Encoding]int{},
-		unreadable:       map[string]bool{},
+		unreadableGroups: map[string]bool{},
 		rewrites:         rate.NewLimiter(rate.Limit(perSecond), 1),
 	}
 }
 
 // leaderKey is the key of the leadership's lease.
-func (c *clusterState) leaderKey() string { return c.rollout.keys.Leader() }
+func (c *clusterState) leaderKey() string { return c.rollout.leaseKeys.Leader() }
 
 // leaderCondition has a write fail if this controller is not the leader any more.
 func (c *leader) leaderCondition() wire.Condition {
@@ -63,7 +63,7 @@
 }
 
 // encoding is that in which task groups are written.
-func (c *clusterState) encoding() record.Encoding { return encodingOf(c.rollout.state.Writes()) }
+func (c *clusterState) writeEncoding() record.Encoding { return encodingOf(c.rollout.state.Writes()) }
 
 // encodingOf is the encoding of task groups at a feature level.
 func encodingOf(level rollout.Level) record.Encoding {
@@ -114,13 +114,13 @@
 // that read what it allows to be stored. unknown is why it can't be read, if it can't.
 func (c *controller) setRolloutState(state rollout.State, version uint64, unknown error) {
 	before := c.rollout.state
-	c.rollout.state, c.rollout.version = state, version
+	c.rollout.state, c.rollout.revision = state, version
 	refusal := unknown
-	if refusal == nil && !state.Admits(c.rollout.supported) {
-		refusal = &unsupportedLevelError{level: state.Level, supported: c.rollout.supported}
+	if refusal == nil && !state.Admits(c.rollout.supportedLevels) {
+		refusal = &unsupportedLevelError{level: state.Level, supported: c.rollout.supportedLevels}
 	}
 	c.setRefusal(refusal)
-	if keys := state.Keys(); keys != c.rollout.keys {
+	if keys := state.Keys(); keys != c.rollout.leaseKeys {
 		c.switchLeaseKeys(keys)
 	}
 	if before != state {
@@ -158,7 +158,7 @@
 // acquired under other keys from now on.
 func (c *controller) switchLeaseKeys(keys rollout.Keys) {
 	c.election.SetKeys(leaseKeys(keys, c.loanPartition())) // under the former names this loses all
-	c.rollout.keys = keys
+	c.rollout.leaseKeys = keys
 	for _, p := range c.partitions {
 		p.key = keys.Partition(p.index)
 	}
@@ -169,10 +169,10 @@
 func (a recordApplier) putRegistration(name string, raw json.RawMessage, revision uint64) error {
 	registration, err := rollout.DecodeController(raw)
 	if err != nil {
-		delete(a.rollout.controllers, name) // unknown, as if it were not there
+		delete(a.rollout.registrations, name) // unknown, as if it were not there
 		return err
 	}
-	a.rollout.controllers[name] = rollout.Registered{Controller: registration, Revision: revision}
+	a.rollout.registrations[name] = rollout.Registered{Controller: registration, Revision: revision}
 	return nil
 }
 
@@ -182,11 +182,11 @@
 	return rollout.View{
 		Now:               c.now,
 		Members:           c.cfg.Nodes(),
-		Controllers:       s.controllers,
+		Controllers:       s.registrations,
 		Leading:           c.isLeader(),
-		Current:           c.replica.Cursor() >= s.version,
+		Current:           c.replica.Cursor() >= s.revision,
 		RecordsAbove:      s.countNewer(),
-		UnreadableRecords: len(s.unreadable),
+		UnreadableRecords: len(s.unreadableGroups),
 		Partitions:        c.loanPartition(),
 		MaxTxnChanges:     c.cfg.Settings.Store.TxnOps,
 		FinalizeAfter:     c.operator.FinalizeAfter,
@@ -196,7 +196,7 @@
 // advanceRollout takes the next step of an upgrade or of the way back, if there is one.
 func (c *controller) advanceRollout() {
 	s := &c.rollout
-	enabled := s.version != 0 || c.operator.FeatureLevels
+	enabled := s.revision != 0 || c.operator.FeatureLevels
 	if !enabled || s.writing || s.refusal != nil || !c.isFresh(c.operator.LeaseTTL) {
 		return
 	}
@@ -205,7 +205,7 @@
 	if step == rollout.NoStep {
 		return
 	}
-	txn := rollout.Txn(s.state, step, next, view, rollout.Revisions{State: s.version, Leader: c.leadership.token})
+	txn := rollout.Txn(s.state, step, next, view, rollout.Revisions{State: s.revision, Leader: c.leadership.token})
 	s.writing = true
 	c.log.Info("feature level step", "step", step, "from", s.state.Level, "phase", s.state.Phase)
 	write := &store.Write{Prompt: true, Contested: true, Conditions: txn.Conditions, Changes: txn.Changes}
@@ -225,18 +225,18 @@
 	if c.rollout.countOutdated() == 0 || c.stateWriter.Backlog() > rewriteBacklog {
 		return
 	}
-	encoding := c.encoding()
+	encoding := c.writeEncoding()
 	for _, group := range p.groups {
-		if group.encoding == encoding || group.writing || group.job.spec == nil || c.now.Before(group.retryWriteAt) {
+		if group.encoding == encoding || group.writeInFlight || group.job.spec == nil || c.now.Before(group.retryWriteAt) {
 			continue
 		}
-		if c.encodeGroup(group, group.done, group.bindings).Encoding() != encoding {
+		if c.encodeGroup(group, group.doneTasks, group.bindings).Encoding() != encoding {
 			continue // that encoding can't hold it
 		}
 		if !c.rollout.rewrites.AllowN(c.now, 1) {
 			return
 		}
-		c.metrics.count(countRewritten, 1)
+		c.metrics.count(countRewrittenGroups, 1)
 		update := c.planUpdate(p, group)
 		c.writeUpdate(p, group, &update)
 	}
@@ -245,7 +245,7 @@
 // frameVersion is the version of frames for a peer: the checksummed one if it is active, and
 // the process that the peer is now has said that it reads it.
 func (c *controller) frameVersion(name string) peer.Version {
-	registration, ok := c.rollout.controllers[name]
+	registration, ok := c.rollout.registrations[name]
 	if !ok || c.rollout.state.Active() < rollout.ChecksumLevel || registration.High < rollout.ChecksumLevel {
 		return peer.PlainFrame
 	}
@@ -264,12 +264,12 @@
 		if frames[version] == nil {
 			frames[version] = peer.AppendStatus(nil, status, version)
 		}
-		c.send(p.Name, frames[version])
+		c.sendFrame(p.Name, frames[version])
 	}
 }
 
 // refusal is the answer of a controller that must not serve; false: it may.
-func (c *clusterState) refusal() (api.Response, bool) {
+func (c *clusterState) refusalResponse() (api.Response, bool) {
 	if c.rollout.refusal == nil {
 		return api.Response{}, false
 	}
@@ -278,7 +278,7 @@
 
 // register keeps this controller's range of levels stored while the process lives.
 func (c *controller) register(ctx context.Context) {
-	registration := rollout.Controller{Node: c.cfg.Name, ProcessID: c.processID, Build: Build, Range: c.rollout.supported}
+	registration := rollout.Controller{Node: c.cfg.Name, ProcessID: c.processID, Build: Build, Range: c.rollout.supportedLevels}
 	r := &rollout.Registrar{Store: c.stateClient, Controller: registration, TTL: registrationTTLs * c.operator.LeaseTTL, Log: c.log}
 	if err := r.Run(ctx); err != nil && !errors.Is(err, ctx.Err()) {
 		c.log.Error("registration ended", "err", err)
@@ -299,12 +299,12 @@
 // logRollout adds the levels to the regular counters.
 func (c *controller) logRollout(log *slog.Logger) {
 	s := &c.rollout
-	if s.version == 0 {
+	if s.revision == 0 {
 		return
 	}
 	log.Info("levels", "level", s.state.Level, "phase", s.state.Phase,
 		"plain_records", s.groupsByEncoding[record.PlainJSON],
 		"checked_records", s.groupsByEncoding[record.Checksummed],
-		"unreadable_records", len(s.unreadable),
-		"controllers", len(s.controllers))
+		"unreadable_records", len(s.unreadableGroups),
+		"controllers", len(s.registrations))
 }
--- a/internal/controller/rollout_cluster_test.go
+++ b/internal/controller/rollout_cluster_test.go
@@ -13,16 +13,16 @@
 
 // operatorSettings are the operators' settings of a node.
 func (n *node) operatorSettings() *config.Operator {
-	if n.operatorConfig == nil || n.version.unaware {
+	if n.operatorConfig == nil || n.version.predatesLevels {
 		return config.DefaultOperator()
 	}
 	return n.operatorConfig
 }
 
-// stateTransport is how a node reaches the key-value store.
-func (n *node) stateTransport() http.RoundTripper {
-	if n.version.unaware {
-		return unawareView{n.transport}
+// storeTransport is how a node reaches the key-value store.
+func (n *node) storeTransport() http.RoundTripper {
+	if n.version.predatesLevels {
+		return legacyStoreView{n.transport}
 	}
 	return n.transport
 }
@@ -39,7 +39,7 @@
 }
 
 // rolloutState is the stored state.
-func (c *cluster) rolloutState() rollout.State {
+func (c *cluster) storedRolloutState() rollout.State {
 	raw, ok := c.env.Store.Values(rollout.StateKey)[rollout.StateKey]
 	if !ok {
 		return rollout.Initial
@@ -55,7 +55,7 @@
 func (c *cluster) awaitLevel(level rollout.Level, phase rollout.Phase, limit time.Duration) {
 	c.t.Helper()
 	c.await("level "+string(phase), limit, func() bool {
-		s := c.rolloutState()
+		s := c.storedRolloutState()
 		return s.Level == level && s.Phase == phase
 	})
 }
@@ -84,8 +84,8 @@
 	})
 }
 
-// countEncodings counts the stored groups by encoding.
-func (c *cluster) countEncodings() map[record.Encoding]int {
+// countByEncoding counts the stored groups by encoding.
+func (c *cluster) countByEncoding() map[record.Encoding]int {
 	out := map[record.Encoding]int{}
 	for _, raw := range c.env.Store.Values(groupPrefix) {
 		out[record.EncodingOf(raw)]++
@@ -94,7 +94,7 @@
 }
 
 // replace has a node's process end and one of another version start in its place.
-func (c *cluster) replace(i int, version softwareVersion) {
+func (c *cluster) restartWithVersion(i int, version softwareVersion) {
 	c.kill(i)
 	c.nodes[i].version = version
 	time.Sleep(time.Second)
@@ -103,28 +103,28 @@
 
 // softwareVersion is a version of the controller, by what it knows of feature levels.
 type softwareVersion struct {
-	supported rollout.Range
-	unaware   bool // it does not know levels: what it writes is of the base one
+	supportedLevels rollout.Range
+	predatesLevels  bool // it does not know levels: what it writes is of the base one
 }
 
 // The versions that take part in upgrades. One that does not know levels runs the present
-// code behind unawareView.
+// code behind legacyStoreView.
 var (
-	presentVersion   = softwareVersion{supported: rollout.Supported}
-	baseLevelVersion = softwareVersion{supported: rollout.Range{Low: rollout.BaseLevel, High: rollout.BaseLevel}}
-	unawareVersion   = softwareVersion{supported: rollout.Supported, unaware: true}
+	currentVersion       = softwareVersion{supportedLevels: rollout.Supported}
+	baseLevelVersion     = softwareVersion{supportedLevels: rollout.Range{Low: rollout.BaseLevel, High: rollout.BaseLevel}}
+	versionWithoutLevels = softwareVersion{supportedLevels: rollout.Supported, predatesLevels: true}
 )
 
 // reads is the range of levels whose records a version reads.
 func (v softwareVersion) reads() rollout.Range {
-	if v.unaware {
-		return baseLevelVersion.supported
+	if v.predatesLevels {
+		return baseLevelVersion.supportedLevels
 	}
-	return v.supported
+	return v.supportedLevels
 }
 
-// noteProcess notes what a process reads, for levelHistory.
-func (c *cluster) noteProcess(p *process) {
+// recordProcess notes what a process reads, for levelHistoryChecker.
+func (c *cluster) recordProcess(p *process) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readableByProcess[p.controller.processID] = p.version.reads()
--- a/internal/controller/rollout_processes_test.go
+++ b/internal/controller/rollout_processes_test.go
@@ -117,7 +117,7 @@
 	begun := time.Now()
 	raw, err := command.Output()
 	if err != nil {
-		f.t.Fatalf("upgrade %s: %v after %v: %s%s; the state is %+v; the controllers' logs are in %s", name, err, time.Since(begun), raw, failure.Bytes(), f.rolloutState(), f.logs.Name())
+		f.t.Fatalf("upgrade %s: %v after %v: %s%s; the state is %+v; the controllers' logs are in %s", name, err, time.Since(begun), raw, failure.Bytes(), f.storedRolloutState(), f.logs.Name())
 	}
 	var status rollout.Status
 	if err := json.Unmarshal(raw, &status); err != nil {
@@ -131,12 +131,12 @@
 	f.t.Helper()
 	begun := time.Now()
 	for time.Since(begun) < limit {
-		if s := f.rolloutState(); s.Level == level && s.Phase == phase {
+		if s := f.storedRolloutState(); s.Level == level && s.Phase == phase {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.t.Fatalf("level %d is not %s within %v: %+v", level, phase, limit, f.rolloutState())
+	f.t.Fatalf("level %d is not %s within %v: %+v", level, phase, limit, f.storedRolloutState())
 }
 
 // Three controllers, real processes on loopback, are upgraded one at a time in a drawn
@@ -178,7 +178,7 @@
 	f.enter("one at a time")
 	last := f.upgradeAll()
 	f.awaitPhase(1, rollout.Activated, time.Minute)
-	f.t.Logf("from the last controller's start to the active level: %v", time.UnixMilli(f.rolloutState().Since).Sub(last).Round(time.Millisecond))
+	f.t.Logf("from the last controller's start to the active level: %v", time.UnixMilli(f.storedRolloutState().Since).Sub(last).Round(time.Millisecond))
 	f.enter("switch and rewriting")
 	f.finalizeAndRewrite()
 	f.enter("after the switch")
@@ -218,13 +218,13 @@
 
 func (f *fleetUnderUpgrade) finalizeAndRewrite() {
 	f.t.Helper()
-	before := f.countEncodings()[record.PlainJSON]
+	before := f.countByEncoding()[record.PlainJSON]
 	begun := time.Now()
 	status := f.command("finalize")
 	if status.State.Level != 2 {
 		f.t.Fatalf("after finalize: %+v", status.State)
 	}
-	f.await("records are rewritten", time.Minute, func() bool { return f.countEncodings()[record.PlainJSON] == 0 })
+	f.await("records are rewritten", time.Minute, func() bool { return f.countByEncoding()[record.PlainJSON] == 0 })
 	f.t.Logf("%d records in the former form were rewritten, or done, within %v", before, time.Since(begun).Round(time.Millisecond))
 }
 
--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -30,15 +30,15 @@
 		c.await("the service runs", 40*time.Second, func() bool { return c.env.Running("wk-1") == 3 })
 		c.requestUpgrade(rollout.RequestFinalize)
 		c.awaitLevel(2, rollout.Stable, 10*time.Second)
-		c.await("records are rewritten", time.Minute, func() bool { f := c.countEncodings(); return f[record.PlainJSON] == 0 && f[record.Checksummed] > 0 })
+		c.await("records are rewritten", time.Minute, func() bool { f := c.countByEncoding(); return f[record.PlainJSON] == 0 && f[record.Checksummed] > 0 })
 		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.Gang, Team: "blue", Priority: "normal", Tasks: 4, CPUs: 2, EstimateS: 5}))
 		c.awaitDone("wk-3", 2*time.Minute)
 		c.requestUpgrade(rollout.RequestAbort)
 		c.awaitLevel(1, rollout.Stable, time.Minute)
-		if f := c.countEncodings(); f[record.Checksummed] > 0 {
+		if f := c.countByEncoding(); f[record.Checksummed] > 0 {
 			t.Errorf("records by encoding after the way back: %v, want none with a checksum", f)
 		}
-		if !c.rolloutState().Held {
+		if !c.storedRolloutState().Held {
 			t.Error("the level is not held after the way back")
 		}
 		c.awaitDone("wk-2", 5*time.Minute)
@@ -57,7 +57,7 @@
 	c.awaitLevel(1, rollout.Activated, 30*time.Second)
 	c.requestUpgrade(rollout.RequestFinalize)
 	c.awaitLevel(2, rollout.Stable, 30*time.Second)
-	c.await("records are rewritten", time.Minute, func() bool { return c.countEncodings()[record.PlainJSON] == 0 })
+	c.await("records are rewritten", time.Minute, func() bool { return c.countByEncoding()[record.PlainJSON] == 0 })
 }
 
 // holdsLease tells whether a node holds any leased key.
@@ -76,7 +76,7 @@
 func TestControllerOfALowerLevelIsKeptOut(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.final()
-		c.replace(0, baseLevelVersion)
+		c.restartWithVersion(0, baseLevelVersion)
 		time.Sleep(5 * time.Second)
 		var calls atomic.Int64
 		c.nodes[0].transport.SetPolicy(func(r *http.Request) network.Fault {
@@ -101,7 +101,7 @@
 		if n := c.env.Running("wk-1"); n != 3 {
 			t.Errorf("%d replicas run, want 3", n)
 		}
-		c.replace(0, presentVersion)
+		c.restartWithVersion(0, currentVersion)
 		c.await("it serves again", 20*time.Second, func() bool { return c.nodes[0].controller().Ready() && c.holdsLease(0) })
 	})
 }
@@ -111,7 +111,7 @@
 func TestControllerWithoutLevelsAfterTheSwitch(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.final()
-		c.replace(0, unawareVersion)
+		c.restartWithVersion(0, versionWithoutLevels)
 		time.Sleep(5 * time.Second)
 		if answer := c.ask(0, queryRequest("wk-2")); answer.status != http.StatusServiceUnavailable {
 			t.Errorf("status %d for a job whose records it can't read, want 503", answer.status)
@@ -136,7 +136,7 @@
 		}
 		c.start(1)
 		c.start(2)
-		c.replace(0, presentVersion)
+		c.restartWithVersion(0, currentVersion)
 		c.await("the service runs again", 40*time.Second, func() bool { return c.env.Running("wk-1") == 3 })
 		c.awaitDone("wk-3", 40*time.Second)
 	})
@@ -184,9 +184,9 @@
 			}
 		}
 		used := 0.0
-		c.nodes[0].controller().call(c.ctx, priorityState, func() {
+		c.nodes[0].controller().call(c.ctx, priorityStore, func() {
 			ctl := c.nodes[0].controller()
-			used = float64(ctl.quotas()[ctl.team("blue")].Used.CPU) / 1000
+			used = float64(ctl.quotas()[ctl.getOrAddTeam("blue")].Usage.CPU) / 1000
 		})
 		if used < 12+6 {
 			t.Errorf("%v CPUs count for the team's limit, want at least 18", used)
@@ -214,7 +214,7 @@
 		c.requestUpgrade(rollout.RequestAbort)
 		c.awaitLevel(2, rollout.Reverting, 10*time.Second)
 		time.Sleep(20 * time.Second)
-		if s := c.rolloutState(); s.Phase != rollout.Reverting || s.Epoch != 1 {
+		if s := c.storedRolloutState(); s.Phase != rollout.Reverting || s.Epoch != 1 {
 			t.Errorf("%+v while a record is left, want phase %s in epoch 1", s, rollout.Reverting)
 		}
 		status, err := c.upgradeOperator().Status(c.ctx)
@@ -244,7 +244,7 @@
 			}
 		})
 		c.requestUpgrade(rollout.RequestAbort)
-		c.await("the way back goes on in a new epoch", 30*time.Second, func() bool { s := c.rolloutState(); return s.Phase == rollout.Reverting && s.Epoch == 2 })
+		c.await("the way back goes on in a new epoch", 30*time.Second, func() bool { s := c.storedRolloutState(); return s.Phase == rollout.Reverting && s.Epoch == 2 })
 		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Delete: key}}}); err != nil {
 			t.Fatal(err)
 		}
@@ -266,7 +266,7 @@
 		c.kill(1)
 		c.start(1)
 		time.Sleep(20 * time.Second)
-		if s := c.rolloutState(); s.Phase != rollout.Activated {
+		if s := c.storedRolloutState(); s.Phase != rollout.Activated {
 			t.Errorf("%+v 20 s after a restart", s)
 		}
 		c.awaitLevel(2, rollout.Stable, 20*time.Second)
@@ -280,14 +280,14 @@
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
 		c.kill(2)
 		c.await("its registration ends", 30*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n2"))) == 0 })
-		before := c.rolloutState()
+		before := c.storedRolloutState()
 		_, err := c.upgradeOperator().Submit(c.ctx, rollout.RequestFinalize)
 		var refused *rollout.RefusedError
 		if !errors.As(err, &refused) || !strings.Contains(err.Error(), "n2") || strings.Contains(err.Error(), "\n") {
 			t.Errorf("refused with %v", err)
 		}
-		if c.rolloutState() != before {
-			t.Errorf("%+v was changed to %+v", before, c.rolloutState())
+		if c.storedRolloutState() != before {
+			t.Errorf("%+v was changed to %+v", before, c.storedRolloutState())
 		}
 		c.start(2)
 		c.await("it is registered", 20*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n2"))) == 1 })
@@ -360,14 +360,14 @@
 		c.nodes[1].transport.SetPolicy(func(*http.Request) network.Fault { return network.Refuse })
 		c.kill(1)
 		c.nodes[1].transport.SetPolicy(nil)
-		c.replace(1, unawareVersion)
+		c.restartWithVersion(1, versionWithoutLevels)
 		if len(c.env.Store.Keys(rollout.ControllerKey("n1"))) != 1 {
 			t.Error("its registration ended with it")
 		}
 		sent(map[string]peer.Version{"n0n1": peer.PlainFrame, "n1n0": peer.PlainFrame, "n0n2": peer.ChecksummedFrame, "n2n1": peer.PlainFrame})
-		c.replace(1, baseLevelVersion)
+		c.restartWithVersion(1, baseLevelVersion)
 		sent(map[string]peer.Version{"n0n1": peer.PlainFrame, "n0n2": peer.PlainFrame}) // the level is not active any more
-		c.replace(1, presentVersion)
+		c.restartWithVersion(1, currentVersion)
 		sent(map[string]peer.Version{"n0n1": peer.ChecksummedFrame, "n1n2": peer.ChecksummedFrame})
 	})
 }
--- a/internal/controller/scoring.go
+++ b/internal/controller/scoring.go
@@ -10,9 +10,9 @@
 // A machine's score for a task is baseScore with what speaks for the machine taken off and
 // what speaks against it added: the machine with the lowest score is chosen.
 const (
-	// notAllowed is the score of a machine on which a task must not be placed.
-	notAllowed = -1
-	// baseScore keeps the score of a machine that all speaks for from meaning notAllowed.
+	// forbiddenScore is the score of a machine on which a task must not be placed.
+	forbiddenScore = -1
+	// baseScore keeps the score of a machine that all speaks for from meaning forbiddenScore.
 	baseScore = -(cachedImageScore + spotScore + serviceScore)
 	// spotScore prefers spot machines: dearer ones are left to those who need them.
 	spotScore = -500
@@ -20,8 +20,8 @@
 	serviceScore = -150
 	// Free room scores one for each CPU: tight packing leaves whole machines free to be
 	// returned. Machines with more than maxScoredMilliCPUs free are alike.
-	maxScoredMilliCPUs = 100_000
-	milliCPUsPerScore  = 1000
+	maxScoredMilliCPUs     = 100_000
+	milliCPUsPerScorePoint = 1000
 )
 
 // The score of the fetch of an image: of one that is cached, and for each second that a
@@ -31,8 +31,8 @@
 	serviceFetchScore = 10
 	arrayFetchScore   = 3
 	maxFetchScore     = 600
-	// startedFetchShare is what is left, on average, of a fetch that has begun.
-	startedFetchShare = 0.5
+	// remainingFetchShare is what is left, on average, of a fetch that has begun.
+	remainingFetchShare = 0.5
 	// fetchTimeout is how long a fetch counts; one that nobody waits for is given up.
 	fetchTimeout = time.Minute
 )
@@ -42,8 +42,8 @@
 	spec := group.job.spec
 	return func(index scheduling.MachineIndex, free scheduling.Resources) float64 {
 		m := c.machineByIndex[index]
-		if !c.mayPlace(p, group, m) {
-			return notAllowed
+		if !c.canPlace(p, group, m) {
+			return forbiddenScore
 		}
 		score := float64(baseScore) + c.fetchScore(m, spec)
 		if m.spot {
@@ -52,14 +52,14 @@
 		if c.runsService(m) {
 			score += serviceScore
 		}
-		return score + float64(min(free.CPU, maxScoredMilliCPUs))/milliCPUsPerScore
+		return score + float64(min(free.CPU, maxScoredMilliCPUs))/milliCPUsPerScorePoint
 	}
 }
 
-// mayPlace tells whether a group's tasks may be placed on a machine now.
-func (c *partitionOwner) mayPlace(p *partition, group *taskGroup, m *machine) bool {
-	return c.schedulable(m, p) &&
-		allowed(group.job.spec, group.zone, m.machineType, m.zone, m.spot) &&
+// canPlace tells whether a group's tasks may be placed on a machine now.
+func (c *partitionOwner) canPlace(p *partition, group *taskGroup, m *machine) bool {
+	return c.isSchedulable(m, p) &&
+		allowsMachine(group.job.spec, group.zone, m.machineType, m.zone, m.spot) &&
 		(len(m.failedJobs) == 0 || !c.avoidsJob(m, group.job))
 }
 
@@ -67,17 +67,17 @@
 // fetched at the same time may share a machine's rate, so some hundred services that come
 // together start far later if each machine takes one of every image.
 func (c *partitionOwner) fetchScore(m *machine, spec *wire.Job) float64 {
-	if m.images[spec.Image] {
+	if m.cachedImages[spec.Image] {
 		return cachedImageScore
 	}
 	machineType := c.machineTypes[m.machineType]
 	if machineType == nil || !(machineType.FetchGBPS > 0) {
 		return 0
 	}
-	m.dropOldFetches(c.now)
-	share, others := 1.0, len(m.fetching)
-	if _, started := m.fetching[spec.Image]; started {
-		share, others = startedFetchShare, others-1
+	m.dropExpiredFetches(c.now)
+	share, others := 1.0, len(m.fetchStartedAt)
+	if _, started := m.fetchStartedAt[spec.Image]; started {
+		share, others = remainingFetchShare, others-1
 	}
 	perSecond := float64(arrayFetchScore)
 	if spec.AllOrNothing() {
@@ -86,32 +86,32 @@
 	return min(perSecond*share*spec.ImageGB*float64(1+others)/machineType.FetchGBPS, maxFetchScore)
 }
 
-// dropOldFetches forgets the fetches that have taken too long.
-func (m *machine) dropOldFetches(now time.Time) {
-	for image, since := range m.fetching {
+// dropExpiredFetches forgets the fetches that have taken too long.
+func (m *machine) dropExpiredFetches(now time.Time) {
+	for image, since := range m.fetchStartedAt {
 		if now.Sub(since) > fetchTimeout {
-			delete(m.fetching, image)
+			delete(m.fetchStartedAt, image)
 		}
 	}
 }
 
 // schedulable tells whether anything may be placed on a machine now. It is looked up once in
 // a pass, not for each task.
-func (c *partitionOwner) schedulable(m *machine, p *partition) bool {
-	if m.schedulableStep != c.schedulingPass {
-		m.schedulableStep = c.schedulingPass
-		m.schedulable = c.usable(m, p) && m.terminationAt.IsZero() && !m.cordoned && !c.now.Before(m.avoidUntil) &&
-			!c.autoscaler.Terminating(m.name) && !c.reservedElsewhere(m, p)
+func (c *partitionOwner) isSchedulable(m *machine, p *partition) bool {
+	if m.schedulablePass != c.schedulingPass {
+		m.schedulablePass = c.schedulingPass
+		m.schedulable = c.isUsable(m, p) && m.terminationAt.IsZero() && !m.cordoned && !c.now.Before(m.placementBackoffUntil) &&
+			!c.autoscaler.Terminating(m.name) && !c.isReservedByLeader(m, p)
 	}
 	return m.schedulable
 }
 
-// reservedElsewhere tells whether a machine is kept free by the leader: it is being drained,
+// isReservedByLeader tells whether a machine is kept free by the leader: it is being drained,
 // or on loan. Where the leader places tasks itself, only loans that are being returned are.
-func (c *partitionOwner) reservedElsewhere(m *machine, p *partition) bool {
+func (c *partitionOwner) isReservedByLeader(m *machine, p *partition) bool {
 	loan := c.loans[m.name]
 	if p.index == c.loanPartition() {
-		return loan != nil && loan.returning
+		return loan != nil && loan.returnInFlight
 	}
 	return loan != nil || c.autoscaler.Draining(m.name)
 }
@@ -119,8 +119,8 @@
 // runsService tells whether a service is bound to a machine, see planning.MachineSummary. It
 // is looked up once in a pass.
 func (c *clusterState) runsService(m *machine) bool {
-	if m.runsServiceStep != c.schedulingPass {
-		m.runsServiceStep, m.runsService = c.schedulingPass, m.hasServiceBinding()
+	if m.runsServicePass != c.schedulingPass {
+		m.runsServicePass, m.runsService = c.schedulingPass, m.hasServiceBinding()
 	}
 	return m.runsService
 }
@@ -137,6 +137,6 @@
 
 // allowed tells whether a job's task may be on a machine at all; pinnedZone is the zone that
 // its group must be in, if any.
-func allowed(spec *wire.Job, pinnedZone, machineType, zone string, spot bool) bool {
+func allowsMachine(spec *wire.Job, pinnedZone, machineType, zone string, spot bool) bool {
 	return (pinnedZone == "" || pinnedZone == zone) && spec.Allows(machineType, zone, spot)
 }
--- a/internal/controller/scoring_test.go
+++ b/internal/controller/scoring_test.go
@@ -32,11 +32,11 @@
 		{name: "no rate known", rate: 0, want: 0},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c := lone(t)
+			c := newTestController(t)
 			c.machineTypes = map[string]*wire.MachineType{"small": {Name: "small", FetchGBPS: x.rate}}
-			m := &machine{machineType: "small", images: x.images, fetching: map[string]time.Time{}}
+			m := &machine{machineType: "small", cachedImages: x.images, fetchStartedAt: map[string]time.Time{}}
 			for name, ago := range x.fetching {
-				m.fetching[name] = c.now.Add(-ago)
+				m.fetchStartedAt[name] = c.now.Add(-ago)
 			}
 			spec := &wire.Job{Image: image, ImageGB: 4, Service: x.service}
 			if got := c.fetchScore(m, spec); got != x.want {
@@ -51,20 +51,20 @@
 // machine that runs a service and has the task's image came to more than the score that it is
 // taken off, unless 50 CPUs were free.
 // Shown by: 1000 - 400 (image) - 500 (spot) - 150 (service) + 3 (free CPUs) = -47.
-func TestBestMachineIsAllowed(t *testing.T) {
+func TestPreferredMachineScoresAboveForbidden(t *testing.T) {
 	const image = "trainer"
-	c := lone(t)
+	c := newTestController(t)
 	p := c.partitions[0]
-	m := c.machineNamed("host-1")
+	m := c.getOrAddMachine("host-1")
 	c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Spot: true, Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
-	m.images[image] = true
+	m.cachedImages[image] = true
 	service := &wire.Job{ID: "wk-1", Service: true, Tasks: 1, CPUs: 1, Team: "t", Spot: true}
 	array := &wire.Job{ID: "wk-2", Tasks: 1, CPUs: 1, Team: "t", Image: image, Spot: true}
 	for i, spec := range []*wire.Job{service, array} {
-		c.replica.Put(jobKey(spec.ID), raw(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: spec}), uint64(2+i))
+		c.replica.Put(jobKey(spec.ID), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: spec}), uint64(2+i))
 	}
-	c.replica.Put(groupKey("wk-1", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0, Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 4)
-	c.replica.Put(groupKey("wk-2", 0), raw(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}}}), 5)
+	c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0, Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 4)
+	c.replica.Put(groupKey("wk-2", 0), marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}}}), 5)
 	c.schedulingPass++
 	score := c.scorer(p, c.groupByKey[groupKey("wk-2", 0)])
 	for _, freeCPUs := range []float64{0, 3, 49, 200} {
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -29,8 +29,8 @@
 	transports := newTransports(cfg)
 	defer transports.closeIdle()
 	senders := newPeerSenders(cfg.Peers)
-	c := newController(ctx, cfg, op, log, clients{
-		state: transports.store, cloud: transports.cloud, workers: transports.workers, send: senders.offer,
+	c := newController(ctx, cfg, op, log, dependencies{
+		store: transports.store, cloud: transports.cloud, workers: transports.workers, sendFrame: senders.offer,
 	})
 	c.log.Info("controller starts", "process_id", c.processID, "partitions", cfg.Settings.Count, "max_staleness", c.maxStaleness)
 	background.Go(func() { peer.Serve(ctx, sockets.peers, c.log, c.enqueuePeerStatus) })
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -48,7 +48,7 @@
 	// objectiveSeconds is, by class, in how many seconds its jobs should be done.
 	objectiveSeconds map[string]float64
 	maxGroupTasks    int
-	records          machineRecords // see reconcileView
+	reconcileRecords machineRecords // see reconcileView
 	rollout          rolloutState
 
 	// schedulingPass counts the scheduling passes.
@@ -63,10 +63,10 @@
 }
 
 // newClusterState returns the state of a controller that knows nothing yet.
-func newClusterState(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger, out clients) *clusterState {
+func newClusterState(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger, out dependencies) *clusterState {
 	s := &cfg.Settings
 	loop, jobs, machines := newEventLoop(ctx), newCatalog(), newMachineRegistry()
-	client := store.NewClient(cfg.External.Store, out.state)
+	client := store.NewClient(cfg.External.Store, out.store)
 	c := &clusterState{
 		eventLoop:       loop,
 		catalog:         jobs,
@@ -91,12 +91,12 @@
 		rollout:          newRolloutState(cfg, op),
 		schedulingPass:   1,
 	}
-	c.storeOutage = outage.NewMonitor(c.log, "key-value store", storeOutagePatience)
+	c.storeOutage = outage.NewMonitor(c.log, "key-value store", storeOutageGracePeriod)
 	for _, t := range s.Teams {
-		c.team(t.Name)
+		c.getOrAddTeam(t.Name)
 	}
 	for n := range s.Count {
-		c.partitions = append(c.partitions, &partition{index: n, key: c.rollout.keys.Partition(n)})
+		c.partitions = append(c.partitions, &partition{index: n, key: c.rollout.leaseKeys.Partition(n)})
 	}
 	c.partitions = append(c.partitions, &partition{index: s.Count, key: c.leaderKey()})
 	return c
--- a/internal/controller/task_group.go
+++ b/internal/controller/task_group.go
@@ -25,33 +25,33 @@
 // binds them to machines. One stored record holds it.
 type taskGroup struct {
 	key                  string
-	index                scheduling.GroupIndex
+	index                scheduling.TaskGroupIndex
 	number               int
 	job                  *job
 	revision             uint64
 	partition            int
 	zone                 string
 	guaranteed           bool
-	done                 int
+	doneTasks            int
 	throttle             int // see record.TaskGroup
 	bindings             []binding
 	boundCount           int // bindings that name a machine
 	listPosition         int // one more than its index among its partition's groups; 0: in none
-	writing              bool
-	write                *store.Write    // its owner's write, while that waits or is on its way
+	writeInFlight        bool
+	pendingWrite         *store.Write    // its owner's write, while that waits or is on its way
 	hasUnstoredEnds      bool            // attempts have ended that are not stored as ended
 	endsPendingSince     time.Time       // since when ended attempts wait to be stored
 	bindingsPendingSince time.Time       // since when new bindings wait to be stored
-	inPartitionSince     time.Time       // since when it is assigned to its partition
-	throttledAt          time.Time       // when the leader last changed its throttle
-	size                 int             // of its stored form
+	partitionAssignedAt  time.Time       // since when it is assigned to its partition
+	throttleChangedAt    time.Time       // when the leader last changed its throttle
+	storedSize           int             // of its stored form
 	encoding             record.Encoding // in which it is stored
 	retryWriteAt         time.Time       // not written before then: it was refused as invalid
 }
 
 // task is the identifier of a task in the cells of partitions.
-func (group *taskGroup) task(number int32) scheduling.Task {
-	return scheduling.Task{Group: group.index, Number: number}
+func (group *taskGroup) task(number int32) scheduling.TaskID {
+	return scheduling.TaskID{Group: group.index, Number: number}
 }
 
 // binding is a task's binding; nil: the task is not in this group.
@@ -72,31 +72,31 @@
 
 // cancelWrite gives up a write of the group's owner whose conditions have changed.
 func (group *taskGroup) cancelWrite() {
-	if group.write != nil {
-		group.write.Cancel()
+	if group.pendingWrite != nil {
+		group.pendingWrite.Cancel()
 	}
 }
 
-// boundTasks counts the tasks that are on machines by what is stored.
-func (group *taskGroup) boundTasks() int { return group.boundCount }
+// boundTaskCount counts the tasks that are on machines by what is stored.
+func (group *taskGroup) boundTaskCount() int { return group.boundCount }
 
-// allowedTasks is how many tasks may be bound at a time.
-func (group *taskGroup) allowedTasks() int {
+// bindLimit is how many tasks may be bound at a time.
+func (group *taskGroup) bindLimit() int {
 	if group.throttle == 0 {
 		return len(group.bindings)
 	}
 	return min(group.throttle-1, len(group.bindings))
 }
 
-// quotaTasks is how many tasks count for the team's quota: those that may be bound and those
+// quotaTaskCount is how many tasks count for the team's quota: those that may be bound and those
 // that still are; of a final job only the latter, once all changes up to its end are known (to
 // cursor). A cancellation by this controller is known before a binding that was stored just
 // before it: counted for nothing until then, the task ran beside what its room was given to.
-func (group *taskGroup) quotaTasks(cursor uint64) int {
+func (group *taskGroup) quotaTaskCount(cursor uint64) int {
 	if group.job.finalState != record.Unfinished && group.job.revision <= cursor {
-		return group.boundTasks()
+		return group.boundTaskCount()
 	}
-	return max(group.boundTasks(), group.allowedTasks())
+	return max(group.boundTaskCount(), group.bindLimit())
 }
 
 // exceedsThrottle tells whether a bound task is beyond what may be bound.
@@ -135,7 +135,7 @@
 }
 
 // record is the group's stored content with other bindings.
-func (group *taskGroup) record(done int, bindings []binding) *record.TaskGroup {
+func (group *taskGroup) toRecord(done int, bindings []binding) *record.TaskGroup {
 	content := &record.TaskGroup{
 		Partition: group.partition, Zone: group.zone, Guaranteed: group.guaranteed,
 		Done: done, Throttle: group.throttle, Tasks: make([]record.Binding, 0, len(bindings)),
--- a/internal/controller/throttle.go
+++ b/internal/controller/throttle.go
@@ -18,19 +18,19 @@
 // against a service for minutes.
 func (c *leader) throttleTeam(j *job, shortfall scheduling.Resources) {
 	groups, released := c.groupsToThrottle(j)
-	urgent := c.byUrgency()
+	urgent := c.urgencyComparator()
 	slices.SortFunc(groups, func(first, second *taskGroup) int {
 		return cmp.Or(urgent(second.job, first.job), cmp.Compare(second.number, first.number))
 	})
-	uses := make([]planning.QuotaUse, len(groups))
+	uses := make([]planning.GroupQuotaUsage, len(groups))
 	for i, group := range groups {
 		equal := group.job.spec.Priority == j.spec.Priority
-		uses[i] = planning.QuotaUse{
-			Priority: group.job.spec.Priority,
-			Running:  group.boundTasks(),
-			Allowed:  group.allowedTasks(),
-			TaskSize: group.job.taskSize,
-			Fixed:    equal && (urgent(j, group.job) >= 0 || c.now.Sub(group.throttledAt) < c.throttleInterval()),
+		uses[i] = planning.GroupQuotaUsage{
+			Priority:           group.job.spec.Priority,
+			RunningTasks:       group.boundTaskCount(),
+			AllowedTasks:       group.bindLimit(),
+			TaskSize:           group.job.taskSize,
+			WaitingTasksExempt: equal && (urgent(j, group.job) >= 0 || c.now.Sub(group.throttleChangedAt) < c.throttleInterval()),
 		}
 	}
 	for i, mayRun := range planning.Throttle(uses, j.spec.Priority, shortfall.Minus(released)) {
@@ -49,9 +49,9 @@
 			continue
 		}
 		if group.throttle != 0 {
-			released = released.Plus(other.taskSize.Times(max(0, group.boundTasks()-group.allowedTasks())))
+			released = released.Plus(other.taskSize.Times(max(0, group.boundTaskCount()-group.bindLimit())))
 		}
-		if !group.writing {
+		if !group.writeInFlight {
 			groups = append(groups, group)
 		}
 	}
@@ -70,12 +70,12 @@
 // unthrottle lets throttled tasks of a job run again, as the limit permits.
 func (c *leader) unthrottle(j *job, quota *planning.Quota) {
 	for _, group := range j.groups {
-		if group.throttle == 0 || group.writing || group.allowedTasks() == len(group.bindings) || c.now.Sub(group.throttledAt) < c.throttleInterval() {
+		if group.throttle == 0 || group.writeInFlight || group.bindLimit() == len(group.bindings) || c.now.Sub(group.throttleChangedAt) < c.throttleInterval() {
 			continue
 		}
-		counted := group.quotaTasks(c.replica.Cursor())
-		if more := quota.Room(j.taskSize, len(group.bindings)-counted); more > 0 {
-			quota.Used = quota.Used.Plus(j.taskSize.Times(more))
+		counted := group.quotaTaskCount(c.replica.Cursor())
+		if more := quota.RemainingTasks(j.taskSize, len(group.bindings)-counted); more > 0 {
+			quota.Usage = quota.Usage.Plus(j.taskSize.Times(more))
 			c.setThrottle(group, counted+more)
 		}
 	}
@@ -88,12 +88,12 @@
 	if tasks >= len(group.bindings) {
 		changed.throttle = 0
 	}
-	group.throttledAt = c.now
-	c.metrics.count(countThrottled, 1)
+	group.throttleChangedAt = c.now
+	c.metrics.count(countThrottledGroups, 1)
 	write := &store.Write{
 		Early: true, Contested: true,
 		Conditions: []wire.Condition{c.leaderCondition(), {Key: group.key, Revision: group.revision}},
-		Changes:    []wire.Change{{Put: group.key, Value: c.encodeGroup(&changed, group.done, group.bindings).At(group.key)}},
+		Changes:    []wire.Change{{Put: group.key, Value: c.encodeGroup(&changed, group.doneTasks, group.bindings).At(group.key)}},
 	}
 	c.submitDecision(write, group)
 }
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -20,8 +20,8 @@
 	// maxReadAge is how long ago the last successful read began at most while the key-value
 	// store is well: a watch waits for a change for half of it.
 	maxReadAge = 3 * time.Second
-	// storeOutagePatience is for how long reads fail, beyond that, until it is an outage.
-	storeOutagePatience = 3 * time.Second
+	// storeOutageGracePeriod is for how long reads fail, beyond that, until it is an outage.
+	storeOutageGracePeriod = 3 * time.Second
 	// minPassInterval is the least time between two scheduling passes.
 	minPassInterval = 50 * time.Millisecond
 	// minPlanningInterval is the least time between two passes of the leader's planning.
@@ -119,7 +119,7 @@
 		return
 	}
 	begun := time.Now()
-	c.runLeader()
+	c.runLeaderPass()
 	due.leader = c.now.Add(max(minPlanningInterval, passRestFactor*time.Since(begun)))
 }
 
@@ -130,7 +130,7 @@
 	}
 	due.status = c.now.Add(statusInterval)
 	defer c.metrics.addBusyTime(activityStatus, time.Now())
-	c.probeUnreachable()
+	c.probeMachines()
 	c.autoscaler.TerminateUnreachable()
 	c.broadcastStatus()
 }
@@ -141,7 +141,7 @@
 		return
 	}
 	due.metrics = c.now.Add(metricsInterval)
-	c.archiveFinished(c.replica)
-	c.metrics.log(c.log, len(c.jobs)+len(c.finished), len(c.machines), c.stateClient.Stats())
+	c.archiveFinishedJobs(c.replica)
+	c.metrics.log(c.log, len(c.jobs)+len(c.finalStates), len(c.machines), c.stateClient.Stats())
 	c.logRollout(c.log)
 }
--- a/internal/controller/unplaced_tasks.go
+++ b/internal/controller/unplaced_tasks.go
@@ -42,7 +42,7 @@
 	full := map[unplacedClass]bool{}
 	var stuck []*taskGroup
 	for _, group := range c.groupsToPlace(byUrgency) {
-		count, class := group.allowedTasks()-group.boundTasks(), group.unplacedClass()
+		count, class := group.bindLimit()-group.boundTaskCount(), group.unplacedClass()
 		if !full[class] {
 			count = c.placeInPartition(summaries, group, count)
 			full[class] = count > 0
@@ -60,7 +60,7 @@
 func (c *machineRegistry) groupsToPlace(byUrgency func(x, y *job) int) []*taskGroup {
 	var groups []*taskGroup
 	for group := range c.allGroups() {
-		if group.job.finalState == record.Unfinished && group.job.spec != nil && group.job.revision != 0 && group.allowedTasks() > group.boundTasks() {
+		if group.job.finalState == record.Unfinished && group.job.spec != nil && group.job.revision != 0 && group.bindLimit() > group.boundTaskCount() {
 			groups = append(groups, group)
 		}
 	}
@@ -75,14 +75,14 @@
 func (c *leader) placeInPartition(summaries []*planning.MachineSummary, group *taskGroup, count int) int {
 	spec, size := group.job.spec, group.job.taskSize
 	mayUse := func(summary *planning.MachineSummary) bool {
-		return summary.Partition == group.partition && !summary.Booting && allowed(spec, group.zone, summary.Type, summary.Zone, summary.Spot)
+		return summary.Partition == group.partition && !summary.Booting && allowsMachine(spec, group.zone, summary.Type, summary.Zone, summary.Spot)
 	}
-	if spec.Gang && group.partition == c.loanPartition() && planning.FreeRoomFor(summaries, mayUse, size, count) < count {
+	if spec.Gang && group.partition == c.loanPartition() && planning.CountFittingTasks(summaries, mayUse, size, count) < count {
 		// It gathers room there, but holds none for long that it can't use.
 		inPartition := mayUse
 		mayUse = func(summary *planning.MachineSummary) bool { return inPartition(summary) && !c.unusedForLong(summary) }
 	}
-	for _, placed := range planning.PlaceInFreeRoom(summaries, mayUse, size, count) {
+	for _, placed := range planning.PlaceWithoutPreemption(summaries, mayUse, size, count) {
 		count -= placed
 	}
 	for count > 0 && spec.Priority > 0 && planning.PlaceByPreemption(summaries, mayUse, size, group.claim()) != nil {
@@ -98,7 +98,7 @@
 	withoutRoom := map[unplacedClass]bool{}
 	for _, group := range stuck {
 		count, class := unplaced[group], group.unplacedClass()
-		if !group.writing && c.now.Sub(group.inPartitionSince) > moveDelay && (group.job.spec.AllOrNothing() || !withoutRoom[class]) {
+		if !group.writeInFlight && c.now.Sub(group.partitionAssignedAt) > moveDelay && (group.job.spec.AllOrNothing() || !withoutRoom[class]) {
 			if c.moveUnplaced(summaries, group, count) {
 				continue
 			}
@@ -114,7 +114,7 @@
 // turnaround is about how long a cell stays empty when its next task has not been assigned
 // yet: the end is stored, the leader assigns, the binding is stored.
 func (c *clusterState) turnaround() time.Duration {
-	return c.endsDelay() + 2*min(c.stateWriter.Backlog(), maxWriteDelay) + leaderStepDelay
+	return c.endBatchingDelay() + 2*min(c.stateWriter.Backlog(), maxWriteDelay) + leaderStepDelay
 }
 
 // assignAhead is how many tasks each partition may be assigned beyond its free room, so
@@ -125,7 +125,7 @@
 	turnaround := c.turnaround().Seconds()
 	for group := range c.allGroups() {
 		if group.job.spec != nil && !group.job.spec.AllOrNothing() {
-			ahead[group.partition] += planning.AssignAhead(group.boundTasks(), group.job.spec.EstimateS, turnaround)
+			ahead[group.partition] += planning.MaxTasksAhead(group.boundTaskCount(), group.job.spec.EstimateS, turnaround)
 		}
 	}
 	tasks := make([]int, len(c.partitions))
--- a/internal/controller/upgrade_faults_test.go
+++ b/internal/controller/upgrade_faults_test.go
@@ -23,7 +23,7 @@
 }
 
 func (s *scheduleRun) startUnaware(f fault) func() {
-	return s.replaceUntilUndone(f.target, unawareVersion)
+	return s.replaceUntilUndone(f.target, versionWithoutLevels)
 }
 
 func (s *scheduleRun) startBaseLevel(f fault) func() {
@@ -43,11 +43,11 @@
 func (s *scheduleRun) replaceUntilUndone(target int, version softwareVersion) func() {
 	nodes := s.nodesOf(target)
 	for _, i := range nodes {
-		s.replace(i, version)
+		s.restartWithVersion(i, version)
 	}
 	return func() {
 		for _, i := range nodes {
-			s.replace(i, presentVersion)
+			s.restartWithVersion(i, currentVersion)
 		}
 	}
 }
--- a/internal/controller/upgrade_schedules_test.go
+++ b/internal/controller/upgrade_schedules_test.go
@@ -160,7 +160,7 @@
 func (c *cluster) settleUpgrade() {
 	c.t.Helper()
 	ready := func() bool {
-		s := c.rolloutState()
+		s := c.storedRolloutState()
 		return s.Level == rollout.Supported.High && s.Phase == rollout.Stable && !s.Held
 	}
 	op := c.upgradeOperator()
@@ -172,7 +172,7 @@
 		time.Sleep(2 * time.Second)
 		return ready()
 	})
-	c.await("records are in its encoding", 2*time.Minute, func() bool { return c.countEncodings()[record.PlainJSON] == 0 })
+	c.await("records are in its encoding", 2*time.Minute, func() bool { return c.countByEncoding()[record.PlainJSON] == 0 })
 }
 
 // upgradeCombinations is how many generated schedules of upgrades are played.
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -56,7 +56,7 @@
 // earlier are the versions that operators may upgrade from: the one in production, which
 // has no gangs of the protocol's kind, and the first that has. Their records and frames
 // were written by their own code.
-var earlier = []string{"production", "0da4f63"}
+var earlierVersions = []string{"production", "0da4f63"}
 
 // fixture is a record or frame as an earlier version wrote it.
 func fixture(t *testing.T, version, name string) []byte {
@@ -90,7 +90,7 @@
 // Each record that an earlier version wrote is read, and written again to the byte: so that
 // version reads what this one writes, and rewriting by either loses nothing.
 func TestRecordsOfEarlierVersions(t *testing.T) {
-	for _, version := range earlier {
+	for _, version := range earlierVersions {
 		files, err := os.ReadDir(filepath.Join("testdata", version))
 		if err != nil || len(files) < 10 {
 			t.Fatalf("%d fixtures of %s: %v", len(files), version, err)
@@ -152,14 +152,14 @@
 	return nil
 }
 
-// checkStored checks that the version in production can read all that was ever written, and
+// checkStoredRecords checks that the version in production can read all that was ever written, and
 // that tasks of a gang that are bound in one record have one attempt.
-func (c *cluster) checkStored() {
+func (c *cluster) checkStoredRecords() {
 	c.t.Helper()
 	gangs := map[string]bool{}
-	history := levelHistory{cluster: c, state: rollout.Initial, checked: map[string]bool{}}
+	history := levelHistoryChecker{cluster: c, state: rollout.Initial, checksummedGroups: map[string]bool{}}
 	for _, e := range c.env.Store.History() {
-		history.check(e)
+		history.checkEvent(e)
 		if e.Put == "" {
 			continue
 		}
@@ -203,9 +203,9 @@
 // all of it. That it takes a gang's attempts, a pool's lending and pieces of a record for
 // what it knows is in docs/design.md.
 func TestProductionReadsOurRecords(t *testing.T) {
-	c := lone(t)
+	c := newTestController(t)
 	c.cfg.Settings.Store.ValueKB = 0.5
-	m := c.machineNamed("host-000231")
+	m := c.getOrAddMachine("host-000231")
 	m.addr = "10.1.0.232:9000"
 	spec := &wire.Job{ID: "wk-2", Team: "t", Gang: true, Tasks: 3, CPUs: 2, CheckpointS: 4, MachineTypes: []string{"small"}}
 	group := &taskGroup{partition: 1, zone: "a", guaranteed: true, throttle: 3}
@@ -221,12 +221,12 @@
 	for _, piece := range c.splitToFit(group, 2, append(entries, make([]binding, 60)...)) {
 		strict(groupKey("wk-2", 0), piece.At(groupKey("wk-2", 0)))
 	}
-	strict(loanPrefix+"host-1", record.JSON(record.MachineLoan{Job: reserveLoanJob, Acknowledged: true}))
+	strict(loanPrefix+"host-1", record.JSON(record.MachineLoan{Job: gangReserveJobID, Acknowledged: true}))
 }
 
 // Frames between controllers are the same in both versions, to the byte.
 func TestFramesOfEarlierVersions(t *testing.T) {
-	for _, version := range earlier {
+	for _, version := range earlierVersions {
 		framesOf(t, version)
 	}
 }
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -67,7 +67,7 @@
 		c.await("the job runs", time.Minute, func() bool { return c.env.Running("wk-9") == 2 })
 		zone := map[string]bool{}
 		for _, n := range c.nodes {
-			n.controller().call(c.ctx, priorityState, func() {
+			n.controller().call(c.ctx, priorityStore, func() {
 				for _, group := range n.controller().jobs["wk-9"].groups {
 					zone[group.zone] = true
 				}
--- a/internal/planning/assignment.go
+++ b/internal/planning/assignment.go
@@ -10,22 +10,22 @@
 
 // Assignment asks for room for tasks of one job, which are all alike.
 type Assignment struct {
-	TaskSize scheduling.Resources
-	Count    int
-	Claim    scheduling.Claim
-	Allowed  MachineFilter
-	// QuotaShort is set if the team's limit is short. Tasks that are assigned but can't
+	TaskSize      scheduling.Resources
+	Count         int
+	Claim         scheduling.Claim
+	AllowsMachine MachineFilter
+	// QuotaLimited is set if the team's limit is short. Tasks that are assigned but can't
 	// run yet would hold the limit against others of the team.
-	QuotaShort bool
+	QuotaLimited bool
 	// Forced tasks are assigned where they may run, room or not, to take the next cells
 	// that become free.
-	Forced bool
+	Force bool
 }
 
-// PerPartition decides how many tasks of an array each partition is assigned: for what
+// SplitAmongPartitions decides how many tasks of an array each partition is assigned: for what
 // room is free, for what becomes free soon (ahead, which it counts down), then for what
 // may be preempted. It takes that room from the machines.
-func (a *Assignment) PerPartition(machines []*MachineSummary, ahead []int) []int {
+func (a *Assignment) SplitAmongPartitions(machines []*MachineSummary, ahead []int) []int {
 	s := spread{
 		Assignment: a, machines: machines, ahead: ahead,
 		tasks: make([]int, len(ahead)), remaining: a.Count,
@@ -33,14 +33,14 @@
 	s.assignFreeRoom()
 	s.assignAhead()
 	s.assignByPreemption()
-	if a.Forced && s.remaining == a.Count {
+	if a.Force && s.remaining == a.Count {
 		s.assignForced()
 	}
 	s.enlargeSmallShares()
 	return s.tasks
 }
 
-// spread is a PerPartition in progress.
+// spread is a SplitAmongPartitions in progress.
 type spread struct {
 	*Assignment
 	machines []*MachineSummary
@@ -57,14 +57,14 @@
 
 // assignFreeRoom assigns tasks to the partitions of machines that have free room.
 func (s *spread) assignFreeRoom() {
-	for machine, count := range PlaceInFreeRoom(s.machines, s.Allowed, s.TaskSize, s.remaining) {
+	for machine, count := range PlaceWithoutPreemption(s.machines, s.AllowsMachine, s.TaskSize, s.remaining) {
 		s.assign(machine.Partition, count)
 	}
 }
 
 // assignAhead assigns tasks for what becomes free soon.
 func (s *spread) assignAhead() {
-	if s.QuotaShort {
+	if s.QuotaLimited {
 		return
 	}
 	for partition := range s.ahead {
@@ -80,7 +80,7 @@
 // assignByPreemption assigns tasks where their owner can preempt others for them.
 func (s *spread) assignByPreemption() {
 	for s.remaining > 0 {
-		machine := PlaceByPreemption(s.machines, s.Allowed, s.TaskSize, s.Claim)
+		machine := PlaceByPreemption(s.machines, s.AllowsMachine, s.TaskSize, s.Claim)
 		if machine == nil {
 			return
 		}
@@ -105,7 +105,7 @@
 // enlargeSmallShares raises shares to MinTasksPerPartition: few large groups are stored
 // rather than many small ones. What is assigned too much now is assigned less ahead later.
 func (s *spread) enlargeSmallShares() {
-	if s.QuotaShort {
+	if s.QuotaLimited {
 		return
 	}
 	for partition, count := range s.tasks {
@@ -120,23 +120,23 @@
 // allowsPartition reports whether a partition has a machine that the tasks may be on.
 func (a *Assignment) allowsPartition(machines []*MachineSummary, partition int) bool {
 	for _, machine := range machines {
-		if machine.Partition == partition && a.Allowed(machine) {
+		if machine.Partition == partition && a.AllowsMachine(machine) {
 			return true
 		}
 	}
 	return false
 }
 
-// OnePartition chooses the partition for a gang, whose cells are reserved together, and
+// ChoosePartition chooses the partition for a gang, whose cells are reserved together, and
 // takes its room there. It reports false if no partition can hold it, in which case
 // nothing has changed.
-func (a *Assignment) OnePartition(machines []*MachineSummary, partitions int) (partition int, found bool) {
+func (a *Assignment) ChoosePartition(machines []*MachineSummary, partitions int) (partition int, found bool) {
 	if a.Count == 1 {
 		return a.onMachine(machines)
 	}
 	partition, free := a.freestPartition(machines, partitions)
 	if free >= a.Count {
-		PlaceInFreeRoom(machines, a.within(partition), a.TaskSize, a.Count)
+		PlaceWithoutPreemption(machines, a.within(partition), a.TaskSize, a.Count)
 		return partition, true
 	}
 	for partition := range partitions {
@@ -154,10 +154,10 @@
 // onMachine chooses the partition for a single task: that of the fullest machine with room
 // for it, which keeps machines packed.
 func (a *Assignment) onMachine(machines []*MachineSummary) (partition int, found bool) {
-	for machine := range PlaceInFreeRoom(machines, a.Allowed, a.TaskSize, 1) {
+	for machine := range PlaceWithoutPreemption(machines, a.AllowsMachine, a.TaskSize, 1) {
 		return machine.Partition, true
 	}
-	if machine := PlaceByPreemption(machines, a.Allowed, a.TaskSize, a.Claim); machine != nil {
+	if machine := PlaceByPreemption(machines, a.AllowsMachine, a.TaskSize, a.Claim); machine != nil {
 		return machine.Partition, true
 	}
 	return 0, false
@@ -168,8 +168,8 @@
 func (a *Assignment) freestPartition(machines []*MachineSummary, partitions int) (partition, tasks int) {
 	free := make([]int, partitions)
 	for _, machine := range machines {
-		if a.Allowed(machine) {
-			free[machine.Partition] += machine.Free.CountFitting(a.TaskSize, a.Count)
+		if a.AllowsMachine(machine) {
+			free[machine.Partition] += machine.FreeResources.CountFitting(a.TaskSize, a.Count)
 		}
 	}
 	best := 0
@@ -184,7 +184,7 @@
 // within restricts the machines that are allowed to those of one partition.
 func (a *Assignment) within(partition int) MachineFilter {
 	return func(machine *MachineSummary) bool {
-		return machine.Partition == partition && a.Allowed(machine)
+		return machine.Partition == partition && a.AllowsMachine(machine)
 	}
 }
 
@@ -192,7 +192,7 @@
 // false if not all find room.
 func (a *Assignment) placeAll(machines []*MachineSummary, allowed MachineFilter) bool {
 	remaining := a.Count
-	for _, count := range PlaceInFreeRoom(machines, allowed, a.TaskSize, a.Count) {
+	for _, count := range PlaceWithoutPreemption(machines, allowed, a.TaskSize, a.Count) {
 		remaining -= count
 	}
 	for remaining > 0 && PlaceByPreemption(machines, allowed, a.TaskSize, a.Claim) != nil {
@@ -212,9 +212,9 @@
 	minEstimateS = 1
 )
 
-// AssignAhead returns how many tasks a partition may be assigned beyond its free room:
+// MaxTasksAhead returns how many tasks a partition may be assigned beyond its free room:
 // what ends there while a cell would wait for its next task, twice over. bound tasks of
 // the given estimated run time run there.
-func AssignAhead(bound int, estimateS, turnaroundS float64) float64 {
+func MaxTasksAhead(bound int, estimateS, turnaroundS float64) float64 {
 	return float64(bound) * min(maxAheadShare, aheadTurnarounds*turnaroundS/max(estimateS, minEstimateS))
 }
--- a/internal/planning/assignment_test.go
+++ b/internal/planning/assignment_test.go
@@ -14,12 +14,12 @@
 func drawAssignment(t *rapid.T) *Assignment {
 	filter, _ := drawOfferFilter(t, "a")
 	return &Assignment{
-		TaskSize:   drawCPUs(t, "task cpus", 1, 5),
-		Count:      rapid.IntRange(1, 40).Draw(t, "count"),
-		Claim:      drawClaim(t, "claim"),
-		QuotaShort: rapid.Bool().Draw(t, "quota short"),
-		Forced:     rapid.Bool().Draw(t, "forced"),
-		Allowed:    func(machine *MachineSummary) bool { return filter(machine.offer()) },
+		TaskSize:      drawCPUs(t, "task cpus", 1, 5),
+		Count:         rapid.IntRange(1, 40).Draw(t, "count"),
+		Claim:         drawClaim(t, "claim"),
+		QuotaLimited:  rapid.Bool().Draw(t, "quota short"),
+		Force:         rapid.Bool().Draw(t, "forced"),
+		AllowsMachine: func(machine *MachineSummary) bool { return filter(machine.offer()) },
 	}
 }
 
@@ -27,8 +27,8 @@
 func (a *Assignment) freeRoom(machines []*MachineSummary) []int {
 	room := make([]int, testPartitions)
 	for _, machine := range machines {
-		if a.Allowed(machine) {
-			room[machine.Partition] += machine.Free.CountFitting(a.TaskSize, unlimited)
+		if a.AllowsMachine(machine) {
+			room[machine.Partition] += machine.FreeResources.CountFitting(a.TaskSize, unlimited)
 		}
 	}
 	return room
@@ -41,20 +41,20 @@
 	for _, machine := range preempted {
 		for _, usage := range machine.Usages {
 			if a.Claim.CanPreempt(usage.Claim) {
-				machine.Free = machine.Free.Plus(usage.Size)
+				machine.FreeResources = machine.FreeResources.Plus(usage.Size)
 			}
 		}
 	}
 	return a.freeRoom(preempted)
 }
 
-// mostTasks returns how many tasks PerPartition may assign to a partition at most.
+// mostTasks returns how many tasks SplitAmongPartitions may assign to a partition at most.
 func (a *Assignment) mostTasks(room, ahead int) int {
 	most := room
-	if a.Forced {
+	if a.Force {
 		most = max(most, a.Count)
 	}
-	if !a.QuotaShort {
+	if !a.QuotaLimited {
 		most += max(ahead, 0) + MinTasksPerPartition
 	}
 	return most
@@ -81,8 +81,8 @@
 		}
 		room, aheadBefore := assignment.preemptibleRoom(machines), slices.Clone(ahead)
 		machinesAgain, aheadAgain := CloneSummaries(machines), slices.Clone(ahead)
-		assigned := assignment.PerPartition(machines, ahead)
-		if again := assignment.PerPartition(machinesAgain, aheadAgain); !cmp.Equal(assigned, again) {
+		assigned := assignment.SplitAmongPartitions(machines, ahead)
+		if again := assignment.SplitAmongPartitions(machinesAgain, aheadAgain); !cmp.Equal(assigned, again) {
 			t.Fatalf("expected the same result twice, got %v and %v", assigned, again)
 		}
 		anyAllowed := false
@@ -96,7 +96,7 @@
 				t.Fatalf("partition %d allows no task: expected none, got %d", partition, count)
 			}
 		}
-		if assignment.Forced && anyAllowed && sum(assigned) == 0 {
+		if assignment.Force && anyAllowed && sum(assigned) == 0 {
 			t.Fatal("expected forced tasks to be assigned, got none")
 		}
 		if sum(assigned) > assignment.Count {
@@ -109,8 +109,8 @@
 func expectNoOvercommit(t *rapid.T, machines []*MachineSummary) {
 	t.Helper()
 	for _, machine := range machines {
-		if !machine.Free.Contains(scheduling.Resources{}) {
-			t.Fatalf("machine %d: expected free room of zero or more, got %v", machine.ID, machine.Free)
+		if !machine.FreeResources.Contains(scheduling.Resources{}) {
+			t.Fatalf("machine %d: expected free room of zero or more, got %v", machine.Index, machine.FreeResources)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 			machine.sortVictimsFirst() // the order of usages may change
 		}
 		before, free, room := CloneSummaries(machines), assignment.freeRoom(machines), assignment.preemptibleRoom(machines)
-		partition, found := assignment.OnePartition(machines, testPartitions)
+		partition, found := assignment.ChoosePartition(machines, testPartitions)
 		if found && room[partition] < assignment.Count {
 			t.Fatalf("expected a partition with room for %d, got %d with room for %d", assignment.Count, partition, room[partition])
 		}
@@ -155,7 +155,7 @@
 // forced tasks go where most becomes free.
 func TestSharesBeyondFreeRoom(t *testing.T) {
 	size := scheduling.NewResources(4, 0, 8)
-	equalPriority := []Usage{{Size: size}} // which can't be preempted
+	equalPriority := []TaskUsage{{Size: size}} // which can't be preempted
 	for _, row := range []struct {
 		name          string
 		machines      []MachineSummary
@@ -166,20 +166,20 @@
 	}{
 		{
 			name:       "small share",
-			machines:   []MachineSummary{{Partition: 1, Size: size, Free: size}},
+			machines:   []MachineSummary{{Partition: 1, Size: size, FreeResources: size}},
 			assignment: Assignment{Count: 100},
 			ahead:      []int{0, 0, 0}, expected: []int{0, MinTasksPerPartition, 0}, expectedAhead: []int{0, 4 - MinTasksPerPartition, 0},
 		},
 		{
 			name:       "small share of a small array",
-			machines:   []MachineSummary{{Partition: 1, Size: size, Free: size}},
+			machines:   []MachineSummary{{Partition: 1, Size: size, FreeResources: size}},
 			assignment: Assignment{Count: 10},
 			ahead:      []int{0, 0, 0}, expected: []int{0, 10, 0}, expectedAhead: []int{0, -6, 0},
 		},
 		{
 			name:       "small share, quota short",
-			machines:   []MachineSummary{{Partition: 1, Size: size, Free: size}},
-			assignment: Assignment{Count: 100, QuotaShort: true},
+			machines:   []MachineSummary{{Partition: 1, Size: size, FreeResources: size}},
+			assignment: Assignment{Count: 100, QuotaLimited: true},
 			ahead:      []int{0, 5, 0}, expected: []int{0, 4, 0}, expectedAhead: []int{0, 5, 0},
 		},
 		{
@@ -191,7 +191,7 @@
 		{
 			name:       "forced, where most becomes free",
 			machines:   []MachineSummary{{Partition: 0, Usages: equalPriority}, {Partition: 2, Usages: equalPriority}},
-			assignment: Assignment{Count: 10, Forced: true},
+			assignment: Assignment{Count: 10, Force: true},
 			ahead:      []int{-3, 5, -1}, expected: []int{0, 0, 10}, expectedAhead: []int{-3, 5, -11},
 		},
 	} {
@@ -200,8 +200,8 @@
 			for i := range row.machines {
 				machines = append(machines, &row.machines[i])
 			}
-			row.assignment.TaskSize, row.assignment.Allowed = scheduling.NewResources(1, 0, 1), anyMachine
-			if got := row.assignment.PerPartition(machines, row.ahead); !slices.Equal(got, row.expected) {
+			row.assignment.TaskSize, row.assignment.AllowsMachine = scheduling.NewResources(1, 0, 1), anyMachine
+			if got := row.assignment.SplitAmongPartitions(machines, row.ahead); !slices.Equal(got, row.expected) {
 				t.Errorf("expected tasks %v, got %v", row.expected, got)
 			}
 			if !slices.Equal(row.ahead, row.expectedAhead) {
@@ -222,7 +222,7 @@
 		{"very short tasks", 10, 0, 0.125, 2.5},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			if got := AssignAhead(row.bound, row.estimateS, row.turnaroundS); got != row.expected {
+			if got := MaxTasksAhead(row.bound, row.estimateS, row.turnaroundS); got != row.expected {
 				t.Errorf("expected %v tasks, got %v", row.expected, got)
 			}
 		})
@@ -236,12 +236,12 @@
 	for i := range machines {
 		size := scheduling.NewResources(float64(4+12*(i%2)), 0, 64)
 		machine := &MachineSummary{
-			ID: scheduling.MachineIndex(i), Type: fmt.Sprint(i % 2), Zone: "a", Spot: i%3 == 0,
-			Partition: i % 5, Size: size, Free: size,
+			Index: scheduling.MachineIndex(i), Type: fmt.Sprint(i % 2), Zone: "a", Spot: i%3 == 0,
+			Partition: i % 5, Size: size, FreeResources: size,
 		}
-		usage := Usage{Claim: scheduling.Claim{Priority: 1}, Size: scheduling.NewResources(2, 0, 1)}
-		for machine.Free.CPU > 0 && i%10 != 0 {
-			machine.Free = machine.Free.Minus(usage.Size)
+		usage := TaskUsage{Claim: scheduling.Claim{Priority: 1}, Size: scheduling.NewResources(2, 0, 1)}
+		for machine.FreeResources.CPU > 0 && i%10 != 0 {
+			machine.FreeResources = machine.FreeResources.Minus(usage.Size)
 			machine.Usages = append(machine.Usages, usage)
 		}
 		machines[i] = machine
@@ -258,11 +258,11 @@
 				trial := CloneSummaries(machines)
 				assignment := Assignment{
 					TaskSize: scheduling.NewResources(2, 0, 4), Count: 40, Claim: scheduling.Claim{Priority: 1},
-					Allowed: func(machine *MachineSummary) bool { return !machine.Booting },
+					AllowsMachine: func(machine *MachineSummary) bool { return !machine.Booting },
 				}
-				assignment.PerPartition(trial, make([]int, 5))
+				assignment.SplitAmongPartitions(trial, make([]int, 5))
 				assignment.Count, assignment.Claim.Priority = 1, 2
-				assignment.OnePartition(trial, 5)
+				assignment.ChoosePartition(trial, 5)
 			}
 		})
 	}
--- a/internal/planning/bin_packing.go
+++ b/internal/planning/bin_packing.go
@@ -2,16 +2,16 @@
 
 import "eiderhitch/internal/scheduling"
 
-// PlaceInFreeRoom has up to count tasks of a size take free room on the machines that the
+// PlaceWithoutPreemption has up to count tasks of a size take free room on the machines that the
 // filter allows, the fullest first, and returns how many each machine got.
-func PlaceInFreeRoom(
+func PlaceWithoutPreemption(
 	machines []*MachineSummary, allowed MachineFilter, size scheduling.Resources, count int,
 ) map[*MachineSummary]int {
 	placed := map[*MachineSummary]int{}
 	for count > 0 {
 		var best *MachineSummary
 		for _, machine := range machines {
-			if !machine.Free.Contains(size) || !allowed(machine) {
+			if !machine.FreeResources.Contains(size) || !allowed(machine) {
 				continue
 			}
 			if best == nil || packsBetter(machine, best) {
@@ -21,8 +21,8 @@
 		if best == nil {
 			return placed
 		}
-		fitting := best.Free.CountFitting(size, count)
-		best.Free = best.Free.Minus(size.Times(fitting))
+		fitting := best.FreeResources.CountFitting(size, count)
+		best.FreeResources = best.FreeResources.Minus(size.Times(fitting))
 		best.InUse = true
 		placed[best] += fitting
 		count -= fitting
@@ -42,13 +42,13 @@
 	if a.RunsService != b.RunsService {
 		return a.RunsService
 	}
-	if emptyA, emptyB := a.Free == a.Size, b.Free == b.Size; emptyA != emptyB {
+	if emptyA, emptyB := a.FreeResources == a.Size, b.FreeResources == b.Size; emptyA != emptyB {
 		return emptyB
 	}
-	if a.Free.CPU != b.Free.CPU {
-		return a.Free.CPU < b.Free.CPU
+	if a.FreeResources.CPU != b.FreeResources.CPU {
+		return a.FreeResources.CPU < b.FreeResources.CPU
 	}
-	return a.ID < b.ID
+	return a.Index < b.Index
 }
 
 // The cost of preempting a task is that of the stop itself and that of its priority. A
@@ -65,7 +65,7 @@
 	cost    float64
 	// free and usages are those of the machine afterwards.
 	free   scheduling.Resources
-	usages []Usage
+	usages []TaskUsage
 }
 
 // PlaceByPreemption finds the machine on which preempting the fewest tasks of the lowest
@@ -90,7 +90,7 @@
 	if best.machine == nil {
 		return nil
 	}
-	best.machine.Free = best.free.Minus(size)
+	best.machine.FreeResources = best.free.Minus(size)
 	best.machine.Usages = best.usages
 	best.machine.InUse = true
 	return best.machine
@@ -100,9 +100,9 @@
 // would be free and used on the machine then. The machine keeps them for now.
 func (m *MachineSummary) preemptFor(
 	size scheduling.Resources, claim scheduling.Claim,
-) (free scheduling.Resources, usages []Usage, cost float64) {
+) (free scheduling.Resources, usages []TaskUsage, cost float64) {
 	m.sortVictimsFirst()
-	free, usages = m.Free, m.Usages
+	free, usages = m.FreeResources, m.Usages
 	for len(usages) > 0 && !free.Contains(size) && claim.CanPreempt(usages[0].Claim) {
 		free = free.Plus(usages[0].Size)
 		cost += victimCost + priorityCost*float64(usages[0].Claim.Priority)
@@ -120,5 +120,5 @@
 	if p.machine.RunsService != other.machine.RunsService {
 		return p.machine.RunsService
 	}
-	return p.machine.ID < other.machine.ID
+	return p.machine.Index < other.machine.Index
 }
--- a/internal/planning/generators_test.go
+++ b/internal/planning/generators_test.go
@@ -37,18 +37,18 @@
 	for i := range rapid.IntRange(0, 8).Draw(t, "machines") {
 		size := scheduling.NewResources(float64(rapid.SampledFrom([]int{4, 16}).Draw(t, "machine cpus")), 0, 64)
 		machine := &MachineSummary{
-			ID:        scheduling.MachineIndex(i),
-			Type:      fmt.Sprint(size.CPU),
-			Zone:      rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"),
-			Spot:      rapid.Bool().Draw(t, "spot"),
-			Partition: rapid.IntRange(0, testPartitions-1).Draw(t, "partition"),
-			Size:      size,
-			Free:      size,
+			Index:         scheduling.MachineIndex(i),
+			Type:          fmt.Sprint(size.CPU),
+			Zone:          rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"),
+			Spot:          rapid.Bool().Draw(t, "spot"),
+			Partition:     rapid.IntRange(0, testPartitions-1).Draw(t, "partition"),
+			Size:          size,
+			FreeResources: size,
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "usages") {
-			usage := Usage{Claim: drawClaim(t, "usage"), Size: drawCPUs(t, "usage cpus", 1, 4)}
-			if machine.Free.Contains(usage.Size) {
-				machine.Free = machine.Free.Minus(usage.Size)
+			usage := TaskUsage{Claim: drawClaim(t, "usage"), Size: drawCPUs(t, "usage cpus", 1, 4)}
+			if machine.FreeResources.Contains(usage.Size) {
+				machine.FreeResources = machine.FreeResources.Minus(usage.Size)
 				machine.Usages = append(machine.Usages, usage)
 			}
 		}
--- a/internal/planning/headroom.go
+++ b/internal/planning/headroom.go
@@ -8,10 +8,10 @@
 	return int(math.Ceil(factor * math.Sqrt(float64(services))))
 }
 
-// FreeHistory records how much CPU was free of late, in thousandths. Arrays spread over all machines,
+// FreeCPUHistory records how much CPU was free of late, in thousandths. Arrays spread over all machines,
 // so that few are ever idle by themselves: when more is free all the time than a machine
 // holds, one without services can be drained.
-type FreeHistory struct {
+type FreeCPUHistory struct {
 	samples []freeSample
 }
 
@@ -25,11 +25,11 @@
 const minCoveredTenths = 9
 
 // Reset forgets all samples, as there is a shortage.
-func (h *FreeHistory) Reset() { h.samples = nil }
+func (h *FreeCPUHistory) Reset() { h.samples = nil }
 
 // Add records how much CPU is free at a time, and returns the least of the last window. It
 // reports false as long as the samples don't cover the window. Times are in seconds.
-func (h *FreeHistory) Add(atS float64, freeCPU int64, windowS float64) (leastCPU int64, covered bool) {
+func (h *FreeCPUHistory) Add(atS float64, freeCPU int64, windowS float64) (leastCPU int64, covered bool) {
 	h.samples = append(h.samples, freeSample{atS, freeCPU})
 	for atS-h.samples[0].atS > windowS {
 		h.samples = h.samples[1:]
@@ -42,7 +42,7 @@
 }
 
 // Subtract lowers all samples, as a machine is being drained.
-func (h *FreeHistory) Subtract(cpu int64) {
+func (h *FreeCPUHistory) Subtract(cpu int64) {
 	for i := range h.samples {
 		h.samples[i].cpu -= cpu
 	}
@@ -61,7 +61,7 @@
 			continue
 		}
 		// Shares are compared without division: used/size < bestUsed/bestSize.
-		used := machine.Used().CPU
+		used := machine.UsedResources().CPU
 		if best == nil || used*best.Size.CPU < bestUsed*machine.Size.CPU {
 			best, bestUsed = machine, used
 		}
--- a/internal/planning/headroom_test.go
+++ b/internal/planning/headroom_test.go
@@ -12,7 +12,7 @@
 func TestFreeHistory(t *testing.T) {
 	const window = 10
 	rapid.Check(t, func(t *rapid.T) {
-		var history FreeHistory
+		var history FreeCPUHistory
 		var times []float64
 		var free []int64
 		now := 0.0
@@ -55,8 +55,8 @@
 func TestLeastUsedMachine(t *testing.T) {
 	const priority, maxCPU = 2, 16_000
 	machine := func(id scheduling.MachineIndex, cpus, used float64, usedPriority int) *MachineSummary {
-		usage := Usage{Claim: scheduling.Claim{Priority: usedPriority}, Size: scheduling.NewResources(used, 0, 1)}
-		return &MachineSummary{ID: id, Size: scheduling.NewResources(cpus, 0, 64), Usages: []Usage{usage}}
+		usage := TaskUsage{Claim: scheduling.Claim{Priority: usedPriority}, Size: scheduling.NewResources(used, 0, 1)}
+		return &MachineSummary{Index: id, Size: scheduling.NewResources(cpus, 0, 64), Usages: []TaskUsage{usage}}
 	}
 	spot := machine(0, 16, 1, 1)
 	spot.Spot = true
@@ -64,20 +64,20 @@
 	for _, row := range []struct {
 		name     string
 		machines []*MachineSummary
-		expected scheduling.MachineIndex // NotLaunched: none
+		expected scheduling.MachineIndex // UnassignedIndex: none
 	}{
 		{"least share", []*MachineSummary{machine(0, 4, 2, 1), machine(1, 16, 4, 1)}, 1},
 		{"the first of equal ones", []*MachineSummary{machine(0, 4, 2, 1), machine(1, 8, 4, 1)}, 0},
 		{"no spot instance", []*MachineSummary{spot, machine(1, 16, 4, 1)}, 1},
 		{"no larger one", []*MachineSummary{machine(0, 17, 1, 1), machine(1, 16, 4, 1)}, 1},
 		{"none that runs that priority", []*MachineSummary{machine(0, 16, 1, priority), machine(1, 16, 4, 1)}, 1},
-		{"none that the filter refuses", []*MachineSummary{machine(refused, 16, 1, 1)}, NotLaunched},
+		{"none that the filter refuses", []*MachineSummary{machine(refused, 16, 1, 1)}, UnassignedIndex},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			allowed := func(machine *MachineSummary) bool { return machine.ID != refused }
-			got := NotLaunched
+			allowed := func(machine *MachineSummary) bool { return machine.Index != refused }
+			got := UnassignedIndex
 			if best := LeastUsedMachine(row.machines, maxCPU, priority, allowed); best != nil {
-				got = best.ID
+				got = best.Index
 			}
 			if got != row.expected {
 				t.Errorf("expected machine %d, got %d", row.expected, got)
--- a/internal/planning/job_order.go
+++ b/internal/planning/job_order.go
@@ -2,16 +2,16 @@
 
 import "cmp"
 
-// JobOrder is what the order of jobs depends on. Times are in seconds.
-type JobOrder struct {
+// JobTiming is what the order of jobs depends on. Times are in seconds.
+type JobTiming struct {
 	// AllOrNothing jobs are started together or not at all. Like those without a deadline
 	// they are ordered by age alone.
 	AllOrNothing, NoDeadline bool
 	// Started is set once a task of the job has been placed.
 	Started bool
-	// OverdueTurn is set while it is the turn of overdue jobs, see IsOverdueTurn.
-	OverdueTurn bool
-	AgeS        float64
+	// OverdueTimeSlice is set while it is the turn of overdue jobs, see IsOverdueTimeSlice.
+	OverdueTimeSlice bool
+	AgeS             float64
 	// EstimateS is the estimated run time of one task.
 	EstimateS float64
 	DeadlineS float64
@@ -71,15 +71,15 @@
 // MinStartTasks is how many tasks of a job that must start are forced.
 const MinStartTasks = 2
 
-// IsOverdueTurn reports whether it is the turn of overdue jobs at a time in seconds.
-func IsOverdueTurn(second int64) bool { return second%overdueCycleS < overdueTurnS }
+// IsOverdueTimeSlice reports whether it is the turn of overdue jobs at a time in seconds.
+func IsOverdueTimeSlice(second int64) bool { return second%overdueCycleS < overdueTurnS }
 
 // Urgency returns the urgency of the job now.
-func (j *JobOrder) Urgency() Urgency {
+func (j *JobTiming) Urgency() Urgency {
 	switch {
 	case j.orderedByAge():
 		return Urgency{}
-	case j.HasOverdueTurn():
+	case j.HasOverduePriority():
 		return Urgency{Lateness: Overdue} // without remaining work: the oldest goes first
 	case j.MustStart():
 		return Urgency{Lateness: MustStart}
@@ -88,7 +88,7 @@
 }
 
 // lateness is how the job will stand with its deadline if its tasks start now.
-func (j *JobOrder) lateness() Lateness {
+func (j *JobTiming) lateness() Lateness {
 	done := j.doneS()
 	switch {
 	case done <= j.DeadlineS:
@@ -102,28 +102,28 @@
 }
 
 // doneS is the job's age when tasks that start now are done.
-func (j *JobOrder) doneS() float64 { return j.AgeS + j.EstimateS }
+func (j *JobTiming) doneS() float64 { return j.AgeS + j.EstimateS }
 
-func (j *JobOrder) orderedByAge() bool { return j.AllOrNothing || j.NoDeadline }
+func (j *JobTiming) orderedByAge() bool { return j.AllOrNothing || j.NoDeadline }
 
-// HasOverdueTurn reports whether the job is overdue and it is the turn of such jobs.
-func (j *JobOrder) HasOverdueTurn() bool {
-	return !j.orderedByAge() && j.OverdueTurn && j.AgeS > max(startWithinS, overdueFactor*j.DeadlineS)
+// HasOverduePriority reports whether the job is overdue and it is the turn of such jobs.
+func (j *JobTiming) HasOverduePriority() bool {
+	return !j.orderedByAge() && j.OverdueTimeSlice && j.AgeS > max(startWithinS, overdueFactor*j.DeadlineS)
 }
 
 // MustStart reports whether nothing of the job has ever been placed, and it is time.
-func (j *JobOrder) MustStart() bool {
+func (j *JobTiming) MustStart() bool {
 	return !j.orderedByAge() && !j.Started && j.AgeS > forceStartAfterS
 }
 
-// ForcedTasks returns how many tasks of the job are assigned even where there is no room,
+// ForcedTaskCount returns how many tasks of the job are assigned even where there is no room,
 // so that they take the next cells that become free: none while there are assigned tasks
 // that are not placed yet, which is what pending counts.
-func (j *JobOrder) ForcedTasks(pending int) int {
+func (j *JobTiming) ForcedTaskCount(pending int) int {
 	switch {
 	case pending > 0:
 		return 0
-	case j.HasOverdueTurn():
+	case j.HasOverduePriority():
 		return MinTasksPerPartition
 	case j.MustStart():
 		return MinStartTasks
@@ -146,10 +146,10 @@
 	minDeadlineWindowS  = 10
 )
 
-// WindowS returns the time in seconds within which an array's waiting tasks should be
+// CompletionWindowS returns the time in seconds within which an array's waiting tasks should be
 // done, so that few machines are launched rather than many for a short time. It is zero
 // for jobs that are started together.
-func (j *JobOrder) WindowS() float64 {
+func (j *JobTiming) CompletionWindowS() float64 {
 	if j.AllOrNothing {
 		return 0
 	}
--- a/internal/planning/job_order_test.go
+++ b/internal/planning/job_order_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-func drawJobOrder(t *rapid.T, name string) *JobOrder {
-	return &JobOrder{
+func drawJobOrder(t *rapid.T, name string) *JobTiming {
+	return &JobTiming{
 		DeadlineS:     rapid.Float64Range(1, 500).Draw(t, name+" deadline"),
 		EstimateS:     rapid.Float64Range(1, 200).Draw(t, name+" estimate"),
 		RemainingWork: rapid.Float64Range(1, 1e6).Draw(t, name+" remaining work"),
@@ -23,7 +23,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		old, young := drawJobOrder(t, "old"), drawJobOrder(t, "young")
 		young.Started = true
-		old.Started, old.OverdueTurn, old.AgeS = true, true, overdueFactor*old.DeadlineS+startWithinS+1
+		old.Started, old.OverdueTimeSlice, old.AgeS = true, true, overdueFactor*old.DeadlineS+startWithinS+1
 		if old.Urgency().Compare(young.Urgency()) >= 0 {
 			t.Fatalf("expected overdue job %+v to go before %+v", old, young)
 		}
@@ -33,7 +33,7 @@
 		}
 		from, turns := rapid.Int64Range(0, 1<<40).Draw(t, "from"), 0
 		for i := range int64(20) {
-			if IsOverdueTurn(from + i) {
+			if IsOverdueTimeSlice(from + i) {
 				turns++
 			}
 		}
@@ -47,19 +47,19 @@
 	const deadlineS, objectiveS = 100, 400
 	for _, row := range []struct {
 		name     string
-		job      JobOrder
+		job      JobTiming
 		expected Lateness
 	}{
-		{"meets its deadline", JobOrder{AgeS: 40, EstimateS: 60}, InTime},
-		{"late by up to half of its deadline", JobOrder{AgeS: 90, EstimateS: 60}, SlightlyLate},
-		{"within its objective", JobOrder{AgeS: 90, EstimateS: 310}, Late},
-		{"beyond its objective", JobOrder{AgeS: 90, EstimateS: 311}, Hopeless},
-		{"has not started for too long", JobOrder{AgeS: forceStartAfterS + 1, EstimateS: 1}, MustStart},
-		{"has started", JobOrder{Started: true, AgeS: forceStartAfterS + 1, EstimateS: 1}, SlightlyLate},
-		{"overdue in its turn", JobOrder{Started: true, OverdueTurn: true, AgeS: 301, EstimateS: 1}, Overdue},
-		{"overdue out of its turn", JobOrder{Started: true, AgeS: 301, EstimateS: 1}, Late},
-		{"without a deadline", JobOrder{NoDeadline: true, OverdueTurn: true, AgeS: 1000, EstimateS: 1}, InTime},
-		{"all or nothing", JobOrder{AllOrNothing: true, OverdueTurn: true, AgeS: 1000, EstimateS: 1}, InTime},
+		{"meets its deadline", JobTiming{AgeS: 40, EstimateS: 60}, InTime},
+		{"late by up to half of its deadline", JobTiming{AgeS: 90, EstimateS: 60}, SlightlyLate},
+		{"within its objective", JobTiming{AgeS: 90, EstimateS: 310}, Late},
+		{"beyond its objective", JobTiming{AgeS: 90, EstimateS: 311}, Hopeless},
+		{"has not started for too long", JobTiming{AgeS: forceStartAfterS + 1, EstimateS: 1}, MustStart},
+		{"has started", JobTiming{Started: true, AgeS: forceStartAfterS + 1, EstimateS: 1}, SlightlyLate},
+		{"overdue in its turn", JobTiming{Started: true, OverdueTimeSlice: true, AgeS: 301, EstimateS: 1}, Overdue},
+		{"overdue out of its turn", JobTiming{Started: true, AgeS: 301, EstimateS: 1}, Late},
+		{"without a deadline", JobTiming{NoDeadline: true, OverdueTimeSlice: true, AgeS: 1000, EstimateS: 1}, InTime},
+		{"all or nothing", JobTiming{AllOrNothing: true, OverdueTimeSlice: true, AgeS: 1000, EstimateS: 1}, InTime},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			row.job.DeadlineS, row.job.ObjectiveS = deadlineS, objectiveS
@@ -71,21 +71,21 @@
 }
 
 func TestForcedTasks(t *testing.T) {
-	overdue := JobOrder{Started: true, OverdueTurn: true, AgeS: startWithinS + 1, DeadlineS: 1}
-	unstarted := JobOrder{AgeS: forceStartAfterS + 1, DeadlineS: 1000}
+	overdue := JobTiming{Started: true, OverdueTimeSlice: true, AgeS: startWithinS + 1, DeadlineS: 1}
+	unstarted := JobTiming{AgeS: forceStartAfterS + 1, DeadlineS: 1000}
 	for _, row := range []struct {
 		name     string
-		job      JobOrder
+		job      JobTiming
 		pending  int
 		expected int
 	}{
 		{"overdue in its turn", overdue, 0, MinTasksPerPartition},
 		{"must start", unstarted, 0, MinStartTasks},
 		{"assigned tasks wait already", unstarted, 1, 0},
-		{"neither", JobOrder{Started: true, DeadlineS: 1000}, 0, 0},
+		{"neither", JobTiming{Started: true, DeadlineS: 1000}, 0, 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			if got := row.job.ForcedTasks(row.pending); got != row.expected {
+			if got := row.job.ForcedTaskCount(row.pending); got != row.expected {
 				t.Errorf("expected %d forced tasks, got %d", row.expected, got)
 			}
 		})
@@ -95,18 +95,18 @@
 func TestWindow(t *testing.T) {
 	for _, row := range []struct {
 		name      string
-		job       JobOrder
+		job       JobTiming
 		expectedS float64
 	}{
-		{"started together", JobOrder{AllOrNothing: true, EstimateS: 60, DeadlineS: 100}, 0},
-		{"run times of tasks", JobOrder{NoDeadline: true, EstimateS: 60}, 120},
-		{"short tasks", JobOrder{NoDeadline: true, EstimateS: 5}, 30},
-		{"share of the time to the deadline", JobOrder{EstimateS: 60, DeadlineS: 100}, 60},
-		{"little time to the deadline", JobOrder{AgeS: 95, EstimateS: 3, DeadlineS: 100}, 10},
-		{"time to the objective once it is late", JobOrder{AgeS: 300, EstimateS: 60, DeadlineS: 100, ObjectiveS: 400}, 60},
+		{"started together", JobTiming{AllOrNothing: true, EstimateS: 60, DeadlineS: 100}, 0},
+		{"run times of tasks", JobTiming{NoDeadline: true, EstimateS: 60}, 120},
+		{"short tasks", JobTiming{NoDeadline: true, EstimateS: 5}, 30},
+		{"share of the time to the deadline", JobTiming{EstimateS: 60, DeadlineS: 100}, 60},
+		{"little time to the deadline", JobTiming{AgeS: 95, EstimateS: 3, DeadlineS: 100}, 10},
+		{"time to the objective once it is late", JobTiming{AgeS: 300, EstimateS: 60, DeadlineS: 100, ObjectiveS: 400}, 60},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			if got := row.job.WindowS(); got != row.expectedS {
+			if got := row.job.CompletionWindowS(); got != row.expectedS {
 				t.Errorf("expected %v s, got %v s", row.expectedS, got)
 			}
 		})
--- a/internal/planning/machine_summary.go
+++ b/internal/planning/machine_summary.go
@@ -10,14 +10,14 @@
 // MachineSummary is a machine as the leader sees it: what is free on it, and what could
 // be had by preemption.
 type MachineSummary struct {
-	// ID is the machine's index, or NotLaunched.
-	ID         scheduling.MachineIndex
-	Type, Zone string
-	Spot       bool
-	Partition  int
-	Size, Free scheduling.Resources
+	// ID is the machine's index, or UnassignedIndex.
+	Index               scheduling.MachineIndex
+	Type, Zone          string
+	Spot                bool
+	Partition           int
+	Size, FreeResources scheduling.Resources
 	// Usages are those of the tasks that run on it.
-	Usages []Usage
+	Usages []TaskUsage
 	// sorted is set once the usages are in the order of sortVictimsFirst.
 	sorted bool
 	// Booting machines have been launched, or are to be, and are not up yet.
@@ -29,11 +29,11 @@
 	RunsService bool
 }
 
-// NotLaunched is the ID of machines that have no index yet.
-const NotLaunched scheduling.MachineIndex = -1
+// UnassignedIndex is the ID of machines that have no index yet.
+const UnassignedIndex scheduling.MachineIndex = -1
 
-// Usage is a task's use of a machine.
-type Usage struct {
+// TaskUsage is a task's use of a machine.
+type TaskUsage struct {
 	Claim scheduling.Claim
 	Size  scheduling.Resources
 }
@@ -52,8 +52,8 @@
 	return clones
 }
 
-// Used returns what tasks use of a machine.
-func (m *MachineSummary) Used() scheduling.Resources {
+// UsedResources returns what tasks use of a machine.
+func (m *MachineSummary) UsedResources() scheduling.Resources {
 	used := scheduling.Resources{}
 	for _, usage := range m.Usages {
 		used = used.Plus(usage.Size)
@@ -66,7 +66,7 @@
 
 // runsPriority reports whether a task of that priority or a higher one runs on a machine.
 func (m *MachineSummary) runsPriority(priority int) bool {
-	return slices.ContainsFunc(m.Usages, func(usage Usage) bool { return usage.Claim.Priority >= priority })
+	return slices.ContainsFunc(m.Usages, func(usage TaskUsage) bool { return usage.Claim.Priority >= priority })
 }
 
 // sortVictimsFirst sorts a machine's usages into the order in which they are preempted.
@@ -77,18 +77,18 @@
 		return
 	}
 	m.sorted, m.Usages = true, slices.Clone(m.Usages)
-	slices.SortStableFunc(m.Usages, func(a, b Usage) int {
+	slices.SortStableFunc(m.Usages, func(a, b TaskUsage) int {
 		return cmp.Or(cmp.Compare(a.Claim.Priority, b.Claim.Priority), cmp.Compare(b.Size.CPU, a.Size.CPU))
 	})
 }
 
-// CountLowerPriorityAsFree counts what tasks below a priority use as free, since work of
+// TreatLowerPriorityAsFree counts what tasks below a priority use as free, since work of
 // that priority would preempt them.
-func CountLowerPriorityAsFree(machines []*MachineSummary, priority int) {
+func TreatLowerPriorityAsFree(machines []*MachineSummary, priority int) {
 	for _, machine := range machines {
 		for _, usage := range machine.Usages {
 			if usage.Claim.Priority < priority {
-				machine.Free = machine.Free.Plus(usage.Size)
+				machine.FreeResources = machine.FreeResources.Plus(usage.Size)
 			}
 		}
 	}
--- a/internal/planning/quota.go
+++ b/internal/planning/quota.go
@@ -5,30 +5,30 @@
 // Quota is a team's quota and what its tasks use of it. RAM is not limited.
 type Quota struct {
 	// Guaranteed and Limit are without effect where a field is zero.
-	Guaranteed, Limit scheduling.Resources
-	// Used counts for the limit, GuaranteedUsed for the guaranteed quota.
-	Used, GuaranteedUsed scheduling.Resources
+	Guarantee, Limit scheduling.Resources
+	// Used counts for the limit, GuaranteedUsage for the guaranteed quota.
+	Usage, GuaranteedUsage scheduling.Resources
 }
 
-// Room returns how many more tasks of a size the limit permits, at most count.
-func (q *Quota) Room(size scheduling.Resources, count int) int {
-	return remainingTasks(q.Limit, q.Used, size, count)
+// RemainingTasks returns how many more tasks of a size the limit permits, at most count.
+func (q *Quota) RemainingTasks(size scheduling.Resources, count int) int {
+	return remainingTasks(q.Limit, q.Usage, size, count)
 }
 
-// GuaranteedRoom returns how many more tasks of a size fit into the guaranteed quota, at
+// RemainingGuaranteedTasks returns how many more tasks of a size fit into the guaranteed quota, at
 // most count.
-func (q *Quota) GuaranteedRoom(size scheduling.Resources, count int) int {
-	if q.Guaranteed == (scheduling.Resources{}) {
+func (q *Quota) RemainingGuaranteedTasks(size scheduling.Resources, count int) int {
+	if q.Guarantee == (scheduling.Resources{}) {
 		return 0
 	}
-	return remainingTasks(q.Guaranteed, q.GuaranteedUsed, size, count)
+	return remainingTasks(q.Guarantee, q.GuaranteedUsage, size, count)
 }
 
 // Shortfall returns by how much a demand exceeds what the limit leaves.
 func (q *Quota) Shortfall(demand scheduling.Resources) scheduling.Resources {
 	return scheduling.Resources{
-		CPU: excess(q.Limit.CPU, q.Used.CPU+demand.CPU),
-		GPU: excess(q.Limit.GPU, q.Used.GPU+demand.GPU),
+		CPU: excess(q.Limit.CPU, q.Usage.CPU+demand.CPU),
+		GPU: excess(q.Limit.GPU, q.Usage.GPU+demand.GPU),
 	}
 }
 
@@ -56,8 +56,8 @@
 // Charge counts an amount as used; guaranteed tells whether it counts for the guaranteed
 // quota, too.
 func (q *Quota) Charge(use scheduling.Resources, guaranteed bool) {
-	q.Used = q.Used.Plus(use)
+	q.Usage = q.Usage.Plus(use)
 	if guaranteed {
-		q.GuaranteedUsed = q.GuaranteedUsed.Plus(use)
+		q.GuaranteedUsage = q.GuaranteedUsage.Plus(use)
 	}
 }
--- a/internal/planning/scaling.go
+++ b/internal/planning/scaling.go
@@ -13,19 +13,19 @@
 	TaskSize scheduling.Resources
 	Count    int
 	// Groups is how many groups of Count tasks each arrive one by one; zero means one.
-	Groups       int
+	GroupCount   int
 	AllOrNothing bool
 	// EstimateS is the estimated run time of one task, in seconds.
 	EstimateS float64
-	// WindowS is the time in seconds within which an array's tasks should be done.
-	WindowS float64
+	// CompletionWindowS is the time in seconds within which an array's tasks should be done.
+	CompletionWindowS float64
 	// SlackS is the time in seconds until the deadline.
 	SlackS float64
 	// Allows tells on which kinds of machines the tasks may run.
-	Allows OfferFilter
+	AllowsOffer OfferFilter
 }
 
-func (d *Demand) allowsMachine(machine *MachineSummary) bool { return d.Allows(machine.offer()) }
+func (d *Demand) allowsMachine(machine *MachineSummary) bool { return d.AllowsOffer(machine.offer()) }
 
 // minTaskTimeS is the least time in seconds that a cell is busy with a task, however short.
 const minTaskTimeS = 5
@@ -33,11 +33,11 @@
 // tasksAtOnce is how many of the tasks have to run at a time for all to be done within the
 // window.
 func (d *Demand) tasksAtOnce() int {
-	tasks := d.Count * max(d.Groups, 1)
-	if d.AllOrNothing || d.WindowS <= 0 {
+	tasks := d.Count * max(d.GroupCount, 1)
+	if d.AllOrNothing || d.CompletionWindowS <= 0 {
 		return tasks
 	}
-	return min(tasks, int(math.Ceil(float64(tasks)*max(d.EstimateS, minTaskTimeS)/d.WindowS)))
+	return min(tasks, int(math.Ceil(float64(tasks)*max(d.EstimateS, minTaskTimeS)/d.CompletionWindowS)))
 }
 
 // ScalingPlan plans which machines to launch.
@@ -46,7 +46,7 @@
 	Machines []*MachineSummary
 	Offers   []PricedOffer
 	// RunningByClass is how many tasks of each class run now.
-	RunningByClass map[string]int
+	RunningTasksByClass map[string]int
 	// Launches is how many machines of each offer are to be launched.
 	Launches map[Offer]int
 	// Shortage is set once a demand found too little room on the machines.
@@ -68,7 +68,7 @@
 // Place has a demand take what room there is, and plans launches for the rest.
 func (p *ScalingPlan) Place(demand Demand) {
 	tasks := demand.tasksAtOnce()
-	for _, placed := range PlaceInFreeRoom(p.Machines, demand.allowsMachine, demand.TaskSize, tasks) {
+	for _, placed := range PlaceWithoutPreemption(p.Machines, demand.allowsMachine, demand.TaskSize, tasks) {
 		tasks -= placed
 	}
 	if tasks <= 0 {
@@ -92,7 +92,7 @@
 // their price. Spot instances are worth having anyway.
 func (p *ScalingPlan) allowedOffers(demand *Demand) (timely, late []PricedOffer) {
 	for _, offer := range p.Offers {
-		if !demand.Allows(offer.Offer) {
+		if !demand.AllowsOffer(offer.Offer) {
 			continue
 		}
 		if !demand.AllOrNothing && !offer.Spot && demand.SlackS < offer.BootS+demand.EstimateS {
@@ -109,10 +109,10 @@
 // to boot.
 func (p *ScalingPlan) launch(demand *Demand, offers []PricedOffer, tasks int) {
 	atOnce := tasks
-	if demand.Groups > 1 {
+	if demand.GroupCount > 1 {
 		atOnce = demand.Count
 	}
-	likely := atOnce + p.RunningByClass[demand.Class]/likelyDivisor
+	likely := atOnce + p.RunningTasksByClass[demand.Class]/likelyDivisor
 	for tasks > 0 {
 		offer, count := CheapestOffer(offers, demand.TaskSize, atOnce, likely, bootPatienceS)
 		if count == 0 {
@@ -121,7 +121,7 @@
 		planned := plannedMachines(&offer, count)
 		p.Machines = append(p.Machines, planned...)
 		p.Launches[offer.Offer] += count
-		for _, placed := range PlaceInFreeRoom(planned, demand.allowsMachine, demand.TaskSize, tasks) {
+		for _, placed := range PlaceWithoutPreemption(planned, demand.allowsMachine, demand.TaskSize, tasks) {
 			tasks -= placed
 		}
 	}
@@ -132,8 +132,8 @@
 	planned := make([]*MachineSummary, count)
 	for i := range planned {
 		planned[i] = &MachineSummary{
-			ID: NotLaunched, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot,
-			Size: offer.Size, Free: offer.Size, Booting: true,
+			Index: UnassignedIndex, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot,
+			Size: offer.Size, FreeResources: offer.Size, Booting: true,
 		}
 	}
 	return planned
--- a/internal/planning/scaling_test.go
+++ b/internal/planning/scaling_test.go
@@ -12,10 +12,10 @@
 // newScalingPlan returns a plan on copies of the machines.
 func newScalingPlan(machines []*MachineSummary, offers []PricedOffer, running int) *ScalingPlan {
 	return &ScalingPlan{
-		Machines:       CloneSummaries(machines),
-		Offers:         offers,
-		RunningByClass: map[string]int{"x": running},
-		Launches:       map[Offer]int{},
+		Machines:            CloneSummaries(machines),
+		Offers:              offers,
+		RunningTasksByClass: map[string]int{"x": running},
+		Launches:            map[Offer]int{},
 	}
 }
 
@@ -34,7 +34,7 @@
 		filter, onlyZone := drawOfferFilter(t, "a", zoneWithoutOffers)
 		demand := Demand{
 			Class: "x", TaskSize: drawCPUs(t, "task cpus", 1, 4), Count: rapid.IntRange(1, 60).Draw(t, "count"),
-			AllOrNothing: true, Allows: filter,
+			AllOrNothing: true, AllowsOffer: filter,
 		}
 		plan, again := newScalingPlan(machines, offers, 0), newScalingPlan(machines, offers, 0)
 		plan.Place(demand)
@@ -45,7 +45,7 @@
 		room := 0
 		for _, machine := range machines {
 			if demand.allowsMachine(machine) {
-				room += machine.Free.CountFitting(demand.TaskSize, demand.Count)
+				room += machine.FreeResources.CountFitting(demand.TaskSize, demand.Count)
 			}
 		}
 		launched := launchedRoom(t, plan, &demand)
@@ -67,7 +67,7 @@
 	t.Helper()
 	room := 0
 	for offer, count := range plan.Launches {
-		if !demand.Allows(offer) {
+		if !demand.AllowsOffer(offer) {
 			t.Fatalf("expected no launches of %+v, got %d", offer, count)
 		}
 		for _, priced := range plan.Offers {
@@ -89,12 +89,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		machines, services := drawMachines(t), rapid.IntRange(2, 40).Draw(t, "services")
 		running := rapid.IntRange(0, 100).Draw(t, "running")
-		demand := Demand{Class: "x", TaskSize: drawCPUs(t, "task cpus", 1, 4), Count: 1, AllOrNothing: true, Allows: anyOffer}
+		demand := Demand{Class: "x", TaskSize: drawCPUs(t, "task cpus", 1, 4), Count: 1, AllOrNothing: true, AllowsOffer: anyOffer}
 		oneByOne, atOnce := newScalingPlan(machines, offers, running), newScalingPlan(machines, offers, running)
 		for range services {
 			oneByOne.Place(demand)
 		}
-		demand.Groups = services
+		demand.GroupCount = services
 		atOnce.Place(demand)
 		if difference := cmp.Diff(oneByOne.Launches, atOnce.Launches); difference != "" {
 			t.Fatalf("expected the same launches as one by one, got %s", difference)
@@ -128,7 +128,7 @@
 			}, 0)
 			plan.Place(Demand{
 				Class: "x", TaskSize: size, Count: tasks, EstimateS: 20, SlackS: row.slackS,
-				Allows: func(offer Offer) bool { return offer == row.allows },
+				AllowsOffer: func(offer Offer) bool { return offer == row.allows },
 			})
 			if got := plan.Launches[row.allows]; got != row.expected {
 				t.Errorf("expected %d machines, got %d", row.expected, got)
@@ -150,7 +150,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			plan := newScalingPlan(nil, smallAndLarge, row.running)
-			plan.Place(Demand{Class: "x", TaskSize: scheduling.NewResources(1, 0, 1), Count: 1, AllOrNothing: true, Allows: anyOffer})
+			plan.Place(Demand{Class: "x", TaskSize: scheduling.NewResources(1, 0, 1), Count: 1, AllOrNothing: true, AllowsOffer: anyOffer})
 			if expected := map[Offer]int{{Type: row.expected}: 1}; !cmp.Equal(plan.Launches, expected) {
 				t.Errorf("expected launches %v, got %v", expected, plan.Launches)
 			}
--- a/internal/planning/selection.go
+++ b/internal/planning/selection.go
@@ -2,24 +2,24 @@
 
 import "eiderhitch/internal/scheduling"
 
-// FreeRoomFor returns for how many tasks of a size, at most count, the machines that the
+// CountFittingTasks returns for how many tasks of a size, at most count, the machines that the
 // filter allows have free room.
-func FreeRoomFor(machines []*MachineSummary, allowed MachineFilter, size scheduling.Resources, count int) int {
+func CountFittingTasks(machines []*MachineSummary, allowed MachineFilter, size scheduling.Resources, count int) int {
 	room := 0
 	for _, machine := range machines {
 		if allowed(machine) {
-			room += machine.Free.CountFitting(size, count-room)
+			room += machine.FreeResources.CountFitting(size, count-room)
 		}
 	}
 	return room
 }
 
-// RoomFunc returns for how many tasks, at most limit, a machine has room.
-type RoomFunc func(machine *MachineSummary, limit int) int
+// CapacityFunc returns for how many tasks, at most limit, a machine has room.
+type CapacityFunc func(machine *MachineSummary, limit int) int
 
-// TakeMachines takes machines in their order, at most limit of them, until they have room
+// SelectMachines takes machines in their order, at most limit of them, until they have room
 // for a number of tasks, and returns for how many tasks they lack room.
-func TakeMachines(machines []*MachineSummary, tasks, limit int, room RoomFunc) (taken []*MachineSummary, lacking int) {
+func SelectMachines(machines []*MachineSummary, tasks, limit int, room CapacityFunc) (taken []*MachineSummary, lacking int) {
 	for _, machine := range machines {
 		if tasks <= 0 || len(taken) >= limit {
 			break
