--- a/internal/planning/selection_test.go
+++ b/internal/planning/selection_test.go
@@ -8,16 +8,16 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// FreeRoomFor counts as many tasks as PlaceInFreeRoom places, and takes no room.
+// CountFittingTasks counts as many tasks as PlaceWithoutPreemption places, and takes no room.
 func TestFreeRoomForAgreesWithPlacement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines := drawMachines(t)
 		zone := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")
 		inZone := func(machine *MachineSummary) bool { return machine.Zone == zone }
 		size, count := drawCPUs(t, "task cpus", 1, 5), rapid.IntRange(0, 30).Draw(t, "count")
-		room := FreeRoomFor(machines, inZone, size, count)
+		room := CountFittingTasks(machines, inZone, size, count)
 		placed := 0
-		for _, tasks := range PlaceInFreeRoom(machines, inZone, size, count) {
+		for _, tasks := range PlaceWithoutPreemption(machines, inZone, size, count) {
 			placed += tasks
 		}
 		if room != placed {
@@ -26,12 +26,12 @@
 	})
 }
 
-// TakeMachines takes the first machines, no more than are needed or allowed.
+// SelectMachines takes the first machines, no more than are needed or allowed.
 func TestTakeMachines(t *testing.T) {
 	size := scheduling.NewResources(4, 0, 0)
 	var machines []*MachineSummary
 	for i := range 4 {
-		machines = append(machines, &MachineSummary{ID: scheduling.MachineIndex(i), Size: size})
+		machines = append(machines, &MachineSummary{Index: scheduling.MachineIndex(i), Size: size})
 	}
 	twoEach := func(machine *MachineSummary, limit int) int {
 		return machine.Size.CountFitting(scheduling.NewResources(2, 0, 0), limit)
@@ -50,13 +50,13 @@
 		{name: "no machine is allowed", tasks: 1, limit: -1, taken: 0, lacking: 1},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			taken, lacking := TakeMachines(machines, row.tasks, row.limit, twoEach)
+			taken, lacking := SelectMachines(machines, row.tasks, row.limit, twoEach)
 			if len(taken) != row.taken || lacking != row.lacking {
 				t.Errorf("expected %d machines and %d tasks without room, got %d and %d", row.taken, row.lacking, len(taken), lacking)
 			}
 			for i, machine := range taken {
 				if machine != machines[i] {
-					t.Errorf("expected machine %d as number %d, got %d", i, i, machine.ID)
+					t.Errorf("expected machine %d as number %d, got %d", i, i, machine.Index)
 				}
 			}
 		})
--- a/internal/planning/throttle.go
+++ b/internal/planning/throttle.go
@@ -2,16 +2,16 @@
 
 import "eiderhitch/internal/scheduling"
 
-// QuotaUse is how many tasks of a stored group count for its team's quota.
-type QuotaUse struct {
+// GroupQuotaUsage is how many tasks of a stored group count for its team's quota.
+type GroupQuotaUsage struct {
 	Priority int
 	// Running tasks hold cells.
-	Running int
+	RunningTasks int
 	// Allowed is how many tasks may run: at least those that do, or are to.
-	Allowed  int
-	TaskSize scheduling.Resources
+	AllowedTasks int
+	TaskSize     scheduling.Resources
 	// Fixed is set if tasks that are assigned but don't run can't be throttled now.
-	Fixed bool
+	WaitingTasksExempt bool
 }
 
 // unthrottled marks a group for which Throttle changes nothing.
@@ -22,14 +22,14 @@
 // of lower priority are stopped. uses lists the team's groups, the least urgent first; the
 // result has for each how many of its tasks may run from now on, or -1 where nothing
 // changes.
-func Throttle(uses []QuotaUse, priority int, shortfall scheduling.Resources) []int {
+func Throttle(uses []GroupQuotaUsage, priority int, shortfall scheduling.Resources) []int {
 	t := throttling{uses: uses, allowed: make([]int, len(uses)), shortfall: shortfall}
 	for i := range t.allowed {
 		t.allowed[i] = unthrottled
 	}
 	for i, use := range uses {
-		if !use.Fixed {
-			t.lower(i, use.Running)
+		if !use.WaitingTasksExempt {
+			t.lower(i, use.RunningTasks)
 		}
 	}
 	for i, use := range uses {
@@ -42,7 +42,7 @@
 
 // throttling is a Throttle in progress.
 type throttling struct {
-	uses      []QuotaUse
+	uses      []GroupQuotaUsage
 	allowed   []int
 	shortfall scheduling.Resources
 }
@@ -51,7 +51,7 @@
 func (t *throttling) lower(i, least int) {
 	allowed := t.allowed[i]
 	if allowed == unthrottled {
-		allowed = t.uses[i].Allowed
+		allowed = t.uses[i].AllowedTasks
 	}
 	for allowed > least && (t.shortfall.CPU > 0 || t.shortfall.GPU > 0) {
 		allowed--
--- a/internal/planning/throttle_test.go
+++ b/internal/planning/throttle_test.go
@@ -9,16 +9,16 @@
 	"eiderhitch/internal/scheduling"
 )
 
-func drawQuotaUses(t *rapid.T) []QuotaUse {
-	var uses []QuotaUse
+func drawQuotaUses(t *rapid.T) []GroupQuotaUsage {
+	var uses []GroupQuotaUsage
 	for range rapid.IntRange(0, 6).Draw(t, "groups") {
 		running := rapid.IntRange(0, 5).Draw(t, "running")
-		uses = append(uses, QuotaUse{
-			Priority: rapid.IntRange(0, 3).Draw(t, "priority"),
-			Running:  running,
-			Allowed:  running + rapid.IntRange(0, 5).Draw(t, "waiting"),
-			TaskSize: drawCPUs(t, "cpus", 1, 3),
-			Fixed:    rapid.Bool().Draw(t, "fixed"),
+		uses = append(uses, GroupQuotaUsage{
+			Priority:           rapid.IntRange(0, 3).Draw(t, "priority"),
+			RunningTasks:       running,
+			AllowedTasks:       running + rapid.IntRange(0, 5).Draw(t, "waiting"),
+			TaskSize:           drawCPUs(t, "cpus", 1, 3),
+			WaitingTasksExempt: rapid.Bool().Draw(t, "fixed"),
 		})
 	}
 	return uses
@@ -35,17 +35,17 @@
 		for i, allowed := range Throttle(uses, priority, shortfall) {
 			use := uses[i]
 			if allowed < 0 {
-				allowed = use.Allowed
+				allowed = use.AllowedTasks
 			}
-			if allowed > use.Allowed || allowed < use.Running && use.Priority >= priority {
+			if allowed > use.AllowedTasks || allowed < use.RunningTasks && use.Priority >= priority {
 				t.Fatalf("%+v: %d tasks may run for a job of priority %d", use, allowed, priority)
 			}
-			remaining -= use.TaskSize.CPU * int64(use.Allowed-allowed)
+			remaining -= use.TaskSize.CPU * int64(use.AllowedTasks-allowed)
 			largest = max(largest, use.TaskSize.CPU)
 			if use.Priority < priority {
 				throttleable += use.TaskSize.CPU * int64(allowed)
-			} else if !use.Fixed {
-				throttleable += use.TaskSize.CPU * int64(max(0, allowed-use.Running))
+			} else if !use.WaitingTasksExempt {
+				throttleable += use.TaskSize.CPU * int64(max(0, allowed-use.RunningTasks))
 			}
 		}
 		if remaining <= -max(largest, 1) {
@@ -59,21 +59,21 @@
 
 func TestThrottleOrder(t *testing.T) {
 	size := scheduling.NewResources(1, 0, 0)
-	waiting := QuotaUse{Priority: 1, Running: 2, Allowed: 5, TaskSize: size}
-	lower := QuotaUse{Priority: 0, Running: 3, Allowed: 3, TaskSize: size}
-	fixed := QuotaUse{Priority: 1, Running: 2, Allowed: 5, TaskSize: size, Fixed: true}
+	waiting := GroupQuotaUsage{Priority: 1, RunningTasks: 2, AllowedTasks: 5, TaskSize: size}
+	lower := GroupQuotaUsage{Priority: 0, RunningTasks: 3, AllowedTasks: 3, TaskSize: size}
+	fixed := GroupQuotaUsage{Priority: 1, RunningTasks: 2, AllowedTasks: 5, TaskSize: size, WaitingTasksExempt: true}
 	for _, row := range []struct {
 		name      string
-		uses      []QuotaUse
+		uses      []GroupQuotaUsage
 		shortfall float64
 		expected  []int
 	}{
-		{"nothing is lacking", []QuotaUse{lower, waiting}, 0, []int{unthrottled, unthrottled}},
-		{"waiting tasks before running ones", []QuotaUse{lower, waiting}, 2, []int{unthrottled, 3}},
-		{"running ones of lower priority then", []QuotaUse{lower, waiting}, 4, []int{2, 2}},
-		{"no running ones of equal priority", []QuotaUse{waiting}, 4, []int{2}},
-		{"no fixed ones", []QuotaUse{fixed, lower}, 1, []int{unthrottled, 2}},
-		{"the least urgent first", []QuotaUse{waiting, waiting}, 4, []int{2, 4}},
+		{"nothing is lacking", []GroupQuotaUsage{lower, waiting}, 0, []int{unthrottled, unthrottled}},
+		{"waiting tasks before running ones", []GroupQuotaUsage{lower, waiting}, 2, []int{unthrottled, 3}},
+		{"running ones of lower priority then", []GroupQuotaUsage{lower, waiting}, 4, []int{2, 2}},
+		{"no running ones of equal priority", []GroupQuotaUsage{waiting}, 4, []int{2}},
+		{"no fixed ones", []GroupQuotaUsage{fixed, lower}, 1, []int{unthrottled, 2}},
+		{"the least urgent first", []GroupQuotaUsage{waiting, waiting}, 4, []int{2, 4}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			got := Throttle(row.uses, 1, scheduling.NewResources(row.shortfall, 0, 0))
--- a/internal/reconcile/differences_test.go
+++ b/internal/reconcile/differences_test.go
@@ -10,7 +10,7 @@
 )
 
 // byOldRecords is a machine when the records are not recent enough to start tasks.
-func byOldRecords(machine reconcile.Machine) reconcile.Machine {
+func byOldRecords(machine reconcile.MachineState) reconcile.MachineState {
 	machine.StartsAllowed = false
 	return machine
 }
@@ -18,7 +18,7 @@
 // differenceRow is a machine and the records, with the differences between them.
 type differenceRow struct {
 	name    string
-	machine reconcile.Machine
+	machine reconcile.MachineState
 	records records
 	want    []reconcile.Difference
 }
@@ -28,49 +28,49 @@
 	{"all that is bound runs", settled(status("wk-1/0", 2, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}}, nil},
 	{"a task that is not bound", settled(status("wk-1/0", 2, wire.Running)), records{},
-		[]reconcile.Difference{{Case: reconcile.UnexpectedTask, Task: "wk-1/0", Attempt: 2}}},
+		[]reconcile.Difference{{Kind: reconcile.UnexpectedTask, TaskName: "wk-1/0", Attempt: 2}}},
 	{"a task that is not bound, whatever may arrive", awaitingStart(status("wk-1/0", 2, wire.Fetching)), records{},
-		[]reconcile.Difference{{Case: reconcile.UnexpectedTask, Task: "wk-1/0", Attempt: 2}}},
+		[]reconcile.Difference{{Kind: reconcile.UnexpectedTask, TaskName: "wk-1/0", Attempt: 2}}},
 	{"a task that is not bound and saves: it is ended", settled(status("wk-1/0", 2, wire.Saving)), records{},
-		[]reconcile.Difference{{Case: reconcile.UnexpectedTask, Task: "wk-1/0", Attempt: 2}}},
+		[]reconcile.Difference{{Kind: reconcile.UnexpectedTask, TaskName: "wk-1/0", Attempt: 2}}},
 	{"an earlier attempt is there: it is stopped, and the present one asked for", settled(status("wk-1/0", 1, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, graceS: 4}}},
-		[]reconcile.Difference{{Case: reconcile.UnexpectedTask, Task: "wk-1/0", Attempt: 1}, {Case: reconcile.MissingStart, Task: "wk-1/0", Attempt: 2}}},
+		[]reconcile.Difference{{Kind: reconcile.UnexpectedTask, TaskName: "wk-1/0", Attempt: 1}, {Kind: reconcile.TaskToStart, TaskName: "wk-1/0", Attempt: 2}}},
 	{"a task that is bound to an earlier incarnation", settled(status("wk-1/0", 2, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, sinceIncarnation: 2}}},
-		[]reconcile.Difference{{Case: reconcile.UnexpectedTask, Task: "wk-1/0", Attempt: 2}}},
+		[]reconcile.Difference{{Kind: reconcile.UnexpectedTask, TaskName: "wk-1/0", Attempt: 2}}},
 	{"a leftover when no start can arrive", settled(exited("wk-1/0", 2, wire.ReasonStopped)), records{},
-		[]reconcile.Difference{{Case: reconcile.ForgettableLeftover, Task: "wk-1/0", Attempt: 2}}},
+		[]reconcile.Difference{{Kind: reconcile.ForgettableExitedTask, TaskName: "wk-1/0", Attempt: 2}}},
 	{"a leftover while a start may arrive", awaitingStart(exited("wk-1/0", 2, wire.ReasonStopped)), records{},
-		[]reconcile.Difference{{Case: reconcile.UnsafeLeftover, Task: "wk-1/0", Attempt: 2}}},
+		[]reconcile.Difference{{Kind: reconcile.RetainedExitedTask, TaskName: "wk-1/0", Attempt: 2}}},
 	{"a leftover before the token is shown", withoutToken(exited("wk-1/0", 2, wire.ReasonStopped)), records{},
-		[]reconcile.Difference{{Case: reconcile.UnsafeLeftover, Task: "wk-1/0", Attempt: 2}}},
+		[]reconcile.Difference{{Kind: reconcile.RetainedExitedTask, TaskName: "wk-1/0", Attempt: 2}}},
 	{"a forgotten leftover makes way for the next attempt", settled(exited("wk-1/0", 1, wire.ReasonError)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}},
-		[]reconcile.Difference{{Case: reconcile.ForgettableLeftover, Task: "wk-1/0", Attempt: 1}, {Case: reconcile.MissingStart, Task: "wk-1/0", Attempt: 2}}},
+		[]reconcile.Difference{{Kind: reconcile.ForgettableExitedTask, TaskName: "wk-1/0", Attempt: 1}, {Kind: reconcile.TaskToStart, TaskName: "wk-1/0", Attempt: 2}}},
 	{"a kept leftover has the next attempt refused", awaitingStart(exited("wk-1/0", 1, wire.ReasonError)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2}, {name: "wk-1/1", attempt: 1}}},
-		[]reconcile.Difference{{Case: reconcile.UnsafeLeftover, Task: "wk-1/0", Attempt: 1}, {Case: reconcile.MissingStart, Task: "wk-1/1", Attempt: 1}}},
+		[]reconcile.Difference{{Kind: reconcile.RetainedExitedTask, TaskName: "wk-1/0", Attempt: 1}, {Kind: reconcile.TaskToStart, TaskName: "wk-1/1", Attempt: 1}}},
 	{"a record that can't be decoded may bind it", settled(status("wk-1/0", 2, wire.Running), exited("wk-1/1", 1, wire.ReasonDone)),
 		records{unreadable: []string{"wk-1/0", "wk-1/1"}},
-		[]reconcile.Difference{{Case: reconcile.UnreadableRecord, Task: "wk-1/0", Attempt: 2}, {Case: reconcile.UnreadableRecord, Task: "wk-1/1", Attempt: 1}}},
+		[]reconcile.Difference{{Kind: reconcile.UnreadableRecord, TaskName: "wk-1/0", Attempt: 2}, {Kind: reconcile.UnreadableRecord, TaskName: "wk-1/1", Attempt: 1}}},
 	{"an exited task whose end is to be stored", settled(exited("wk-1/0", 2, wire.ReasonDone)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}}, nil},
 	{"a cancelled task", settled(status("wk-1/0", 2, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}},
-		[]reconcile.Difference{{Case: reconcile.ShouldStop, Task: "wk-1/0", Attempt: 2}}},
+		[]reconcile.Difference{{Kind: reconcile.TaskToStop, TaskName: "wk-1/0", Attempt: 2}}},
 	{"a preempted task that can save", settled(status("wk-1/0", 2, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true, graceS: 4}}},
-		[]reconcile.Difference{{Case: reconcile.ShouldStop, Task: "wk-1/0", Attempt: 2, GraceS: 4}}},
+		[]reconcile.Difference{{Kind: reconcile.TaskToStop, TaskName: "wk-1/0", Attempt: 2, GraceS: 4}}},
 	{"a task that saves already", settled(status("wk-1/0", 2, wire.Saving)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true, graceS: 4}}}, nil},
 	{"a task that is to stop saving", settled(status("wk-1/0", 2, wire.Saving)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}},
-		[]reconcile.Difference{{Case: reconcile.ShouldStop, Task: "wk-1/0", Attempt: 2}}},
+		[]reconcile.Difference{{Kind: reconcile.TaskToStop, TaskName: "wk-1/0", Attempt: 2}}},
 	{"a bound task that is not there", settled(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}},
-		[]reconcile.Difference{{Case: reconcile.MissingStart, Task: "wk-1/0", Attempt: 2}}},
+		[]reconcile.Difference{{Kind: reconcile.TaskToStart, TaskName: "wk-1/0", Attempt: 2}}},
 	{"a start that may be under way is repeated", awaitingStart(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}},
-		[]reconcile.Difference{{Case: reconcile.MissingStart, Task: "wk-1/0", Attempt: 2}}},
+		[]reconcile.Difference{{Kind: reconcile.TaskToStart, TaskName: "wk-1/0", Attempt: 2}}},
 	{"a missing task that must stop", settled(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}}, nil},
 	{"a missing task of an earlier incarnation", settled(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2, sinceIncarnation: 2}}}, nil},
 	{"a missing task of a later incarnation", settled(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2, sinceIncarnation: 4}}}, nil},
@@ -80,15 +80,15 @@
 	{"no start by an old read of the records", byOldRecords(settled()), records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}}, nil},
 	{"stops by an old read of the records", byOldRecords(settled(status("wk-1/0", 2, wire.Running), status("wk-9/0", 1, wire.Running))),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}, {name: "wk-1/1", attempt: 1}}},
-		[]reconcile.Difference{{Case: reconcile.ShouldStop, Task: "wk-1/0", Attempt: 2}, {Case: reconcile.UnexpectedTask, Task: "wk-9/0", Attempt: 1}}},
+		[]reconcile.Difference{{Kind: reconcile.TaskToStop, TaskName: "wk-1/0", Attempt: 2}, {Kind: reconcile.UnexpectedTask, TaskName: "wk-9/0", Attempt: 1}}},
 	{"a task that a heartbeat names twice hides no other", settled(status("wk-1/0", 2, wire.Running), status("wk-1/0", 2, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2}, {name: "wk-1/1", attempt: 1}}},
-		[]reconcile.Difference{{Case: reconcile.MissingStart, Task: "wk-1/1", Attempt: 1}}},
+		[]reconcile.Difference{{Kind: reconcile.TaskToStart, TaskName: "wk-1/1", Attempt: 1}}},
 	{"stops in the order of the heartbeat, then starts in the order of the bindings",
 		settled(status("wk-9/0", 1, wire.Running), exited("wk-8/0", 1, wire.ReasonDone), status("wk-1/2", 1, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/1", attempt: 1}, {name: "wk-1/2", attempt: 1, mustStop: true, graceS: 2}, {name: "wk-1/0", attempt: 2}}},
-		[]reconcile.Difference{{Case: reconcile.UnexpectedTask, Task: "wk-9/0", Attempt: 1}, {Case: reconcile.ForgettableLeftover, Task: "wk-8/0", Attempt: 1},
-			{Case: reconcile.ShouldStop, Task: "wk-1/2", Attempt: 1, GraceS: 2}, {Case: reconcile.MissingStart, Task: "wk-1/1", Attempt: 1}, {Case: reconcile.MissingStart, Task: "wk-1/0", Attempt: 2}}},
+		[]reconcile.Difference{{Kind: reconcile.UnexpectedTask, TaskName: "wk-9/0", Attempt: 1}, {Kind: reconcile.ForgettableExitedTask, TaskName: "wk-8/0", Attempt: 1},
+			{Kind: reconcile.TaskToStop, TaskName: "wk-1/2", Attempt: 1, GraceS: 2}, {Kind: reconcile.TaskToStart, TaskName: "wk-1/1", Attempt: 1}, {Kind: reconcile.TaskToStart, TaskName: "wk-1/0", Attempt: 2}}},
 }
 
 func TestDifferences(t *testing.T) {
@@ -104,19 +104,19 @@
 func TestCommandOfEachDifference(t *testing.T) {
 	grace, none := 4.0, 0.0
 	for _, x := range []struct {
-		difference reconcile.DifferenceCase
+		difference reconcile.DifferenceKind
 		graceS     float64
 		want       *wire.Command // nil: none
 	}{
 		{reconcile.UnexpectedTask, 0, &wire.Command{Op: wire.OpStop, Task: "wk-1/0", Attempt: 2, GraceS: &none}},
-		{reconcile.ForgettableLeftover, 0, &wire.Command{Op: wire.OpForget, Task: "wk-1/0", Attempt: 2}},
-		{reconcile.UnsafeLeftover, 0, nil},
+		{reconcile.ForgettableExitedTask, 0, &wire.Command{Op: wire.OpForget, Task: "wk-1/0", Attempt: 2}},
+		{reconcile.RetainedExitedTask, 0, nil},
 		{reconcile.UnreadableRecord, 0, nil},
-		{reconcile.ShouldStop, 4, &wire.Command{Op: wire.OpStop, Task: "wk-1/0", Attempt: 2, GraceS: &grace}},
-		{reconcile.ShouldStop, 0, &wire.Command{Op: wire.OpStop, Task: "wk-1/0", Attempt: 2, GraceS: &none}},
-		{reconcile.MissingStart, 0, &wire.Command{Op: wire.OpStart, Task: "wk-1/0", Attempt: 2}},
+		{reconcile.TaskToStop, 4, &wire.Command{Op: wire.OpStop, Task: "wk-1/0", Attempt: 2, GraceS: &grace}},
+		{reconcile.TaskToStop, 0, &wire.Command{Op: wire.OpStop, Task: "wk-1/0", Attempt: 2, GraceS: &none}},
+		{reconcile.TaskToStart, 0, &wire.Command{Op: wire.OpStart, Task: "wk-1/0", Attempt: 2}},
 	} {
-		difference := reconcile.Difference{Case: x.difference, Task: "wk-1/0", Attempt: 2, GraceS: x.graceS}
+		difference := reconcile.Difference{Kind: x.difference, TaskName: "wk-1/0", Attempt: 2, GraceS: x.graceS}
 		got, ok := difference.Command()
 		if ok != (x.want != nil) {
 			t.Errorf("case %d has a command: %v, want %v", x.difference, ok, x.want != nil)
--- a/internal/reconcile/fake_test.go
+++ b/internal/reconcile/fake_test.go
@@ -41,15 +41,15 @@
 	if since == 0 {
 		since = incarnation
 	}
-	return reconcile.Binding{Task: scheduling.Task{Group: 7, Number: int32(i)}, Attempt: r.bound[i].attempt, Incarnation: since}
+	return reconcile.Binding{Task: scheduling.TaskID{Group: 7, Number: int32(i)}, Attempt: r.bound[i].attempt, Incarnation: since}
 }
 
-func (r *records) Lookup(task string) reconcile.Record {
+func (r *records) Lookup(task string) reconcile.TaskRecord {
 	i := slices.IndexFunc(r.bound, func(b boundTask) bool { return b.name == task && !b.unbound })
 	if i < 0 {
-		return reconcile.Record{Unreadable: slices.Contains(r.unreadable, task)}
+		return reconcile.TaskRecord{Unreadable: slices.Contains(r.unreadable, task)}
 	}
-	return reconcile.Record{Bound: true, Binding: r.binding(i), RunsToCompletion: !r.bound[i].service}
+	return reconcile.TaskRecord{Bound: true, Binding: r.binding(i), RunsToCompletion: !r.bound[i].service}
 }
 
 func (r *records) BindingCount() int { return len(r.bound) }
@@ -59,38 +59,38 @@
 	return r.binding(i), !r.bound[i].unbound
 }
 
-func (r *records) TaskName(task scheduling.Task) string { return r.bound[task.Number].name }
+func (r *records) TaskName(task scheduling.TaskID) string { return r.bound[task.Number].name }
 
-func (r *records) MustStop(task scheduling.Task) bool {
+func (r *records) MustStop(task scheduling.TaskID) bool {
 	r.stopsAsked = append(r.stopsAsked, r.bound[task.Number].name)
 	return r.bound[task.Number].mustStop
 }
 
-func (r *records) StopGraceS(task scheduling.Task) float64 { return r.bound[task.Number].graceS }
+func (r *records) StopGraceS(task scheduling.TaskID) float64 { return r.bound[task.Number].graceS }
 
-func (r *records) Ended(binding reconcile.Binding) bool { return r.bound[binding.Task.Number].ended }
+func (r *records) HasEnded(binding reconcile.Binding) bool { return r.bound[binding.Task.Number].ended }
 
-func (r *records) GangComplete(task scheduling.Task) bool {
+func (r *records) IsGangComplete(task scheduling.TaskID) bool {
 	return !r.bound[task.Number].gangIncomplete
 }
 
 // settled is a machine of which no start can arrive any more, with the tasks of its newest
 // heartbeat.
-func settled(tasks ...wire.TaskStatus) reconcile.Machine {
-	return reconcile.Machine{Incarnation: incarnation, TokenShown: true, StartsAllowed: true, Tasks: tasks}
+func settled(tasks ...wire.TaskStatus) reconcile.MachineState {
+	return reconcile.MachineState{Incarnation: incarnation, TokenConfirmed: true, StartsAllowed: true, Tasks: tasks}
 }
 
 // awaitingStart is a machine to which a start may be under way.
-func awaitingStart(tasks ...wire.TaskStatus) reconcile.Machine {
+func awaitingStart(tasks ...wire.TaskStatus) reconcile.MachineState {
 	machine := settled(tasks...)
-	machine.StartMayArrive = true
+	machine.StartInFlight = true
 	return machine
 }
 
 // withoutToken is a machine that has not shown its owner's token.
-func withoutToken(tasks ...wire.TaskStatus) reconcile.Machine {
+func withoutToken(tasks ...wire.TaskStatus) reconcile.MachineState {
 	machine := settled(tasks...)
-	machine.TokenShown = false
+	machine.TokenConfirmed = false
 	return machine
 }
 
--- a/internal/reconcile/findings.go
+++ b/internal/reconcile/observations.go
@@ -6,12 +6,12 @@
 	"eiderhitch/internal/wire"
 )
 
-// FindingCase is what has become of a bound attempt.
-type FindingCase int
+// ObservationKind is what has become of a bound attempt.
+type ObservationKind int
 
 const (
 	// TaskPresent is an attempt that is on the machine and has not exited.
-	TaskPresent FindingCase = iota
+	TaskPresent ObservationKind = iota
 	// TaskCompleted is one that ran to completion.
 	TaskCompleted
 	// TaskFailed is one that exited with an error.
@@ -20,36 +20,36 @@
 	StartRefused
 	// TaskExited is one that exited for another reason, as when it was stopped.
 	TaskExited
-	// EarlierIncarnation is one that was bound to an earlier incarnation of the machine's
+	// IncarnationReplaced is one that was bound to an earlier incarnation of the machine's
 	// agent. The lease of that expired: the agent has ended all of its tasks.
-	EarlierIncarnation
-	// ProvenAbsent is one that has to stop, is not on the machine, and of which no start can
+	IncarnationReplaced
+	// TaskAbsent is one that has to stop, is not on the machine, and of which no start can
 	// arrive any more.
-	ProvenAbsent
+	TaskAbsent
 )
 
-// Finding is what has become of one bound attempt.
-type Finding struct {
-	Case    FindingCase
+// Observation is what has become of one bound attempt.
+type Observation struct {
+	Kind    ObservationKind
 	Binding Binding
 	// Status is the task in the heartbeat; nil if it does not show it.
 	Status *wire.TaskStatus
 }
 
-// EndsAttempt reports whether it proves the end of the attempt.
-func (f *Finding) EndsAttempt() bool { return f.Case != TaskPresent }
+// ProvesEnd reports whether it proves the end of the attempt.
+func (f *Observation) ProvesEnd() bool { return f.Kind != TaskPresent }
 
-// Findings yields what has become of the attempts that are bound to a machine: first those
+// Observations yields what has become of the attempts that are bound to a machine: first those
 // that the heartbeat shows, in its order, then the others that are proven to have ended, in
 // the order of the bindings. Nothing is known of those that are left out.
 //
 // The records are asked about a binding only when its turn comes: the end of one attempt may
 // be why the next one has to stop, as with the tasks of a gang.
-func Findings(machine Machine, records Records) iter.Seq[Finding] {
-	return func(yield func(Finding) bool) { findings(machine, records, yield) }
+func Observations(machine MachineState, records Records) iter.Seq[Observation] {
+	return func(yield func(Observation) bool) { findings(machine, records, yield) }
 }
 
-func findings(machine Machine, records Records, yield func(Finding) bool) {
+func findings(machine MachineState, records Records, yield func(Observation) bool) {
 	shown := make(taskSet, 0, len(machine.Tasks))
 	for i := range machine.Tasks {
 		status := &machine.Tasks[i]
@@ -58,7 +58,7 @@
 			continue
 		}
 		shown.add(record.Binding.Task)
-		if !yield(Finding{Case: caseOf(status, &record), Binding: record.Binding, Status: status}) {
+		if !yield(Observation{Kind: caseOf(status, &record), Binding: record.Binding, Status: status}) {
 			return
 		}
 	}
@@ -70,12 +70,12 @@
 		if !bound {
 			continue
 		}
-		finding := Finding{Binding: binding}
+		finding := Observation{Binding: binding}
 		switch {
 		case binding.Incarnation < machine.Incarnation:
-			finding.Case = EarlierIncarnation
+			finding.Kind = IncarnationReplaced
 		case machine.settled() && !shown.has(binding.Task) && records.MustStop(binding.Task):
-			finding.Case = ProvenAbsent
+			finding.Kind = TaskAbsent
 		default:
 			continue
 		}
@@ -86,7 +86,7 @@
 }
 
 // caseOf tells what a heartbeat says of a bound attempt that it shows.
-func caseOf(status *wire.TaskStatus, record *Record) FindingCase {
+func caseOf(status *wire.TaskStatus, record *TaskRecord) ObservationKind {
 	if status.State != wire.Exited {
 		return TaskPresent
 	}
--- a/internal/reconcile/findings_test.go
+++ b/internal/reconcile/observations_test.go
@@ -12,7 +12,7 @@
 
 // foundTask is a finding as the rows state it.
 type foundTask struct {
-	outcome reconcile.FindingCase
+	outcome reconcile.ObservationKind
 	task    string
 	attempt uint64
 	shown   bool // by the heartbeat
@@ -21,7 +21,7 @@
 // findingRow is a machine and the records, with the findings that follow.
 type findingRow struct {
 	name    string
-	machine reconcile.Machine
+	machine reconcile.MachineState
 	records records
 	want    []foundTask
 }
@@ -63,22 +63,22 @@
 	{"an exit of a task that is not bound", settled(exited("wk-1/0", 1, wire.ReasonDone)), records{}, nil},
 	{"an exit, bound to an earlier incarnation", settled(exited("wk-1/0", 2, wire.ReasonDone)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, sinceIncarnation: 2}}},
-		[]foundTask{{reconcile.EarlierIncarnation, "wk-1/0", 2, false}}},
+		[]foundTask{{reconcile.IncarnationReplaced, "wk-1/0", 2, false}}},
 	{"an earlier incarnation, whatever may arrive", awaitingStart(),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, sinceIncarnation: 2}}},
-		[]foundTask{{reconcile.EarlierIncarnation, "wk-1/0", 2, false}}},
+		[]foundTask{{reconcile.IncarnationReplaced, "wk-1/0", 2, false}}},
 	{"a later incarnation than that of the heartbeat", settled(),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, sinceIncarnation: 4}}}, nil},
 	{"absent and wanted", settled(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}}, nil},
 	{"absent and cancelled", settled(),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}},
-		[]foundTask{{reconcile.ProvenAbsent, "wk-1/0", 2, false}}},
+		[]foundTask{{reconcile.TaskAbsent, "wk-1/0", 2, false}}},
 	{"cancelled and still running, another is missing", settled(status("wk-1/0", 2, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}, {name: "wk-1/1", attempt: 1}}},
 		[]foundTask{{reconcile.TaskPresent, "wk-1/0", 2, true}}},
 	{"absent and cancelled, another attempt is there", settled(status("wk-1/0", 1, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}},
-		[]foundTask{{reconcile.ProvenAbsent, "wk-1/0", 2, false}}},
+		[]foundTask{{reconcile.TaskAbsent, "wk-1/0", 2, false}}},
 	{"absent without proof: a start is under way or unanswered", awaitingStart(),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}}, nil},
 	{"absent without proof: the token has not been shown", withoutToken(),
@@ -87,20 +87,20 @@
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true, unbound: true}}}, nil},
 	{"a task that a heartbeat names twice hides no other", settled(status("wk-1/0", 2, wire.Running), status("wk-1/0", 2, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2}, {name: "wk-1/1", attempt: 1, mustStop: true}}},
-		[]foundTask{{reconcile.TaskPresent, "wk-1/0", 2, true}, {reconcile.TaskPresent, "wk-1/0", 2, true}, {reconcile.ProvenAbsent, "wk-1/1", 1, false}}},
+		[]foundTask{{reconcile.TaskPresent, "wk-1/0", 2, true}, {reconcile.TaskPresent, "wk-1/0", 2, true}, {reconcile.TaskAbsent, "wk-1/1", 1, false}}},
 	{"in the order of the heartbeat, then of the bindings", settled(exited("wk-1/3", 1, wire.ReasonError), status("wk-1/1", 1, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}, {name: "wk-1/1", attempt: 1}, {name: "wk-1/2", attempt: 1, sinceIncarnation: 1}, {name: "wk-1/3", attempt: 1}}},
-		[]foundTask{{reconcile.TaskFailed, "wk-1/3", 1, true}, {reconcile.TaskPresent, "wk-1/1", 1, true}, {reconcile.ProvenAbsent, "wk-1/0", 2, false}, {reconcile.EarlierIncarnation, "wk-1/2", 1, false}}},
+		[]foundTask{{reconcile.TaskFailed, "wk-1/3", 1, true}, {reconcile.TaskPresent, "wk-1/1", 1, true}, {reconcile.TaskAbsent, "wk-1/0", 2, false}, {reconcile.IncarnationReplaced, "wk-1/2", 1, false}}},
 }
 
 func TestFindings(t *testing.T) {
 	for _, x := range findingRows {
 		t.Run(x.name, func(t *testing.T) {
 			var got []foundTask
-			for f := range reconcile.Findings(x.machine, &x.records) {
-				got = append(got, foundTask{f.Case, x.records.TaskName(f.Binding.Task), f.Binding.Attempt, f.Status != nil})
-				if ends := f.Case != reconcile.TaskPresent; f.EndsAttempt() != ends {
-					t.Errorf("case %d ends the attempt: %v, want %v", f.Case, f.EndsAttempt(), ends)
+			for f := range reconcile.Observations(x.machine, &x.records) {
+				got = append(got, foundTask{f.Kind, x.records.TaskName(f.Binding.Task), f.Binding.Attempt, f.Status != nil})
+				if ends := f.Kind != reconcile.TaskPresent; f.ProvesEnd() != ends {
+					t.Errorf("case %d ends the attempt: %v, want %v", f.Kind, f.ProvesEnd(), ends)
 				}
 			}
 			if d := cmp.Diff(x.want, got, cmp.AllowUnexported(foundTask{})); d != "" {
@@ -115,7 +115,7 @@
 func TestFindingsAreMadeOneByOne(t *testing.T) {
 	r := &records{bound: []boundTask{{name: "wk-1/0", attempt: 1, sinceIncarnation: 2}, {name: "wk-1/1", attempt: 1}}}
 	var got []string
-	for f := range reconcile.Findings(settled(), r) {
+	for f := range reconcile.Observations(settled(), r) {
 		got = append(got, r.TaskName(f.Binding.Task))
 		r.bound[1].mustStop = true
 	}
@@ -127,11 +127,11 @@
 // Who has seen enough asks for nothing more.
 func TestFindingsEndWithTheirReader(t *testing.T) {
 	r := &records{bound: []boundTask{{name: "wk-1/0", attempt: 1, sinceIncarnation: 2}, {name: "wk-1/1", attempt: 1, mustStop: true}, {name: "wk-1/2", attempt: 1}}}
-	for range reconcile.Findings(settled(status("wk-1/2", 1, wire.Running)), r) {
+	for range reconcile.Observations(settled(status("wk-1/2", 1, wire.Running)), r) {
 		break
 	}
-	for f := range reconcile.Findings(settled(), r) {
-		if f.Case == reconcile.EarlierIncarnation {
+	for f := range reconcile.Observations(settled(), r) {
+		if f.Kind == reconcile.IncarnationReplaced {
 			break
 		}
 	}
@@ -144,7 +144,7 @@
 // costly to tell, and heartbeats come hundreds of times a second.
 func TestFindingsWithoutNewsAskForLittle(t *testing.T) {
 	r := &records{bound: []boundTask{{name: "wk-1/0", attempt: 1}, {name: "wk-1/1", attempt: 1}}}
-	for range reconcile.Findings(settled(status("wk-1/0", 1, wire.Running), status("wk-1/1", 1, wire.Running)), r) {
+	for range reconcile.Observations(settled(status("wk-1/0", 1, wire.Running), status("wk-1/1", 1, wire.Running)), r) {
 	}
 	if len(r.stopsAsked) > 0 || r.bindingsAsked > 0 {
 		t.Errorf("asked whether %v must stop, and for %d bindings", r.stopsAsked, r.bindingsAsked)
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -23,15 +23,15 @@
 	"eiderhitch/internal/wire"
 )
 
-// Machine is what its owner knows of a machine.
-type Machine struct {
+// MachineState is what its owner knows of a machine.
+type MachineState struct {
 	// Incarnation is that of its agent, by the newest heartbeat.
 	Incarnation uint64
-	// TokenShown: its newest heartbeat shows the owner's present fencing token. It executes
+	// TokenConfirmed: its newest heartbeat shows the owner's present fencing token. It executes
 	// no command of any former owner, however late.
-	TokenShown bool
-	// StartMayArrive: a start that the present owner has sent may still arrive.
-	StartMayArrive bool
+	TokenConfirmed bool
+	// StartInFlight: a start that the present owner has sent may still arrive.
+	StartInFlight bool
 	// StartsAllowed: the records are recent enough to start tasks by them.
 	StartsAllowed bool
 	// Tasks are those of the newest heartbeat, in its order.
@@ -39,18 +39,18 @@
 }
 
 // settled reports whether no start can arrive any more.
-func (m *Machine) settled() bool { return m.TokenShown && !m.StartMayArrive }
+func (m *MachineState) settled() bool { return m.TokenConfirmed && !m.StartInFlight }
 
 // Binding is an attempt of a task that a record binds to the machine.
 type Binding struct {
-	Task    scheduling.Task
+	Task    scheduling.TaskID
 	Attempt uint64
 	// Incarnation is that of the machine's agent that the attempt is bound to.
 	Incarnation uint64
 }
 
-// Record is what the records have of a task that a heartbeat shows.
-type Record struct {
+// TaskRecord is what the records have of a task that a heartbeat shows.
+type TaskRecord struct {
 	// Bound: the task is bound to the machine, by Binding.
 	Bound   bool
 	Binding Binding
@@ -65,38 +65,38 @@
 // bound whole, is known from thousands of tasks.
 type Records interface {
 	// Lookup returns what the records have of a task.
-	Lookup(task string) Record
+	Lookup(task string) TaskRecord
 	// BindingCount returns how many tasks are bound to the machine.
 	BindingCount() int
 	// Binding returns the one at an index below that; false: it is bound no more.
 	Binding(index int) (Binding, bool)
 	// TaskName returns the name of a bound task.
-	TaskName(task scheduling.Task) string
+	TaskName(task scheduling.TaskID) string
 	// MustStop reports whether a bound task has to leave the machine: its job is final, or
 	// it is preempted, or its gang stops.
-	MustStop(task scheduling.Task) bool
+	MustStop(task scheduling.TaskID) bool
 	// StopGraceS returns how many seconds a bound task has to save when it is stopped.
-	StopGraceS(task scheduling.Task) float64
+	StopGraceS(task scheduling.TaskID) float64
 	// Ended reports whether an attempt is proven to have ended already.
-	Ended(binding Binding) bool
-	// GangComplete reports whether a bound task is of no gang, or all tasks of its gang are
+	HasEnded(binding Binding) bool
+	// IsGangComplete reports whether a bound task is of no gang, or all tasks of its gang are
 	// bound.
-	GangComplete(task scheduling.Task) bool
+	IsGangComplete(task scheduling.TaskID) bool
 }
 
 // matches reports whether a task of the heartbeat is the attempt that is bound.
-func (m *Machine) matches(status *wire.TaskStatus, record *Record) bool {
+func (m *MachineState) matches(status *wire.TaskStatus, record *TaskRecord) bool {
 	return record.Bound && record.Binding.Attempt == status.Attempt && record.Binding.Incarnation == m.Incarnation
 }
 
 // taskSet is the bound tasks that a heartbeat shows: few, so that a list serves better than
 // a map would.
-type taskSet []scheduling.Task
+type taskSet []scheduling.TaskID
 
-func (s *taskSet) add(task scheduling.Task) {
+func (s *taskSet) add(task scheduling.TaskID) {
 	if !s.has(task) { // a heartbeat may name one twice
 		*s = append(*s, task)
 	}
 }
 
-func (s taskSet) has(task scheduling.Task) bool { return slices.Contains(s, task) }
+func (s taskSet) has(task scheduling.TaskID) bool { return slices.Contains(s, task) }
--- a/internal/scheduling/group.go
+++ b/internal/scheduling/group.go
@@ -7,25 +7,25 @@
 // others are lost when a controller fails.
 const (
 	// Pending groups wait to be scheduled.
-	Pending GroupState = iota
+	GroupPending GroupState = iota
 	// Preempting groups have reserved cells and wait for their victims to end.
-	Preempting
+	GroupPreempting
 	// Allocated groups have a Used cell for each task.
-	Allocated
-	// BeingPreempted groups are victims of a Preempting group.
-	BeingPreempted
+	GroupAllocated
+	// GroupBeingPreempted groups are victims of a Preempting group.
+	GroupBeingPreempted
 	// Deleted groups have released all of their cells.
-	Deleted
+	GroupDeleted
 )
 
 func (s GroupState) String() string {
 	return [...]string{"Pending", "Preempting", "Allocated", "BeingPreempted", "Deleted"}[s]
 }
 
-// Group is an affinity group, or gang: tasks of one size that are started together or not
+// AffinityGroup is an affinity group, or gang: tasks of one size that are started together or not
 // at all.
-type Group struct {
-	Tasks    []Task
+type AffinityGroup struct {
+	Tasks    []TaskID
 	TaskSize Resources
 	Claim    Claim
 	State    GroupState
@@ -39,5 +39,5 @@
 	victims int
 }
 
-// Victims returns how many tasks of other groups a Preempting group waits for.
-func (g *Group) Victims() int { return g.victims }
+// VictimCount returns how many tasks of other groups a Preempting group waits for.
+func (g *AffinityGroup) VictimCount() int { return g.victims }
--- a/internal/scheduling/identifiers.go
+++ b/internal/scheduling/identifiers.go
@@ -4,14 +4,14 @@
 // and another controller gives the same machine another one.
 type MachineIndex int32
 
-// GroupIndex is the dense index that a controller gives a stored group of tasks.
-type GroupIndex int32
+// TaskGroupIndex is the dense index that a controller gives a stored group of tasks.
+type TaskGroupIndex int32
 
 // TeamIndex is the dense index that a controller gives a team.
 type TeamIndex int32
 
-// Task identifies a task by its stored group and its number within the job.
-type Task struct {
-	Group  GroupIndex
+// TaskID identifies a task by its stored group and its number within the job.
+type TaskID struct {
+	Group  TaskGroupIndex
 	Number int32
 }
--- a/internal/scheduling/invariants.go
+++ b/internal/scheduling/invariants.go
@@ -5,7 +5,7 @@
 // CheckInvariants returns an error if the partition contradicts itself or the paper's
 // state machines. Tests call it after every event.
 func (p *Partition) CheckInvariants() error {
-	cellsOfTask := map[Task]int{}
+	cellsOfTask := map[TaskID]int{}
 	for index, machine := range p.machines {
 		if err := p.checkMachine(machine, cellsOfTask); err != nil {
 			return fmt.Errorf("machine %d: %w", index, err)
@@ -18,14 +18,14 @@
 }
 
 // checkMachine checks a machine's cells and free room, and counts the cells of each task.
-func (p *Partition) checkMachine(machine *partitionMachine, cellsOfTask map[Task]int) error {
+func (p *Partition) checkMachine(machine *partitionMachine, cellsOfTask map[TaskID]int) error {
 	free := machine.size
 	for _, cell := range machine.cells {
 		free = free.Minus(cell.Size)
 		if err := p.checkCell(cell); err != nil {
 			return err
 		}
-		if cell.State != Reserved {
+		if cell.State != CellReserved {
 			cellsOfTask[cell.User]++
 		}
 	}
@@ -37,18 +37,18 @@
 
 // checkCell checks a cell's state against its user and the group that has reserved it.
 func (p *Partition) checkCell(cell *Cell) error {
-	used := cell.State == Used || cell.State == Reserving
+	used := cell.State == CellUsed || cell.State == CellReserving
 	if used && p.usedCells[cell.User] != cell {
 		return fmt.Errorf("task %v has another cell than the one it uses", cell.User)
 	}
-	reserved := cell.State == Reserved || cell.State == Reserving
+	reserved := cell.State == CellReserved || cell.State == CellReserving
 	if reserved != (cell.reservedBy != nil) {
 		return fmt.Errorf("%v cell, reserved by a group: %v", cell.State, cell.reservedBy != nil)
 	}
 	if !reserved {
 		return nil
 	}
-	if cell.reservedBy.State != Preempting {
+	if cell.reservedBy.State != GroupPreempting {
 		return fmt.Errorf("cell is reserved by a group that is %v", cell.reservedBy.State)
 	}
 	if used && !cell.reservedBy.Claim.CanPreempt(cell.userClaim) {
@@ -58,7 +58,7 @@
 }
 
 // checkUsedCells checks that each task that uses a cell has exactly this one.
-func (p *Partition) checkUsedCells(cellsOfTask map[Task]int) error {
+func (p *Partition) checkUsedCells(cellsOfTask map[TaskID]int) error {
 	for task, cell := range p.usedCells {
 		if cellsOfTask[task] != 1 {
 			return fmt.Errorf("task %v has %d cells", task, cellsOfTask[task])
@@ -79,7 +79,7 @@
 		}
 		reserving := 0
 		for _, cell := range group.cells {
-			if cell.State == Reserving {
+			if cell.State == CellReserving {
 				reserving++
 			}
 		}
--- a/internal/scheduling/invariants_test.go
+++ b/internal/scheduling/invariants_test.go
@@ -11,7 +11,7 @@
 	partition *Partition
 	machines  int
 	nextTask  int32
-	groups    []*Group
+	groups    []*AffinityGroup
 }
 
 // testMachineSize is the size of all machines of generated partitions.
@@ -29,11 +29,11 @@
 }
 
 // runningTasks lists the tasks that use a cell, in order.
-func (m *partitionModel) runningTasks() []Task {
-	var running []Task
+func (m *partitionModel) runningTasks() []TaskID {
+	var running []TaskID
 	for number := range m.nextTask {
-		task := Task{Number: number}
-		if m.partition.CellOf(task) != nil {
+		task := TaskID{Number: number}
+		if m.partition.Cell(task) != nil {
 			running = append(running, task)
 		}
 	}
@@ -42,7 +42,7 @@
 
 // Request has a new group ask for cells.
 func (m *partitionModel) Request(t *rapid.T) {
-	group := &Group{
+	group := &AffinityGroup{
 		TaskSize: NewResources(float64(rapid.IntRange(1, 5).Draw(t, "cpus")), 0, 1),
 		Claim: Claim{
 			Priority:   rapid.IntRange(0, 3).Draw(t, "priority"),
@@ -51,14 +51,14 @@
 		},
 	}
 	for range rapid.IntRange(1, 4).Draw(t, "tasks") {
-		group.Tasks = append(group.Tasks, Task{Number: m.nextTask})
+		group.Tasks = append(group.Tasks, TaskID{Number: m.nextTask})
 		m.nextTask++
 	}
-	m.partition.Request(group, anyMachine)
+	m.partition.Schedule(group, anyMachine)
 	m.groups = append(m.groups, group)
 	started := 0
 	for _, task := range group.Tasks {
-		if m.partition.CellOf(task) != nil {
+		if m.partition.Cell(task) != nil {
 			started++
 		}
 	}
@@ -74,7 +74,7 @@
 		return
 	}
 	group := m.partition.Release(rapid.SampledFrom(running).Draw(t, "task"))
-	if group != nil && group.State != Allocated {
+	if group != nil && group.State != GroupAllocated {
 		t.Fatalf("expected the group that Release returns to be Allocated, got %v", group.State)
 	}
 }
@@ -82,7 +82,7 @@
 // Cancel cancels the reservations of a group, if it has any.
 func (m *partitionModel) Cancel(t *rapid.T) {
 	if len(m.groups) > 0 {
-		m.partition.Cancel(rapid.SampledFrom(m.groups).Draw(t, "group"))
+		m.partition.CancelReservations(rapid.SampledFrom(m.groups).Draw(t, "group"))
 	}
 }
 
@@ -90,7 +90,7 @@
 func (m *partitionModel) LoseMachine(t *rapid.T) {
 	index := MachineIndex(rapid.IntRange(0, m.machines-1).Draw(t, "machine"))
 	for _, task := range m.runningTasks() {
-		if m.partition.CellOf(task).Machine == index {
+		if m.partition.Cell(task).Machine == index {
 			m.partition.Release(task)
 		}
 	}
--- a/internal/scheduling/partition.go
+++ b/internal/scheduling/partition.go
@@ -20,9 +20,9 @@
 	// machineList has the same machines, to be scanned by requests.
 	machineList []*partitionMachine
 	// usedCells has the cell of each task whose cell is Used or Reserving.
-	usedCells map[Task]*Cell
+	usedCells map[TaskID]*Cell
 	// preempting has the group of each task whose group is Preempting.
-	preempting map[Task]*Group
+	preempting map[TaskID]*AffinityGroup
 	// lastSequence is the sequence number of the cell allocated last.
 	lastSequence int64
 }
@@ -31,8 +31,8 @@
 func NewPartition() *Partition {
 	return &Partition{
 		machines:   map[MachineIndex]*partitionMachine{},
-		usedCells:  map[Task]*Cell{},
-		preempting: map[Task]*Group{},
+		usedCells:  map[TaskID]*Cell{},
+		preempting: map[TaskID]*AffinityGroup{},
 	}
 }
 
@@ -63,7 +63,7 @@
 	}
 	for _, cell := range append([]*Cell(nil), machine.cells...) {
 		if cell.reservedBy != nil {
-			p.Cancel(cell.reservedBy)
+			p.CancelReservations(cell.reservedBy)
 		}
 	}
 	if len(machine.cells) > 0 {
@@ -77,20 +77,20 @@
 	p.machineList = p.machineList[:last]
 }
 
-// Free returns what is free on a machine.
-func (p *Partition) Free(index MachineIndex) Resources {
+// FreeResources returns what is free on a machine.
+func (p *Partition) FreeResources(index MachineIndex) Resources {
 	if machine := p.machines[index]; machine != nil {
 		return machine.free
 	}
 	return Resources{}
 }
 
-// CellOf returns the cell that a task uses, or nil.
-func (p *Partition) CellOf(task Task) *Cell { return p.usedCells[task] }
+// Cell returns the cell that a task uses, or nil.
+func (p *Partition) Cell(task TaskID) *Cell { return p.usedCells[task] }
 
-// Tasks lists the tasks that use a cell, in no particular order.
-func (p *Partition) Tasks() []Task {
-	tasks := make([]Task, 0, len(p.usedCells))
+// AllocatedTasks lists the tasks that use a cell, in no particular order.
+func (p *Partition) AllocatedTasks() []TaskID {
+	tasks := make([]TaskID, 0, len(p.usedCells))
 	for task := range p.usedCells {
 		tasks = append(tasks, task)
 	}
@@ -98,12 +98,12 @@
 }
 
 // PreemptingGroup returns the Preempting group of a task, or nil.
-func (p *Partition) PreemptingGroup(task Task) *Group { return p.preempting[task] }
+func (p *Partition) PreemptingGroup(task TaskID) *AffinityGroup { return p.preempting[task] }
 
-// Adopt makes a stored binding's cell Used. It rebuilds the cells from the persistent
+// ApplyBinding makes a stored binding's cell Used. It rebuilds the cells from the persistent
 // states after a failover: a cell that the task uses elsewhere is released, and a
 // reservation of its group is cancelled.
-func (p *Partition) Adopt(task Task, index MachineIndex, size Resources, claim Claim) {
+func (p *Partition) ApplyBinding(task TaskID, index MachineIndex, size Resources, claim Claim) {
 	if cell := p.usedCells[task]; cell != nil {
 		if cell.Machine == index {
 			return
@@ -111,7 +111,7 @@
 		p.Release(task)
 	}
 	if group := p.preempting[task]; group != nil {
-		p.Cancel(group)
+		p.CancelReservations(group)
 	}
 	p.use(task, index, size, claim)
 }
@@ -119,13 +119,13 @@
 // Release ends a task's use of its cell, once it is proven that the task has ended. A
 // Used cell becomes Free (e1), a Reserving one Reserved (e9). If it was the last one that a
 // group waited for, the group is Allocated and returned.
-func (p *Partition) Release(task Task) *Group {
+func (p *Partition) Release(task TaskID) *AffinityGroup {
 	cell := p.usedCells[task]
 	if cell == nil {
 		return nil
 	}
 	delete(p.usedCells, task)
-	if cell.State == Used {
+	if cell.State == CellUsed {
 		p.detach(cell)
 		return nil
 	}
@@ -138,16 +138,16 @@
 	return group
 }
 
-// Cancel ends the reservations of a Preempting group, which is Pending again (e5, e7 of
+// CancelReservations ends the reservations of a Preempting group, which is Pending again (e5, e7 of
 // the group): Reserving cells are returned to their victims (e4), Reserved ones are Free
 // (e7). It does nothing to a group in another state.
-func (p *Partition) Cancel(g *Group) {
-	if g.State != Preempting {
+func (p *Partition) CancelReservations(g *AffinityGroup) {
+	if g.State != GroupPreempting {
 		return
 	}
-	g.State = Pending
+	g.State = GroupPending
 	for _, cell := range g.cells {
-		if cell.State == Reserving {
+		if cell.State == CellReserving {
 			cell.returnToUser()
 		} else {
 			p.detach(cell)
@@ -162,12 +162,12 @@
 // allocate turns a Preempting group, all of whose cells are Reserved, into an Allocated
 // one (e2 of the group, e8 of its cells). Its reserved slices become one Used cell for
 // each task; what its victims held beyond that is Free.
-func (p *Partition) allocate(g *Group) {
+func (p *Partition) allocate(g *AffinityGroup) {
 	for _, cell := range g.cells {
 		p.detach(cell)
 	}
 	g.cells = nil
-	g.State = Allocated
+	g.State = GroupAllocated
 	for i, task := range g.Tasks {
 		delete(p.preempting, task)
 		p.use(task, g.Machines[i], g.TaskSize, g.Claim)
@@ -175,10 +175,10 @@
 }
 
 // use carves a Used cell for a task out of a machine's free room (e0).
-func (p *Partition) use(task Task, index MachineIndex, size Resources, claim Claim) {
+func (p *Partition) use(task TaskID, index MachineIndex, size Resources, claim Claim) {
 	p.lastSequence++
 	cell := &Cell{
-		Machine: index, Size: size, State: Used,
+		Machine: index, Size: size, State: CellUsed,
 		User: task, userClaim: claim, sequence: p.lastSequence,
 	}
 	p.usedCells[task] = cell
--- a/internal/scheduling/partition_test.go
+++ b/internal/scheduling/partition_test.go
@@ -16,20 +16,20 @@
 }
 
 // drawPartition has random groups request cells, and some of their tasks end.
-func drawPartition(t *rapid.T) (*Partition, []*Group) {
+func drawPartition(t *rapid.T) (*Partition, []*AffinityGroup) {
 	partition := NewPartition()
 	for index := range rebuildMachines {
 		partition.SetMachine(index, testMachineSize)
 	}
-	var groups []*Group
+	var groups []*AffinityGroup
 	for i := range int32(rapid.IntRange(1, 25).Draw(t, "groups")) {
 		priority := rapid.IntRange(0, 3).Draw(t, "priority")
 		cpus := float64(rapid.IntRange(1, 5).Draw(t, "cpus"))
 		group := newTestGroup(priority, cpus, 2*i, 2*i+1)
-		partition.Request(group, anyMachine)
+		partition.Schedule(group, anyMachine)
 		groups = append(groups, group)
 		if rapid.Bool().Draw(t, "end a task") {
-			if running := partition.Tasks(); len(running) > 0 {
+			if running := partition.AllocatedTasks(); len(running) > 0 {
 				partition.Release(running[0])
 			}
 		}
@@ -38,11 +38,11 @@
 }
 
 // storedBindings returns the bindings of the allocated groups' tasks that run.
-func storedBindings(partition *Partition, groups []*Group) map[Task]storedBinding {
-	stored := map[Task]storedBinding{}
+func storedBindings(partition *Partition, groups []*AffinityGroup) map[TaskID]storedBinding {
+	stored := map[TaskID]storedBinding{}
 	for _, group := range groups {
 		for i, task := range group.Tasks {
-			if group.State == Allocated && partition.CellOf(task) != nil {
+			if group.State == GroupAllocated && partition.Cell(task) != nil {
 				stored[task] = storedBinding{group.Machines[i], group.TaskSize, group.Claim}
 			}
 		}
@@ -57,7 +57,7 @@
 		before, groups := drawPartition(t)
 		rebuilt := NewPartition()
 		for task, binding := range storedBindings(before, groups) {
-			rebuilt.Adopt(task, binding.machine, binding.size, binding.claim)
+			rebuilt.ApplyBinding(task, binding.machine, binding.size, binding.claim)
 		}
 		for index := range rebuildMachines {
 			rebuilt.SetMachine(index, testMachineSize)
@@ -65,15 +65,15 @@
 		if err := rebuilt.CheckInvariants(); err != nil {
 			t.Fatal(err)
 		}
-		if len(rebuilt.Tasks()) != len(before.Tasks()) {
-			t.Fatalf("expected %d used cells, got %d", len(before.Tasks()), len(rebuilt.Tasks()))
+		if len(rebuilt.AllocatedTasks()) != len(before.AllocatedTasks()) {
+			t.Fatalf("expected %d used cells, got %d", len(before.AllocatedTasks()), len(rebuilt.AllocatedTasks()))
 		}
 		for _, group := range groups {
-			before.Cancel(group) // Preempting groups are Pending after a failure (ec)
+			before.CancelReservations(group) // Preempting groups are Pending after a failure (ec)
 		}
 		for index := range rebuildMachines {
-			if rebuilt.Free(index) != before.Free(index) {
-				t.Fatalf("machine %d: expected %v to be free, got %v", index, before.Free(index), rebuilt.Free(index))
+			if rebuilt.FreeResources(index) != before.FreeResources(index) {
+				t.Fatalf("machine %d: expected %v to be free, got %v", index, before.FreeResources(index), rebuilt.FreeResources(index))
 			}
 		}
 	})
--- a/internal/scheduling/request.go
+++ b/internal/scheduling/schedule.go
@@ -26,7 +26,7 @@
 // request is a Request in progress, with what is chosen for the group's tasks so far.
 type request struct {
 	partition  *Partition
-	group      *Group
+	group      *AffinityGroup
 	score      ScoreFunc
 	placements []placement
 }
@@ -40,11 +40,11 @@
 	cells map[*Cell]bool
 }
 
-// Request asks for cells for all tasks of a Pending group. Free room is preferred; a task
+// Schedule asks for cells for all tasks of a Pending group. Free room is preferred; a task
 // that finds none takes the cells of the fewest victims of the lowest weight. Afterwards
 // the group is Allocated (e0: all cells were Free, or Reserved for groups that it may
 // preempt) or Preempting (e1), or still Pending, in which case nothing has changed.
-func (p *Partition) Request(g *Group, score ScoreFunc) {
+func (p *Partition) Schedule(g *AffinityGroup, score ScoreFunc) {
 	r := request{
 		partition: p, group: g, score: score,
 		placements: make([]placement, 0, len(g.Tasks)),
@@ -143,7 +143,7 @@
 	for _, chosen := range r.placements {
 		for _, victim := range chosen.victims {
 			if victim.reservedBy != nil {
-				r.partition.Cancel(victim.reservedBy)
+				r.partition.CancelReservations(victim.reservedBy)
 			}
 		}
 	}
@@ -152,7 +152,7 @@
 // reserve makes the group Preempting on the machines that were chosen.
 func (r *request) reserve() {
 	g := r.group
-	g.State = Preempting
+	g.State = GroupPreempting
 	g.Machines = g.Machines[:0]
 	for _, chosen := range r.placements {
 		g.Machines = append(g.Machines, chosen.machine)
@@ -170,7 +170,7 @@
 func (r *request) reserveOn(chosen placement) {
 	taken := Resources{}
 	for _, victim := range chosen.victims {
-		if victim.State != Used {
+		if victim.State != CellUsed {
 			continue // it was Reserved, and is Free since its group was cancelled
 		}
 		victim.reserve(r.group)
@@ -180,7 +180,7 @@
 	if rest == (Resources{}) {
 		return
 	}
-	cell := &Cell{Machine: chosen.machine, Size: rest, State: Reserved, reservedBy: r.group}
+	cell := &Cell{Machine: chosen.machine, Size: rest, State: CellReserved, reservedBy: r.group}
 	r.group.cells = append(r.group.cells, cell)
 	r.partition.attach(cell)
 }
--- a/internal/scheduling/request_bench_test.go
+++ b/internal/scheduling/schedule_bench_test.go
@@ -13,7 +13,7 @@
 	for index := range MachineIndex(machines) {
 		partition.SetMachine(index, NewResources(16, 0, 64))
 		for i := 0; i < 8 && index%10 != 0; i++ {
-			partition.Adopt(Task{Number: nextTask}, index, NewResources(2, 0, 1), Claim{Priority: 1})
+			partition.ApplyBinding(TaskID{Number: nextTask}, index, NewResources(2, 0, 1), Claim{Priority: 1})
 			nextTask++
 		}
 	}
@@ -22,18 +22,18 @@
 
 // benchmarkRequest has groups of eight tasks of that size and priority request cells in
 // partitions of several sizes, and undoes each request.
-func benchmarkRequest(b *testing.B, cpus float64, priority int, score ScoreFunc, undo func(*Partition, *Group)) {
-	tasks := make([]Task, 8)
+func benchmarkRequest(b *testing.B, cpus float64, priority int, score ScoreFunc, undo func(*Partition, *AffinityGroup)) {
+	tasks := make([]TaskID, 8)
 	for i := range tasks {
-		tasks[i] = Task{Group: 1, Number: int32(i)}
+		tasks[i] = TaskID{Group: 1, Number: int32(i)}
 	}
 	for _, machines := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			partition := fullPartition(machines)
 			for b.Loop() {
-				group := &Group{Tasks: tasks, TaskSize: NewResources(cpus, 0, 1), Claim: Claim{Priority: priority}}
-				partition.Request(group, score)
-				if group.State == Pending {
+				group := &AffinityGroup{Tasks: tasks, TaskSize: NewResources(cpus, 0, 1), Claim: Claim{Priority: priority}}
+				partition.Schedule(group, score)
+				if group.State == GroupPending {
 					b.Fatal("expected the group to find cells, it is Pending")
 				}
 				undo(partition, group)
@@ -44,7 +44,7 @@
 
 func BenchmarkRequestFreeRoom(b *testing.B) {
 	fullestFirst := func(_ MachineIndex, free Resources) float64 { return float64(free.CPU) }
-	benchmarkRequest(b, 2, 1, fullestFirst, func(partition *Partition, group *Group) {
+	benchmarkRequest(b, 2, 1, fullestFirst, func(partition *Partition, group *AffinityGroup) {
 		for _, task := range group.Tasks {
 			partition.Release(task)
 		}
@@ -53,5 +53,5 @@
 
 func BenchmarkRequestPreempting(b *testing.B) {
 	onlyFullMachines := func(index MachineIndex, _ Resources) float64 { return float64(index%10) - 1 }
-	benchmarkRequest(b, 6, 2, onlyFullMachines, (*Partition).Cancel)
+	benchmarkRequest(b, 6, 2, onlyFullMachines, (*Partition).CancelReservations)
 }
--- a/internal/scheduling/request_test.go
+++ b/internal/scheduling/schedule_test.go
@@ -9,10 +9,10 @@
 func anyMachine(MachineIndex, Resources) float64 { return 0 }
 
 // newTestGroup returns a Pending group of tasks with these numbers.
-func newTestGroup(priority int, cpus float64, numbers ...int32) *Group {
-	group := &Group{TaskSize: NewResources(cpus, 0, 1), Claim: Claim{Priority: priority}}
+func newTestGroup(priority int, cpus float64, numbers ...int32) *AffinityGroup {
+	group := &AffinityGroup{TaskSize: NewResources(cpus, 0, 1), Claim: Claim{Priority: priority}}
 	for _, number := range numbers {
-		group.Tasks = append(group.Tasks, Task{Number: number})
+		group.Tasks = append(group.Tasks, TaskID{Number: number})
 	}
 	return group
 }
@@ -24,7 +24,7 @@
 	return partition
 }
 
-func expectState(t *testing.T, name string, group *Group, expected GroupState) {
+func expectState(t *testing.T, name string, group *AffinityGroup, expected GroupState) {
 	t.Helper()
 	if group.State != expected {
 		t.Fatalf("%s: expected %v, got %v", name, expected, group.State)
@@ -35,35 +35,35 @@
 func TestPreemptingGroupWaitsForAllVictims(t *testing.T) {
 	partition := newTestPartition()
 	low, high := newTestGroup(0, 2, 0, 1), newTestGroup(2, 4, 2)
-	partition.Request(low, anyMachine)
-	partition.Request(high, anyMachine)
-	expectState(t, "lower group", low, Allocated)
-	expectState(t, "higher group", high, Preempting)
-	if cell := partition.CellOf(Task{Number: 0}); cell.State != Reserving {
-		t.Fatalf("victim's cell: expected %v, got %v", Reserving, cell.State)
+	partition.Schedule(low, anyMachine)
+	partition.Schedule(high, anyMachine)
+	expectState(t, "lower group", low, GroupAllocated)
+	expectState(t, "higher group", high, GroupPreempting)
+	if cell := partition.Cell(TaskID{Number: 0}); cell.State != CellReserving {
+		t.Fatalf("victim's cell: expected %v, got %v", CellReserving, cell.State)
 	}
-	if partition.Release(Task{Number: 0}) != nil {
+	if partition.Release(TaskID{Number: 0}) != nil {
 		t.Fatal("expected no group to be allocated while a victim still runs")
 	}
-	if partition.Release(Task{Number: 1}) != high {
+	if partition.Release(TaskID{Number: 1}) != high {
 		t.Fatal("expected the higher group to be allocated after its last victim")
 	}
-	expectState(t, "higher group after its last victim", high, Allocated)
+	expectState(t, "higher group after its last victim", high, GroupAllocated)
 }
 
 // Cancelling a preempting group returns the cells to its victims.
 func TestCancelReturnsCells(t *testing.T) {
 	partition := newTestPartition()
-	partition.Request(newTestGroup(0, 3, 0), anyMachine)
+	partition.Schedule(newTestGroup(0, 3, 0), anyMachine)
 	high := newTestGroup(2, 4, 1)
-	partition.Request(high, anyMachine)
-	partition.Cancel(high)
-	expectState(t, "cancelled group", high, Pending)
-	if cell := partition.CellOf(Task{Number: 0}); cell.State != Used {
-		t.Fatalf("victim's cell: expected %v, got %v", Used, cell.State)
+	partition.Schedule(high, anyMachine)
+	partition.CancelReservations(high)
+	expectState(t, "cancelled group", high, GroupPending)
+	if cell := partition.Cell(TaskID{Number: 0}); cell.State != CellUsed {
+		t.Fatalf("victim's cell: expected %v, got %v", CellUsed, cell.State)
 	}
-	if expected := NewResources(1, 0, 7); partition.Free(0) != expected {
-		t.Fatalf("free room: expected %v, got %v", expected, partition.Free(0))
+	if expected := NewResources(1, 0, 7); partition.FreeResources(0) != expected {
+		t.Fatalf("free room: expected %v, got %v", expected, partition.FreeResources(0))
 	}
 }
 
@@ -71,17 +71,17 @@
 // One of equal priority doesn't.
 func TestHigherGroupOverwritesReservation(t *testing.T) {
 	partition := newTestPartition()
-	partition.Request(newTestGroup(0, 4, 0), anyMachine)
+	partition.Schedule(newTestGroup(0, 4, 0), anyMachine)
 	middle, highest, equal := newTestGroup(1, 4, 1), newTestGroup(3, 4, 2), newTestGroup(3, 4, 3)
-	partition.Request(middle, anyMachine)
-	partition.Request(highest, anyMachine)
-	expectState(t, "overwritten group", middle, Pending)
-	expectState(t, "highest group", highest, Preempting)
-	if partition.Release(Task{Number: 0}) != highest {
+	partition.Schedule(middle, anyMachine)
+	partition.Schedule(highest, anyMachine)
+	expectState(t, "overwritten group", middle, GroupPending)
+	expectState(t, "highest group", highest, GroupPreempting)
+	if partition.Release(TaskID{Number: 0}) != highest {
 		t.Fatal("expected the cell to be allocated to the highest group")
 	}
-	partition.Request(equal, anyMachine)
-	expectState(t, "group of equal priority", equal, Pending)
+	partition.Schedule(equal, anyMachine)
+	expectState(t, "group of equal priority", equal, GroupPending)
 }
 
 // Of the cells that may be preempted, those of the lowest weight are, then larger ones,
@@ -110,13 +110,13 @@
 			partition := NewPartition()
 			for _, r := range row.running {
 				partition.SetMachine(r.machine, NewResources(4, 0, 8))
-				partition.Adopt(Task{Number: r.task}, r.machine, NewResources(r.cpus, 0, 1), r.claim)
+				partition.ApplyBinding(TaskID{Number: r.task}, r.machine, NewResources(r.cpus, 0, 1), r.claim)
 			}
 			preemptor := newTestGroup(3, row.cpus, 100)
-			partition.Request(preemptor, anyMachine)
-			expectState(t, "preempting group", preemptor, Preempting)
-			if cell := partition.CellOf(Task{Number: row.expected}); cell.State != Reserving {
-				t.Errorf("cell of task %d: expected %v, got %v", row.expected, Reserving, cell.State)
+			partition.Schedule(preemptor, anyMachine)
+			expectState(t, "preempting group", preemptor, GroupPreempting)
+			if cell := partition.Cell(TaskID{Number: row.expected}); cell.State != CellReserving {
+				t.Errorf("cell of task %d: expected %v, got %v", row.expected, CellReserving, cell.State)
 			}
 		})
 	}
@@ -129,7 +129,7 @@
 		partition.SetMachine(index, NewResources(4, 0, 8))
 	}
 	group := newTestGroup(0, 4, 0, 1, 2)
-	partition.Request(group, anyMachine)
+	partition.Schedule(group, anyMachine)
 	if expected := []MachineIndex{0, 1, 2}; !slices.Equal(group.Machines, expected) {
 		t.Errorf("expected machines %v, got %v", expected, group.Machines)
 	}
--- a/internal/scheduling/victims.go
+++ b/internal/scheduling/victims.go
@@ -21,7 +21,7 @@
 
 // victimWeight orders cells by how much is lost if they are preempted.
 func victimWeight(cell *Cell) float64 {
-	if cell.State == Reserved {
+	if cell.State == CellReserved {
 		return weightOfReserved
 	}
 	weight := float64(weightOfUsed + weightPerPriority*cell.userClaim.Priority)
@@ -45,9 +45,9 @@
 
 // mayTake reports whether the group may preempt a cell: its user and the group that has
 // reserved it, as far as there are any, and the cell is not promised to a task before.
-func (g *Group) mayTake(cell *Cell, promised *promises) bool {
+func (g *AffinityGroup) mayTake(cell *Cell, promised *promises) bool {
 	return (cell.reservedBy == nil || g.Claim.CanPreempt(cell.reservedBy.Claim)) &&
-		(cell.State == Reserved || g.Claim.CanPreempt(cell.userClaim)) &&
+		(cell.State == CellReserved || g.Claim.CanPreempt(cell.userClaim)) &&
 		!promised.cells[cell]
 }
 
@@ -108,7 +108,7 @@
 // weight: it is less than the cost of one more victim. Cells that were allocated before
 // most others have run longest, and many of their tasks are about to end.
 func (p *Partition) lostWork(cell *Cell) float64 {
-	if cell.State == Reserved {
+	if cell.State == CellReserved {
 		return 0
 	}
 	// A cell's age, counted in allocations since, beside twice the number of used cells.
