--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -7,50 +7,52 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// minEndBatchingDelay and maxEndBatchingDelay bound how long ended attempts of a task group may wait for
-// others to be stored with them. The longest is below the 3 s within which a done job must be
-// known as done, and a group's last task does not wait at all.
+// minEndBatchingDelay and maxEndBatchingDelay are the bounds of endBatchingDelay. The upper bound
+// is below the 3 s within which a completed job must be known as done; the last task of a group
+// is not delayed at all.
 const (
 	minEndBatchingDelay = time.Second
 	maxEndBatchingDelay = 2500 * time.Millisecond
-	// endDelayPerBacklog is how many times the write queue's backlog the delay grows by.
+	// endDelayPerBacklog is by how much the delay grows, as a multiple of the write queue's
+	// backlog.
 	endDelayPerBacklog = 2
 )
 
-// endBatchingDelay is how long ended attempts of a task group wait for others now: writes are
-// scarce, and the more of them wait, the more one should carry. Their cells are free
-// meanwhile.
+// endBatchingDelay returns how long the ended attempts of a task group wait for others, so that
+// one write stores them together. Writes are limited, and the longer the backlog of writes is,
+// the more each should store. The cells of ended attempts are free in the meantime.
 func (c *clusterState) endBatchingDelay() time.Duration {
 	return min(minEndBatchingDelay+endDelayPerBacklog*c.stateWriter.Backlog(), maxEndBatchingDelay)
 }
 
-// minBindingBatchingDelay and maxBindingBatchingDelay bound how long new bindings wait for others: a user
-// hardly notices so much of a task's start.
+// minBindingBatchingDelay and maxBindingBatchingDelay are the bounds of bindingBatchingDelay.
+// Users hardly notice a delay of this length in the start of a task.
 const (
 	minBindingBatchingDelay = 400 * time.Millisecond
 	maxBindingBatchingDelay = time.Second
 )
 
-// bindingBatchingDelay is how long the new bindings of an array's group wait for others while more
-// of its tasks are to come: cells come free one by one, many times a second, and a write for
-// each would take up what the key-value store allows.
+// bindingBatchingDelay returns how long the new bindings of an array's group wait for others
+// while tasks of the group remain unplaced. Cells become free one by one, many times a second,
+// and one write for each would use up the key-value store's write limit.
 func (c *partitionOwner) bindingBatchingDelay() time.Duration {
 	return min(minBindingBatchingDelay+c.stateWriter.Backlog(), maxBindingBatchingDelay)
 }
 
-// invalidWriteBackoff is how long a task group that was refused as invalid is not written.
+// invalidWriteBackoff is how long a task group is not written after the key-value store has
+// refused its write as invalid.
 const invalidWriteBackoff = 10 * time.Second
 
-// groupUpdate is what the next write of a task group changes.
+// groupUpdate is the content and purpose of the next write of a task group.
 type groupUpdate struct {
-	bindings        []binding           // as they will be stored
-	doneTasks       int                 // tasks done, as it will be stored
-	endedTasks      []endedTask         // proven ends that are stored with it
+	bindings        []binding           // of the tasks that are not done after the write
+	doneTasks       int                 // number of completed tasks, after the write
+	endedTasks      []endedTask         // proven ends that the write stores
 	newlyBoundTasks []scheduling.TaskID // new bindings
-	unplacedTasks   int                 // tasks that stay without a cell
+	unplacedTasks   int                 // tasks that remain pending after the write
 	hasChanges      bool
-	gangDone        bool // the group is of a gang that is done
-	isOversized     bool // the stored form is beyond what is allowed now
+	gangDone        bool // the group belongs to a gang that has completed
+	isOversized     bool // the stored form exceeds the current value limit
 }
 
 // endedTask is a task with the proven end of its attempt.
@@ -59,7 +61,7 @@
 	end  attemptEnd
 }
 
-// storeGroup writes what has changed of a task group, if anything.
+// storeGroup writes the changes of a task group, if there are any and they are due.
 func (c *partitionOwner) storeGroup(p *partition, group *taskGroup) {
 	update := c.planUpdate(p, group)
 	if c.now.Before(group.retryWriteAt) {
@@ -73,8 +75,9 @@
 	if !update.isOversized && c.canDelayUpdate(group, &update) {
 		return
 	}
-	// Thousands of tasks that are lost together are more than may queue. A write that is
-	// refused gives up its reservations and has all be read again; what waits loses nothing.
+	// Thousands of tasks that are lost at the same time cause more writes than the queue holds. A
+	// refused write releases its reservations and forces a read of the records, while an update
+	// that waits loses nothing.
 	if c.stateWriter.NearlyFull(group.job.spec.AllOrNothing()) {
 		return
 	}
@@ -82,24 +85,24 @@
 	c.writeUpdate(p, group, &update)
 }
 
-// clearPendingTimes notes that nothing of the group waits to be stored.
+// clearPendingTimes records that no update of the group waits to be stored.
 func (group *taskGroup) clearPendingTimes() {
 	group.endsPendingSince, group.bindingsPendingSince = time.Time{}, time.Time{}
 }
 
-// updatePlan works out the update of one task group.
+// updatePlan computes the update of one task group.
 type updatePlan struct {
 	owner     *partitionOwner
 	partition *partition
 	group     *taskGroup
-	// canBind: the group's tasks may be bound; gangAttempt is their attempt if they are a
-	// gang's.
+	// canBind is set if the group's tasks may be bound. gangAttempt is the attempt to bind them
+	// for if they belong to a gang.
 	canBind     bool
 	gangAttempt uint64
 	update      groupUpdate
 }
 
-// planUpdate works out what is to be stored of a task group: ended attempts, new bindings.
+// planUpdate computes what to store of a task group: ended attempts and new bindings.
 func (c *partitionOwner) planUpdate(p *partition, group *taskGroup) groupUpdate {
 	job := group.job
 	plan := updatePlan{
@@ -119,12 +122,12 @@
 	return plan.update
 }
 
-// nextBindingAttempt is the attempt of the next bindings of a gang's group; 0: none may be made,
-// since not all of its tasks have cells.
+// nextBindingAttempt returns the attempt number for the next bindings of a gang's group. It
+// returns 0 if none may be made yet because not all of the group's tasks have cells.
 func (p *partition) nextBindingAttempt(group *taskGroup) uint64 {
 	attempt, bound := group.job.gangAttempt()
 	if bound {
-		return attempt // what is missing of it
+		return attempt // the missing tasks complete the current attempt
 	}
 	for i := range group.bindings {
 		if _, ok := p.reservations[group.task(group.bindings[i].task)]; !ok {
@@ -134,13 +137,13 @@
 	return attempt + 1
 }
 
-// task plans one task.
+// planTask adds one task to the update.
 func (plan *updatePlan) planTask(bound binding) {
 	if plan.planEnd(&bound) {
-		return // a task that is done has no binding any more
+		return // a completed task has no binding
 	}
 	if plan.update.gangDone && bound.machine == nil {
-		plan.update.doneTasks++ // a gang's tasks complete together
+		plan.update.doneTasks++ // all tasks of a gang complete together
 		return
 	}
 	if plan.canBind && bound.machine == nil && plan.planBinding(&bound) {
@@ -153,8 +156,8 @@
 	plan.update.bindings = append(plan.update.bindings, bound)
 }
 
-// end has the proven end of a bound task's attempt stored, if there is one; true: the task is
-// done. One that is lost waits for a machine again.
+// planEnd adds the proven end of a bound task's attempt to the update, if there is one. done
+// reports whether the task completed; a task whose attempt was lost becomes pending again.
 func (plan *updatePlan) planEnd(bound *binding) (done bool) {
 	task := plan.group.task(bound.task)
 	end, ended := plan.owner.unstoredEnds[task]
@@ -171,8 +174,9 @@
 	return false
 }
 
-// bind binds a task to the machine on which it has a reservation; false: it has none, or the
-// machine can't be used any more, in which case the reservation is given up.
+// planBinding binds a task to the machine on which a cell is reserved for it. It returns false if
+// there is no reservation, or if the machine is no longer usable, in which case the reservation
+// is released.
 func (plan *updatePlan) planBinding(bound *binding) bool {
 	p, task := plan.partition, plan.group.task(bound.task)
 	reserved, ok := p.reservations[task]
@@ -192,7 +196,8 @@
 	return true
 }
 
-// canDelayUpdate tells whether an array's update can wait for more to come.
+// canDelayUpdate reports whether the update of an array's group may wait for further changes, to
+// be stored in one write with them.
 func (c *partitionOwner) canDelayUpdate(group *taskGroup, update *groupUpdate) bool {
 	if group.job.spec.AllOrNothing() {
 		return false
@@ -203,17 +208,18 @@
 	if len(update.bindings) == 0 || group.job.finalState != record.Unfinished {
 		return false
 	}
-	// Ends alone can wait a little for each other: writes are scarce.
+	// Ends without new bindings wait a little for further ends, because writes are limited.
 	delay := c.endBatchingDelay()
 	if update.doneTasks == group.doneTasks {
-		// Of tasks that were lost nobody waits to hear: they are stored with
-		// their next bindings, or when there is nothing more urgent.
+		// No user or controller waits for the ends of lost tasks. They are stored with the tasks'
+		// next bindings, or once the backlog of more urgent writes is gone.
 		delay = max(delay, c.stateWriter.Backlog())
 	}
 	return c.pendingDuration(&group.endsPendingSince) < delay
 }
 
-// pendingFor is for how long something has been waiting, which begins now if since is zero.
+// pendingDuration returns how long an update has been waiting. A zero since is set to the current
+// time.
 func (c *partitionOwner) pendingDuration(since *time.Time) time.Duration {
 	if since.IsZero() {
 		*since = c.now
--- a/internal/controller/bindings_write.go
+++ b/internal/controller/bindings_write.go
@@ -10,22 +10,23 @@
 	"eiderhitch/internal/wire"
 )
 
-// updateWrite is the write of a task group's update on its way to the key-value store.
+// updateWrite is a write of a task group's update that is queued or in flight.
 type updateWrite struct {
 	owner     *partitionOwner
 	partition *partition
 	group     *taskGroup
 	update    *groupUpdate
-	// token is the fencing token that the write is made under.
+	// token is the fencing token under which the write is made.
 	token uint64
-	// finishesJob: the write also makes the job final.
+	// finishesJob is set if the write also makes the job final.
 	finishesJob bool
-	// newlyBoundMachines are those of new bindings of a group that is stored in several pieces:
-	// a task may have moved to another piece, where the group does not show its machine.
+	// newlyBoundMachines are the machines of the new bindings if the group is stored in several
+	// pieces. A newly bound task may then be in another piece, so that its machine can't be found
+	// through the group.
 	newlyBoundMachines []*machine
 }
 
-// writeUpdate submits the write that carries an update out.
+// writeUpdate submits the write of an update.
 func (c *partitionOwner) writeUpdate(p *partition, group *taskGroup, update *groupUpdate) {
 	job := group.job
 	w := &updateWrite{
@@ -34,8 +35,8 @@
 	}
 	write := &store.Write{
 		Prompt: job.spec.Gang && len(update.newlyBoundTasks) > 0,
-		// Services first: when hundreds of machines are lost together, or all leases have
-		// expired in an outage, what is to be stored takes longer than users wait.
+		// Services come first: when hundreds of machines are lost together, or all leases expire
+		// in an outage, storing all changes takes longer than users wait.
 		Early:      job.spec.AllOrNothing(),
 		Conditions: updateConditions(p, group),
 	}
@@ -49,23 +50,24 @@
 	c.SubmitWrite(write, w.handleResult)
 }
 
-// updateConditions have a write fail if the partition has another owner by then, or the task
-// group has been written by somebody else.
+// updateConditions returns the conditions under which the write of a group is made. It fails if
+// the partition has changed owners, or if another controller has written the group.
 func updateConditions(p *partition, group *taskGroup) []wire.Condition {
 	conditions := []wire.Condition{
 		{Key: p.key, Revision: p.token},
 		{Key: group.key, Revision: group.revision},
 	}
 	if job := group.job; job.finalState == record.Unfinished {
-		// Binding and completing race with a cancellation: only one can hold.
+		// Binding and completing race with a cancellation of the job: only one of them may
+		// succeed.
 		conditions = append(conditions, wire.Condition{Key: jobKey(job.id), Revision: job.revision})
 	}
 	return conditions
 }
 
-// addPieces adds a task group's content to its write, in new groups what does not fit into one
-// value. New groups come first: what moves to them is adopted there before it is given up
-// here.
+// addPieces adds a task group's content to its write, with new groups for what does not fit into
+// one value. The changes of new groups come first, so that the tasks that move to them are
+// adopted there before they leave this group.
 func (w *updateWrite) addPieces(write *store.Write) {
 	job := w.group.job
 	pieces := w.owner.splitToFit(w.group, w.update.doneTasks, w.update.bindings)
@@ -82,7 +84,8 @@
 	write.Changes = append(write.Changes, wire.Change{Put: w.group.key, Value: pieces[0].At(w.group.key)})
 }
 
-// doneJobRecord is the record of a job that is done. Tasks of a gang may still be on machines.
+// doneJobRecord returns the record of a completed job. Tasks of a completed gang may still be on
+// machines and count toward its team's quota, so its record keeps the job's description.
 func (c *partitionOwner) doneJobRecord(j *job) json.RawMessage {
 	if j.spec.Gang {
 		return record.DoneGang(j.spec, j.acceptedAt, c.maxValueBytes())
@@ -90,9 +93,10 @@
 	return record.JSON(record.Job{FinalState: record.Done})
 }
 
-// completesJob tells whether an update completes the last tasks of a job. A gang's tasks complete
-// together: with the first that is shown as done the job is, and the bindings of the others
-// stay until they are proven to have ended. A task whose machine hangs is still there.
+// completesJob reports whether an update completes the last tasks of a job. A gang's tasks
+// complete together: the first task that a heartbeat shows as done completes the job, and the
+// bindings of the others stay until their attempts are proven to have ended, because a task may
+// still be on a machine that hangs.
 func (c *partitionOwner) completesJob(group *taskGroup, update *groupUpdate) bool {
 	job := group.job
 	if job.finalState != record.Unfinished || job.finalWriteInFlight {
@@ -108,7 +112,7 @@
 	return finished+update.doneTasks-group.doneTasks == job.spec.Tasks
 }
 
-// completed takes in the result of the write.
+// handleResult handles the result of the write.
 func (w *updateWrite) handleResult(err error) {
 	group, job := w.group, w.group.job
 	group.writeInFlight, group.pendingWrite = false, nil
@@ -116,7 +120,7 @@
 		job.finalWriteInFlight = false
 	}
 	if job.finalState != record.Unfinished && group.partition == w.partition.index {
-		w.owner.cancelReservations(group, true) // what came to it while the write was on its way
+		w.owner.cancelReservations(group, true) // made while the write was in flight
 	}
 	switch {
 	case err != nil:
@@ -126,7 +130,9 @@
 	}
 }
 
-// failed gives up the reservations of an update that is not stored as far as is known; what the key-value store really has is read before anything else is done.
+// handleFailure releases the reservations of an update whose write failed or got no response. It
+// then waits for a successful read of the records before the group is written again, because the
+// write may have been executed.
 func (w *updateWrite) handleFailure(err error) {
 	c, p, group := w.owner, w.partition, w.group
 	c.log.Debug("record write failed", "key", group.key, "err", err)
@@ -149,7 +155,8 @@
 	})
 }
 
-// stored has what the update binds started, and forgets the ends that it stored.
+// handleSuccess sends the commands that start the newly bound tasks and removes the ends that the
+// write has stored.
 func (w *updateWrite) handleSuccess() {
 	c := w.owner
 	w.reportNewBindings()
@@ -181,9 +188,8 @@
 	}
 }
 
-// machinesToCommand lists, each once, the machines on which a stored update has something
-// started. A gang starts when all of it is bound, also on machines that were bound before
-// the last.
+// machinesToCommand returns the machines, without duplicates, on which a stored update starts
+// tasks. A gang starts once all of its tasks are bound, including those bound by earlier writes.
 func (w *updateWrite) machinesToCommand() []*machine {
 	group, job := w.group, w.group.job
 	listed := map[*machine]bool{}
--- a/internal/controller/cells.go
+++ b/internal/controller/cells.go
@@ -2,14 +2,14 @@
 
 import "eiderhitch/internal/scheduling"
 
-// cellRegistry keeps the cells and reservations of this controller's partitions in line with
-// the stored task groups and with the ends of attempts.
+// cellRegistry keeps the cells and reservations of this controller's partitions consistent with
+// the stored task groups and with the proven ends of attempts.
 type cellRegistry struct {
 	*eventLoop
 	*catalog
 	*machineRegistry
 
-	// unstoredEnds are proven ends of attempts that are not stored yet.
+	// unstoredEnds holds the proven ends of attempts that are not stored yet.
 	unstoredEnds map[scheduling.TaskID]attemptEnd
 }
 
@@ -20,8 +20,8 @@
 	}
 }
 
-// adoptBindings brings the cells of this controller's partitions in line with a stored task
-// group.
+// adoptBindings updates the cells of this controller's partitions to the bindings of a stored
+// task group.
 func (c *cellRegistry) adoptBindings(group *taskGroup) {
 	if group.job.spec == nil {
 		return
@@ -31,8 +31,8 @@
 	}
 }
 
-// adoptBinding has a bound task use its cell, unless the cell is free already because the
-// attempt is proven to have ended.
+// adoptBinding marks the cell of a bound task as used, unless the attempt is already proven to
+// have ended.
 func (c *cellRegistry) adoptBinding(group *taskGroup, bound *binding) {
 	if bound.machine == nil {
 		return
@@ -50,8 +50,8 @@
 	c.trackFetch(bound.machine, group.job.spec.Image)
 }
 
-// cancelReservations gives up the cells that a group's tasks wait for; with all also those
-// that they have reserved, for which a binding may be on its way to the key-value store.
+// cancelReservations cancels the preemptions that a group's tasks wait for. With all set it also
+// releases the cells that are reserved for them, for which a write of a binding may be in flight.
 func (c *cellRegistry) cancelReservations(group *taskGroup, all bool) {
 	p := c.partitions[group.partition]
 	if p.token == 0 {
@@ -67,9 +67,9 @@
 	}
 }
 
-// releaseCellsExcept gives up whatever tasks that leave a group hold in this controller's partition.
-// Left behind, their cells would never be free again, and their group would not be found
-// when their machine fails.
+// releaseCellsExcept releases the cells and reservations, in this controller's partition, of the
+// group's tasks that are not in kept. These tasks leave the group. Otherwise their cells would
+// never become free, and their new group would not be found when the machine fails.
 func (c *cellRegistry) releaseCellsExcept(group *taskGroup, kept map[int32]bool) {
 	p := c.partitions[group.partition]
 	if p.token == 0 {
@@ -86,22 +86,23 @@
 	}
 }
 
-// cancelPreemption gives up what a task, together with others perhaps, waits for.
+// cancelPreemption cancels the preemption that a task waits for, alone or as part of a group.
 func (p *partition) cancelPreemption(task scheduling.TaskID) {
 	if request := p.cells.PreemptingGroup(task); request != nil {
 		p.cells.CancelReservations(request)
 	}
 }
 
-// freeCell ends a task's use of its cell; a group that waited for it may now be Allocated.
+// freeCell ends a task's use of its cell. If the group that preempted it has all its cells now,
+// that group is Allocated and its reservations are recorded.
 func (c *cellRegistry) freeCell(p *partition, task scheduling.TaskID) {
 	if request := p.cells.Release(task); request != nil {
 		c.recordReservations(p, request)
 	}
 }
 
-// dropStaleEnds forgets the ends of bindings that a group no longer has: somebody has stored
-// them. A write that is carried out while its answer is lost leaves them behind.
+// dropStaleEnds removes the ends of bindings that a group no longer has, because they are stored.
+// A write that was executed but whose response was lost leaves such ends behind.
 func (c *cellRegistry) dropStaleEnds(group *taskGroup, former []binding) {
 	if len(c.unstoredEnds) == 0 {
 		return
@@ -118,8 +119,8 @@
 	}
 }
 
-// recordReservations notes the cells of an Allocated group. Their bindings are stored by the next
-// scheduling pass.
+// recordReservations records the cells of an Allocated group as reserved. The next scheduling
+// pass stores their bindings.
 func (c *cellRegistry) recordReservations(p *partition, request *scheduling.AffinityGroup) {
 	for i, task := range request.Tasks {
 		m := c.machineByIndex[request.Machines[i]]
@@ -129,15 +130,15 @@
 	c.requestSchedulingPass()
 }
 
-// trackFetch notes that a machine fetches an image for a task that it is given.
+// trackFetch records that a machine starts to fetch an image for a task placed on it.
 func (c *cellRegistry) trackFetch(m *machine, image string) {
 	if image != "" && !m.cachedImages[image] {
 		m.fetchStartedAt[image] = c.now
 	}
 }
 
-// isLost tells whether the attempt that a task is bound for is proven to have ended before the
-// task was done.
+// isLost reports whether the attempt of a bound task is proven to have ended before the task
+// completed.
 func (c *cellRegistry) isLost(group *taskGroup, bound *binding) bool {
 	end, ended := c.unstoredEnds[group.task(bound.task)]
 	return ended && end.attempt == bound.boundAttempt() && !end.done
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -6,7 +6,8 @@
 	"eiderhitch/internal/wire"
 )
 
-// commands returns what a machine should do, by its newest heartbeat.
+// commandsFor returns the commands that bring a machine in line with the records, as far as its
+// newest heartbeat shows.
 func (c *partitionOwner) commandsFor(m *machine, p *partition) []wire.Command {
 	var commands []wire.Command
 	view, records := c.reconcileView(m, p)
@@ -18,8 +19,9 @@
 	return commands
 }
 
-// mustLeaveMachine tells whether a task has to leave its machine for other work, or since the
-// machine itself is about to go.
+// mustLeaveMachine reports whether a task has to leave its machine because its cell is preempted,
+// its group is throttled, the machine is wanted on loan, or the machine is cordoned or about to
+// be terminated.
 func (c *clusterState) mustLeaveMachine(group *taskGroup, t scheduling.TaskID, m *machine, p *partition) bool {
 	if cell := p.cells.Cell(t); cell != nil && cell.State == scheduling.CellReserving || group.exceedsThrottle(t.Number) {
 		return true
@@ -27,6 +29,6 @@
 	if loan := c.loans[m.name]; loan != nil && !loan.Acknowledged && loan.claim(c.catalog).CanPreempt(group.claim()) {
 		return true
 	}
-	// A task that can save is stopped before its machine is taken.
+	// A task that can save its progress is stopped before its machine is terminated.
 	return !m.terminationAt.IsZero() && group.job.spec != nil && group.job.spec.CheckpointS > 0 || m.cordoned
 }
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	// unansweredLimit is how many direct commands in a row go unanswered by a machine that
-	// counts as not receiving. A single one is lost to a moment's congestion.
+	// unansweredLimit is how many consecutive direct commands a machine has to leave unanswered
+	// to count as not receiving. A single one may be lost to momentary congestion.
 	unansweredLimit = 2
-	// unansweredBackoff is how long a machine gets no direct commands after that: each of
-	// them holds a slot until it times out.
+	// unansweredBackoff is how long a machine then gets no direct commands, because each of them
+	// holds a slot until it times out.
 	unansweredBackoff = 3 * time.Second
 )
 
-// directRequest is a request with direct commands under way.
+// directRequest is a request with direct commands that is in flight.
 type directRequest struct {
 	machine   *machine
 	partition *partition
-	token     uint64 // the partition's when it was sent
+	token     uint64 // the partition's token at sentAt
 	sentAt    time.Time
 }
 
-// sendCommandsNow sends a machine's commands at once, without waiting for its heartbeat.
+// sendCommandsNow sends a machine's commands at once, instead of with the response to its next
+// heartbeat. If a request to the machine is in flight, the commands are sent after it.
 func (c *partitionOwner) sendCommandsNow(m *machine) {
 	p := c.partitions[m.partition]
 	if p.token == 0 || !p.takeoverComplete || m.terminated || m.addr == "" || !m.heartbeatAt.After(p.ownedSince) {
@@ -48,7 +49,8 @@
 	}
 }
 
-// sendQueuedRequests gives the machines that wait for a slot their turn.
+// sendQueuedRequests sends requests to the machines that wait for a slot, as long as slots are
+// available.
 func (c *partitionOwner) sendQueuedRequests() {
 	for n := c.directSlots.Waiting(); n > 0 && c.directSlots.Available(workerclient.Commands); n-- {
 		m, purpose := c.directSlots.Next()
@@ -60,8 +62,8 @@
 	}
 }
 
-// ping shows a machine the partition's token, whether it has something to do or not. Its
-// answer is as good as a heartbeat, but renews no lease.
+// ping sends a machine the partition's token without commands. The machine's answer is handled
+// like a heartbeat, except that it does not renew the lease.
 func (c *partitionOwner) ping(m *machine, p *partition) {
 	if m.commandState.inFlight || c.now.Before(m.commandState.backoffUntil) || m.incarnation == 0 || m.addr == "" || !c.isFresh(c.maxStaleness) {
 		return
@@ -73,8 +75,8 @@
 	c.sendDirectRequest(m, p, nil)
 }
 
-// sendDirectRequest sends commands to a machine; none: a ping. The result is handled on the event
-// loop.
+// sendDirectRequest sends commands to a machine, or a ping if there are none. The result is
+// handled on the event loop.
 func (c *partitionOwner) sendDirectRequest(m *machine, p *partition, commands []wire.Command) {
 	c.directSlots.Acquire(m)
 	m.commandState.inFlight, m.commandState.sendAgain = true, false
@@ -86,8 +88,8 @@
 		timeout = workerclient.PingTimeout
 	}
 	addr := m.addr
-	// The deadline counts from the decision, not from the sending: a process that was
-	// suspended in between must not send what may have been revoked meanwhile.
+	// The deadline counts from the decision, not from the time of sending: a process that was
+	// suspended in between must not send commands that may have been revoked meanwhile.
 	ctx, cancel := context.WithDeadline(c.ctx, request.sentAt.Add(timeout))
 	go func() {
 		defer cancel()
@@ -106,17 +108,17 @@
 
 func isStartCommand(command wire.Command) bool { return command.Op == wire.OpStart }
 
-// handleDirectFailure notes that a request has no answer. Its commands may be executed minutes
-// later, as long as token and incarnation match: until the machine has seen a higher token,
-// that a task is absent from its heartbeats proves nothing.
+// handleDirectFailure handles a request that got no response. Its commands may be executed
+// minutes later, as long as token and incarnation match: until the machine has received a higher
+// token, the absence of a task from its heartbeats proves nothing.
 func (c *partitionOwner) handleDirectFailure(request directRequest, err error) {
 	m := request.machine
 	if m.commandState.carriesStart {
 		m.commandState.unansweredStartToken = request.token
 	}
 	m.commandState.inFlight, m.commandState.carriesStart = false, false
-	// A controller with too little processor time may not have come to the answer yet:
-	// hundreds of machines that are pinged after a failover would all seem dead.
+	// A controller with too little processor time may not have handled the response yet. Without
+	// this check, hundreds of machines that are pinged after a failover would all seem dead.
 	if !c.hasLaggedSince(request.sentAt) {
 		m.commandState.unanswered++
 	}
@@ -126,13 +128,13 @@
 	c.log.Debug("direct command unanswered", "machine", m.name, "err", err)
 }
 
-// handleDirectAnswer takes the heartbeat in that a worker answers a request with, and sends what
-// was wanted meanwhile, or was not executed.
+// handleDirectAnswer applies the heartbeat in a machine's answer. It then sends the commands that
+// were requested while the request was in flight, or that were not executed.
 func (c *partitionOwner) handleDirectAnswer(request directRequest, heartbeat *wire.Heartbeat, executed bool) {
 	m, p := request.machine, request.partition
 	m.commandState.inFlight, m.commandState.carriesStart = false, false
 	if heartbeat.Machine != m.name {
-		return // its address has come to another machine
+		return // the address now belongs to another machine
 	}
 	if p.token != 0 && heartbeat.Token <= p.token {
 		c.applyHeartbeat(m, heartbeat, p, directCommandResponse)
--- a/internal/controller/direct_commands_test.go
+++ b/internal/controller/direct_commands_test.go
@@ -11,9 +11,9 @@
 	"eiderhitch/internal/workerclient"
 )
 
-// Direct commands that hang hold a socket each: when hundreds of machines fall
-// silent together, few are asked at a time, half of the places are kept for
-// commands, and each machine has its turn.
+// Each direct request that gets no response holds a connection until it times out. When hundreds
+// of machines stop responding at the same time, the number of requests in flight is limited, half
+// of the slots are kept for commands, and every machine is eventually pinged.
 func TestDirectRequestsAreLimited(t *testing.T) {
 	c := newFullFleetController(t, 2000)
 	p := c.partitions[0]
@@ -22,19 +22,19 @@
 	c.replica.NoteRead(c.now)
 	c.probeMachines()
 	if c.directSlots.Open() != 20 || c.directSlots.Open()+c.directSlots.Waiting() != len(p.machines) || len(p.machines) < 300 {
-		t.Fatalf("%d commands are open and %d machines wait, of %d", c.directSlots.Open(), c.directSlots.Waiting(), len(p.machines))
+		t.Fatalf("%d requests are in flight and %d machines wait, of %d machines; want 20 in flight and all others waiting", c.directSlots.Open(), c.directSlots.Waiting(), len(p.machines))
 	}
 	asked := map[string]bool{}
 	for rounds := 0; c.directSlots.Waiting() > 0; rounds++ {
 		if rounds > len(p.machines)/20 {
-			t.Fatal("a machine never has its turn")
+			t.Fatal("machines still wait for a slot after enough rounds for all of them")
 		}
 		for c.directSlots.Open() > 0 {
 			c.directSlots.Release()
 		}
 		c.sendQueuedRequests()
 		if c.directSlots.Open() > 20 {
-			t.Fatalf("%d commands are open", c.directSlots.Open())
+			t.Fatalf("%d requests are in flight, want at most 20", c.directSlots.Open())
 		}
 	}
 	for _, m := range p.machines {
@@ -43,11 +43,11 @@
 		}
 	}
 	if len(asked) != len(p.machines) {
-		t.Errorf("%d of %d machines were asked, want all", len(asked), len(p.machines))
+		t.Errorf("%d of %d machines were pinged, want all", len(asked), len(p.machines))
 	}
 }
 
-// countingTransport counts requests that are sent.
+// countingTransport counts the requests that are sent and fails all of them.
 type countingTransport struct{ sent atomic.Int64 }
 
 func (c *countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -58,8 +58,8 @@
 	return nil, http.ErrServerClosed
 }
 
-// A process that stands still between a decision and its sending has lost the right
-// to it by the time it wakes: the command is not sent.
+// A command that was decided on before the process was suspended may have been revoked by the
+// time it resumes. It must not be sent.
 func TestSuspendedProcessSendsNoCommand(t *testing.T) {
 	for _, still := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -69,24 +69,24 @@
 			m := c.getOrAddMachine("host-1")
 			m.addr, m.incarnation, m.heartbeatAt = "10.1.0.1:1", 1, c.now
 			if still {
-				time.Sleep(5 * time.Second) // b.now is when it was decided
+				time.Sleep(5 * time.Second) // c.now stays at the time of the decision
 			}
 			c.sendDirectRequest(m, c.partitions[0], []wire.Command{{Op: wire.OpStart, Task: "wk-1/0", Attempt: 1}})
 			synctest.Wait()
 			if sent := out.sent.Load() > 0; sent == still {
-				t.Errorf("stood still: %v; sent: %v, want %v", still, sent, !still)
+				t.Errorf("process suspended: %v; command sent: %v, want %v", still, sent, !still)
 			}
 		})
 	}
 }
 
-// What is known after requests went unanswered: whether a start may still arrive, and
-// whether the machine is left alone for a while.
+// Checks the state of a machine after unanswered requests: whether a start may still arrive, and
+// whether requests to the machine are suspended for a while.
 func TestUnansweredDirectCommands(t *testing.T) {
 	for _, x := range []struct {
 		name         string
 		carriesStart bool
-		lagged       bool // this process had too little processor time meanwhile
+		lagged       bool // the controller's event loop lagged while the request was in flight
 		times        int
 		unanswered   int
 		startToken   uint64
@@ -119,8 +119,8 @@
 	}
 }
 
-// An address may have come to another machine: its answer says nothing of the one that was
-// asked.
+// A machine's former address may belong to another machine. The answer of that one must not be
+// applied to the machine that was addressed.
 func TestAnswerFromAnotherMachine(t *testing.T) {
 	for name, heard := range map[string]bool{"host-1": true, "host-2": false} {
 		c := newTestController(t)
@@ -129,13 +129,13 @@
 		m.commandState.inFlight, m.commandState.carriesStart, m.commandState.unanswered = true, true, 1
 		c.handleDirectAnswer(directRequest{machine: m, partition: p, token: p.token, sentAt: c.now}, &wire.Heartbeat{Machine: name, Incarnation: 1, Sequence: 1, Token: 1}, true)
 		if m.commandState.inFlight || m.commandState.carriesStart {
-			t.Errorf("%s answers: the request is still under way", name)
+			t.Errorf("answer of %s: the request still counts as in flight", name)
 		}
 		if got := m.incarnation == 1 && m.commandState.unanswered == 0; got != heard {
-			t.Errorf("%s answers: host-1 is heard: %v, want %v", name, got, heard)
+			t.Errorf("answer of %s: applied to host-1: %v, want %v", name, got, heard)
 		}
 		if !m.heartbeatAt.IsZero() || !m.leaseRenewedAt.IsZero() {
-			t.Errorf("%s answers: an answer counts as a heartbeat", name)
+			t.Errorf("answer of %s: it counts as a heartbeat or renews the lease", name)
 		}
 	}
 }
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -7,9 +7,10 @@
 	"eiderhitch/internal/record"
 )
 
-// What a partition's owner decides for gangs. See gang_attempt.go for what a gang is.
+// This file has the decisions of a partition's owner about gangs. See gang_attempt.go for what a
+// gang is.
 
-// isMemberMissing tells whether a member of a gang's present attempt has ended or is lost.
+// isMemberMissing reports whether a member of a gang's current attempt has ended or is lost.
 func (c *cellRegistry) isMemberMissing(group *taskGroup, bound *binding, attempt uint64) bool {
 	if bound.machine == nil {
 		return bound.attempt == attempt
@@ -17,7 +18,7 @@
 	return c.isLost(group, bound)
 }
 
-// hasMissingMember tells whether a member of a gang's present attempt has ended or is lost.
+// hasMissingMember reports whether any member of a gang's current attempt has ended or is lost.
 func (c *cellRegistry) hasMissingMember(j *job, attempt uint64) bool {
 	for bound, group := range j.allBindings() {
 		if c.isMemberMissing(group, bound, attempt) {
@@ -27,8 +28,8 @@
 	return false
 }
 
-// isGangBroken tells whether a gang has lost a member of an attempt that has run, or can't be
-// completed: the others stop, and the gang starts whole again.
+// isGangBroken reports whether the current attempt of a gang has lost a member after it ran, or
+// can't be completed. The remaining members are then stopped, and the whole gang starts again.
 func (c *cellRegistry) isGangBroken(j *job) bool {
 	attempt, bound := j.gangAttempt()
 	if !bound || attempt == 0 {
@@ -37,8 +38,8 @@
 	return j.failedAttempt == attempt || j.startedAttempt == attempt && c.hasMissingMember(j, attempt)
 }
 
-// mustStopGang tells whether a gang is to be stopped: one of its tasks has to leave its
-// machine.
+// mustStopGang reports whether a gang has to be stopped, because its job is final, one of its
+// tasks has to leave its machine, or its attempt is broken.
 func (c *clusterState) mustStopGang(j *job) bool {
 	if j.finalState != record.Unfinished {
 		return true
@@ -49,7 +50,7 @@
 			continue
 		}
 		p := c.partitions[m.partition]
-		owned := p.token != 0 // of other machines their owner decides
+		owned := p.token != 0 // other partitions' owners decide about their machines
 		if owned && c.mustLeaveMachine(group, group.task(bound.task), m, p) {
 			return true
 		}
@@ -57,8 +58,9 @@
 	return c.isGangBroken(j)
 }
 
-// stopGraceS is what a task is given to save when it is stopped: what it asks for, unless
-// there is nothing to save. A gang saves together or not at all.
+// stopGraceS returns how many seconds a stopped task of a job gets to save its progress: the time
+// that the job asks for, or 0 if there is nothing to save. The members of a gang save together or
+// not at all, so a broken gang gets 0.
 func (c *clusterState) stopGraceS(j *job) float64 {
 	if j.finalState != record.Unfinished || j.spec == nil || j.spec.CheckpointS == 0 || j.spec.Gang && c.isGangBroken(j) {
 		return 0
@@ -66,9 +68,9 @@
 	return j.spec.SaveS
 }
 
-// stopGangs has gangs that are to be stopped hear it at once, on all their machines: an
-// orderly stop has to reach every task within gang_peer_s of the first, and what runs on
-// without the others is of no use.
+// stopGangs sends stop commands for the gangs that have to stop, at once and to all their
+// machines. An orderly stop has to reach every task within gang_peer_s of the first one, and
+// tasks that run on without the others do no useful work.
 func (c *partitionOwner) stopGangs(p *partition) {
 	for _, group := range p.groups {
 		job := group.job
@@ -79,7 +81,7 @@
 	}
 }
 
-// stopGang stops the present attempt of a gang if it must, and has not been stopped yet.
+// stopGang stops the current attempt of a gang if it has to stop and has not been stopped yet.
 func (c *partitionOwner) stopGang(j *job) {
 	attempt, _ := j.gangAttempt()
 	if j.stoppedAttempt == attempt || !c.mustStopGang(j) {
@@ -87,7 +89,7 @@
 	}
 	j.stoppedAttempt = attempt
 	for _, group := range j.groups {
-		c.cancelReservations(group, !group.writeInFlight) // what was to replace a task of it
+		c.cancelReservations(group, !group.writeInFlight) // of replacement tasks
 	}
 	c.log.Debug("gang is stopped", "job", j.id, "attempt", attempt, "broken", c.isGangBroken(j))
 	for m := range j.boundMachines() {
@@ -95,9 +97,10 @@
 	}
 }
 
-// canReserveGang tells whether cells may be reserved for a gang's unplaced tasks: for all of
-// its tasks, or for those that were lost before it ran, which complete the attempt that waits
-// for them. All of it must be assigned to one partition, and nothing of it being written.
+// canReserveGang reports whether cells may be reserved for a gang's unplaced tasks: either for
+// all of its tasks, or for those that were lost before the attempt ran and that complete it. All
+// tasks must be assigned to one partition and zone, and no write of the gang's groups may be in
+// flight.
 func (c *partitionOwner) canReserveGang(p *partition, group *taskGroup) bool {
 	job := group.job
 	if assigned, _ := job.countAssignedTasks(); assigned < job.spec.Tasks || !job.hasAllGroupsIn(p.index, group.zone) {
@@ -110,11 +113,11 @@
 	}
 	attempt, bound := job.gangAttempt()
 	mustEnd := bound && (job.startedAttempt == attempt || job.failedAttempt == attempt || job.stoppedAttempt == attempt)
-	return !mustEnd && !job.isGangDone() // it starts again when all tasks of the attempt have ended
+	return !mustEnd && !job.isGangDone() // the next attempt begins once all tasks of this one have ended
 }
 
-// failIncompleteGang ends an attempt that was bound in part and can't be completed: without
-// room for the rest nothing would be started, nor given back.
+// failIncompleteGang ends an attempt that is only partly bound and has not been completed within
+// gang_wait_s. Without room for the rest, nothing of it would be started and no cell released.
 func (c *partitionOwner) failIncompleteGang(j *job) {
 	attempt, bound := j.gangAttempt()
 	switch {
--- a/internal/controller/gang_attempt.go
+++ b/internal/controller/gang_attempt.go
@@ -7,14 +7,14 @@
 	"eiderhitch/internal/wire"
 )
 
-// A gang's tasks run at the same time or none does. They find each other by the number
-// of their attempt, which is one for all of them and only rises. An attempt begins when
-// every task of the one before is proven to have ended, with cells for all of them. Until it
-// has run, a task that is lost is replaced under the same number; a gang that has run, or
-// that can't be completed any more, stops whole and starts whole.
+// The tasks of a gang run at the same time or not at all. All tasks of one attempt have the same
+// attempt number, by which they find each other; the number only increases. A new attempt begins
+// once all tasks of the previous one are proven to have ended and cells are reserved for all of
+// them. Until an attempt has run, a lost task is replaced under the same number. After it has run,
+// or if it can't be completed, the whole gang stops and starts again.
 
-// gangAttempt is the present attempt of a gang, and whether any task of it may still be on a
-// machine. If none is, the next binding begins a new attempt.
+// gangAttempt returns the number of a gang's current attempt. bound reports whether any task of
+// it may still be on a machine; if none is, the next binding begins a new attempt.
 func (j *job) gangAttempt() (attempt uint64, bound bool) {
 	for b := range j.allBindings() {
 		attempt = max(attempt, b.attempt)
@@ -23,9 +23,9 @@
 	return attempt, bound
 }
 
-// isGangBound tells whether every task of a gang's present attempt has a stored binding.
-// None is started before: a gang that takes several transactions to bind would hold
-// machines for tasks that can't run, if the rest fails.
+// isGangBound reports whether every task of a gang's current attempt has a stored binding. No
+// task is started before that: a gang that needs several transactions to bind would otherwise
+// occupy machines with tasks that can't run if a later transaction fails.
 func (j *job) isGangBound() bool {
 	n := 0
 	for _, group := range j.groups {
@@ -37,14 +37,14 @@
 	return n == j.spec.Tasks
 }
 
-// isGangDone tells whether a gang is done. Its tasks complete together, so one that is
-// stored as done speaks for all, also to a controller that never saw its heartbeat.
+// isGangDone reports whether a gang has completed. Its tasks complete together, so one task that
+// is stored as done shows that all are, also to a controller that has not received its heartbeat.
 func (j *job) isGangDone() bool {
 	return j.gangCompleted || slices.ContainsFunc(j.groups, func(group *taskGroup) bool { return group.doneTasks > 0 })
 }
 
-// observeGangTask learns from the state of a gang's task. After a failover the heartbeats are all
-// there is to tell whether an attempt has run.
+// observeGangTask updates what is known of a gang's attempt from the state of one task. After a
+// failover, only heartbeats show whether an attempt has run.
 func (j *job) observeGangTask(t *wire.TaskStatus) {
 	switch t.State {
 	case wire.Running, wire.Saving:
@@ -54,11 +54,12 @@
 	}
 }
 
-// observeGangExit learns from why a gang's task has exited.
+// observeGangExit updates what is known of a gang's attempt from the reason for which one task
+// has exited.
 func (j *job) observeGangExit(t *wire.TaskStatus) {
 	switch t.Reason {
 	case wire.ReasonDone:
-		j.gangCompleted = true // they complete together
+		j.gangCompleted = true // all tasks complete together
 	case wire.ReasonIncompleteGang, wire.ReasonError:
 		j.failedAttempt = max(j.failedAttempt, t.Attempt)
 	case wire.ReasonPeersGone:
@@ -66,7 +67,7 @@
 	}
 }
 
-// bindings goes through the bindings of all of a job's tasks that are not done.
+// allBindings iterates over the bindings of all tasks of a job that are assigned and not done.
 func (j *job) allBindings() iter.Seq2[*binding, *taskGroup] {
 	return func(yield func(*binding, *taskGroup) bool) {
 		for _, group := range j.groups {
@@ -79,7 +80,7 @@
 	}
 }
 
-// machines goes through the machines that a job's tasks are bound to, one for each task.
+// boundMachines iterates over the machines that a job's tasks are bound to, once for each task.
 func (j *job) boundMachines() iter.Seq[*machine] {
 	return func(yield func(*machine) bool) {
 		for bound := range j.allBindings() {
--- a/internal/controller/gang_phases_test.go
+++ b/internal/controller/gang_phases_test.go
@@ -32,7 +32,7 @@
 	return b
 }
 
-// reaches waits until enough tasks of the gang are in a state.
+// awaitGangState waits until enough tasks of the gang are in a state.
 func (c *cluster) awaitGangState(state string, least int) {
 	c.t.Helper()
 	for until := time.Now().Add(time.Minute); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
@@ -69,7 +69,7 @@
 	}},
 }
 
-// drain has a machine cordoned, as one on which tasks fail is.
+// cordonMachine has a machine cordoned, as one on which tasks fail is.
 func (c *cluster) cordonMachine(a *agent.Agent) {
 	for _, n := range c.nodes {
 		ctl := n.controller()
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -39,7 +39,7 @@
 	return out
 }
 
-// on is a machine that a job is bound to.
+// agentWithJob is a machine that a job is bound to.
 func (c *cluster) agentWithJob(id string) *agent.Agent {
 	c.t.Helper()
 	for _, w := range c.env.Cloud.Agents() {
--- a/internal/controller/job_order.go
+++ b/internal/controller/job_order.go
@@ -6,7 +6,7 @@
 	"eiderhitch/internal/planning"
 )
 
-// jobOrder is what a job's place among others depends on.
+// jobOrder returns the properties by which a job is ordered among others.
 func (c *clusterState) jobOrder(j *job) *planning.JobTiming {
 	_, finished := j.countAssignedTasks()
 	return &planning.JobTiming{
@@ -22,10 +22,12 @@
 	}
 }
 
-// arrivalBucketS is within how many seconds jobs count as coming at the same time.
+// arrivalBucketS is the length in seconds of the intervals within which jobs count as accepted at
+// the same time.
 const arrivalBucketS = 10
 
-// byUrgency compares jobs by priority and urgency, each looked at once.
+// urgencyComparator returns a comparison function that orders jobs by priority, urgency and
+// arrival. It computes each job's urgency once.
 func (c *clusterState) urgencyComparator() func(x, y *job) int {
 	known := map[*job]planning.Urgency{}
 	urgency := func(j *job) planning.Urgency {
@@ -44,9 +46,9 @@
 	}
 }
 
-// compareArrival compares jobs by when they came. Of those that came at about the same time
-// the ones with one image go together: a machine that comes up fetches one for all that it
-// takes.
+// compareArrival orders jobs by when they were accepted. Of jobs accepted at about the same time,
+// those with the same image are adjacent, so that a new machine fetches one image for all the
+// tasks that it takes.
 func compareArrival(x, y *job) int {
 	return cmp.Or(
 		cmp.Compare(x.acceptedAt.Unix()/arrivalBucketS, y.acceptedAt.Unix()/arrivalBucketS),
--- a/internal/controller/late_requests_test.go
+++ b/internal/controller/late_requests_test.go
@@ -11,8 +11,8 @@
 	"eiderhitch/internal/wire"
 )
 
-// Transactions that are applied long after the caller gave up change nothing
-// that has moved on.
+// A transaction that the key-value store executes after the controller has given up on it must
+// not change records that have been written since.
 func TestLateTransactions(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 40, CPUs: 2, EstimateS: 6}))
@@ -44,8 +44,8 @@
 	})
 }
 
-// A direct start that arrives half a minute late must not run a task that has
-// been reaped or placed elsewhere meanwhile.
+// A direct start command that arrives 30 s late must not run a task that has been cancelled or
+// placed elsewhere since.
 func TestLateDirectStart(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		for _, n := range c.nodes {
@@ -69,10 +69,10 @@
 	})
 }
 
-// A transaction that is applied a minute late finds none of its conditions true
-// again: no key that may be created under "does not exist" is deleted while the
-// rest of its conditions can still hold. (An assignment that came back to life handed
-// tasks out twice, and a job was called done too early.)
+// The conditions of a transaction that is executed 40 s late must no longer hold: no key that may
+// be created under the condition that it does not exist is deleted while the other conditions can
+// still hold. Otherwise a deleted assignment could be recreated, which assigned tasks twice and
+// declared a job done too early.
 func TestTransactionsDelayedByFortySeconds(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		rng := rand.New(rand.NewPCG(3, 4))
@@ -92,6 +92,6 @@
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 700, CPUs: 1, EstimateS: 1}))
 		c.awaitDone("wk-1", 20*time.Minute)
 		time.Sleep(time.Minute)
-		c.await("records are cleared up", 2*time.Minute, func() bool { return len(c.env.Store.Keys(groupPrefix)) == 0 })
+		c.await("all task group records are deleted", 2*time.Minute, func() bool { return len(c.env.Store.Keys(groupPrefix)) == 0 })
 	})
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-// A record is written in pieces that fit, which have all of its tasks, no more of which
-// may run than before, and each binding.
+// A task group is written in pieces that fit the value limit. Together they contain all of its
+// tasks and bindings and allow the same number of tasks to run.
 func TestSplitRecordsFitValueLimit(t *testing.T) {
 	c := newTestController(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -34,18 +34,18 @@
 		for _, piece := range c.splitToFit(group, group.doneTasks, group.bindings) {
 			raw := piece.At(groupKey("wk-1", 0))
 			if len(raw) > c.maxValueBytes() || piece.Encoding() != c.writeEncoding() {
-				t.Fatalf("a piece has %d bytes and encoding %d, want at most %d and %d", len(raw), piece.Encoding(), c.maxValueBytes(), c.writeEncoding())
+				t.Fatalf("a piece has %d bytes and encoding %d, want at most %d bytes and encoding %d", len(raw), piece.Encoding(), c.maxValueBytes(), c.writeEncoding())
 			}
 			got.add(t, raw)
 		}
 		if got != want {
-			t.Fatalf("the pieces have %+v, want %+v", got, want)
+			t.Fatalf("the pieces together contain %+v, want %+v", got, want)
 		}
 	})
 }
 
-// drawGroup is a task group of which some tasks are bound, to machines with names and
-// addresses of several lengths.
+// drawGroup draws a task group with some bound tasks, on machines whose names have different
+// lengths.
 func drawGroup(t *rapid.T) *taskGroup {
 	group := &taskGroup{key: "x", doneTasks: rapid.IntRange(0, 50).Draw(t, "done")}
 	n := rapid.IntRange(1, 128).Draw(t, "tasks")
@@ -66,10 +66,10 @@
 	return group
 }
 
-// groupContents are counts of the tasks of a stored group, or of the pieces of one.
+// groupContents counts the tasks of a task group, or of the pieces into which it is split.
 type groupContents struct{ tasks, allowed, done, bound int }
 
-// add counts a stored piece.
+// add counts the tasks of a stored piece.
 func (g *groupContents) add(t *rapid.T, raw []byte) {
 	stored, _, err := record.DecodeTaskGroup(groupKey("wk-1", 0), raw)
 	if err != nil {
@@ -87,15 +87,15 @@
 	g.done += stored.Done
 }
 
-// The key-value store lowers its limits while there are records that were written under
-// the former ones: they are read, split when they are written again, and nothing beyond
-// the new limits is ever sent, let alone again and again.
+// Records written under a higher value limit must stay readable after the key-value store lowers
+// the limit, and are split when they are written again. No value beyond the new limit may be
+// sent, since it would be refused again and again.
 func TestLoweredValueLimitSplitsRecords(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.env.Cloud.SetCapacity(6)
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 400, CPUs: 1, EstimateS: 4}))
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "red", Priority: "normal", Tasks: 60, CPUs: 2, EstimateS: 4}))
-		c.await("it runs", time.Minute, func() bool { return c.env.Completed("wk-1") > 20 })
+		c.await("the job runs", time.Minute, func() bool { return c.env.Completed("wk-1") > 20 })
 		c.killAll()
 		large := c.env.Store.CountLargerThan(1 << 10)
 		c.env.Store.SetLimits(1<<10, 10)
@@ -104,20 +104,20 @@
 			c.start(i)
 		}
 		if large == 0 {
-			t.Error("no record is large")
+			t.Error("no record exceeds the lower limit, want at least one")
 		}
 		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 50, CPUs: 1, EstimateS: 2}))
 		c.awaitDone("wk-3", 2*time.Minute)
 		c.cancelJob("wk-2")
 		c.awaitDone("wk-1", 20*time.Minute)
 		if n := c.env.Store.CountLargerThan(1 << 10); n > 0 {
-			t.Errorf("%d records are too large still, want none", n)
+			t.Errorf("%d records still exceed the value limit, want none", n)
 		}
 	})
 }
 
-// A job whose description can't be stored is refused for good, and one that was accepted
-// while more was allowed can still be asked for, submitted again and cancelled.
+// A job whose description exceeds the value limit is refused permanently. A job that was accepted
+// under a higher limit can still be queried, submitted again and cancelled.
 func TestJobSpecsLargerThanValueLimit(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		body := func(id string) *submission {
@@ -127,7 +127,7 @@
 			return b
 		}
 		c.submit(body("wk-1"))
-		c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-1") > 0 })
+		c.await("the job runs", time.Minute, func() bool { return c.env.Running("wk-1") > 0 })
 		c.killAll()
 		c.env.Store.SetLimits(1<<10, 10)
 		for i, n := range c.nodes {
@@ -135,12 +135,12 @@
 			c.start(i)
 		}
 		if answer := c.call(submitRequest(body("wk-2"), nil), 20*time.Second); answer.status != http.StatusUnprocessableEntity {
-			t.Errorf("a description that can't be stored: status %d, want 422", answer.status)
+			t.Errorf("submission of a job whose description exceeds the limit: status %d, want 422", answer.status)
 		}
 		if answer := c.call(submitRequest(body("wk-1"), nil), 20*time.Second); answer.status != http.StatusOK {
-			t.Errorf("an accepted one, repeated: status %d, want 200", answer.status)
+			t.Errorf("repeated submission of an accepted job: status %d, want 200", answer.status)
 		}
 		c.cancelJob("wk-1")
-		c.await("its tasks are gone", 30*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
+		c.await("no task of the cancelled job runs", 30*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
 	})
 }
--- a/internal/controller/loan_owner.go
+++ b/internal/controller/loan_owner.go
@@ -6,8 +6,8 @@
 	"eiderhitch/internal/wire"
 )
 
-// acknowledgeLoans hands over machines of a partition of ours on which nothing is bound or
-// about to be, apart from services that go along.
+// acknowledgeLoans hands over the loaned machines of a partition that this controller owns, once
+// nothing is bound or about to be bound there except services that move along.
 func (c *partitionOwner) acknowledgeLoans(p *partition) {
 	for _, name := range c.loanedMachines() {
 		loan, m := c.loans[name], c.getOrAddMachine(name)
@@ -21,6 +21,8 @@
 	}
 }
 
+// acknowledgeLoan stores the acknowledgement of a loan, which moves the machine to the leader's
+// partition.
 func (c *partitionOwner) acknowledgeLoan(name string, loan *machineLoan, p *partition) {
 	loan.writeInFlight = true
 	acknowledged := loan.MachineLoan
@@ -32,8 +34,9 @@
 	}, func(error) { loan.writeInFlight = false })
 }
 
-// canMoveWithServices tells whether all that is bound to a machine is services that go with
-// it to the leader's partition: they stay, and were there before the machine was chosen.
+// canMoveWithServices reports whether a machine may move to the leader's partition with
+// everything that is bound to it. That must be services which keep running on it and were bound
+// before the machine was chosen for the loan.
 func (c *partitionOwner) canMoveWithServices(loan *machineLoan, m *machine, p *partition) bool {
 	if loan.Job == gangReserveJobID || !c.runsOnlyServices(m, p) {
 		return false
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -6,20 +6,21 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// machineRecords are the stored records as far as they concern one machine: what package
-// reconcile compares its heartbeats with.
+// machineRecords gives package reconcile the stored records that concern one machine, to compare
+// with its heartbeats. It implements reconcile.Records.
 type machineRecords struct {
 	*clusterState
 	machine   *machine
 	partition *partition
-	// gang is the last gang that was asked about, lastGangMustStop whether it has to stop: that is
-	// known only from all of its tasks, of which there may be thousands.
+	// lastGang is the gang for which MustStop was called last, and lastGangMustStop the result.
+	// The result depends on all tasks of the gang, of which there may be thousands.
 	lastGang         *job
 	lastGangMustStop bool
 }
 
-// reconcileView is what package reconcile is told of a machine. It holds until the next
-// call: heartbeats come hundreds of times a second, and share one view.
+// reconcileView returns a machine's heartbeat state and records for package reconcile. The
+// records are valid until the next call: hundreds of heartbeats arrive each second, and all calls
+// share one value.
 func (c *clusterState) reconcileView(m *machine, p *partition) (reconcile.MachineState, *machineRecords) {
 	view := reconcile.MachineState{
 		Incarnation:    m.incarnation,
@@ -32,7 +33,7 @@
 	return view, &c.reconcileRecords
 }
 
-// Lookup returns what the records have of a task.
+// Lookup returns what the records contain about a task.
 func (r *machineRecords) Lookup(task string) reconcile.TaskRecord {
 	id, number, ok := parseTaskName(task)
 	if !ok {
@@ -57,7 +58,7 @@
 	return found
 }
 
-// reconcileBinding is a binding as package reconcile sees it.
+// reconcileBinding converts a binding to the form that package reconcile uses.
 func (group *taskGroup) reconcileBinding(bound *binding) reconcile.Binding {
 	return reconcile.Binding{Task: group.task(bound.task), Attempt: bound.attempt, Incarnation: bound.incarnation}
 }
@@ -65,7 +66,8 @@
 // BindingCount returns how many tasks are bound to the machine.
 func (r *machineRecords) BindingCount() int { return len(r.machine.bindings) }
 
-// Binding returns the binding at an index.
+// Binding returns the binding at an index below BindingCount. It returns false if the task's
+// record no longer binds it to the machine.
 func (r *machineRecords) Binding(index int) (reconcile.Binding, bool) {
 	entry := r.machine.bindings[index]
 	bound := entry.group.binding(entry.task.Number)
@@ -75,13 +77,13 @@
 	return entry.group.reconcileBinding(bound), true
 }
 
-// TaskName returns a bound task's name.
+// TaskName returns the name of a bound task.
 func (r *machineRecords) TaskName(task scheduling.TaskID) string {
 	return taskName(r.groups[task.Group].job.id, task.Number)
 }
 
-// MustStop tells whether a bound task has to leave the machine. It is worked out once for
-// consecutive tasks of one gang.
+// MustStop reports whether a bound task has to leave the machine. For consecutive tasks of one
+// gang it is computed once.
 func (r *machineRecords) MustStop(task scheduling.TaskID) bool {
 	group := r.groups[task.Group]
 	job := group.job
@@ -94,17 +96,18 @@
 	return r.lastGangMustStop
 }
 
-// StopGraceS returns how many seconds a bound task has to save.
+// StopGraceS returns how many seconds a bound task gets to save its progress when it is stopped.
 func (r *machineRecords) StopGraceS(task scheduling.TaskID) float64 {
 	return r.stopGraceS(r.groups[task.Group].job)
 }
 
-// Ended tells whether an attempt is proven to have ended, though that is not stored yet.
+// HasEnded reports whether an attempt is proven to have ended and its end is not stored yet.
 func (r *machineRecords) HasEnded(binding reconcile.Binding) bool {
 	return r.hasUnstoredEnd(binding.Task, boundAttempt{attempt: binding.Attempt, machine: r.machine, incarnation: binding.Incarnation})
 }
 
-// IsGangComplete tells whether a bound task is of no gang, or all of its gang are bound.
+// IsGangComplete reports whether all tasks of a bound task's gang are bound. It returns true for
+// tasks that belong to no gang.
 func (r *machineRecords) IsGangComplete(task scheduling.TaskID) bool {
 	job := r.groups[task.Group].job
 	return job.spec == nil || !job.spec.Gang || job.isGangBound()
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -8,56 +8,65 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// partition is one hash partition of the machines, or the leader's, of machines on loan.
+// partition is one hash partition of the machines, or the leader's partition, which holds the
+// machines on loan.
 type partition struct {
 	index int
 	key   string
 
-	// token is the fencing token of this controller's lease of the partition; 0: it does not
-	// own it. firstToken is the first since the lease was last acquired, at ownedSince.
+	// token is the fencing token of this controller's lease on the partition; 0 means that this
+	// controller does not own it. firstToken is the first token since ownedSince, when the lease
+	// was last acquired.
 	token, firstToken uint64
-	// recentTokens are the newest tokens since then.
+	// recentTokens holds the newest tokens since ownedSince, at most maxRecentTokens of them.
 	recentTokens []uint64
 	ownedSince   time.Time
-	// active: the replica was read after the failover.
+	// takeoverComplete is set once the replica has been read after the lease was acquired and the
+	// cells have been rebuilt from it.
 	takeoverComplete bool
-	// formerOwnerMaxStaleness is how long a former owner may go on answering heartbeats.
+	// formerOwnerMaxStaleness is how long after ownedSince a former owner may still answer
+	// heartbeats.
 	formerOwnerMaxStaleness time.Duration
-	// tokenRaiseDue: a higher token is needed; tokenRaiseRequestedAt is when one was last asked for.
+	// tokenRaiseDue requests a higher token. tokenRaiseRequestedAt is when one was last
+	// requested.
 	tokenRaiseDue         bool
 	tokenRaiseRequestedAt time.Time
 
-	// machines are those that are in the partition, whoever owns it; groups are assigned to it.
+	// machines are the machines in the partition and groups the task groups assigned to it. Both
+	// are maintained for all partitions, including those of other controllers.
 	machines []*machine
 	groups   []*taskGroup
-	// otherPartitionsGroups are task groups of other partitions of which tasks have ended on a machine
-	// of this one, as on one that was on loan and came back when its borrower ended: nobody
-	// else knows, and the owner of the group would wait for ever.
+	// otherPartitionsGroups are task groups of other partitions with tasks that ended on a
+	// machine of this partition, for example on a machine that was on loan and came back when its
+	// borrower ended. No other controller learns of these ends: unless this owner stores them,
+	// the group's owner waits for them forever.
 	otherPartitionsGroups map[*taskGroup]bool
 
 	cells        *scheduling.Partition
 	reservations map[scheduling.TaskID]reservation
-	// unplaced counts the tasks that found no cell in this pass so far; exhausted are the
-	// classes of those for which there is no room.
+	// unplacedInPass counts the tasks that have found no cell in the current scheduling pass;
+	// exhaustedClasses holds the placement classes that have no room left in it.
 	unplacedInPass   int
 	exhaustedClasses map[placementClass]bool
-	// freedInWindow counts the cells that came free since freedWindowStart, freedInPreviousWindow
-	// those of the window before that.
+	// freedInWindow counts the cells freed since freedWindowStart, freedInPreviousWindow those
+	// freed in the window before.
 	freedInWindow, freedInPreviousWindow int
 	freedWindowStart                     time.Time
 
-	// mostNotReceiving: most of its machines seem not to receive, see machine.notReceiving.
+	// mostNotReceiving is set while most of the partition's machines seem not to receive
+	// messages; see machine.isNotReceiving.
 	mostNotReceiving bool
-	// mostUnreachable: most of its machines seem unreachable, as counted at unreachableCountedAt.
+	// mostUnreachable is set while most of the partition's machines seem unreachable, as of
+	// unreachableCountedAt.
 	mostUnreachable      bool
 	unreachableCountedAt time.Time
 }
 
-// maxRecentTokens is how many tokens of a partition are remembered. A machine that last showed an
-// older one is asked to show the present one.
+// maxRecentTokens limits how many tokens of a partition are kept. A machine whose heartbeat shows
+// an older one is pinged with the current token.
 const maxRecentTokens = 32
 
-// setToken notes a new fencing token of this controller's lease.
+// setToken records a new fencing token of this controller's lease.
 func (p *partition) setToken(token uint64) {
 	p.token = token
 	p.recentTokens = append(p.recentTokens, token)
@@ -66,9 +75,10 @@
 	}
 }
 
-// isOwnToken tells whether a machine that has seen a token, and none higher, has been spoken to
-// by this controller as the partition's owner. Tokens are revisions of one store: one of another
-// partition may be between two of this one.
+// isOwnToken reports whether a token was issued to this controller as the partition's owner, or
+// is newer than its current one. A machine whose highest token it is has received a message under
+// this ownership. Tokens are revisions of one key-value store, so tokens of other partitions lie
+// between two tokens of this one; comparing with firstToken is not enough.
 func (p *partition) isOwnToken(token uint64) bool {
 	if token < p.firstToken {
 		return false
@@ -82,25 +92,26 @@
 	incarnation uint64
 }
 
-// boundAttempt tells one binding of a task from all others. The number of the attempt alone
-// does not: in a gang, replacements have the number of the attempt that they complete.
+// boundAttempt identifies one binding of a task. The attempt number alone does not: in a gang, a
+// replacement task has the number of the attempt that it completes.
 type boundAttempt struct {
 	attempt     uint64
 	machine     *machine
 	incarnation uint64
 }
 
-// attemptEnd is the proven end of an attempt.
+// attemptEnd is the proven end of an attempt. done is set if the task ran to completion, failed
+// if it exited with an error; neither is set if the attempt was lost or stopped.
 type attemptEnd struct {
 	attempt boundAttempt
 	done    bool
 	failed  bool
 }
 
-// freedCellsWindow is the time over which the cells that come free are counted.
+// freedCellsWindow is the length of the window over which freed cells are counted.
 const freedCellsWindow = 5 * time.Second
 
-// countFreedCell counts a cell that came free.
+// countFreedCell counts a cell that became free at now.
 func (p *partition) countFreedCell(now time.Time) {
 	if now.Sub(p.freedWindowStart) > freedCellsWindow {
 		p.freedInPreviousWindow, p.freedInWindow = p.freedInWindow, 0
@@ -112,7 +123,8 @@
 	p.freedInWindow++
 }
 
-// estimateFreedCells is about how many cells come free in d.
+// estimateFreedCells estimates how many cells become free within d, from the rate of the last
+// complete window. It returns 0 if no cell has become free for two windows.
 func (p *partition) estimateFreedCells(now time.Time, d time.Duration) int {
 	if now.Sub(p.freedWindowStart) > 2*freedCellsWindow {
 		return 0
@@ -120,16 +132,18 @@
 	return int(int64(p.freedInPreviousWindow) * int64(d) / int64(freedCellsWindow))
 }
 
-// mixingFactor is an odd number without a pattern, which spreads changes over all bits.
+// mixingFactor is an arbitrary odd 32-bit multiplier without a bit pattern. It propagates a
+// change of any input bit to the higher bits.
 const mixingFactor = 0x2c1b3c6d
 
-// addGroup adds a task group to those of the partition.
+// addGroup adds a task group to the partition's list.
 func (p *partition) addGroup(group *taskGroup) {
 	p.groups = append(p.groups, group)
 	group.listPosition = len(p.groups)
 }
 
-// removeGroup removes a task group from those of the partition. The last takes its place.
+// removeGroup removes a task group from the partition's list and moves the last group to its
+// position.
 func (p *partition) removeGroup(group *taskGroup) {
 	end := len(p.groups) - 1
 	last := p.groups[end]
@@ -138,11 +152,12 @@
 	p.groups, group.listPosition = p.groups[:end], 0
 }
 
-// hashPartitionIndex is the hash partition that a machine belongs to, of count.
+// hashPartitionIndex returns the index of the hash partition, out of count, that a machine
+// belongs to.
 func hashPartitionIndex(machine string, count int) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(machine))
-	// FNV's low bits alone are uneven for names that differ in a digit.
+	// FNV-1a alone distributes names that differ in one digit unevenly in its low bits.
 	v := h.Sum32()
 	v ^= v >> 15
 	v *= mixingFactor
--- a/internal/controller/partition_tokens_test.go
+++ b/internal/controller/partition_tokens_test.go
@@ -7,14 +7,12 @@
 	"eiderhitch/internal/wire"
 )
 
-// What happens: starts are refused as in_use, their attempts are lost and the tasks wait for
-// another machine, after a machine has come to another partition.
-// Why: tokens are revisions of one key-value store, so those of all partitions are in one order.
-// A machine was taken to have shown a token of its owner if it showed one from the owner's first
-// on, which another partition's may be as well. So a late copy of a heartbeat to the machine's
-// former owner counted, and what has been on the machine since was not known.
-// Shown by (seed 959): "first heartbeat of a machine" with token=95 of partition 2, where partition
-// 3 had 4 first and 109 now; it was older by twelve heartbeats than the last one, and empty.
+// Tokens of all partitions are revisions of one key-value store, so a token of another partition
+// may lie between the first and the current token of a machine's owner. Such a token counted as
+// the owner's after the machine had changed partitions. A late copy of a heartbeat to the former
+// owner was then accepted, and the tasks started on the machine since were unknown: starts were
+// refused as in_use and their tasks had to wait for another machine. Seen with seed 959: token 95
+// of partition 2 in partition 3, whose tokens were 4 to 109.
 func TestHeartbeatWithAnotherPartitionsTokenIsNotUsable(t *testing.T) {
 	const firstToken, raisedTo, foreignToken = 4, 109, 95
 	for _, x := range []struct {
@@ -22,10 +20,10 @@
 		token  uint64
 		usable bool
 	}{
-		{"a former owner's", firstToken - 1, false},
-		{"the first", firstToken, true},
-		{"another partition's", foreignToken, false},
-		{"the present one", raisedTo, true},
+		{"token of a former owner", firstToken - 1, false},
+		{"first token of this owner", firstToken, true},
+		{"token of another partition", foreignToken, false},
+		{"current token", raisedTo, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := newTestController(t)
@@ -39,16 +37,17 @@
 			heartbeat := &wire.Heartbeat{Machine: "host-1", Addr: "host-1:1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 32, Token: x.token}
 			c.applyHeartbeat(m, heartbeat, p, workerRequest)
 			if got := c.isUsable(m, p); got != x.usable {
-				t.Errorf("usable: %v, want %v", got, x.usable)
+				t.Errorf("machine is usable: %v, want %v", got, x.usable)
 			}
 			if pinged := m.commandState.inFlight; pinged == x.usable {
-				t.Errorf("pinged: %v, want it to be unless it is usable", pinged)
+				t.Errorf("machine is pinged: %v, want a ping only if it is not usable", pinged)
 			}
 		})
 	}
 }
 
-// An owner that raises its token for days remembers the last of them.
+// The list of an owner's recent tokens must not grow without limit while the owner keeps raising
+// its token.
 func TestRecentTokensAreLimited(t *testing.T) {
 	c := newTestController(t)
 	p := c.partitions[0]
@@ -58,9 +57,9 @@
 		c.TokenRaised(p.key, token)
 	}
 	if len(p.recentTokens) > maxRecentTokens {
-		t.Errorf("%d tokens are remembered, want %d at most", len(p.recentTokens), maxRecentTokens)
+		t.Errorf("%d recent tokens are kept, want at most %d", len(p.recentTokens), maxRecentTokens)
 	}
 	if !p.isOwnToken(raises) || !p.isOwnToken(raises-1) || p.isOwnToken(2) {
-		t.Error("the newest tokens are not known, or the oldest still are")
+		t.Error("the two newest tokens are not own tokens, or an old one still is")
 	}
 }
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -10,15 +10,16 @@
 	"eiderhitch/internal/workerclient"
 )
 
-// partitionOwner places tasks on the machines of the partitions that this controller owns,
-// and sends commands to them.
+// partitionOwner schedules tasks on the machines of the partitions that this controller owns, and
+// sends commands to those machines.
 type partitionOwner struct {
 	*clusterState
 	workerClient *workerclient.Client
 	directSlots  *workerclient.Slots[*machine]
 }
 
-// evictionDelayFactor is how many times evict-after a task at the head of the queue waits.
+// evictionDelayFactor is how many times evict-after an array's task at the head of the queue
+// waits for a free cell before it may preempt others.
 const evictionDelayFactor = 2
 
 // schedulePartitions runs a scheduling pass over all partitions that this controller owns.
@@ -31,8 +32,8 @@
 	}
 }
 
-// schedulePartition reserves cells for the pending tasks of a partition, those of the highest
-// priority first, and stores what changed: ended attempts and new bindings.
+// schedulePartition reserves cells for the pending tasks of a partition, in order of priority,
+// and stores the ended attempts and new bindings.
 func (c *partitionOwner) schedulePartition(p *partition) {
 	p.removeMachines(func(m *machine) bool { return m.terminated && len(m.bindings) == 0 })
 	c.endExpiredAttempts(p)
@@ -49,7 +50,7 @@
 	}
 }
 
-// endExpiredAttempts ends the attempts on machines that are terminated or whose leases have
+// endExpiredAttempts ends the attempts on machines that are terminated or whose lease has
 // expired.
 func (c *partitionOwner) endExpiredAttempts(p *partition) {
 	for _, m := range p.machines {
@@ -59,8 +60,9 @@
 	}
 }
 
-// groupsToSchedule lists the task groups of a partition that a pass may change, in the order
-// in which they may reserve cells. Most groups have nothing to do: all their tasks run.
+// groupsToSchedule returns the task groups of a partition that a scheduling pass may change, in
+// the order in which they may reserve cells. Most groups need nothing, because all their tasks
+// run.
 func (c *partitionOwner) groupsToSchedule(p *partition) []*taskGroup {
 	byUrgency := c.urgencyComparator()
 	var groups []*taskGroup
@@ -80,8 +82,8 @@
 	return groups
 }
 
-// needsScheduling tells whether a task group has ends to store, is stored in too large a
-// form, or waits for cells.
+// needsScheduling reports whether a task group has ends to store, has pending tasks, or is stored
+// in a form larger than the value limit.
 func (c *partitionOwner) needsScheduling(group *taskGroup) bool {
 	if group.job.spec == nil {
 		return false
@@ -90,7 +92,7 @@
 	return group.hasUnstoredEnds || group.storedSize > c.maxValueBytes() || waits
 }
 
-// placeGroups reserves cells for the task groups that wait for them.
+// placeGroups reserves cells for the pending tasks of groups, in their order.
 func (c *partitionOwner) placeGroups(p *partition, groups []*taskGroup) {
 	clear(p.exhaustedClasses)
 	p.unplacedInPass = 0
@@ -101,7 +103,7 @@
 	}
 }
 
-// storeGroups stores what changed of a partition's task groups.
+// storeGroups stores the changes of task groups that have no write in flight.
 func (c *partitionOwner) storeGroups(p *partition, groups []*taskGroup) {
 	for _, group := range groups {
 		if !group.writeInFlight {
@@ -110,7 +112,8 @@
 	}
 }
 
-// storeOtherPartitionsGroups stores the ends of other partitions' tasks on machines of this one.
+// storeOtherPartitionsGroups stores the ends, on machines of this partition, of tasks whose
+// groups belong to other partitions.
 func (c *partitionOwner) storeOtherPartitionsGroups(p *partition) {
 	for group := range p.otherPartitionsGroups {
 		if c.groups[group.index] != group || !group.hasUnstoredEnds || group.partition == p.index {
@@ -121,8 +124,8 @@
 	}
 }
 
-// placementClass is what decides where tasks may be placed: where there is no room for one,
-// there is none for all others of the same class.
+// placementClass is what decides where a task may be placed: if one task of a class finds no
+// room, no other task of that class does.
 type placementClass struct {
 	equivalenceClass, zone string
 	claim                  scheduling.Claim
@@ -136,13 +139,13 @@
 	group     *taskGroup
 	class     placementClass
 	score     scheduling.ScoreFunc
-	// patient: the group may preempt only where too few cells come free by themselves.
+	// prefersFreedCells restricts preemption to the tasks for which too few cells are expected to
+	// become free by themselves.
 	prefersFreedCells bool
 }
 
-// newPlacement prepares the search for one task group. An array's tasks wait a little before
-// they preempt others: cells come free all the time, and what is preempted has run for
-// nothing.
+// newPlacement prepares the search for one task group. Tasks of an array wait for a while before
+// they preempt others: cells become free continually, and the work of a preempted task is lost.
 func (c *partitionOwner) newPlacement(p *partition, group *taskGroup) placement {
 	waited := c.now.Sub(group.partitionAssignedAt)
 	array := !group.job.spec.AllOrNothing()
@@ -161,8 +164,8 @@
 	}
 }
 
-// placeGroup reserves cells for a group's pending tasks: all of a gang, and all of a service
-// that has never started, together, everything else one by one.
+// placeGroup reserves cells for a group's pending tasks. The tasks of a gang, and of a service
+// that has never started, are placed all together; other tasks are placed one by one.
 func (c *partitionOwner) placeGroup(p *partition, group *taskGroup) {
 	pending, started := c.unplacedTasks(p, group)
 	unthrottled := max(0, group.bindLimit()-(len(group.bindings)-len(pending)))
@@ -191,8 +194,8 @@
 	}
 }
 
-// isFirstOfJob tells whether a group is the job's first in a partition. Of a gang, or a service
-// that has never started, the others are placed with it.
+// isFirstOfJob reports whether a group is its job's first one in the partition. The other groups
+// of a gang, or of a service that has never started, are placed together with the first one.
 func (p *partition) isFirstOfJob(group *taskGroup) bool {
 	for _, other := range group.job.groups {
 		if other.partition == p.index && other.number < group.number {
@@ -202,8 +205,8 @@
 	return true
 }
 
-// unplacedTasksOfOtherGroups lists the unplaced tasks of a job's other task groups in the partition;
-// started: some of them have been bound before.
+// unplacedTasksOfOtherGroups returns the unplaced tasks of the job's other task groups in the
+// partition. started reports whether a task of those groups has been bound before.
 func (c *partitionOwner) unplacedTasksOfOtherGroups(p *partition, group *taskGroup) (unplaced []scheduling.TaskID, started bool) {
 	for _, other := range group.job.groups {
 		if other == group || other.partition != p.index {
@@ -215,13 +218,14 @@
 	return unplaced, started
 }
 
-// placeIndividually requests cells for tasks one by one, until there is no room for the next.
+// placeIndividually requests cells for tasks one by one and stops at the first one for which
+// there is no room, unless tasks behind it may preempt.
 func (s *placement) placeIndividually(tasks []scheduling.TaskID) {
 	for i, task := range tasks {
 		if s.requestCells(task) {
 			continue
 		}
-		// The first tasks wait for the cells that come free; those behind them may preempt.
+		// The first tasks wait for the cells that become free; the tasks behind them may preempt.
 		laterMayPreempt := s.prefersFreedCells && !s.class.noPreemption && i < s.expectedFreedCells()
 		if !laterMayPreempt {
 			return
@@ -229,14 +233,15 @@
 	}
 }
 
-// expectedFreedCells is about how many cells come free before a task that waits may preempt.
+// expectedFreedCells estimates how many cells become free within evict-after, the time that a
+// pending task waits before it may preempt.
 func (s *placement) expectedFreedCells() int {
 	return s.partition.estimateFreedCells(s.owner.now, s.owner.operator.EvictAfter)
 }
 
-// currentClass is the group's class at this point of the pass. Where tasks end all the time,
-// those at the head of the queue have a free cell before long; only what is behind them
-// preempts others, until all have waited.
+// currentClass returns the group's placement class at this point of the pass. While cells become
+// free continually, the tasks at the head of the queue soon get one; only the tasks behind them
+// preempt, until all have waited long enough.
 func (s *placement) currentClass() placementClass {
 	class := s.class
 	if s.prefersFreedCells && !class.noPreemption {
@@ -245,11 +250,13 @@
 	return class
 }
 
-// request asks for cells for tasks that are placed together; false: there is no room. Tasks
-// of one class are alike, so the first that finds no room speaks for all behind it.
+// requestCells requests cells for tasks that are placed together. It returns false if there is no
+// room. Tasks of one class are interchangeable, so once one has found no room, the others of its
+// class are not tried in this pass.
 func (s *placement) requestCells(tasks ...scheduling.TaskID) bool {
 	class := s.currentClass()
-	// A job that avoids machines on which it failed is alike to no other.
+	// A job that avoids the machines on which its tasks failed is not interchangeable with
+	// others.
 	alike := len(tasks) == 1 && len(s.group.job.failedMachines) == 0
 	if alike && s.partition.exhaustedClasses[class] {
 		s.partition.unplacedInPass++
@@ -274,7 +281,7 @@
 	return request.State != scheduling.GroupPending
 }
 
-// markExhausted notes that there is no room for a class in this pass.
+// markExhausted records that there is no room for a class in this pass.
 func (p *partition) markExhausted(class placementClass) {
 	if p.exhaustedClasses == nil {
 		p.exhaustedClasses = map[placementClass]bool{}
@@ -282,7 +289,8 @@
 	p.exhaustedClasses[class] = true
 }
 
-// preempt has the victims of a Preempting group stopped.
+// stopVictims sends stop commands to the machines on which a Preempting group waits for its
+// victims.
 func (c *partitionOwner) stopVictims(j *job, request *scheduling.AffinityGroup) {
 	c.metrics.count(countPreemptedTasks, request.VictimCount())
 	c.log.Debug("group preempts", "job", j.id, "tasks", len(request.Tasks))
@@ -291,8 +299,8 @@
 	}
 }
 
-// unplacedTasks lists a group's tasks that neither are bound nor have, or wait for, a
-// reservation; started: some have been bound before.
+// unplacedTasks returns a group's tasks that are neither bound nor have a cell reserved or being
+// preempted for them. started reports whether a task of the group has been bound before.
 func (c *partitionOwner) unplacedTasks(p *partition, group *taskGroup) (unplaced []scheduling.TaskID, started bool) {
 	for i := range group.bindings {
 		bound := &group.bindings[i]
@@ -308,10 +316,10 @@
 	return unplaced, started
 }
 
-// isPlaced tells whether a task is bound and not known to be lost. A lost task is placed
-// again, unless it is a gang's, before its end is stored: its end and its next binding are
-// then stored together. Stored one after the other, they had the replicas of some hundred
-// dead machines wait twice for the key-value store.
+// isPlaced reports whether a task is bound and not known to be lost. Except in a gang, a lost
+// task is placed again before its end is stored, so that one write stores the end and the next
+// binding. As two separate writes they made replicas wait twice for the key-value store after a
+// hundred or more machines had died.
 func (c *partitionOwner) isPlaced(group *taskGroup, bound *binding) bool {
 	return bound.machine != nil && (group.job.spec.Gang || !c.isLost(group, bound))
 }
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -6,10 +6,11 @@
 	"eiderhitch/internal/wire"
 )
 
-// reconcile learns from a machine's newest heartbeat what has become of the tasks that are
-// bound to it, and notes the ends of attempts that it proves.
+// reconcile compares a machine's newest heartbeat with the tasks that are bound to it, and
+// records the ends of attempts that it proves.
 func (c *partitionOwner) reconcile(m *machine, p *partition) {
-	// A start that went unanswered may arrive until the machine has seen a higher token.
+	// A start command that got no response may still arrive until the machine has received a
+	// higher token.
 	if m.commandState.unansweredStartToken == p.token && m.commandState.unansweredStartToken != 0 && !m.commandState.inFlight {
 		p.tokenRaiseDue = true
 	}
@@ -19,7 +20,7 @@
 	}
 }
 
-// applyFinding learns from what has become of one attempt.
+// applyFinding handles the finding about one attempt.
 func (c *partitionOwner) applyFinding(m *machine, finding reconcile.Observation) {
 	task := finding.Binding.Task
 	group := c.groups[task.Group]
@@ -40,8 +41,8 @@
 	})
 }
 
-// observeTask learns from a bound task that a heartbeat shows: how far its gang is, and
-// that its machine has its image.
+// observeTask updates what is known from a bound task in a heartbeat: the state of its gang, and
+// that the machine has the image in its cache.
 func (c *partitionOwner) observeTask(m *machine, j *job, status *wire.TaskStatus) {
 	if j.spec == nil {
 		return
@@ -56,14 +57,15 @@
 	}
 }
 
-// hasUnstoredEnd tells whether an attempt is proven to have ended, though that is not stored yet.
+// hasUnstoredEnd reports whether an attempt is proven to have ended and its end is not stored
+// yet.
 func (c *cellRegistry) hasUnstoredEnd(task scheduling.TaskID, attempt boundAttempt) bool {
 	end, known := c.unstoredEnds[task]
 	return known && end.attempt == attempt
 }
 
-// endAttempt notes the proven end of an attempt and frees its cell. The scheduling pass
-// stores it.
+// endAttempt records the proven end of an attempt and frees its cell. The next scheduling pass
+// stores the end.
 func (c *clusterState) endAttempt(group *taskGroup, bound *binding, end attemptEnd) {
 	t := group.task(bound.task)
 	if c.hasUnstoredEnd(t, bound.boundAttempt()) {
@@ -89,8 +91,8 @@
 	c.requestSchedulingPass()
 }
 
-// endAllAttempts ends every attempt on a machine that is terminated or whose lease has
-// expired.
+// endAllAttempts ends every attempt on a machine that is terminated or whose lease has expired,
+// and releases the cells reserved there. reason is logged.
 func (c *clusterState) endAllAttempts(m *machine, reason string) {
 	p := c.partitions[m.partition]
 	if p.token == 0 {
--- a/internal/controller/scoring.go
+++ b/internal/controller/scoring.go
@@ -7,33 +7,37 @@
 	"eiderhitch/internal/wire"
 )
 
-// A machine's score for a task is baseScore with what speaks for the machine taken off and
-// what speaks against it added: the machine with the lowest score is chosen.
+// A machine's score for a task is baseScore plus the scores of the criteria below, some of which
+// are negative. The machine with the lowest score is chosen.
 const (
-	// forbiddenScore is the score of a machine on which a task must not be placed.
+	// forbiddenScore marks a machine on which the task must not be placed.
 	forbiddenScore = -1
-	// baseScore keeps the score of a machine that all speaks for from meaning forbiddenScore.
+	// baseScore keeps the score of a machine that meets all criteria with negative scores from
+	// being negative, which would forbid the placement.
 	baseScore = -(cachedImageScore + spotScore + serviceScore)
-	// spotScore prefers spot machines: dearer ones are left to those who need them.
+	// spotScore prefers spot machines, which leaves the more expensive on-demand machines to the
+	// tasks that need them.
 	spotScore = -500
-	// serviceScore prefers machines that run a service: they stay anyhow.
+	// serviceScore prefers machines that run a service, since these are not returned anyway.
 	serviceScore = -150
-	// Free room scores one for each CPU: tight packing leaves whole machines free to be
-	// returned. Machines with more than maxScoredMilliCPUs free are alike.
+	// Each free CPU adds 1 to the score: dense packing leaves whole machines empty, which can
+	// then be returned. Free CPUs beyond maxScoredMilliCPUs add nothing.
 	maxScoredMilliCPUs     = 100_000
 	milliCPUsPerScorePoint = 1000
 )
 
-// The score of the fetch of an image: of one that is cached, and for each second that a
-// fetch takes. Users notice the seconds of a service more than those of an array.
+// Scores for fetching a task's image: for an image in the machine's cache, or for each second
+// that the fetch is expected to take. A delay matters more to the users of a service than to
+// those of an array.
 const (
 	cachedImageScore  = -400
 	serviceFetchScore = 10
 	arrayFetchScore   = 3
 	maxFetchScore     = 600
-	// remainingFetchShare is what is left, on average, of a fetch that has begun.
+	// remainingFetchShare is the average remaining share of a fetch that has begun.
 	remainingFetchShare = 0.5
-	// fetchTimeout is how long a fetch counts; one that nobody waits for is given up.
+	// fetchTimeout is how long a fetch counts as in progress. A fetch that no task waits for is
+	// abandoned.
 	fetchTimeout = time.Minute
 )
 
@@ -56,16 +60,16 @@
 	}
 }
 
-// canPlace tells whether a group's tasks may be placed on a machine now.
+// canPlace reports whether a group's tasks may be placed on a machine now.
 func (c *partitionOwner) canPlace(p *partition, group *taskGroup, m *machine) bool {
 	return c.isSchedulable(m, p) &&
 		allowsMachine(group.job.spec, group.zone, m.machineType, m.zone, m.spot) &&
 		(len(m.failedJobs) == 0 || !c.avoidsJob(m, group.job))
 }
 
-// fetchScore is what the fetch of a job's image adds to a machine's score. Images that are
-// fetched at the same time may share a machine's rate, so some hundred services that come
-// together start far later if each machine takes one of every image.
+// fetchScore returns what the fetch of a job's image adds to a machine's score. Concurrent
+// fetches may share the machine's bandwidth: if each machine fetched the images of all of some
+// hundred services that are submitted together, all of them would start much later.
 func (c *partitionOwner) fetchScore(m *machine, spec *wire.Job) float64 {
 	if m.cachedImages[spec.Image] {
 		return cachedImageScore
@@ -86,7 +90,7 @@
 	return min(perSecond*share*spec.ImageGB*float64(1+others)/machineType.FetchGBPS, maxFetchScore)
 }
 
-// dropExpiredFetches forgets the fetches that have taken too long.
+// dropExpiredFetches removes the fetches that began more than fetchTimeout ago.
 func (m *machine) dropExpiredFetches(now time.Time) {
 	for image, since := range m.fetchStartedAt {
 		if now.Sub(since) > fetchTimeout {
@@ -95,8 +99,8 @@
 	}
 }
 
-// schedulable tells whether anything may be placed on a machine now. It is looked up once in
-// a pass, not for each task.
+// isSchedulable reports whether any task may be placed on a machine now. The result is cached for
+// the scheduling pass instead of being computed for each task.
 func (c *partitionOwner) isSchedulable(m *machine, p *partition) bool {
 	if m.schedulablePass != c.schedulingPass {
 		m.schedulablePass = c.schedulingPass
@@ -106,8 +110,9 @@
 	return m.schedulable
 }
 
-// isReservedByLeader tells whether a machine is kept free by the leader: it is being drained,
-// or on loan. Where the leader places tasks itself, only loans that are being returned are.
+// isReservedByLeader reports whether the leader keeps a machine free because it is draining or on
+// loan. In the leader's own partition all machines are on loan, and only those that are being
+// returned are excluded.
 func (c *partitionOwner) isReservedByLeader(m *machine, p *partition) bool {
 	loan := c.loans[m.name]
 	if p.index == c.loanPartition() {
@@ -116,8 +121,8 @@
 	return loan != nil || c.autoscaler.Draining(m.name)
 }
 
-// runsService tells whether a service is bound to a machine, see planning.MachineSummary. It
-// is looked up once in a pass.
+// runsService reports whether a task of a service or gang is bound to a machine; see
+// planning.MachineSummary. The result is cached for the scheduling pass.
 func (c *clusterState) runsService(m *machine) bool {
 	if m.runsServicePass != c.schedulingPass {
 		m.runsServicePass, m.runsService = c.schedulingPass, m.hasServiceBinding()
@@ -125,7 +130,7 @@
 	return m.runsService
 }
 
-// hasServiceBinding tells whether a task of a service or gang is bound to a machine.
+// hasServiceBinding reports whether a task of a service or gang is bound to a machine.
 func (m *machine) hasServiceBinding() bool {
 	for _, x := range m.bindings {
 		if spec := x.group.job.spec; spec != nil && spec.AllOrNothing() {
@@ -135,8 +140,8 @@
 	return false
 }
 
-// allowed tells whether a job's task may be on a machine at all; pinnedZone is the zone that
-// its group must be in, if any.
+// allowsMachine reports whether a job's tasks may run on a machine with the given properties.
+// pinnedZone is the zone that the task group must be in; empty means any zone.
 func allowsMachine(spec *wire.Job, pinnedZone, machineType, zone string, spot bool) bool {
 	return (pinnedZone == "" || pinnedZone == zone) && spec.Allows(machineType, zone, spot)
 }
--- a/internal/controller/scoring_test.go
+++ b/internal/controller/scoring_test.go
@@ -9,15 +9,15 @@
 	"eiderhitch/internal/wire"
 )
 
-// The fetch of an image speaks against a machine for as long as it would take there, up to a
-// bound; an image that is cached speaks for it.
+// A fetch adds to a machine's score in proportion to its expected duration, up to a maximum, and
+// a cached image lowers the score.
 func TestFetchScore(t *testing.T) {
 	const image, other = "trainer", "renderer"
 	for _, x := range []struct {
 		name     string
 		service  bool
 		images   map[string]bool
-		fetching map[string]time.Duration // since how long
+		fetching map[string]time.Duration // age of each fetch
 		rate     float64
 		want     float64
 	}{
@@ -46,11 +46,10 @@
 	}
 }
 
-// What happens: a task is not placed on a machine that has room for it.
-// Why: a score below zero means that the task must not be placed there. What speaks for a spot
-// machine that runs a service and has the task's image came to more than the score that it is
-// taken off, unless 50 CPUs were free.
-// Shown by: 1000 - 400 (image) - 500 (spot) - 150 (service) + 3 (free CPUs) = -47.
+// A spot machine that runs a service and has the task's image meets all criteria with negative
+// scores. Their sum exceeded the base score, so that the total was negative, which forbids
+// placement, unless 50 CPUs were free: 1000 - 400 (image) - 500 (spot) - 150 (service) + 3 (free
+// CPUs) = -47. The task was not placed although the machine had room.
 func TestPreferredMachineScoresAboveForbidden(t *testing.T) {
 	const image = "trainer"
 	c := newTestController(t)
@@ -69,12 +68,12 @@
 	score := c.scorer(p, c.groupByKey[groupKey("wk-2", 0)])
 	for _, freeCPUs := range []float64{0, 3, 49, 200} {
 		if got := score(m.index, scheduling.NewResources(freeCPUs, 0, 0)); got < 0 {
-			t.Errorf("score %v with %v CPUs free, want one that allows the machine", got, freeCPUs)
+			t.Errorf("score %v with %v CPUs free, want at least 0", got, freeCPUs)
 		}
 	}
 	m.spot = false
 	array.Spot = false
 	if ordinary, spot := score(m.index, scheduling.NewResources(3, 0, 0)), -500.0; ordinary+spot < 0 {
-		t.Errorf("score %v of the same machine if it were ordinary, want more than %v", ordinary, -spot)
+		t.Errorf("score %v of the same machine as an on-demand machine, want at least %v", ordinary, -spot)
 	}
 }
