--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -57,8 +57,8 @@
 
 // endedTask is a task with the proven end of its attempt.
 type endedTask struct {
-	task scheduling.TaskID
-	end  attemptEnd
+	task       scheduling.TaskID
+	attemptEnd attemptEnd
 }
 
 // storeGroup writes the changes of a task group, if there are any and they are due.
--- a/internal/controller/bindings_write.go
+++ b/internal/controller/bindings_write.go
@@ -161,7 +161,7 @@
 	c := w.owner
 	w.reportNewBindings()
 	for _, x := range w.update.endedTasks {
-		if c.unstoredEnds[x.task] == x.end {
+		if c.unstoredEnds[x.task] == x.attemptEnd {
 			delete(c.unstoredEnds, x.task)
 		}
 	}
@@ -192,11 +192,11 @@
 // tasks. A gang starts once all of its tasks are bound, including those bound by earlier writes.
 func (w *updateWrite) machinesToCommand() []*machine {
 	group, job := w.group, w.group.job
-	listed := map[*machine]bool{}
+	seen := map[*machine]bool{}
 	var machines []*machine
 	add := func(m *machine) {
-		if !listed[m] {
-			listed[m] = true
+		if !seen[m] {
+			seen[m] = true
 			machines = append(machines, m)
 		}
 	}
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -22,8 +22,8 @@
 // mustLeaveMachine reports whether a task has to leave its machine because its cell is preempted,
 // its group is throttled, the machine is wanted on loan, or the machine is cordoned or about to
 // be terminated.
-func (c *clusterState) mustLeaveMachine(group *taskGroup, t scheduling.TaskID, m *machine, p *partition) bool {
-	if cell := p.cells.Cell(t); cell != nil && cell.State == scheduling.CellReserving || group.exceedsThrottle(t.Number) {
+func (c *clusterState) mustLeaveMachine(group *taskGroup, task scheduling.TaskID, m *machine, p *partition) bool {
+	if cell := p.cells.Cell(task); cell != nil && cell.State == scheduling.CellReserving || group.exceedsThrottle(task.Number) {
 		return true
 	}
 	if loan := c.loans[m.name]; loan != nil && !loan.Acknowledged && loan.claim(c.catalog).CanPreempt(group.claim()) {
--- a/internal/controller/direct_commands_test.go
+++ b/internal/controller/direct_commands_test.go
@@ -24,7 +24,7 @@
 	if c.directSlots.Open() != 20 || c.directSlots.Open()+c.directSlots.Waiting() != len(p.machines) || len(p.machines) < 300 {
 		t.Fatalf("%d requests are in flight and %d machines wait, of %d machines; want 20 in flight and all others waiting", c.directSlots.Open(), c.directSlots.Waiting(), len(p.machines))
 	}
-	asked := map[string]bool{}
+	pinged := map[string]bool{}
 	for rounds := 0; c.directSlots.Waiting() > 0; rounds++ {
 		if rounds > len(p.machines)/20 {
 			t.Fatal("machines still wait for a slot after enough rounds for all of them")
@@ -39,11 +39,11 @@
 	}
 	for _, m := range p.machines {
 		if m.commandState.inFlight {
-			asked[m.name] = true
+			pinged[m.name] = true
 		}
 	}
-	if len(asked) != len(p.machines) {
-		t.Errorf("%d of %d machines were pinged, want all", len(asked), len(p.machines))
+	if len(pinged) != len(p.machines) {
+		t.Errorf("%d of %d machines were pinged, want all", len(pinged), len(p.machines))
 	}
 }
 
@@ -61,20 +61,20 @@
 // A command that was decided on before the process was suspended may have been revoked by the
 // time it resumes. It must not be sent.
 func TestSuspendedProcessSendsNoCommand(t *testing.T) {
-	for _, still := range []bool{false, true} {
+	for _, suspended := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newTestController(t)
-			out := &countingTransport{}
-			c.workerClient = workerclient.NewClient(out)
+			transport := &countingTransport{}
+			c.workerClient = workerclient.NewClient(transport)
 			m := c.getOrAddMachine("host-1")
 			m.addr, m.incarnation, m.heartbeatAt = "10.1.0.1:1", 1, c.now
-			if still {
+			if suspended {
 				time.Sleep(5 * time.Second) // c.now stays at the time of the decision
 			}
 			c.sendDirectRequest(m, c.partitions[0], []wire.Command{{Op: wire.OpStart, Task: "wk-1/0", Attempt: 1}})
 			synctest.Wait()
-			if sent := out.sent.Load() > 0; sent == still {
-				t.Errorf("process suspended: %v; command sent: %v, want %v", still, sent, !still)
+			if sent := transport.sent.Load() > 0; sent == suspended {
+				t.Errorf("process suspended: %v; command sent: %v, want %v", suspended, sent, !suspended)
 			}
 		})
 	}
@@ -122,7 +122,7 @@
 // A machine's former address may belong to another machine. The answer of that one must not be
 // applied to the machine that was addressed.
 func TestAnswerFromAnotherMachine(t *testing.T) {
-	for name, heard := range map[string]bool{"host-1": true, "host-2": false} {
+	for name, applied := range map[string]bool{"host-1": true, "host-2": false} {
 		c := newTestController(t)
 		p := c.partitions[0]
 		m := c.getOrAddMachine("host-1")
@@ -131,8 +131,8 @@
 		if m.commandState.inFlight || m.commandState.carriesStart {
 			t.Errorf("answer of %s: the request still counts as in flight", name)
 		}
-		if got := m.incarnation == 1 && m.commandState.unanswered == 0; got != heard {
-			t.Errorf("answer of %s: applied to host-1: %v, want %v", name, got, heard)
+		if got := m.incarnation == 1 && m.commandState.unanswered == 0; got != applied {
+			t.Errorf("answer of %s: applied to host-1: %v, want %v", name, got, applied)
 		}
 		if !m.heartbeatAt.IsZero() || !m.leaseRenewedAt.IsZero() {
 			t.Errorf("answer of %s: it counts as a heartbeat or renews the lease", name)
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -128,6 +128,6 @@
 	case c.now.Sub(j.incompleteSince) > config.Seconds(c.cfg.Settings.Workers.GangWaitS):
 		j.incompleteSince = time.Time{}
 		j.failedAttempt = max(j.failedAttempt, attempt)
-		c.log.Info("gang can't be completed and is bound anew", "job", j.id, "attempt", attempt)
+		c.log.Info("gang can't be completed; binding it again", "job", j.id, "attempt", attempt)
 	}
 }
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -11,26 +11,26 @@
 	"eiderhitch/internal/wire"
 )
 
-// storedBindings counts a job's tasks that are bound to a machine by what is stored, and
-// those that are assigned.
+// storedBindings counts, in the key-value store, a job's tasks that are bound to a machine and
+// those that are assigned to a partition.
 func (c *cluster) storedBindings(id string) (bound, assigned int) {
 	for _, raw := range c.env.Store.Values(groupPrefix + id + "/") {
-		var v record.TaskGroup
-		if err := json.Unmarshal(raw, &v); err != nil {
+		var group record.TaskGroup
+		if err := json.Unmarshal(raw, &group); err != nil {
 			c.t.Error(err)
 		}
-		for _, e := range v.Tasks {
-			if e.Machine != "" {
+		for _, task := range group.Tasks {
+			if task.Machine != "" {
 				bound++
 			}
 		}
-		assigned += len(v.Tasks)
+		assigned += len(group.Tasks)
 	}
 	return bound, assigned
 }
 
-// setStoreLimits gives the key-value store other limits, and ends all controllers and starts
-// them again with these in their settings.
+// setStoreLimits changes the limits of the key-value store and restarts all controllers with
+// these limits in their settings.
 func (c *cluster) setStoreLimits(valueKB float64, txnChanges int) {
 	c.killAll()
 	c.env.Store.SetLimits(int(valueKB*1024), txnChanges)
@@ -41,15 +41,16 @@
 	}
 }
 
-// largeGangSubmission is a gang whose records and bindings take several transactions.
+// largeGangSubmission returns a gang whose records and bindings take several transactions to
+// write.
 func largeGangSubmission(tasks int, cpus float64) *submission {
-	b := gangSubmission("wk-9", "blue", "urgent", tasks, 10)
-	b.CPUs, b.RAM, b.MachineTypes = cpus, 0.01, []string{"large"}
-	return b
+	gang := gangSubmission("wk-9", "blue", "urgent", tasks, 10)
+	gang.CPUs, gang.RAM, gang.MachineTypes = cpus, 0.01, []string{"large"}
+	return gang
 }
 
-// checkStartsAfterBindings checks, until the gang runs, that no task of it is started before
-// the last of them has a stored binding.
+// checkStartsAfterBindings checks, until all tasks of the gang have been started, that none is
+// started before the last of them has a stored binding.
 func (c *cluster) checkStartsAfterBindings(tasks int) {
 	c.t.Helper()
 	for until := time.Now().Add(4 * time.Minute); time.Now().Before(until); time.Sleep(2 * time.Millisecond) {
@@ -58,18 +59,17 @@
 			continue
 		}
 		if bound, _ := c.storedBindings("wk-9"); bound < tasks {
-			c.t.Fatalf("%d tasks are started when %d of %d are bound", started, bound, tasks)
+			c.t.Fatalf("%d tasks are started while %d of %d are bound, want none started before all are bound", started, bound, tasks)
 		}
 		if started == tasks {
 			return
 		}
 	}
-	c.t.Fatal("it is not started")
+	c.t.Fatal("not all tasks of the gang are started within 4 minutes")
 }
 
-// A gang whose records and bindings are more than a transaction may carry runs, at the
-// present limits and at those that are to come; no task of it is started before all have
-// a stored binding.
+// A gang whose records and bindings exceed one transaction runs, at the current limits and at
+// lower ones. No task of it is started before all have a stored binding.
 func TestGangLargerThanOneTransaction(t *testing.T) {
 	for _, x := range []struct {
 		name    string
@@ -78,9 +78,9 @@
 		tasks   int
 		cpus    float64
 	}{
-		{"present limits", 8, 32, 3700, 0.04},
-		{"coming limits", 2, 10, 400, 0.25},
-		{"least limits", 0.5, 4, 60, 1},
+		{"current limits", 8, 32, 3700, 0.04},
+		{"announced limits", 2, 10, 400, 0.25},
+		{"lowest limits", 0.5, 4, 60, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			runCluster(t, func(c *cluster) {
@@ -96,12 +96,12 @@
 	}
 }
 
-// partialGangTasks is how many tasks the gangs have that meet something in the middle of
-// their transactions.
+// partialGangTasks is the number of tasks of the gangs that are interrupted between two of their
+// transactions.
 const partialGangTasks = 400
 
-// What happens while such a gang is assigned or bound in part: whoever takes over completes
-// it or gives it back, a cancellation leaves nothing, lower limits split what is stored.
+// While a gang is only partly assigned or bound, a controller that takes over completes it or
+// releases its cells, a cancellation leaves nothing behind, and lower limits split the records.
 func TestPartiallyBoundGang(t *testing.T) {
 	inPart := func(count int) bool { return count > 0 && count < partialGangTasks }
 	for _, phase := range []struct {
@@ -115,20 +115,20 @@
 			name  string
 			check func(c *cluster)
 		}{
-			{"all restart", checkDoneAfter((*cluster).restartAll)},
-			{"one restarts", checkDoneAfter(func(c *cluster) {
+			{"all controllers restart", checkDoneAfter((*cluster).restartAll)},
+			{"one controller restarts", checkDoneAfter(func(c *cluster) {
 				c.kill(0)
 				time.Sleep(8 * time.Second)
 				c.start(0)
 			})},
 			{"cancelled", (*cluster).checkPartialGangCancelled},
 			{"lower limits", checkDoneAfter(func(c *cluster) { c.setStoreLimits(1, 8) })},
-			{"machine dies", checkDoneAfter(func(c *cluster) { c.env.Cloud.Agents()[0].Terminate() })},
+			{"machine terminated", checkDoneAfter(func(c *cluster) { c.env.Cloud.Agents()[0].Terminate() })},
 		} {
 			t.Run(phase.name+" in part, "+x.name, func(t *testing.T) {
 				runCluster(t, func(c *cluster) {
 					c.setStoreLimits(2, 10)
-					c.env.Store.SetRate(12) // it stays in part for a while
+					c.env.Store.SetRate(12) // keeps the gang incomplete for a while
 					c.submit(largeGangSubmission(partialGangTasks, 0.25))
 					c.awaitBindings(phase.holds)
 					x.check(c)
@@ -138,7 +138,7 @@
 	}
 }
 
-// checkDoneAfter has something happen to the gang, which must be done in the end.
+// checkDoneAfter returns a check that calls happen and then expects the gang to complete.
 func checkDoneAfter(happen func(*cluster)) func(*cluster) {
 	return func(c *cluster) {
 		c.t.Helper()
@@ -148,8 +148,8 @@
 	}
 }
 
-// awaitBindings waits until something holds of how many tasks of the gang are bound and
-// assigned; it may do so for the time between two transactions.
+// awaitBindings waits until holds is true of the numbers of bound and assigned tasks of the gang.
+// That may be only for the time between two transactions.
 func (c *cluster) awaitBindings(holds func(bound, assigned int) bool) {
 	c.t.Helper()
 	for until := time.Now().Add(2 * time.Minute); time.Now().Before(until); time.Sleep(time.Millisecond) {
@@ -157,28 +157,28 @@
 			return
 		}
 	}
-	c.t.Fatal("the gang is never in this phase")
+	c.t.Fatal("the gang does not reach this phase within 2 minutes")
 }
 
-// checkPartialGangCancelled cancels the gang, of which nothing stays.
+// checkPartialGangCancelled cancels the gang and checks that nothing of it is left.
 func (c *cluster) checkPartialGangCancelled() {
 	c.t.Helper()
 	c.cancelJob("wk-9")
-	started := c.env.Trace.Accepted("wk-9") // it may have been bound whole meanwhile
-	c.await("its records are gone", time.Minute, func() bool { return len(c.env.Store.Keys(groupPrefix)) == 0 })
+	started := c.env.Trace.Accepted("wk-9") // all tasks may have been bound in the meantime
+	c.await("its task group records are deleted", time.Minute, func() bool { return len(c.env.Store.Keys(groupPrefix)) == 0 })
 	if n := c.env.Trace.Accepted("wk-9"); started == 0 && n > 0 || c.env.Running("wk-9") > 0 {
-		c.t.Errorf("%d tasks were started after its user was told, %d run, want none", n-started, c.env.Running("wk-9"))
+		c.t.Errorf("%d tasks were started after the cancellation was confirmed and %d run, want none", n-started, c.env.Running("wk-9"))
 	}
-	c.submit(largeGangSubmission(partialGangTasks, 0.25)) // it stays cancelled, and its cells are free
+	c.submit(largeGangSubmission(partialGangTasks, 0.25)) // stays cancelled; its cells are free
 	other := largeGangSubmission(partialGangTasks, 0.25)
 	other.ID = "wk-10"
 	c.submit(other)
 	c.awaitDone("wk-10", 2*time.Minute)
 }
 
-// A gang that waits in a partition without room goes to where there is room for it: another
-// partition, or machines of several that are lent for it. The first transaction of a move
-// may be the last of its leader: the other records follow the first one.
+// A gang that waits in a partition without room moves to another partition with room for all of
+// it, or to machines of several partitions that are lent for it. A leader may end after the first
+// transaction of a move: the next leader moves the remaining records to where the first one is.
 func TestGangMovesTogether(t *testing.T) {
 	c := newTestControllerInCluster(t, 3)
 	spec := &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 2, Priority: 1, SingleZone: true}
@@ -187,24 +187,24 @@
 	c.replica.Put(groupKey("wk-1", 1), marshalJSON(t, record.TaskGroup{Partition: 0, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 4)
 	job := c.jobs["wk-1"]
 	if job.hasAllGroupsIn(1, "a") {
-		t.Fatal("the records are together")
+		t.Fatal("the gang's records are already in one partition")
 	}
 	c.becomeLeader(1)
 	c.leadership.active = true
 	c.runLeaderPass()
 	if c.leadership.writesInFlight != 1 {
-		t.Errorf("%d transactions have the records follow the first, want 1", c.leadership.writesInFlight)
+		t.Errorf("%d transactions move records to the first record's partition, want 1", c.leadership.writesInFlight)
 	}
 	c.leadership.writesInFlight = 0
 	c.replica.Put(groupKey("wk-1", 1), marshalJSON(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 5)
 	c.completeGangMoves()
 	if c.leadership.writesInFlight != 0 {
-		t.Error("records that are together move")
+		t.Error("records that are already in one partition are moved")
 	}
 	host := func(id scheduling.MachineIndex, partition int, free float64) *planning.MachineSummary {
 		name := []string{"host-1", "host-2", "host-3"}[id]
 		if m := c.getOrAddMachine(name); m.index != id {
-			t.Fatal("machines are numbered otherwise")
+			t.Fatal("a machine has another index than expected")
 		}
 		summary := &planning.MachineSummary{Index: id, Type: "small", Zone: "a", Partition: partition, Size: scheduling.NewResources(4, 0, 8), FreeResources: scheduling.NewResources(free, 0, 8)}
 		if free < 4 {
@@ -213,27 +213,28 @@
 		return summary
 	}
 	if c.moveGang([]*planning.MachineSummary{host(0, 0, 4), host(1, 1, 2), host(2, 1, 2)}, job) {
-		t.Error("it moves, or machines are lent, where there is no room for all of it")
+		t.Error("the gang moves, or machines are lent, although there is no room for all of it")
 	}
 	if !c.moveGang([]*planning.MachineSummary{host(0, 0, 4), host(1, 0, 4), host(2, 1, 0)}, job) || c.leadership.writesInFlight != 1 {
-		t.Error("it does not move to the partition with room")
+		t.Error("the gang does not move to the partition with room")
 	}
 	c.leadership.writesInFlight = 0
 	if !c.moveGang([]*planning.MachineSummary{host(0, 0, 4), host(1, 1, 4), host(2, 1, 0)}, job) || c.leadership.writesInFlight != 1 {
-		t.Error("no machines of two partitions are lent for it")
+		t.Error("no machines of two partitions are lent for the gang")
 	}
 }
 
-// A gang that is assigned in part counts whole for its team's limit, within its guarantee or
-// not: what it lacks is not given to others in between.
+// A gang that is partly assigned counts with all its tasks toward its team's quota, and toward
+// its guarantee if it runs within that. The capacity for its remaining tasks is not given to
+// other jobs in between.
 func TestPartiallyAssignedGangCountsWholeTowardQuota(t *testing.T) {
-	for _, own := range []bool{false, true} {
+	for _, guaranteed := range []bool{false, true} {
 		c := newTestController(t)
 		c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 5, CPUs: 2}}), 2)
-		c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Guaranteed: own, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
-		l := c.quotas()[c.getOrAddTeam("t")]
-		if l.Usage.CPU != 10_000 || (l.GuaranteedUsage.CPU == 10_000) != own {
-			t.Errorf("it counts for %v, within the guarantee (%v) for %v", l.Usage, own, l.GuaranteedUsage)
+		c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Guaranteed: guaranteed, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
+		quota := c.quotas()[c.getOrAddTeam("t")]
+		if quota.Usage.CPU != 10_000 || (quota.GuaranteedUsage.CPU == 10_000) != guaranteed {
+			t.Errorf("gang uses %v of the quota, want 10 CPUs; guaranteed: %v, using %v of the guarantee", quota.Usage, guaranteed, quota.GuaranteedUsage)
 		}
 	}
 }
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -11,16 +11,17 @@
 	"eiderhitch/internal/wire"
 )
 
-// gangSubmission is a gang that saves.
+// gangSubmission returns a submission of a gang that saves its progress every 4 s.
 func gangSubmission(id, team, priority string, tasks int, estimate float64) *submission {
-	b := newSubmission(submission{ID: id, Kind: wire.Gang, Team: team, Priority: priority, Tasks: tasks, CPUs: 2, EstimateS: estimate})
-	b.CheckpointS, b.SaveS = 4, 1.5
-	return b
+	gang := newSubmission(submission{ID: id, Kind: wire.Gang, Team: team, Priority: priority, Tasks: tasks, CPUs: 2, EstimateS: estimate})
+	gang.CheckpointS, gang.SaveS = 4, 1.5
+	return gang
 }
 
-// attemptCounts are the attempts that a job's records name.
+// attemptCounts returns how many tasks of a job have each attempt number, as known to the first
+// running controller.
 func (c *cluster) attemptCounts(id string) map[uint64]int {
-	out := map[uint64]int{}
+	counts := map[uint64]int{}
 	for _, n := range c.nodes {
 		if !n.isRunning() {
 			continue
@@ -29,45 +30,44 @@
 			if job := n.controller().jobs[id]; job != nil {
 				for _, group := range job.groups {
 					for i := range group.bindings {
-						out[group.bindings[i].attempt]++
+						counts[group.bindings[i].attempt]++
 					}
 				}
 			}
 		})
 		break
 	}
-	return out
+	return counts
 }
 
-// agentWithJob is a machine that a job is bound to.
+// agentWithJob returns the agent of a machine that a job is bound to.
 func (c *cluster) agentWithJob(id string) *agent.Agent {
 	c.t.Helper()
-	for _, w := range c.env.Cloud.Agents() {
+	for _, candidate := range c.env.Cloud.Agents() {
 		for _, n := range c.nodes {
 			found := false
 			n.controller().call(c.ctx, priorityStore, func() {
-				for _, x := range n.controller().getOrAddMachine(w.Name()).bindings {
+				for _, x := range n.controller().getOrAddMachine(candidate.Name()).bindings {
 					found = found || x.group.job.id == id
 				}
 			})
 			if found {
-				return w
+				return candidate
 			}
 		}
 	}
-	c.t.Fatalf("%s is on no machine, want one", id)
+	c.t.Fatalf("%s is bound to no machine, want at least one", id)
 	return nil
 }
 
-// A gang loses a machine. Before it has run the lost tasks are replaced under the same
-// attempt, which completes it; after that the whole stops and starts again, under one
-// new number for all.
+// If a gang loses a machine before it has run, the lost tasks are replaced under the same attempt
+// number. After it has run, the whole gang stops and starts again under one new number.
 func TestGangLosesMember(t *testing.T) {
 	for _, x := range []lostMemberCase{
-		{"dies while waiting", false, 1, (*agent.Agent).Terminate},
-		{"dies while running", true, 2, (*agent.Agent).Terminate},
-		{"back at once while waiting", false, 1, (*agent.Agent).Restart},
-		{"back at once while running", true, 2, (*agent.Agent).Restart},
+		{"machine terminated before the gang runs", false, 1, (*agent.Agent).Terminate},
+		{"machine terminated while the gang runs", true, 2, (*agent.Agent).Terminate},
+		{"machine restarts before the gang runs", false, 1, (*agent.Agent).Restart},
+		{"machine restarts while the gang runs", true, 2, (*agent.Agent).Restart},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			runCluster(t, func(c *cluster) { c.checkLostMember(x) })
@@ -77,49 +77,51 @@
 
 // lostMemberCase is a row of TestGangLosesMember.
 type lostMemberCase struct {
-	name    string
-	runs    bool   // when it loses the machine
-	attempt uint64 // that runs in the end
-	lose    func(*agent.Agent)
+	name         string
+	whileRunning bool   // whether the gang runs when it loses the machine
+	wantAttempt  uint64 // the attempt that runs in the end
+	failMachine  func(*agent.Agent)
 }
 
+// checkLostMember has a gang lose a machine and checks in which attempt it runs afterwards.
 func (c *cluster) checkLostMember(x lostMemberCase) {
 	c.t.Helper()
-	// Room in all partitions, beside the gang and what is kept in reserve: where the gang's
-	// own had none left, it rightly began a new attempt in another one.
-	const services, left = 18, 2
+	// Leave room in all partitions besides the gang and the gang reserve. If the gang's own
+	// partition had no room left, the gang would begin a new attempt in another partition, which
+	// is correct.
+	const services, remaining = 18, 2
 	c.runServices(services, 2)
-	for i := range services - left {
+	for i := range services - remaining {
 		c.cancelJob(fmt.Sprintf("wk-%d", i+1))
 	}
 	gang := gangSubmission("wk-99", "blue", "urgent", 4, 20)
 	gang.ImageGB, gang.Image, gang.MachineTypes = 7, "gang", []string{"small"}
 	c.submit(gang)
-	c.await("it is placed", time.Minute, func() bool { return c.attemptCounts("wk-99")[1] == 4 })
-	if x.runs {
-		c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-99") == 4 })
+	c.await("the gang is bound", time.Minute, func() bool { return c.attemptCounts("wk-99")[1] == 4 })
+	if x.whileRunning {
+		c.await("the gang runs", time.Minute, func() bool { return c.env.Running("wk-99") == 4 })
 		time.Sleep(6 * time.Second)
 	} else {
 		time.Sleep(3 * time.Second)
 	}
-	x.lose(c.agentWithJob("wk-99"))
-	c.await("it runs again", time.Minute, func() bool {
-		return c.env.Running("wk-99") == 4 && c.attemptCounts("wk-99")[x.attempt] == 4
+	x.failMachine(c.agentWithJob("wk-99"))
+	c.await("the gang runs in the expected attempt", time.Minute, func() bool {
+		return c.env.Running("wk-99") == 4 && c.attemptCounts("wk-99")[x.wantAttempt] == 4
 	})
 	c.env.SetSettled()
 	c.awaitDone("wk-99", 2*time.Minute)
 }
 
-// A gang that has to make room is stopped in order, all of it at once, with time to save,
-// and goes on from there.
+// A preempted gang is stopped in order: all tasks at once, with time to save. It resumes from the
+// saved progress.
 func TestPreemptedGangSavesItsProgress(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(gangSubmission("wk-1", "blue", "low", 4, 60))
-		c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-1") == 4 })
+		c.await("the gang runs", time.Minute, func() bool { return c.env.Running("wk-1") == 4 })
 		time.Sleep(25 * time.Second)
 		c.env.Cloud.SetCapacity(0)
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "blue", Priority: "urgent", Tasks: 40, CPUs: 2, EstimateS: 5}))
-		c.await("it has left", 20*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
+		c.await("no task of the gang runs", 20*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
 		if p := c.env.Checkpoint("wk-1"); p < 20*time.Second {
 			t.Errorf("%v of progress are saved, want at least 20 s", p)
 		}
@@ -130,26 +132,26 @@
 	})
 }
 
-// A task whose machine hangs while it fetches leaves the others waiting: the gang ends
-// incomplete, and starts whole again elsewhere.
+// A task on a machine that is isolated while it fetches leaves the others waiting. The attempt
+// ends as incomplete, and the whole gang starts again elsewhere.
 func TestIncompleteGangRestarts(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.runServices(4, 2)
-		b := gangSubmission("wk-9", "blue", "urgent", 4, 10)
-		b.ImageGB, b.Image, b.MachineTypes = 3, "gang", []string{"small"}
-		c.submit(b)
-		c.await("it is placed", time.Minute, func() bool { return c.attemptCounts("wk-9")[1] == 4 })
-		w := c.agentWithJob("wk-9")
-		w.SetIsolated(true) // it fetches on, and is heard of no more
+		gang := gangSubmission("wk-9", "blue", "urgent", 4, 10)
+		gang.ImageGB, gang.Image, gang.MachineTypes = 3, "gang", []string{"small"}
+		c.submit(gang)
+		c.await("the gang is bound", time.Minute, func() bool { return c.attemptCounts("wk-9")[1] == 4 })
+		isolated := c.agentWithJob("wk-9")
+		isolated.SetIsolated(true) // the task goes on fetching
 		time.Sleep(25 * time.Second)
-		w.SetIsolated(false)
+		isolated.SetIsolated(false)
 		c.env.SetSettled()
 		c.awaitDone("wk-9", 2*time.Minute)
 	})
 }
 
-// Whatever a gang is at, a cancellation ends it, and a change of controllers does not
-// harm it.
+// At different times in a gang's life, a cancellation ends it, and a restart of controllers does
+// not start a new attempt.
 func TestGangCancelledOrControllersRestartedAtEachTime(t *testing.T) {
 	for after := range 6 {
 		for _, x := range []struct {
@@ -182,7 +184,7 @@
 	}
 }
 
-// checkGangCancelled cancels the gang, whose tasks are soon gone.
+// checkGangCancelled cancels the gang and checks that none of its tasks runs 4 s later.
 func (c *cluster) checkGangCancelled() {
 	c.t.Helper()
 	c.cancelJob("wk-9")
@@ -192,7 +194,7 @@
 	}
 }
 
-// checkGangCompletes checks that the gang is done, in one attempt.
+// checkGangCompletes checks that the gang completes, with all tasks in one attempt.
 func (c *cluster) checkGangCompletes() {
 	c.t.Helper()
 	c.awaitDone("wk-9", 2*time.Minute)
@@ -201,7 +203,8 @@
 	}
 }
 
-// Gangs among endless small work: each begins before long, none waits for another's cells.
+// Among a continuous load of small tasks, each gang begins within 100 s, and none waits for cells
+// that another gang holds.
 func TestGangsAmongSmallTasks(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.env.Cloud.SetCapacity(6)
@@ -210,9 +213,9 @@
 		}
 		time.Sleep(30 * time.Second)
 		for i := range 3 {
-			b := gangSubmission(fmt.Sprintf("wk-10%d", i), "blue", "normal", 6, 10)
-			b.SingleZone = i == 0
-			c.submit(b)
+			gang := gangSubmission(fmt.Sprintf("wk-10%d", i), "blue", "normal", 6, 10)
+			gang.SingleZone = i == 0
+			c.submit(gang)
 		}
 		begun := map[int]bool{}
 		for until := time.Now().Add(100 * time.Second); time.Now().Before(until); time.Sleep(time.Second) {
@@ -224,7 +227,7 @@
 			}
 		}
 		if len(begun) < 3 {
-			t.Errorf("gangs begun: %v, want all three", begun)
+			t.Errorf("gangs that began within 100 s: %v, want all three", begun)
 		}
 		for i := range 3 {
 			c.awaitDone(fmt.Sprintf("wk-10%d", i), 5*time.Minute)
@@ -232,26 +235,25 @@
 	})
 }
 
-// A gang that can never run is refused, also when it is sent again; each of its tasks
-// alone would do.
+// A gang that can never run is refused, also when it is submitted again, even though each of its
+// tasks alone could run.
 func TestInfeasibleGangsAreRejected(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		time.Sleep(5 * time.Second)
 		for range 2 {
-			b := gangSubmission("wk-1", "red", "normal", 13, 5) // 26 of 24 CPUs
-			if answer := c.call(submitRequest(b, nil), 10*time.Second); answer.status != http.StatusUnprocessableEntity {
-				t.Errorf("beyond the limit: status %d, want 422", answer.status)
+			gang := gangSubmission("wk-1", "red", "normal", 13, 5) // 26 of 24 CPUs
+			if answer := c.call(submitRequest(gang, nil), 10*time.Second); answer.status != http.StatusUnprocessableEntity {
+				t.Errorf("gang larger than its team's quota: status %d, want 422", answer.status)
 			}
 		}
-		b := gangSubmission("wk-1", "red", "normal", 12, 5)
-		c.submit(b)
+		gang := gangSubmission("wk-1", "red", "normal", 12, 5)
+		c.submit(gang)
 		c.awaitDone("wk-1", 2*time.Minute)
 	})
 }
 
-// What users send for gangs and may get back: malformed ones are refused as such, one that
-// is known is never refused, whatever the settings say by now, and one that is cancelled
-// stays so.
+// Malformed gangs are rejected as such. A known gang is never rejected, even if the current
+// settings would not accept it, and a cancelled gang stays cancelled.
 func TestGangAPIResponses(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		time.Sleep(5 * time.Second)
@@ -263,11 +265,11 @@
 			{"unknown shape", func(b *submission) { b.Kind = "herd" }, http.StatusBadRequest},
 			{"no number of tasks", func(b *submission) { b.omitted = "eggs" }, http.StatusBadRequest},
 			{"negative time to save", func(b *submission) { b.SaveS = -1 }, http.StatusBadRequest},
-			{"all tasks are beyond the limit", func(b *submission) { b.Team, b.Tasks = "red", 13 }, http.StatusUnprocessableEntity},
+			{"all tasks together exceed the quota", func(b *submission) { b.Team, b.Tasks = "red", 13 }, http.StatusUnprocessableEntity},
 			{"a task fits no allowed type", func(b *submission) { b.MachineTypes, b.CPUs = []string{"small"}, 5 }, http.StatusUnprocessableEntity},
 			{"no allowed type is in its zone", func(b *submission) { b.MachineTypes, b.Zone = []string{"large"}, "b" }, http.StatusUnprocessableEntity},
 			{"an unknown team", func(b *submission) { b.Team = "green" }, http.StatusUnprocessableEntity},
-			{"more than there are machines of", func(b *submission) { b.Tasks = 900 }, http.StatusCreated},
+			{"more tasks than the current machines hold", func(b *submission) { b.Tasks = 900 }, http.StatusCreated},
 		} {
 			id := fmt.Sprintf("wk-5%d", i)
 			b := gangSubmission(id, "blue", "normal", 3, 5)
@@ -279,21 +281,21 @@
 		c.submit(gangSubmission("wk-7", "blue", "normal", 3, 200))
 		c.cancelJob("wk-7")
 		c.submit(gangSubmission("wk-6", "red", "normal", 10, 200))
-		c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-6") == 10 })
-		for _, n := range c.nodes { // by now it could never run
+		c.await("the gang runs", time.Minute, func() bool { return c.env.Running("wk-6") == 10 })
+		for _, n := range c.nodes { // under these settings the gang could never run
 			n.cfg.Settings.Teams = []config.Team{{Name: "blue"}, {Name: "red", CPUs: 2, CPUsMax: 4}}
 		}
 		c.restartAll()
 		if answer := c.call(submitRequest(gangSubmission("wk-6", "red", "normal", 10, 200), nil), 20*time.Second); answer.status != http.StatusOK || answer.state != wire.Running {
-			t.Errorf("repeated after a restart with lower limits: status %d, %q; want 200, %q", answer.status, answer.state, wire.Running)
+			t.Errorf("repeated submission after a restart with lower quotas: status %d, %q; want 200, %q", answer.status, answer.state, wire.Running)
 		}
 		if answer := c.call(submitRequest(gangSubmission("wk-7", "blue", "normal", 3, 200), nil), 20*time.Second); answer.status != http.StatusOK || answer.state != wire.Cancelled {
-			t.Errorf("a cancelled one, repeated: status %d, %q; want 200, %q", answer.status, answer.state, wire.Cancelled)
+			t.Errorf("repeated submission of a cancelled gang: status %d, %q; want 200, %q", answer.status, answer.state, wire.Cancelled)
 		}
 		if answer := c.call(queryRequest("wk-77"), 10*time.Second); answer.status != http.StatusNotFound {
-			t.Errorf("an unknown one: status %d, want 404", answer.status)
+			t.Errorf("query of an unknown job: status %d, want 404", answer.status)
 		}
 		c.cancelJob("wk-6")
-		c.await("it is gone", 30*time.Second, func() bool { return c.env.Running("wk-6") == 0 })
+		c.await("no task of the cancelled gang runs", 30*time.Second, func() bool { return c.env.Running("wk-6") == 0 })
 	})
 }
--- a/internal/controller/job_order.go
+++ b/internal/controller/job_order.go
@@ -29,12 +29,12 @@
 // urgencyComparator returns a comparison function that orders jobs by priority, urgency and
 // arrival. It computes each job's urgency once.
 func (c *clusterState) urgencyComparator() func(x, y *job) int {
-	known := map[*job]planning.Urgency{}
+	cached := map[*job]planning.Urgency{}
 	urgency := func(j *job) planning.Urgency {
-		u, ok := known[j]
+		u, ok := cached[j]
 		if !ok {
 			u = c.jobOrder(j).Urgency()
-			known[j] = u
+			cached[j] = u
 		}
 		return u
 	}
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -120,13 +120,13 @@
 // under a higher limit can still be queried, submitted again and cancelled.
 func TestJobSpecsLargerThanValueLimit(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		body := func(id string) *submission {
+		newJob := func(id string) *submission {
 			b := newSubmission(submission{ID: id, Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 300, CPUs: 1, EstimateS: 30})
 			b.Image, b.Class = strings.Repeat("i", 190), strings.Repeat("f", 190)
 			b.MachineTypes = []string{"small", strings.Repeat("x", 190), strings.Repeat("y", 190)}
 			return b
 		}
-		c.submit(body("wk-1"))
+		c.submit(newJob("wk-1"))
 		c.await("the job runs", time.Minute, func() bool { return c.env.Running("wk-1") > 0 })
 		c.killAll()
 		c.env.Store.SetLimits(1<<10, 10)
@@ -134,10 +134,10 @@
 			n.cfg.Settings.Store.ValueKB, n.cfg.Settings.Store.TxnOps = 1, 10
 			c.start(i)
 		}
-		if answer := c.call(submitRequest(body("wk-2"), nil), 20*time.Second); answer.status != http.StatusUnprocessableEntity {
+		if answer := c.call(submitRequest(newJob("wk-2"), nil), 20*time.Second); answer.status != http.StatusUnprocessableEntity {
 			t.Errorf("submission of a job whose description exceeds the limit: status %d, want 422", answer.status)
 		}
-		if answer := c.call(submitRequest(body("wk-1"), nil), 20*time.Second); answer.status != http.StatusOK {
+		if answer := c.call(submitRequest(newJob("wk-1"), nil), 20*time.Second); answer.status != http.StatusOK {
 			t.Errorf("repeated submission of an accepted job: status %d, want 200", answer.status)
 		}
 		c.cancelJob("wk-1")
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -155,12 +155,12 @@
 // hashPartitionIndex returns the index of the hash partition, out of count, that a machine
 // belongs to.
 func hashPartitionIndex(machine string, count int) int {
-	h := fnv.New32a()
-	_, _ = h.Write([]byte(machine))
+	hasher := fnv.New32a()
+	_, _ = hasher.Write([]byte(machine))
 	// FNV-1a alone distributes names that differ in one digit unevenly in its low bits.
-	v := h.Sum32()
-	v ^= v >> 15
-	v *= mixingFactor
-	v ^= v >> 12
-	return int(v % uint32(count))
+	hash := hasher.Sum32()
+	hash ^= hash >> 15
+	hash *= mixingFactor
+	hash ^= hash >> 12
+	return int(hash % uint32(count))
 }
--- a/internal/controller/partition_tokens_test.go
+++ b/internal/controller/partition_tokens_test.go
@@ -15,7 +15,7 @@
 // of partition 2 in partition 3, whose tokens were 4 to 109.
 func TestHeartbeatWithAnotherPartitionsTokenIsNotUsable(t *testing.T) {
 	const firstToken, raisedTo, foreignToken = 4, 109, 95
-	for _, x := range []struct {
+	for _, row := range []struct {
 		name   string
 		token  uint64
 		usable bool
@@ -25,7 +25,7 @@
 		{"token of another partition", foreignToken, false},
 		{"current token", raisedTo, true},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(row.name, func(t *testing.T) {
 			c := newTestController(t)
 			p := c.partitions[0]
 			c.takeOverPartition(p, firstToken)
@@ -34,12 +34,12 @@
 			c.TokenRaised(p.key, raisedTo)
 			c.now = c.now.Add(time.Second)
 			m := c.getOrAddMachine("host-1")
-			heartbeat := &wire.Heartbeat{Machine: "host-1", Addr: "host-1:1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 32, Token: x.token}
+			heartbeat := &wire.Heartbeat{Machine: "host-1", Addr: "host-1:1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 32, Token: row.token}
 			c.applyHeartbeat(m, heartbeat, p, workerRequest)
-			if got := c.isUsable(m, p); got != x.usable {
-				t.Errorf("machine is usable: %v, want %v", got, x.usable)
+			if got := c.isUsable(m, p); got != row.usable {
+				t.Errorf("machine is usable: %v, want %v", got, row.usable)
 			}
-			if pinged := m.commandState.inFlight; pinged == x.usable {
+			if pinged := m.commandState.inFlight; pinged == row.usable {
 				t.Errorf("machine is pinged: %v, want a ping only if it is not usable", pinged)
 			}
 		})
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -64,7 +64,7 @@
 // the order in which they may reserve cells. Most groups need nothing, because all their tasks
 // run.
 func (c *partitionOwner) groupsToSchedule(p *partition) []*taskGroup {
-	byUrgency := c.urgencyComparator()
+	compareUrgency := c.urgencyComparator()
 	var groups []*taskGroup
 	for _, group := range p.groups {
 		if c.needsScheduling(group) {
@@ -72,11 +72,11 @@
 		}
 	}
 	slices.SortFunc(groups, func(first, second *taskGroup) int {
-		claim, other := first.claim(), second.claim()
+		firstClaim, secondClaim := first.claim(), second.claim()
 		return cmp.Or(
-			cmp.Compare(other.Priority, claim.Priority),
-			compareBool(other.Guaranteed, claim.Guaranteed),
-			byUrgency(first.job, second.job),
+			cmp.Compare(secondClaim.Priority, firstClaim.Priority),
+			compareBool(secondClaim.Guaranteed, firstClaim.Guaranteed),
+			compareUrgency(first.job, second.job),
 			cmp.Compare(first.number, second.number))
 	})
 	return groups
@@ -168,8 +168,8 @@
 // that has never started, are placed all together; other tasks are placed one by one.
 func (c *partitionOwner) placeGroup(p *partition, group *taskGroup) {
 	pending, started := c.unplacedTasks(p, group)
-	unthrottled := max(0, group.bindLimit()-(len(group.bindings)-len(pending)))
-	pending = pending[:min(len(pending), unthrottled)]
+	bindable := max(0, group.bindLimit()-(len(group.bindings)-len(pending)))
+	pending = pending[:min(len(pending), bindable)]
 	if len(pending) == 0 {
 		return
 	}
@@ -257,8 +257,8 @@
 	class := s.currentClass()
 	// A job that avoids the machines on which its tasks failed is not interchangeable with
 	// others.
-	alike := len(tasks) == 1 && len(s.group.job.failedMachines) == 0
-	if alike && s.partition.exhaustedClasses[class] {
+	interchangeable := len(tasks) == 1 && len(s.group.job.failedMachines) == 0
+	if interchangeable && s.partition.exhaustedClasses[class] {
 		s.partition.unplacedInPass++
 		return false
 	}
@@ -273,7 +273,7 @@
 	case scheduling.GroupPreempting:
 		s.owner.stopVictims(s.group.job, request)
 	case scheduling.GroupPending:
-		if alike {
+		if interchangeable {
 			s.partition.markExhausted(class)
 		}
 		s.partition.unplacedInPass++
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -67,11 +67,11 @@
 // endAttempt records the proven end of an attempt and frees its cell. The next scheduling pass
 // stores the end.
 func (c *clusterState) endAttempt(group *taskGroup, bound *binding, end attemptEnd) {
-	t := group.task(bound.task)
-	if c.hasUnstoredEnd(t, bound.boundAttempt()) {
+	task := group.task(bound.task)
+	if c.hasUnstoredEnd(task, bound.boundAttempt()) {
 		return
 	}
-	c.unstoredEnds[t] = end
+	c.unstoredEnds[task] = end
 	group.hasUnstoredEnds = true
 	if end.done {
 		c.metrics.count(countDoneTasks, 1)
@@ -87,7 +87,7 @@
 		p.otherPartitionsGroups[group] = true
 	}
 	p.countFreedCell(c.now)
-	c.freeCell(p, t)
+	c.freeCell(p, task)
 	c.requestSchedulingPass()
 }
 
@@ -107,10 +107,10 @@
 	if ended := len(c.unstoredEnds) - before; ended > 0 {
 		c.log.Info("tasks of a machine are lost", "machine", m.name, "tasks", ended, "why", reason)
 	}
-	for t, claimed := range p.reservations {
-		if claimed.machine == m && !c.groups[t.Group].writeInFlight {
-			delete(p.reservations, t)
-			c.freeCell(p, t)
+	for task, reserved := range p.reservations {
+		if reserved.machine == m && !c.groups[task.Group].writeInFlight {
+			delete(p.reservations, task)
+			c.freeCell(p, task)
 		}
 	}
 	p.cells.RemoveMachine(m.index)
--- a/internal/controller/scoring.go
+++ b/internal/controller/scoring.go
@@ -79,15 +79,15 @@
 		return 0
 	}
 	m.dropExpiredFetches(c.now)
-	share, others := 1.0, len(m.fetchStartedAt)
+	remainingShare, otherFetches := 1.0, len(m.fetchStartedAt)
 	if _, started := m.fetchStartedAt[spec.Image]; started {
-		share, others = remainingFetchShare, others-1
+		remainingShare, otherFetches = remainingFetchShare, otherFetches-1
 	}
 	perSecond := float64(arrayFetchScore)
 	if spec.AllOrNothing() {
 		perSecond = serviceFetchScore
 	}
-	return min(perSecond*share*spec.ImageGB*float64(1+others)/machineType.FetchGBPS, maxFetchScore)
+	return min(perSecond*remainingShare*spec.ImageGB*float64(1+otherFetches)/machineType.FetchGBPS, maxFetchScore)
 }
 
 // dropExpiredFetches removes the fetches that began more than fetchTimeout ago.
--- a/internal/controller/scoring_test.go
+++ b/internal/controller/scoring_test.go
@@ -35,8 +35,8 @@
 			c := newTestController(t)
 			c.machineTypes = map[string]*wire.MachineType{"small": {Name: "small", FetchGBPS: x.rate}}
 			m := &machine{machineType: "small", cachedImages: x.images, fetchStartedAt: map[string]time.Time{}}
-			for name, ago := range x.fetching {
-				m.fetchStartedAt[name] = c.now.Add(-ago)
+			for name, age := range x.fetching {
+				m.fetchStartedAt[name] = c.now.Add(-age)
 			}
 			spec := &wire.Job{Image: image, ImageGB: 4, Service: x.service}
 			if got := c.fetchScore(m, spec); got != x.want {
