--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -43,16 +43,16 @@
 // refused its write as invalid.
 const invalidWriteBackoff = 10 * time.Second
 
-// groupUpdate is the content and purpose of the next write of a task group.
+// groupUpdate is what the next write of a task group stores, and what it changes.
 type groupUpdate struct {
 	bindings        []binding           // of the tasks that are not done after the write
 	doneTasks       int                 // number of completed tasks, after the write
 	endedTasks      []endedTask         // proven ends that the write stores
-	newlyBoundTasks []scheduling.TaskID // new bindings
+	newlyBoundTasks []scheduling.TaskID // tasks that the write binds
 	unplacedTasks   int                 // tasks that remain pending after the write
-	hasChanges      bool
-	gangDone        bool // the group belongs to a gang that has completed
-	isOversized     bool // the stored form exceeds the current value limit
+	hasChanges      bool                // whether there are ended attempts, new bindings or a completed gang to store
+	gangDone        bool                // the group's gang has completed and is not stored as done yet
+	isOversized     bool                // the stored form exceeds the current value limit
 }
 
 // endedTask is a task with the proven end of its attempt.
--- a/internal/controller/bindings_write.go
+++ b/internal/controller/bindings_write.go
@@ -160,9 +160,9 @@
 func (w *updateWrite) handleSuccess() {
 	c := w.owner
 	w.reportNewBindings()
-	for _, x := range w.update.endedTasks {
-		if c.unstoredEnds[x.task] == x.attemptEnd {
-			delete(c.unstoredEnds, x.task)
+	for _, ended := range w.update.endedTasks {
+		if c.unstoredEnds[ended.task] == ended.attemptEnd {
+			delete(c.unstoredEnds, ended.task)
 		}
 	}
 	for _, m := range w.machinesToCommand() {
--- a/internal/controller/cells.go
+++ b/internal/controller/cells.go
@@ -68,8 +68,8 @@
 }
 
 // releaseCellsExcept releases the cells and reservations, in this controller's partition, of the
-// group's tasks that are not in kept. These tasks leave the group. Otherwise their cells would
-// never become free, and their new group would not be found when the machine fails.
+// group's tasks that are not in kept. These tasks leave the group: without the release, their
+// cells would never become free, and their group would not be found when the machine fails.
 func (c *cellRegistry) releaseCellsExcept(group *taskGroup, kept map[int32]bool) {
 	p := c.partitions[group.partition]
 	if p.token == 0 {
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -20,8 +20,9 @@
 }
 
 // mustLeaveMachine reports whether a task has to leave its machine because its cell is preempted,
-// its group is throttled, the machine is wanted on loan, or the machine is cordoned or about to
-// be terminated.
+// its group is throttled, the machine is being lent to a job that may preempt the task, the
+// machine is cordoned, or the machine is about to be terminated and the task can save its
+// progress.
 func (c *clusterState) mustLeaveMachine(group *taskGroup, task scheduling.TaskID, m *machine, p *partition) bool {
 	if cell := p.cells.Cell(task); cell != nil && cell.State == scheduling.CellReserving || group.exceedsThrottle(task.Number) {
 		return true
--- a/internal/controller/gang_phases_test.go
+++ b/internal/controller/gang_phases_test.go
@@ -13,7 +13,8 @@
 	"eiderhitch/internal/wire"
 )
 
-// These tests cover the requirements of the protocol on gangs. docs/design.md lists the requirements.
+// These tests cover the requirements of the protocol on gangs. docs/design.md lists the
+// requirements with their tests.
 
 // gangPhase is a phase in the life of a gang. awaitPhase brings a gang that was just submitted
 // into it.
@@ -334,8 +335,8 @@
 	return ctl, p, groups
 }
 
-// sendGangHeartbeat applies the machine's next heartbeat. exitReasons has the exit reasons of the tasks
-// that have exited; all others run.
+// sendGangHeartbeat applies the machine's next heartbeat. exitReasons has the exit reasons of the
+// tasks that have exited; all others run.
 func sendGangHeartbeat(ctl *controller, p *partition, exitReasons map[int]string) {
 	heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, Token: 1}
 	for taskNumber := range 4 {
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -152,7 +152,7 @@
 
 // At different times in a gang's life, a cancellation ends it, and a restart of controllers does
 // not start a new attempt.
-func TestGangCancelledOrControllersRestartedAtEachTime(t *testing.T) {
+func TestGangUnderCancellationAndControllerRestarts(t *testing.T) {
 	for after := range 6 {
 		for _, x := range []struct {
 			name  string
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -95,7 +95,7 @@
 		c.env.Cloud.SetCapacity(6)
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 400, CPUs: 1, EstimateS: 4}))
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "red", Priority: "normal", Tasks: 60, CPUs: 2, EstimateS: 4}))
-		c.await("the job runs", time.Minute, func() bool { return c.env.Completed("wk-1") > 20 })
+		c.await("more than 20 tasks of the job are done", time.Minute, func() bool { return c.env.Completed("wk-1") > 20 })
 		c.killAll()
 		large := c.env.Store.CountLargerThan(1 << 10)
 		c.env.Store.SetLimits(1<<10, 10)
--- a/internal/controller/loan_owner.go
+++ b/internal/controller/loan_owner.go
@@ -41,8 +41,8 @@
 	if loan.Job == gangReserveJobID || !c.runsOnlyServices(m, p) {
 		return false
 	}
-	for _, x := range m.bindings {
-		if x.group.revision > loan.firstRevision || loan.claim(c.catalog).CanPreempt(x.group.claim()) {
+	for _, entry := range m.bindings {
+		if entry.group.revision > loan.firstRevision || loan.claim(c.catalog).CanPreempt(entry.group.claim()) {
 			return false
 		}
 	}
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -11,6 +11,8 @@
 // partition is one hash partition of the machines, or the leader's partition, which holds the
 // machines on loan.
 type partition struct {
+	// index is the partition's index among those of the cluster, key its leased key in the
+	// key-value store.
 	index int
 	key   string
 
@@ -37,11 +39,13 @@
 	machines []*machine
 	groups   []*taskGroup
 	// otherPartitionsGroups are task groups of other partitions with tasks that ended on a
-	// machine of this partition, for example on a machine that was on loan and came back when its
-	// borrower ended. No other controller learns of these ends: unless this owner stores them,
-	// the group's owner waits for them forever.
+	// machine of this partition, for example on a machine that was on loan and came back when the
+	// borrowing job ended. No other controller learns of these ends: unless this owner stores
+	// them, the group's owner waits for them forever.
 	otherPartitionsGroups map[*taskGroup]bool
 
+	// cells and reservations are nil unless this controller owns the partition. reservations has
+	// the cells that are reserved for tasks whose bindings are not stored yet.
 	cells        *scheduling.Partition
 	reservations map[scheduling.TaskID]reservation
 	// unplacedInPass counts the tasks that have found no cell in the current scheduling pass;
@@ -76,9 +80,10 @@
 }
 
 // isOwnToken reports whether a token was issued to this controller as the partition's owner, or
-// is newer than its current one. A machine whose highest token it is has received a message under
-// this ownership. Tokens are revisions of one key-value store, so tokens of other partitions lie
-// between two tokens of this one; comparing with firstToken is not enough.
+// is newer than its current one. If it is the highest token that a machine has received, the
+// machine has received a message under this ownership. Tokens are revisions of one key-value
+// store, so tokens of other partitions lie between two tokens of this one; comparing with
+// firstToken is not enough.
 func (p *partition) isOwnToken(token uint64) bool {
 	if token < p.firstToken {
 		return false
@@ -123,8 +128,9 @@
 	p.freedInWindow++
 }
 
-// estimateFreedCells estimates how many cells become free within d, from the rate of the last
-// complete window. It returns 0 if no cell has become free for two windows.
+// estimateFreedCells estimates how many cells become free within d, from the number in the
+// previous window. It returns 0 if the current window began more than two window lengths ago,
+// because no cell has become free since its end.
 func (p *partition) estimateFreedCells(now time.Time, d time.Duration) int {
 	if now.Sub(p.freedWindowStart) > 2*freedCellsWindow {
 		return 0
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -14,6 +14,8 @@
 // sends commands to those machines.
 type partitionOwner struct {
 	*clusterState
+	// workerClient sends direct commands and pings to machines; directSlots limits how many of
+	// these requests are in flight.
 	workerClient *workerclient.Client
 	directSlots  *workerclient.Slots[*machine]
 }
@@ -88,8 +90,8 @@
 	if group.job.spec == nil {
 		return false
 	}
-	waits := group.job.finalState == record.Unfinished && group.boundCount < len(group.bindings)
-	return group.hasUnstoredEnds || group.storedSize > c.maxValueBytes() || waits
+	hasPendingTasks := group.job.finalState == record.Unfinished && group.boundCount < len(group.bindings)
+	return group.hasUnstoredEnds || group.storedSize > c.maxValueBytes() || hasPendingTasks
 }
 
 // placeGroups reserves cells for the pending tasks of groups, in their order.
@@ -289,8 +291,8 @@
 	p.exhaustedClasses[class] = true
 }
 
-// stopVictims sends stop commands to the machines on which a Preempting group waits for its
-// victims.
+// stopVictims sends the machines on which a Preempting group waits for victims their commands at
+// once, so that the victims are stopped.
 func (c *partitionOwner) stopVictims(j *job, request *scheduling.AffinityGroup) {
 	c.metrics.count(countPreemptedTasks, request.VictimCount())
 	c.log.Debug("group preempts", "job", j.id, "tasks", len(request.Tasks))
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -15,29 +15,29 @@
 		p.tokenRaiseDue = true
 	}
 	view, records := c.reconcileView(m, p)
-	for finding := range reconcile.Observations(view, records) {
-		c.applyFinding(m, finding)
+	for observation := range reconcile.Observations(view, records) {
+		c.applyObservation(m, observation)
 	}
 }
 
-// applyFinding handles the finding about one attempt.
-func (c *partitionOwner) applyFinding(m *machine, finding reconcile.Observation) {
-	task := finding.Binding.Task
+// applyObservation handles what a heartbeat shows about one attempt.
+func (c *partitionOwner) applyObservation(m *machine, observation reconcile.Observation) {
+	task := observation.Binding.Task
 	group := c.groups[task.Group]
-	if finding.Status != nil {
-		c.observeTask(m, group.job, finding.Status)
+	if observation.Status != nil {
+		c.observeTask(m, group.job, observation.Status)
 	}
-	if !finding.ProvesEnd() {
+	if !observation.ProvesEnd() {
 		return
 	}
 	bound := group.binding(task.Number)
-	if finding.Status != nil && !c.hasUnstoredEnd(task, bound.boundAttempt()) {
-		c.handleTaskEnd(m, group.job, finding.Status.Reason)
+	if observation.Status != nil && !c.hasUnstoredEnd(task, bound.boundAttempt()) {
+		c.handleTaskEnd(m, group.job, observation.Status.Reason)
 	}
 	c.endAttempt(group, bound, attemptEnd{
 		attempt: bound.boundAttempt(),
-		done:    finding.Kind == reconcile.TaskCompleted,
-		failed:  finding.Kind == reconcile.TaskFailed,
+		done:    observation.Kind == reconcile.TaskCompleted,
+		failed:  observation.Kind == reconcile.TaskFailed,
 	})
 }
 
--- a/internal/controller/scoring.go
+++ b/internal/controller/scoring.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// isSchedulable reports whether any task may be placed on a machine now. The result is cached for
-// the scheduling pass instead of being computed for each task.
+// isSchedulable reports whether the state of a machine allows placing tasks on it now. The result
+// is cached for the scheduling pass instead of being computed for each task.
 func (c *partitionOwner) isSchedulable(m *machine, p *partition) bool {
 	if m.schedulablePass != c.schedulingPass {
 		m.schedulablePass = c.schedulingPass
@@ -132,8 +132,8 @@
 
 // hasServiceBinding reports whether a task of a service or gang is bound to a machine.
 func (m *machine) hasServiceBinding() bool {
-	for _, x := range m.bindings {
-		if spec := x.group.job.spec; spec != nil && spec.AllOrNothing() {
+	for _, entry := range m.bindings {
+		if spec := entry.group.job.spec; spec != nil && spec.AllOrNothing() {
 			return true
 		}
 	}
