--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -6,42 +6,43 @@
 	"eiderhitch/internal/wire"
 )
 
-// reconcile learns from a machine's newest heartbeat what has become of the tasks that are
-// bound to it, and notes the ends of attempts that it proves.
+// reconcile compares a machine's newest heartbeat with the tasks that are bound to it, and
+// records the ends of attempts that it proves.
 func (c *partitionOwner) reconcile(m *machine, p *partition) {
-	// A start that went unanswered may arrive until the machine has seen a higher token.
+	// A start command that got no response may still arrive until the machine has received a
+	// higher token.
 	if m.commandState.unansweredStartToken == p.token && m.commandState.unansweredStartToken != 0 && !m.commandState.inFlight {
 		p.tokenRaiseDue = true
 	}
 	view, records := c.reconcileView(m, p)
-	for finding := range reconcile.Observations(view, records) {
-		c.applyFinding(m, finding)
+	for observation := range reconcile.Observations(view, records) {
+		c.applyObservation(m, observation)
 	}
 }
 
-// applyFinding learns from what has become of one attempt.
-func (c *partitionOwner) applyFinding(m *machine, finding reconcile.Observation) {
-	task := finding.Binding.Task
+// applyObservation handles what a heartbeat shows about one attempt.
+func (c *partitionOwner) applyObservation(m *machine, observation reconcile.Observation) {
+	task := observation.Binding.Task
 	group := c.groups[task.Group]
-	if finding.Status != nil {
-		c.observeTask(m, group.job, finding.Status)
+	if observation.Status != nil {
+		c.observeTask(m, group.job, observation.Status)
 	}
-	if !finding.ProvesEnd() {
+	if !observation.ProvesEnd() {
 		return
 	}
 	bound := group.binding(task.Number)
-	if finding.Status != nil && !c.hasUnstoredEnd(task, bound.boundAttempt()) {
-		c.handleTaskEnd(m, group.job, finding.Status.Reason)
+	if observation.Status != nil && !c.hasUnstoredEnd(task, bound.boundAttempt()) {
+		c.handleTaskEnd(m, group.job, observation.Status.Reason)
 	}
 	c.endAttempt(group, bound, attemptEnd{
 		attempt: bound.boundAttempt(),
-		done:    finding.Kind == reconcile.TaskCompleted,
-		failed:  finding.Kind == reconcile.TaskFailed,
+		done:    observation.Kind == reconcile.TaskCompleted,
+		failed:  observation.Kind == reconcile.TaskFailed,
 	})
 }
 
-// observeTask learns from a bound task that a heartbeat shows: how far its gang is, and
-// that its machine has its image.
+// observeTask updates what is known from a bound task in a heartbeat: the state of its gang, and
+// that the machine has the image in its cache.
 func (c *partitionOwner) observeTask(m *machine, j *job, status *wire.TaskStatus) {
 	if j.spec == nil {
 		return
@@ -56,20 +57,21 @@
 	}
 }
 
-// hasUnstoredEnd tells whether an attempt is proven to have ended, though that is not stored yet.
+// hasUnstoredEnd reports whether an attempt is proven to have ended and its end is not stored
+// yet.
 func (c *cellRegistry) hasUnstoredEnd(task scheduling.TaskID, attempt boundAttempt) bool {
 	end, known := c.unstoredEnds[task]
 	return known && end.attempt == attempt
 }
 
-// endAttempt notes the proven end of an attempt and frees its cell. The scheduling pass
-// stores it.
+// endAttempt records the proven end of an attempt and frees its cell. The next scheduling pass
+// stores the end.
 func (c *clusterState) endAttempt(group *taskGroup, bound *binding, end attemptEnd) {
-	t := group.task(bound.task)
-	if c.hasUnstoredEnd(t, bound.boundAttempt()) {
+	task := group.task(bound.task)
+	if c.hasUnstoredEnd(task, bound.boundAttempt()) {
 		return
 	}
-	c.unstoredEnds[t] = end
+	c.unstoredEnds[task] = end
 	group.hasUnstoredEnds = true
 	if end.done {
 		c.metrics.count(countDoneTasks, 1)
@@ -85,12 +87,12 @@
 		p.otherPartitionsGroups[group] = true
 	}
 	p.countFreedCell(c.now)
-	c.freeCell(p, t)
+	c.freeCell(p, task)
 	c.requestSchedulingPass()
 }
 
-// endAllAttempts ends every attempt on a machine that is terminated or whose lease has
-// expired.
+// endAllAttempts ends every attempt on a machine that is terminated or whose lease has expired,
+// and releases the cells reserved there. reason is logged.
 func (c *clusterState) endAllAttempts(m *machine, reason string) {
 	p := c.partitions[m.partition]
 	if p.token == 0 {
@@ -105,10 +107,10 @@
 	if ended := len(c.unstoredEnds) - before; ended > 0 {
 		c.log.Info("tasks of a machine are lost", "machine", m.name, "tasks", ended, "why", reason)
 	}
-	for t, claimed := range p.reservations {
-		if claimed.machine == m && !c.groups[t.Group].writeInFlight {
-			delete(p.reservations, t)
-			c.freeCell(p, t)
+	for task, reserved := range p.reservations {
+		if reserved.machine == m && !c.groups[task.Group].writeInFlight {
+			delete(p.reservations, task)
+			c.freeCell(p, task)
 		}
 	}
 	p.cells.RemoveMachine(m.index)
