--- a/internal/controller/allocations_test.go
+++ b/internal/controller/allocations_test.go
@@ -11,8 +11,8 @@
 	"eiderhitch/internal/wire"
 )
 
-// reportOf is what a machine of ours reports when all that is bound to it runs.
-func (c *controller) reportOf(m *machine) *wire.Heartbeat {
+// heartbeatOf is what a machine of ours reports when all that is bound to it runs.
+func (c *controller) heartbeatOf(m *machine) *wire.Heartbeat {
 	p := c.partitions[m.partition]
 	heartbeat := &wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: m.incarnation, Sequence: m.sequence, Token: p.token}
 	for _, x := range m.bindings {
@@ -23,7 +23,7 @@
 }
 
 // ours is the first of our machines in a crowded fleet on which something runs.
-func (c *controller) ours() *machine {
+func (c *controller) ownMachineWithTasks() *machine {
 	for _, m := range c.partitions[0].machines {
 		if len(m.bindings) > 0 {
 			return m
@@ -35,7 +35,7 @@
 // What comes hundreds of times a second allocates little, and no more with ten times
 // as many machines: the collector's work follows from it, and with a fraction of a
 // core there is hardly any time for that.
-func TestHotPathsAllocateLittle(t *testing.T) {
+func TestHotPathAllocations(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		bound float64
@@ -60,7 +60,7 @@
 }
 
 func heartbeatPath(_ *testing.T, c *controller) func() {
-	heartbeat := c.reportOf(c.ours())
+	heartbeat := c.heartbeatOf(c.ownMachineWithTasks())
 	return func() {
 		heartbeat.Sequence++
 		c.handleHeartbeat(heartbeat)
@@ -68,7 +68,7 @@
 }
 
 func decodePath(t *testing.T, c *controller) func() {
-	raw := record.JSON(c.reportOf(c.ours()))
+	raw := record.JSON(c.heartbeatOf(c.ownMachineWithTasks()))
 	return func() {
 		if _, err := wire.ParseHeartbeat(raw); err != nil {
 			t.Error(err)
@@ -110,16 +110,16 @@
 
 // A status frame costs its sender one buffer that grows, and its reader four strings
 // for each machine.
-func TestStatusFrameAllocatesLittle(t *testing.T) {
+func TestStatusFrameAllocations(t *testing.T) {
 	for _, machines := range []int{50, 500} {
 		c := newFullFleetController(t, machines)
 		n := float64(len(c.partitions[0].machines))
 		var frame []byte
-		if got := testing.AllocsPerRun(20, func() { frame = peer.AppendStatus(nil, c.peerStatus(), peer.PlainFrame) }); got > 30 {
+		if got := testing.AllocsPerRun(20, func() { frame = peer.AppendStatus(nil, c.buildPeerStatus(), peer.PlainFrame) }); got > 30 {
 			t.Errorf("%d machines: %v allocations to send a status, want at most 30", machines, got)
 		}
 		s := &peer.Status{}
-		if got := testing.AllocsPerRun(20, func() { *s = *c.peerStatus() }); got > 20 {
+		if got := testing.AllocsPerRun(20, func() { *s = *c.buildPeerStatus() }); got > 20 {
 			t.Errorf("%d machines: %v allocations to make a status, want at most 20", machines, got)
 		}
 		if len(frame) > int(n)*64+64 {
@@ -130,7 +130,7 @@
 
 // A transaction carries what waits for it: an array's bindings cost far less than a
 // change for each task.
-func TestChangesForEachTask(t *testing.T) {
+func TestArrayWritesAreBatched(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		const tasks = 240
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: tasks, CPUs: 1, EstimateS: 6}))
@@ -147,11 +147,11 @@
 	})
 }
 
-func BenchmarkReport(b *testing.B) {
+func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := newFullFleetController(b, n)
-			heartbeat := c.reportOf(c.ours())
+			heartbeat := c.heartbeatOf(c.ownMachineWithTasks())
 			raw := record.JSON(heartbeat)
 			for b.Loop() {
 				x, err := wire.ParseHeartbeat(raw)
@@ -166,7 +166,7 @@
 	}
 }
 
-func BenchmarkRecord(b *testing.B) {
+func BenchmarkStoredRecord(b *testing.B) {
 	for _, n := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := newFullFleetController(b, n)
@@ -185,12 +185,12 @@
 	}
 }
 
-func BenchmarkStatus(b *testing.B) {
+func BenchmarkPeerStatus(b *testing.B) {
 	for _, n := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := newFullFleetController(b, n)
 			for b.Loop() {
-				peer.AppendStatus(nil, c.peerStatus(), peer.PlainFrame)
+				peer.AppendStatus(nil, c.buildPeerStatus(), peer.PlainFrame)
 			}
 		})
 	}
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -24,7 +24,7 @@
 		WorkLifetime: c.maxStaleness + c.leaseExpiry, Log: c.log,
 	}, autoscaler.Services{
 		Cloud: client, Machines: machineView{c}, Cluster: leadershipView{c}, Writer: writeQueue{c.clusterState},
-		Loop: loopAt{c.eventLoop, priorityWorkers},
+		Loop: priorityLoop{c.eventLoop, priorityWorkers},
 	})
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -40,11 +40,11 @@
 // SubmitWrite submits a write; done runs on the event loop with the result, after the replica
 // has taken the changes in.
 func (c *clusterState) SubmitWrite(write *store.Write, done func(err error)) {
-	begun := c.now
+	startedAt := c.now
 	write.Done = func(revision uint64, err error) {
 		// The writer never waits for a full queue of events that waits for the writer.
 		go c.enqueue(priorityStore, func() {
-			c.metrics.observeLatency(latencyCommit, c.now.Sub(begun))
+			c.metrics.observeLatency(latencyCommit, c.now.Sub(startedAt))
 			if err == nil {
 				c.replica.ApplyTxn(write.Changes, revision)
 			}
@@ -68,28 +68,28 @@
 
 // newController makes the components of a controller and connects them. Calls to other
 // systems end with ctx.
-func newController(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger, out dependencies) *controller {
-	if out.jitter == nil {
-		out.jitter = rand.N[time.Duration]
+func newController(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger, deps dependencies) *controller {
+	if deps.jitter == nil {
+		deps.jitter = rand.N[time.Duration]
 	}
-	state := newClusterState(ctx, cfg, op, log, out)
+	state := newClusterState(ctx, cfg, op, log, deps)
 	c := &controller{
 		clusterState: state,
 		partitionOwner: &partitionOwner{
 			clusterState: state,
-			workerClient: workerclient.NewClient(out.workers),
+			workerClient: workerclient.NewClient(deps.workers),
 			directSlots:  workerclient.NewSlots[*machine](cfg.DirectCommands()),
 		},
 		leader:    &leader{clusterState: state},
-		sendFrame: out.sendFrame,
+		sendFrame: deps.sendFrame,
 	}
 	state.replica = replica.New(recordApplier{c})
-	state.reader = c.newReader(ctx, out.jitter)
+	state.reader = c.newReader(ctx, deps.jitter)
 	state.election = c.newElector(ctx)
-	state.autoscaler = newAutoscaler(c, cloud.NewClient(cfg.External.Cloud, cfg.Settings.Cloud.RPS, out.cloud))
+	state.autoscaler = newAutoscaler(c, cloud.NewClient(cfg.External.Cloud, cfg.Settings.Cloud.RPS, deps.cloud))
 	c.Frontend = frontend.New(frontend.Config{
 		JobKey: jobKey, LeaseTTL: op.LeaseTTL, MaxValueBytes: c.maxValueBytes(), Quotas: cfg.Settings.Teams, Log: c.log,
-	}, clusterView{c}, loopAt{state.eventLoop, priorityUsers}, c.metrics)
+	}, clusterView{c}, priorityLoop{state.eventLoop, priorityUsers}, c.metrics)
 	return c
 }
 
@@ -103,7 +103,7 @@
 		Jitter:            jitter,
 		Loaded:            func() { c.archiveFinishedJobs(c.replica) },
 		Log:               c.log,
-	}, c.replica, c.stateClient, loopAt{c.eventLoop, priorityStore})
+	}, c.replica, c.stateClient, priorityLoop{c.eventLoop, priorityStore})
 }
 
 // newElector makes the elector of the partitions' leases and the leader's.
@@ -123,7 +123,7 @@
 		Replica:  c.replica,
 		Reader:   c.reader,
 		Writer:   c,
-		Loop:     loopAt{c.eventLoop, priorityStore},
+		Loop:     priorityLoop{c.eventLoop, priorityStore},
 		Listener: c,
 	}, leaseKeys(c.rollout.leaseKeys, s.Count))
 }
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -15,11 +15,11 @@
 	now time.Time
 	// resumedFromPauseAt is until when this process last stood still.
 	resumedFromPauseAt time.Time
-	// lastTick is when the event loop last came to its timers, lastLaggedAt when it last
+	// lastTickAt is when the event loop last came to its timers, lastLaggedAt when it last
 	// came late to them: see lagging.
-	lastTick, lastLaggedAt time.Time
-	// passDue: a scheduling pass is wanted.
-	passDue bool
+	lastTickAt, lastLaggedAt time.Time
+	// passRequested: a scheduling pass is wanted.
+	passRequested bool
 }
 
 func newEventLoop(ctx context.Context) *eventLoop {
@@ -27,19 +27,19 @@
 }
 
 // enqueue has the event loop run an event; it blocks while the queue is full.
-func (l *eventLoop) enqueue(at priority, event func()) { l.events.put(l.ctx, at, event) }
+func (l *eventLoop) enqueue(p priority, event func()) { l.events.put(l.ctx, p, event) }
 
 // call has the event loop run an event and waits for it. False means that it has not been run
 // and won't be, or that ctx ended meanwhile: nobody waits for what it says any more.
-func (l *eventLoop) call(ctx context.Context, at priority, event func()) bool {
+func (l *eventLoop) call(ctx context.Context, p priority, event func()) bool {
 	done := make(chan struct{})
-	awaited := func() {
+	runUnlessCanceled := func() {
 		if ctx.Err() == nil {
 			event()
 			close(done)
 		}
 	}
-	if !l.putCall(ctx, at, awaited) {
+	if !l.enqueueCall(ctx, p, runUnlessCanceled) {
 		return false
 	}
 	select {
@@ -50,43 +50,43 @@
 	}
 }
 
-// putCall queues an event that somebody waits for; false: it won't be run.
-func (l *eventLoop) putCall(ctx context.Context, at priority, event func()) bool {
-	if at == priorityUsers {
+// enqueueCall queues an event that somebody waits for; false: it won't be run.
+func (l *eventLoop) enqueueCall(ctx context.Context, p priority, event func()) bool {
+	if p == priorityUsers {
 		return l.events.putUserRequest(event)
 	}
-	return l.events.put(ctx, at, event)
+	return l.events.put(ctx, p, event)
 }
 
 // requestSchedulingPass asks for a scheduling pass soon: events in a burst share one.
-func (l *eventLoop) requestSchedulingPass() { l.passDue = true }
+func (l *eventLoop) requestSchedulingPass() { l.passRequested = true }
 
 // lagging tells whether this process gets so little processor time just now that it can't
 // tell who is late: others or itself.
-func (l *eventLoop) lagging() bool {
-	return !l.lastTick.IsZero() && l.now.Sub(l.lastTick) > tickInterval+maxLag
+func (l *eventLoop) isLagging() bool {
+	return !l.lastTickAt.IsZero() && l.now.Sub(l.lastTickAt) > tickInterval+maxLag
 }
 
 // hasLaggedSince tells whether it did at any time since t.
-func (l *eventLoop) hasLaggedSince(t time.Time) bool { return l.lagging() || l.lastLaggedAt.After(t) }
+func (l *eventLoop) hasLaggedSince(t time.Time) bool { return l.isLagging() || l.lastLaggedAt.After(t) }
 
-// loopAt is the event loop as components see it that queue functions at one priority.
-type loopAt struct {
+// priorityLoop is the event loop as components see it that queue functions at one priority.
+type priorityLoop struct {
 	*eventLoop
-	at priority
+	priority priority
 }
 
 // Now is the time of the event that the loop works on.
-func (l loopAt) Now() time.Time { return l.now }
+func (l priorityLoop) Now() time.Time { return l.now }
 
 // Enqueue queues an event; it blocks while the queue is full.
-func (l loopAt) Enqueue(event func()) { l.enqueue(l.at, event) }
+func (l priorityLoop) Enqueue(event func()) { l.enqueue(l.priority, event) }
 
 // Call runs an event and waits for it; false if ctx ended first.
-func (l loopAt) Call(ctx context.Context, event func()) bool { return l.call(ctx, l.at, event) }
+func (l priorityLoop) Call(ctx context.Context, f func()) bool { return l.call(ctx, l.priority, f) }
 
 // RetryAfterS is in how many seconds a user who was turned away should come back.
-func (l loopAt) RetryAfterS() int { return l.events.retryAfterS() }
+func (l priorityLoop) RetryAfterS() int { return l.events.retryAfterS() }
 
 // loop is the event loop: it alone touches the controller's state.
 //
@@ -96,10 +96,10 @@
 // leader's planning. Each pass rests for several times as long as it took, so that with less
 // processor time it is taken less often, and what comes later in the order still gets a
 // share.
-func (c *controller) loop(ctx context.Context) {
+func (c *controller) runEventLoop(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	due := schedule{metrics: time.Now().Add(metricsInterval)}
+	due := timerDeadlines{metrics: time.Now().Add(metricsInterval)}
 	for ctx.Err() == nil {
 		event, ticked := c.events.take(ctx.Done(), ticker.C)
 		if ticked {
@@ -112,11 +112,11 @@
 }
 
 // runEvent runs an event, and a scheduling pass if one is wanted and not too soon.
-func (c *controller) runEvent(event func(), due *schedule) {
+func (c *controller) runEvent(event func(), due *timerDeadlines) {
 	c.now = time.Now()
 	event()
 	c.metrics.observeLatency(latencyEvent, time.Since(c.now))
-	if c.passDue && c.now.After(due.pass) && !c.events.hasBefore(priorityUsers) {
-		c.runPass(due, time.Now())
+	if c.passRequested && c.now.After(due.pass) && !c.events.hasEventsAbove(priorityUsers) {
+		c.runSchedulingPass(due, time.Now())
 	}
 }
--- a/internal/controller/event_queue.go
+++ b/internal/controller/event_queue.go
@@ -20,11 +20,11 @@
 	priorityWorkers
 	// priorityUsers is for users, who can be told to come back.
 	priorityUsers
-	priorities
+	numPriorities
 )
 
-// queueSize bounds the events of each priority; who finds it full waits, users excepted.
-const queueSize = 1024
+// queueCapacity bounds the events of each priority; who finds it full waits, users excepted.
+const queueCapacity = 1024
 
 // maxUserWait is how long a user's request may have waited for the event loop for others to
 // queue behind it. It is well below the time in which users give up.
@@ -35,7 +35,7 @@
 
 // eventQueue holds what the event loop is to do.
 type eventQueue struct {
-	queues [priorities]chan func()
+	queues [numPriorities]chan func()
 	// nextUserQueuedAt is when the user's request that is next, or one before it, was queued.
 	nextUserQueuedAt atomic.Pointer[time.Time]
 }
@@ -43,15 +43,15 @@
 func newEventQueue() *eventQueue {
 	q := &eventQueue{}
 	for p := range q.queues {
-		q.queues[p] = make(chan func(), queueSize)
+		q.queues[p] = make(chan func(), queueCapacity)
 	}
 	return q
 }
 
 // put queues an event; false if ctx ends while the queue is full.
-func (q *eventQueue) put(ctx context.Context, at priority, event func()) bool {
+func (q *eventQueue) put(ctx context.Context, p priority, event func()) bool {
 	select {
-	case q.queues[at] <- event:
+	case q.queues[p] <- event:
 		return true
 	case <-ctx.Done():
 		return false
@@ -91,7 +91,7 @@
 }
 
 // next is the first event by priority; nil if there is none.
-func (q *eventQueue) next() func() {
+func (q *eventQueue) tryTake() func() {
 	for _, queue := range q.queues {
 		select {
 		case event := <-queue:
@@ -110,7 +110,7 @@
 		return nil, true
 	default:
 	}
-	if event = q.next(); event != nil {
+	if event = q.tryTake(); event != nil {
 		return event, false
 	}
 	select {
@@ -124,9 +124,9 @@
 	return event, false
 }
 
-// hasBefore tells whether an event of a priority before the given one waits.
-func (q *eventQueue) hasBefore(limit priority) bool {
-	for _, queue := range q.queues[:limit] {
+// hasEventsAbove tells whether an event of a priority before the given one waits.
+func (q *eventQueue) hasEventsAbove(p priority) bool {
+	for _, queue := range q.queues[:p] {
 		if len(queue) > 0 {
 			return true
 		}
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -83,11 +83,11 @@
 
 // Heartbeat answers a worker.
 func (c *controller) Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) api.Response {
-	var ans api.Response
-	if !c.call(ctx, priorityWorkers, func() { ans = c.handleHeartbeat(heartbeat) }) {
+	var answer api.Response
+	if !c.call(ctx, priorityWorkers, func() { answer = c.handleHeartbeat(heartbeat) }) {
 		response := frontend.Unavailable("busy")
 		response.RetryAfter = c.events.retryAfterS()
 		return response
 	}
-	return ans
+	return answer
 }
--- a/internal/controller/job_lifecycle_test.go
+++ b/internal/controller/job_lifecycle_test.go
@@ -30,7 +30,7 @@
 
 // Malformed submissions and ones that can never run are refused; what was accepted is known
 // from then on, however it is submitted again.
-func TestUsersAreAnswered(t *testing.T) {
+func TestSubmissionStatusCodes(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		time.Sleep(5 * time.Second)
 		for _, x := range []struct {
@@ -69,19 +69,19 @@
 
 // A large array and a flood of small ones: records and transactions stay within
 // the limits, what is done leaves little behind, heartbeats keep being answered.
-func TestFlood(t *testing.T) {
+func TestLargeArrayAmongManySmallOnes(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 1500, CPUs: 1, EstimateS: 1}))
 		for i := range 60 {
 			c.submit(newSubmission(submission{ID: fmt.Sprintf("wk-%d", i+2), Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 5, CPUs: 1, EstimateS: 1}))
 		}
-		most := 0
+		maxRecords := 0
 		c.await("all is done", 20*time.Minute, func() bool {
-			most = max(most, len(c.env.Store.Keys(groupPrefix+"wk-1/")))
+			maxRecords = max(maxRecords, len(c.env.Store.Keys(groupPrefix+"wk-1/")))
 			return c.state("wk-1") == wire.Done
 		})
-		if most > 120 {
-			t.Errorf("%d records of one array, want at most 120", most)
+		if maxRecords > 120 {
+			t.Errorf("%d records of one array, want at most 120", maxRecords)
 		}
 		for i := range 60 {
 			c.awaitDone(fmt.Sprintf("wk-%d", i+2), time.Minute)
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -31,10 +31,10 @@
 	countStoredGroups      // task groups written by their owner
 	countRewrittenGroups   // of these, for their encoding alone
 	countUndecodableValues // stored values that could not be decoded
-	counters
+	numCounters
 )
 
-var counterNames = [counters]string{
+var counterNames = [numCounters]string{
 	countAcceptedSubmissions: "accepted", countRefusedSubmissions: "refused", countUnavailableSubmissions: "unavailable", countPolls: "polls",
 	countHeartbeats: "reports", countRedirectedHeartbeats: "redirected", countBoundTasks: "bound", countDoneTasks: "done",
 	countLostTasks: "lost", countPreemptedTasks: "evicting", countAssignedGroups: "dealt", countMovedGroups: "moved",
@@ -51,10 +51,10 @@
 	latencySubmit                // from a submission's arrival to its answer
 	latencyCommit                // from a transaction's submission to its result
 	latencyBind                  // from a job's acceptance to a task's first binding
-	latencies
+	numLatencies
 )
 
-var latencyNames = [latencies]string{
+var latencyNames = [numLatencies]string{
 	latencyEvent: "event", latencySubmit: "submit", latencyCommit: "commit", latencyBind: "bind",
 }
 
@@ -69,10 +69,10 @@
 	activityPlanning                   // the leader's planning
 	activityScheduling                 // the partitions' scheduling passes
 	activityStatus                     // telling the peers
-	activities
+	numActivities
 )
 
-var activityNames = [activities]string{
+var activityNames = [numActivities]string{
 	activityHeartbeat: "report", activityReplica: "replica", activityPlanning: "lead",
 	activityScheduling: "parts", activityStatus: "status",
 }
@@ -82,11 +82,11 @@
 // metrics counts cheaply; the totals since the last line are logged at intervals.
 type metrics struct {
 	mu        sync.Mutex
-	counts    [counters]int64
-	latencies [latencies]*hdrhistogram.Histogram
-	busyTime  [activities]time.Duration
+	counts    [numCounters]int64
+	latencies [numLatencies]*hdrhistogram.Histogram
+	busyTime  [numActivities]time.Duration
 	maxLag    time.Duration // the latest that a tick of the event loop came
-	usage     *usage
+	usage     *processUsage
 }
 
 const (
@@ -98,7 +98,7 @@
 
 // newMetrics returns metrics that start from zero.
 func newMetrics() *metrics {
-	m := &metrics{usage: newUsage()}
+	m := &metrics{usage: newProcessUsage()}
 	for i := range m.latencies {
 		m.latencies[i] = hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)
 	}
@@ -114,10 +114,10 @@
 
 // observe adds a duration to a latency's distribution.
 func (m *metrics) observeLatency(l latency, d time.Duration) {
-	within := min(max(d, time.Microsecond), maxLatency)
+	clamped := min(max(d, time.Microsecond), maxLatency)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_ = m.latencies[l].RecordValue(within.Microseconds()) // fails only beyond the bounds
+	_ = m.latencies[l].RecordValue(clamped.Microseconds()) // fails only beyond the bounds
 }
 
 // Submission counts a submission by the status of its response, and how long that took.
@@ -137,21 +137,21 @@
 func (m *metrics) Poll() { m.count(countPolls, 1) }
 
 // addBusyTime adds the time since begun to an activity.
-func (m *metrics) addBusyTime(a activity, begun time.Time) {
+func (m *metrics) addBusyTime(a activity, startedAt time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.busyTime[a] += time.Since(begun)
+	m.busyTime[a] += time.Since(startedAt)
 }
 
-// noteLag notes by how much a tick of the event loop came too late.
-func (m *metrics) noteLag(d time.Duration) {
+// recordLag notes by how much a tick of the event loop came too late.
+func (m *metrics) recordLag(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.maxLag = max(m.maxLag, d)
 }
 
 // log logs the totals since the last time, and begins again from zero.
-func (m *metrics) log(log *slog.Logger, jobs, machines int, state store.Stats) {
+func (m *metrics) logAndReset(log *slog.Logger, jobs, machines int, storeStats store.Stats) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	attributes := []any{"jobs", jobs, "machines", machines}
@@ -162,10 +162,10 @@
 	for i, t := range m.busyTime {
 		attributes = append(attributes, activity(i).String()+"_ms", t.Milliseconds())
 	}
-	attributes = append(attributes, storeAttributes(state)...)
+	attributes = append(attributes, storeAttributes(storeStats)...)
 	attributes = append(attributes, "lag_ms", m.maxLag.Milliseconds())
 	attributes = append(attributes, m.usage.logAttributes()...)
-	m.counts, m.busyTime, m.maxLag = [counters]int64{}, [activities]time.Duration{}, 0
+	m.counts, m.busyTime, m.maxLag = [numCounters]int64{}, [numActivities]time.Duration{}, 0
 	log.Info("counters", attributes...)
 }
 
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -16,7 +16,7 @@
 
 // starve gives every controller's event loop processor time in bursts only, each at a
 // phase of its own, until the function that it returns is called.
-func (c *cluster) starve(busy, free time.Duration) (stop func()) {
+func (c *cluster) blockEventLoops(busy, free time.Duration) (stop func()) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	var wg sync.WaitGroup
 	for i, n := range c.nodes {
@@ -47,7 +47,7 @@
 // Controllers that are all slow serve on: no leased key changes hands, since whoever got
 // it would be as slow, no machine is taken for dead whose answers merely wait to be
 // read, and what users are told to come back with is taken before long.
-func TestSlowControllersServeOn(t *testing.T) {
+func TestSlowControllersKeepLeasesAndServe(t *testing.T) {
 	for _, busy := range []time.Duration{700 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
 		t.Run(busy.String(), func(t *testing.T) {
 			runCluster(t, func(c *cluster) { c.checkSlowControllers(busy) })
@@ -60,7 +60,7 @@
 	c.runServices(4, 2)
 	time.Sleep(10 * time.Second)
 	owners, used := c.leaseOwners(), c.usedMachines()
-	stop := c.starve(busy, 300*time.Millisecond)
+	stop := c.blockEventLoops(busy, 300*time.Millisecond)
 	time.Sleep(time.Minute)
 	if now := c.leaseOwners(); !maps.Equal(owners, now) {
 		c.t.Errorf("leased keys changed hands: from %v to %v", owners, now)
@@ -70,9 +70,9 @@
 	if !c.servicesRun(4, 2) {
 		c.t.Error("replicas are missing, want all to run")
 	}
-	there := c.env.Cloud.Agents()
+	remaining := c.env.Cloud.Agents()
 	for _, a := range used {
-		if !slices.Contains(there, a) {
+		if !slices.Contains(remaining, a) {
 			c.t.Errorf("%s was terminated though it answers", a.Name())
 		}
 	}
@@ -115,11 +115,11 @@
 }
 
 // impatience is for how long users wait for an answer to a query.
-const impatience = 1800 * time.Millisecond
+const userQueryTimeout = 1800 * time.Millisecond
 
 // Users of a controller that has no time for them are told at once when to come
 // back, instead of waiting in vain behind others, and are served when it has.
-func TestUsersAreTurnedAwayAtOnce(t *testing.T) {
+func TestOverloadedControllerRejectsUsersAtOnce(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 2, CPUs: 2, EstimateS: 5}))
 		c.awaitDone("wk-1", 2*time.Minute)
@@ -133,7 +133,7 @@
 			}
 		})
 		const users = 400
-		counts := &userCounts{t: t}
+		counts := &userResponseCounts{t: t}
 		for i := range users {
 			time.Sleep(25 * time.Millisecond)
 			id := "wk-1"
@@ -144,11 +144,11 @@
 		}
 		cancel()
 		wg.Wait()
-		if counts.turnedAway < 100 || counts.served < 4 {
-			t.Errorf("of %d users %d were turned away at once, %d served; want at least 100 and 4", users, counts.turnedAway, counts.served)
+		if counts.rejected < 100 || counts.served < 4 {
+			t.Errorf("of %d users %d were turned away at once, %d served; want at least 100 and 4", users, counts.rejected, counts.served)
 		}
 		time.Sleep(time.Second)
-		limit, done := context.WithTimeout(c.ctx, impatience)
+		limit, done := context.WithTimeout(c.ctx, userQueryTimeout)
 		defer done()
 		if answer := ctl.Poll(limit, "wk-1"); answer.Status != http.StatusOK {
 			t.Errorf("status %d when there is time again, want 200", answer.Status)
@@ -156,17 +156,17 @@
 	})
 }
 
-// userCounts counts users by what they were answered.
-type userCounts struct {
+// userResponseCounts counts users by what they were answered.
+type userResponseCounts struct {
 	t *testing.T
 
-	mu                 sync.Mutex
-	turnedAway, served int
+	mu               sync.Mutex
+	rejected, served int
 }
 
 // query asks for a job, and counts the answer.
-func (u *userCounts) query(ctx context.Context, ctl *controller, id string) {
-	limit, done := context.WithTimeout(ctx, impatience)
+func (u *userResponseCounts) query(ctx context.Context, ctl *controller, id string) {
+	limit, done := context.WithTimeout(ctx, userQueryTimeout)
 	defer done()
 	begun := time.Now()
 	answer := ctl.Poll(limit, id)
@@ -176,14 +176,14 @@
 	case answer.Status == http.StatusServiceUnavailable && answer.RetryAfter < 1:
 		u.t.Error("a user is turned away without a time to come back")
 	case answer.Status == http.StatusServiceUnavailable && time.Since(begun) == 0:
-		u.turnedAway++
+		u.rejected++
 	case answer.Status == http.StatusOK:
 		u.served++
 	}
 }
 
 // What has the higher priority is done first, whatever came first in time.
-func TestPrioritiesInOrder(t *testing.T) {
+func TestEventQueueOrdersByPriority(t *testing.T) {
 	in := newEventQueue()
 	var got []priority
 	for _, p := range []priority{priorityUsers, priorityWorkers, priorityStore, priorityUsers, priorityStore, priorityWorkers} {
@@ -194,16 +194,16 @@
 			in.put(t.Context(), p, f)
 		}
 	}
-	if !in.hasBefore(priorityUsers) {
+	if !in.hasEventsAbove(priorityUsers) {
 		t.Error("events wait before those of users, and the queue does not say so")
 	}
-	for f := in.next(); f != nil; f = in.next() {
+	for f := in.tryTake(); f != nil; f = in.tryTake() {
 		f()
 	}
 	if !slices.Equal(got, []priority{priorityStore, priorityStore, priorityWorkers, priorityWorkers, priorityUsers, priorityUsers}) {
 		t.Errorf("done in the order %v, want the highest priority first", got)
 	}
-	if in.hasBefore(priorities) {
+	if in.hasEventsAbove(numPriorities) {
 		t.Error("events are left, want none")
 	}
 }
--- a/internal/controller/peer_status.go
+++ b/internal/controller/peer_status.go
@@ -4,8 +4,8 @@
 	"eiderhitch/internal/peer"
 )
 
-// peerStatus tells the peers about this controller and its machines.
-func (c *controller) peerStatus() *peer.Status {
+// buildPeerStatus tells the peers about this controller and its machines.
+func (c *controller) buildPeerStatus() *peer.Status {
 	status := &peer.Status{Node: c.cfg.Name, ProcessID: c.processID, Fresh: c.isFresh(c.operator.LeaseTTL), Eligible: c.isEligible(), Draining: c.autoscaler.DrainedMachines()}
 	for _, p := range c.partitions {
 		if p.token == 0 || !p.takeoverComplete {
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -32,8 +32,8 @@
 	registrations    map[string]rollout.Registered
 	groupsByEncoding map[record.Encoding]int // task groups by the encoding that they are stored in
 	unreadableGroups map[string]bool         // keys of groups that can't be decoded
-	writing          bool                    // the write of a step is under way
-	rewrites         *rate.Limiter           // of groups that are rewritten for their encoding alone
+	stepInFlight     bool                    // the write of a step is under way
+	rewriteLimiter   *rate.Limiter           // of groups that are rewritten for their encoding alone
 }
 
 func newRolloutState(cfg *config.Platform, op *config.Operator) rolloutState {
@@ -50,7 +50,7 @@
 		registrations:    map[string]rollout.Registered{},
 		groupsByEncoding: map[record.Encoding]int{},
 		unreadableGroups: map[string]bool{},
-		rewrites:         rate.NewLimiter(rate.Limit(perSecond), 1),
+		rewriteLimiter:   rate.NewLimiter(rate.Limit(perSecond), 1),
 	}
 }
 
@@ -63,36 +63,36 @@
 }
 
 // encoding is that in which task groups are written.
-func (c *clusterState) writeEncoding() record.Encoding { return encodingOf(c.rollout.state.Writes()) }
+func (c *clusterState) writeEncoding() record.Encoding { return encodingAt(c.rollout.state.Writes()) }
 
-// encodingOf is the encoding of task groups at a feature level.
-func encodingOf(level rollout.Level) record.Encoding {
+// encodingAt is the encoding of task groups at a feature level.
+func encodingAt(level rollout.Level) record.Encoding {
 	if level >= rollout.ChecksumLevel {
 		return record.Checksummed
 	}
 	return record.PlainJSON
 }
 
-// countOutdated counts the task groups that are not stored in the encoding in which they are
+// countGroupsToRewrite counts the task groups that are not stored in the encoding in which they are
 // written.
-func (s *rolloutState) countOutdated() int {
-	written := encodingOf(s.state.Writes())
+func (s *rolloutState) countGroupsToRewrite() int {
+	writeEncoding := encodingAt(s.state.Writes())
 	n := 0
 	for encoding, count := range s.groupsByEncoding {
-		if encoding != written {
+		if encoding != writeEncoding {
 			n += count
 		}
 	}
 	return n
 }
 
-// countNewer counts the task groups that are stored in an encoding above that in which they
+// countGroupsAboveWriteEncoding counts the task groups that are stored in an encoding above that in which they
 // are written.
-func (s *rolloutState) countNewer() int {
-	written := encodingOf(s.state.Writes())
+func (s *rolloutState) countGroupsAboveWriteEncoding() int {
+	writeEncoding := encodingAt(s.state.Writes())
 	n := 0
 	for encoding, count := range s.groupsByEncoding {
-		if encoding > written {
+		if encoding > writeEncoding {
 			n += count
 		}
 	}
@@ -112,10 +112,10 @@
 
 // setRolloutState follows a new state: leases are held under its keys, and by controllers alone
 // that read what it allows to be stored. unknown is why it can't be read, if it can't.
-func (c *controller) setRolloutState(state rollout.State, version uint64, unknown error) {
+func (c *controller) setRolloutState(state rollout.State, revision uint64, decodeErr error) {
 	before := c.rollout.state
-	c.rollout.state, c.rollout.revision = state, version
-	refusal := unknown
+	c.rollout.state, c.rollout.revision = state, revision
+	refusal := decodeErr
 	if refusal == nil && !state.Admits(c.rollout.supportedLevels) {
 		refusal = &unsupportedLevelError{level: state.Level, supported: c.rollout.supportedLevels}
 	}
@@ -185,7 +185,7 @@
 		Controllers:       s.registrations,
 		Leading:           c.isLeader(),
 		Current:           c.replica.Cursor() >= s.revision,
-		RecordsAbove:      s.countNewer(),
+		RecordsAbove:      s.countGroupsAboveWriteEncoding(),
 		UnreadableRecords: len(s.unreadableGroups),
 		Partitions:        c.loanPartition(),
 		MaxTxnChanges:     c.cfg.Settings.Store.TxnOps,
@@ -197,7 +197,7 @@
 func (c *controller) advanceRollout() {
 	s := &c.rollout
 	enabled := s.revision != 0 || c.operator.FeatureLevels
-	if !enabled || s.writing || s.refusal != nil || !c.isFresh(c.operator.LeaseTTL) {
+	if !enabled || s.stepInFlight || s.refusal != nil || !c.isFresh(c.operator.LeaseTTL) {
 		return
 	}
 	view := c.rolloutView()
@@ -206,23 +206,23 @@
 		return
 	}
 	txn := rollout.Txn(s.state, step, next, view, rollout.Revisions{State: s.revision, Leader: c.leadership.token})
-	s.writing = true
+	s.stepInFlight = true
 	c.log.Info("feature level step", "step", step, "from", s.state.Level, "phase", s.state.Phase)
 	write := &store.Write{Prompt: true, Contested: true, Conditions: txn.Conditions, Changes: txn.Changes}
 	c.SubmitWrite(write, func(err error) {
 		if err == nil {
-			s.writing = false
+			s.stepInFlight = false
 			return
 		}
 		c.log.Info("feature level step failed", "step", step, "err", err)
-		c.reader.AfterSuccessfulRead(func() { s.writing = false }) // perhaps it was applied all the same
+		c.reader.AfterSuccessfulRead(func() { s.stepInFlight = false }) // perhaps it was applied all the same
 	})
 }
 
 // rewriteGroups has task groups of a partition stored in the encoding that is written now, a
 // few at a time: users' writes go before, and so does all that has a backlog.
 func (c *partitionOwner) rewriteGroups(p *partition) {
-	if c.rollout.countOutdated() == 0 || c.stateWriter.Backlog() > rewriteBacklog {
+	if c.rollout.countGroupsToRewrite() == 0 || c.stateWriter.Backlog() > maxRewriteBacklog {
 		return
 	}
 	encoding := c.writeEncoding()
@@ -233,7 +233,7 @@
 		if c.encodeGroup(group, group.doneTasks, group.bindings).Encoding() != encoding {
 			continue // that encoding can't hold it
 		}
-		if !c.rollout.rewrites.AllowN(c.now, 1) {
+		if !c.rollout.rewriteLimiter.AllowN(c.now, 1) {
 			return
 		}
 		c.metrics.count(countRewrittenGroups, 1)
@@ -257,7 +257,7 @@
 
 // broadcastStatus sends this controller's status to all peers.
 func (c *controller) broadcastStatus() {
-	status := c.peerStatus()
+	status := c.buildPeerStatus()
 	frames := map[peer.Version][]byte{}
 	for _, p := range c.cfg.Peers {
 		version := c.frameVersion(p.Name)
@@ -277,9 +277,9 @@
 }
 
 // register keeps this controller's range of levels stored while the process lives.
-func (c *controller) register(ctx context.Context) {
+func (c *controller) runRegistrar(ctx context.Context) {
 	registration := rollout.Controller{Node: c.cfg.Name, ProcessID: c.processID, Build: Build, Range: c.rollout.supportedLevels}
-	r := &rollout.Registrar{Store: c.stateClient, Controller: registration, TTL: registrationTTLs * c.operator.LeaseTTL, Log: c.log}
+	r := &rollout.Registrar{Store: c.stateClient, Controller: registration, TTL: registrationTTLFactor * c.operator.LeaseTTL, Log: c.log}
 	if err := r.Run(ctx); err != nil && !errors.Is(err, ctx.Err()) {
 		c.log.Error("registration ended", "err", err)
 	}
@@ -289,11 +289,11 @@
 var Build = "unknown"
 
 const (
-	// registrationTTLs is how many times longer than a lease a registration outlives its
+	// registrationTTLFactor is how many times longer than a lease a registration outlives its
 	// process: a slow controller should not look as if it had left.
-	registrationTTLs = 3
-	// rewriteBacklog is how much may wait to be stored while records are rewritten.
-	rewriteBacklog = 500 * time.Millisecond
+	registrationTTLFactor = 3
+	// maxRewriteBacklog is how much may wait to be stored while records are rewritten.
+	maxRewriteBacklog = 500 * time.Millisecond
 )
 
 // logRollout adds the levels to the regular counters.
--- a/internal/controller/rollout_cluster_test.go
+++ b/internal/controller/rollout_cluster_test.go
@@ -116,7 +116,7 @@
 )
 
 // reads is the range of levels whose records a version reads.
-func (v softwareVersion) reads() rollout.Range {
+func (v softwareVersion) readableLevels() rollout.Range {
 	if v.predatesLevels {
 		return baseLevelVersion.supportedLevels
 	}
@@ -127,5 +127,5 @@
 func (c *cluster) recordProcess(p *process) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readableByProcess[p.controller.processID] = p.version.reads()
+	c.readableByProcess[p.controller.processID] = p.version.readableLevels()
 }
--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -22,7 +22,7 @@
 // All the way up and all the way back, with work that runs through it: a level becomes
 // active when all controllers read it and final by an operator's word; records are
 // rewritten; on the way back they are rewritten again before the level falls.
-func TestUpAndBack(t *testing.T) {
+func TestUpgradeAndRevert(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 60, CPUs: 2, EstimateS: 20}))
@@ -49,7 +49,7 @@
 }
 
 // final brings a cluster to level 2, with work that runs.
-func (c *cluster) final() {
+func (c *cluster) startWorkAndFinalize() {
 	c.t.Helper()
 	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
 	c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 12, CPUs: 1, EstimateS: 300}))
@@ -73,9 +73,9 @@
 
 // A version that knows levels and not the one in force serves nobody, holds no leased key, and
 // asks the key-value store no more than it has to. Back as the present one it serves.
-func TestControllerOfALowerLevelIsKeptOut(t *testing.T) {
+func TestControllerBelowCurrentLevelDoesNotServe(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
-		c.final()
+		c.startWorkAndFinalize()
 		c.restartWithVersion(0, baseLevelVersion)
 		time.Sleep(5 * time.Second)
 		var calls atomic.Int64
@@ -108,9 +108,9 @@
 
 // A version without levels that comes back after the switch holds no leased key, even alone; a
 // job that it accepts runs, and what it can't read it does not answer for.
-func TestControllerWithoutLevelsAfterTheSwitch(t *testing.T) {
+func TestVersionWithoutLevelsAfterFinalize(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
-		c.final()
+		c.startWorkAndFinalize()
 		c.restartWithVersion(0, versionWithoutLevels)
 		time.Sleep(5 * time.Second)
 		if answer := c.ask(0, queryRequest("wk-2")); answer.status != http.StatusServiceUnavailable {
@@ -142,8 +142,8 @@
 	})
 }
 
-// damageRecord changes one letter of a stored value, and returns what mends it.
-func (c *cluster) damageRecord(key string) func() {
+// corruptRecord changes one letter of a stored value, and returns what mends it.
+func (c *cluster) corruptRecord(key string) func() {
 	c.t.Helper()
 	good := c.env.Store.Values(key)[key]
 	bad := bytes.Clone(good)
@@ -162,13 +162,13 @@
 // A record that is damaged is seen to be, also by controllers that never saw it whole:
 // its tasks go on running, are started nowhere else, and count for their team's limit; its
 // users are told to come back. Once it is mended all goes on.
-func TestDamagedRecordIsLeftAlone(t *testing.T) {
+func TestTasksOfCorruptRecordKeepRunning(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
-		c.final()
+		c.startWorkAndFinalize()
 		starts := c.env.Trace.Accepted("wk-2")
 		var undo []func()
 		for key := range c.env.Store.Values(groupPrefix + "wk-2/") {
-			undo = append(undo, c.damageRecord(key))
+			undo = append(undo, c.corruptRecord(key))
 		}
 		for i := range c.nodes {
 			c.kill(i)
@@ -202,13 +202,13 @@
 
 // The level falls only when no record of it is left, whoever wrote it and whatever may
 // keep it from being rewritten; what is left is said.
-func TestLevelFallsOnlyWhenNothingIsLeft(t *testing.T) {
+func TestRevertWaitsForRemainingRecords(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
-		c.final()
+		c.startWorkAndFinalize()
 		// Of a job that is not known: nobody rewrites it.
 		key := groupKey("wk-99", 0)
-		left := (&record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 1}}}).Encode(record.Checksummed).At(key)
-		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Put: key, Value: left}}}); err != nil {
+		remaining := (&record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 1}}}).Encode(record.Checksummed).At(key)
+		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Put: key, Value: remaining}}}); err != nil {
 			t.Fatal(err)
 		}
 		c.requestUpgrade(rollout.RequestAbort)
@@ -230,16 +230,16 @@
 
 // A record of the level that is written after the count, by an owner that did not know
 // better, is found before the keys of the base level are opened.
-func TestRecordWrittenAfterTheCountIsFound(t *testing.T) {
+func TestRevertFindsRecordWrittenAfterCount(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
-		c.final()
+		c.startWorkAndFinalize()
 		key := groupKey("wk-99", 0)
-		left := (&record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 1}}}).Encode(record.Checksummed).At(key)
+		remaining := (&record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 1}}}).Encode(record.Checksummed).At(key)
 		// It is stored together with the change that closes the keys.
 		c.env.Store.BeforeTxn(func(t *wire.Txn) {
 			for _, change := range t.Changes {
 				if s, err := rollout.DecodeState(change.Value); change.Put == rollout.StateKey && err == nil && s.Phase == rollout.Closed && s.Epoch == 1 {
-					t.Changes = append(t.Changes, wire.Change{Put: key, Value: left})
+					t.Changes = append(t.Changes, wire.Change{Put: key, Value: remaining})
 				}
 			}
 		})
@@ -255,7 +255,7 @@
 
 // An active level becomes final by itself after the time that the settings give, counted
 // anew from each restart.
-func TestFinalByItself(t *testing.T) {
+func TestAutomaticFinalize(t *testing.T) {
 	runClusterWith(t, func(n *node) {
 		n.operatorConfig = config.DefaultOperator()
 		n.operatorConfig.FeatureLevels, n.operatorConfig.FinalizeAfter = true, 30*time.Second
@@ -275,7 +275,7 @@
 
 // While a controller is missing, or does not say what it reads, an operator is refused,
 // with its name, and nothing is raised.
-func TestMissingControllerKeepsTheLevel(t *testing.T) {
+func TestMissingControllerBlocksFinalize(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
 		c.kill(2)
@@ -297,7 +297,7 @@
 }
 
 // A controller whose lease ends while it lives is registered again.
-func TestLeaseEndsWhileTheControllerLives(t *testing.T) {
+func TestControllerRegistersAgainAfterLeaseExpiry(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
 		c.nodes[1].transport.SetPolicy(func(r *http.Request) network.Fault {
@@ -313,7 +313,7 @@
 }
 
 // A state that this version can't make sense of was written by one that knows more.
-func TestUnknownStateKeepsEverybodyOut(t *testing.T) {
+func TestUndecodableRolloutStateStopsService(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
 		put := func(raw string) {
@@ -333,7 +333,7 @@
 
 // Each peer is sent frames of a version that it reads: the checked one where the level
 // is active and the peer's present process has said so, the plain one else.
-func TestFramesOfMixedLevels(t *testing.T) {
+func TestFrameVersionsWithMixedLevels(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		var mu sync.Mutex
 		last := map[string]peer.Version{}
@@ -343,7 +343,7 @@
 			last[from+to] = version
 		})
 		c.frameObserver.Store(&observe)
-		sent := func(want map[string]peer.Version) {
+		checkVersions := func(want map[string]peer.Version) {
 			t.Helper()
 			time.Sleep(3 * time.Second)
 			mu.Lock()
@@ -355,7 +355,7 @@
 			}
 		}
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
-		sent(map[string]peer.Version{"n0n1": peer.ChecksummedFrame, "n1n0": peer.ChecksummedFrame, "n2n1": peer.ChecksummedFrame})
+		checkVersions(map[string]peer.Version{"n0n1": peer.ChecksummedFrame, "n1n0": peer.ChecksummedFrame, "n2n1": peer.ChecksummedFrame})
 		// It is killed: its registration outlives it.
 		c.nodes[1].transport.SetPolicy(func(*http.Request) network.Fault { return network.Refuse })
 		c.kill(1)
@@ -364,10 +364,10 @@
 		if len(c.env.Store.Keys(rollout.ControllerKey("n1"))) != 1 {
 			t.Error("its registration ended with it")
 		}
-		sent(map[string]peer.Version{"n0n1": peer.PlainFrame, "n1n0": peer.PlainFrame, "n0n2": peer.ChecksummedFrame, "n2n1": peer.PlainFrame})
+		checkVersions(map[string]peer.Version{"n0n1": peer.PlainFrame, "n1n0": peer.PlainFrame, "n0n2": peer.ChecksummedFrame, "n2n1": peer.PlainFrame})
 		c.restartWithVersion(1, baseLevelVersion)
-		sent(map[string]peer.Version{"n0n1": peer.PlainFrame, "n0n2": peer.PlainFrame}) // the level is not active any more
+		checkVersions(map[string]peer.Version{"n0n1": peer.PlainFrame, "n0n2": peer.PlainFrame}) // the level is not active any more
 		c.restartWithVersion(1, currentVersion)
-		sent(map[string]peer.Version{"n0n1": peer.ChecksummedFrame, "n1n2": peer.ChecksummedFrame})
+		checkVersions(map[string]peer.Version{"n0n1": peer.ChecksummedFrame, "n1n2": peer.ChecksummedFrame})
 	})
 }
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -17,7 +17,7 @@
 
 // Run serves until ctx ends, and returns when all that it started has ended.
 func Run(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger) error {
-	sockets, err := listen(cfg)
+	listeners, err := listen(cfg)
 	if err != nil {
 		return err
 	}
@@ -27,23 +27,23 @@
 	defer cancel() // ends what the line above waits for
 
 	transports := newTransports(cfg)
-	defer transports.closeIdle()
+	defer transports.closeIdleConnections()
 	senders := newPeerSenders(cfg.Peers)
 	c := newController(ctx, cfg, op, log, dependencies{
 		store: transports.store, cloud: transports.cloud, workers: transports.workers, sendFrame: senders.offer,
 	})
 	c.log.Info("controller starts", "process_id", c.processID, "partitions", cfg.Settings.Count, "max_staleness", c.maxStaleness)
-	background.Go(func() { peer.Serve(ctx, sockets.peers, c.log, c.enqueuePeerStatus) })
+	background.Go(func() { peer.Serve(ctx, listeners.peers, c.log, c.enqueuePeerStatus) })
 	senders.start(ctx, &background)
 	c.start(ctx, &background)
-	return c.serveAPI(ctx, sockets.api)
+	return c.serveAPI(ctx, listeners.api)
 }
 
 // sockets are what a controller listens on. Each is closed by the server that is given it.
-type sockets struct{ api, peers net.Listener }
+type listeners struct{ api, peers net.Listener }
 
 // listen opens the sockets.
-func listen(cfg *config.Platform) (*sockets, error) {
+func listen(cfg *config.Platform) (*listeners, error) {
 	apiListener, err := net.Listen("tcp", cfg.APIAddr)
 	if err != nil {
 		return nil, fmt.Errorf("api_addr: %w", err)
@@ -53,7 +53,7 @@
 		apiListener.Close()
 		return nil, fmt.Errorf("mesh_addr: %w", err)
 	}
-	return &sockets{api: apiListener, peers: peerListener}, nil
+	return &listeners{api: apiListener, peers: peerListener}, nil
 }
 
 // Bounds of the connections to other systems.
@@ -87,7 +87,7 @@
 	}
 }
 
-func (t *transports) closeIdle() {
+func (t *transports) closeIdleConnections() {
 	t.store.CloseIdleConnections()
 	t.cloud.CloseIdleConnections()
 	t.workers.CloseIdleConnections()
@@ -108,9 +108,9 @@
 func (s peerSenders) offer(name string, frame []byte) { s[name].Offer(frame) }
 
 // start runs the senders until ctx ends.
-func (s peerSenders) start(ctx context.Context, running *sync.WaitGroup) {
+func (s peerSenders) start(ctx context.Context, wg *sync.WaitGroup) {
 	for _, sender := range s {
-		running.Go(func() { sender.Run(ctx) })
+		wg.Go(func() { sender.Run(ctx) })
 	}
 }
 
@@ -139,12 +139,12 @@
 
 // start runs the controller's goroutines until ctx ends, which is the one that the controller
 // was made with.
-func (c *controller) start(ctx context.Context, running *sync.WaitGroup) {
-	running.Go(func() { c.stateWriter.Run(ctx) })
-	running.Go(func() { c.reader.Follow(ctx) })
-	running.Go(func() { c.autoscaler.Run(ctx) })
+func (c *controller) start(ctx context.Context, wg *sync.WaitGroup) {
+	wg.Go(func() { c.stateWriter.Run(ctx) })
+	wg.Go(func() { c.reader.Follow(ctx) })
+	wg.Go(func() { c.autoscaler.Run(ctx) })
 	if c.operator.FeatureLevels {
-		running.Go(func() { c.register(ctx) })
+		wg.Go(func() { c.runRegistrar(ctx) })
 	}
-	running.Go(func() { c.loop(ctx) })
+	wg.Go(func() { c.runEventLoop(ctx) })
 }
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -26,8 +26,8 @@
 	minPassInterval = 50 * time.Millisecond
 	// minPlanningInterval is the least time between two passes of the leader's planning.
 	minPlanningInterval = 2 * tickInterval
-	// passRestFactor is how many times a pass's duration passes before the next.
-	passRestFactor = 5
+	// passIntervalFactor is how many times a pass's duration passes before the next.
+	passIntervalFactor = 5
 	// maxPlanningDelay is how long the leader's planning waits for heartbeats that wait.
 	maxPlanningDelay = time.Second
 	// maxLag is how late a tick is when answers to direct commands may well be here
@@ -36,12 +36,12 @@
 )
 
 // schedule is when the event loop's timers are next due.
-type schedule struct{ status, metrics, leader, pass time.Time }
+type timerDeadlines struct{ status, metrics, planning, pass time.Time }
 
 // onTick does what is due by the time.
-func (c *controller) onTick(due *schedule) {
-	c.noteTick()
-	c.noteStoreOutage()
+func (c *controller) onTick(due *timerDeadlines) {
+	c.recordTick()
+	c.checkStoreOutage()
 	c.updateAcceptsHeartbeats()
 	c.UpdateReadiness()
 	if !c.replica.Loaded() {
@@ -51,31 +51,31 @@
 	c.advanceRollout()
 	c.stepDownIfUnreachable()
 	c.autoscaler.Sync()
-	c.passTimer(due)
-	c.planningTimer(due)
-	c.statusTimer(due)
-	c.metricsTimer(due)
+	c.runSchedulingPassIfDue(due)
+	c.runPlanningIfDue(due)
+	c.updateStatusIfDue(due)
+	c.logMetricsIfDue(due)
 }
 
-// noteTick notes the time, and by how much the tick is late.
-func (c *controller) noteTick() {
+// recordTick notes the time, and by how much the tick is late.
+func (c *controller) recordTick() {
 	c.now = time.Now()
-	if !c.lastTick.IsZero() {
-		sinceLast := c.now.Sub(c.lastTick)
-		c.metrics.noteLag(sinceLast - tickInterval)
+	if !c.lastTickAt.IsZero() {
+		sinceLast := c.now.Sub(c.lastTickAt)
+		c.metrics.recordLag(sinceLast - tickInterval)
 		if sinceLast > pauseThreshold {
 			c.resumedFromPauseAt = c.now
 			c.log.Info("process stood still", "lasted", (sinceLast - tickInterval).Round(time.Millisecond))
 		}
-		if c.lagging() {
+		if c.isLagging() {
 			c.lastLaggedAt = c.now
 		}
 	}
-	c.lastTick = c.now
+	c.lastTickAt = c.now
 }
 
-// noteStoreOutage notes whether the key-value store can be read.
-func (c *controller) noteStoreOutage() {
+// checkStoreOutage notes whether the key-value store can be read.
+func (c *controller) checkStoreOutage() {
 	if c.isFresh(maxReadAge) {
 		c.storeOutage.Answered(c.now)
 	} else {
@@ -96,35 +96,35 @@
 	}
 }
 
-// passTimer runs a scheduling pass that no event has asked for.
-func (c *controller) passTimer(due *schedule) {
+// runSchedulingPassIfDue runs a scheduling pass that no event has asked for.
+func (c *controller) runSchedulingPassIfDue(due *timerDeadlines) {
 	if !c.now.Before(due.pass) {
-		c.runPass(due, c.now)
+		c.runSchedulingPass(due, c.now)
 	}
 }
 
-// runPass runs a scheduling pass. Passes that take long are taken less often: heartbeats,
+// runSchedulingPass runs a scheduling pass. Passes that take long are taken less often: heartbeats,
 // lease renewals and users must not wait for them.
-func (c *controller) runPass(due *schedule, now time.Time) {
-	c.passDue = false
+func (c *controller) runSchedulingPass(due *timerDeadlines, now time.Time) {
+	c.passRequested = false
 	c.schedulePartitions()
-	due.pass = now.Add(max(minPassInterval, passRestFactor*time.Since(now)))
+	due.pass = now.Add(max(minPassInterval, passIntervalFactor*time.Since(now)))
 }
 
-// planningTimer has the leader plan. Heartbeats and the key-value store's answers that wait
+// runPlanningIfDue has the leader plan. Heartbeats and the key-value store's answers that wait
 // come first, but not for long.
-func (c *controller) planningTimer(due *schedule) {
-	late := c.now.Sub(due.leader)
-	if late < 0 || late <= maxPlanningDelay && c.events.hasBefore(priorityUsers) {
+func (c *controller) runPlanningIfDue(due *timerDeadlines) {
+	overdueBy := c.now.Sub(due.planning)
+	if overdueBy < 0 || overdueBy <= maxPlanningDelay && c.events.hasEventsAbove(priorityUsers) {
 		return
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	c.runLeaderPass()
-	due.leader = c.now.Add(max(minPlanningInterval, passRestFactor*time.Since(begun)))
+	due.planning = c.now.Add(max(minPlanningInterval, passIntervalFactor*time.Since(startedAt)))
 }
 
-// statusTimer checks the machines and tells the peers this controller's status.
-func (c *controller) statusTimer(due *schedule) {
+// updateStatusIfDue checks the machines and tells the peers this controller's status.
+func (c *controller) updateStatusIfDue(due *timerDeadlines) {
 	if c.now.Before(due.status) {
 		return
 	}
@@ -135,13 +135,13 @@
 	c.broadcastStatus()
 }
 
-// metricsTimer logs the counters.
-func (c *controller) metricsTimer(due *schedule) {
+// logMetricsIfDue logs the counters.
+func (c *controller) logMetricsIfDue(due *timerDeadlines) {
 	if !c.now.After(due.metrics) {
 		return
 	}
 	due.metrics = c.now.Add(metricsInterval)
 	c.archiveFinishedJobs(c.replica)
-	c.metrics.log(c.log, len(c.jobs)+len(c.finalStates), len(c.machines), c.stateClient.Stats())
+	c.metrics.logAndReset(c.log, len(c.jobs)+len(c.finalStates), len(c.machines), c.stateClient.Stats())
 	c.logRollout(c.log)
 }
