--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -12,7 +12,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// What package autoscaler asks of the controller.
+// This file implements the interfaces through which package autoscaler accesses the controller.
 
 // newAutoscaler returns the autoscaler of a controller.
 func newAutoscaler(c *controller, client autoscaler.Cloud) *autoscaler.Autoscaler {
@@ -28,20 +28,20 @@
 	})
 }
 
-// autoscalerMachine is what the autoscaler knows of a machine.
+// autoscalerMachine returns the machine in the form that package autoscaler uses.
 func (m *machine) autoscalerMachine() autoscaler.Machine {
 	return autoscaler.Machine{Name: m.name, Type: m.machineType, Zone: m.zone, Spot: m.spot, Partition: m.partition, Bound: len(m.bindings) > 0, Terminated: m.terminated}
 }
 
-// machineView are the machines as package autoscaler asks for them.
+// machineView implements autoscaler.Machines.
 type machineView struct{ *controller }
 
-// Machine is the machine of that name, which is known from then on.
+// Machine returns the machine with a name. If it is unknown, it is added first.
 func (v machineView) Machine(name string) autoscaler.Machine {
 	return v.getOrAddMachine(name).autoscalerMachine()
 }
 
-// Lookup is the machine of that name, if it is known.
+// Lookup returns the machine with a name and whether it is known.
 func (v machineView) Lookup(name string) (autoscaler.Machine, bool) {
 	m := v.machines[name]
 	if m == nil {
@@ -50,12 +50,12 @@
 	return m.autoscalerMachine(), true
 }
 
-// At is the machine with an index.
+// At returns the machine with an index.
 func (v machineView) At(index scheduling.MachineIndex) autoscaler.Machine {
 	return v.machineByIndex[index].autoscalerMachine()
 }
 
-// EachReported calls f for each machine that its owner tells about.
+// EachReported calls f for each machine that the owner of its partition reports.
 func (v machineView) EachReported(f func(autoscaler.ReportedMachine)) {
 	v.eachReportedMachine(func(m *machine, flags uint8) {
 		f(autoscaler.ReportedMachine{
@@ -69,8 +69,8 @@
 	})
 }
 
-// UnreachableInUse names the machines of own partitions that can't be reached and have tasks
-// bound to them.
+// UnreachableInUse returns the names of the unreachable machines in this controller's partitions
+// that have tasks bound to them. It returns none while the replica is not fresh.
 func (v machineView) UnreachableInUse() []string {
 	if !v.isFresh(v.operator.LeaseTTL) {
 		return nil
@@ -89,28 +89,30 @@
 	return names
 }
 
-// MarkTerminated takes a machine that never was for terminated.
+// MarkTerminated marks a machine that never existed as terminated. No tombstone is stored.
 func (v machineView) MarkTerminated(name string) { v.getOrAddMachine(name).terminated = true }
 
-// Types are the machine types by name.
+// Types returns the machine types by name. It is empty while they are unknown.
 func (v machineView) Types() map[string]*wire.MachineType { return v.machineTypes }
 
-// SetTypes replaces them.
+// SetTypes replaces the machine types.
 func (v machineView) SetTypes(types []wire.MachineType) { v.setMachineTypes(types) }
 
-// leadershipView is the cluster as package autoscaler asks for it.
+// leadershipView implements autoscaler.Cluster.
 type leadershipView struct{ *controller }
 
-// Loaded reports whether the records have been read since the start.
+// Loaded reports whether all records have been read since the process started.
 func (v leadershipView) Loaded() bool { return v.replica.Loaded() }
 
-// Leadership is how far this controller leads.
+// Leadership returns this controller's current term as the leader. Its epoch is 0 if this
+// controller is not the leader.
 func (v leadershipView) Leadership() autoscaler.Leadership {
 	own := &v.leadership
 	return autoscaler.Leadership{Epoch: own.epoch, Since: own.startedAt, Active: own.active, Acting: v.isLeader(), Condition: v.leaderCondition()}
 }
 
-// LeaderHeardAt is when the leader was last heard; zero: never, or it is no peer.
+// LeaderHeardAt returns the time of the leader's last status. It is zero if there was none or
+// the leader is not a peer.
 func (v leadershipView) LeaderHeardAt() time.Time {
 	if leader := v.peers.Peer(v.ownerOf(v.leaderKey())); leader != nil {
 		return leader.HeardAt
@@ -118,26 +120,29 @@
 	return time.Time{}
 }
 
-// PartitionCondition has a write fail once a partition is owned by somebody else.
+// PartitionCondition returns a condition that makes a write fail once another controller owns the
+// partition.
 func (v leadershipView) PartitionCondition(partition int) wire.Condition {
 	p := v.partitions[partition]
 	return wire.Condition{Key: p.key, Revision: p.token}
 }
 
-// AllOwnersInTouch reports whether the leader hears every partition's owner.
+// AllOwnersInTouch reports whether the leader currently receives the status of every partition's
+// owner.
 func (v leadershipView) AllOwnersInTouch() bool { return v.allOwnersResponsive() }
 
-// OwnerLongInTouch reports whether the leader has heard a partition's owner for so long that
-// all machines of the partition must have reported.
+// OwnerLongInTouch reports whether the leader has received the status of a partition's owner for
+// long enough that every live machine of the partition must have sent a heartbeat.
 func (v leadershipView) OwnerLongInTouch(partition int) bool { return v.isOwnerViewComplete(partition) }
 
-// HeartbeatsResumedAt is when heartbeats were last accepted again after an outage.
+// HeartbeatsResumedAt returns the time at which this controller last accepted heartbeats again
+// after an outage. It is zero if there was none.
 func (v leadershipView) HeartbeatsResumedAt() time.Time { return v.heartbeatsResumedAt }
 
-// HasUnreadableRecords reports whether some record can't be decoded.
+// HasUnreadableRecords reports whether any task group's record can't be decoded.
 func (v leadershipView) HasUnreadableRecords() bool { return len(v.rollout.unreadableGroups) > 0 }
 
-// Tombstones are all that are stored.
+// Tombstones iterates over all stored tombstones, in no particular order.
 func (v leadershipView) Tombstones() iter.Seq[autoscaler.Tombstone] {
 	return func(yield func(autoscaler.Tombstone) bool) {
 		for key, t := range v.tombstones {
@@ -148,13 +153,14 @@
 	}
 }
 
-// writeQueue are the writes that wait to be stored.
+// writeQueue implements autoscaler.Writer.
 type writeQueue struct{ *clusterState }
 
-// Backlog is about how long it takes until what has been submitted is stored.
+// Backlog returns approximately how long it takes until all submitted writes are stored.
 func (q writeQueue) Backlog() time.Duration { return q.stateWriter.Backlog() }
 
-// workload is what the machines are scaled for.
+// workload returns the workload that determines how many machines are needed. summaries are the
+// machines that are up; waiting is the demand for which there is no capacity.
 func (c *leader) workload(summaries []*planning.MachineSummary, waiting []planning.Demand) *autoscaler.Workload {
 	work := &autoscaler.Workload{Machines: summaries, Waiting: waiting, Reserve: c.leadership.gangReserve.shortfall, RunningByClass: map[string]int{}, Services: c.services()}
 	for group := range c.allGroups() {
@@ -165,8 +171,8 @@
 	return work
 }
 
-// services are the services that are not finished. All of a class share the demand of the
-// first one: there are thousands of them, and the autoscaler asks once for each class.
+// services iterates over the unfinished services. All services of a class share the demand of the
+// first one: there may be thousands of services, and the autoscaler needs one demand per class.
 func (c *clusterState) services() iter.Seq[autoscaler.Service] {
 	return func(yield func(autoscaler.Service) bool) {
 		demands := map[string]func() planning.Demand{}
@@ -185,8 +191,8 @@
 	}
 }
 
-// serviceDemand returns the demand for services like a job, of no tasks yet, when it is
-// called.
+// serviceDemand returns a function that computes the demand for services like job j, with a task
+// count of zero.
 func (c *clusterState) serviceDemand(j *job) func() planning.Demand {
 	return func() planning.Demand { return c.demand(j, "", 0) }
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,7 @@
-// Package controller runs a controller of the cluster: it wires the components together and
-// runs the event loop that owns their state. Goroutines for connections, for the key-value
-// store and for calls to the cloud and to workers talk to the event loop through its queue
-// of events.
+// Package controller implements a controller of the cluster. It connects the components and
+// runs the event loop that owns their state. The goroutines that serve connections and call
+// the key-value store, the cloud and the workers pass their results to the event loop through
+// its event queue.
 package controller
 
 import (
@@ -20,29 +20,32 @@
 	"eiderhitch/internal/workerclient"
 )
 
-// controller runs the event loop and wires the components together. Only the event loop's
-// goroutine touches its state and that of the components, but for the methods of frontend
-// and election that say otherwise.
+// controller connects the components and runs the event loop. Only the event loop's goroutine
+// may access its state and that of the components, except through the methods of packages
+// frontend and election that are documented as safe for concurrent use.
 type controller struct {
 	*clusterState
 	*partitionOwner
 	*leader
 	*frontend.Frontend
 
+	// sendFrame sends an encoded status frame to the named peer.
 	sendFrame func(peer string, frame []byte)
 }
 
-// isFresh tells whether the replica is current enough to act on: see MaxStaleness.
+// isFresh reports whether the last successful read of the key-value store began less than limit
+// ago, so that the replica is recent enough to act on.
 func (c *clusterState) isFresh(limit time.Duration) bool {
 	return c.replica.FreshWithin(limit, c.now)
 }
 
-// SubmitWrite submits a write; done runs on the event loop with the result, after the replica
-// has taken the changes in.
+// SubmitWrite submits a write to the key-value store. done runs on the event loop with the
+// result; if the write succeeded, the replica already contains its changes.
 func (c *clusterState) SubmitWrite(write *store.Write, done func(err error)) {
 	startedAt := c.now
 	write.Done = func(revision uint64, err error) {
-		// The writer never waits for a full queue of events that waits for the writer.
+		// A goroutine of its own: if the writer blocked on a full event queue while the
+		// event loop waits for the writer, both would deadlock.
 		go c.enqueue(priorityStore, func() {
 			c.metrics.observeLatency(latencyCommit, c.now.Sub(startedAt))
 			if err == nil {
@@ -57,17 +60,19 @@
 	}
 }
 
-// clients is how a controller reaches the world.
+// dependencies are the transports through which a controller reaches other systems, and its
+// source of random delays.
 type dependencies struct {
 	store, cloud, workers http.RoundTripper
-	// send hands a status frame to a peer.
+	// sendFrame sends an encoded status frame to the named peer.
 	sendFrame func(peer string, frame []byte)
-	// jitter draws a duration below the given one; nil: at random.
+	// jitter returns a duration in [0, d) for a duration d. If it is nil, the duration is
+	// uniformly random.
 	jitter func(time.Duration) time.Duration
 }
 
-// newController makes the components of a controller and connects them. Calls to other
-// systems end with ctx.
+// newController creates the components of a controller and connects them. Canceling ctx ends
+// the calls to other systems.
 func newController(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger, deps dependencies) *controller {
 	if deps.jitter == nil {
 		deps.jitter = rand.N[time.Duration]
@@ -93,7 +98,7 @@
 	return c
 }
 
-// newReader makes the reader that keeps the replica up to date.
+// newReader returns the reader that keeps the replica up to date.
 func (c *controller) newReader(ctx context.Context, jitter func(time.Duration) time.Duration) *replica.Reader {
 	s := &c.cfg.Settings
 	return replica.NewReader(ctx, replica.Config{
@@ -106,7 +111,8 @@
 	}, c.replica, c.stateClient, priorityLoop{c.eventLoop, priorityStore})
 }
 
-// newElector makes the elector of the partitions' leases and the leader's.
+// newElector returns the elector that acquires and renews the leases of the partitions and of
+// the leadership.
 func (c *controller) newElector(ctx context.Context) *election.Elector {
 	s := &c.cfg.Settings
 	return election.New(ctx, election.Config{
--- a/internal/controller/event_queue.go
+++ b/internal/controller/event_queue.go
@@ -6,40 +6,45 @@
 	"time"
 )
 
-// priority is that of an event. Where there is more to do than processor time for it, events
-// of a priority run only while there are none of those before it.
+// priority is the priority of an event; lower values come first. An event runs only when no
+// event of a higher priority is queued.
 type priority int
 
 const (
-	// priorityStore is for what the key-value store has said: it tells that leases are
-	// lost, and what of our own is stored.
+	// priorityStore is the priority of responses and changes from the key-value store. They
+	// tell this controller that it has lost a lease and which of its writes are stored.
 	priorityStore priority = iota
-	// priorityWorkers is for heartbeats, answers to direct commands, the cloud's answers
-	// and peers. A heartbeat that is answered too late costs a worker's lease, and with it
-	// work that must then be done once more.
+	// priorityWorkers is the priority of heartbeats, responses to direct commands, responses
+	// of the cloud, and status frames of peers. If a heartbeat is answered too late, the
+	// worker's lease expires and its tasks have to be run again.
 	priorityWorkers
-	// priorityUsers is for users, who can be told to come back.
+	// priorityUsers is the priority of user requests, which can be rejected and retried.
 	priorityUsers
+	// numPriorities is the number of priorities.
 	numPriorities
 )
 
-// queueCapacity bounds the events of each priority; who finds it full waits, users excepted.
+// queueCapacity is the maximum number of queued events of each priority. When a queue is full,
+// put blocks and putUserRequest rejects the request.
 const queueCapacity = 1024
 
-// maxUserWait is how long a user's request may have waited for the event loop for others to
-// queue behind it. It is well below the time in which users give up.
+// maxUserWait is the longest time that the first queued user request may have waited for another
+// one to be queued behind it. It is well below the time after which users give up.
 const maxUserWait = 500 * time.Millisecond
 
-// maxRetryAfter is the longest that a user is told to wait before the next try.
+// maxRetryAfter is the longest delay that a rejected user is told to wait before retrying.
 const maxRetryAfter = 30 * time.Second
 
-// eventQueue holds what the event loop is to do.
+// eventQueue holds the events that wait for the event loop, in one queue for each priority. Its
+// methods are safe for concurrent use.
 type eventQueue struct {
 	queues [numPriorities]chan func()
-	// nextUserQueuedAt is when the user's request that is next, or one before it, was queued.
+	// nextUserQueuedAt is the time at which the next user request, or one that has run before
+	// it, was queued. It is nil if no user request was ever queued.
 	nextUserQueuedAt atomic.Pointer[time.Time]
 }
 
+// newEventQueue returns an empty queue.
 func newEventQueue() *eventQueue {
 	q := &eventQueue{}
 	for p := range q.queues {
@@ -48,7 +53,8 @@
 	return q
 }
 
-// put queues an event; false if ctx ends while the queue is full.
+// put queues an event. It blocks while the queue of its priority is full, and returns false if
+// ctx ends meanwhile.
 func (q *eventQueue) put(ctx context.Context, p priority, event func()) bool {
 	select {
 	case q.queues[p] <- event:
@@ -58,8 +64,9 @@
 	}
 }
 
-// putUserRequest queues a user's request unless those before it wait for too long already:
-// then all are better off if it is told at once to come back.
+// putUserRequest queues a user request and returns true. It returns false without queuing the
+// request if the queue is full or those before it have waited for longer than maxUserWait:
+// rejecting the request at once shortens the wait of all users.
 func (q *eventQueue) putUserRequest(request func()) bool {
 	queuedAt := time.Now()
 	if q.userWait(queuedAt) > maxUserWait {
@@ -81,7 +88,7 @@
 	}
 }
 
-// userWait is about how long the user's request that is next has waited.
+// userWait returns approximately how long the next user request has waited; 0 if none is queued.
 func (q *eventQueue) userWait(now time.Time) time.Duration {
 	queuedAt := q.nextUserQueuedAt.Load()
 	if queuedAt == nil || len(q.queues[priorityUsers]) == 0 {
@@ -90,7 +97,7 @@
 	return now.Sub(*queuedAt)
 }
 
-// next is the first event by priority; nil if there is none.
+// tryTake removes and returns the first event of the highest priority; nil if none is queued.
 func (q *eventQueue) tryTake() func() {
 	for _, queue := range q.queues {
 		select {
@@ -102,8 +109,8 @@
 	return nil
 }
 
-// take waits for a tick, which comes before all events, or for the first event by priority;
-// it returns neither once done is closed.
+// take waits for a tick or an event. A pending tick comes before all events, and events are
+// taken by priority. It returns a nil event and false if done is closed first.
 func (q *eventQueue) take(done <-chan struct{}, tick <-chan time.Time) (event func(), ticked bool) {
 	select {
 	case <-tick:
@@ -124,7 +131,7 @@
 	return event, false
 }
 
-// hasEventsAbove tells whether an event of a priority before the given one waits.
+// hasEventsAbove reports whether an event of a higher priority than p is queued.
 func (q *eventQueue) hasEventsAbove(p priority) bool {
 	for _, queue := range q.queues[:p] {
 		if len(queue) > 0 {
@@ -134,8 +141,8 @@
 	return false
 }
 
-// retryAfterS is in how many seconds a user who is turned away should come back: about when
-// those that wait now are answered.
+// retryAfterS returns the number of seconds after which a rejected user should retry: about the
+// time until the queued requests are answered, and at most maxRetryAfter.
 func (q *eventQueue) retryAfterS() int {
 	return 1 + int(min(q.userWait(time.Now()), maxRetryAfter-time.Second)/time.Second)
 }
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -11,9 +11,9 @@
 	"eiderhitch/internal/wire"
 )
 
-// What package frontend asks of the controller.
+// This file implements the interfaces through which package frontend accesses the controller.
 
-// response is what a user is told of a known job.
+// jobState returns the state of a known job as users see it.
 func (j *job) jobState() wire.JobState {
 	s := wire.JobState{ID: j.id}
 	switch j.finalState {
@@ -36,25 +36,26 @@
 	return s
 }
 
-// clusterView is the state that the frontend answers users from.
+// clusterView implements frontend.Cluster. Its methods must be called on the event loop.
 type clusterView struct{ *controller }
 
-// Loaded reports whether the records have been read since the start.
+// Loaded reports whether all records have been read since the process started.
 func (v clusterView) Loaded() bool { return v.replica.Loaded() }
 
 // FreshWithin reports whether the last successful read began less than limit ago.
 func (v clusterView) FreshWithin(limit time.Duration) bool { return v.isFresh(limit) }
 
-// Refusal is why this controller must not serve; nil: it may.
+// Refusal returns the reason why this controller must not serve, or nil if it may.
 func (v clusterView) Refusal() error { return v.rollout.refusal }
 
-// MachineTypes lists the types on offer.
+// MachineTypes returns the machine types that the cloud offers, by name. It is empty while they
+// are unknown.
 func (v clusterView) MachineTypes() map[string]*wire.MachineType { return v.machineTypes }
 
-// AfterRead runs f with the result of a read that begins after now.
+// AfterRead calls f with the result of a read of the key-value store that begins after this call.
 func (v clusterView) AfterRead(f func(err error)) { v.reader.AfterRead(f) }
 
-// Job is the accepted job of that id; nil if none was.
+// Job returns the accepted job with an ID, or nil if there is none.
 func (v clusterView) Job(id string) *frontend.Job {
 	j := v.lookupJob(id)
 	if j == nil {
@@ -63,14 +64,14 @@
 	return &frontend.Job{State: j.jobState(), Final: j.finalState != record.Unfinished, Revision: j.revision, Spec: j.spec, AcceptedAt: j.acceptedAt}
 }
 
-// Unreadable reports whether a record of the job can't be decoded.
+// Unreadable reports whether any stored record of a job can't be decoded.
 func (v clusterView) Unreadable(id string) bool {
 	j := v.jobs[id]
 	return j != nil && j.hasUnreadableRecords()
 }
 
-// PeersFresh reports whether any peer is heard, and whether one of those that are reaches
-// the key-value store.
+// PeersFresh reports whether any peer has sent its status within peer.Timeout, and whether any of
+// those peers reports that its replica of the key-value store is fresh.
 func (v clusterView) PeersFresh() (heard, fresh bool) {
 	for _, p := range v.peers.All() {
 		if p.Heard(peer.Timeout, v.now) {
@@ -81,7 +82,8 @@
 	return heard, fresh
 }
 
-// Heartbeat answers a worker.
+// Heartbeat handles a worker's heartbeat on the event loop and returns the response. If the event
+// loop does not process it before ctx ends, the response tells the worker to retry.
 func (c *controller) Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) api.Response {
 	var answer api.Response
 	if !c.call(ctx, priorityWorkers, func() { answer = c.handleHeartbeat(heartbeat) }) {
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -11,27 +11,27 @@
 	"eiderhitch/internal/store"
 )
 
-// counter is something that is counted. Its name is that of its log attribute.
+// counter identifies a counter. Its name is the name of its log attribute.
 type counter int
 
 const (
-	countAcceptedSubmissions counter = iota
-	countRefusedSubmissions
-	countUnavailableSubmissions
-	countPolls
-	countHeartbeats
-	countRedirectedHeartbeats
-	countBoundTasks
-	countDoneTasks
-	countLostTasks
-	countPreemptedTasks
-	countAssignedGroups    // task groups assigned by the leader
-	countMovedGroups       // task groups moved to another partition
-	countThrottledGroups   // task groups throttled, or unthrottled, for a team's quota
-	countStoredGroups      // task groups written by their owner
-	countRewrittenGroups   // of these, for their encoding alone
-	countUndecodableValues // stored values that could not be decoded
-	numCounters
+	countAcceptedSubmissions    counter = iota // submissions of new jobs that were accepted
+	countRefusedSubmissions                    // submissions rejected with a client error
+	countUnavailableSubmissions                // submissions that could not be served now
+	countPolls                                 // queries of a job's state
+	countHeartbeats                            // heartbeats of workers
+	countRedirectedHeartbeats                  // heartbeats redirected to another controller
+	countBoundTasks                            // tasks bound to a machine
+	countDoneTasks                             // tasks that completed
+	countLostTasks                             // attempts that ended without completing their task
+	countPreemptedTasks                        // tasks selected for preemption
+	countAssignedGroups                        // task groups assigned by the leader
+	countMovedGroups                           // task groups moved to another partition
+	countThrottledGroups                       // task groups throttled, or unthrottled, for a team's quota
+	countStoredGroups                          // task groups written by their owner
+	countRewrittenGroups                       // of these, task groups written only to change their encoding
+	countUndecodableValues                     // stored values that could not be decoded
+	numCounters                                // number of counters
 )
 
 var counterNames = [numCounters]string{
@@ -43,15 +43,15 @@
 
 func (c counter) String() string { return counterNames[c] }
 
-// latency is a duration that is measured. Its name begins those of its log attributes.
+// latency identifies a measured latency. Its name is the prefix of its log attributes.
 type latency int
 
 const (
-	latencyEvent  latency = iota // the event loop's time for an event
-	latencySubmit                // from a submission's arrival to its answer
-	latencyCommit                // from a transaction's submission to its result
+	latencyEvent  latency = iota // time that the event loop takes for an event
+	latencySubmit                // from the arrival of a job's submission to its response
+	latencyCommit                // from the submission of a write to its result
 	latencyBind                  // from a job's acceptance to a task's first binding
-	numLatencies
+	numLatencies                 // number of latencies
 )
 
 var latencyNames = [numLatencies]string{
@@ -60,16 +60,17 @@
 
 func (l latency) String() string { return latencyNames[l] }
 
-// activity is a kind of work of the event loop. Its name begins that of its log attribute.
+// activity identifies a kind of work of the event loop. Its name is the prefix of its log
+// attribute.
 type activity int
 
 const (
-	activityHeartbeat  activity = iota // workers' heartbeats
-	activityReplica                    // changes of the stored records
-	activityPlanning                   // the leader's planning
-	activityScheduling                 // the partitions' scheduling passes
-	activityStatus                     // telling the peers
-	numActivities
+	activityHeartbeat  activity = iota // handling workers' heartbeats
+	activityReplica                    // applying changes of the stored records
+	activityPlanning                   // planning as the leader
+	activityScheduling                 // scheduling passes of the partitions
+	activityStatus                     // probing machines and sending the status to peers
+	numActivities                      // number of activities
 )
 
 var activityNames = [numActivities]string{
@@ -79,24 +80,26 @@
 
 func (a activity) String() string { return activityNames[a] }
 
-// metrics counts cheaply; the totals since the last line are logged at intervals.
+// metrics holds counters, latencies and resource usage. They are cheap to update, and their
+// totals since the last log line are logged at intervals. Its methods are safe for concurrent
+// use.
 type metrics struct {
 	mu        sync.Mutex
 	counts    [numCounters]int64
 	latencies [numLatencies]*hdrhistogram.Histogram
 	busyTime  [numActivities]time.Duration
-	maxLag    time.Duration // the latest that a tick of the event loop came
+	maxLag    time.Duration // longest delay of a tick of the event loop
 	usage     *processUsage
 }
 
 const (
-	// maxLatency is the longest latency that is told from longer ones.
+	// maxLatency is the largest latency that is recorded; longer ones are recorded as this one.
 	maxLatency = 10 * time.Minute
-	// latencyDigits is how many significant digits of a latency are kept.
+	// latencyDigits is the number of significant decimal digits that are kept of a latency.
 	latencyDigits = 2
 )
 
-// newMetrics returns metrics that start from zero.
+// newMetrics returns metrics whose values are all zero.
 func newMetrics() *metrics {
 	m := &metrics{usage: newProcessUsage()}
 	for i := range m.latencies {
@@ -117,10 +120,10 @@
 	clamped := min(max(d, time.Microsecond), maxLatency)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_ = m.latencies[l].RecordValue(clamped.Microseconds()) // fails only beyond the bounds
+	_ = m.latencies[l].RecordValue(clamped.Microseconds()) // fails only for values out of range
 }
 
-// Submission counts a submission by the status of its response, and how long that took.
+// Submission counts a submission by the HTTP status of its response and records its latency.
 func (m *metrics) Submission(status int, took time.Duration) {
 	m.observeLatency(latencySubmit, took)
 	switch {
@@ -133,24 +136,24 @@
 	}
 }
 
-// Poll counts a user's poll.
+// Poll counts a query of a job's state.
 func (m *metrics) Poll() { m.count(countPolls, 1) }
 
-// addBusyTime adds the time since begun to an activity.
+// addBusyTime adds the time since startedAt to the time spent on an activity.
 func (m *metrics) addBusyTime(a activity, startedAt time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.busyTime[a] += time.Since(startedAt)
 }
 
-// recordLag notes by how much a tick of the event loop came too late.
+// recordLag records that a tick of the event loop was late by d.
 func (m *metrics) recordLag(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.maxLag = max(m.maxLag, d)
 }
 
-// log logs the totals since the last time, and begins again from zero.
+// logAndReset logs the totals since the last call and resets them to zero.
 func (m *metrics) logAndReset(log *slog.Logger, jobs, machines int, storeStats store.Stats) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -169,8 +172,8 @@
 	log.Info("counters", attributes...)
 }
 
-// latencyAttributes are the log attributes of the latencies that were observed, which begin
-// anew.
+// latencyAttributes returns the log attributes of the latencies that were observed since the last
+// call, and resets them.
 func (m *metrics) latencyAttributes() []any {
 	var attributes []any
 	for i, histogram := range m.latencies {
@@ -183,7 +186,7 @@
 	return attributes
 }
 
-// storeAttributes are the log attributes of the calls to the key-value store.
+// storeAttributes returns the log attributes of the calls to the key-value store.
 func storeAttributes(s store.Stats) []any {
 	return []any{
 		"state_watches", s.Watches, "state_txns", s.Txns, "state_changes", s.Changes, "state_taken", s.Applied,
--- a/internal/controller/peer_status.go
+++ b/internal/controller/peer_status.go
@@ -4,7 +4,8 @@
 	"eiderhitch/internal/peer"
 )
 
-// buildPeerStatus tells the peers about this controller and its machines.
+// buildPeerStatus returns the status that is sent to the peers: what they need to know about this
+// controller, its partitions and their machines.
 func (c *controller) buildPeerStatus() *peer.Status {
 	status := &peer.Status{Node: c.cfg.Name, ProcessID: c.processID, Fresh: c.isFresh(c.operator.LeaseTTL), Eligible: c.isEligible(), Draining: c.autoscaler.DrainedMachines()}
 	for _, p := range c.partitions {
@@ -21,8 +22,9 @@
 	return status
 }
 
-// isReportedToPeers tells whether the peers are told about a machine of ours: it has been
-// heard, or something is bound to it.
+// isReportedToPeers reports whether the status includes a machine of an owned partition. It does
+// if the machine has sent a heartbeat to this owner or has tasks bound to it, unless it is
+// terminated or has been silent for longer than silentMachineRetention.
 func (c *clusterState) isReportedToPeers(m *machine, p *partition) bool {
 	if m.terminated || m.incarnation == 0 || c.now.Sub(c.silentSince(m, p)) > silentMachineRetention {
 		return false
@@ -30,7 +32,7 @@
 	return m.heartbeatAt.After(p.ownedSince) || len(m.bindings) > 0
 }
 
-// machineFlags are what an owner tells of its machine.
+// machineFlags returns the flags of a machine in its owner's status.
 func (c *clusterState) machineFlags(m *machine, p *partition) uint8 {
 	var flags uint8
 	if c.isUsable(m, p) {
@@ -54,7 +56,8 @@
 	return flags
 }
 
-// handlePeerStatus takes in what a peer tells.
+// handlePeerStatus applies a status received from a peer. The list of draining machines is taken
+// from the leader only.
 func (c *controller) handlePeerStatus(status *peer.Status) {
 	if !c.peers.Update(status, c.now) || c.ownerOf(c.leaderKey()) != status.Node {
 		return
--- a/internal/controller/process_usage.go
+++ b/internal/controller/process_usage.go
@@ -6,15 +6,17 @@
 	"time"
 )
 
-// usage reads what the process has used of its limits. The runtime's own counts of
-// processor time are only brought up to date by its collections.
+// processUsage measures the processor time and memory that the process uses. The process's
+// processor time is read from the operating system, since the Go runtime updates its own figure
+// only at a garbage collection.
 type processUsage struct {
 	samples []runtimemetrics.Sample
-	// processCPUTime and gcTime are those at the last reading.
+	// cpuTime and gcTime are the processor times used by the process and by its garbage
+	// collector until the last reading.
 	cpuTime, gcTime time.Duration
 }
 
-// sample is what is read of the runtime, by its place among the samples.
+// sampleIndex identifies a metric of the Go runtime by its index in processUsage.samples.
 type sampleIndex int
 
 const (
@@ -25,7 +27,7 @@
 	sampleMapped
 	sampleReleased
 	sampleGoroutines
-	numSamples
+	numSamples // number of samples
 )
 
 var sampleNames = [numSamples]string{
@@ -38,7 +40,7 @@
 	sampleGoroutines: "/sched/goroutines:goroutines",
 }
 
-// newProcessUsage returns a usage that has read nothing yet.
+// newProcessUsage returns a processUsage that has measured nothing yet.
 func newProcessUsage() *processUsage {
 	u := &processUsage{samples: make([]runtimemetrics.Sample, numSamples)}
 	for i, name := range sampleNames {
@@ -47,14 +49,14 @@
 	return u
 }
 
-// count is a sample that is a whole number.
+// integer returns the value of a sample whose kind is an unsigned integer.
 func (u *processUsage) integer(s sampleIndex) uint64 { return u.samples[s].Value.Uint64() }
 
-// kilobytes is a sample of bytes, in units of 1024.
+// kibibytes returns the value of a sample in units of 1024 bytes.
 func (u *processUsage) kibibytes(s sampleIndex) uint64 { return u.integer(s) >> 10 }
 
-// logAttributes are the log attributes of what was used since the last time: processor time
-// of the process and of its collector, and the memory that it holds now.
+// logAttributes returns log attributes with the processor time that the process and its garbage
+// collector have used since the last call, and with the current memory use.
 func (u *processUsage) logAttributes() []any {
 	runtimemetrics.Read(u.samples)
 	cpuTime := processCPUTime()
@@ -72,7 +74,8 @@
 	return attributes
 }
 
-// processCPUTime is the processor time of the process so far; 0 where it can't be told.
+// processCPUTime returns the processor time that the process has used since its start, or 0 if it
+// can't be determined.
 func processCPUTime() time.Duration {
 	var r syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &r) != nil {
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -20,22 +20,35 @@
 	"eiderhitch/internal/wire"
 )
 
-// rolloutState is what a controller knows of feature levels: the stored state, who reads what,
-// and in which encodings records are stored. The decisions are in internal/rollout.
+// rolloutState holds what a controller knows about feature levels: the stored state, the levels
+// that each controller reads, and the encodings in which records are stored. The decisions are
+// made in package rollout.
 type rolloutState struct {
+	// supportedLevels is the range of levels that this process reads.
 	supportedLevels rollout.Range
-	state           rollout.State
-	revision        uint64 // of the stored state; 0: none is stored
-	// refusal is why this process must not serve; nil: it may.
-	refusal          error
-	leaseKeys        rollout.Keys // of the leases
-	registrations    map[string]rollout.Registered
-	groupsByEncoding map[record.Encoding]int // task groups by the encoding that they are stored in
-	unreadableGroups map[string]bool         // keys of groups that can't be decoded
-	stepInFlight     bool                    // the write of a step is under way
-	rewriteLimiter   *rate.Limiter           // of groups that are rewritten for their encoding alone
+	// state is the last stored state that could be decoded, and revision is the revision of the
+	// stored value. If none is stored, they are rollout.Initial and 0.
+	state    rollout.State
+	revision uint64
+	// refusal is the reason why this process must not serve, or nil if it may.
+	refusal error
+	// leaseKeys are the keys under which leases are currently acquired.
+	leaseKeys rollout.Keys
+	// registrations holds the registered controllers by name.
+	registrations map[string]rollout.Registered
+	// groupsByEncoding is the number of task groups stored in each encoding.
+	groupsByEncoding map[record.Encoding]int
+	// unreadableGroups holds the keys of the task groups that can't be decoded.
+	unreadableGroups map[string]bool
+	// stepInFlight is set while the result of this controller's last step is unknown.
+	stepInFlight bool
+	// rewriteLimiter limits the rate at which task groups are rewritten only to change their
+	// encoding.
+	rewriteLimiter *rate.Limiter
 }
 
+// newRolloutState returns the state of a cluster for which no rollout state is stored. The limits
+// of the levels and of the rewrite rate are taken from the settings.
 func newRolloutState(cfg *config.Platform, op *config.Operator) rolloutState {
 	s := &cfg.Settings
 	perSecond := s.Store.WriteRPS * op.RewriteShare / float64(s.Count)
@@ -54,18 +67,19 @@
 	}
 }
 
-// leaderKey is the key of the leadership's lease.
+// leaderKey returns the key of the leader's lease.
 func (c *clusterState) leaderKey() string { return c.rollout.leaseKeys.Leader() }
 
-// leaderCondition has a write fail if this controller is not the leader any more.
+// leaderCondition returns a condition that makes a write fail once this controller is no longer
+// the leader.
 func (c *leader) leaderCondition() wire.Condition {
 	return wire.Condition{Key: c.leaderKey(), Revision: c.leadership.token}
 }
 
-// encoding is that in which task groups are written.
+// writeEncoding returns the encoding in which task groups are currently written.
 func (c *clusterState) writeEncoding() record.Encoding { return encodingAt(c.rollout.state.Writes()) }
 
-// encodingAt is the encoding of task groups at a feature level.
+// encodingAt returns the encoding of task groups at a feature level.
 func encodingAt(level rollout.Level) record.Encoding {
 	if level >= rollout.ChecksumLevel {
 		return record.Checksummed
@@ -73,8 +87,8 @@
 	return record.PlainJSON
 }
 
-// countGroupsToRewrite counts the task groups that are not stored in the encoding in which they are
-// written.
+// countGroupsToRewrite returns the number of task groups whose stored encoding differs from the
+// one in which they are currently written.
 func (s *rolloutState) countGroupsToRewrite() int {
 	writeEncoding := encodingAt(s.state.Writes())
 	n := 0
@@ -86,8 +100,8 @@
 	return n
 }
 
-// countGroupsAboveWriteEncoding counts the task groups that are stored in an encoding above that in which they
-// are written.
+// countGroupsAboveWriteEncoding returns the number of task groups whose stored encoding is newer
+// than the one in which they are currently written.
 func (s *rolloutState) countGroupsAboveWriteEncoding() int {
 	writeEncoding := encodingAt(s.state.Writes())
 	n := 0
@@ -99,8 +113,8 @@
 	return n
 }
 
-// putRolloutState takes the stored state in. One that can't be read was written by a version
-// that knows more: this one must not serve.
+// putRolloutState applies the stored rollout state. A state that can't be decoded was written by a
+// newer version; this process must then not serve.
 func (a recordApplier) putRolloutState(raw json.RawMessage, revision uint64) error {
 	state, err := rollout.DecodeState(raw)
 	if err != nil {
@@ -110,8 +124,9 @@
 	return nil
 }
 
-// setRolloutState follows a new state: leases are held under its keys, and by controllers alone
-// that read what it allows to be stored. unknown is why it can't be read, if it can't.
+// setRolloutState adopts a rollout state. Leases are held under the keys of the state, and only by
+// controllers that read all encodings that it allows to be stored. decodeErr is the reason why
+// the stored state could not be decoded, or nil if it could.
 func (c *controller) setRolloutState(state rollout.State, revision uint64, decodeErr error) {
 	before := c.rollout.state
 	c.rollout.state, c.rollout.revision = state, revision
@@ -124,11 +139,11 @@
 		c.switchLeaseKeys(keys)
 	}
 	if before != state {
-		c.log.Info("feature level", "level", state.Level, "phase", state.Phase, "epoch", state.Epoch, "held", state.Held, "wish", state.Request)
+		c.log.Info("feature level state changed", "level", state.Level, "phase", state.Phase, "epoch", state.Epoch, "held", state.Held, "wish", state.Request)
 	}
 }
 
-// unsupportedLevelError tells that the feature level in force is none that this version reads.
+// unsupportedLevelError means that this process does not read the feature level in force.
 type unsupportedLevelError struct {
 	level     rollout.Level
 	supported rollout.Range
@@ -138,8 +153,8 @@
 	return fmt.Sprintf("feature level %d is in force, this version reads %s", e.level, e.supported)
 }
 
-// setRefusal notes why this process must not serve, or that it may, and has it resign from all
-// leases if it must not.
+// setRefusal sets the reason why this process must not serve, or nil if it may. A process that
+// must not serve gives up all its leases.
 func (c *controller) setRefusal(refusal error) {
 	before := c.rollout.refusal
 	c.rollout.refusal = refusal
@@ -154,10 +169,10 @@
 	}
 }
 
-// switchLeaseKeys resigns from all leases, whose keys nobody may hold any more, and has them
-// acquired under other keys from now on.
+// switchLeaseKeys gives up all leases under the current keys, which no controller may hold any
+// longer, and makes this controller acquire its leases under the given keys from now on.
 func (c *controller) switchLeaseKeys(keys rollout.Keys) {
-	c.election.SetKeys(leaseKeys(keys, c.loanPartition())) // under the former names this loses all
+	c.election.SetKeys(leaseKeys(keys, c.loanPartition())) // gives up the leases under the old keys
 	c.rollout.leaseKeys = keys
 	for _, p := range c.partitions {
 		p.key = keys.Partition(p.index)
@@ -165,18 +180,19 @@
 	c.partitions[c.loanPartition()].key = keys.Leader()
 }
 
-// putRegistration takes in what a controller stores about itself.
+// putRegistration applies the stored registration of a controller. A controller whose registration
+// can't be decoded counts as not registered.
 func (a recordApplier) putRegistration(name string, raw json.RawMessage, revision uint64) error {
 	registration, err := rollout.DecodeController(raw)
 	if err != nil {
-		delete(a.rollout.registrations, name) // unknown, as if it were not there
+		delete(a.rollout.registrations, name)
 		return err
 	}
 	a.rollout.registrations[name] = rollout.Registered{Controller: registration, Revision: revision}
 	return nil
 }
 
-// rolloutView is what the next step rests on.
+// rolloutView returns the information on which the decision about the next step is based.
 func (c *controller) rolloutView() rollout.View {
 	s := &c.rollout
 	return rollout.View{
@@ -193,7 +209,9 @@
 	}
 }
 
-// advanceRollout takes the next step of an upgrade or of the way back, if there is one.
+// advanceRollout writes the next step of an upgrade or a revert if there is one. It takes no step
+// unless feature levels are enabled or a rollout state is stored, the replica is fresh, this
+// process may serve, and the result of its previous step is known.
 func (c *controller) advanceRollout() {
 	s := &c.rollout
 	enabled := s.revision != 0 || c.operator.FeatureLevels
@@ -215,12 +233,13 @@
 			return
 		}
 		c.log.Info("feature level step failed", "step", step, "err", err)
-		c.reader.AfterSuccessfulRead(func() { s.stepInFlight = false }) // perhaps it was applied all the same
+		c.reader.AfterSuccessfulRead(func() { s.stepInFlight = false }) // the write may have been applied despite the error
 	})
 }
 
-// rewriteGroups has task groups of a partition stored in the encoding that is written now, a
-// few at a time: users' writes go before, and so does all that has a backlog.
+// rewriteGroups rewrites task groups of a partition that are stored in another encoding than the
+// one currently written. The rate is limited, and nothing is rewritten while the write backlog is
+// above maxRewriteBacklog, so that users' writes and other work are not delayed.
 func (c *partitionOwner) rewriteGroups(p *partition) {
 	if c.rollout.countGroupsToRewrite() == 0 || c.stateWriter.Backlog() > maxRewriteBacklog {
 		return
@@ -231,7 +250,7 @@
 			continue
 		}
 		if c.encodeGroup(group, group.doneTasks, group.bindings).Encoding() != encoding {
-			continue // that encoding can't hold it
+			continue // the encoding can't represent this group
 		}
 		if !c.rollout.rewriteLimiter.AllowN(c.now, 1) {
 			return
@@ -242,8 +261,9 @@
 	}
 }
 
-// frameVersion is the version of frames for a peer: the checksummed one if it is active, and
-// the process that the peer is now has said that it reads it.
+// frameVersion returns the version of the status frames for a peer. It is the checksummed version
+// if its level is active and the peer's current process has registered that it reads that level,
+// and the plain version otherwise.
 func (c *controller) frameVersion(name string) peer.Version {
 	registration, ok := c.rollout.registrations[name]
 	if !ok || c.rollout.state.Active() < rollout.ChecksumLevel || registration.High < rollout.ChecksumLevel {
@@ -268,7 +288,8 @@
 	}
 }
 
-// refusal is the answer of a controller that must not serve; false: it may.
+// refusalResponse returns the response of a controller that must not serve, and whether it must
+// not.
 func (c *clusterState) refusalResponse() (api.Response, bool) {
 	if c.rollout.refusal == nil {
 		return api.Response{}, false
@@ -276,7 +297,7 @@
 	return frontend.Unavailable(c.rollout.refusal.Error()), true
 }
 
-// register keeps this controller's range of levels stored while the process lives.
+// runRegistrar keeps the range of levels that this controller reads registered until ctx ends.
 func (c *controller) runRegistrar(ctx context.Context) {
 	registration := rollout.Controller{Node: c.cfg.Name, ProcessID: c.processID, Build: Build, Range: c.rollout.supportedLevels}
 	r := &rollout.Registrar{Store: c.stateClient, Controller: registration, TTL: registrationTTLFactor * c.operator.LeaseTTL, Log: c.log}
@@ -285,18 +306,19 @@
 	}
 }
 
-// Build names the version of the program in what controllers store about themselves.
+// Build is the version of the program that controllers store in their registration.
 var Build = "unknown"
 
 const (
-	// registrationTTLFactor is how many times longer than a lease a registration outlives its
-	// process: a slow controller should not look as if it had left.
+	// registrationTTLFactor is the lifetime of a registration as a multiple of the lifetime of
+	// a lease. It is longer, so that a slow controller does not appear to have left the cluster.
 	registrationTTLFactor = 3
-	// maxRewriteBacklog is how much may wait to be stored while records are rewritten.
+	// maxRewriteBacklog is the write backlog above which no task groups are rewritten.
 	maxRewriteBacklog = 500 * time.Millisecond
 )
 
-// logRollout adds the levels to the regular counters.
+// logRollout logs the feature level and the encodings of the stored records, unless no rollout
+// state is stored.
 func (c *controller) logRollout(log *slog.Logger) {
 	s := &c.rollout
 	if s.revision == 0 {
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -15,7 +15,8 @@
 	"eiderhitch/internal/peer"
 )
 
-// Run serves until ctx ends, and returns when all that it started has ended.
+// Run runs a controller until ctx ends. It returns once all goroutines that it started have
+// ended.
 func Run(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger) error {
 	listeners, err := listen(cfg)
 	if err != nil {
@@ -24,7 +25,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	var background sync.WaitGroup
 	defer background.Wait()
-	defer cancel() // ends what the line above waits for
+	defer cancel() // ends the goroutines that background.Wait waits for
 
 	transports := newTransports(cfg)
 	defer transports.closeIdleConnections()
@@ -39,10 +40,11 @@
 	return c.serveAPI(ctx, listeners.api)
 }
 
-// sockets are what a controller listens on. Each is closed by the server that is given it.
+// listeners are the sockets on which a controller accepts connections. The server that uses a
+// listener closes it.
 type listeners struct{ api, peers net.Listener }
 
-// listen opens the sockets.
+// listen opens the listeners at the addresses of the settings.
 func listen(cfg *config.Platform) (*listeners, error) {
 	apiListener, err := net.Listen("tcp", cfg.APIAddr)
 	if err != nil {
@@ -56,20 +58,25 @@
 	return &listeners{api: apiListener, peers: peerListener}, nil
 }
 
-// Bounds of the connections to other systems.
+// Limits of the connections to other systems.
 const (
+	// storeConnections is the maximum number of connections to the key-value store.
 	storeConnections = 16
+	// cloudConnections is the maximum number of connections to the cloud API.
 	cloudConnections = 4
-	// workerConnections is for each worker: it handles one command at a time.
+	// workerConnections is the maximum number of connections to each worker. A worker
+	// handles one command at a time.
 	workerConnections = 1
-	// serviceIdleTimeout and workerIdleTimeout are how long unused connections are kept.
+	// serviceIdleTimeout is how long an idle connection to the key-value store or the cloud
+	// is kept open, and workerIdleTimeout is the same for workers.
 	serviceIdleTimeout = 30 * time.Second
 	workerIdleTimeout  = 20 * time.Second
 )
 
-// transports are the pools of connections to other systems.
+// transports holds one connection pool for each kind of system that a controller calls.
 type transports struct{ store, cloud, workers *http.Transport }
 
+// newTransports returns the connection pools for the platform's limits.
 func newTransports(cfg *config.Platform) *transports {
 	return &transports{
 		store:   newTransport(storeConnections, storeConnections, serviceIdleTimeout),
@@ -78,8 +85,8 @@
 	}
 }
 
-// newTransport returns a pool of at most perHost connections to each host, of which
-// maxIdle may be idle together.
+// newTransport returns a connection pool with at most perHost connections to each host and at
+// most maxIdle idle connections to all hosts together.
 func newTransport(perHost, maxIdle int, idleTimeout time.Duration) *http.Transport {
 	return &http.Transport{
 		MaxConnsPerHost: perHost, MaxIdleConnsPerHost: perHost, MaxIdleConns: maxIdle,
@@ -93,7 +100,7 @@
 	t.workers.CloseIdleConnections()
 }
 
-// peerSenders send status frames to the other controllers, by name.
+// peerSenders maps the name of each other controller to the sender of its status frames.
 type peerSenders map[string]*peer.Sender
 
 func newPeerSenders(peers []config.Peer) peerSenders {
@@ -104,25 +111,26 @@
 	return senders
 }
 
-// offer has a frame sent to a peer, in place of an older one that waits.
+// offer queues a frame for the named peer. It replaces an older frame that has not been sent.
 func (s peerSenders) offer(name string, frame []byte) { s[name].Offer(frame) }
 
-// start runs the senders until ctx ends.
+// start starts the senders. They run until ctx ends; wg tracks their goroutines.
 func (s peerSenders) start(ctx context.Context, wg *sync.WaitGroup) {
 	for _, sender := range s {
 		wg.Go(func() { sender.Run(ctx) })
 	}
 }
 
-// enqueuePeerStatus has the event loop take in what a peer has sent.
+// enqueuePeerStatus queues a status received from a peer for the event loop.
 func (c *controller) enqueuePeerStatus(status *peer.Status) {
 	c.enqueue(priorityWorkers, func() { c.handlePeerStatus(status) })
 }
 
-// minAPIRequests is how many requests are handled at a time at least.
+// minAPIRequests is the lowest limit of user requests that are handled concurrently, however few
+// connections the process may open.
 const minAPIRequests = 4
 
-// serveAPI answers users and workers until ctx ends.
+// serveAPI serves the HTTP API for users and workers until ctx ends.
 func (c *controller) serveAPI(ctx context.Context, listener net.Listener) error {
 	connections := c.cfg.Connections()
 	limits := api.Limits{Connections: connections, Requests: max(connections/2, minAPIRequests)}
@@ -133,12 +141,12 @@
 	return err
 }
 
-// newProcessID draws a name that no other process has: a restarted controller has the name
-// of its former self.
+// newProcessID returns a random ID for this process. It tells the process apart from an earlier
+// process of the same controller, which has the same node name.
 func newProcessID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
-// start runs the controller's goroutines until ctx ends, which is the one that the controller
-// was made with.
+// start starts the controller's goroutines, which run until ctx ends. ctx must be the context
+// that was passed to newController.
 func (c *controller) start(ctx context.Context, wg *sync.WaitGroup) {
 	wg.Go(func() { c.stateWriter.Run(ctx) })
 	wg.Go(func() { c.reader.Follow(ctx) })
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -7,38 +7,45 @@
 )
 
 const (
-	// tickInterval is how often the event loop looks at its timers.
+	// tickInterval is the interval at which the event loop checks its timers.
 	tickInterval = 100 * time.Millisecond
-	// statusInterval is how often peers are told this controller's status.
+	// statusInterval is the interval at which this controller sends its status to its peers.
 	statusInterval = 500 * time.Millisecond
-	// metricsInterval is how often the counters are logged.
+	// metricsInterval is the interval at which the counters are logged.
 	metricsInterval = 30 * time.Second
-	// usageLogInterval is how often the leader logs the use of the machines.
+	// usageLogInterval is the interval at which the leader logs the use of the machines.
 	usageLogInterval = 10 * time.Second
-	// pauseThreshold is how late a tick is when it is this process that did not run.
+	// pauseThreshold is the time between two ticks above which this process is considered to
+	// have been paused.
 	pauseThreshold = time.Second
-	// maxReadAge is how long ago the last successful read began at most while the key-value
-	// store is well: a watch waits for a change for half of it.
+	// maxReadAge is the maximum time since the start of the last successful read while the
+	// key-value store is healthy. A watch waits for a change for half of it.
 	maxReadAge = 3 * time.Second
-	// storeOutageGracePeriod is for how long reads fail, beyond that, until it is an outage.
+	// storeOutageGracePeriod is how long reads have to be overdue, beyond maxReadAge, before
+	// that counts as an outage.
 	storeOutageGracePeriod = 3 * time.Second
-	// minPassInterval is the least time between two scheduling passes.
+	// minPassInterval is the minimum time between the starts of two scheduling passes.
 	minPassInterval = 50 * time.Millisecond
-	// minPlanningInterval is the least time between two passes of the leader's planning.
+	// minPlanningInterval is the minimum time between the starts of two planning passes of
+	// the leader.
 	minPlanningInterval = 2 * tickInterval
-	// passIntervalFactor is how many times a pass's duration passes before the next.
+	// passIntervalFactor is the minimum interval between two passes as a multiple of the
+	// duration of the first one.
 	passIntervalFactor = 5
-	// maxPlanningDelay is how long the leader's planning waits for heartbeats that wait.
+	// maxPlanningDelay is how long the leader's planning is delayed at most while events of
+	// the key-value store or of workers are queued.
 	maxPlanningDelay = time.Second
-	// maxLag is how late a tick is when answers to direct commands may well be here
-	// and not be looked at yet.
+	// maxLag is the delay of a tick above which responses to direct commands may have arrived
+	// without having been processed yet.
 	maxLag = workerclient.PingTimeout / 4
 )
 
-// schedule is when the event loop's timers are next due.
+// timerDeadlines holds the times at which the event loop's timers are next due. A zero time is
+// due at once.
 type timerDeadlines struct{ status, metrics, planning, pass time.Time }
 
-// onTick does what is due by the time.
+// onTick updates the controller's view of its own health and runs the timers that are due.
+// Before all records have been read, it does only the former.
 func (c *controller) onTick(due *timerDeadlines) {
 	c.recordTick()
 	c.checkStoreOutage()
@@ -57,7 +64,7 @@
 	c.logMetricsIfDue(due)
 }
 
-// recordTick notes the time, and by how much the tick is late.
+// recordTick updates the current time and records by how much the tick is late.
 func (c *controller) recordTick() {
 	c.now = time.Now()
 	if !c.lastTickAt.IsZero() {
@@ -65,7 +72,7 @@
 		c.metrics.recordLag(sinceLast - tickInterval)
 		if sinceLast > pauseThreshold {
 			c.resumedFromPauseAt = c.now
-			c.log.Info("process stood still", "lasted", (sinceLast - tickInterval).Round(time.Millisecond))
+			c.log.Info("process was paused", "lasted", (sinceLast - tickInterval).Round(time.Millisecond))
 		}
 		if c.isLagging() {
 			c.lastLaggedAt = c.now
@@ -74,7 +81,7 @@
 	c.lastTickAt = c.now
 }
 
-// checkStoreOutage notes whether the key-value store can be read.
+// checkStoreOutage updates the outage monitor of the key-value store.
 func (c *controller) checkStoreOutage() {
 	if c.isFresh(maxReadAge) {
 		c.storeOutage.Answered(c.now)
@@ -83,8 +90,8 @@
 	}
 }
 
-// updateAcceptsHeartbeats notes whether heartbeats are answered, and since when they are
-// again. No machine could be heard before.
+// updateAcceptsHeartbeats updates whether this controller answers heartbeats. When it does so
+// again after an interruption, the time is recorded: until then no machine could be heard.
 func (c *controller) updateAcceptsHeartbeats() {
 	accepts := c.isFresh(c.maxStaleness)
 	if accepts == c.acceptsHeartbeats {
@@ -96,23 +103,24 @@
 	}
 }
 
-// runSchedulingPassIfDue runs a scheduling pass that no event has asked for.
+// runSchedulingPassIfDue runs a scheduling pass if its interval has elapsed, even if no event has
+// requested one.
 func (c *controller) runSchedulingPassIfDue(due *timerDeadlines) {
 	if !c.now.Before(due.pass) {
 		c.runSchedulingPass(due, c.now)
 	}
 }
 
-// runSchedulingPass runs a scheduling pass. Passes that take long are taken less often: heartbeats,
-// lease renewals and users must not wait for them.
+// runSchedulingPass runs a scheduling pass that begins at now. The longer a pass takes, the less
+// often passes run, so that they do not delay heartbeats, lease renewals and user requests.
 func (c *controller) runSchedulingPass(due *timerDeadlines, now time.Time) {
 	c.passRequested = false
 	c.schedulePartitions()
 	due.pass = now.Add(max(minPassInterval, passIntervalFactor*time.Since(now)))
 }
 
-// runPlanningIfDue has the leader plan. Heartbeats and the key-value store's answers that wait
-// come first, but not for long.
+// runPlanningIfDue runs the leader's planning if its interval has elapsed. Queued events of the
+// key-value store and of workers are processed first, but delay it by at most maxPlanningDelay.
 func (c *controller) runPlanningIfDue(due *timerDeadlines) {
 	overdueBy := c.now.Sub(due.planning)
 	if overdueBy < 0 || overdueBy <= maxPlanningDelay && c.events.hasEventsAbove(priorityUsers) {
@@ -123,7 +131,8 @@
 	due.planning = c.now.Add(max(minPlanningInterval, passIntervalFactor*time.Since(startedAt)))
 }
 
-// updateStatusIfDue checks the machines and tells the peers this controller's status.
+// updateStatusIfDue probes silent machines, terminates unreachable ones and sends this
+// controller's status to its peers if the interval has elapsed.
 func (c *controller) updateStatusIfDue(due *timerDeadlines) {
 	if c.now.Before(due.status) {
 		return
@@ -135,7 +144,7 @@
 	c.broadcastStatus()
 }
 
-// logMetricsIfDue logs the counters.
+// logMetricsIfDue archives finished jobs and logs the counters if the interval has elapsed.
 func (c *controller) logMetricsIfDue(due *timerDeadlines) {
 	if !c.now.After(due.metrics) {
 		return
