--- a/internal/controller/allocations_test.go
+++ b/internal/controller/allocations_test.go
@@ -11,7 +11,8 @@
 	"eiderhitch/internal/wire"
 )
 
-// heartbeatOf is what a machine of ours reports when all that is bound to it runs.
+// heartbeatOf returns the heartbeat of a machine of an owned partition on which every bound task is
+// running.
 func (c *controller) heartbeatOf(m *machine) *wire.Heartbeat {
 	p := c.partitions[m.partition]
 	heartbeat := &wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: m.incarnation, Sequence: m.sequence, Token: p.token}
@@ -22,7 +23,7 @@
 	return heartbeat
 }
 
-// ours is the first of our machines in a crowded fleet on which something runs.
+// ownMachineWithTasks returns the first machine in partition 0 that has tasks bound to it, or nil.
 func (c *controller) ownMachineWithTasks() *machine {
 	for _, m := range c.partitions[0].machines {
 		if len(m.bindings) > 0 {
@@ -32,34 +33,36 @@
 	return nil
 }
 
-// What comes hundreds of times a second allocates little, and no more with ten times
-// as many machines: the collector's work follows from it, and with a fraction of a
-// core there is hardly any time for that.
+// Operations that run hundreds of times a second must allocate little, and not more with ten times as
+// many machines. A controller may have only a fraction of a core, which leaves hardly any time for
+// garbage collection.
 func TestHotPathAllocations(t *testing.T) {
 	for _, x := range []struct {
-		name  string
-		bound float64
-		path  func(t *testing.T, c *controller) func()
+		name      string
+		maxAllocs float64
+		// newOperation returns the operation whose allocations are counted.
+		newOperation func(t *testing.T, c *controller) func()
 	}{
-		{"a heartbeat without news", 4, heartbeatPath},
-		{"a heartbeat decoded", 24, decodePath},
-		{"a step of a partition with nothing to do", 2, idlePath},
-		{"a record stored by another controller", 8, replicaPath},
-		{"a query of a finished job", 2, queryPath},
+		{"a heartbeat without changes", 4, heartbeatOperation},
+		{"a heartbeat decoded", 24, decodeOperation},
+		{"a scheduling pass with nothing to do", 2, idlePassOperation},
+		{"a record stored by another controller", 8, replicaOperation},
+		{"a query of a finished job", 2, queryOperation},
 	} {
 		for _, machines := range []int{50, 500} {
 			t.Run(fmt.Sprintf("%s, %d machines", x.name, machines), func(t *testing.T) {
-				got := testing.AllocsPerRun(50, x.path(t, newFullFleetController(t, machines)))
+				got := testing.AllocsPerRun(50, x.newOperation(t, newFullFleetController(t, machines)))
 				t.Logf("%v allocations", got)
-				if got > x.bound {
-					t.Errorf("%v allocations, want at most %v", got, x.bound)
+				if got > x.maxAllocs {
+					t.Errorf("%v allocations, want at most %v", got, x.maxAllocs)
 				}
 			})
 		}
 	}
 }
 
-func heartbeatPath(_ *testing.T, c *controller) func() {
+// heartbeatOperation handles a heartbeat of a machine whose tasks are all running.
+func heartbeatOperation(_ *testing.T, c *controller) func() {
 	heartbeat := c.heartbeatOf(c.ownMachineWithTasks())
 	return func() {
 		heartbeat.Sequence++
@@ -67,7 +70,8 @@
 	}
 }
 
-func decodePath(t *testing.T, c *controller) func() {
+// decodeOperation decodes a heartbeat.
+func decodeOperation(t *testing.T, c *controller) func() {
 	raw := record.JSON(c.heartbeatOf(c.ownMachineWithTasks()))
 	return func() {
 		if _, err := wire.ParseHeartbeat(raw); err != nil {
@@ -76,8 +80,9 @@
 	}
 }
 
-func idlePath(_ *testing.T, c *controller) func() {
-	for _, job := range c.activeJobs { // nothing waits
+// idlePassOperation runs scheduling passes in which no task can be placed.
+func idlePassOperation(_ *testing.T, c *controller) func() {
+	for _, job := range c.activeJobs { // no job is due for placement
 		if job.spec.Class == "clean" {
 			job.retryAt = c.now.Add(time.Hour)
 		}
@@ -85,7 +90,8 @@
 	return c.schedulePartitions
 }
 
-func replicaPath(_ *testing.T, c *controller) func() {
+// replicaOperation applies a record that another controller has written again.
+func replicaOperation(_ *testing.T, c *controller) func() {
 	var group *taskGroup
 	for g := range c.allGroups() {
 		if g.partition != 0 && g.boundCount > 0 && len(g.bindings) == 1 {
@@ -99,37 +105,39 @@
 	}
 }
 
-func queryPath(t *testing.T, c *controller) func() {
+// queryOperation looks up the state of an archived job.
+func queryOperation(t *testing.T, c *controller) func() {
 	c.finalStates["wk-1"] = record.Done
 	return func() {
 		if state := c.lookupJob("wk-1").jobState().State; state != wire.Done {
-			t.Errorf("the job is %q, want %q", state, wire.Done)
+			t.Errorf("state of the finished job is %q, want %q", state, wire.Done)
 		}
 	}
 }
 
-// A status frame costs its sender one buffer that grows, and its reader four strings
-// for each machine.
+// Building and encoding a status must take a number of allocations that does not depend on the number
+// of machines, since encoding grows a single buffer. The frame must have at most 64 bytes for each
+// machine. Decoding, which allocates four strings for each machine, is not checked here.
 func TestStatusFrameAllocations(t *testing.T) {
 	for _, machines := range []int{50, 500} {
 		c := newFullFleetController(t, machines)
 		n := float64(len(c.partitions[0].machines))
 		var frame []byte
 		if got := testing.AllocsPerRun(20, func() { frame = peer.AppendStatus(nil, c.buildPeerStatus(), peer.PlainFrame) }); got > 30 {
-			t.Errorf("%d machines: %v allocations to send a status, want at most 30", machines, got)
+			t.Errorf("%d machines: %v allocations to encode a status, want at most 30", machines, got)
 		}
 		s := &peer.Status{}
 		if got := testing.AllocsPerRun(20, func() { *s = *c.buildPeerStatus() }); got > 20 {
-			t.Errorf("%d machines: %v allocations to make a status, want at most 20", machines, got)
+			t.Errorf("%d machines: %v allocations to build a status, want at most 20", machines, got)
 		}
 		if len(frame) > int(n)*64+64 {
-			t.Errorf("%d machines: a frame of %d bytes, want at most %d", machines, len(frame), int(n)*64+64)
+			t.Errorf("%d machines: the frame has %d bytes, want at most %d", machines, len(frame), int(n)*64+64)
 		}
 	}
 }
 
-// A transaction carries what waits for it: an array's bindings cost far less than a
-// change for each task.
+// The bindings of an array must be written in batches, so that there are far fewer changes and
+// transactions than tasks.
 func TestArrayWritesAreBatched(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		const tasks = 240
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -44,8 +44,8 @@
 func (c *clusterState) SubmitWrite(write *store.Write, done func(err error)) {
 	startedAt := c.now
 	write.Done = func(revision uint64, err error) {
-		// A goroutine of its own: if the writer blocked on a full event queue while the
-		// event loop waits for the writer, both would deadlock.
+		// A separate goroutine queues the event, so that the writer never blocks on a full
+		// event queue whose events in turn wait for the writer.
 		go c.enqueue(priorityStore, func() {
 			c.metrics.observeLatency(latencyCommit, c.now.Sub(startedAt))
 			if err == nil {
--- a/internal/controller/job_lifecycle_test.go
+++ b/internal/controller/job_lifecycle_test.go
@@ -10,6 +10,8 @@
 	"eiderhitch/internal/wire"
 )
 
+// Arrays and gangs run to completion, a service runs until it is cancelled, and afterwards no
+// record and no machine is left.
 func TestArraysServicesAndGangsRun(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 30, CPUs: 2, EstimateS: 5}))
@@ -19,17 +21,17 @@
 		c.awaitDone("wk-1", 2*time.Minute)
 		c.awaitDone("wk-3", 2*time.Minute)
 		c.cancelJob("wk-2")
-		c.await("the service is gone", 10*time.Second, func() bool { return c.env.Running("wk-2") == 0 })
-		c.await("records are cleared up", time.Minute, func() bool { return len(c.env.Store.Keys(groupPrefix)) == 0 })
-		c.await("machines are returned", time.Minute, func() bool { return len(c.env.Cloud.Agents()) == 0 })
+		c.await("the service has stopped", 10*time.Second, func() bool { return c.env.Running("wk-2") == 0 })
+		c.await("the task groups' records are deleted", time.Minute, func() bool { return len(c.env.Store.Keys(groupPrefix)) == 0 })
+		c.await("all machines are terminated", time.Minute, func() bool { return len(c.env.Cloud.Agents()) == 0 })
 		if s := c.state("wk-2"); s != wire.Cancelled {
-			t.Errorf("the service is %q, want %q", s, wire.Cancelled)
+			t.Errorf("state of the cancelled service is %q, want %q", s, wire.Cancelled)
 		}
 	})
 }
 
-// Malformed submissions and ones that can never run are refused; what was accepted is known
-// from then on, however it is submitted again.
+// Malformed submissions and jobs that can never run are rejected with the right status. A job that
+// was accepted is known from then on, even if it is submitted again with invalid content.
 func TestSubmissionStatusCodes(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		time.Sleep(5 * time.Second)
@@ -45,10 +47,10 @@
 			{"no tasks", func(s *submission) { s.Tasks = 0 }, http.StatusBadRequest},
 			{"a field is missing", func(s *submission) { s.omitted = "stowS" }, http.StatusBadRequest},
 			{"malformed ID", func(s *submission) { s.ID = "job-1" }, http.StatusBadRequest},
-			{"too long a name", func(s *submission) { s.Image = strings.Repeat("x", 70_000) }, http.StatusBadRequest},
+			{"image name too long", func(s *submission) { s.Image = strings.Repeat("x", 70_000) }, http.StatusBadRequest},
 			{"valid", func(*submission) {}, http.StatusCreated},
 			{"submitted again", func(*submission) {}, http.StatusOK},
-			{"known already: never refused", func(s *submission) { s.Team = "green" }, http.StatusOK},
+			{"known job with invalid content", func(s *submission) { s.Team = "green" }, http.StatusOK},
 		} {
 			s := newSubmission(submission{ID: "wk-7", Kind: wire.Array, Team: "red", Priority: "low", Tasks: 2, CPUs: 1, EstimateS: 1})
 			x.change(s)
@@ -57,18 +59,18 @@
 				c.env.Upload(spec)
 			}
 			if answer := c.call(submitRequest(s, spec), 10*time.Second); answer.status != x.status {
-				t.Errorf("%s: status %d, want %d", x.name, answer.status, x.status)
+				t.Errorf("submission, %s: status %d, want %d", x.name, answer.status, x.status)
 			}
 		}
 		if answer := c.call(queryRequest("wk-99"), 10*time.Second); answer.status != http.StatusNotFound {
-			t.Errorf("unknown job: status %d, want 404", answer.status)
+			t.Errorf("query of an unknown job: status %d, want 404", answer.status)
 		}
 		c.awaitDone("wk-7", time.Minute)
 	})
 }
 
-// A large array and a flood of small ones: records and transactions stay within
-// the limits, what is done leaves little behind, heartbeats keep being answered.
+// A large array and 60 small ones submitted at once must not exceed the key-value store's limits on
+// values and transactions, which runCluster checks. Finished tasks must leave few records.
 func TestLargeArrayAmongManySmallOnes(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 1500, CPUs: 1, EstimateS: 1}))
@@ -76,12 +78,12 @@
 			c.submit(newSubmission(submission{ID: fmt.Sprintf("wk-%d", i+2), Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 5, CPUs: 1, EstimateS: 1}))
 		}
 		maxRecords := 0
-		c.await("all is done", 20*time.Minute, func() bool {
+		c.await("the large array is done", 20*time.Minute, func() bool {
 			maxRecords = max(maxRecords, len(c.env.Store.Keys(groupPrefix+"wk-1/")))
 			return c.state("wk-1") == wire.Done
 		})
 		if maxRecords > 120 {
-			t.Errorf("%d records of one array, want at most 120", maxRecords)
+			t.Errorf("the large array had up to %d records, want at most 120", maxRecords)
 		}
 		for i := range 60 {
 			c.awaitDone(fmt.Sprintf("wk-%d", i+2), time.Minute)
@@ -89,8 +91,9 @@
 	})
 }
 
-// A stored record that can't be decoded is named and left alone: its user is
-// told to come back, nothing is assigned twice, and the rest goes on.
+// A stored record that can't be decoded must not affect other jobs, nor lead to tasks being assigned
+// twice, also after all controllers were restarted. Queries for its own job must be told to retry,
+// since the job's state is unknown.
 func TestUndecodableRecord(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		time.Sleep(3 * time.Second)
@@ -114,7 +117,7 @@
 		time.Sleep(5 * time.Second)
 		for _, id := range []string{"wk-8", "wk-9"} {
 			if answer := c.call(queryRequest(id), 3*time.Second); answer.status != 0 {
-				t.Errorf("%s, whose record can't be decoded: status %d, want no final answer", id, answer.status)
+				t.Errorf("query of %s, whose record can't be decoded: status %d, want no final response", id, answer.status)
 			}
 		}
 	})
--- a/internal/controller/level_history_test.go
+++ b/internal/controller/level_history_test.go
@@ -8,19 +8,21 @@
 	"eiderhitch/internal/wire"
 )
 
-// levelHistoryChecker goes through all that was ever stored, in its order, and checks it against
-// the level in force at that moment.
+// levelHistoryChecker checks every change ever made in the key-value store, in order, against the
+// feature level in force at the time of the change.
 type levelHistoryChecker struct {
 	*cluster
 	state             rollout.State
 	checksummedGroups map[string]bool // groups that are stored with a checksum
 }
 
+// checkEvent checks one change: no rollout key may be stored unless the controllers take part in
+// upgrades, and task groups and leases must comply with the level in force.
 func (h *levelHistoryChecker) checkEvent(e wire.Event) {
 	h.t.Helper()
 	key := e.Put + e.Delete
 	if isRolloutKey(key) && !h.upgrades {
-		h.t.Errorf("%s is stored though nothing is switched on", key)
+		h.t.Errorf("%s is stored although staged upgrades are not enabled", key)
 	}
 	if key == rollout.StateKey {
 		h.checkState(e)
@@ -37,8 +39,8 @@
 	}
 }
 
-// checkState checks a change of the state: it follows from the one before, and a level
-// that is given up leaves nothing behind.
+// checkState checks a change of the rollout state: the level changes by at most one, and no task
+// group is stored with a checksum once the level is back at the base level.
 func (h *levelHistoryChecker) checkState(e wire.Event) {
 	h.t.Helper()
 	state, err := rollout.DecodeState(e.Value)
@@ -49,23 +51,23 @@
 		return
 	}
 	if d := int(state.Level) - int(h.state.Level); d < -1 || d > 1 {
-		h.t.Errorf("from level %d to %d", h.state.Level, state.Level)
+		h.t.Errorf("level changed from %d to %d, want a change by at most one", h.state.Level, state.Level)
 	}
 	h.state = state
-	for key, there := range h.checksummedGroups {
-		if there && state.Level == rollout.BaseLevel {
-			h.t.Errorf("%s has a checksum at the base level", key)
+	for key, isChecksummed := range h.checksummedGroups {
+		if isChecksummed && state.Level == rollout.BaseLevel {
+			h.t.Errorf("%s is stored with a checksum at the base level", key)
 		}
 	}
 }
 
-// isLeaseKey tells whether a key is a leased one at any level.
+// isLeaseKey reports whether a key is a leased key at any feature level.
 func isLeaseKey(key string) bool {
 	return strings.HasSuffix(key, "/leader") || strings.Contains(key, "/part/")
 }
 
-// checkLease checks that a leased key is taken under the keys of the level in force, by a
-// process that reads it.
+// checkLease checks the acquisition of a lease: its key must belong to the state in force, and the
+// holder must read the level in force.
 func (h *levelHistoryChecker) checkLease(e wire.Event) {
 	h.t.Helper()
 	var holder record.LeaseHolder
@@ -76,13 +78,13 @@
 	reads, isProcess := h.readableByProcess[holder.ProcessID]
 	h.mu.Unlock()
 	if !isProcess {
-		return // it was closed
+		return // the key was closed by a rollout step
 	}
 	prefix := strings.TrimSuffix(h.state.Keys().Leader(), "leader")
 	if rest, ok := strings.CutPrefix(e.Put, prefix); !ok || strings.HasPrefix(rest, "epoch/") {
-		h.t.Errorf("%s is taken by %s at level %d, epoch %d", e.Put, holder.Node, h.state.Level, h.state.Epoch)
+		h.t.Errorf("%s is acquired by %s at level %d in epoch %d, which has other keys", e.Put, holder.Node, h.state.Level, h.state.Epoch)
 	}
 	if !h.state.Admits(reads) {
-		h.t.Errorf("%s is taken by %s, which reads %s, at level %d", e.Put, holder.Node, reads, h.state.Level)
+		h.t.Errorf("%s is acquired by %s, which reads levels %s, at level %d", e.Put, holder.Node, reads, h.state.Level)
 	}
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -34,6 +34,7 @@
 	numCounters                                // number of counters
 )
 
+// counterNames holds the log attributes of the counters.
 var counterNames = [numCounters]string{
 	countAcceptedSubmissions: "accepted", countRefusedSubmissions: "refused", countUnavailableSubmissions: "unavailable", countPolls: "polls",
 	countHeartbeats: "reports", countRedirectedHeartbeats: "redirected", countBoundTasks: "bound", countDoneTasks: "done",
@@ -54,6 +55,7 @@
 	numLatencies                 // number of latencies
 )
 
+// latencyNames holds the prefixes of the latencies' log attributes.
 var latencyNames = [numLatencies]string{
 	latencyEvent: "event", latencySubmit: "submit", latencyCommit: "commit", latencyBind: "bind",
 }
@@ -73,6 +75,7 @@
 	numActivities                      // number of activities
 )
 
+// activityNames holds the prefixes of the activities' log attributes.
 var activityNames = [numActivities]string{
 	activityHeartbeat: "report", activityReplica: "replica", activityPlanning: "lead",
 	activityScheduling: "parts", activityStatus: "status",
@@ -82,7 +85,7 @@
 
 // metrics holds counters, latencies and resource usage. They are cheap to update, and their
 // totals since the last log line are logged at intervals. Its methods are safe for concurrent
-// use.
+// use unless documented otherwise.
 type metrics struct {
 	mu        sync.Mutex
 	counts    [numCounters]int64
@@ -115,7 +118,8 @@
 	m.counts[c] += int64(n)
 }
 
-// observe adds a duration to a latency's distribution.
+// observeLatency adds a duration to the distribution of a latency. Durations outside the recorded
+// range count as its lower or upper bound.
 func (m *metrics) observeLatency(l latency, d time.Duration) {
 	clamped := min(max(d, time.Microsecond), maxLatency)
 	m.mu.Lock()
@@ -173,7 +177,7 @@
 }
 
 // latencyAttributes returns the log attributes of the latencies that were observed since the last
-// call, and resets them.
+// call, and resets them. The caller must hold m.mu.
 func (m *metrics) latencyAttributes() []any {
 	var attributes []any
 	for i, histogram := range m.latencies {
--- a/internal/controller/outage_log_test.go
+++ b/internal/controller/outage_log_test.go
@@ -9,14 +9,14 @@
 	"eiderhitch/internal/wire"
 )
 
-// An outage of the key-value store, and one of the cloud, shows at info: each controller says
-// once that it began and once that it ended, with its length; of the cloud the leader does.
+// The beginning and the end of an outage must be logged once each at level info: by every
+// controller for the key-value store, and by the leader only for the cloud.
 func TestOutagesAreLogged(t *testing.T) {
 	for _, x := range []struct {
 		name    string
-		of      string
+		of      string // log attribute that names the dependency
 		setDown func(c *cluster, down bool)
-		nodes   int // that log it
+		nodes   int // number of controllers that log the outage
 	}{
 		{"the key-value store", `of="key-value store"`, func(c *cluster, down bool) { c.env.Store.SetDown(down) }, usualControllers},
 		{"the cloud", "of=cloud", func(c *cluster, down bool) { c.env.Cloud.SetDown(down) }, 1},
@@ -27,16 +27,17 @@
 	}
 }
 
-// checkOutageLines has an outage happen and checks its lines.
+// checkOutageLines runs a cluster through an outage and checks that the given number of nodes log
+// its beginning and its end.
 func (c *cluster) checkOutageLines(of string, nodes int, setDown func(down bool)) {
 	c.t.Helper()
 	c.keepsLogs = true
 	c.restartAll()
 	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 1}))
-	c.await("it runs", time.Minute, func() bool { return c.env.Running("wk-1") == 2 })
+	c.await("the service runs", time.Minute, func() bool { return c.env.Running("wk-1") == 2 })
 	before := c.infoLines("outage")
 	if len(before) > 0 {
-		c.t.Errorf("lines before the outage: %q, want none", before)
+		c.t.Errorf("lines about an outage before there was one: %q, want none", before)
 	}
 	setDown(true)
 	time.Sleep(25 * time.Second)
@@ -46,21 +47,22 @@
 	c.checkInfoLines(`msg="outage ended"`, of, nodes)
 }
 
-// checkInfoLines checks how many lines with a text controllers have logged, all with another.
+// checkInfoLines checks that the controllers have logged the wanted number of info lines that
+// contain text, and that each of them also contains alsoIn.
 func (c *cluster) checkInfoLines(text, alsoIn string, want int) {
 	c.t.Helper()
 	lines := c.infoLines(text)
 	if len(lines) != want {
-		c.t.Errorf("%d lines with %s, want %d: %q", len(lines), text, want, lines)
+		c.t.Errorf("%d info lines contain %s, want %d: %q", len(lines), text, want, lines)
 	}
 	for _, line := range lines {
 		if !strings.Contains(line, alsoIn) {
-			c.t.Errorf("line %q, want %s in it", line, alsoIn)
+			c.t.Errorf("line %q does not contain %s", line, alsoIn)
 		}
 	}
 }
 
-// infoLines are the lines at info, with a text in them, that controllers have logged.
+// infoLines returns the lines logged by all controllers at level info that contain text.
 func (c *cluster) infoLines(text string) []string {
 	c.t.Helper()
 	var logged bytes.Buffer
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -14,8 +14,9 @@
 	"eiderhitch/internal/wire"
 )
 
-// starve gives every controller's event loop processor time in bursts only, each at a
-// phase of its own, until the function that it returns is called.
+// blockEventLoops simulates a lack of processor time: it repeatedly blocks each controller's event
+// loop for the duration busy, with pauses of the duration free in between, until stop is called.
+// The controllers are blocked at different times.
 func (c *cluster) blockEventLoops(busy, free time.Duration) (stop func()) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	var wg sync.WaitGroup
@@ -32,7 +33,7 @@
 	return func() { cancel(); wg.Wait() }
 }
 
-// leaseOwners tells which node holds each leased key.
+// leaseOwners returns the name of the node that holds each leased key.
 func (c *cluster) leaseOwners() map[string]string {
 	out := map[string]string{}
 	ctl := c.nodes[0].controller()
@@ -44,9 +45,9 @@
 	return out
 }
 
-// Controllers that are all slow serve on: no leased key changes hands, since whoever got
-// it would be as slow, no machine is taken for dead whose answers merely wait to be
-// read, and what users are told to come back with is taken before long.
+// If all controllers are short of processor time, their leases must not move, since the next
+// holder would be just as slow. Machines whose heartbeats and responses merely wait to be processed
+// must not be terminated as dead, and submissions must be accepted after some retries.
 func TestSlowControllersKeepLeasesAndServe(t *testing.T) {
 	for _, busy := range []time.Duration{700 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
 		t.Run(busy.String(), func(t *testing.T) {
@@ -55,6 +56,8 @@
 	}
 }
 
+// checkSlowControllers checks a cluster whose event loops are repeatedly blocked for the duration
+// busy.
 func (c *cluster) checkSlowControllers(busy time.Duration) {
 	c.t.Helper()
 	c.runServices(4, 2)
@@ -63,24 +66,24 @@
 	stop := c.blockEventLoops(busy, 300*time.Millisecond)
 	time.Sleep(time.Minute)
 	if now := c.leaseOwners(); !maps.Equal(owners, now) {
-		c.t.Errorf("leased keys changed hands: from %v to %v", owners, now)
+		c.t.Errorf("holders of leased keys changed from %v to %v", owners, now)
 	}
 	c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 6, CPUs: 2, EstimateS: 5}))
-	c.await("the array begins", 40*time.Second, func() bool { return c.env.Running("wk-9")+c.env.Completed("wk-9") > 0 })
+	c.await("the array starts", 40*time.Second, func() bool { return c.env.Running("wk-9")+c.env.Completed("wk-9") > 0 })
 	if !c.servicesRun(4, 2) {
 		c.t.Error("replicas are missing, want all to run")
 	}
 	remaining := c.env.Cloud.Agents()
 	for _, a := range used {
 		if !slices.Contains(remaining, a) {
-			c.t.Errorf("%s was terminated though it answers", a.Name())
+			c.t.Errorf("machine %s was terminated although it is alive", a.Name())
 		}
 	}
 	stop()
 	c.awaitDone("wk-9", 2*time.Minute)
 }
 
-// usedMachines are the machines that tasks are bound to.
+// usedMachines returns the agents of the machines that have tasks bound to them.
 func (c *cluster) usedMachines() []*agent.Agent {
 	var used []*agent.Agent
 	for _, a := range c.env.Cloud.Agents() {
@@ -91,20 +94,20 @@
 	return used
 }
 
-// A controller whose event loop is stuck loses its leased keys: its leases are not renewed
-// without it for ever.
-func TestStuckControllerLosesItsLeases(t *testing.T) {
+// A controller whose event loop is blocked must lose its leases. Renewals that did not depend on
+// the event loop would keep them for as long as the process lives.
+func TestBlockedControllerLosesItsLeases(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		const stuck = 2
+		const blocked = 2
 		c.runServices(4, 2)
 		time.Sleep(10 * time.Second)
 		before := c.leaseOwners()
-		c.nodes[stuck].controller().enqueue(priorityStore, func() { time.Sleep(time.Minute) })
+		c.nodes[blocked].controller().enqueue(priorityStore, func() { time.Sleep(time.Minute) })
 		time.Sleep(3*c.nodes[0].controller().operator.LeaseTTL + time.Second)
-		name := c.nodes[stuck].cfg.Name
+		name := c.nodes[blocked].cfg.Name
 		for key, node := range c.leaseOwners() {
 			if before[key] == name && node == name {
-				t.Errorf("%s is still with the stuck controller %s", key, name)
+				t.Errorf("%s is still held by the blocked controller %s", key, name)
 			}
 		}
 		time.Sleep(time.Minute)
@@ -114,11 +117,13 @@
 	})
 }
 
-// impatience is for how long users wait for an answer to a query.
+// userQueryTimeout is how long the users of TestOverloadedControllerRejectsUsersAtOnce wait for the
+// response to a query.
 const userQueryTimeout = 1800 * time.Millisecond
 
-// Users of a controller that has no time for them are told at once when to come
-// back, instead of waiting in vain behind others, and are served when it has.
+// A controller without processor time for users must reject their requests at once with a time
+// after which to retry, rather than let them time out in the queue, and serve users again once it
+// has time.
 func TestOverloadedControllerRejectsUsersAtOnce(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 2, CPUs: 2, EstimateS: 5}))
@@ -129,7 +134,7 @@
 		wg.Go(func() {
 			for ctx.Err() == nil {
 				ctl.call(c.ctx, priorityStore, func() { time.Sleep(900 * time.Millisecond) })
-				time.Sleep(time.Millisecond) // or it would be luck whether users have a turn
+				time.Sleep(time.Millisecond) // lets queued user requests run; otherwise this would depend on timing
 			}
 		})
 		const users = 400
@@ -145,18 +150,19 @@
 		cancel()
 		wg.Wait()
 		if counts.rejected < 100 || counts.served < 4 {
-			t.Errorf("of %d users %d were turned away at once, %d served; want at least 100 and 4", users, counts.rejected, counts.served)
+			t.Errorf("of %d users, %d were rejected at once and %d served; want at least 100 and 4", users, counts.rejected, counts.served)
 		}
 		time.Sleep(time.Second)
 		limit, done := context.WithTimeout(c.ctx, userQueryTimeout)
 		defer done()
 		if answer := ctl.Poll(limit, "wk-1"); answer.Status != http.StatusOK {
-			t.Errorf("status %d when there is time again, want 200", answer.Status)
+			t.Errorf("status %d after the overload, want 200", answer.Status)
 		}
 	})
 }
 
-// userResponseCounts counts users by what they were answered.
+// userResponseCounts counts users by the response that they got. Its method query is safe for
+// concurrent use.
 type userResponseCounts struct {
 	t *testing.T
 
@@ -164,7 +170,7 @@
 	rejected, served int
 }
 
-// query asks for a job, and counts the answer.
+// query queries a job and counts the response.
 func (u *userResponseCounts) query(ctx context.Context, ctl *controller, id string) {
 	limit, done := context.WithTimeout(ctx, userQueryTimeout)
 	defer done()
@@ -174,7 +180,7 @@
 	defer u.mu.Unlock()
 	switch {
 	case answer.Status == http.StatusServiceUnavailable && answer.RetryAfter < 1:
-		u.t.Error("a user is turned away without a time to come back")
+		u.t.Error("a user is rejected without a time after which to retry")
 	case answer.Status == http.StatusServiceUnavailable && time.Since(begun) == 0:
 		u.rejected++
 	case answer.Status == http.StatusOK:
@@ -182,7 +188,7 @@
 	}
 }
 
-// What has the higher priority is done first, whatever came first in time.
+// Events must run in the order of their priorities, whatever the order in which they were queued.
 func TestEventQueueOrdersByPriority(t *testing.T) {
 	in := newEventQueue()
 	var got []priority
@@ -195,15 +201,15 @@
 		}
 	}
 	if !in.hasEventsAbove(priorityUsers) {
-		t.Error("events wait before those of users, and the queue does not say so")
+		t.Error("hasEventsAbove(priorityUsers) is false, want true: events of higher priorities are queued")
 	}
 	for f := in.tryTake(); f != nil; f = in.tryTake() {
 		f()
 	}
 	if !slices.Equal(got, []priority{priorityStore, priorityStore, priorityWorkers, priorityWorkers, priorityUsers, priorityUsers}) {
-		t.Errorf("done in the order %v, want the highest priority first", got)
+		t.Errorf("events ran in the order %v, want the highest priority first", got)
 	}
 	if in.hasEventsAbove(numPriorities) {
-		t.Error("events are left, want none")
+		t.Error("events are queued after all were taken, want none")
 	}
 }
--- a/internal/controller/process_usage.go
+++ b/internal/controller/process_usage.go
@@ -30,6 +30,7 @@
 	numSamples // number of samples
 )
 
+// sampleNames holds the names of the samples in package runtime/metrics.
 var sampleNames = [numSamples]string{
 	sampleGCTime:     "/cpu/classes/gc/total:cpu-seconds",
 	sampleLiveHeap:   "/gc/heap/live:bytes",
--- a/internal/controller/rollout_cluster_test.go
+++ b/internal/controller/rollout_cluster_test.go
@@ -11,7 +11,8 @@
 	"eiderhitch/internal/store"
 )
 
-// operatorSettings are the operators' settings of a node.
+// operatorSettings returns the operator's settings of a node. A version without levels has the
+// defaults.
 func (n *node) operatorSettings() *config.Operator {
 	if n.operatorConfig == nil || n.version.predatesLevels {
 		return config.DefaultOperator()
@@ -19,7 +20,7 @@
 	return n.operatorConfig
 }
 
-// storeTransport is how a node reaches the key-value store.
+// storeTransport returns the transport through which a node calls the key-value store.
 func (n *node) storeTransport() http.RoundTripper {
 	if n.version.predatesLevels {
 		return legacyStoreView{n.transport}
@@ -27,7 +28,7 @@
 	return n.transport
 }
 
-// runUpgradeCluster runs f with a cluster whose controllers take part in staged upgrades.
+// runUpgradeCluster is runCluster for a cluster whose controllers take part in staged upgrades.
 func runUpgradeCluster(t *testing.T, f func(c *cluster)) {
 	runClusterWith(t, func(n *node) {
 		n.operatorConfig = config.DefaultOperator()
@@ -38,7 +39,7 @@
 	})
 }
 
-// rolloutState is the stored state.
+// storedRolloutState returns the stored rollout state, or rollout.Initial if none is stored.
 func (c *cluster) storedRolloutState() rollout.State {
 	raw, ok := c.env.Store.Values(rollout.StateKey)[rollout.StateKey]
 	if !ok {
@@ -51,7 +52,7 @@
 	return state
 }
 
-// awaitLevel waits for a level in a phase.
+// awaitLevel waits until the stored state has a level and a phase.
 func (c *cluster) awaitLevel(level rollout.Level, phase rollout.Phase, limit time.Duration) {
 	c.t.Helper()
 	c.await("level "+string(phase), limit, func() bool {
@@ -60,23 +61,24 @@
 	})
 }
 
-// storeClient reaches the key-value store as an operator does.
+// storeClient returns a client with which an operator calls the key-value store.
 func (c *cluster) storeClient() *store.Client {
 	return store.NewClient(c.nodes[0].cfg.External.Store, c.clientTransport)
 }
 
-// upgradeOperator is an operator of the cluster.
+// upgradeOperator returns an operator who controls the cluster's upgrade.
 func (c *cluster) upgradeOperator() *rollout.Operator {
 	cfg := c.nodes[0].cfg
 	return &rollout.Operator{Store: c.storeClient(), Members: cfg.Nodes(), Partitions: cfg.Settings.Count, MaxTxnChanges: cfg.Settings.Store.TxnOps}
 }
 
-// requestUpgrade has an operator's request stored, as the command does.
-func (c *cluster) requestUpgrade(w rollout.Request) {
+// requestUpgrade stores an operator's request as the eiderhitch upgrade command does. It retries
+// until the request is accepted.
+func (c *cluster) requestUpgrade(request rollout.Request) {
 	c.t.Helper()
 	op := c.upgradeOperator()
 	c.await("the request is stored", time.Minute, func() bool {
-		_, err := op.Submit(c.ctx, w)
+		_, err := op.Submit(c.ctx, request)
 		if err != nil {
 			c.t.Log(err)
 		}
@@ -93,7 +95,7 @@
 	return out
 }
 
-// replace has a node's process end and one of another version start in its place.
+// restartWithVersion ends a node's process and starts one of the given version in its place.
 func (c *cluster) restartWithVersion(i int, version softwareVersion) {
 	c.kill(i)
 	c.nodes[i].version = version
@@ -101,21 +103,21 @@
 	c.start(i)
 }
 
-// softwareVersion is a version of the controller, by what it knows of feature levels.
+// softwareVersion is a version of the controller, described by its support for feature levels.
 type softwareVersion struct {
 	supportedLevels rollout.Range
-	predatesLevels  bool // it does not know levels: what it writes is of the base one
+	predatesLevels  bool // the version does not know levels and writes records of the base level
 }
 
-// The versions that take part in upgrades. One that does not know levels runs the present
-// code behind legacyStoreView.
+// The versions that take part in the tests of upgrades. versionWithoutLevels runs the current code
+// behind legacyStoreView, which hides from it what such a version does not know.
 var (
 	currentVersion       = softwareVersion{supportedLevels: rollout.Supported}
 	baseLevelVersion     = softwareVersion{supportedLevels: rollout.Range{Low: rollout.BaseLevel, High: rollout.BaseLevel}}
 	versionWithoutLevels = softwareVersion{supportedLevels: rollout.Supported, predatesLevels: true}
 )
 
-// reads is the range of levels whose records a version reads.
+// readableLevels returns the range of levels whose records a version reads.
 func (v softwareVersion) readableLevels() rollout.Range {
 	if v.predatesLevels {
 		return baseLevelVersion.supportedLevels
@@ -123,7 +125,7 @@
 	return v.supportedLevels
 }
 
-// recordProcess notes what a process reads, for levelHistoryChecker.
+// recordProcess records the range of levels that a process reads for levelHistoryChecker.
 func (c *cluster) recordProcess(p *process) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -19,9 +19,9 @@
 	"eiderhitch/internal/wire"
 )
 
-// All the way up and all the way back, with work that runs through it: a level becomes
-// active when all controllers read it and final by an operator's word; records are
-// rewritten; on the way back they are rewritten again before the level falls.
+// A complete upgrade and revert with running work. A level must become active once all controllers
+// read it, and final when an operator requests it; then records are rewritten. During the revert
+// they must be rewritten again before the level is lowered.
 func TestUpgradeAndRevert(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
@@ -36,10 +36,10 @@
 		c.requestUpgrade(rollout.RequestAbort)
 		c.awaitLevel(1, rollout.Stable, time.Minute)
 		if f := c.countByEncoding(); f[record.Checksummed] > 0 {
-			t.Errorf("records by encoding after the way back: %v, want none with a checksum", f)
+			t.Errorf("records by encoding after the revert: %v, want none with a checksum", f)
 		}
 		if !c.storedRolloutState().Held {
-			t.Error("the level is not held after the way back")
+			t.Error("the level is not held after the revert")
 		}
 		c.awaitDone("wk-2", 5*time.Minute)
 		if n := c.env.Running("wk-1"); n != 3 {
@@ -48,19 +48,20 @@
 	})
 }
 
-// final brings a cluster to level 2, with work that runs.
+// startWorkAndFinalize submits a service and an array, waits until they run, and upgrades the
+// cluster to level 2.
 func (c *cluster) startWorkAndFinalize() {
 	c.t.Helper()
 	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
 	c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 12, CPUs: 1, EstimateS: 300}))
-	c.await("work runs", time.Minute, func() bool { return c.env.Running("wk-1") == 3 && c.env.Running("wk-2") == 12 })
+	c.await("the service and the array run", time.Minute, func() bool { return c.env.Running("wk-1") == 3 && c.env.Running("wk-2") == 12 })
 	c.awaitLevel(1, rollout.Activated, 30*time.Second)
 	c.requestUpgrade(rollout.RequestFinalize)
 	c.awaitLevel(2, rollout.Stable, 30*time.Second)
 	c.await("records are rewritten", time.Minute, func() bool { return c.countByEncoding()[record.PlainJSON] == 0 })
 }
 
-// holdsLease tells whether a node holds any leased key.
+// holdsLease reports whether a node holds any leased key.
 func (c *cluster) holdsLease(i int) bool {
 	for key, raw := range c.env.Store.Values(keyPrefix) {
 		var h record.LeaseHolder
@@ -71,8 +72,9 @@
 	return false
 }
 
-// A version that knows levels and not the one in force serves nobody, holds no leased key, and
-// asks the key-value store no more than it has to. Back as the present one it serves.
+// A controller that knows levels but does not read the one in force must not be ready, must not
+// hold a lease, must reject users, and must not call the key-value store more than necessary.
+// Replaced by the current version it must serve again.
 func TestControllerBelowCurrentLevelDoesNotServe(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.startWorkAndFinalize()
@@ -89,25 +91,26 @@
 		for range watched {
 			time.Sleep(time.Second)
 			if c.nodes[0].controller().Ready() || c.holdsLease(0) {
-				t.Fatal("it is ready, or holds a leased key")
+				t.Fatal("the controller is ready or holds a leased key, want neither")
 			}
 			if answer := c.ask(0, queryRequest("wk-1")); answer.status != http.StatusServiceUnavailable {
-				t.Fatalf("a user is answered with status %d, want 503", answer.status)
+				t.Fatalf("query answered with status %d, want 503", answer.status)
 			}
 		}
 		if n := calls.Load(); n > 4*watched {
-			t.Errorf("%d calls of the key-value store in %d s, want at most %d", n, watched, 4*watched)
+			t.Errorf("%d calls to the key-value store in %d s, want at most %d", n, watched, 4*watched)
 		}
 		if n := c.env.Running("wk-1"); n != 3 {
 			t.Errorf("%d replicas run, want 3", n)
 		}
 		c.restartWithVersion(0, currentVersion)
-		c.await("it serves again", 20*time.Second, func() bool { return c.nodes[0].controller().Ready() && c.holdsLease(0) })
+		c.await("the controller serves again", 20*time.Second, func() bool { return c.nodes[0].controller().Ready() && c.holdsLease(0) })
 	})
 }
 
-// A version without levels that comes back after the switch holds no leased key, even alone; a
-// job that it accepts runs, and what it can't read it does not answer for.
+// A version without levels that is started after the level became final must not hold a lease, even
+// if no other controller runs, and must not answer queries for jobs whose records it can't read.
+// A job that it accepts must run.
 func TestVersionWithoutLevelsAfterFinalize(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.startWorkAndFinalize()
@@ -123,7 +126,7 @@
 		}
 		c.env.Upload(spec)
 		if answer := c.ask(0, submitRequest(body, spec)); answer.status != http.StatusCreated {
-			t.Errorf("a submission is answered with status %d, want 201", answer.status)
+			t.Errorf("submission answered with status %d, want 201", answer.status)
 		}
 		c.await("the job that it accepted is done", time.Minute, func() bool { return c.env.Completed("wk-3") == 4 })
 		c.kill(1)
@@ -131,7 +134,7 @@
 		for range 25 {
 			time.Sleep(time.Second)
 			if c.holdsLease(0) {
-				t.Fatal("it holds a leased key")
+				t.Fatal("the controller without levels holds a leased key")
 			}
 		}
 		c.start(1)
@@ -142,7 +145,7 @@
 	})
 }
 
-// corruptRecord changes one letter of a stored value, and returns what mends it.
+// corruptRecord changes one byte of a stored value. It returns a function that restores the value.
 func (c *cluster) corruptRecord(key string) func() {
 	c.t.Helper()
 	good := c.env.Store.Values(key)[key]
@@ -159,9 +162,9 @@
 	return func() { put(good) }
 }
 
-// A record that is damaged is seen to be, also by controllers that never saw it whole:
-// its tasks go on running, are started nowhere else, and count for their team's limit; its
-// users are told to come back. Once it is mended all goes on.
+// A corrupt record must be detected, also by controllers that have never read the intact record. Its
+// tasks must keep running, must not be started elsewhere, and must count toward their team's quota;
+// queries must be told to retry. Once the record is restored, the job must be known again.
 func TestTasksOfCorruptRecordKeepRunning(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.startWorkAndFinalize()
@@ -176,11 +179,11 @@
 		}
 		time.Sleep(30 * time.Second)
 		if n := c.env.Running("wk-2"); n != 12 || c.env.Trace.Accepted("wk-2") != starts {
-			t.Errorf("%d of 12 tasks run, %d were started after the damage; want all and none", n, c.env.Trace.Accepted("wk-2")-starts)
+			t.Errorf("%d of 12 tasks run, %d were started after the corruption; want 12 and 0", n, c.env.Trace.Accepted("wk-2")-starts)
 		}
 		for i := range c.nodes {
 			if answer := c.ask(i, queryRequest("wk-2")); answer.status != http.StatusServiceUnavailable {
-				t.Errorf("node %d answers with status %d, want 503", i, answer.status)
+				t.Errorf("node %d answers a query with status %d, want 503", i, answer.status)
 			}
 		}
 		used := 0.0
@@ -189,23 +192,23 @@
 			used = float64(ctl.quotas()[ctl.getOrAddTeam("blue")].Usage.CPU) / 1000
 		})
 		if used < 12+6 {
-			t.Errorf("%v CPUs count for the team's limit, want at least 18", used)
+			t.Errorf("%v CPUs count toward the team's quota, want at least 18", used)
 		}
 		for _, f := range undo {
 			f()
 		}
-		c.await("it is known again", 20*time.Second, func() bool { return c.state("wk-2") == wire.Running })
+		c.await("the job is known again", 20*time.Second, func() bool { return c.state("wk-2") == wire.Running })
 		c.cancelJob("wk-2")
-		c.await("it is gone", 40*time.Second, func() bool { return c.env.Running("wk-2") == 0 })
+		c.await("the cancelled job has stopped", 40*time.Second, func() bool { return c.env.Running("wk-2") == 0 })
 	})
 }
 
-// The level falls only when no record of it is left, whoever wrote it and whatever may
-// keep it from being rewritten; what is left is said.
+// A revert must not lower the level while any record of that level is stored, even one that no
+// controller rewrites. The status must name the remaining records.
 func TestRevertWaitsForRemainingRecords(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.startWorkAndFinalize()
-		// Of a job that is not known: nobody rewrites it.
+		// The record of an unknown job: no controller rewrites it.
 		key := groupKey("wk-99", 0)
 		remaining := (&record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 1}}}).Encode(record.Checksummed).At(key)
 		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Put: key, Value: remaining}}}); err != nil {
@@ -215,11 +218,11 @@
 		c.awaitLevel(2, rollout.Reverting, 10*time.Second)
 		time.Sleep(20 * time.Second)
 		if s := c.storedRolloutState(); s.Phase != rollout.Reverting || s.Epoch != 1 {
-			t.Errorf("%+v while a record is left, want phase %s in epoch 1", s, rollout.Reverting)
+			t.Errorf("state is %+v while a record remains, want phase %s in epoch 1", s, rollout.Reverting)
 		}
 		status, err := c.upgradeOperator().Status(c.ctx)
 		if err != nil || len(status.Blockers) != 1 || status.Blockers[0].Kind != rollout.BlockRecords || status.Records["form 2"] != 1 {
-			t.Errorf("status %+v, %v", status, err)
+			t.Errorf("status is %+v (error %v), want one blocker of kind records and one record of form 2", status, err)
 		}
 		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Delete: key}}}); err != nil {
 			t.Fatal(err)
@@ -228,14 +231,14 @@
 	})
 }
 
-// A record of the level that is written after the count, by an owner that did not know
-// better, is found before the keys of the base level are opened.
+// A record of the level that is written after the records were counted, by an owner that had not yet
+// read the change of the state, must be found before the keys of the base level are opened.
 func TestRevertFindsRecordWrittenAfterCount(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.startWorkAndFinalize()
 		key := groupKey("wk-99", 0)
 		remaining := (&record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 1}}}).Encode(record.Checksummed).At(key)
-		// It is stored together with the change that closes the keys.
+		// The record is stored in the transaction that closes the keys.
 		c.env.Store.BeforeTxn(func(t *wire.Txn) {
 			for _, change := range t.Changes {
 				if s, err := rollout.DecodeState(change.Value); change.Put == rollout.StateKey && err == nil && s.Phase == rollout.Closed && s.Epoch == 1 {
@@ -244,7 +247,7 @@
 			}
 		})
 		c.requestUpgrade(rollout.RequestAbort)
-		c.await("the way back goes on in a new epoch", 30*time.Second, func() bool { s := c.storedRolloutState(); return s.Phase == rollout.Reverting && s.Epoch == 2 })
+		c.await("the revert continues in a new epoch", 30*time.Second, func() bool { s := c.storedRolloutState(); return s.Phase == rollout.Reverting && s.Epoch == 2 })
 		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Delete: key}}}); err != nil {
 			t.Fatal(err)
 		}
@@ -253,8 +256,8 @@
 	})
 }
 
-// An active level becomes final by itself after the time that the settings give, counted
-// anew from each restart.
+// An active level must become final without a request once no controller has been restarted for the
+// time given in the settings.
 func TestAutomaticFinalize(t *testing.T) {
 	runClusterWith(t, func(n *node) {
 		n.operatorConfig = config.DefaultOperator()
@@ -267,14 +270,14 @@
 		c.start(1)
 		time.Sleep(20 * time.Second)
 		if s := c.storedRolloutState(); s.Phase != rollout.Activated {
-			t.Errorf("%+v 20 s after a restart", s)
+			t.Errorf("state is %+v 20 s after a restart, want the level not final yet", s)
 		}
 		c.awaitLevel(2, rollout.Stable, 20*time.Second)
 	})
 }
 
-// While a controller is missing, or does not say what it reads, an operator is refused,
-// with its name, and nothing is raised.
+// While a controller is not registered, a finalize request must be refused with an error that names
+// the controller, and the level must stay.
 func TestMissingControllerBlocksFinalize(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
@@ -284,19 +287,20 @@
 		_, err := c.upgradeOperator().Submit(c.ctx, rollout.RequestFinalize)
 		var refused *rollout.RefusedError
 		if !errors.As(err, &refused) || !strings.Contains(err.Error(), "n2") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("refused with %v", err)
+			t.Errorf("request to finalize: error %v, want a one-line RefusedError that names n2", err)
 		}
 		if c.storedRolloutState() != before {
-			t.Errorf("%+v was changed to %+v", before, c.storedRolloutState())
+			t.Errorf("the refused request changed the state from %+v to %+v", before, c.storedRolloutState())
 		}
 		c.start(2)
-		c.await("it is registered", 20*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n2"))) == 1 })
+		c.await("the controller is registered", 20*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n2"))) == 1 })
 		c.requestUpgrade(rollout.RequestFinalize)
 		c.awaitLevel(2, rollout.Stable, 10*time.Second)
 	})
 }
 
-// A controller whose lease ends while it lives is registered again.
+// A controller whose registration expires during an outage of its link to the key-value store must
+// register again.
 func TestControllerRegistersAgainAfterLeaseExpiry(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
@@ -308,11 +312,12 @@
 		})
 		c.await("its registration ends", 30*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n1"))) == 0 })
 		c.nodes[1].transport.SetPolicy(nil)
-		c.await("it is registered again", 20*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n1"))) == 1 })
+		c.await("the controller is registered again", 20*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n1"))) == 1 })
 	})
 }
 
-// A state that this version can't make sense of was written by one that knows more.
+// No controller may serve or hold a lease while the stored rollout state can't be decoded: it was
+// written by a newer version.
 func TestUndecodableRolloutStateStopsService(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
@@ -323,16 +328,16 @@
 		}
 		c.writtenByTest[rollout.StateKey] = true
 		put(`{"level":1,"phase":"dissolved"}`)
-		c.await("nobody serves", 10*time.Second, func() bool {
+		c.await("no controller serves", 10*time.Second, func() bool {
 			return !c.nodes[0].controller().Ready() && !c.nodes[1].controller().Ready() && !c.nodes[2].controller().Ready() && !c.holdsLease(0)
 		})
 		put(`{"level":1,"phase":"stable"}`)
-		c.await("they serve again", 20*time.Second, func() bool { return c.nodes[0].controller().Ready() && c.holdsLease(0) })
+		c.await("the controllers serve again", 20*time.Second, func() bool { return c.nodes[0].controller().Ready() && c.holdsLease(0) })
 	})
 }
 
-// Each peer is sent frames of a version that it reads: the checked one where the level
-// is active and the peer's present process has said so, the plain one else.
+// Each peer must be sent status frames that it can read: checksummed ones if the level is active and
+// the peer's current process has registered that it reads it, and plain ones otherwise.
 func TestFrameVersionsWithMixedLevels(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		var mu sync.Mutex
@@ -356,17 +361,17 @@
 		}
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
 		checkVersions(map[string]peer.Version{"n0n1": peer.ChecksummedFrame, "n1n0": peer.ChecksummedFrame, "n2n1": peer.ChecksummedFrame})
-		// It is killed: its registration outlives it.
+		// n1 is killed without access to the key-value store, so its registration outlives it.
 		c.nodes[1].transport.SetPolicy(func(*http.Request) network.Fault { return network.Refuse })
 		c.kill(1)
 		c.nodes[1].transport.SetPolicy(nil)
 		c.restartWithVersion(1, versionWithoutLevels)
 		if len(c.env.Store.Keys(rollout.ControllerKey("n1"))) != 1 {
-			t.Error("its registration ended with it")
+			t.Error("the registration of n1 ended with its process")
 		}
 		checkVersions(map[string]peer.Version{"n0n1": peer.PlainFrame, "n1n0": peer.PlainFrame, "n0n2": peer.ChecksummedFrame, "n2n1": peer.PlainFrame})
 		c.restartWithVersion(1, baseLevelVersion)
-		checkVersions(map[string]peer.Version{"n0n1": peer.PlainFrame, "n0n2": peer.PlainFrame}) // the level is not active any more
+		checkVersions(map[string]peer.Version{"n0n1": peer.PlainFrame, "n0n2": peer.PlainFrame}) // the level is no longer active
 		c.restartWithVersion(1, currentVersion)
 		checkVersions(map[string]peer.Version{"n0n1": peer.ChecksummedFrame, "n1n2": peer.ChecksummedFrame})
 	})
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -94,6 +94,7 @@
 	}
 }
 
+// closeIdleConnections closes the connections that are not in use.
 func (t *transports) closeIdleConnections() {
 	t.store.CloseIdleConnections()
 	t.cloud.CloseIdleConnections()
@@ -103,6 +104,7 @@
 // peerSenders maps the name of each other controller to the sender of its status frames.
 type peerSenders map[string]*peer.Sender
 
+// newPeerSenders returns a sender for each peer. They send nothing until they are started.
 func newPeerSenders(peers []config.Peer) peerSenders {
 	senders := peerSenders{}
 	for _, p := range peers {
