--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -117,7 +117,7 @@
 		c.restartWithVersion(0, versionWithoutLevels)
 		time.Sleep(5 * time.Second)
 		if answer := c.ask(0, queryRequest("wk-2")); answer.status != http.StatusServiceUnavailable {
-			t.Errorf("status %d for a job whose records it can't read, want 503", answer.status)
+			t.Errorf("query of a job whose records the controller can't read answered with status %d, want 503", answer.status)
 		}
 		body := newSubmission(submission{ID: "wk-3", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 4, CPUs: 1, EstimateS: 3})
 		spec, err := wire.ParseJob(body.body(t))
@@ -282,7 +282,7 @@
 	runUpgradeCluster(t, func(c *cluster) {
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
 		c.kill(2)
-		c.await("its registration ends", 30*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n2"))) == 0 })
+		c.await("the registration of n2 expires", 30*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n2"))) == 0 })
 		before := c.storedRolloutState()
 		_, err := c.upgradeOperator().Submit(c.ctx, rollout.RequestFinalize)
 		var refused *rollout.RefusedError
@@ -310,7 +310,7 @@
 			}
 			return network.Deliver
 		})
-		c.await("its registration ends", 30*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n1"))) == 0 })
+		c.await("the registration of n1 expires", 30*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n1"))) == 0 })
 		c.nodes[1].transport.SetPolicy(nil)
 		c.await("the controller is registered again", 20*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n1"))) == 1 })
 	})
