--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -282,7 +282,7 @@
 	runUpgradeCluster(t, func(c *cluster) {
 		c.awaitLevel(1, rollout.Activated, 10*time.Second)
 		c.kill(2)
-		c.await("the registration of n2 expires", 30*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n2"))) == 0 })
+		c.await("the registration of n2 ends", 30*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n2"))) == 0 })
 		before := c.storedRolloutState()
 		_, err := c.upgradeOperator().Submit(c.ctx, rollout.RequestFinalize)
 		var refused *rollout.RefusedError
