--- a/internal/controller/allocations_test.go
+++ b/internal/controller/allocations_test.go
@@ -11,8 +11,9 @@
 	"eiderhitch/internal/wire"
 )
 
-// reportOf is what a machine of ours reports when all that is bound to it runs.
-func (c *controller) reportOf(m *machine) *wire.Heartbeat {
+// heartbeatOf returns the heartbeat of a machine of an owned partition on which every bound task is
+// running.
+func (c *controller) heartbeatOf(m *machine) *wire.Heartbeat {
 	p := c.partitions[m.partition]
 	heartbeat := &wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: m.incarnation, Sequence: m.sequence, Token: p.token}
 	for _, x := range m.bindings {
@@ -22,8 +23,8 @@
 	return heartbeat
 }
 
-// ours is the first of our machines in a crowded fleet on which something runs.
-func (c *controller) ours() *machine {
+// ownMachineWithTasks returns the first machine in partition 0 that has tasks bound to it, or nil.
+func (c *controller) ownMachineWithTasks() *machine {
 	for _, m := range c.partitions[0].machines {
 		if len(m.bindings) > 0 {
 			return m
@@ -32,43 +33,46 @@
 	return nil
 }
 
-// What comes hundreds of times a second allocates little, and no more with ten times
-// as many machines: the collector's work follows from it, and with a fraction of a
-// core there is hardly any time for that.
-func TestHotPathsAllocateLittle(t *testing.T) {
+// Operations that run hundreds of times a second must allocate little, and not more with ten times as
+// many machines. A controller may have only a fraction of a core, which leaves hardly any time for
+// garbage collection.
+func TestHotPathAllocations(t *testing.T) {
 	for _, x := range []struct {
-		name  string
-		bound float64
-		path  func(t *testing.T, c *controller) func()
+		name      string
+		maxAllocs float64
+		// newOperation returns the operation whose allocations are counted.
+		newOperation func(t *testing.T, c *controller) func()
 	}{
-		{"a heartbeat without news", 4, heartbeatPath},
-		{"a heartbeat decoded", 24, decodePath},
-		{"a step of a partition with nothing to do", 2, idlePath},
-		{"a record stored by another controller", 8, replicaPath},
-		{"a query of a finished job", 2, queryPath},
+		{"a heartbeat without changes", 4, heartbeatOperation},
+		{"a heartbeat decoded", 24, decodeOperation},
+		{"a scheduling pass with nothing to do", 2, idlePassOperation},
+		{"a record stored by another controller", 8, replicaOperation},
+		{"a query of a finished job", 2, queryOperation},
 	} {
 		for _, machines := range []int{50, 500} {
 			t.Run(fmt.Sprintf("%s, %d machines", x.name, machines), func(t *testing.T) {
-				got := testing.AllocsPerRun(50, x.path(t, newFullFleetController(t, machines)))
+				got := testing.AllocsPerRun(50, x.newOperation(t, newFullFleetController(t, machines)))
 				t.Logf("%v allocations", got)
-				if got > x.bound {
-					t.Errorf("%v allocations, want at most %v", got, x.bound)
+				if got > x.maxAllocs {
+					t.Errorf("%v allocations, want at most %v", got, x.maxAllocs)
 				}
 			})
 		}
 	}
 }
 
-func heartbeatPath(_ *testing.T, c *controller) func() {
-	heartbeat := c.reportOf(c.ours())
+// heartbeatOperation handles a heartbeat of a machine whose tasks are all running.
+func heartbeatOperation(_ *testing.T, c *controller) func() {
+	heartbeat := c.heartbeatOf(c.ownMachineWithTasks())
 	return func() {
 		heartbeat.Sequence++
 		c.handleHeartbeat(heartbeat)
 	}
 }
 
-func decodePath(t *testing.T, c *controller) func() {
-	raw := record.JSON(c.reportOf(c.ours()))
+// decodeOperation decodes a heartbeat.
+func decodeOperation(t *testing.T, c *controller) func() {
+	raw := record.JSON(c.heartbeatOf(c.ownMachineWithTasks()))
 	return func() {
 		if _, err := wire.ParseHeartbeat(raw); err != nil {
 			t.Error(err)
@@ -76,8 +80,9 @@
 	}
 }
 
-func idlePath(_ *testing.T, c *controller) func() {
-	for _, job := range c.activeJobs { // nothing waits
+// idlePassOperation runs scheduling passes in which no task can be placed.
+func idlePassOperation(_ *testing.T, c *controller) func() {
+	for _, job := range c.activeJobs { // no job is due for placement
 		if job.spec.Class == "clean" {
 			job.retryAt = c.now.Add(time.Hour)
 		}
@@ -85,7 +90,8 @@
 	return c.schedulePartitions
 }
 
-func replicaPath(_ *testing.T, c *controller) func() {
+// replicaOperation applies a record that another controller has written again.
+func replicaOperation(_ *testing.T, c *controller) func() {
 	var group *taskGroup
 	for g := range c.allGroups() {
 		if g.partition != 0 && g.boundCount > 0 && len(g.bindings) == 1 {
@@ -99,38 +105,40 @@
 	}
 }
 
-func queryPath(t *testing.T, c *controller) func() {
+// queryOperation looks up the state of an archived job.
+func queryOperation(t *testing.T, c *controller) func() {
 	c.finalStates["wk-1"] = record.Done
 	return func() {
 		if state := c.lookupJob("wk-1").jobState().State; state != wire.Done {
-			t.Errorf("the job is %q, want %q", state, wire.Done)
+			t.Errorf("state of the finished job is %q, want %q", state, wire.Done)
 		}
 	}
 }
 
-// A status frame costs its sender one buffer that grows, and its reader four strings
-// for each machine.
-func TestStatusFrameAllocatesLittle(t *testing.T) {
+// Building and encoding a status must take a number of allocations that does not depend on the number
+// of machines, since encoding grows a single buffer. The frame must have at most 64 bytes for each
+// machine. Decoding, which allocates four strings for each machine, is not checked here.
+func TestStatusFrameAllocations(t *testing.T) {
 	for _, machines := range []int{50, 500} {
 		c := newFullFleetController(t, machines)
 		n := float64(len(c.partitions[0].machines))
 		var frame []byte
-		if got := testing.AllocsPerRun(20, func() { frame = peer.AppendStatus(nil, c.peerStatus(), peer.PlainFrame) }); got > 30 {
-			t.Errorf("%d machines: %v allocations to send a status, want at most 30", machines, got)
+		if got := testing.AllocsPerRun(20, func() { frame = peer.AppendStatus(nil, c.buildPeerStatus(), peer.PlainFrame) }); got > 30 {
+			t.Errorf("%d machines: %v allocations to encode a status, want at most 30", machines, got)
 		}
 		s := &peer.Status{}
-		if got := testing.AllocsPerRun(20, func() { *s = *c.peerStatus() }); got > 20 {
-			t.Errorf("%d machines: %v allocations to make a status, want at most 20", machines, got)
+		if got := testing.AllocsPerRun(20, func() { *s = *c.buildPeerStatus() }); got > 20 {
+			t.Errorf("%d machines: %v allocations to build a status, want at most 20", machines, got)
 		}
 		if len(frame) > int(n)*64+64 {
-			t.Errorf("%d machines: a frame of %d bytes, want at most %d", machines, len(frame), int(n)*64+64)
+			t.Errorf("%d machines: the frame has %d bytes, want at most %d", machines, len(frame), int(n)*64+64)
 		}
 	}
 }
 
-// A transaction carries what waits for it: an array's bindings cost far less than a
-// change for each task.
-func TestChangesForEachTask(t *testing.T) {
+// The bindings of an array must be written in batches, so that there are far fewer changes and
+// transactions than tasks.
+func TestArrayWritesAreBatched(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		const tasks = 240
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: tasks, CPUs: 1, EstimateS: 6}))
@@ -147,11 +155,11 @@
 	})
 }
 
-func BenchmarkReport(b *testing.B) {
+func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := newFullFleetController(b, n)
-			heartbeat := c.reportOf(c.ours())
+			heartbeat := c.heartbeatOf(c.ownMachineWithTasks())
 			raw := record.JSON(heartbeat)
 			for b.Loop() {
 				x, err := wire.ParseHeartbeat(raw)
@@ -166,7 +174,7 @@
 	}
 }
 
-func BenchmarkRecord(b *testing.B) {
+func BenchmarkStoredRecord(b *testing.B) {
 	for _, n := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := newFullFleetController(b, n)
@@ -185,12 +193,12 @@
 	}
 }
 
-func BenchmarkStatus(b *testing.B) {
+func BenchmarkPeerStatus(b *testing.B) {
 	for _, n := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := newFullFleetController(b, n)
 			for b.Loop() {
-				peer.AppendStatus(nil, c.peerStatus(), peer.PlainFrame)
+				peer.AppendStatus(nil, c.buildPeerStatus(), peer.PlainFrame)
 			}
 		})
 	}
--- a/internal/controller/process_usage.go
+++ b/internal/controller/process_usage.go
@@ -6,74 +6,78 @@
 	"time"
 )
 
-// usage reads what the process has used of its limits. The runtime's own counts of
-// processor time are only brought up to date by its collections.
-type usage struct {
+// processUsage measures the processor time and memory that the process uses. The process's
+// processor time is read from the operating system, since the Go runtime updates its own figure
+// only at a garbage collection.
+type processUsage struct {
 	samples []runtimemetrics.Sample
-	// processTime and collectorTime are those at the last reading.
-	processTime, collectorTime time.Duration
+	// cpuTime and gcTime are the processor times used by the process and by its garbage
+	// collector until the last reading.
+	cpuTime, gcTime time.Duration
 }
 
-// sample is what is read of the runtime, by its place among the samples.
-type sample int
+// sampleIndex identifies a metric of the Go runtime by its index in processUsage.samples.
+type sampleIndex int
 
 const (
-	sampleCollectorTime sample = iota
+	sampleGCTime sampleIndex = iota
 	sampleLiveHeap
 	sampleHeapGoal
 	sampleStacks
 	sampleMapped
 	sampleReleased
 	sampleGoroutines
-	samples
+	numSamples // number of samples
 )
 
-var sampleNames = [samples]string{
-	sampleCollectorTime: "/cpu/classes/gc/total:cpu-seconds",
-	sampleLiveHeap:      "/gc/heap/live:bytes",
-	sampleHeapGoal:      "/gc/heap/goal:bytes",
-	sampleStacks:        "/memory/classes/heap/stacks:bytes",
-	sampleMapped:        "/memory/classes/total:bytes",
-	sampleReleased:      "/memory/classes/heap/released:bytes",
-	sampleGoroutines:    "/sched/goroutines:goroutines",
+// sampleNames holds the names of the samples in package runtime/metrics.
+var sampleNames = [numSamples]string{
+	sampleGCTime:     "/cpu/classes/gc/total:cpu-seconds",
+	sampleLiveHeap:   "/gc/heap/live:bytes",
+	sampleHeapGoal:   "/gc/heap/goal:bytes",
+	sampleStacks:     "/memory/classes/heap/stacks:bytes",
+	sampleMapped:     "/memory/classes/total:bytes",
+	sampleReleased:   "/memory/classes/heap/released:bytes",
+	sampleGoroutines: "/sched/goroutines:goroutines",
 }
 
-// newUsage returns a usage that has read nothing yet.
-func newUsage() *usage {
-	u := &usage{samples: make([]runtimemetrics.Sample, samples)}
+// newProcessUsage returns a processUsage that has measured nothing yet.
+func newProcessUsage() *processUsage {
+	u := &processUsage{samples: make([]runtimemetrics.Sample, numSamples)}
 	for i, name := range sampleNames {
 		u.samples[i].Name = name
 	}
 	return u
 }
 
-// count is a sample that is a whole number.
-func (u *usage) count(s sample) uint64 { return u.samples[s].Value.Uint64() }
+// integer returns the value of a sample whose kind is an unsigned integer.
+func (u *processUsage) integer(s sampleIndex) uint64 { return u.samples[s].Value.Uint64() }
 
-// kilobytes is a sample of bytes, in units of 1024.
-func (u *usage) kilobytes(s sample) uint64 { return u.count(s) >> 10 }
+// kibibytes returns the value of a sample in units of 1024 bytes.
+func (u *processUsage) kibibytes(s sampleIndex) uint64 { return u.integer(s) >> 10 }
 
-// logAttributes are the log attributes of what was used since the last time: processor time
-// of the process and of its collector, and the memory that it holds now.
-func (u *usage) logAttributes() []any {
+// logAttributes returns log attributes with the processor time that the process and its garbage
+// collector have used since the last call, and with the current memory use.
+func (u *processUsage) logAttributes() []any {
 	runtimemetrics.Read(u.samples)
-	process := processTime()
-	collector := time.Duration(u.samples[sampleCollectorTime].Value.Float64() * float64(time.Second))
+	cpuTime := processCPUTime()
+	gcTime := time.Duration(u.samples[sampleGCTime].Value.Float64() * float64(time.Second))
 	attributes := []any{
-		"cpu_ms", (process - u.processTime).Milliseconds(),
-		"gc_ms", (collector - u.collectorTime).Milliseconds(),
-		"live_kb", u.kilobytes(sampleLiveHeap),
-		"goal_kb", u.kilobytes(sampleHeapGoal),
-		"stacks_kb", u.kilobytes(sampleStacks),
-		"runtime_kb", u.kilobytes(sampleMapped) - u.kilobytes(sampleReleased),
-		"goroutines", u.count(sampleGoroutines),
+		"cpu_ms", (cpuTime - u.cpuTime).Milliseconds(),
+		"gc_ms", (gcTime - u.gcTime).Milliseconds(),
+		"live_kb", u.kibibytes(sampleLiveHeap),
+		"goal_kb", u.kibibytes(sampleHeapGoal),
+		"stacks_kb", u.kibibytes(sampleStacks),
+		"runtime_kb", u.kibibytes(sampleMapped) - u.kibibytes(sampleReleased),
+		"goroutines", u.integer(sampleGoroutines),
 	}
-	u.processTime, u.collectorTime = process, collector
+	u.cpuTime, u.gcTime = cpuTime, gcTime
 	return attributes
 }
 
-// processTime is the processor time of the process so far; 0 where it can't be told.
-func processTime() time.Duration {
+// processCPUTime returns the processor time that the process has used since its start, or 0 if it
+// can't be determined.
+func processCPUTime() time.Duration {
 	var r syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &r) != nil {
 		return 0
