--- a/internal/planning/assignment.go
+++ b/internal/planning/assignment.go
@@ -25,60 +25,60 @@
 // SplitAmongPartitions decides how many tasks of an array each partition is assigned: for what
 // room is free, for what becomes free soon (ahead, which it counts down), then for what
 // may be preempted. It takes that room from the machines.
-func (a *Assignment) SplitAmongPartitions(machines []*MachineSummary, ahead []int) []int {
-	s := spread{
-		Assignment: a, machines: machines, ahead: ahead,
-		tasks: make([]int, len(ahead)), remaining: a.Count,
+func (a *Assignment) SplitAmongPartitions(machines []*MachineSummary, tasksAhead []int) []int {
+	s := arraySplit{
+		Assignment: a, machines: machines, tasksAhead: tasksAhead,
+		assigned: make([]int, len(tasksAhead)), remaining: a.Count,
 	}
-	s.assignFreeRoom()
+	s.assignFreeCapacity()
 	s.assignAhead()
 	s.assignByPreemption()
 	if a.Force && s.remaining == a.Count {
 		s.assignForced()
 	}
 	s.enlargeSmallShares()
-	return s.tasks
+	return s.assigned
 }
 
 // spread is a SplitAmongPartitions in progress.
-type spread struct {
+type arraySplit struct {
 	*Assignment
-	machines []*MachineSummary
-	ahead    []int
+	machines   []*MachineSummary
+	tasksAhead []int
 	// tasks is how many each partition is assigned, remaining how many are not yet.
-	tasks     []int
+	assigned  []int
 	remaining int
 }
 
-func (s *spread) assign(partition, count int) {
-	s.tasks[partition] += count
+func (s *arraySplit) assign(partition, count int) {
+	s.assigned[partition] += count
 	s.remaining -= count
 }
 
-// assignFreeRoom assigns tasks to the partitions of machines that have free room.
-func (s *spread) assignFreeRoom() {
+// assignFreeCapacity assigns tasks to the partitions of machines that have free room.
+func (s *arraySplit) assignFreeCapacity() {
 	for machine, count := range PlaceWithoutPreemption(s.machines, s.AllowsMachine, s.TaskSize, s.remaining) {
 		s.assign(machine.Partition, count)
 	}
 }
 
 // assignAhead assigns tasks for what becomes free soon.
-func (s *spread) assignAhead() {
+func (s *arraySplit) assignAhead() {
 	if s.QuotaLimited {
 		return
 	}
-	for partition := range s.ahead {
-		count := min(s.remaining, s.ahead[partition])
+	for partition := range s.tasksAhead {
+		count := min(s.remaining, s.tasksAhead[partition])
 		if count <= 0 || !s.allowsPartition(s.machines, partition) {
 			continue
 		}
-		s.ahead[partition] -= count
+		s.tasksAhead[partition] -= count
 		s.assign(partition, count)
 	}
 }
 
 // assignByPreemption assigns tasks where their owner can preempt others for them.
-func (s *spread) assignByPreemption() {
+func (s *arraySplit) assignByPreemption() {
 	for s.remaining > 0 {
 		machine := PlaceByPreemption(s.machines, s.AllowsMachine, s.TaskSize, s.Claim)
 		if machine == nil {
@@ -89,29 +89,29 @@
 }
 
 // assignForced assigns all tasks to the partition where most becomes free soon.
-func (s *spread) assignForced() {
+func (s *arraySplit) assignForced() {
 	best, found := 0, false
-	for partition := range s.ahead {
-		if (!found || s.ahead[partition] > s.ahead[best]) && s.allowsPartition(s.machines, partition) {
+	for partition := range s.tasksAhead {
+		if (!found || s.tasksAhead[partition] > s.tasksAhead[best]) && s.allowsPartition(s.machines, partition) {
 			best, found = partition, true
 		}
 	}
 	if found {
-		s.ahead[best] -= s.remaining
+		s.tasksAhead[best] -= s.remaining
 		s.assign(best, s.remaining)
 	}
 }
 
 // enlargeSmallShares raises shares to MinTasksPerPartition: few large groups are stored
 // rather than many small ones. What is assigned too much now is assigned less ahead later.
-func (s *spread) enlargeSmallShares() {
+func (s *arraySplit) enlargeSmallShares() {
 	if s.QuotaLimited {
 		return
 	}
-	for partition, count := range s.tasks {
+	for partition, count := range s.assigned {
 		more := min(MinTasksPerPartition-count, s.remaining)
 		if count > 0 && more > 0 {
-			s.ahead[partition] -= more
+			s.tasksAhead[partition] -= more
 			s.assign(partition, more)
 		}
 	}
@@ -132,16 +132,16 @@
 // nothing has changed.
 func (a *Assignment) ChoosePartition(machines []*MachineSummary, partitions int) (partition int, found bool) {
 	if a.Count == 1 {
-		return a.onMachine(machines)
+		return a.choosePartitionForTask(machines)
 	}
 	partition, free := a.freestPartition(machines, partitions)
 	if free >= a.Count {
-		PlaceWithoutPreemption(machines, a.within(partition), a.TaskSize, a.Count)
+		PlaceWithoutPreemption(machines, a.filterPartition(partition), a.TaskSize, a.Count)
 		return partition, true
 	}
 	for partition := range partitions {
 		trial := CloneSummaries(machines)
-		if a.placeAll(trial, a.within(partition)) {
+		if a.placeAll(trial, a.filterPartition(partition)) {
 			for i := range machines {
 				*machines[i] = *trial[i]
 			}
@@ -151,9 +151,9 @@
 	return 0, false
 }
 
-// onMachine chooses the partition for a single task: that of the fullest machine with room
+// choosePartitionForTask chooses the partition for a single task: that of the fullest machine with room
 // for it, which keeps machines packed.
-func (a *Assignment) onMachine(machines []*MachineSummary) (partition int, found bool) {
+func (a *Assignment) choosePartitionForTask(machines []*MachineSummary) (partition int, found bool) {
 	for machine := range PlaceWithoutPreemption(machines, a.AllowsMachine, a.TaskSize, 1) {
 		return machine.Partition, true
 	}
@@ -182,7 +182,7 @@
 }
 
 // within restricts the machines that are allowed to those of one partition.
-func (a *Assignment) within(partition int) MachineFilter {
+func (a *Assignment) filterPartition(partition int) MachineFilter {
 	return func(machine *MachineSummary) bool {
 		return machine.Partition == partition && a.AllowsMachine(machine)
 	}
--- a/internal/planning/assignment_test.go
+++ b/internal/planning/assignment_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// freeRoom returns how many tasks fit into the free room of each partition.
-func (a *Assignment) freeRoom(machines []*MachineSummary) []int {
+// freeCapacity returns how many tasks fit into the free room of each partition.
+func (a *Assignment) freeCapacity(machines []*MachineSummary) []int {
 	room := make([]int, testPartitions)
 	for _, machine := range machines {
 		if a.AllowsMachine(machine) {
@@ -34,9 +34,9 @@
 	return room
 }
 
-// preemptibleRoom returns how many tasks fit into each partition at most, if all is
+// preemptibleCapacity returns how many tasks fit into each partition at most, if all is
 // preempted that may be.
-func (a *Assignment) preemptibleRoom(machines []*MachineSummary) []int {
+func (a *Assignment) preemptibleCapacity(machines []*MachineSummary) []int {
 	preempted := CloneSummaries(machines)
 	for _, machine := range preempted {
 		for _, usage := range machine.Usages {
@@ -45,11 +45,11 @@
 			}
 		}
 	}
-	return a.freeRoom(preempted)
+	return a.freeCapacity(preempted)
 }
 
-// mostTasks returns how many tasks SplitAmongPartitions may assign to a partition at most.
-func (a *Assignment) mostTasks(room, ahead int) int {
+// maxTasks returns how many tasks SplitAmongPartitions may assign to a partition at most.
+func (a *Assignment) maxTasks(room, ahead int) int {
 	most := room
 	if a.Force {
 		most = max(most, a.Count)
@@ -72,14 +72,14 @@
 // machine that the tasks may be on, preempts only what the claim may, and beyond the room
 // that there is goes no further than what becomes free and one stored group. Where the
 // quota is short it stays within the room. The same input gives the same result.
-func TestPerPartition(t *testing.T) {
+func TestSplitAmongPartitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines, assignment := drawMachines(t), drawAssignment(t)
 		ahead := make([]int, testPartitions)
 		for partition := range ahead {
 			ahead[partition] = rapid.IntRange(-5, 10).Draw(t, "ahead")
 		}
-		room, aheadBefore := assignment.preemptibleRoom(machines), slices.Clone(ahead)
+		room, aheadBefore := assignment.preemptibleCapacity(machines), slices.Clone(ahead)
 		machinesAgain, aheadAgain := CloneSummaries(machines), slices.Clone(ahead)
 		assigned := assignment.SplitAmongPartitions(machines, ahead)
 		if again := assignment.SplitAmongPartitions(machinesAgain, aheadAgain); !cmp.Equal(assigned, again) {
@@ -89,7 +89,7 @@
 		for partition, count := range assigned {
 			allowed := assignment.allowsPartition(machines, partition)
 			anyAllowed = anyAllowed || allowed
-			if most := assignment.mostTasks(room[partition], aheadBefore[partition]); count > most {
+			if most := assignment.maxTasks(room[partition], aheadBefore[partition]); count > most {
 				t.Fatalf("partition %d with room for %d: expected at most %d tasks, got %d", partition, room[partition], most, count)
 			}
 			if count > 0 && !allowed {
@@ -117,14 +117,14 @@
 
 // A gang is assigned to one partition that can hold all of it, or not at all, in which
 // case nothing has changed; it is not refused where one partition has free room.
-func TestOnePartition(t *testing.T) {
+func TestChoosePartition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines, assignment := drawMachines(t), drawAssignment(t)
 		assignment.Count = rapid.IntRange(1, 8).Draw(t, "gang size")
 		for _, machine := range machines {
-			machine.sortVictimsFirst() // the order of usages may change
+			machine.sortUsagesForPreemption() // the order of usages may change
 		}
-		before, free, room := CloneSummaries(machines), assignment.freeRoom(machines), assignment.preemptibleRoom(machines)
+		before, free, room := CloneSummaries(machines), assignment.freeCapacity(machines), assignment.preemptibleCapacity(machines)
 		partition, found := assignment.ChoosePartition(machines, testPartitions)
 		if found && room[partition] < assignment.Count {
 			t.Fatalf("expected a partition with room for %d, got %d with room for %d", assignment.Count, partition, room[partition])
@@ -153,7 +153,7 @@
 
 // Shares beyond the free room: small ones are enlarged unless the quota is short, and
 // forced tasks go where most becomes free.
-func TestSharesBeyondFreeRoom(t *testing.T) {
+func TestSplitBeyondFreeCapacity(t *testing.T) {
 	size := scheduling.NewResources(4, 0, 8)
 	equalPriority := []TaskUsage{{Size: size}} // which can't be preempted
 	for _, row := range []struct {
@@ -211,7 +211,7 @@
 	}
 }
 
-func TestAssignAhead(t *testing.T) {
+func TestMaxTasksAhead(t *testing.T) {
 	for _, row := range []struct {
 		name                             string
 		bound                            int
--- a/internal/planning/bin_packing.go
+++ b/internal/planning/bin_packing.go
@@ -14,7 +14,7 @@
 			if !machine.FreeResources.Contains(size) || !allowed(machine) {
 				continue
 			}
-			if best == nil || packsBetter(machine, best) {
+			if best == nil || isBetterFit(machine, best) {
 				best = machine
 			}
 		}
@@ -30,9 +30,9 @@
 	return placed
 }
 
-// packsBetter reports whether placing a task on a rather than on b keeps more machines
+// isBetterFit reports whether placing a task on a rather than on b keeps more machines
 // empty, or cheaper ones in use.
-func packsBetter(a, b *MachineSummary) bool {
+func isBetterFit(a, b *MachineSummary) bool {
 	if a.Booting != b.Booting {
 		return !a.Booting
 	}
@@ -60,7 +60,7 @@
 )
 
 // preemption is what preempting for one task on a machine costs, and what is left there.
-type preemption struct {
+type preemptionPlan struct {
 	machine *MachineSummary
 	cost    float64
 	// free and usages are those of the machine afterwards.
@@ -73,17 +73,17 @@
 func PlaceByPreemption(
 	machines []*MachineSummary, allowed MachineFilter, size scheduling.Resources, claim scheduling.Claim,
 ) *MachineSummary {
-	var best preemption
+	var best preemptionPlan
 	for _, machine := range machines {
 		if machine.Booting || !allowed(machine) {
 			continue
 		}
-		free, usages, cost := machine.preemptFor(size, claim)
+		free, usages, cost := machine.planPreemption(size, claim)
 		if !free.Contains(size) {
 			continue
 		}
-		candidate := preemption{machine, cost, free, usages}
-		if best.machine == nil || candidate.betterThan(&best) {
+		candidate := preemptionPlan{machine, cost, free, usages}
+		if best.machine == nil || candidate.isBetterThan(&best) {
 			best = candidate
 		}
 	}
@@ -96,12 +96,12 @@
 	return best.machine
 }
 
-// preemptFor preempts usages until the size fits, as far as the claim may, and returns what
+// planPreemption preempts usages until the size fits, as far as the claim may, and returns what
 // would be free and used on the machine then. The machine keeps them for now.
-func (m *MachineSummary) preemptFor(
+func (m *MachineSummary) planPreemption(
 	size scheduling.Resources, claim scheduling.Claim,
 ) (free scheduling.Resources, usages []TaskUsage, cost float64) {
-	m.sortVictimsFirst()
+	m.sortUsagesForPreemption()
 	free, usages = m.FreeResources, m.Usages
 	for len(usages) > 0 && !free.Contains(size) && claim.CanPreempt(usages[0].Claim) {
 		free = free.Plus(usages[0].Size)
@@ -111,9 +111,9 @@
 	return free, usages, cost
 }
 
-// betterThan orders preemptions by cost; of equal ones a machine that runs a service is
+// isBetterThan orders preemptions by cost; of equal ones a machine that runs a service is
 // preferred, as it stays anyway, then the lower index.
-func (p *preemption) betterThan(other *preemption) bool {
+func (p *preemptionPlan) isBetterThan(other *preemptionPlan) bool {
 	if p.cost != other.cost {
 		return p.cost < other.cost
 	}
--- a/internal/planning/bin_packing_test.go
+++ b/internal/planning/bin_packing_test.go
@@ -10,7 +10,7 @@
 
 // PlaceWithoutPreemption never gives a machine more tasks than it holds, and places as many as
 // fit and are asked for.
-func TestPlaceInFreeRoom(t *testing.T) {
+func TestPlaceWithoutPreemption(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var machines []*MachineSummary
 		for i := range rapid.IntRange(0, 5).Draw(t, "machines") {
@@ -50,10 +50,10 @@
 		{"lower index", MachineSummary{Index: 1}, MachineSummary{Index: 2}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			if !packsBetter(&row.better, &row.worse) {
+			if !isBetterFit(&row.better, &row.worse) {
 				t.Errorf("expected %+v to be preferred to %+v", row.better, row.worse)
 			}
-			if packsBetter(&row.worse, &row.better) {
+			if isBetterFit(&row.worse, &row.better) {
 				t.Errorf("expected %+v not to be preferred to %+v", row.worse, row.better)
 			}
 		})
--- a/internal/planning/headroom.go
+++ b/internal/planning/headroom.go
@@ -16,8 +16,8 @@
 }
 
 type freeSample struct {
-	atS float64 // in seconds
-	cpu int64   // in thousandths
+	atS            float64 // in seconds
+	cpuThousandths int64   // in thousandths
 }
 
 // minCoveredTenths is how many tenths of a window the samples have to cover. Not all: the
@@ -36,7 +36,7 @@
 	}
 	leastCPU = freeCPU
 	for _, sample := range h.samples {
-		leastCPU = min(leastCPU, sample.cpu)
+		leastCPU = min(leastCPU, sample.cpuThousandths)
 	}
 	return leastCPU, atS-h.samples[0].atS >= windowS*minCoveredTenths/10
 }
@@ -44,7 +44,7 @@
 // Subtract lowers all samples, as a machine is being drained.
 func (h *FreeCPUHistory) Subtract(cpu int64) {
 	for i := range h.samples {
-		h.samples[i].cpu -= cpu
+		h.samples[i].cpuThousandths -= cpu
 	}
 }
 
@@ -57,7 +57,7 @@
 	var best *MachineSummary
 	bestUsed := int64(0)
 	for _, machine := range machines {
-		if machine.Spot || machine.Size.CPU > maxCPU || !allowed(machine) || machine.runsPriority(priority) {
+		if machine.Spot || machine.Size.CPU > maxCPU || !allowed(machine) || machine.runsTaskOfPriority(priority) {
 			continue
 		}
 		// Shares are compared without division: used/size < bestUsed/bestSize.
--- a/internal/planning/job_order.go
+++ b/internal/planning/job_order.go
@@ -23,22 +23,22 @@
 }
 
 // Lateness is how a job stands with its deadline; the lowest goes first.
-type Lateness int
+type UrgencyClass int
 
 // The values of Lateness.
 const (
 	// Overdue jobs have waited too long, and it is the turn of such jobs.
-	Overdue Lateness = iota - 2
+	UrgencyOverdue UrgencyClass = iota - 2
 	// MustStart jobs have to start now to have started in time.
-	MustStart
-	// InTime jobs can meet their deadline, or have none.
-	InTime
-	// SlightlyLate jobs can be done within slightlyLateFactor times their deadline.
-	SlightlyLate
+	UrgencyMustStart
+	// UrgencyOnTime jobs can meet their deadline, or have none.
+	UrgencyOnTime
+	// UrgencySlightlyLate jobs can be done within slightlyLateFactor times their deadline.
+	UrgencySlightlyLate
 	// Late jobs can be done within their class's objective.
-	Late
+	UrgencyLate
 	// Hopeless jobs can't.
-	Hopeless
+	UrgencyObjectiveMissed
 )
 
 // Urgency orders jobs of one priority. When there is more work than can be done, most
@@ -47,7 +47,7 @@
 // first few tasks of a job that has not started in time go first, and jobs that have
 // waited too long have a share of the time in which they do.
 type Urgency struct {
-	Lateness      Lateness
+	Class         UrgencyClass
 	RemainingWork float64
 }
 
@@ -63,57 +63,57 @@
 	// slightlyLateFactor is how many times its deadline a job that is slightly late takes.
 	slightlyLateFactor = 1.5
 
-	// Overdue jobs go first for overdueTurnS seconds in every overdueCycleS: with more of
+	// Overdue jobs go first for overdueSliceS seconds in every overdueCycleS: with more of
 	// them than can be done, all others would be late as well.
-	overdueTurnS, overdueCycleS = 5, 20
+	overdueSliceS, overdueCycleS = 5, 20
 )
 
-// MinStartTasks is how many tasks of a job that must start are forced.
-const MinStartTasks = 2
+// ForcedStartTasks is how many tasks of a job that must start are forced.
+const ForcedStartTasks = 2
 
 // IsOverdueTimeSlice reports whether it is the turn of overdue jobs at a time in seconds.
-func IsOverdueTimeSlice(second int64) bool { return second%overdueCycleS < overdueTurnS }
+func IsOverdueTimeSlice(second int64) bool { return second%overdueCycleS < overdueSliceS }
 
 // Urgency returns the urgency of the job now.
 func (j *JobTiming) Urgency() Urgency {
 	switch {
-	case j.orderedByAge():
+	case j.isOrderedByAge():
 		return Urgency{}
 	case j.HasOverduePriority():
-		return Urgency{Lateness: Overdue} // without remaining work: the oldest goes first
+		return Urgency{Class: UrgencyOverdue} // without remaining work: the oldest goes first
 	case j.MustStart():
-		return Urgency{Lateness: MustStart}
+		return Urgency{Class: UrgencyMustStart}
 	}
-	return Urgency{Lateness: j.lateness(), RemainingWork: j.RemainingWork}
+	return Urgency{Class: j.deadlineClass(), RemainingWork: j.RemainingWork}
 }
 
 // lateness is how the job will stand with its deadline if its tasks start now.
-func (j *JobTiming) lateness() Lateness {
-	done := j.doneS()
+func (j *JobTiming) deadlineClass() UrgencyClass {
+	done := j.completionAgeS()
 	switch {
 	case done <= j.DeadlineS:
-		return InTime
+		return UrgencyOnTime
 	case done <= slightlyLateFactor*j.DeadlineS:
-		return SlightlyLate
+		return UrgencySlightlyLate
 	case done <= j.ObjectiveS:
-		return Late
+		return UrgencyLate
 	}
-	return Hopeless
+	return UrgencyObjectiveMissed
 }
 
-// doneS is the job's age when tasks that start now are done.
-func (j *JobTiming) doneS() float64 { return j.AgeS + j.EstimateS }
+// completionAgeS is the job's age when tasks that start now are done.
+func (j *JobTiming) completionAgeS() float64 { return j.AgeS + j.EstimateS }
 
-func (j *JobTiming) orderedByAge() bool { return j.AllOrNothing || j.NoDeadline }
+func (j *JobTiming) isOrderedByAge() bool { return j.AllOrNothing || j.NoDeadline }
 
 // HasOverduePriority reports whether the job is overdue and it is the turn of such jobs.
 func (j *JobTiming) HasOverduePriority() bool {
-	return !j.orderedByAge() && j.OverdueTimeSlice && j.AgeS > max(startWithinS, overdueFactor*j.DeadlineS)
+	return !j.isOrderedByAge() && j.OverdueTimeSlice && j.AgeS > max(startWithinS, overdueFactor*j.DeadlineS)
 }
 
 // MustStart reports whether nothing of the job has ever been placed, and it is time.
 func (j *JobTiming) MustStart() bool {
-	return !j.orderedByAge() && !j.Started && j.AgeS > forceStartAfterS
+	return !j.isOrderedByAge() && !j.Started && j.AgeS > forceStartAfterS
 }
 
 // ForcedTaskCount returns how many tasks of the job are assigned even where there is no room,
@@ -126,14 +126,14 @@
 	case j.HasOverduePriority():
 		return MinTasksPerPartition
 	case j.MustStart():
-		return MinStartTasks
+		return ForcedStartTasks
 	}
 	return 0
 }
 
 // Compare is negative if u goes before v.
 func (u Urgency) Compare(v Urgency) int {
-	return cmp.Or(cmp.Compare(u.Lateness, v.Lateness), cmp.Compare(u.RemainingWork, v.RemainingWork))
+	return cmp.Or(cmp.Compare(u.Class, v.Class), cmp.Compare(u.RemainingWork, v.RemainingWork))
 }
 
 // The window of an array is a few run times of its tasks, so that machines which are
@@ -158,7 +158,7 @@
 		return window
 	}
 	until := j.DeadlineS
-	if j.doneS() > slightlyLateFactor*j.DeadlineS {
+	if j.completionAgeS() > slightlyLateFactor*j.DeadlineS {
 		until = max(until, j.ObjectiveS)
 	}
 	return min(window, max((until-j.AgeS)*windowDeadlineShare, minDeadlineWindowS))
--- a/internal/planning/job_order_test.go
+++ b/internal/planning/job_order_test.go
@@ -19,7 +19,7 @@
 // Whatever small work keeps arriving, every job starts and ends: once it has to start it
 // goes before all others, and once it is overdue it does so in its turn, which comes in
 // every twenty seconds and leaves most of them to others.
-func TestNothingWaitsForEver(t *testing.T) {
+func TestUnstartedAndOverdueJobsGoFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, young := drawJobOrder(t, "old"), drawJobOrder(t, "young")
 		young.Started = true
@@ -43,34 +43,34 @@
 	})
 }
 
-func TestUrgencyOfJobs(t *testing.T) {
+func TestUrgencyClasses(t *testing.T) {
 	const deadlineS, objectiveS = 100, 400
 	for _, row := range []struct {
 		name     string
 		job      JobTiming
-		expected Lateness
+		expected UrgencyClass
 	}{
-		{"meets its deadline", JobTiming{AgeS: 40, EstimateS: 60}, InTime},
-		{"late by up to half of its deadline", JobTiming{AgeS: 90, EstimateS: 60}, SlightlyLate},
-		{"within its objective", JobTiming{AgeS: 90, EstimateS: 310}, Late},
-		{"beyond its objective", JobTiming{AgeS: 90, EstimateS: 311}, Hopeless},
-		{"has not started for too long", JobTiming{AgeS: forceStartAfterS + 1, EstimateS: 1}, MustStart},
-		{"has started", JobTiming{Started: true, AgeS: forceStartAfterS + 1, EstimateS: 1}, SlightlyLate},
-		{"overdue in its turn", JobTiming{Started: true, OverdueTimeSlice: true, AgeS: 301, EstimateS: 1}, Overdue},
-		{"overdue out of its turn", JobTiming{Started: true, AgeS: 301, EstimateS: 1}, Late},
-		{"without a deadline", JobTiming{NoDeadline: true, OverdueTimeSlice: true, AgeS: 1000, EstimateS: 1}, InTime},
-		{"all or nothing", JobTiming{AllOrNothing: true, OverdueTimeSlice: true, AgeS: 1000, EstimateS: 1}, InTime},
+		{"meets its deadline", JobTiming{AgeS: 40, EstimateS: 60}, UrgencyOnTime},
+		{"late by up to half of its deadline", JobTiming{AgeS: 90, EstimateS: 60}, UrgencySlightlyLate},
+		{"within its objective", JobTiming{AgeS: 90, EstimateS: 310}, UrgencyLate},
+		{"beyond its objective", JobTiming{AgeS: 90, EstimateS: 311}, UrgencyObjectiveMissed},
+		{"has not started for too long", JobTiming{AgeS: forceStartAfterS + 1, EstimateS: 1}, UrgencyMustStart},
+		{"has started", JobTiming{Started: true, AgeS: forceStartAfterS + 1, EstimateS: 1}, UrgencySlightlyLate},
+		{"overdue in its turn", JobTiming{Started: true, OverdueTimeSlice: true, AgeS: 301, EstimateS: 1}, UrgencyOverdue},
+		{"overdue out of its turn", JobTiming{Started: true, AgeS: 301, EstimateS: 1}, UrgencyLate},
+		{"without a deadline", JobTiming{NoDeadline: true, OverdueTimeSlice: true, AgeS: 1000, EstimateS: 1}, UrgencyOnTime},
+		{"all or nothing", JobTiming{AllOrNothing: true, OverdueTimeSlice: true, AgeS: 1000, EstimateS: 1}, UrgencyOnTime},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			row.job.DeadlineS, row.job.ObjectiveS = deadlineS, objectiveS
-			if got := row.job.Urgency().Lateness; got != row.expected {
+			if got := row.job.Urgency().Class; got != row.expected {
 				t.Errorf("%+v: expected lateness %d, got %d", row.job, row.expected, got)
 			}
 		})
 	}
 }
 
-func TestForcedTasks(t *testing.T) {
+func TestForcedTaskCount(t *testing.T) {
 	overdue := JobTiming{Started: true, OverdueTimeSlice: true, AgeS: startWithinS + 1, DeadlineS: 1}
 	unstarted := JobTiming{AgeS: forceStartAfterS + 1, DeadlineS: 1000}
 	for _, row := range []struct {
@@ -80,7 +80,7 @@
 		expected int
 	}{
 		{"overdue in its turn", overdue, 0, MinTasksPerPartition},
-		{"must start", unstarted, 0, MinStartTasks},
+		{"must start", unstarted, 0, ForcedStartTasks},
 		{"assigned tasks wait already", unstarted, 1, 0},
 		{"neither", JobTiming{Started: true, DeadlineS: 1000}, 0, 0},
 	} {
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestWindow(t *testing.T) {
+func TestCompletionWindow(t *testing.T) {
 	for _, row := range []struct {
 		name      string
 		job       JobTiming
--- a/internal/planning/machine_summary.go
+++ b/internal/planning/machine_summary.go
@@ -18,8 +18,8 @@
 	Size, FreeResources scheduling.Resources
 	// Usages are those of the tasks that run on it.
 	Usages []TaskUsage
-	// sorted is set once the usages are in the order of sortVictimsFirst.
-	sorted bool
+	// sorted is set once the usages are in the order of sortUsagesForPreemption.
+	usagesSorted bool
 	// Booting machines have been launched, or are to be, and are not up yet.
 	Booting bool
 	// InUse is set by planning if something is placed on the machine: it is not surplus.
@@ -64,19 +64,19 @@
 // offer is the kind of machine that it was launched as.
 func (m *MachineSummary) offer() Offer { return Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot} }
 
-// runsPriority reports whether a task of that priority or a higher one runs on a machine.
-func (m *MachineSummary) runsPriority(priority int) bool {
+// runsTaskOfPriority reports whether a task of that priority or a higher one runs on a machine.
+func (m *MachineSummary) runsTaskOfPriority(priority int) bool {
 	return slices.ContainsFunc(m.Usages, func(usage TaskUsage) bool { return usage.Claim.Priority >= priority })
 }
 
-// sortVictimsFirst sorts a machine's usages into the order in which they are preempted.
+// sortUsagesForPreemption sorts a machine's usages into the order in which they are preempted.
 // Once is enough: usages are only taken away from the front. The usages are copied, as
 // clones of the machine share them.
-func (m *MachineSummary) sortVictimsFirst() {
-	if m.sorted {
+func (m *MachineSummary) sortUsagesForPreemption() {
+	if m.usagesSorted {
 		return
 	}
-	m.sorted, m.Usages = true, slices.Clone(m.Usages)
+	m.usagesSorted, m.Usages = true, slices.Clone(m.Usages)
 	slices.SortStableFunc(m.Usages, func(a, b TaskUsage) int {
 		return cmp.Or(cmp.Compare(a.Claim.Priority, b.Claim.Priority), cmp.Compare(b.Size.CPU, a.Size.CPU))
 	})
--- a/internal/planning/offer.go
+++ b/internal/planning/offer.go
@@ -27,20 +27,20 @@
 // CheapestOffer returns the offer that serves count tasks of a size for the least money
 // for each task, boot time included, and how many machines of it are needed; none if the
 // task fits on no machine. likely is how many such tasks may share the machines before
-// long: a large machine's price is spread over that many. patienceS is the time, in
+// long: a large machine's price is spread over that many. bootAmortizationS is the time, in
 // seconds, over which a machine's boot time is spread.
 func CheapestOffer(
-	offers []PricedOffer, size scheduling.Resources, count, likely int, patienceS float64,
+	offers []PricedOffer, size scheduling.Resources, count, expectedTasks int, bootAmortizationS float64,
 ) (best PricedOffer, machines int) {
 	bestCost := math.Inf(1)
-	likely = max(likely, count)
+	expectedTasks = max(expectedTasks, count)
 	for _, offer := range offers {
-		fitting := offer.Size.CountFitting(size, likely)
+		fitting := offer.Size.CountFitting(size, expectedTasks)
 		if fitting == 0 {
 			continue
 		}
-		likelyMachines := divideRoundingUp(likely, fitting)
-		cost := offer.Price * float64(likelyMachines) / float64(likely) * (1 + offer.BootS/patienceS)
+		expectedMachines := divideRoundingUp(expectedTasks, fitting)
+		cost := offer.Price * float64(expectedMachines) / float64(expectedTasks) * (1 + offer.BootS/bootAmortizationS)
 		if cost < bestCost {
 			best, machines, bestCost = offer, divideRoundingUp(count, fitting), cost
 		}
--- a/internal/planning/quota.go
+++ b/internal/planning/quota.go
@@ -12,7 +12,7 @@
 
 // RemainingTasks returns how many more tasks of a size the limit permits, at most count.
 func (q *Quota) RemainingTasks(size scheduling.Resources, count int) int {
-	return remainingTasks(q.Limit, q.Usage, size, count)
+	return remainingUnderLimit(q.Limit, q.Usage, size, count)
 }
 
 // RemainingGuaranteedTasks returns how many more tasks of a size fit into the guaranteed quota, at
@@ -21,7 +21,7 @@
 	if q.Guarantee == (scheduling.Resources{}) {
 		return 0
 	}
-	return remainingTasks(q.Guarantee, q.GuaranteedUsage, size, count)
+	return remainingUnderLimit(q.Guarantee, q.GuaranteedUsage, size, count)
 }
 
 // Shortfall returns by how much a demand exceeds what the limit leaves.
@@ -40,13 +40,13 @@
 	return max(0, amount-limit)
 }
 
-func remainingTasks(limit, used, size scheduling.Resources, count int) int {
-	count = remainingOfResource(limit.CPU, used.CPU, size.CPU, count)
-	return remainingOfResource(limit.GPU, used.GPU, size.GPU, count)
+func remainingUnderLimit(limit, used, size scheduling.Resources, count int) int {
+	count = remainingForResource(limit.CPU, used.CPU, size.CPU, count)
+	return remainingForResource(limit.GPU, used.GPU, size.GPU, count)
 }
 
-// remainingOfResource limits count by how often size fits into what is left of a limit.
-func remainingOfResource(limit, used, size int64, count int) int {
+// remainingForResource limits count by how often size fits into what is left of a limit.
+func remainingForResource(limit, used, size int64, count int) int {
 	if limit <= 0 || size <= 0 {
 		return count
 	}
--- a/internal/planning/quota_test.go
+++ b/internal/planning/quota_test.go
@@ -10,7 +10,7 @@
 
 // Room and Shortfall agree: what Room grants doesn't exceed the limit, and one more task
 // does.
-func TestQuotaRoom(t *testing.T) {
+func TestQuotaRemainingTasks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quota := Quota{
 			Limit: scheduling.Resources{CPU: rapid.Int64Range(1, 100_000).Draw(t, "limit")},
--- a/internal/planning/scaling.go
+++ b/internal/planning/scaling.go
@@ -30,9 +30,9 @@
 // minTaskTimeS is the least time in seconds that a cell is busy with a task, however short.
 const minTaskTimeS = 5
 
-// tasksAtOnce is how many of the tasks have to run at a time for all to be done within the
+// concurrentTasks is how many of the tasks have to run at a time for all to be done within the
 // window.
-func (d *Demand) tasksAtOnce() int {
+func (d *Demand) concurrentTasks() int {
 	tasks := d.Count * max(d.GroupCount, 1)
 	if d.AllOrNothing || d.CompletionWindowS <= 0 {
 		return tasks
@@ -54,20 +54,20 @@
 }
 
 const (
-	// bootPatienceS is the time in seconds over which a machine's boot is spread when
+	// bootAmortizationS is the time in seconds over which a machine's boot is spread when
 	// offers are compared: about how long machines stay.
-	bootPatienceS = 100
-	// likelyDivisor is the part of a class's running tasks, a quarter, that is counted on
+	bootAmortizationS = 100
+	// expectedTasksDivisor is the part of a class's running tasks, a quarter, that is counted on
 	// to share the machines launched for it before long.
-	likelyDivisor = 4
-	// lateDivisor is the part of the tasks, an eighth, for which machines are launched
+	expectedTasksDivisor = 4
+	// lateTasksDivisor is the part of the tasks, an eighth, for which machines are launched
 	// where none can be up in time: the work is not urgent any more.
-	lateDivisor = 8
+	lateTasksDivisor = 8
 )
 
 // Place has a demand take what room there is, and plans launches for the rest.
 func (p *ScalingPlan) Place(demand Demand) {
-	tasks := demand.tasksAtOnce()
+	tasks := demand.concurrentTasks()
 	for _, placed := range PlaceWithoutPreemption(p.Machines, demand.allowsMachine, demand.TaskSize, tasks) {
 		tasks -= placed
 	}
@@ -75,22 +75,22 @@
 		return
 	}
 	p.Shortage = true
-	timely, late := p.allowedOffers(&demand)
+	timely, late := p.splitAllowedOffers(&demand)
 	if len(timely) > 0 {
-		p.launch(&demand, timely, tasks)
+		p.planLaunches(&demand, timely, tasks)
 		return
 	}
 	// The work has to be done some time, but it is not urgent: once there are machines
 	// for such tasks it waits for them.
 	if !slices.ContainsFunc(p.Machines, demand.allowsMachine) {
-		p.launch(&demand, late, divideRoundingUp(tasks, lateDivisor))
+		p.planLaunches(&demand, late, divideRoundingUp(tasks, lateTasksDivisor))
 	}
 }
 
-// allowedOffers returns the offers that a demand allows: those that are timely, and those
+// splitAllowedOffers returns the offers that a demand allows: those that are timely, and those
 // whose machines are up too late to help an array meet its deadline, and so not worth
 // their price. Spot instances are worth having anyway.
-func (p *ScalingPlan) allowedOffers(demand *Demand) (timely, late []PricedOffer) {
+func (p *ScalingPlan) splitAllowedOffers(demand *Demand) (timely, late []PricedOffer) {
 	for _, offer := range p.Offers {
 		if !demand.AllowsOffer(offer.Offer) {
 			continue
@@ -107,14 +107,14 @@
 // launch plans machines for a number of tasks. Services that arrive one by one are served
 // one by one: for all at once the largest machines would be cheapest, which take longest
 // to boot.
-func (p *ScalingPlan) launch(demand *Demand, offers []PricedOffer, tasks int) {
-	atOnce := tasks
+func (p *ScalingPlan) planLaunches(demand *Demand, offers []PricedOffer, tasks int) {
+	batchSize := tasks
 	if demand.GroupCount > 1 {
-		atOnce = demand.Count
+		batchSize = demand.Count
 	}
-	likely := atOnce + p.RunningTasksByClass[demand.Class]/likelyDivisor
+	expectedTasks := batchSize + p.RunningTasksByClass[demand.Class]/expectedTasksDivisor
 	for tasks > 0 {
-		offer, count := CheapestOffer(offers, demand.TaskSize, atOnce, likely, bootPatienceS)
+		offer, count := CheapestOffer(offers, demand.TaskSize, batchSize, expectedTasks, bootAmortizationS)
 		if count == 0 {
 			return
 		}
--- a/internal/planning/scaling_test.go
+++ b/internal/planning/scaling_test.go
@@ -22,7 +22,7 @@
 // No machine is launched of an offer that no demand allows. What there is and what is
 // planned hold all that is asked for where an offer can, and nothing is launched for what
 // there is room for. The same input gives the same plan.
-func TestPlaceLaunchesWhatIsLacking(t *testing.T) {
+func TestPlaceLaunchesMissingCapacity(t *testing.T) {
 	offers := []PricedOffer{
 		{Offer: Offer{Type: "4000", Zone: "a"}, Size: scheduling.NewResources(4, 0, 64), Price: 0.4, BootS: 50},
 		{Offer: Offer{Type: "16000", Zone: "a"}, Size: scheduling.NewResources(16, 0, 64), Price: 1, BootS: 25},
@@ -48,7 +48,7 @@
 				room += machine.FreeResources.CountFitting(demand.TaskSize, demand.Count)
 			}
 		}
-		launched := launchedRoom(t, plan, &demand)
+		launched := launchedCapacity(t, plan, &demand)
 		if plan.Shortage != (room < demand.Count) {
 			t.Fatalf("room for %d of %d: got shortage %v", room, demand.Count, plan.Shortage)
 		}
@@ -61,9 +61,9 @@
 	})
 }
 
-// launchedRoom returns for how many tasks machines are launched, all of which the demand
+// launchedCapacity returns for how many tasks machines are launched, all of which the demand
 // has to allow.
-func launchedRoom(t *rapid.T, plan *ScalingPlan, demand *Demand) int {
+func launchedCapacity(t *rapid.T, plan *ScalingPlan, demand *Demand) int {
 	t.Helper()
 	room := 0
 	for offer, count := range plan.Launches {
@@ -81,7 +81,7 @@
 
 // Many similar services that arrive one by one are planned for as if each were placed by
 // itself: for all at once larger machines would be chosen, which take longer to boot.
-func TestServicesArrivingOneByOne(t *testing.T) {
+func TestGroupedServicesMatchIndividualPlacement(t *testing.T) {
 	offers := []PricedOffer{
 		{Offer: Offer{Type: "small", Zone: "a"}, Size: scheduling.NewResources(4, 0, 64), Price: 0.3, BootS: 25},
 		{Offer: Offer{Type: "large", Zone: "a"}, Size: scheduling.NewResources(16, 0, 64), Price: 1, BootS: 50},
@@ -116,7 +116,7 @@
 		expected int
 	}{
 		{name: "in time", slackS: 45, allows: onDemand, expected: tasks},
-		{name: "late", slackS: 44, allows: onDemand, expected: tasks / lateDivisor},
+		{name: "late", slackS: 44, allows: onDemand, expected: tasks / lateTasksDivisor},
 		{name: "late, and there is a machine", slackS: 44, machine: onDemand, allows: onDemand, expected: 0},
 		{name: "in time, and there is a machine", slackS: 45, machine: onDemand, allows: onDemand, expected: tasks},
 		{name: "late spot instances", slackS: 44, machine: spot, allows: spot, expected: tasks},
@@ -138,7 +138,7 @@
 }
 
 // A quarter of what runs of a class is counted on to share the machines launched for it.
-func TestLikelyTasksChooseLargerMachines(t *testing.T) {
+func TestExpectedTasksFavorLargerMachines(t *testing.T) {
 	for _, row := range []struct {
 		name     string
 		running  int
--- a/internal/planning/selection_test.go
+++ b/internal/planning/selection_test.go
@@ -9,7 +9,7 @@
 )
 
 // CountFittingTasks counts as many tasks as PlaceWithoutPreemption places, and takes no room.
-func TestFreeRoomForAgreesWithPlacement(t *testing.T) {
+func TestCountFittingTasksMatchesPlacement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines := drawMachines(t)
 		zone := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")
@@ -27,7 +27,7 @@
 }
 
 // SelectMachines takes the first machines, no more than are needed or allowed.
-func TestTakeMachines(t *testing.T) {
+func TestSelectMachines(t *testing.T) {
 	size := scheduling.NewResources(4, 0, 0)
 	var machines []*MachineSummary
 	for i := range 4 {
--- a/internal/planning/throttle.go
+++ b/internal/planning/throttle.go
@@ -15,7 +15,7 @@
 }
 
 // unthrottled marks a group for which Throttle changes nothing.
-const unthrottled = -1
+const limitUnchanged = -1
 
 // Throttle makes room within a team's limit for a job of that priority, which lacks the
 // given amount. Assigned tasks that don't run yet are held back first, then running tasks
@@ -23,34 +23,34 @@
 // result has for each how many of its tasks may run from now on, or -1 where nothing
 // changes.
 func Throttle(uses []GroupQuotaUsage, priority int, shortfall scheduling.Resources) []int {
-	t := throttling{uses: uses, allowed: make([]int, len(uses)), shortfall: shortfall}
+	t := throttler{uses: uses, allowed: make([]int, len(uses)), shortfall: shortfall}
 	for i := range t.allowed {
-		t.allowed[i] = unthrottled
+		t.allowed[i] = limitUnchanged
 	}
 	for i, use := range uses {
 		if !use.WaitingTasksExempt {
-			t.lower(i, use.RunningTasks)
+			t.reduce(i, use.RunningTasks)
 		}
 	}
 	for i, use := range uses {
 		if use.Priority < priority {
-			t.lower(i, 0)
+			t.reduce(i, 0)
 		}
 	}
 	return t.allowed
 }
 
 // throttling is a Throttle in progress.
-type throttling struct {
+type throttler struct {
 	uses      []GroupQuotaUsage
 	allowed   []int
 	shortfall scheduling.Resources
 }
 
 // lower allows a group fewer tasks, as far as that is needed, but no fewer than least.
-func (t *throttling) lower(i, least int) {
+func (t *throttler) reduce(i, least int) {
 	allowed := t.allowed[i]
-	if allowed == unthrottled {
+	if allowed == limitUnchanged {
 		allowed = t.uses[i].AllowedTasks
 	}
 	for allowed > least && (t.shortfall.CPU > 0 || t.shortfall.GPU > 0) {
--- a/internal/planning/throttle_test.go
+++ b/internal/planning/throttle_test.go
@@ -68,11 +68,11 @@
 		shortfall float64
 		expected  []int
 	}{
-		{"nothing is lacking", []GroupQuotaUsage{lower, waiting}, 0, []int{unthrottled, unthrottled}},
-		{"waiting tasks before running ones", []GroupQuotaUsage{lower, waiting}, 2, []int{unthrottled, 3}},
+		{"nothing is lacking", []GroupQuotaUsage{lower, waiting}, 0, []int{limitUnchanged, limitUnchanged}},
+		{"waiting tasks before running ones", []GroupQuotaUsage{lower, waiting}, 2, []int{limitUnchanged, 3}},
 		{"running ones of lower priority then", []GroupQuotaUsage{lower, waiting}, 4, []int{2, 2}},
 		{"no running ones of equal priority", []GroupQuotaUsage{waiting}, 4, []int{2}},
-		{"no fixed ones", []GroupQuotaUsage{fixed, lower}, 1, []int{unthrottled, 2}},
+		{"no fixed ones", []GroupQuotaUsage{fixed, lower}, 1, []int{limitUnchanged, 2}},
 		{"the least urgent first", []GroupQuotaUsage{waiting, waiting}, 4, []int{2, 4}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
--- a/internal/reconcile/differences.go
+++ b/internal/reconcile/differences.go
@@ -65,7 +65,7 @@
 		status := &machine.Tasks[i]
 		record := records.Lookup(status.Task)
 		if !machine.matches(status, &record) {
-			differences = append(differences, Difference{Kind: unboundCase(machine, status, &record), TaskName: status.Task, Attempt: status.Attempt})
+			differences = append(differences, Difference{Kind: classifyUnbound(machine, status, &record), TaskName: status.Task, Attempt: status.Attempt})
 			continue
 		}
 		shown.add(record.Binding.Task)
@@ -84,38 +84,38 @@
 	}
 	for i := range records.BindingCount() {
 		binding, bound := records.Binding(i)
-		if !bound || shown.has(binding.Task) || !mayStart(machine, records, binding) {
+		if !bound || shown.has(binding.Task) || !canStart(machine, records, binding) {
 			continue
 		}
 		start := Difference{Kind: TaskToStart, TaskName: records.TaskName(binding.Task), Attempt: binding.Attempt}
-		if !slices.ContainsFunc(differences, start.refusedFor) {
+		if !slices.ContainsFunc(differences, start.isBlockedBy) {
 			differences = append(differences, start)
 		}
 	}
 	return differences
 }
 
-// unboundCase tells what becomes of an attempt in a heartbeat that is not bound.
-func unboundCase(machine MachineState, status *wire.TaskStatus, record *TaskRecord) DifferenceKind {
+// classifyUnbound tells what becomes of an attempt in a heartbeat that is not bound.
+func classifyUnbound(machine MachineState, status *wire.TaskStatus, record *TaskRecord) DifferenceKind {
 	switch {
 	case record.Unreadable:
 		return UnreadableRecord
 	case status.State != wire.Exited:
 		return UnexpectedTask
-	case !machine.settled():
+	case !machine.isStartRuledOut():
 		return RetainedExitedTask
 	}
 	return ForgettableExitedTask
 }
 
-// mayStart reports whether a bound attempt that is not on the machine is to start there.
-func mayStart(machine MachineState, records Records, binding Binding) bool {
+// canStart reports whether a bound attempt that is not on the machine is to start there.
+func canStart(machine MachineState, records Records, binding Binding) bool {
 	return binding.Incarnation == machine.Incarnation && !records.MustStop(binding.Task) &&
 		!records.HasEnded(binding) && records.IsGangComplete(binding.Task)
 }
 
-// refusedFor reports whether a worker would refuse the start of a task since it still knows
+// isBlockedBy reports whether a worker would refuse the start of a task since it still knows
 // another attempt of it.
-func (d *Difference) refusedFor(other Difference) bool {
+func (d *Difference) isBlockedBy(other Difference) bool {
 	return other.Kind == RetainedExitedTask && other.TaskName == d.TaskName
 }
--- a/internal/reconcile/differences_test.go
+++ b/internal/reconcile/differences_test.go
@@ -9,90 +9,90 @@
 	"eiderhitch/internal/wire"
 )
 
-// byOldRecords is a machine when the records are not recent enough to start tasks.
-func byOldRecords(machine reconcile.MachineState) reconcile.MachineState {
+// withStaleRecords is a machine when the records are not recent enough to start tasks.
+func withStaleRecords(machine reconcile.MachineState) reconcile.MachineState {
 	machine.StartsAllowed = false
 	return machine
 }
 
-// differenceRow is a machine and the records, with the differences between them.
-type differenceRow struct {
+// differenceTest is a machine and the records, with the differences between them.
+type differenceTest struct {
 	name    string
 	machine reconcile.MachineState
 	records records
 	want    []reconcile.Difference
 }
 
-var differenceRows = []differenceRow{
-	{"nothing", settled(), records{}, nil},
-	{"all that is bound runs", settled(status("wk-1/0", 2, wire.Running)),
+var differenceTests = []differenceTest{
+	{"nothing", confirmedMachine(), records{}, nil},
+	{"all that is bound runs", confirmedMachine(taskStatus("wk-1/0", 2, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}}, nil},
-	{"a task that is not bound", settled(status("wk-1/0", 2, wire.Running)), records{},
+	{"a task that is not bound", confirmedMachine(taskStatus("wk-1/0", 2, wire.Running)), records{},
 		[]reconcile.Difference{{Kind: reconcile.UnexpectedTask, TaskName: "wk-1/0", Attempt: 2}}},
-	{"a task that is not bound, whatever may arrive", awaitingStart(status("wk-1/0", 2, wire.Fetching)), records{},
+	{"a task that is not bound, whatever may arrive", machineWithStartInFlight(taskStatus("wk-1/0", 2, wire.Fetching)), records{},
 		[]reconcile.Difference{{Kind: reconcile.UnexpectedTask, TaskName: "wk-1/0", Attempt: 2}}},
-	{"a task that is not bound and saves: it is ended", settled(status("wk-1/0", 2, wire.Saving)), records{},
+	{"a task that is not bound and saves: it is ended", confirmedMachine(taskStatus("wk-1/0", 2, wire.Saving)), records{},
 		[]reconcile.Difference{{Kind: reconcile.UnexpectedTask, TaskName: "wk-1/0", Attempt: 2}}},
-	{"an earlier attempt is there: it is stopped, and the present one asked for", settled(status("wk-1/0", 1, wire.Running)),
+	{"an earlier attempt is there: it is stopped, and the present one asked for", confirmedMachine(taskStatus("wk-1/0", 1, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, graceS: 4}}},
 		[]reconcile.Difference{{Kind: reconcile.UnexpectedTask, TaskName: "wk-1/0", Attempt: 1}, {Kind: reconcile.TaskToStart, TaskName: "wk-1/0", Attempt: 2}}},
-	{"a task that is bound to an earlier incarnation", settled(status("wk-1/0", 2, wire.Running)),
-		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, sinceIncarnation: 2}}},
+	{"a task that is bound to an earlier incarnation", confirmedMachine(taskStatus("wk-1/0", 2, wire.Running)),
+		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, incarnation: 2}}},
 		[]reconcile.Difference{{Kind: reconcile.UnexpectedTask, TaskName: "wk-1/0", Attempt: 2}}},
-	{"a leftover when no start can arrive", settled(exited("wk-1/0", 2, wire.ReasonStopped)), records{},
+	{"a leftover when no start can arrive", confirmedMachine(exitedTask("wk-1/0", 2, wire.ReasonStopped)), records{},
 		[]reconcile.Difference{{Kind: reconcile.ForgettableExitedTask, TaskName: "wk-1/0", Attempt: 2}}},
-	{"a leftover while a start may arrive", awaitingStart(exited("wk-1/0", 2, wire.ReasonStopped)), records{},
+	{"a leftover while a start may arrive", machineWithStartInFlight(exitedTask("wk-1/0", 2, wire.ReasonStopped)), records{},
 		[]reconcile.Difference{{Kind: reconcile.RetainedExitedTask, TaskName: "wk-1/0", Attempt: 2}}},
-	{"a leftover before the token is shown", withoutToken(exited("wk-1/0", 2, wire.ReasonStopped)), records{},
+	{"a leftover before the token is shown", machineWithoutToken(exitedTask("wk-1/0", 2, wire.ReasonStopped)), records{},
 		[]reconcile.Difference{{Kind: reconcile.RetainedExitedTask, TaskName: "wk-1/0", Attempt: 2}}},
-	{"a forgotten leftover makes way for the next attempt", settled(exited("wk-1/0", 1, wire.ReasonError)),
+	{"a forgotten leftover makes way for the next attempt", confirmedMachine(exitedTask("wk-1/0", 1, wire.ReasonError)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}},
 		[]reconcile.Difference{{Kind: reconcile.ForgettableExitedTask, TaskName: "wk-1/0", Attempt: 1}, {Kind: reconcile.TaskToStart, TaskName: "wk-1/0", Attempt: 2}}},
-	{"a kept leftover has the next attempt refused", awaitingStart(exited("wk-1/0", 1, wire.ReasonError)),
+	{"a kept leftover has the next attempt refused", machineWithStartInFlight(exitedTask("wk-1/0", 1, wire.ReasonError)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2}, {name: "wk-1/1", attempt: 1}}},
 		[]reconcile.Difference{{Kind: reconcile.RetainedExitedTask, TaskName: "wk-1/0", Attempt: 1}, {Kind: reconcile.TaskToStart, TaskName: "wk-1/1", Attempt: 1}}},
-	{"a record that can't be decoded may bind it", settled(status("wk-1/0", 2, wire.Running), exited("wk-1/1", 1, wire.ReasonDone)),
+	{"a record that can't be decoded may bind it", confirmedMachine(taskStatus("wk-1/0", 2, wire.Running), exitedTask("wk-1/1", 1, wire.ReasonDone)),
 		records{unreadable: []string{"wk-1/0", "wk-1/1"}},
 		[]reconcile.Difference{{Kind: reconcile.UnreadableRecord, TaskName: "wk-1/0", Attempt: 2}, {Kind: reconcile.UnreadableRecord, TaskName: "wk-1/1", Attempt: 1}}},
-	{"an exited task whose end is to be stored", settled(exited("wk-1/0", 2, wire.ReasonDone)),
+	{"an exited task whose end is to be stored", confirmedMachine(exitedTask("wk-1/0", 2, wire.ReasonDone)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}}, nil},
-	{"a cancelled task", settled(status("wk-1/0", 2, wire.Running)),
+	{"a cancelled task", confirmedMachine(taskStatus("wk-1/0", 2, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}},
 		[]reconcile.Difference{{Kind: reconcile.TaskToStop, TaskName: "wk-1/0", Attempt: 2}}},
-	{"a preempted task that can save", settled(status("wk-1/0", 2, wire.Running)),
+	{"a preempted task that can save", confirmedMachine(taskStatus("wk-1/0", 2, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true, graceS: 4}}},
 		[]reconcile.Difference{{Kind: reconcile.TaskToStop, TaskName: "wk-1/0", Attempt: 2, GraceS: 4}}},
-	{"a task that saves already", settled(status("wk-1/0", 2, wire.Saving)),
+	{"a task that saves already", confirmedMachine(taskStatus("wk-1/0", 2, wire.Saving)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true, graceS: 4}}}, nil},
-	{"a task that is to stop saving", settled(status("wk-1/0", 2, wire.Saving)),
+	{"a task that is to stop saving", confirmedMachine(taskStatus("wk-1/0", 2, wire.Saving)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}},
 		[]reconcile.Difference{{Kind: reconcile.TaskToStop, TaskName: "wk-1/0", Attempt: 2}}},
-	{"a bound task that is not there", settled(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}},
+	{"a bound task that is not there", confirmedMachine(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}},
 		[]reconcile.Difference{{Kind: reconcile.TaskToStart, TaskName: "wk-1/0", Attempt: 2}}},
-	{"a start that may be under way is repeated", awaitingStart(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}},
+	{"a start that may be under way is repeated", machineWithStartInFlight(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}},
 		[]reconcile.Difference{{Kind: reconcile.TaskToStart, TaskName: "wk-1/0", Attempt: 2}}},
-	{"a missing task that must stop", settled(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}}, nil},
-	{"a missing task of an earlier incarnation", settled(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2, sinceIncarnation: 2}}}, nil},
-	{"a missing task of a later incarnation", settled(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2, sinceIncarnation: 4}}}, nil},
-	{"a missing task whose attempt has ended", settled(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2, ended: true}}}, nil},
-	{"a missing task of a gang that is bound in part", settled(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2, gangIncomplete: true}}}, nil},
-	{"a missing task that is bound no more", settled(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2, unbound: true}}}, nil},
-	{"no start by an old read of the records", byOldRecords(settled()), records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}}, nil},
-	{"stops by an old read of the records", byOldRecords(settled(status("wk-1/0", 2, wire.Running), status("wk-9/0", 1, wire.Running))),
+	{"a missing task that must stop", confirmedMachine(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}}, nil},
+	{"a missing task of an earlier incarnation", confirmedMachine(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2, incarnation: 2}}}, nil},
+	{"a missing task of a later incarnation", confirmedMachine(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2, incarnation: 4}}}, nil},
+	{"a missing task whose attempt has ended", confirmedMachine(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2, ended: true}}}, nil},
+	{"a missing task of a gang that is bound in part", confirmedMachine(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2, gangIncomplete: true}}}, nil},
+	{"a missing task that is bound no more", confirmedMachine(), records{bound: []boundTask{{name: "wk-1/0", attempt: 2, unbound: true}}}, nil},
+	{"no start by an old read of the records", withStaleRecords(confirmedMachine()), records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}}, nil},
+	{"stops by an old read of the records", withStaleRecords(confirmedMachine(taskStatus("wk-1/0", 2, wire.Running), taskStatus("wk-9/0", 1, wire.Running))),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}, {name: "wk-1/1", attempt: 1}}},
 		[]reconcile.Difference{{Kind: reconcile.TaskToStop, TaskName: "wk-1/0", Attempt: 2}, {Kind: reconcile.UnexpectedTask, TaskName: "wk-9/0", Attempt: 1}}},
-	{"a task that a heartbeat names twice hides no other", settled(status("wk-1/0", 2, wire.Running), status("wk-1/0", 2, wire.Running)),
+	{"a task that a heartbeat names twice hides no other", confirmedMachine(taskStatus("wk-1/0", 2, wire.Running), taskStatus("wk-1/0", 2, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2}, {name: "wk-1/1", attempt: 1}}},
 		[]reconcile.Difference{{Kind: reconcile.TaskToStart, TaskName: "wk-1/1", Attempt: 1}}},
 	{"stops in the order of the heartbeat, then starts in the order of the bindings",
-		settled(status("wk-9/0", 1, wire.Running), exited("wk-8/0", 1, wire.ReasonDone), status("wk-1/2", 1, wire.Running)),
+		confirmedMachine(taskStatus("wk-9/0", 1, wire.Running), exitedTask("wk-8/0", 1, wire.ReasonDone), taskStatus("wk-1/2", 1, wire.Running)),
 		records{bound: []boundTask{{name: "wk-1/1", attempt: 1}, {name: "wk-1/2", attempt: 1, mustStop: true, graceS: 2}, {name: "wk-1/0", attempt: 2}}},
 		[]reconcile.Difference{{Kind: reconcile.UnexpectedTask, TaskName: "wk-9/0", Attempt: 1}, {Kind: reconcile.ForgettableExitedTask, TaskName: "wk-8/0", Attempt: 1},
 			{Kind: reconcile.TaskToStop, TaskName: "wk-1/2", Attempt: 1, GraceS: 2}, {Kind: reconcile.TaskToStart, TaskName: "wk-1/1", Attempt: 1}, {Kind: reconcile.TaskToStart, TaskName: "wk-1/0", Attempt: 2}}},
 }
 
 func TestDifferences(t *testing.T) {
-	for _, x := range differenceRows {
+	for _, x := range differenceTests {
 		t.Run(x.name, func(t *testing.T) {
 			if d := cmp.Diff(x.want, reconcile.Differences(x.machine, &x.records)); d != "" {
 				t.Error(d)
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestCommandOfEachDifference(t *testing.T) {
+func TestDifferenceCommands(t *testing.T) {
 	grace, none := 4.0, 0.0
 	for _, x := range []struct {
 		difference reconcile.DifferenceKind
@@ -131,10 +131,10 @@
 
 // Where all that is bound is shown, nothing is asked of the bindings: it comes with every
 // heartbeat.
-func TestDifferencesWithoutNewsAskForLittle(t *testing.T) {
+func TestDifferencesSkipQueriesWhenAllTasksAreShown(t *testing.T) {
 	r := &records{bound: []boundTask{{name: "wk-1/0", attempt: 1}, {name: "wk-1/1", attempt: 1}}}
-	machine := settled(status("wk-1/0", 1, wire.Running), status("wk-1/1", 1, wire.Running))
-	if got := reconcile.Differences(machine, r); len(got) > 0 || r.bindingsAsked > 0 {
-		t.Errorf("differences %v, and asked for %d bindings", got, r.bindingsAsked)
+	machine := confirmedMachine(taskStatus("wk-1/0", 1, wire.Running), taskStatus("wk-1/1", 1, wire.Running))
+	if got := reconcile.Differences(machine, r); len(got) > 0 || r.bindingQueries > 0 {
+		t.Errorf("differences %v, and asked for %d bindings", got, r.bindingQueries)
 	}
 }
--- a/internal/reconcile/fake_test.go
+++ b/internal/reconcile/fake_test.go
@@ -9,19 +9,19 @@
 )
 
 // incarnation is that of the machine's agent in all rows.
-const incarnation = 3
+const currentIncarnation = 3
 
 // boundTask is a bound task of the rows. Its number is its place among the bound tasks.
 type boundTask struct {
 	name    string
 	attempt uint64
-	// sinceIncarnation is what it is bound to; 0: the present one.
-	sinceIncarnation uint64
-	service          bool
-	mustStop         bool
-	graceS           float64
-	ended            bool
-	gangIncomplete   bool
+	// incarnation is what it is bound to; 0: the present one.
+	incarnation    uint64
+	service        bool
+	mustStop       bool
+	graceS         float64
+	ended          bool
+	gangIncomplete bool
 	// unbound: the machine's list of bindings still has it, its record no more.
 	unbound bool
 }
@@ -30,16 +30,16 @@
 type records struct {
 	bound      []boundTask
 	unreadable []string // tasks that a record may have that can't be decoded
-	// stopsAsked are the tasks for which MustStop was asked.
-	stopsAsked []string
-	// bindingsAsked counts the calls of Binding.
-	bindingsAsked int
+	// mustStopQueries are the tasks for which MustStop was asked.
+	mustStopQueries []string
+	// bindingQueries counts the calls of Binding.
+	bindingQueries int
 }
 
 func (r *records) binding(i int) reconcile.Binding {
-	since := r.bound[i].sinceIncarnation
+	since := r.bound[i].incarnation
 	if since == 0 {
-		since = incarnation
+		since = currentIncarnation
 	}
 	return reconcile.Binding{Task: scheduling.TaskID{Group: 7, Number: int32(i)}, Attempt: r.bound[i].attempt, Incarnation: since}
 }
@@ -55,14 +55,14 @@
 func (r *records) BindingCount() int { return len(r.bound) }
 
 func (r *records) Binding(i int) (reconcile.Binding, bool) {
-	r.bindingsAsked++
+	r.bindingQueries++
 	return r.binding(i), !r.bound[i].unbound
 }
 
 func (r *records) TaskName(task scheduling.TaskID) string { return r.bound[task.Number].name }
 
 func (r *records) MustStop(task scheduling.TaskID) bool {
-	r.stopsAsked = append(r.stopsAsked, r.bound[task.Number].name)
+	r.mustStopQueries = append(r.mustStopQueries, r.bound[task.Number].name)
 	return r.bound[task.Number].mustStop
 }
 
@@ -76,28 +76,28 @@
 
 // settled is a machine of which no start can arrive any more, with the tasks of its newest
 // heartbeat.
-func settled(tasks ...wire.TaskStatus) reconcile.MachineState {
-	return reconcile.MachineState{Incarnation: incarnation, TokenConfirmed: true, StartsAllowed: true, Tasks: tasks}
+func confirmedMachine(tasks ...wire.TaskStatus) reconcile.MachineState {
+	return reconcile.MachineState{Incarnation: currentIncarnation, TokenConfirmed: true, StartsAllowed: true, Tasks: tasks}
 }
 
-// awaitingStart is a machine to which a start may be under way.
-func awaitingStart(tasks ...wire.TaskStatus) reconcile.MachineState {
-	machine := settled(tasks...)
+// machineWithStartInFlight is a machine to which a start may be under way.
+func machineWithStartInFlight(tasks ...wire.TaskStatus) reconcile.MachineState {
+	machine := confirmedMachine(tasks...)
 	machine.StartInFlight = true
 	return machine
 }
 
-// withoutToken is a machine that has not shown its owner's token.
-func withoutToken(tasks ...wire.TaskStatus) reconcile.MachineState {
-	machine := settled(tasks...)
+// machineWithoutToken is a machine that has not shown its owner's token.
+func machineWithoutToken(tasks ...wire.TaskStatus) reconcile.MachineState {
+	machine := confirmedMachine(tasks...)
 	machine.TokenConfirmed = false
 	return machine
 }
 
-func status(name string, attempt uint64, state string) wire.TaskStatus {
+func taskStatus(name string, attempt uint64, state string) wire.TaskStatus {
 	return wire.TaskStatus{Task: name, Attempt: attempt, State: state}
 }
 
-func exited(name string, attempt uint64, reason string) wire.TaskStatus {
+func exitedTask(name string, attempt uint64, reason string) wire.TaskStatus {
 	return wire.TaskStatus{Task: name, Attempt: attempt, State: wire.Exited, Reason: reason}
 }
--- a/internal/reconcile/observations.go
+++ b/internal/reconcile/observations.go
@@ -46,10 +46,10 @@
 // The records are asked about a binding only when its turn comes: the end of one attempt may
 // be why the next one has to stop, as with the tasks of a gang.
 func Observations(machine MachineState, records Records) iter.Seq[Observation] {
-	return func(yield func(Observation) bool) { findings(machine, records, yield) }
+	return func(yield func(Observation) bool) { yieldObservations(machine, records, yield) }
 }
 
-func findings(machine MachineState, records Records, yield func(Observation) bool) {
+func yieldObservations(machine MachineState, records Records, yield func(Observation) bool) {
 	shown := make(taskSet, 0, len(machine.Tasks))
 	for i := range machine.Tasks {
 		status := &machine.Tasks[i]
@@ -58,7 +58,7 @@
 			continue
 		}
 		shown.add(record.Binding.Task)
-		if !yield(Observation{Kind: caseOf(status, &record), Binding: record.Binding, Status: status}) {
+		if !yield(Observation{Kind: classifyBound(status, &record), Binding: record.Binding, Status: status}) {
 			return
 		}
 	}
@@ -74,7 +74,7 @@
 		switch {
 		case binding.Incarnation < machine.Incarnation:
 			finding.Kind = IncarnationReplaced
-		case machine.settled() && !shown.has(binding.Task) && records.MustStop(binding.Task):
+		case machine.isStartRuledOut() && !shown.has(binding.Task) && records.MustStop(binding.Task):
 			finding.Kind = TaskAbsent
 		default:
 			continue
@@ -85,8 +85,8 @@
 	}
 }
 
-// caseOf tells what a heartbeat says of a bound attempt that it shows.
-func caseOf(status *wire.TaskStatus, record *TaskRecord) ObservationKind {
+// classifyBound tells what a heartbeat says of a bound attempt that it shows.
+func classifyBound(status *wire.TaskStatus, record *TaskRecord) ObservationKind {
 	if status.State != wire.Exited {
 		return TaskPresent
 	}
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -39,7 +39,7 @@
 }
 
 // settled reports whether no start can arrive any more.
-func (m *MachineState) settled() bool { return m.TokenConfirmed && !m.StartInFlight }
+func (m *MachineState) isStartRuledOut() bool { return m.TokenConfirmed && !m.StartInFlight }
 
 // Binding is an attempt of a task that a record binds to the machine.
 type Binding struct {
--- a/internal/scheduling/cell.go
+++ b/internal/scheduling/cell.go
@@ -23,8 +23,8 @@
 	Size    Resources
 	State   CellState
 	// User holds the cell while it is Used or Reserving.
-	User      TaskID
-	userClaim Claim
+	Task  TaskID
+	claim Claim
 	// sequence orders cells by when they were allocated: later ones have larger numbers.
 	sequence int64
 	// reservedBy is the Preempting group while the cell is Reserved or Reserving.
@@ -35,16 +35,16 @@
 func (c *Cell) reserve(g *AffinityGroup) {
 	c.State, c.reservedBy = CellReserving, g
 	g.cells = append(g.cells, c)
-	g.victims++
+	g.victimCount++
 }
 
-// returnToUser turns a Reserving cell into a Used one (e4): its user is no victim any more.
-func (c *Cell) returnToUser() {
+// returnToVictim turns a Reserving cell into a Used one (e4): its user is no victim any more.
+func (c *Cell) returnToVictim() {
 	c.State, c.reservedBy = CellUsed, nil
 }
 
 // vacate turns a Reserving cell, whose user has ended, into a Reserved one (e9).
-func (c *Cell) vacate() {
+func (c *Cell) completeReservation() {
 	c.State = CellReserved
-	c.reservedBy.victims--
+	c.reservedBy.victimCount--
 }
--- a/internal/scheduling/group.go
+++ b/internal/scheduling/group.go
@@ -36,8 +36,8 @@
 	// cells are the group's Reserved and Reserving cells while it is Preempting.
 	cells []*Cell
 	// victims counts the Reserving ones among them.
-	victims int
+	victimCount int
 }
 
 // VictimCount returns how many tasks of other groups a Preempting group waits for.
-func (g *AffinityGroup) VictimCount() int { return g.victims }
+func (g *AffinityGroup) VictimCount() int { return g.victimCount }
--- a/internal/scheduling/invariants.go
+++ b/internal/scheduling/invariants.go
@@ -26,11 +26,11 @@
 			return err
 		}
 		if cell.State != CellReserved {
-			cellsOfTask[cell.User]++
+			cellsOfTask[cell.Task]++
 		}
 	}
-	if free != machine.free {
-		return fmt.Errorf("free room is %v, its cells leave %v", machine.free, free)
+	if free != machine.freeResources {
+		return fmt.Errorf("free room is %v, its cells leave %v", machine.freeResources, free)
 	}
 	return nil
 }
@@ -38,8 +38,8 @@
 // checkCell checks a cell's state against its user and the group that has reserved it.
 func (p *Partition) checkCell(cell *Cell) error {
 	used := cell.State == CellUsed || cell.State == CellReserving
-	if used && p.usedCells[cell.User] != cell {
-		return fmt.Errorf("task %v has another cell than the one it uses", cell.User)
+	if used && p.cellByTask[cell.Task] != cell {
+		return fmt.Errorf("task %v has another cell than the one it uses", cell.Task)
 	}
 	reserved := cell.State == CellReserved || cell.State == CellReserving
 	if reserved != (cell.reservedBy != nil) {
@@ -51,20 +51,20 @@
 	if cell.reservedBy.State != GroupPreempting {
 		return fmt.Errorf("cell is reserved by a group that is %v", cell.reservedBy.State)
 	}
-	if used && !cell.reservedBy.Claim.CanPreempt(cell.userClaim) {
-		return fmt.Errorf("claim %v preempts %v", cell.reservedBy.Claim, cell.userClaim)
+	if used && !cell.reservedBy.Claim.CanPreempt(cell.claim) {
+		return fmt.Errorf("claim %v preempts %v", cell.reservedBy.Claim, cell.claim)
 	}
 	return nil
 }
 
 // checkUsedCells checks that each task that uses a cell has exactly this one.
 func (p *Partition) checkUsedCells(cellsOfTask map[TaskID]int) error {
-	for task, cell := range p.usedCells {
+	for task, cell := range p.cellByTask {
 		if cellsOfTask[task] != 1 {
 			return fmt.Errorf("task %v has %d cells", task, cellsOfTask[task])
 		}
-		if cell.User != task {
-			return fmt.Errorf("cell of task %v is listed for task %v", cell.User, task)
+		if cell.Task != task {
+			return fmt.Errorf("cell of task %v is listed for task %v", cell.Task, task)
 		}
 	}
 	return nil
@@ -73,8 +73,8 @@
 // checkPreemptingGroups checks that tasks of Preempting groups use no cells, and that
 // these groups count their victims right and have some.
 func (p *Partition) checkPreemptingGroups() error {
-	for task, group := range p.preempting {
-		if p.usedCells[task] != nil {
+	for task, group := range p.preemptingGroups {
+		if p.cellByTask[task] != nil {
 			return fmt.Errorf("task %v is preempting and uses a cell", task)
 		}
 		reserving := 0
@@ -83,9 +83,9 @@
 				reserving++
 			}
 		}
-		if reserving != group.victims || reserving == 0 {
+		if reserving != group.victimCount || reserving == 0 {
 			return fmt.Errorf("group of task %v counts %d victims and has %d Reserving cells",
-				task, group.victims, reserving)
+				task, group.victimCount, reserving)
 		}
 	}
 	return nil
--- a/internal/scheduling/invariants_test.go
+++ b/internal/scheduling/invariants_test.go
@@ -8,10 +8,10 @@
 
 // partitionModel drives a partition with random events.
 type partitionModel struct {
-	partition *Partition
-	machines  int
-	nextTask  int32
-	groups    []*AffinityGroup
+	partition    *Partition
+	machineCount int
+	nextTask     int32
+	groups       []*AffinityGroup
 }
 
 // testMachineSize is the size of all machines of generated partitions.
@@ -19,10 +19,10 @@
 
 func newPartitionModel(t *rapid.T) *partitionModel {
 	model := &partitionModel{
-		partition: NewPartition(),
-		machines:  rapid.IntRange(1, 4).Draw(t, "machines"),
+		partition:    NewPartition(),
+		machineCount: rapid.IntRange(1, 4).Draw(t, "machines"),
 	}
-	for index := range model.machines {
+	for index := range model.machineCount {
 		model.partition.SetMachine(MachineIndex(index), testMachineSize)
 	}
 	return model
@@ -41,7 +41,7 @@
 }
 
 // Request has a new group ask for cells.
-func (m *partitionModel) Request(t *rapid.T) {
+func (m *partitionModel) ScheduleGroup(t *rapid.T) {
 	group := &AffinityGroup{
 		TaskSize: NewResources(float64(rapid.IntRange(1, 5).Draw(t, "cpus")), 0, 1),
 		Claim: Claim{
@@ -54,7 +54,7 @@
 		group.Tasks = append(group.Tasks, TaskID{Number: m.nextTask})
 		m.nextTask++
 	}
-	m.partition.Schedule(group, anyMachine)
+	m.partition.Schedule(group, equalScore)
 	m.groups = append(m.groups, group)
 	started := 0
 	for _, task := range group.Tasks {
@@ -68,7 +68,7 @@
 }
 
 // Release ends a running task.
-func (m *partitionModel) Release(t *rapid.T) {
+func (m *partitionModel) ReleaseTask(t *rapid.T) {
 	running := m.runningTasks()
 	if len(running) == 0 {
 		return
@@ -80,7 +80,7 @@
 }
 
 // Cancel cancels the reservations of a group, if it has any.
-func (m *partitionModel) Cancel(t *rapid.T) {
+func (m *partitionModel) CancelReservations(t *rapid.T) {
 	if len(m.groups) > 0 {
 		m.partition.CancelReservations(rapid.SampledFrom(m.groups).Draw(t, "group"))
 	}
@@ -88,7 +88,7 @@
 
 // LoseMachine ends all tasks of a machine and replaces it by an empty one.
 func (m *partitionModel) LoseMachine(t *rapid.T) {
-	index := MachineIndex(rapid.IntRange(0, m.machines-1).Draw(t, "machine"))
+	index := MachineIndex(rapid.IntRange(0, m.machineCount-1).Draw(t, "machine"))
 	for _, task := range m.runningTasks() {
 		if m.partition.Cell(task).Machine == index {
 			m.partition.Release(task)
@@ -104,8 +104,8 @@
 		t.Fatal(err)
 	}
 	for index, machine := range m.partition.machines {
-		if !machine.free.Contains(Resources{}) {
-			t.Fatalf("machine %d: expected free room of zero or more, got %v", index, machine.free)
+		if !machine.freeResources.Contains(Resources{}) {
+			t.Fatalf("machine %d: expected free room of zero or more, got %v", index, machine.freeResources)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 // Any order of requests, ends of tasks, cancellations and lost machines keeps the
 // invariants: no cell is owned twice, no machine is over-committed, and cells are reserved
 // only by claims that may preempt their users.
-func TestEventsKeepInvariants(t *testing.T) {
+func TestInvariantsHoldAfterRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		t.Repeat(rapid.StateMachineActions(newPartitionModel(t)))
 	})
--- a/internal/scheduling/partition.go
+++ b/internal/scheduling/partition.go
@@ -9,9 +9,9 @@
 	position int
 	// size is zero, and free is negative, while the machine is not known: its bindings
 	// may be adopted before it reports.
-	size, free Resources
-	known      bool
-	cells      []*Cell
+	size, freeResources Resources
+	isRegistered        bool
+	cells               []*Cell
 }
 
 // Partition holds the cells of one partition's machines.
@@ -19,10 +19,10 @@
 	machines map[MachineIndex]*partitionMachine
 	// machineList has the same machines, to be scanned by requests.
 	machineList []*partitionMachine
-	// usedCells has the cell of each task whose cell is Used or Reserving.
-	usedCells map[TaskID]*Cell
+	// cellByTask has the cell of each task whose cell is Used or Reserving.
+	cellByTask map[TaskID]*Cell
 	// preempting has the group of each task whose group is Preempting.
-	preempting map[TaskID]*AffinityGroup
+	preemptingGroups map[TaskID]*AffinityGroup
 	// lastSequence is the sequence number of the cell allocated last.
 	lastSequence int64
 }
@@ -30,21 +30,21 @@
 // NewPartition returns a partition without machines.
 func NewPartition() *Partition {
 	return &Partition{
-		machines:   map[MachineIndex]*partitionMachine{},
-		usedCells:  map[TaskID]*Cell{},
-		preempting: map[TaskID]*AffinityGroup{},
+		machines:         map[MachineIndex]*partitionMachine{},
+		cellByTask:       map[TaskID]*Cell{},
+		preemptingGroups: map[TaskID]*AffinityGroup{},
 	}
 }
 
 // SetMachine adds a machine to the partition, or changes its size.
 func (p *Partition) SetMachine(index MachineIndex, size Resources) {
-	machine := p.machine(index)
-	machine.free = machine.free.Plus(size.Minus(machine.size))
-	machine.size, machine.known = size, true
+	machine := p.getOrAddMachine(index)
+	machine.freeResources = machine.freeResources.Plus(size.Minus(machine.size))
+	machine.size, machine.isRegistered = size, true
 }
 
 // machine returns the machine of that index, which is added if it is missing.
-func (p *Partition) machine(index MachineIndex) *partitionMachine {
+func (p *Partition) getOrAddMachine(index MachineIndex) *partitionMachine {
 	machine := p.machines[index]
 	if machine == nil {
 		machine = &partitionMachine{index: index, position: len(p.machineList)}
@@ -80,61 +80,61 @@
 // FreeResources returns what is free on a machine.
 func (p *Partition) FreeResources(index MachineIndex) Resources {
 	if machine := p.machines[index]; machine != nil {
-		return machine.free
+		return machine.freeResources
 	}
 	return Resources{}
 }
 
 // Cell returns the cell that a task uses, or nil.
-func (p *Partition) Cell(task TaskID) *Cell { return p.usedCells[task] }
+func (p *Partition) Cell(task TaskID) *Cell { return p.cellByTask[task] }
 
 // AllocatedTasks lists the tasks that use a cell, in no particular order.
 func (p *Partition) AllocatedTasks() []TaskID {
-	tasks := make([]TaskID, 0, len(p.usedCells))
-	for task := range p.usedCells {
+	tasks := make([]TaskID, 0, len(p.cellByTask))
+	for task := range p.cellByTask {
 		tasks = append(tasks, task)
 	}
 	return tasks
 }
 
 // PreemptingGroup returns the Preempting group of a task, or nil.
-func (p *Partition) PreemptingGroup(task TaskID) *AffinityGroup { return p.preempting[task] }
+func (p *Partition) PreemptingGroup(task TaskID) *AffinityGroup { return p.preemptingGroups[task] }
 
 // ApplyBinding makes a stored binding's cell Used. It rebuilds the cells from the persistent
 // states after a failover: a cell that the task uses elsewhere is released, and a
 // reservation of its group is cancelled.
 func (p *Partition) ApplyBinding(task TaskID, index MachineIndex, size Resources, claim Claim) {
-	if cell := p.usedCells[task]; cell != nil {
+	if cell := p.cellByTask[task]; cell != nil {
 		if cell.Machine == index {
 			return
 		}
 		p.Release(task)
 	}
-	if group := p.preempting[task]; group != nil {
+	if group := p.preemptingGroups[task]; group != nil {
 		p.CancelReservations(group)
 	}
-	p.use(task, index, size, claim)
+	p.allocateCell(task, index, size, claim)
 }
 
 // Release ends a task's use of its cell, once it is proven that the task has ended. A
 // Used cell becomes Free (e1), a Reserving one Reserved (e9). If it was the last one that a
 // group waited for, the group is Allocated and returned.
 func (p *Partition) Release(task TaskID) *AffinityGroup {
-	cell := p.usedCells[task]
+	cell := p.cellByTask[task]
 	if cell == nil {
 		return nil
 	}
-	delete(p.usedCells, task)
+	delete(p.cellByTask, task)
 	if cell.State == CellUsed {
-		p.detach(cell)
+		p.removeCell(cell)
 		return nil
 	}
-	cell.vacate()
+	cell.completeReservation()
 	group := cell.reservedBy
-	if group.victims > 0 {
+	if group.victimCount > 0 {
 		return nil
 	}
-	p.allocate(group)
+	p.allocateGroup(group)
 	return group
 }
 
@@ -148,57 +148,57 @@
 	g.State = GroupPending
 	for _, cell := range g.cells {
 		if cell.State == CellReserving {
-			cell.returnToUser()
+			cell.returnToVictim()
 		} else {
-			p.detach(cell)
+			p.removeCell(cell)
 		}
 	}
-	g.cells, g.victims = nil, 0
+	g.cells, g.victimCount = nil, 0
 	for _, task := range g.Tasks {
-		delete(p.preempting, task)
+		delete(p.preemptingGroups, task)
 	}
 }
 
 // allocate turns a Preempting group, all of whose cells are Reserved, into an Allocated
 // one (e2 of the group, e8 of its cells). Its reserved slices become one Used cell for
 // each task; what its victims held beyond that is Free.
-func (p *Partition) allocate(g *AffinityGroup) {
+func (p *Partition) allocateGroup(g *AffinityGroup) {
 	for _, cell := range g.cells {
-		p.detach(cell)
+		p.removeCell(cell)
 	}
 	g.cells = nil
 	g.State = GroupAllocated
 	for i, task := range g.Tasks {
-		delete(p.preempting, task)
-		p.use(task, g.Machines[i], g.TaskSize, g.Claim)
+		delete(p.preemptingGroups, task)
+		p.allocateCell(task, g.Machines[i], g.TaskSize, g.Claim)
 	}
 }
 
 // use carves a Used cell for a task out of a machine's free room (e0).
-func (p *Partition) use(task TaskID, index MachineIndex, size Resources, claim Claim) {
+func (p *Partition) allocateCell(task TaskID, index MachineIndex, size Resources, claim Claim) {
 	p.lastSequence++
 	cell := &Cell{
 		Machine: index, Size: size, State: CellUsed,
-		User: task, userClaim: claim, sequence: p.lastSequence,
+		Task: task, claim: claim, sequence: p.lastSequence,
 	}
-	p.usedCells[task] = cell
-	p.attach(cell)
+	p.cellByTask[task] = cell
+	p.addCell(cell)
 }
 
 // attach takes a cell out of its machine's free room.
-func (p *Partition) attach(cell *Cell) {
-	machine := p.machine(cell.Machine)
+func (p *Partition) addCell(cell *Cell) {
+	machine := p.getOrAddMachine(cell.Machine)
 	machine.cells = append(machine.cells, cell)
-	machine.free = machine.free.Minus(cell.Size)
+	machine.freeResources = machine.freeResources.Minus(cell.Size)
 }
 
 // detach returns a cell to its machine's free room.
-func (p *Partition) detach(cell *Cell) {
+func (p *Partition) removeCell(cell *Cell) {
 	machine := p.machines[cell.Machine]
 	for i, other := range machine.cells {
 		if other == cell {
 			machine.cells = append(machine.cells[:i], machine.cells[i+1:]...)
-			machine.free = machine.free.Plus(cell.Size)
+			machine.freeResources = machine.freeResources.Plus(cell.Size)
 			return
 		}
 	}
--- a/internal/scheduling/partition_test.go
+++ b/internal/scheduling/partition_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-const rebuildMachines = MachineIndex(3)
+const rebuiltMachineCount = MachineIndex(3)
 
 // storedBinding is what a controller stores of an allocated task.
 type storedBinding struct {
@@ -18,7 +18,7 @@
 // drawPartition has random groups request cells, and some of their tasks end.
 func drawPartition(t *rapid.T) (*Partition, []*AffinityGroup) {
 	partition := NewPartition()
-	for index := range rebuildMachines {
+	for index := range rebuiltMachineCount {
 		partition.SetMachine(index, testMachineSize)
 	}
 	var groups []*AffinityGroup
@@ -26,7 +26,7 @@
 		priority := rapid.IntRange(0, 3).Draw(t, "priority")
 		cpus := float64(rapid.IntRange(1, 5).Draw(t, "cpus"))
 		group := newTestGroup(priority, cpus, 2*i, 2*i+1)
-		partition.Schedule(group, anyMachine)
+		partition.Schedule(group, equalScore)
 		groups = append(groups, group)
 		if rapid.Bool().Draw(t, "end a task") {
 			if running := partition.AllocatedTasks(); len(running) > 0 {
@@ -59,7 +59,7 @@
 		for task, binding := range storedBindings(before, groups) {
 			rebuilt.ApplyBinding(task, binding.machine, binding.size, binding.claim)
 		}
-		for index := range rebuildMachines {
+		for index := range rebuiltMachineCount {
 			rebuilt.SetMachine(index, testMachineSize)
 		}
 		if err := rebuilt.CheckInvariants(); err != nil {
@@ -71,7 +71,7 @@
 		for _, group := range groups {
 			before.CancelReservations(group) // Preempting groups are Pending after a failure (ec)
 		}
-		for index := range rebuildMachines {
+		for index := range rebuiltMachineCount {
 			if rebuilt.FreeResources(index) != before.FreeResources(index) {
 				t.Fatalf("machine %d: expected %v to be free, got %v", index, before.FreeResources(index), rebuilt.FreeResources(index))
 			}
--- a/internal/scheduling/resources.go
+++ b/internal/scheduling/resources.go
@@ -1,7 +1,7 @@
 package scheduling
 
 // thousandths is how many units of a Resources field make one CPU, one GPU or one GB.
-const thousandths = 1000
+const thousandthsPerUnit = 1000
 
 // Resources is an amount of each resource, in thousandths of a CPU, a GPU and a GB.
 type Resources struct{ CPU, GPU, RAM int64 }
@@ -13,7 +13,7 @@
 
 func toThousandths(amount float64) int64 {
 	const roundToNearest = 0.5
-	return int64(amount*thousandths + roundToNearest)
+	return int64(amount*thousandthsPerUnit + roundToNearest)
 }
 
 // Plus returns the sum of a and b.
@@ -42,21 +42,21 @@
 		return 0
 	}
 	count := int64(limit)
-	count = limitedByAmount(count, a.CPU, size.CPU)
-	count = limitedByAmount(count, a.GPU, size.GPU)
-	count = limitedByAmount(count, a.RAM, size.RAM)
+	count = limitByAmount(count, a.CPU, size.CPU)
+	count = limitByAmount(count, a.GPU, size.GPU)
+	count = limitByAmount(count, a.RAM, size.RAM)
 	return int(count)
 }
 
-// limitedByAmount returns count, or how often size fits into amount if that is less.
-func limitedByAmount(count, amount, size int64) int64 {
+// limitByAmount returns count, or how often size fits into amount if that is less.
+func limitByAmount(count, amount, size int64) int64 {
 	if size <= 0 {
 		return count
 	}
 	return min(count, amount/size)
 }
 
-// nonNegative returns a with zero in place of its negative fields.
-func (a Resources) nonNegative() Resources {
+// clampToZero returns a with zero in place of its negative fields.
+func (a Resources) clampToZero() Resources {
 	return Resources{max(a.CPU, 0), max(a.GPU, 0), max(a.RAM, 0)}
 }
--- a/internal/scheduling/schedule.go
+++ b/internal/scheduling/schedule.go
@@ -10,9 +10,9 @@
 	score float64
 }
 
-// worseThan orders machines by score; of equal ones the lower index is preferred, so that
+// isWorseThan orders machines by score; of equal ones the lower index is preferred, so that
 // choices are repeatable.
-func (m scoredMachine) worseThan(other scoredMachine) bool {
+func (m scoredMachine) isWorseThan(other scoredMachine) bool {
 	return m.score > other.score || m.score == other.score && m.index > other.index
 }
 
@@ -24,7 +24,7 @@
 }
 
 // request is a Request in progress, with what is chosen for the group's tasks so far.
-type request struct {
+type schedulingRequest struct {
 	partition  *Partition
 	group      *AffinityGroup
 	score      ScoreFunc
@@ -33,9 +33,9 @@
 
 // promises are what the group's tasks before are to take. They are no part of request, so
 // that the maps need not be allocated on the heap.
-type promises struct {
+type plannedAllocations struct {
 	// room is the free room promised on machines.
-	room map[MachineIndex]Resources
+	resources map[MachineIndex]Resources
 	// cells are the cells of others that are promised.
 	cells map[*Cell]bool
 }
@@ -45,67 +45,67 @@
 // the group is Allocated (e0: all cells were Free, or Reserved for groups that it may
 // preempt) or Preempting (e1), or still Pending, in which case nothing has changed.
 func (p *Partition) Schedule(g *AffinityGroup, score ScoreFunc) {
-	r := request{
+	r := schedulingRequest{
 		partition: p, group: g, score: score,
 		placements: make([]placement, 0, len(g.Tasks)),
 	}
-	promised := promises{room: map[MachineIndex]Resources{}, cells: map[*Cell]bool{}}
+	planned := plannedAllocations{resources: map[MachineIndex]Resources{}, cells: map[*Cell]bool{}}
 	for range g.Tasks {
-		if !r.placeTask(&promised) {
+		if !r.placeTask(&planned) {
 			return
 		}
 	}
 	r.overwriteReservations()
-	r.reserve()
-	if g.victims == 0 {
-		p.allocate(g)
+	r.reserveAll()
+	if g.victimCount == 0 {
+		p.allocateGroup(g)
 	}
 }
 
 // placeTask chooses the machine of the group's next task. It reports false if there is
 // none.
-func (r *request) placeTask(promised *promises) bool {
+func (r *schedulingRequest) placeTask(planned *plannedAllocations) bool {
 	size := r.group.TaskSize
-	if machine, found := r.chooseFreeRoom(promised); found {
-		promised.room[machine] = promised.room[machine].Plus(size)
+	if machine, found := r.chooseFreeMachine(planned); found {
+		planned.resources[machine] = planned.resources[machine].Plus(size)
 		r.placements = append(r.placements, placement{machine: machine})
 		return true
 	}
 	if r.group.NoPreemption {
 		return false
 	}
-	chosen, found := r.choosePreemption(promised)
+	chosen, found := r.choosePreemption(planned)
 	if !found {
 		return false
 	}
 	taken := Resources{}
 	for _, victim := range chosen.victims {
-		promised.cells[victim] = true
+		planned.cells[victim] = true
 		taken = taken.Plus(victim.Size)
 	}
-	fromFreeRoom := size.Minus(taken).nonNegative()
-	promised.room[chosen.machine] = promised.room[chosen.machine].Plus(fromFreeRoom)
+	fromFreeRoom := size.Minus(taken).clampToZero()
+	planned.resources[chosen.machine] = planned.resources[chosen.machine].Plus(fromFreeRoom)
 	r.placements = append(r.placements, chosen)
 	return true
 }
 
-// chooseFreeRoom returns the best machine with free room for a task.
-func (r *request) chooseFreeRoom(promised *promises) (machine MachineIndex, found bool) {
+// chooseFreeMachine returns the best machine with free room for a task.
+func (r *schedulingRequest) chooseFreeMachine(planned *plannedAllocations) (machine MachineIndex, found bool) {
 	size := r.group.TaskSize
 	var best scoredMachine
 	for _, machine := range r.partition.machineList {
-		if !machine.known || !machine.free.Contains(size) {
+		if !machine.isRegistered || !machine.freeResources.Contains(size) {
 			continue
 		}
-		free := machine.free
-		if len(promised.room) > 0 {
-			free = free.Minus(promised.room[machine.index])
+		free := machine.freeResources
+		if len(planned.resources) > 0 {
+			free = free.Minus(planned.resources[machine.index])
 			if !free.Contains(size) {
 				continue
 			}
 		}
 		candidate := scoredMachine{machine.index, r.score(machine.index, free)}
-		if candidate.score < 0 || found && candidate.worseThan(best) {
+		if candidate.score < 0 || found && candidate.isWorseThan(best) {
 			continue
 		}
 		best, found = candidate, true
@@ -115,20 +115,20 @@
 
 // choosePreemption returns the machine on which preempting for a task costs least, and the
 // victims there.
-func (r *request) choosePreemption(promised *promises) (chosen placement, found bool) {
+func (r *schedulingRequest) choosePreemption(planned *plannedAllocations) (chosen placement, found bool) {
 	var best scoredMachine
 	bestCost := 0.0
 	for _, machine := range r.partition.machineList {
-		free := machine.free.Minus(promised.room[machine.index])
-		if !machine.known || !r.fitsByPreemption(machine, free, promised) {
+		free := machine.freeResources.Minus(planned.resources[machine.index])
+		if !machine.isRegistered || !r.canFitByPreemption(machine, free, planned) {
 			continue
 		}
-		candidate := scoredMachine{machine.index, r.score(machine.index, machine.free)}
+		candidate := scoredMachine{machine.index, r.score(machine.index, machine.freeResources)}
 		if candidate.score < 0 {
 			continue
 		}
-		victims, cost, enough := r.chooseVictims(machine, free, promised)
-		if !enough || found && (cost > bestCost || cost == bestCost && candidate.worseThan(best)) {
+		victims, cost, enough := r.chooseVictims(machine, free, planned)
+		if !enough || found && (cost > bestCost || cost == bestCost && candidate.isWorseThan(best)) {
 			continue
 		}
 		best, bestCost, found = candidate, cost, true
@@ -139,7 +139,7 @@
 
 // overwriteReservations sends the Preempting groups whose cells are taken back to Pending
 // (e3, e6 and e8 of the cells, e5 of their groups).
-func (r *request) overwriteReservations() {
+func (r *schedulingRequest) overwriteReservations() {
 	for _, chosen := range r.placements {
 		for _, victim := range chosen.victims {
 			if victim.reservedBy != nil {
@@ -150,7 +150,7 @@
 }
 
 // reserve makes the group Preempting on the machines that were chosen.
-func (r *request) reserve() {
+func (r *schedulingRequest) reserveAll() {
 	g := r.group
 	g.State = GroupPreempting
 	g.Machines = g.Machines[:0]
@@ -158,16 +158,16 @@
 		g.Machines = append(g.Machines, chosen.machine)
 	}
 	for _, task := range g.Tasks {
-		r.partition.preempting[task] = g
+		r.partition.preemptingGroups[task] = g
 	}
 	for _, chosen := range r.placements {
-		r.reserveOn(chosen)
+		r.reserveCells(chosen)
 	}
 }
 
-// reserveOn reserves the cells of one task: those of its victims, and a slice of the
+// reserveCells reserves the cells of one task: those of its victims, and a slice of the
 // machine's free room for what these lack (e5).
-func (r *request) reserveOn(chosen placement) {
+func (r *schedulingRequest) reserveCells(chosen placement) {
 	taken := Resources{}
 	for _, victim := range chosen.victims {
 		if victim.State != CellUsed {
@@ -176,11 +176,11 @@
 		victim.reserve(r.group)
 		taken = taken.Plus(victim.Size)
 	}
-	rest := r.group.TaskSize.Minus(taken).nonNegative()
+	rest := r.group.TaskSize.Minus(taken).clampToZero()
 	if rest == (Resources{}) {
 		return
 	}
 	cell := &Cell{Machine: chosen.machine, Size: rest, State: CellReserved, reservedBy: r.group}
 	r.group.cells = append(r.group.cells, cell)
-	r.partition.attach(cell)
+	r.partition.addCell(cell)
 }
--- a/internal/scheduling/schedule_bench_test.go
+++ b/internal/scheduling/schedule_bench_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// fullPartition has machines of 16 CPUs that are all in use by tasks of 2 CPUs and of
+// newBusyPartition has machines of 16 CPUs that are all in use by tasks of 2 CPUs and of
 // priority 1, but for every tenth, which is free.
-func fullPartition(machines int) *Partition {
+func newBusyPartition(machines int) *Partition {
 	partition := NewPartition()
 	nextTask := int32(0)
 	for index := range MachineIndex(machines) {
@@ -20,16 +20,16 @@
 	return partition
 }
 
-// benchmarkRequest has groups of eight tasks of that size and priority request cells in
+// benchmarkSchedule has groups of eight tasks of that size and priority request cells in
 // partitions of several sizes, and undoes each request.
-func benchmarkRequest(b *testing.B, cpus float64, priority int, score ScoreFunc, undo func(*Partition, *AffinityGroup)) {
+func benchmarkSchedule(b *testing.B, cpus float64, priority int, score ScoreFunc, undo func(*Partition, *AffinityGroup)) {
 	tasks := make([]TaskID, 8)
 	for i := range tasks {
 		tasks[i] = TaskID{Group: 1, Number: int32(i)}
 	}
 	for _, machines := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			partition := fullPartition(machines)
+			partition := newBusyPartition(machines)
 			for b.Loop() {
 				group := &AffinityGroup{Tasks: tasks, TaskSize: NewResources(cpus, 0, 1), Claim: Claim{Priority: priority}}
 				partition.Schedule(group, score)
@@ -42,16 +42,16 @@
 	}
 }
 
-func BenchmarkRequestFreeRoom(b *testing.B) {
+func BenchmarkScheduleWithoutPreemption(b *testing.B) {
 	fullestFirst := func(_ MachineIndex, free Resources) float64 { return float64(free.CPU) }
-	benchmarkRequest(b, 2, 1, fullestFirst, func(partition *Partition, group *AffinityGroup) {
+	benchmarkSchedule(b, 2, 1, fullestFirst, func(partition *Partition, group *AffinityGroup) {
 		for _, task := range group.Tasks {
 			partition.Release(task)
 		}
 	})
 }
 
-func BenchmarkRequestPreempting(b *testing.B) {
+func BenchmarkScheduleByPreemption(b *testing.B) {
 	onlyFullMachines := func(index MachineIndex, _ Resources) float64 { return float64(index%10) - 1 }
-	benchmarkRequest(b, 6, 2, onlyFullMachines, (*Partition).CancelReservations)
+	benchmarkSchedule(b, 6, 2, onlyFullMachines, (*Partition).CancelReservations)
 }
--- a/internal/scheduling/schedule_test.go
+++ b/internal/scheduling/schedule_test.go
@@ -6,7 +6,7 @@
 )
 
 // anyMachine rates all machines alike.
-func anyMachine(MachineIndex, Resources) float64 { return 0 }
+func equalScore(MachineIndex, Resources) float64 { return 0 }
 
 // newTestGroup returns a Pending group of tasks with these numbers.
 func newTestGroup(priority int, cpus float64, numbers ...int32) *AffinityGroup {
@@ -35,8 +35,8 @@
 func TestPreemptingGroupWaitsForAllVictims(t *testing.T) {
 	partition := newTestPartition()
 	low, high := newTestGroup(0, 2, 0, 1), newTestGroup(2, 4, 2)
-	partition.Schedule(low, anyMachine)
-	partition.Schedule(high, anyMachine)
+	partition.Schedule(low, equalScore)
+	partition.Schedule(high, equalScore)
 	expectState(t, "lower group", low, GroupAllocated)
 	expectState(t, "higher group", high, GroupPreempting)
 	if cell := partition.Cell(TaskID{Number: 0}); cell.State != CellReserving {
@@ -52,11 +52,11 @@
 }
 
 // Cancelling a preempting group returns the cells to its victims.
-func TestCancelReturnsCells(t *testing.T) {
+func TestCancelReservationsReturnsCells(t *testing.T) {
 	partition := newTestPartition()
-	partition.Schedule(newTestGroup(0, 3, 0), anyMachine)
+	partition.Schedule(newTestGroup(0, 3, 0), equalScore)
 	high := newTestGroup(2, 4, 1)
-	partition.Schedule(high, anyMachine)
+	partition.Schedule(high, equalScore)
 	partition.CancelReservations(high)
 	expectState(t, "cancelled group", high, GroupPending)
 	if cell := partition.Cell(TaskID{Number: 0}); cell.State != CellUsed {
@@ -71,22 +71,22 @@
 // One of equal priority doesn't.
 func TestHigherGroupOverwritesReservation(t *testing.T) {
 	partition := newTestPartition()
-	partition.Schedule(newTestGroup(0, 4, 0), anyMachine)
+	partition.Schedule(newTestGroup(0, 4, 0), equalScore)
 	middle, highest, equal := newTestGroup(1, 4, 1), newTestGroup(3, 4, 2), newTestGroup(3, 4, 3)
-	partition.Schedule(middle, anyMachine)
-	partition.Schedule(highest, anyMachine)
+	partition.Schedule(middle, equalScore)
+	partition.Schedule(highest, equalScore)
 	expectState(t, "overwritten group", middle, GroupPending)
 	expectState(t, "highest group", highest, GroupPreempting)
 	if partition.Release(TaskID{Number: 0}) != highest {
 		t.Fatal("expected the cell to be allocated to the highest group")
 	}
-	partition.Schedule(equal, anyMachine)
+	partition.Schedule(equal, equalScore)
 	expectState(t, "group of equal priority", equal, GroupPending)
 }
 
 // Of the cells that may be preempted, those of the lowest weight are, then larger ones,
 // then those allocated last. Machines are compared by what that costs.
-func TestChoiceOfVictims(t *testing.T) {
+func TestVictimSelection(t *testing.T) {
 	type running struct {
 		task    int32
 		machine MachineIndex
@@ -113,7 +113,7 @@
 				partition.ApplyBinding(TaskID{Number: r.task}, r.machine, NewResources(r.cpus, 0, 1), r.claim)
 			}
 			preemptor := newTestGroup(3, row.cpus, 100)
-			partition.Schedule(preemptor, anyMachine)
+			partition.Schedule(preemptor, equalScore)
 			expectState(t, "preempting group", preemptor, GroupPreempting)
 			if cell := partition.Cell(TaskID{Number: row.expected}); cell.State != CellReserving {
 				t.Errorf("cell of task %d: expected %v, got %v", row.expected, CellReserving, cell.State)
@@ -129,7 +129,7 @@
 		partition.SetMachine(index, NewResources(4, 0, 8))
 	}
 	group := newTestGroup(0, 4, 0, 1, 2)
-	partition.Schedule(group, anyMachine)
+	partition.Schedule(group, equalScore)
 	if expected := []MachineIndex{0, 1, 2}; !slices.Equal(group.Machines, expected) {
 		t.Errorf("expected machines %v, got %v", expected, group.Machines)
 	}
--- a/internal/scheduling/victims.go
+++ b/internal/scheduling/victims.go
@@ -14,26 +14,26 @@
 // more than one of the same priority that is not. Reserved cells stop nobody and weigh
 // nothing.
 const (
-	weightOfReserved  = 0
-	weightOfUsed      = 1
+	reservedWeight    = 0
+	usedWeight        = 1
 	weightPerPriority = 2
 )
 
 // victimWeight orders cells by how much is lost if they are preempted.
 func victimWeight(cell *Cell) float64 {
 	if cell.State == CellReserved {
-		return weightOfReserved
+		return reservedWeight
 	}
-	weight := float64(weightOfUsed + weightPerPriority*cell.userClaim.Priority)
-	if cell.userClaim.Guaranteed {
+	weight := float64(usedWeight + weightPerPriority*cell.claim.Priority)
+	if cell.claim.Guaranteed {
 		weight++
 	}
 	return weight
 }
 
-// betterVictim reports whether cell a is preempted before b: the lower weight first, then
+// isBetterVictim reports whether cell a is preempted before b: the lower weight first, then
 // the larger cell, then the one allocated later, whose task has the least to lose.
-func betterVictim(a, b *Cell) bool {
+func isBetterVictim(a, b *Cell) bool {
 	if weightA, weightB := victimWeight(a), victimWeight(b); weightA != weightB {
 		return weightA < weightB
 	}
@@ -43,23 +43,23 @@
 	return a.sequence > b.sequence
 }
 
-// mayTake reports whether the group may preempt a cell: its user and the group that has
+// canTake reports whether the group may preempt a cell: its user and the group that has
 // reserved it, as far as there are any, and the cell is not promised to a task before.
-func (g *AffinityGroup) mayTake(cell *Cell, promised *promises) bool {
+func (g *AffinityGroup) canTake(cell *Cell, planned *plannedAllocations) bool {
 	return (cell.reservedBy == nil || g.Claim.CanPreempt(cell.reservedBy.Claim)) &&
-		(cell.State == CellReserved || g.Claim.CanPreempt(cell.userClaim)) &&
-		!promised.cells[cell]
+		(cell.State == CellReserved || g.Claim.CanPreempt(cell.claim)) &&
+		!planned.cells[cell]
 }
 
-// fitsByPreemption reports whether a task fits on a machine if all cells are preempted
+// canFitByPreemption reports whether a task fits on a machine if all cells are preempted
 // that may be. Most machines fail it and need no closer look.
-func (r *request) fitsByPreemption(machine *partitionMachine, free Resources, promised *promises) bool {
+func (r *schedulingRequest) canFitByPreemption(machine *partitionMachine, free Resources, planned *plannedAllocations) bool {
 	size := r.group.TaskSize
 	if !machine.size.Contains(size) {
 		return false
 	}
 	for _, cell := range machine.cells {
-		if !r.group.mayTake(cell, promised) {
+		if !r.group.canTake(cell, planned) {
 			continue
 		}
 		free = free.Plus(cell.Size)
@@ -72,12 +72,12 @@
 
 // chooseVictims chooses the cells of a machine that one task is to take beside what is
 // free there, and tells their cost. It reports false if there are not enough.
-func (r *request) chooseVictims(
-	machine *partitionMachine, free Resources, promised *promises,
+func (r *schedulingRequest) chooseVictims(
+	machine *partitionMachine, free Resources, planned *plannedAllocations,
 ) (victims []*Cell, cost float64, enough bool) {
 	var candidates []*Cell
 	for _, cell := range machine.cells {
-		if r.group.mayTake(cell, promised) {
+		if r.group.canTake(cell, planned) {
 			candidates = append(candidates, cell)
 		}
 	}
@@ -87,7 +87,7 @@
 		}
 		best := 0
 		for i, cell := range candidates {
-			if betterVictim(cell, candidates[best]) {
+			if isBetterVictim(cell, candidates[best]) {
 				best = i
 			}
 		}
@@ -95,23 +95,23 @@
 		candidates = append(candidates[:best], candidates[best+1:]...)
 		victims = append(victims, victim)
 		free = free.Plus(victim.Size)
-		cost += victimCost + weightCost*victimWeight(victim) + r.partition.lostWork(victim)
+		cost += victimCost + weightCost*victimWeight(victim) + r.partition.lostWorkCost(victim)
 	}
 	return victims, cost, true
 }
 
-// lostWorkSteps is how many steps lostWork has: few, so that among similar victims the
+// lostWorkSteps is how many steps lostWorkCost has: few, so that among similar victims the
 // better machine is chosen.
 const lostWorkSteps = 4
 
-// lostWork estimates how much is lost by preempting a cell, compared with others of its
+// lostWorkCost estimates how much is lost by preempting a cell, compared with others of its
 // weight: it is less than the cost of one more victim. Cells that were allocated before
 // most others have run longest, and many of their tasks are about to end.
-func (p *Partition) lostWork(cell *Cell) float64 {
+func (p *Partition) lostWorkCost(cell *Cell) float64 {
 	if cell.State == CellReserved {
 		return 0
 	}
 	// A cell's age, counted in allocations since, beside twice the number of used cells.
-	age := float64(p.lastSequence-cell.sequence) / float64(2*len(p.usedCells)+1)
+	age := float64(p.lastSequence-cell.sequence) / float64(2*len(p.cellByTask)+1)
 	return min(math.Floor(age*lostWorkSteps), lostWorkSteps-1) / (2 * lostWorkSteps)
 }
