--- a/internal/scheduling/cell.go
+++ b/internal/scheduling/cell.go
@@ -1,49 +1,57 @@
 package scheduling
 
-// CellState is a state of the paper's cell state machine.
+// CellState is a state of the cell state machine of the paper that the package comment
+// names.
 type CellState uint8
 
-// The states of a cell. A Free cell has no Cell: it is part of its machine's free room.
+// The states of a cell. No Cell is in state Free: the free part of a machine is represented by
+// its free resources.
 const (
-	// Free cells are associated with no group.
+	// CellFree means that no group holds or has reserved the cell.
 	CellFree CellState = iota
-	// Used cells are held by a task of an Allocated or GroupBeingPreempted group.
+	// CellUsed means that a task of an Allocated or BeingPreempted group holds the cell.
 	CellUsed
-	// Reserved cells are associated with a Preempting group alone.
+	// CellReserved means that only a Preempting group is associated with the cell: no task
+	// holds it.
 	CellReserved
-	// Reserving cells are still held by the victim of a Preempting group.
+	// CellReserving means that a Preempting group has reserved the cell and its victim, a
+	// task of another group, still holds it.
 	CellReserving
 )
 
 func (s CellState) String() string { return [...]string{"Free", "Used", "Reserved", "Reserving"}[s] }
 
-// Cell is a claimed slice of a machine.
+// Cell is an allocated or reserved slice of a machine.
 type Cell struct {
 	Machine MachineIndex
 	Size    Resources
 	State   CellState
-	// User holds the cell while it is Used or Reserving.
-	Task  TaskID
+	// Task holds the cell while its state is Used or Reserving. In other states the field has
+	// no meaning.
+	Task TaskID
+	// claim is the claim of Task.
 	claim Claim
-	// sequence orders cells by when they were allocated: later ones have larger numbers.
+	// sequence orders cells by their time of allocation: cells allocated later have larger
+	// numbers. It is zero for cells that were reserved from free resources.
 	sequence int64
-	// reservedBy is the Preempting group while the cell is Reserved or Reserving.
+	// reservedBy is the Preempting group while the state is Reserved or Reserving, else nil.
 	reservedBy *AffinityGroup
 }
 
-// reserve turns a Used cell into a Reserving one (e2): its user is a victim of the group.
+// reserve turns a Used cell into a Reserving one (e2): its task becomes a victim of the
+// group.
 func (c *Cell) reserve(g *AffinityGroup) {
 	c.State, c.reservedBy = CellReserving, g
 	g.cells = append(g.cells, c)
 	g.victimCount++
 }
 
-// returnToVictim turns a Reserving cell into a Used one (e4): its user is no victim any more.
+// returnToVictim turns a Reserving cell into a Used one (e4): its task is no longer a victim.
 func (c *Cell) returnToVictim() {
 	c.State, c.reservedBy = CellUsed, nil
 }
 
-// vacate turns a Reserving cell, whose user has ended, into a Reserved one (e9).
+// completeReservation turns a Reserving cell whose task has ended into a Reserved one (e9).
 func (c *Cell) completeReservation() {
 	c.State = CellReserved
 	c.reservedBy.victimCount--
--- a/internal/scheduling/claim_test.go
+++ b/internal/scheduling/claim_test.go
@@ -19,7 +19,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			if got := row.claim.CanPreempt(row.victim); got != row.expected {
-				t.Errorf("%+v, victim %+v: expected %v, got %v", row.claim, row.victim, row.expected, got)
+				t.Errorf("%+v can preempt %+v: expected %v, got %v", row.claim, row.victim, row.expected, got)
 			}
 		})
 	}
--- a/internal/scheduling/invariants_test.go
+++ b/internal/scheduling/invariants_test.go
@@ -6,7 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// partitionModel drives a partition with random events.
+// partitionModel applies random events to a partition. rapid calls its exported methods in
+// random order.
 type partitionModel struct {
 	partition    *Partition
 	machineCount int
@@ -14,7 +15,7 @@
 	groups       []*AffinityGroup
 }
 
-// testMachineSize is the size of all machines of generated partitions.
+// testMachineSize is the size of all machines in generated partitions.
 var testMachineSize = NewResources(8, 0, 16)
 
 func newPartitionModel(t *rapid.T) *partitionModel {
@@ -28,7 +29,7 @@
 	return model
 }
 
-// runningTasks lists the tasks that use a cell, in order.
+// runningTasks returns the tasks that hold a cell, in the order of their numbers.
 func (m *partitionModel) runningTasks() []TaskID {
 	var running []TaskID
 	for number := range m.nextTask {
@@ -40,7 +41,7 @@
 	return running
 }
 
-// Request has a new group ask for cells.
+// ScheduleGroup adds a group and schedules it.
 func (m *partitionModel) ScheduleGroup(t *rapid.T) {
 	group := &AffinityGroup{
 		TaskSize: NewResources(float64(rapid.IntRange(1, 5).Draw(t, "cpus")), 0, 1),
@@ -63,11 +64,11 @@
 		}
 	}
 	if started != 0 && started != len(group.Tasks) {
-		t.Fatalf("expected all %d tasks of a gang to use cells or none, got %d", len(group.Tasks), started)
+		t.Fatalf("expected all %d tasks of a gang or none to hold cells, got %d", len(group.Tasks), started)
 	}
 }
 
-// Release ends a running task.
+// ReleaseTask releases the cell of a random running task.
 func (m *partitionModel) ReleaseTask(t *rapid.T) {
 	running := m.runningTasks()
 	if len(running) == 0 {
@@ -79,14 +80,14 @@
 	}
 }
 
-// Cancel cancels the reservations of a group, if it has any.
+// CancelReservations cancels the reservations of a random group, which may have none.
 func (m *partitionModel) CancelReservations(t *rapid.T) {
 	if len(m.groups) > 0 {
 		m.partition.CancelReservations(rapid.SampledFrom(m.groups).Draw(t, "group"))
 	}
 }
 
-// LoseMachine ends all tasks of a machine and replaces it by an empty one.
+// LoseMachine releases all tasks of a random machine and replaces it with an empty one.
 func (m *partitionModel) LoseMachine(t *rapid.T) {
 	index := MachineIndex(rapid.IntRange(0, m.machineCount-1).Draw(t, "machine"))
 	for _, task := range m.runningTasks() {
@@ -98,21 +99,21 @@
 	m.partition.SetMachine(index, testMachineSize)
 }
 
-// Check is called by rapid after every event.
+// Check verifies the invariants. rapid calls it after every event.
 func (m *partitionModel) Check(t *rapid.T) {
 	if err := m.partition.CheckInvariants(); err != nil {
 		t.Fatal(err)
 	}
 	for index, machine := range m.partition.machines {
 		if !machine.freeResources.Contains(Resources{}) {
-			t.Fatalf("machine %d: expected free room of zero or more, got %v", index, machine.freeResources)
+			t.Fatalf("machine %d: expected no negative free resources, got %v", index, machine.freeResources)
 		}
 	}
 }
 
-// Any order of requests, ends of tasks, cancellations and lost machines keeps the
-// invariants: no cell is owned twice, no machine is over-committed, and cells are reserved
-// only by claims that may preempt their users.
+// The invariants hold after any sequence of scheduled groups, ends of tasks, cancellations
+// and lost machines: no cell is owned twice, no machine is overcommitted, and cells are
+// reserved only by claims that may preempt the claims of their tasks.
 func TestInvariantsHoldAfterRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		t.Repeat(rapid.StateMachineActions(newPartitionModel(t)))
--- a/internal/scheduling/partition.go
+++ b/internal/scheduling/partition.go
@@ -2,28 +2,30 @@
 
 import "fmt"
 
-// partitionMachine is a machine of a partition with the cells carved out of it.
+// partitionMachine is a machine of a partition, with its allocated and reserved cells.
 type partitionMachine struct {
 	index MachineIndex
-	// position in Partition.machineList.
+	// position is the machine's index in Partition.machineList.
 	position int
-	// size is zero, and free is negative, while the machine is not known: its bindings
-	// may be adopted before it reports.
+	// size and freeResources are the machine's total and its unallocated resources. Until the
+	// machine is registered, size is zero and freeResources is negative if it has cells.
 	size, freeResources Resources
-	isRegistered        bool
-	cells               []*Cell
+	// isRegistered is set by SetMachine. Bindings may be applied to a machine earlier, before
+	// its first report; nothing new is placed on it until then.
+	isRegistered bool
+	cells        []*Cell
 }
 
-// Partition holds the cells of one partition's machines.
+// Partition holds the machines of one partition with their cells, and the Preempting groups.
 type Partition struct {
 	machines map[MachineIndex]*partitionMachine
-	// machineList has the same machines, to be scanned by requests.
+	// machineList holds the same machines as a slice, which Schedule scans.
 	machineList []*partitionMachine
-	// cellByTask has the cell of each task whose cell is Used or Reserving.
+	// cellByTask holds the Used or Reserving cell of each task that has one.
 	cellByTask map[TaskID]*Cell
-	// preempting has the group of each task whose group is Preempting.
+	// preemptingGroups maps each task of a Preempting group to its group.
 	preemptingGroups map[TaskID]*AffinityGroup
-	// lastSequence is the sequence number of the cell allocated last.
+	// lastSequence is the sequence number of the most recently allocated cell.
 	lastSequence int64
 }
 
@@ -36,14 +38,15 @@
 	}
 }
 
-// SetMachine adds a machine to the partition, or changes its size.
+// SetMachine adds a machine to the partition, or changes its size. Its cells stay.
 func (p *Partition) SetMachine(index MachineIndex, size Resources) {
 	machine := p.getOrAddMachine(index)
 	machine.freeResources = machine.freeResources.Plus(size.Minus(machine.size))
 	machine.size, machine.isRegistered = size, true
 }
 
-// machine returns the machine of that index, which is added if it is missing.
+// getOrAddMachine returns the machine with an index. It adds an unregistered machine if there
+// is none.
 func (p *Partition) getOrAddMachine(index MachineIndex) *partitionMachine {
 	machine := p.machines[index]
 	if machine == nil {
@@ -54,8 +57,8 @@
 	return machine
 }
 
-// RemoveMachine cancels the reservations on a machine and removes it, unless a task still
-// uses a cell of it.
+// RemoveMachine cancels all reservations on a machine and removes it, unless a task still
+// holds a cell on it.
 func (p *Partition) RemoveMachine(index MachineIndex) {
 	machine := p.machines[index]
 	if machine == nil {
@@ -77,7 +80,7 @@
 	p.machineList = p.machineList[:last]
 }
 
-// FreeResources returns what is free on a machine.
+// FreeResources returns the free resources of a machine, zero if the partition doesn't have it.
 func (p *Partition) FreeResources(index MachineIndex) Resources {
 	if machine := p.machines[index]; machine != nil {
 		return machine.freeResources
@@ -85,10 +88,10 @@
 	return Resources{}
 }
 
-// Cell returns the cell that a task uses, or nil.
+// Cell returns the Used or Reserving cell of a task, or nil if the task has none.
 func (p *Partition) Cell(task TaskID) *Cell { return p.cellByTask[task] }
 
-// AllocatedTasks lists the tasks that use a cell, in no particular order.
+// AllocatedTasks returns the tasks that hold a Used or Reserving cell, in no particular order.
 func (p *Partition) AllocatedTasks() []TaskID {
 	tasks := make([]TaskID, 0, len(p.cellByTask))
 	for task := range p.cellByTask {
@@ -97,12 +100,13 @@
 	return tasks
 }
 
-// PreemptingGroup returns the Preempting group of a task, or nil.
+// PreemptingGroup returns the Preempting group that a task belongs to, or nil.
 func (p *Partition) PreemptingGroup(task TaskID) *AffinityGroup { return p.preemptingGroups[task] }
 
-// ApplyBinding makes a stored binding's cell Used. It rebuilds the cells from the persistent
-// states after a failover: a cell that the task uses elsewhere is released, and a
-// reservation of its group is cancelled.
+// ApplyBinding allocates a Used cell for a stored binding. After a failover, the cells are
+// rebuilt this way from the persistent state. It releases a cell that the task holds on
+// another machine, and cancels the reservations of the task's group. It does nothing if the
+// task already holds a cell on the machine.
 func (p *Partition) ApplyBinding(task TaskID, index MachineIndex, size Resources, claim Claim) {
 	if cell := p.cellByTask[task]; cell != nil {
 		if cell.Machine == index {
@@ -116,9 +120,9 @@
 	p.allocateCell(task, index, size, claim)
 }
 
-// Release ends a task's use of its cell, once it is proven that the task has ended. A
-// Used cell becomes Free (e1), a Reserving one Reserved (e9). If it was the last one that a
-// group waited for, the group is Allocated and returned.
+// Release releases the cell of a task that is proven to have ended. A Used cell becomes Free
+// (e1), a Reserving one becomes Reserved (e9). If a Preempting group was waiting only for this
+// cell, Release allocates the group and returns it; else it returns nil.
 func (p *Partition) Release(task TaskID) *AffinityGroup {
 	cell := p.cellByTask[task]
 	if cell == nil {
@@ -138,9 +142,9 @@
 	return group
 }
 
-// CancelReservations ends the reservations of a Preempting group, which is Pending again (e5, e7 of
-// the group): Reserving cells are returned to their victims (e4), Reserved ones are Free
-// (e7). It does nothing to a group in another state.
+// CancelReservations cancels the reservations of a Preempting group, which becomes Pending (e5
+// and e7 of the group): Reserving cells return to their victims (e4), Reserved ones become
+// Free (e7). It does nothing if the group is in another state.
 func (p *Partition) CancelReservations(g *AffinityGroup) {
 	if g.State != GroupPreempting {
 		return
@@ -159,9 +163,9 @@
 	}
 }
 
-// allocate turns a Preempting group, all of whose cells are Reserved, into an Allocated
-// one (e2 of the group, e8 of its cells). Its reserved slices become one Used cell for
-// each task; what its victims held beyond that is Free.
+// allocateGroup turns a Preempting group whose cells are all Reserved into an Allocated one
+// (e2 of the group, e8 of its cells). It replaces the reserved cells with one Used cell for
+// each task. What the victims held beyond that becomes Free.
 func (p *Partition) allocateGroup(g *AffinityGroup) {
 	for _, cell := range g.cells {
 		p.removeCell(cell)
@@ -174,7 +178,7 @@
 	}
 }
 
-// use carves a Used cell for a task out of a machine's free room (e0).
+// allocateCell allocates a Used cell for a task from a machine's free resources (e0).
 func (p *Partition) allocateCell(task TaskID, index MachineIndex, size Resources, claim Claim) {
 	p.lastSequence++
 	cell := &Cell{
@@ -185,14 +189,14 @@
 	p.addCell(cell)
 }
 
-// attach takes a cell out of its machine's free room.
+// addCell adds a cell to its machine and subtracts it from the free resources.
 func (p *Partition) addCell(cell *Cell) {
 	machine := p.getOrAddMachine(cell.Machine)
 	machine.cells = append(machine.cells, cell)
 	machine.freeResources = machine.freeResources.Minus(cell.Size)
 }
 
-// detach returns a cell to its machine's free room.
+// removeCell removes a cell from its machine and adds it to the free resources.
 func (p *Partition) removeCell(cell *Cell) {
 	machine := p.machines[cell.Machine]
 	for i, other := range machine.cells {
@@ -202,5 +206,5 @@
 			return
 		}
 	}
-	panic(fmt.Sprintf("scheduling: machine %d lacks a cell that is claimed on it", cell.Machine))
+	panic(fmt.Sprintf("scheduling: cell to remove is not among the cells of machine %d", cell.Machine))
 }
--- a/internal/scheduling/partition_test.go
+++ b/internal/scheduling/partition_test.go
@@ -6,16 +6,17 @@
 	"pgregory.net/rapid"
 )
 
+// rebuiltMachineCount is the number of machines in the partitions that are rebuilt.
 const rebuiltMachineCount = MachineIndex(3)
 
-// storedBinding is what a controller stores of an allocated task.
+// storedBinding holds what a controller stores of an allocated task.
 type storedBinding struct {
 	machine MachineIndex
 	size    Resources
 	claim   Claim
 }
 
-// drawPartition has random groups request cells, and some of their tasks end.
+// drawPartition schedules random groups and releases some of their tasks.
 func drawPartition(t *rapid.T) (*Partition, []*AffinityGroup) {
 	partition := NewPartition()
 	for index := range rebuiltMachineCount {
@@ -37,7 +38,7 @@
 	return partition, groups
 }
 
-// storedBindings returns the bindings of the allocated groups' tasks that run.
+// storedBindings returns the bindings of the running tasks of Allocated groups.
 func storedBindings(partition *Partition, groups []*AffinityGroup) map[TaskID]storedBinding {
 	stored := map[TaskID]storedBinding{}
 	for _, group := range groups {
@@ -50,8 +51,8 @@
 	return stored
 }
 
-// The persistent states suffice after a failover: cells rebuilt from the stored bindings
-// alone are those from before, but for reservations, which are volatile.
+// After a failover, the persistent states are sufficient: the cells rebuilt from the stored
+// bindings alone equal the former ones, except for reservations, which are volatile.
 func TestRebuildFromBindings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, groups := drawPartition(t)
@@ -66,14 +67,14 @@
 			t.Fatal(err)
 		}
 		if len(rebuilt.AllocatedTasks()) != len(before.AllocatedTasks()) {
-			t.Fatalf("expected %d used cells, got %d", len(before.AllocatedTasks()), len(rebuilt.AllocatedTasks()))
+			t.Fatalf("expected %d allocated tasks, got %d", len(before.AllocatedTasks()), len(rebuilt.AllocatedTasks()))
 		}
 		for _, group := range groups {
-			before.CancelReservations(group) // Preempting groups are Pending after a failure (ec)
+			before.CancelReservations(group) // Preempting groups become Pending after a failover (ec)
 		}
 		for index := range rebuiltMachineCount {
 			if rebuilt.FreeResources(index) != before.FreeResources(index) {
-				t.Fatalf("machine %d: expected %v to be free, got %v", index, before.FreeResources(index), rebuilt.FreeResources(index))
+				t.Fatalf("machine %d: expected free resources %v, got %v", index, before.FreeResources(index), rebuilt.FreeResources(index))
 			}
 		}
 	})
--- a/internal/scheduling/resources.go
+++ b/internal/scheduling/resources.go
@@ -1,12 +1,12 @@
 package scheduling
 
-// thousandths is how many units of a Resources field make one CPU, one GPU or one GB.
+// thousandthsPerUnit is the number that one CPU, one GPU or one GB has in a Resources field.
 const thousandthsPerUnit = 1000
 
-// Resources is an amount of each resource, in thousandths of a CPU, a GPU and a GB.
+// Resources holds an amount of each resource, in thousandths of a CPU, of a GPU and of a GB.
 type Resources struct{ CPU, GPU, RAM int64 }
 
-// NewResources converts whole and fractional amounts, rounding to thousandths.
+// NewResources converts numbers of CPUs, GPUs and GB, rounded to the nearest thousandth.
 func NewResources(cpu, gpu, ram float64) Resources {
 	return Resources{toThousandths(cpu), toThousandths(gpu), toThousandths(ram)}
 }
@@ -16,27 +16,28 @@
 	return int64(amount*thousandthsPerUnit + roundToNearest)
 }
 
-// Plus returns the sum of a and b.
+// Plus returns a plus b.
 func (a Resources) Plus(b Resources) Resources {
 	return Resources{a.CPU + b.CPU, a.GPU + b.GPU, a.RAM + b.RAM}
 }
 
-// Minus returns a less b; fields may become negative.
+// Minus returns a minus b. Fields of the result may be negative.
 func (a Resources) Minus(b Resources) Resources {
 	return Resources{a.CPU - b.CPU, a.GPU - b.GPU, a.RAM - b.RAM}
 }
 
-// Times returns n times a.
+// Times returns a multiplied by n.
 func (a Resources) Times(n int) Resources {
 	return Resources{a.CPU * int64(n), a.GPU * int64(n), a.RAM * int64(n)}
 }
 
-// Contains reports whether b fits into a.
+// Contains reports whether a has at least as much of each resource as b.
 func (a Resources) Contains(b Resources) bool {
 	return a.CPU >= b.CPU && a.GPU >= b.GPU && a.RAM >= b.RAM
 }
 
-// CountFitting returns how many pieces of the given size fit into a, at most limit.
+// CountFitting returns how many pieces of a size fit into a, at most limit. It returns zero if
+// a field of a is negative. A resource of which size is zero doesn't restrict the count.
 func (a Resources) CountFitting(size Resources, limit int) int {
 	if a.CPU < 0 || a.GPU < 0 || a.RAM < 0 {
 		return 0
@@ -48,7 +49,8 @@
 	return int(count)
 }
 
-// limitByAmount returns count, or how often size fits into amount if that is less.
+// limitByAmount returns the lesser of count and the number of times that size fits into amount.
+// A size of zero doesn't restrict count.
 func limitByAmount(count, amount, size int64) int64 {
 	if size <= 0 {
 		return count
@@ -56,7 +58,7 @@
 	return min(count, amount/size)
 }
 
-// clampToZero returns a with zero in place of its negative fields.
+// clampToZero returns a with its negative fields set to zero.
 func (a Resources) clampToZero() Resources {
 	return Resources{max(a.CPU, 0), max(a.GPU, 0), max(a.RAM, 0)}
 }
--- a/internal/scheduling/resources_test.go
+++ b/internal/scheduling/resources_test.go
@@ -9,16 +9,16 @@
 		limit        int
 		expected     int
 	}{
-		{"the scarcest resource decides", NewResources(8, 2, 64), NewResources(2, 1, 1), 10, 2},
+		{"the scarcest resource limits", NewResources(8, 2, 64), NewResources(2, 1, 1), 10, 2},
 		{"at most the limit", NewResources(8, 0, 64), NewResources(1, 0, 1), 3, 3},
-		{"what is not asked for doesn't count", NewResources(8, 0, 0), NewResources(2, 0, 0), 10, 4},
-		{"nothing asked for", NewResources(8, 0, 0), Resources{}, 10, 10},
+		{"a resource of which the size is zero doesn't limit", NewResources(8, 0, 0), NewResources(2, 0, 0), 10, 4},
+		{"size of zero", NewResources(8, 0, 0), Resources{}, 10, 10},
 		{"fractions", NewResources(1, 0, 0), NewResources(0.3, 0, 0), 10, 3},
-		{"over-committed", Resources{CPU: 4000, RAM: -1}, NewResources(1, 0, 0), 10, 0},
+		{"overcommitted", Resources{CPU: 4000, RAM: -1}, NewResources(1, 0, 0), 10, 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			if got := row.amount.CountFitting(row.size, row.limit); got != row.expected {
-				t.Errorf("expected %d, got %d", row.expected, got)
+				t.Errorf("expected %d pieces to fit, got %d", row.expected, got)
 			}
 		})
 	}
--- a/internal/scheduling/schedule.go
+++ b/internal/scheduling/schedule.go
@@ -1,29 +1,31 @@
 package scheduling
 
-// ScoreFunc rates a machine, of which that much is free, for a task of a group: lower is
-// better, negative means that the task must not be placed there.
+// ScoreFunc returns the score of a machine with the given free resources for a task of the
+// group to schedule. Lower scores are better. A negative score means that the task must not
+// be placed on the machine.
 type ScoreFunc func(machine MachineIndex, free Resources) float64
 
-// scoredMachine is a machine with its rating for a group's task.
+// scoredMachine is a machine with its score for a task of the group.
 type scoredMachine struct {
 	index MachineIndex
 	score float64
 }
 
-// isWorseThan orders machines by score; of equal ones the lower index is preferred, so that
-// choices are repeatable.
+// isWorseThan reports whether m has a higher score than other, or the same score and a higher
+// index. The index makes choices repeatable.
 func (m scoredMachine) isWorseThan(other scoredMachine) bool {
 	return m.score > other.score || m.score == other.score && m.index > other.index
 }
 
-// placement is what is chosen for one task: a machine, and the cells of others that the
-// task is to take there. Without victims it takes free room.
+// placement is the choice for one task: its machine, and the cells of other groups that the
+// task takes there. Without victims, the task takes free resources only.
 type placement struct {
 	machine MachineIndex
 	victims []*Cell
 }
 
-// request is a Request in progress, with what is chosen for the group's tasks so far.
+// schedulingRequest holds the arguments of one call of Schedule, and the placements chosen so
+// far, in the order of the group's tasks.
 type schedulingRequest struct {
 	partition  *Partition
 	group      *AffinityGroup
@@ -31,19 +33,20 @@
 	placements []placement
 }
 
-// promises are what the group's tasks before are to take. They are no part of request, so
-// that the maps need not be allocated on the heap.
+// plannedAllocations holds what the placements chosen so far will take. It is not part of
+// schedulingRequest so that the maps need not be allocated on the heap.
 type plannedAllocations struct {
-	// room is the free room promised on machines.
+	// resources holds the free resources that will be taken on each machine.
 	resources map[MachineIndex]Resources
-	// cells are the cells of others that are promised.
+	// cells holds the cells of other groups that will be taken.
 	cells map[*Cell]bool
 }
 
-// Schedule asks for cells for all tasks of a Pending group. Free room is preferred; a task
-// that finds none takes the cells of the fewest victims of the lowest weight. Afterwards
-// the group is Allocated (e0: all cells were Free, or Reserved for groups that it may
-// preempt) or Preempting (e1), or still Pending, in which case nothing has changed.
+// Schedule chooses cells for all tasks of a Pending group. It prefers free resources; a task
+// that finds none takes the cells of the fewest victims of the lowest weight. Afterwards the
+// group is Allocated (e0: all cells were Free, or Reserved for groups that it may preempt),
+// Preempting (e1), or still Pending if not all tasks can be placed. In the last case nothing
+// has changed.
 func (p *Partition) Schedule(g *AffinityGroup, score ScoreFunc) {
 	r := schedulingRequest{
 		partition: p, group: g, score: score,
@@ -62,8 +65,7 @@
 	}
 }
 
-// placeTask chooses the machine of the group's next task. It reports false if there is
-// none.
+// placeTask chooses the machine of the group's next task. It reports whether there is one.
 func (r *schedulingRequest) placeTask(planned *plannedAllocations) bool {
 	size := r.group.TaskSize
 	if machine, found := r.chooseFreeMachine(planned); found {
@@ -83,13 +85,14 @@
 		planned.cells[victim] = true
 		taken = taken.Plus(victim.Size)
 	}
-	fromFreeRoom := size.Minus(taken).clampToZero()
-	planned.resources[chosen.machine] = planned.resources[chosen.machine].Plus(fromFreeRoom)
+	fromFreeResources := size.Minus(taken).clampToZero()
+	planned.resources[chosen.machine] = planned.resources[chosen.machine].Plus(fromFreeResources)
 	r.placements = append(r.placements, chosen)
 	return true
 }
 
-// chooseFreeMachine returns the best machine with free room for a task.
+// chooseFreeMachine returns the machine with the best score among those with enough free
+// resources for a task.
 func (r *schedulingRequest) chooseFreeMachine(planned *plannedAllocations) (machine MachineIndex, found bool) {
 	size := r.group.TaskSize
 	var best scoredMachine
@@ -113,8 +116,8 @@
 	return best.index, found
 }
 
-// choosePreemption returns the machine on which preempting for a task costs least, and the
-// victims there.
+// choosePreemption returns the machine on which preemption for a task has the lowest cost, and
+// the victims there. Among equal costs the score decides.
 func (r *schedulingRequest) choosePreemption(planned *plannedAllocations) (chosen placement, found bool) {
 	var best scoredMachine
 	bestCost := 0.0
@@ -137,7 +140,7 @@
 	return chosen, found
 }
 
-// overwriteReservations sends the Preempting groups whose cells are taken back to Pending
+// overwriteReservations returns the Preempting groups whose reserved cells are taken to Pending
 // (e3, e6 and e8 of the cells, e5 of their groups).
 func (r *schedulingRequest) overwriteReservations() {
 	for _, chosen := range r.placements {
@@ -149,7 +152,7 @@
 	}
 }
 
-// reserve makes the group Preempting on the machines that were chosen.
+// reserveAll makes the group Preempting and reserves the cells of all placements.
 func (r *schedulingRequest) reserveAll() {
 	g := r.group
 	g.State = GroupPreempting
@@ -165,13 +168,13 @@
 	}
 }
 
-// reserveCells reserves the cells of one task: those of its victims, and a slice of the
-// machine's free room for what these lack (e5).
+// reserveCells reserves the cells of one placement: those of its victims, and for the
+// remainder of the task's size a slice of the machine's free resources (e5).
 func (r *schedulingRequest) reserveCells(chosen placement) {
 	taken := Resources{}
 	for _, victim := range chosen.victims {
 		if victim.State != CellUsed {
-			continue // it was Reserved, and is Free since its group was cancelled
+			continue // it was Reserved and became Free when its group was cancelled
 		}
 		victim.reserve(r.group)
 		taken = taken.Plus(victim.Size)
--- a/internal/scheduling/schedule_bench_test.go
+++ b/internal/scheduling/schedule_bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// newBusyPartition has machines of 16 CPUs that are all in use by tasks of 2 CPUs and of
-// priority 1, but for every tenth, which is free.
+// newBusyPartition returns a partition of machines with 16 CPUs. Tasks of 2 CPUs and priority 1
+// use all CPUs, except on every tenth machine, which is free.
 func newBusyPartition(machines int) *Partition {
 	partition := NewPartition()
 	nextTask := int32(0)
@@ -20,8 +20,8 @@
 	return partition
 }
 
-// benchmarkSchedule has groups of eight tasks of that size and priority request cells in
-// partitions of several sizes, and undoes each request.
+// benchmarkSchedule schedules groups of eight tasks with the given CPUs and priority in
+// partitions of several sizes, and undoes each result.
 func benchmarkSchedule(b *testing.B, cpus float64, priority int, score ScoreFunc, undo func(*Partition, *AffinityGroup)) {
 	tasks := make([]TaskID, 8)
 	for i := range tasks {
@@ -34,7 +34,7 @@
 				group := &AffinityGroup{Tasks: tasks, TaskSize: NewResources(cpus, 0, 1), Claim: Claim{Priority: priority}}
 				partition.Schedule(group, score)
 				if group.State == GroupPending {
-					b.Fatal("expected the group to find cells, it is Pending")
+					b.Fatal("expected the group to be Allocated or Preempting, got Pending")
 				}
 				undo(partition, group)
 			}
--- a/internal/scheduling/victims.go
+++ b/internal/scheduling/victims.go
@@ -2,24 +2,24 @@
 
 import "math"
 
-// The cost of preempting a cell is that of the stop itself and that of its victim's
-// weight. A thousand stops cost as much as one step of weight, so that whatever a machine
-// holds, lower victims go before fewer ones.
+// The cost of preempting a cell is victimCost for stopping its task, plus weightCost for each
+// step of the victim's weight. One step of weight costs as much as a thousand stops: whatever
+// a machine runs, victims of lower weight are preferred to fewer victims.
 const (
 	victimCost = 1
 	weightCost = 1000
 )
 
-// The weight of a Used cell has two steps for each priority: one that is guaranteed weighs
-// more than one of the same priority that is not. Reserved cells stop nobody and weigh
-// nothing.
+// The weight of a Used cell has two steps for each priority, so that a guaranteed cell weighs
+// more than another one of the same priority. Taking a Reserved cell stops no task, so its
+// weight is zero.
 const (
 	reservedWeight    = 0
 	usedWeight        = 1
 	weightPerPriority = 2
 )
 
-// victimWeight orders cells by how much is lost if they are preempted.
+// victimWeight returns the weight of a cell. Cells of lower weight are preempted first.
 func victimWeight(cell *Cell) float64 {
 	if cell.State == CellReserved {
 		return reservedWeight
@@ -31,8 +31,8 @@
 	return weight
 }
 
-// isBetterVictim reports whether cell a is preempted before b: the lower weight first, then
-// the larger cell, then the one allocated later, whose task has the least to lose.
+// isBetterVictim reports whether cell a is preempted before b: the cell of lower weight first,
+// then the one with more CPUs, then the one allocated later, whose task has done less work.
 func isBetterVictim(a, b *Cell) bool {
 	if weightA, weightB := victimWeight(a), victimWeight(b); weightA != weightB {
 		return weightA < weightB
@@ -43,16 +43,17 @@
 	return a.sequence > b.sequence
 }
 
-// canTake reports whether the group may preempt a cell: its user and the group that has
-// reserved it, as far as there are any, and the cell is not promised to a task before.
+// canTake reports whether the group may take a cell: its claim must be able to preempt the
+// claim of the cell's task, if a task holds it, and that of the group that has reserved it, if
+// any. Cells that an earlier task of the group will take are excluded.
 func (g *AffinityGroup) canTake(cell *Cell, planned *plannedAllocations) bool {
 	return (cell.reservedBy == nil || g.Claim.CanPreempt(cell.reservedBy.Claim)) &&
 		(cell.State == CellReserved || g.Claim.CanPreempt(cell.claim)) &&
 		!planned.cells[cell]
 }
 
-// canFitByPreemption reports whether a task fits on a machine if all cells are preempted
-// that may be. Most machines fail it and need no closer look.
+// canFitByPreemption reports whether a task fits on a machine if all cells that the group may
+// take are preempted. It is a cheap check that rules out most machines before chooseVictims.
 func (r *schedulingRequest) canFitByPreemption(machine *partitionMachine, free Resources, planned *plannedAllocations) bool {
 	size := r.group.TaskSize
 	if !machine.size.Contains(size) {
@@ -70,8 +71,8 @@
 	return false
 }
 
-// chooseVictims chooses the cells of a machine that one task is to take beside what is
-// free there, and tells their cost. It reports false if there are not enough.
+// chooseVictims returns the cells that a task takes on a machine in addition to its free
+// resources, and the cost of preempting them. It reports false if too few cells can be taken.
 func (r *schedulingRequest) chooseVictims(
 	machine *partitionMachine, free Resources, planned *plannedAllocations,
 ) (victims []*Cell, cost float64, enough bool) {
@@ -100,18 +101,19 @@
 	return victims, cost, true
 }
 
-// lostWorkSteps is how many steps lostWorkCost has: few, so that among similar victims the
-// better machine is chosen.
+// lostWorkSteps is the number of values that lostWorkCost distinguishes. It is small so that
+// among victims of similar age the machine's score decides.
 const lostWorkSteps = 4
 
-// lostWorkCost estimates how much is lost by preempting a cell, compared with others of its
-// weight: it is less than the cost of one more victim. Cells that were allocated before
-// most others have run longest, and many of their tasks are about to end.
+// lostWorkCost estimates how much work is lost by preempting a cell, to choose among cells of
+// the same weight. It is less than the cost of one more victim. Tasks whose cells were
+// allocated before most others have run longest, and many of them are about to end.
 func (p *Partition) lostWorkCost(cell *Cell) float64 {
 	if cell.State == CellReserved {
 		return 0
 	}
-	// A cell's age, counted in allocations since, beside twice the number of used cells.
+	// The age is the number of allocations since the cell's own, relative to twice the number
+	// of cells in use.
 	age := float64(p.lastSequence-cell.sequence) / float64(2*len(p.cellByTask)+1)
 	return min(math.Floor(age*lostWorkSteps), lostWorkSteps-1) / (2 * lostWorkSteps)
 }
