--- a/internal/reconcile/differences.go
+++ b/internal/reconcile/differences.go
@@ -6,39 +6,41 @@
 	"eiderhitch/internal/wire"
 )
 
-// DifferenceKind is in what a machine differs from the records.
+// DifferenceKind is a way in which a machine differs from the records.
 type DifferenceKind int
 
 const (
-	// UnexpectedTask is an attempt on the machine that is not bound to it. It is stopped at
-	// once.
+	// UnexpectedTask means that an attempt that is not bound to the machine is on it and has
+	// not exited. It is stopped without time to save.
 	UnexpectedTask DifferenceKind = iota
-	// ForgettableExitedTask is an exited attempt that is not bound, and of which no start can
-	// arrive. The worker may forget it.
+	// ForgettableExitedTask means that an attempt that is not bound has exited, and no start
+	// command for it can arrive any more. The worker may forget it.
 	ForgettableExitedTask
-	// RetainedExitedTask is one of which a start may still arrive: a worker that has forgotten an
-	// attempt would run it again. It is kept, and meanwhile the worker refuses all other
-	// attempts of the task.
+	// RetainedExitedTask means that an attempt that is not bound has exited, and a start command
+	// for it may still arrive. If the worker had forgotten the attempt, it would run it again, so
+	// the worker retains it. Meanwhile it refuses all other attempts of the task.
 	RetainedExitedTask
-	// UnreadableRecord is an attempt on the machine that may be bound to it by a record that
-	// can't be decoded. It is left alone.
+	// UnreadableRecord means that an attempt is on the machine and may be bound to it by a record
+	// that can't be decoded. No command is sent for it.
 	UnreadableRecord
-	// TaskToStop is a bound attempt on the machine that has to stop.
+	// TaskToStop means that a bound attempt is on the machine and must stop.
 	TaskToStop
-	// TaskToStart is a bound attempt that is not on the machine and has to start.
+	// TaskToStart means that a bound attempt is not on the machine and must start.
 	TaskToStart
 )
 
-// Difference is one task in which a machine differs from the records.
+// Difference is a difference between a machine and the records in one attempt of a task.
 type Difference struct {
 	Kind     DifferenceKind
 	TaskName string
 	Attempt  uint64
-	// GraceS is how many seconds a task that is stopped has to save its progress.
+	// GraceS is the time in seconds that a task has to save its progress when it is stopped.
+	// Zero means that it is stopped without saving.
 	GraceS float64
 }
 
-// Command returns the command that removes the difference; false: it has to stay for now.
+// Command returns the command that resolves the difference. It reports false if the difference
+// must not be resolved yet.
 func (d *Difference) Command() (wire.Command, bool) {
 	command := wire.Command{Task: d.TaskName, Attempt: d.Attempt}
 	switch d.Kind {
@@ -55,9 +57,9 @@
 	return command, true
 }
 
-// Differences returns in what a machine differs from the records: first the tasks of the
-// heartbeat, in its order, then those that have to start, in the order of the bindings, so
-// that what stops makes room for what starts.
+// Differences returns the differences between a machine and the records: first those for tasks
+// in the heartbeat, in its order, then the tasks to start, in the order of the bindings. Stops
+// come before starts so that they free the resources that the new tasks need.
 func Differences(machine MachineState, records Records) []Difference {
 	var differences []Difference
 	shown := make(taskSet, 0, len(machine.Tasks))
@@ -72,13 +74,13 @@
 		if status.State == wire.Exited || !records.MustStop(record.Binding.Task) {
 			continue
 		}
-		// A task that saves already is only told again when it is to stop saving.
+		// A task that is already saving needs another stop command only to make it stop saving.
 		if grace := records.StopGraceS(record.Binding.Task); status.State != wire.Saving || grace == 0 {
 			differences = append(differences, Difference{Kind: TaskToStop, TaskName: status.Task, Attempt: status.Attempt, GraceS: grace})
 		}
 	}
-	// Nothing starts by records that are not recent: from the moment a user is told
-	// "cancelled", by any controller, no task of the job may start.
+	// No task is started based on outdated records: once any controller has told a user that a
+	// job is cancelled, no task of the job may start.
 	if len(shown) == records.BindingCount() || !machine.StartsAllowed {
 		return differences
 	}
@@ -95,7 +97,8 @@
 	return differences
 }
 
-// classifyUnbound tells what becomes of an attempt in a heartbeat that is not bound.
+// classifyUnbound returns the kind of difference for an attempt in the heartbeat that is not
+// bound to the machine.
 func classifyUnbound(machine MachineState, status *wire.TaskStatus, record *TaskRecord) DifferenceKind {
 	switch {
 	case record.Unreadable:
@@ -108,14 +111,14 @@
 	return ForgettableExitedTask
 }
 
-// canStart reports whether a bound attempt that is not on the machine is to start there.
+// canStart reports whether a bound attempt that is not on the machine may be started there.
 func canStart(machine MachineState, records Records, binding Binding) bool {
 	return binding.Incarnation == machine.Incarnation && !records.MustStop(binding.Task) &&
 		!records.HasEnded(binding) && records.IsGangComplete(binding.Task)
 }
 
-// isBlockedBy reports whether a worker would refuse the start of a task since it still knows
-// another attempt of it.
+// isBlockedBy reports whether the worker would refuse to start the task because it retains
+// another attempt of it, which is the other difference.
 func (d *Difference) isBlockedBy(other Difference) bool {
 	return other.Kind == RetainedExitedTask && other.TaskName == d.TaskName
 }
--- a/internal/reconcile/fake_test.go
+++ b/internal/reconcile/fake_test.go
@@ -8,31 +8,32 @@
 	"eiderhitch/internal/wire"
 )
 
-// incarnation is that of the machine's agent in all rows.
+// currentIncarnation is the incarnation of the machine's agent in all tests.
 const currentIncarnation = 3
 
-// boundTask is a bound task of the rows. Its number is its place among the bound tasks.
+// boundTask is an entry of records.bound. Its index there is the number of the task.
 type boundTask struct {
 	name    string
 	attempt uint64
-	// incarnation is what it is bound to; 0: the present one.
+	// incarnation is the incarnation that the task is bound to. Zero means currentIncarnation.
 	incarnation    uint64
 	service        bool
 	mustStop       bool
 	graceS         float64
 	ended          bool
 	gangIncomplete bool
-	// unbound: the machine's list of bindings still has it, its record no more.
+	// unbound is set if the machine's list of bindings still has the task, but its record no
+	// longer binds it.
 	unbound bool
 }
 
-// records are the stored records of a row.
+// records implements reconcile.Records for the tests.
 type records struct {
 	bound      []boundTask
-	unreadable []string // tasks that a record may have that can't be decoded
-	// mustStopQueries are the tasks for which MustStop was asked.
+	unreadable []string // tasks that an unreadable record may bind
+	// mustStopQueries holds the tasks for which MustStop was called.
 	mustStopQueries []string
-	// bindingQueries counts the calls of Binding.
+	// bindingQueries is the number of calls of Binding.
 	bindingQueries int
 }
 
@@ -74,20 +75,20 @@
 	return !r.bound[task.Number].gangIncomplete
 }
 
-// settled is a machine of which no start can arrive any more, with the tasks of its newest
-// heartbeat.
+// confirmedMachine returns a machine with the given tasks in its newest heartbeat, for which no
+// start command can arrive any more.
 func confirmedMachine(tasks ...wire.TaskStatus) reconcile.MachineState {
 	return reconcile.MachineState{Incarnation: currentIncarnation, TokenConfirmed: true, StartsAllowed: true, Tasks: tasks}
 }
 
-// machineWithStartInFlight is a machine to which a start may be under way.
+// machineWithStartInFlight returns a machine for which a start command may still arrive.
 func machineWithStartInFlight(tasks ...wire.TaskStatus) reconcile.MachineState {
 	machine := confirmedMachine(tasks...)
 	machine.StartInFlight = true
 	return machine
 }
 
-// machineWithoutToken is a machine that has not shown its owner's token.
+// machineWithoutToken returns a machine whose heartbeat doesn't show its owner's token.
 func machineWithoutToken(tasks ...wire.TaskStatus) reconcile.MachineState {
 	machine := confirmedMachine(tasks...)
 	machine.TokenConfirmed = false
--- a/internal/reconcile/observations.go
+++ b/internal/reconcile/observations.go
@@ -6,49 +6,53 @@
 	"eiderhitch/internal/wire"
 )
 
-// ObservationKind is what has become of a bound attempt.
+// ObservationKind is what is known of a bound attempt.
 type ObservationKind int
 
 const (
-	// TaskPresent is an attempt that is on the machine and has not exited.
+	// TaskPresent means that the attempt is on the machine and has not exited.
 	TaskPresent ObservationKind = iota
-	// TaskCompleted is one that ran to completion.
+	// TaskCompleted means that the attempt ran to completion.
 	TaskCompleted
-	// TaskFailed is one that exited with an error.
+	// TaskFailed means that the attempt exited with an error.
 	TaskFailed
-	// StartRefused is one that the worker refused to start.
+	// StartRefused means that the worker refused to start the attempt.
 	StartRefused
-	// TaskExited is one that exited for another reason, as when it was stopped.
+	// TaskExited means that the attempt exited for another reason, for example because it was
+	// stopped.
 	TaskExited
-	// IncarnationReplaced is one that was bound to an earlier incarnation of the machine's
-	// agent. The lease of that expired: the agent has ended all of its tasks.
+	// IncarnationReplaced means that the attempt was bound to an earlier incarnation of the
+	// machine's agent. The lease of that incarnation has expired, so the agent has ended all of
+	// its tasks.
 	IncarnationReplaced
-	// TaskAbsent is one that has to stop, is not on the machine, and of which no start can
-	// arrive any more.
+	// TaskAbsent means that the attempt must stop, is not on the machine, and can't be started
+	// by a late command.
 	TaskAbsent
 )
 
-// Observation is what has become of one bound attempt.
+// Observation holds what is known of one bound attempt.
 type Observation struct {
 	Kind    ObservationKind
 	Binding Binding
-	// Status is the task in the heartbeat; nil if it does not show it.
+	// Status is the status of the task in the heartbeat, nil if the heartbeat doesn't show it.
 	Status *wire.TaskStatus
 }
 
-// ProvesEnd reports whether it proves the end of the attempt.
-func (f *Observation) ProvesEnd() bool { return f.Kind != TaskPresent }
+// ProvesEnd reports whether the observation proves that the attempt has ended.
+func (o *Observation) ProvesEnd() bool { return o.Kind != TaskPresent }
 
-// Observations yields what has become of the attempts that are bound to a machine: first those
-// that the heartbeat shows, in its order, then the others that are proven to have ended, in
-// the order of the bindings. Nothing is known of those that are left out.
+// Observations yields what is known of the attempts that are bound to a machine: first those in
+// the heartbeat, in its order, then the others that are proven to have ended, in the order of
+// the bindings. Nothing is known of the attempts that it leaves out.
 //
-// The records are asked about a binding only when its turn comes: the end of one attempt may
-// be why the next one has to stop, as with the tasks of a gang.
+// It queries the records about a binding only after the loop body has handled the previous
+// observation, since the end of one attempt may be the reason why the next one must stop, as
+// with the tasks of a gang.
 func Observations(machine MachineState, records Records) iter.Seq[Observation] {
 	return func(yield func(Observation) bool) { yieldObservations(machine, records, yield) }
 }
 
+// yieldObservations calls yield for each observation until yield returns false.
 func yieldObservations(machine MachineState, records Records, yield func(Observation) bool) {
 	shown := make(taskSet, 0, len(machine.Tasks))
 	for i := range machine.Tasks {
@@ -70,22 +74,22 @@
 		if !bound {
 			continue
 		}
-		finding := Observation{Binding: binding}
+		observation := Observation{Binding: binding}
 		switch {
 		case binding.Incarnation < machine.Incarnation:
-			finding.Kind = IncarnationReplaced
+			observation.Kind = IncarnationReplaced
 		case machine.isStartRuledOut() && !shown.has(binding.Task) && records.MustStop(binding.Task):
-			finding.Kind = TaskAbsent
+			observation.Kind = TaskAbsent
 		default:
 			continue
 		}
-		if !yield(finding) {
+		if !yield(observation) {
 			return
 		}
 	}
 }
 
-// classifyBound tells what a heartbeat says of a bound attempt that it shows.
+// classifyBound returns the kind of observation for a bound attempt in the heartbeat.
 func classifyBound(status *wire.TaskStatus, record *TaskRecord) ObservationKind {
 	if status.State != wire.Exited {
 		return TaskPresent
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -1,19 +1,19 @@
-// Package reconcile compares the tasks that a machine's newest heartbeat shows with the
-// bindings that the stored records have of it.
+// Package reconcile compares the tasks in a machine's newest heartbeat with the machine's
+// bindings in the stored records.
 //
-// It answers two questions. Findings tells what has become of the bound attempts: which of
-// them are proven to have ended, and why. Differences tells what the machine must do so that
-// it runs what is bound to it and nothing else.
+// Observations returns what is known of each bound attempt: whether it is on the machine or is
+// proven to have ended, and why it ended. Differences returns what the machine must start, stop
+// and forget so that it runs the tasks that are bound to it and no others.
 //
-// Both are functions of their arguments alone: no clock, no I/O, no state. What follows from
-// their results (attempts are ended, commands are sent) is the caller's.
+// Both are pure functions: they have no state, do no I/O and read no clock. The caller acts on
+// the results: it ends attempts and sends commands.
 //
-// The proofs rest on the protocol of the workers. A heartbeat shows all tasks of a machine.
-// So a bound task that it does not show is not there, but may come yet, as long as a start
-// for it can still arrive: in a direct command that was sent by a former owner of the
-// machine, or has no answer, or in a response to a heartbeat that the worker may not have
-// handled. A machine that has shown a fencing token executes nothing with a lower one, and
-// an agent refuses what was sent to an earlier incarnation of it.
+// The proofs rest on the workers' protocol. A heartbeat lists all tasks of a machine, so a bound
+// task that is missing from it is not on the machine. It may still be started as long as a
+// start command for it can arrive: in a direct command from a former owner of the machine, in a
+// direct command without a response, or in the response to a heartbeat that the worker may not
+// have processed yet. A machine whose heartbeat has shown a fencing token executes no command
+// with a lower token, and an agent refuses commands for an earlier incarnation of itself.
 package reconcile
 
 import (
@@ -23,78 +23,84 @@
 	"eiderhitch/internal/wire"
 )
 
-// MachineState is what its owner knows of a machine.
+// MachineState holds what the owner of a machine knows about it.
 type MachineState struct {
-	// Incarnation is that of its agent, by the newest heartbeat.
+	// Incarnation is the incarnation of the machine's agent in the newest heartbeat.
 	Incarnation uint64
-	// TokenConfirmed: its newest heartbeat shows the owner's present fencing token. It executes
-	// no command of any former owner, however late.
+	// TokenConfirmed is set if the newest heartbeat shows the owner's current fencing token. The
+	// machine then executes no command of a former owner, however late it arrives.
 	TokenConfirmed bool
-	// StartInFlight: a start that the present owner has sent may still arrive.
+	// StartInFlight is set if a start command from the current owner may still arrive.
 	StartInFlight bool
-	// StartsAllowed: the records are recent enough to start tasks by them.
+	// StartsAllowed is set if the records are recent enough to start tasks based on them.
 	StartsAllowed bool
-	// Tasks are those of the newest heartbeat, in its order.
+	// Tasks holds the tasks of the newest heartbeat, in its order.
 	Tasks []wire.TaskStatus
 }
 
-// settled reports whether no start can arrive any more.
+// isStartRuledOut reports whether no start command can arrive any more.
 func (m *MachineState) isStartRuledOut() bool { return m.TokenConfirmed && !m.StartInFlight }
 
-// Binding is an attempt of a task that a record binds to the machine.
+// Binding is an attempt of a task that is bound to the machine by a stored record.
 type Binding struct {
 	Task    scheduling.TaskID
 	Attempt uint64
-	// Incarnation is that of the machine's agent that the attempt is bound to.
+	// Incarnation is the incarnation of the machine's agent that the attempt is bound to.
 	Incarnation uint64
 }
 
-// TaskRecord is what the records have of a task that a heartbeat shows.
+// TaskRecord holds what the stored records say about a task in a heartbeat. Its zero value
+// means that the records don't bind the task to the machine.
 type TaskRecord struct {
-	// Bound: the task is bound to the machine, by Binding.
-	Bound   bool
+	// Bound is set if the task is bound to the machine.
+	Bound bool
+	// Binding is the binding of the task if Bound is set. Else it has no meaning.
 	Binding Binding
-	// RunsToCompletion: it is known to be no replica of a service, which has to run on.
+	// RunsToCompletion is set if the task is known not to be a replica of a service. Replicas
+	// run until they are stopped.
 	RunsToCompletion bool
-	// Unreadable: the task may be bound to the machine by a record that can't be decoded.
+	// Unreadable is set if a record that can't be decoded may bind the task to the machine.
 	Unreadable bool
 }
 
-// Records are the stored records, as far as they concern one machine. Their methods are
-// asked only where the answer matters, since some are costly: whether a gang stops, or is
-// bound whole, is known from thousands of tasks.
+// Records gives access to the stored records that concern one machine. Its methods are called
+// only where the result matters, since some are expensive: whether a gang must stop, or is
+// completely bound, may depend on thousands of tasks.
 type Records interface {
-	// Lookup returns what the records have of a task.
+	// Lookup returns what the records say about the task of a name.
 	Lookup(task string) TaskRecord
-	// BindingCount returns how many tasks are bound to the machine.
+	// BindingCount returns the number of entries in the machine's list of bindings.
 	BindingCount() int
-	// Binding returns the one at an index below that; false: it is bound no more.
+	// Binding returns the entry at an index from zero to BindingCount()-1. It reports false if
+	// the task is no longer bound to the machine.
 	Binding(index int) (Binding, bool)
 	// TaskName returns the name of a bound task.
 	TaskName(task scheduling.TaskID) string
-	// MustStop reports whether a bound task has to leave the machine: its job is final, or
-	// it is preempted, or its gang stops.
+	// MustStop reports whether a bound task must leave the machine: because its job has a
+	// final state, the task is preempted, or its gang must stop.
 	MustStop(task scheduling.TaskID) bool
-	// StopGraceS returns how many seconds a bound task has to save when it is stopped.
+	// StopGraceS returns the time in seconds that a bound task has to save its progress when it
+	// is stopped.
 	StopGraceS(task scheduling.TaskID) float64
-	// Ended reports whether an attempt is proven to have ended already.
+	// HasEnded reports whether an attempt is already proven to have ended.
 	HasEnded(binding Binding) bool
-	// IsGangComplete reports whether a bound task is of no gang, or all tasks of its gang are
-	// bound.
+	// IsGangComplete reports whether a bound task may start as far as its gang is concerned:
+	// all tasks of the gang are bound, or the task belongs to no gang.
 	IsGangComplete(task scheduling.TaskID) bool
 }
 
-// matches reports whether a task of the heartbeat is the attempt that is bound.
+// matches reports whether a task in the heartbeat is the attempt that its record binds to the
+// machine.
 func (m *MachineState) matches(status *wire.TaskStatus, record *TaskRecord) bool {
 	return record.Bound && record.Binding.Attempt == status.Attempt && record.Binding.Incarnation == m.Incarnation
 }
 
-// taskSet is the bound tasks that a heartbeat shows: few, so that a list serves better than
-// a map would.
+// taskSet is a set of the bound tasks that a heartbeat shows. There are few of them, so that a
+// slice is faster than a map.
 type taskSet []scheduling.TaskID
 
 func (s *taskSet) add(task scheduling.TaskID) {
-	if !s.has(task) { // a heartbeat may name one twice
+	if !s.has(task) { // a heartbeat may list a task twice
 		*s = append(*s, task)
 	}
 }
