--- a/internal/planning/assignment.go
+++ b/internal/planning/assignment.go
@@ -2,29 +2,32 @@
 
 import "eiderhitch/internal/scheduling"
 
-// MinTasksPerPartition is how many tasks of an array a partition is assigned at least, if
-// there are that many. Each stored group costs writes of its own, to assign it, to bind
-// and to end its tasks and to clear it up, and writes are what the key-value store allows
-// least of.
+// MinTasksPerPartition is the least number of tasks of an array that a partition is assigned,
+// unless the array has fewer tasks left. Each stored task group needs its own writes, to assign
+// it, to bind its tasks, to store their ends and to delete it, and the key-value store limits
+// writes more than anything else.
 const MinTasksPerPartition = 24
 
-// Assignment asks for room for tasks of one job, which are all alike.
+// Assignment describes identical tasks of one job that are to be assigned to partitions.
 type Assignment struct {
-	TaskSize      scheduling.Resources
-	Count         int
-	Claim         scheduling.Claim
+	TaskSize scheduling.Resources
+	Count    int
+	Claim    scheduling.Claim
+	// AllowsMachine reports whether the tasks may run on a machine.
 	AllowsMachine MachineFilter
-	// QuotaLimited is set if the team's limit is short. Tasks that are assigned but can't
-	// run yet would hold the limit against others of the team.
+	// QuotaLimited is set if the team is close to its limit. Tasks that are assigned before
+	// they can run would count toward the limit and block other jobs of the team, so only as
+	// many tasks are assigned as there is capacity for.
 	QuotaLimited bool
-	// Forced tasks are assigned where they may run, room or not, to take the next cells
-	// that become free.
+	// Force is set to assign the tasks even if there is no capacity for any of them, so that
+	// they take the next cells that become free.
 	Force bool
 }
 
-// SplitAmongPartitions decides how many tasks of an array each partition is assigned: for what
-// room is free, for what becomes free soon (ahead, which it counts down), then for what
-// may be preempted. It takes that room from the machines.
+// SplitAmongPartitions returns how many tasks of an array each partition is assigned: first as
+// many as fit into free resources, then as many as tasksAhead permits for each partition, in
+// cells that become free soon, then as many as fit by preemption. It subtracts what it assigns
+// from the machines and from tasksAhead, which may become negative.
 func (a *Assignment) SplitAmongPartitions(machines []*MachineSummary, tasksAhead []int) []int {
 	s := arraySplit{
 		Assignment: a, machines: machines, tasksAhead: tasksAhead,
@@ -40,13 +43,14 @@
 	return s.assigned
 }
 
-// spread is a SplitAmongPartitions in progress.
+// arraySplit holds the state of one call of SplitAmongPartitions.
 type arraySplit struct {
 	*Assignment
 	machines   []*MachineSummary
 	tasksAhead []int
-	// tasks is how many each partition is assigned, remaining how many are not yet.
-	assigned  []int
+	// assigned is the number of tasks that each partition is assigned so far.
+	assigned []int
+	// remaining is the number of tasks that are not assigned yet.
 	remaining int
 }
 
@@ -55,14 +59,14 @@
 	s.remaining -= count
 }
 
-// assignFreeCapacity assigns tasks to the partitions of machines that have free room.
+// assignFreeCapacity assigns the tasks that fit into free resources.
 func (s *arraySplit) assignFreeCapacity() {
 	for machine, count := range PlaceWithoutPreemption(s.machines, s.AllowsMachine, s.TaskSize, s.remaining) {
 		s.assign(machine.Partition, count)
 	}
 }
 
-// assignAhead assigns tasks for what becomes free soon.
+// assignAhead assigns tasks for cells that become free soon.
 func (s *arraySplit) assignAhead() {
 	if s.QuotaLimited {
 		return
@@ -77,7 +81,7 @@
 	}
 }
 
-// assignByPreemption assigns tasks where their owner can preempt others for them.
+// assignByPreemption assigns tasks to partitions whose owners can preempt other tasks for them.
 func (s *arraySplit) assignByPreemption() {
 	for s.remaining > 0 {
 		machine := PlaceByPreemption(s.machines, s.AllowsMachine, s.TaskSize, s.Claim)
@@ -88,7 +92,7 @@
 	}
 }
 
-// assignForced assigns all tasks to the partition where most becomes free soon.
+// assignForced assigns all tasks to the allowed partition where most cells become free soon.
 func (s *arraySplit) assignForced() {
 	best, found := 0, false
 	for partition := range s.tasksAhead {
@@ -102,8 +106,9 @@
 	}
 }
 
-// enlargeSmallShares raises shares to MinTasksPerPartition: few large groups are stored
-// rather than many small ones. What is assigned too much now is assigned less ahead later.
+// enlargeSmallShares raises small numbers of assigned tasks to MinTasksPerPartition, so that a
+// few large task groups are stored rather than many small ones. The added tasks count against
+// tasksAhead, so that later assignments to the partition are smaller.
 func (s *arraySplit) enlargeSmallShares() {
 	if s.QuotaLimited {
 		return
@@ -117,7 +122,7 @@
 	}
 }
 
-// allowsPartition reports whether a partition has a machine that the tasks may be on.
+// allowsPartition reports whether a partition has a machine on which the tasks may run.
 func (a *Assignment) allowsPartition(machines []*MachineSummary, partition int) bool {
 	for _, machine := range machines {
 		if machine.Partition == partition && a.AllowsMachine(machine) {
@@ -127,9 +132,9 @@
 	return false
 }
 
-// ChoosePartition chooses the partition for a gang, whose cells are reserved together, and
-// takes its room there. It reports false if no partition can hold it, in which case
-// nothing has changed.
+// ChoosePartition chooses one partition for all tasks, as for a gang, whose cells are reserved
+// together, and subtracts their resources from the machines there. It reports false if no
+// partition has enough capacity, and then leaves the machines unchanged.
 func (a *Assignment) ChoosePartition(machines []*MachineSummary, partitions int) (partition int, found bool) {
 	if a.Count == 1 {
 		return a.choosePartitionForTask(machines)
@@ -151,8 +156,8 @@
 	return 0, false
 }
 
-// choosePartitionForTask chooses the partition for a single task: that of the fullest machine with room
-// for it, which keeps machines packed.
+// choosePartitionForTask chooses the partition for a single task: that of the machine with the
+// least free resources that are sufficient, so that machines stay packed.
 func (a *Assignment) choosePartitionForTask(machines []*MachineSummary) (partition int, found bool) {
 	for machine := range PlaceWithoutPreemption(machines, a.AllowsMachine, a.TaskSize, 1) {
 		return machine.Partition, true
@@ -163,8 +168,8 @@
 	return 0, false
 }
 
-// freestPartition returns the partition with free room for the most tasks, and for how
-// many; no machine counts for more than all of them.
+// freestPartition returns the partition whose free resources hold the most tasks, and that
+// number. Each machine counts for at most a.Count tasks.
 func (a *Assignment) freestPartition(machines []*MachineSummary, partitions int) (partition, tasks int) {
 	free := make([]int, partitions)
 	for _, machine := range machines {
@@ -181,15 +186,15 @@
 	return best, free[best]
 }
 
-// within restricts the machines that are allowed to those of one partition.
+// filterPartition returns a filter for the allowed machines of one partition.
 func (a *Assignment) filterPartition(partition int) MachineFilter {
 	return func(machine *MachineSummary) bool {
 		return machine.Partition == partition && a.AllowsMachine(machine)
 	}
 }
 
-// placeAll places all tasks on machines, by preemption where no room is free. It reports
-// false if not all find room.
+// placeAll places all tasks on machines, by preemption if the free resources are insufficient.
+// It reports whether all tasks are placed.
 func (a *Assignment) placeAll(machines []*MachineSummary, allowed MachineFilter) bool {
 	remaining := a.Count
 	for _, count := range PlaceWithoutPreemption(machines, allowed, a.TaskSize, a.Count) {
@@ -202,19 +207,20 @@
 }
 
 const (
-	// aheadTurnarounds is for how many turnarounds of a cell tasks are assigned ahead: for
-	// one a cell would wait whenever more tasks than usual end.
+	// aheadTurnarounds is the number of turnaround times of a cell for which tasks are assigned
+	// ahead. With one, cells would stay empty whenever more tasks than usual end.
 	aheadTurnarounds = 2
-	// maxAheadShare limits the tasks assigned ahead to a share of those that run. Without
-	// it, short tasks would have more assigned than run.
+	// maxAheadShare limits the tasks assigned ahead to a share of the running tasks. Without the
+	// limit, more short tasks would be assigned ahead than run.
 	maxAheadShare = 0.5
-	// minEstimateS is the least run time of a task that is counted on, in seconds.
+	// minEstimateS is the lower bound, in seconds, of estimated run times.
 	minEstimateS = 1
 )
 
-// MaxTasksAhead returns how many tasks a partition may be assigned beyond its free room:
-// what ends there while a cell would wait for its next task, twice over. bound tasks of
-// the given estimated run time run there.
+// MaxTasksAhead returns how many tasks a partition may be assigned beyond its free resources:
+// twice as many as end during the turnaround time, for which a cell would wait for its next
+// task. The partition runs the given number of bound tasks with the given estimated run time.
+// Times are in seconds.
 func MaxTasksAhead(bound int, estimateS, turnaroundS float64) float64 {
 	return float64(bound) * min(maxAheadShare, aheadTurnarounds*turnaroundS/max(estimateS, minEstimateS))
 }
--- a/internal/planning/bin_packing.go
+++ b/internal/planning/bin_packing.go
@@ -2,8 +2,9 @@
 
 import "eiderhitch/internal/scheduling"
 
-// PlaceWithoutPreemption has up to count tasks of a size take free room on the machines that the
-// filter allows, the fullest first, and returns how many each machine got.
+// PlaceWithoutPreemption places up to count tasks of a size in the free resources of the machines
+// that the filter allows, and subtracts them there. It prefers machines as isBetterFit says. It
+// returns the number of tasks that each machine gets; machines without any are left out.
 func PlaceWithoutPreemption(
 	machines []*MachineSummary, allowed MachineFilter, size scheduling.Resources, count int,
 ) map[*MachineSummary]int {
@@ -30,8 +31,10 @@
 	return placed
 }
 
-// isBetterFit reports whether placing a task on a rather than on b keeps more machines
-// empty, or cheaper ones in use.
+// isBetterFit reports whether a task is better placed on a than on b, so that more machines stay
+// empty and cheaper ones are used. It prefers, in this order, machines that are up, spot
+// instances, machines that run a service, machines that are not empty, those with fewer free
+// CPUs, and the lower index.
 func isBetterFit(a, b *MachineSummary) bool {
 	if a.Booting != b.Booting {
 		return !a.Booting
@@ -51,25 +54,27 @@
 	return a.Index < b.Index
 }
 
-// The cost of preempting a task is that of the stop itself and that of its priority. A
-// thousand stops cost as much as one step of priority, so that whatever a machine runs,
-// lower victims go before fewer ones.
+// The cost of preempting a task is victimCost for stopping it, plus priorityCost for each step
+// of its priority. One step of priority costs as much as a thousand stops: whatever a machine
+// runs, victims of lower priority are preferred to fewer victims.
 const (
 	victimCost   = 1
 	priorityCost = 1000
 )
 
-// preemption is what preempting for one task on a machine costs, and what is left there.
+// preemptionPlan holds the cost and the result of preempting tasks on a machine for one new task.
 type preemptionPlan struct {
 	machine *MachineSummary
 	cost    float64
-	// free and usages are those of the machine afterwards.
+	// free and usages are the machine's free resources and remaining tasks after the preemption,
+	// before the new task is placed.
 	free   scheduling.Resources
 	usages []TaskUsage
 }
 
-// PlaceByPreemption finds the machine on which preempting the fewest tasks of the lowest
-// priority makes room for one task, and takes that room. It returns nil if there is none.
+// PlaceByPreemption places one task on the machine with the lowest preemption cost, and returns
+// that machine after updating its free resources and usages. It returns nil if preemption
+// doesn't free enough resources on any machine that is up and that the filter allows.
 func PlaceByPreemption(
 	machines []*MachineSummary, allowed MachineFilter, size scheduling.Resources, claim scheduling.Claim,
 ) *MachineSummary {
@@ -96,8 +101,9 @@
 	return best.machine
 }
 
-// planPreemption preempts usages until the size fits, as far as the claim may, and returns what
-// would be free and used on the machine then. The machine keeps them for now.
+// planPreemption returns the free resources and usages that remain on the machine, and the cost,
+// if tasks are preempted until the size fits or the claim can't preempt the next one. It leaves
+// the machine's free resources and usages as they are, except for sorting the usages.
 func (m *MachineSummary) planPreemption(
 	size scheduling.Resources, claim scheduling.Claim,
 ) (free scheduling.Resources, usages []TaskUsage, cost float64) {
@@ -111,8 +117,8 @@
 	return free, usages, cost
 }
 
-// isBetterThan orders preemptions by cost; of equal ones a machine that runs a service is
-// preferred, as it stays anyway, then the lower index.
+// isBetterThan reports whether p has the lower cost. Among equal costs it prefers a machine that
+// runs a service, since that machine is needed anyway, then the lower index.
 func (p *preemptionPlan) isBetterThan(other *preemptionPlan) bool {
 	if p.cost != other.cost {
 		return p.cost < other.cost
--- a/internal/planning/doc.go
+++ b/internal/planning/doc.go
@@ -1,8 +1,7 @@
-// Package planning holds the pure decisions of the leader: the order of jobs, team
-// quotas, bin packing, the assignment of tasks to partitions, and which machines to
-// launch and to drain. It does no input or output and has no clock: machines and demands
-// go in, plans come out.
+// Package planning makes the leader's decisions: the order of jobs, team quotas, bin packing,
+// the assignment of tasks to partitions, and which machines to launch and to drain. It does
+// no I/O and reads no clock: the caller passes in machines and demands and gets plans.
 //
-// The cells and groups of a partition, and what one claim may preempt of another, are
-// those of package scheduling, which does not know this one.
+// Package scheduling, which doesn't depend on this package, decides which cells the tasks of a
+// partition get, and which claims may preempt which.
 package planning
--- a/internal/planning/headroom.go
+++ b/internal/planning/headroom.go
@@ -2,33 +2,38 @@
 
 import "math"
 
-// Headroom returns for how many more services of a class room is kept, with so many
-// there: the number of services that run at a time varies by about its square root.
+// Headroom returns for how many additional services of a class capacity is kept free while the
+// given number of services run: factor times the square root of that number, rounded up. The
+// number of services that run at a time varies by about its square root.
 func Headroom(services int, factor float64) int {
 	return int(math.Ceil(factor * math.Sqrt(float64(services))))
 }
 
-// FreeCPUHistory records how much CPU was free of late, in thousandths. Arrays spread over all machines,
-// so that few are ever idle by themselves: when more is free all the time than a machine
-// holds, one without services can be drained.
+// FreeCPUHistory records how many CPUs were free in the recent past, in thousandths. The tasks
+// of arrays spread over all machines, so that machines rarely become idle. If more CPUs than a
+// machine has were free throughout a window, a machine without services can be drained. The
+// zero value is an empty history.
 type FreeCPUHistory struct {
 	samples []freeSample
 }
 
+// freeSample is the number of free CPUs at one time.
 type freeSample struct {
-	atS            float64 // in seconds
-	cpuThousandths int64   // in thousandths
+	atS            float64 // time in seconds
+	cpuThousandths int64
 }
 
-// minCoveredTenths is how many tenths of a window the samples have to cover. Not all: the
-// oldest one that is kept is younger than the window by up to the time between two.
+// minCoveredTenths is the number of tenths of a window that the samples must cover. It is less
+// than ten because the oldest sample kept is younger than the start of the window, by up to the
+// time between two samples.
 const minCoveredTenths = 9
 
-// Reset forgets all samples, as there is a shortage.
+// Reset removes all samples. It is called when there is a shortage.
 func (h *FreeCPUHistory) Reset() { h.samples = nil }
 
-// Add records how much CPU is free at a time, and returns the least of the last window. It
-// reports false as long as the samples don't cover the window. Times are in seconds.
+// Add records how many thousandths of a CPU are free at a time, and returns the least number in
+// the window that ends at that time. It reports whether the samples cover the window. Times
+// are in seconds.
 func (h *FreeCPUHistory) Add(atS float64, freeCPU int64, windowS float64) (leastCPU int64, covered bool) {
 	h.samples = append(h.samples, freeSample{atS, freeCPU})
 	for atS-h.samples[0].atS > windowS {
@@ -41,16 +46,17 @@
 	return leastCPU, atS-h.samples[0].atS >= windowS*minCoveredTenths/10
 }
 
-// Subtract lowers all samples, as a machine is being drained.
+// Subtract lowers all samples by a number of thousandths. It is called when a machine with that
+// many free CPUs is drained.
 func (h *FreeCPUHistory) Subtract(cpu int64) {
 	for i := range h.samples {
 		h.samples[i].cpuThousandths -= cpu
 	}
 }
 
-// LeastUsedMachine returns the on-demand machine of which the least share is used, of
-// those that have at most maxCPU thousandths of a CPU, run nothing of that priority or a
-// higher one, and pass the filter; nil if there is none.
+// LeastUsedMachine returns the on-demand machine with the smallest share of its CPUs in use,
+// among those that have at most maxCPU thousandths of a CPU, run no task of the given or a
+// higher priority, and pass the filter. It returns nil if there is none.
 func LeastUsedMachine(
 	machines []*MachineSummary, maxCPU int64, priority int, allowed MachineFilter,
 ) *MachineSummary {
@@ -60,7 +66,7 @@
 		if machine.Spot || machine.Size.CPU > maxCPU || !allowed(machine) || machine.runsTaskOfPriority(priority) {
 			continue
 		}
-		// Shares are compared without division: used/size < bestUsed/bestSize.
+		// The shares are compared without division: used/size < bestUsed/bestSize.
 		used := machine.UsedResources().CPU
 		if best == nil || used*best.Size.CPU < bestUsed*machine.Size.CPU {
 			best, bestUsed = machine, used
--- a/internal/planning/machine_summary.go
+++ b/internal/planning/machine_summary.go
@@ -7,41 +7,43 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// MachineSummary is a machine as the leader sees it: what is free on it, and what could
-// be had by preemption.
+// MachineSummary is the leader's view of a machine: its free resources, and the tasks that could
+// be preempted.
 type MachineSummary struct {
-	// ID is the machine's index, or UnassignedIndex.
+	// Index is the machine's index, or UnassignedIndex.
 	Index               scheduling.MachineIndex
 	Type, Zone          string
 	Spot                bool
 	Partition           int
 	Size, FreeResources scheduling.Resources
-	// Usages are those of the tasks that run on it.
+	// Usages holds an entry for each task on the machine.
 	Usages []TaskUsage
-	// sorted is set once the usages are in the order of sortUsagesForPreemption.
+	// usagesSorted is set if sortUsagesForPreemption has sorted the usages.
 	usagesSorted bool
-	// Booting machines have been launched, or are to be, and are not up yet.
+	// Booting is set if the machine is not up yet: it is booting, or its launch is requested or
+	// planned.
 	Booting bool
-	// InUse is set by planning if something is placed on the machine: it is not surplus.
+	// InUse is set when a plan places a task on the machine, so that it isn't surplus.
 	InUse bool
-	// RunsService is set if a service runs on the machine. It stays for as long as that
-	// does, so what is placed beside it keeps no other machine from being terminated.
+	// RunsService is set if a service runs on the machine. The machine is needed as long as the
+	// service runs, so tasks that are placed there don't delay the termination of other machines.
 	RunsService bool
 }
 
-// UnassignedIndex is the ID of machines that have no index yet.
+// UnassignedIndex is the index of machines that don't have one yet.
 const UnassignedIndex scheduling.MachineIndex = -1
 
-// TaskUsage is a task's use of a machine.
+// TaskUsage holds the resources that a task uses on a machine, and its claim to them.
 type TaskUsage struct {
 	Claim scheduling.Claim
 	Size  scheduling.Resources
 }
 
-// MachineFilter tells whether a task may be placed on a machine.
+// MachineFilter reports whether a task may be placed on a machine.
 type MachineFilter func(*MachineSummary) bool
 
-// CloneSummaries copies machines, so that a plan can be tried on them.
+// CloneSummaries returns copies of the machines, on which a plan can be tried. The copies share
+// the Usages slices, which this package never modifies in place.
 func CloneSummaries(machines []*MachineSummary) []*MachineSummary {
 	copies := make([]MachineSummary, len(machines))
 	clones := make([]*MachineSummary, len(machines))
@@ -52,7 +54,7 @@
 	return clones
 }
 
-// UsedResources returns what tasks use of a machine.
+// UsedResources returns the sum of what the tasks on the machine use.
 func (m *MachineSummary) UsedResources() scheduling.Resources {
 	used := scheduling.Resources{}
 	for _, usage := range m.Usages {
@@ -61,17 +63,17 @@
 	return used
 }
 
-// offer is the kind of machine that it was launched as.
+// offer returns the offer under which the machine was launched.
 func (m *MachineSummary) offer() Offer { return Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot} }
 
-// runsTaskOfPriority reports whether a task of that priority or a higher one runs on a machine.
+// runsTaskOfPriority reports whether a task of the given or a higher priority is on the machine.
 func (m *MachineSummary) runsTaskOfPriority(priority int) bool {
 	return slices.ContainsFunc(m.Usages, func(usage TaskUsage) bool { return usage.Claim.Priority >= priority })
 }
 
-// sortUsagesForPreemption sorts a machine's usages into the order in which they are preempted.
-// Once is enough: usages are only taken away from the front. The usages are copied, as
-// clones of the machine share them.
+// sortUsagesForPreemption sorts the usages into the order in which they are preempted: by
+// priority, then the larger ones first. They stay sorted, since usages are only removed from the
+// front. The slice is copied first, since clones of the machine share it.
 func (m *MachineSummary) sortUsagesForPreemption() {
 	if m.usagesSorted {
 		return
@@ -82,8 +84,8 @@
 	})
 }
 
-// TreatLowerPriorityAsFree counts what tasks below a priority use as free, since work of
-// that priority would preempt them.
+// TreatLowerPriorityAsFree adds the resources of tasks below a priority to the free resources of
+// their machines, since tasks of that priority can preempt them.
 func TreatLowerPriorityAsFree(machines []*MachineSummary, priority int) {
 	for _, machine := range machines {
 		for _, usage := range machine.Usages {
--- a/internal/planning/offer.go
+++ b/internal/planning/offer.go
@@ -6,29 +6,29 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// Offer is a kind of machine that the cloud launches.
+// Offer identifies a kind of machine that the cloud can launch.
 type Offer struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// OfferFilter tells whether tasks may run on machines of a kind.
+// OfferFilter reports whether tasks may run on machines of an offer.
 type OfferFilter func(Offer) bool
 
-// PricedOffer is an offer with its price and how long its machines take to boot.
+// PricedOffer is an offer with the size, the price and the boot time of its machines.
 type PricedOffer struct {
 	Offer
 	Size  scheduling.Resources
 	Price float64
-	// BootS is the boot time in seconds.
+	// BootS is the boot time of a machine in seconds.
 	BootS float64
 }
 
-// CheapestOffer returns the offer that serves count tasks of a size for the least money
-// for each task, boot time included, and how many machines of it are needed; none if the
-// task fits on no machine. likely is how many such tasks may share the machines before
-// long: a large machine's price is spread over that many. bootAmortizationS is the time, in
-// seconds, over which a machine's boot time is spread.
+// CheapestOffer returns the offer with the lowest price per task for count tasks of a size, and
+// the number of its machines that they need. The number is zero if the task fits on no offered
+// machine. expectedTasks is the number of such tasks that are expected to share the machines
+// soon; the price of a large machine is spread over them. The price includes the boot time,
+// spread over bootAmortizationS seconds.
 func CheapestOffer(
 	offers []PricedOffer, size scheduling.Resources, count, expectedTasks int, bootAmortizationS float64,
 ) (best PricedOffer, machines int) {
--- a/internal/planning/quota.go
+++ b/internal/planning/quota.go
@@ -2,11 +2,13 @@
 
 import "eiderhitch/internal/scheduling"
 
-// Quota is a team's quota and what its tasks use of it. RAM is not limited.
+// Quota holds the quota of a team and its usage. It doesn't limit RAM.
 type Quota struct {
-	// Guaranteed and Limit are without effect where a field is zero.
+	// Guarantee is the guaranteed quota, Limit the most that the team may use. A field that is
+	// zero doesn't restrict its resource, but a Guarantee with only zero fields means that there
+	// is no guaranteed quota.
 	Guarantee, Limit scheduling.Resources
-	// Used counts for the limit, GuaranteedUsage for the guaranteed quota.
+	// Usage counts toward Limit. It includes GuaranteedUsage, which counts toward Guarantee.
 	Usage, GuaranteedUsage scheduling.Resources
 }
 
@@ -24,7 +26,8 @@
 	return remainingUnderLimit(q.Guarantee, q.GuaranteedUsage, size, count)
 }
 
-// Shortfall returns by how much a demand exceeds what the limit leaves.
+// Shortfall returns by how much the usage and a demand together exceed the limit. Fields are
+// zero for resources whose limit is not exceeded.
 func (q *Quota) Shortfall(demand scheduling.Resources) scheduling.Resources {
 	return scheduling.Resources{
 		CPU: excess(q.Limit.CPU, q.Usage.CPU+demand.CPU),
@@ -32,7 +35,7 @@
 	}
 }
 
-// excess returns by how much an amount exceeds a limit; none is exceeded if it is zero.
+// excess returns by how much an amount exceeds a limit. A limit of zero means no limit.
 func excess(limit, amount int64) int64 {
 	if limit <= 0 {
 		return 0
@@ -40,12 +43,15 @@
 	return max(0, amount-limit)
 }
 
+// remainingUnderLimit returns how many tasks of a size fit into the unused part of a limit, at most
+// count.
 func remainingUnderLimit(limit, used, size scheduling.Resources, count int) int {
 	count = remainingForResource(limit.CPU, used.CPU, size.CPU, count)
 	return remainingForResource(limit.GPU, used.GPU, size.GPU, count)
 }
 
-// remainingForResource limits count by how often size fits into what is left of a limit.
+// remainingForResource returns the lesser of count and the number of times that size fits into the
+// unused part of a limit. A limit of zero means no limit.
 func remainingForResource(limit, used, size int64, count int) int {
 	if limit <= 0 || size <= 0 {
 		return count
@@ -53,8 +59,8 @@
 	return min(count, int(max(0, limit-used)/size))
 }
 
-// Charge counts an amount as used; guaranteed tells whether it counts for the guaranteed
-// quota, too.
+// Charge adds an amount to the usage, and to the usage of the guaranteed quota if guaranteed is
+// set.
 func (q *Quota) Charge(use scheduling.Resources, guaranteed bool) {
 	q.Usage = q.Usage.Plus(use)
 	if guaranteed {
--- a/internal/planning/scaling.go
+++ b/internal/planning/scaling.go
@@ -7,31 +7,35 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// Demand is a number of tasks, all alike, that found no room: one decision for all.
+// Demand describes identical tasks that lack capacity, and for which the autoscaler makes one
+// decision.
 type Demand struct {
 	Class    string
 	TaskSize scheduling.Resources
 	Count    int
-	// Groups is how many groups of Count tasks each arrive one by one; zero means one.
-	GroupCount   int
+	// GroupCount is the number of groups of Count tasks that arrive one by one. Zero means one.
+	GroupCount int
+	// AllOrNothing is set if the tasks are started together or not at all.
 	AllOrNothing bool
 	// EstimateS is the estimated run time of one task, in seconds.
 	EstimateS float64
-	// CompletionWindowS is the time in seconds within which an array's tasks should be done.
+	// CompletionWindowS is the time in seconds within which the tasks of an array should be done.
+	// Zero means that all tasks should run at the same time.
 	CompletionWindowS float64
 	// SlackS is the time in seconds until the deadline.
 	SlackS float64
-	// Allows tells on which kinds of machines the tasks may run.
+	// AllowsOffer reports whether the tasks may run on machines of an offer.
 	AllowsOffer OfferFilter
 }
 
 func (d *Demand) allowsMachine(machine *MachineSummary) bool { return d.AllowsOffer(machine.offer()) }
 
-// minTaskTimeS is the least time in seconds that a cell is busy with a task, however short.
+// minTaskTimeS is the least time in seconds for which a task occupies its cell, however short it
+// runs.
 const minTaskTimeS = 5
 
-// concurrentTasks is how many of the tasks have to run at a time for all to be done within the
-// window.
+// concurrentTasks returns how many of the tasks must run at the same time so that all are done
+// within the completion window.
 func (d *Demand) concurrentTasks() int {
 	tasks := d.Count * max(d.GroupCount, 1)
 	if d.AllOrNothing || d.CompletionWindowS <= 0 {
@@ -40,32 +44,34 @@
 	return min(tasks, int(math.Ceil(float64(tasks)*max(d.EstimateS, minTaskTimeS)/d.CompletionWindowS)))
 }
 
-// ScalingPlan plans which machines to launch.
+// ScalingPlan accumulates demands and plans which machines to launch for them.
 type ScalingPlan struct {
-	// Machines are those that are up or booting; planned ones are added.
+	// Machines holds the machines that are up or booting. Place adds the ones that it plans.
 	Machines []*MachineSummary
 	Offers   []PricedOffer
-	// RunningByClass is how many tasks of each class run now.
+	// RunningTasksByClass is the number of running tasks of each class.
 	RunningTasksByClass map[string]int
-	// Launches is how many machines of each offer are to be launched.
+	// Launches is the number of machines to launch of each offer. The caller must set it to a map.
 	Launches map[Offer]int
-	// Shortage is set once a demand found too little room on the machines.
+	// Shortage is set by Place if the machines lack capacity for a demand.
 	Shortage bool
 }
 
 const (
-	// bootAmortizationS is the time in seconds over which a machine's boot is spread when
-	// offers are compared: about how long machines stay.
+	// bootAmortizationS is the time in seconds over which the boot time of a machine is spread
+	// when offers are compared. It is about the time for which machines are kept.
 	bootAmortizationS = 100
-	// expectedTasksDivisor is the part of a class's running tasks, a quarter, that is counted on
-	// to share the machines launched for it before long.
+	// expectedTasksDivisor determines the share of a class's running tasks, a quarter, that is
+	// expected to arrive soon and to share the machines that are launched for the class.
 	expectedTasksDivisor = 4
-	// lateTasksDivisor is the part of the tasks, an eighth, for which machines are launched
-	// where none can be up in time: the work is not urgent any more.
+	// lateTasksDivisor determines the share of the tasks, an eighth, for which machines are
+	// launched if none can be up before the deadline. The tasks are late anyway, so they are no
+	// longer urgent.
 	lateTasksDivisor = 8
 )
 
-// Place has a demand take what room there is, and plans launches for the rest.
+// Place places the tasks of a demand in the free resources of the machines, and plans launches for
+// the tasks that don't fit.
 func (p *ScalingPlan) Place(demand Demand) {
 	tasks := demand.concurrentTasks()
 	for _, placed := range PlaceWithoutPreemption(p.Machines, demand.allowsMachine, demand.TaskSize, tasks) {
@@ -80,16 +86,17 @@
 		p.planLaunches(&demand, timely, tasks)
 		return
 	}
-	// The work has to be done some time, but it is not urgent: once there are machines
-	// for such tasks it waits for them.
+	// The tasks must run eventually, but they aren't urgent: if there are machines for them, they
+	// wait until these have capacity.
 	if !slices.ContainsFunc(p.Machines, demand.allowsMachine) {
 		p.planLaunches(&demand, late, divideRoundingUp(tasks, lateTasksDivisor))
 	}
 }
 
-// splitAllowedOffers returns the offers that a demand allows: those that are timely, and those
-// whose machines are up too late to help an array meet its deadline, and so not worth
-// their price. Spot instances are worth having anyway.
+// splitAllowedOffers returns the offers that a demand allows. late holds on-demand offers whose
+// machines would be up too late for an array to meet its deadline, so that they aren't worth
+// their price. timely holds the others, including all spot offers, which are cheap enough to be
+// worth their price at any time.
 func (p *ScalingPlan) splitAllowedOffers(demand *Demand) (timely, late []PricedOffer) {
 	for _, offer := range p.Offers {
 		if !demand.AllowsOffer(offer.Offer) {
@@ -104,9 +111,9 @@
 	return timely, late
 }
 
-// launch plans machines for a number of tasks. Services that arrive one by one are served
-// one by one: for all at once the largest machines would be cheapest, which take longest
-// to boot.
+// planLaunches plans machines for a number of tasks. For groups that arrive one by one, such as
+// services, it chooses an offer for one group at a time: the cheapest offer for all groups would
+// be the one with the largest machines, which take longest to boot.
 func (p *ScalingPlan) planLaunches(demand *Demand, offers []PricedOffer, tasks int) {
 	batchSize := tasks
 	if demand.GroupCount > 1 {
@@ -127,7 +134,7 @@
 	}
 }
 
-// plannedMachines returns empty machines of an offer.
+// plannedMachines returns empty machines of an offer that are not launched yet.
 func plannedMachines(offer *PricedOffer, count int) []*MachineSummary {
 	planned := make([]*MachineSummary, count)
 	for i := range planned {
--- a/internal/planning/selection.go
+++ b/internal/planning/selection.go
@@ -2,8 +2,8 @@
 
 import "eiderhitch/internal/scheduling"
 
-// CountFittingTasks returns for how many tasks of a size, at most count, the machines that the
-// filter allows have free room.
+// CountFittingTasks returns how many tasks of a size, at most count, fit into the free resources of
+// the machines that the filter allows.
 func CountFittingTasks(machines []*MachineSummary, allowed MachineFilter, size scheduling.Resources, count int) int {
 	fitting := 0
 	for _, machine := range machines {
@@ -14,11 +14,12 @@
 	return fitting
 }
 
-// CapacityFunc returns for how many tasks, at most limit, a machine has room.
+// CapacityFunc returns how many tasks, at most limit, a machine can hold.
 type CapacityFunc func(machine *MachineSummary, limit int) int
 
-// SelectMachines takes machines in their order, at most limit of them, until they have room
-// for a number of tasks, and returns for how many tasks they lack room.
+// SelectMachines selects machines in their order, at most limit of them, until they can hold a
+// number of tasks. It also returns the number of tasks that the selected machines can't hold,
+// which is zero or less if they can hold all.
 func SelectMachines(machines []*MachineSummary, tasks, limit int, capacity CapacityFunc) (selected []*MachineSummary, lacking int) {
 	for _, machine := range machines {
 		if tasks <= 0 || len(selected) >= limit {
--- a/internal/planning/throttle.go
+++ b/internal/planning/throttle.go
@@ -2,26 +2,26 @@
 
 import "eiderhitch/internal/scheduling"
 
-// GroupQuotaUsage is how many tasks of a stored group count for its team's quota.
+// GroupQuotaUsage holds how many tasks of a stored task group count toward its team's quota.
 type GroupQuotaUsage struct {
 	Priority int
-	// Running tasks hold cells.
+	// RunningTasks is the number of tasks that hold cells.
 	RunningTasks int
-	// Allowed is how many tasks may run: at least those that do, or are to.
+	// AllowedTasks is the number of tasks that may run, including the running ones.
 	AllowedTasks int
 	TaskSize     scheduling.Resources
-	// Fixed is set if tasks that are assigned but don't run can't be throttled now.
+	// WaitingTasksExempt is set if assigned tasks that don't run yet must not be throttled now,
+	// unless the group has a lower priority than the job.
 	WaitingTasksExempt bool
 }
 
-// unthrottled marks a group for which Throttle changes nothing.
+// limitUnchanged is the result of Throttle for a group that it doesn't throttle.
 const limitUnchanged = -1
 
-// Throttle makes room within a team's limit for a job of that priority, which lacks the
-// given amount. Assigned tasks that don't run yet are held back first, then running tasks
-// of lower priority are stopped. uses lists the team's groups, the least urgent first; the
-// result has for each how many of its tasks may run from now on, or -1 where nothing
-// changes.
+// Throttle reduces the usage of a team's limit by the shortfall of a job with the given priority,
+// as far as possible. It first throttles assigned tasks that don't run yet, then stops running
+// tasks of lower priority. uses holds the team's groups, the least urgent first. For each of
+// them, the result holds how many tasks may run from now on, or -1 if that doesn't change.
 func Throttle(uses []GroupQuotaUsage, priority int, shortfall scheduling.Resources) []int {
 	t := throttler{uses: uses, allowed: make([]int, len(uses)), shortfall: shortfall}
 	for i := range t.allowed {
@@ -40,14 +40,15 @@
 	return t.allowed
 }
 
-// throttling is a Throttle in progress.
+// throttler holds the state of one call of Throttle. allowed is the result so far, and shortfall
+// the part of the shortfall that is left.
 type throttler struct {
 	uses      []GroupQuotaUsage
 	allowed   []int
 	shortfall scheduling.Resources
 }
 
-// lower allows a group fewer tasks, as far as that is needed, but no fewer than least.
+// reduce lowers the allowed tasks of a group until the shortfall is covered, but not below least.
 func (t *throttler) reduce(i, least int) {
 	allowed := t.allowed[i]
 	if allowed == limitUnchanged {
