--- a/internal/planning/assignment_test.go
+++ b/internal/planning/assignment_test.go
@@ -23,19 +23,19 @@
 	}
 }
 
-// freeCapacity returns how many tasks fit into the free room of each partition.
+// freeCapacity returns how many tasks fit into the free resources of each partition.
 func (a *Assignment) freeCapacity(machines []*MachineSummary) []int {
-	room := make([]int, testPartitions)
+	capacity := make([]int, testPartitions)
 	for _, machine := range machines {
 		if a.AllowsMachine(machine) {
-			room[machine.Partition] += machine.FreeResources.CountFitting(a.TaskSize, unlimited)
+			capacity[machine.Partition] += machine.FreeResources.CountFitting(a.TaskSize, unlimited)
 		}
 	}
-	return room
+	return capacity
 }
 
-// preemptibleCapacity returns how many tasks fit into each partition at most, if all is
-// preempted that may be.
+// preemptibleCapacity returns how many tasks fit into each partition at most, if all tasks that the
+// claim may preempt are preempted.
 func (a *Assignment) preemptibleCapacity(machines []*MachineSummary) []int {
 	preempted := CloneSummaries(machines)
 	for _, machine := range preempted {
@@ -48,9 +48,10 @@
 	return a.freeCapacity(preempted)
 }
 
-// maxTasks returns how many tasks SplitAmongPartitions may assign to a partition at most.
-func (a *Assignment) maxTasks(room, ahead int) int {
-	most := room
+// maxTasks returns the most tasks that SplitAmongPartitions may assign to a partition with the given
+// capacity and tasks ahead.
+func (a *Assignment) maxTasks(capacity, ahead int) int {
+	most := capacity
 	if a.Force {
 		most = max(most, a.Count)
 	}
@@ -68,10 +69,10 @@
 	return total
 }
 
-// What is assigned never exceeds what was asked for, goes only to partitions with a
-// machine that the tasks may be on, preempts only what the claim may, and beyond the room
-// that there is goes no further than what becomes free and one stored group. Where the
-// quota is short it stays within the room. The same input gives the same result.
+// SplitAmongPartitions assigns no more tasks than requested, only to partitions with an allowed
+// machine, and preempts only what the claim may. A partition gets no more tasks beyond its
+// capacity than become free soon plus those of one task group, and none if the quota is limited.
+// The same input gives the same result.
 func TestSplitAmongPartitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines, assignment := drawMachines(t), drawAssignment(t)
@@ -79,28 +80,28 @@
 		for partition := range ahead {
 			ahead[partition] = rapid.IntRange(-5, 10).Draw(t, "ahead")
 		}
-		room, aheadBefore := assignment.preemptibleCapacity(machines), slices.Clone(ahead)
+		capacity, aheadBefore := assignment.preemptibleCapacity(machines), slices.Clone(ahead)
 		machinesAgain, aheadAgain := CloneSummaries(machines), slices.Clone(ahead)
 		assigned := assignment.SplitAmongPartitions(machines, ahead)
 		if again := assignment.SplitAmongPartitions(machinesAgain, aheadAgain); !cmp.Equal(assigned, again) {
-			t.Fatalf("expected the same result twice, got %v and %v", assigned, again)
+			t.Fatalf("expected the same result for the same input, got %v and %v", assigned, again)
 		}
 		anyAllowed := false
 		for partition, count := range assigned {
 			allowed := assignment.allowsPartition(machines, partition)
 			anyAllowed = anyAllowed || allowed
-			if most := assignment.maxTasks(room[partition], aheadBefore[partition]); count > most {
-				t.Fatalf("partition %d with room for %d: expected at most %d tasks, got %d", partition, room[partition], most, count)
+			if most := assignment.maxTasks(capacity[partition], aheadBefore[partition]); count > most {
+				t.Fatalf("partition %d with capacity for %d tasks: expected at most %d tasks to be assigned, got %d", partition, capacity[partition], most, count)
 			}
 			if count > 0 && !allowed {
-				t.Fatalf("partition %d allows no task: expected none, got %d", partition, count)
+				t.Fatalf("partition %d has no allowed machine: expected no tasks to be assigned, got %d", partition, count)
 			}
 		}
 		if assignment.Force && anyAllowed && sum(assigned) == 0 {
 			t.Fatal("expected forced tasks to be assigned, got none")
 		}
 		if sum(assigned) > assignment.Count {
-			t.Fatalf("expected at most %d tasks, got %d", assignment.Count, sum(assigned))
+			t.Fatalf("expected at most %d tasks to be assigned, got %d", assignment.Count, sum(assigned))
 		}
 		expectNoOvercommit(t, machines)
 	})
@@ -110,36 +111,36 @@
 	t.Helper()
 	for _, machine := range machines {
 		if !machine.FreeResources.Contains(scheduling.Resources{}) {
-			t.Fatalf("machine %d: expected free room of zero or more, got %v", machine.Index, machine.FreeResources)
+			t.Fatalf("machine %d: expected no negative free resources, got %v", machine.Index, machine.FreeResources)
 		}
 	}
 }
 
-// A gang is assigned to one partition that can hold all of it, or not at all, in which
-// case nothing has changed; it is not refused where one partition has free room.
+// ChoosePartition chooses a partition that can hold the whole gang. If it finds none, it leaves
+// the machines unchanged. It always finds one if the free resources of a partition suffice.
 func TestChoosePartition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines, assignment := drawMachines(t), drawAssignment(t)
 		assignment.Count = rapid.IntRange(1, 8).Draw(t, "gang size")
 		for _, machine := range machines {
-			machine.sortUsagesForPreemption() // the order of usages may change
+			machine.sortUsagesForPreemption() // since ChoosePartition may change the order of usages
 		}
-		before, free, room := CloneSummaries(machines), assignment.freeCapacity(machines), assignment.preemptibleCapacity(machines)
+		before, free, capacity := CloneSummaries(machines), assignment.freeCapacity(machines), assignment.preemptibleCapacity(machines)
 		partition, found := assignment.ChoosePartition(machines, testPartitions)
-		if found && room[partition] < assignment.Count {
-			t.Fatalf("expected a partition with room for %d, got %d with room for %d", assignment.Count, partition, room[partition])
+		if found && capacity[partition] < assignment.Count {
+			t.Fatalf("expected a partition with capacity for %d tasks, got partition %d with capacity for %d", assignment.Count, partition, capacity[partition])
 		}
 		if !found && !cmp.Equal(before, CloneSummaries(machines), cmp.AllowUnexported(MachineSummary{})) {
-			t.Fatal("expected a refused gang to change nothing")
+			t.Fatal("expected the machines to be unchanged if no partition is found")
 		}
 		if !found && slices.Max(free) >= assignment.Count {
-			t.Fatalf("expected a gang of %d to be assigned where free room is %v", assignment.Count, free)
+			t.Fatalf("expected a partition for a gang of %d tasks, as the partitions have free capacity for %v", assignment.Count, free)
 		}
 		expectOnlyVictimsMissing(t, assignment.Claim, before, machines)
 	})
 }
 
-// expectOnlyVictimsMissing checks that only what the claim may preempt is gone.
+// expectOnlyVictimsMissing checks that the only missing tasks are ones that the claim may preempt.
 func expectOnlyVictimsMissing(t *rapid.T, claim scheduling.Claim, before, after []*MachineSummary) {
 	t.Helper()
 	for i, machine := range after {
@@ -151,8 +152,8 @@
 	}
 }
 
-// Shares beyond the free room: small ones are enlarged unless the quota is short, and
-// forced tasks go where most becomes free.
+// Beyond the free capacity, small numbers of tasks are enlarged unless the quota is limited, and
+// forced tasks go to the partition where most cells become free.
 func TestSplitBeyondFreeCapacity(t *testing.T) {
 	size := scheduling.NewResources(4, 0, 8)
 	equalPriority := []TaskUsage{{Size: size}} // which can't be preempted
@@ -165,31 +166,31 @@
 		expectedAhead []int
 	}{
 		{
-			name:       "small share",
+			name:       "small number of tasks",
 			machines:   []MachineSummary{{Partition: 1, Size: size, FreeResources: size}},
 			assignment: Assignment{Count: 100},
 			ahead:      []int{0, 0, 0}, expected: []int{0, MinTasksPerPartition, 0}, expectedAhead: []int{0, 4 - MinTasksPerPartition, 0},
 		},
 		{
-			name:       "small share of a small array",
+			name:       "fewer tasks than the least number",
 			machines:   []MachineSummary{{Partition: 1, Size: size, FreeResources: size}},
 			assignment: Assignment{Count: 10},
 			ahead:      []int{0, 0, 0}, expected: []int{0, 10, 0}, expectedAhead: []int{0, -6, 0},
 		},
 		{
-			name:       "small share, quota short",
+			name:       "small number of tasks with a limited quota",
 			machines:   []MachineSummary{{Partition: 1, Size: size, FreeResources: size}},
 			assignment: Assignment{Count: 100, QuotaLimited: true},
 			ahead:      []int{0, 5, 0}, expected: []int{0, 4, 0}, expectedAhead: []int{0, 5, 0},
 		},
 		{
-			name:       "ahead, where there are machines",
+			name:       "tasks ahead only in partitions with machines",
 			machines:   []MachineSummary{{Partition: 0, Usages: equalPriority}, {Partition: 2, Usages: equalPriority}},
 			assignment: Assignment{Count: 60},
 			ahead:      []int{25, 25, 25}, expected: []int{25, 0, 25}, expectedAhead: []int{0, 25, 0},
 		},
 		{
-			name:       "forced, where most becomes free",
+			name:       "forced tasks where most cells become free",
 			machines:   []MachineSummary{{Partition: 0, Usages: equalPriority}, {Partition: 2, Usages: equalPriority}},
 			assignment: Assignment{Count: 10, Force: true},
 			ahead:      []int{-3, 5, -1}, expected: []int{0, 0, 10}, expectedAhead: []int{-3, 5, -11},
@@ -205,7 +206,7 @@
 				t.Errorf("expected tasks %v, got %v", row.expected, got)
 			}
 			if !slices.Equal(row.ahead, row.expectedAhead) {
-				t.Errorf("expected ahead to become %v, got %v", row.expectedAhead, row.ahead)
+				t.Errorf("expected the tasks ahead to become %v, got %v", row.expectedAhead, row.ahead)
 			}
 		})
 	}
@@ -217,8 +218,8 @@
 		bound                            int
 		estimateS, turnaroundS, expected float64
 	}{
-		{"what ends within two turnarounds", 10, 100, 5, 1},
-		{"at most half of what runs", 10, 10, 5, 5},
+		{"tasks that end within two turnaround times", 10, 100, 5, 1},
+		{"at most half of the running tasks", 10, 10, 5, 5},
 		{"very short tasks", 10, 0, 0.125, 2.5},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -229,8 +230,8 @@
 	}
 }
 
-// busyMachines returns machines of two types, a tenth of them free, the others full of
-// tasks of priority 1.
+// busyMachines returns machines of two types. A tenth of them is free; tasks of priority 1 use all
+// CPUs of the others.
 func busyMachines(count int) []*MachineSummary {
 	machines := make([]*MachineSummary, count)
 	for i := range machines {
@@ -249,7 +250,7 @@
 	return machines
 }
 
-// BenchmarkAssignment assigns an array and a service among several numbers of machines.
+// BenchmarkAssignment assigns an array and a service to fleets of several sizes.
 func BenchmarkAssignment(b *testing.B) {
 	for _, count := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/planning/bin_packing_test.go
+++ b/internal/planning/bin_packing_test.go
@@ -8,8 +8,8 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// PlaceWithoutPreemption never gives a machine more tasks than it holds, and places as many as
-// fit and are asked for.
+// PlaceWithoutPreemption never places more tasks on a machine than fit, and places as many tasks as
+// fit and are requested.
 func TestPlaceWithoutPreemption(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var machines []*MachineSummary
@@ -26,7 +26,7 @@
 		for machine, tasks := range PlaceWithoutPreemption(machines, anyMachine, size, count) {
 			placed += tasks
 			if machine.FreeResources.Plus(size.Times(tasks)) != machine.Size {
-				t.Fatalf("%d tasks on a machine of %v leave %v", tasks, machine.Size, machine.FreeResources)
+				t.Fatalf("%d tasks on a machine of %v: expected their sizes to be subtracted, got free resources %v", tasks, machine.Size, machine.FreeResources)
 			}
 		}
 		expectNoOvercommit(t, machines)
@@ -42,11 +42,11 @@
 		name          string
 		better, worse MachineSummary
 	}{
-		{"one that is up", MachineSummary{Index: 1}, MachineSummary{Booting: true}},
+		{"machine that is up", MachineSummary{Index: 1}, MachineSummary{Booting: true}},
 		{"spot instance", MachineSummary{Index: 1, Spot: true}, MachineSummary{}},
-		{"one that stays for a service", MachineSummary{Index: 1, RunsService: true}, MachineSummary{}},
-		{"one in use", MachineSummary{Index: 1, Size: size, FreeResources: part}, MachineSummary{Size: part, FreeResources: part}},
-		{"fuller one", MachineSummary{Index: 1, Size: size, FreeResources: part}, MachineSummary{Size: size.Plus(part), FreeResources: size}},
+		{"machine with a service", MachineSummary{Index: 1, RunsService: true}, MachineSummary{}},
+		{"machine in use", MachineSummary{Index: 1, Size: size, FreeResources: part}, MachineSummary{Size: part, FreeResources: part}},
+		{"fuller machine", MachineSummary{Index: 1, Size: size, FreeResources: part}, MachineSummary{Size: size.Plus(part), FreeResources: size}},
 		{"lower index", MachineSummary{Index: 1}, MachineSummary{Index: 2}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -68,16 +68,16 @@
 	for _, row := range []struct {
 		name     string
 		machines []MachineSummary
-		expected scheduling.MachineIndex // UnassignedIndex: none
+		expected scheduling.MachineIndex // UnassignedIndex if none
 	}{
 		{"lower priority", []MachineSummary{{Usages: []TaskUsage{usage(1, 4)}}, {Usages: []TaskUsage{usage(0, 4)}}}, 1},
 		{"fewer victims", []MachineSummary{{Usages: []TaskUsage{usage(0, 2), usage(0, 2)}}, {Usages: []TaskUsage{usage(0, 4)}}}, 1},
-		{"two victims rather than a higher one", []MachineSummary{{Usages: []TaskUsage{usage(1, 4)}}, {Usages: []TaskUsage{usage(0, 2), usage(0, 2)}}}, 1},
-		{"one that stays for a service", []MachineSummary{{Usages: []TaskUsage{usage(0, 4)}}, {RunsService: true, Usages: []TaskUsage{usage(0, 4)}}}, 1},
+		{"two victims rather than one of higher priority", []MachineSummary{{Usages: []TaskUsage{usage(1, 4)}}, {Usages: []TaskUsage{usage(0, 2), usage(0, 2)}}}, 1},
+		{"machine with a service", []MachineSummary{{Usages: []TaskUsage{usage(0, 4)}}, {RunsService: true, Usages: []TaskUsage{usage(0, 4)}}}, 1},
 		{"lower index", []MachineSummary{{Usages: []TaskUsage{usage(0, 4)}}, {Usages: []TaskUsage{usage(0, 4)}}}, 0},
-		{"not while booting", []MachineSummary{{Booting: true, Usages: []TaskUsage{usage(0, 4)}}, {Usages: []TaskUsage{usage(1, 4)}}}, 1},
-		{"not of equal priority", []MachineSummary{{Usages: []TaskUsage{usage(priority, 4)}}}, UnassignedIndex},
-		{"not enough", []MachineSummary{{Usages: []TaskUsage{usage(0, 2), usage(priority, 2)}}}, UnassignedIndex},
+		{"no booting machine", []MachineSummary{{Booting: true, Usages: []TaskUsage{usage(0, 4)}}, {Usages: []TaskUsage{usage(1, 4)}}}, 1},
+		{"no victim of equal priority", []MachineSummary{{Usages: []TaskUsage{usage(priority, 4)}}}, UnassignedIndex},
+		{"too few resources", []MachineSummary{{Usages: []TaskUsage{usage(0, 2), usage(priority, 2)}}}, UnassignedIndex},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			var machines []*MachineSummary
--- a/internal/planning/generators_test.go
+++ b/internal/planning/generators_test.go
@@ -8,10 +8,10 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// testPartitions is how many partitions generated machines are spread over.
+// testPartitions is the number of partitions that generated machines belong to.
 const testPartitions = 3
 
-// unlimited is more than any generated machine holds tasks.
+// unlimited is a limit that exceeds the number of tasks on any generated machine.
 const unlimited = 1000
 
 func anyMachine(*MachineSummary) bool { return true }
@@ -26,12 +26,12 @@
 	}
 }
 
-// drawCPUs draws a task size of so many CPUs and little RAM.
+// drawCPUs draws a task size of least to most CPUs and 1 GB of RAM.
 func drawCPUs(t *rapid.T, name string, least, most int) scheduling.Resources {
 	return scheduling.NewResources(float64(rapid.IntRange(least, most).Draw(t, name)), 0, 1)
 }
 
-// drawMachines draws machines whose usages fit on them.
+// drawMachines draws machines with usages that fit on them.
 func drawMachines(t *rapid.T) []*MachineSummary {
 	var machines []*MachineSummary
 	for i := range rapid.IntRange(0, 8).Draw(t, "machines") {
@@ -57,8 +57,8 @@
 	return machines
 }
 
-// drawOfferFilter draws a filter that may restrict the zone to one of the given ones, and
-// may exclude spot instances.
+// drawOfferFilter draws a filter that may restrict the zone to one of the given zones and may
+// exclude spot instances. onlyZone is the zone, or "" if the filter allows all.
 func drawOfferFilter(t *rapid.T, zones ...string) (filter OfferFilter, onlyZone string) {
 	onlyZone = rapid.SampledFrom(append([]string{""}, zones...)).Draw(t, "only zone")
 	spot := rapid.Bool().Draw(t, "spot allowed")
--- a/internal/planning/headroom_test.go
+++ b/internal/planning/headroom_test.go
@@ -8,7 +8,8 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// Only what has been free for a whole window counts.
+// Add returns no more CPUs than were free at any time in the window, and reports a window as
+// covered only if the samples reach back for nine tenths of it.
 func TestFreeHistory(t *testing.T) {
 	const window = 10
 	rapid.Check(t, func(t *rapid.T) {
@@ -22,11 +23,11 @@
 			least, covered := history.Add(now, free[len(free)-1], window)
 			for i := range times {
 				if now-times[i] <= window && free[i] < least {
-					t.Fatalf("at %v: expected the least to be %d, free at %v, got %d", now, free[i], times[i], least)
+					t.Fatalf("at %v s: expected at most %d, which were free at %v s, got %d", now, free[i], times[i], least)
 				}
 			}
 			if covered && now-times[0] < 9 {
-				t.Fatalf("expected a window of %d s not to be covered after %v s", window, now-times[0])
+				t.Fatalf("expected a window of %d s not to be covered by samples of %v s", window, now-times[0])
 			}
 		}
 	})
@@ -46,7 +47,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			if got := Headroom(row.services, row.factor); got != row.expected {
-				t.Errorf("expected room for %d services, got %d", row.expected, got)
+				t.Errorf("expected headroom for %d services, got %d", row.expected, got)
 			}
 		})
 	}
@@ -64,14 +65,14 @@
 	for _, row := range []struct {
 		name     string
 		machines []*MachineSummary
-		expected scheduling.MachineIndex // UnassignedIndex: none
+		expected scheduling.MachineIndex // UnassignedIndex if none
 	}{
-		{"least share", []*MachineSummary{machine(0, 4, 2, 1), machine(1, 16, 4, 1)}, 1},
-		{"the first of equal ones", []*MachineSummary{machine(0, 4, 2, 1), machine(1, 8, 4, 1)}, 0},
+		{"smallest share in use", []*MachineSummary{machine(0, 4, 2, 1), machine(1, 16, 4, 1)}, 1},
+		{"first of equal shares", []*MachineSummary{machine(0, 4, 2, 1), machine(1, 8, 4, 1)}, 0},
 		{"no spot instance", []*MachineSummary{spot, machine(1, 16, 4, 1)}, 1},
-		{"no larger one", []*MachineSummary{machine(0, 17, 1, 1), machine(1, 16, 4, 1)}, 1},
-		{"none that runs that priority", []*MachineSummary{machine(0, 16, 1, priority), machine(1, 16, 4, 1)}, 1},
-		{"none that the filter refuses", []*MachineSummary{machine(refused, 16, 1, 1)}, UnassignedIndex},
+		{"no machine with too many CPUs", []*MachineSummary{machine(0, 17, 1, 1), machine(1, 16, 4, 1)}, 1},
+		{"no machine that runs a task of the priority", []*MachineSummary{machine(0, 16, 1, priority), machine(1, 16, 4, 1)}, 1},
+		{"no machine that the filter refuses", []*MachineSummary{machine(refused, 16, 1, 1)}, UnassignedIndex},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			allowed := func(machine *MachineSummary) bool { return machine.Index != refused }
--- a/internal/planning/job_order_test.go
+++ b/internal/planning/job_order_test.go
@@ -16,29 +16,29 @@
 	}
 }
 
-// Whatever small work keeps arriving, every job starts and ends: once it has to start it
-// goes before all others, and once it is overdue it does so in its turn, which comes in
-// every twenty seconds and leaves most of them to others.
+// Jobs that must start, and overdue jobs during their time slice, go before all other jobs, so that
+// each job starts and ends however many small jobs arrive. Overdue jobs have at least one second
+// in any 20 consecutive seconds, and at most half of them.
 func TestUnstartedAndOverdueJobsGoFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, young := drawJobOrder(t, "old"), drawJobOrder(t, "young")
 		young.Started = true
 		old.Started, old.OverdueTimeSlice, old.AgeS = true, true, overdueFactor*old.DeadlineS+startWithinS+1
 		if old.Urgency().Compare(young.Urgency()) >= 0 {
-			t.Fatalf("expected overdue job %+v to go before %+v", old, young)
+			t.Fatalf("expected overdue job %+v to go before job %+v", old, young)
 		}
 		old.Started, old.AgeS = false, forceStartAfterS+1
 		if old.Urgency().Compare(young.Urgency()) >= 0 {
-			t.Fatalf("expected job that must start %+v to go before %+v", old, young)
+			t.Fatalf("expected job %+v, which must start, to go before job %+v", old, young)
 		}
-		from, turns := rapid.Int64Range(0, 1<<40).Draw(t, "from"), 0
+		from, seconds := rapid.Int64Range(0, 1<<40).Draw(t, "from"), 0
 		for i := range int64(20) {
 			if IsOverdueTimeSlice(from + i) {
-				turns++
+				seconds++
 			}
 		}
-		if turns == 0 || turns > 10 {
-			t.Fatalf("expected 1 to 10 seconds of overdue jobs in 20, got %d", turns)
+		if seconds == 0 || seconds > 10 {
+			t.Fatalf("expected overdue jobs to go first during 1 to 10 of 20 seconds, got %d", seconds)
 		}
 	})
 }
@@ -51,20 +51,20 @@
 		expected UrgencyClass
 	}{
 		{"meets its deadline", JobTiming{AgeS: 40, EstimateS: 60}, UrgencyOnTime},
-		{"late by up to half of its deadline", JobTiming{AgeS: 90, EstimateS: 60}, UrgencySlightlyLate},
-		{"within its objective", JobTiming{AgeS: 90, EstimateS: 310}, UrgencyLate},
-		{"beyond its objective", JobTiming{AgeS: 90, EstimateS: 311}, UrgencyObjectiveMissed},
-		{"has not started for too long", JobTiming{AgeS: forceStartAfterS + 1, EstimateS: 1}, UrgencyMustStart},
+		{"late by at most half of its deadline", JobTiming{AgeS: 90, EstimateS: 60}, UrgencySlightlyLate},
+		{"meets its objective", JobTiming{AgeS: 90, EstimateS: 310}, UrgencyLate},
+		{"misses its objective", JobTiming{AgeS: 90, EstimateS: 311}, UrgencyObjectiveMissed},
+		{"has not started in time", JobTiming{AgeS: forceStartAfterS + 1, EstimateS: 1}, UrgencyMustStart},
 		{"has started", JobTiming{Started: true, AgeS: forceStartAfterS + 1, EstimateS: 1}, UrgencySlightlyLate},
-		{"overdue in its turn", JobTiming{Started: true, OverdueTimeSlice: true, AgeS: 301, EstimateS: 1}, UrgencyOverdue},
-		{"overdue out of its turn", JobTiming{Started: true, AgeS: 301, EstimateS: 1}, UrgencyLate},
+		{"overdue during the time slice", JobTiming{Started: true, OverdueTimeSlice: true, AgeS: 301, EstimateS: 1}, UrgencyOverdue},
+		{"overdue outside of the time slice", JobTiming{Started: true, AgeS: 301, EstimateS: 1}, UrgencyLate},
 		{"without a deadline", JobTiming{NoDeadline: true, OverdueTimeSlice: true, AgeS: 1000, EstimateS: 1}, UrgencyOnTime},
 		{"all or nothing", JobTiming{AllOrNothing: true, OverdueTimeSlice: true, AgeS: 1000, EstimateS: 1}, UrgencyOnTime},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			row.job.DeadlineS, row.job.ObjectiveS = deadlineS, objectiveS
 			if got := row.job.Urgency().Class; got != row.expected {
-				t.Errorf("%+v: expected lateness %d, got %d", row.job, row.expected, got)
+				t.Errorf("%+v: expected urgency class %d, got %d", row.job, row.expected, got)
 			}
 		})
 	}
@@ -79,10 +79,10 @@
 		pending  int
 		expected int
 	}{
-		{"overdue in its turn", overdue, 0, MinTasksPerPartition},
+		{"overdue during the time slice", overdue, 0, MinTasksPerPartition},
 		{"must start", unstarted, 0, ForcedStartTasks},
-		{"assigned tasks wait already", unstarted, 1, 0},
-		{"neither", JobTiming{Started: true, DeadlineS: 1000}, 0, 0},
+		{"has pending tasks", unstarted, 1, 0},
+		{"neither overdue nor must start", JobTiming{Started: true, DeadlineS: 1000}, 0, 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			if got := row.job.ForcedTaskCount(row.pending); got != row.expected {
@@ -98,16 +98,16 @@
 		job       JobTiming
 		expectedS float64
 	}{
-		{"started together", JobTiming{AllOrNothing: true, EstimateS: 60, DeadlineS: 100}, 0},
-		{"run times of tasks", JobTiming{NoDeadline: true, EstimateS: 60}, 120},
+		{"all or nothing", JobTiming{AllOrNothing: true, EstimateS: 60, DeadlineS: 100}, 0},
+		{"two run times of a task", JobTiming{NoDeadline: true, EstimateS: 60}, 120},
 		{"short tasks", JobTiming{NoDeadline: true, EstimateS: 5}, 30},
-		{"share of the time to the deadline", JobTiming{EstimateS: 60, DeadlineS: 100}, 60},
+		{"limited by the time to the deadline", JobTiming{EstimateS: 60, DeadlineS: 100}, 60},
 		{"little time to the deadline", JobTiming{AgeS: 95, EstimateS: 3, DeadlineS: 100}, 10},
-		{"time to the objective once it is late", JobTiming{AgeS: 300, EstimateS: 60, DeadlineS: 100, ObjectiveS: 400}, 60},
+		{"limited by the time to the objective if the job is late", JobTiming{AgeS: 300, EstimateS: 60, DeadlineS: 100, ObjectiveS: 400}, 60},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			if got := row.job.CompletionWindowS(); got != row.expectedS {
-				t.Errorf("expected %v s, got %v s", row.expectedS, got)
+				t.Errorf("expected a window of %v s, got %v s", row.expectedS, got)
 			}
 		})
 	}
--- a/internal/planning/quota_test.go
+++ b/internal/planning/quota_test.go
@@ -8,8 +8,8 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// Room and Shortfall agree: what Room grants doesn't exceed the limit, and one more task
-// does.
+// RemainingTasks and Shortfall agree: the tasks that RemainingTasks returns don't exceed the limit,
+// and one more task does.
 func TestQuotaRemainingTasks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quota := Quota{
@@ -17,35 +17,35 @@
 			Usage: scheduling.Resources{CPU: rapid.Int64Range(0, 120_000).Draw(t, "used")},
 		}
 		size := scheduling.Resources{CPU: rapid.Int64Range(1, 9_000).Draw(t, "task cpus")}
-		granted := quota.RemainingTasks(size, unlimited)
-		if excess := quota.Shortfall(size.Times(granted)).CPU; granted > 0 && excess > 0 {
-			t.Fatalf("expected the %d tasks granted to fit the limit, they exceed it by %d", granted, excess)
+		remaining := quota.RemainingTasks(size, unlimited)
+		if excess := quota.Shortfall(size.Times(remaining)).CPU; remaining > 0 && excess > 0 {
+			t.Fatalf("expected %d remaining tasks not to exceed the limit, they exceed it by %d", remaining, excess)
 		}
-		if granted < unlimited && quota.Shortfall(size.Times(granted+1)).CPU == 0 {
-			t.Fatalf("expected one task more than the %d granted to exceed the limit", granted)
+		if remaining < unlimited && quota.Shortfall(size.Times(remaining+1)).CPU == 0 {
+			t.Fatalf("expected one more than the %d remaining tasks to exceed the limit", remaining)
 		}
 	})
 }
 
 func TestQuotaWithoutLimits(t *testing.T) {
 	none, size := Quota{}, scheduling.NewResources(1, 0, 0)
-	if room := none.RemainingTasks(size, 7); room != 7 {
-		t.Errorf("without a limit: expected room for all 7 tasks, got %d", room)
+	if remaining := none.RemainingTasks(size, 7); remaining != 7 {
+		t.Errorf("without a limit: expected 7 remaining tasks, got %d", remaining)
 	}
-	if room := none.RemainingGuaranteedTasks(size, 7); room != 0 {
-		t.Errorf("without a guaranteed quota: expected room for none, got %d", room)
+	if remaining := none.RemainingGuaranteedTasks(size, 7); remaining != 0 {
+		t.Errorf("without a guaranteed quota: expected no remaining tasks, got %d", remaining)
 	}
 }
 
-// All use counts for the limit, only guaranteed use for the guaranteed quota.
+// Charge adds all amounts to the usage, but only guaranteed ones to the guaranteed usage.
 func TestQuotaCharge(t *testing.T) {
 	quota := Quota{Usage: scheduling.NewResources(1, 0, 0), GuaranteedUsage: scheduling.NewResources(1, 0, 0)}
 	quota.Charge(scheduling.NewResources(2, 0, 0), false)
 	quota.Charge(scheduling.NewResources(4, 1, 0), true)
 	if want := scheduling.NewResources(7, 1, 0); quota.Usage != want {
-		t.Errorf("expected %v to be used, got %v", want, quota.Usage)
+		t.Errorf("expected usage %v, got %v", want, quota.Usage)
 	}
 	if want := scheduling.NewResources(5, 1, 0); quota.GuaranteedUsage != want {
-		t.Errorf("expected %v of the guaranteed quota to be used, got %v", want, quota.GuaranteedUsage)
+		t.Errorf("expected guaranteed usage %v, got %v", want, quota.GuaranteedUsage)
 	}
 }
--- a/internal/planning/scaling_test.go
+++ b/internal/planning/scaling_test.go
@@ -9,7 +9,8 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// newScalingPlan returns a plan on copies of the machines.
+// newScalingPlan returns a plan for copies of the machines, with the given number of running tasks
+// of class "x".
 func newScalingPlan(machines []*MachineSummary, offers []PricedOffer, running int) *ScalingPlan {
 	return &ScalingPlan{
 		Machines:            CloneSummaries(machines),
@@ -19,9 +20,9 @@
 	}
 }
 
-// No machine is launched of an offer that no demand allows. What there is and what is
-// planned hold all that is asked for where an offer can, and nothing is launched for what
-// there is room for. The same input gives the same plan.
+// Place launches no machines of an offer that the demand doesn't allow, and none if the machines
+// have capacity for all tasks. The machines and launches together hold all tasks if the demand
+// allows an offer. The same input gives the same plan.
 func TestPlaceLaunchesMissingCapacity(t *testing.T) {
 	offers := []PricedOffer{
 		{Offer: Offer{Type: "4000", Zone: "a"}, Size: scheduling.NewResources(4, 0, 64), Price: 0.4, BootS: 50},
@@ -40,47 +41,48 @@
 		plan.Place(demand)
 		again.Place(demand)
 		if difference := cmp.Diff(plan.Launches, again.Launches); difference != "" {
-			t.Fatalf("expected the same plan twice, got %s", difference)
+			t.Fatalf("expected the same launches for the same input, got difference %s", difference)
 		}
-		room := 0
+		capacity := 0
 		for _, machine := range machines {
 			if demand.allowsMachine(machine) {
-				room += machine.FreeResources.CountFitting(demand.TaskSize, demand.Count)
+				capacity += machine.FreeResources.CountFitting(demand.TaskSize, demand.Count)
 			}
 		}
 		launched := launchedCapacity(t, plan, &demand)
-		if plan.Shortage != (room < demand.Count) {
-			t.Fatalf("room for %d of %d: got shortage %v", room, demand.Count, plan.Shortage)
+		if plan.Shortage != (capacity < demand.Count) {
+			t.Fatalf("capacity for %d of %d tasks: got shortage %v", capacity, demand.Count, plan.Shortage)
 		}
-		if onlyZone != zoneWithoutOffers && room+launched < demand.Count {
-			t.Fatalf("expected room for %d, got %d and launches for %d", demand.Count, room, launched)
+		if onlyZone != zoneWithoutOffers && capacity+launched < demand.Count {
+			t.Fatalf("expected capacity for %d tasks, got %d on machines and %d on launches", demand.Count, capacity, launched)
 		}
-		if room >= demand.Count && launched > 0 {
-			t.Fatalf("room for %d of %d: expected no launches, got some for %d", room, demand.Count, launched)
+		if capacity >= demand.Count && launched > 0 {
+			t.Fatalf("capacity for %d of %d tasks: expected no launches, got some for %d tasks", capacity, demand.Count, launched)
 		}
 	})
 }
 
-// launchedCapacity returns for how many tasks machines are launched, all of which the demand
-// has to allow.
+// launchedCapacity returns how many tasks fit on the machines to launch. It fails the test if the
+// demand doesn't allow one of their offers.
 func launchedCapacity(t *rapid.T, plan *ScalingPlan, demand *Demand) int {
 	t.Helper()
-	room := 0
+	capacity := 0
 	for offer, count := range plan.Launches {
 		if !demand.AllowsOffer(offer) {
 			t.Fatalf("expected no launches of %+v, got %d", offer, count)
 		}
 		for _, priced := range plan.Offers {
 			if priced.Offer == offer {
-				room += count * priced.Size.CountFitting(demand.TaskSize, unlimited)
+				capacity += count * priced.Size.CountFitting(demand.TaskSize, unlimited)
 			}
 		}
 	}
-	return room
+	return capacity
 }
 
-// Many similar services that arrive one by one are planned for as if each were placed by
-// itself: for all at once larger machines would be chosen, which take longer to boot.
+// Similar services that are combined into one demand with a GroupCount get the same launches as
+// services that are placed one by one. For all services at once, larger machines would be
+// chosen, which take longer to boot.
 func TestGroupedServicesMatchIndividualPlacement(t *testing.T) {
 	offers := []PricedOffer{
 		{Offer: Offer{Type: "small", Zone: "a"}, Size: scheduling.NewResources(4, 0, 64), Price: 0.3, BootS: 25},
@@ -97,13 +99,14 @@
 		demand.GroupCount = services
 		atOnce.Place(demand)
 		if difference := cmp.Diff(oneByOne.Launches, atOnce.Launches); difference != "" {
-			t.Fatalf("expected the same launches as one by one, got %s", difference)
+			t.Fatalf("expected the same launches as for services placed one by one, got difference %s", difference)
 		}
 	})
 }
 
-// Machines that are up too late for an array's deadline are launched for a part of it
-// only, and only if there are none of the kind; spot instances are worth their price.
+// Machines that would be up too late for the deadline of an array are launched for a part of its
+// tasks only, and only if there are no machines that the array may use. Spot instances are
+// launched for all tasks.
 func TestPlaceLateArray(t *testing.T) {
 	const tasks = 16
 	size := scheduling.NewResources(1, 0, 1)
@@ -111,14 +114,14 @@
 	for _, row := range []struct {
 		name     string
 		slackS   float64
-		machine  Offer // of which there is one, full
+		machine  Offer // offer of the only machine, which is full
 		allows   Offer
 		expected int
 	}{
 		{name: "in time", slackS: 45, allows: onDemand, expected: tasks},
 		{name: "late", slackS: 44, allows: onDemand, expected: tasks / lateTasksDivisor},
-		{name: "late, and there is a machine", slackS: 44, machine: onDemand, allows: onDemand, expected: 0},
-		{name: "in time, and there is a machine", slackS: 45, machine: onDemand, allows: onDemand, expected: tasks},
+		{name: "late, with an existing machine", slackS: 44, machine: onDemand, allows: onDemand, expected: 0},
+		{name: "in time, with an existing machine", slackS: 45, machine: onDemand, allows: onDemand, expected: tasks},
 		{name: "late spot instances", slackS: 44, machine: spot, allows: spot, expected: tasks},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -131,13 +134,14 @@
 				AllowsOffer: func(offer Offer) bool { return offer == row.allows },
 			})
 			if got := plan.Launches[row.allows]; got != row.expected {
-				t.Errorf("expected %d machines, got %d", row.expected, got)
+				t.Errorf("expected launches of %d machines, got %d", row.expected, got)
 			}
 		})
 	}
 }
 
-// A quarter of what runs of a class is counted on to share the machines launched for it.
+// A quarter of the running tasks of a class is expected to share the machines that are launched for
+// the class.
 func TestExpectedTasksFavorLargerMachines(t *testing.T) {
 	for _, row := range []struct {
 		name     string
@@ -145,8 +149,8 @@
 		expected string
 	}{
 		{"none run", 0, "small"},
-		{"30 run, 7 are likely", 30, "small"},
-		{"40 run, 10 are likely", 40, "large"},
+		{"30 run, 7 are expected", 30, "small"},
+		{"40 run, 10 are expected", 40, "large"},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			plan := newScalingPlan(nil, smallAndLarge, row.running)
--- a/internal/planning/throttle_test.go
+++ b/internal/planning/throttle_test.go
@@ -18,14 +18,14 @@
 			RunningTasks:       running,
 			AllowedTasks:       running + rapid.IntRange(0, 5).Draw(t, "waiting"),
 			TaskSize:           drawCPUs(t, "cpus", 1, 3),
-			WaitingTasksExempt: rapid.Bool().Draw(t, "fixed"),
+			WaitingTasksExempt: rapid.Bool().Draw(t, "waiting tasks exempt"),
 		})
 	}
 	return uses
 }
 
-// Throttle stops no task of equal or higher priority and no more than is lacking, and
-// leaves nothing lacking that it could have got.
+// Throttle stops no task of equal or higher priority, throttles no more tasks than the shortfall
+// requires, and leaves a shortfall only if no task can be throttled any more.
 func TestThrottle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		uses := drawQuotaUses(t)
@@ -38,7 +38,7 @@
 				allowed = use.AllowedTasks
 			}
 			if allowed > use.AllowedTasks || allowed < use.RunningTasks && use.Priority >= priority {
-				t.Fatalf("%+v: %d tasks may run for a job of priority %d", use, allowed, priority)
+				t.Fatalf("%+v: got %d allowed tasks for a job of priority %d", use, allowed, priority)
 			}
 			remaining -= use.TaskSize.CPU * int64(use.AllowedTasks-allowed)
 			largest = max(largest, use.TaskSize.CPU)
@@ -49,10 +49,10 @@
 			}
 		}
 		if remaining <= -max(largest, 1) {
-			t.Fatalf("expected no more than %d to be throttled, got %d more", shortfall.CPU, -remaining)
+			t.Fatalf("expected less than one task to be throttled beyond the shortfall of %d, got %d thousandths of a CPU beyond it", shortfall.CPU, -remaining)
 		}
 		if remaining > 0 && throttleable > 0 {
-			t.Fatalf("expected nothing to be lacking, got %d while %d could be throttled", remaining, throttleable)
+			t.Fatalf("expected no shortfall to be left, got %d while %d could be throttled", remaining, throttleable)
 		}
 	})
 }
@@ -61,24 +61,24 @@
 	size := scheduling.NewResources(1, 0, 0)
 	waiting := GroupQuotaUsage{Priority: 1, RunningTasks: 2, AllowedTasks: 5, TaskSize: size}
 	lower := GroupQuotaUsage{Priority: 0, RunningTasks: 3, AllowedTasks: 3, TaskSize: size}
-	fixed := GroupQuotaUsage{Priority: 1, RunningTasks: 2, AllowedTasks: 5, TaskSize: size, WaitingTasksExempt: true}
+	exempt := GroupQuotaUsage{Priority: 1, RunningTasks: 2, AllowedTasks: 5, TaskSize: size, WaitingTasksExempt: true}
 	for _, row := range []struct {
 		name      string
 		uses      []GroupQuotaUsage
 		shortfall float64
 		expected  []int
 	}{
-		{"nothing is lacking", []GroupQuotaUsage{lower, waiting}, 0, []int{limitUnchanged, limitUnchanged}},
+		{"no shortfall", []GroupQuotaUsage{lower, waiting}, 0, []int{limitUnchanged, limitUnchanged}},
 		{"waiting tasks before running ones", []GroupQuotaUsage{lower, waiting}, 2, []int{limitUnchanged, 3}},
-		{"running ones of lower priority then", []GroupQuotaUsage{lower, waiting}, 4, []int{2, 2}},
-		{"no running ones of equal priority", []GroupQuotaUsage{waiting}, 4, []int{2}},
-		{"no fixed ones", []GroupQuotaUsage{fixed, lower}, 1, []int{limitUnchanged, 2}},
-		{"the least urgent first", []GroupQuotaUsage{waiting, waiting}, 4, []int{2, 4}},
+		{"then running tasks of lower priority", []GroupQuotaUsage{lower, waiting}, 4, []int{2, 2}},
+		{"no running tasks of equal priority", []GroupQuotaUsage{waiting}, 4, []int{2}},
+		{"no waiting tasks of an exempt group", []GroupQuotaUsage{exempt, lower}, 1, []int{limitUnchanged, 2}},
+		{"least urgent group first", []GroupQuotaUsage{waiting, waiting}, 4, []int{2, 4}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			got := Throttle(row.uses, 1, scheduling.NewResources(row.shortfall, 0, 0))
 			if !slices.Equal(got, row.expected) {
-				t.Errorf("expected %v tasks to be allowed, got %v", row.expected, got)
+				t.Errorf("expected allowed tasks %v, got %v", row.expected, got)
 			}
 		})
 	}
