--- a/internal/planning/assignment.go
+++ b/internal/planning/assignment.go
@@ -3,7 +3,7 @@
 import "eiderhitch/internal/scheduling"
 
 // MinTasksPerPartition is the least number of tasks of an array that a partition is assigned,
-// unless the array has fewer tasks left. Each stored task group needs its own writes, to assign
+// unless the array has fewer tasks left or the quota is limited. Each stored task group needs its own writes, to assign
 // it, to bind its tasks, to store their ends and to delete it, and the key-value store limits
 // writes more than anything else.
 const MinTasksPerPartition = 24
@@ -17,7 +17,7 @@
 	AllowsMachine MachineFilter
 	// QuotaLimited is set if the team is close to its limit. Tasks that are assigned before
 	// they can run would count toward the limit and block other jobs of the team, so only as
-	// many tasks are assigned as there is capacity for.
+	// many tasks are assigned as there is capacity for, unless Force applies.
 	QuotaLimited bool
 	// Force is set to assign the tasks even if there is no capacity for any of them, so that
 	// they take the next cells that become free.
@@ -26,8 +26,10 @@
 
 // SplitAmongPartitions returns how many tasks of an array each partition is assigned: first as
 // many as fit into free resources, then as many as tasksAhead permits for each partition, in
-// cells that become free soon, then as many as fit by preemption. It subtracts what it assigns
-// from the machines and from tasksAhead, which may become negative.
+// cells that become free soon, then as many as fit by preemption. If these are none and Force is
+// set, one partition is assigned all tasks. Last, partitions with few tasks are assigned up to
+// MinTasksPerPartition. It subtracts what it assigns from the machines and from tasksAhead, which
+// may become negative.
 func (a *Assignment) SplitAmongPartitions(machines []*MachineSummary, tasksAhead []int) []int {
 	s := arraySplit{
 		Assignment: a, machines: machines, tasksAhead: tasksAhead,
@@ -135,16 +137,16 @@
 // ChoosePartition chooses one partition for all tasks, as for a gang, whose cells are reserved
 // together, and subtracts their resources from the machines there. It reports false if no
 // partition has enough capacity, and then leaves the machines unchanged.
-func (a *Assignment) ChoosePartition(machines []*MachineSummary, partitions int) (partition int, found bool) {
+func (a *Assignment) ChoosePartition(machines []*MachineSummary, partitionCount int) (partition int, found bool) {
 	if a.Count == 1 {
 		return a.choosePartitionForTask(machines)
 	}
-	partition, free := a.freestPartition(machines, partitions)
+	partition, free := a.partitionWithMostCapacity(machines, partitionCount)
 	if free >= a.Count {
 		PlaceWithoutPreemption(machines, a.filterPartition(partition), a.TaskSize, a.Count)
 		return partition, true
 	}
-	for partition := range partitions {
+	for partition := range partitionCount {
 		trial := CloneSummaries(machines)
 		if a.placeAll(trial, a.filterPartition(partition)) {
 			for i := range machines {
@@ -168,9 +170,9 @@
 	return 0, false
 }
 
-// freestPartition returns the partition whose free resources hold the most tasks, and that
+// partitionWithMostCapacity returns the partition whose free resources hold the most tasks, and that
 // number. Each machine counts for at most a.Count tasks.
-func (a *Assignment) freestPartition(machines []*MachineSummary, partitions int) (partition, tasks int) {
+func (a *Assignment) partitionWithMostCapacity(machines []*MachineSummary, partitions int) (partition, tasks int) {
 	free := make([]int, partitions)
 	for _, machine := range machines {
 		if a.AllowsMachine(machine) {
@@ -194,7 +196,7 @@
 }
 
 // placeAll places all tasks on machines, by preemption if the free resources are insufficient.
-// It reports whether all tasks are placed.
+// It reports whether all tasks are placed; if not, some of them may be.
 func (a *Assignment) placeAll(machines []*MachineSummary, allowed MachineFilter) bool {
 	remaining := a.Count
 	for _, count := range PlaceWithoutPreemption(machines, allowed, a.TaskSize, a.Count) {
@@ -221,6 +223,6 @@
 // twice as many as end during the turnaround time, for which a cell would wait for its next
 // task. The partition runs the given number of bound tasks with the given estimated run time.
 // Times are in seconds.
-func MaxTasksAhead(bound int, estimateS, turnaroundS float64) float64 {
-	return float64(bound) * min(maxAheadShare, aheadTurnarounds*turnaroundS/max(estimateS, minEstimateS))
+func MaxTasksAhead(boundTasks int, estimateS, turnaroundS float64) float64 {
+	return float64(boundTasks) * min(maxAheadShare, aheadTurnarounds*turnaroundS/max(estimateS, minEstimateS))
 }
--- a/internal/planning/assignment_test.go
+++ b/internal/planning/assignment_test.go
@@ -70,9 +70,9 @@
 }
 
 // SplitAmongPartitions assigns no more tasks than requested, only to partitions with an allowed
-// machine, and preempts only what the claim may. A partition gets no more tasks beyond its
-// capacity than become free soon plus those of one task group, and none if the quota is limited.
-// The same input gives the same result.
+// machine, and preempts only what the claim may. Unless tasks are forced, a partition gets no more
+// tasks beyond its capacity than are permitted ahead plus those of one task group, and none if the
+// quota is limited. The same input gives the same result.
 func TestSplitAmongPartitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines, assignment := drawMachines(t), drawAssignment(t)
--- a/internal/planning/headroom.go
+++ b/internal/planning/headroom.go
@@ -34,36 +34,36 @@
 // Add records how many thousandths of a CPU are free at a time, and returns the least number in
 // the window that ends at that time. It reports whether the samples cover the window. Times
 // are in seconds.
-func (h *FreeCPUHistory) Add(atS float64, freeCPU int64, windowS float64) (leastCPU int64, covered bool) {
-	h.samples = append(h.samples, freeSample{atS, freeCPU})
+func (h *FreeCPUHistory) Add(atS float64, freeThousandths int64, windowS float64) (leastThousandths int64, covered bool) {
+	h.samples = append(h.samples, freeSample{atS, freeThousandths})
 	for atS-h.samples[0].atS > windowS {
 		h.samples = h.samples[1:]
 	}
-	leastCPU = freeCPU
+	leastThousandths = freeThousandths
 	for _, sample := range h.samples {
-		leastCPU = min(leastCPU, sample.cpuThousandths)
+		leastThousandths = min(leastThousandths, sample.cpuThousandths)
 	}
-	return leastCPU, atS-h.samples[0].atS >= windowS*minCoveredTenths/10
+	return leastThousandths, atS-h.samples[0].atS >= windowS*minCoveredTenths/10
 }
 
 // Subtract lowers all samples by a number of thousandths. It is called when a machine with that
 // many free CPUs is drained.
-func (h *FreeCPUHistory) Subtract(cpu int64) {
+func (h *FreeCPUHistory) Subtract(thousandths int64) {
 	for i := range h.samples {
-		h.samples[i].cpuThousandths -= cpu
+		h.samples[i].cpuThousandths -= thousandths
 	}
 }
 
 // LeastUsedMachine returns the on-demand machine with the smallest share of its CPUs in use,
-// among those that have at most maxCPU thousandths of a CPU, run no task of the given or a
-// higher priority, and pass the filter. It returns nil if there is none.
+// among those whose size is at most maxCPUThousandths, that run no task of the given or a higher
+// priority, and that pass the filter. It returns nil if there is none.
 func LeastUsedMachine(
-	machines []*MachineSummary, maxCPU int64, priority int, allowed MachineFilter,
+	machines []*MachineSummary, maxCPUThousandths int64, priority int, allowed MachineFilter,
 ) *MachineSummary {
 	var best *MachineSummary
 	bestUsed := int64(0)
 	for _, machine := range machines {
-		if machine.Spot || machine.Size.CPU > maxCPU || !allowed(machine) || machine.runsTaskOfPriority(priority) {
+		if machine.Spot || machine.Size.CPU > maxCPUThousandths || !allowed(machine) || machine.runsTaskOfPriority(priority) {
 			continue
 		}
 		// The shares are compared without division: used/size < bestUsed/bestSize.
--- a/internal/planning/job_order.go
+++ b/internal/planning/job_order.go
@@ -27,7 +27,7 @@
 	RemainingWork float64
 }
 
-// UrgencyClass is the first criterion in the order of jobs. Jobs of lower classes go first.
+// UrgencyClass is the first criterion in the order of jobs. Jobs with a lower number go first.
 type UrgencyClass int
 
 // The urgency classes, the most urgent first. The zero value is UrgencyOnTime.
@@ -53,7 +53,8 @@
 // their deadlines if the jobs that can no longer meet theirs go last, and among the others the
 // one with the least remaining work goes first. This alone would starve the largest jobs.
 // Therefore the first few tasks of a job that has not started in time go first, and overdue jobs
-// go first during a share of the time.
+// go first during a share of the time. Jobs of lower Class go first, among them those with less
+// RemainingWork.
 type Urgency struct {
 	Class         UrgencyClass
 	RemainingWork float64
--- a/internal/planning/scaling.go
+++ b/internal/planning/scaling.go
@@ -30,8 +30,8 @@
 
 func (d *Demand) allowsMachine(machine *MachineSummary) bool { return d.AllowsOffer(machine.offer()) }
 
-// minTaskTimeS is the least time in seconds for which a task occupies its cell, however short it
-// runs.
+// minTaskTimeS is the least time in seconds for which a task is assumed to occupy a cell, however
+// short its run time.
 const minTaskTimeS = 5
 
 // concurrentTasks returns how many of the tasks must run at the same time so that all are done
--- a/internal/scheduling/victims.go
+++ b/internal/scheduling/victims.go
@@ -43,10 +43,10 @@
 	return a.sequence > b.sequence
 }
 
-// canTake reports whether the group may take a cell: its claim must be able to preempt the
+// canTakeCell reports whether the group may take a cell: its claim must be able to preempt the
 // claim of the cell's task, if a task holds it, and that of the group that has reserved it, if
 // any. Cells that an earlier task of the group will take are excluded.
-func (g *AffinityGroup) canTake(cell *Cell, planned *plannedAllocations) bool {
+func (g *AffinityGroup) canTakeCell(cell *Cell, planned *plannedAllocations) bool {
 	return (cell.reservedBy == nil || g.Claim.CanPreempt(cell.reservedBy.Claim)) &&
 		(cell.State == CellReserved || g.Claim.CanPreempt(cell.claim)) &&
 		!planned.cells[cell]
@@ -60,7 +60,7 @@
 		return false
 	}
 	for _, cell := range machine.cells {
-		if !r.group.canTake(cell, planned) {
+		if !r.group.canTakeCell(cell, planned) {
 			continue
 		}
 		free = free.Plus(cell.Size)
@@ -78,7 +78,7 @@
 ) (victims []*Cell, cost float64, enough bool) {
 	var candidates []*Cell
 	for _, cell := range machine.cells {
-		if r.group.canTake(cell, planned) {
+		if r.group.canTakeCell(cell, planned) {
 			candidates = append(candidates, cell)
 		}
 	}
