--- a/internal/planning/assignment.go
+++ b/internal/planning/assignment.go
@@ -3,9 +3,9 @@
 import "eiderhitch/internal/scheduling"
 
 // MinTasksPerPartition is the least number of tasks of an array that a partition is assigned,
-// unless the array has fewer tasks left or the quota is limited. Each stored task group needs its own writes, to assign
-// it, to bind its tasks, to store their ends and to delete it, and the key-value store limits
-// writes more than anything else.
+// unless the array has fewer tasks left or the quota is limited. Each stored task group needs
+// its own writes, to assign it, to bind its tasks, to store their ends and to delete it, and the
+// key-value store limits writes more than anything else.
 const MinTasksPerPartition = 24
 
 // Assignment describes identical tasks of one job that are to be assigned to partitions.
