--- a/internal/reconcile/fake_test.go
+++ b/internal/reconcile/fake_test.go
@@ -8,38 +8,39 @@
 	"eiderhitch/internal/wire"
 )
 
-// incarnation is that of the machine's agent in all rows.
-const incarnation = 3
+// currentIncarnation is the incarnation of the machine's agent in all tests.
+const currentIncarnation = 3
 
-// boundTask is a bound task of the rows. Its number is its place among the bound tasks.
+// boundTask is an entry of records.bound. Its index there is the number of the task.
 type boundTask struct {
 	name    string
 	attempt uint64
-	// sinceIncarnation is what it is bound to; 0: the present one.
-	sinceIncarnation uint64
-	service          bool
-	mustStop         bool
-	graceS           float64
-	ended            bool
-	gangIncomplete   bool
-	// unbound: the machine's list of bindings still has it, its record no more.
+	// incarnation is the incarnation that the task is bound to. Zero means currentIncarnation.
+	incarnation    uint64
+	service        bool
+	mustStop       bool
+	graceS         float64
+	ended          bool
+	gangIncomplete bool
+	// unbound is set if the machine's list of bindings still has the task, but its record no
+	// longer binds it.
 	unbound bool
 }
 
-// records are the stored records of a row.
+// records implements reconcile.Records for the tests.
 type records struct {
 	bound      []boundTask
-	unreadable []string // tasks that a record may have that can't be decoded
-	// stopsAsked are the tasks for which MustStop was asked.
-	stopsAsked []string
-	// bindingsAsked counts the calls of Binding.
-	bindingsAsked int
+	unreadable []string // tasks that an unreadable record may bind
+	// mustStopQueries holds the tasks for which MustStop was called.
+	mustStopQueries []string
+	// bindingQueries is the number of calls of Binding.
+	bindingQueries int
 }
 
 func (r *records) binding(i int) reconcile.Binding {
-	since := r.bound[i].sinceIncarnation
+	since := r.bound[i].incarnation
 	if since == 0 {
-		since = incarnation
+		since = currentIncarnation
 	}
 	return reconcile.Binding{Task: scheduling.TaskID{Group: 7, Number: int32(i)}, Attempt: r.bound[i].attempt, Incarnation: since}
 }
@@ -55,14 +56,14 @@
 func (r *records) BindingCount() int { return len(r.bound) }
 
 func (r *records) Binding(i int) (reconcile.Binding, bool) {
-	r.bindingsAsked++
+	r.bindingQueries++
 	return r.binding(i), !r.bound[i].unbound
 }
 
 func (r *records) TaskName(task scheduling.TaskID) string { return r.bound[task.Number].name }
 
 func (r *records) MustStop(task scheduling.TaskID) bool {
-	r.stopsAsked = append(r.stopsAsked, r.bound[task.Number].name)
+	r.mustStopQueries = append(r.mustStopQueries, r.bound[task.Number].name)
 	return r.bound[task.Number].mustStop
 }
 
@@ -74,30 +75,30 @@
 	return !r.bound[task.Number].gangIncomplete
 }
 
-// settled is a machine of which no start can arrive any more, with the tasks of its newest
-// heartbeat.
-func settled(tasks ...wire.TaskStatus) reconcile.MachineState {
-	return reconcile.MachineState{Incarnation: incarnation, TokenConfirmed: true, StartsAllowed: true, Tasks: tasks}
+// confirmedMachine returns a machine with the given tasks in its newest heartbeat, for which no
+// start command can arrive any more.
+func confirmedMachine(tasks ...wire.TaskStatus) reconcile.MachineState {
+	return reconcile.MachineState{Incarnation: currentIncarnation, TokenConfirmed: true, StartsAllowed: true, Tasks: tasks}
 }
 
-// awaitingStart is a machine to which a start may be under way.
-func awaitingStart(tasks ...wire.TaskStatus) reconcile.MachineState {
-	machine := settled(tasks...)
+// machineWithStartInFlight returns a machine for which a start command may still arrive.
+func machineWithStartInFlight(tasks ...wire.TaskStatus) reconcile.MachineState {
+	machine := confirmedMachine(tasks...)
 	machine.StartInFlight = true
 	return machine
 }
 
-// withoutToken is a machine that has not shown its owner's token.
-func withoutToken(tasks ...wire.TaskStatus) reconcile.MachineState {
-	machine := settled(tasks...)
+// machineWithoutToken returns a machine whose heartbeat doesn't show its owner's token.
+func machineWithoutToken(tasks ...wire.TaskStatus) reconcile.MachineState {
+	machine := confirmedMachine(tasks...)
 	machine.TokenConfirmed = false
 	return machine
 }
 
-func status(name string, attempt uint64, state string) wire.TaskStatus {
+func taskStatus(name string, attempt uint64, state string) wire.TaskStatus {
 	return wire.TaskStatus{Task: name, Attempt: attempt, State: state}
 }
 
-func exited(name string, attempt uint64, reason string) wire.TaskStatus {
+func exitedTask(name string, attempt uint64, reason string) wire.TaskStatus {
 	return wire.TaskStatus{Task: name, Attempt: attempt, State: wire.Exited, Reason: reason}
 }
--- a/internal/scheduling/invariants_test.go
+++ b/internal/scheduling/invariants_test.go
@@ -6,29 +6,30 @@
 	"pgregory.net/rapid"
 )
 
-// partitionModel drives a partition with random events.
+// partitionModel applies random events to a partition. rapid calls its exported methods in
+// random order.
 type partitionModel struct {
-	partition *Partition
-	machines  int
-	nextTask  int32
-	groups    []*AffinityGroup
+	partition    *Partition
+	machineCount int
+	nextTask     int32
+	groups       []*AffinityGroup
 }
 
-// testMachineSize is the size of all machines of generated partitions.
+// testMachineSize is the size of all machines in generated partitions.
 var testMachineSize = NewResources(8, 0, 16)
 
 func newPartitionModel(t *rapid.T) *partitionModel {
 	model := &partitionModel{
-		partition: NewPartition(),
-		machines:  rapid.IntRange(1, 4).Draw(t, "machines"),
+		partition:    NewPartition(),
+		machineCount: rapid.IntRange(1, 4).Draw(t, "machines"),
 	}
-	for index := range model.machines {
+	for index := range model.machineCount {
 		model.partition.SetMachine(MachineIndex(index), testMachineSize)
 	}
 	return model
 }
 
-// runningTasks lists the tasks that use a cell, in order.
+// runningTasks returns the tasks that hold a cell, in the order of their numbers.
 func (m *partitionModel) runningTasks() []TaskID {
 	var running []TaskID
 	for number := range m.nextTask {
@@ -40,8 +41,8 @@
 	return running
 }
 
-// Request has a new group ask for cells.
-func (m *partitionModel) Request(t *rapid.T) {
+// ScheduleGroup adds a group and schedules it.
+func (m *partitionModel) ScheduleGroup(t *rapid.T) {
 	group := &AffinityGroup{
 		TaskSize: NewResources(float64(rapid.IntRange(1, 5).Draw(t, "cpus")), 0, 1),
 		Claim: Claim{
@@ -54,7 +55,7 @@
 		group.Tasks = append(group.Tasks, TaskID{Number: m.nextTask})
 		m.nextTask++
 	}
-	m.partition.Schedule(group, anyMachine)
+	m.partition.Schedule(group, equalScore)
 	m.groups = append(m.groups, group)
 	started := 0
 	for _, task := range group.Tasks {
@@ -63,12 +64,12 @@
 		}
 	}
 	if started != 0 && started != len(group.Tasks) {
-		t.Fatalf("expected all %d tasks of a gang to use cells or none, got %d", len(group.Tasks), started)
+		t.Fatalf("expected all %d tasks of a gang or none to hold cells, got %d", len(group.Tasks), started)
 	}
 }
 
-// Release ends a running task.
-func (m *partitionModel) Release(t *rapid.T) {
+// ReleaseTask releases the cell of a random running task.
+func (m *partitionModel) ReleaseTask(t *rapid.T) {
 	running := m.runningTasks()
 	if len(running) == 0 {
 		return
@@ -79,16 +80,16 @@
 	}
 }
 
-// Cancel cancels the reservations of a group, if it has any.
-func (m *partitionModel) Cancel(t *rapid.T) {
+// CancelReservations cancels the reservations of a random group, which may have none.
+func (m *partitionModel) CancelReservations(t *rapid.T) {
 	if len(m.groups) > 0 {
 		m.partition.CancelReservations(rapid.SampledFrom(m.groups).Draw(t, "group"))
 	}
 }
 
-// LoseMachine ends all tasks of a machine and replaces it by an empty one.
+// LoseMachine releases all tasks of a random machine and replaces it with an empty one.
 func (m *partitionModel) LoseMachine(t *rapid.T) {
-	index := MachineIndex(rapid.IntRange(0, m.machines-1).Draw(t, "machine"))
+	index := MachineIndex(rapid.IntRange(0, m.machineCount-1).Draw(t, "machine"))
 	for _, task := range m.runningTasks() {
 		if m.partition.Cell(task).Machine == index {
 			m.partition.Release(task)
@@ -98,22 +99,22 @@
 	m.partition.SetMachine(index, testMachineSize)
 }
 
-// Check is called by rapid after every event.
+// Check verifies the invariants. rapid calls it after every event.
 func (m *partitionModel) Check(t *rapid.T) {
 	if err := m.partition.CheckInvariants(); err != nil {
 		t.Fatal(err)
 	}
 	for index, machine := range m.partition.machines {
-		if !machine.free.Contains(Resources{}) {
-			t.Fatalf("machine %d: expected free room of zero or more, got %v", index, machine.free)
+		if !machine.freeResources.Contains(Resources{}) {
+			t.Fatalf("machine %d: expected no negative free resources, got %v", index, machine.freeResources)
 		}
 	}
 }
 
-// Any order of requests, ends of tasks, cancellations and lost machines keeps the
-// invariants: no cell is owned twice, no machine is over-committed, and cells are reserved
-// only by claims that may preempt their users.
-func TestEventsKeepInvariants(t *testing.T) {
+// The invariants hold after any sequence of scheduled groups, ends of tasks, cancellations
+// and lost machines: no cell is owned twice, no machine is overcommitted, and cells are
+// reserved only by claims that may preempt the claims of their tasks.
+func TestInvariantsHoldAfterRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		t.Repeat(rapid.StateMachineActions(newPartitionModel(t)))
 	})
--- a/internal/scheduling/partition.go
+++ b/internal/scheduling/partition.go
@@ -2,49 +2,52 @@
 
 import "fmt"
 
-// partitionMachine is a machine of a partition with the cells carved out of it.
+// partitionMachine is a machine of a partition, with its allocated and reserved cells.
 type partitionMachine struct {
 	index MachineIndex
-	// position in Partition.machineList.
+	// position is the machine's index in Partition.machineList.
 	position int
-	// size is zero, and free is negative, while the machine is not known: its bindings
-	// may be adopted before it reports.
-	size, free Resources
-	known      bool
-	cells      []*Cell
+	// size and freeResources are the machine's total and its unallocated resources. Until the
+	// machine is registered, size is zero and freeResources is negative if it has cells.
+	size, freeResources Resources
+	// isRegistered is set by SetMachine. Bindings may be applied to a machine earlier, before
+	// its first report; nothing new is placed on it until then.
+	isRegistered bool
+	cells        []*Cell
 }
 
-// Partition holds the cells of one partition's machines.
+// Partition holds the machines of one partition with their cells, and the Preempting groups.
 type Partition struct {
 	machines map[MachineIndex]*partitionMachine
-	// machineList has the same machines, to be scanned by requests.
+	// machineList holds the same machines as a slice, which Schedule scans.
 	machineList []*partitionMachine
-	// usedCells has the cell of each task whose cell is Used or Reserving.
-	usedCells map[TaskID]*Cell
-	// preempting has the group of each task whose group is Preempting.
-	preempting map[TaskID]*AffinityGroup
-	// lastSequence is the sequence number of the cell allocated last.
+	// cellByTask holds the Used or Reserving cell of each task that has one.
+	cellByTask map[TaskID]*Cell
+	// preemptingGroups maps each task of a Preempting group to its group.
+	preemptingGroups map[TaskID]*AffinityGroup
+	// lastSequence is the sequence number of the most recently allocated cell.
 	lastSequence int64
 }
 
 // NewPartition returns a partition without machines.
 func NewPartition() *Partition {
 	return &Partition{
-		machines:   map[MachineIndex]*partitionMachine{},
-		usedCells:  map[TaskID]*Cell{},
-		preempting: map[TaskID]*AffinityGroup{},
+		machines:         map[MachineIndex]*partitionMachine{},
+		cellByTask:       map[TaskID]*Cell{},
+		preemptingGroups: map[TaskID]*AffinityGroup{},
 	}
 }
 
-// SetMachine adds a machine to the partition, or changes its size.
+// SetMachine adds a machine to the partition, or changes its size. Its cells stay.
 func (p *Partition) SetMachine(index MachineIndex, size Resources) {
-	machine := p.machine(index)
-	machine.free = machine.free.Plus(size.Minus(machine.size))
-	machine.size, machine.known = size, true
+	machine := p.getOrAddMachine(index)
+	machine.freeResources = machine.freeResources.Plus(size.Minus(machine.size))
+	machine.size, machine.isRegistered = size, true
 }
 
-// machine returns the machine of that index, which is added if it is missing.
-func (p *Partition) machine(index MachineIndex) *partitionMachine {
+// getOrAddMachine returns the machine with an index. It adds an unregistered machine if there
+// is none.
+func (p *Partition) getOrAddMachine(index MachineIndex) *partitionMachine {
 	machine := p.machines[index]
 	if machine == nil {
 		machine = &partitionMachine{index: index, position: len(p.machineList)}
@@ -54,8 +57,8 @@
 	return machine
 }
 
-// RemoveMachine cancels the reservations on a machine and removes it, unless a task still
-// uses a cell of it.
+// RemoveMachine cancels all reservations on a machine and removes it, unless a task still
+// holds a cell on it.
 func (p *Partition) RemoveMachine(index MachineIndex) {
 	machine := p.machines[index]
 	if machine == nil {
@@ -77,70 +80,71 @@
 	p.machineList = p.machineList[:last]
 }
 
-// FreeResources returns what is free on a machine.
+// FreeResources returns the free resources of a machine, zero if the partition doesn't have it.
 func (p *Partition) FreeResources(index MachineIndex) Resources {
 	if machine := p.machines[index]; machine != nil {
-		return machine.free
+		return machine.freeResources
 	}
 	return Resources{}
 }
 
-// Cell returns the cell that a task uses, or nil.
-func (p *Partition) Cell(task TaskID) *Cell { return p.usedCells[task] }
+// Cell returns the Used or Reserving cell of a task, or nil if the task has none.
+func (p *Partition) Cell(task TaskID) *Cell { return p.cellByTask[task] }
 
-// AllocatedTasks lists the tasks that use a cell, in no particular order.
+// AllocatedTasks returns the tasks that hold a Used or Reserving cell, in no particular order.
 func (p *Partition) AllocatedTasks() []TaskID {
-	tasks := make([]TaskID, 0, len(p.usedCells))
-	for task := range p.usedCells {
+	tasks := make([]TaskID, 0, len(p.cellByTask))
+	for task := range p.cellByTask {
 		tasks = append(tasks, task)
 	}
 	return tasks
 }
 
-// PreemptingGroup returns the Preempting group of a task, or nil.
-func (p *Partition) PreemptingGroup(task TaskID) *AffinityGroup { return p.preempting[task] }
+// PreemptingGroup returns the Preempting group that a task belongs to, or nil.
+func (p *Partition) PreemptingGroup(task TaskID) *AffinityGroup { return p.preemptingGroups[task] }
 
-// ApplyBinding makes a stored binding's cell Used. It rebuilds the cells from the persistent
-// states after a failover: a cell that the task uses elsewhere is released, and a
-// reservation of its group is cancelled.
+// ApplyBinding allocates a Used cell for a stored binding. After a failover, the cells are
+// rebuilt this way from the persistent state. It releases a cell that the task holds on
+// another machine, and cancels the reservations of the task's group. It does nothing if the
+// task already holds a cell on the machine.
 func (p *Partition) ApplyBinding(task TaskID, index MachineIndex, size Resources, claim Claim) {
-	if cell := p.usedCells[task]; cell != nil {
+	if cell := p.cellByTask[task]; cell != nil {
 		if cell.Machine == index {
 			return
 		}
 		p.Release(task)
 	}
-	if group := p.preempting[task]; group != nil {
+	if group := p.preemptingGroups[task]; group != nil {
 		p.CancelReservations(group)
 	}
-	p.use(task, index, size, claim)
+	p.allocateCell(task, index, size, claim)
 }
 
-// Release ends a task's use of its cell, once it is proven that the task has ended. A
-// Used cell becomes Free (e1), a Reserving one Reserved (e9). If it was the last one that a
-// group waited for, the group is Allocated and returned.
+// Release releases the cell of a task that is proven to have ended. A Used cell becomes Free
+// (e1), a Reserving one becomes Reserved (e9). If a Preempting group was waiting only for this
+// cell, Release allocates the group and returns it; else it returns nil.
 func (p *Partition) Release(task TaskID) *AffinityGroup {
-	cell := p.usedCells[task]
+	cell := p.cellByTask[task]
 	if cell == nil {
 		return nil
 	}
-	delete(p.usedCells, task)
+	delete(p.cellByTask, task)
 	if cell.State == CellUsed {
-		p.detach(cell)
+		p.removeCell(cell)
 		return nil
 	}
-	cell.vacate()
+	cell.completeReservation()
 	group := cell.reservedBy
-	if group.victims > 0 {
+	if group.victimCount > 0 {
 		return nil
 	}
-	p.allocate(group)
+	p.allocateGroup(group)
 	return group
 }
 
-// CancelReservations ends the reservations of a Preempting group, which is Pending again (e5, e7 of
-// the group): Reserving cells are returned to their victims (e4), Reserved ones are Free
-// (e7). It does nothing to a group in another state.
+// CancelReservations cancels the reservations of a Preempting group, which becomes Pending (e5
+// and e7 of the group): Reserving cells return to their victims (e4), Reserved ones become
+// Free (e7). It does nothing if the group is in another state.
 func (p *Partition) CancelReservations(g *AffinityGroup) {
 	if g.State != GroupPreempting {
 		return
@@ -148,59 +152,59 @@
 	g.State = GroupPending
 	for _, cell := range g.cells {
 		if cell.State == CellReserving {
-			cell.returnToUser()
+			cell.returnToVictim()
 		} else {
-			p.detach(cell)
+			p.removeCell(cell)
 		}
 	}
-	g.cells, g.victims = nil, 0
+	g.cells, g.victimCount = nil, 0
 	for _, task := range g.Tasks {
-		delete(p.preempting, task)
+		delete(p.preemptingGroups, task)
 	}
 }
 
-// allocate turns a Preempting group, all of whose cells are Reserved, into an Allocated
-// one (e2 of the group, e8 of its cells). Its reserved slices become one Used cell for
-// each task; what its victims held beyond that is Free.
-func (p *Partition) allocate(g *AffinityGroup) {
+// allocateGroup turns a Preempting group whose cells are all Reserved into an Allocated one
+// (e2 of the group, e8 of its cells). It replaces the reserved cells with one Used cell for
+// each task. What the victims held beyond that becomes Free.
+func (p *Partition) allocateGroup(g *AffinityGroup) {
 	for _, cell := range g.cells {
-		p.detach(cell)
+		p.removeCell(cell)
 	}
 	g.cells = nil
 	g.State = GroupAllocated
 	for i, task := range g.Tasks {
-		delete(p.preempting, task)
-		p.use(task, g.Machines[i], g.TaskSize, g.Claim)
+		delete(p.preemptingGroups, task)
+		p.allocateCell(task, g.Machines[i], g.TaskSize, g.Claim)
 	}
 }
 
-// use carves a Used cell for a task out of a machine's free room (e0).
-func (p *Partition) use(task TaskID, index MachineIndex, size Resources, claim Claim) {
+// allocateCell allocates a Used cell for a task from a machine's free resources (e0).
+func (p *Partition) allocateCell(task TaskID, index MachineIndex, size Resources, claim Claim) {
 	p.lastSequence++
 	cell := &Cell{
 		Machine: index, Size: size, State: CellUsed,
-		User: task, userClaim: claim, sequence: p.lastSequence,
+		Task: task, claim: claim, sequence: p.lastSequence,
 	}
-	p.usedCells[task] = cell
-	p.attach(cell)
+	p.cellByTask[task] = cell
+	p.addCell(cell)
 }
 
-// attach takes a cell out of its machine's free room.
-func (p *Partition) attach(cell *Cell) {
-	machine := p.machine(cell.Machine)
+// addCell adds a cell to its machine and subtracts it from the free resources.
+func (p *Partition) addCell(cell *Cell) {
+	machine := p.getOrAddMachine(cell.Machine)
 	machine.cells = append(machine.cells, cell)
-	machine.free = machine.free.Minus(cell.Size)
+	machine.freeResources = machine.freeResources.Minus(cell.Size)
 }
 
-// detach returns a cell to its machine's free room.
-func (p *Partition) detach(cell *Cell) {
+// removeCell removes a cell from its machine and adds it to the free resources.
+func (p *Partition) removeCell(cell *Cell) {
 	machine := p.machines[cell.Machine]
 	for i, other := range machine.cells {
 		if other == cell {
 			machine.cells = append(machine.cells[:i], machine.cells[i+1:]...)
-			machine.free = machine.free.Plus(cell.Size)
+			machine.freeResources = machine.freeResources.Plus(cell.Size)
 			return
 		}
 	}
-	panic(fmt.Sprintf("scheduling: machine %d lacks a cell that is claimed on it", cell.Machine))
+	panic(fmt.Sprintf("scheduling: cell to remove is not among the cells of machine %d", cell.Machine))
 }
--- a/internal/scheduling/schedule.go
+++ b/internal/scheduling/schedule.go
@@ -1,111 +1,114 @@
 package scheduling
 
-// ScoreFunc rates a machine, of which that much is free, for a task of a group: lower is
-// better, negative means that the task must not be placed there.
+// ScoreFunc returns the score of a machine with the given free resources for a task of the
+// group to schedule. Lower scores are better. A negative score means that the task must not
+// be placed on the machine.
 type ScoreFunc func(machine MachineIndex, free Resources) float64
 
-// scoredMachine is a machine with its rating for a group's task.
+// scoredMachine is a machine with its score for a task of the group.
 type scoredMachine struct {
 	index MachineIndex
 	score float64
 }
 
-// worseThan orders machines by score; of equal ones the lower index is preferred, so that
-// choices are repeatable.
-func (m scoredMachine) worseThan(other scoredMachine) bool {
+// isWorseThan reports whether m has a higher score than other, or the same score and a higher
+// index. The index makes choices repeatable.
+func (m scoredMachine) isWorseThan(other scoredMachine) bool {
 	return m.score > other.score || m.score == other.score && m.index > other.index
 }
 
-// placement is what is chosen for one task: a machine, and the cells of others that the
-// task is to take there. Without victims it takes free room.
+// placement is the choice for one task: its machine, and the cells of other groups that the
+// task takes there. Without victims, the task takes free resources only.
 type placement struct {
 	machine MachineIndex
 	victims []*Cell
 }
 
-// request is a Request in progress, with what is chosen for the group's tasks so far.
-type request struct {
+// schedulingRequest holds the arguments of one call of Schedule, and the placements chosen so
+// far, in the order of the group's tasks.
+type schedulingRequest struct {
 	partition  *Partition
 	group      *AffinityGroup
 	score      ScoreFunc
 	placements []placement
 }
 
-// promises are what the group's tasks before are to take. They are no part of request, so
-// that the maps need not be allocated on the heap.
-type promises struct {
-	// room is the free room promised on machines.
-	room map[MachineIndex]Resources
-	// cells are the cells of others that are promised.
+// plannedAllocations holds what the placements chosen so far will take. It is not part of
+// schedulingRequest so that the maps need not be allocated on the heap.
+type plannedAllocations struct {
+	// resources holds the free resources that will be taken on each machine.
+	resources map[MachineIndex]Resources
+	// cells holds the cells of other groups that will be taken.
 	cells map[*Cell]bool
 }
 
-// Schedule asks for cells for all tasks of a Pending group. Free room is preferred; a task
-// that finds none takes the cells of the fewest victims of the lowest weight. Afterwards
-// the group is Allocated (e0: all cells were Free, or Reserved for groups that it may
-// preempt) or Preempting (e1), or still Pending, in which case nothing has changed.
+// Schedule chooses cells for all tasks of a Pending group. It prefers free resources; a task
+// that finds none takes the cells of the fewest victims of the lowest weight. Afterwards the
+// group is Allocated (e0: all cells were Free, or Reserved for groups that it may preempt),
+// Preempting (e1), or still Pending if not all tasks can be placed. In the last case nothing
+// has changed.
 func (p *Partition) Schedule(g *AffinityGroup, score ScoreFunc) {
-	r := request{
+	r := schedulingRequest{
 		partition: p, group: g, score: score,
 		placements: make([]placement, 0, len(g.Tasks)),
 	}
-	promised := promises{room: map[MachineIndex]Resources{}, cells: map[*Cell]bool{}}
+	planned := plannedAllocations{resources: map[MachineIndex]Resources{}, cells: map[*Cell]bool{}}
 	for range g.Tasks {
-		if !r.placeTask(&promised) {
+		if !r.placeTask(&planned) {
 			return
 		}
 	}
 	r.overwriteReservations()
-	r.reserve()
-	if g.victims == 0 {
-		p.allocate(g)
+	r.reserveAll()
+	if g.victimCount == 0 {
+		p.allocateGroup(g)
 	}
 }
 
-// placeTask chooses the machine of the group's next task. It reports false if there is
-// none.
-func (r *request) placeTask(promised *promises) bool {
+// placeTask chooses the machine of the group's next task. It reports whether there is one.
+func (r *schedulingRequest) placeTask(planned *plannedAllocations) bool {
 	size := r.group.TaskSize
-	if machine, found := r.chooseFreeRoom(promised); found {
-		promised.room[machine] = promised.room[machine].Plus(size)
+	if machine, found := r.chooseFreeMachine(planned); found {
+		planned.resources[machine] = planned.resources[machine].Plus(size)
 		r.placements = append(r.placements, placement{machine: machine})
 		return true
 	}
 	if r.group.NoPreemption {
 		return false
 	}
-	chosen, found := r.choosePreemption(promised)
+	chosen, found := r.choosePreemption(planned)
 	if !found {
 		return false
 	}
 	taken := Resources{}
 	for _, victim := range chosen.victims {
-		promised.cells[victim] = true
+		planned.cells[victim] = true
 		taken = taken.Plus(victim.Size)
 	}
-	fromFreeRoom := size.Minus(taken).nonNegative()
-	promised.room[chosen.machine] = promised.room[chosen.machine].Plus(fromFreeRoom)
+	fromFreeResources := size.Minus(taken).clampToZero()
+	planned.resources[chosen.machine] = planned.resources[chosen.machine].Plus(fromFreeResources)
 	r.placements = append(r.placements, chosen)
 	return true
 }
 
-// chooseFreeRoom returns the best machine with free room for a task.
-func (r *request) chooseFreeRoom(promised *promises) (machine MachineIndex, found bool) {
+// chooseFreeMachine returns the machine with the best score among those with enough free
+// resources for a task.
+func (r *schedulingRequest) chooseFreeMachine(planned *plannedAllocations) (machine MachineIndex, found bool) {
 	size := r.group.TaskSize
 	var best scoredMachine
 	for _, machine := range r.partition.machineList {
-		if !machine.known || !machine.free.Contains(size) {
+		if !machine.isRegistered || !machine.freeResources.Contains(size) {
 			continue
 		}
-		free := machine.free
-		if len(promised.room) > 0 {
-			free = free.Minus(promised.room[machine.index])
+		free := machine.freeResources
+		if len(planned.resources) > 0 {
+			free = free.Minus(planned.resources[machine.index])
 			if !free.Contains(size) {
 				continue
 			}
 		}
 		candidate := scoredMachine{machine.index, r.score(machine.index, free)}
-		if candidate.score < 0 || found && candidate.worseThan(best) {
+		if candidate.score < 0 || found && candidate.isWorseThan(best) {
 			continue
 		}
 		best, found = candidate, true
@@ -113,22 +116,22 @@
 	return best.index, found
 }
 
-// choosePreemption returns the machine on which preempting for a task costs least, and the
-// victims there.
-func (r *request) choosePreemption(promised *promises) (chosen placement, found bool) {
+// choosePreemption returns the machine on which preemption for a task has the lowest cost, and
+// the victims there. Among equal costs the score decides.
+func (r *schedulingRequest) choosePreemption(planned *plannedAllocations) (chosen placement, found bool) {
 	var best scoredMachine
 	bestCost := 0.0
 	for _, machine := range r.partition.machineList {
-		free := machine.free.Minus(promised.room[machine.index])
-		if !machine.known || !r.fitsByPreemption(machine, free, promised) {
+		free := machine.freeResources.Minus(planned.resources[machine.index])
+		if !machine.isRegistered || !r.canFitByPreemption(machine, free, planned) {
 			continue
 		}
-		candidate := scoredMachine{machine.index, r.score(machine.index, machine.free)}
+		candidate := scoredMachine{machine.index, r.score(machine.index, machine.freeResources)}
 		if candidate.score < 0 {
 			continue
 		}
-		victims, cost, enough := r.chooseVictims(machine, free, promised)
-		if !enough || found && (cost > bestCost || cost == bestCost && candidate.worseThan(best)) {
+		victims, cost, enough := r.chooseVictims(machine, free, planned)
+		if !enough || found && (cost > bestCost || cost == bestCost && candidate.isWorseThan(best)) {
 			continue
 		}
 		best, bestCost, found = candidate, cost, true
@@ -137,9 +140,9 @@
 	return chosen, found
 }
 
-// overwriteReservations sends the Preempting groups whose cells are taken back to Pending
+// overwriteReservations returns the Preempting groups whose reserved cells are taken to Pending
 // (e3, e6 and e8 of the cells, e5 of their groups).
-func (r *request) overwriteReservations() {
+func (r *schedulingRequest) overwriteReservations() {
 	for _, chosen := range r.placements {
 		for _, victim := range chosen.victims {
 			if victim.reservedBy != nil {
@@ -149,8 +152,8 @@
 	}
 }
 
-// reserve makes the group Preempting on the machines that were chosen.
-func (r *request) reserve() {
+// reserveAll makes the group Preempting and reserves the cells of all placements.
+func (r *schedulingRequest) reserveAll() {
 	g := r.group
 	g.State = GroupPreempting
 	g.Machines = g.Machines[:0]
@@ -158,29 +161,29 @@
 		g.Machines = append(g.Machines, chosen.machine)
 	}
 	for _, task := range g.Tasks {
-		r.partition.preempting[task] = g
+		r.partition.preemptingGroups[task] = g
 	}
 	for _, chosen := range r.placements {
-		r.reserveOn(chosen)
+		r.reserveCells(chosen)
 	}
 }
 
-// reserveOn reserves the cells of one task: those of its victims, and a slice of the
-// machine's free room for what these lack (e5).
-func (r *request) reserveOn(chosen placement) {
+// reserveCells reserves the cells of one placement: those of its victims, and for the
+// remainder of the task's size a slice of the machine's free resources (e5).
+func (r *schedulingRequest) reserveCells(chosen placement) {
 	taken := Resources{}
 	for _, victim := range chosen.victims {
 		if victim.State != CellUsed {
-			continue // it was Reserved, and is Free since its group was cancelled
+			continue // it was Reserved and became Free when its group was cancelled
 		}
 		victim.reserve(r.group)
 		taken = taken.Plus(victim.Size)
 	}
-	rest := r.group.TaskSize.Minus(taken).nonNegative()
+	rest := r.group.TaskSize.Minus(taken).clampToZero()
 	if rest == (Resources{}) {
 		return
 	}
 	cell := &Cell{Machine: chosen.machine, Size: rest, State: CellReserved, reservedBy: r.group}
 	r.group.cells = append(r.group.cells, cell)
-	r.partition.attach(cell)
+	r.partition.addCell(cell)
 }
