--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// arrayAssignInterval is the least time between two assignments of one array: its tasks
+	// minArrayAssignmentInterval is the least time between two assignments of one array: its tasks
 	// are stored in few groups.
-	arrayAssignInterval = time.Second
-	// quotaHoldTime is how long a job that starts whole, and for which there is no machine,
+	minArrayAssignmentInterval = time.Second
+	// quotaHoldTimeout is how long a job that starts whole, and for which there is no machine,
 	// holds its team's limit back for a machine that may come.
-	quotaHoldTime = 45 * time.Second
+	quotaHoldTimeout = 45 * time.Second
 )
 
 // assign gives waiting tasks to partitions that have room for them, the most urgent jobs
 // first, and returns what found no room.
-func (c *leader) assign(summaries []*planning.MachineSummary) []planning.Demand {
+func (c *leader) assignWaitingTasks(summaries []*planning.MachineSummary) []planning.Demand {
 	byUrgency := c.urgencyComparator()
-	demands, unplaced := c.placeAssigned(summaries, byUrgency)
+	demands, unplaced := c.placeAssignedTasks(summaries, byUrgency)
 	waiting := c.jobsToAssign(byUrgency)
 	pass := assignmentPass{
-		leader:             c,
-		summaries:          summaries,
-		teamQuotas:         c.quotas(),
-		demands:            demands,
-		ahead:              c.assignAhead(unplaced),
-		classesWithoutRoom: map[string]bool{},
-		replicaDemands:     map[string]int{},
-		teamsShortOfQuota:  map[scheduling.TeamIndex]bool{},
-		placeableClasses:   map[string]bool{},
+		leader:               c,
+		summaries:            summaries,
+		teamQuotas:           c.quotas(),
+		demands:              demands,
+		tasksAhead:           c.maxTasksAhead(unplaced),
+		exhaustedClasses:     map[string]bool{},
+		replicaDemandIndexes: map[string]int{},
+		quotaLimitedTeams:    map[scheduling.TeamIndex]bool{},
+		placeableClasses:     map[string]bool{},
 	}
 	for _, job := range waiting {
 		pass.assignJob(job)
@@ -63,14 +63,14 @@
 	// demands are the tasks that found no room so far.
 	demands []planning.Demand
 	// ahead is how many tasks each partition may be assigned beyond its free room.
-	ahead []int
-	// classesWithoutRoom are the equivalence classes of jobs that found too little room.
-	classesWithoutRoom map[string]bool
-	// replicaDemands is, by equivalence class, the index in demands of the services of one
+	tasksAhead []int
+	// exhaustedClasses are the equivalence classes of jobs that found too little room.
+	exhaustedClasses map[string]bool
+	// replicaDemandIndexes is, by equivalence class, the index in demands of the services of one
 	// replica that found no room.
-	replicaDemands map[string]int
-	// teamsShortOfQuota are the teams of which a job waits for the team's limit.
-	teamsShortOfQuota map[scheduling.TeamIndex]bool
+	replicaDemandIndexes map[string]int
+	// quotaLimitedTeams are the teams of which a job waits for the team's limit.
+	quotaLimitedTeams map[scheduling.TeamIndex]bool
 	// placeableClasses tells whether jobs of a class find, or can make, any room at all.
 	placeableClasses map[string]bool
 }
@@ -79,7 +79,7 @@
 func (a *assignmentPass) assignJob(j *job) {
 	// While somebody more urgent waits within the team's limit, nothing that is throttled
 	// runs again: it would be stopped and started for ever.
-	if !a.teamsShortOfQuota[j.team] {
+	if !a.quotaLimitedTeams[j.team] {
 		a.unthrottle(j, &a.teamQuotas[j.team])
 	}
 	assigned, _ := j.countAssignedTasks()
@@ -87,8 +87,8 @@
 	switch {
 	case remaining <= 0:
 	case j.spec.Gang && assigned > 0:
-		a.assignRemainder(j, assigned)
-	case !j.spec.AllOrNothing() && a.now.Sub(j.assignedAt) < arrayAssignInterval:
+		a.assignRemainingGangTasks(j, assigned)
+	case !j.spec.AllOrNothing() && a.now.Sub(j.assignedAt) < minArrayAssignmentInterval:
 		a.deferArray(j, remaining)
 	default:
 		a.assignTasks(j, assigned, remaining)
@@ -98,8 +98,8 @@
 // deferArray notes the demand of an array that was assigned tasks a moment ago.
 func (a *assignmentPass) deferArray(j *job, remaining int) {
 	count := a.teamQuotas[j.team].RemainingTasks(j.taskSize, remaining)
-	if !a.teamsShortOfQuota[j.team] && count < remaining && a.isPlaceable(j) {
-		a.teamsShortOfQuota[j.team] = true
+	if !a.quotaLimitedTeams[j.team] && count < remaining && a.isPlaceable(j) {
+		a.quotaLimitedTeams[j.team] = true
 	}
 	a.demands = append(a.demands, a.demand(j, "", count))
 }
@@ -112,7 +112,7 @@
 	if forced > 0 {
 		remaining = min(remaining, forced)
 	}
-	if a.classesWithoutRoom[j.equivalenceClass] && !j.spec.AllOrNothing() && forced == 0 {
+	if a.exhaustedClasses[j.equivalenceClass] && !j.spec.AllOrNothing() && forced == 0 {
 		// Jobs of a class are decided about together: where one found no room, none behind
 		// it will.
 		a.demands = append(a.demands, a.demand(j, "", quota.RemainingTasks(j.taskSize, remaining)))
@@ -123,9 +123,9 @@
 	}
 	usedBefore := quota.Usage
 	a.throttleForQuota(j, remaining)
-	unassigned := a.assignWithinQuota(j, assignmentRequest{assigned: assigned, remaining: remaining, forced: forced > 0})
-	a.noteDemand(j, unassigned)
-	if j.spec.AllOrNothing() && quota.Usage == usedBefore && (a.now.Sub(j.acceptedAt) < quotaHoldTime || a.isPlaceable(j)) {
+	unassigned := a.assignWithinQuota(j, assignmentRequest{assignedTasks: assigned, remainingTasks: remaining, force: forced > 0})
+	a.recordDemand(j, unassigned)
+	if j.spec.AllOrNothing() && quota.Usage == usedBefore && (a.now.Sub(j.acceptedAt) < quotaHoldTimeout || a.isPlaceable(j)) {
 		// What such a job waits for is not for those behind it, unless no machine has come
 		// for it in good time: none may ever.
 		quota.Usage = usedBefore.Plus(j.taskSize.Times(remaining))
@@ -136,7 +136,7 @@
 // service of the class found no room: there are many of them after a loss of machines. It
 // reports whether it did.
 func (a *assignmentPass) joinReplicaDemand(j *job) bool {
-	index, found := a.replicaDemands[j.equivalenceClass]
+	index, found := a.replicaDemandIndexes[j.equivalenceClass]
 	quota := &a.teamQuotas[j.team]
 	if !found || j.spec.Tasks != 1 || quota.RemainingTasks(j.taskSize, 1) < 1 {
 		return false
@@ -151,21 +151,21 @@
 func (a *assignmentPass) throttleForQuota(j *job, remaining int) {
 	quota := &a.teamQuotas[j.team]
 	if quota.RemainingTasks(j.taskSize, remaining) < remaining && a.isPlaceable(j) {
-		a.teamsShortOfQuota[j.team] = true
+		a.quotaLimitedTeams[j.team] = true
 		a.throttleTeam(j, quota.Shortfall(j.taskSize.Times(remaining)))
 	}
 }
 
-// noteDemand notes what an assignment of a job left without room.
-func (a *assignmentPass) noteDemand(j *job, unassigned planning.Demand) {
+// recordDemand notes what an assignment of a job left without room.
+func (a *assignmentPass) recordDemand(j *job, unassigned planning.Demand) {
 	if unassigned.Count <= 0 {
 		return
 	}
 	if j.spec.AllOrNothing() && j.spec.Tasks == 1 && !a.hasLoanFor(j) {
-		a.replicaDemands[j.equivalenceClass], unassigned.GroupCount = len(a.demands), 1
+		a.replicaDemandIndexes[j.equivalenceClass], unassigned.GroupCount = len(a.demands), 1
 	}
 	a.demands = append(a.demands, unassigned)
-	a.classesWithoutRoom[j.equivalenceClass] = true
+	a.exhaustedClasses[j.equivalenceClass] = true
 }
 
 // isPlaceable is placeable, evaluated once for all jobs of a class.
@@ -174,19 +174,19 @@
 	if j.spec.SingleZone {
 		class += "/" + a.zoneOfJob(j)
 	}
-	ok, known := a.placeableClasses[class]
+	placeable, known := a.placeableClasses[class]
 	if !known {
-		ok = a.placeable(a.summaries, j)
-		a.placeableClasses[class] = ok
+		placeable = a.canPlaceTask(a.summaries, j)
+		a.placeableClasses[class] = placeable
 	}
-	return ok
+	return placeable
 }
 
 // placeable tells whether there is a machine on which a task of a job finds room, or may
 // make some. Where there is none, nothing of its team is held back or stopped for it: the
 // room that came of that went to others, who were stopped for it in turn, several times a
 // second.
-func (c *leader) placeable(summaries []*planning.MachineSummary, j *job) bool {
+func (c *leader) canPlaceTask(summaries []*planning.MachineSummary, j *job) bool {
 	zone := c.requiredZone(j)
 	mayUse := func(summary *planning.MachineSummary) bool {
 		return !summary.Booting && c.reserveAllows(j, summary) && allowsMachine(j.spec, zone, summary.Type, summary.Zone, summary.Spot)
--- a/internal/controller/assignment_writes.go
+++ b/internal/controller/assignment_writes.go
@@ -9,12 +9,12 @@
 	"eiderhitch/internal/wire"
 )
 
-// recordOverhead is about what a record adds to a transaction besides its value: its key,
+// recordOverheadBytes is about what a record adds to a transaction besides its value: its key,
 // twice, and the words round it.
-const recordOverhead = 200
+const recordOverheadBytes = 200
 
 // submitDecision submits a write of the leader, who decides nothing more until it has been
-// answered (leaderWriteDone). Meanwhile the groups count as being written.
+// answered (handleDecisionResult). Meanwhile the groups count as being written.
 func (c *leader) submitDecision(write *store.Write, groups ...*taskGroup) {
 	for _, group := range groups {
 		group.writeInFlight = true
@@ -25,7 +25,7 @@
 		for _, group := range groups {
 			group.writeInFlight = false
 		}
-		c.leaderWriteDone(epoch, err)
+		c.handleDecisionResult(epoch, err)
 	})
 }
 
@@ -38,11 +38,11 @@
 	return group
 }
 
-// fitTransaction is how much of a list of groups one transaction can create.
-func (c *clusterState) fitTransaction(groups []record.TaskGroup) []record.TaskGroup {
+// groupsFittingTransaction is how much of a list of groups one transaction can create.
+func (c *clusterState) groupsFittingTransaction(groups []record.TaskGroup) []record.TaskGroup {
 	size := 0
 	for i := range groups {
-		size += groups[i].Encode(c.writeEncoding()).Size() + recordOverhead
+		size += groups[i].Encode(c.writeEncoding()).Size() + recordOverheadBytes
 		if i > 0 && (i == c.cfg.Settings.Store.TxnOps || size > store.MaxTxnBytes) {
 			return groups[:i]
 		}
@@ -50,17 +50,17 @@
 	return groups
 }
 
-// assignRemainder assigns the tasks of a gang that did not fit into the transactions
+// assignRemainingGangTasks assigns the tasks of a gang that did not fit into the transactions
 // before, to where those are. Which tasks are assigned is known by number alone, so there
 // is one transaction at a time; a new leader goes on where the last one stopped.
-func (c *leader) assignRemainder(j *job, assigned int) {
+func (c *leader) assignRemainingGangTasks(j *job, assigned int) {
 	first := j.firstGroup()
 	var groups []record.TaskGroup
 	for next := assigned; next < j.spec.Tasks; next += c.maxGroupTasks {
 		size := min(c.maxGroupTasks, j.spec.Tasks-next)
 		groups = append(groups, newTaskGroupRecord(first.partition, first.zone, first.guaranteed, int32(next), size))
 	}
-	c.writeAssignment(j, c.fitTransaction(groups))
+	c.writeAssignment(j, c.groupsFittingTransaction(groups))
 }
 
 // writeAssignment stores the groups of one assignment. All of them are written together or
--- a/internal/controller/full_fleet_test.go
+++ b/internal/controller/full_fleet_test.go
@@ -28,8 +28,8 @@
 const (
 	fullFleetControllers = 5
 	tasksPerMachine      = 8 // of 2 CPUs, which fill a large machine
-	// ownedToken is the fencing token of the partition that the controller owns.
-	ownedToken = 11
+	// ownPartitionToken is the fencing token of the partition that the controller owns.
+	ownPartitionToken = 11
 )
 
 // fullFleet builds what a controller knows of a crowded fleet.
@@ -46,7 +46,7 @@
 	tb.Helper()
 	f := &fullFleet{controller: newIsolatedController(tb), revision: 10}
 	f.addPeers()
-	f.lead()
+	f.takeLeadership()
 	f.bindTasks(f.addMachines(machines))
 	for i := range machines / 10 {
 		f.addJob(&wire.Job{Class: "clean", Team: []string{"red", "blue"}[i%2], Priority: 1, Tasks: 40, CPUs: []float64{1, 2}[i/2%2]})
@@ -90,20 +90,20 @@
 	for i := range fullFleetControllers {
 		node := fmt.Sprintf("n%d", i)
 		f.put(rollout.Initial.Keys().Partition(i), record.LeaseHolder{Node: node, ProcessID: "x"})
-		f.vouchFor(node, i)
+		f.addOwnerStatus(node, i)
 	}
 }
 
-// vouchFor has a peer say for the next hour that it owns a partition.
-func (c *controller) vouchFor(node string, partition int) {
+// addOwnerStatus has a peer say for the next hour that it owns a partition.
+func (c *controller) addOwnerStatus(node string, partition int) {
 	status := &peer.Status{Node: node, Fresh: true, Eligible: true, Partitions: []uint64{uint64(partition)}}
 	c.peers.Update(status, c.now.Add(time.Hour))
 }
 
 // lead has the controller own partition 0 and lead, both for an hour.
-func (f *fullFleet) lead() {
+func (f *fullFleet) takeLeadership() {
 	p := f.partitions[0]
-	f.takeOverPartition(p, ownedToken)
+	f.takeOverPartition(p, ownPartitionToken)
 	p.takeoverComplete, p.ownedSince = true, f.now.Add(-time.Hour)
 	f.becomeLeader(f.revision)
 	f.leadership.active, f.leadership.startedAt = true, f.now.Add(-time.Hour)
--- a/internal/controller/gang_moves.go
+++ b/internal/controller/gang_moves.go
@@ -30,20 +30,20 @@
 	request := &planning.Assignment{TaskSize: j.taskSize, Count: tasks, Claim: first.claim(), AllowsMachine: mayUse}
 	partition, ok := request.ChoosePartition(summaries, len(c.partitions))
 	if !ok {
-		return tasks > 1 && c.borrow(summaries, j, loanRequest{zone: first.zone, tasks: tasks, claim: first.claim()})
+		return tasks > 1 && c.borrowForJob(summaries, j, loanRequest{zone: first.zone, tasks: tasks, claim: first.claim()})
 	}
 	c.metrics.count(countMovedGroups, 1)
 	c.log.Debug("gang moves to another partition", "job", j.id, "tasks", tasks, "partition", partition)
-	return c.relocate(j, partition, first.zone)
+	return c.relocateGang(j, partition, first.zone)
 }
 
 // relocate has a gang's groups go to a partition and zone, the first one first and as many
 // as one transaction holds. The others follow (completeGangMoves); the gang is reserved when
 // all are together. It reports false if that can't be now.
-func (c *leader) relocate(j *job, partition int, zone string) bool {
+func (c *leader) relocateGang(j *job, partition int, zone string) bool {
 	write := c.newMoveWrite(j)
 	size := 0
-	for _, group := range j.groupsInOrder() {
+	for _, group := range j.groupsByNumber() {
 		if group.partition == partition && group.zone == zone {
 			continue
 		}
@@ -53,11 +53,11 @@
 		moved := *group
 		moved.partition, moved.zone = partition, zone
 		value := c.encodeGroup(&moved, group.doneTasks, group.bindings).At(group.key)
-		size += len(value) + recordOverhead
+		size += len(value) + recordOverheadBytes
 		if n := len(write.Changes); n > 0 && (n == c.cfg.Settings.Store.TxnOps || size > store.MaxTxnBytes) {
 			break
 		}
-		addGroup(write, group, value)
+		addGroupUpdate(write, group, value)
 	}
 	if len(write.Changes) == 0 {
 		return false
@@ -74,13 +74,13 @@
 			continue
 		}
 		if first := job.firstGroup(); !job.hasAllGroupsIn(first.partition, first.zone) {
-			c.relocate(job, first.partition, first.zone)
+			c.relocateGang(job, first.partition, first.zone)
 		}
 	}
 }
 
-// groupsInOrder are a job's groups by their numbers.
-func (j *job) groupsInOrder() []*taskGroup {
+// groupsByNumber are a job's groups by their numbers.
+func (j *job) groupsByNumber() []*taskGroup {
 	groups := slices.Clone(j.groups)
 	slices.SortFunc(groups, func(first, second *taskGroup) int { return cmp.Compare(first.number, second.number) })
 	return groups
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -40,9 +40,9 @@
 	// reserveMinMachines are always permitted: in a small fleet a gang may take two.
 	reserveMaxShare    = 0.15
 	reserveMinMachines = 2
-	// reserveKeepFactor is how many times the room that is borrowed is kept: with less,
+	// reserveRetentionFactor is how many times the room that is borrowed is kept: with less,
 	// machines would go to and fro.
-	reserveKeepFactor = 2
+	reserveRetentionFactor = 2
 )
 
 // gangReserve is what the leader keeps for gangs.
@@ -52,26 +52,26 @@
 	// shortfall is what it lacks, to be launched if nothing becomes free.
 	shortfall []planning.Demand
 	// keep are the machines of the reserve that are not handed back.
-	keep map[scheduling.MachineIndex]bool
+	retainedMachines map[scheduling.MachineIndex]bool
 }
 
 // gangClass is the largest gang of a class of late.
 type gangClass struct {
-	spec *wire.Job
-	need scheduling.Resources
-	seen time.Time
-	live int // unfinished gangs of the class
+	spec       *wire.Job
+	taskSize   scheduling.Resources
+	lastSeenAt time.Time
+	gangCount  int // unfinished gangs of the class
 }
 
 // room is for how many tasks the reserve should have room: the next gang, and as many more
 // as may come before it is filled again, about the square root of those that there are.
-func (class *gangClass) room() int {
-	return class.spec.Tasks * (1 + int(math.Ceil(math.Sqrt(float64(class.live)))))
+func (class *gangClass) targetTasks() int {
+	return class.spec.Tasks * (1 + int(math.Ceil(math.Sqrt(float64(class.gangCount)))))
 }
 
-// mayUseReserve tells whether a job may be placed on machines that the leader has in its
+// canUseReserve tells whether a job may be placed on machines that the leader has in its
 // own partition: those that are there for it, and gangs; others only after a long wait.
-func (c *leader) mayUseReserve(j *job) bool {
+func (c *leader) canUseReserve(j *job) bool {
 	since := j.acceptedAt
 	if j.assignedAt.After(since) {
 		since = j.assignedAt
@@ -84,12 +84,12 @@
 // However long a job waits, it is assigned tasks now and then, and began to wait anew each
 // time.
 func (c *leader) reserveAllows(j *job, summary *planning.MachineSummary) bool {
-	return summary.Partition != c.loanPartition() || c.mayUseReserve(j) || c.unusedForLong(summary)
+	return summary.Partition != c.loanPartition() || c.canUseReserve(j) || c.isReserveRoomUnused(summary)
 }
 
-// unusedForLong tells whether nothing has been placed for long on a machine of the
+// isReserveRoomUnused tells whether nothing has been placed for long on a machine of the
 // leader's own partition.
-func (c *leader) unusedForLong(summary *planning.MachineSummary) bool {
+func (c *leader) isReserveRoomUnused(summary *planning.MachineSummary) bool {
 	m := c.machineByIndex[summary.Index]
 	limit := reserveMaxUnused
 	if loan := c.loans[m.name]; loan != nil && loan.Job != gangReserveJobID {
@@ -121,32 +121,32 @@
 		reserve.classes = map[string]*gangClass{}
 	}
 	for _, class := range reserve.classes {
-		class.live = 0
+		class.gangCount = 0
 	}
 	for _, job := range c.activeJobs {
 		if job.spec != nil && job.spec.Gang && job.finalState == record.Unfinished {
-			reserve.noteGang(job, c.now)
+			reserve.recordGang(job, c.now)
 		}
 	}
 	for name, class := range reserve.classes {
-		if c.now.Sub(class.seen) > reserveClassTTL {
+		if c.now.Sub(class.lastSeenAt) > reserveClassTTL {
 			delete(reserve.classes, name)
 		}
 	}
-	reserve.chooseMachinesToKeep(c.reserveMachines(summaries))
+	reserve.selectRetainedMachines(c.reserveMachines(summaries))
 }
 
-// noteGang counts a gang for its class.
-func (reserve *gangReserve) noteGang(gang *job, now time.Time) {
+// recordGang counts a gang for its class.
+func (reserve *gangReserve) recordGang(gang *job, now time.Time) {
 	class := reserve.classes[gang.spec.Class]
 	if class == nil {
-		class = &gangClass{spec: gang.spec, need: gang.taskSize}
+		class = &gangClass{spec: gang.spec, taskSize: gang.taskSize}
 		reserve.classes[gang.spec.Class] = class
 	} else if class.spec.Tasks <= gang.spec.Tasks {
-		class.spec, class.need = gang.spec, gang.taskSize
+		class.spec, class.taskSize = gang.spec, gang.taskSize
 	}
-	class.seen = now
-	class.live++
+	class.lastSeenAt = now
+	class.gangCount++
 }
 
 // reserveMachines are the machines of the leader's own partition, the fullest first.
@@ -163,26 +163,26 @@
 	return machines
 }
 
-// chooseMachinesToKeep keeps machines with room for the next gangs of each class; the
+// selectRetainedMachines keeps machines with room for the next gangs of each class; the
 // others become free.
-func (reserve *gangReserve) chooseMachinesToKeep(machines []*planning.MachineSummary) {
-	reserve.keep = map[scheduling.MachineIndex]bool{}
-	for _, class := range reserve.sorted() {
-		tasks := reserveKeepFactor * class.room()
+func (reserve *gangReserve) selectRetainedMachines(machines []*planning.MachineSummary) {
+	reserve.retainedMachines = map[scheduling.MachineIndex]bool{}
+	for _, class := range reserve.sortedClasses() {
+		tasks := reserveRetentionFactor * class.targetTasks()
 		for _, summary := range machines {
 			if tasks <= 0 {
 				break
 			}
 			if allowsMachine(class.spec, "", summary.Type, summary.Zone, summary.Spot) {
-				tasks -= summary.FreeResources.CountFitting(class.need, tasks)
-				reserve.keep[summary.Index] = true
+				tasks -= summary.FreeResources.CountFitting(class.taskSize, tasks)
+				reserve.retainedMachines[summary.Index] = true
 			}
 		}
 	}
 }
 
 // sorted are the classes, the largest gangs first.
-func (reserve *gangReserve) sorted() []*gangClass {
+func (reserve *gangReserve) sortedClasses() []*gangClass {
 	var classes []*gangClass
 	for _, class := range reserve.classes {
 		classes = append(classes, class)
@@ -193,7 +193,7 @@
 	return classes
 }
 
-// reserveKeeps tells whether a machine of the reserve stays there.
-func (c *leader) reserveKeeps(m *machine) bool {
-	return len(m.bindings) > 0 || c.leadership.gangReserve.keep[m.index] || c.now.Sub(m.partitionChangedAt) < reserveMinHold
+// shouldRetain tells whether a machine of the reserve stays there.
+func (c *leader) shouldRetain(m *machine) bool {
+	return len(m.bindings) > 0 || c.leadership.gangReserve.retainedMachines[m.index] || c.now.Sub(m.partitionChangedAt) < reserveMinHold
 }
--- a/internal/controller/gang_reserve_fill.go
+++ b/internal/controller/gang_reserve_fill.go
@@ -23,7 +23,7 @@
 		summaries: planning.CloneSummaries(summaries),
 		limit:     max(reserveMinMachines, int(reserveMaxShare*float64(len(summaries)))) - len(c.loans),
 	}
-	for _, class := range reserve.sorted() {
+	for _, class := range reserve.sortedClasses() {
 		fill.addClass(class)
 	}
 	if len(fill.chosen) == 0 {
@@ -49,7 +49,7 @@
 // for them if too little is coming.
 func (f *reserveFill) addClass(class *gangClass) {
 	zone := f.reserveZone(f.summaries, class)
-	lacking := class.room() - f.takeFreeRoom(class, zone)
+	lacking := class.targetTasks() - f.allocateFreeRoom(class, zone)
 	empty, busy := f.incomingReserveRoom(class, zone)
 	if lacking-empty <= 0 {
 		return
@@ -64,18 +64,18 @@
 	}
 	// Machines that are empty are had at once, whatever else will be empty some time:
 	// arrays would fill them, and gangs wait for the others for most of a minute.
-	taken := f.take(candidates[:firstBusy], class, lacking-empty)
+	taken := f.selectMachines(candidates[:firstBusy], class, lacking-empty)
 	room := 0
 	for _, summary := range taken {
-		room += summary.Size.CountFitting(class.need, class.spec.Tasks)
+		room += summary.Size.CountFitting(class.taskSize, class.spec.Tasks)
 	}
-	f.take(candidates[firstBusy:], class, lacking-empty-busy-room)
+	f.selectMachines(candidates[firstBusy:], class, lacking-empty-busy-room)
 }
 
 // take chooses machines with room for a number of tasks of a class.
-func (f *reserveFill) take(candidates []*planning.MachineSummary, class *gangClass, tasks int) []*planning.MachineSummary {
+func (f *reserveFill) selectMachines(candidates []*planning.MachineSummary, class *gangClass, tasks int) []*planning.MachineSummary {
 	taken, _ := planning.SelectMachines(candidates, tasks, f.limit, func(summary *planning.MachineSummary, tasks int) int {
-		return summary.Size.CountFitting(class.need, tasks)
+		return summary.Size.CountFitting(class.taskSize, tasks)
 	})
 	for _, summary := range taken {
 		summary.InUse = true
@@ -85,16 +85,16 @@
 	return taken
 }
 
-// takeFreeRoom takes free room of the reserve for the next gangs of a class, and returns for
+// allocateFreeRoom takes free room of the reserve for the next gangs of a class, and returns for
 // how many tasks there is.
-func (f *reserveFill) takeFreeRoom(class *gangClass, zone string) int {
+func (f *reserveFill) allocateFreeRoom(class *gangClass, zone string) int {
 	found := 0
 	for _, summary := range f.summaries {
 		if summary.Partition != f.loanPartition() || summary.Booting || !allowsMachine(class.spec, zone, summary.Type, summary.Zone, summary.Spot) {
 			continue
 		}
-		count := summary.FreeResources.CountFitting(class.need, class.room()-found)
-		summary.FreeResources = summary.FreeResources.Minus(class.need.Times(count))
+		count := summary.FreeResources.CountFitting(class.taskSize, class.targetTasks()-found)
+		summary.FreeResources = summary.FreeResources.Minus(class.taskSize.Times(count))
 		found += count
 	}
 	return found
@@ -119,7 +119,7 @@
 		if loan.Acknowledged {
 			continue
 		}
-		count := r.sizeOf(m).CountFitting(class.need, class.spec.Tasks)
+		count := r.machineSize(m).CountFitting(class.taskSize, class.spec.Tasks)
 		if len(m.bindings) == 0 {
 			empty += count
 		} else {
@@ -134,7 +134,7 @@
 	spec := class.spec
 	return planning.Demand{
 		Class:        spec.Class,
-		TaskSize:     class.need,
+		TaskSize:     class.taskSize,
 		Count:        count,
 		AllOrNothing: true,
 		EstimateS:    spec.EstimateS,
@@ -158,7 +158,7 @@
 		}
 		machines[summary.Zone]++
 		if summary.Partition == r.loanPartition() {
-			room[summary.Zone] += summary.FreeResources.CountFitting(class.need, class.spec.Tasks)
+			room[summary.Zone] += summary.FreeResources.CountFitting(class.taskSize, class.spec.Tasks)
 		}
 	}
 	best := ""
--- a/internal/controller/gang_reserve_test.go
+++ b/internal/controller/gang_reserve_test.go
@@ -19,33 +19,33 @@
 		{ID: "wk-3", Class: "train", Tasks: 6, CPUs: 3},
 		{ID: "wk-4", Class: "eval", Tasks: 2, CPUs: 1},
 	} {
-		reserve.noteGang(&job{id: spec.ID, spec: spec, taskSize: scheduling.NewResources(spec.CPUs, 0, 0)}, now)
+		reserve.recordGang(&job{id: spec.ID, spec: spec, taskSize: scheduling.NewResources(spec.CPUs, 0, 0)}, now)
 	}
 	train := reserve.classes["train"]
-	if train.spec.ID != "wk-2" || train.need != scheduling.NewResources(2, 0, 0) || train.live != 3 || !train.seen.Equal(now) {
+	if train.spec.ID != "wk-2" || train.taskSize != scheduling.NewResources(2, 0, 0) || train.gangCount != 3 || !train.lastSeenAt.Equal(now) {
 		t.Errorf("class train is %+v of %s, want 3 gangs, the largest wk-2", train, train.spec.ID)
 	}
-	sorted := reserve.sorted()
-	if len(sorted) != 2 || sorted[0] != train || sorted[1].live != 1 {
+	sorted := reserve.sortedClasses()
+	if len(sorted) != 2 || sorted[0] != train || sorted[1].gangCount != 1 {
 		t.Errorf("%d classes, want train before eval", len(sorted))
 	}
-	if got, want := train.room(), 9*(1+2); got != want { // the square root of 3, rounded up
+	if got, want := train.targetTasks(), 9*(1+2); got != want { // the square root of 3, rounded up
 		t.Errorf("room for %d tasks is asked for, want %d", got, want)
 	}
 }
 
 // Machines are kept for twice the room of a class, the first ones first.
-func TestMachinesKeptForGangs(t *testing.T) {
+func TestRetainedReserveMachines(t *testing.T) {
 	reserve := gangReserve{classes: map[string]*gangClass{
-		"train": {spec: &wire.Job{Class: "train", Tasks: 4}, need: scheduling.NewResources(1, 0, 0)},
+		"train": {spec: &wire.Job{Class: "train", Tasks: 4}, taskSize: scheduling.NewResources(1, 0, 0)},
 	}}
 	size := scheduling.NewResources(4, 0, 0)
 	var machines []*planning.MachineSummary
 	for i := range 4 {
 		machines = append(machines, &planning.MachineSummary{Index: scheduling.MachineIndex(i), Size: size, FreeResources: size})
 	}
-	reserve.chooseMachinesToKeep(machines)
-	if len(reserve.keep) != 2 || !reserve.keep[0] || !reserve.keep[1] {
-		t.Errorf("machines %v are kept, want 0 and 1", reserve.keep)
+	reserve.selectRetainedMachines(machines)
+	if len(reserve.retainedMachines) != 2 || !reserve.retainedMachines[0] || !reserve.retainedMachines[1] {
+		t.Errorf("machines %v are kept, want 0 and 1", reserve.retainedMachines)
 	}
 }
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -41,7 +41,7 @@
 
 // Room that is kept for gangs, or lent for one, is open to others when it has been unused
 // for long, however often they were assigned something meanwhile.
-func TestUnusedReserveIsOpen(t *testing.T) {
+func TestUnusedReserveOpensToOtherJobs(t *testing.T) {
 	for _, x := range []struct {
 		name   string
 		job    string // that the machine is lent for
@@ -69,7 +69,7 @@
 			// A gang that has been assigned there and lacks room holds no more than is kept.
 			c.replica.Put(jobKey("wk-3"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
 			c.replica.Put(groupKey("wk-3", 0), marshalJSON(t, record.TaskGroup{Partition: c.loanPartition(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
-			c.placeAssigned([]*planning.MachineSummary{summary}, c.urgencyComparator())
+			c.placeAssignedTasks([]*planning.MachineSummary{summary}, c.urgencyComparator())
 			if held := summary.FreeResources.CPU < 4000; held == x.open {
 				t.Errorf("a gang without whole room holds it: %v, want %v", held, !x.open)
 			}
@@ -79,12 +79,12 @@
 
 // A samePlace gang goes to another zone where there is room for it together with what is
 // kept for gangs there.
-func TestOtherZoneCountsRoomForGangs(t *testing.T) {
+func TestZoneMoveCountsGangReserve(t *testing.T) {
 	c := newTestControllerInCluster(t, 3)
 	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, SingleZone: true, Tasks: 3, CPUs: 2}}), 2)
 	c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}}}), 3)
 	group := c.groupByKey[groupKey("wk-1", 0)]
-	group.partitionAssignedAt = c.now.Add(-zonePatience - time.Second)
+	group.partitionAssignedAt = c.now.Add(-zoneMoveDelay - time.Second)
 	var summaries []*planning.MachineSummary
 	for i, partition := range []int{0, c.loanPartition()} {
 		m := c.getOrAddMachine([]string{"host-1", "host-2"}[i])
@@ -100,7 +100,7 @@
 }
 
 // What was claimed to replace a task of an attempt is given up when the attempt is.
-func TestReplacementIsGivenUpWithItsAttempt(t *testing.T) {
+func TestReplacementReservationIsCancelledWithAttempt(t *testing.T) {
 	c := newTestController(t)
 	p := c.partitions[0]
 	m := c.getOrAddMachine("host-1")
@@ -125,9 +125,9 @@
 	}
 }
 
-// besideServices plays a gang for which there is room only on machines of several
+// runGangBesideServices plays a gang for which there is room only on machines of several
 // partitions, beside services that stay there, until it is placed.
-func besideServices(t *testing.T, then func(c *cluster)) {
+func runGangBesideServices(t *testing.T, then func(c *cluster)) {
 	runCluster(t, func(c *cluster) {
 		c.env.Cloud.SetCapacity(3)
 		for n := range 3 {
@@ -135,7 +135,7 @@
 			service.MachineTypes = []string{"large"}
 			c.submit(service)
 		}
-		c.await("a service runs on each machine", time.Minute, func() bool { return c.serving() == 3 })
+		c.await("a service runs on each machine", time.Minute, func() bool { return c.countRunningServices() == 3 })
 		partitions := map[int]bool{}
 		for _, w := range c.env.Cloud.Agents() {
 			partitions[hashPartitionIndex(w.Name(), 3)] = true
@@ -153,20 +153,20 @@
 }
 
 // serving is how many of the three services run.
-func (c *cluster) serving() int {
+func (c *cluster) countRunningServices() int {
 	return c.env.Running("wk-1") + c.env.Running("wk-2") + c.env.Running("wk-3")
 }
 
 // A gang must not wait for ever beside room that is spread over partitions: the machines are
 // lent with their services, which run on, and handed back with them.
-func TestGangBesideServicesOfSeveralPartitions(t *testing.T) {
-	besideServices(t, func(c *cluster) {
+func TestGangBorrowsMachinesWithServices(t *testing.T) {
+	runGangBesideServices(t, func(c *cluster) {
 		starts := c.env.Starts()
 		c.awaitDone("wk-4", time.Minute)
 		c.await("the machines are handed back", time.Minute, func() bool { return len(c.env.Store.Keys(loanPrefix)) == 0 })
 		time.Sleep(15 * time.Second)
-		if c.serving() != 3 || c.env.Starts() != starts {
-			t.Errorf("%d of 3 services run, %d starts since the gang began; want all and none", c.serving(), c.env.Starts()-starts)
+		if c.countRunningServices() != 3 || c.env.Starts() != starts {
+			t.Errorf("%d of 3 services run, %d starts since the gang began; want all and none", c.countRunningServices(), c.env.Starts()-starts)
 		}
 		c.cancelJob("wk-1")
 		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
@@ -175,8 +175,8 @@
 
 // Services on lent machines are cancelled, lost and proven gone like any others, and their
 // records cleared up, also across a change of leader.
-func TestServicesOnLentMachines(t *testing.T) {
-	besideServices(t, func(c *cluster) {
+func TestServicesOnLoanedMachines(t *testing.T) {
+	runGangBesideServices(t, func(c *cluster) {
 		c.cancelJob("wk-1")
 		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
 		c.await("its record is cleared up", 30*time.Second, func() bool { return len(c.env.Store.Keys(groupKey("wk-1", 0))) == 0 })
@@ -200,7 +200,7 @@
 
 // What runs on a machine and is no service, or a command on its way, keeps it from changing
 // hands.
-func TestOnlyServices(t *testing.T) {
+func TestRunsOnlyServices(t *testing.T) {
 	c := newFullFleetController(t, 50)
 	p := c.partitions[0]
 	var m *machine
--- a/internal/controller/job_assignment.go
+++ b/internal/controller/job_assignment.go
@@ -12,9 +12,9 @@
 type assignmentRequest struct {
 	// assigned is how many tasks of the job are assigned already, remaining how many are
 	// to be.
-	assigned, remaining int
+	assignedTasks, remainingTasks int
 	// forced tasks are assigned even where there is no room.
-	forced bool
+	force bool
 }
 
 // jobAssignment is the assignment of one job's tasks in progress.
@@ -23,20 +23,20 @@
 	job  *job
 	// count is how many tasks the team's quota permits; found how many of them have been
 	// given to a partition.
-	count, found int
-	claim        scheduling.Claim
-	// guaranteedRoom is how many more tasks the team's guaranteed quota has room for.
-	guaranteedRoom int
-	quotaShort     bool
-	forced         bool
-	nextTask       int32
-	groups         []record.TaskGroup
+	permittedTasks, assignedTasks int
+	claim                         scheduling.Claim
+	// remainingGuaranteedTasks is how many more tasks the team's guaranteed quota has room for.
+	remainingGuaranteedTasks int
+	quotaLimited             bool
+	force                    bool
+	nextTask                 int32
+	groups                   []record.TaskGroup
 }
 
 // assignWithinQuota assigns as many of a job's tasks as there is room for now, and returns
 // the demand of those that the quota permits and that found no room.
 func (a *assignmentPass) assignWithinQuota(j *job, request assignmentRequest) planning.Demand {
-	count := a.tasksWithinQuota(j, request.remaining)
+	count := a.tasksWithinQuota(j, request.remainingTasks)
 	if count == 0 {
 		return planning.Demand{}
 	}
@@ -44,10 +44,10 @@
 	if borrowed := assignment.assignToZones(); borrowed {
 		return planning.Demand{}
 	}
-	assignment.fitTransaction()
+	assignment.truncateToTransaction()
 	assignment.chargeQuota()
 	a.writeAssignment(j, assignment.groups)
-	return a.demand(j, a.requiredZone(j), count-assignment.found)
+	return a.demand(j, a.requiredZone(j), count-assignment.assignedTasks)
 }
 
 // tasksWithinQuota is how many tasks of a job its team's limit has room for: all or none if
@@ -68,16 +68,16 @@
 	}
 	// Where a team's limit is short, tasks that are assigned but can't run yet would hold
 	// the limit against others of the team, and would have to be throttled again.
-	ample := request.remaining + planning.MinTasksPerPartition*len(a.partitions)
+	ample := request.remainingTasks + planning.MinTasksPerPartition*len(a.partitions)
 	return jobAssignment{
-		pass:           a,
-		job:            j,
-		count:          count,
-		claim:          scheduling.Claim{Priority: j.spec.Priority, Guaranteed: guaranteed > 0, Team: j.team},
-		guaranteedRoom: guaranteed,
-		quotaShort:     quota.RemainingTasks(j.taskSize, ample) < ample,
-		forced:         request.forced,
-		nextTask:       int32(request.assigned),
+		pass:                     a,
+		job:                      j,
+		permittedTasks:           count,
+		claim:                    scheduling.Claim{Priority: j.spec.Priority, Guaranteed: guaranteed > 0, Team: j.team},
+		remainingGuaranteedTasks: guaranteed,
+		quotaLimited:             quota.RemainingTasks(j.taskSize, ample) < ample,
+		force:                    request.force,
+		nextTask:                 int32(request.assignedTasks),
 	}
 }
 
@@ -91,86 +91,86 @@
 		zones = slices.Concat(zones, zones)
 	}
 	for i, zone := range zones {
-		count := s.tasksForZone(zone)
+		count := s.remainingTasksForZone(zone)
 		if count <= 0 {
 			continue
 		}
 		request := s.planningRequest(zone, count, i >= rounds)
 		if s.job.spec.AllOrNothing() {
-			if s.assignWhole(request, zone) {
+			if s.assignToOnePartition(request, zone) {
 				return true
 			}
 			continue
 		}
-		s.assignSpread(request, zone)
-		if s.found == s.count {
+		s.assignToAllPartitions(request, zone)
+		if s.assignedTasks == s.permittedTasks {
 			break
 		}
 	}
 	return false
 }
 
-// tasksForZone is how many more tasks may go to a zone.
-func (s *jobAssignment) tasksForZone(zone string) int {
-	count := s.count - s.found
+// remainingTasksForZone is how many more tasks may go to a zone.
+func (s *jobAssignment) remainingTasksForZone(zone string) int {
+	count := s.permittedTasks - s.assignedTasks
 	if s.job.spec.Spread {
-		count = min(count, s.pass.zoneSpreadRoom(s.job, zone, s.groups))
+		count = min(count, s.pass.remainingSpreadTasks(s.job, zone, s.groups))
 	}
 	return count
 }
 
 // planningRequest asks for room for count tasks in a zone.
-func (s *jobAssignment) planningRequest(zone string, count int, withReserve bool) *planning.Assignment {
+func (s *jobAssignment) planningRequest(zone string, count int, useReserve bool) *planning.Assignment {
 	leader, job := s.pass.leader, s.job
 	mayUse := func(summary *planning.MachineSummary) bool {
-		return !summary.Booting && (withReserve || leader.reserveAllows(job, summary)) && allowsMachine(job.spec, zone, summary.Type, summary.Zone, summary.Spot)
+		return !summary.Booting && (useReserve || leader.reserveAllows(job, summary)) && allowsMachine(job.spec, zone, summary.Type, summary.Zone, summary.Spot)
 	}
-	return &planning.Assignment{TaskSize: job.taskSize, Count: count, Claim: s.claim, AllowsMachine: mayUse, QuotaLimited: s.quotaShort, Force: s.forced}
+	return &planning.Assignment{TaskSize: job.taskSize, Count: count, Claim: s.claim, AllowsMachine: mayUse, QuotaLimited: s.quotaLimited, Force: s.force}
 }
 
-// assignWhole assigns tasks that start together to one partition, so that their cells are
+// assignToOnePartition assigns tasks that start together to one partition, so that their cells are
 // reserved together; its owner preempts others where there is no free room. Where no
 // partition has room it borrows machines, and reports whether they are on their way.
-func (s *jobAssignment) assignWhole(request *planning.Assignment, zone string) (borrowed bool) {
+func (s *jobAssignment) assignToOnePartition(request *planning.Assignment, zone string) (borrowed bool) {
 	partition, ok := request.ChoosePartition(s.pass.summaries, len(s.pass.partitions))
 	if !ok {
-		return request.Count > 1 && s.pass.borrow(s.pass.summaries, s.job, loanRequest{zone: zone, tasks: request.Count, claim: s.claim})
+		return request.Count > 1 && s.pass.borrowForJob(s.pass.summaries, s.job, loanRequest{zone: zone, tasks: request.Count, claim: s.claim})
 	}
-	s.add(partition, zone, request.Count)
+	s.addGroups(partition, zone, request.Count)
 	return false
 }
 
-// assignSpread assigns tasks of an array to all partitions that have room.
-func (s *jobAssignment) assignSpread(request *planning.Assignment, zone string) {
-	for partition, count := range request.SplitAmongPartitions(s.pass.summaries, s.pass.ahead) {
-		count = min(count, s.count-s.found)
+// assignToAllPartitions assigns tasks of an array to all partitions that have room.
+func (s *jobAssignment) assignToAllPartitions(request *planning.Assignment, zone string) {
+	for partition, count := range request.SplitAmongPartitions(s.pass.summaries, s.pass.tasksAhead) {
+		count = min(count, s.permittedTasks-s.assignedTasks)
 		if count > 0 {
-			s.add(partition, zone, count)
+			s.addGroups(partition, zone, count)
 		}
 	}
 }
 
 // add assigns the next count tasks to a partition, in groups that can be stored. A group
 // has one claim, so those within the guaranteed quota are groups of their own.
-func (s *jobAssignment) add(partition int, zone string, count int) {
-	s.found += count
+func (s *jobAssignment) addGroups(partition int, zone string, count int) {
+	s.assignedTasks += count
 	for count > 0 {
 		size := min(count, s.pass.maxGroupTasks)
-		if s.guaranteedRoom > 0 {
-			size = min(size, s.guaranteedRoom)
+		if s.remainingGuaranteedTasks > 0 {
+			size = min(size, s.remainingGuaranteedTasks)
 		}
-		s.groups = append(s.groups, newTaskGroupRecord(partition, zone, s.guaranteedRoom > 0, s.nextTask, size))
-		s.guaranteedRoom = max(0, s.guaranteedRoom-size)
+		s.groups = append(s.groups, newTaskGroupRecord(partition, zone, s.remainingGuaranteedTasks > 0, s.nextTask, size))
+		s.remainingGuaranteedTasks = max(0, s.remainingGuaranteedTasks-size)
 		s.nextTask += int32(size)
 		count -= size
 	}
 }
 
-// fitTransaction leaves out groups that can't be stored in one transaction. A gang counts
-// whole all the same: the rest of it is assigned later (assignRemainder).
-func (s *jobAssignment) fitTransaction() {
+// groupsFittingTransaction leaves out groups that can't be stored in one transaction. A gang counts
+// whole all the same: the rest of it is assigned later (assignRemainingGangTasks).
+func (s *jobAssignment) truncateToTransaction() {
 	if s.job.spec.Gang {
-		s.groups = s.pass.fitTransaction(s.groups)
+		s.groups = s.pass.groupsFittingTransaction(s.groups)
 		return
 	}
 	limit := s.pass.cfg.Settings.Store.TxnOps / 2 // there is a condition for each change
@@ -178,7 +178,7 @@
 		return
 	}
 	for i := range s.groups[limit:] {
-		s.found -= len(s.groups[limit+i].Tasks)
+		s.assignedTasks -= len(s.groups[limit+i].Tasks)
 	}
 	s.groups = s.groups[:limit]
 }
@@ -186,7 +186,7 @@
 // chargeQuota counts the assigned tasks for the team's quota.
 func (s *jobAssignment) chargeQuota() {
 	quota := &s.pass.teamQuotas[s.job.team]
-	quota.Usage = quota.Usage.Plus(s.job.taskSize.Times(s.found))
+	quota.Usage = quota.Usage.Plus(s.job.taskSize.Times(s.assignedTasks))
 	for i := range s.groups {
 		if group := &s.groups[i]; group.Guaranteed {
 			quota.GuaranteedUsage = quota.GuaranteedUsage.Plus(s.job.taskSize.Times(len(group.Tasks)))
--- a/internal/controller/job_completion.go
+++ b/internal/controller/job_completion.go
@@ -20,7 +20,7 @@
 func (c *leader) finishJobs() {
 	c.archiveFinishedJobs(c.replica)
 	budget := maxFinishWrites
-	mayDelete := c.stateWriter.Backlog() < maxCleanupBacklog
+	canDelete := c.stateWriter.Backlog() < maxCleanupBacklog
 	for _, job := range c.activeJobs {
 		if budget == 0 {
 			return
@@ -30,19 +30,19 @@
 		}
 		switch {
 		case job.finalState != record.Unfinished:
-			if mayDelete {
+			if canDelete {
 				budget -= c.deleteGroups(job, budget)
 			}
-		case job.allTasksDone():
+		case job.isReadyToFinish():
 			budget--
 			c.storeJobDone(job)
 		}
 	}
 }
 
-// allTasksDone tells whether a job is to be ended: all of its tasks are done, and that is
+// isReadyToFinish tells whether a job is to be ended: all of its tasks are done, and that is
 // not being stored yet.
-func (j *job) allTasksDone() bool {
+func (j *job) isReadyToFinish() bool {
 	if j.hasUnreadableRecords() || j.spec == nil || j.spec.Service || j.finalWriteInFlight {
 		return false
 	}
--- a/internal/controller/job_zones.go
+++ b/internal/controller/job_zones.go
@@ -53,9 +53,9 @@
 	return zones
 }
 
-// zoneSpreadRoom is how many more tasks of a job may go to a zone besides those of groups
+// remainingSpreadTasks is how many more tasks of a job may go to a zone besides those of groups
 // that are not stored yet: half of all in a zone, rounded up.
-func (c *clusterState) zoneSpreadRoom(j *job, zone string, unstored []record.TaskGroup) int {
+func (c *clusterState) remainingSpreadTasks(j *job, zone string, unstored []record.TaskGroup) int {
 	room := (j.spec.Tasks + 1) / 2
 	for _, group := range j.groups {
 		if group.zone == zone {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -71,14 +71,14 @@
 	if c.leadership.writesInFlight > 0 {
 		return
 	}
-	demands := c.assign(summaries)
+	demands := c.assignWaitingTasks(summaries)
 	c.autoscaler.Scale(c.workload(summaries, demands))
 }
 
-// leaderWriteDone notes that a decision of the leader has been answered. After a write that
+// handleDecisionResult notes that a decision of the leader has been answered. After a write that
 // failed the replica is read before anything more is decided: it may have been applied all
 // the same.
-func (c *leader) leaderWriteDone(epoch uint64, err error) {
+func (c *leader) handleDecisionResult(epoch uint64, err error) {
 	if c.leadership.epoch != epoch {
 		return
 	}
--- a/internal/controller/loan_leader.go
+++ b/internal/controller/loan_leader.go
@@ -22,14 +22,14 @@
 
 // borrow takes machines from other partitions for a job that starts whole. It reports
 // whether they are on their way.
-func (c *leader) borrow(summaries []*planning.MachineSummary, j *job, request loanRequest) bool {
+func (c *leader) borrowForJob(summaries []*planning.MachineSummary, j *job, request loanRequest) bool {
 	coming := c.expectedRoom(summaries, j, request)
 	if coming >= request.tasks {
 		return true
 	}
 	chosen := c.machinesToClear(summaries, j, request, coming)
 	if len(chosen) == 0 {
-		chosen = c.machinesBesideServices(summaries, j, request)
+		chosen = c.machinesWithRoomBesideServices(summaries, j, request)
 	}
 	if len(chosen) == 0 {
 		return false
@@ -70,31 +70,31 @@
 		if loan.Acknowledged && loan.revision > p.token {
 			p.tokenRaiseDue = true // the former owner's tokens are below this revision
 		}
-		if loan.writeInFlight || loan.Acknowledged && !c.mayReturn(loan, m, p) {
+		if loan.writeInFlight || loan.Acknowledged && !c.canReturnLoan(loan, m, p) {
 			continue
 		}
-		if !c.loanStillNeeded(loan, m, p) {
+		if !c.isLoanNeeded(loan, m, p) {
 			c.returnLoan(name, loan)
 		}
 	}
 }
 
-// mayReturn tells whether a machine of the leader's partition can be handed back. What has
+// canReturnLoan tells whether a machine of the leader's partition can be handed back. What has
 // reserved a cell there may be bound any moment: handed back meanwhile, the machine was its
 // former owner's and the binding ours, and neither could end it. Services that came with
 // the machine, or since, go back with it.
-func (c *leader) mayReturn(loan *machineLoan, m *machine, p *partition) bool {
+func (c *leader) canReturnLoan(loan *machineLoan, m *machine, p *partition) bool {
 	if len(m.bindings) > 0 && (loan.Job == gangReserveJobID || !c.runsOnlyServices(m, p)) {
 		return false
 	}
 	return !p.hasReservationOn(m)
 }
 
-// loanStillNeeded tells whether there is still use for a machine where it is on loan to, and
+// isLoanNeeded tells whether there is still use for a machine where it is on loan to, and
 // it can be had.
-func (c *leader) loanStillNeeded(loan *machineLoan, m *machine, p *partition) bool {
+func (c *leader) isLoanNeeded(loan *machineLoan, m *machine, p *partition) bool {
 	if loan.Job == gangReserveJobID {
-		return loan.Acknowledged && c.reserveKeeps(m) || !loan.Acknowledged && c.now.Sub(loan.firstSeenAt) < reserveLoanTimeout
+		return loan.Acknowledged && c.shouldRetain(m) || !loan.Acknowledged && c.now.Sub(loan.firstSeenAt) < reserveLoanTimeout
 	}
 	job := c.jobs[loan.Job]
 	if job == nil || job.finalState != record.Unfinished || job.spec == nil || m.terminated || !c.jobNeedsLoan(job, p.index) {
--- a/internal/controller/loan_selection.go
+++ b/internal/controller/loan_selection.go
@@ -32,15 +32,15 @@
 func (c *leader) loanableMachines(summaries []*planning.MachineSummary, spec *wire.Job, zone string) []*planning.MachineSummary {
 	var loanable []*planning.MachineSummary
 	for _, summary := range summaries {
-		if summary.Partition != c.loanPartition() && !summary.InUse && c.availableFor(summary, spec, zone) {
+		if summary.Partition != c.loanPartition() && !summary.InUse && c.isAvailableFor(summary, spec, zone) {
 			loanable = append(loanable, summary)
 		}
 	}
 	return loanable
 }
 
-// availableFor tells whether a machine is up, is not to be drained, and may run a job's tasks.
-func (c *leader) availableFor(summary *planning.MachineSummary, spec *wire.Job, zone string) bool {
+// isAvailableFor tells whether a machine is up, is not to be drained, and may run a job's tasks.
+func (c *leader) isAvailableFor(summary *planning.MachineSummary, spec *wire.Job, zone string) bool {
 	return !summary.Booting && !c.autoscaler.DrainedByLeader(c.machineByIndex[summary.Index].name) && allowsMachine(spec, zone, summary.Type, summary.Zone, summary.Spot)
 }
 
@@ -70,11 +70,11 @@
 	return chosen
 }
 
-// machinesBesideServices are machines that together have room for a job beside services
+// machinesWithRoomBesideServices are machines that together have room for a job beside services
 // that stay; none if there are too few. They are in several partitions, or the job would be
 // assigned to one: it waited for ever beside room, since no machine with a service was
 // borrowed.
-func (c *leader) machinesBesideServices(summaries []*planning.MachineSummary, j *job, request loanRequest) []*planning.MachineSummary {
+func (c *leader) machinesWithRoomBesideServices(summaries []*planning.MachineSummary, j *job, request loanRequest) []*planning.MachineSummary {
 	if c.now.Sub(j.acceptedAt) < borrowServiceMachinesAfter {
 		return nil
 	}
@@ -83,7 +83,7 @@
 	}
 	coming := 0
 	for _, summary := range summaries {
-		if summary.Partition == c.loanPartition() && c.availableFor(summary, j.spec, request.zone) {
+		if summary.Partition == c.loanPartition() && c.isAvailableFor(summary, j.spec, request.zone) {
 			coming += freeFor(summary, request.tasks)
 		}
 	}
@@ -117,7 +117,7 @@
 }
 
 // sizeOf is the size of a machine whose type is known.
-func (r *machineRegistry) sizeOf(m *machine) scheduling.Resources {
+func (r *machineRegistry) machineSize(m *machine) scheduling.Resources {
 	t := r.machineTypes[m.machineType]
 	return scheduling.NewResources(t.CPUs, t.GPUs, t.RAMGB)
 }
@@ -137,14 +137,14 @@
 	}
 	for _, m := range r.loansFor(j.id, j.spec, request.zone) {
 		if !listed[m.index] {
-			room += r.sizeOf(m).Minus(m.serviceUse()).CountFitting(j.taskSize, request.tasks)
+			room += r.machineSize(m).Minus(m.serviceUsage()).CountFitting(j.taskSize, request.tasks)
 		}
 	}
 	return room
 }
 
-// serviceUse is what services use of a machine.
-func (m *machine) serviceUse() scheduling.Resources {
+// serviceUsage is what services use of a machine.
+func (m *machine) serviceUsage() scheduling.Resources {
 	var use scheduling.Resources
 	for _, x := range m.bindings {
 		if spec := x.group.job.spec; spec != nil && spec.Service {
--- a/internal/controller/loans_test.go
+++ b/internal/controller/loans_test.go
@@ -31,12 +31,12 @@
 		{"a machine dies", func(c *cluster) { c.env.Cloud.Agents()[0].Terminate() }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			runCluster(t, func(c *cluster) { c.checkLoans(x.happen) })
+			runCluster(t, func(c *cluster) { c.checkServiceAcrossPartitions(x.happen) })
 		})
 	}
 }
 
-func (c *cluster) checkLoans(happen func(*cluster)) {
+func (c *cluster) checkServiceAcrossPartitions(happen func(*cluster)) {
 	c.t.Helper()
 	c.env.Cloud.SetCapacity(8)
 	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 60, CPUs: 2, EstimateS: 10}))
@@ -58,7 +58,7 @@
 // A task of a record that another partition is in charge of ends on a machine of ours, which
 // was lent and is back: its cell is free again, and its end is stored by us, since nobody
 // else will ever know. Its job waited for ever.
-func TestEndOfAnotherPartitionsTask(t *testing.T) {
+func TestTaskEndOfAnotherPartitionsGroup(t *testing.T) {
 	c := newTestController(t)
 	c.partitions = append([]*partition{c.partitions[0], {index: 1, key: rollout.Initial.Keys().Partition(1)}}, &partition{index: 2, key: rollout.Initial.Keys().Leader()})
 	p := c.partitions[0]
--- a/internal/controller/machine_summaries.go
+++ b/internal/controller/machine_summaries.go
@@ -9,9 +9,9 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// maxOwnerSilence is how long the leader assigns by what an owner told last when it hears
+// maxOwnerStatusAge is how long the leader assigns by what an owner told last when it hears
 // nothing of it, unless the owner loses its partition.
-const maxOwnerSilence = 90 * time.Second
+const maxOwnerStatusAge = 90 * time.Second
 
 // machineSummaries are the machines that owners vouch for, with what is bound to them. It
 // notes which instances are up.
@@ -46,7 +46,7 @@
 // with what the records bind there.
 func (c *leader) appendPeerSummaries(summaries []*planning.MachineSummary, p *partition) []*planning.MachineSummary {
 	owner := c.peers.Peer(c.ownerOf(p.key))
-	if owner == nil || owner.Status == nil || c.now.Sub(owner.HeardAt) > maxOwnerSilence {
+	if owner == nil || owner.Status == nil || c.now.Sub(owner.HeardAt) > maxOwnerStatusAge {
 		return summaries
 	}
 	for i := range owner.Status.Machines {
@@ -126,7 +126,7 @@
 
 func (c *clusterState) eachPeerMachine(p *partition, visit func(m *machine, flags uint8)) {
 	owner := c.peers.Peer(c.ownerOf(p.key))
-	if owner == nil || !owner.Heard(ownerTimeout, c.now) {
+	if owner == nil || !owner.Heard(ownerStatusTimeout, c.now) {
 		return
 	}
 	for i := range owner.Status.Machines {
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -8,9 +8,9 @@
 	"eiderhitch/internal/wire"
 )
 
-// zonePatience is how long a single-zone job of which nothing runs waits for room in the
+// zoneMoveDelay is how long a single-zone job of which nothing runs waits for room in the
 // zone that it was assigned to before it goes to another.
-const zonePatience = 15 * time.Second
+const zoneMoveDelay = 15 * time.Second
 
 // newMoveWrite is a write that moves groups of a job, without any changes yet.
 func (c *leader) newMoveWrite(j *job) *store.Write {
@@ -18,7 +18,7 @@
 }
 
 // addGroup has a write replace the stored group by a changed one.
-func addGroup(write *store.Write, group *taskGroup, value []byte) {
+func addGroupUpdate(write *store.Write, group *taskGroup, value []byte) {
 	write.Conditions = append(write.Conditions, wire.Condition{Key: group.key, Revision: group.revision})
 	write.Changes = append(write.Changes, wire.Change{Put: group.key, Value: value})
 }
@@ -30,7 +30,7 @@
 // is in two zones; an owner that binds one meanwhile loses by its group's revision.
 func (c *leader) moveToOtherZone(summaries []*planning.MachineSummary, group *taskGroup) bool {
 	job := group.job
-	if !c.mayChangeZone(group) {
+	if !c.canChangeZone(group) {
 		return false
 	}
 	tasks, ok := tasksToMove(group)
@@ -44,23 +44,23 @@
 	}
 	c.log.Info("job moves to another zone", "job", job.id, "from", group.zone, "to", zone)
 	if job.spec.Gang {
-		return c.relocate(job, job.firstGroup().partition, zone)
+		return c.relocateGang(job, job.firstGroup().partition, zone)
 	}
 	write := c.newMoveWrite(job)
 	for _, other := range job.groups {
 		moved := *other
 		moved.zone = zone
-		addGroup(write, other, c.encodeGroup(&moved, other.doneTasks, other.bindings).At(other.key))
+		addGroupUpdate(write, other, c.encodeGroup(&moved, other.doneTasks, other.bindings).At(other.key))
 	}
 	c.submitDecision(write)
 	return true
 }
 
-// mayChangeZone tells whether the job of a group has waited for long enough in its zone, and
+// canChangeZone tells whether the job of a group has waited for long enough in its zone, and
 // may be in another. Only gangs move in several transactions.
-func (c *leader) mayChangeZone(group *taskGroup) bool {
+func (c *leader) canChangeZone(group *taskGroup) bool {
 	job := group.job
-	if !job.spec.SingleZone || group.zone == "" || c.now.Sub(group.partitionAssignedAt) < zonePatience {
+	if !job.spec.SingleZone || group.zone == "" || c.now.Sub(group.partitionAssignedAt) < zoneMoveDelay {
 		return false
 	}
 	return job.spec.Gang || len(job.groups) <= c.cfg.Settings.Store.TxnOps
@@ -105,9 +105,9 @@
 	return best
 }
 
-// moveUnplaced gives count waiting tasks of a group whose partition has no room to a
+// moveUnplacedTasks gives count waiting tasks of a group whose partition has no room to a
 // partition that has. Its owner's writes lose by the group's revision.
-func (c *leader) moveUnplaced(summaries []*planning.MachineSummary, group *taskGroup, count int) bool {
+func (c *leader) moveUnplacedTasks(summaries []*planning.MachineSummary, group *taskGroup, count int) bool {
 	if group.job.spec.Gang {
 		return c.moveGang(summaries, group.job)
 	}
@@ -115,22 +115,22 @@
 	if starts {
 		count = max(count, len(group.bindings)) // what has not started moves whole
 	}
-	mayUse := c.otherPartitionsOf(group)
+	mayUse := c.moveFilter(group)
 	target := c.findMoveTarget(summaries, group, count, mayUse)
 	if starts && target.tasks < count {
 		// What has not started, or lost all, may preempt others where it goes.
 		request := planning.Assignment{TaskSize: group.job.taskSize, Count: count, Claim: group.claim(), AllowsMachine: mayUse}
 		partition, ok := request.ChoosePartition(summaries, len(c.partitions))
 		if !ok {
-			return count > 1 && c.borrow(summaries, group.job, loanRequest{zone: group.zone, tasks: count, claim: group.claim()})
+			return count > 1 && c.borrowForJob(summaries, group.job, loanRequest{zone: group.zone, tasks: count, claim: group.claim()})
 		}
-		target = moveTarget{partition: partition, tasks: count, roomTaken: true}
+		target = moveTarget{partition: partition, tasks: count, roomAllocated: true}
 	}
 	moving, staying := group.bindingsToMove(target.tasks)
 	if len(moving) == 0 {
 		return false
 	}
-	if !target.roomTaken {
+	if !target.roomAllocated {
 		inTarget := func(summary *planning.MachineSummary) bool {
 			return summary.Partition == target.partition && mayUse(summary)
 		}
@@ -140,9 +140,9 @@
 	return true
 }
 
-// otherPartitionsOf allows the machines of other partitions that a group may move to. After
+// moveFilter allows the machines of other partitions that a group may move to. After
 // a long wait those that are kept for gangs are among them.
-func (c *leader) otherPartitionsOf(group *taskGroup) planning.MachineFilter {
+func (c *leader) moveFilter(group *taskGroup) planning.MachineFilter {
 	ignoresReserve := c.now.Sub(group.partitionAssignedAt) > reserveOpensAfter
 	return func(summary *planning.MachineSummary) bool {
 		return !summary.Booting && summary.Partition != group.partition && (ignoresReserve || c.reserveAllows(group.job, summary)) &&
@@ -151,10 +151,10 @@
 }
 
 // moveTarget is the partition that tasks may move to, and how many of them; no tasks, if
-// there is none. roomTaken is set if their room is taken from the summaries already.
+// there is none. roomAllocated is set if their room is taken from the summaries already.
 type moveTarget struct {
 	partition, tasks int
-	roomTaken        bool
+	roomAllocated    bool
 }
 
 // findMoveTarget returns the partition with free room for the most of count tasks of a
@@ -198,9 +198,9 @@
 	left, moved := group.split(staying, moving)
 	moved.partition = partition
 	if len(staying) == 0 {
-		addGroup(write, group, c.encodeGroup(&moved, group.doneTasks, moving).At(group.key))
+		addGroupUpdate(write, group, c.encodeGroup(&moved, group.doneTasks, moving).At(group.key))
 	} else {
-		addGroup(write, group, c.encodeGroup(&left, group.doneTasks, staying).At(group.key))
+		addGroupUpdate(write, group, c.encodeGroup(&left, group.doneTasks, staying).At(group.key))
 		key := groupKey(group.job.id, group.job.newGroupNumber())
 		write.Conditions = append(write.Conditions, wire.Condition{Key: key})
 		write.Changes = append(write.Changes, wire.Change{Put: key, Value: c.encodeGroup(&moved, 0, moving).At(key)})
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -28,7 +28,7 @@
 
 // A service whose team's limit is taken up by the team's own lower array gets
 // its share at once, and the array goes on with the rest.
-func TestQuotaIsGivenToHigherPriority(t *testing.T) {
+func TestQuotaGoesToHigherPriority(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "red", Priority: "low", Tasks: 60, CPUs: 2, EstimateS: 30}))
 		c.await("the array fills the limit", time.Minute, func() bool { return c.env.Running("wk-1") == 12 })
@@ -43,7 +43,7 @@
 
 // While more is asked than can be done, small jobs go first; the largest still
 // begins within four minutes and gets done while small ones keep coming.
-func TestLargestIsServedInAFlood(t *testing.T) {
+func TestLargestJobProgressesUnderOverload(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.env.Cloud.SetCapacity(2)
 		late := func(id string, tasks int) {
@@ -76,7 +76,7 @@
 
 // Tasks of a record that may not run all move to a partition that has room, and take so much
 // of its throttle along: no more may run than before, and none waits beside the room.
-func TestThrottledRecordIsSplit(t *testing.T) {
+func TestSplitThrottledGroup(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "tasks")
 		may := rapid.IntRange(1, n).Draw(t, "may run")
@@ -102,7 +102,7 @@
 
 // A job for which there is no machine has nothing of its team stopped: the room that
 // came of that went to others of the team, which were stopped for it in turn.
-func TestNothingIsStoppedForAJobWithoutAMachine(t *testing.T) {
+func TestUnplaceableJobStopsNothing(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "red", Priority: "low", Tasks: 40, CPUs: 2, EstimateS: 60}))
 		c.await("the limit is used up", time.Minute, func() bool { return c.env.Running("wk-1") == 12 })
--- a/internal/controller/throttle.go
+++ b/internal/controller/throttle.go
@@ -65,7 +65,9 @@
 // throttleInterval spaces the changes of one group's throttle that are not for more urgent
 // work: a team at its limit has a task end, and so room for one more, many times a second,
 // and a change for each of them would take up the key-value store's limit.
-func (c *clusterState) throttleInterval() time.Duration { return minThrottleInterval + c.turnaround() }
+func (c *clusterState) throttleInterval() time.Duration {
+	return minThrottleInterval + c.cellTurnaround()
+}
 
 // unthrottle lets throttled tasks of a job run again, as the limit permits.
 func (c *leader) unthrottle(j *job, quota *planning.Quota) {
--- a/internal/controller/unplaced_tasks.go
+++ b/internal/controller/unplaced_tasks.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// moveDelay is how long a partition has to place what it was assigned before that is
+	// groupMoveDelay is how long a partition has to place what it was assigned before that is
 	// moved to another.
-	moveDelay = time.Second
-	// maxWriteDelay is the longest delay of stored writes that is assigned ahead for.
-	maxWriteDelay = 5 * time.Second
-	// leaderStepDelay is about how long it takes until the leader assigns the next task.
-	leaderStepDelay = time.Second
+	groupMoveDelay = time.Second
+	// maxBacklogDelay is the longest delay of stored writes that is assigned ahead for.
+	maxBacklogDelay = 5 * time.Second
+	// leaderPassDelay is about how long it takes until the leader assigns the next task.
+	leaderPassDelay = time.Second
 )
 
 // unplacedClass is what decides where unplaced tasks of a group may find room.
@@ -32,27 +32,27 @@
 	return unplacedClass{equivalenceClass: group.job.equivalenceClass, zone: group.zone, partition: group.partition, claim: group.claim()}
 }
 
-// placeAssigned has the tasks that are assigned and not placed yet take the room in their
+// placeAssignedTasks has the tasks that are assigned and not placed yet take the room in their
 // partitions, and moves those that find none to partitions that have room. It returns what
 // found no room anywhere, and how many tasks of each group found none in its partition.
-func (c *leader) placeAssigned(summaries []*planning.MachineSummary, byUrgency func(x, y *job) int) (demands []planning.Demand, unplaced map[*taskGroup]int) {
+func (c *leader) placeAssignedTasks(summaries []*planning.MachineSummary, byUrgency func(x, y *job) int) (demands []planning.Demand, unplaced map[*taskGroup]int) {
 	unplaced = map[*taskGroup]int{}
 	// Room only gets less here, so where one group of a class has found none, none behind
 	// it will.
-	full := map[unplacedClass]bool{}
+	fullClasses := map[unplacedClass]bool{}
 	var stuck []*taskGroup
 	for _, group := range c.groupsToPlace(byUrgency) {
 		count, class := group.bindLimit()-group.boundTaskCount(), group.unplacedClass()
-		if !full[class] {
+		if !fullClasses[class] {
 			count = c.placeInPartition(summaries, group, count)
-			full[class] = count > 0
+			fullClasses[class] = count > 0
 		}
 		if count > 0 {
 			stuck = append(stuck, group)
 			unplaced[group] = count
 		}
 	}
-	return c.moveStuckGroups(summaries, stuck, unplaced), unplaced
+	return c.moveUnplacedGroups(summaries, stuck, unplaced), unplaced
 }
 
 // groupsToPlace returns the groups with tasks that may run and are not placed, the most
@@ -80,7 +80,9 @@
 	if spec.Gang && group.partition == c.loanPartition() && planning.CountFittingTasks(summaries, mayUse, size, count) < count {
 		// It gathers room there, but holds none for long that it can't use.
 		inPartition := mayUse
-		mayUse = func(summary *planning.MachineSummary) bool { return inPartition(summary) && !c.unusedForLong(summary) }
+		mayUse = func(summary *planning.MachineSummary) bool {
+			return inPartition(summary) && !c.isReserveRoomUnused(summary)
+		}
 	}
 	for _, placed := range planning.PlaceWithoutPreemption(summaries, mayUse, size, count) {
 		count -= placed
@@ -91,15 +93,15 @@
 	return count
 }
 
-// moveStuckGroups moves groups that found no room in their partitions to others, and
+// moveUnplacedGroups moves groups that found no room in their partitions to others, and
 // returns the demand of those that find none there either.
-func (c *leader) moveStuckGroups(summaries []*planning.MachineSummary, stuck []*taskGroup, unplaced map[*taskGroup]int) []planning.Demand {
+func (c *leader) moveUnplacedGroups(summaries []*planning.MachineSummary, stuck []*taskGroup, unplaced map[*taskGroup]int) []planning.Demand {
 	var demands []planning.Demand
 	withoutRoom := map[unplacedClass]bool{}
 	for _, group := range stuck {
 		count, class := unplaced[group], group.unplacedClass()
-		if !group.writeInFlight && c.now.Sub(group.partitionAssignedAt) > moveDelay && (group.job.spec.AllOrNothing() || !withoutRoom[class]) {
-			if c.moveUnplaced(summaries, group, count) {
+		if !group.writeInFlight && c.now.Sub(group.partitionAssignedAt) > groupMoveDelay && (group.job.spec.AllOrNothing() || !withoutRoom[class]) {
+			if c.moveUnplacedTasks(summaries, group, count) {
 				continue
 			}
 			withoutRoom[class] = true
@@ -113,16 +115,16 @@
 
 // turnaround is about how long a cell stays empty when its next task has not been assigned
 // yet: the end is stored, the leader assigns, the binding is stored.
-func (c *clusterState) turnaround() time.Duration {
-	return c.endBatchingDelay() + 2*min(c.stateWriter.Backlog(), maxWriteDelay) + leaderStepDelay
+func (c *clusterState) cellTurnaround() time.Duration {
+	return c.endBatchingDelay() + 2*min(c.stateWriter.Backlog(), maxBacklogDelay) + leaderPassDelay
 }
 
 // assignAhead is how many tasks each partition may be assigned beyond its free room, so
 // that an ending task's cell is taken again without asking the leader. Tasks that found no
 // room there count for it.
-func (c *clusterState) assignAhead(unplaced map[*taskGroup]int) []int {
+func (c *clusterState) maxTasksAhead(unplaced map[*taskGroup]int) []int {
 	ahead := make([]float64, len(c.partitions))
-	turnaround := c.turnaround().Seconds()
+	turnaround := c.cellTurnaround().Seconds()
 	for group := range c.allGroups() {
 		if group.job.spec != nil && !group.job.spec.AllOrNothing() {
 			ahead[group.partition] += planning.MaxTasksAhead(group.boundTaskCount(), group.job.spec.EstimateS, turnaround)
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -21,12 +21,12 @@
 		{"the leader ends", true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			runCluster(t, func(c *cluster) { c.checkCutZone(x.leaderFails) })
+			runCluster(t, func(c *cluster) { c.checkIsolatedZone(x.leaderFails) })
 		})
 	}
 }
 
-func (c *cluster) checkCutZone(leaderFails bool) {
+func (c *cluster) checkIsolatedZone(leaderFails bool) {
 	c.t.Helper()
 	c.submitZonalServices(1, 14, "b")
 	c.submitZonalServices(15, 14, "a")
@@ -56,7 +56,7 @@
 
 // A samePlace job whose zone has lost all its machines goes to one that has room, once
 // all its tasks are proven gone; before, it waited for the first zone for ever.
-func TestSamePlaceJobLeavesALostZone(t *testing.T) {
+func TestSingleZoneJobLeavesLostZone(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submitZonalServices(1, 3, "a")
 		c.submitZonalServices(4, 3, "b")
