--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// minArrayAssignmentInterval is the least time between two assignments of one array: its tasks
-	// are stored in few groups.
+	// minArrayAssignmentInterval is the minimum time between two assignments of the same
+	// array. It makes an array's tasks share few stored groups.
 	minArrayAssignmentInterval = time.Second
-	// quotaHoldTimeout is how long a job that starts whole, and for which there is no machine,
-	// holds its team's limit back for a machine that may come.
+	// quotaHoldTimeout is how long an all-or-nothing job that no machine can run reserves its
+	// team's quota, in case a suitable machine is launched.
 	quotaHoldTimeout = 45 * time.Second
 )
 
-// assign gives waiting tasks to partitions that have room for them, the most urgent jobs
-// first, and returns what found no room.
+// assignWaitingTasks assigns waiting tasks to partitions that have room for them, the most
+// urgent jobs first. It returns the demand of the tasks that found no room.
 func (c *leader) assignWaitingTasks(summaries []*planning.MachineSummary) []planning.Demand {
 	byUrgency := c.urgencyComparator()
 	demands, unplaced := c.placeAssignedTasks(summaries, byUrgency)
@@ -41,7 +41,7 @@
 	return pass.demands
 }
 
-// jobsToAssign returns the jobs with tasks that wait, the most urgent first.
+// jobsToAssign returns the unfinished jobs that have waiting tasks, the most urgent first.
 func (c *catalog) jobsToAssign(byUrgency func(x, y *job) int) []*job {
 	var jobs []*job
 	for _, j := range c.activeJobs {
@@ -54,31 +54,33 @@
 }
 
 // assignmentPass is one round of assigning waiting tasks to partitions. What a job is
-// assigned is taken from the summaries and quotas, so that the jobs after it get the rest.
+// assigned is subtracted from the summaries and quotas, so that later jobs get what is left.
 type assignmentPass struct {
 	*leader
 	summaries []*planning.MachineSummary
-	// teamQuotas are the teams' quotas, by team index.
+	// teamQuotas holds the teams' quotas, by team index.
 	teamQuotas []planning.Quota
-	// demands are the tasks that found no room so far.
+	// demands collects the tasks that have found no room.
 	demands []planning.Demand
-	// ahead is how many tasks each partition may be assigned beyond its free room.
+	// tasksAhead is how many tasks each partition may be assigned beyond its free room.
 	tasksAhead []int
-	// exhaustedClasses are the equivalence classes of jobs that found too little room.
+	// exhaustedClasses holds the equivalence classes of jobs for which there was too little
+	// room.
 	exhaustedClasses map[string]bool
-	// replicaDemandIndexes is, by equivalence class, the index in demands of the services of one
-	// replica that found no room.
+	// replicaDemandIndexes maps an equivalence class to the index in demands of its
+	// single-replica services that found no room.
 	replicaDemandIndexes map[string]int
-	// quotaLimitedTeams are the teams of which a job waits for the team's limit.
+	// quotaLimitedTeams holds the teams that have a job waiting for the team's quota.
 	quotaLimitedTeams map[scheduling.TeamIndex]bool
-	// placeableClasses tells whether jobs of a class find, or can make, any room at all.
+	// placeableClasses caches the results of isPlaceable, by equivalence class (and zone, for
+	// single-zone jobs).
 	placeableClasses map[string]bool
 }
 
-// assignJob decides about the tasks of one job that are not assigned yet.
+// assignJob assigns the tasks of one job that are not assigned yet.
 func (a *assignmentPass) assignJob(j *job) {
-	// While somebody more urgent waits within the team's limit, nothing that is throttled
-	// runs again: it would be stopped and started for ever.
+	// While a more urgent job waits for the team's quota, no throttled task is allowed to run
+	// again: it would be stopped and started over and over.
 	if !a.quotaLimitedTeams[j.team] {
 		a.unthrottle(j, &a.teamQuotas[j.team])
 	}
@@ -95,7 +97,8 @@
 	}
 }
 
-// deferArray notes the demand of an array that was assigned tasks a moment ago.
+// deferArray records the demand of an array that was assigned tasks too recently to be
+// assigned more now.
 func (a *assignmentPass) deferArray(j *job, remaining int) {
 	count := a.teamQuotas[j.team].RemainingTasks(j.taskSize, remaining)
 	if !a.quotaLimitedTeams[j.team] && count < remaining && a.isPlaceable(j) {
@@ -104,8 +107,8 @@
 	a.demands = append(a.demands, a.demand(j, "", count))
 }
 
-// assignTasks assigns as many of a job's remaining tasks as its team's quota and the
-// machines have room for, and notes the demand of the others.
+// assignTasks assigns as many of a job's remaining tasks as its team's quota and the machines
+// have room for, and records the demand of the rest.
 func (a *assignmentPass) assignTasks(j *job, assigned, remaining int) {
 	quota := &a.teamQuotas[j.team]
 	forced := a.jobOrder(j).ForcedTaskCount(j.countUnplacedTasks())
@@ -113,8 +116,8 @@
 		remaining = min(remaining, forced)
 	}
 	if a.exhaustedClasses[j.equivalenceClass] && !j.spec.AllOrNothing() && forced == 0 {
-		// Jobs of a class are decided about together: where one found no room, none behind
-		// it will.
+		// The jobs of a class are alike: if there was no room for one of them, there is none
+		// for those after it.
 		a.demands = append(a.demands, a.demand(j, "", quota.RemainingTasks(j.taskSize, remaining)))
 		return
 	}
@@ -126,15 +129,16 @@
 	unassigned := a.assignWithinQuota(j, assignmentRequest{assignedTasks: assigned, remainingTasks: remaining, force: forced > 0})
 	a.recordDemand(j, unassigned)
 	if j.spec.AllOrNothing() && quota.Usage == usedBefore && (a.now.Sub(j.acceptedAt) < quotaHoldTimeout || a.isPlaceable(j)) {
-		// What such a job waits for is not for those behind it, unless no machine has come
-		// for it in good time: none may ever.
+		// An all-or-nothing job that waits reserves its team's quota ahead of the jobs after
+		// it. If no machine can run it, the reservation ends after quotaHoldTimeout, since no
+		// suitable machine may ever come.
 		quota.Usage = usedBefore.Plus(j.taskSize.Times(remaining))
 	}
 }
 
-// joinReplicaDemand adds a service of one replica to the demand of its class, if another
-// service of the class found no room: there are many of them after a loss of machines. It
-// reports whether it did.
+// joinReplicaDemand adds a service with one replica to the demand of its equivalence class,
+// if another service of the class found no room, and reports whether it did. A loss of many
+// machines leaves many such services.
 func (a *assignmentPass) joinReplicaDemand(j *job) bool {
 	index, found := a.replicaDemandIndexes[j.equivalenceClass]
 	quota := &a.teamQuotas[j.team]
@@ -156,7 +160,7 @@
 	}
 }
 
-// recordDemand notes what an assignment of a job left without room.
+// recordDemand records the tasks of a job for which there was no room.
 func (a *assignmentPass) recordDemand(j *job, unassigned planning.Demand) {
 	if unassigned.Count <= 0 {
 		return
@@ -168,7 +172,8 @@
 	a.exhaustedClasses[j.equivalenceClass] = true
 }
 
-// isPlaceable is placeable, evaluated once for all jobs of a class.
+// isPlaceable reports the result of canPlaceTask, which it computes once for all jobs of a
+// class.
 func (a *assignmentPass) isPlaceable(j *job) bool {
 	class := j.equivalenceClass
 	if j.spec.SingleZone {
@@ -182,10 +187,10 @@
 	return placeable
 }
 
-// placeable tells whether there is a machine on which a task of a job finds room, or may
-// make some. Where there is none, nothing of its team is held back or stopped for it: the
-// room that came of that went to others, who were stopped for it in turn, several times a
-// second.
+// canPlaceTask reports whether there is a machine on which a task of the job has room, or
+// could get it by preemption. If there is none, no quota is reserved and no task is stopped
+// for the job: other jobs of the team would take what that frees and be stopped in turn,
+// several times a second.
 func (c *leader) canPlaceTask(summaries []*planning.MachineSummary, j *job) bool {
 	zone := c.requiredZone(j)
 	mayUse := func(summary *planning.MachineSummary) bool {
--- a/internal/controller/assignment_writes.go
+++ b/internal/controller/assignment_writes.go
@@ -9,12 +9,13 @@
 	"eiderhitch/internal/wire"
 )
 
-// recordOverheadBytes is about what a record adds to a transaction besides its value: its key,
-// twice, and the words round it.
+// recordOverheadBytes is the approximate size that a record adds to a transaction in addition
+// to its value: its key, twice, and the JSON around it.
 const recordOverheadBytes = 200
 
-// submitDecision submits a write of the leader, who decides nothing more until it has been
-// answered (handleDecisionResult). Meanwhile the groups count as being written.
+// submitDecision submits a write of the leader. The leader decides nothing else until the
+// result is known (handleDecisionResult). Until then the groups are marked as having a write
+// in flight.
 func (c *leader) submitDecision(write *store.Write, groups ...*taskGroup) {
 	for _, group := range groups {
 		group.writeInFlight = true
@@ -29,7 +30,8 @@
 	})
 }
 
-// newTaskGroupRecord is the record of tasks that are assigned for the first time.
+// newTaskGroupRecord returns the record for consecutive tasks, starting at first, that are
+// assigned for the first time.
 func newTaskGroupRecord(partition int, zone string, guaranteed bool, first int32, tasks int) record.TaskGroup {
 	group := record.TaskGroup{Partition: partition, Zone: zone, Guaranteed: guaranteed}
 	for number := first; number < first+int32(tasks); number++ {
@@ -38,7 +40,8 @@
 	return group
 }
 
-// groupsFittingTransaction is how much of a list of groups one transaction can create.
+// groupsFittingTransaction returns the longest prefix of groups that one transaction can
+// create.
 func (c *clusterState) groupsFittingTransaction(groups []record.TaskGroup) []record.TaskGroup {
 	size := 0
 	for i := range groups {
@@ -50,9 +53,10 @@
 	return groups
 }
 
-// assignRemainingGangTasks assigns the tasks of a gang that did not fit into the transactions
-// before, to where those are. Which tasks are assigned is known by number alone, so there
-// is one transaction at a time; a new leader goes on where the last one stopped.
+// assignRemainingGangTasks assigns the tasks of a gang that did not fit into the previous
+// transactions, to the partition of the gang's first group. The number of assigned tasks
+// alone tells which ones are assigned, so there is one transaction at a time. A new leader
+// continues where the last one stopped.
 func (c *leader) assignRemainingGangTasks(j *job, assigned int) {
 	first := j.firstGroup()
 	var groups []record.TaskGroup
@@ -63,9 +67,9 @@
 	c.writeAssignment(j, c.groupsFittingTransaction(groups))
 }
 
-// writeAssignment stores the groups of one assignment. All of them are written together or
-// not at all: which tasks are assigned already is known by their number alone, so a gap,
-// left by one write that failed, would have a later assignment hand out tasks twice.
+// writeAssignment stores the groups of one assignment, all of them or none. The number of
+// assigned tasks alone tells which ones are assigned, so a gap that a failed write leaves
+// would make a later assignment assign tasks twice.
 func (c *leader) writeAssignment(j *job, groups []record.TaskGroup) {
 	if len(groups) == 0 {
 		return
@@ -94,9 +98,10 @@
 	c.log.Debug("tasks assigned", "job", j.id, "tasks", tasks, "records", len(groups))
 }
 
-// emptyGroups are groups whose tasks are all done. They are used again, so that a large
-// array leaves few behind. None is deleted while its job lives: an assignment that is
-// applied minutes late must not find its key absent once more.
+// emptyGroups returns the groups whose tasks are all done, by their numbers. They are reused,
+// so that a large array leaves few groups behind. No group is deleted while its job is
+// unfinished: an assignment that is applied minutes late must not find the group's key absent
+// again.
 func (j *job) emptyGroups() []*taskGroup {
 	var empty []*taskGroup
 	for _, group := range j.groups {
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -6,8 +6,8 @@
 	"eiderhitch/internal/planning"
 )
 
-// slackS is the time in seconds until a job's deadline, or until its service-level
-// objective if it can't meet that.
+// slackS returns the time in seconds until a job's deadline, or until its service-level
+// objective if it can't meet the deadline. It is infinite for a job without a deadline.
 func (c *clusterState) slackS(j *job) float64 {
 	if j.spec.NoDeadline {
 		return math.Inf(1)
@@ -20,8 +20,8 @@
 	return slack
 }
 
-// demand is what count tasks of a job that found no room ask of the fleet; zone is the one
-// in which they must be, "" for any.
+// demand returns the demand for count tasks of a job that found no room. zone is the zone in
+// which they must be placed, or "" for any.
 func (c *clusterState) demand(j *job, zone string, count int) planning.Demand {
 	spec, order := j.spec, c.jobOrder(j)
 	return planning.Demand{
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -95,13 +95,13 @@
 	if loan := c.loans[m.name]; loan != nil && loan.Job != gangReserveJobID {
 		limit = loanMaxUnused
 	}
-	unused := c.leadership.startedAt
+	unusedSince := c.leadership.startedAt
 	for _, at := range []time.Time{m.partitionChangedAt, m.lastBoundAt} {
-		if at.After(unused) {
-			unused = at
+		if at.After(unusedSince) {
+			unusedSince = at
 		}
 	}
-	return c.now.Sub(unused) > limit
+	return c.now.Sub(unusedSince) > limit
 }
 
 // outranksReserve tells whether a job goes before gangs.
--- a/internal/controller/gang_reserve_fill.go
+++ b/internal/controller/gang_reserve_fill.go
@@ -64,9 +64,9 @@
 	}
 	// Machines that are empty are had at once, whatever else will be empty some time:
 	// arrays would fill them, and gangs wait for the others for most of a minute.
-	taken := f.selectMachines(candidates[:firstBusy], class, lacking-empty)
+	selected := f.selectMachines(candidates[:firstBusy], class, lacking-empty)
 	room := 0
-	for _, summary := range taken {
+	for _, summary := range selected {
 		room += summary.Size.CountFitting(class.taskSize, class.spec.Tasks)
 	}
 	f.selectMachines(candidates[firstBusy:], class, lacking-empty-busy-room)
@@ -74,15 +74,15 @@
 
 // take chooses machines with room for a number of tasks of a class.
 func (f *reserveFill) selectMachines(candidates []*planning.MachineSummary, class *gangClass, tasks int) []*planning.MachineSummary {
-	taken, _ := planning.SelectMachines(candidates, tasks, f.limit, func(summary *planning.MachineSummary, tasks int) int {
+	selected, _ := planning.SelectMachines(candidates, tasks, f.limit, func(summary *planning.MachineSummary, tasks int) int {
 		return summary.Size.CountFitting(class.taskSize, tasks)
 	})
-	for _, summary := range taken {
+	for _, summary := range selected {
 		summary.InUse = true
 	}
-	f.limit -= len(taken)
-	f.chosen = append(f.chosen, taken...)
-	return taken
+	f.limit -= len(selected)
+	f.chosen = append(f.chosen, selected...)
+	return selected
 }
 
 // allocateFreeRoom takes free room of the reserve for the next gangs of a class, and returns for
@@ -163,8 +163,8 @@
 	}
 	best := ""
 	for zone := range machines {
-		before := cmp.Or(cmp.Compare(room[best], room[zone]), cmp.Compare(machines[best], machines[zone]), cmp.Compare(zone, best))
-		if best == "" || before < 0 {
+		order := cmp.Or(cmp.Compare(room[best], room[zone]), cmp.Compare(machines[best], machines[zone]), cmp.Compare(zone, best))
+		if best == "" || order < 0 {
 			best = zone
 		}
 	}
--- a/internal/controller/job_assignment.go
+++ b/internal/controller/job_assignment.go
@@ -10,31 +10,35 @@
 
 // assignmentRequest asks for tasks of a job to be assigned.
 type assignmentRequest struct {
-	// assigned is how many tasks of the job are assigned already, remaining how many are
-	// to be.
+	// assignedTasks is how many tasks of the job are assigned already. remainingTasks is how
+	// many are to be assigned.
 	assignedTasks, remainingTasks int
-	// forced tasks are assigned even where there is no room.
+	// force assigns the tasks even where there is no room.
 	force bool
 }
 
-// jobAssignment is the assignment of one job's tasks in progress.
+// jobAssignment is the state of assigning one job's tasks.
 type jobAssignment struct {
 	pass *assignmentPass
 	job  *job
-	// count is how many tasks the team's quota permits; found how many of them have been
-	// given to a partition.
+	// permittedTasks is how many tasks the team's quota permits. assignedTasks is how many of
+	// them have been assigned to a partition so far.
 	permittedTasks, assignedTasks int
 	claim                         scheduling.Claim
-	// remainingGuaranteedTasks is how many more tasks the team's guaranteed quota has room for.
+	// remainingGuaranteedTasks is how many more tasks fit into the team's guaranteed quota.
 	remainingGuaranteedTasks int
-	quotaLimited             bool
-	force                    bool
-	nextTask                 int32
-	groups                   []record.TaskGroup
+	// quotaLimited is set if the team's limit is nearly used up.
+	quotaLimited bool
+	// force assigns the tasks even where there is no room.
+	force bool
+	// nextTask is the number of the next task to assign.
+	nextTask int32
+	// groups are the new groups, which are not stored yet.
+	groups []record.TaskGroup
 }
 
-// assignWithinQuota assigns as many of a job's tasks as there is room for now, and returns
-// the demand of those that the quota permits and that found no room.
+// assignWithinQuota assigns as many of a job's tasks as there is room for now. It returns the
+// demand of the tasks that the quota permits but that found no room.
 func (a *assignmentPass) assignWithinQuota(j *job, request assignmentRequest) planning.Demand {
 	count := a.tasksWithinQuota(j, request.remainingTasks)
 	if count == 0 {
@@ -50,8 +54,8 @@
 	return a.demand(j, a.requiredZone(j), count-assignment.assignedTasks)
 }
 
-// tasksWithinQuota is how many tasks of a job its team's limit has room for: all or none if
-// they start together.
+// tasksWithinQuota returns how many of a job's remaining tasks fit into its team's limit. For
+// an all-or-nothing job that is all of them or none.
 func (a *assignmentPass) tasksWithinQuota(j *job, remaining int) int {
 	count := a.teamQuotas[j.team].RemainingTasks(j.taskSize, remaining)
 	if j.spec.AllOrNothing() && count < remaining {
@@ -60,14 +64,15 @@
 	return count
 }
 
+// newJobAssignment prepares the assignment of count tasks of a job.
 func (a *assignmentPass) newJobAssignment(j *job, request assignmentRequest, count int) jobAssignment {
 	quota := &a.teamQuotas[j.team]
 	guaranteed := quota.RemainingGuaranteedTasks(j.taskSize, count)
 	if j.spec.Gang && guaranteed < count {
-		guaranteed = 0 // a gang has one claim for all of its tasks
+		guaranteed = 0 // a gang has a single claim for all of its tasks
 	}
-	// Where a team's limit is short, tasks that are assigned but can't run yet would hold
-	// the limit against others of the team, and would have to be throttled again.
+	// If the team's limit is nearly used up, tasks that are assigned but can't run yet would
+	// take quota from other jobs of the team and have to be throttled again.
 	ample := request.remainingTasks + planning.MinTasksPerPartition*len(a.partitions)
 	return jobAssignment{
 		pass:                     a,
@@ -81,13 +86,14 @@
 	}
 }
 
-// assignToZones assigns the tasks, zone by zone. It reports whether machines are borrowed
-// for the job instead, in which case nothing is to be stored.
+// assignToZones assigns the tasks zone by zone. It reports whether machines are borrowed for
+// the job instead, in which case there is nothing to store.
 func (s *jobAssignment) assignToZones() (borrowed bool) {
 	zones := s.pass.candidateZones(s.job, s.pass.summaries)
 	rounds := len(zones)
 	if s.pass.outranksReserve(s.job) {
-		// The gang reserve is for more urgent work only if there is no other room.
+		// A job that outranks gangs may use the gang reserve, but only if there is no other
+		// room.
 		zones = slices.Concat(zones, zones)
 	}
 	for i, zone := range zones {
@@ -110,7 +116,7 @@
 	return false
 }
 
-// remainingTasksForZone is how many more tasks may go to a zone.
+// remainingTasksForZone returns how many more tasks may be assigned to a zone.
 func (s *jobAssignment) remainingTasksForZone(zone string) int {
 	count := s.permittedTasks - s.assignedTasks
 	if s.job.spec.Spread {
@@ -119,7 +125,7 @@
 	return count
 }
 
-// planningRequest asks for room for count tasks in a zone.
+// planningRequest returns a request for room for count tasks in a zone.
 func (s *jobAssignment) planningRequest(zone string, count int, useReserve bool) *planning.Assignment {
 	leader, job := s.pass.leader, s.job
 	mayUse := func(summary *planning.MachineSummary) bool {
@@ -128,9 +134,10 @@
 	return &planning.Assignment{TaskSize: job.taskSize, Count: count, Claim: s.claim, AllowsMachine: mayUse, QuotaLimited: s.quotaLimited, Force: s.force}
 }
 
-// assignToOnePartition assigns tasks that start together to one partition, so that their cells are
-// reserved together; its owner preempts others where there is no free room. Where no
-// partition has room it borrows machines, and reports whether they are on their way.
+// assignToOnePartition assigns the tasks of an all-or-nothing job to one partition, so that
+// their cells are reserved together. The partition's owner preempts other tasks if there is
+// too little free room. If no partition has room, machines are borrowed for the job; borrowed
+// reports whether they are on their way.
 func (s *jobAssignment) assignToOnePartition(request *planning.Assignment, zone string) (borrowed bool) {
 	partition, ok := request.ChoosePartition(s.pass.summaries, len(s.pass.partitions))
 	if !ok {
@@ -140,7 +147,7 @@
 	return false
 }
 
-// assignToAllPartitions assigns tasks of an array to all partitions that have room.
+// assignToAllPartitions assigns the tasks of an array to all partitions that have room.
 func (s *jobAssignment) assignToAllPartitions(request *planning.Assignment, zone string) {
 	for partition, count := range request.SplitAmongPartitions(s.pass.summaries, s.pass.tasksAhead) {
 		count = min(count, s.permittedTasks-s.assignedTasks)
@@ -150,8 +157,9 @@
 	}
 }
 
-// add assigns the next count tasks to a partition, in groups that can be stored. A group
-// has one claim, so those within the guaranteed quota are groups of their own.
+// addGroups assigns the next count tasks to a partition, in groups that fit the store's limit
+// of a value. A group has a single claim, so tasks within the guaranteed quota get groups of
+// their own.
 func (s *jobAssignment) addGroups(partition int, zone string, count int) {
 	s.assignedTasks += count
 	for count > 0 {
@@ -166,14 +174,14 @@
 	}
 }
 
-// groupsFittingTransaction leaves out groups that can't be stored in one transaction. A gang counts
-// whole all the same: the rest of it is assigned later (assignRemainingGangTasks).
+// truncateToTransaction drops groups that don't fit into one transaction. The rest of a gang
+// is assigned later (assignRemainingGangTasks), so a gang still counts as a whole.
 func (s *jobAssignment) truncateToTransaction() {
 	if s.job.spec.Gang {
 		s.groups = s.pass.groupsFittingTransaction(s.groups)
 		return
 	}
-	limit := s.pass.cfg.Settings.Store.TxnOps / 2 // there is a condition for each change
+	limit := s.pass.cfg.Settings.Store.TxnOps / 2 // each change has a condition
 	if len(s.groups) <= limit {
 		return
 	}
@@ -183,7 +191,7 @@
 	s.groups = s.groups[:limit]
 }
 
-// chargeQuota counts the assigned tasks for the team's quota.
+// chargeQuota charges the assigned tasks to the team's quota.
 func (s *jobAssignment) chargeQuota() {
 	quota := &s.pass.teamQuotas[s.job.team]
 	quota.Usage = quota.Usage.Plus(s.job.taskSize.Times(s.assignedTasks))
--- a/internal/controller/job_zones.go
+++ b/internal/controller/job_zones.go
@@ -8,8 +8,8 @@
 	"eiderhitch/internal/record"
 )
 
-// zoneOfJob is the zone that the tasks of a job are in already, or are to be; "" if none is
-// assigned to a zone.
+// zoneOfJob returns the zone that unfinished tasks of a job are assigned to, or "" if there
+// is none.
 func (c *clusterState) zoneOfJob(j *job) string {
 	for _, group := range j.groups {
 		if group.zone != "" && len(group.bindings) > 0 {
@@ -19,7 +19,8 @@
 	return ""
 }
 
-// requiredZone is the zone in which more tasks of a job must be; "" for any.
+// requiredZone returns the zone in which more tasks of a job must be placed, or "" if they
+// may be in any.
 func (c *clusterState) requiredZone(j *job) string {
 	if !j.spec.SingleZone {
 		return ""
@@ -27,8 +28,8 @@
 	return c.zoneOfJob(j)
 }
 
-// candidateZones lists the zones to try for a job's tasks, those with the most free room
-// first; "" stands for any.
+// candidateZones returns the zones to try for a job's tasks, those with the most free room
+// first. "" stands for any zone.
 func (c *clusterState) candidateZones(j *job, summaries []*planning.MachineSummary) []string {
 	if !j.spec.SingleZone && !j.spec.Spread {
 		return []string{""}
@@ -53,8 +54,9 @@
 	return zones
 }
 
-// remainingSpreadTasks is how many more tasks of a job may go to a zone besides those of groups
-// that are not stored yet: half of all in a zone, rounded up.
+// remainingSpreadTasks returns how many more tasks of a job that spreads over zones may be
+// assigned to a zone: each zone may have half of the job's tasks, rounded up. unstored has
+// the job's groups that are not stored yet.
 func (c *clusterState) remainingSpreadTasks(j *job, zone string, unstored []record.TaskGroup) int {
 	room := (j.spec.Tasks + 1) / 2
 	for _, group := range j.groups {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -4,38 +4,43 @@
 	"time"
 )
 
-// leader decides for the whole cluster while this controller leads: which partition gets
-// which tasks, within the teams' quotas, and which machines are on loan to its own
-// partition.
+// leader makes the decisions for the whole cluster while this controller holds the
+// leadership: it assigns tasks to partitions within the teams' quotas, borrows machines for
+// its own partition, and launches and terminates machines.
 type leader struct {
 	*clusterState
 	leadership leadership
 }
 
-// leadership is what only the leader knows. It is rebuilt after a failover.
+// leadership holds the state that only the leader has. It is discarded when the leadership is
+// lost, and the next leader rebuilds its own. The zero value means that this controller
+// doesn't lead.
 type leadership struct {
-	// epoch is the revision of the write that elected this leader: it tells the times apart
+	// epoch is the revision of the write that elected this leader. It distinguishes the terms
 	// in which this controller leads.
 	epoch uint64
-	// token is the fencing token, the present revision of the leader's key.
+	// token is the fencing token: the current revision of the leader's key.
 	token uint64
 	// active is set once everything that a former leader stored has been read.
-	active    bool
+	active bool
+	// startedAt is when this controller became the leader.
 	startedAt time.Time
-	// writesInFlight counts decisions that are not known to be stored, see submitDecision.
+	// writesInFlight counts the decisions whose outcome is not known yet, see submitDecision.
 	writesInFlight int
 	usageLoggedAt  time.Time
-	// owners are the partitions' owners, by partition, see updateOwnerLiveness.
+	// owners holds the liveness of each partition's owner, by partition index, see
+	// updateOwnerLiveness.
 	owners      []ownerLiveness
 	gangReserve gangReserve
 }
 
-// becomeLeader begins a leadership that a write of that revision gave to this controller.
+// becomeLeader starts a term as leader. revision is that of the write that acquired the
+// leader's key.
 func (c *leader) becomeLeader(revision uint64) {
 	c.leadership = leadership{epoch: revision, token: revision, startedAt: c.now}
 	c.autoscaler.StartTerm()
-	// A former leader's late writes fail by its fencing token; what it did store is read
-	// before anything is assigned.
+	// Late writes of a former leader fail on its fencing token. What it did store has to be
+	// read before anything is assigned.
 	c.reader.AfterSuccessfulRead(func() {
 		if c.leadership.epoch == revision {
 			c.leadership.active = true
@@ -43,11 +48,12 @@
 	})
 }
 
-// isLeader tells whether this controller acts as the leader now.
+// isLeader reports whether this controller may act as the leader now: its term is active and
+// its replica is fresh.
 func (c *leader) isLeader() bool { return c.leadership.active && c.isFresh(c.operator.LeaseTTL) }
 
-// runLeaderPass is one step of the leader: it assigns work to partitions, and launches and
-// terminates machines.
+// runLeaderPass runs one planning pass of the leader, which assigns tasks to partitions and
+// launches and terminates machines. It does nothing if this controller isn't the leader.
 func (c *leader) runLeaderPass() {
 	if !c.isLeader() {
 		return
@@ -55,10 +61,10 @@
 	defer c.metrics.addBusyTime(activityPlanning, time.Now())
 	c.finishJobs()
 	c.updateOwnerLiveness()
-	summaries := c.machineSummaries() // first: it notes which machines are up
+	summaries := c.machineSummaries() // comes first, since it records which machines are up
 	c.autoscaler.DetectIsolatedZones()
-	// What is lost is terminated at once, however long it takes until assignments are
-	// stored: others' tasks wait for the proof.
+	// Lost machines are terminated at once, without waiting for pending writes: their tasks
+	// can't be placed again before the machines are proven to be gone.
 	c.autoscaler.TerminateLost()
 	if c.leadership.writesInFlight > 0 {
 		return
@@ -75,9 +81,9 @@
 	c.autoscaler.Scale(c.workload(summaries, demands))
 }
 
-// handleDecisionResult notes that a decision of the leader has been answered. After a write that
-// failed the replica is read before anything more is decided: it may have been applied all
-// the same.
+// handleDecisionResult is called with the result of a write that submitDecision submitted in
+// the given epoch. A failed write may have been applied all the same, so the replica is read
+// before the leader decides anything else.
 func (c *leader) handleDecisionResult(epoch uint64, err error) {
 	if c.leadership.epoch != epoch {
 		return
--- a/internal/controller/loan_leader.go
+++ b/internal/controller/loan_leader.go
@@ -23,11 +23,11 @@
 // borrow takes machines from other partitions for a job that starts whole. It reports
 // whether they are on their way.
 func (c *leader) borrowForJob(summaries []*planning.MachineSummary, j *job, request loanRequest) bool {
-	coming := c.expectedRoom(summaries, j, request)
-	if coming >= request.tasks {
+	expected := c.expectedRoom(summaries, j, request)
+	if expected >= request.tasks {
 		return true
 	}
-	chosen := c.machinesToClear(summaries, j, request, coming)
+	chosen := c.machinesToClear(summaries, j, request, expected)
 	if len(chosen) == 0 {
 		chosen = c.machinesWithRoomBesideServices(summaries, j, request)
 	}
@@ -46,13 +46,13 @@
 // that they are in have not changed owners meanwhile.
 func (c *leader) borrowMachines(chosen []*planning.MachineSummary, loan record.MachineLoan, conditions ...wire.Condition) {
 	write := &store.Write{Prompt: true, Conditions: append([]wire.Condition{c.leaderCondition()}, conditions...)}
-	guarded := map[int]bool{} // partitions on whose owner there is a condition
+	guardedPartitions := map[int]bool{} // partitions on whose owner there is a condition
 	for _, summary := range chosen {
 		summary.InUse, summary.FreeResources = true, scheduling.Resources{}
 		key := loanKey(c.machineByIndex[summary.Index].name)
 		write.Conditions = append(write.Conditions, wire.Condition{Key: key})
-		if !guarded[summary.Partition] {
-			guarded[summary.Partition] = true
+		if !guardedPartitions[summary.Partition] {
+			guardedPartitions[summary.Partition] = true
 			partitionKey := c.partitions[summary.Partition].key
 			write.Conditions = append(write.Conditions, wire.Condition{Key: partitionKey, Revision: c.replica.Revision(partitionKey)})
 		}
@@ -110,8 +110,8 @@
 		return m.heartbeatAt.After(since) || c.now.Sub(since) < c.unreachableTimeout()+loanHeartbeatGrace
 	}
 	// An owner that does not release it in time may have more urgent work there by now.
-	patience := c.leaseExpiry + 2*config.Seconds(c.cfg.Settings.Workers.ReportS) + loanReleaseGrace
-	return c.now.Sub(loan.firstSeenAt) < patience
+	releaseTimeout := c.leaseExpiry + 2*config.Seconds(c.cfg.Settings.Workers.ReportS) + loanReleaseGrace
+	return c.now.Sub(loan.firstSeenAt) < releaseTimeout
 }
 
 // jobNeedsLoan tells whether a job has tasks that machines on loan to a partition are for:
--- a/internal/controller/loan_selection.go
+++ b/internal/controller/loan_selection.go
@@ -51,11 +51,11 @@
 // room: what becomes free is taken one cell at a time. One that has waited has machines
 // kept for it on which nothing is that stays, until they are empty (the paper leaves room
 // for "reservation during waiting").
-func (c *leader) machinesToClear(summaries []*planning.MachineSummary, j *job, request loanRequest, coming int) []*planning.MachineSummary {
-	keep := c.now.Sub(j.acceptedAt) > reserveMachinesAfter
-	stays := func(usage planning.TaskUsage) bool { return !request.claim.CanPreempt(usage.Claim) }
+func (c *leader) machinesToClear(summaries []*planning.MachineSummary, j *job, request loanRequest, expected int) []*planning.MachineSummary {
+	mayReserve := c.now.Sub(j.acceptedAt) > reserveMachinesAfter
+	cannotPreempt := func(usage planning.TaskUsage) bool { return !request.claim.CanPreempt(usage.Claim) }
 	candidates := slices.DeleteFunc(c.loanableMachines(summaries, j.spec, request.zone), func(summary *planning.MachineSummary) bool {
-		return (!keep || summary.RunsService) && slices.ContainsFunc(summary.Usages, stays)
+		return (!mayReserve || summary.RunsService) && slices.ContainsFunc(summary.Usages, cannotPreempt)
 	})
 	sizeFor := func(summary *planning.MachineSummary, tasks int) int {
 		return summary.Size.CountFitting(j.taskSize, tasks)
@@ -63,7 +63,7 @@
 	slices.SortFunc(candidates, func(x, y *planning.MachineSummary) int {
 		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(sizeFor(y, request.tasks), sizeFor(x, request.tasks)), cmp.Compare(x.Index, y.Index))
 	})
-	chosen, lacking := planning.SelectMachines(candidates, request.tasks-coming, len(candidates), sizeFor)
+	chosen, lacking := planning.SelectMachines(candidates, request.tasks-expected, len(candidates), sizeFor)
 	if lacking > 0 {
 		return nil
 	}
@@ -81,10 +81,10 @@
 	freeFor := func(summary *planning.MachineSummary, tasks int) int {
 		return summary.FreeResources.CountFitting(j.taskSize, tasks)
 	}
-	coming := 0
+	expected := 0
 	for _, summary := range summaries {
 		if summary.Partition == c.loanPartition() && c.isAvailableFor(summary, j.spec, request.zone) {
-			coming += freeFor(summary, request.tasks)
+			expected += freeFor(summary, request.tasks)
 		}
 	}
 	candidates := slices.DeleteFunc(c.loanableMachines(summaries, j.spec, request.zone), func(summary *planning.MachineSummary) bool {
@@ -93,7 +93,7 @@
 	slices.SortFunc(candidates, func(x, y *planning.MachineSummary) int {
 		return cmp.Or(cmp.Compare(freeFor(y, request.tasks), freeFor(x, request.tasks)), cmp.Compare(x.Index, y.Index))
 	})
-	chosen, lacking := planning.SelectMachines(candidates, request.tasks-coming, len(candidates), freeFor)
+	chosen, lacking := planning.SelectMachines(candidates, request.tasks-expected, len(candidates), freeFor)
 	if lacking > 0 {
 		return nil
 	}
--- a/internal/controller/machine_summaries.go
+++ b/internal/controller/machine_summaries.go
@@ -9,12 +9,12 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// maxOwnerStatusAge is how long the leader assigns by what an owner told last when it hears
-// nothing of it, unless the owner loses its partition.
+// maxOwnerStatusAge is how long the leader plans with the last status of an owner that sends
+// no newer one but keeps its partition's lease.
 const maxOwnerStatusAge = 90 * time.Second
 
-// machineSummaries are the machines that owners vouch for, with what is bound to them. It
-// notes which instances are up.
+// machineSummaries returns the usable machines that their owners report, with the tasks that
+// are bound to them. It also tells the autoscaler which machines are up.
 func (c *leader) machineSummaries() []*planning.MachineSummary {
 	var summaries []*planning.MachineSummary
 	for _, p := range c.partitions {
@@ -41,9 +41,9 @@
 }
 
 // appendPeerSummaries appends the machines of a partition that a peer owns. An owner that
-// is not heard, though it holds its partition, works on: the connections between
-// controllers say nothing of who lives. Its machines are taken for what they were last,
-// with what the records bind there.
+// can't be heard but keeps its partition's lease is still working: a broken connection
+// between controllers doesn't show that the owner has failed. Its machines are therefore used
+// as they were last reported, with the bindings that the records show.
 func (c *leader) appendPeerSummaries(summaries []*planning.MachineSummary, p *partition) []*planning.MachineSummary {
 	owner := c.peers.Peer(c.ownerOf(p.key))
 	if owner == nil || owner.Status == nil || c.now.Sub(owner.HeardAt) > maxOwnerStatusAge {
@@ -55,7 +55,7 @@
 		if m.partition != p.index {
 			continue
 		}
-		if reported.Type != "" { // its owner has heard it
+		if reported.Type != "" { // the owner has received a heartbeat from it
 			m.machineType, m.zone, m.spot, m.addr = reported.Type, reported.Zone, reported.Flags&peer.Spot != 0, reported.Addr
 		}
 		summaries = c.appendSummary(summaries, m, reported.Flags)
@@ -63,8 +63,8 @@
 	return summaries
 }
 
-// appendSummary appends a machine, unless it is on its way out or to the leader, or its
-// owner can't use it.
+// appendSummary appends a machine, unless it is being terminated, is moving to the leader's
+// partition, or can't be used by its owner.
 func (c *leader) appendSummary(summaries []*planning.MachineSummary, m *machine, flags uint8) []*planning.MachineSummary {
 	machineType := c.machineTypes[m.machineType]
 	if machineType == nil || m.terminated || c.autoscaler.Terminating(m.name) {
@@ -81,16 +81,17 @@
 	size := scheduling.NewResources(machineType.CPUs, machineType.GPUs, machineType.RAMGB)
 	summary := &planning.MachineSummary{
 		Index: m.index, Type: m.machineType, Zone: m.zone, Spot: m.spot, Partition: m.partition, Size: size, FreeResources: size,
-		InUse: loan != nil, // there is a use for it, even before anything is placed there
+		InUse: loan != nil, // a loaned machine is needed even before anything is placed on it
 	}
 	addUsages(summary, m)
 	if c.autoscaler.DrainedByLeader(m.name) {
-		summary.FreeResources, summary.Usages = scheduling.Resources{}, nil // no room for anybody
+		summary.FreeResources, summary.Usages = scheduling.Resources{}, nil // a draining machine has no room for new tasks
 	}
 	return append(summaries, summary)
 }
 
-// addUsages adds what is bound to a machine to its summary.
+// addUsages adds the tasks that are bound to a machine to its summary and subtracts them from
+// its free resources.
 func addUsages(summary *planning.MachineSummary, m *machine) {
 	summary.Usages = slices.Grow(summary.Usages, len(m.bindings))
 	for _, x := range m.bindings {
@@ -104,7 +105,8 @@
 	}
 }
 
-// eachReportedMachine calls visit for each machine that its owner tells about.
+// eachReportedMachine calls visit for each machine that its partition's owner reports, with
+// the flags of the report.
 func (c *clusterState) eachReportedMachine(visit func(m *machine, flags uint8)) {
 	for _, p := range c.partitions {
 		if p.token != 0 && p.takeoverComplete {
@@ -115,6 +117,7 @@
 	}
 }
 
+// eachOwnMachine calls visit for the machines of a partition that this controller owns.
 func (c *clusterState) eachOwnMachine(p *partition, visit func(m *machine, flags uint8)) {
 	for _, m := range p.machines {
 		known := !m.heartbeatAt.IsZero() || len(m.bindings) > 0
@@ -124,6 +127,8 @@
 	}
 }
 
+// eachPeerMachine calls visit for the machines in the last status of the peer that owns a
+// partition, unless that status is too old.
 func (c *clusterState) eachPeerMachine(p *partition, visit func(m *machine, flags uint8)) {
 	owner := c.peers.Peer(c.ownerOf(p.key))
 	if owner == nil || !owner.Heard(ownerStatusTimeout, c.now) {
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -95,8 +95,8 @@
 }
 
 // zoneWithMostRoom is the zone with the most room, of equals the first by name.
-func zoneWithMostRoom(room map[string]int, present string) string {
-	best := present
+func zoneWithMostRoom(room map[string]int, current string) string {
+	best := current
 	for zone, count := range room {
 		if count > room[best] || count == room[best] && zone < best {
 			best = zone
@@ -111,13 +111,13 @@
 	if group.job.spec.Gang {
 		return c.moveGang(summaries, group.job)
 	}
-	starts := group.job.spec.AllOrNothing() && group.boundTaskCount() == 0
-	if starts {
+	movesWhole := group.job.spec.AllOrNothing() && group.boundTaskCount() == 0
+	if movesWhole {
 		count = max(count, len(group.bindings)) // what has not started moves whole
 	}
 	mayUse := c.moveFilter(group)
 	target := c.findMoveTarget(summaries, group, count, mayUse)
-	if starts && target.tasks < count {
+	if movesWhole && target.tasks < count {
 		// What has not started, or lost all, may preempt others where it goes.
 		request := planning.Assignment{TaskSize: group.job.taskSize, Count: count, Claim: group.claim(), AllowsMachine: mayUse}
 		partition, ok := request.ChoosePartition(summaries, len(c.partitions))
--- a/internal/controller/owner_liveness.go
+++ b/internal/controller/owner_liveness.go
@@ -8,27 +8,29 @@
 )
 
 const (
-	// ownerStatusTimeout is how long after its last status an owner counts as in touch.
+	// ownerStatusTimeout is how long after its last status an owner counts as responsive.
 	ownerStatusTimeout = 3 * time.Second
-	// ownerViewSettleTime is what an owner is given, besides two heartbeats, to hear all of its
-	// machines.
+	// ownerViewSettleTime is the time that an owner is given, in addition to two heartbeat
+	// intervals, to receive heartbeats from all of its machines.
 	ownerViewSettleTime = 12 * time.Second
 )
 
-// ownerLiveness is a partition's owner, and since when it has been in touch with the leader
-// without a gap; zero if it is not.
+// ownerLiveness records which controller owns a partition and for how long the leader has
+// received its statuses without a gap.
 type ownerLiveness struct {
-	node            string
+	// node is the owner's name; "" if the partition has no owner.
+	node string
+	// responsiveSince is zero while the owner is not responsive.
 	responsiveSince time.Time
 }
 
-// ownerOf is the controller that holds a leased key; "" if nobody does.
+// ownerOf returns the name of the controller that holds a leased key, or "" if none does.
 func (c *clusterState) ownerOf(key string) string {
 	holder, _ := c.election.Holder(key)
 	return holder.Node
 }
 
-// updateOwnerLiveness notes for each partition since when its owner has been in touch.
+// updateOwnerLiveness records for each partition since when its owner has been responsive.
 func (c *leader) updateOwnerLiveness() {
 	if c.leadership.owners == nil {
 		c.leadership.owners = make([]ownerLiveness, len(c.partitions))
@@ -45,7 +47,8 @@
 	}
 }
 
-// isOwnerResponsive tells whether a partition's owner says, and lately, that it owns it.
+// isOwnerResponsive reports whether a recent status of a partition's owner lists the
+// partition. A partition of this controller's own counts once its takeover is complete.
 func (c *leader) isOwnerResponsive(p *partition, owner string) bool {
 	if p.token != 0 {
 		return p.takeoverComplete
@@ -54,20 +57,20 @@
 	return ownerPeer != nil && ownerPeer.Heard(ownerStatusTimeout, c.now) && slices.Contains(ownerPeer.Status.Partitions, uint64(p.index))
 }
 
-// isOwnerViewComplete tells whether a partition has had an owner in touch with the leader for
-// long enough that all machines of it must have sent heartbeats.
+// isOwnerViewComplete reports whether a partition's owner has been responsive for so long
+// that every live machine of the partition must have sent it a heartbeat.
 func (c *leader) isOwnerViewComplete(partition int) bool {
 	since := c.leadership.owners[partition].responsiveSince
 	if since.IsZero() {
 		return false
 	}
 	if c.heartbeatsResumedAt.After(since) {
-		since = c.heartbeatsResumedAt // before that no machine could be heard
+		since = c.heartbeatsResumedAt // no heartbeat was accepted before that
 	}
 	return c.now.Sub(since) > 2*config.Seconds(c.cfg.Settings.Workers.ReportS)+ownerViewSettleTime
 }
 
-// allOwnersResponsive tells whether every partition's owner is in touch.
+// allOwnersResponsive reports whether the owners of all partitions are responsive.
 func (c *leader) allOwnersResponsive() bool {
 	for i := range c.partitions {
 		if c.leadership.owners[i].responsiveSince.IsZero() {
--- a/internal/controller/quota_usage.go
+++ b/internal/controller/quota_usage.go
@@ -6,15 +6,15 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// quotas returns the teams' quotas with what their tasks use of them, by team index.
+// quotas returns the teams' quotas with their current usage, by team index.
 func (c *clusterState) quotas() []planning.Quota {
 	quotas := c.configuredQuotas()
 	for group := range c.allGroups() {
 		if group.job.spec == nil {
 			continue
 		}
-		// An assigned task counts for its team's limit whether it runs or not; one of a
-		// cancelled job until it is proven gone.
+		// An assigned task counts toward its team's limit whether it runs or not. A task of a
+		// cancelled job counts until it is proven to be gone.
 		use := group.job.taskSize.Times(group.quotaTaskCount(c.replica.Cursor()))
 		quotas[group.job.team].Charge(use, group.guaranteed)
 	}
@@ -27,7 +27,7 @@
 	return quotas
 }
 
-// configuredQuotas returns the teams' quotas as they are set, without any use.
+// configuredQuotas returns the teams' quotas as configured, without any usage.
 func (c *clusterState) configuredQuotas() []planning.Quota {
 	quotas := make([]planning.Quota, len(c.teamIndexes))
 	for i := range c.cfg.Settings.Teams {
@@ -40,8 +40,8 @@
 	return quotas
 }
 
-// chargeUnknownTasks counts what groups that can't be decoded may bind: it may run, and
-// counts until it is known.
+// chargeUnknownTasks charges the tasks that groups which can't be decoded may bind. Such
+// tasks may be running, so they count until the groups can be read.
 func chargeUnknownTasks(quota *planning.Quota, j *job) {
 	if !j.hasUnreadableRecords() {
 		return
@@ -51,8 +51,9 @@
 	quota.Charge(j.taskSize.Times(unknown), false)
 }
 
-// chargeUnassignedMembers counts a gang that is assigned in several transactions whole from
-// the first on: it can't start without the rest.
+// chargeUnassignedMembers charges the tasks of a partially assigned gang that are not
+// assigned yet. A gang that takes several transactions to assign can't start without all of
+// its tasks, so it counts as a whole from the first one.
 func chargeUnassignedMembers(quota *planning.Quota, j *job) {
 	if !j.spec.Gang {
 		return
--- a/internal/controller/throttle.go
+++ b/internal/controller/throttle.go
@@ -12,10 +12,10 @@
 	"eiderhitch/internal/wire"
 )
 
-// throttleTeam makes room within a team's limit for a job that waits for it: tasks of
-// the team's jobs of lower priority are stopped, and assigned ones that don't run yet, of
-// equal jobs too, are throttled. Else what is assigned of an array would hold the limit
-// against a service for minutes.
+// throttleTeam makes room for a job within its team's limit. It stops tasks of the team's
+// jobs of lower priority, and throttles tasks of lower or equal priority that are assigned
+// but don't run yet. Otherwise the assigned tasks of an array could keep the limit from a
+// service for minutes.
 func (c *leader) throttleTeam(j *job, shortfall scheduling.Resources) {
 	groups, released := c.groupsToThrottle(j)
 	urgent := c.urgencyComparator()
@@ -40,8 +40,8 @@
 	}
 }
 
-// groupsToThrottle returns the groups of a team's other jobs that may be throttled for a
-// job, and what throttled groups are about to release.
+// groupsToThrottle returns the groups of the team's other jobs that may be throttled for a
+// job, and the resources that throttled groups are about to release.
 func (c *machineRegistry) groupsToThrottle(j *job) (groups []*taskGroup, released scheduling.Resources) {
 	for group := range c.allGroups() {
 		other := group.job
@@ -58,18 +58,19 @@
 	return groups, released
 }
 
-// minThrottleInterval is the least time between changes of one group's throttle while the
-// key-value store is not loaded.
+// minThrottleInterval is the minimum time between two changes of a group's throttle while the
+// key-value store has no backlog.
 const minThrottleInterval = 2 * time.Second
 
-// throttleInterval spaces the changes of one group's throttle that are not for more urgent
-// work: a team at its limit has a task end, and so room for one more, many times a second,
-// and a change for each of them would take up the key-value store's limit.
+// throttleInterval returns the minimum time between two changes of a group's throttle that
+// are not made for a more urgent job. In a team at its limit a task ends, and so makes room
+// for another one, many times a second; a change for each would use up the key-value store's
+// rate limit.
 func (c *clusterState) throttleInterval() time.Duration {
 	return minThrottleInterval + c.cellTurnaround()
 }
 
-// unthrottle lets throttled tasks of a job run again, as the limit permits.
+// unthrottle lets throttled tasks of a job run again, as far as the quota permits.
 func (c *leader) unthrottle(j *job, quota *planning.Quota) {
 	for _, group := range j.groups {
 		if group.throttle == 0 || group.writeInFlight || group.bindLimit() == len(group.bindings) || c.now.Sub(group.throttleChangedAt) < c.throttleInterval() {
@@ -86,7 +87,7 @@
 // setThrottle stores how many of a group's tasks may run.
 func (c *leader) setThrottle(group *taskGroup, tasks int) {
 	changed := *group
-	changed.throttle = tasks + 1 // 0 is without a throttle
+	changed.throttle = tasks + 1 // 0 means no throttle
 	if tasks >= len(group.bindings) {
 		changed.throttle = 0
 	}
--- a/internal/controller/unplaced_tasks.go
+++ b/internal/controller/unplaced_tasks.go
@@ -12,35 +12,39 @@
 )
 
 const (
-	// groupMoveDelay is how long a partition has to place what it was assigned before that is
-	// moved to another.
+	// groupMoveDelay is how long a partition has to place the tasks it was assigned before
+	// the leader moves them to another one.
 	groupMoveDelay = time.Second
-	// maxBacklogDelay is the longest delay of stored writes that is assigned ahead for.
+	// maxBacklogDelay is the longest delay of stored writes that cellTurnaround takes into
+	// account.
 	maxBacklogDelay = 5 * time.Second
-	// leaderPassDelay is about how long it takes until the leader assigns the next task.
+	// leaderPassDelay is the approximate time until the leader assigns the next task.
 	leaderPassDelay = time.Second
 )
 
-// unplacedClass is what decides where unplaced tasks of a group may find room.
+// unplacedClass identifies tasks that can be placed on the same machines: if there is no room
+// for one of them, there is none for the others.
 type unplacedClass struct {
 	equivalenceClass, zone string
 	partition              int
 	claim                  scheduling.Claim
 }
 
+// unplacedClass returns the class of the group's unplaced tasks.
 func (group *taskGroup) unplacedClass() unplacedClass {
 	return unplacedClass{equivalenceClass: group.job.equivalenceClass, zone: group.zone, partition: group.partition, claim: group.claim()}
 }
 
-// placeAssignedTasks has the tasks that are assigned and not placed yet take the room in their
-// partitions, and moves those that find none to partitions that have room. It returns what
-// found no room anywhere, and how many tasks of each group found none in its partition.
+// placeAssignedTasks allocates room in the summaries for the tasks that are assigned but not
+// placed yet, in the partitions that they are assigned to. Groups that find no room there are
+// moved to partitions that have room. It returns the demand of the tasks that find no room in
+// any partition, and how many tasks of each group find none in its own.
 func (c *leader) placeAssignedTasks(summaries []*planning.MachineSummary, byUrgency func(x, y *job) int) (demands []planning.Demand, unplaced map[*taskGroup]int) {
 	unplaced = map[*taskGroup]int{}
-	// Room only gets less here, so where one group of a class has found none, none behind
-	// it will.
+	// Free room only shrinks in this loop, so if one group of a class finds none, neither
+	// will the later ones.
 	fullClasses := map[unplacedClass]bool{}
-	var stuck []*taskGroup
+	var unplacedGroups []*taskGroup
 	for _, group := range c.groupsToPlace(byUrgency) {
 		count, class := group.bindLimit()-group.boundTaskCount(), group.unplacedClass()
 		if !fullClasses[class] {
@@ -48,14 +52,14 @@
 			fullClasses[class] = count > 0
 		}
 		if count > 0 {
-			stuck = append(stuck, group)
+			unplacedGroups = append(unplacedGroups, group)
 			unplaced[group] = count
 		}
 	}
-	return c.moveUnplacedGroups(summaries, stuck, unplaced), unplaced
+	return c.moveUnplacedGroups(summaries, unplacedGroups, unplaced), unplaced
 }
 
-// groupsToPlace returns the groups with tasks that may run and are not placed, the most
+// groupsToPlace returns the groups that have tasks that may run and are not placed, the most
 // urgent first.
 func (c *machineRegistry) groupsToPlace(byUrgency func(x, y *job) int) []*taskGroup {
 	var groups []*taskGroup
@@ -70,15 +74,16 @@
 	return groups
 }
 
-// placeInPartition takes room for count tasks of a group from the machines of its
-// partition, and returns how many tasks found none.
+// placeInPartition allocates room on the machines of a group's partition for count tasks. It
+// returns for how many of them there is none.
 func (c *leader) placeInPartition(summaries []*planning.MachineSummary, group *taskGroup, count int) int {
 	spec, size := group.job.spec, group.job.taskSize
 	mayUse := func(summary *planning.MachineSummary) bool {
 		return summary.Partition == group.partition && !summary.Booting && allowsMachine(spec, group.zone, summary.Type, summary.Zone, summary.Spot)
 	}
 	if spec.Gang && group.partition == c.loanPartition() && planning.CountFittingTasks(summaries, mayUse, size, count) < count {
-		// It gathers room there, but holds none for long that it can't use.
+		// A gang may collect room in the leader's partition while it waits, but it must not
+		// block machines there that have been unused for long.
 		inPartition := mayUse
 		mayUse = func(summary *planning.MachineSummary) bool {
 			return inPartition(summary) && !c.isReserveRoomUnused(summary)
@@ -93,12 +98,12 @@
 	return count
 }
 
-// moveUnplacedGroups moves groups that found no room in their partitions to others, and
-// returns the demand of those that find none there either.
-func (c *leader) moveUnplacedGroups(summaries []*planning.MachineSummary, stuck []*taskGroup, unplaced map[*taskGroup]int) []planning.Demand {
+// moveUnplacedGroups moves groups that found no room in their partitions to other partitions.
+// It returns the demand of those for which there is no room there either.
+func (c *leader) moveUnplacedGroups(summaries []*planning.MachineSummary, unplacedGroups []*taskGroup, unplaced map[*taskGroup]int) []planning.Demand {
 	var demands []planning.Demand
 	withoutRoom := map[unplacedClass]bool{}
-	for _, group := range stuck {
+	for _, group := range unplacedGroups {
 		count, class := unplaced[group], group.unplacedClass()
 		if !group.writeInFlight && c.now.Sub(group.partitionAssignedAt) > groupMoveDelay && (group.job.spec.AllOrNothing() || !withoutRoom[class]) {
 			if c.moveUnplacedTasks(summaries, group, count) {
@@ -113,15 +118,16 @@
 	return demands
 }
 
-// turnaround is about how long a cell stays empty when its next task has not been assigned
-// yet: the end is stored, the leader assigns, the binding is stored.
+// cellTurnaround returns how long a cell stays empty if its next task has not been assigned
+// yet: the approximate time to store the end of the old task, to assign the new one, and to
+// store its binding.
 func (c *clusterState) cellTurnaround() time.Duration {
 	return c.endBatchingDelay() + 2*min(c.stateWriter.Backlog(), maxBacklogDelay) + leaderPassDelay
 }
 
-// assignAhead is how many tasks each partition may be assigned beyond its free room, so
-// that an ending task's cell is taken again without asking the leader. Tasks that found no
-// room there count for it.
+// maxTasksAhead returns for each partition how many tasks it may be assigned beyond its free
+// room. They let the partition's owner reuse the cell of an ending task without waiting for
+// the leader. Tasks that already wait in the partition without room count against the number.
 func (c *clusterState) maxTasksAhead(unplaced map[*taskGroup]int) []int {
 	ahead := make([]float64, len(c.partitions))
 	turnaround := c.cellTurnaround().Seconds()
