--- a/internal/controller/fleet_usage.go
+++ b/internal/controller/fleet_usage.go
@@ -6,10 +6,10 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// milliCPUs is how many units of scheduling.Resources.CPU one CPU is.
+// milliCPUs is the number of units of scheduling.Resources.CPU in one CPU.
 const milliCPUs = 1000
 
-// logUsage logs now and then how full the machines are.
+// logUsage logs at intervals of usageLogInterval how much of the machines is in use.
 func (c *leader) logUsage(summaries []*planning.MachineSummary) {
 	if c.now.Sub(c.leadership.usageLoggedAt) < usageLogInterval {
 		return
@@ -30,8 +30,8 @@
 		"draining", draining, "tasks_waiting", waiting, "tasks_unplaced", unplaced)
 }
 
-// countWaitingTasks counts the tasks that are not assigned to a partition, and those that
-// are and are not placed yet.
+// countWaitingTasks counts the tasks that are not assigned to a partition (waiting), and
+// those that are assigned but not bound yet (unplaced).
 func (c *catalog) countWaitingTasks() (waiting, unplaced int) {
 	for _, job := range c.activeJobs {
 		if job.finalState != record.Unfinished || job.spec == nil {
--- a/internal/controller/gang_moves.go
+++ b/internal/controller/gang_moves.go
@@ -9,20 +9,21 @@
 	"eiderhitch/internal/store"
 )
 
-// moveGang has a gang of which nothing is bound go whole to a partition that has room for
-// it. Where none has, machines of several partitions are borrowed for it: a gang that was
-// assigned to a partition which then lost its room waited for ever beside machines that had
-// room for it together.
+// moveGang moves a gang without bound tasks as a whole to a partition that has room for it,
+// and reports whether a move or a loan of machines is under way. If no partition has room, it
+// borrows machines of several partitions for the gang. Without this, a gang whose partition
+// lost its room waited forever although machines of several partitions together had room for
+// it.
 func (c *leader) moveGang(summaries []*planning.MachineSummary, j *job) bool {
 	first, tasks := j.firstGroup(), 0
 	for _, group := range j.groups {
 		if group.boundTaskCount() > 0 {
-			return false // its present attempt is completed, or ends, where it is
+			return false // the current attempt is completed or ends in its partition
 		}
 		tasks += len(group.bindings)
 	}
 	if tasks < j.spec.Tasks {
-		return false // the rest is assigned first
+		return false // the other tasks are assigned first
 	}
 	mayUse := func(summary *planning.MachineSummary) bool {
 		return !summary.Booting && summary.Partition != first.partition && allowsMachine(j.spec, first.zone, summary.Type, summary.Zone, summary.Spot)
@@ -37,9 +38,9 @@
 	return c.relocateGang(j, partition, first.zone)
 }
 
-// relocate has a gang's groups go to a partition and zone, the first one first and as many
-// as one transaction holds. The others follow (completeGangMoves); the gang is reserved when
-// all are together. It reports false if that can't be now.
+// relocateGang moves a gang's groups to a partition and zone, the first group first, as many
+// as fit into one transaction. The others follow later (completeGangMoves), and cells are
+// reserved once all groups are together. It returns false if the gang can't move now.
 func (c *leader) relocateGang(j *job, partition int, zone string) bool {
 	write := c.newMoveWrite(j)
 	size := 0
@@ -48,7 +49,7 @@
 			continue
 		}
 		if group.writeInFlight || group.boundTaskCount() > 0 || group.storedSize > c.maxValueBytes() {
-			return false // its owner ends bindings, or splits it, first
+			return false // its owner has to end bindings or split the group first
 		}
 		moved := *group
 		moved.partition, moved.zone = partition, zone
@@ -66,8 +67,9 @@
 	return true
 }
 
-// completeGangMoves has the groups of gangs that have moved incompletely, by this leader or
-// one before it, follow their first one.
+// completeGangMoves continues the moves of gangs of which only some groups have moved yet,
+// whether this leader or a former one started the move. The other groups follow the first
+// one.
 func (c *leader) completeGangMoves() {
 	for _, job := range c.activeJobs {
 		if job.finalState != record.Unfinished || job.spec == nil || !job.spec.Gang || job.revision == 0 || len(job.groups) < 2 {
@@ -79,19 +81,20 @@
 	}
 }
 
-// groupsByNumber are a job's groups by their numbers.
+// groupsByNumber returns a job's groups sorted by number.
 func (j *job) groupsByNumber() []*taskGroup {
 	groups := slices.Clone(j.groups)
 	slices.SortFunc(groups, func(first, second *taskGroup) int { return cmp.Compare(first.number, second.number) })
 	return groups
 }
 
-// firstGroup is the group that a gang's others follow.
+// firstGroup returns the group with the lowest number, whose partition and zone the other
+// groups of a gang follow.
 func (j *job) firstGroup() *taskGroup {
 	return slices.MinFunc(j.groups, func(first, second *taskGroup) int { return cmp.Compare(first.number, second.number) })
 }
 
-// hasAllGroupsIn tells whether all groups of a job are in one partition and zone.
+// hasAllGroupsIn reports whether all groups of a job are in one partition and zone.
 func (j *job) hasAllGroupsIn(partition int, zone string) bool {
 	for _, group := range j.groups {
 		if group.partition != partition || group.zone != zone {
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -12,65 +12,73 @@
 	"eiderhitch/internal/wire"
 )
 
-// Gangs need room for all of their tasks in one partition, and often in one zone, within
-// seconds, among arrays that take every cell as it becomes free and that a gang of their
-// priority must not stop. So the leader keeps a few machines in its own partition, by the
-// loans that jobs across partitions have anyway: room for one gang of each class, as large
-// as the largest of late. Only gangs are assigned there.
+// A gang needs room for all of its tasks in one partition, and often in one zone, within
+// seconds. Arrays take every cell as it becomes free, and a gang of the same priority must
+// not stop them. The leader therefore keeps a few machines in its own partition, using the
+// same loans as jobs that span partitions: enough room for gangs as large as the largest
+// recent one of each class. Only gangs are assigned there.
 
-// gangReserveJobID stands for the gang reserve where a loan names the job that it is for.
+// gangReserveJobID is the job ID in loans that are for the gang reserve.
 const gangReserveJobID = ""
 
 const (
-	// reserveClassTTL is how long a class of gangs is expected again after its last one.
+	// reserveClassTTL is how long after the last gang of a class another one is still
+	// expected.
 	reserveClassTTL = 30 * time.Second
-	// reserveLoanTimeout is how long a machine may take to become empty.
+	// reserveLoanTimeout is how long a machine that is borrowed for the reserve may take to
+	// become empty.
 	reserveLoanTimeout = 40 * time.Second
-	// reserveMinHold is how long one that has come is kept in any case.
+	// reserveMinHold is the minimum time for which a machine that has arrived stays in the
+	// reserve.
 	reserveMinHold = 10 * time.Second
-	// reserveOpensAfter is how long others wait before they may use it all the same: nobody
-	// should wait much longer beside a machine that has room.
+	// reserveOpensAfter is how long other jobs wait before they may use the reserve, too. No
+	// job should wait much longer while a machine has room for it.
 	reserveOpensAfter = time.Minute
-	// reserveMaxUnused is for how long room of it is kept that nothing uses: a third of the 90 s
-	// that nobody may wait beside a machine with room, since gangs may gather room one
-	// after the other. What is on loan for one job is kept for longer, while that gathers.
+	// reserveMaxUnused is how long room of the reserve may stay unused before other jobs may
+	// use it. It is a third of the 90 s that a job may wait while a machine has room for it,
+	// since several gangs may collect room one after the other. loanMaxUnused is the limit
+	// for a machine on loan for a single job. It is longer, since the job's other machines
+	// have yet to arrive.
 	reserveMaxUnused = 30 * time.Second
 	loanMaxUnused    = time.Minute
-	// reserveMaxShare is the largest share of all machines that the reserve may have, but
-	// reserveMinMachines are always permitted: in a small fleet a gang may take two.
+	// reserveMaxShare is the largest share of all machines that the reserve may have.
+	// reserveMinMachines are always allowed, since in a small fleet a gang may need two.
 	reserveMaxShare    = 0.15
 	reserveMinMachines = 2
-	// reserveRetentionFactor is how many times the room that is borrowed is kept: with less,
-	// machines would go to and fro.
+	// reserveRetentionFactor is how many times the target room is kept before machines are
+	// handed back. With a lower factor, machines would move back and forth.
 	reserveRetentionFactor = 2
 )
 
-// gangReserve is what the leader keeps for gangs.
+// gangReserve is the leader's plan for the machines that it keeps for gangs.
 type gangReserve struct {
-	// classes are the classes of gangs that there have been of late, by name.
+	// classes holds the classes of recent gangs, by name.
 	classes map[string]*gangClass
-	// shortfall is what it lacks, to be launched if nothing becomes free.
+	// shortfall is the demand that neither free room in the reserve nor machines on their way
+	// to it cover. Machines are launched for it if no others become free.
 	shortfall []planning.Demand
-	// keep are the machines of the reserve that are not handed back.
+	// retainedMachines holds the machines of the reserve that are not handed back.
 	retainedMachines map[scheduling.MachineIndex]bool
 }
 
-// gangClass is the largest gang of a class of late.
+// gangClass describes the largest recent gang of a class.
 type gangClass struct {
 	spec       *wire.Job
 	taskSize   scheduling.Resources
 	lastSeenAt time.Time
-	gangCount  int // unfinished gangs of the class
+	gangCount  int // number of unfinished gangs of the class
 }
 
-// room is for how many tasks the reserve should have room: the next gang, and as many more
-// as may come before it is filled again, about the square root of those that there are.
+// targetTasks returns for how many tasks of the class the reserve should have room: the next
+// gang, and the gangs that may arrive before the reserve is filled again, estimated as the
+// square root of the number of unfinished gangs.
 func (class *gangClass) targetTasks() int {
 	return class.spec.Tasks * (1 + int(math.Ceil(math.Sqrt(float64(class.gangCount)))))
 }
 
-// canUseReserve tells whether a job may be placed on machines that the leader has in its
-// own partition: those that are there for it, and gangs; others only after a long wait.
+// canUseReserve reports whether a job may be placed on the machines of the leader's own
+// partition. Gangs and jobs that have machines on loan may, other jobs only after a long
+// wait.
 func (c *leader) canUseReserve(j *job) bool {
 	since := j.acceptedAt
 	if j.assignedAt.After(since) {
@@ -79,16 +87,16 @@
 	return j.spec.Gang || c.hasLoanFor(j) || c.now.Sub(since) > reserveOpensAfter && c.now.Sub(c.leadership.startedAt) > reserveOpensAfter
 }
 
-// reserveAllows tells whether a job may be placed on a machine as far as that is kept for
-// others: one of the leader's own partition is, until its room has been unused for long.
-// However long a job waits, it is assigned tasks now and then, and began to wait anew each
-// time.
+// reserveAllows reports whether the gang reserve leaves a machine to a job. It doesn't if the
+// machine is in the leader's own partition and the job can't use the reserve, unless the
+// machine's room has been unused for long. The job's own waiting time is not enough: a
+// waiting job is assigned a few tasks now and then, which restarts that time.
 func (c *leader) reserveAllows(j *job, summary *planning.MachineSummary) bool {
 	return summary.Partition != c.loanPartition() || c.canUseReserve(j) || c.isReserveRoomUnused(summary)
 }
 
-// isReserveRoomUnused tells whether nothing has been placed for long on a machine of the
-// leader's own partition.
+// isReserveRoomUnused reports whether no task has been bound for a long time to a machine of
+// the leader's own partition.
 func (c *leader) isReserveRoomUnused(summary *planning.MachineSummary) bool {
 	m := c.machineByIndex[summary.Index]
 	limit := reserveMaxUnused
@@ -104,7 +112,8 @@
 	return c.now.Sub(unusedSince) > limit
 }
 
-// outranksReserve tells whether a job goes before gangs.
+// outranksReserve reports whether a job has a higher priority than some class of gangs in the
+// reserve.
 func (c *leader) outranksReserve(j *job) bool {
 	for _, class := range c.leadership.gangReserve.classes {
 		if j.spec.Priority > class.spec.Priority {
@@ -114,7 +123,8 @@
 	return false
 }
 
-// updateReserve notes which gangs there are, and which machines of the reserve are kept.
+// updateReserve updates the classes of gangs and chooses the machines that stay in the
+// reserve.
 func (c *leader) updateReserve(summaries []*planning.MachineSummary) {
 	reserve := &c.leadership.gangReserve
 	if reserve.classes == nil {
@@ -136,7 +146,7 @@
 	reserve.selectRetainedMachines(c.reserveMachines(summaries))
 }
 
-// recordGang counts a gang for its class.
+// recordGang counts a gang for its class, and updates the class if the gang is its largest.
 func (reserve *gangReserve) recordGang(gang *job, now time.Time) {
 	class := reserve.classes[gang.spec.Class]
 	if class == nil {
@@ -149,7 +159,8 @@
 	class.gangCount++
 }
 
-// reserveMachines are the machines of the leader's own partition, the fullest first.
+// reserveMachines returns the machines of the leader's own partition, those with the most
+// tasks first.
 func (c *leader) reserveMachines(summaries []*planning.MachineSummary) []*planning.MachineSummary {
 	var machines []*planning.MachineSummary
 	for _, summary := range summaries {
@@ -163,8 +174,8 @@
 	return machines
 }
 
-// selectRetainedMachines keeps machines with room for the next gangs of each class; the
-// others become free.
+// selectRetainedMachines retains machines with room for the next gangs of each class. The
+// others may be handed back.
 func (reserve *gangReserve) selectRetainedMachines(machines []*planning.MachineSummary) {
 	reserve.retainedMachines = map[scheduling.MachineIndex]bool{}
 	for _, class := range reserve.sortedClasses() {
@@ -181,7 +192,7 @@
 	}
 }
 
-// sorted are the classes, the largest gangs first.
+// sortedClasses returns the classes, those with the largest gangs first.
 func (reserve *gangReserve) sortedClasses() []*gangClass {
 	var classes []*gangClass
 	for _, class := range reserve.classes {
@@ -193,7 +204,7 @@
 	return classes
 }
 
-// shouldRetain tells whether a machine of the reserve stays there.
+// shouldRetain reports whether a machine of the reserve must not be handed back yet.
 func (c *leader) shouldRetain(m *machine) bool {
 	return len(m.bindings) > 0 || c.leadership.gangReserve.retainedMachines[m.index] || c.now.Sub(m.partitionChangedAt) < reserveMinHold
 }
--- a/internal/controller/gang_reserve_fill.go
+++ b/internal/controller/gang_reserve_fill.go
@@ -9,8 +9,8 @@
 	"eiderhitch/internal/record"
 )
 
-// fillReserve borrows machines for the gang reserve while it lacks room: empty ones, or such
-// as will be empty soon.
+// fillReserve borrows machines for the gang reserve while it has too little room. It takes
+// machines that are empty or will be soon.
 func (c *leader) fillReserve(summaries []*planning.MachineSummary) {
 	reserve := &c.leadership.gangReserve
 	reserve.shortfall = nil
@@ -34,19 +34,21 @@
 	c.borrowMachines(chosen, record.MachineLoan{Job: gangReserveJobID})
 }
 
-// reserveFill is a round of fillReserve.
+// reserveFill is the state of one fillReserve.
 type reserveFill struct {
 	*leader
 	reserve *gangReserve
-	// summaries have what is left after the classes before.
+	// summaries are copies of the machine summaries, from which the room for earlier classes
+	// has been subtracted.
 	summaries []*planning.MachineSummary
 	// limit is how many more machines may be borrowed.
-	limit  int
+	limit int
+	// chosen are the machines to borrow.
 	chosen []*planning.MachineSummary
 }
 
-// addClass chooses machines for the next gangs of a class, and notes what is to be launched
-// for them if too little is coming.
+// addClass selects machines for the next gangs of a class. It adds to the reserve's shortfall
+// what neither free room in the reserve nor machines on their way to it cover.
 func (f *reserveFill) addClass(class *gangClass) {
 	zone := f.reserveZone(f.summaries, class)
 	lacking := class.targetTasks() - f.allocateFreeRoom(class, zone)
@@ -62,8 +64,9 @@
 	if firstBusy < 0 {
 		firstBusy = len(candidates)
 	}
-	// Machines that are empty are had at once, whatever else will be empty some time:
-	// arrays would fill them, and gangs wait for the others for most of a minute.
+	// Empty machines are borrowed even if other machines on their way will be empty later:
+	// otherwise arrays would fill the empty ones, and gangs would wait most of a minute for
+	// the others.
 	selected := f.selectMachines(candidates[:firstBusy], class, lacking-empty)
 	room := 0
 	for _, summary := range selected {
@@ -72,7 +75,7 @@
 	f.selectMachines(candidates[firstBusy:], class, lacking-empty-busy-room)
 }
 
-// take chooses machines with room for a number of tasks of a class.
+// selectMachines selects machines with room for a number of tasks of a class.
 func (f *reserveFill) selectMachines(candidates []*planning.MachineSummary, class *gangClass, tasks int) []*planning.MachineSummary {
 	selected, _ := planning.SelectMachines(candidates, tasks, f.limit, func(summary *planning.MachineSummary, tasks int) int {
 		return summary.Size.CountFitting(class.taskSize, tasks)
@@ -85,8 +88,8 @@
 	return selected
 }
 
-// allocateFreeRoom takes free room of the reserve for the next gangs of a class, and returns for
-// how many tasks there is.
+// allocateFreeRoom allocates the free room of the reserve to the next gangs of a class, and
+// returns for how many tasks there is room.
 func (f *reserveFill) allocateFreeRoom(class *gangClass, zone string) int {
 	found := 0
 	for _, summary := range f.summaries {
@@ -100,8 +103,8 @@
 	return found
 }
 
-// reserveCandidates are machines without services that may be borrowed for the reserve, the
-// emptiest and largest first.
+// reserveCandidates returns the machines without services that may be borrowed for the
+// reserve, those with the fewest tasks first, and the largest first among equals.
 func (f *reserveFill) reserveCandidates(class *gangClass, zone string) []*planning.MachineSummary {
 	candidates := slices.DeleteFunc(f.loanableMachines(f.summaries, class.spec, zone), func(summary *planning.MachineSummary) bool {
 		return summary.RunsService
@@ -112,8 +115,9 @@
 	return candidates
 }
 
-// incomingReserveRoom is for how many tasks of a class there will be room on machines that
-// are on their way to the reserve: empty ones, and such as will be empty some time.
+// incomingReserveRoom returns for how many tasks of a class there will be room on machines
+// that are on their way to the reserve: on those that are empty, and on those that still run
+// tasks.
 func (r *machineRegistry) incomingReserveRoom(class *gangClass, zone string) (empty, busy int) {
 	for loan, m := range r.loansFor(gangReserveJobID, class.spec, zone) {
 		if loan.Acknowledged {
@@ -129,7 +133,7 @@
 	return empty, busy
 }
 
-// demand is what count tasks of a class's next gangs ask of the fleet.
+// demand returns the demand for count tasks of the next gangs of a class.
 func (class *gangClass) demand(zone string, count int) planning.Demand {
 	spec := class.spec
 	return planning.Demand{
@@ -145,8 +149,9 @@
 	}
 }
 
-// reserveZone is the zone in which the reserve has the most room for a gang that must be in
-// one; "" for any. Of equals it is the one with the most machines.
+// reserveZone returns the zone in which the reserve has the most room for a gang that must be
+// in a single zone, or "" if the gang may be in any. Among equals it returns the zone with
+// the most machines.
 func (r *machineRegistry) reserveZone(summaries []*planning.MachineSummary, class *gangClass) string {
 	if !class.spec.SingleZone {
 		return ""
--- a/internal/controller/job_completion.go
+++ b/internal/controller/job_completion.go
@@ -9,14 +9,16 @@
 )
 
 const (
-	// maxFinishWrites is how many writes of one step end jobs and delete their groups.
+	// maxFinishWrites is the maximum number of writes per pass that store final states of
+	// jobs or delete their groups.
 	maxFinishWrites = 8
-	// maxCleanupBacklog is the delay of stored writes from which on groups of final jobs
-	// are not deleted: they can wait while the key-value store has more to do.
+	// maxCleanupBacklog is the delay of stored writes above which the groups of final jobs
+	// are not deleted. Deleting them can wait while the key-value store is busy.
 	maxCleanupBacklog = time.Second
 )
 
-// finishJobs ends jobs whose tasks are all done and deletes the groups of final ones.
+// finishJobs stores the final state of jobs whose tasks are all done, and deletes the groups
+// of jobs that are final.
 func (c *leader) finishJobs() {
 	c.archiveFinishedJobs(c.replica)
 	budget := maxFinishWrites
@@ -40,8 +42,9 @@
 	}
 }
 
-// isReadyToFinish tells whether a job is to be ended: all of its tasks are done, and that is
-// not being stored yet.
+// isReadyToFinish reports whether all tasks of a job are done and its final state is not
+// being stored yet. It is false for services, and for jobs with records that can't be
+// decoded.
 func (j *job) isReadyToFinish() bool {
 	if j.hasUnreadableRecords() || j.spec == nil || j.spec.Service || j.finalWriteInFlight {
 		return false
@@ -59,8 +62,8 @@
 	}, func(error) { j.finalWriteInFlight = false })
 }
 
-// deleteGroups deletes groups of a final job that bind nothing any more, at most limit of
-// them, and returns how many.
+// deleteGroups deletes groups of a final job that have no bound tasks, at most limit of them,
+// and returns how many it deleted.
 func (c *leader) deleteGroups(j *job, limit int) int {
 	deleted := 0
 	for _, group := range j.groups {
@@ -75,13 +78,14 @@
 	return deleted
 }
 
+// deleteGroupRecord deletes a group's record.
 func (c *leader) deleteGroupRecord(group *taskGroup) {
 	group.writeInFlight = true
 	c.SubmitWrite(&store.Write{
 		Conditions: []wire.Condition{c.leaderCondition(), {Key: group.key, Revision: group.revision}},
 		Changes:    []wire.Change{{Delete: group.key}},
 	}, func(err error) {
-		if err != nil { // its owner wrote it meanwhile: not before that is known
+		if err != nil { // the owner may have written the group meanwhile; don't retry before that write has been read
 			c.reader.AfterSuccessfulRead(func() { group.writeInFlight = false })
 			return
 		}
--- a/internal/controller/loan_leader.go
+++ b/internal/controller/loan_leader.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// loanHeartbeatGrace is how much longer than any other a machine that has come on loan
-	// may be without a heartbeat: the worker has to find its new owner first.
+	// loanHeartbeatGrace is how much longer than any other machine one that was just loaned
+	// may go without a heartbeat: its worker has to find the new owner first.
 	loanHeartbeatGrace = 5 * time.Second
-	// loanReleaseGrace is how much longer than two heartbeats and a lease an owner has to
-	// release a machine: time to stop what runs there and to store that.
+	// loanReleaseGrace is how long an owner has to release a machine in addition to two
+	// heartbeat intervals and a lease. It covers the time to stop the machine's tasks and to
+	// store that they ended.
 	loanReleaseGrace = 10 * time.Second
 )
 
-// borrow takes machines from other partitions for a job that starts whole. It reports
-// whether they are on their way.
+// borrowForJob borrows machines of other partitions for an all-or-nothing job. It reports
+// whether enough machines are on their way.
 func (c *leader) borrowForJob(summaries []*planning.MachineSummary, j *job, request loanRequest) bool {
 	expected := c.expectedRoom(summaries, j, request)
 	if expected >= request.tasks {
@@ -34,7 +35,7 @@
 	if len(chosen) == 0 {
 		return false
 	}
-	// As many as one change can be; the others follow in the next steps.
+	// One transaction can borrow only so many machines. The next passes borrow the others.
 	chosen = chosen[:min(len(chosen), c.cfg.Settings.Store.TxnOps)]
 	c.log.Info("machines borrowed for a job", "job", j.id, "machines", len(chosen))
 	loan := record.MachineLoan{Job: j.id, Priority: request.claim.Priority, Guaranteed: request.claim.Guaranteed, Team: j.spec.Team}
@@ -42,11 +43,11 @@
 	return true
 }
 
-// borrowMachines begins the loans of machines to the leader's partition, if the partitions
-// that they are in have not changed owners meanwhile.
+// borrowMachines starts loans of machines to the leader's partition. The write fails if a
+// partition that the machines are in has changed owners meanwhile.
 func (c *leader) borrowMachines(chosen []*planning.MachineSummary, loan record.MachineLoan, conditions ...wire.Condition) {
 	write := &store.Write{Prompt: true, Conditions: append([]wire.Condition{c.leaderCondition()}, conditions...)}
-	guardedPartitions := map[int]bool{} // partitions on whose owner there is a condition
+	guardedPartitions := map[int]bool{} // partitions whose owner is already a condition of the write
 	for _, summary := range chosen {
 		summary.InUse, summary.FreeResources = true, scheduling.Resources{}
 		key := loanKey(c.machineByIndex[summary.Index].name)
@@ -61,8 +62,8 @@
 	c.submitDecision(write)
 }
 
-// reviewLoans fences machines that came in and hands back those that are not needed:
-// nothing stays on loan for ever.
+// reviewLoans fences the former owners of machines that have arrived and returns the machines
+// that are no longer needed, so that no machine stays on loan forever.
 func (c *leader) reviewLoans() {
 	p := c.partitions[c.loanPartition()]
 	for _, name := range c.loanedMachines() {
@@ -79,10 +80,11 @@
 	}
 }
 
-// canReturnLoan tells whether a machine of the leader's partition can be handed back. What has
-// reserved a cell there may be bound any moment: handed back meanwhile, the machine was its
-// former owner's and the binding ours, and neither could end it. Services that came with
-// the machine, or since, go back with it.
+// canReturnLoan reports whether a machine of the leader's partition can be handed back. A
+// task with a reserved cell may be bound at any moment: if the machine were handed back
+// meanwhile, it would belong to its former owner but the binding to the leader's partition,
+// and neither could end the task. Services that came with the machine, or were placed on it
+// since, go back with it.
 func (c *leader) canReturnLoan(loan *machineLoan, m *machine, p *partition) bool {
 	if len(m.bindings) > 0 && (loan.Job == gangReserveJobID || !c.runsOnlyServices(m, p)) {
 		return false
@@ -90,8 +92,8 @@
 	return !p.hasReservationOn(m)
 }
 
-// isLoanNeeded tells whether there is still use for a machine where it is on loan to, and
-// it can be had.
+// isLoanNeeded reports whether a loan is still of use: its job or the gang reserve needs the
+// machine, and the machine has arrived or can still arrive in time.
 func (c *leader) isLoanNeeded(loan *machineLoan, m *machine, p *partition) bool {
 	if loan.Job == gangReserveJobID {
 		return loan.Acknowledged && c.shouldRetain(m) || !loan.Acknowledged && c.now.Sub(loan.firstSeenAt) < reserveLoanTimeout
@@ -104,19 +106,20 @@
 		return false
 	}
 	if loan.Acknowledged {
-		// One that has sent no heartbeat since it came died on the way: it is its owner's
-		// again, who finds out what has become of it.
+		// A machine that has sent no heartbeat since it arrived has probably failed on the
+		// way. It is handed back to its former owner, which finds out what became of it.
 		since := p.machineOwnedSince(m)
 		return m.heartbeatAt.After(since) || c.now.Sub(since) < c.unreachableTimeout()+loanHeartbeatGrace
 	}
-	// An owner that does not release it in time may have more urgent work there by now.
+	// An owner that does not release the machine in time may have more urgent tasks there by
+	// now.
 	releaseTimeout := c.leaseExpiry + 2*config.Seconds(c.cfg.Settings.Workers.ReportS) + loanReleaseGrace
 	return c.now.Sub(loan.firstSeenAt) < releaseTimeout
 }
 
-// jobNeedsLoan tells whether a job has tasks that machines on loan to a partition are for:
-// some that wait there, or all tasks, if they wait and have found no room where they were
-// assigned to.
+// jobNeedsLoan reports whether a job has tasks for which machines are on loan to a partition:
+// tasks that wait in that partition or, if no task of the job is bound, tasks that wait
+// anywhere.
 func (c *clusterState) jobNeedsLoan(j *job, partition int) bool {
 	waits, bound := len(j.groups) == 0, 0
 	for _, group := range j.groups {
@@ -129,7 +132,7 @@
 	return waits && bound == 0
 }
 
-// returnLoan ends a loan.
+// returnLoan ends a loan by deleting its record.
 func (c *leader) returnLoan(name string, loan *machineLoan) {
 	loan.writeInFlight, loan.returnInFlight = true, true
 	c.SubmitWrite(&store.Write{
--- a/internal/controller/loan_selection.go
+++ b/internal/controller/loan_selection.go
@@ -12,23 +12,24 @@
 )
 
 const (
-	// reserveMachinesAfter is how long a job waits for whole room before machines are kept
-	// for it until they are empty.
+	// reserveMachinesAfter is how long an all-or-nothing job waits for room before machines
+	// that still run tasks are reserved for it until they are empty.
 	reserveMachinesAfter = 8 * time.Second
-	// borrowServiceMachinesAfter is how long a job waits for room until machines are
-	// borrowed with the services on them: before that others may well become free.
+	// borrowServiceMachinesAfter is how long a job waits for room before machines are
+	// borrowed together with the services on them. Until then other machines may well become
+	// free.
 	borrowServiceMachinesAfter = 30 * time.Second
 )
 
 // loanRequest asks for machines for tasks of a job that start together.
 type loanRequest struct {
-	zone  string // in which they must be; "" for any
-	tasks int
+	zone  string // the zone in which the machines must be; "" for any
+	tasks int    // the number of tasks
 	claim scheduling.Claim
 }
 
-// loanableMachines are machines of other partitions on which a job's tasks may be and that
-// nothing else needs.
+// loanableMachines returns the machines of other partitions on which a job's tasks may run
+// and that are not in use for anything else.
 func (c *leader) loanableMachines(summaries []*planning.MachineSummary, spec *wire.Job, zone string) []*planning.MachineSummary {
 	var loanable []*planning.MachineSummary
 	for _, summary := range summaries {
@@ -39,18 +40,20 @@
 	return loanable
 }
 
-// isAvailableFor tells whether a machine is up, is not to be drained, and may run a job's tasks.
+// isAvailableFor reports whether a machine is up, is not being drained, and may run a job's
+// tasks.
 func (c *leader) isAvailableFor(summary *planning.MachineSummary, spec *wire.Job, zone string) bool {
 	return !summary.Booting && !c.autoscaler.DrainedByLeader(c.machineByIndex[summary.Index].name) && allowsMachine(spec, zone, summary.Type, summary.Zone, summary.Spot)
 }
 
-// machinesToClear are machines that together, once they are empty, have room for a job
-// besides what is coming for it already; none if there are too few.
+// machinesToClear returns machines that together, once they are empty, have room for the
+// tasks of a request beyond the expected ones. It returns none if there are too few.
 //
-// Among endless work of its own priority a job that starts whole would never find whole
-// room: what becomes free is taken one cell at a time. One that has waited has machines
-// kept for it on which nothing is that stays, until they are empty (the paper leaves room
-// for "reservation during waiting").
+// While there is enough work of its own priority, an all-or-nothing job would never find room
+// for all of its tasks, since other jobs take each cell that becomes free. So once it has
+// waited for reserveMachinesAfter, machines are reserved for it that run tasks which it can't
+// preempt but no services, until those tasks have ended. (The HiveD paper allows for such
+// "reservation during waiting".)
 func (c *leader) machinesToClear(summaries []*planning.MachineSummary, j *job, request loanRequest, expected int) []*planning.MachineSummary {
 	mayReserve := c.now.Sub(j.acceptedAt) > reserveMachinesAfter
 	cannotPreempt := func(usage planning.TaskUsage) bool { return !request.claim.CanPreempt(usage.Claim) }
@@ -70,10 +73,11 @@
 	return chosen
 }
 
-// machinesWithRoomBesideServices are machines that together have room for a job beside services
-// that stay; none if there are too few. They are in several partitions, or the job would be
-// assigned to one: it waited for ever beside room, since no machine with a service was
-// borrowed.
+// machinesWithRoomBesideServices returns machines that together have room for a job beside
+// the services that stay on them. It returns none if there are too few. The machines are in
+// several partitions, since otherwise the job would have been assigned to one of them. When
+// machines with services were never borrowed, such a job waited forever although there was
+// room for it.
 func (c *leader) machinesWithRoomBesideServices(summaries []*planning.MachineSummary, j *job, request loanRequest) []*planning.MachineSummary {
 	if c.now.Sub(j.acceptedAt) < borrowServiceMachinesAfter {
 		return nil
@@ -100,8 +104,8 @@
 	return chosen
 }
 
-// loansFor goes through the loans for a job on whose machines tasks may be, with the sizes
-// of the machines.
+// loansFor iterates over the loans for a job, or for the gang reserve, whose machines may run
+// tasks of the spec and are of a known type.
 func (r *machineRegistry) loansFor(jobID string, spec *wire.Job, zone string) iter.Seq2[*machineLoan, *machine] {
 	return func(yield func(*machineLoan, *machine) bool) {
 		for name, loan := range r.loans {
@@ -116,14 +120,14 @@
 	}
 }
 
-// sizeOf is the size of a machine whose type is known.
+// machineSize returns the size of a machine whose type is known.
 func (r *machineRegistry) machineSize(m *machine) scheduling.Resources {
 	t := r.machineTypes[m.machineType]
 	return scheduling.NewResources(t.CPUs, t.GPUs, t.RAMGB)
 }
 
-// expectedRoom is for how many tasks of a job there is room in the leader's partition, or
-// will be once the machines that are borrowed for it have arrived.
+// expectedRoom returns for how many tasks of a job there is room in the leader's partition,
+// or will be once the machines that are borrowed for the job have arrived.
 func (r *machineRegistry) expectedRoom(summaries []*planning.MachineSummary, j *job, request loanRequest) int {
 	room := 0
 	listed := map[scheduling.MachineIndex]bool{}
@@ -143,7 +147,7 @@
 	return room
 }
 
-// serviceUsage is what services use of a machine.
+// serviceUsage returns the resources that services use on a machine.
 func (m *machine) serviceUsage() scheduling.Resources {
 	var use scheduling.Resources
 	for _, x := range m.bindings {
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -8,26 +8,27 @@
 	"eiderhitch/internal/wire"
 )
 
-// zoneMoveDelay is how long a single-zone job of which nothing runs waits for room in the
-// zone that it was assigned to before it goes to another.
+// zoneMoveDelay is how long a single-zone job with no running task waits for room in its
+// assigned zone before the leader moves it to another zone.
 const zoneMoveDelay = 15 * time.Second
 
-// newMoveWrite is a write that moves groups of a job, without any changes yet.
+// newMoveWrite returns a write, still without changes, that moves groups of a job.
 func (c *leader) newMoveWrite(j *job) *store.Write {
 	return &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
 }
 
-// addGroup has a write replace the stored group by a changed one.
+// addGroupUpdate adds to a write the replacement of a group's stored value.
 func addGroupUpdate(write *store.Write, group *taskGroup, value []byte) {
 	write.Conditions = append(write.Conditions, wire.Condition{Key: group.key, Revision: group.revision})
 	write.Changes = append(write.Changes, wire.Change{Put: group.key, Value: value})
 }
 
-// moveToOtherZone has a single-zone job of which no task is anywhere go to another zone, if
-// there is no room in the one that it was assigned to, perhaps since that has lost its
-// machines. Bound to it for good, the job waited beside other zones' empty machines
-// for as long as the first one had none. Its tasks are all proven gone, so that nothing
-// is in two zones; an owner that binds one meanwhile loses by its group's revision.
+// moveToOtherZone moves a single-zone job to another zone and reports whether it did. The job
+// must not have any bound task, and its zone must have no room for it, for example because
+// the zone lost its machines. A job that was tied to its first zone waited for as long as
+// that zone had no machines, although other zones had idle ones. All tasks of the job are
+// proven to be gone, so no task ends up in a second zone. If an owner binds one meanwhile,
+// its write fails on the revision of the group.
 func (c *leader) moveToOtherZone(summaries []*planning.MachineSummary, group *taskGroup) bool {
 	job := group.job
 	if !c.canChangeZone(group) {
@@ -56,8 +57,9 @@
 	return true
 }
 
-// canChangeZone tells whether the job of a group has waited for long enough in its zone, and
-// may be in another. Only gangs move in several transactions.
+// canChangeZone reports whether the job of a group has waited for long enough in its zone and
+// may move to another one. A job with more groups than one transaction can change moves only
+// if it is a gang.
 func (c *leader) canChangeZone(group *taskGroup) bool {
 	job := group.job
 	if !job.spec.SingleZone || group.zone == "" || c.now.Sub(group.partitionAssignedAt) < zoneMoveDelay {
@@ -66,9 +68,9 @@
 	return job.spec.Gang || len(job.groups) <= c.cfg.Settings.Store.TxnOps
 }
 
-// tasksToMove is for how many tasks another zone must have room if the job of a group is to
-// move there. It reports false if the job must stay: a task of it is placed, or some of its
-// groups have moved already in this step, and the others follow them.
+// tasksToMove returns for how many tasks another zone must have room if the job of a group is
+// to move there. ok is false if the job must stay, because one of its tasks is bound or some
+// of its groups have already moved in this pass and the others follow them.
 func tasksToMove(group *taskGroup) (tasks int, ok bool) {
 	tasks = 1
 	for _, other := range group.job.groups {
@@ -82,8 +84,8 @@
 	return tasks, true
 }
 
-// roomByZone is for how many tasks of a job there is free room in each zone; no machine
-// counts for more than limit of them.
+// roomByZone returns for how many tasks of a job there is free room in each zone. No machine
+// counts for more than limit tasks.
 func (c *leader) roomByZone(summaries []*planning.MachineSummary, j *job, limit int) map[string]int {
 	room := map[string]int{}
 	for _, summary := range summaries {
@@ -94,7 +96,7 @@
 	return room
 }
 
-// zoneWithMostRoom is the zone with the most room, of equals the first by name.
+// zoneWithMostRoom returns the zone with the most room; among equals, the first by name.
 func zoneWithMostRoom(room map[string]int, current string) string {
 	best := current
 	for zone, count := range room {
@@ -105,20 +107,22 @@
 	return best
 }
 
-// moveUnplacedTasks gives count waiting tasks of a group whose partition has no room to a
-// partition that has. Its owner's writes lose by the group's revision.
+// moveUnplacedTasks moves count waiting tasks of a group, whose partition has no room for
+// them, to a partition that has. It reports whether a move or a loan of machines is under
+// way. Writes of the former partition's owner then fail on the revision of the group.
 func (c *leader) moveUnplacedTasks(summaries []*planning.MachineSummary, group *taskGroup, count int) bool {
 	if group.job.spec.Gang {
 		return c.moveGang(summaries, group.job)
 	}
 	movesWhole := group.job.spec.AllOrNothing() && group.boundTaskCount() == 0
 	if movesWhole {
-		count = max(count, len(group.bindings)) // what has not started moves whole
+		count = max(count, len(group.bindings)) // a job that has not started moves as a whole
 	}
 	mayUse := c.moveFilter(group)
 	target := c.findMoveTarget(summaries, group, count, mayUse)
 	if movesWhole && target.tasks < count {
-		// What has not started, or lost all, may preempt others where it goes.
+		// A job that has not started, or has lost all of its tasks, may preempt other tasks
+		// in the partition that it moves to.
 		request := planning.Assignment{TaskSize: group.job.taskSize, Count: count, Claim: group.claim(), AllowsMachine: mayUse}
 		partition, ok := request.ChoosePartition(summaries, len(c.partitions))
 		if !ok {
@@ -140,8 +144,8 @@
 	return true
 }
 
-// moveFilter allows the machines of other partitions that a group may move to. After
-// a long wait those that are kept for gangs are among them.
+// moveFilter returns a filter that allows the machines of other partitions to which a group
+// may move. After a long wait these include the machines that are reserved for gangs.
 func (c *leader) moveFilter(group *taskGroup) planning.MachineFilter {
 	ignoresReserve := c.now.Sub(group.partitionAssignedAt) > reserveOpensAfter
 	return func(summary *planning.MachineSummary) bool {
@@ -150,15 +154,17 @@
 	}
 }
 
-// moveTarget is the partition that tasks may move to, and how many of them; no tasks, if
-// there is none. roomAllocated is set if their room is taken from the summaries already.
+// moveTarget is a partition to which tasks may move, and how many of them. tasks is 0 if
+// there is no such partition. roomAllocated is set if the room has already been allocated in
+// the summaries.
 type moveTarget struct {
 	partition, tasks int
 	roomAllocated    bool
 }
 
-// findMoveTarget returns the partition with free room for the most of count tasks of a
-// group; for a single one, where others can be preempted for it.
+// findMoveTarget returns the partition that has free room for the largest number of a group's
+// tasks, up to count. For a single task it may also be a partition in which other tasks can
+// be preempted.
 func (c *leader) findMoveTarget(summaries []*planning.MachineSummary, group *taskGroup, count int, mayUse planning.MachineFilter) moveTarget {
 	perPartition := make([]int, len(c.partitions))
 	trial := planning.CloneSummaries(summaries)
@@ -179,7 +185,8 @@
 	return best
 }
 
-// bindingsToMove divides a group's bindings: of those that are not placed, limit move.
+// bindingsToMove divides a group's bindings into those that move, which are the first limit
+// ones without a machine, and those that stay.
 func (group *taskGroup) bindingsToMove(limit int) (moving, staying []binding) {
 	for _, bound := range group.bindings {
 		if bound.machine == nil && len(moving) < limit {
@@ -191,7 +198,7 @@
 	return moving, staying
 }
 
-// writeMove stores that some bindings of a group go to another partition; those that stay
+// writeMove stores that some bindings of a group move to another partition. Those that stay
 // keep the group's key.
 func (c *leader) writeMove(group *taskGroup, partition int, moving, staying []binding) {
 	write := c.newMoveWrite(group.job)
