--- a/internal/controller/full_fleet_test.go
+++ b/internal/controller/full_fleet_test.go
@@ -15,33 +15,33 @@
 	"eiderhitch/internal/wire"
 )
 
-// unresponsiveTransport is a network on which nobody answers.
+// unresponsiveTransport is a network on which no request is answered.
 type unresponsiveTransport struct{}
 
-// RoundTrip waits until the caller gives up.
+// RoundTrip blocks until the request is cancelled.
 func (unresponsiveTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
 
-// What a crowded fleet has.
+// Dimensions of the full fleet.
 const (
 	fullFleetControllers = 5
-	tasksPerMachine      = 8 // of 2 CPUs, which fill a large machine
+	tasksPerMachine      = 8 // with 2 CPUs each, which fill a large machine
 	// ownPartitionToken is the fencing token of the partition that the controller owns.
 	ownPartitionToken = 11
 )
 
-// fullFleet builds what a controller knows of a crowded fleet.
+// fullFleet builds the state of a controller in a fully loaded cluster.
 type fullFleet struct {
 	*controller
 	revision uint64
 	jobCount int
 }
 
-// crowded returns the leader, who also owns partition 0 of five, of a fleet of the given
-// size: half of it runs services, half an array's tasks, all of it is full, and more arrays
-// of several classes wait.
+// newFullFleetController returns the leader of a fleet of the given size, which also owns
+// partition 0 of five. Half of the machines run services and half run tasks of one array. All
+// machines are full, and more arrays of several classes wait.
 func newFullFleetController(tb testing.TB, machines int) *controller {
 	tb.Helper()
 	f := &fullFleet{controller: newIsolatedController(tb), revision: 10}
@@ -55,7 +55,8 @@
 	return f.controller
 }
 
-// newIsolatedController is a controller of a cluster of five that reaches nobody.
+// newIsolatedController returns a controller of a cluster of five whose requests are never
+// answered.
 func newIsolatedController(tb testing.TB) *controller {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -85,7 +86,7 @@
 	f.replica.Put(key, record.JSON(value), f.revision)
 }
 
-// addPeers has each controller own the partition of its number.
+// addPeers makes each controller the owner of the partition with its number.
 func (f *fullFleet) addPeers() {
 	for i := range fullFleetControllers {
 		node := fmt.Sprintf("n%d", i)
@@ -94,13 +95,15 @@
 	}
 }
 
-// addOwnerStatus has a peer say for the next hour that it owns a partition.
+// addOwnerStatus records a status of a peer that lists a partition as its own and stays valid
+// for an hour.
 func (c *controller) addOwnerStatus(node string, partition int) {
 	status := &peer.Status{Node: node, Fresh: true, Eligible: true, Partitions: []uint64{uint64(partition)}}
 	c.peers.Update(status, c.now.Add(time.Hour))
 }
 
-// lead has the controller own partition 0 and lead, both for an hour.
+// takeLeadership makes the controller the owner of partition 0 and the leader, both since an
+// hour ago.
 func (f *fullFleet) takeLeadership() {
 	p := f.partitions[0]
 	f.takeOverPartition(p, ownPartitionToken)
@@ -109,7 +112,7 @@
 	f.leadership.active, f.leadership.startedAt = true, f.now.Add(-time.Hour)
 }
 
-// addMachines adds machines that were just heard of, each to its partition.
+// addMachines adds machines that have just sent a heartbeat, each to its hash partition.
 func (f *fullFleet) addMachines(count int) []*machine {
 	var all []*machine
 	for i := range count {
@@ -126,7 +129,7 @@
 	return all
 }
 
-// addJob adds an accepted job, and returns its ID.
+// addJob adds an accepted job and returns its ID.
 func (f *fullFleet) addJob(spec *wire.Job) string {
 	f.jobCount++
 	spec.ID = fmt.Sprintf("wk-%06d", f.jobCount)
@@ -135,10 +138,10 @@
 	return spec.ID
 }
 
-// bindTasks fills every other machine with services, and the others with tasks of one array.
+// bindTasks fills every other machine with services and the rest with tasks of one array.
 func (f *fullFleet) bindTasks(machines []*machine) {
 	array := f.addJob(&wire.Job{Class: "clean", Team: "blue", Priority: 1, Tasks: len(machines) * tasksPerMachine / 2, CPUs: 2})
-	arrayTasks := map[int][]record.Binding{} // by partition
+	arrayTasks := map[int][]record.Binding{} // by partition index
 	number := int32(0)
 	for i, m := range machines {
 		for range tasksPerMachine {
@@ -160,7 +163,7 @@
 	}
 }
 
-// bindService adds a service of one task that runs on a machine.
+// bindService adds a service with one task that runs on a machine.
 func (f *fullFleet) bindService(m *machine) {
 	id := f.addJob(&wire.Job{Class: "feed", Team: "red", Service: true, Priority: 2, Tasks: 1, CPUs: 2})
 	f.put(groupKey(id, 0), record.TaskGroup{Partition: m.partition, Guaranteed: true, Tasks: []record.Binding{{Attempt: 1, Machine: m.name, Incarnation: 1}}})
--- a/internal/controller/gang_reserve_test.go
+++ b/internal/controller/gang_reserve_test.go
@@ -9,7 +9,8 @@
 	"eiderhitch/internal/wire"
 )
 
-// The reserve is for the largest gang of each class of late, and counts those that live.
+// The reserve is sized for the largest recent gang of each class and the number of unfinished
+// gangs.
 func TestLargestGangOfEachClass(t *testing.T) {
 	reserve := gangReserve{classes: map[string]*gangClass{}}
 	now := time.Now()
@@ -23,18 +24,18 @@
 	}
 	train := reserve.classes["train"]
 	if train.spec.ID != "wk-2" || train.taskSize != scheduling.NewResources(2, 0, 0) || train.gangCount != 3 || !train.lastSeenAt.Equal(now) {
-		t.Errorf("class train is %+v of %s, want 3 gangs, the largest wk-2", train, train.spec.ID)
+		t.Errorf("class train is %+v of gang %s, want 3 gangs, the largest wk-2", train, train.spec.ID)
 	}
 	sorted := reserve.sortedClasses()
 	if len(sorted) != 2 || sorted[0] != train || sorted[1].gangCount != 1 {
-		t.Errorf("%d classes, want train before eval", len(sorted))
+		t.Errorf("got %d sorted classes, want train before eval", len(sorted))
 	}
 	if got, want := train.targetTasks(), 9*(1+2); got != want { // the square root of 3, rounded up
-		t.Errorf("room for %d tasks is asked for, want %d", got, want)
+		t.Errorf("the target is room for %d tasks, want %d", got, want)
 	}
 }
 
-// Machines are kept for twice the room of a class, the first ones first.
+// Machines are retained for twice the target room of a class, starting with the first ones.
 func TestRetainedReserveMachines(t *testing.T) {
 	reserve := gangReserve{classes: map[string]*gangClass{
 		"train": {spec: &wire.Job{Class: "train", Tasks: 4}, taskSize: scheduling.NewResources(1, 0, 0)},
@@ -46,6 +47,6 @@
 	}
 	reserve.selectRetainedMachines(machines)
 	if len(reserve.retainedMachines) != 2 || !reserve.retainedMachines[0] || !reserve.retainedMachines[1] {
-		t.Errorf("machines %v are kept, want 0 and 1", reserve.retainedMachines)
+		t.Errorf("machines %v are retained, want 0 and 1", reserve.retainedMachines)
 	}
 }
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -11,74 +11,76 @@
 	"eiderhitch/internal/wire"
 )
 
-// A gang asks for cells when all of its tasks are assigned and all its records are in one
-// partition and zone, and for what it lacks of an attempt that waits; else for nothing.
+// A gang requests cells once all of its tasks are assigned and all of its groups are in one
+// partition and zone, and for the missing members of an attempt that waits for them. In any
+// other state it requests none.
 func TestGangIsReservedWhole(t *testing.T) {
 	all := []record.TaskGroup{{Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}}}, {Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}}
-	for _, x := range []struct {
-		name    string
-		records []record.TaskGroup
-		asks    bool
+	for _, test := range []struct {
+		name       string
+		records    []record.TaskGroup
+		canReserve bool
 	}{
-		{"all are assigned", all, true},
-		{"some are not assigned", all[:1], false},
+		{"all tasks assigned", all, true},
+		{"some tasks not assigned", all[:1], false},
 		{"in two partitions", []record.TaskGroup{all[0], {Partition: 1, Zone: "a", Tasks: all[1].Tasks}}, false},
 		{"in two zones", []record.TaskGroup{all[0], {Zone: "b", Tasks: all[1].Tasks}}, false},
-		{"done already", []record.TaskGroup{all[0], {Zone: "a", Done: 2, Tasks: []record.Binding{}}}, false},
+		{"some tasks done", []record.TaskGroup{all[0], {Zone: "a", Done: 2, Tasks: []record.Binding{}}}, false},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			c := newTestController(t)
 			c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 1}}), 2)
-			for k, v := range x.records {
+			for k, v := range test.records {
 				c.replica.Put(groupKey("wk-1", k), marshalJSON(t, v), uint64(3+k))
 			}
-			if asked := c.canReserveGang(c.partitions[0], c.groupByKey[groupKey("wk-1", 0)]); asked != x.asks {
-				t.Errorf("cells are asked for: %v, want %v", asked, x.asks)
+			if canReserve := c.canReserveGang(c.partitions[0], c.groupByKey[groupKey("wk-1", 0)]); canReserve != test.canReserve {
+				t.Errorf("the gang may request cells: %v, want %v", canReserve, test.canReserve)
 			}
 		})
 	}
 }
 
-// Room that is kept for gangs, or lent for one, is open to others when it has been unused
-// for long, however often they were assigned something meanwhile.
+// Room that is reserved for gangs, or on loan for a job, opens to other jobs once it has been
+// unused for long, even if those jobs were assigned tasks in the meantime.
 func TestUnusedReserveOpensToOtherJobs(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name   string
-		job    string // that the machine is lent for
+		job    string // the job that the machine is on loan for
 		unused time.Duration
 		open   bool
 	}{
-		{"kept of late", gangReserveJobID, reserveMaxUnused - time.Second, false},
-		{"kept for long", gangReserveJobID, reserveMaxUnused + time.Second, true},
-		{"lent of late", "wk-2", reserveMaxUnused + time.Second, false},
-		{"lent for long", "wk-2", loanMaxUnused + time.Second, true},
+		{"reserve used recently", gangReserveJobID, reserveMaxUnused - time.Second, false},
+		{"reserve unused for long", gangReserveJobID, reserveMaxUnused + time.Second, true},
+		{"loan used recently", "wk-2", reserveMaxUnused + time.Second, false},
+		{"loan unused for long", "wk-2", loanMaxUnused + time.Second, true},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			c := newTestController(t)
 			m := c.getOrAddMachine("host-1")
-			c.loans["host-1"] = &machineLoan{MachineLoan: record.MachineLoan{Job: x.job, Acknowledged: true}}
-			c.leadership.startedAt, m.partitionChangedAt, m.lastBoundAt = c.now.Add(-time.Hour), c.now.Add(-time.Hour), c.now.Add(-x.unused)
+			c.loans["host-1"] = &machineLoan{MachineLoan: record.MachineLoan{Job: test.job, Acknowledged: true}}
+			c.leadership.startedAt, m.partitionChangedAt, m.lastBoundAt = c.now.Add(-time.Hour), c.now.Add(-time.Hour), c.now.Add(-test.unused)
 			summary := &planning.MachineSummary{Index: m.index, Partition: c.loanPartition(), Type: "small", Zone: "a", Size: scheduling.NewResources(4, 0, 8), FreeResources: scheduling.NewResources(4, 0, 8)}
 			array := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 9}, acceptedAt: c.now.Add(-time.Hour), assignedAt: c.now}
-			if got := c.reserveAllows(array, summary); got != x.open {
-				t.Errorf("open to arrays: %v, want %v", got, x.open)
+			if got := c.reserveAllows(array, summary); got != test.open {
+				t.Errorf("the machine is open to arrays: %v, want %v", got, test.open)
 			}
 			if gang := (&job{id: "wk-3", spec: &wire.Job{ID: "wk-3", Gang: true}}); !c.reserveAllows(gang, summary) {
-				t.Error("it is not open to gangs")
+				t.Error("the machine is not open to gangs")
 			}
-			// A gang that has been assigned there and lacks room holds no more than is kept.
+			// A gang that is assigned to the leader's partition but lacks room must not hold
+			// room there that other jobs may use.
 			c.replica.Put(jobKey("wk-3"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
 			c.replica.Put(groupKey("wk-3", 0), marshalJSON(t, record.TaskGroup{Partition: c.loanPartition(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
 			c.placeAssignedTasks([]*planning.MachineSummary{summary}, c.urgencyComparator())
-			if held := summary.FreeResources.CPU < 4000; held == x.open {
-				t.Errorf("a gang without whole room holds it: %v, want %v", held, !x.open)
+			if held := summary.FreeResources.CPU < 4000; held == test.open {
+				t.Errorf("a gang without room for all of its tasks holds room: %v, want %v", held, !test.open)
 			}
 		})
 	}
 }
 
-// A samePlace gang goes to another zone where there is room for it together with what is
-// kept for gangs there.
+// A single-zone gang moves to another zone if the free room there suffices together with the
+// room that is reserved for gangs.
 func TestZoneMoveCountsGangReserve(t *testing.T) {
 	c := newTestControllerInCluster(t, 3)
 	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, SingleZone: true, Tasks: 3, CPUs: 2}}), 2)
@@ -91,15 +93,16 @@
 		summaries = append(summaries, &planning.MachineSummary{Index: m.index, Partition: partition, Type: "small", Zone: "b", Size: scheduling.NewResources(4, 0, 8), FreeResources: scheduling.NewResources(4, 0, 8)})
 	}
 	if !c.moveToOtherZone(summaries, group) || c.leadership.writesInFlight != 1 {
-		t.Errorf("it stays where there is no room for it (%d transactions)", c.leadership.writesInFlight)
+		t.Errorf("the gang stays in a zone without room for it (%d transactions)", c.leadership.writesInFlight)
 	}
 	c.leadership.writesInFlight = 0
 	if c.moveToOtherZone(summaries[:1], group) {
-		t.Error("it goes to where there is no room either")
+		t.Error("the gang moves to a zone without room for it")
 	}
 }
 
-// What was claimed to replace a task of an attempt is given up when the attempt is.
+// The reservation for a replacement of a gang's lost task is cancelled when the gang's
+// attempt fails.
 func TestReplacementReservationIsCancelledWithAttempt(t *testing.T) {
 	c := newTestController(t)
 	p := c.partitions[0]
@@ -116,7 +119,7 @@
 	heartbeat(2, wire.Gathering, "")
 	c.placeGroup(p, c.groupByKey[groupKey("wk-1", 0)])
 	if len(p.reservations) != 1 {
-		t.Fatalf("%d tasks have claimed cells, want the one that is lost", len(p.reservations))
+		t.Fatalf("%d tasks have reserved cells, want 1, the lost one", len(p.reservations))
 	}
 	heartbeat(3, wire.Exited, wire.ReasonIncompleteGang)
 	c.stopGangs(p)
@@ -125,9 +128,10 @@
 	}
 }
 
-// runGangBesideServices plays a gang for which there is room only on machines of several
-// partitions, beside services that stay there, until it is placed.
-func runGangBesideServices(t *testing.T, then func(c *cluster)) {
+// runGangBesideServices starts a service on each of three machines and then a gang that fits
+// only beside the services, on machines of several partitions. It calls check once the gang
+// runs.
+func runGangBesideServices(t *testing.T, check func(c *cluster)) {
 	runCluster(t, func(c *cluster) {
 		c.env.Cloud.SetCapacity(3)
 		for n := range 3 {
@@ -148,38 +152,38 @@
 		gang.CPUs, gang.MachineTypes = 2, []string{"large"}
 		c.submit(gang)
 		c.await("the gang runs", time.Minute, func() bool { return c.env.Running("wk-4") == 9 })
-		then(c)
+		check(c)
 	})
 }
 
-// serving is how many of the three services run.
+// countRunningServices returns how many of the three services run.
 func (c *cluster) countRunningServices() int {
 	return c.env.Running("wk-1") + c.env.Running("wk-2") + c.env.Running("wk-3")
 }
 
-// A gang must not wait for ever beside room that is spread over partitions: the machines are
-// lent with their services, which run on, and handed back with them.
+// A gang must not wait forever when the room for it is spread over partitions. Machines are
+// loaned together with their services, which keep running, and are returned with them.
 func TestGangBorrowsMachinesWithServices(t *testing.T) {
 	runGangBesideServices(t, func(c *cluster) {
 		starts := c.env.Starts()
 		c.awaitDone("wk-4", time.Minute)
-		c.await("the machines are handed back", time.Minute, func() bool { return len(c.env.Store.Keys(loanPrefix)) == 0 })
+		c.await("the machines are returned", time.Minute, func() bool { return len(c.env.Store.Keys(loanPrefix)) == 0 })
 		time.Sleep(15 * time.Second)
 		if c.countRunningServices() != 3 || c.env.Starts() != starts {
-			t.Errorf("%d of 3 services run, %d starts since the gang began; want all and none", c.countRunningServices(), c.env.Starts()-starts)
+			t.Errorf("%d of 3 services run and %d tasks were started after the gang, want 3 and 0", c.countRunningServices(), c.env.Starts()-starts)
 		}
 		c.cancelJob("wk-1")
 		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
 	})
 }
 
-// Services on lent machines are cancelled, lost and proven gone like any others, and their
-// records cleared up, also across a change of leader.
+// Services on loaned machines are cancelled, lost and proven gone like any others, and their
+// records are deleted, even if the leader changes meanwhile.
 func TestServicesOnLoanedMachines(t *testing.T) {
 	runGangBesideServices(t, func(c *cluster) {
 		c.cancelJob("wk-1")
 		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
-		c.await("its record is cleared up", 30*time.Second, func() bool { return len(c.env.Store.Keys(groupKey("wk-1", 0))) == 0 })
+		c.await("its record is deleted", 30*time.Second, func() bool { return len(c.env.Store.Keys(groupKey("wk-1", 0))) == 0 })
 		leader := c.leader()
 		c.kill(leader)
 		time.Sleep(9 * time.Second)
@@ -194,12 +198,12 @@
 		}
 		c.await("a lost service runs again", 2*time.Minute, func() bool { return c.env.Running("wk-2") == 1 })
 		c.awaitDone("wk-4", 3*time.Minute)
-		c.await("nothing stays lent", 2*time.Minute, func() bool { return len(c.env.Store.Keys(loanPrefix)) == 0 })
+		c.await("no machine stays on loan", 2*time.Minute, func() bool { return len(c.env.Store.Keys(loanPrefix)) == 0 })
 	})
 }
 
-// What runs on a machine and is no service, or a command on its way, keeps it from changing
-// hands.
+// A machine may change partitions only while it runs nothing but services and no command to
+// it is in flight.
 func TestRunsOnlyServices(t *testing.T) {
 	c := newFullFleetController(t, 50)
 	p := c.partitions[0]
@@ -215,23 +219,23 @@
 		m.tasks = append(m.tasks, wire.TaskStatus{Task: taskName(x.group.job.id, bound.task), Attempt: bound.attempt, State: wire.Running})
 	}
 	if !c.runsOnlyServices(m, p) {
-		t.Fatal("services that run keep a machine")
+		t.Fatal("runsOnlyServices is false for a machine that runs only services")
 	}
 	spec := m.bindings[0].group.job.spec
 	for name, change := range map[string]struct{ do, undo func() }{
-		"a command without an answer": {func() { m.commandState.unansweredStartToken = p.token }, func() { m.commandState.unansweredStartToken = 0 }},
-		"a command on its way":        {func() { m.commandState.inFlight = true }, func() { m.commandState.inFlight = false }},
-		"a start in an answer":        {func() { m.responseCarriesStart = true }, func() { m.responseCarriesStart = false }},
-		"an older token":              {func() { m.token-- }, func() { m.token++ }},
-		"a task that is no service":   {func() { spec.Service = false }, func() { spec.Service = true }},
-		"a job that is cancelled":     {func() { m.bindings[0].group.job.finalState = record.Cancelled }, func() { m.bindings[0].group.job.finalState = record.Unfinished }},
-		"a record on its way":         {func() { m.bindings[0].group.writeInFlight = true }, func() { m.bindings[0].group.writeInFlight = false }},
-		"a task that fetches":         {func() { m.tasks[0].State = wire.Fetching }, func() { m.tasks[0].State = wire.Running }},
-		"an earlier incarnation":      {func() { m.incarnation++ }, func() { m.incarnation-- }},
+		"a direct command without an answer":      {func() { m.commandState.unansweredStartToken = p.token }, func() { m.commandState.unansweredStartToken = 0 }},
+		"a direct command in flight":              {func() { m.commandState.inFlight = true }, func() { m.commandState.inFlight = false }},
+		"a start command in a heartbeat response": {func() { m.responseCarriesStart = true }, func() { m.responseCarriesStart = false }},
+		"an older token on the machine":           {func() { m.token-- }, func() { m.token++ }},
+		"a task that is no service":               {func() { spec.Service = false }, func() { spec.Service = true }},
+		"a job that is cancelled":                 {func() { m.bindings[0].group.job.finalState = record.Cancelled }, func() { m.bindings[0].group.job.finalState = record.Unfinished }},
+		"a write in flight":                       {func() { m.bindings[0].group.writeInFlight = true }, func() { m.bindings[0].group.writeInFlight = false }},
+		"a task that fetches its image":           {func() { m.tasks[0].State = wire.Fetching }, func() { m.tasks[0].State = wire.Running }},
+		"a binding to an earlier incarnation":     {func() { m.incarnation++ }, func() { m.incarnation-- }},
 	} {
 		change.do()
 		if c.runsOnlyServices(m, p) {
-			t.Errorf("%s does not keep it", name)
+			t.Errorf("%s: runsOnlyServices is true, want false", name)
 		}
 		change.undo()
 	}
--- a/internal/controller/legacy_store_view_test.go
+++ b/internal/controller/legacy_store_view_test.go
@@ -12,11 +12,12 @@
 	"eiderhitch/internal/wire"
 )
 
-// legacyStoreView shows the key-value store as a version without levels takes it: it has no use
-// for the keys of levels, and can't decode a group that is not an object.
+// legacyStoreView is a transport that shows the key-value store as a version without levels
+// reads it: such a version ignores the keys of levels and can't decode a task group that is
+// not a JSON object.
 type legacyStoreView struct{ inner http.RoundTripper }
 
-// RoundTrip hides from an answer what such a version would not see in it.
+// RoundTrip removes from a response what a version without levels would not read.
 func (v legacyStoreView) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := v.inner.RoundTrip(r)
 	if err != nil || resp.StatusCode != http.StatusOK || r.Method != http.MethodGet {
@@ -60,7 +61,8 @@
 	return key == rollout.StateKey || strings.HasPrefix(key, rollout.ControllerPrefix)
 }
 
-// hideEncoding has a value fail to decode that would not be an object to an earlier version.
+// hideEncoding replaces a value that is not a JSON object, so that decoding it fails as in an
+// earlier version.
 func hideEncoding(value json.RawMessage) json.RawMessage {
 	if record.EncodingOf(value) > record.PlainJSON {
 		return json.RawMessage("17")
--- a/internal/controller/loans_test.go
+++ b/internal/controller/loans_test.go
@@ -9,8 +9,9 @@
 	"eiderhitch/internal/wire"
 )
 
-// A service that no partition can hold alone gets machines from several partitions, runs
-// whole, and the machines are handed back, whatever dies on the way.
+// A service that no partition has room for gets machines of several partitions and runs with
+// all replicas. The machines are returned afterwards, even if a controller or machine fails
+// meanwhile.
 func TestServiceAcrossPartitions(t *testing.T) {
 	restart := func(node int) func(*cluster) {
 		return func(c *cluster) {
@@ -20,23 +21,23 @@
 			c.start(node)
 		}
 	}
-	for _, x := range []struct {
-		name   string
-		happen func(*cluster) // once machines are lent; nil: nothing
+	for _, test := range []struct {
+		name        string
+		injectFault func(*cluster) // called once machines are on loan; nil: no fault
 	}{
-		{"nothing ends", nil},
-		{"controller 0 ends", restart(0)},
-		{"controller 1 ends", restart(1)},
-		{"controller 2 ends", restart(2)},
-		{"a machine dies", func(c *cluster) { c.env.Cloud.Agents()[0].Terminate() }},
+		{"no failure", nil},
+		{"controller 0 fails", restart(0)},
+		{"controller 1 fails", restart(1)},
+		{"controller 2 fails", restart(2)},
+		{"a machine fails", func(c *cluster) { c.env.Cloud.Agents()[0].Terminate() }},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			runCluster(t, func(c *cluster) { c.checkServiceAcrossPartitions(x.happen) })
+		t.Run(test.name, func(t *testing.T) {
+			runCluster(t, func(c *cluster) { c.checkServiceAcrossPartitions(test.injectFault) })
 		})
 	}
 }
 
-func (c *cluster) checkServiceAcrossPartitions(happen func(*cluster)) {
+func (c *cluster) checkServiceAcrossPartitions(injectFault func(*cluster)) {
 	c.t.Helper()
 	c.env.Cloud.SetCapacity(8)
 	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 60, CPUs: 2, EstimateS: 10}))
@@ -44,20 +45,21 @@
 	service := newSubmission(submission{ID: "wk-2", Kind: wire.Service, Team: "blue", Priority: "production", Tasks: 6, CPUs: 3})
 	service.MachineTypes = []string{"small"}
 	c.submit(service)
-	lent := func() bool { return len(c.env.Store.Keys(loanPrefix)) > 0 }
-	if happen != nil {
-		c.await("machines are lent", 2*time.Minute, lent)
-		happen(c)
+	onLoan := func() bool { return len(c.env.Store.Keys(loanPrefix)) > 0 }
+	if injectFault != nil {
+		c.await("machines are on loan", 2*time.Minute, onLoan)
+		injectFault(c)
 	}
-	c.await("the service runs whole", 3*time.Minute, func() bool { return c.env.Running("wk-2") == 6 })
+	c.await("all replicas of the service run", 3*time.Minute, func() bool { return c.env.Running("wk-2") == 6 })
 	c.cancelJob("wk-2")
-	c.await("nothing stays lent", time.Minute, func() bool { return !lent() })
+	c.await("no machine stays on loan", time.Minute, func() bool { return !onLoan() })
 	c.awaitDone("wk-1", 10*time.Minute)
 }
 
-// A task of a record that another partition is in charge of ends on a machine of ours, which
-// was lent and is back: its cell is free again, and its end is stored by us, since nobody
-// else will ever know. Its job waited for ever.
+// A task whose group is assigned to another partition ends on a machine of this controller's
+// partition, as after the machine's return from a loan. Its cell must be freed, and this
+// controller must store the end, since no other controller learns of it. Otherwise the job
+// waits forever.
 func TestTaskEndOfAnotherPartitionsGroup(t *testing.T) {
 	c := newTestController(t)
 	c.partitions = append([]*partition{c.partitions[0], {index: 1, key: rollout.Initial.Keys().Partition(1)}}, &partition{index: 2, key: rollout.Initial.Keys().Leader()})
@@ -71,22 +73,22 @@
 	group := c.groupByKey[key]
 	m := c.getOrAddMachine("host-1")
 	if m.partition != 0 || p.cells.Cell(group.task(0)) == nil {
-		t.Fatalf("partition %d, cell %v; want 0 and a cell", m.partition, p.cells.Cell(group.task(0)))
+		t.Fatalf("the machine is in partition %d and the task has cell %v, want partition 0 and a cell", m.partition, p.cells.Cell(group.task(0)))
 	}
-	m.heartbeatAt, m.incarnation = c.now, 2 // a later incarnation: the first one's task is gone
+	m.heartbeatAt, m.incarnation = c.now, 2 // a newer incarnation proves that the task of the first one has ended
 	c.reconcile(m, p)
 	c.schedulePartition(p)
-	c.now = c.now.Add(maxEndBatchingDelay + time.Second) // ends wait for each other
+	c.now = c.now.Add(maxEndBatchingDelay + time.Second) // ends are batched before they are stored
 	c.schedulePartition(p)
 	if !group.writeInFlight || c.stateWriter.Backlog() == 0 {
-		t.Error("its end is not stored")
+		t.Error("the end of the task is not stored")
 	}
-	// The same where the record's own partition has stored the end.
+	// The cell must also be freed if the owner of the group has stored the end.
 	group.writeInFlight = false
 	key = groupKey("wk-1", 1)
 	c.replica.Put(key, marshalJSON(t, value("host-2")), 8)
 	c.replica.Put(key, marshalJSON(t, value("")), 9)
 	if len(p.cells.AllocatedTasks()) != 0 {
-		t.Errorf("cells %v are left, want none", p.cells.AllocatedTasks())
+		t.Errorf("tasks %v still have cells, want none", p.cells.AllocatedTasks())
 	}
 }
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -9,19 +9,19 @@
 	"eiderhitch/internal/wire"
 )
 
-// A zone that is cut off works on inside for as long as its controllers may
-// answer, and its leases then run. Its machines are not terminated meanwhile: that
-// would stop all that runs there, and other zones may have no room for it.
+// A zone that is cut off keeps working for as long as its controllers may answer heartbeats,
+// and then until its machines' leases expire. Its machines must not be terminated in that
+// time: that would stop all tasks in the zone, and other zones may have no room for them.
 func TestIsolatedZoneIsNotTerminated(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name        string
 		leaderFails bool
 	}{
 		{"the leader stays", false},
 		{"the leader ends", true},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			runCluster(t, func(c *cluster) { c.checkIsolatedZone(x.leaderFails) })
+		t.Run(test.name, func(t *testing.T) {
+			runCluster(t, func(c *cluster) { c.checkIsolatedZone(test.leaderFails) })
 		})
 	}
 }
@@ -47,15 +47,15 @@
 	time.Sleep(9500 * time.Millisecond) // a lease is 10 s
 	for _, a := range isolated {
 		if !slices.Contains(c.env.Cloud.Agents(), a) {
-			c.t.Errorf("%s, which is only cut off, was terminated", a.Name())
+			c.t.Errorf("machine %s was terminated, although it is only isolated", a.Name())
 		}
 		a.SetIsolated(false)
 	}
 	c.await("the services run", 30*time.Second, func() bool { return c.servicesRun(28, 1) })
 }
 
-// A samePlace job whose zone has lost all its machines goes to one that has room, once
-// all its tasks are proven gone; before, it waited for the first zone for ever.
+// A single-zone job whose zone has lost all of its machines moves to a zone with room once
+// all of its tasks are proven gone. Otherwise it would wait forever for the first zone.
 func TestSingleZoneJobLeavesLostZone(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submitZonalServices(1, 3, "a")
@@ -65,17 +65,17 @@
 		b.SingleZone = true
 		c.submit(b)
 		c.await("the job runs", time.Minute, func() bool { return c.env.Running("wk-9") == 2 })
-		zone := map[string]bool{}
+		zones := map[string]bool{}
 		for _, n := range c.nodes {
 			n.controller().call(c.ctx, priorityStore, func() {
 				for _, group := range n.controller().jobs["wk-9"].groups {
-					zone[group.zone] = true
+					zones[group.zone] = true
 				}
 			})
 		}
 		c.env.Cloud.SetDown(true)
 		for _, w := range c.env.Cloud.Agents() {
-			if zone[w.Zone()] {
+			if zones[w.Zone()] {
 				w.Terminate()
 			}
 		}
