--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -126,7 +126,7 @@
 	}
 	usedBefore := quota.Usage
 	a.throttleForQuota(j, remaining)
-	unassigned := a.assignWithinQuota(j, assignmentRequest{assignedTasks: assigned, remainingTasks: remaining, force: forced > 0})
+	unassigned := a.assignWithinQuota(j, assignmentRequest{previouslyAssignedTasks: assigned, remainingTasks: remaining, force: forced > 0})
 	a.recordDemand(j, unassigned)
 	if j.spec.AllOrNothing() && quota.Usage == usedBefore && (a.now.Sub(j.acceptedAt) < quotaHoldTimeout || a.isPlaceable(j)) {
 		// An all-or-nothing job that waits reserves its team's quota ahead of the jobs after
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -92,12 +92,12 @@
 // machine's room has been unused for long. The job's own waiting time is not enough: a
 // waiting job is assigned a few tasks now and then, which restarts that time.
 func (c *leader) reserveAllows(j *job, summary *planning.MachineSummary) bool {
-	return summary.Partition != c.loanPartition() || c.canUseReserve(j) || c.isReserveRoomUnused(summary)
+	return summary.Partition != c.loanPartition() || c.canUseReserve(j) || c.isLongUnused(summary)
 }
 
-// isReserveRoomUnused reports whether no task has been bound for a long time to a machine of
-// the leader's own partition.
-func (c *leader) isReserveRoomUnused(summary *planning.MachineSummary) bool {
+// isLongUnused reports whether no task has been bound for a long time to a machine of the
+// leader's own partition.
+func (c *leader) isLongUnused(summary *planning.MachineSummary) bool {
 	m := c.machineByIndex[summary.Index]
 	limit := reserveMaxUnused
 	if loan := c.loans[m.name]; loan != nil && loan.Job != gangReserveJobID {
--- a/internal/controller/job_assignment.go
+++ b/internal/controller/job_assignment.go
@@ -10,9 +10,9 @@
 
 // assignmentRequest asks for tasks of a job to be assigned.
 type assignmentRequest struct {
-	// assignedTasks is how many tasks of the job are assigned already. remainingTasks is how
-	// many are to be assigned.
-	assignedTasks, remainingTasks int
+	// previouslyAssignedTasks is how many tasks of the job are assigned already.
+	// remainingTasks is how many are to be assigned.
+	previouslyAssignedTasks, remainingTasks int
 	// force assigns the tasks even where there is no room.
 	force bool
 }
@@ -82,7 +82,7 @@
 		remainingGuaranteedTasks: guaranteed,
 		quotaLimited:             quota.RemainingTasks(j.taskSize, ample) < ample,
 		force:                    request.force,
-		nextTask:                 int32(request.assignedTasks),
+		nextTask:                 int32(request.previouslyAssignedTasks),
 	}
 }
 
--- a/internal/controller/loan_selection.go
+++ b/internal/controller/loan_selection.go
@@ -50,9 +50,10 @@
 // tasks of a request beyond the expected ones. It returns none if there are too few.
 //
 // While there is enough work of its own priority, an all-or-nothing job would never find room
-// for all of its tasks, since other jobs take each cell that becomes free. So once it has
-// waited for reserveMachinesAfter, machines are reserved for it that run tasks which it can't
-// preempt but no services, until those tasks have ended. (The HiveD paper allows for such
+// for all of its tasks, since other jobs take each cell that becomes free. Once the job has
+// waited for reserveMachinesAfter, machines are therefore reserved for it even if they run
+// tasks that it can't preempt, provided that none of their tasks is a service's, and nothing
+// new is placed on them until those tasks have ended. (The HiveD paper allows for such
 // "reservation during waiting".)
 func (c *leader) machinesToClear(summaries []*planning.MachineSummary, j *job, request loanRequest, expected int) []*planning.MachineSummary {
 	mayReserve := c.now.Sub(j.acceptedAt) > reserveMachinesAfter
--- a/internal/controller/throttle.go
+++ b/internal/controller/throttle.go
@@ -66,9 +66,7 @@
 // are not made for a more urgent job. In a team at its limit a task ends, and so makes room
 // for another one, many times a second; a change for each would use up the key-value store's
 // rate limit.
-func (c *clusterState) throttleInterval() time.Duration {
-	return minThrottleInterval + c.cellTurnaround()
-}
+func (c *clusterState) throttleInterval() time.Duration { return minThrottleInterval + c.reuseDelay() }
 
 // unthrottle lets throttled tasks of a job run again, as far as the quota permits.
 func (c *leader) unthrottle(j *job, quota *planning.Quota) {
--- a/internal/controller/unplaced_tasks.go
+++ b/internal/controller/unplaced_tasks.go
@@ -15,8 +15,7 @@
 	// groupMoveDelay is how long a partition has to place the tasks it was assigned before
 	// the leader moves them to another one.
 	groupMoveDelay = time.Second
-	// maxBacklogDelay is the longest delay of stored writes that cellTurnaround takes into
-	// account.
+	// maxBacklogDelay is the longest delay of stored writes that reuseDelay takes into account.
 	maxBacklogDelay = 5 * time.Second
 	// leaderPassDelay is the approximate time until the leader assigns the next task.
 	leaderPassDelay = time.Second
@@ -85,9 +84,7 @@
 		// A gang may collect room in the leader's partition while it waits, but it must not
 		// block machines there that have been unused for long.
 		inPartition := mayUse
-		mayUse = func(summary *planning.MachineSummary) bool {
-			return inPartition(summary) && !c.isReserveRoomUnused(summary)
-		}
+		mayUse = func(summary *planning.MachineSummary) bool { return inPartition(summary) && !c.isLongUnused(summary) }
 	}
 	for _, placed := range planning.PlaceWithoutPreemption(summaries, mayUse, size, count) {
 		count -= placed
@@ -118,10 +115,10 @@
 	return demands
 }
 
-// cellTurnaround returns how long a cell stays empty if its next task has not been assigned
+// reuseDelay returns how long a cell stays empty if its next task has not been assigned
 // yet: the approximate time to store the end of the old task, to assign the new one, and to
 // store its binding.
-func (c *clusterState) cellTurnaround() time.Duration {
+func (c *clusterState) reuseDelay() time.Duration {
 	return c.endBatchingDelay() + 2*min(c.stateWriter.Backlog(), maxBacklogDelay) + leaderPassDelay
 }
 
@@ -130,10 +127,10 @@
 // the leader. Tasks that already wait in the partition without room count against the number.
 func (c *clusterState) maxTasksAhead(unplaced map[*taskGroup]int) []int {
 	ahead := make([]float64, len(c.partitions))
-	turnaround := c.cellTurnaround().Seconds()
+	reuseDelayS := c.reuseDelay().Seconds()
 	for group := range c.allGroups() {
 		if group.job.spec != nil && !group.job.spec.AllOrNothing() {
-			ahead[group.partition] += planning.MaxTasksAhead(group.boundTaskCount(), group.job.spec.EstimateS, turnaround)
+			ahead[group.partition] += planning.MaxTasksAhead(group.boundTaskCount(), group.job.spec.EstimateS, reuseDelayS)
 		}
 	}
 	tasks := make([]int, len(c.partitions))
