--- a/internal/controller/loan_selection.go
+++ b/internal/controller/loan_selection.go
@@ -53,8 +53,8 @@
 // for all of its tasks, since other jobs take each cell that becomes free. Once the job has
 // waited for reserveMachinesAfter, machines are therefore reserved for it even if they run
 // tasks that it can't preempt, provided that none of their tasks is a service's, and nothing
-// new is placed on them until those tasks have ended. (The HiveD paper allows for such
-// "reservation during waiting".)
+// new is placed on them until those tasks have ended. (The paper that package scheduling
+// follows allows for such "reservation during waiting".)
 func (c *leader) machinesToClear(summaries []*planning.MachineSummary, j *job, request loanRequest, expected int) []*planning.MachineSummary {
 	mayReserve := c.now.Sub(j.acceptedAt) > reserveMachinesAfter
 	cannotPreempt := func(usage planning.TaskUsage) bool { return !request.claim.CanPreempt(usage.Claim) }
