--- a/internal/controller/assignment_writes.go
+++ b/internal/controller/assignment_writes.go
@@ -9,12 +9,13 @@
 	"eiderhitch/internal/wire"
 )
 
-// recordOverhead is about what a record adds to a transaction besides its value: its key,
-// twice, and the words round it.
-const recordOverhead = 200
+// recordOverheadBytes is the approximate size that a record adds to a transaction in addition
+// to its value: its key, twice, and the JSON around it.
+const recordOverheadBytes = 200
 
-// submitDecision submits a write of the leader, who decides nothing more until it has been
-// answered (leaderWriteDone). Meanwhile the groups count as being written.
+// submitDecision submits a write of the leader. The leader decides nothing else until the
+// result is known (handleDecisionResult). Until then the groups are marked as having a write
+// in flight.
 func (c *leader) submitDecision(write *store.Write, groups ...*taskGroup) {
 	for _, group := range groups {
 		group.writeInFlight = true
@@ -25,11 +26,12 @@
 		for _, group := range groups {
 			group.writeInFlight = false
 		}
-		c.leaderWriteDone(epoch, err)
+		c.handleDecisionResult(epoch, err)
 	})
 }
 
-// newTaskGroupRecord is the record of tasks that are assigned for the first time.
+// newTaskGroupRecord returns the record for consecutive tasks, starting at first, that are
+// assigned for the first time.
 func newTaskGroupRecord(partition int, zone string, guaranteed bool, first int32, tasks int) record.TaskGroup {
 	group := record.TaskGroup{Partition: partition, Zone: zone, Guaranteed: guaranteed}
 	for number := first; number < first+int32(tasks); number++ {
@@ -38,11 +40,12 @@
 	return group
 }
 
-// fitTransaction is how much of a list of groups one transaction can create.
-func (c *clusterState) fitTransaction(groups []record.TaskGroup) []record.TaskGroup {
+// groupsFittingTransaction returns the longest prefix of groups that one transaction can
+// create.
+func (c *clusterState) groupsFittingTransaction(groups []record.TaskGroup) []record.TaskGroup {
 	size := 0
 	for i := range groups {
-		size += groups[i].Encode(c.writeEncoding()).Size() + recordOverhead
+		size += groups[i].Encode(c.writeEncoding()).Size() + recordOverheadBytes
 		if i > 0 && (i == c.cfg.Settings.Store.TxnOps || size > store.MaxTxnBytes) {
 			return groups[:i]
 		}
@@ -50,22 +53,23 @@
 	return groups
 }
 
-// assignRemainder assigns the tasks of a gang that did not fit into the transactions
-// before, to where those are. Which tasks are assigned is known by number alone, so there
-// is one transaction at a time; a new leader goes on where the last one stopped.
-func (c *leader) assignRemainder(j *job, assigned int) {
+// assignRemainingGangTasks assigns the tasks of a gang that did not fit into the previous
+// transactions, to the partition of the gang's first group. The number of assigned tasks
+// alone tells which ones are assigned, so there is one transaction at a time. A new leader
+// continues where the last one stopped.
+func (c *leader) assignRemainingGangTasks(j *job, assigned int) {
 	first := j.firstGroup()
 	var groups []record.TaskGroup
 	for next := assigned; next < j.spec.Tasks; next += c.maxGroupTasks {
 		size := min(c.maxGroupTasks, j.spec.Tasks-next)
 		groups = append(groups, newTaskGroupRecord(first.partition, first.zone, first.guaranteed, int32(next), size))
 	}
-	c.writeAssignment(j, c.fitTransaction(groups))
+	c.writeAssignment(j, c.groupsFittingTransaction(groups))
 }
 
-// writeAssignment stores the groups of one assignment. All of them are written together or
-// not at all: which tasks are assigned already is known by their number alone, so a gap,
-// left by one write that failed, would have a later assignment hand out tasks twice.
+// writeAssignment stores the groups of one assignment, all of them or none. The number of
+// assigned tasks alone tells which ones are assigned, so a gap that a failed write leaves
+// would make a later assignment assign tasks twice.
 func (c *leader) writeAssignment(j *job, groups []record.TaskGroup) {
 	if len(groups) == 0 {
 		return
@@ -94,9 +98,10 @@
 	c.log.Debug("tasks assigned", "job", j.id, "tasks", tasks, "records", len(groups))
 }
 
-// emptyGroups are groups whose tasks are all done. They are used again, so that a large
-// array leaves few behind. None is deleted while its job lives: an assignment that is
-// applied minutes late must not find its key absent once more.
+// emptyGroups returns the groups whose tasks are all done, by their numbers. They are reused,
+// so that a large array leaves few groups behind. No group is deleted while its job is
+// unfinished: an assignment that is applied minutes late must not find the group's key absent
+// again.
 func (j *job) emptyGroups() []*taskGroup {
 	var empty []*taskGroup
 	for _, group := range j.groups {
--- a/internal/controller/gang_reserve_fill.go
+++ b/internal/controller/gang_reserve_fill.go
@@ -9,8 +9,8 @@
 	"eiderhitch/internal/record"
 )
 
-// fillReserve borrows machines for the gang reserve while it lacks room: empty ones, or such
-// as will be empty soon.
+// fillReserve borrows machines for the gang reserve while it has too little room. It takes
+// machines that are empty or will be soon.
 func (c *leader) fillReserve(summaries []*planning.MachineSummary) {
 	reserve := &c.leadership.gangReserve
 	reserve.shortfall = nil
@@ -23,7 +23,7 @@
 		summaries: planning.CloneSummaries(summaries),
 		limit:     max(reserveMinMachines, int(reserveMaxShare*float64(len(summaries)))) - len(c.loans),
 	}
-	for _, class := range reserve.sorted() {
+	for _, class := range reserve.sortedClasses() {
 		fill.addClass(class)
 	}
 	if len(fill.chosen) == 0 {
@@ -34,22 +34,24 @@
 	c.borrowMachines(chosen, record.MachineLoan{Job: gangReserveJobID})
 }
 
-// reserveFill is a round of fillReserve.
+// reserveFill is the state of one fillReserve.
 type reserveFill struct {
 	*leader
 	reserve *gangReserve
-	// summaries have what is left after the classes before.
+	// summaries are copies of the machine summaries, from which the room for earlier classes
+	// has been subtracted.
 	summaries []*planning.MachineSummary
 	// limit is how many more machines may be borrowed.
-	limit  int
+	limit int
+	// chosen are the machines to borrow.
 	chosen []*planning.MachineSummary
 }
 
-// addClass chooses machines for the next gangs of a class, and notes what is to be launched
-// for them if too little is coming.
+// addClass selects machines for the next gangs of a class. It adds to the reserve's shortfall
+// what neither free room in the reserve nor machines on their way to it cover.
 func (f *reserveFill) addClass(class *gangClass) {
 	zone := f.reserveZone(f.summaries, class)
-	lacking := class.room() - f.takeFreeRoom(class, zone)
+	lacking := class.targetTasks() - f.allocateFreeRoom(class, zone)
 	empty, busy := f.incomingReserveRoom(class, zone)
 	if lacking-empty <= 0 {
 		return
@@ -62,46 +64,47 @@
 	if firstBusy < 0 {
 		firstBusy = len(candidates)
 	}
-	// Machines that are empty are had at once, whatever else will be empty some time:
-	// arrays would fill them, and gangs wait for the others for most of a minute.
-	taken := f.take(candidates[:firstBusy], class, lacking-empty)
+	// Empty machines are borrowed even if other machines on their way will be empty later:
+	// otherwise arrays would fill the empty ones, and gangs would wait most of a minute for
+	// the others.
+	selected := f.selectMachines(candidates[:firstBusy], class, lacking-empty)
 	room := 0
-	for _, summary := range taken {
-		room += summary.Size.CountFitting(class.need, class.spec.Tasks)
+	for _, summary := range selected {
+		room += summary.Size.CountFitting(class.taskSize, class.spec.Tasks)
 	}
-	f.take(candidates[firstBusy:], class, lacking-empty-busy-room)
+	f.selectMachines(candidates[firstBusy:], class, lacking-empty-busy-room)
 }
 
-// take chooses machines with room for a number of tasks of a class.
-func (f *reserveFill) take(candidates []*planning.MachineSummary, class *gangClass, tasks int) []*planning.MachineSummary {
-	taken, _ := planning.SelectMachines(candidates, tasks, f.limit, func(summary *planning.MachineSummary, tasks int) int {
-		return summary.Size.CountFitting(class.need, tasks)
+// selectMachines selects machines with room for a number of tasks of a class.
+func (f *reserveFill) selectMachines(candidates []*planning.MachineSummary, class *gangClass, tasks int) []*planning.MachineSummary {
+	selected, _ := planning.SelectMachines(candidates, tasks, f.limit, func(summary *planning.MachineSummary, tasks int) int {
+		return summary.Size.CountFitting(class.taskSize, tasks)
 	})
-	for _, summary := range taken {
+	for _, summary := range selected {
 		summary.InUse = true
 	}
-	f.limit -= len(taken)
-	f.chosen = append(f.chosen, taken...)
-	return taken
+	f.limit -= len(selected)
+	f.chosen = append(f.chosen, selected...)
+	return selected
 }
 
-// takeFreeRoom takes free room of the reserve for the next gangs of a class, and returns for
-// how many tasks there is.
-func (f *reserveFill) takeFreeRoom(class *gangClass, zone string) int {
+// allocateFreeRoom allocates the free room of the reserve to the next gangs of a class, and
+// returns for how many tasks there is room.
+func (f *reserveFill) allocateFreeRoom(class *gangClass, zone string) int {
 	found := 0
 	for _, summary := range f.summaries {
 		if summary.Partition != f.loanPartition() || summary.Booting || !allowsMachine(class.spec, zone, summary.Type, summary.Zone, summary.Spot) {
 			continue
 		}
-		count := summary.FreeResources.CountFitting(class.need, class.room()-found)
-		summary.FreeResources = summary.FreeResources.Minus(class.need.Times(count))
+		count := summary.FreeResources.CountFitting(class.taskSize, class.targetTasks()-found)
+		summary.FreeResources = summary.FreeResources.Minus(class.taskSize.Times(count))
 		found += count
 	}
 	return found
 }
 
-// reserveCandidates are machines without services that may be borrowed for the reserve, the
-// emptiest and largest first.
+// reserveCandidates returns the machines without services that may be borrowed for the
+// reserve, those with the fewest tasks first, and the largest first among equals.
 func (f *reserveFill) reserveCandidates(class *gangClass, zone string) []*planning.MachineSummary {
 	candidates := slices.DeleteFunc(f.loanableMachines(f.summaries, class.spec, zone), func(summary *planning.MachineSummary) bool {
 		return summary.RunsService
@@ -112,14 +115,15 @@
 	return candidates
 }
 
-// incomingReserveRoom is for how many tasks of a class there will be room on machines that
-// are on their way to the reserve: empty ones, and such as will be empty some time.
+// incomingReserveRoom returns for how many tasks of a class there will be room on machines
+// that are on their way to the reserve: on those that are empty, and on those that still run
+// tasks.
 func (r *machineRegistry) incomingReserveRoom(class *gangClass, zone string) (empty, busy int) {
 	for loan, m := range r.loansFor(gangReserveJobID, class.spec, zone) {
 		if loan.Acknowledged {
 			continue
 		}
-		count := r.sizeOf(m).CountFitting(class.need, class.spec.Tasks)
+		count := r.machineSize(m).CountFitting(class.taskSize, class.spec.Tasks)
 		if len(m.bindings) == 0 {
 			empty += count
 		} else {
@@ -129,12 +133,12 @@
 	return empty, busy
 }
 
-// demand is what count tasks of a class's next gangs ask of the fleet.
+// demand returns the demand for count tasks of the next gangs of a class.
 func (class *gangClass) demand(zone string, count int) planning.Demand {
 	spec := class.spec
 	return planning.Demand{
 		Class:        spec.Class,
-		TaskSize:     class.need,
+		TaskSize:     class.taskSize,
 		Count:        count,
 		AllOrNothing: true,
 		EstimateS:    spec.EstimateS,
@@ -145,8 +149,9 @@
 	}
 }
 
-// reserveZone is the zone in which the reserve has the most room for a gang that must be in
-// one; "" for any. Of equals it is the one with the most machines.
+// reserveZone returns the zone in which the reserve has the most room for a gang that must be
+// in a single zone, or "" if the gang may be in any. Among equals it returns the zone with
+// the most machines.
 func (r *machineRegistry) reserveZone(summaries []*planning.MachineSummary, class *gangClass) string {
 	if !class.spec.SingleZone {
 		return ""
@@ -158,13 +163,13 @@
 		}
 		machines[summary.Zone]++
 		if summary.Partition == r.loanPartition() {
-			room[summary.Zone] += summary.FreeResources.CountFitting(class.need, class.spec.Tasks)
+			room[summary.Zone] += summary.FreeResources.CountFitting(class.taskSize, class.spec.Tasks)
 		}
 	}
 	best := ""
 	for zone := range machines {
-		before := cmp.Or(cmp.Compare(room[best], room[zone]), cmp.Compare(machines[best], machines[zone]), cmp.Compare(zone, best))
-		if best == "" || before < 0 {
+		order := cmp.Or(cmp.Compare(room[best], room[zone]), cmp.Compare(machines[best], machines[zone]), cmp.Compare(zone, best))
+		if best == "" || order < 0 {
 			best = zone
 		}
 	}
