--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -48,14 +48,14 @@
 			j = &job{id: id}
 		}
 		c.jobs[id] = j
-		c.restoreJob(j)
+		c.addToActiveJobs(j)
 	}
 	return j
 }
 
-// restoreJob puts a job among the unfinished ones, which the leader goes through. Jobs are
+// addToActiveJobs puts a job among the unfinished ones, which the leader goes through. Jobs are
 // remembered for ever: a pass must not cost more for each that has ever been.
-func (c *catalog) restoreJob(j *job) {
+func (c *catalog) addToActiveJobs(j *job) {
 	if !j.inActiveJobs {
 		j.inActiveJobs = true
 		c.activeJobs = append(c.activeJobs, j)
@@ -69,7 +69,7 @@
 // the team's quota.
 func (c *catalog) archiveFinishedJobs(records *replica.Replica) {
 	c.activeJobs = slices.DeleteFunc(c.activeJobs, func(j *job) bool {
-		if !j.isCleared(records.Cursor()) || j.hasUnreadableRecords() {
+		if !j.isArchivable(records.Cursor()) || j.hasUnreadableRecords() {
 			return false
 		}
 		j.inActiveJobs = false
@@ -99,7 +99,7 @@
 	}
 	c.groups = append(c.groups, group)
 	c.groupByKey[key] = group
-	c.restoreJob(job)
+	c.addToActiveJobs(job)
 	if job.groupOfTask == nil {
 		job.groupOfTask = map[int32]*taskGroup{}
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -85,7 +85,7 @@
 // claimed cells that are not stored yet. What they claimed is given up; a machine
 // that is lost afterwards must not look for their record (which ended a
 // controller), and no cell stays taken.
-func TestClaimsEndWithTheirRecord(t *testing.T) {
+func TestReservationsEndWithTheirRecord(t *testing.T) {
 	for _, how := range []string{"deleted", "moved"} {
 		t.Run(how, func(t *testing.T) {
 			c := newTestController(t)
@@ -160,7 +160,7 @@
 // A record moves to another partition while a write of it is on its way and its tasks
 // have claimed cells. No cell stays taken: one that no record knew of would have
 // been lost until the partition changed hands.
-func TestClaimsOfAMovedRecord(t *testing.T) {
+func TestReservationsOfMovedRecord(t *testing.T) {
 	c := newTestController(t)
 	p := c.partitions[0]
 	c.applyHeartbeat(c.getOrAddMachine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
@@ -181,7 +181,7 @@
 
 // The result of a write of ours may come after a later deletion is known: the
 // record must not come back to life.
-func TestLateResultOfADeletedRecord(t *testing.T) {
+func TestLateWriteResultOfDeletedRecord(t *testing.T) {
 	c := newTestController(t)
 	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
 	key := groupKey("wk-1", 0)
@@ -195,7 +195,7 @@
 
 // Machines that died together share a tombstone. It names them all, the encoding of older
 // versions is understood, and deleting it forgets them all.
-func TestMachinesGoneTogether(t *testing.T) {
+func TestSharedTombstone(t *testing.T) {
 	c := newTestController(t)
 	var names []string
 	for i := range 240 {
@@ -254,7 +254,7 @@
 // An array's task within its team's guaranteed quota preempts others' after a while.
 // Where cells come free all the time it waits for one of those first, but not for
 // long: what is preempted has run for nothing.
-func TestHeadOfTheQueueWaits(t *testing.T) {
+func TestGuaranteedTaskWaitsBeforePreempting(t *testing.T) {
 	for _, x := range []struct {
 		name     string
 		waited   time.Duration
@@ -289,7 +289,7 @@
 
 // Jobs are known for ever, by little more than their names: whoever asks gets the
 // answer that was given last, and each that is finished costs what it is planned to.
-func TestFinishedJobsCostLittle(t *testing.T) {
+func TestFinishedJobMemory(t *testing.T) {
 	const jobs, each = 20_000, 100
 	c := newTestController(t)
 	held := func() uint64 {
--- a/internal/controller/cordons_test.go
+++ b/internal/controller/cordons_test.go
@@ -10,7 +10,7 @@
 
 // A job that fails on machine after machine is tried ever more rarely, and each machine that
 // failed it rests a moment.
-func TestFailedJobRestsLongerWithEachMachine(t *testing.T) {
+func TestFailedJobBackoffGrowsWithFailedMachines(t *testing.T) {
 	c := newTestController(t)
 	j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 20}}
 	c.jobs["wk-1"] = j
@@ -31,7 +31,7 @@
 }
 
 // A machine that refuses a start rests until it has been heard again; nobody is to blame.
-func TestRefusedStartBlamesNobody(t *testing.T) {
+func TestRefusedStartIsNotAFailure(t *testing.T) {
 	for _, reason := range []string{wire.ReasonNoRoom, wire.ReasonInUse, wire.ReasonUnknownTask} {
 		c := newTestController(t)
 		m := c.getOrAddMachine("host-1")
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -15,9 +15,9 @@
 const (
 	// minTokenRaiseInterval spaces rewrites of one partition's key.
 	minTokenRaiseInterval = 4 * time.Second
-	// recentHeartbeat is how long after its last heartbeat a machine counts as one that
+	// recentHeartbeatWindow is how long after its last heartbeat a machine counts as one that
 	// should be heard.
-	recentHeartbeat = time.Minute
+	recentHeartbeatWindow = time.Minute
 	// peerStatusTimeout is how long what a peer told of its workers is relied on.
 	peerStatusTimeout = 4 * time.Second
 )
@@ -44,7 +44,7 @@
 	owned := c.partitions[:c.loanPartition()]
 	candidates := make([]election.Partition, len(owned))
 	for i, p := range owned {
-		candidates[i] = election.Partition{Index: p.index, Key: p.key, Owned: p.token != 0, OwnedSince: p.ownedSince, Settled: p.allMachinesHeard}
+		candidates[i] = election.Partition{Index: p.index, Key: p.key, Owned: p.token != 0, OwnedSince: p.ownedSince, Settled: p.hasHeardAllMachines}
 	}
 	c.election.Campaign(candidates, c.leaderKey(), peerView{c})
 }
@@ -172,7 +172,7 @@
 			if m.machineType == "" {
 				m.machineType, m.zone, m.spot = x.Type, x.Zone, x.Flags&peer.Spot != 0
 			}
-			m.introduce(x.Addr, x.Incarnation)
+			m.mergeIdentity(x.Addr, x.Incarnation)
 		}
 	}
 }
@@ -184,9 +184,9 @@
 	}
 }
 
-// allMachinesHeard tells whether every machine of a partition on which something is bound
+// hasHeardAllMachines tells whether every machine of a partition on which something is bound
 // has been heard since the partition was taken over.
-func (p *partition) allMachinesHeard() bool {
+func (p *partition) hasHeardAllMachines() bool {
 	for _, m := range p.machines {
 		if len(m.bindings) > 0 && !m.heartbeatAt.After(p.ownedSince) {
 			return false
@@ -206,7 +206,7 @@
 			continue
 		}
 		for _, m := range p.machines {
-			if !m.terminated && w.now.Sub(m.heartbeatAt) < recentHeartbeat {
+			if !m.terminated && w.now.Sub(m.heartbeatAt) < recentHeartbeatWindow {
 				n++
 			}
 		}
@@ -226,7 +226,7 @@
 			if m.terminated {
 				continue
 			}
-			if len(m.bindings) > 0 || !m.heartbeatAt.IsZero() && w.now.Sub(m.heartbeatAt) < recentHeartbeat {
+			if len(m.bindings) > 0 || !m.heartbeatAt.IsZero() && w.now.Sub(m.heartbeatAt) < recentHeartbeatWindow {
 				heard.Known++
 			}
 			heard.Any = heard.Any || m.heartbeatAt.After(p.ownedSince) && w.now.Sub(m.heartbeatAt) < within
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -52,7 +52,7 @@
 
 // An owner that only the key-value store refuses can't learn of a cancellation;
 // the tasks must be gone in time all the same (see config.MaxStaleness).
-func TestCancelWhileOneOwnerLacksTheStore(t *testing.T) {
+func TestCancelWhileOwnerCannotReachStore(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submitServices(6, 2)
 		c.await("the services run", time.Minute, func() bool { return c.env.Starts() >= 12 })
@@ -124,7 +124,7 @@
 
 // A controller that loses the key-value store and its peers, not its agents, can't know of
 // a cancellation: it stops answering in time, and the work passes to the others.
-func TestCutFromStoreAndPeers(t *testing.T) {
+func TestOwnerIsolatedFromStoreAndPeers(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.runServices(6, 2)
 		own := c.env.Cloud.Agents()
@@ -189,7 +189,7 @@
 		if now := c.countAssignedPartitions(); now != partitions {
 			t.Errorf("the leader assigns to machines of %d partitions, before to those of %d", now, partitions)
 		}
-		c.checkSameHolders(holders)
+		c.checkHoldersUnchanged(holders)
 		c.setPeersBlocked(false)
 	})
 }
@@ -222,9 +222,9 @@
 	return found
 }
 
-// checkSameHolders checks that no leased key has passed to another node. A higher fencing
+// checkHoldersUnchanged checks that no leased key has passed to another node. A higher fencing
 // token of the same node is no change of hands.
-func (c *cluster) checkSameHolders(before map[string]leaseHolder) {
+func (c *cluster) checkHoldersUnchanged(before map[string]leaseHolder) {
 	c.t.Helper()
 	after := c.leaseHolders()
 	for key, holder := range before {
@@ -255,7 +255,7 @@
 
 // A process that is back at once takes the leases of its predecessor right away, with
 // fencing tokens of its own: nothing waits for a lease that nobody renews any more.
-func TestRestartedProcessTakesItsLeasesBack(t *testing.T) {
+func TestRestartedProcessReacquiresLeases(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		time.Sleep(10 * time.Second)
 		for i := range c.nodes {
@@ -287,7 +287,7 @@
 
 // An owner starts nothing on the strength of an old read: somebody may have told a user
 // "cancelled" since. It goes on answering heartbeats, so that what runs goes on.
-func TestNoStartAfterAnOldRead(t *testing.T) {
+func TestNoStartOnStaleReplica(t *testing.T) {
 	c := newTestController(t)
 	p := c.partitions[0]
 	m := c.getOrAddMachine("host-1")
@@ -309,7 +309,7 @@
 // Where all machines have died and the cloud gives no others, no agent reaches anybody. The
 // leased keys don't go round for that: each change of hands would begin the wait for the
 // leases anew, and what ran would never be proven gone.
-func TestLeasesStayWhereNoAgentReachesAnybody(t *testing.T) {
+func TestLeasesAreKeptWithoutAgents(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.runServices(6, 2)
 		time.Sleep(10 * time.Second)
--- a/internal/controller/group_records.go
+++ b/internal/controller/group_records.go
@@ -25,7 +25,7 @@
 
 // putGroup takes a task group in.
 func (a recordApplier) putGroup(key string, v *record.TaskGroup, stored storedValue) error {
-	id, number, ok := splitGroupKey(key)
+	id, number, ok := parseGroupKey(key)
 	if !ok {
 		a.log.Error("stored key is malformed; it is left alone", "key", key)
 		return nil
@@ -39,7 +39,7 @@
 		group = a.newGroup(key, id, number, a.now)
 	} else {
 		a.rollout.groupsByEncoding[group.encoding]--
-		a.releaseChanged(group, v)
+		a.releaseDroppedCells(group, v)
 	}
 	a.rollout.groupsByEncoding[stored.encoding]++
 	former := group.bindings
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// releaseChanged gives up the cells that a known task group keeps no longer by its new content.
-func (a recordApplier) releaseChanged(group *taskGroup, v *record.TaskGroup) {
+// releaseDroppedCells gives up the cells that a known task group keeps no longer by its new content.
+func (a recordApplier) releaseDroppedCells(group *taskGroup, v *record.TaskGroup) {
 	if group.partition != v.Partition || group.zone != v.Zone {
 		// A binding of ours that is being stored fails, or came before. What waits
 		// for cells in another zone must not get them there.
@@ -96,11 +96,11 @@
 // former bindings still.
 func (a recordApplier) bindMachine(group *taskGroup, task *record.Binding) *machine {
 	m := a.getOrAddMachine(task.Machine)
-	if m.partition == a.loanPartition() && !group.binds(task.Task, task.Attempt, m) {
+	if m.partition == a.loanPartition() && !group.isBoundTo(task.Task, task.Attempt, m) {
 		m.lastBoundAt = a.now
 	}
 	m.bindings.add(group.task(task.Task), group)
-	m.introduce(task.Addr, task.Incarnation)
+	m.mergeIdentity(task.Addr, task.Incarnation)
 	a.addToPartition(m) // a terminated one may have been removed
 	return m
 }
@@ -134,7 +134,7 @@
 // markGroupReadable notes that a group's record can be decoded, or is deleted.
 func (a recordApplier) markGroupReadable(key string) {
 	delete(a.rollout.unreadableGroups, key)
-	if id, _, ok := splitGroupKey(key); ok {
+	if id, _, ok := parseGroupKey(key); ok {
 		if job := a.jobs[id]; job != nil {
 			job.markReadable(key)
 		}
--- a/internal/controller/group_size.go
+++ b/internal/controller/group_size.go
@@ -10,15 +10,15 @@
 // The usual size of a group's stored form, by which its tasks are counted: for each binding,
 // and for all the rest.
 const (
-	bindingBytes  = 72
-	envelopeBytes = 128
-	bytesPerKB    = 1024
+	bindingBytes       = 72
+	groupOverheadBytes = 128
+	bytesPerKB         = 1024
 )
 
-// maxBindingsFor keeps a task group within the key-value store's limit of a value, by the
+// maxBindingsPerGroup keeps a task group within the key-value store's limit of a value, by the
 // usual size of a binding. One that gets larger all the same is split (splitToFit).
-func maxBindingsFor(valueKB float64) int {
-	return max(1, min(maxGroupBindings, int(valueKB*bytesPerKB-envelopeBytes)/bindingBytes))
+func maxBindingsPerGroup(valueKB float64) int {
+	return max(1, min(maxGroupBindings, int(valueKB*bytesPerKB-groupOverheadBytes)/bindingBytes))
 }
 
 // maxValueBytes is how large a stored value may be.
@@ -49,15 +49,15 @@
 // splitThrottle splits the throttle of a group over two pieces, which together may run no more
 // than before: each keeps what is bound.
 func splitThrottle(throttle int, stay, leave []binding) (first, second int) {
-	boundFirst, boundSecond := countMachines(stay), countMachines(leave)
+	boundFirst, boundSecond := countBoundBindings(stay), countBoundBindings(leave)
 	free := max(0, throttle-1-boundFirst-boundSecond)
 	freeFirst := min(free, len(stay)-boundFirst)
 	freeSecond := min(free-freeFirst, len(leave)-boundSecond)
 	return 1 + boundFirst + freeFirst, 1 + boundSecond + freeSecond
 }
 
-// countMachines counts the bindings that name a machine.
-func countMachines(bindings []binding) int {
+// countBoundBindings counts the bindings that name a machine.
+func countBoundBindings(bindings []binding) int {
 	n := 0
 	for i := range bindings {
 		if bindings[i].machine != nil {
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -85,19 +85,19 @@
 		return false
 	}
 	if heartbeat.Incarnation > m.incarnation && m.incarnation > 0 {
-		c.beginIncarnation(m, heartbeat.Incarnation)
+		c.handleNewIncarnation(m, heartbeat.Incarnation)
 	}
-	changesDecisions := c.changesDecisions(m, heartbeat, p, source)
-	m.noteIdentity(heartbeat)
+	changesDecisions := c.affectsScheduling(m, heartbeat, p, source)
+	m.updateIdentity(heartbeat)
 	m.tasks = heartbeat.Tasks
 	m.lastMessageAt = c.now
 	switch source {
 	case workerRequest:
-		c.noteWorkerRequest(m, p)
+		c.recordWorkerRequest(m, p)
 	case directCommandResponse:
 		m.leaseLostWhileHeard, m.commandState.unanswered = false, 0
 	}
-	c.noteTerminationNotice(m, heartbeat.NoticeS)
+	c.updateTerminationNotice(m, heartbeat.NoticeS)
 	if p.takeoverComplete && !m.terminated {
 		c.reconcile(m, p)
 	}
@@ -116,8 +116,8 @@
 		heartbeat.Incarnation == m.incarnation && heartbeat.Sequence > m.sequence
 }
 
-// noteIdentity takes in what a heartbeat says of the machine and its agent.
-func (m *machine) noteIdentity(heartbeat *wire.Heartbeat) {
+// updateIdentity takes in what a heartbeat says of the machine and its agent.
+func (m *machine) updateIdentity(heartbeat *wire.Heartbeat) {
 	m.incarnation = heartbeat.Incarnation
 	m.sequence = heartbeat.Sequence
 	m.token = heartbeat.Token
@@ -129,7 +129,7 @@
 
 // beginIncarnation notes that a machine's lease expired: its agent has ended all tasks and
 // forgotten them, and refuses what is sent to the earlier incarnation.
-func (c *partitionOwner) beginIncarnation(m *machine, incarnation uint64) {
+func (c *partitionOwner) handleNewIncarnation(m *machine, incarnation uint64) {
 	c.log.Info("machine begins a new incarnation", "machine", m.name, "incarnation", incarnation)
 	m.cachedImages, m.fetchStartedAt = map[string]bool{}, map[string]time.Time{}
 	m.commandState.unansweredStartToken, m.responseCarriesStart = 0, false
@@ -138,14 +138,14 @@
 
 // changesDecisions tells whether a heartbeat asks for a scheduling pass. Most say nothing
 // that changes a decision, and for them the next timer comes soon enough.
-func (c *partitionOwner) changesDecisions(m *machine, heartbeat *wire.Heartbeat, p *partition, source heartbeatSource) bool {
+func (c *partitionOwner) affectsScheduling(m *machine, heartbeat *wire.Heartbeat, p *partition, source heartbeatSource) bool {
 	noticed, known := heartbeat.NoticeS != nil, !m.terminationAt.IsZero()
 	return heartbeat.Incarnation != m.incarnation || heartbeat.Token != m.token || noticed != known ||
 		source == workerRequest && !c.isUsable(m, p)
 }
 
-// noteWorkerRequest notes that a machine has sent a heartbeat by itself.
-func (c *partitionOwner) noteWorkerRequest(m *machine, p *partition) {
+// recordWorkerRequest notes that a machine has sent a heartbeat by itself.
+func (c *partitionOwner) recordWorkerRequest(m *machine, p *partition) {
 	first := m.heartbeatAt.Before(p.ownedSince)
 	m.heartbeatAt = c.now
 	m.responseCarriesStart = false
@@ -155,9 +155,9 @@
 	}
 }
 
-// noteTerminationNotice notes in how many seconds the cloud takes a machine; nil: it has no
+// updateTerminationNotice notes in how many seconds the cloud takes a machine; nil: it has no
 // notice.
-func (c *partitionOwner) noteTerminationNotice(m *machine, noticeS *float64) {
+func (c *partitionOwner) updateTerminationNotice(m *machine, noticeS *float64) {
 	if noticeS == nil {
 		m.terminationAt = time.Time{}
 		return
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -93,16 +93,16 @@
 	return false
 }
 
-// isCleared tells whether a job is final and has no task groups left. The replica has all
+// isArchivable tells whether a job is final and has no task groups left. The replica has all
 // changes up to cursor.
-func (j *job) isCleared(cursor uint64) bool {
+func (j *job) isArchivable(cursor uint64) bool {
 	return j.finalState != record.Unfinished && len(j.groups) == 0 && j.revision <= cursor
 }
 
 // releaseDetails drops what a final job needs no more; its final state is kept for ever. The
 // replica has all changes up to cursor.
 func (j *job) releaseDetails(cursor uint64) {
-	if j.isCleared(cursor) {
+	if j.isArchivable(cursor) {
 		j.spec, j.groups, j.groupOfTask = nil, nil, nil
 	}
 }
--- a/internal/controller/keys.go
+++ b/internal/controller/keys.go
@@ -57,8 +57,8 @@
 // loanKey is the key of a machine's loan.
 func loanKey(machine string) string { return loanPrefix + machine }
 
-// splitGroupKey takes a task group's key apart.
-func splitGroupKey(key string) (id string, number int, ok bool) {
+// parseGroupKey takes a task group's key apart.
+func parseGroupKey(key string) (id string, number int, ok bool) {
 	id, digits, ok := strings.Cut(strings.TrimPrefix(key, groupPrefix), "/")
 	number, err := strconv.Atoi(digits)
 	return id, number, ok && err == nil
--- a/internal/controller/keys_test.go
+++ b/internal/controller/keys_test.go
@@ -4,7 +4,7 @@
 
 // The keys of records are told apart by their prefixes, and those of other packages are none
 // of this one's.
-func TestKeysHaveTheirKind(t *testing.T) {
+func TestParseKey(t *testing.T) {
 	for _, x := range []struct {
 		key  string
 		kind keyKind
@@ -29,15 +29,15 @@
 
 // Keys of task groups and names of tasks are taken apart into what they were made of; what was
 // not made so is refused.
-func TestNamesAreTakenApart(t *testing.T) {
-	if id, number, ok := splitGroupKey(groupKey("wk-1", 12)); !ok || id != "wk-1" || number != 12 {
+func TestParseGroupKeyAndTaskName(t *testing.T) {
+	if id, number, ok := parseGroupKey(groupKey("wk-1", 12)); !ok || id != "wk-1" || number != 12 {
 		t.Errorf("job %q, number %d, ok %v, want wk-1 and 12", id, number, ok)
 	}
 	if id, number, ok := parseTaskName(taskName("wk-1", 12)); !ok || id != "wk-1" || number != 12 {
 		t.Errorf("job %q, number %d, ok %v, want wk-1 and 12", id, number, ok)
 	}
 	for _, name := range []string{"wk-1", "wk-1/", "wk-1/x", "wk-1/1/2"} {
-		if _, _, ok := splitGroupKey(groupPrefix + name); ok {
+		if _, _, ok := parseGroupKey(groupPrefix + name); ok {
 			t.Errorf("the group's key %q is accepted", groupPrefix+name)
 		}
 		if _, _, ok := parseTaskName(name); ok {
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// longestHeartbeatPause is the longest pause between two heartbeats, in intervals:
+	// maxHeartbeatIntervalFactor is the longest pause between two heartbeats, in intervals:
 	// workers vary theirs by a quarter.
-	longestHeartbeatPause = 1.25
-	// heartbeatTransit is how long a heartbeat may be on its way.
-	heartbeatTransit = 500 * time.Millisecond
+	maxHeartbeatIntervalFactor = 1.25
+	// maxHeartbeatTransit is how long a heartbeat may be on its way.
+	maxHeartbeatTransit = 500 * time.Millisecond
 
-	// A machine counts as unreachable when it has been silent for unreachableHeartbeats
-	// intervals, for unreachableLeaseShare of its lease, and for minUnreachableAfter. The
+	// A machine counts as unreachable when it has been silent for unreachableIntervals
+	// intervals, for unreachableLeaseFraction of its lease, and for minUnreachableTimeout. The
 	// last is well above what a worker needs to find its controller's successor: 4 s for a
 	// response that does not come, and 1 s until it tries the next.
-	unreachableHeartbeats = 3
-	unreachableLeaseShare = 0.6
-	minUnreachableAfter   = 7 * time.Second
+	unreachableIntervals     = 3
+	unreachableLeaseFraction = 0.6
+	minUnreachableTimeout    = 7 * time.Second
 
-	// Nothing is placed on a machine that has been silent for usableHeartbeats intervals,
-	// and for minUsableFor: one heartbeat may be lost.
-	usableHeartbeats = 2
-	minUsableFor     = 3 * time.Second
+	// Nothing is placed on a machine that has been silent for usableIntervals intervals,
+	// and for minUsableTimeout: one heartbeat may be lost.
+	usableIntervals  = 2
+	minUsableTimeout = 3 * time.Second
 
 	// silentMachineRetention is for how long a silent machine is pinged and told about: well
 	// beyond the time after which it is terminated or found dead.
 	silentMachineRetention = 3 * time.Minute
-	// countedSilence is for how long it speaks for what most machines of its partition do.
-	countedSilence = 2 * time.Minute
+	// majorityCountWindow is for how long it speaks for what most machines of its partition do.
+	majorityCountWindow = 2 * time.Minute
 )
 
 // expectsHeartbeat tells whether a machine should send heartbeats to its partition's owner:
@@ -45,19 +45,19 @@
 
 // heartbeatTimeout is how long a machine may be silent before it is pinged.
 func (c *clusterState) heartbeatTimeout() time.Duration {
-	return config.Seconds(longestHeartbeatPause*c.cfg.Settings.Workers.ReportS) + heartbeatTransit
+	return config.Seconds(maxHeartbeatIntervalFactor*c.cfg.Settings.Workers.ReportS) + maxHeartbeatTransit
 }
 
 // unreachableTimeout is how long a machine may be silent before it counts as unreachable, if
 // it can't be pinged.
 func (c *clusterState) unreachableTimeout() time.Duration {
 	w := &c.cfg.Settings.Workers
-	return max(unreachableHeartbeats*config.Seconds(w.ReportS), config.Seconds(unreachableLeaseShare*w.LeaseS), minUnreachableAfter)
+	return max(unreachableIntervals*config.Seconds(w.ReportS), config.Seconds(unreachableLeaseFraction*w.LeaseS), minUnreachableTimeout)
 }
 
 // usableTimeout is how long after its last heartbeat tasks are placed on a machine.
 func (c *clusterState) usableTimeout() time.Duration {
-	return max(usableHeartbeats*config.Seconds(c.cfg.Settings.Workers.ReportS), minUsableFor)
+	return max(usableIntervals*config.Seconds(c.cfg.Settings.Workers.ReportS), minUsableTimeout)
 }
 
 // seemsNotReceiving tells whether a machine lost its lease although its heartbeats were
@@ -115,18 +115,18 @@
 		return false
 	}
 	// A machine whose lease has expired has lost its tasks anyhow.
-	return !c.mostUnreachable(p) || c.isLeaseExpired(m, p)
+	return !c.areMostUnreachable(p) || c.isLeaseExpired(m, p)
 }
 
 // mostUnreachable tells whether most of a partition's machines seem unreachable. It is
 // counted once for all decisions of one event: counted for each silent machine, hundreds that
 // fall silent together would take up the processor.
-func (c *clusterState) mostUnreachable(p *partition) bool {
+func (c *clusterState) areMostUnreachable(p *partition) bool {
 	if p.unreachableCountedAt != c.now {
 		p.unreachableCountedAt = c.now
 		unreachable, all := 0, 0
 		for _, m := range p.machines {
-			if m.terminated || !c.expectsHeartbeat(m, countedSilence) {
+			if m.terminated || !c.expectsHeartbeat(m, majorityCountWindow) {
 				continue
 			}
 			// Where heartbeats arrive, also from other partitions, a machine that has sent
@@ -147,7 +147,7 @@
 
 // seemsUnreachable tells the same as unreachable by the machine alone.
 func (c *clusterState) seemsUnreachable(m *machine, p *partition) bool {
-	if c.sendsWithoutReceiving(m, p) || c.silentBeyondLease(m, p) {
+	if c.sendsWithoutReceiving(m, p) || c.isSilentBeyondLease(m, p) {
 		return true
 	}
 	since := c.silentSince(m, p)
@@ -172,10 +172,10 @@
 	return m.isNotReceiving(p) && c.now.Sub(p.machineOwnedSince(m)) > c.unreachableTimeout() && c.now.Sub(m.heartbeatAt) < c.heartbeatTimeout()
 }
 
-// silentBeyondLease tells whether a machine has sent no heartbeat for so long that its lease
+// isSilentBeyondLease tells whether a machine has sent no heartbeat for so long that its lease
 // has expired, though others' heartbeats arrive. It takes no work, whatever it answers to
 // direct commands.
-func (c *clusterState) silentBeyondLease(m *machine, p *partition) bool {
+func (c *clusterState) isSilentBeyondLease(m *machine, p *partition) bool {
 	silent := c.now.Sub(c.silentSince(m, p)) > c.leaseExpiry+c.unreachableTimeout()
 	return silent && c.now.Sub(c.resumedFromPauseAt) > c.unreachableTimeout() && c.now.Sub(c.lastHeartbeatAt) < c.heartbeatTimeout()
 }
--- a/internal/controller/liveness_test.go
+++ b/internal/controller/liveness_test.go
@@ -7,7 +7,7 @@
 
 // The limits follow the workers' settings, above what a lost heartbeat or a worker's search
 // for another controller takes.
-func TestLivenessLimits(t *testing.T) {
+func TestLivenessTimeouts(t *testing.T) {
 	for _, x := range []struct {
 		intervalS, leaseS            float64
 		overdue, unreachable, usable time.Duration
@@ -31,8 +31,8 @@
 	}
 }
 
-// heardMachine is a machine of a lone controller that has just sent a heartbeat.
-func heardMachine(c *controller) (*machine, *partition) {
+// newHeardMachine is a machine of a lone controller that has just sent a heartbeat.
+func newHeardMachine(c *controller) (*machine, *partition) {
 	p := c.partitions[0]
 	p.firstToken = p.token
 	m := c.getOrAddMachine("host-1")
@@ -61,7 +61,7 @@
 		{"lost its lease though it was answered", func(_ *controller, m *machine, _ *partition) { m.leaseLostWhileHeard = true }, false},
 	} {
 		c := newTestController(t)
-		m, p := heardMachine(c)
+		m, p := newHeardMachine(c)
 		x.change(c, m, p)
 		if got := c.isUsable(m, p); got != x.want {
 			t.Errorf("%s: usable %v, want %v", x.name, got, x.want)
@@ -69,9 +69,9 @@
 	}
 }
 
-// unreachableRow is what has become of a machine that has just been heard, and whether it
+// unreachableTest is what has become of a machine that has just been heard, and whether it
 // seems unreachable then.
-type unreachableRow struct {
+type unreachableTest struct {
 	name   string
 	after  time.Duration // since it was heard
 	change func(c *controller, m *machine, p *partition)
@@ -81,7 +81,7 @@
 // beyondLease is when the lease of a machine that is silent has surely expired.
 const beyondLease = time.Minute
 
-var unreachableRows = []unreachableRow{
+var unreachableTests = []unreachableTest{
 	{"silent for a while", 6900 * time.Millisecond, nil, false},
 	{"silent for long", 7100 * time.Millisecond, nil, true},
 	{"silent, answers a ping", 7100 * time.Millisecond, func(c *controller, m *machine, _ *partition) { m.lastMessageAt = c.now }, false},
@@ -90,8 +90,8 @@
 	{"pings unanswered, heartbeats come", 1700 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, true},
 	{"pings unanswered by most machines, heartbeats come", 1700 * time.Millisecond, func(_ *controller, m *machine, p *partition) { m.commandState.unanswered, p.mostNotReceiving = 2, true }, false},
 	{"pings unanswered, overdue", 1800 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, true},
-	{"pings unanswered right after a failover", 3700 * time.Millisecond, failedOverUnanswered, false},
-	{"pings unanswered a while after a failover", 3800 * time.Millisecond, failedOverUnanswered, true},
+	{"pings unanswered right after a failover", 3700 * time.Millisecond, unansweredSinceFailover, false},
+	{"pings unanswered a while after a failover", 3800 * time.Millisecond, unansweredSinceFailover, true},
 	{"sends without receiving", 0, func(_ *controller, m *machine, _ *partition) { m.leaseLostWhileHeard = true }, true},
 	{"sends without receiving, as most do", 0, func(_ *controller, m *machine, p *partition) { m.leaseLostWhileHeard, p.mostNotReceiving = true, true }, false},
 	{"sends without receiving, right after a failover", 0, func(c *controller, m *machine, p *partition) {
@@ -108,7 +108,7 @@
 	}, false},
 }
 
-func failedOverUnanswered(_ *controller, m *machine, p *partition) {
+func unansweredSinceFailover(_ *controller, m *machine, p *partition) {
 	p.ownedSince, m.heartbeatAt, m.commandState.unanswered = m.heartbeatAt, time.Time{}, 2
 	m.lastMessageAt = time.Time{}
 }
@@ -118,9 +118,9 @@
 }
 
 func TestMachineSeemsUnreachable(t *testing.T) {
-	for _, x := range unreachableRows {
+	for _, x := range unreachableTests {
 		c := newTestController(t)
-		m, p := heardMachine(c)
+		m, p := newHeardMachine(c)
 		c.now = c.now.Add(x.after)
 		if x.change != nil {
 			x.change(c, m, p)
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -65,7 +65,7 @@
 		c.loans[name] = loan
 	}
 	loan.MachineLoan, loan.revision = *v, revision
-	if !c.updatePartition(m) && !loan.Acknowledged {
+	if !c.updateMachinePartition(m) && !loan.Acknowledged {
 		c.sendCommandsNow(m) // stops what the job may preempt
 	}
 }
@@ -73,14 +73,14 @@
 func (a recordApplier) deleteLoan(name string) {
 	m := a.getOrAddMachine(name)
 	delete(a.loans, name)
-	if p := a.partitions[m.hashPartition]; a.updatePartition(m) && p.token != 0 {
+	if p := a.partitions[m.hashPartition]; a.updateMachinePartition(m) && p.token != 0 {
 		p.tokenRaiseDue = true
 	}
 }
 
-// updatePartition takes a machine out of the partition that it was in, if it is in another
+// updateMachinePartition takes a machine out of the partition that it was in, if it is in another
 // now.
-func (c *clusterState) updatePartition(m *machine) bool {
+func (c *clusterState) updateMachinePartition(m *machine) bool {
 	before, now := m.partition, c.partitionOfMachine(m)
 	if now == before {
 		return false
@@ -117,7 +117,7 @@
 			return false
 		}
 		bound, cell := group.binding(x.task.Number), p.cells.Cell(x.task)
-		if bound == nil || cell == nil || cell.State != scheduling.CellUsed || !m.runs(taskName(group.job.id, bound.task), bound) {
+		if bound == nil || cell == nil || cell.State != scheduling.CellUsed || !m.isRunning(taskName(group.job.id, bound.task), bound) {
 			return false
 		}
 	}
@@ -125,7 +125,7 @@
 }
 
 // runs tells whether a machine's newest heartbeat shows an attempt running.
-func (m *machine) runs(task string, bound *binding) bool {
+func (m *machine) isRunning(task string, bound *binding) bool {
 	return slices.ContainsFunc(m.tasks, func(t wire.TaskStatus) bool {
 		return t.Task == task && t.Attempt == bound.attempt && t.State == wire.Running && bound.incarnation == m.incarnation
 	})
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -101,7 +101,7 @@
 
 // introduce notes what others have said of a machine: its address, and an incarnation of its
 // agent. Only the machine's own heartbeats tell more.
-func (m *machine) introduce(addr string, incarnation uint64) {
+func (m *machine) mergeIdentity(addr string, incarnation uint64) {
 	if m.addr == "" {
 		m.addr = addr
 	}
@@ -111,9 +111,9 @@
 }
 
 // removeMachines takes machines out of a partition's list.
-func (p *partition) removeMachines(leaves func(*machine) bool) {
+func (p *partition) removeMachines(shouldRemove func(*machine) bool) {
 	p.machines = slices.DeleteFunc(p.machines, func(m *machine) bool {
-		if !leaves(m) {
+		if !shouldRemove(m) {
 			return false
 		}
 		m.inPartitionList = false
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -14,7 +14,7 @@
 )
 
 // A machine that is cut off or fails everything doesn't hold work up for long.
-func TestBadMachines(t *testing.T) {
+func TestFaultyMachinesDoNotBlockWork(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
 		c.await("the service runs", time.Minute, func() bool { return c.env.Running("wk-1") == 3 })
@@ -276,7 +276,7 @@
 
 // Jobs that fail wherever they are put don't speak against machines; a machine on which
 // others' tasks fail is cordoned; and neither is barred from the other for good.
-func TestFailuresBlameMachineOrJob(t *testing.T) {
+func TestFailuresAreAttributedToMachineOrJob(t *testing.T) {
 	c := newTestController(t)
 	job := func(id string) *job {
 		c.replica.Put(jobKey(id), marshalJSON(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 9, CPUs: 1, Team: "t"}}), uint64(len(c.jobs))+5)
@@ -306,7 +306,7 @@
 	if !c.avoidsJob(failing, good) {
 		t.Error("the job is put there again at once")
 	}
-	c.now = c.now.Add(jobAvoidance + time.Second)
+	c.now = c.now.Add(jobAvoidanceTime + time.Second)
 	if c.avoidsJob(failing, good) {
 		t.Error("the machine is barred to the job for good")
 	}
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -19,7 +19,7 @@
 // PutValue takes in a value that is new or has changed.
 func (a recordApplier) PutValue(key string, value json.RawMessage, revision uint64) {
 	if err := a.decodeRecord(key, value, revision); err != nil {
-		a.noteUndecodable(key, err)
+		a.reportUndecodable(key, err)
 	}
 }
 
@@ -85,18 +85,18 @@
 }
 
 // decodeInto takes a value in if it can be decoded.
-func decodeInto[T any](raw json.RawMessage, take func(T)) error {
+func decodeInto[T any](raw json.RawMessage, apply func(T)) error {
 	var v T
 	if err := wire.Decode(raw, &v); err != nil {
 		return err
 	}
-	take(v)
+	apply(v)
 	return nil
 }
 
-// noteUndecodable names a record that this version can't decode. Nothing is guessed: its job
+// reportUndecodable names a record that this version can't decode. Nothing is guessed: its job
 // is neither assigned nor ended, and its user is told to come back.
-func (a recordApplier) noteUndecodable(key string, err error) {
+func (a recordApplier) reportUndecodable(key string, err error) {
 	a.log.Error("stored record can't be decoded; it is left alone", "key", key, "err", err)
 	a.metrics.count(countUndecodableValues, 1)
 	var job *job
@@ -105,7 +105,7 @@
 		job = a.getOrAddJob(name)
 	case groupKind:
 		a.rollout.unreadableGroups[key] = true
-		if id, _, ok := splitGroupKey(key); ok {
+		if id, _, ok := parseGroupKey(key); ok {
 			job = a.getOrAddJob(id)
 		}
 	default:
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -63,10 +63,10 @@
 }
 
 // newClusterState returns the state of a controller that knows nothing yet.
-func newClusterState(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger, out dependencies) *clusterState {
-	s := &cfg.Settings
+func newClusterState(ctx context.Context, cfg *config.Platform, operator *config.Operator, log *slog.Logger, deps dependencies) *clusterState {
+	settings := &cfg.Settings
 	loop, jobs, machines := newEventLoop(ctx), newCatalog(), newMachineRegistry()
-	client := store.NewClient(cfg.External.Store, out.store)
+	client := store.NewClient(cfg.External.Store, deps.store)
 	c := &clusterState{
 		eventLoop:       loop,
 		catalog:         jobs,
@@ -74,31 +74,31 @@
 		cellRegistry:    newCellRegistry(loop, jobs, machines),
 
 		cfg:          cfg,
-		operator:     op,
+		operator:     operator,
 		log:          log.With("node", cfg.Name),
 		metrics:      newMetrics(),
 		processID:    newProcessID(),
 		startedAt:    loop.now,
-		maxStaleness: config.MaxStaleness(s.Workers.CancelS, s.Workers.LeaseS),
-		leaseExpiry:  config.LeaseExpiry(s.Workers.CancelS, s.Workers.LeaseS),
+		maxStaleness: config.MaxStaleness(settings.Workers.CancelS, settings.Workers.LeaseS),
+		leaseExpiry:  config.LeaseExpiry(settings.Workers.CancelS, settings.Workers.LeaseS),
 
 		stateClient: client,
-		stateWriter: store.NewWriter(client, s.Store.TxnOps, s.Store.WriteRPS, s.Count, out.jitter),
+		stateWriter: store.NewWriter(client, settings.Store.TxnOps, settings.Store.WriteRPS, settings.Count, deps.jitter),
 		peers:       peer.NewRegistry(peerNames(cfg.Peers)),
 
 		objectiveSeconds: cfg.ObjectiveSeconds(),
-		maxGroupTasks:    maxBindingsFor(s.Store.ValueKB),
-		rollout:          newRolloutState(cfg, op),
+		maxGroupTasks:    maxBindingsPerGroup(settings.Store.ValueKB),
+		rollout:          newRolloutState(cfg, operator),
 		schedulingPass:   1,
 	}
 	c.storeOutage = outage.NewMonitor(c.log, "key-value store", storeOutageGracePeriod)
-	for _, t := range s.Teams {
+	for _, t := range settings.Teams {
 		c.getOrAddTeam(t.Name)
 	}
-	for n := range s.Count {
+	for n := range settings.Count {
 		c.partitions = append(c.partitions, &partition{index: n, key: c.rollout.leaseKeys.Partition(n)})
 	}
-	c.partitions = append(c.partitions, &partition{index: s.Count, key: c.leaderKey()})
+	c.partitions = append(c.partitions, &partition{index: settings.Count, key: c.leaderKey()})
 	return c
 }
 
--- a/internal/controller/task_group.go
+++ b/internal/controller/task_group.go
@@ -65,7 +65,7 @@
 }
 
 // binds tells whether an attempt of a task is bound to a machine already.
-func (group *taskGroup) binds(number int32, attempt uint64, m *machine) bool {
+func (group *taskGroup) isBoundTo(number int32, attempt uint64, m *machine) bool {
 	bound := group.binding(number)
 	return bound != nil && bound.machine == m && bound.attempt == attempt
 }
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -21,18 +21,18 @@
 // Its decoder ignores fields that it does not know and drops them when it writes, so a
 // field that is not here must not matter to us.
 type (
-	oldJob struct {
-		Fate int       `json:"f"`
-		At   int64     `json:"at,omitempty"`
-		Job  *wire.Job `json:"j,omitempty"`
-	}
-	oldGroup struct {
-		Part  int    `json:"p"`
-		Zone  string `json:"z,omitempty"`
-		Own   bool   `json:"o,omitempty"`
-		Done  int    `json:"d,omitempty"`
-		Cap   int    `json:"c,omitempty"`
-		Tasks []struct {
+	productionJob struct {
+		FinalState   int       `json:"f"`
+		AcceptedAtMS int64     `json:"at,omitempty"`
+		Spec         *wire.Job `json:"j,omitempty"`
+	}
+	productionGroup struct {
+		Partition  int    `json:"p"`
+		Zone       string `json:"z,omitempty"`
+		Guaranteed bool   `json:"o,omitempty"`
+		Done       int    `json:"d,omitempty"`
+		Throttle   int    `json:"c,omitempty"`
+		Tasks      []struct {
 			Num     int32  `json:"i"`
 			Attempt uint64 `json:"a,omitempty"`
 			Machine string `json:"m,omitempty"`
@@ -40,16 +40,16 @@
 			Addr    string `json:"h,omitempty"`
 		} `json:"t"`
 	}
-	oldHolder struct {
-		Node string `json:"n"`
-		Boot string `json:"b"`
+	productionHolder struct {
+		Node      string `json:"n"`
+		ProcessID string `json:"b"`
 	}
-	oldLend struct {
-		Job   string `json:"j"`
-		Level int    `json:"l"`
-		Own   bool   `json:"o,omitempty"`
-		Team  string `json:"t"`
-		Ack   bool   `json:"a,omitempty"`
+	productionLoan struct {
+		Job          string `json:"j"`
+		Priority     int    `json:"l"`
+		Guaranteed   bool   `json:"o,omitempty"`
+		Team         string `json:"t"`
+		Acknowledged bool   `json:"a,omitempty"`
 	}
 )
 
@@ -59,7 +59,7 @@
 var earlierVersions = []string{"production", "0da4f63"}
 
 // fixture is a record or frame as an earlier version wrote it.
-func fixture(t *testing.T, version, name string) []byte {
+func readFixture(t *testing.T, version, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", version, name))
 	if err != nil {
@@ -68,8 +68,8 @@
 	return raw
 }
 
-// storedForm is what a fixture of a record is read into; nil: it is none.
-func storedForm(name string) any {
+// newStoredValue is what a fixture of a record is read into; nil: it is none.
+func newStoredValue(name string) any {
 	switch kind, _, _ := strings.Cut(strings.TrimSuffix(name, ".json"), "-"); kind {
 	case "job":
 		return &record.Job{}
@@ -96,11 +96,11 @@
 			t.Fatalf("%d fixtures of %s: %v", len(files), version, err)
 		}
 		for _, f := range files {
-			v := storedForm(f.Name())
+			v := newStoredValue(f.Name())
 			if v == nil {
 				continue
 			}
-			raw := fixture(t, version, f.Name())
+			raw := readFixture(t, version, f.Name())
 			if err := wire.Decode(raw, v); err != nil {
 				t.Errorf("%s of %s: %v", f.Name(), version, err)
 			}
@@ -111,31 +111,31 @@
 	}
 }
 
-// readByProduction tells what the version in production can't read of a stored value, or
+// checkReadableByProduction tells what the version in production can't read of a stored value, or
 // would lose when it writes it again; and whether what it takes for a gang is one.
-func readByProduction(key string, raw []byte) error {
+func checkReadableByProduction(key string, raw []byte) error {
 	var v any
 	switch {
 	case isRolloutKey(key) || strings.HasPrefix(key, "e/epoch/"):
 		// It takes these for holders of rights that it has no use for, and never writes them.
-		return wire.Decode(raw, &oldHolder{})
+		return wire.Decode(raw, &productionHolder{})
 	case record.EncodingOf(raw) == record.Checksummed:
-		if err := wire.Decode(raw, &oldGroup{}); err == nil {
+		if err := wire.Decode(raw, &productionGroup{}); err == nil {
 			return fmt.Errorf("%s: the version in production takes %s for a group", key, raw)
 		}
 		return nil
 	case strings.HasPrefix(key, groupPrefix):
-		v = &oldGroup{}
+		v = &productionGroup{}
 	case strings.HasPrefix(key, jobPrefix):
-		v = &oldJob{}
+		v = &productionJob{}
 	case strings.HasPrefix(key, loanPrefix):
-		v = &oldLend{}
+		v = &productionLoan{}
 	case strings.HasPrefix(key, tombstonePrefix):
 		v = &[]string{}
 	case key == machineTypesKey:
 		v = &[]wire.MachineType{}
 	default:
-		v = &oldHolder{}
+		v = &productionHolder{}
 	}
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
@@ -163,29 +163,29 @@
 		if e.Put == "" {
 			continue
 		}
-		if err := readByProduction(e.Put, e.Value); err != nil && !c.writtenByTest[e.Put] {
+		if err := checkReadableByProduction(e.Put, e.Value); err != nil && !c.writtenByTest[e.Put] {
 			c.t.Error(err)
 			return
 		}
 		if id, ok := strings.CutPrefix(e.Put, jobPrefix); ok {
-			var v oldJob
+			var v productionJob
 			_ = json.Unmarshal(e.Value, &v)
-			gangs[id] = gangs[id] || v.Job != nil && v.Job.Gang
+			gangs[id] = gangs[id] || v.Spec != nil && v.Spec.Gang
 		}
-		id, _, ok := splitGroupKey(e.Put)
+		id, _, ok := parseGroupKey(e.Put)
 		if !ok || !strings.HasPrefix(e.Put, groupPrefix) || !gangs[id] {
 			continue
 		}
 		if v, _, err := record.DecodeTaskGroup(e.Put, e.Value); err == nil {
-			if err := oneAttempt(v); err != nil {
+			if err := checkSameAttempt(v); err != nil {
 				c.t.Errorf("%s: %v", e.Put, err)
 			}
 		}
 	}
 }
 
-// oneAttempt checks that bound tasks of a gang's record have one attempt.
-func oneAttempt(v *record.TaskGroup) error {
+// checkSameAttempt checks that bound tasks of a gang's record have one attempt.
+func checkSameAttempt(v *record.TaskGroup) error {
 	attempt := uint64(0)
 	for _, task := range v.Tasks {
 		if task.Machine == "" {
@@ -212,7 +212,7 @@
 	entries := []binding{{task: 0, attempt: 2, machine: m, incarnation: 2}, {task: 1, attempt: 2}, {task: 2, attempt: 2, machine: m, incarnation: 2}}
 	strict := func(key string, raw []byte) {
 		t.Helper()
-		if err := readByProduction(key, raw); err != nil {
+		if err := checkReadableByProduction(key, raw); err != nil {
 			t.Error(err)
 		}
 	}
@@ -227,13 +227,13 @@
 // Frames between controllers are the same in both versions, to the byte.
 func TestFramesOfEarlierVersions(t *testing.T) {
 	for _, version := range earlierVersions {
-		framesOf(t, version)
+		checkFrameFixture(t, version)
 	}
 }
 
-func framesOf(t *testing.T, version string) {
+func checkFrameFixture(t *testing.T, version string) {
 	t.Helper()
-	raw := fixture(t, version, "status.bin")
+	raw := readFixture(t, version, "status.bin")
 	s, err := peer.ReadStatus(bytes.NewReader(raw))
 	if err != nil {
 		t.Fatal(err)
