--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -9,15 +9,16 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// catalog is the index of jobs and task groups. A job stays in it until it is final and all
-// of its task groups are deleted; then it is archived, and only its final state is kept.
+// catalog indexes jobs and task groups. A job stays in it until it is final and all of its task
+// groups are deleted. It is then archived: only its final state is kept.
 type catalog struct {
-	// jobs are those that are not archived; finished has the final states of the others.
+	// jobs holds the jobs that are not archived, finalStates the final states of archived jobs.
 	jobs        map[string]*job
 	finalStates map[string]record.FinalState
-	// unfinished are the jobs that are not final, and some that are and not archived yet.
+	// activeJobs holds the jobs that have no final state yet, and final ones that are not
+	// archived yet.
 	activeJobs  []*job
-	groups      []*taskGroup // by dense index; nil where deleted
+	groups      []*taskGroup // by scheduling.TaskGroupIndex; nil if deleted
 	groupByKey  map[string]*taskGroup
 	teamIndexes map[string]scheduling.TeamIndex
 }
@@ -29,7 +30,7 @@
 	}
 }
 
-// lookupJob is the job of that id, if one was ever accepted.
+// lookupJob returns the job with the given ID, or nil if no such job was ever accepted.
 func (c *catalog) lookupJob(id string) *job {
 	if j := c.jobs[id]; j != nil && j.revision != 0 {
 		return j
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// job is the job of that id; one that was never seen is added.
+// getOrAddJob returns the job with the given ID and adds it if it is unknown.
 func (c *catalog) getOrAddJob(id string) *job {
 	j := c.jobs[id]
 	if j == nil {
@@ -53,8 +54,8 @@
 	return j
 }
 
-// addToActiveJobs puts a job among the unfinished ones, which the leader goes through. Jobs are
-// remembered for ever: a pass must not cost more for each that has ever been.
+// addToActiveJobs adds a job to the active jobs, over which the leader iterates. Final states
+// are kept forever, so the cost of a pass must not grow with the number of past jobs.
 func (c *catalog) addToActiveJobs(j *job) {
 	if !j.inActiveJobs {
 		j.inActiveJobs = true
@@ -62,11 +63,11 @@
 	}
 }
 
-// archiveFinishedJobs archives the jobs that are final and have no task groups left. Of each no
-// more is kept than its final state, for ever: some fifty bytes a job. That nothing of it is
-// left is known only once all changes before its last one are: a task group that was stored
-// before a cancellation by this controller may be read after it, and its tasks count for
-// the team's quota.
+// archiveFinishedJobs archives the jobs that are final and have no task groups left. Only the
+// final state of an archived job is kept, forever, at about fifty bytes per job. A job is known
+// to have no task groups left only once the replica has all changes before the job's last one:
+// a task group that was stored before a cancellation by this controller may be read after it,
+// and its tasks count toward the team's quota.
 func (c *catalog) archiveFinishedJobs(records *replica.Replica) {
 	c.activeJobs = slices.DeleteFunc(c.activeJobs, func(j *job) bool {
 		if !j.isArchivable(records.Cursor()) || j.hasUnreadableRecords() {
@@ -75,12 +76,13 @@
 		j.inActiveJobs = false
 		c.finalStates[j.id] = j.finalState
 		delete(c.jobs, j.id)
-		records.Forget(jobKey(j.id)) // never written again
+		records.Forget(jobKey(j.id)) // the record is never written again
 		return true
 	})
 }
 
-// team is the index of a team; one that is not configured gets the next.
+// getOrAddTeam returns the index of a team. A team that is not configured gets the next free
+// index.
 func (c *catalog) getOrAddTeam(name string) scheduling.TeamIndex {
 	t, ok := c.teamIndexes[name]
 	if !ok {
@@ -90,7 +92,7 @@
 	return t
 }
 
-// newGroup adds a task group that has not been seen before.
+// newGroup adds a task group that was unknown so far.
 func (c *catalog) newGroup(key, id string, number int, now time.Time) *taskGroup {
 	job := c.getOrAddJob(id)
 	group := &taskGroup{
@@ -107,7 +109,7 @@
 	return group
 }
 
-// removeGroup removes a task group that is stored no more.
+// removeGroup removes a task group whose record was deleted.
 func (c *catalog) removeGroup(group *taskGroup) {
 	group.job.groups = slices.DeleteFunc(group.job.groups, func(other *taskGroup) bool { return other == group })
 	delete(c.groupByKey, group.key)
--- a/internal/controller/cordons.go
+++ b/internal/controller/cordons.go
@@ -7,32 +7,36 @@
 )
 
 const (
-	// failedTaskBackoff is how long nothing is placed on a machine after a task failed there:
-	// until it is known whether machine or job is at fault. A faulty machine fails what it
-	// gets at once, and would take in a whole job array.
+	// failedTaskBackoff is how long no task is placed on a machine after a task failed there,
+	// until it is known whether the machine or the job is at fault. A faulty machine fails its
+	// tasks at once, and would use up a whole job array.
 	failedTaskBackoff = 5 * time.Second
-	// refusedStartBackoff is the same after it refused a start: until its heartbeats show what
-	// it has.
+	// refusedStartBackoff is the equivalent after the machine refused a start, until its
+	// heartbeats show what it is running.
 	refusedStartBackoff = time.Second
 
-	// failedMachinesThreshold is on how many machines a job's tasks have failed when that begins
-	// to speak against the job.
+	// failedMachinesThreshold is the number of machines on which a job's tasks have failed from
+	// which the job itself is suspected.
 	failedMachinesThreshold = 3
-	// A job that failed there rests for minFailedJobBackoff, and twice as long with each
-	// further machine, up to maxFailedJobBackoff.
+	// From failedMachinesThreshold on, a job's tasks are not placed for minFailedJobBackoff.
+	// Each further machine doubles the delay, at most maxFailedJobDoublings times and up to
+	// maxFailedJobBackoff.
 	minFailedJobBackoff   = time.Second
 	maxFailedJobBackoff   = 30 * time.Second
 	maxFailedJobDoublings = 5
 
-	// cordonThreshold is how many jobs' tasks a machine has failed when it is cordoned.
+	// cordonThreshold is the number of jobs whose tasks must have failed on a machine before it
+	// is cordoned.
 	cordonThreshold = 2
-	// jobAvoidanceTime is how long a machine that failed a job's task gets none of it. It may be
-	// the only one that fits, and have been faulty for a while only: with no limit the job
-	// waited for ever beside an empty machine.
+	// jobAvoidanceTime is how long a job's tasks are not placed on a machine that failed one of
+	// them. The time is limited because the machine may be the only one that fits and may have
+	// been faulty only temporarily: without a limit, the job waited forever next to an empty
+	// machine.
 	jobAvoidanceTime = time.Minute
 )
 
-// handleTaskEnd learns from why a task exited.
+// handleTaskEnd updates the state of the machine and the job according to the reason why a task
+// exited.
 func (c *partitionOwner) handleTaskEnd(m *machine, j *job, reason string) {
 	switch reason {
 	case wire.ReasonDone:
@@ -45,9 +49,9 @@
 	}
 }
 
-// handleTaskFailure notes that a task exited with an error. A machine that fails tasks of
+// handleTaskFailure handles a task that exited with an error. A machine that fails tasks of
 // several jobs is faulty; a job that fails on several machines was submitted with a mistake.
-// Until it is clear which of them it is, both rest.
+// Until the cause is clear, both the machine and the job back off.
 func (c *partitionOwner) handleTaskFailure(m *machine, j *job) {
 	m.failedJobs[j.id] = c.now
 	if j.failedMachines == nil {
@@ -68,8 +72,8 @@
 	c.log.Info("task failed", "job", j.id, "machine", m.name)
 }
 
-// failsEverywhere tells whether a job fails on every machine, as one does that was submitted
-// with a mistake: it has failed on several, and no task of it has completed.
+// failsEverywhere reports whether a job appears to fail on every machine because it was
+// submitted with a mistake: its tasks have failed on several machines and none has completed.
 func (j *job) failsEverywhere() bool {
 	if len(j.failedMachines) < failedMachinesThreshold {
 		return false
@@ -78,9 +82,10 @@
 	return finished == 0
 }
 
-// updateCordon cordons a machine that has lately failed tasks of several jobs, or ends that.
-// Jobs that fail everywhere don't count: two of them, failing on each machine in turn, would
-// have the whole fleet drained and terminated.
+// updateCordon cordons a machine on which tasks of several jobs failed recently, and uncordons
+// it when that no longer holds. Jobs that fail everywhere don't count: otherwise two such jobs,
+// failing on one machine after the other, would cause the whole fleet to be drained and
+// terminated.
 func (c *partitionOwner) updateCordon(m *machine) {
 	failed := 0
 	for id, at := range m.failedJobs {
@@ -96,7 +101,8 @@
 	}
 }
 
-// avoidsJob tells whether a machine gets no task of a job at present.
+// avoidsJob reports whether no task of the job may currently be placed on the machine because
+// one failed there recently.
 func (c *clusterState) avoidsJob(m *machine, j *job) bool {
 	at, failed := m.failedJobs[j.id]
 	return failed && c.now.Sub(at) < jobAvoidanceTime
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -9,20 +9,21 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// What the controller does when it gains or loses leased keys. The keys themselves are the
-// business of package election.
+// This file implements what the controller does when it gains or loses leased keys. The keys
+// themselves are managed by package election.
 
 const (
-	// minTokenRaiseInterval spaces rewrites of one partition's key.
+	// minTokenRaiseInterval is the minimum time between two token raises of a partition.
 	minTokenRaiseInterval = 4 * time.Second
-	// recentHeartbeatWindow is how long after its last heartbeat a machine counts as one that
-	// should be heard.
+	// recentHeartbeatWindow is how long after its last heartbeat a machine is expected to send
+	// another one.
 	recentHeartbeatWindow = time.Minute
-	// peerStatusTimeout is how long what a peer told of its workers is relied on.
+	// peerStatusTimeout is how long a peer's status report about its workers is relied on.
 	peerStatusTimeout = 4 * time.Second
 )
 
-// leaseKeys lists the keys that controllers campaign for, out of a set of names for them.
+// leaseKeys returns the keys that controllers campaign for: the leader's and those of all
+// partitions.
 func leaseKeys(keys rollout.Keys, partitions int) []string {
 	list := []string{keys.Leader()}
 	for n := range partitions {
@@ -31,7 +32,7 @@
 	return list
 }
 
-// eligible tells whether this controller should hold leased keys.
+// isEligible reports whether this controller should hold leased keys.
 func (c *clusterState) isEligible() bool {
 	return c.isFresh(c.operator.LeaseTTL) && !c.election.BackingOff() && c.rollout.refusal == nil
 }
@@ -49,7 +50,7 @@
 	c.election.Campaign(candidates, c.leaderKey(), peerView{c})
 }
 
-// stepDownIfUnreachable hands keys back that others can make better use of.
+// stepDownIfUnreachable gives up keys that other controllers are in a better position to hold.
 func (c *controller) stepDownIfUnreachable() {
 	workers, peers := workerContact{c}, peerView{c}
 	c.election.StepDownIfUnheard(workers, peers)
@@ -60,7 +61,7 @@
 	c.election.StepDownIfIsolated(c.leaderKey(), c.leadership.startedAt, keys, workers, peers)
 }
 
-// KeyAcquired begins to act as the owner of a partition, or as the leader.
+// KeyAcquired starts acting as the owner of a partition or as the leader.
 func (c *controller) KeyAcquired(key string, token uint64) {
 	if key == c.leaderKey() {
 		c.becomeLeader(token)
@@ -72,7 +73,7 @@
 	}
 }
 
-// KeyLost drops all that only the holder of a key may decide on.
+// KeyLost drops the state that only the holder of the key may use.
 func (c *controller) KeyLost(key string) {
 	if key == c.leaderKey() {
 		c.leadership = leadership{}
@@ -87,8 +88,8 @@
 	}
 }
 
-// TokenRaised has a partition's machines hear its new token, which fences what was sent to
-// them under the one before.
+// TokenRaised sends a partition's new token to its machines, which fences the commands that
+// were sent under the previous token.
 func (c *controller) TokenRaised(key string, token uint64) {
 	for _, p := range c.partitions {
 		if p.key != key {
@@ -108,8 +109,8 @@
 	}
 }
 
-// raiseToken rewrites a partition's key: a higher token, which fences commands that may
-// still be under way.
+// raiseToken rewrites a partition's key to obtain a higher token, which fences commands that
+// may still be in flight. It does nothing within minTokenRaiseInterval of the previous raise.
 func (c *partitionOwner) raiseToken(p *partition) {
 	if c.now.Sub(p.tokenRaiseRequestedAt) < minTokenRaiseInterval {
 		return
@@ -119,23 +120,24 @@
 	}
 }
 
-// takeOverPartition takes a partition over: the replica is read once more, so that it has
-// all that former owners stored, then the cells are rebuilt from it.
+// takeOverPartition prepares a newly acquired partition. The replica is read once more so that
+// it has everything that former owners stored; then activatePartition rebuilds the cells from
+// it.
 func (c *controller) takeOverPartition(p *partition, token uint64) {
 	p.firstToken, p.ownedSince, p.takeoverComplete = token, c.now, false
 	p.recentTokens = nil
 	p.setToken(token)
 	p.cells, p.reservations = scheduling.NewPartition(), map[scheduling.TaskID]reservation{}
-	// A former owner's last read may have begun just before its key went; it may go on
-	// answering heartbeats for the maximum staleness after that. Whether there was one
-	// can't be told here, not even after our own restart: the process before it may have
-	// been a successor itself.
+	// A former owner's last read may have begun just before it lost the key, and it may go on
+	// answering heartbeats for the maximum staleness after that read. This process can't know
+	// whether there was a former owner, not even after its own restart: the process before it
+	// may itself have taken the partition over from another one.
 	p.formerOwnerMaxStaleness = c.maxStaleness
 	c.reader.AfterSuccessfulRead(func() { c.activatePartition(p, token) })
 }
 
-// activatePartition rebuilds a partition's cells from the records and begins to decide on
-// them, unless the partition was lost, or taken over once more, in the meantime.
+// activatePartition rebuilds a partition's cells from the records and starts making decisions
+// for it, unless the partition has been lost or taken over again in the meantime.
 func (c *controller) activatePartition(p *partition, token uint64) {
 	if p.token != token {
 		return
@@ -150,8 +152,8 @@
 		c.adoptBindings(group)
 	}
 	c.learnMachinesFromPeers()
-	// Machines that know us from before, or that peers know, hear the new token at once,
-	// so that they turn to us.
+	// The machines known from earlier or from peers are told the new token at once, so that
+	// they send their heartbeats to this controller.
 	for _, m := range p.machines {
 		if !m.terminated {
 			m.commandState.backoffUntil = time.Time{}
@@ -161,7 +163,7 @@
 	c.requestSchedulingPass()
 }
 
-// learnMachinesFromPeers takes in what peers know of their machines.
+// learnMachinesFromPeers adds the machines that peers report.
 func (c *clusterState) learnMachinesFromPeers() {
 	for _, other := range c.peers.All() {
 		if other.Status == nil {
@@ -177,15 +179,16 @@
 	}
 }
 
-// cancelWrites gives up what waits to be stored under a token that has ended.
+// cancelWrites cancels the pending writes of the partition's groups, whose token is no longer
+// valid.
 func (p *partition) cancelWrites() {
 	for _, group := range p.groups {
 		group.cancelWrite()
 	}
 }
 
-// hasHeardAllMachines tells whether every machine of a partition on which something is bound
-// has been heard since the partition was taken over.
+// hasHeardAllMachines reports whether every machine of the partition with bound tasks has sent
+// a heartbeat since the partition was taken over.
 func (p *partition) hasHeardAllMachines() bool {
 	for _, m := range p.machines {
 		if len(m.bindings) > 0 && !m.heartbeatAt.After(p.ownedSince) {
@@ -195,10 +198,12 @@
 	return true
 }
 
-// workerContact is how workers reach this controller, as package election asks for it.
+// workerContact implements the view of package election on how well workers reach this
+// controller.
 type workerContact struct{ *controller }
 
-// Reporting is how many machines of our partitions have sent a heartbeat of late.
+// Reporting returns how many machines of the owned partitions have sent a heartbeat within
+// recentHeartbeatWindow.
 func (w workerContact) Reporting() int {
 	n := 0
 	for _, p := range w.partitions {
@@ -214,7 +219,8 @@
 	return n
 }
 
-// Heard is what was heard of our partitions' machines within a time.
+// Heard summarizes the heartbeats that the owned partitions' machines sent within the given
+// time.
 func (w workerContact) Heard(within time.Duration) election.Heard {
 	var heard election.Heard
 	for _, p := range w.partitions {
@@ -235,13 +241,13 @@
 	return heard
 }
 
-// LastHeartbeat is when any worker's last heartbeat came.
+// LastHeartbeat returns the time of the last heartbeat from any worker.
 func (w workerContact) LastHeartbeat() time.Time { return w.lastHeartbeatAt }
 
-// ResumedAt is when this process last went on after a pause.
+// ResumedAt returns the time at which this process last resumed after a pause.
 func (w workerContact) ResumedAt() time.Time { return w.resumedFromPauseAt }
 
-// peerView is what is known of the other controllers, as package election asks for it.
+// peerView implements the view of package election on the other controllers.
 type peerView struct{ *controller }
 
 // Eligible reports whether a peer would take keys over.
@@ -250,14 +256,15 @@
 	return p != nil && p.Heard(peer.Timeout, v.now) && p.Status.Eligible
 }
 
-// HeardSince is since when a peer has been heard without a gap.
+// HeardSince returns the time since which status reports from a peer have arrived without a
+// gap.
 func (v peerView) HeardSince(node string) time.Time { return v.peers.Peer(node).HeardSince }
 
-// Silent reports whether there are peers and none of them was heard for d.
+// Silent reports whether there are peers and none of them has been heard from for d.
 func (v peerView) Silent(d time.Duration) bool { return v.peers.Silent(d, v.now) }
 
-// HearWorkers reports whether a machine reports to any peer, and whether all peers have
-// told of late.
+// HearWorkers reports whether any peer receives heartbeats from a machine, and whether all
+// peers have sent a recent status.
 func (v peerView) HearWorkers() (hear, allKnown bool) {
 	allKnown = len(v.cfg.Peers) > 0
 	for _, p := range v.peers.All() {
--- a/internal/controller/group_records.go
+++ b/internal/controller/group_records.go
@@ -7,14 +7,14 @@
 	"eiderhitch/internal/record"
 )
 
-// storedValue is what is known of a value besides its content.
+// storedValue holds the metadata of a stored value.
 type storedValue struct {
 	revision uint64
 	size     int
 	encoding record.Encoding
 }
 
-// putGroupValue takes a stored task group in.
+// putGroupValue decodes and applies the record of a task group.
 func (a recordApplier) putGroupValue(key string, raw json.RawMessage, revision uint64) error {
 	v, encoding, err := record.DecodeTaskGroup(key, raw)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return a.putGroup(key, v, storedValue{revision: revision, size: len(raw), encoding: encoding})
 }
 
-// putGroup takes a task group in.
+// putGroup applies the record of a task group.
 func (a recordApplier) putGroup(key string, v *record.TaskGroup, stored storedValue) error {
 	id, number, ok := parseGroupKey(key)
 	if !ok {
@@ -54,11 +54,12 @@
 	return nil
 }
 
-// releaseDroppedCells gives up the cells that a known task group keeps no longer by its new content.
+// releaseDroppedCells frees the cells that a known task group no longer holds according to its
+// new record.
 func (a recordApplier) releaseDroppedCells(group *taskGroup, v *record.TaskGroup) {
 	if group.partition != v.Partition || group.zone != v.Zone {
-		// A binding of ours that is being stored fails, or came before. What waits
-		// for cells in another zone must not get them there.
+		// A binding that this controller is storing will fail, or was stored earlier. Tasks
+		// that wait for cells must not get them in the previous partition or zone.
 		a.cancelReservations(group, true)
 		group.partitionAssignedAt = a.now
 	}
@@ -69,14 +70,14 @@
 	a.releaseCellsExcept(group, kept)
 }
 
-// setContent sets what a group's record says of the group as a whole.
+// setContent sets the fields of the group that don't concern single tasks from its record.
 func (group *taskGroup) setContent(v *record.TaskGroup, stored storedValue) {
 	group.revision, group.storedSize, group.encoding = stored.revision, stored.size, stored.encoding
 	group.partition, group.zone, group.guaranteed = v.Partition, v.Zone, v.Guaranteed
 	group.doneTasks, group.throttle = v.Done, v.Throttle
 }
 
-// putBindings takes in a group's tasks, with the machines that they are bound to.
+// putBindings replaces the group's bindings and links the bound tasks to their machines.
 func (a recordApplier) putBindings(group *taskGroup, tasks []record.Binding) {
 	bindings, boundCount := make([]binding, 0, len(tasks)), 0
 	for i := range tasks {
@@ -92,8 +93,8 @@
 	group.bindings, group.boundCount = bindings, boundCount
 }
 
-// bindMachine links the machine that a task is bound to with the task. The group has its
-// former bindings still.
+// bindMachine links a bound task to its machine and returns the machine. It must be called
+// while the group still has its previous bindings.
 func (a recordApplier) bindMachine(group *taskGroup, task *record.Binding) *machine {
 	m := a.getOrAddMachine(task.Machine)
 	if m.partition == a.loanPartition() && !group.isBoundTo(task.Task, task.Attempt, m) {
@@ -101,11 +102,11 @@
 	}
 	m.bindings.add(group.task(task.Task), group)
 	m.mergeIdentity(task.Addr, task.Incarnation)
-	a.addToPartition(m) // a terminated one may have been removed
+	a.addToPartition(m) // a terminated machine may have been removed from the list
 	return m
 }
 
-// stopThrottled has the tasks stopped that a group's throttle does not allow.
+// stopThrottled sends the commands that stop the tasks beyond the group's throttle.
 func (a recordApplier) stopThrottled(group *taskGroup) {
 	for i := range group.bindings {
 		if m := group.bindings[i].machine; m != nil && group.exceedsThrottle(group.bindings[i].task) {
@@ -114,7 +115,7 @@
 	}
 }
 
-// deleteGroup forgets a task group.
+// deleteGroup applies the deletion of a task group.
 func (a recordApplier) deleteGroup(key string) {
 	a.markGroupReadable(key)
 	group := a.groupByKey[key]
@@ -131,7 +132,7 @@
 	a.removeGroup(group)
 }
 
-// markGroupReadable notes that a group's record can be decoded, or is deleted.
+// markGroupReadable records that the group's record can be decoded or has been deleted.
 func (a recordApplier) markGroupReadable(key string) {
 	delete(a.rollout.unreadableGroups, key)
 	if id, _, ok := parseGroupKey(key); ok {
@@ -141,16 +142,17 @@
 	}
 }
 
-// unlinkBindings removes a group's tasks from the machines that they are bound to, and from
-// their job.
+// unlinkBindings removes the group's tasks from the machines that they are bound to and from
+// the job's index of tasks.
 func (c *cellRegistry) unlinkBindings(group *taskGroup) {
 	for i := range group.bindings {
 		bound := &group.bindings[i]
 		task := group.task(bound.task)
 		if m := bound.machine; m != nil {
 			m.bindings.remove(task)
-			// Of a machine that is in another partition than the group, as one that was on
-			// loan and failed: adopted there, the cell would stay taken for good.
+			// The machine may be in another partition than the group, for example if it failed
+			// while on loan. A cell adopted in the machine's partition would never be freed
+			// otherwise.
 			if p := c.partitions[m.partition]; p.index != group.partition && p.token != 0 {
 				c.freeCell(p, task)
 			}
--- a/internal/controller/group_size.go
+++ b/internal/controller/group_size.go
@@ -2,36 +2,37 @@
 
 import "eiderhitch/internal/record"
 
-// How large a task group's stored form may be, and what becomes of one that is larger.
+// This file limits the size of a task group's stored value and splits groups that exceed it.
 
-// maxGroupBindings is how many tasks a group has at the most.
+// maxGroupBindings is the maximum number of tasks in a group.
 const maxGroupBindings = 128
 
-// The usual size of a group's stored form, by which its tasks are counted: for each binding,
-// and for all the rest.
+// The typical size of a group's stored value, used to limit the number of its tasks: the bytes
+// for each binding, and for everything else.
 const (
 	bindingBytes       = 72
 	groupOverheadBytes = 128
 	bytesPerKB         = 1024
 )
 
-// maxBindingsPerGroup keeps a task group within the key-value store's limit of a value, by the
-// usual size of a binding. One that gets larger all the same is split (splitToFit).
+// maxBindingsPerGroup returns how many tasks of typical size fit into the key-value store's
+// limit for a value. A group that exceeds the limit nevertheless is split by splitToFit.
 func maxBindingsPerGroup(valueKB float64) int {
 	return max(1, min(maxGroupBindings, int(valueKB*bytesPerKB-groupOverheadBytes)/bindingBytes))
 }
 
-// maxValueBytes is how large a stored value may be.
+// maxValueBytes returns the maximum size of a stored value in bytes.
 func (c *clusterState) maxValueBytes() int { return int(c.cfg.Settings.Store.ValueKB * bytesPerKB) }
 
-// encodeGroup is a task group with other bindings, in the encoding that is written now.
+// encodeGroup encodes a task group with the given bindings in the encoding that is currently
+// written.
 func (c *clusterState) encodeGroup(group *taskGroup, done int, bindings []binding) record.Content {
 	return group.toRecord(done, bindings).Encode(c.writeEncoding())
 }
 
-// splitToFit is a task group's stored form, in as many pieces as the limit of a value asks
-// for: one that was written while more was allowed, or whose names are long, is split when it
-// is written again. The first piece is the group itself.
+// splitToFit encodes a task group in as many pieces as the limit for a value requires. A group
+// exceeds the limit if it was written under a higher one or has long names, and is split when
+// it is written again. The first piece replaces the group itself.
 func (c *clusterState) splitToFit(group *taskGroup, done int, bindings []binding) []record.Content {
 	content := c.encodeGroup(group, done, bindings)
 	if content.Size() <= c.maxValueBytes() || len(bindings) < 2 {
@@ -46,8 +47,8 @@
 	return append(c.splitToFit(&first, done, stay), c.splitToFit(&second, 0, leave)...)
 }
 
-// splitThrottle splits the throttle of a group over two pieces, which together may run no more
-// than before: each keeps what is bound.
+// splitThrottle divides the throttle of a group between two pieces. Together they may run no
+// more tasks than before, and each keeps its bound tasks.
 func splitThrottle(throttle int, stay, leave []binding) (first, second int) {
 	boundFirst, boundSecond := countBoundBindings(stay), countBoundBindings(leave)
 	free := max(0, throttle-1-boundFirst-boundSecond)
@@ -56,7 +57,7 @@
 	return 1 + boundFirst + freeFirst, 1 + boundSecond + freeSecond
 }
 
-// countBoundBindings counts the bindings that name a machine.
+// countBoundBindings returns the number of bindings with a machine.
 func countBoundBindings(bindings []binding) int {
 	n := 0
 	for i := range bindings {
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -9,18 +9,20 @@
 	"eiderhitch/internal/wire"
 )
 
-// heartbeatSource is how a heartbeat has come.
+// heartbeatSource says how a heartbeat reached the controller.
 type heartbeatSource int
 
 const (
-	// workerRequest: the worker sent it by itself. The response may renew its lease.
+	// workerRequest is a heartbeat that the worker sent on its own. The response may renew the
+	// worker's lease.
 	workerRequest heartbeatSource = iota
-	// directCommandResponse: it is the answer to a direct command, which shows that the machine
-	// receives what it is sent, and renews no lease.
+	// directCommandResponse is a heartbeat in the answer to a direct command. It proves that
+	// the machine receives requests, but renews no lease.
 	directCommandResponse
 )
 
-// handleHeartbeat takes a worker's heartbeat in and answers it.
+// handleHeartbeat applies a worker's heartbeat and returns the response, with commands for the
+// worker if it carries news.
 func (c *controller) handleHeartbeat(heartbeat *wire.Heartbeat) api.Response {
 	c.metrics.count(countHeartbeats, 1)
 	c.lastHeartbeatAt = c.now
@@ -36,9 +38,9 @@
 	if refusal, refused := c.refuseHeartbeat(heartbeat, p); refused {
 		return refusal
 	}
-	// The response renews the lease from when the heartbeat was sent. One that is not new
-	// was sent before the newest came in. It may be a copy that arrives long after its
-	// machine died, and must not put off the proof that the machine's lease has expired.
+	// The response renews the lease from the time the heartbeat was sent. An outdated heartbeat
+	// was sent before the newest one arrived. It may be a copy that arrives long after its
+	// machine died, and must not delay the proof that the machine's lease has expired.
 	sentBefore := m.lastMessageAt
 	newer := c.applyHeartbeat(m, heartbeat, p, workerRequest)
 	if newer {
@@ -57,7 +59,8 @@
 	return api.Response{Status: http.StatusOK, Body: response}
 }
 
-// refuseHeartbeat returns the response to a heartbeat that this controller may not act on.
+// refuseHeartbeat returns the response to a heartbeat that this controller must not act on.
+// refused is false if it may act on it.
 func (c *controller) refuseHeartbeat(heartbeat *wire.Heartbeat, p *partition) (refusal api.Response, refused bool) {
 	if p.token == 0 {
 		holder, ok := c.election.Holder(p.key)
@@ -68,18 +71,19 @@
 		return api.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Node: holder.Node}}, true
 	}
 	if heartbeat.Token > p.token {
-		// A later owner has spoken to it: this one has been replaced.
+		// A later owner has contacted the machine, so this controller has been replaced.
 		return api.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{}}, true
 	}
 	if !c.isFresh(c.maxStaleness) {
-		// Somebody may have told a user "cancelled" meanwhile: see config.MaxStaleness.
+		// Another controller may have confirmed a cancellation to a user since the last read;
+		// see config.MaxStaleness.
 		return api.Response{Status: http.StatusServiceUnavailable, Reason: "state service out of reach"}, true
 	}
 	return api.Response{}, false
 }
 
-// applyHeartbeat takes in what a machine says, if it is newer than what is known of it, and
-// tells whether it is.
+// applyHeartbeat updates the state of a machine from a heartbeat and reports whether the
+// heartbeat was newer than what was known.
 func (c *partitionOwner) applyHeartbeat(m *machine, heartbeat *wire.Heartbeat, p *partition, source heartbeatSource) bool {
 	if !m.isNewer(heartbeat) {
 		return false
@@ -102,7 +106,7 @@
 		c.reconcile(m, p)
 	}
 	if source == workerRequest && (m.leaseLostWhileHeard || !p.isOwnToken(m.token)) {
-		c.ping(m, p) // if it receives anything, its answer shows the present token
+		c.ping(m, p) // an answer proves that the machine receives requests and shows the current token
 	}
 	if changesDecisions {
 		c.requestSchedulingPass()
@@ -110,13 +114,14 @@
 	return true
 }
 
-// isNewer tells whether a heartbeat is newer than all that the machine has sent so far.
+// isNewer reports whether a heartbeat is newer than all heartbeats received from the machine so
+// far.
 func (m *machine) isNewer(heartbeat *wire.Heartbeat) bool {
 	return heartbeat.Incarnation > m.incarnation ||
 		heartbeat.Incarnation == m.incarnation && heartbeat.Sequence > m.sequence
 }
 
-// updateIdentity takes in what a heartbeat says of the machine and its agent.
+// updateIdentity takes over what a heartbeat says about the machine and its agent.
 func (m *machine) updateIdentity(heartbeat *wire.Heartbeat) {
 	m.incarnation = heartbeat.Incarnation
 	m.sequence = heartbeat.Sequence
@@ -127,8 +132,9 @@
 	m.spot = heartbeat.Spot
 }
 
-// beginIncarnation notes that a machine's lease expired: its agent has ended all tasks and
-// forgotten them, and refuses what is sent to the earlier incarnation.
+// handleNewIncarnation handles an agent's new incarnation, which means that its lease had
+// expired: the agent has stopped and forgotten all of its tasks, and rejects commands for the
+// previous incarnation.
 func (c *partitionOwner) handleNewIncarnation(m *machine, incarnation uint64) {
 	c.log.Info("machine begins a new incarnation", "machine", m.name, "incarnation", incarnation)
 	m.cachedImages, m.fetchStartedAt = map[string]bool{}, map[string]time.Time{}
@@ -136,15 +142,15 @@
 	m.leaseLostWhileHeard = !m.leaseRenewedAt.IsZero()
 }
 
-// changesDecisions tells whether a heartbeat asks for a scheduling pass. Most say nothing
-// that changes a decision, and for them the next timer comes soon enough.
+// affectsScheduling reports whether a heartbeat requires a scheduling pass. Most heartbeats
+// change no scheduling decision and can wait for the next timer.
 func (c *partitionOwner) affectsScheduling(m *machine, heartbeat *wire.Heartbeat, p *partition, source heartbeatSource) bool {
 	noticed, known := heartbeat.NoticeS != nil, !m.terminationAt.IsZero()
 	return heartbeat.Incarnation != m.incarnation || heartbeat.Token != m.token || noticed != known ||
 		source == workerRequest && !c.isUsable(m, p)
 }
 
-// recordWorkerRequest notes that a machine has sent a heartbeat by itself.
+// recordWorkerRequest records that the machine sent a heartbeat on its own.
 func (c *partitionOwner) recordWorkerRequest(m *machine, p *partition) {
 	first := m.heartbeatAt.Before(p.ownedSince)
 	m.heartbeatAt = c.now
@@ -155,8 +161,8 @@
 	}
 }
 
-// updateTerminationNotice notes in how many seconds the cloud takes a machine; nil: it has no
-// notice.
+// updateTerminationNotice sets the time at which the cloud terminates the machine. noticeS is
+// the remaining time in seconds; nil means that there is no notice.
 func (c *partitionOwner) updateTerminationNotice(m *machine, noticeS *float64) {
 	if noticeS == nil {
 		m.terminationAt = time.Time{}
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -18,27 +18,30 @@
 	taskSize    scheduling.Resources
 	team        scheduling.TeamIndex
 	groups      []*taskGroup
-	groupOfTask map[int32]*taskGroup // of each task that is assigned and not done
+	groupOfTask map[int32]*taskGroup // group of each task that is assigned and not done
 
-	inActiveJobs bool // listed in catalog.unfinished
-	// unreadable are the keys of its records that can't be decoded.
+	inActiveJobs bool // the job is listed in catalog.activeJobs
+	// unreadableKeys holds the keys of the job's records that can't be decoded.
 	unreadableKeys     map[string]bool
-	equivalenceClass   string // what jobs alike in need and permissions share
+	equivalenceClass   string // see equivalenceClass
 	nextGroupNumber    int
 	assignedAt         time.Time
 	finalWriteInFlight bool            // a write of the final state is in flight
-	failedMachines     map[string]bool // machines on which tasks of it failed
-	retryAt            time.Time       // nothing of it is placed before then
+	failedMachines     map[string]bool // machines on which tasks of the job failed
+	retryAt            time.Time       // no task of the job is placed before this time
 
-	// Of a gang: the last attempt that was seen to run, that can't be completed, that
-	// was sent a stop; and whether a task of it, and so all, is done.
+	// The following fields are for gangs. startedAttempt is the last attempt with a running
+	// task, failedAttempt the last one that can't be completed, and stoppedAttempt the last one
+	// that was sent a stop. gangCompleted is set once a task of the gang is done, which
+	// completes all of them.
 	startedAttempt, failedAttempt, stoppedAttempt uint64
 	gangCompleted                                 bool
-	// incompleteSince is since when only some tasks of a gang's attempt have been bound.
+	// incompleteSince is the time since which only some tasks of a gang's attempt have been
+	// bound; zero if all or none are.
 	incompleteSince time.Time
 }
 
-// newGroupNumber is the number of a task group that the job has never had.
+// newGroupNumber returns a task group number that the job has not used before.
 func (j *job) newGroupNumber() int {
 	for _, group := range j.groups {
 		j.nextGroupNumber = max(j.nextGroupNumber, group.number+1)
@@ -47,8 +50,8 @@
 	return j.nextGroupNumber - 1
 }
 
-// countAssignedTasks counts the tasks that are or were assigned to partitions, and those of them
-// that are done.
+// countAssignedTasks returns the number of tasks that are or were assigned to partitions, and
+// how many of these are done.
 func (j *job) countAssignedTasks() (n, finished int) {
 	for _, group := range j.groups {
 		n += len(group.bindings) + group.doneTasks
@@ -57,7 +60,8 @@
 	return n, finished
 }
 
-// hasWaitingTasks tells whether tasks of the job have not been assigned yet, or are throttled.
+// hasWaitingTasks reports whether some tasks of the job are not assigned yet, or are in a
+// throttled group.
 func (j *job) hasWaitingTasks() bool {
 	n := 0
 	for _, group := range j.groups {
@@ -69,7 +73,7 @@
 	return n < j.spec.Tasks
 }
 
-// unplacedTasks counts the tasks that are assigned and neither bound nor done.
+// countUnplacedTasks returns the number of tasks that are assigned but neither bound nor done.
 func (j *job) countUnplacedTasks() int {
 	n := 0
 	for _, group := range j.groups {
@@ -78,7 +82,7 @@
 	return n
 }
 
-// hasStarted tells whether a task of the job has ever been bound.
+// hasStarted reports whether a task of the job has ever been bound.
 func (j *job) hasStarted() bool {
 	for _, group := range j.groups {
 		if group.doneTasks > 0 {
@@ -93,21 +97,21 @@
 	return false
 }
 
-// isArchivable tells whether a job is final and has no task groups left. The replica has all
-// changes up to cursor.
+// isArchivable reports whether the job is final and has no task groups left. cursor is the
+// revision up to which the replica has all changes.
 func (j *job) isArchivable(cursor uint64) bool {
 	return j.finalState != record.Unfinished && len(j.groups) == 0 && j.revision <= cursor
 }
 
-// releaseDetails drops what a final job needs no more; its final state is kept for ever. The
-// replica has all changes up to cursor.
+// releaseDetails drops the specification and the task groups of an archivable job. Its final
+// state is kept forever. cursor is the revision up to which the replica has all changes.
 func (j *job) releaseDetails(cursor uint64) {
 	if j.isArchivable(cursor) {
 		j.spec, j.groups, j.groupOfTask = nil, nil, nil
 	}
 }
 
-// markUnreadable notes that a record of the job can't be decoded.
+// markUnreadable records that a record of the job can't be decoded.
 func (j *job) markUnreadable(key string) {
 	if j.unreadableKeys == nil {
 		j.unreadableKeys = map[string]bool{}
@@ -115,8 +119,8 @@
 	j.unreadableKeys[key] = true
 }
 
-// markReadable notes that a record of the job can be decoded, or is gone.
+// markReadable records that a record of the job can be decoded or has been deleted.
 func (j *job) markReadable(key string) { delete(j.unreadableKeys, key) }
 
-// hasUnreadableRecords tells whether a record of the job can't be decoded.
+// hasUnreadableRecords reports whether any record of the job can't be decoded.
 func (j *job) hasUnreadableRecords() bool { return len(j.unreadableKeys) > 0 }
--- a/internal/controller/keys.go
+++ b/internal/controller/keys.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Keys of the stored records. Those of leases and of the rollout are in package rollout.
+// Keys of the stored records. Package rollout has the keys of leases and of the rollout.
 const (
 	keyPrefix       = "e/"
 	machineTypesKey = "e/types"
@@ -15,7 +15,7 @@
 	loanPrefix      = "e/lend/"
 )
 
-// keyKind is the kind of record that a key holds.
+// keyKind is the kind of record that is stored at a key.
 type keyKind int
 
 const (
@@ -27,8 +27,8 @@
 	loanKind
 )
 
-// parseKey returns the kind of a key, and what follows the kind's prefix: the name of the
-// job, the task group or the machine.
+// parseKey returns the kind of a key and the part after the kind's prefix: the name of the job,
+// the task group or the machine.
 func parseKey(key string) (kind keyKind, name string) {
 	if key == machineTypesKey {
 		return machineTypesKind, ""
@@ -48,26 +48,28 @@
 	return otherKind, ""
 }
 
-// jobKey is the key of a job.
+// jobKey returns the key of a job's record.
 func jobKey(id string) string { return jobPrefix + id }
 
-// groupKey is the key of a job's task group.
+// groupKey returns the key of a task group's record.
 func groupKey(id string, number int) string { return groupPrefix + id + "/" + strconv.Itoa(number) }
 
-// loanKey is the key of a machine's loan.
+// loanKey returns the key of a machine's loan record.
 func loanKey(machine string) string { return loanPrefix + machine }
 
-// parseGroupKey takes a task group's key apart.
+// parseGroupKey splits a task group's key into the job ID and the group's number. ok is false
+// if the key is malformed.
 func parseGroupKey(key string) (id string, number int, ok bool) {
 	id, digits, ok := strings.Cut(strings.TrimPrefix(key, groupPrefix), "/")
 	number, err := strconv.Atoi(digits)
 	return id, number, ok && err == nil
 }
 
-// taskName is the name by which workers know a job's task.
+// taskName returns the name by which workers know a task of a job.
 func taskName(id string, number int32) string { return id + "/" + strconv.Itoa(int(number)) }
 
-// parseTaskName takes a task's name apart.
+// parseTaskName splits a task's name into the job ID and the task's number. ok is false if the
+// name is malformed.
 func parseTaskName(name string) (id string, number int32, ok bool) {
 	id, digits, ok := strings.Cut(name, "/")
 	n, err := strconv.ParseInt(digits, 10, 32)
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -8,34 +8,37 @@
 )
 
 const (
-	// maxHeartbeatIntervalFactor is the longest pause between two heartbeats, in intervals:
-	// workers vary theirs by a quarter.
+	// maxHeartbeatIntervalFactor is the longest time between two heartbeats, in heartbeat
+	// intervals. Workers vary their interval by a quarter.
 	maxHeartbeatIntervalFactor = 1.25
-	// maxHeartbeatTransit is how long a heartbeat may be on its way.
+	// maxHeartbeatTransit bounds the time that a heartbeat takes to arrive.
 	maxHeartbeatTransit = 500 * time.Millisecond
 
-	// A machine counts as unreachable when it has been silent for unreachableIntervals
-	// intervals, for unreachableLeaseFraction of its lease, and for minUnreachableTimeout. The
-	// last is well above what a worker needs to find its controller's successor: 4 s for a
-	// response that does not come, and 1 s until it tries the next.
+	// A machine counts as unreachable once it has been silent for unreachableIntervals
+	// heartbeat intervals, for unreachableLeaseFraction of its lease and for
+	// minUnreachableTimeout. The minimum is well above the time in which a worker finds the
+	// successor of its controller: 4 s until a response times out, and 1 s until it tries the
+	// next controller.
 	unreachableIntervals     = 3
 	unreachableLeaseFraction = 0.6
 	minUnreachableTimeout    = 7 * time.Second
 
-	// Nothing is placed on a machine that has been silent for usableIntervals intervals,
-	// and for minUsableTimeout: one heartbeat may be lost.
+	// No task is placed on a machine that has been silent for usableIntervals heartbeat
+	// intervals and for minUsableTimeout. Two intervals tolerate the loss of one heartbeat.
 	usableIntervals  = 2
 	minUsableTimeout = 3 * time.Second
 
-	// silentMachineRetention is for how long a silent machine is pinged and told about: well
-	// beyond the time after which it is terminated or found dead.
+	// silentMachineRetention is how long a silent machine is still pinged and reported to
+	// peers. It is well above the time after which the machine is terminated or proven dead.
 	silentMachineRetention = 3 * time.Minute
-	// majorityCountWindow is for how long it speaks for what most machines of its partition do.
+	// majorityCountWindow is how long a silent machine is counted when the controller
+	// determines whether most machines of a partition are unreachable.
 	majorityCountWindow = 2 * time.Minute
 )
 
-// expectsHeartbeat tells whether a machine should send heartbeats to its partition's owner:
-// it has within a time, or tasks are bound to it and it has sent none since a failover.
+// expectsHeartbeat reports whether the owner of a machine's partition should be receiving
+// heartbeats from it: the machine has sent one within the given time, or it has sent none at
+// all and tasks are bound to it.
 func (c *clusterState) expectsHeartbeat(m *machine, within time.Duration) bool {
 	if m.heartbeatAt.IsZero() {
 		return len(m.bindings) > 0
@@ -43,39 +46,42 @@
 	return c.now.Sub(m.heartbeatAt) <= within
 }
 
-// heartbeatTimeout is how long a machine may be silent before it is pinged.
+// heartbeatTimeout returns how long a machine may be silent before it is pinged.
 func (c *clusterState) heartbeatTimeout() time.Duration {
 	return config.Seconds(maxHeartbeatIntervalFactor*c.cfg.Settings.Workers.ReportS) + maxHeartbeatTransit
 }
 
-// unreachableTimeout is how long a machine may be silent before it counts as unreachable, if
-// it can't be pinged.
+// unreachableTimeout returns how long a machine may be silent before it counts as unreachable,
+// unless unanswered direct commands show that earlier.
 func (c *clusterState) unreachableTimeout() time.Duration {
 	w := &c.cfg.Settings.Workers
 	return max(unreachableIntervals*config.Seconds(w.ReportS), config.Seconds(unreachableLeaseFraction*w.LeaseS), minUnreachableTimeout)
 }
 
-// usableTimeout is how long after its last heartbeat tasks are placed on a machine.
+// usableTimeout returns how long after its last heartbeat a machine may be given tasks.
 func (c *clusterState) usableTimeout() time.Duration {
 	return max(usableIntervals*config.Seconds(c.cfg.Settings.Workers.ReportS), minUsableTimeout)
 }
 
-// seemsNotReceiving tells whether a machine lost its lease although its heartbeats were
+// seemsNotReceiving reports whether the machine lost its lease although its heartbeats were
 // answered, or does not answer direct commands.
 func (m *machine) seemsNotReceiving() bool {
 	return m.leaseLostWhileHeard || m.commandState.unanswered >= unansweredLimit
 }
 
-// notReceiving tells whether a machine receives nothing, whatever it sends. Nothing is placed
-// on it, and it is replaced if it stays so. When most machines seem to receive nothing, it is
-// this controller whose messages are lost, and they are all usable.
+// isNotReceiving reports whether the machine receives no messages, even if it sends some. No
+// task is placed on such a machine, and it is replaced if the state persists. If most machines
+// of the partition seem not to receive, the messages of this controller are being lost, and all
+// of these machines remain usable.
 func (m *machine) isNotReceiving(p *partition) bool {
 	return m.seemsNotReceiving() && !p.mostNotReceiving
 }
 
-// silentSince is when a machine was last heard, or since when it could have been. A controller
-// that answers no heartbeats (see config.MaxStaleness) hears nothing: after a long outage all
-// machines would at once count as unreachable, and be terminated with all that they run.
+// silentSince returns the time of the machine's last heartbeat, or the earliest time at which
+// this controller could have received one, whichever is later. A controller that does not
+// answer heartbeats (see config.MaxStaleness) receives none: if that time counted as silence,
+// all machines would become unreachable at once after a long outage, and would be terminated
+// with all their tasks.
 func (c *clusterState) silentSince(m *machine, p *partition) time.Time {
 	since := p.machineOwnedSince(m)
 	if c.heartbeatsResumedAt.After(since) {
@@ -87,16 +93,18 @@
 	return since
 }
 
-// usable tells whether an owner may place tasks on its machine. It must have shown a token of
-// this owner: a heartbeat with an earlier one may be a late copy, after a failover even of a
-// machine that died long ago, and there is nothing to compare it with.
+// isUsable reports whether the owner of the partition may place tasks on the machine. The
+// machine must have shown a token of this owner. A heartbeat with an earlier token may be a
+// late copy, after a failover even one of a machine that died long ago, and a new owner has no
+// earlier heartbeat to compare it with.
 func (c *clusterState) isUsable(m *machine, p *partition) bool {
 	heard := m.heartbeatAt.After(p.machineOwnedSince(m)) && m.incarnation > 0 && p.isOwnToken(m.token)
 	return heard && !m.terminated && !m.isNotReceiving(p) && c.now.Sub(m.heartbeatAt) < c.usableTimeout()
 }
 
-// isLeaseExpired tells whether a machine's lease has surely expired: nobody, not even a former
-// owner, has sent it a response that could renew it for the whole lease.
+// isLeaseExpired reports whether the machine's lease has certainly expired: neither this
+// controller nor a former owner has sent it a response that could have renewed the lease for
+// the whole duration of a lease.
 func (c *clusterState) isLeaseExpired(m *machine, p *partition) bool {
 	renewed := p.machineOwnedSince(m).Add(p.formerOwnerMaxStaleness)
 	if m.leaseRenewedAt.After(renewed) {
@@ -105,22 +113,23 @@
 	return c.now.Sub(renewed) > c.leaseExpiry
 }
 
-// unreachable tells whether a machine neither sends heartbeats nor answers direct commands,
-// while most others of its partition do, or sends and receives nothing.
+// isUnreachable reports whether the machine neither sends heartbeats nor answers direct
+// commands while most other machines of its partition do, or whether it sends heartbeats but
+// receives nothing.
 func (c *clusterState) isUnreachable(m *machine, p *partition) bool {
-	// While no heartbeats are answered all machines are silent. The leader may be back from
-	// the same outage a moment earlier, and would terminate those that a peer calls
+	// All machines are silent while no heartbeats are answered. The leader may recover from the
+	// same outage slightly earlier, and would terminate the machines that its peers report as
 	// unreachable.
 	if m.terminated || !c.isFresh(c.maxStaleness) || !c.seemsUnreachable(m, p) {
 		return false
 	}
-	// A machine whose lease has expired has lost its tasks anyhow.
+	// A machine whose lease has expired has lost its tasks in any case.
 	return !c.areMostUnreachable(p) || c.isLeaseExpired(m, p)
 }
 
-// mostUnreachable tells whether most of a partition's machines seem unreachable. It is
-// counted once for all decisions of one event: counted for each silent machine, hundreds that
-// fall silent together would take up the processor.
+// areMostUnreachable reports whether most machines of a partition seem unreachable. The count
+// is taken once per event: if it were repeated for each silent machine, hundreds of machines
+// that fall silent together would exhaust the processor.
 func (c *clusterState) areMostUnreachable(p *partition) bool {
 	if p.unreachableCountedAt != c.now {
 		p.unreachableCountedAt = c.now
@@ -129,9 +138,9 @@
 			if m.terminated || !c.expectsHeartbeat(m, majorityCountWindow) {
 				continue
 			}
-			// Where heartbeats arrive, also from other partitions, a machine that has sent
-			// none since a failover says nothing about this controller: a partition of few
-			// machines may well have lost most of them.
+			// While heartbeats arrive, also from machines of other partitions, a machine that
+			// has sent none since a failover does not indicate a fault of this controller. A
+			// small partition may have lost most of its machines.
 			if m.heartbeatAt.IsZero() && c.lastHeartbeatAt.After(p.machineOwnedSince(m)) {
 				continue
 			}
@@ -145,7 +154,8 @@
 	return p.mostUnreachable
 }
 
-// seemsUnreachable tells the same as unreachable by the machine alone.
+// seemsUnreachable reports whether the machine looks unreachable on its own, without regard to
+// the other machines of the partition.
 func (c *clusterState) seemsUnreachable(m *machine, p *partition) bool {
 	if c.sendsWithoutReceiving(m, p) || c.isSilentBeyondLease(m, p) {
 		return true
@@ -159,29 +169,30 @@
 	}
 	after := c.heartbeatTimeout()
 	if !m.heartbeatAt.After(p.machineOwnedSince(m)) {
-		// It is pinged right after a failover, and must not count as unreachable sooner than
-		// with an owner that goes on: that its whole zone is cut off shows no earlier.
+		// A machine is pinged right after a failover. It must not count as unreachable sooner
+		// than under an owner that has not changed, because an outage of its whole zone is not
+		// detected any sooner either.
 		after += unansweredLimit * workerclient.PingTimeout
 	}
 	return c.now.Sub(since) > after
 }
 
-// sendsWithoutReceiving tells whether a machine sends heartbeats and receives nothing, with
-// enough time to have received something.
+// sendsWithoutReceiving reports whether the machine sends heartbeats but receives nothing, and
+// has been owned for long enough to have received something.
 func (c *clusterState) sendsWithoutReceiving(m *machine, p *partition) bool {
 	return m.isNotReceiving(p) && c.now.Sub(p.machineOwnedSince(m)) > c.unreachableTimeout() && c.now.Sub(m.heartbeatAt) < c.heartbeatTimeout()
 }
 
-// isSilentBeyondLease tells whether a machine has sent no heartbeat for so long that its lease
-// has expired, though others' heartbeats arrive. It takes no work, whatever it answers to
-// direct commands.
+// isSilentBeyondLease reports whether the machine has sent no heartbeat for so long that its
+// lease has expired, while heartbeats of other machines arrive. Such a machine takes no tasks
+// even if it answers direct commands.
 func (c *clusterState) isSilentBeyondLease(m *machine, p *partition) bool {
 	silent := c.now.Sub(c.silentSince(m, p)) > c.leaseExpiry+c.unreachableTimeout()
 	return silent && c.now.Sub(c.resumedFromPauseAt) > c.unreachableTimeout() && c.now.Sub(c.lastHeartbeatAt) < c.heartbeatTimeout()
 }
 
-// probeMachines pings the machines whose heartbeats are overdue, or that seem to receive
-// nothing.
+// probeMachines pings the machines whose heartbeats are overdue or that seem not to receive
+// messages.
 func (c *partitionOwner) probeMachines() {
 	for _, p := range c.partitions {
 		if !p.takeoverComplete {
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -10,33 +10,37 @@
 	"eiderhitch/internal/wire"
 )
 
-// A job that starts whole and that no single partition can hold goes to the leader, which
-// borrows whole machines from other partitions: it writes a record of the loan under the
-// revision of the partition's key. The owner places nothing there any more, stops what the
-// job may preempt and, once nothing is bound there, acknowledges. From then on the machine
-// is in the leader's own partition, whose key and fencing token are the leader's; there the
-// same scheduler runs as in any partition. A new token of the leader, higher than any that
-// the former owner has used, fences that owner's commands; a new token of the owner does
-// the same when the machine is handed back.
+// A service or gang that no single partition can hold is assigned by the leader to machines
+// that it borrows from other partitions. The leader writes a loan record for each machine,
+// conditional on the revision of the partition's key. The partition's owner then places nothing
+// on the machine, stops the tasks that the job may preempt and acknowledges the loan once no
+// task is bound there, or only services that may move along. From then on the machine belongs
+// to the leader's own partition, whose key and fencing token are the leader's and which is
+// scheduled like any other partition. A new token of the leader, higher than any that the
+// former owner has used, fences the former owner's commands. When the machine is returned, a
+// new token of the owner fences the leader's commands in the same way.
 //
-// This file has the loans themselves; what owners do with them is in loan_owner.go, what the
-// leader decides in loan_leader.go and loan_selection.go.
+// This file holds the loans themselves. loan_owner.go has the owner's side, loan_leader.go and
+// loan_selection.go have the leader's decisions.
 
-// machineLoan is a machine that is on loan to the leader's partition, or is to be.
+// machineLoan is a machine that is on loan to the leader's partition or has been requested for
+// it.
 type machineLoan struct {
 	record.MachineLoan
 	revision       uint64
-	firstRevision  uint64 // of the write that began the loan, as far as that was seen
+	firstRevision  uint64 // revision of the write that created the loan, or the first one that was seen
 	writeInFlight  bool
-	returnInFlight bool // it is being handed back: nothing is placed on it any more
+	returnInFlight bool // a write that returns the machine is in flight; nothing is placed on it any more
 	firstSeenAt    time.Time
 }
 
+// claim returns the claim of the job that the machine was borrowed for.
 func (loan *machineLoan) claim(teams *catalog) scheduling.Claim {
 	return scheduling.Claim{Priority: loan.Priority, Guaranteed: loan.Guaranteed, Team: teams.getOrAddTeam(loan.Team)}
 }
 
-// loanedMachines are the machines that are on loan, in one order for all that is decided.
+// loanedMachines returns the names of the machines with a loan, sorted so that every decision
+// iterates over them in the same order.
 func (r *machineRegistry) loanedMachines() []string {
 	if len(r.loans) == 0 {
 		return nil
@@ -44,7 +48,7 @@
 	return slices.Sorted(maps.Keys(r.loans))
 }
 
-// hasLoanFor tells whether machines are on loan, or are to be, for a job.
+// hasLoanFor reports whether a machine is on loan or requested for the job.
 func (r *machineRegistry) hasLoanFor(j *job) bool {
 	for _, loan := range r.loans {
 		if loan.Job == j.id {
@@ -54,9 +58,10 @@
 	return false
 }
 
-// loanPartition is the number of the leader's own partition.
+// loanPartition returns the index of the leader's own partition.
 func (r *machineRegistry) loanPartition() int { return len(r.partitions) - 1 }
 
+// putLoan applies the record of a machine's loan.
 func (c *controller) putLoan(name string, v *record.MachineLoan, revision uint64) {
 	m := c.getOrAddMachine(name)
 	loan := c.loans[name]
@@ -66,10 +71,12 @@
 	}
 	loan.MachineLoan, loan.revision = *v, revision
 	if !c.updateMachinePartition(m) && !loan.Acknowledged {
-		c.sendCommandsNow(m) // stops what the job may preempt
+		c.sendCommandsNow(m) // stops the tasks that the job may preempt
 	}
 }
 
+// deleteLoan applies the deletion of a loan. If the machine returns to a partition of this
+// controller, the partition's token is raised to fence the leader's commands.
 func (a recordApplier) deleteLoan(name string) {
 	m := a.getOrAddMachine(name)
 	delete(a.loans, name)
@@ -78,8 +85,8 @@
 	}
 }
 
-// updateMachinePartition takes a machine out of the partition that it was in, if it is in another
-// now.
+// updateMachinePartition moves a machine to the partition that it belongs to according to the
+// stored records, and reports whether that is a different one than before.
 func (c *clusterState) updateMachinePartition(m *machine) bool {
 	before, now := m.partition, c.partitionOfMachine(m)
 	if now == before {
@@ -91,7 +98,7 @@
 	m.partition, m.partitionChangedAt = now, c.now
 	c.addToPartition(m)
 	if p.token != 0 {
-		for _, x := range m.bindings { // services that go along
+		for _, x := range m.bindings { // services that move along with the machine
 			c.freeCell(p, x.task)
 		}
 		p.cells.RemoveMachine(m.index)
@@ -103,10 +110,10 @@
 	return true
 }
 
-// runsOnlyServices tells whether all that is bound to a machine of ours is services that
-// run, and no command of ours can still be under way there. Such a machine may change
-// partitions with them: whatever ends them later is proven, and stored, as after any
-// failover.
+// runsOnlyServices reports whether all tasks bound to a machine of this controller are running
+// services and no command of this controller to the machine may still be in flight. Such a
+// machine may change partitions with its tasks: their ends are proven and stored later as after
+// any failover.
 func (c *clusterState) runsOnlyServices(m *machine, p *partition) bool {
 	if !c.isUsable(m, p) || m.token != p.token || m.commandState.inFlight || m.startMayArrive(p) {
 		return false
@@ -124,15 +131,16 @@
 	return true
 }
 
-// runs tells whether a machine's newest heartbeat shows an attempt running.
+// isRunning reports whether the machine's latest heartbeat shows the bound attempt of a task as
+// running.
 func (m *machine) isRunning(task string, bound *binding) bool {
 	return slices.ContainsFunc(m.tasks, func(t wire.TaskStatus) bool {
 		return t.Task == task && t.Attempt == bound.attempt && t.State == wire.Running && bound.incarnation == m.incarnation
 	})
 }
 
-// hasReservationOn tells whether a cell of a machine is reserved for a task whose binding is
-// not known yet.
+// hasReservationOn reports whether a cell on the machine is reserved for a task whose binding
+// is not stored yet.
 func (p *partition) hasReservationOn(m *machine) bool {
 	for _, a := range p.reservations {
 		if a.machine == m {
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -8,83 +8,90 @@
 	"eiderhitch/internal/wire"
 )
 
-// machine is what a controller knows of one machine.
+// machine holds what this controller knows about one worker machine.
 type machine struct {
 	name, addr, machineType, zone string
 	spot                          bool
 	index                         scheduling.MachineIndex
-	// hashPartition is the partition of its name; partition is the one that it is in, which
-	// is another while it is lent. listed: it is among the machines of that.
+	// hashPartition is the partition that the machine's name hashes to. partition is the one it
+	// currently belongs to; it differs from hashPartition while the machine is on loan.
+	// inPartitionList reports whether the machine is in the machines list of that partition.
 	hashPartition   int
 	partition       int
 	inPartitionList bool
-	// partitionAssignedAt is when it last came to another partition; lastBoundAt, for one that
-	// is lent, when a task was last bound to it there.
+	// partitionChangedAt is the time of the machine's last change of partition. lastBoundAt is
+	// the time at which a task was last bound to the machine while it was on loan. Both are
+	// zero if that has not happened.
 	partitionChangedAt time.Time
 	lastBoundAt        time.Time
-	bindings           machineBindings // by the records
+	bindings           machineBindings // according to the stored records
 	terminated         bool
 
-	// What the owner of its partition knows by its heartbeats.
+	// The fields below come from the machine's heartbeats and are maintained by the owner of
+	// its partition.
 
-	incarnation, sequence uint64 // of its newest heartbeat
-	token                 uint64 // the highest that its agent has seen
+	incarnation, sequence uint64 // from the latest heartbeat
+	token                 uint64 // highest fencing token that the machine's agent has seen
 	heartbeatAt           time.Time
-	// leaseRenewedAt is when the last response was sent that may have renewed its lease.
+	// leaseRenewedAt is the time of the last response that may have renewed the machine's
+	// lease.
 	leaseRenewedAt        time.Time
-	terminationAt         time.Time // when the cloud takes it; zero: it has no notice
+	terminationAt         time.Time // announced termination by the cloud; zero without a notice
 	tasks                 []wire.TaskStatus
 	cachedImages          map[string]bool
-	fetchStartedAt        map[string]time.Time // images that are being fetched, since when
-	placementBackoffUntil time.Time            // nothing is placed on it before then
-	failedJobs            map[string]time.Time // jobs of which a task failed on it, and when
+	fetchStartedAt        map[string]time.Time // start times of image fetches in progress, by image
+	placementBackoffUntil time.Time            // no task is placed on the machine before this time
+	failedJobs            map[string]time.Time // time of the last task failure on the machine, by job
 	cordoned              bool
 	cordonedAt            time.Time
 
-	// responseCarriesStart: a response to a heartbeat carries a start, and no later heartbeat
-	// has come. A worker has one heartbeat in flight at a time, so the next one proves that
-	// the response was executed or dropped. Until then the start may still arrive, and
-	// neither absence nor forgetting an exited task is safe.
+	// responseCarriesStart is set while a heartbeat response with a start command is
+	// unconfirmed. A worker has one heartbeat in flight at a time, so its next heartbeat proves
+	// that the response was executed or dropped. Until then the start may still arrive, and it
+	// is unsafe both to treat the task as absent and to let the worker forget an exited task.
 	responseCarriesStart bool
-	// answeredAt is when the machine last sent anything new: a heartbeat, or its answer to a
-	// direct command.
+	// lastMessageAt is the time of the last new message from the machine: a heartbeat or the
+	// answer to a direct command.
 	lastMessageAt time.Time
-	// leaseLostWhileHeard: the machine lost its lease although its heartbeats were answered,
-	// and has not answered a direct command since. It may send without receiving anything.
+	// leaseLostWhileHeard is set when the machine lost its lease although its heartbeats were
+	// answered, and is cleared by its next answer to a direct command. Such a machine may be
+	// able to send but not to receive.
 	leaseLostWhileHeard bool
 	commandState        directCommandState
 
-	// Worked out once in a scheduling pass, see clusterState.schedulable and clusterState.runsService.
+	// schedulable and runsService cache the results of partitionOwner.isSchedulable and
+	// clusterState.runsService for the scheduling pass whose number is stored beside them.
 	schedulable, runsService         bool
 	schedulablePass, runsServicePass uint64
 }
 
-// directCommandState is the state of the direct commands to one machine.
+// directCommandState tracks the direct commands sent to one machine.
 type directCommandState struct {
-	inFlight     bool // a request is under way; there is one at a time
-	carriesStart bool // the one under way carries a start
-	sendAgain    bool // commands were wanted while one was under way: they are sent after it
-	// unansweredStartToken is the token of a start that went unanswered and may arrive as
-	// long as the machine has seen no higher one; 0: none.
+	inFlight     bool // a request is in flight; there is at most one at a time
+	carriesStart bool // the request in flight carries a start command
+	sendAgain    bool // commands were requested while a request was in flight; they are sent after it
+	// unansweredStartToken is the fencing token of a start command that was not answered. The
+	// start may still arrive until the machine has seen a higher token. 0 means that there is
+	// none.
 	unansweredStartToken uint64
-	// backoffUntil: nothing is sent before then.
+	// backoffUntil is the time before which no request is sent.
 	backoffUntil time.Time
-	// unanswered counts the requests without an answer since the last answer.
+	// unanswered counts the requests that were not answered since the last answer.
 	unanswered int
 }
 
-// startMayArrive tells whether a start that the machine was sent may still arrive: one in a
-// response to a heartbeat, in a direct command under way, or in one that went unanswered
-// under the owner's present token.
+// startMayArrive reports whether a start command that was sent to the machine may still arrive:
+// in a heartbeat response, in a direct command in flight, or in a direct command that went
+// unanswered under the owner's current token.
 func (m *machine) startMayArrive(p *partition) bool {
 	return m.commandState.unansweredStartToken == p.token || m.commandState.carriesStart || m.responseCarriesStart
 }
 
-// machineBindings are the tasks that are bound to a machine: few, and gone through in every
-// scheduling pass and with every heartbeat.
+// machineBindings lists the tasks bound to a machine. It is a slice because it is short and is
+// iterated in every scheduling pass and for every heartbeat.
 type machineBindings []machineBinding
 
-// machineBinding is one of them, with the group whose record binds it.
+// machineBinding is a task bound to a machine, with the task group whose record binds it.
 type machineBinding struct {
 	task  scheduling.TaskID
 	group *taskGroup
@@ -99,8 +106,8 @@
 	*s = slices.DeleteFunc(*s, func(x machineBinding) bool { return x.task == task })
 }
 
-// introduce notes what others have said of a machine: its address, and an incarnation of its
-// agent. Only the machine's own heartbeats tell more.
+// mergeIdentity takes over an address and an agent incarnation learned from records or peers.
+// Everything else is learned only from the machine's own heartbeats.
 func (m *machine) mergeIdentity(addr string, incarnation uint64) {
 	if m.addr == "" {
 		m.addr = addr
@@ -110,7 +117,8 @@
 	}
 }
 
-// removeMachines takes machines out of a partition's list.
+// removeMachines removes the machines for which shouldRemove returns true from the partition's
+// list.
 func (p *partition) removeMachines(shouldRemove func(*machine) bool) {
 	p.machines = slices.DeleteFunc(p.machines, func(m *machine) bool {
 		if !shouldRemove(m) {
@@ -121,7 +129,8 @@
 	})
 }
 
-// machineOwnedSince is since when a partition's owner has had a machine.
+// machineOwnedSince returns the time from which this controller has owned the machine: the
+// later of the partition's takeover and the machine's move into the partition.
 func (p *partition) machineOwnedSince(m *machine) time.Time {
 	if m.partitionChangedAt.After(p.ownedSince) {
 		return m.partitionChangedAt
--- a/internal/controller/machine_registry.go
+++ b/internal/controller/machine_registry.go
@@ -8,15 +8,16 @@
 	"eiderhitch/internal/wire"
 )
 
-// machineRegistry has the machines by name and by index, their types, the partitions that they
-// are in, and which of them are on loan or terminated.
+// machineRegistry holds all machines by name and by index, the machine types, the partitions,
+// and the machines on loan or terminated.
 type machineRegistry struct {
 	machineTypes   map[string]*wire.MachineType
 	machines       map[string]*machine
 	machineByIndex []*machine
-	partitions     []*partition // the last one is the leader's, of machines on loan
+	partitions     []*partition // the last one is the leader's partition of machines on loan
 	loans          map[string]*machineLoan
-	// terminated are the machines that surely are, as long as a tombstone says so.
+	// terminatedMachines is the set of machines that are known to be terminated because a
+	// stored tombstone names them.
 	terminatedMachines map[string]bool
 	tombstones         map[string]tombstone
 }
@@ -30,7 +31,7 @@
 	}
 }
 
-// allGroups goes through all task groups there are.
+// allGroups iterates over the task groups of all partitions.
 func (c *machineRegistry) allGroups() iter.Seq[*taskGroup] {
 	return func(yield func(*taskGroup) bool) {
 		for _, p := range c.partitions {
@@ -43,7 +44,8 @@
 	}
 }
 
-// moveToPartition moves a task group to another partition's list, or to none.
+// moveToPartition moves a task group to the list of another partition, or removes it from its
+// list if to is noPartition.
 func (c *machineRegistry) moveToPartition(group *taskGroup, to int) {
 	if group.listPosition > 0 {
 		if group.partition == to {
@@ -56,10 +58,10 @@
 	}
 }
 
-// noPartition is the partition of a task group that is not stored.
+// noPartition is the partition index of a task group that is not stored.
 const noPartition = -1
 
-// getOrAddMachine returns the machine of a name, which is made known if it is not yet.
+// getOrAddMachine returns the machine with the given name and adds it if it is unknown.
 func (c *machineRegistry) getOrAddMachine(name string) *machine {
 	m := c.machines[name]
 	if m != nil {
@@ -81,7 +83,8 @@
 	return m
 }
 
-// setMachineSize makes a machine's cells known to its partition once its type is known.
+// setMachineSize sets the machine's size in the cells of its partition, if this controller owns
+// the partition, the machine has sent a heartbeat and its type is known.
 func (c *machineRegistry) setMachineSize(m *machine) {
 	p := c.partitions[m.partition]
 	machineType := c.machineTypes[m.machineType]
@@ -91,7 +94,8 @@
 	p.cells.SetMachine(m.index, scheduling.NewResources(machineType.CPUs, machineType.GPUs, machineType.RAMGB))
 }
 
-// partitionOfMachine is the partition that a machine is in by the records.
+// partitionOfMachine returns the index of the partition that the machine belongs to according
+// to the stored records.
 func (c *machineRegistry) partitionOfMachine(m *machine) int {
 	if loan := c.loans[m.name]; loan != nil && loan.Acknowledged {
 		return c.loanPartition()
@@ -99,7 +103,7 @@
 	return m.hashPartition
 }
 
-// addToPartition puts a machine among those of its partition.
+// addToPartition adds a machine to the list of its partition unless it is already there.
 func (c *machineRegistry) addToPartition(m *machine) {
 	if !m.inPartitionList {
 		m.inPartitionList = true
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -12,18 +12,18 @@
 	"eiderhitch/internal/wire"
 )
 
-// recordApplier applies the changes of the replica to a controller's state: it decodes stored
-// values by the kind of their keys, and has done what follows from their changes.
+// recordApplier applies the changes of the replica to the controller's state. It decodes each
+// stored value by the kind of its key and triggers the actions that follow from the change.
 type recordApplier struct{ *controller }
 
-// PutValue takes in a value that is new or has changed.
+// PutValue applies a new or changed value.
 func (a recordApplier) PutValue(key string, value json.RawMessage, revision uint64) {
 	if err := a.decodeRecord(key, value, revision); err != nil {
 		a.reportUndecodable(key, err)
 	}
 }
 
-// DeleteValue forgets a stored value.
+// DeleteValue applies the deletion of a value.
 func (a recordApplier) DeleteValue(key string) {
 	kind, name := parseKey(key)
 	switch {
@@ -42,13 +42,13 @@
 	}
 }
 
-// ChangesApplied counts the time that the changes of a watch took.
+// ChangesApplied records the time that it took to apply the changes of a watch response.
 func (a recordApplier) ChangesApplied(begun time.Time) {
 	a.metrics.addBusyTime(activityReplica, begun)
 }
 
-// decodeRecord takes a stored value in by the kind of its key. An error means that the value
-// can't be decoded.
+// decodeRecord decodes a stored value by the kind of its key and applies it. It returns an
+// error if the value can't be decoded.
 func (a recordApplier) decodeRecord(key string, raw json.RawMessage, revision uint64) error {
 	kind, name := parseKey(key)
 	switch kind {
@@ -71,7 +71,7 @@
 	return a.decodeOther(key, raw, revision)
 }
 
-// decodeOther takes in the records of a rollout and the holders of leased keys.
+// decodeOther decodes and applies the records of a rollout and the holders of leased keys.
 func (a recordApplier) decodeOther(key string, raw json.RawMessage, revision uint64) error {
 	if key == rollout.StateKey {
 		return a.putRolloutState(raw, revision)
@@ -84,7 +84,8 @@
 	})
 }
 
-// decodeInto takes a value in if it can be decoded.
+// decodeInto decodes a value and passes it to apply. It returns an error, without calling
+// apply, if the value can't be decoded.
 func decodeInto[T any](raw json.RawMessage, apply func(T)) error {
 	var v T
 	if err := wire.Decode(raw, &v); err != nil {
@@ -94,8 +95,9 @@
 	return nil
 }
 
-// reportUndecodable names a record that this version can't decode. Nothing is guessed: its job
-// is neither assigned nor ended, and its user is told to come back.
+// reportUndecodable logs and counts a record that this version can't decode. Nothing is assumed
+// about its content: the job concerned is neither assigned nor completed, and its user is asked
+// to retry later.
 func (a recordApplier) reportUndecodable(key string, err error) {
 	a.log.Error("stored record can't be decoded; it is left alone", "key", key, "err", err)
 	a.metrics.count(countUndecodableValues, 1)
@@ -115,8 +117,8 @@
 	}
 }
 
-// putJobValue takes a job in, unless it is archived: a final job stays so, whatever comes
-// late.
+// putJobValue decodes and applies the record of a job, unless the job is archived: a final
+// state never changes, even if an older record arrives late.
 func (a recordApplier) putJobValue(key, id string, raw json.RawMessage, revision uint64) error {
 	var v record.Job
 	if err := wire.Decode(raw, &v); err != nil {
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// putJob takes a job in.
+// putJob applies the record of a job.
 func (a recordApplier) putJob(id string, v *record.Job, revision uint64) {
 	job := a.getOrAddJob(id)
 	if job.revision != 0 && job.finalState != v.FinalState {
@@ -149,7 +151,7 @@
 	a.requestSchedulingPass()
 }
 
-// setSpec notes what a job asks for, and what follows from that.
+// setSpec sets the job's specification and the values derived from it.
 func (a recordApplier) setSpec(job *job, v *record.Job) {
 	spec := v.Spec
 	job.spec = spec
@@ -159,7 +161,8 @@
 	job.team = a.getOrAddTeam(spec.Team)
 }
 
-// equivalenceClass is the same for jobs of which any task can be placed where another's can.
+// equivalenceClass returns a key that is equal for jobs whose tasks can be placed on the same
+// machines.
 func equivalenceClass(spec *wire.Job) string {
 	return fmt.Sprint(
 		spec.CPUs, spec.GPUs, spec.RAMGB,
@@ -167,11 +170,12 @@
 		spec.Priority, spec.AllOrNothing(), spec.Team)
 }
 
-// stopFinalJob gives up what a final job has reserved, and has its tasks stopped.
+// stopFinalJob cancels the reservations of a final job and sends the commands that stop its
+// tasks.
 func (a recordApplier) stopFinalJob(job *job, before record.FinalState) {
 	for _, group := range job.groups {
 		if before == record.Unfinished {
-			group.cancelWrite() // it has the former version of the job among its conditions
+			group.cancelWrite() // the write is conditional on the previous version of the job
 		}
 		a.cancelReservations(group, !group.writeInFlight)
 		for i := range group.bindings {
@@ -182,7 +186,7 @@
 	}
 }
 
-// setMachineTypes takes in the list of machine types.
+// setMachineTypes replaces the list of machine types and updates the sizes of all machines.
 func (c *clusterState) setMachineTypes(list []wire.MachineType) {
 	c.machineTypes = map[string]*wire.MachineType{}
 	for i := range list {
@@ -194,14 +198,14 @@
 	c.requestSchedulingPass()
 }
 
-// tombstone is a stored marker of machines that are terminated.
+// tombstone is the stored marker of terminated machines.
 type tombstone struct {
 	names []string
-	at    time.Time // since when it is known
+	at    time.Time // when this controller learned of it
 }
 
-// tombstoneNames are the machines of a tombstone. One that an older version wrote has the
-// value true, and its only machine in its key.
+// tombstoneNames returns the machines that a tombstone names. Older versions stored the value
+// true and named the only machine in the key.
 func tombstoneNames(name string, raw json.RawMessage) []string {
 	var names []string
 	if wire.Decode(raw, &names) == nil && len(names) > 0 {
@@ -210,20 +214,21 @@
 	return []string{name}
 }
 
-// putTombstone notes that machines are terminated.
+// putTombstone marks machines as terminated and ends all attempts on them.
 func (a recordApplier) putTombstone(key string, names []string) {
 	a.tombstones[key] = tombstone{names, a.now}
 	for _, name := range names {
 		a.terminatedMachines[name] = true
 		if m := a.machines[name]; m != nil {
 			m.terminated = true
-			a.endAllAttempts(m, "machine is gone")
+			a.endAllAttempts(m, "machine is terminated")
 		}
 	}
 	a.requestSchedulingPass()
 }
 
-// deleteTombstone forgets that machines are terminated: nothing refers to them any more.
+// deleteTombstone forgets the terminated machines that a tombstone named. It is deleted once
+// nothing refers to them any more.
 func (a recordApplier) deleteTombstone(key string) {
 	for _, name := range a.tombstones[key].names {
 		delete(a.terminatedMachines, name)
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -14,10 +14,10 @@
 	"eiderhitch/internal/store"
 )
 
-// clusterState is what every component of a controller may look at: the settings, the time
-// of the event in work, the records with their indices, and the machines with what is known
-// of them. It changes with the records (package replica), with workers' heartbeats and with
-// what peers and the cloud say; it decides nothing.
+// clusterState is the state that all components of a controller read: the settings, the time of
+// the current event, the stored records with their indexes, and the machines. It is updated
+// from the stored records (package replica), workers' heartbeats, peers and the cloud, and
+// makes no decisions.
 type clusterState struct {
 	*eventLoop
 	*catalog
@@ -30,9 +30,9 @@
 	metrics   *metrics
 	processID string
 	startedAt time.Time
-	// maxStaleness is how long after the start of the last successful read heartbeats may
-	// be answered (config.MaxStaleness); leaseExpiry is how long after the last answer a
-	// worker's lease has surely expired (config.LeaseExpiry).
+	// maxStaleness is how long after the start of the last successful read heartbeats may be
+	// answered (config.MaxStaleness). leaseExpiry is the time after the last answer from which
+	// a worker's lease has certainly expired (config.LeaseExpiry).
 	maxStaleness time.Duration
 	leaseExpiry  time.Duration
 
@@ -45,24 +45,25 @@
 	peers       *peer.Registry
 	autoscaler  *autoscaler.Autoscaler
 
-	// objectiveSeconds is, by class, in how many seconds its jobs should be done.
+	// objectiveSeconds is the time in seconds within which the jobs of a class should be done,
+	// by class.
 	objectiveSeconds map[string]float64
 	maxGroupTasks    int
-	reconcileRecords machineRecords // see reconcileView
+	reconcileRecords machineRecords // reused by each call of reconcileView
 	rollout          rolloutState
 
-	// schedulingPass counts the scheduling passes.
+	// schedulingPass is the number of the current scheduling pass.
 	schedulingPass uint64
 
-	lastHeartbeatAt time.Time // of any worker
-	// acceptsHeartbeats: the replica is fresh enough to answer them (maxStaleness).
-	// heartbeatsResumedAt is when they last were accepted again after an outage: no machine
-	// could be heard before.
+	lastHeartbeatAt time.Time // from any worker
+	// acceptsHeartbeats is set while the replica is fresh enough to answer heartbeats
+	// (maxStaleness). heartbeatsResumedAt is the time at which they were last accepted again
+	// after an outage; before it no machine could be heard.
 	acceptsHeartbeats   bool
 	heartbeatsResumedAt time.Time
 }
 
-// newClusterState returns the state of a controller that knows nothing yet.
+// newClusterState returns the state of a controller before it has read any record.
 func newClusterState(ctx context.Context, cfg *config.Platform, operator *config.Operator, log *slog.Logger, deps dependencies) *clusterState {
 	settings := &cfg.Settings
 	loop, jobs, machines := newEventLoop(ctx), newCatalog(), newMachineRegistry()
@@ -102,7 +103,7 @@
 	return c
 }
 
-// peerNames are the names of the other controllers.
+// peerNames returns the names of the other controllers.
 func peerNames(peers []config.Peer) []string {
 	var names []string
 	for _, p := range peers {
--- a/internal/controller/task_group.go
+++ b/internal/controller/task_group.go
@@ -8,21 +8,21 @@
 	"eiderhitch/internal/store"
 )
 
-// binding is a task of a task group and the machine that it is bound to, if any.
+// binding is a task of a task group with the machine that it is bound to, if any.
 type binding struct {
 	task        int32
 	attempt     uint64
-	machine     *machine // nil: pending
+	machine     *machine // nil if the task is not bound
 	incarnation uint64
 }
 
-// boundAttempt is the attempt that the binding is for.
+// boundAttempt returns the attempt, machine and incarnation that identify the binding.
 func (b *binding) boundAttempt() boundAttempt {
 	return boundAttempt{attempt: b.attempt, machine: b.machine, incarnation: b.incarnation}
 }
 
-// taskGroup is some of a job's tasks, which are assigned to a partition together. Its owner
-// binds them to machines. One stored record holds it.
+// taskGroup is a set of tasks of one job that are assigned to a partition together. The owner
+// of the partition binds them to machines. A task group is stored as one record.
 type taskGroup struct {
 	key                  string
 	index                scheduling.TaskGroupIndex
@@ -35,26 +35,26 @@
 	doneTasks            int
 	throttle             int // see record.TaskGroup
 	bindings             []binding
-	boundCount           int // bindings that name a machine
-	listPosition         int // one more than its index among its partition's groups; 0: in none
+	boundCount           int // number of bindings with a machine
+	listPosition         int // one more than the index in the partition's list of groups; 0 if in no list
 	writeInFlight        bool
-	pendingWrite         *store.Write    // its owner's write, while that waits or is on its way
-	hasUnstoredEnds      bool            // attempts have ended that are not stored as ended
-	endsPendingSince     time.Time       // since when ended attempts wait to be stored
-	bindingsPendingSince time.Time       // since when new bindings wait to be stored
-	partitionAssignedAt  time.Time       // since when it is assigned to its partition
-	throttleChangedAt    time.Time       // when the leader last changed its throttle
-	storedSize           int             // of its stored form
-	encoding             record.Encoding // in which it is stored
-	retryWriteAt         time.Time       // not written before then: it was refused as invalid
+	pendingWrite         *store.Write    // the owner's write that is queued or in flight
+	hasUnstoredEnds      bool            // attempts have ended whose ends are not stored yet
+	endsPendingSince     time.Time       // since when ended attempts have been waiting to be stored
+	bindingsPendingSince time.Time       // since when new bindings have been waiting to be stored
+	partitionAssignedAt  time.Time       // when the group was assigned to its partition or zone
+	throttleChangedAt    time.Time       // when the leader last changed the throttle
+	storedSize           int             // size of the stored value in bytes
+	encoding             record.Encoding // encoding of the stored value
+	retryWriteAt         time.Time       // no write before this time, because the last one was rejected as invalid
 }
 
-// task is the identifier of a task in the cells of partitions.
+// task returns the scheduling ID of the group's task with the given number.
 func (group *taskGroup) task(number int32) scheduling.TaskID {
 	return scheduling.TaskID{Group: group.index, Number: number}
 }
 
-// binding is a task's binding; nil: the task is not in this group.
+// binding returns the binding of a task, or nil if the task is not in this group.
 func (group *taskGroup) binding(number int32) *binding {
 	for i := range group.bindings {
 		if group.bindings[i].task == number {
@@ -64,23 +64,25 @@
 	return nil
 }
 
-// binds tells whether an attempt of a task is bound to a machine already.
+// isBoundTo reports whether the given attempt of a task is bound to the machine.
 func (group *taskGroup) isBoundTo(number int32, attempt uint64, m *machine) bool {
 	bound := group.binding(number)
 	return bound != nil && bound.machine == m && bound.attempt == attempt
 }
 
-// cancelWrite gives up a write of the group's owner whose conditions have changed.
+// cancelWrite cancels the owner's pending write of the group because its conditions have
+// changed.
 func (group *taskGroup) cancelWrite() {
 	if group.pendingWrite != nil {
 		group.pendingWrite.Cancel()
 	}
 }
 
-// boundTaskCount counts the tasks that are on machines by what is stored.
+// boundTaskCount returns the number of tasks that are bound to machines according to the stored
+// record.
 func (group *taskGroup) boundTaskCount() int { return group.boundCount }
 
-// bindLimit is how many tasks may be bound at a time.
+// bindLimit returns how many of the group's tasks may be bound at a time.
 func (group *taskGroup) bindLimit() int {
 	if group.throttle == 0 {
 		return len(group.bindings)
@@ -88,10 +90,12 @@
 	return min(group.throttle-1, len(group.bindings))
 }
 
-// quotaTaskCount is how many tasks count for the team's quota: those that may be bound and those
-// that still are; of a final job only the latter, once all changes up to its end are known (to
-// cursor). A cancellation by this controller is known before a binding that was stored just
-// before it: counted for nothing until then, the task ran beside what its room was given to.
+// quotaTaskCount returns how many of the group's tasks count toward the team's quota: the
+// larger of the number that are bound and the number that may be. For a final job only bound
+// tasks count, once the replica has all changes up to the job's end (cursor is the revision up
+// to which it has them). A cancellation by this controller may be known before a binding that
+// was stored just before it: when such a task did not count in the meantime, it ran beside the
+// tasks that its quota was given to.
 func (group *taskGroup) quotaTaskCount(cursor uint64) int {
 	if group.job.finalState != record.Unfinished && group.job.revision <= cursor {
 		return group.boundTaskCount()
@@ -99,7 +103,8 @@
 	return max(group.boundTaskCount(), group.bindLimit())
 }
 
-// exceedsThrottle tells whether a bound task is beyond what may be bound.
+// exceedsThrottle reports whether a bound task is beyond the number of tasks that the throttle
+// allows.
 func (group *taskGroup) exceedsThrottle(number int32) bool {
 	if group.throttle == 0 {
 		return false
@@ -117,9 +122,9 @@
 	return false
 }
 
-// split is the group in two, by which tasks stay and which leave. Of a throttled group those
-// tasks leave that may run, and with them so much of its throttle: two groups with the
-// throttle of one would count, and run, more than it allows.
+// split divides the group into the tasks that stay and those that leave. The tasks that leave a
+// throttled group are allowed to run, and take their share of its throttle along: two groups
+// with the full throttle each would count toward the quota, and run, more tasks than it allows.
 func (group *taskGroup) split(stay, leave []binding) (left, moved taskGroup) {
 	left, moved = *group, *group
 	left.bindings, moved.bindings = stay, leave
@@ -129,12 +134,14 @@
 	return left, moved
 }
 
-// claim is by what the group's tasks contend for cells.
+// claim returns the priority, quota guarantee and team with which the group's tasks compete for
+// cells.
 func (group *taskGroup) claim() scheduling.Claim {
 	return scheduling.Claim{Priority: group.job.spec.Priority, Guaranteed: group.guaranteed, Team: group.job.team}
 }
 
-// record is the group's stored content with other bindings.
+// toRecord returns the group's record with the given number of done tasks and the given
+// bindings.
 func (group *taskGroup) toRecord(done int, bindings []binding) *record.TaskGroup {
 	content := &record.TaskGroup{
 		Partition: group.partition, Zone: group.zone, Guaranteed: group.guaranteed,
