--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -21,10 +21,12 @@
 	"eiderhitch/internal/wire"
 )
 
-// lone is a controller that owns its only partition, without anything around it.
+// newTestController returns a controller that owns its only partition and has no machines, jobs
+// or peers.
 func newTestController(t *testing.T) *controller { return newTestControllerInCluster(t, 1) }
 
-// newTestControllerInCluster is the same in a cluster of several, of whose partitions it owns the first.
+// newTestControllerInCluster returns a controller like newTestController in a cluster with the
+// given number of controllers. It owns the first partition.
 func newTestControllerInCluster(t *testing.T, controllers int) *controller {
 	t.Helper()
 	cfg := &config.Platform{Name: "n0"}
@@ -42,13 +44,14 @@
 	return c
 }
 
-// acquireKeys has a lone controller hold its keys since a while ago.
+// acquireKeys makes a test controller acquire all of its keys. It counts as having owned them
+// for a minute.
 func acquireKeys(t *testing.T, c *controller) {
 	t.Helper()
 	c.partitions[0].token = 0
 	c.campaign()
 	vacant := func(p *partition) bool { return c.election.Token(p.key) == 0 }
-	for slices.ContainsFunc(c.partitions, vacant) { // or the test runs into its time limit
+	for slices.ContainsFunc(c.partitions, vacant) { // the test's time limit ends the wait if the keys stay vacant
 		f, _ := c.events.take(t.Context().Done(), nil)
 		f()
 	}
@@ -57,11 +60,11 @@
 	}
 }
 
-// grantingStore is a key-value store that grants every lease and takes every transaction;
-// its watches show no change.
+// grantingStore is a key-value store that grants every lease and accepts every transaction. Its
+// watches report no changes.
 type grantingStore struct{ revision atomic.Uint64 }
 
-// RoundTrip answers with what suits all calls: a lease, and a revision.
+// RoundTrip returns a response that fits every call: a lease and a revision.
 func (s *grantingStore) RoundTrip(r *http.Request) (*http.Response, error) {
 	revision := uint64(0)
 	if r.Method == http.MethodPost {
@@ -71,7 +74,7 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: body, Header: http.Header{}}, nil
 }
 
-// raw is the JSON of a value.
+// marshalJSON returns the JSON encoding of a value.
 func marshalJSON(t *testing.T, v any) json.RawMessage {
 	t.Helper()
 	out, err := json.Marshal(v)
@@ -81,13 +84,13 @@
 	return out
 }
 
-// A record may be deleted, or lose tasks to another one, while tasks of it have
-// claimed cells that are not stored yet. What they claimed is given up; a machine
-// that is lost afterwards must not look for their record (which ended a
-// controller), and no cell stays taken.
+// A record may be deleted, or lose tasks to another record, while some of its tasks hold
+// reservations that are not stored yet. The reservations are released and no cell stays taken.
+// A machine that is lost afterwards must not look up the deleted record, which used to crash
+// the controller.
 func TestReservationsEndWithTheirRecord(t *testing.T) {
-	for _, how := range []string{"deleted", "moved"} {
-		t.Run(how, func(t *testing.T) {
+	for _, change := range []string{"deleted", "moved"} {
+		t.Run(change, func(t *testing.T) {
 			c := newTestController(t)
 			p := c.partitions[0]
 			c.applyHeartbeat(c.getOrAddMachine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, workerRequest)
@@ -97,10 +100,10 @@
 			c.replica.Put(key, marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
 			c.placeGroup(p, c.groupByKey[key])
 			if len(p.reservations) != 2 {
-				t.Fatalf("%d tasks have claimed cells, want 2", len(p.reservations))
+				t.Fatalf("%d tasks have reservations, want 2", len(p.reservations))
 			}
 			left := 0
-			if how == "deleted" {
+			if change == "deleted" {
 				c.replica.Delete(key, 4)
 			} else {
 				c.replica.Put(key, marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Task: 1}}}), 4)
@@ -120,8 +123,8 @@
 	}
 }
 
-// A team at its limit has room for one more task many times a second; the throttle of
-// a group is raised for several at once, not for each.
+// A team at its limit gets room for one more task many times a second. The throttle of a group
+// is raised for several tasks at once, not for each one.
 func TestThrottlesRiseInSteps(t *testing.T) {
 	c := newTestController(t)
 	c.becomeLeader(5)
@@ -140,7 +143,7 @@
 		lim.Usage = group.job.taskSize.Times(group.quotaTaskCount(c.replica.Cursor()))
 		before := group.throttleChangedAt
 		c.unthrottle(group.job, &lim)
-		if group.throttleChangedAt != before { // stored at once
+		if group.throttleChangedAt != before { // the change is stored at once
 			changes++
 			stamp++
 			g.Throttle = min(free, 9) + 1
@@ -153,13 +156,13 @@
 		c.now = c.now.Add(100 * time.Millisecond)
 	}
 	if changes == 0 || changes > 3 || group.bindLimit() != 9 {
-		t.Errorf("%d changes, %d tasks may run; want 1 to 3 changes and 9 tasks", changes, group.bindLimit())
+		t.Errorf("%d throttle changes, bind limit %d; want 1 to 3 changes and limit 9", changes, group.bindLimit())
 	}
 }
 
-// A record moves to another partition while a write of it is on its way and its tasks
-// have claimed cells. No cell stays taken: one that no record knew of would have
-// been lost until the partition changed hands.
+// A record moves to another partition while a write of it is in flight and its tasks hold
+// reservations. No cell stays taken: one that no record knows of would be lost until the
+// partition changes hands.
 func TestReservationsOfMovedRecord(t *testing.T) {
 	c := newTestController(t)
 	p := c.partitions[0]
@@ -170,17 +173,17 @@
 	group := c.groupByKey[key]
 	c.placeGroup(p, group)
 	if len(p.reservations) != 2 {
-		t.Fatalf("%d tasks have claimed cells, want 2", len(p.reservations))
+		t.Fatalf("%d tasks have reservations, want 2", len(p.reservations))
 	}
-	group.writeInFlight = true // the leader's move, of this very process
+	group.writeInFlight = true // the move by the leader in this process
 	c.replica.Put(key, marshalJSON(t, record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 4)
 	if len(p.reservations) != 0 || len(p.cells.AllocatedTasks()) != 0 {
 		t.Errorf("%d reservations and %d cells are left, want none", len(p.reservations), len(p.cells.AllocatedTasks()))
 	}
 }
 
-// The result of a write of ours may come after a later deletion is known: the
-// record must not come back to life.
+// The result of a write by this controller may arrive after a later deletion of the record is
+// known. It must not bring the record back.
 func TestLateWriteResultOfDeletedRecord(t *testing.T) {
 	c := newTestController(t)
 	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
@@ -189,12 +192,12 @@
 	c.replica.Apply(&wire.WatchResponse{Revision: 9, Events: []wire.Event{{Delete: key, Revision: 9}}})
 	c.replica.Put(key, marshalJSON(t, record.TaskGroup{Done: 1}), 5)
 	if c.groupByKey[key] != nil || len(c.jobs["wk-1"].groups) != 0 {
-		t.Error("a deleted record is back")
+		t.Error("a late write result brought a deleted record back")
 	}
 }
 
-// Machines that died together share a tombstone. It names them all, the encoding of older
-// versions is understood, and deleting it forgets them all.
+// Machines that died together share a tombstone. It names all of them, the encoding of older
+// versions is understood, and deleting it forgets all of them.
 func TestSharedTombstone(t *testing.T) {
 	c := newTestController(t)
 	var names []string
@@ -204,9 +207,9 @@
 	}
 	c.replica.Put(tombstonePrefix+"host-000001", record.JSON(names[1:4]), 20)
 	c.replica.Put(tombstonePrefix+"host-000009", record.JSON(true), 21)
-	for i, gone := range map[int]bool{0: false, 1: true, 2: true, 3: true, 4: false, 9: true} {
-		if c.getOrAddMachine(names[i]).terminated != gone {
-			t.Errorf("%s is terminated: %v, want %v", names[i], !gone, gone)
+	for i, terminated := range map[int]bool{0: false, 1: true, 2: true, 3: true, 4: false, 9: true} {
+		if c.getOrAddMachine(names[i]).terminated != terminated {
+			t.Errorf("%s: terminated %v, want %v", names[i], !terminated, terminated)
 		}
 	}
 	c.replica.Delete(tombstonePrefix+"host-000001", 22)
@@ -215,16 +218,16 @@
 	}
 }
 
-// A controller that no agent reaches steps down. Many machines that fall silent
-// together are no chance after a few seconds, few only after many: their leases run,
-// and they must still find the successor. What a process that stood still finds in
-// its sockets it has to read first.
+// A controller steps down when no agent reaches it. If many machines fall silent together, a
+// few seconds rule out coincidence; with few machines it takes longer. The machines' leases
+// keep running, so enough time must be left for them to find the successor. A process that was
+// paused must first read what waits in its sockets.
 func TestStepsDownWhenNoAgentReachesIt(t *testing.T) {
 	for _, x := range []struct {
 		name      string
 		machines  int
 		after     time.Duration
-		resumed   bool // it stood still until just now
+		resumed   bool // the process has just resumed after a pause
 		stepsDown bool
 	}{
 		{"many machines, seconds", 200, 4 * time.Second, false, true},
@@ -245,26 +248,26 @@
 			}
 			c.stepDownIfUnreachable()
 			if got := c.partitions[0].token == 0; got != x.stepsDown {
-				t.Errorf("it steps down: %v, want %v", got, x.stepsDown)
+				t.Errorf("the controller steps down: %v, want %v", got, x.stepsDown)
 			}
 		})
 	}
 }
 
-// An array's task within its team's guaranteed quota preempts others' after a while.
-// Where cells come free all the time it waits for one of those first, but not for
-// long: what is preempted has run for nothing.
+// A task of an array within its team's guaranteed quota preempts other tasks after a delay.
+// Where cells become free all the time, it first waits longer for one of those, because the
+// work of preempted tasks is lost.
 func TestGuaranteedTaskWaitsBeforePreempting(t *testing.T) {
 	for _, x := range []struct {
 		name     string
 		waited   time.Duration
-		ends     int // cells that came free of late
+		ends     int // cells that became free recently
 		preempts bool
 	}{
 		{"waits a little", 2 * time.Second, 0, false},
 		{"waits", 4 * time.Second, 0, true},
-		{"waits where cells come free", 4 * time.Second, 50, false},
-		{"waits for long where cells come free", 7 * time.Second, 50, true},
+		{"waits where cells become free", 4 * time.Second, 50, false},
+		{"waits long where cells become free", 7 * time.Second, 50, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := newTestController(t)
@@ -281,79 +284,80 @@
 			p.freedInPreviousWindow, p.freedWindowStart = x.ends, c.now
 			c.placeGroup(p, group)
 			if got := p.cells.PreemptingGroup(group.task(0)) != nil; got != x.preempts {
-				t.Errorf("it preempts: %v, want %v", got, x.preempts)
+				t.Errorf("the task preempts: %v, want %v", got, x.preempts)
 			}
 		})
 	}
 }
 
-// Jobs are known for ever, by little more than their names: whoever asks gets the
-// answer that was given last, and each that is finished costs what it is planned to.
+// Finished jobs are remembered forever, by little more than their IDs. Queries return the same
+// final state as before, and the memory per finished job stays within its budget.
 func TestFinishedJobMemory(t *testing.T) {
-	const jobs, each = 20_000, 100
+	const jobs, maxBytesPerJob = 20_000, 100
 	c := newTestController(t)
-	held := func() uint64 {
+	heapBytes := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
 	spec := &wire.Job{Class: "c", Team: "t", Tasks: 1, Image: "img"}
-	before := held()
+	before := heapBytes()
 	for i := range jobs {
 		spec.ID = fmt.Sprintf("wk-%08d", i)
 		stamp := uint64(2*i + 10)
-		if i%2 == 0 { // it ran while this controller did, else it is read after a start
+		if i%2 == 0 { // the job ran while this controller did; the others are read after a start
 			c.replica.Put(jobKey(spec.ID), marshalJSON(t, record.Job{Spec: spec}), stamp)
 		}
 		c.replica.Put(jobKey(spec.ID), marshalJSON(t, record.Job{FinalState: record.Cancelled + record.FinalState(i/2%2)}), stamp+1)
 		if i%500 != 499 {
 			continue
 		}
-		// What was stored before the last change of a job may not be known yet.
+		// The replica may not have everything that was stored before the last change of a job.
 		n := len(c.finalStates)
 		c.archiveFinishedJobs(c.replica)
 		if len(c.finalStates) > n {
-			t.Fatalf("%d jobs are archived before all of them is known, want none", len(c.finalStates)-n)
+			t.Fatalf("%d jobs were archived before the replica had all of their changes, want none", len(c.finalStates)-n)
 		}
 		c.replica.Apply(&wire.WatchResponse{Revision: stamp + 1})
 		c.archiveFinishedJobs(c.replica)
 	}
-	if n := int(held()-before) / jobs; n > each {
-		t.Errorf("a finished job holds %d bytes, want at most %d", n, each)
+	if n := int(heapBytes()-before) / jobs; n > maxBytesPerJob {
+		t.Errorf("a finished job takes %d bytes, want at most %d", n, maxBytesPerJob)
 	}
 	for _, x := range []struct {
 		id    string
 		state string
 	}{{"wk-00000000", wire.Cancelled}, {"wk-00000001", wire.Cancelled}, {"wk-00000002", wire.Done}, {"wk-00000003", wire.Done}} {
 		if job := c.lookupJob(x.id); job == nil || job.jobState().State != x.state {
-			t.Errorf("%s is %+v, want it %s", x.id, job, x.state)
+			t.Errorf("job %s is %+v, want state %s", x.id, job, x.state)
 		}
 	}
 	if c.lookupJob("wk-99999999") != nil {
-		t.Error("a job that nobody submitted is known")
+		t.Error("a job that was never submitted is known")
 	}
-	// A late copy of an older change does not bring it back.
+	// A late copy of an older change does not make the job unfinished again.
 	spec.ID = "wk-00000002"
-	c.replica = replica.New(recordApplier{c}) // which knows nothing of it yet
+	c.replica = replica.New(recordApplier{c}) // a new replica, which has no record of the job yet
 	c.replica.Put(jobKey(spec.ID), marshalJSON(t, record.Job{Spec: spec}), 14)
 	if job := c.lookupJob(spec.ID); job.finalState != record.Done || len(c.jobs) != 0 {
-		t.Errorf("%s went back to %s", spec.ID, job.jobState().State)
+		t.Errorf("job %s went back to state %s", spec.ID, job.jobState().State)
 	}
 }
 
-// A cancellation of our own is known before a binding that was stored just before it.
-// Until all changes up to it are known its tasks count for the team's limit as if the
-// job were not finished: the leader once gave their room away while one of them ran.
+// A cancellation by this controller is known before a binding that was stored just before it.
+// Until the replica has all changes up to the cancellation, the tasks count toward the team's
+// quota as if the job were unfinished: the leader once gave their share of the quota away while
+// one of them was running.
 func TestCancelledBeforeItsBindingIsKnown(t *testing.T) {
 	c := newTestController(t)
 	c.cfg.Settings.Teams = []config.Team{{Name: "t", CPUsMax: 100}}
 	team := c.getOrAddTeam("t")
 	spec := &wire.Job{ID: "wk-1", Team: "t", Service: true, Tasks: 1, CPUs: 2, Image: "img"}
-	used := func(when string, want int64) {
+	checkUsed := func(when string, want int64) {
 		t.Helper()
 		if got := c.quotas()[team].Usage.CPU; got != want*1000 {
-			t.Errorf("%s %d milli-CPUs count, want %d", when, got, want*1000)
+			t.Errorf("%s %d milli-CPUs count toward the quota, want %d", when, got, want*1000)
 		}
 	}
 	group := func(machine string) json.RawMessage {
@@ -362,21 +366,21 @@
 	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: spec}), 10)
 	c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{}}}), 11)
 	c.replica.Apply(&wire.WatchResponse{Revision: 11})
-	used("assigned:", 2)
-	gone := marshalJSON(t, record.Job{FinalState: record.Cancelled, Spec: spec})
-	c.replica.Put(jobKey("wk-1"), gone, 20) // our own write's result
-	used("cancelled here:", 2)
+	checkUsed("assigned:", 2)
+	cancelled := marshalJSON(t, record.Job{FinalState: record.Cancelled, Spec: spec})
+	c.replica.Put(jobKey("wk-1"), cancelled, 20) // the result of this controller's own write
+	checkUsed("cancelled here:", 2)
 	c.replica.Apply(&wire.WatchResponse{Revision: 21, Events: []wire.Event{
-		{Put: groupKey("wk-1", 0), Value: group("host-1"), Revision: 15}, {Put: jobKey("wk-1"), Value: gone, Revision: 20}}})
-	used("its binding is known:", 2)
+		{Put: groupKey("wk-1", 0), Value: group("host-1"), Revision: 15}, {Put: jobKey("wk-1"), Value: cancelled, Revision: 20}}})
+	checkUsed("its binding is known:", 2)
 	c.replica.Apply(&wire.WatchResponse{Revision: 22, Events: []wire.Event{{Put: groupKey("wk-1", 0), Value: group(""), Revision: 22}}})
-	used("proven gone:", 0)
+	checkUsed("proven to have ended:", 0)
 
-	// The same where not even the assignment is known yet.
+	// The same if not even the assignment is known yet.
 	c.replica.Put(jobKey("wk-2"), marshalJSON(t, record.Job{Spec: spec}), 30)
 	c.replica.Apply(&wire.WatchResponse{Revision: 30})
-	c.replica.Put(jobKey("wk-2"), gone, 40)
+	c.replica.Put(jobKey("wk-2"), cancelled, 40)
 	c.replica.Apply(&wire.WatchResponse{Revision: 41, Events: []wire.Event{
-		{Put: groupKey("wk-2", 0), Value: group("host-2"), Revision: 35}, {Put: jobKey("wk-2"), Value: gone, Revision: 40}}})
-	used("assigned and bound before it was cancelled here:", 2)
+		{Put: groupKey("wk-2", 0), Value: group("host-2"), Revision: 35}, {Put: jobKey("wk-2"), Value: cancelled, Revision: 40}}})
+	checkUsed("assigned and bound before it was cancelled here:", 2)
 }
--- a/internal/controller/cordons.go
+++ b/internal/controller/cordons.go
@@ -87,15 +87,15 @@
 // failing on one machine after the other, would cause the whole fleet to be drained and
 // terminated.
 func (c *partitionOwner) updateCordon(m *machine) {
-	failed := 0
+	jobCount := 0
 	for id, at := range m.failedJobs {
 		if job := c.jobs[id]; job == nil || c.now.Sub(at) > jobAvoidanceTime {
 			delete(m.failedJobs, id)
 		} else if !job.failsEverywhere() {
-			failed++
+			jobCount++
 		}
 	}
-	if cordoned := failed >= cordonThreshold; cordoned != m.cordoned {
+	if cordoned := jobCount >= cordonThreshold; cordoned != m.cordoned {
 		m.cordoned, m.cordonedAt = cordoned, c.now
 		c.log.Info("machine cordon changed", "machine", m.name, "cordoned", cordoned)
 	}
--- a/internal/controller/cordons_test.go
+++ b/internal/controller/cordons_test.go
@@ -8,8 +8,8 @@
 	"eiderhitch/internal/wire"
 )
 
-// A job that fails on machine after machine is tried ever more rarely, and each machine that
-// failed it rests a moment.
+// The backoff of a job grows with each further machine on which its tasks fail, and each
+// machine that failed a task backs off for a fixed time.
 func TestFailedJobBackoffGrowsWithFailedMachines(t *testing.T) {
 	c := newTestController(t)
 	j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 20}}
@@ -22,15 +22,16 @@
 			rest = j.retryAt.Sub(c.now)
 		}
 		if rest != want*time.Second {
-			t.Errorf("after failures on %d machines the job rests for %v, want %v", i+1, rest, want*time.Second)
+			t.Errorf("after failures on %d machines the job backs off for %v, want %v", i+1, rest, want*time.Second)
 		}
 		if got := m.placementBackoffUntil.Sub(c.now); got != 5*time.Second {
-			t.Errorf("a machine that failed a task rests for %v, want 5 s", got)
+			t.Errorf("a machine that failed a task backs off for %v, want 5 s", got)
 		}
 	}
 }
 
-// A machine that refuses a start rests until it has been heard again; nobody is to blame.
+// A machine that refuses a start backs off until its next heartbeats are in. Neither the
+// machine nor the job is charged with a failure.
 func TestRefusedStartIsNotAFailure(t *testing.T) {
 	for _, reason := range []string{wire.ReasonNoRoom, wire.ReasonInUse, wire.ReasonUnknownTask} {
 		c := newTestController(t)
@@ -38,10 +39,10 @@
 		j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 1}}
 		c.handleTaskEnd(m, j, reason)
 		if got := m.placementBackoffUntil.Sub(c.now); got != time.Second {
-			t.Errorf("%s: the machine rests for %v, want 1 s", reason, got)
+			t.Errorf("%s: the machine backs off for %v, want 1 s", reason, got)
 		}
 		if len(m.failedJobs) > 0 || len(j.failedMachines) > 0 || !j.retryAt.IsZero() || m.cordoned {
-			t.Errorf("%s: somebody is blamed: %v %v %v %v", reason, m.failedJobs, j.failedMachines, j.retryAt, m.cordoned)
+			t.Errorf("%s: failed jobs %v, failed machines %v, retry at %v, cordoned %v; want no effect", reason, m.failedJobs, j.failedMachines, j.retryAt, m.cordoned)
 		}
 	}
 }
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -14,7 +14,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// Work goes on while one controller after the other ends and comes back.
+// Work continues while one controller after the other is stopped and restarted.
 func TestFailoverOfEachController(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 40, CPUs: 2, EstimateS: 8}))
@@ -29,7 +29,8 @@
 	})
 }
 
-// After a crash of all controllers the stored records and machine types do.
+// After a crash of all controllers, the stored records and machine types suffice to continue,
+// even while the cloud is unavailable.
 func TestAllControllersRestart(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 40, CPUs: 2, EstimateS: 8}))
@@ -37,11 +38,11 @@
 		c.awaitDone("wk-2", time.Minute)
 		c.killAll()
 		time.Sleep(3 * time.Second)
-		c.env.Cloud.SetDown(true) // the stored types must do
+		c.env.Cloud.SetDown(true) // the stored machine types must suffice
 		c.startAll()
 		time.Sleep(5 * time.Second)
 		if s := c.state("wk-2"); s != wire.Done {
-			t.Errorf("a done job is %q after the restart, want %q", s, wire.Done)
+			t.Errorf("state of a done job after the restart is %q, want %q", s, wire.Done)
 		}
 		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 1, CPUs: 1, EstimateS: 1}))
 		c.env.Cloud.SetDown(false)
@@ -50,8 +51,8 @@
 	})
 }
 
-// An owner that only the key-value store refuses can't learn of a cancellation;
-// the tasks must be gone in time all the same (see config.MaxStaleness).
+// An owner that is refused only by the key-value store can't learn of a cancellation. The tasks
+// must nevertheless end in time (see config.MaxStaleness).
 func TestCancelWhileOwnerCannotReachStore(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submitServices(6, 2)
@@ -70,13 +71,13 @@
 	})
 }
 
-// A new leader and new owners must not take machines that have not sent them a heartbeat
-// yet for ones that never came up.
+// A new leader and new owners must not treat machines that have not sent them a heartbeat yet
+// as machines that failed to boot.
 func TestFailoverKeepsBusyMachines(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submitServices(4, 2)
 		c.await("the services run", time.Minute, func() bool { return c.env.Starts() == 8 })
-		time.Sleep(time.Minute) // older than any boot limit
+		time.Sleep(time.Minute) // longer than any boot timeout
 		for i := range 3 {
 			c.kill(i)
 			time.Sleep(12 * time.Second)
@@ -89,7 +90,8 @@
 	})
 }
 
-// leaseHolders tells who holds each leased key, with the revision that gave it.
+// leaseHolders returns the holder of each leased key, with the revision of the write that made
+// it the holder.
 func (c *cluster) leaseHolders() map[string]leaseHolder {
 	out := map[string]leaseHolder{}
 	ctl := c.nodes[0].controller()
@@ -101,13 +103,15 @@
 	return out
 }
 
-// leaseHolder is the node that holds a leased key, and the revision that gave it.
+// leaseHolder is the node that holds a leased key, with the revision of the write that made it
+// the holder.
 type leaseHolder struct {
 	node     string
 	revision uint64
 }
 
-// countAssignedPartitions counts the partitions to whose machines the leader assigns.
+// countAssignedPartitions returns the number of partitions to whose machines the leader assigns
+// tasks.
 func (c *cluster) countAssignedPartitions() int {
 	partitions := map[int]bool{}
 	for _, n := range c.nodes {
@@ -122,12 +126,13 @@
 	return len(partitions)
 }
 
-// A controller that loses the key-value store and its peers, not its agents, can't know of
-// a cancellation: it stops answering in time, and the work passes to the others.
+// A controller that is cut off from the key-value store and its peers, but not from its agents,
+// can't learn of a cancellation. It must stop answering heartbeats in time, and the other
+// controllers take over its work.
 func TestOwnerIsolatedFromStoreAndPeers(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.runServices(6, 2)
-		own := c.env.Cloud.Agents()
+		agents := c.env.Cloud.Agents()
 		c.nodes[1].peersBlocked.Store(true)
 		c.nodes[1].transport.SetPolicy(onlyWhen(isStoreRequest, network.Drop))
 		time.Sleep(time.Second)
@@ -135,14 +140,14 @@
 			c.cancelJob(fmt.Sprintf("wk-%d", i+1))
 		}
 		time.Sleep(40 * time.Second)
-		for _, a := range own { // also one that no other owner has spoken to
+		for _, a := range agents { // including agents that no other owner has contacted
 			heartbeat, err := wire.ParseHeartbeat(a.LastHeartbeat())
 			if err != nil {
 				t.Fatal(err)
 			}
 			heartbeat.Token = 0
 			if status, err := c.postHeartbeat(1, record.JSON(heartbeat)); err != nil || status < http.StatusBadRequest {
-				t.Errorf("a heartbeat is answered with %d long after the last read (error %v), want a refusal", status, err)
+				t.Errorf("a heartbeat long after the last read got status %d (error %v), want a refusal", status, err)
 			}
 		}
 		for i := range 3 {
@@ -160,8 +165,8 @@
 	})
 }
 
-// Controllers that refuse each other's connections say nothing about who lives: no leased
-// key changes hands, and what is submitted is assigned and runs.
+// Refused connections between controllers don't show that a controller has failed. No leased
+// key changes hands, and submitted jobs are assigned and run.
 func TestRefusedPeerConnectionsMoveNoLease(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.runServices(4, 2)
@@ -169,13 +174,13 @@
 		holders, partitions := c.leaseHolders(), c.countAssignedPartitions()
 		c.setPeersBlocked(true)
 		time.Sleep(15 * time.Second)
-		// A machine of an owner that the leader can't hear dies: it is terminated, and its
-		// replicas run elsewhere, before its lease alone would prove it.
+		// A machine dies whose owner the leader can't reach. The machine is terminated, and its
+		// replicas run elsewhere, before its lease alone would prove its end.
 		lost := c.busyMachineOfFollower()
 		lost.Terminate()
 		time.Sleep(9 * time.Second)
 		if slices.Contains(c.env.Cloud.Agents(), lost) {
-			t.Errorf("the dead machine %s is still there", lost.Name())
+			t.Errorf("the dead machine %s has not been terminated", lost.Name())
 		}
 		c.submit(newSubmission(submission{ID: "wk-8", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 2}))
 		c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 12, CPUs: 2, EstimateS: 2}))
@@ -187,21 +192,21 @@
 			}
 		}
 		if now := c.countAssignedPartitions(); now != partitions {
-			t.Errorf("the leader assigns to machines of %d partitions, before to those of %d", now, partitions)
+			t.Errorf("the leader assigns to machines of %d partitions, want %d as before", now, partitions)
 		}
 		c.checkHoldersUnchanged(holders)
 		c.setPeersBlocked(false)
 	})
 }
 
-// setPeersBlocked has no controller reach another, or all.
+// setPeersBlocked blocks or unblocks the connections between all controllers.
 func (c *cluster) setPeersBlocked(blocked bool) {
 	for _, n := range c.nodes {
 		n.peersBlocked.Store(blocked)
 	}
 }
 
-// busyMachineOfFollower is a machine with work whose owner doesn't lead.
+// busyMachineOfFollower returns a machine with bound tasks whose owner is not the leader.
 func (c *cluster) busyMachineOfFollower() *agent.Agent {
 	c.t.Helper()
 	var found *agent.Agent
@@ -217,13 +222,13 @@
 		}
 	}
 	if found == nil {
-		c.t.Fatal("all replicas are in the leader's partition")
+		c.t.Fatal("no follower owns a machine with bound tasks")
 	}
 	return found
 }
 
 // checkHoldersUnchanged checks that no leased key has passed to another node. A higher fencing
-// token of the same node is no change of hands.
+// token of the same node is allowed.
 func (c *cluster) checkHoldersUnchanged(before map[string]leaseHolder) {
 	c.t.Helper()
 	after := c.leaseHolders()
@@ -234,8 +239,8 @@
 	}
 }
 
-// Processes and machines that are back in a fraction of a second, also in the
-// middle of an election.
+// Controllers and machines restart within a fraction of a second, also in the middle of an
+// election. All work still completes.
 func TestRestartsWithinASecond(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.runServices(3, 2)
@@ -253,8 +258,8 @@
 	})
 }
 
-// A process that is back at once takes the leases of its predecessor right away, with
-// fencing tokens of its own: nothing waits for a lease that nobody renews any more.
+// A restarted process takes over the leases of its predecessor at once, with fencing tokens of
+// its own. It must not wait for the expiry of leases that are no longer renewed.
 func TestRestartedProcessReacquiresLeases(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		time.Sleep(10 * time.Second)
@@ -263,7 +268,7 @@
 			c.kill(i)
 			time.Sleep(100 * time.Millisecond)
 			c.start(i)
-			c.await("its leases are back", 2500*time.Millisecond, func() bool {
+			c.await("the restarted process holds its leases again", 2500*time.Millisecond, func() bool {
 				partitionsNow, tokensNow := c.ownedPartitions(i)
 				return partitionsNow >= partitions && tokensNow > tokens
 			})
@@ -271,8 +276,8 @@
 	})
 }
 
-// ownedPartitions counts the partitions that a node's controller owns, and adds up their
-// fencing tokens.
+// ownedPartitions returns the number of partitions that a node's controller owns, and the sum
+// of their fencing tokens.
 func (c *cluster) ownedPartitions(i int) (count int, tokens uint64) {
 	ctl := c.nodes[i].controller()
 	ctl.call(c.ctx, priorityStore, func() {
@@ -285,8 +290,9 @@
 	return count, tokens
 }
 
-// An owner starts nothing on the strength of an old read: somebody may have told a user
-// "cancelled" since. It goes on answering heartbeats, so that what runs goes on.
+// An owner must not start tasks based on a stale replica, because another controller may have
+// confirmed a cancellation to a user since. It continues to answer heartbeats so that running
+// tasks go on.
 func TestNoStartOnStaleReplica(t *testing.T) {
 	c := newTestController(t)
 	p := c.partitions[0]
@@ -299,16 +305,16 @@
 	}
 	c.now = c.now.Add(c.operator.LeaseTTL + time.Second)
 	if cmds := c.commandsFor(m, p); len(cmds) != 0 {
-		t.Errorf("commands %v on an old read, want none", cmds)
+		t.Errorf("commands %v on a stale replica, want none", cmds)
 	}
 	if !c.isFresh(c.maxStaleness) {
-		t.Error("heartbeats are not answered any more")
+		t.Error("heartbeats are no longer answered")
 	}
 }
 
-// Where all machines have died and the cloud gives no others, no agent reaches anybody. The
-// leased keys don't go round for that: each change of hands would begin the wait for the
-// leases anew, and what ran would never be proven gone.
+// If all machines have died and the cloud provides no others, no agent reaches any controller.
+// The leased keys must not change hands because of that: each change would restart the wait for
+// the leases, and the end of the tasks would never be proven.
 func TestLeasesAreKeptWithoutAgents(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.runServices(6, 2)
@@ -321,11 +327,11 @@
 		before := c.leaseHolders()
 		time.Sleep(30 * time.Second)
 		if after := c.leaseHolders(); !maps.Equal(before, after) {
-			t.Errorf("leased keys went from %v to %v", before, after)
+			t.Errorf("the holders of leased keys changed from %v to %v", before, after)
 		}
 		for i := range 6 {
 			if s := c.state(fmt.Sprintf("wk-%d", i+1)); s != wire.Queued {
-				t.Errorf("a service of dead machines is %s, want %s", s, wire.Queued)
+				t.Errorf("state of a service whose machines died is %s, want %s", s, wire.Queued)
 			}
 		}
 		c.env.Cloud.SetDown(false)
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -91,7 +91,7 @@
 	if heartbeat.Incarnation > m.incarnation && m.incarnation > 0 {
 		c.handleNewIncarnation(m, heartbeat.Incarnation)
 	}
-	changesDecisions := c.affectsScheduling(m, heartbeat, p, source)
+	needsPass := c.affectsScheduling(m, heartbeat, p, source)
 	m.updateIdentity(heartbeat)
 	m.tasks = heartbeat.Tasks
 	m.lastMessageAt = c.now
@@ -108,7 +108,7 @@
 	if source == workerRequest && (m.leaseLostWhileHeard || !p.isOwnToken(m.token)) {
 		c.ping(m, p) // an answer proves that the machine receives requests and shows the current token
 	}
-	if changesDecisions {
+	if needsPass {
 		c.requestSchedulingPass()
 	}
 	return true
@@ -145,8 +145,8 @@
 // affectsScheduling reports whether a heartbeat requires a scheduling pass. Most heartbeats
 // change no scheduling decision and can wait for the next timer.
 func (c *partitionOwner) affectsScheduling(m *machine, heartbeat *wire.Heartbeat, p *partition, source heartbeatSource) bool {
-	noticed, known := heartbeat.NoticeS != nil, !m.terminationAt.IsZero()
-	return heartbeat.Incarnation != m.incarnation || heartbeat.Token != m.token || noticed != known ||
+	hasNotice, hadNotice := heartbeat.NoticeS != nil, !m.terminationAt.IsZero()
+	return heartbeat.Incarnation != m.incarnation || heartbeat.Token != m.token || hasNotice != hadNotice ||
 		source == workerRequest && !c.isUsable(m, p)
 }
 
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -52,12 +52,12 @@
 
 // countAssignedTasks returns the number of tasks that are or were assigned to partitions, and
 // how many of these are done.
-func (j *job) countAssignedTasks() (n, finished int) {
+func (j *job) countAssignedTasks() (assigned, done int) {
 	for _, group := range j.groups {
-		n += len(group.bindings) + group.doneTasks
-		finished += group.doneTasks
+		assigned += len(group.bindings) + group.doneTasks
+		done += group.doneTasks
 	}
-	return n, finished
+	return assigned, done
 }
 
 // hasWaitingTasks reports whether some tasks of the job are not assigned yet, or are in a
--- a/internal/controller/keys_test.go
+++ b/internal/controller/keys_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The keys of records are told apart by their prefixes, and those of other packages are none
-// of this one's.
+// Each record key is recognized by its prefix, and keys of other packages are of no kind of
+// this package.
 func TestParseKey(t *testing.T) {
 	for _, x := range []struct {
 		key  string
@@ -27,8 +27,8 @@
 	}
 }
 
-// Keys of task groups and names of tasks are taken apart into what they were made of; what was
-// not made so is refused.
+// Parsing the key of a task group or the name of a task returns the parts that it was made
+// from. Malformed ones are rejected.
 func TestParseGroupKeyAndTaskName(t *testing.T) {
 	if id, number, ok := parseGroupKey(groupKey("wk-1", 12)); !ok || id != "wk-1" || number != 12 {
 		t.Errorf("job %q, number %d, ok %v, want wk-1 and 12", id, number, ok)
@@ -38,10 +38,10 @@
 	}
 	for _, name := range []string{"wk-1", "wk-1/", "wk-1/x", "wk-1/1/2"} {
 		if _, _, ok := parseGroupKey(groupPrefix + name); ok {
-			t.Errorf("the group's key %q is accepted", groupPrefix+name)
+			t.Errorf("malformed group key %q was accepted", groupPrefix+name)
 		}
 		if _, _, ok := parseTaskName(name); ok {
-			t.Errorf("the task's name %q is accepted", name)
+			t.Errorf("malformed task name %q was accepted", name)
 		}
 	}
 }
--- a/internal/controller/liveness_test.go
+++ b/internal/controller/liveness_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The limits follow the workers' settings, above what a lost heartbeat or a worker's search
-// for another controller takes.
+// The timeouts follow the workers' settings, but stay above the time that a lost heartbeat or a
+// worker's search for another controller takes.
 func TestLivenessTimeouts(t *testing.T) {
 	for _, x := range []struct {
 		intervalS, leaseS            float64
@@ -20,18 +20,19 @@
 		c := newTestController(t)
 		c.cfg.Settings.Workers.ReportS, c.cfg.Settings.Workers.LeaseS = x.intervalS, x.leaseS
 		if got := c.heartbeatTimeout(); got != x.overdue {
-			t.Errorf("interval %v s, lease %v s: a heartbeat is overdue after %v, want %v", x.intervalS, x.leaseS, got, x.overdue)
+			t.Errorf("interval %v s, lease %v s: heartbeat timeout %v, want %v", x.intervalS, x.leaseS, got, x.overdue)
 		}
 		if got := c.unreachableTimeout(); got != x.unreachable {
-			t.Errorf("interval %v s, lease %v s: a machine is unreachable after %v, want %v", x.intervalS, x.leaseS, got, x.unreachable)
+			t.Errorf("interval %v s, lease %v s: unreachable timeout %v, want %v", x.intervalS, x.leaseS, got, x.unreachable)
 		}
 		if got := c.usableTimeout(); got != x.usable {
-			t.Errorf("interval %v s, lease %v s: a machine is usable for %v, want %v", x.intervalS, x.leaseS, got, x.usable)
+			t.Errorf("interval %v s, lease %v s: usable timeout %v, want %v", x.intervalS, x.leaseS, got, x.usable)
 		}
 	}
 }
 
-// newHeardMachine is a machine of a lone controller that has just sent a heartbeat.
+// newHeardMachine returns a machine of the test controller that has just sent a heartbeat, and
+// its partition.
 func newHeardMachine(c *controller) (*machine, *partition) {
 	p := c.partitions[0]
 	p.firstToken = p.token
@@ -51,14 +52,14 @@
 		{"heard a while ago", func(c *controller, _ *machine, _ *partition) { c.now = c.now.Add(2900 * time.Millisecond) }, true},
 		{"not heard any more", func(c *controller, _ *machine, _ *partition) { c.now = c.now.Add(3 * time.Second) }, false},
 		{"heard before the failover", func(c *controller, _ *machine, p *partition) { p.ownedSince = c.now }, false},
-		{"heard before it came to the partition", func(c *controller, m *machine, _ *partition) { m.partitionChangedAt = c.now }, false},
+		{"heard before it moved to the partition", func(c *controller, m *machine, _ *partition) { m.partitionChangedAt = c.now }, false},
 		{"a late copy with a former owner's token", func(_ *controller, _ *machine, p *partition) { p.firstToken++ }, false},
-		{"known by its records alone", func(_ *controller, m *machine, _ *partition) { m.incarnation = 0 }, false},
+		{"known only from records", func(_ *controller, m *machine, _ *partition) { m.incarnation = 0 }, false},
 		{"terminated", func(_ *controller, m *machine, _ *partition) { m.terminated = true }, false},
 		{"one command unanswered", func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 1 }, true},
 		{"two commands unanswered", func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, false},
-		{"two unanswered, as of most machines", func(_ *controller, m *machine, p *partition) { m.commandState.unanswered, p.mostNotReceiving = 2, true }, true},
-		{"lost its lease though it was answered", func(_ *controller, m *machine, _ *partition) { m.leaseLostWhileHeard = true }, false},
+		{"two commands unanswered, as for most machines", func(_ *controller, m *machine, p *partition) { m.commandState.unanswered, p.mostNotReceiving = 2, true }, true},
+		{"lost its lease although its heartbeats were answered", func(_ *controller, m *machine, _ *partition) { m.leaseLostWhileHeard = true }, false},
 	} {
 		c := newTestController(t)
 		m, p := newHeardMachine(c)
@@ -69,36 +70,36 @@
 	}
 }
 
-// unreachableTest is what has become of a machine that has just been heard, and whether it
-// seems unreachable then.
+// unreachableTest is a change to a machine that has just sent a heartbeat, and whether the
+// machine seems unreachable after it.
 type unreachableTest struct {
 	name   string
-	after  time.Duration // since it was heard
+	after  time.Duration // time since the heartbeat
 	change func(c *controller, m *machine, p *partition)
 	want   bool
 }
 
-// beyondLease is when the lease of a machine that is silent has surely expired.
+// beyondLease is a time after which the lease of a silent machine has certainly expired.
 const beyondLease = time.Minute
 
 var unreachableTests = []unreachableTest{
-	{"silent for a while", 6900 * time.Millisecond, nil, false},
-	{"silent for long", 7100 * time.Millisecond, nil, true},
+	{"silent for less than the timeout", 6900 * time.Millisecond, nil, false},
+	{"silent for longer than the timeout", 7100 * time.Millisecond, nil, true},
 	{"silent, answers a ping", 7100 * time.Millisecond, func(c *controller, m *machine, _ *partition) { m.lastMessageAt = c.now }, false},
 	{"silent during an outage", 7100 * time.Millisecond, func(c *controller, _ *machine, _ *partition) { c.heartbeatsResumedAt = c.now }, false},
 	{"one ping unanswered", 1800 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 1 }, false},
-	{"pings unanswered, heartbeats come", 1700 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, true},
-	{"pings unanswered by most machines, heartbeats come", 1700 * time.Millisecond, func(_ *controller, m *machine, p *partition) { m.commandState.unanswered, p.mostNotReceiving = 2, true }, false},
+	{"pings unanswered, heartbeats arrive", 1700 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, true},
+	{"pings unanswered by most machines, heartbeats arrive", 1700 * time.Millisecond, func(_ *controller, m *machine, p *partition) { m.commandState.unanswered, p.mostNotReceiving = 2, true }, false},
 	{"pings unanswered, overdue", 1800 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, true},
 	{"pings unanswered right after a failover", 3700 * time.Millisecond, unansweredSinceFailover, false},
 	{"pings unanswered a while after a failover", 3800 * time.Millisecond, unansweredSinceFailover, true},
 	{"sends without receiving", 0, func(_ *controller, m *machine, _ *partition) { m.leaseLostWhileHeard = true }, true},
-	{"sends without receiving, as most do", 0, func(_ *controller, m *machine, p *partition) { m.leaseLostWhileHeard, p.mostNotReceiving = true, true }, false},
+	{"sends without receiving, as most machines do", 0, func(_ *controller, m *machine, p *partition) { m.leaseLostWhileHeard, p.mostNotReceiving = true, true }, false},
 	{"sends without receiving, right after a failover", 0, func(c *controller, m *machine, p *partition) {
 		m.leaseLostWhileHeard, p.ownedSince = true, c.now.Add(-time.Second)
 	}, false},
 	{"answers pings beyond its lease, others are heard", beyondLease, answersPings, true},
-	{"answers pings beyond its lease, nobody is heard", beyondLease, func(c *controller, m *machine, p *partition) {
+	{"answers pings beyond its lease, no machine is heard", beyondLease, func(c *controller, m *machine, p *partition) {
 		answersPings(c, m, p)
 		c.lastHeartbeatAt = m.heartbeatAt
 	}, false},
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -13,7 +13,7 @@
 	"eiderhitch/internal/workerclient"
 )
 
-// A machine that is cut off or fails everything doesn't hold work up for long.
+// A machine that is isolated or fails all of its tasks does not hold up work for long.
 func TestFaultyMachinesDoNotBlockWork(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
@@ -21,7 +21,7 @@
 		c.env.Cloud.Agents()[0].SetIsolated(true)
 		time.Sleep(40 * time.Second)
 		if n := c.env.Running("wk-1"); n != 3 {
-			t.Errorf("%d replicas after a machine was cut off, want 3", n)
+			t.Errorf("%d replicas after a machine was isolated, want 3", n)
 		}
 		c.env.Cloud.Agents()[0].SetFailing(true)
 		for i := range 4 {
@@ -33,7 +33,8 @@
 	})
 }
 
-// countTasksBoundTo counts the tasks that the records bind to a machine.
+// countTasksBoundTo returns the number of tasks that the records bind to a machine, or -1 if no
+// controller is running.
 func (c *cluster) countTasksBoundTo(name string) int {
 	for _, n := range c.nodes {
 		if !n.isRunning() {
@@ -47,13 +48,13 @@
 	return -1
 }
 
-// A machine whose heartbeats arrive while neither answers nor commands reach it
-// looks alive. Its tasks run elsewhere soon after its lease is over, and it is
-// given none again: it would take them, and lose them, time after time.
+// A machine whose heartbeats arrive, but which receives neither responses nor commands, looks
+// alive. Its tasks must run elsewhere soon after its lease has expired, and it must get no new
+// ones: it would accept them and lose them again and again.
 func TestMachineNotReceiving(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.runServices(4, 2)
-		// More work than room, and no machine can be launched or terminated.
+		// There is more work than room, and no machine can be launched or terminated.
 		c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 600, CPUs: 1, EstimateS: 6}))
 		time.Sleep(15 * time.Second)
 		c.env.Cloud.SetDown(true)
@@ -61,24 +62,24 @@
 		w.SetNotReceiving(true)
 		time.Sleep(25 * time.Second)
 		if !c.servicesRun(4, 2) {
-			t.Error("replicas are missing long after the lease is over")
+			t.Error("replicas are missing long after the lease expired")
 		}
 		for range 20 {
 			time.Sleep(time.Second)
 			if n := c.countTasksBoundTo(w.Name()); n > 0 {
-				t.Fatalf("%d tasks are bound to a machine that nothing reaches, want none", n)
+				t.Fatalf("%d tasks are bound to a machine that receives nothing, want none", n)
 			}
 		}
 		w.SetNotReceiving(false)
 		c.submit(newSubmission(submission{ID: "wk-8", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 600, CPUs: 1, EstimateS: 6}))
-		c.await("it is used again", 20*time.Second, func() bool { return c.countTasksBoundTo(w.Name()) > 0 })
+		c.await("the machine is used again", 20*time.Second, func() bool { return c.countTasksBoundTo(w.Name()) > 0 })
 		c.env.Cloud.SetDown(false)
 		c.awaitDone("wk-9", 10*time.Minute)
 	})
 }
 
-// A heartbeat that shows no fencing token of ours may be a copy from before a failover:
-// until one does, nothing is placed on its machine.
+// A heartbeat without a fencing token of this owner may be a copy from before a failover. No
+// task is placed on its machine until a heartbeat shows such a token.
 func TestHeartbeatFromBeforeAFailover(t *testing.T) {
 	c := newTestController(t)
 	p := c.partitions[0]
@@ -91,21 +92,21 @@
 		c.now = c.now.Add(time.Second)
 		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: x.incarnation, Sequence: x.sequence, Token: x.token}, p, workerRequest)
 		if got := c.isUsable(m, p); got != x.usable {
-			t.Errorf("after heartbeat %+v the machine is usable: %v, want %v", x, got, x.usable)
+			t.Errorf("after heartbeat %+v: usable %v, want %v", x, got, x.usable)
 		}
 	}
 }
 
-// Copies of the heartbeats of a machine that is dead come for half a minute, also
-// right after all controllers are new and know nothing to compare them with.
-// They neither make the machine usable nor put off the proof that it is gone.
+// Copies of a dead machine's heartbeats arrive for half a minute, also right after all
+// controllers were replaced and have no earlier heartbeats to compare them with. The copies
+// must neither make the machine usable nor delay the proof that its lease has expired.
 func TestLateCopiesOfHeartbeats(t *testing.T) {
 	for _, x := range []struct {
 		name     string
 		failover bool
 	}{
 		{"same controllers", false},
-		{"all controllers are new", true},
+		{"all controllers are replaced", true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			runCluster(t, func(c *cluster) { c.checkLateCopies(x.failover) })
@@ -115,40 +116,42 @@
 
 func (c *cluster) checkLateCopies(failover bool) {
 	c.t.Helper()
-	c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 30, CPUs: 1, EstimateS: 90})) // there is room to take
+	c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 30, CPUs: 1, EstimateS: 90})) // low-priority tasks that the services can preempt
 	c.runServices(4, 2)
 	dead := c.env.Cloud.Agents()[0]
 	if c.countTasksBoundTo(dead.Name()) == 0 {
-		c.t.Fatal("nothing runs on the first machine")
+		c.t.Fatal("no task is bound to the first machine")
 	}
 	heartbeat := dead.LastHeartbeat()
 	dead.Terminate()
-	c.env.Cloud.SetDown(true) // so that only the lease can prove it
+	c.env.Cloud.SetDown(true) // so that only the lease can prove the machine's end
 	if failover {
 		c.replaceEach()
 	}
 	for i := range 70 {
 		if status, err := c.postHeartbeat(i%len(c.nodes), heartbeat); err == nil && !isHeartbeatStatus(status) {
-			c.t.Errorf("a copy is answered with status %d, want 200, 421 or 503", status)
+			c.t.Errorf("a copied heartbeat got status %d, want 200, 421 or 503", status)
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
-	// A whole lease, and after a failover what a former owner may have answered on top of it.
+	// The wait is a whole lease, plus after a failover the time for which a former owner may
+	// have answered heartbeats.
 	c.await("the replicas run elsewhere", c.nodes[0].maxStaleness(), func() bool { return c.servicesRun(4, 2) })
 	if n := c.countTasksBoundTo(dead.Name()); n > 0 {
 		c.t.Errorf("%d tasks are bound to the dead machine %s, want none", n, dead.Name())
 	}
 }
 
-// isHeartbeatStatus tells whether a well-formed heartbeat may be answered with a status.
+// isHeartbeatStatus reports whether a well-formed heartbeat may be answered with the status.
 func isHeartbeatStatus(status int) bool {
 	return status < http.StatusBadRequest || status == http.StatusMisdirectedRequest || status == http.StatusServiceUnavailable
 }
 
-// Machines die, and all controllers with them: nobody is left who knows where the
-// machines were. The records tell, so dead ones are asked and terminated as soon as by an
-// owner who goes on, not after the longest pause that a heartbeat may have; and that no
-// heartbeat has come yet is not taken for a zone that is cut off.
+// A machine dies together with all controllers, so that no process knows the machines'
+// addresses any more. They are taken from the records: a dead machine must be pinged and
+// terminated as soon as by an owner that did not restart, not only after the longest possible
+// heartbeat interval. Machines without a heartbeat so far must not be mistaken for an isolated
+// zone.
 func TestMachinesThatDiedWithAllControllers(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submitZonalServices(1, 8, "b")
@@ -171,7 +174,7 @@
 	})
 }
 
-// busyMachine is a machine that tasks are bound to.
+// busyMachine returns a machine with bound tasks.
 func (c *cluster) busyMachine() *agent.Agent {
 	c.t.Helper()
 	for _, a := range c.env.Cloud.Agents() {
@@ -183,21 +186,21 @@
 	return nil
 }
 
-// checkNoZoneIsolated checks that the leader takes no zone to be cut off.
+// checkNoZoneIsolated checks that the leader considers no zone isolated.
 func (c *cluster) checkNoZoneIsolated() {
 	c.t.Helper()
 	for i, n := range c.nodes {
 		ctl := n.controller()
 		ctl.call(c.ctx, priorityStore, func() {
 			if ctl.isLeader() && len(ctl.autoscaler.IsolatedZones()) > 0 {
-				c.t.Errorf("controller %d takes zones %v to be cut off, want none", i, ctl.autoscaler.IsolatedZones())
+				c.t.Errorf("controller %d considers zones %v isolated, want none", i, ctl.autoscaler.IsolatedZones())
 			}
 		})
 	}
 }
 
-// After a crash of all the only machine of a partition may be the one that died. Heartbeats
-// of other partitions' machines show that it is not we who can't be reached.
+// After a crash of all controllers, the only machine of a partition may be the one that died.
+// Heartbeats from machines of other partitions show that this controller can be reached.
 func TestOnlyMachineOfAPartitionDied(t *testing.T) {
 	c := newTestController(t)
 	p := c.partitions[0]
@@ -212,13 +215,13 @@
 			c.lastHeartbeatAt = c.now
 		}
 		if got := c.isUnreachable(m, p); got != reached {
-			t.Errorf("agents reach us: %v; the machine is found unreachable: %v, want %v", reached, got, reached)
+			t.Errorf("other heartbeats arrive: %v; the machine is unreachable: %v, want %v", reached, got, reached)
 		}
 	}
 }
 
-// After an outage for longer than heartbeats may be answered, no machine is taken to be
-// silent: this controller heard none since it did not listen.
+// After an outage that lasts longer than heartbeats may be answered, no machine is considered
+// silent, because this controller accepted no heartbeats during the outage.
 func TestMachinesAreKeptAfterALongOutage(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.runServices(4, 2)
@@ -236,7 +239,7 @@
 			time.Sleep(250 * time.Millisecond)
 			for _, w := range busy {
 				if !slices.Contains(c.env.Cloud.Agents(), w) {
-					t.Fatalf("%s, which is well, was terminated", w.Name())
+					t.Fatalf("healthy machine %s was terminated", w.Name())
 				}
 			}
 		}
@@ -244,10 +247,10 @@
 	})
 }
 
-// A machine that reaches no controller while it hears them: its replicas run elsewhere
-// as soon as its lease has ended, which it tells when it is asked, and it is replaced
-// however well it answers. (Moving the replicas before the lease ends was tried: they
-// lacked for as long.)
+// A machine can't reach any controller, but receives their requests. Its replicas run elsewhere
+// as soon as its lease has expired, which it reports when it is pinged. The machine is replaced
+// even though it answers every ping. (Moving the replicas before the lease expires was tried:
+// they were missing for just as long.)
 func TestMachineNotSending(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.runServices(5, 2)
@@ -260,54 +263,54 @@
 		}
 		w.SetNotSending(true)
 		began := time.Now()
-		lacking := time.Duration(0)
+		missing := time.Duration(0)
 		for time.Since(began) < 20*time.Second {
 			time.Sleep(100 * time.Millisecond)
 			if !c.servicesRun(5, 2) {
-				lacking += 100 * time.Millisecond
+				missing += 100 * time.Millisecond
 			}
 		}
-		if lacking == 0 || lacking > 2*time.Second {
-			t.Errorf("replicas lack for %v, want more than 0 and at most 2 s", lacking)
+		if missing == 0 || missing > 2*time.Second {
+			t.Errorf("replicas were missing for %v, want more than 0 and at most 2 s", missing)
 		}
-		c.await("it is replaced", 40*time.Second, func() bool { return !slices.Contains(c.env.Cloud.Agents(), w) })
+		c.await("the machine is replaced", 40*time.Second, func() bool { return !slices.Contains(c.env.Cloud.Agents(), w) })
 	})
 }
 
-// Jobs that fail wherever they are put don't speak against machines; a machine on which
-// others' tasks fail is cordoned; and neither is barred from the other for good.
+// Jobs that fail on every machine don't count against machines. A machine on which tasks of
+// several other jobs fail is cordoned. A machine avoids a failed job only for a limited time.
 func TestFailuresAreAttributedToMachineOrJob(t *testing.T) {
 	c := newTestController(t)
 	job := func(id string) *job {
 		c.replica.Put(jobKey(id), marshalJSON(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 9, CPUs: 1, Team: "t"}}), uint64(len(c.jobs))+5)
 		return c.jobs[id]
 	}
-	bad, worse := job("wk-1"), job("wk-2")
+	failing1, failing2 := job("wk-1"), job("wk-2")
 	for i := range 4 {
 		m := c.getOrAddMachine(fmt.Sprint("host-", i))
-		c.handleTaskEnd(m, bad, wire.ReasonError)
-		c.handleTaskEnd(m, worse, wire.ReasonError)
+		c.handleTaskEnd(m, failing1, wire.ReasonError)
+		c.handleTaskEnd(m, failing2, wire.ReasonError)
 	}
 	for i := range 4 {
 		if c.getOrAddMachine(fmt.Sprint("host-", i)).cordoned {
-			t.Errorf("machine %d is blamed for two mistaken jobs", i)
+			t.Errorf("machine %d is cordoned because of two jobs that fail everywhere", i)
 		}
 	}
-	failing := c.getOrAddMachine("host-9")
-	good, fine := job("wk-3"), job("wk-4")
-	c.handleTaskEnd(failing, good, wire.ReasonError)
-	if failing.cordoned {
-		t.Error("a machine is blamed for one failure")
+	faultyMachine := c.getOrAddMachine("host-9")
+	sound1, sound2 := job("wk-3"), job("wk-4")
+	c.handleTaskEnd(faultyMachine, sound1, wire.ReasonError)
+	if faultyMachine.cordoned {
+		t.Error("a machine is cordoned after the failure of one job")
 	}
-	c.handleTaskEnd(failing, fine, wire.ReasonError)
-	if !failing.cordoned {
-		t.Error("a machine that fails several jobs is not found")
+	c.handleTaskEnd(faultyMachine, sound2, wire.ReasonError)
+	if !faultyMachine.cordoned {
+		t.Error("a machine that failed tasks of two jobs is not cordoned")
 	}
-	if !c.avoidsJob(failing, good) {
-		t.Error("the job is put there again at once")
+	if !c.avoidsJob(faultyMachine, sound1) {
+		t.Error("the machine does not avoid the job after its failure")
 	}
 	c.now = c.now.Add(jobAvoidanceTime + time.Second)
-	if c.avoidsJob(failing, good) {
-		t.Error("the machine is barred to the job for good")
+	if c.avoidsJob(faultyMachine, sound1) {
+		t.Error("the machine still avoids the job after the avoidance time")
 	}
 }
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -17,9 +17,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The stored forms as the version in production declares them: what it reads of ours.
-// Its decoder ignores fields that it does not know and drops them when it writes, so a
-// field that is not here must not matter to us.
+// These types declare the stored values as the version in production reads them. Its decoder
+// ignores unknown fields, and drops them when it writes the record again, so a field that is
+// missing here must not be required by this version.
 type (
 	productionJob struct {
 		FinalState   int       `json:"f"`
@@ -33,11 +33,11 @@
 		Done       int    `json:"d,omitempty"`
 		Throttle   int    `json:"c,omitempty"`
 		Tasks      []struct {
-			Num     int32  `json:"i"`
-			Attempt uint64 `json:"a,omitempty"`
-			Machine string `json:"m,omitempty"`
-			Session uint64 `json:"s,omitempty"`
-			Addr    string `json:"h,omitempty"`
+			Task        int32  `json:"i"`
+			Attempt     uint64 `json:"a,omitempty"`
+			Machine     string `json:"m,omitempty"`
+			Incarnation uint64 `json:"s,omitempty"`
+			Addr        string `json:"h,omitempty"`
 		} `json:"t"`
 	}
 	productionHolder struct {
@@ -53,12 +53,12 @@
 	}
 )
 
-// earlier are the versions that operators may upgrade from: the one in production, which
-// has no gangs of the protocol's kind, and the first that has. Their records and frames
-// were written by their own code.
+// earlierVersions are the versions that operators may upgrade from: the one in production,
+// which does not support gangs of the protocol, and the first one that does. Their records and
+// frames were written by their own code.
 var earlierVersions = []string{"production", "0da4f63"}
 
-// fixture is a record or frame as an earlier version wrote it.
+// readFixture returns a record or frame that an earlier version wrote.
 func readFixture(t *testing.T, version, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", version, name))
@@ -68,7 +68,8 @@
 	return raw
 }
 
-// newStoredValue is what a fixture of a record is read into; nil: it is none.
+// newStoredValue returns an empty value of the type that the fixture is decoded into, or nil if
+// the fixture is not a record.
 func newStoredValue(name string) any {
 	switch kind, _, _ := strings.Cut(strings.TrimSuffix(name, ".json"), "-"); kind {
 	case "job":
@@ -87,8 +88,9 @@
 	return nil
 }
 
-// Each record that an earlier version wrote is read, and written again to the byte: so that
-// version reads what this one writes, and rewriting by either loses nothing.
+// Each record that an earlier version wrote can be decoded, and encodes to the same bytes
+// again. The earlier version can therefore read what this one writes, and neither loses
+// anything by rewriting a record.
 func TestRecordsOfEarlierVersions(t *testing.T) {
 	for _, version := range earlierVersions {
 		files, err := os.ReadDir(filepath.Join("testdata", version))
@@ -105,23 +107,24 @@
 				t.Errorf("%s of %s: %v", f.Name(), version, err)
 			}
 			if again := record.JSON(v); !bytes.Equal(again, raw) {
-				t.Errorf("%s of %s: read and written again it is\n%s, not\n%s", f.Name(), version, again, raw)
+				t.Errorf("%s of %s: decoded and encoded again it is\n%s, want\n%s", f.Name(), version, again, raw)
 			}
 		}
 	}
 }
 
-// checkReadableByProduction tells what the version in production can't read of a stored value, or
-// would lose when it writes it again; and whether what it takes for a gang is one.
+// checkReadableByProduction returns an error if the version in production can't read a stored
+// value completely, or would lose a part of it when writing it again.
 func checkReadableByProduction(key string, raw []byte) error {
 	var v any
 	switch {
 	case isRolloutKey(key) || strings.HasPrefix(key, "e/epoch/"):
-		// It takes these for holders of rights that it has no use for, and never writes them.
+		// Production decodes these as holders of leases that it does not use, and never writes
+		// them.
 		return wire.Decode(raw, &productionHolder{})
 	case record.EncodingOf(raw) == record.Checksummed:
 		if err := wire.Decode(raw, &productionGroup{}); err == nil {
-			return fmt.Errorf("%s: the version in production takes %s for a group", key, raw)
+			return fmt.Errorf("%s: the version in production decodes %s as a group", key, raw)
 		}
 		return nil
 	case strings.HasPrefix(key, groupPrefix):
@@ -147,13 +150,13 @@
 		return err
 	}
 	if !bytes.Equal(again, raw) {
-		return fmt.Errorf("%s: the version in production makes %s of %s", key, again, raw)
+		return fmt.Errorf("%s: the version in production writes %s after reading %s", key, again, raw)
 	}
 	return nil
 }
 
-// checkStoredRecords checks that the version in production can read all that was ever written, and
-// that tasks of a gang that are bound in one record have one attempt.
+// checkStoredRecords checks that the version in production can read every value that was ever
+// stored, and that tasks of a gang that are bound in one record have the same attempt.
 func (c *cluster) checkStoredRecords() {
 	c.t.Helper()
 	gangs := map[string]bool{}
@@ -184,7 +187,7 @@
 	}
 }
 
-// checkSameAttempt checks that bound tasks of a gang's record have one attempt.
+// checkSameAttempt checks that all bound tasks in a gang's record have the same attempt.
 func checkSameAttempt(v *record.TaskGroup) error {
 	attempt := uint64(0)
 	for _, task := range v.Tasks {
@@ -192,16 +195,16 @@
 			continue
 		}
 		if attempt != 0 && task.Attempt != attempt {
-			return fmt.Errorf("attempts %d and %d are bound together", attempt, task.Attempt)
+			return fmt.Errorf("bound tasks have different attempts: %d and %d", attempt, task.Attempt)
 		}
 		attempt = task.Attempt
 	}
 	return nil
 }
 
-// And the other way: whatever this version writes, the one in production has a field for
-// all of it. That it takes a gang's attempts, a pool's lending and pieces of a record for
-// what it knows is in docs/design.md.
+// The version in production has a field for everything that this version writes. docs/design.md
+// describes how it interprets a gang's attempts, the loans of the gang reserve and the pieces
+// of a split record.
 func TestProductionReadsOurRecords(t *testing.T) {
 	c := newTestController(t)
 	c.cfg.Settings.Store.ValueKB = 0.5
@@ -210,21 +213,21 @@
 	spec := &wire.Job{ID: "wk-2", Team: "t", Gang: true, Tasks: 3, CPUs: 2, CheckpointS: 4, MachineTypes: []string{"small"}}
 	group := &taskGroup{partition: 1, zone: "a", guaranteed: true, throttle: 3}
 	entries := []binding{{task: 0, attempt: 2, machine: m, incarnation: 2}, {task: 1, attempt: 2}, {task: 2, attempt: 2, machine: m, incarnation: 2}}
-	strict := func(key string, raw []byte) {
+	checkReadable := func(key string, raw []byte) {
 		t.Helper()
 		if err := checkReadableByProduction(key, raw); err != nil {
 			t.Error(err)
 		}
 	}
-	strict(jobKey("wk-2"), record.JSON(record.Job{AcceptedAtMS: 5, Spec: spec}))
-	strict(jobKey("wk-2"), record.CancelledJob(spec, c.now, c.maxValueBytes()))
+	checkReadable(jobKey("wk-2"), record.JSON(record.Job{AcceptedAtMS: 5, Spec: spec}))
+	checkReadable(jobKey("wk-2"), record.CancelledJob(spec, c.now, c.maxValueBytes()))
 	for _, piece := range c.splitToFit(group, 2, append(entries, make([]binding, 60)...)) {
-		strict(groupKey("wk-2", 0), piece.At(groupKey("wk-2", 0)))
+		checkReadable(groupKey("wk-2", 0), piece.At(groupKey("wk-2", 0)))
 	}
-	strict(loanPrefix+"host-1", record.JSON(record.MachineLoan{Job: gangReserveJobID, Acknowledged: true}))
+	checkReadable(loanPrefix+"host-1", record.JSON(record.MachineLoan{Job: gangReserveJobID, Acknowledged: true}))
 }
 
-// Frames between controllers are the same in both versions, to the byte.
+// Frames between controllers are identical to those of the earlier versions, byte for byte.
 func TestFramesOfEarlierVersions(t *testing.T) {
 	for _, version := range earlierVersions {
 		checkFrameFixture(t, version)
@@ -244,6 +247,6 @@
 		t.Error(d)
 	}
 	if again := peer.AppendStatus(nil, s, peer.PlainFrame); !bytes.Equal(again, raw) {
-		t.Errorf("written again: % x", again)
+		t.Errorf("the frame differs after decoding and encoding: % x", again)
 	}
 }
