--- a/internal/controller/cordons_test.go
+++ b/internal/controller/cordons_test.go
@@ -17,12 +17,12 @@
 	for i, want := range []time.Duration{0, 0, 1, 2, 4, 8, 16, 30, 30} {
 		m := c.getOrAddMachine(fmt.Sprint("host-", i))
 		c.handleTaskEnd(m, j, wire.ReasonError)
-		rest := time.Duration(0)
+		backoff := time.Duration(0)
 		if !j.retryAt.IsZero() {
-			rest = j.retryAt.Sub(c.now)
+			backoff = j.retryAt.Sub(c.now)
 		}
-		if rest != want*time.Second {
-			t.Errorf("after failures on %d machines the job backs off for %v, want %v", i+1, rest, want*time.Second)
+		if backoff != want*time.Second {
+			t.Errorf("after failures on %d machines the job backs off for %v, want %v", i+1, backoff, want*time.Second)
 		}
 		if got := m.placementBackoffUntil.Sub(c.now); got != 5*time.Second {
 			t.Errorf("a machine that failed a task backs off for %v, want 5 s", got)
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -42,9 +42,9 @@
 	if !c.isEligible() {
 		return
 	}
-	owned := c.partitions[:c.loanPartition()]
-	candidates := make([]election.Partition, len(owned))
-	for i, p := range owned {
+	hashPartitions := c.partitions[:c.loanPartition()]
+	candidates := make([]election.Partition, len(hashPartitions))
+	for i, p := range hashPartitions {
 		candidates[i] = election.Partition{Index: p.index, Key: p.key, Owned: p.token != 0, OwnedSince: p.ownedSince, Settled: p.hasHeardAllMachines}
 	}
 	c.election.Campaign(candidates, c.leaderKey(), peerView{c})
--- a/internal/controller/group_size.go
+++ b/internal/controller/group_size.go
@@ -39,12 +39,12 @@
 		return []record.Content{content}
 	}
 	half := len(bindings) / 2
-	stay, leave := bindings[:half], bindings[half:]
+	firstBindings, secondBindings := bindings[:half], bindings[half:]
 	first, second := *group, *group
 	if group.throttle != 0 {
-		first.throttle, second.throttle = splitThrottle(group.throttle, stay, leave)
+		first.throttle, second.throttle = splitThrottle(group.throttle, firstBindings, secondBindings)
 	}
-	return append(c.splitToFit(&first, done, stay), c.splitToFit(&second, 0, leave)...)
+	return append(c.splitToFit(&first, done, firstBindings), c.splitToFit(&second, 0, secondBindings)...)
 }
 
 // splitThrottle divides the throttle of a group between two pieces. Together they may run no
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -28,11 +28,12 @@
 	usableIntervals  = 2
 	minUsableTimeout = 3 * time.Second
 
-	// silentMachineRetention is how long a silent machine is still pinged and reported to
-	// peers. It is well above the time after which the machine is terminated or proven dead.
+	// silentMachineRetention is how long after its last heartbeat a machine is still pinged and
+	// reported to peers. It is well above the time after which a silent machine is terminated
+	// or proven dead.
 	silentMachineRetention = 3 * time.Minute
-	// majorityCountWindow is how long a silent machine is counted when the controller
-	// determines whether most machines of a partition are unreachable.
+	// majorityCountWindow is how long after its last heartbeat a machine is counted when the
+	// controller determines whether most machines of a partition are unreachable.
 	majorityCountWindow = 2 * time.Minute
 )
 
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -110,10 +110,10 @@
 	return true
 }
 
-// runsOnlyServices reports whether all tasks bound to a machine of this controller are running
-// services and no command of this controller to the machine may still be in flight. Such a
-// machine may change partitions with its tasks: their ends are proven and stored later as after
-// any failover.
+// runsOnlyServices reports whether every task bound to an owned machine is a running service,
+// and no command that this controller sent to the machine may still arrive. Such a machine may
+// change partitions with its tasks: their ends are proven and stored later, as after any
+// failover.
 func (c *clusterState) runsOnlyServices(m *machine, p *partition) bool {
 	if !c.isUsable(m, p) || m.token != p.token || m.commandState.inFlight || m.startMayArrive(p) {
 		return false
--- a/internal/controller/task_group.go
+++ b/internal/controller/task_group.go
@@ -125,11 +125,11 @@
 // split divides the group into the tasks that stay and those that leave. The tasks that leave a
 // throttled group are allowed to run, and take their share of its throttle along: two groups
 // with the full throttle each would count toward the quota, and run, more tasks than it allows.
-func (group *taskGroup) split(stay, leave []binding) (left, moved taskGroup) {
+func (group *taskGroup) split(staying, leaving []binding) (left, moved taskGroup) {
 	left, moved = *group, *group
-	left.bindings, moved.bindings = stay, leave
-	if group.throttle != 0 && len(stay) > 0 {
-		left.throttle, moved.throttle = group.throttle-len(leave), 0
+	left.bindings, moved.bindings = staying, leaving
+	if group.throttle != 0 && len(staying) > 0 {
+		left.throttle, moved.throttle = group.throttle-len(leaving), 0
 	}
 	return left, moved
 }
