--- a/cmd/eiderhitch/golden_test.go
+++ b/cmd/eiderhitch/golden_test.go
@@ -38,10 +38,10 @@
 
 // The status as a table and as JSON, which scripts of operators read.
 func TestStatusKeepsItsForm(t *testing.T) {
-	status := &rollout.Status{State: rollout.State{Level: 1, Phase: rollout.Activated, Held: true, Request: rollout.RequestFinalize, Since: 1_700_000_000_000},
-		Active: 2, Writes: 1, Revision: 7, Records: map[string]int{"form 2": 1, "form 1": 12},
-		Controllers: []rollout.Controller{{Node: "n0", ProcessID: "00ff", Build: "0.1.0 abc", Range: rollout.Supported, StartedAt: 1_700_000_000_000}},
-		Missing:     []string{"n1"}, Blockers: []rollout.Blocker{{Kind: rollout.BlockMissing, Node: "n1", Detail: "is not registered"}}}
+	status := &rollout.Status{State: rollout.State{Level: 1, Phase: rollout.PhaseActive, OnHold: true, Request: rollout.RequestFinalize, PhaseStartedAt: 1_700_000_000_000},
+		ActiveLevel: 2, WriteLevel: 1, Revision: 7, RecordsByEncoding: map[string]int{"form 2": 1, "form 1": 12},
+		Controllers:        []rollout.Registration{{Node: "n0", ProcessID: "00ff", Build: "0.1.0 abc", LevelRange: rollout.SupportedLevels, RegisteredAt: 1_700_000_000_000}},
+		MissingControllers: []string{"n1"}, Blockers: []rollout.Blocker{{Kind: rollout.BlockerMissingController, Node: "n1", Detail: "is not registered"}}}
 	for _, x := range []struct {
 		golden string
 		flags  clusterFlags
@@ -49,8 +49,8 @@
 	}{
 		{"status.txt", clusterFlags{}, status},
 		{"status.json", clusterFlags{JSON: true}, status},
-		{"initial.txt", clusterFlags{}, &rollout.Status{State: rollout.Initial, Active: 1, Writes: 1}},
-		{"initial.json", clusterFlags{JSON: true}, &rollout.Status{State: rollout.Initial, Active: 1, Writes: 1}},
+		{"initial.txt", clusterFlags{}, &rollout.Status{State: rollout.InitialState, ActiveLevel: 1, WriteLevel: 1}},
+		{"initial.json", clusterFlags{JSON: true}, &rollout.Status{State: rollout.InitialState, ActiveLevel: 1, WriteLevel: 1}},
 	} {
 		var out bytes.Buffer
 		if err := x.flags.print(&out, x.status); err != nil {
@@ -79,7 +79,7 @@
 	if got := fmt.Sprint(exitFailed, exitRefused, exitChanged, exitNotYetDone); got != "1 2 3 4" {
 		t.Errorf("exit statuses %s", got)
 	}
-	if e := fmt.Errorf("x: %w", &exitError{exitChanged, rollout.ErrChanged}); statusOf(e) != exitChanged || !errors.Is(e, rollout.ErrChanged) || statusOf(rollout.ErrChanged) != exitFailed {
+	if e := fmt.Errorf("x: %w", &exitError{exitChanged, rollout.ErrStateChanged}); statusOf(e) != exitChanged || !errors.Is(e, rollout.ErrStateChanged) || statusOf(rollout.ErrStateChanged) != exitFailed {
 		t.Errorf("%v leads to %d", e, statusOf(e))
 	}
 }
--- a/cmd/eiderhitch/print.go
+++ b/cmd/eiderhitch/print.go
@@ -35,19 +35,19 @@
 // printState prints the levels and the records.
 func printState(w io.Writer, s *rollout.Status) {
 	fmt.Fprintf(w, "level\t%d (%s)\n", s.State.Level, s.State.Phase)
-	fmt.Fprintf(w, "active\t%d\n", s.Active)
-	fmt.Fprintf(w, "records written at\t%d\n", s.Writes)
-	if s.State.Since > 0 {
-		fmt.Fprintf(w, "since\t%s\n", timeOf(s.State.Since))
+	fmt.Fprintf(w, "active\t%d\n", s.ActiveLevel)
+	fmt.Fprintf(w, "records written at\t%d\n", s.WriteLevel)
+	if s.State.PhaseStartedAt > 0 {
+		fmt.Fprintf(w, "since\t%s\n", timeOf(s.State.PhaseStartedAt))
 	}
-	if s.State.Held {
+	if s.State.OnHold {
 		fmt.Fprintf(w, "held\tyes: finalize ends that\n")
 	}
 	if s.State.Request != rollout.NoRequest {
 		fmt.Fprintf(w, "asked for\t%s\n", s.State.Request)
 	}
-	for _, encoding := range slices.Sorted(maps.Keys(s.Records)) {
-		fmt.Fprintf(w, "records, %s\t%d\n", encoding, s.Records[encoding])
+	for _, encoding := range slices.Sorted(maps.Keys(s.RecordsByEncoding)) {
+		fmt.Fprintf(w, "records, %s\t%d\n", encoding, s.RecordsByEncoding[encoding])
 	}
 }
 
@@ -55,9 +55,9 @@
 func printControllers(w io.Writer, s *rollout.Status) {
 	fmt.Fprintf(w, "\ncontroller\treads\tbuild\tsince\n")
 	for _, c := range s.Controllers {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", c.Node, c.Range, c.Build, timeOf(c.StartedAt))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", c.Node, c.LevelRange, c.Build, timeOf(c.RegisteredAt))
 	}
-	for _, name := range s.Missing {
+	for _, name := range s.MissingControllers {
 		fmt.Fprintf(w, "%s\tnot registered\n", name)
 	}
 }
--- a/cmd/eiderhitch/upgrade.go
+++ b/cmd/eiderhitch/upgrade.go
@@ -71,19 +71,19 @@
 }
 
 // operator returns an operator of the cluster that the settings describe.
-func (c *clusterFlags) operator(retryUntil time.Time) (*rollout.Operator, error) {
+func (c *clusterFlags) operator(retryUntil time.Time) (*rollout.OperatorClient, error) {
 	platform, err := config.Load(c.Config)
 	if err != nil {
 		return nil, err
 	}
 	// Straight to the key-value store, as controllers go: no proxy of the operator's shell.
 	transport := &http.Transport{DisableCompression: true}
-	return &rollout.Operator{
-		Store:         store.NewClient(platform.External.Store, transport),
-		Members:       platform.Nodes(),
-		Partitions:    platform.Settings.Count,
-		MaxTxnChanges: platform.Settings.Store.TxnOps,
-		RetryUntil:    retryUntil,
+	return &rollout.OperatorClient{
+		Store:          store.NewClient(platform.External.Store, transport),
+		Members:        platform.Nodes(),
+		PartitionCount: platform.Settings.Count,
+		MaxTxnChanges:  platform.Settings.Store.TxnOps,
+		RetryDeadline:  retryUntil,
 	}, nil
 }
 
@@ -124,10 +124,10 @@
 	if _, refused := errors.AsType[*rollout.RefusedError](err); refused {
 		return &exitError{exitRefused, err}
 	}
-	if errors.Is(err, rollout.ErrChanged) {
+	if errors.Is(err, rollout.ErrStateChanged) {
 		return &exitError{exitChanged, err}
 	}
-	if _, unsettled := errors.AsType[*rollout.UnsettledError](err); unsettled {
+	if _, unsettled := errors.AsType[*rollout.OutcomeUnknownError](err); unsettled {
 		return &exitError{exitUnknown, fmt.Errorf("%w; look at the status, and ask again if it does not show the request", err)}
 	}
 	if err != nil {
@@ -137,13 +137,13 @@
 }
 
 // await waits until the request with which Submit returned a state has been carried out.
-func (c *clusterFlags) await(ctx context.Context, out io.Writer, operator *rollout.Operator, asked rollout.State, until time.Time) error {
+func (c *clusterFlags) await(ctx context.Context, out io.Writer, operator *rollout.OperatorClient, asked rollout.State, until time.Time) error {
 	for {
 		status, err := operator.Status(ctx)
 		if err != nil {
 			return &exitError{exitNotYetDone, fmt.Errorf("%s is stored, and what became of it can't be read: %w; look at the status", asked.Request, err)}
 		}
-		if rollout.Completed(asked, status.State) {
+		if rollout.IsCompleted(asked, status.State) {
 			return c.print(out, status)
 		}
 		if !time.Now().Before(until) {
--- a/cmd/eiderhitch/upgrade_faults_test.go
+++ b/cmd/eiderhitch/upgrade_faults_test.go
@@ -124,10 +124,10 @@
 }
 
 var upgradeRows = []upgradeRow{
-	{rollout.RequestFinalize, rollout.State{Level: 1, Phase: rollout.Activated, Since: 1}, rollout.State{Level: 2, Phase: rollout.Stable, Epoch: 1, Since: 2}},
-	{rollout.RequestAbort, rollout.State{Level: 2, Phase: rollout.Stable, Epoch: 1, Held: true, Since: 1}, rollout.State{Level: 2, Phase: rollout.Reverting, Epoch: 1, Held: true, Since: 2}},
-	{rollout.RequestAbort, rollout.State{Level: 1, Phase: rollout.Activated, Since: 1}, rollout.State{Level: 1, Phase: rollout.Stable, Held: true, Since: 2}},
-	{rollout.RequestFinalize, rollout.State{Level: 1, Phase: rollout.Stable, Held: true, Since: 1}, rollout.State{Level: 1, Phase: rollout.Stable, Since: 2}},
+	{rollout.RequestFinalize, rollout.State{Level: 1, Phase: rollout.PhaseActive, PhaseStartedAt: 1}, rollout.State{Level: 2, Phase: rollout.PhaseStable, Epoch: 1, PhaseStartedAt: 2}},
+	{rollout.RequestAbort, rollout.State{Level: 2, Phase: rollout.PhaseStable, Epoch: 1, OnHold: true, PhaseStartedAt: 1}, rollout.State{Level: 2, Phase: rollout.PhaseReverting, Epoch: 1, OnHold: true, PhaseStartedAt: 2}},
+	{rollout.RequestAbort, rollout.State{Level: 1, Phase: rollout.PhaseActive, PhaseStartedAt: 1}, rollout.State{Level: 1, Phase: rollout.PhaseStable, OnHold: true, PhaseStartedAt: 2}},
+	{rollout.RequestFinalize, rollout.State{Level: 1, Phase: rollout.PhaseStable, OnHold: true, PhaseStartedAt: 1}, rollout.State{Level: 1, Phase: rollout.PhaseStable, PhaseStartedAt: 2}},
 }
 
 // newFaultyStore is a store in a state, with a leader that carries requests out if leads.
@@ -246,7 +246,7 @@
 	f.onStored = func() { f.putState(t, theirs) }
 	flags := s.flags(false)
 	err := flags.request(io.Discard, rollout.RequestFinalize, 5*time.Second)
-	if _, unsettled := errors.AsType[*rollout.UnsettledError](err); !unsettled || statusOf(err) != exitUnknown {
+	if _, unsettled := errors.AsType[*rollout.OutcomeUnknownError](err); !unsettled || statusOf(err) != exitUnknown {
 		t.Errorf("status %d: %v, want %d", statusOf(err), err, exitUnknown)
 	}
 	if now := s.store.Values(rollout.StateKey)[rollout.StateKey]; !bytes.Equal(now, theirs.Encode()) || f.stored != 1 {
--- a/cmd/eiderhitch/upgrade_test.go
+++ b/cmd/eiderhitch/upgrade_test.go
@@ -92,7 +92,7 @@
 func (s *simulatedStore) register(names ...string) {
 	s.t.Helper()
 	for _, name := range names {
-		s.put(rollout.ControllerKey(name), rollout.Controller{Node: name, Build: "test", Range: rollout.Supported}.Encode())
+		s.put(rollout.RegistrationKey(name), rollout.Registration{Node: name, Build: "test", LevelRange: rollout.SupportedLevels}.Encode())
 	}
 }
 
@@ -105,9 +105,9 @@
 	s := newSimulatedStore(t)
 	s.register("n0")
 	g := &record.TaskGroup{Tasks: []record.Binding{{Task: 1}}}
-	s.put("e/group/wk-1/0", g.Encode(record.PlainJSON).At("e/group/wk-1/0"))
-	s.put("e/group/wk-2/0", g.Encode(record.Checksummed).At("e/group/wk-2/0"))
-	s.put("e/group/wk-3/0", g.Encode(record.Checksummed).At("e/group/wk-2/0"))
+	s.put("e/group/wk-1/0", g.Encode(record.PlainJSON).ValueForKey("e/group/wk-1/0"))
+	s.put("e/group/wk-2/0", g.Encode(record.Checksummed).ValueForKey("e/group/wk-2/0"))
+	s.put("e/group/wk-3/0", g.Encode(record.Checksummed).ValueForKey("e/group/wk-2/0"))
 	flags := s.flags(false)
 	var out bytes.Buffer
 	if err := flags.show(&out); err != nil {
@@ -124,7 +124,7 @@
 		t.Fatal(err)
 	}
 	var status rollout.Status
-	if err := json.Unmarshal(out.Bytes(), &status); err != nil || status.State != rollout.Initial || len(status.Blockers) != 1 || status.Missing[0] != "n1" {
+	if err := json.Unmarshal(out.Bytes(), &status); err != nil || status.State != rollout.InitialState || len(status.Blockers) != 1 || status.MissingControllers[0] != "n1" {
 		t.Errorf("%v: %+v", err, status)
 	}
 }
@@ -134,7 +134,7 @@
 func TestRequestsThatAreNotCarriedOut(t *testing.T) {
 	s := newSimulatedStore(t)
 	s.register("n0")
-	active := rollout.State{Level: 1, Phase: rollout.Activated}
+	active := rollout.State{Level: 1, Phase: rollout.PhaseActive}
 	for _, x := range []struct {
 		name    string
 		state   rollout.State
@@ -143,10 +143,10 @@
 		says    string
 	}{
 		{"a controller is missing", active, rollout.RequestFinalize, exitRefused, "n1 is not registered"},
-		{"no level is active", rollout.Initial, rollout.RequestFinalize, exitRefused, "no level is active"},
-		{"nothing to go back to", rollout.State{Level: 1, Phase: rollout.Stable, Held: true}, rollout.RequestAbort, exitRefused, "none before it"},
-		{"a step is being completed", rollout.State{Level: 2, Phase: rollout.Closed, Epoch: 1}, rollout.RequestAbort, exitRefused, "try again"},
-		{"going back already", rollout.State{Level: 2, Phase: rollout.Reverting, Epoch: 1}, rollout.RequestAbort, exitRefused, "already"},
+		{"no level is active", rollout.InitialState, rollout.RequestFinalize, exitRefused, "no level is active"},
+		{"nothing to go back to", rollout.State{Level: 1, Phase: rollout.PhaseStable, OnHold: true}, rollout.RequestAbort, exitRefused, "none before it"},
+		{"a step is being completed", rollout.State{Level: 2, Phase: rollout.PhaseClosed, Epoch: 1}, rollout.RequestAbort, exitRefused, "try again"},
+		{"going back already", rollout.State{Level: 2, Phase: rollout.PhaseReverting, Epoch: 1}, rollout.RequestAbort, exitRefused, "already"},
 		{"nobody leads", active, rollout.RequestAbort, exitNotYetDone, "not carried out yet"},
 	} {
 		s.put(rollout.StateKey, x.state.Encode())
@@ -167,10 +167,10 @@
 func TestRequestIsWaitedFor(t *testing.T) {
 	s := newSimulatedStore(t)
 	s.register("n0", "n1")
-	s.put(rollout.StateKey, rollout.State{Level: 1, Phase: rollout.Activated}.Encode())
+	s.put(rollout.StateKey, rollout.State{Level: 1, Phase: rollout.PhaseActive}.Encode())
 	go func() {
 		time.Sleep(100 * time.Millisecond)
-		s.put(rollout.StateKey, rollout.State{Level: 2, Phase: rollout.Stable, Epoch: 1}.Encode())
+		s.put(rollout.StateKey, rollout.State{Level: 2, Phase: rollout.PhaseStable, Epoch: 1}.Encode())
 	}()
 	var out bytes.Buffer
 	flags := s.flags(false)
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -20,9 +20,9 @@
 func (idle) Submit(context.Context, *wire.Job) Response { return Response{Status: http.StatusCreated} }
 func (idle) Poll(context.Context, string) Response      { return Response{Status: http.StatusNotFound} }
 func (idle) Cancel(context.Context, string) Response    { return Response{Status: http.StatusOK} }
-func (idle) Ready() bool                                { return true }
+func (idle) IsReady() bool                              { return true }
 func (idle) Heartbeat(context.Context, *wire.Heartbeat) Response {
-	return Response{Status: http.StatusOK, Body: wire.HeartbeatResponse{Token: 1, Commands: []wire.Command{}}}
+	return Response{Status: http.StatusOK, Body: wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{}}}
 }
 
 // What connections hold bounds how many may be open: see config.Limits.
@@ -35,7 +35,7 @@
 	defer cancel()
 	const n = 300
 	go func() {
-		_ = Serve(ctx, l, idle{}, slog.New(slog.NewTextHandler(io.Discard, nil)), Limits{Connections: n, Requests: n})
+		_ = Serve(ctx, l, idle{}, slog.New(slog.NewTextHandler(io.Discard, nil)), Limits{MaxConnections: n, MaxUserRequests: n})
 	}()
 	held := func() uint64 {
 		runtime.GC()
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -20,11 +20,11 @@
 func (s stub) Poll(context.Context, string) Response               { return s.answer }
 func (s stub) Cancel(context.Context, string) Response             { return s.answer }
 func (s stub) Heartbeat(context.Context, *wire.Heartbeat) Response { return s.answer }
-func (s stub) Ready() bool                                         { return s.ready }
+func (s stub) IsReady() bool                                       { return s.ready }
 
 // Status, headers and body of every kind of answer stay as they are.
 func TestAnswersKeepTheirBytes(t *testing.T) {
-	state := Response{Status: 200, Body: wire.JobState{ID: "wk-1", State: wire.Done}}
+	state := Response{Status: 200, Body: wire.JobState{ID: "wk-1", State: wire.StateDone}}
 	for _, x := range []struct {
 		request, body string
 		answer        Response
@@ -35,7 +35,7 @@
 		{"GET /v1/jobs/wk-1", "", state, 1, 200, "", `{"nameId":"wk-1","tide":"done"}`},
 		{"POST /v1/jobs/wk-1/abort", "", state, 1, 200, "", `{"nameId":"wk-1","tide":"done"}`},
 		{"GET /v1/jobs/wk-1", "", Response{Status: 404, Reason: "no such job"}, 1, 404, "", `{"error":"no such job"}`},
-		{"GET /v1/jobs/wk-1", "", Response{Status: 503, RetryAfter: 2, Reason: "later"}, 1, 503, "2", `{"error":"later"}`},
+		{"GET /v1/jobs/wk-1", "", Response{Status: 503, RetryAfterS: 2, Reason: "later"}, 1, 503, "2", `{"error":"later"}`},
 		{"GET /v1/jobs/wk-1", "", Response{Status: 200, Body: func() {}}, 1, 500, "", `{}`},
 		{"GET /v1/jobs/wk-1", "", state, 0, 503, "1", `{"error":"too many requests in work"}`},
 		{"POST /v1/jobs", "[]", state, 1, 400, "", `{"error":"body: not a JSON object"}`},
@@ -51,7 +51,7 @@
 	} {
 		method, path, _ := strings.Cut(x.request, " ")
 		w := httptest.NewRecorder()
-		Handler(stub{answer: x.answer, ready: x.body == ""}, Limits{Requests: x.slots}).
+		NewHandler(stub{answer: x.answer, ready: x.body == ""}, Limits{MaxUserRequests: x.slots}).
 			ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(x.body)))
 		if w.Code != x.status || w.Body.String() != x.text || w.Header().Get("Retry-After") != x.retry {
 			t.Errorf("%s %.40s: %d, Retry-After %q, %s", x.request, x.body, w.Code, w.Header().Get("Retry-After"), w.Body)
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -36,9 +36,9 @@
 	slots   chan struct{} // one for each request of a user that may be served at a time
 }
 
-// Handler returns a handler that answers requests with what the service says.
-func Handler(service Service, limits Limits) http.Handler {
-	h := &handler{service: service, slots: make(chan struct{}, limits.Requests)}
+// NewHandler returns a handler that answers requests with what the service says.
+func NewHandler(service Service, limits Limits) http.Handler {
+	h := &handler{service: service, slots: make(chan struct{}, limits.MaxUserRequests)}
 	router := httprouter.New()
 	router.RedirectTrailingSlash, router.RedirectFixedPath = false, false
 	router.POST("/v1/jobs", h.user(changeTimeout, h.submit))
@@ -60,7 +60,7 @@
 		case h.slots <- struct{}{}:
 			defer func() { <-h.slots }()
 		default:
-			Response{Status: http.StatusServiceUnavailable, RetryAfter: overloadRetryAfter, Reason: "too many requests in work"}.write(w)
+			Response{Status: http.StatusServiceUnavailable, RetryAfterS: overloadRetryAfter, Reason: "too many requests in work"}.write(w)
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), timeout)
@@ -90,7 +90,7 @@
 }
 
 func (h *handler) ready(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	if h.service.Ready() {
+	if h.service.IsReady() {
 		Response{Status: http.StatusOK, Body: struct{}{}}.write(w)
 		return
 	}
--- a/internal/api/response.go
+++ b/internal/api/response.go
@@ -11,9 +11,9 @@
 	Status int
 	// Body is encoded as JSON; nil: the body is an object with the Reason as its error.
 	Body any
-	// RetryAfter is after how many seconds the request should be retried; 0: not said. It
+	// RetryAfterS is after how many seconds the request should be retried; 0: not said. It
 	// goes with status 503.
-	RetryAfter int
+	RetryAfterS int
 	// Reason of a refusal, for people.
 	Reason string
 }
@@ -47,8 +47,8 @@
 		r.Status, raw = http.StatusInternalServerError, []byte("{}")
 	}
 	w.Header()["Content-Type"] = contentType
-	if r.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(r.RetryAfter))
+	if r.RetryAfterS > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(r.RetryAfterS))
 	}
 	w.WriteHeader(r.Status)
 	_, _ = w.Write(raw) // the client is gone: it will retry
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -22,16 +22,16 @@
 	Cancel(ctx context.Context, id string) Response
 	Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) Response
 	// Ready tells whether the controller can take requests. It must not block.
-	Ready() bool
+	IsReady() bool
 }
 
 // Limits of the interface.
 type Limits struct {
 	// Connections is how many connections are served at a time.
-	Connections int
+	MaxConnections int
 	// Requests is how many requests of users are served at a time; more are refused with
 	// status 503.
-	Requests int
+	MaxUserRequests int
 }
 
 // Timeouts and limits of connections.
@@ -47,7 +47,7 @@
 // being served then are cut off.
 func Serve(ctx context.Context, l net.Listener, service Service, log *slog.Logger, limits Limits) error {
 	server := &http.Server{
-		Handler:           Handler(service, limits),
+		Handler:           NewHandler(service, limits),
 		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       readTimeout,
 		WriteTimeout:      writeTimeout,
@@ -58,7 +58,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
-	err := server.Serve(netutil.LimitListener(l, limits.Connections))
+	err := server.Serve(netutil.LimitListener(l, limits.MaxConnections))
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -40,7 +40,7 @@
 type Cloud interface {
 	// Launch is idempotent by its request's key. It may launch fewer than asked.
 	Launch(ctx context.Context, request wire.LaunchRequest) (names []string, err error)
-	// Terminate takes at most cloud.MaxTerminate machines. Without an error they are gone.
+	// Terminate takes at most cloud.MaxTerminateNames machines. Without an error they are gone.
 	Terminate(ctx context.Context, names []string) error
 	// List may lag.
 	List(ctx context.Context) ([]wire.Instance, error)
@@ -56,7 +56,7 @@
 	// Partition is the index of the one that the machine is in now.
 	Partition int
 	// Bound: tasks are bound to it.
-	Bound bool
+	HasBoundTasks bool
 	// Terminated: a tombstone says so.
 	Terminated bool
 }
@@ -66,25 +66,25 @@
 	Machine
 	// Reachable: heartbeats are arriving. Unreachable: neither do they, nor does it answer.
 	Reachable, Unreachable bool
-	// NotHeardYet: no heartbeat has come since its owner took its partition over.
-	NotHeardYet bool
-	Cordoned    bool
-	CordonedAt  time.Time
+	// FlagNoHeartbeatYet: no heartbeat has come since its owner took its partition over.
+	AwaitingFirstHeartbeat bool
+	Cordoned               bool
+	CordonedAt             time.Time
 }
 
 // Machines are all that are known, and the types on offer.
 type Machines interface {
 	// Machine is the machine of that name, which is known from then on.
-	Machine(name string) Machine
+	GetOrAdd(name string) Machine
 	// Lookup is the machine of that name, if it is known.
 	Lookup(name string) (Machine, bool)
 	// At is the machine with an index, as in planning.MachineSummary.
 	At(index scheduling.MachineIndex) Machine
-	// EachReported calls f for each machine that its owner tells about.
-	EachReported(f func(ReportedMachine))
-	// UnreachableInUse names the machines of own partitions that can't be reached and have
+	// EachReportedMachine calls f for each machine that its owner tells about.
+	EachReportedMachine(f func(ReportedMachine))
+	// UnreachableMachinesWithTasks names the machines of own partitions that can't be reached and have
 	// tasks bound to them.
-	UnreachableInUse() []string
+	UnreachableMachinesWithTasks() []string
 	// MarkTerminated takes a machine that never was for terminated, without a tombstone.
 	MarkTerminated(name string)
 	// Types are the machine types by name; empty while they are not known.
@@ -98,39 +98,39 @@
 	// Epoch tells one term from another; 0: there is none.
 	Epoch uint64
 	// Since is when the term began.
-	Since time.Time
+	StartedAt time.Time
 	// Active: all that was stored before the term has been read. Acting: besides, the
 	// replica is fresh enough to decide by.
-	Active, Acting bool
+	Active, CanAct bool
 	// Condition has a write fail once the term is over.
-	Condition wire.Condition
+	FencingCondition wire.Condition
 }
 
 // Tombstone is a stored one.
 type Tombstone struct {
 	Key string
 	// Names are those of the terminated machines.
-	Names []string
-	// KnownSince is when this controller first saw it.
-	KnownSince time.Time
+	MachineNames []string
+	// FirstSeenAt is when this controller first saw it.
+	FirstSeenAt time.Time
 }
 
 // Cluster is the cluster around the machines.
 type Cluster interface {
 	// Loaded reports whether the records have been read since the start.
-	Loaded() bool
+	HasLoadedRecords() bool
 	// Leadership is this controller's.
 	Leadership() Leadership
-	// LeaderHeardAt is when the leader was last heard; zero: never, or it is no peer.
-	LeaderHeardAt() time.Time
-	// PartitionCondition has a write fail once a partition is owned by somebody else; its
+	// LeaderLastHeardAt is when the leader was last heard; zero: never, or it is no peer.
+	LeaderLastHeardAt() time.Time
+	// PartitionFencingCondition has a write fail once a partition is owned by somebody else; its
 	// revision is 0 if this controller does not own it.
-	PartitionCondition(partition int) wire.Condition
-	// AllOwnersInTouch reports whether the leader hears every partition's owner, and
-	// OwnerLongInTouch whether it has heard one's for so long that all machines of the
+	PartitionFencingCondition(partition int) wire.Condition
+	// AreAllOwnersResponsive reports whether the leader hears every partition's owner, and
+	// HasCompleteView whether it has heard one's for so long that all machines of the
 	// partition must have reported.
-	AllOwnersInTouch() bool
-	OwnerLongInTouch(partition int) bool
+	AreAllOwnersResponsive() bool
+	HasCompleteView(partition int) bool
 	// HeartbeatsResumedAt is when heartbeats were last accepted again after an outage.
 	HeartbeatsResumedAt() time.Time
 	// HasUnreadableRecords reports whether some record can't be decoded, so that machines
@@ -160,19 +160,19 @@
 type Config struct {
 	config.CloudSettings
 	Operator *config.Operator
-	// TombstonePrefix is that of tombstones' keys, MachineTypesKey the types' key.
-	TombstonePrefix, MachineTypesKey string
-	// MaxValueBytes is how large a stored value may be, MaxChanges how many changes a
+	// TombstoneKeyPrefix is that of tombstones' keys, MachineTypesKey the types' key.
+	TombstoneKeyPrefix, MachineTypesKey string
+	// MaxValueBytes is how large a stored value may be, MaxTransactionChanges how many changes a
 	// transaction may have.
-	MaxValueBytes, MaxChanges int
+	MaxValueBytes, MaxTransactionChanges int
 	// LoanPartition is the partition of machines on loan, none of which is drained.
 	LoanPartition int
-	// HeartbeatOverdueAfter is the longest usual pause between a machine's heartbeats.
-	HeartbeatOverdueAfter time.Duration
-	// WorkLifetime is how long the work of machines that nobody reaches goes on at most:
+	// HeartbeatTimeout is the longest usual pause between a machine's heartbeats.
+	HeartbeatTimeout time.Duration
+	// MaxUnreachableWorkTime is how long the work of machines that nobody reaches goes on at most:
 	// after it every worker's lease has expired, whoever renewed it last.
-	WorkLifetime time.Duration
-	Log          *slog.Logger
+	MaxUnreachableWorkDuration time.Duration
+	Log                        *slog.Logger
 }
 
 // Services are what an Autoscaler works with.
@@ -260,7 +260,7 @@
 // EndTerm forgets what only the leader may decide by.
 func (a *Autoscaler) EndTerm() {
 	a.term = term{}
-	a.outage.Forget() // who does not lead asks the cloud for nothing
+	a.outage.Reset() // who does not lead asks the cloud for nothing
 }
 
 // epoch tells the present term from all others. Results of what a former term began are
--- a/internal/autoscaler/drain.go
+++ b/internal/autoscaler/drain.go
@@ -14,15 +14,15 @@
 	milliCPUs      = 1000 // in a CPU
 )
 
-// Draining reports whether a machine is drained, as the leader announced it last. Its owner
+// IsDraining reports whether a machine is drained, as the leader announced it last. Its owner
 // places nothing on it.
-func (a *Autoscaler) Draining(name string) bool { return a.announcedDraining[name] }
+func (a *Autoscaler) IsDraining(name string) bool { return a.announcedDraining[name] }
 
-// DrainedByLeader reports whether this controller, as the leader, has a machine drained.
-func (a *Autoscaler) DrainedByLeader(name string) bool { return a.term.draining[name] }
+// IsDrainingAsLeader reports whether this controller, as the leader, has a machine drained.
+func (a *Autoscaler) IsDrainingAsLeader(name string) bool { return a.term.draining[name] }
 
-// DrainedMachines names the machines that this controller, as the leader, has drained.
-func (a *Autoscaler) DrainedMachines() []string {
+// DrainingMachines names the machines that this controller, as the leader, has drained.
+func (a *Autoscaler) DrainingMachines() []string {
 	var names []string
 	for name := range a.term.draining {
 		names = append(names, name)
@@ -64,7 +64,7 @@
 		return
 	}
 	window := a.longestIdleTimeout(summaries)
-	age := a.Loop.Now().Sub(a.Cluster.Leadership().Since)
+	age := a.Loop.Now().Sub(a.Cluster.Leadership().StartedAt)
 	leastFree, covered := a.term.freeHistory.Add(age.Seconds(), a.surplusCPUs(summaries, room), window.Seconds())
 	if !covered || age < window {
 		return // not seen for long enough
@@ -113,7 +113,7 @@
 	for _, summary := range summaries {
 		m := a.Machines.At(summary.Index)
 		switch {
-		case m.Bound || summary.InUse:
+		case m.HasBoundTasks || summary.InUse:
 			delete(a.term.idleSince, m.Name)
 		case a.idleForLong(&m):
 			names = append(names, m.Name)
--- a/internal/autoscaler/drain_test.go
+++ b/internal/autoscaler/drain_test.go
@@ -35,15 +35,15 @@
 // A new leader drains nothing before it has led for the whole window.
 func TestNewLeaderDrainsNothing(t *testing.T) {
 	c := newFakeCluster()
-	c.leadership.Since = c.now
+	c.leadership.StartedAt = c.now
 	c.add(2)
 	a := c.autoscaler(t)
 	c.scaleFor(a, idleWindow, c.surplusWorkload)
-	if names := a.DrainedMachines(); len(names) != 0 {
+	if names := a.DrainingMachines(); len(names) != 0 {
 		t.Errorf("drained within the window: %v, want none", names)
 	}
 	a.Scale(c.surplusWorkload())
-	if names := a.DrainedMachines(); len(names) != 1 {
+	if names := a.DrainingMachines(); len(names) != 1 {
 		t.Errorf("drained after the window: %v, want one", names)
 	}
 }
@@ -55,11 +55,11 @@
 	a := c.autoscaler(t)
 	c.scaleFor(a, idleWindow-2*time.Second, c.surplusWorkload)
 	short := c.surplusWorkload()
-	short.Waiting = []planning.Demand{c.demand(9)}
+	short.UnplacedDemands = []planning.Demand{c.demand(9)}
 	a.Scale(short)
 	c.now = c.now.Add(time.Second)
 	c.scaleFor(a, idleWindow/2, c.surplusWorkload)
-	if names := a.DrainedMachines(); len(names) != 0 {
+	if names := a.DrainingMachines(); len(names) != 0 {
 		t.Errorf("drained: %v, want none", names)
 	}
 }
@@ -74,10 +74,10 @@
 		work := c.surplusWorkload()
 		demand := c.demand(0)
 		demand.TaskSize.CPU = 3000
-		work.Services = slices.Values([]Service{{Class: "c", Priority: 1, Tasks: 1, Demand: func() planning.Demand { return demand }}})
+		work.Services = slices.Values([]Service{{Class: "c", Priority: 1, TaskCount: 1, Demand: func() planning.Demand { return demand }}})
 		return work
 	})
-	if names := a.DrainedMachines(); len(names) != 0 {
+	if names := a.DrainingMachines(); len(names) != 0 {
 		t.Errorf("drained: %v, want none: with 3 of 6 CPUs kept free no machine is surplus", names)
 	}
 }
@@ -87,18 +87,18 @@
 	c := newFakeCluster()
 	c.add(2)
 	a := c.autoscaler(t)
-	for len(a.DrainedMachines()) == 0 {
+	for len(a.DrainingMachines()) == 0 {
 		a.Scale(c.surplusWorkload())
 		c.now = c.now.Add(time.Second)
 	}
 	work := c.surplusWorkload()
 	for _, summary := range work.Machines { // the tasks of the other one have ended
-		if !a.DrainedByLeader(a.nameOf(summary)) {
+		if !a.IsDrainingAsLeader(a.nameOf(summary)) {
 			summary.FreeResources, summary.Usages = summary.Size, nil
 		}
 	}
 	a.Scale(work)
-	if names := a.DrainedMachines(); len(names) != 1 {
+	if names := a.DrainingMachines(); len(names) != 1 {
 		t.Errorf("drained: %v, want one: the other has been free for a moment", names)
 	}
 }
@@ -111,9 +111,9 @@
 	a := c.autoscaler(t)
 	c.scaleFor(a, 2*idleWindow, c.surplusWorkload) // planned for
 	c.scaleFor(a, idleWindow-time.Second, func() *Workload { return c.workload() })
-	c.machines[0].Bound = true
+	c.machines[0].HasBoundTasks = true
 	a.Scale(c.workload())
-	c.machines[0].Bound = false
+	c.machines[0].HasBoundTasks = false
 	c.scaleFor(a, idleWindow, func() *Workload { return c.workload() })
 	if len(a.calls) != 0 {
 		t.Error("it is terminated, though it was in use of late")
@@ -125,7 +125,7 @@
 	c := newFakeCluster()
 	c.add(1)
 	a := c.autoscaler(t)
-	a.MachineUp(c.machines[0].Machine)
+	a.ObserveMachine(c.machines[0].Machine)
 	a.term.draining["host-000000"], a.term.idleSince["host-000000"] = true, c.now
 	a.terminate([]string{"host-000000"})
 	c.makeCalls(a)
@@ -152,7 +152,7 @@
 // Tombstones wait while the key-value store has much to do.
 func TestTombstonesStayWhileWritesWait(t *testing.T) {
 	c := newFakeCluster()
-	c.tombstones["e/gone/x"] = Tombstone{Key: "e/gone/x", KnownSince: c.now.Add(-hour)}
+	c.tombstones["e/gone/x"] = Tombstone{Key: "e/gone/x", FirstSeenAt: c.now.Add(-hour)}
 	c.queue.Submit(&store.Write{Changes: make([]wire.Change, 200)})
 	if c.Backlog() <= time.Second {
 		t.Fatalf("the backlog is %v, want more than a second", c.Backlog())
@@ -187,17 +187,17 @@
 func TestLowerPriorityIsHeadroom(t *testing.T) {
 	c := newFakeCluster()
 	c.add(1)
-	c.machines[0].Bound = true
+	c.machines[0].HasBoundTasks = true
 	a := c.autoscaler(t)
 	a.Operator.Headroom = 1
-	a.MachineUp(c.machines[0].Machine)
-	if booting, _ := a.Counts(); booting != 0 {
+	a.ObserveMachine(c.machines[0].Machine)
+	if booting, _ := a.MachineCounts(); booting != 0 {
 		t.Errorf("%d machines are booting, want none", booting)
 	}
 	demand := c.demand(0)
 	for priority, launches := range map[int]int{0: 1, 1: 0} {
 		work := c.workload()
-		work.Services = slices.Values([]Service{{Class: "c", Priority: priority, Tasks: 1, Demand: func() planning.Demand { return demand }}})
+		work.Services = slices.Values([]Service{{Class: "c", Priority: priority, TaskCount: 1, Demand: func() planning.Demand { return demand }}})
 		plan, _ := a.plan(work, a.headroomFor(work.Services))
 		if plan.Launches[small] != launches {
 			t.Errorf("priority %d above tasks of 0: launches %v, want %d", priority, plan.Launches, launches)
--- a/internal/autoscaler/fake_test.go
+++ b/internal/autoscaler/fake_cluster_test.go
@@ -101,7 +101,7 @@
 	return &fakeCluster{
 		now:        now,
 		types:      map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAMGB: 16, Price: 0.4, SpotPrice: 0.1, BootS: 40, Zones: []string{"a"}}},
-		leadership: Leadership{Epoch: leaderEpoch, Since: now.Add(-hour), Active: true, Acting: true, Condition: leaderCondition},
+		leadership: Leadership{Epoch: leaderEpoch, StartedAt: now.Add(-hour), Active: true, CanAct: true, FencingCondition: leaderCondition},
 		tombstones: map[string]Tombstone{},
 		queue:      store.NewWriter(nil, 32, 40, 1, nil),
 	}
@@ -109,7 +109,7 @@
 
 // follow has another controller lead.
 func (c *fakeCluster) follow() {
-	c.leadership = Leadership{Condition: wire.Condition{Key: leaderCondition.Key}}
+	c.leadership = Leadership{FencingCondition: wire.Condition{Key: leaderCondition.Key}}
 }
 
 // autoscaler is one in this cluster, at the start of its term if this controller leads.
@@ -117,8 +117,8 @@
 	t.Helper()
 	a := New(Config{
 		CloudSettings: config.CloudSettings{RPS: 6, ListLagS: 3}, Operator: config.DefaultOperator(),
-		TombstonePrefix: "e/gone/", MachineTypesKey: "e/types", MaxValueBytes: 8 << 10, MaxChanges: 32, LoanPartition: loanPartition,
-		HeartbeatOverdueAfter: time.Second, WorkLifetime: time.Minute, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		TombstoneKeyPrefix: "e/gone/", MachineTypesKey: "e/types", MaxValueBytes: 8 << 10, MaxTransactionChanges: 32, LoanPartition: loanPartition,
+		HeartbeatTimeout: time.Second, MaxUnreachableWorkDuration: time.Minute, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	}, Services{Cloud: &c.cloud, Machines: c, Cluster: c, Writer: c, Loop: c})
 	if c.leadership.Epoch != 0 {
 		a.StartTerm()
@@ -140,7 +140,7 @@
 	for i, m := range c.machines {
 		size := sizeOf(c.types[m.Type])
 		summary := &planning.MachineSummary{Index: scheduling.MachineIndex(i), Type: m.Type, Zone: m.Zone, Spot: m.Spot, Partition: m.Partition, Size: size, FreeResources: size}
-		if m.Bound {
+		if m.HasBoundTasks {
 			summary.FreeResources, summary.Usages = scheduling.Resources{}, []planning.TaskUsage{{Size: size}}
 		}
 		all = append(all, summary)
@@ -150,7 +150,7 @@
 
 // workload is one of what waits alone.
 func (c *fakeCluster) workload(waiting ...planning.Demand) *Workload {
-	return &Workload{Machines: c.summaries(), Waiting: waiting, Services: slices.Values([]Service(nil))}
+	return &Workload{Machines: c.summaries(), UnplacedDemands: waiting, Services: slices.Values([]Service(nil))}
 }
 
 // demand is one for tasks that fill a machine each.
@@ -176,7 +176,7 @@
 	return nil
 }
 
-func (c *fakeCluster) Machine(name string) Machine {
+func (c *fakeCluster) GetOrAdd(name string) Machine {
 	if m := c.find(name); m != nil {
 		return m.Machine
 	}
@@ -184,31 +184,31 @@
 }
 
 func (c *fakeCluster) Lookup(name string) (Machine, bool) {
-	return c.Machine(name), c.find(name) != nil
+	return c.GetOrAdd(name), c.find(name) != nil
 }
 
 func (c *fakeCluster) At(index scheduling.MachineIndex) Machine { return c.machines[index].Machine }
 
-func (c *fakeCluster) EachReported(f func(ReportedMachine)) {
+func (c *fakeCluster) EachReportedMachine(f func(ReportedMachine)) {
 	for _, m := range c.machines {
 		f(*m)
 	}
 }
 
-func (c *fakeCluster) UnreachableInUse() []string            { return c.unreachable }
-func (c *fakeCluster) MarkTerminated(name string)            { c.neverUp = append(c.neverUp, name) }
-func (c *fakeCluster) Types() map[string]*wire.MachineType   { return c.types }
-func (c *fakeCluster) Loaded() bool                          { return !c.starting }
-func (c *fakeCluster) Leadership() Leadership                { return c.leadership }
-func (c *fakeCluster) LeaderHeardAt() time.Time              { return c.leaderHeardAt }
-func (c *fakeCluster) PartitionCondition(int) wire.Condition { return c.partition }
-func (c *fakeCluster) AllOwnersInTouch() bool                { return !c.ownersLost }
-func (c *fakeCluster) OwnerLongInTouch(int) bool             { return !c.ownersLost }
-func (c *fakeCluster) HeartbeatsResumedAt() time.Time        { return c.resumedAt }
-func (c *fakeCluster) HasUnreadableRecords() bool            { return c.unreadable }
-func (c *fakeCluster) Now() time.Time                        { return c.now }
-func (c *fakeCluster) Enqueue(f func())                      { f() }
-func (c *fakeCluster) Backlog() time.Duration                { return c.queue.Backlog() }
+func (c *fakeCluster) UnreachableMachinesWithTasks() []string       { return c.unreachable }
+func (c *fakeCluster) MarkTerminated(name string)                   { c.neverUp = append(c.neverUp, name) }
+func (c *fakeCluster) Types() map[string]*wire.MachineType          { return c.types }
+func (c *fakeCluster) HasLoadedRecords() bool                       { return !c.starting }
+func (c *fakeCluster) Leadership() Leadership                       { return c.leadership }
+func (c *fakeCluster) LeaderLastHeardAt() time.Time                 { return c.leaderHeardAt }
+func (c *fakeCluster) PartitionFencingCondition(int) wire.Condition { return c.partition }
+func (c *fakeCluster) AreAllOwnersResponsive() bool                 { return !c.ownersLost }
+func (c *fakeCluster) HasCompleteView(int) bool                     { return !c.ownersLost }
+func (c *fakeCluster) HeartbeatsResumedAt() time.Time               { return c.resumedAt }
+func (c *fakeCluster) HasUnreadableRecords() bool                   { return c.unreadable }
+func (c *fakeCluster) Now() time.Time                               { return c.now }
+func (c *fakeCluster) Enqueue(f func())                             { f() }
+func (c *fakeCluster) Backlog() time.Duration                       { return c.queue.BacklogDuration() }
 
 func (c *fakeCluster) SetTypes(types []wire.MachineType) {
 	c.types = map[string]*wire.MachineType{}
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -35,8 +35,8 @@
 	listed bool
 }
 
-// MachineUp notes that a machine's owner tells of it.
-func (a *Autoscaler) MachineUp(m Machine) {
+// ObserveMachine notes that a machine's owner tells of it.
+func (a *Autoscaler) ObserveMachine(m Machine) {
 	inst := a.term.instances[m.Name]
 	if inst == nil {
 		inst = &instance{machineType: m.Type, zone: m.Zone, spot: m.Spot, launchedAt: a.Loop.Now()}
@@ -45,11 +45,11 @@
 	inst.reported, inst.seenAt = true, a.Loop.Now()
 }
 
-// Sync keeps the machine types and the leader's list of instances current, and deletes
+// SyncWithCloud keeps the machine types and the leader's list of instances current, and deletes
 // tombstones that nobody needs any more.
-func (a *Autoscaler) Sync() {
+func (a *Autoscaler) SyncWithCloud() {
 	a.syncMachineTypes()
-	if !a.Cluster.Leadership().Acting {
+	if !a.Cluster.Leadership().CanAct {
 		return
 	}
 	a.syncInstances()
@@ -80,17 +80,17 @@
 func (a *Autoscaler) listReceived(list []wire.Instance, err error) {
 	a.term.listInFlight = false
 	if err != nil {
-		a.outage.Failed(a.Loop.Now())
+		a.outage.ReportFailure(a.Loop.Now())
 		a.Log.Debug("instance list failed", "err", err)
 		return
 	}
-	a.outage.Answered(a.Loop.Now())
+	a.outage.ReportSuccess(a.Loop.Now())
 	a.applyInstanceList(list)
 }
 
 // listInterval is the time between two lists.
 func (a *Autoscaler) listInterval() time.Duration {
-	pages := 1 + len(a.term.instances)/cloud.MaxList
+	pages := 1 + len(a.term.instances)/cloud.MaxListPage
 	return max(config.Seconds(a.CloudSettings.ListLagS/2), minListInterval, config.Seconds(float64(pages)/(listRateShare*a.CloudSettings.RPS)))
 }
 
--- a/internal/autoscaler/zones.go
+++ b/internal/autoscaler/isolated_zones.go
@@ -54,7 +54,7 @@
 			a.term.isolatedSince[zone] = since
 			a.Log.Info("zone seems isolated", "zone", zone, "machines", count.all, "out_of_reach", count.outOfReach)
 		}
-		a.term.isolatedZones[zone] = a.Loop.Now().Sub(since) < a.WorkLifetime
+		a.term.isolatedZones[zone] = a.Loop.Now().Sub(since) < a.MaxUnreachableWorkDuration
 	}
 }
 
@@ -62,8 +62,8 @@
 // just come do not count: after a crash of all controllers that is so everywhere.
 func (a *Autoscaler) countMachinesByZone() map[string]zoneHeadcount {
 	zones := map[string]zoneHeadcount{}
-	a.Machines.EachReported(func(m ReportedMachine) {
-		if m.NotHeardYet && !m.Unreachable {
+	a.Machines.EachReportedMachine(func(m ReportedMachine) {
+		if m.AwaitingFirstHeartbeat && !m.Unreachable {
 			return
 		}
 		zone := a.zoneOf(&m.Machine)
--- a/internal/autoscaler/launch_test.go
+++ b/internal/autoscaler/launch_test.go
@@ -115,14 +115,14 @@
 		{"new, not listed", func(*fakeCluster) {}, false, false},
 		{"new, listed", func(*fakeCluster) {}, true, true},
 		{"new, listed, an owner is not heard", func(c *fakeCluster) { c.ownersLost = true }, true, false},
-		{"old, not listed", func(c *fakeCluster) { c.leadership.Since = c.now.Add(-11 * time.Second) }, false, true},
+		{"old, not listed", func(c *fakeCluster) { c.leadership.StartedAt = c.now.Add(-11 * time.Second) }, false, true},
 		{"heartbeats have only just resumed", func(c *fakeCluster) { c.resumedAt = c.now.Add(-2 * time.Second) }, true, false},
 		{"no types", func(c *fakeCluster) { c.types = nil }, true, false},
 		{"isolated zone", func(c *fakeCluster) { c.add(6); c.isolate("a", "b") }, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newFakeCluster()
-			c.leadership.Since = c.now
+			c.leadership.StartedAt = c.now
 			waiting := c.demand(3)
 			test.cluster(c)
 			a := c.autoscaler(t)
@@ -167,15 +167,15 @@
 	c.now = c.now.Add(60 * time.Second)
 	a.Scale(c.workload(c.demand(3)))
 	c.makeCalls(a)
-	if booting, _ := a.Counts(); booting != 3 || len(c.cloud.launches) != 1 {
+	if booting, _ := a.MachineCounts(); booting != 3 || len(c.cloud.launches) != 1 {
 		t.Errorf("%d machines are booting after %d launches, want 3 after 1", booting, len(c.cloud.launches))
 	}
 	a.terminate([]string{"r-5-1-0"})
-	if booting, _ := a.Counts(); booting != 2 {
+	if booting, _ := a.MachineCounts(); booting != 2 {
 		t.Errorf("%d machines are counted on, want 2 without the one that is being terminated", booting)
 	}
 	c.now = c.now.Add(5 * time.Second) // 1.6 times of 40 seconds
-	if booting, _ := a.Counts(); booting != 0 {
+	if booting, _ := a.MachineCounts(); booting != 0 {
 		t.Errorf("%d machines are counted on, want none when overdue", booting)
 	}
 }
@@ -217,7 +217,7 @@
 	}
 	a.terminate([]string{"host-000000"})
 	a.syncInstances()
-	if a.Terminating("host-000000") || a.terminationInFlight || a.term.listInFlight {
+	if a.IsTerminating("host-000000") || a.terminationInFlight || a.term.listInFlight {
 		t.Error("calls that were not taken count as under way")
 	}
 }
@@ -257,7 +257,7 @@
 	first := c.cloud.launches[0]
 	c.now = c.now.Add(a.bootTimeout(c.types["small"]) + time.Second)
 	for range 3 { // the leader's steps until the call to the cloud is made
-		a.TerminateLost()
+		a.TerminateLostMachines()
 	}
 	a.Scale(c.workload(c.demand(3)))
 	c.makeCalls(a)
--- a/internal/autoscaler/lost.go
+++ b/internal/autoscaler/lost_machines.go
@@ -26,12 +26,12 @@
 	return config.Seconds(a.Operator.BootPatience*machineType.BootS + bootMarginS)
 }
 
-// TerminateLost terminates machines that are overdue, unreachable or cordoned, for the
+// TerminateLostMachines terminates machines that are overdue, unreachable or cordoned, for the
 // leader.
-func (a *Autoscaler) TerminateLost() {
+func (a *Autoscaler) TerminateLostMachines() {
 	names := a.overdueInstances()
 	a.noteNeverUp(names)
-	a.Machines.EachReported(func(m ReportedMachine) {
+	a.Machines.EachReportedMachine(func(m ReportedMachine) {
 		if a.lost(&m) {
 			names = append(names, m.Name)
 		}
@@ -72,7 +72,7 @@
 		if inst.reported {
 			since = inst.seenAt
 		}
-		if a.Loop.Now().Sub(since) > a.bootTimeout(machineType) && a.Cluster.OwnerLongInTouch(a.Machines.Machine(name).Partition) {
+		if a.Loop.Now().Sub(since) > a.bootTimeout(machineType) && a.Cluster.HasCompleteView(a.Machines.GetOrAdd(name).Partition) {
 			names = append(names, name)
 		}
 	}
@@ -86,15 +86,15 @@
 	if m.Unreachable && a.term.listed && !a.term.isolatedZones[a.zoneOf(&m.Machine)] {
 		return true
 	}
-	return m.Cordoned && (!m.Bound || a.Loop.Now().Sub(m.CordonedAt) > cordonedTimeout)
+	return m.Cordoned && (!m.HasBoundTasks || a.Loop.Now().Sub(m.CordonedAt) > cordonedTimeout)
 }
 
-// TerminateUnreachable has an owner that hears nothing of the leader terminate its
+// TerminateUnreachableMachines has an owner that hears nothing of the leader terminate its
 // unreachable machines itself. The leader could not know of them, and their tasks would
 // wait for the whole lease.
-func (a *Autoscaler) TerminateUnreachable() {
-	if a.Cluster.Leadership().Active || a.Loop.Now().Sub(a.Cluster.LeaderHeardAt()) < leaderTimeout {
+func (a *Autoscaler) TerminateUnreachableMachines() {
+	if a.Cluster.Leadership().Active || a.Loop.Now().Sub(a.Cluster.LeaderLastHeardAt()) < leaderTimeout {
 		return
 	}
-	a.terminate(a.Machines.UnreachableInUse())
+	a.terminate(a.Machines.UnreachableMachinesWithTasks())
 }
--- a/internal/autoscaler/machine_types.go
+++ b/internal/autoscaler/machine_types.go
@@ -18,8 +18,8 @@
 	machineTypesRetry = 2 * time.Second
 )
 
-// MachineTypesStored notes that the machine types are in the key-value store.
-func (a *Autoscaler) MachineTypesStored() { a.machineTypesStored = true }
+// MarkMachineTypesStored notes that the machine types are in the key-value store.
+func (a *Autoscaler) MarkMachineTypesStored() { a.machineTypesStored = true }
 
 // syncMachineTypes reads the machine types when that is due. Who does not lead reads them
 // only while it knows none.
@@ -29,7 +29,7 @@
 	if age <= machineTypesInterval && !(unknown && age > machineTypesRetry) {
 		return
 	}
-	if !a.Cluster.Leadership().Acting && !(unknown && a.Cluster.Loaded()) {
+	if !a.Cluster.Leadership().CanAct && !(unknown && a.Cluster.HasLoadedRecords()) {
 		return
 	}
 	a.term.machineTypesFetchedAt = a.Loop.Now()
--- a/internal/autoscaler/machines_test.go
+++ b/internal/autoscaler/machines_test.go
@@ -34,13 +34,13 @@
 			c.add(6)
 			c.isolate("a", "b")
 			for _, m := range c.machines {
-				m.NotHeardYet = true
+				m.AwaitingFirstHeartbeat = true
 			}
 		}, false},
 		{"owners have only just come, and asked", func(c *fakeCluster) {
 			c.add(6)
 			for _, m := range c.machines {
-				m.NotHeardYet, m.Unreachable = true, true
+				m.AwaitingFirstHeartbeat, m.Unreachable = true, true
 			}
 			c.isolate("a", "b")
 		}, true},
@@ -62,14 +62,14 @@
 	c := newFakeCluster()
 	c.add(6)
 	for _, m := range c.machines {
-		m.Unreachable, m.Bound = true, true
+		m.Unreachable, m.HasBoundTasks = true, true
 	}
 	c.isolate("a", "b")
 	a := c.autoscaler(t)
 	a.term.listed = true
 	step := func() {
 		a.DetectIsolatedZones()
-		a.TerminateLost()
+		a.TerminateLostMachines()
 		c.makeCalls(a)
 	}
 	step()
@@ -97,11 +97,11 @@
 		{"cordoned and idle", func(c *fakeCluster, _ *Autoscaler) { c.machines[0].Cordoned = true }, 1},
 		{"cordoned of late, in use", func(c *fakeCluster, _ *Autoscaler) {
 			m := c.machines[0]
-			m.Cordoned, m.Bound, m.CordonedAt = true, true, c.now.Add(-15*time.Second)
+			m.Cordoned, m.HasBoundTasks, m.CordonedAt = true, true, c.now.Add(-15*time.Second)
 		}, 0},
 		{"cordoned, in use", func(c *fakeCluster, _ *Autoscaler) {
 			m := c.machines[0]
-			m.Cordoned, m.Bound, m.CordonedAt = true, true, c.now.Add(-16*time.Second)
+			m.Cordoned, m.HasBoundTasks, m.CordonedAt = true, true, c.now.Add(-16*time.Second)
 		}, 1},
 		{"boots", func(c *fakeCluster, a *Autoscaler) {
 			a.addInstances(small, []string{"new-1"}, c.now.Add(-110*time.Second)) // 2.5 times of 40 s, and 10 s
@@ -119,10 +119,10 @@
 		}, 0},
 		{"long up, and told of", func(c *fakeCluster, a *Autoscaler) {
 			a.addInstances(small, []string{"host-000000"}, c.now.Add(-hour))
-			a.MachineUp(c.machines[0].Machine)
+			a.ObserveMachine(c.machines[0].Machine)
 		}, 0},
 		{"long up, not told of any more", func(c *fakeCluster, a *Autoscaler) {
-			a.MachineUp(c.machines[0].Machine)
+			a.ObserveMachine(c.machines[0].Machine)
 			c.now = c.now.Add(111 * time.Second)
 		}, 1},
 	} {
@@ -132,7 +132,7 @@
 			a := c.autoscaler(t)
 			a.term.listed = true
 			test.cluster(c, a)
-			a.TerminateLost()
+			a.TerminateLostMachines()
 			c.makeCalls(a)
 			if len(c.cloud.terminations) != test.want {
 				t.Errorf("terminated: %v, want %d", c.cloud.terminations, test.want)
@@ -158,7 +158,7 @@
 			c.unreachable, c.partition = []string{"host-000000"}, partitionCondition
 			test.cluster(c)
 			a := c.autoscaler(t)
-			a.TerminateUnreachable()
+			a.TerminateUnreachableMachines()
 			c.makeCalls(a)
 			if got := len(c.cloud.terminations) == 1; got != test.want {
 				t.Errorf("terminated: %v, want %v", got, test.want)
@@ -182,7 +182,7 @@
 		{"surplus", func(*fakeCluster) {}, onDemand, true},
 		{"spot instance", func(c *fakeCluster) { c.machines[0].Spot = true }, onDemand + time.Second, false},
 		{"spot instance, for long", func(c *fakeCluster) { c.machines[0].Spot = true }, spot + time.Second, true},
-		{"in use", func(c *fakeCluster) { c.machines[0].Bound = true }, hour, false},
+		{"in use", func(c *fakeCluster) { c.machines[0].HasBoundTasks = true }, hour, false},
 		{"records that can't be decoded", func(c *fakeCluster) { c.unreadable = true }, hour, false},
 		{"outage meanwhile", func(c *fakeCluster) { c.resumedAt = c.now.Add(time.Second) }, onDemand + time.Second, false},
 	} {
@@ -221,14 +221,14 @@
 		a.Scale(work())
 		c.now = c.now.Add(time.Second)
 	}
-	drained := a.DrainedMachines()
-	if len(drained) != 1 || !a.DrainedByLeader(drained[0]) || !a.Draining(drained[0]) {
+	drained := a.DrainingMachines()
+	if len(drained) != 1 || !a.IsDrainingAsLeader(drained[0]) || !a.IsDraining(drained[0]) {
 		t.Fatalf("drained: %v, want one, as announced", drained)
 	}
 	short := work()
-	short.Waiting = []planning.Demand{c.demand(9)}
+	short.UnplacedDemands = []planning.Demand{c.demand(9)}
 	a.Scale(short)
-	if _, draining := a.Counts(); draining != 0 || a.Draining(drained[0]) {
+	if _, draining := a.MachineCounts(); draining != 0 || a.IsDraining(drained[0]) {
 		t.Errorf("%d machines are drained in a shortage", draining)
 	}
 }
@@ -240,7 +240,7 @@
 	a := c.autoscaler(t)
 	a.ObserveDraining([]string{"host-1"})
 	a.ObserveDraining([]string{"host-2"})
-	if a.Draining("host-1") || !a.Draining("host-2") || a.DrainedByLeader("host-2") || len(a.DrainedMachines()) != 0 {
+	if a.IsDraining("host-1") || !a.IsDraining("host-2") || a.IsDrainingAsLeader("host-2") || len(a.DrainingMachines()) != 0 {
 		t.Error("want host-2 alone as announced, and none of its own")
 	}
 }
@@ -250,7 +250,7 @@
 	c := newFakeCluster()
 	c.add(1)
 	a := c.autoscaler(t)
-	a.MachineUp(c.machines[0].Machine) // not on the list, which lags: it stays
+	a.ObserveMachine(c.machines[0].Machine) // not on the list, which lags: it stays
 	a.addInstances(small, []string{"new-1", "new-2"}, c.now.Add(-17*time.Second))
 	a.addInstances(small, []string{"new-3"}, c.now.Add(-16*time.Second)) // twice the lag of 3 s, and 10 s
 	c.cloud.list = []wire.Instance{
@@ -258,7 +258,7 @@
 		{Name: "old-1", Type: "small", Zone: "a", AgeS: 30},
 		{Name: "bad-1", Type: "small", Zone: "a", State: wire.InstanceFailed},
 	}
-	a.Sync()
+	a.SyncWithCloud()
 	c.makeCalls(a)
 	var known []string
 	for name := range a.term.instances {
@@ -276,7 +276,7 @@
 	}
 	c.cloud.list = nil
 	c.now = c.now.Add(hour)
-	a.Sync()
+	a.SyncWithCloud()
 	c.makeCalls(a)
 	if len(a.term.instances) != 1 {
 		t.Errorf("%d instances, want only the one that is up", len(a.term.instances))
@@ -304,7 +304,7 @@
 			test.cluster(c)
 			a := c.autoscaler(t)
 			for range 60 {
-				a.Sync()
+				a.SyncWithCloud()
 				c.makeCalls(a)
 				c.now = c.now.Add(time.Second)
 			}
--- a/internal/autoscaler/scale.go
+++ b/internal/autoscaler/scale.go
@@ -25,9 +25,9 @@
 
 // Service is a service that is not finished.
 type Service struct {
-	Class    string
-	Priority int
-	Tasks    int
+	Class     string
+	Priority  int
+	TaskCount int
 	// Demand is the demand for such services, of no tasks yet.
 	Demand func() planning.Demand
 }
@@ -37,9 +37,9 @@
 	// Machines are those that are up.
 	Machines []*planning.MachineSummary
 	// Waiting found no room; Reserve is what the reserve for gangs lacks.
-	Waiting, Reserve []planning.Demand
-	// RunningByClass is how many tasks of each class run.
-	RunningByClass map[string]int
+	UnplacedDemands, GangReserveShortfall []planning.Demand
+	// RunningTasksByClass is how many tasks of each class run.
+	RunningTasksByClass map[string]int
 	// Services are all that are not finished.
 	Services iter.Seq[Service]
 }
@@ -78,11 +78,11 @@
 	plan = &planning.ScalingPlan{
 		Machines:            append(slices.Clone(work.Machines), a.booting()...),
 		Offers:              a.offers(),
-		RunningTasksByClass: work.RunningByClass,
+		RunningTasksByClass: work.RunningTasksByClass,
 		Launches:            map[planning.Offer]int{},
 	}
-	placeAll(plan, work.Waiting)
-	placeAll(plan, work.Reserve)
+	placeAll(plan, work.UnplacedDemands)
+	placeAll(plan, work.GangReserveShortfall)
 	shortage = plan.Shortage
 	planning.TreatLowerPriorityAsFree(plan.Machines, room.priority)
 	placeAll(plan, room.demands)
@@ -101,8 +101,8 @@
 // all of it once more.
 func (a *Autoscaler) knowsFleet() bool {
 	now := a.Loop.Now()
-	known := a.term.listed && a.Cluster.AllOwnersInTouch() || now.Sub(a.Cluster.Leadership().Since) > launchDelayAfterFailover
-	return known && now.Sub(a.Cluster.HeartbeatsResumedAt()) > a.HeartbeatOverdueAfter+launchDelayAfterOutage
+	known := a.term.listed && a.Cluster.AreAllOwnersResponsive() || now.Sub(a.Cluster.Leadership().StartedAt) > launchDelayAfterFailover
+	return known && now.Sub(a.Cluster.HeartbeatsResumedAt()) > a.HeartbeatTimeout+launchDelayAfterOutage
 }
 
 // headroomFor is the room to keep for services to come, by those there are.
@@ -118,7 +118,7 @@
 			byClass[service.Class] = demand
 			classes = append(classes, service.Class)
 		}
-		demand.Count += service.Tasks
+		demand.Count += service.TaskCount
 		room.priority = min(room.priority, service.Priority)
 	}
 	slices.Sort(classes)
@@ -130,8 +130,8 @@
 	return room
 }
 
-// Counts is how many machines are booting, and how many are drained.
-func (a *Autoscaler) Counts() (booting, draining int) {
+// MachineCounts is how many machines are booting, and how many are drained.
+func (a *Autoscaler) MachineCounts() (booting, draining int) {
 	return len(a.booting()), len(a.term.draining)
 }
 
--- a/internal/autoscaler/scale_test.go
+++ b/internal/autoscaler/scale_test.go
@@ -20,7 +20,7 @@
 	a := c.autoscaler(t)
 	a.Operator.Headroom, a.Operator.ClassHeadroom = 1, map[string]float64{"web": 2}
 	service := func(class string, priority, tasks int) Service {
-		return Service{Class: class, Priority: priority, Tasks: tasks, Demand: func() planning.Demand {
+		return Service{Class: class, Priority: priority, TaskCount: tasks, Demand: func() planning.Demand {
 			return planning.Demand{Class: class, TaskSize: scheduling.NewResources(1, 0, 1)}
 		}}
 	}
@@ -43,14 +43,14 @@
 	c := newFakeCluster()
 	a := c.autoscaler(t)
 	demand := c.demand(0)
-	services := slices.Values([]Service{{Class: "c", Tasks: 4, Demand: func() planning.Demand { return demand }}})
+	services := slices.Values([]Service{{Class: "c", TaskCount: 4, Demand: func() planning.Demand { return demand }}})
 	work := &Workload{Services: services}
 	room := a.headroomFor(services)
 	plan, shortage := a.plan(work, room)
 	if shortage || plan.Launches[small] == 0 {
 		t.Errorf("shortage: %v, launches %v; want launches without a shortage", shortage, plan.Launches)
 	}
-	work.Reserve = []planning.Demand{c.demand(1)}
+	work.GangReserveShortfall = []planning.Demand{c.demand(1)}
 	if _, shortage = a.plan(work, room); !shortage {
 		t.Error("what the reserve lacks is no shortage")
 	}
@@ -84,23 +84,23 @@
 	c := newFakeCluster()
 	c.add(1)
 	a := c.autoscaler(t)
-	a.MachineUp(c.machines[0].Machine)
+	a.ObserveMachine(c.machines[0].Machine)
 	a.term.draining["host-000000"] = true
 	a.terminate([]string{"host-000000"})
 	c.follow()
 	c.partition = partitionCondition
 	a.EndTerm()
-	if booting, draining := a.Counts(); booting != 0 || draining != 0 || len(a.term.instances) != 0 {
+	if booting, draining := a.MachineCounts(); booting != 0 || draining != 0 || len(a.term.instances) != 0 {
 		t.Errorf("%d machines boot, %d are drained, instances %v; want none", booting, draining, a.term.instances)
 	}
-	if !a.Terminating("host-000000") {
+	if !a.IsTerminating("host-000000") {
 		t.Error("it is not being terminated any more")
 	}
 	c.makeCalls(a)
 	if len(c.writes) != 1 || c.writes[0].Conditions[0] != partitionCondition {
 		t.Errorf("written: %+v, want a tombstone under the partition's token", c.writes)
 	}
-	a.Sync()
+	a.SyncWithCloud()
 	if len(a.calls) != 0 {
 		t.Error("who does not lead reads the list")
 	}
@@ -133,7 +133,7 @@
 	c := newFakeCluster()
 	for i := range 20 {
 		key := fmt.Sprint("e/gone/host-", i)
-		c.tombstones[key] = Tombstone{Key: key, KnownSince: c.now.Add(-hour)}
+		c.tombstones[key] = Tombstone{Key: key, FirstSeenAt: c.now.Add(-hour)}
 	}
 	c.autoscaler(t).deleteTombstones()
 	if len(c.writes) != 1 || len(c.writes[0].Changes) != 8 {
@@ -146,8 +146,8 @@
 	c := newFakeCluster()
 	c.cloud.types = []wire.MachineType{{Name: "large"}}
 	a := c.autoscaler(t)
-	a.MachineTypesStored()
-	a.Sync()
+	a.MarkMachineTypesStored()
+	a.SyncWithCloud()
 	c.makeCalls(a)
 	if len(c.writes) != 0 || c.types["large"] == nil {
 		t.Errorf("%d transactions, types %v; want none, and the types known", len(c.writes), c.types)
--- a/internal/autoscaler/terminate.go
+++ b/internal/autoscaler/termination.go
@@ -6,8 +6,8 @@
 	"eiderhitch/internal/cloud"
 )
 
-// Terminating reports whether a machine is being terminated: nothing may be placed on it.
-func (a *Autoscaler) Terminating(name string) bool { return a.terminating[name] }
+// IsTerminating reports whether a machine is being terminated: nothing may be placed on it.
+func (a *Autoscaler) IsTerminating(name string) bool { return a.terminating[name] }
 
 // terminate terminates machines. Once the cloud has confirmed they are gone with all that
 // was on them, which is stored for their partitions' owners to act on. One call is under
@@ -24,7 +24,7 @@
 	if a.terminationInFlight || len(a.toTerminate) == 0 {
 		return
 	}
-	batch := a.toTerminate[:min(len(a.toTerminate), cloud.MaxTerminate)]
+	batch := a.toTerminate[:min(len(a.toTerminate), cloud.MaxTerminateNames)]
 	a.toTerminate = a.toTerminate[len(batch):]
 	a.terminationInFlight = a.queueCall(func(ctx context.Context) {
 		err := a.Cloud.Terminate(ctx, batch)
--- a/internal/autoscaler/tombstones.go
+++ b/internal/autoscaler/tombstones.go
@@ -64,18 +64,18 @@
 // tombstoneCondition forgets a terminated instance and returns under which condition its
 // tombstone is stored; false: it needs none, or somebody else has to store it.
 func (a *Autoscaler) tombstoneCondition(name string) (wire.Condition, bool) {
-	inst, m := a.term.instances[name], a.Machines.Machine(name)
+	inst, m := a.term.instances[name], a.Machines.GetOrAdd(name)
 	delete(a.term.instances, name)
 	delete(a.term.idleSince, name)
 	delete(a.term.draining, name)
-	if inst != nil && !inst.reported && !m.Bound {
+	if inst != nil && !inst.reported && !m.HasBoundTasks {
 		a.Machines.MarkTerminated(name) // it never was: nobody needs to know
 		delete(a.terminating, name)
 		return wire.Condition{}, false
 	}
 	leadership := a.Cluster.Leadership()
-	condition := leadership.Condition
-	if owned := a.Cluster.PartitionCondition(m.Partition); !leadership.Active && owned.Revision != 0 {
+	condition := leadership.FencingCondition
+	if owned := a.Cluster.PartitionFencingCondition(m.Partition); !leadership.Active && owned.Revision != 0 {
 		condition = owned
 	}
 	if condition.Revision == 0 {
@@ -87,11 +87,11 @@
 
 // storeTombstone stores one tombstone for machines.
 func (a *Autoscaler) storeTombstone(condition wire.Condition, names []string) {
-	key := a.TombstonePrefix + names[0]
+	key := a.TombstoneKeyPrefix + names[0]
 	a.Writer.SubmitWrite(&store.Write{
-		Early:      true,
-		Conditions: []wire.Condition{condition, {Key: key}},
-		Changes:    []wire.Change{{Put: key, Value: record.JSON(names)}},
+		MediumPriority: true,
+		Conditions:     []wire.Condition{condition, {Key: key}},
+		Changes:        []wire.Change{{Put: key, Value: record.JSON(names)}},
 	}, func(error) { a.cancelTermination(names) })
 }
 
@@ -102,14 +102,14 @@
 	if a.term.deletingTombstones || a.Writer.Backlog() > maxCleanUpBacklog {
 		return
 	}
-	changes := a.obsoleteTombstones(a.MaxChanges / tombstoneChangesShare)
+	changes := a.obsoleteTombstones(a.MaxTransactionChanges / tombstoneChangesShare)
 	if len(changes) == 0 {
 		return
 	}
 	a.term.deletingTombstones = true
 	epoch := a.epoch()
 	a.Writer.SubmitWrite(&store.Write{
-		Conditions: []wire.Condition{a.Cluster.Leadership().Condition},
+		Conditions: []wire.Condition{a.Cluster.Leadership().FencingCondition},
 		Changes:    changes,
 	}, func(error) {
 		if a.epoch() == epoch {
@@ -126,7 +126,7 @@
 		if len(changes) == limit {
 			break
 		}
-		if a.Loop.Now().Sub(tombstone.KnownSince) > keep && !slices.ContainsFunc(tombstone.Names, a.inUse) {
+		if a.Loop.Now().Sub(tombstone.FirstSeenAt) > keep && !slices.ContainsFunc(tombstone.MachineNames, a.inUse) {
 			changes = append(changes, wire.Change{Delete: tombstone.Key})
 		}
 	}
@@ -136,5 +136,5 @@
 // inUse tells whether tasks are bound to a machine.
 func (a *Autoscaler) inUse(name string) bool {
 	m, known := a.Machines.Lookup(name)
-	return known && m.Bound
+	return known && m.HasBoundTasks
 }
--- a/internal/autoscaler/tombstones_test.go
+++ b/internal/autoscaler/tombstones_test.go
@@ -20,7 +20,7 @@
 	a := c.autoscaler(t)
 	for i := range 3 {
 		key := fmt.Sprint("e/gone/host-", i)
-		c.tombstones[key] = Tombstone{Key: key, Names: []string{fmt.Sprint("host-", i)}, KnownSince: c.now}
+		c.tombstones[key] = Tombstone{Key: key, MachineNames: []string{fmt.Sprint("host-", i)}, FirstSeenAt: c.now}
 	}
 	c.now = c.now.Add(hour)
 	a.deleteTombstones()
@@ -44,7 +44,7 @@
 // The result of a former term's deletion does not end the wait for the present term's.
 func TestDeletionOfAFormerTerm(t *testing.T) {
 	c := newFakeCluster()
-	c.tombstones["e/gone/x"] = Tombstone{Key: "e/gone/x", KnownSince: c.now.Add(-hour)}
+	c.tombstones["e/gone/x"] = Tombstone{Key: "e/gone/x", FirstSeenAt: c.now.Add(-hour)}
 	a := c.autoscaler(t)
 	a.deleteTombstones()
 	c.leadership.Epoch++
@@ -73,8 +73,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := newFakeCluster()
 			c.add(2)
-			c.machines[1].Bound = test.used
-			c.tombstones["e/gone/x"] = Tombstone{Key: "e/gone/x", Names: []string{"host-000000", "host-000001"}, KnownSince: c.now.Add(-test.age)}
+			c.machines[1].HasBoundTasks = test.used
+			c.tombstones["e/gone/x"] = Tombstone{Key: "e/gone/x", MachineNames: []string{"host-000000", "host-000001"}, FirstSeenAt: c.now.Add(-test.age)}
 			c.autoscaler(t).deleteTombstones()
 			if len(c.writes) != test.want {
 				t.Errorf("%d transactions, want %d", len(c.writes), test.want)
@@ -167,8 +167,8 @@
 // terminated if it never was up.
 func checkNoTombstone(t *testing.T, c *fakeCluster, a *Autoscaler, neverUp bool) {
 	t.Helper()
-	if len(c.writes) != 0 || a.Terminating("host-000000") {
-		t.Errorf("%d transactions, terminating: %v; want neither", len(c.writes), a.Terminating("host-000000"))
+	if len(c.writes) != 0 || a.IsTerminating("host-000000") {
+		t.Errorf("%d transactions, terminating: %v; want neither", len(c.writes), a.IsTerminating("host-000000"))
 	}
 	if got := len(c.neverUp) == 1; got != neverUp {
 		t.Errorf("taken for terminated: %v, want %v", got, neverUp)
@@ -182,14 +182,14 @@
 	if len(c.writes) != 1 || c.writes[0].Conditions[0] != condition || c.writes[0].Conditions[1] != (wire.Condition{Key: "e/gone/host-000000"}) {
 		t.Fatalf("written: %+v, want one tombstone under %v", c.writes, condition)
 	}
-	if !c.writes[0].Early {
+	if !c.writes[0].MediumPriority {
 		t.Error("the tombstone waits behind usual writes, and tasks for it")
 	}
-	if !a.Terminating("host-000000") {
+	if !a.IsTerminating("host-000000") {
 		t.Error("it is not being terminated while the tombstone is stored")
 	}
 	c.done[0](nil)
-	if a.Terminating("host-000000") {
+	if a.IsTerminating("host-000000") {
 		t.Error("it is still being terminated once the tombstone is stored")
 	}
 }
@@ -199,7 +199,7 @@
 func TestTerminationsAreBatched(t *testing.T) {
 	c := newFakeCluster()
 	a := c.autoscaler(t)
-	c.add(1 + cloud.MaxTerminate + 5)
+	c.add(1 + cloud.MaxTerminateNames + 5)
 	for _, m := range c.machines {
 		a.terminate([]string{m.Name})
 		a.terminate([]string{m.Name})
@@ -209,8 +209,8 @@
 	for _, names := range c.cloud.terminations {
 		sizes = append(sizes, len(names))
 	}
-	if !slices.Equal(sizes, []int{1, cloud.MaxTerminate, 5}) {
-		t.Errorf("calls for %v machines, want 1, %d and 5", sizes, cloud.MaxTerminate)
+	if !slices.Equal(sizes, []int{1, cloud.MaxTerminateNames, 5}) {
+		t.Errorf("calls for %v machines, want 1, %d and 5", sizes, cloud.MaxTerminateNames)
 	}
 
 	c = newFakeCluster()
@@ -220,8 +220,8 @@
 	for range 2 {
 		a.terminate([]string{"host-000000"})
 		c.makeCalls(a)
-		if a.Terminating("host-000000") || len(c.writes) != 0 {
-			t.Errorf("terminating: %v, %d transactions; want neither after a failed call", a.Terminating("host-000000"), len(c.writes))
+		if a.IsTerminating("host-000000") || len(c.writes) != 0 {
+			t.Errorf("terminating: %v, %d transactions; want neither after a failed call", a.IsTerminating("host-000000"), len(c.writes))
 		}
 	}
 	if len(c.cloud.terminations) != 2 {
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -27,10 +27,10 @@
 )
 
 const (
-	// MaxTerminate is how many machines one call may terminate.
-	MaxTerminate = 100
-	// MaxList is how many machines one page of the list may have.
-	MaxList = 500
+	// MaxTerminateNames is how many machines one call may terminate.
+	MaxTerminateNames = 100
+	// MaxListPage is how many machines one page of the list may have.
+	MaxListPage = 500
 
 	// callTimeout bounds each call.
 	callTimeout = 4 * time.Second
@@ -126,7 +126,7 @@
 	return response.Names, nil
 }
 
-// Terminate returns at most MaxTerminate machines. Without an error they are gone, with all
+// Terminate returns at most MaxTerminateNames machines. Without an error they are gone, with all
 // that was on them. Unknown names are ignored.
 func (c *Client) Terminate(ctx context.Context, names []string) error {
 	return c.call(ctx, request{http.MethodPost, "/rentals/release", wire.MachineNames{Names: names}}, nil)
@@ -138,7 +138,7 @@
 	var all []wire.Instance
 	after := ""
 	for {
-		query := url.Values{"most": {strconv.Itoa(MaxList)}}
+		query := url.Values{"most": {strconv.Itoa(MaxListPage)}}
 		if after != "" {
 			query.Set("since", after)
 		}
@@ -147,7 +147,7 @@
 			return nil, err
 		}
 		all = append(all, page.Instances...)
-		if !page.More || len(page.Instances) == 0 {
+		if !page.HasMore || len(page.Instances) == 0 {
 			return all, nil
 		}
 		after = page.Instances[len(page.Instances)-1].Name
--- a/internal/controller/allocations_test.go
+++ b/internal/controller/allocations_test.go
@@ -15,10 +15,10 @@
 // running.
 func (c *controller) heartbeatOf(m *machine) *wire.Heartbeat {
 	p := c.partitions[m.partition]
-	heartbeat := &wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: m.incarnation, Sequence: m.sequence, Token: p.token}
+	heartbeat := &wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: m.incarnation, Sequence: m.sequence, FencingToken: p.token}
 	for _, x := range m.bindings {
 		t, rec := x.task, x.group
-		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: taskName(rec.job.id, t.Number), Attempt: rec.binding(t.Number).attempt, State: wire.Running})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: taskName(rec.job.id, t.Number), Attempt: rec.binding(t.Number).attempt, State: wire.StateRunning})
 	}
 	return heartbeat
 }
@@ -98,7 +98,7 @@
 			group = g
 		}
 	}
-	raw, revision := c.encodeGroup(group, group.doneTasks, group.bindings).At(group.key), group.revision
+	raw, revision := c.encodeGroup(group, group.doneTasks, group.bindings).ValueForKey(group.key), group.revision
 	return func() {
 		revision++
 		c.replica.Put(group.key, raw, revision)
@@ -107,10 +107,10 @@
 
 // queryOperation looks up the state of an archived job.
 func queryOperation(t *testing.T, c *controller) func() {
-	c.finalStates["wk-1"] = record.Done
+	c.finalStates["wk-1"] = record.StateDone
 	return func() {
-		if state := c.lookupJob("wk-1").jobState().State; state != wire.Done {
-			t.Errorf("state of the finished job is %q, want %q", state, wire.Done)
+		if state := c.lookupJob("wk-1").jobState().State; state != wire.StateDone {
+			t.Errorf("state of the finished job is %q, want %q", state, wire.StateDone)
 		}
 	}
 }
@@ -141,11 +141,11 @@
 func TestArrayWritesAreBatched(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		const tasks = 240
-		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: tasks, CPUs: 1, EstimateS: 6}))
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: tasks, CPUs: 1, EstimateS: 6}))
 		c.awaitDone("wk-1", 10*time.Minute)
 		var all store.Stats
 		for _, n := range c.nodes {
-			s := n.controller().stateClient.Stats()
+			s := n.controller().stateClient.TakeStats()
 			all.Changes, all.Txns = all.Changes+s.Changes, all.Txns+s.Txns
 		}
 		if all.Changes > tasks/4 || all.Txns > tasks/4 {
@@ -184,7 +184,7 @@
 					group = first
 				}
 			}
-			raw, stamp := c.encodeGroup(group, group.doneTasks, group.bindings).At(group.key), group.revision+1<<32
+			raw, stamp := c.encodeGroup(group, group.doneTasks, group.bindings).ValueForKey(group.key), group.revision+1<<32
 			for b.Loop() {
 				stamp++
 				c.replica.Put(group.key, raw, stamp)
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -45,7 +45,7 @@
 func (c *catalog) jobsToAssign(byUrgency func(x, y *job) int) []*job {
 	var jobs []*job
 	for _, j := range c.activeJobs {
-		if j.finalState == record.Unfinished && j.spec != nil && j.revision != 0 && !j.hasUnreadableRecords() && j.hasWaitingTasks() {
+		if j.finalState == record.StateUnfinished && j.spec != nil && j.revision != 0 && !j.hasUnreadableRecords() && j.hasWaitingTasks() {
 			jobs = append(jobs, j)
 		}
 	}
@@ -85,12 +85,12 @@
 		a.unthrottle(j, &a.teamQuotas[j.team])
 	}
 	assigned, _ := j.countAssignedTasks()
-	remaining := j.spec.Tasks - assigned
+	remaining := j.spec.TaskCount - assigned
 	switch {
 	case remaining <= 0:
 	case j.spec.Gang && assigned > 0:
 		a.assignRemainingGangTasks(j, assigned)
-	case !j.spec.AllOrNothing() && a.now.Sub(j.assignedAt) < minArrayAssignmentInterval:
+	case !j.spec.IsAllOrNothing() && a.now.Sub(j.assignedAt) < minArrayAssignmentInterval:
 		a.deferArray(j, remaining)
 	default:
 		a.assignTasks(j, assigned, remaining)
@@ -115,7 +115,7 @@
 	if forced > 0 {
 		remaining = min(remaining, forced)
 	}
-	if a.exhaustedClasses[j.equivalenceClass] && !j.spec.AllOrNothing() && forced == 0 {
+	if a.exhaustedClasses[j.equivalenceClass] && !j.spec.IsAllOrNothing() && forced == 0 {
 		// The jobs of a class are alike: if there was no room for one of them, there is none
 		// for those after it.
 		a.demands = append(a.demands, a.demand(j, "", quota.RemainingTasks(j.taskSize, remaining)))
@@ -128,7 +128,7 @@
 	a.throttleForQuota(j, remaining)
 	unassigned := a.assignWithinQuota(j, assignmentRequest{previouslyAssignedTasks: assigned, remainingTasks: remaining, force: forced > 0})
 	a.recordDemand(j, unassigned)
-	if j.spec.AllOrNothing() && quota.Usage == usedBefore && (a.now.Sub(j.acceptedAt) < quotaHoldTimeout || a.isPlaceable(j)) {
+	if j.spec.IsAllOrNothing() && quota.Usage == usedBefore && (a.now.Sub(j.acceptedAt) < quotaHoldTimeout || a.isPlaceable(j)) {
 		// An all-or-nothing job that waits reserves its team's quota ahead of the jobs after
 		// it. If no machine can run it, the reservation ends after quotaHoldTimeout, since no
 		// suitable machine may ever come.
@@ -142,7 +142,7 @@
 func (a *assignmentPass) joinReplicaDemand(j *job) bool {
 	index, found := a.replicaDemandIndexes[j.equivalenceClass]
 	quota := &a.teamQuotas[j.team]
-	if !found || j.spec.Tasks != 1 || quota.RemainingTasks(j.taskSize, 1) < 1 {
+	if !found || j.spec.TaskCount != 1 || quota.RemainingTasks(j.taskSize, 1) < 1 {
 		return false
 	}
 	quota.Usage = quota.Usage.Plus(j.taskSize)
@@ -165,7 +165,7 @@
 	if unassigned.Count <= 0 {
 		return
 	}
-	if j.spec.AllOrNothing() && j.spec.Tasks == 1 && !a.hasLoanFor(j) {
+	if j.spec.IsAllOrNothing() && j.spec.TaskCount == 1 && !a.hasLoanFor(j) {
 		a.replicaDemandIndexes[j.equivalenceClass], unassigned.GroupCount = len(a.demands), 1
 	}
 	a.demands = append(a.demands, unassigned)
--- a/internal/controller/assignment_writes.go
+++ b/internal/controller/assignment_writes.go
@@ -60,8 +60,8 @@
 func (c *leader) assignRemainingGangTasks(j *job, assigned int) {
 	first := j.firstGroup()
 	var groups []record.TaskGroup
-	for next := assigned; next < j.spec.Tasks; next += c.maxGroupTasks {
-		size := min(c.maxGroupTasks, j.spec.Tasks-next)
+	for next := assigned; next < j.spec.TaskCount; next += c.maxGroupTasks {
+		size := min(c.maxGroupTasks, j.spec.TaskCount-next)
 		groups = append(groups, newTaskGroupRecord(first.partition, first.zone, first.guaranteed, int32(next), size))
 	}
 	c.writeAssignment(j, c.groupsFittingTransaction(groups))
@@ -74,7 +74,7 @@
 	if len(groups) == 0 {
 		return
 	}
-	write := &store.Write{Prompt: j.spec.Gang, Early: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
+	write := &store.Write{HighPriority: j.spec.Gang, MediumPriority: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
 	reusable := j.emptyGroups()
 	var reused []*taskGroup
 	tasks := 0
@@ -85,12 +85,12 @@
 		if len(reusable) > 0 {
 			empty := reusable[0]
 			reused, reusable = append(reused, empty), reusable[1:]
-			key, revision, group.Done = empty.key, empty.revision, empty.doneTasks
+			key, revision, group.DoneTasks = empty.key, empty.revision, empty.doneTasks
 		} else {
 			key = groupKey(j.id, j.newGroupNumber())
 		}
 		write.Conditions = append(write.Conditions, wire.Condition{Key: key, Revision: revision})
-		write.Changes = append(write.Changes, wire.Change{Put: key, Value: group.Encode(c.writeEncoding()).At(key)})
+		write.Changes = append(write.Changes, wire.Change{Put: key, Value: group.Encode(c.writeEncoding()).ValueForKey(key)})
 	}
 	j.assignedAt = c.now
 	c.submitDecision(write, reused...)
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -18,10 +18,10 @@
 func newAutoscaler(c *controller, client autoscaler.Cloud) *autoscaler.Autoscaler {
 	return autoscaler.New(autoscaler.Config{
 		CloudSettings: c.cfg.Settings.Cloud, Operator: c.operator,
-		TombstonePrefix: tombstonePrefix, MachineTypesKey: machineTypesKey,
-		MaxValueBytes: c.maxValueBytes(), MaxChanges: c.cfg.Settings.Store.TxnOps,
-		LoanPartition: c.loanPartition(), HeartbeatOverdueAfter: c.heartbeatTimeout(),
-		WorkLifetime: c.maxStaleness + c.leaseExpiry, Log: c.log,
+		TombstoneKeyPrefix: tombstonePrefix, MachineTypesKey: machineTypesKey,
+		MaxValueBytes: c.maxValueBytes(), MaxTransactionChanges: c.cfg.Settings.Store.TxnOps,
+		LoanPartition: c.loanPartition(), HeartbeatTimeout: c.heartbeatTimeout(),
+		MaxUnreachableWorkDuration: c.maxStaleness + c.leaseExpiry, Log: c.log,
 	}, autoscaler.Services{
 		Cloud: client, Machines: machineView{c}, Cluster: leadershipView{c}, Writer: writeQueue{c.clusterState},
 		Loop: priorityLoop{c.eventLoop, priorityWorkers},
@@ -30,14 +30,14 @@
 
 // autoscalerMachine returns the machine in the form that package autoscaler uses.
 func (m *machine) autoscalerMachine() autoscaler.Machine {
-	return autoscaler.Machine{Name: m.name, Type: m.machineType, Zone: m.zone, Spot: m.spot, Partition: m.partition, Bound: len(m.bindings) > 0, Terminated: m.terminated}
+	return autoscaler.Machine{Name: m.name, Type: m.machineType, Zone: m.zone, Spot: m.spot, Partition: m.partition, HasBoundTasks: len(m.bindings) > 0, Terminated: m.terminated}
 }
 
 // machineView implements autoscaler.Machines.
 type machineView struct{ *controller }
 
 // Machine returns the machine with a name. If it is unknown, it is added first.
-func (v machineView) Machine(name string) autoscaler.Machine {
+func (v machineView) GetOrAdd(name string) autoscaler.Machine {
 	return v.getOrAddMachine(name).autoscalerMachine()
 }
 
@@ -55,23 +55,23 @@
 	return v.machineByIndex[index].autoscalerMachine()
 }
 
-// EachReported calls f for each machine that the owner of its partition reports.
-func (v machineView) EachReported(f func(autoscaler.ReportedMachine)) {
+// EachReportedMachine calls f for each machine that the owner of its partition reports.
+func (v machineView) EachReportedMachine(f func(autoscaler.ReportedMachine)) {
 	v.eachReportedMachine(func(m *machine, flags uint8) {
 		f(autoscaler.ReportedMachine{
-			Machine:     m.autoscalerMachine(),
-			Reachable:   flags&peer.Reachable != 0,
-			Unreachable: flags&peer.Unreachable != 0,
-			NotHeardYet: flags&peer.NotHeardYet != 0,
-			Cordoned:    flags&peer.Cordoned != 0,
-			CordonedAt:  m.cordonedAt,
+			Machine:                m.autoscalerMachine(),
+			Reachable:              flags&peer.FlagReachable != 0,
+			Unreachable:            flags&peer.FlagUnreachable != 0,
+			AwaitingFirstHeartbeat: flags&peer.FlagNoHeartbeatYet != 0,
+			Cordoned:               flags&peer.FlagCordoned != 0,
+			CordonedAt:             m.cordonedAt,
 		})
 	})
 }
 
-// UnreachableInUse returns the names of the unreachable machines in this controller's partitions
+// UnreachableMachinesWithTasks returns the names of the unreachable machines in this controller's partitions
 // that have tasks bound to them. It returns none while the replica is not fresh.
-func (v machineView) UnreachableInUse() []string {
+func (v machineView) UnreachableMachinesWithTasks() []string {
 	if !v.isFresh(v.operator.LeaseTTL) {
 		return nil
 	}
@@ -102,38 +102,38 @@
 type leadershipView struct{ *controller }
 
 // Loaded reports whether all records have been read since the process started.
-func (v leadershipView) Loaded() bool { return v.replica.Loaded() }
+func (v leadershipView) HasLoadedRecords() bool { return v.replica.IsLoaded() }
 
 // Leadership returns this controller's current term as the leader. Its epoch is 0 if this
 // controller is not the leader.
 func (v leadershipView) Leadership() autoscaler.Leadership {
 	own := &v.leadership
-	return autoscaler.Leadership{Epoch: own.epoch, Since: own.startedAt, Active: own.active, Acting: v.isLeader(), Condition: v.leaderCondition()}
+	return autoscaler.Leadership{Epoch: own.epoch, StartedAt: own.startedAt, Active: own.active, CanAct: v.isLeader(), FencingCondition: v.leaderCondition()}
 }
 
-// LeaderHeardAt returns the time of the leader's last status. It is zero if there was none or
+// LeaderLastHeardAt returns the time of the leader's last status. It is zero if there was none or
 // the leader is not a peer.
-func (v leadershipView) LeaderHeardAt() time.Time {
+func (v leadershipView) LeaderLastHeardAt() time.Time {
 	if leader := v.peers.Peer(v.ownerOf(v.leaderKey())); leader != nil {
-		return leader.HeardAt
+		return leader.LastStatusAt
 	}
 	return time.Time{}
 }
 
-// PartitionCondition returns a condition that makes a write fail once another controller owns the
+// PartitionFencingCondition returns a condition that makes a write fail once another controller owns the
 // partition.
-func (v leadershipView) PartitionCondition(partition int) wire.Condition {
+func (v leadershipView) PartitionFencingCondition(partition int) wire.Condition {
 	p := v.partitions[partition]
 	return wire.Condition{Key: p.key, Revision: p.token}
 }
 
-// AllOwnersInTouch reports whether the leader currently receives the status of every partition's
+// AreAllOwnersResponsive reports whether the leader currently receives the status of every partition's
 // owner.
-func (v leadershipView) AllOwnersInTouch() bool { return v.allOwnersResponsive() }
+func (v leadershipView) AreAllOwnersResponsive() bool { return v.allOwnersResponsive() }
 
-// OwnerLongInTouch reports whether the leader has received the status of a partition's owner for
+// HasCompleteView reports whether the leader has received the status of a partition's owner for
 // long enough that every live machine of the partition must have sent a heartbeat.
-func (v leadershipView) OwnerLongInTouch(partition int) bool { return v.isOwnerViewComplete(partition) }
+func (v leadershipView) HasCompleteView(partition int) bool { return v.isOwnerViewComplete(partition) }
 
 // HeartbeatsResumedAt returns the time at which this controller last accepted heartbeats again
 // after an outage. It is zero if there was none.
@@ -146,7 +146,7 @@
 func (v leadershipView) Tombstones() iter.Seq[autoscaler.Tombstone] {
 	return func(yield func(autoscaler.Tombstone) bool) {
 		for key, t := range v.tombstones {
-			if !yield(autoscaler.Tombstone{Key: key, Names: t.names, KnownSince: t.at}) {
+			if !yield(autoscaler.Tombstone{Key: key, MachineNames: t.names, FirstSeenAt: t.at}) {
 				return
 			}
 		}
@@ -157,15 +157,15 @@
 type writeQueue struct{ *clusterState }
 
 // Backlog returns approximately how long it takes until all submitted writes are stored.
-func (q writeQueue) Backlog() time.Duration { return q.stateWriter.Backlog() }
+func (q writeQueue) Backlog() time.Duration { return q.stateWriter.BacklogDuration() }
 
 // workload returns the workload that determines how many machines are needed. summaries are the
 // machines that are up; waiting is the demand for which there is no capacity.
 func (c *leader) workload(summaries []*planning.MachineSummary, waiting []planning.Demand) *autoscaler.Workload {
-	work := &autoscaler.Workload{Machines: summaries, Waiting: waiting, Reserve: c.leadership.gangReserve.shortfall, RunningByClass: map[string]int{}, Services: c.services()}
+	work := &autoscaler.Workload{Machines: summaries, UnplacedDemands: waiting, GangReserveShortfall: c.leadership.gangReserve.shortfall, RunningTasksByClass: map[string]int{}, Services: c.services()}
 	for group := range c.allGroups() {
 		if group.job.spec != nil {
-			work.RunningByClass[group.job.spec.Class] += group.boundTaskCount()
+			work.RunningTasksByClass[group.job.spec.Class] += group.boundTaskCount()
 		}
 	}
 	return work
@@ -177,14 +177,14 @@
 	return func(yield func(autoscaler.Service) bool) {
 		demands := map[string]func() planning.Demand{}
 		for _, job := range c.activeJobs {
-			if job.finalState != record.Unfinished || job.spec == nil || !job.spec.Service {
+			if job.finalState != record.StateUnfinished || job.spec == nil || !job.spec.Service {
 				continue
 			}
 			class := job.spec.Class
 			if demands[class] == nil {
 				demands[class] = c.serviceDemand(job)
 			}
-			if !yield(autoscaler.Service{Class: class, Priority: job.spec.Priority, Tasks: job.spec.Tasks, Demand: demands[class]}) {
+			if !yield(autoscaler.Service{Class: class, Priority: job.spec.Priority, TaskCount: job.spec.TaskCount, Demand: demands[class]}) {
 				return
 			}
 		}
--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -22,7 +22,7 @@
 // one write stores them together. Writes are limited, and the longer the backlog of writes is,
 // the more each should store. The cells of ended attempts are free in the meantime.
 func (c *clusterState) endBatchingDelay() time.Duration {
-	return min(minEndBatchingDelay+endDelayPerBacklog*c.stateWriter.Backlog(), maxEndBatchingDelay)
+	return min(minEndBatchingDelay+endDelayPerBacklog*c.stateWriter.BacklogDuration(), maxEndBatchingDelay)
 }
 
 // minBindingBatchingDelay and maxBindingBatchingDelay are the bounds of bindingBatchingDelay.
@@ -36,7 +36,7 @@
 // while tasks of the group remain unplaced. Cells become free one by one, many times a second,
 // and one write for each would use up the key-value store's write limit.
 func (c *partitionOwner) bindingBatchingDelay() time.Duration {
-	return min(minBindingBatchingDelay+c.stateWriter.Backlog(), maxBindingBatchingDelay)
+	return min(minBindingBatchingDelay+c.stateWriter.BacklogDuration(), maxBindingBatchingDelay)
 }
 
 // invalidWriteBackoff is how long a task group is not written after the key-value store has
@@ -78,7 +78,7 @@
 	// Thousands of tasks that are lost at the same time cause more writes than the queue holds. A
 	// refused write releases its reservations and forces a read of the records, while an update
 	// that waits loses nothing.
-	if c.stateWriter.NearlyFull(group.job.spec.AllOrNothing()) {
+	if c.stateWriter.IsNearlyFull(group.job.spec.IsAllOrNothing()) {
 		return
 	}
 	group.clearPendingTimes()
@@ -107,7 +107,7 @@
 	job := group.job
 	plan := updatePlan{
 		owner: c, partition: p, group: group,
-		canBind: job.finalState == record.Unfinished,
+		canBind: job.finalState == record.StateUnfinished,
 		update:  groupUpdate{doneTasks: group.doneTasks, isOversized: group.storedSize > c.maxValueBytes()},
 	}
 	if job.spec.Gang {
@@ -199,13 +199,13 @@
 // canDelayUpdate reports whether the update of an array's group may wait for further changes, to
 // be stored in one write with them.
 func (c *partitionOwner) canDelayUpdate(group *taskGroup, update *groupUpdate) bool {
-	if group.job.spec.AllOrNothing() {
+	if group.job.spec.IsAllOrNothing() {
 		return false
 	}
 	if len(update.newlyBoundTasks) > 0 {
 		return update.unplacedTasks > 0 && c.pendingDuration(&group.bindingsPendingSince) < c.bindingBatchingDelay()
 	}
-	if len(update.bindings) == 0 || group.job.finalState != record.Unfinished {
+	if len(update.bindings) == 0 || group.job.finalState != record.StateUnfinished {
 		return false
 	}
 	// Ends without new bindings wait a little for further ends, because writes are limited.
@@ -213,7 +213,7 @@
 	if update.doneTasks == group.doneTasks {
 		// No user or controller waits for the ends of lost tasks. They are stored with the tasks'
 		// next bindings, or once the backlog of more urgent writes is gone.
-		delay = max(delay, c.stateWriter.Backlog())
+		delay = max(delay, c.stateWriter.BacklogDuration())
 	}
 	return c.pendingDuration(&group.endsPendingSince) < delay
 }
--- a/internal/controller/bindings_write.go
+++ b/internal/controller/bindings_write.go
@@ -34,11 +34,11 @@
 		token: p.token, finishesJob: c.completesJob(group, update),
 	}
 	write := &store.Write{
-		Prompt: job.spec.Gang && len(update.newlyBoundTasks) > 0,
+		HighPriority: job.spec.Gang && len(update.newlyBoundTasks) > 0,
 		// Services come first: when hundreds of machines are lost together, or all leases expire
 		// in an outage, storing all changes takes longer than users wait.
-		Early:      job.spec.AllOrNothing(),
-		Conditions: updateConditions(p, group),
+		MediumPriority: job.spec.IsAllOrNothing(),
+		Conditions:     updateConditions(p, group),
 	}
 	w.addPieces(write)
 	if w.finishesJob {
@@ -57,7 +57,7 @@
 		{Key: p.key, Revision: p.token},
 		{Key: group.key, Revision: group.revision},
 	}
-	if job := group.job; job.finalState == record.Unfinished {
+	if job := group.job; job.finalState == record.StateUnfinished {
 		// Binding and completing race with a cancellation of the job: only one of them may
 		// succeed.
 		conditions = append(conditions, wire.Condition{Key: jobKey(job.id), Revision: job.revision})
@@ -79,18 +79,18 @@
 	for _, piece := range pieces[1:] {
 		key := groupKey(job.id, job.newGroupNumber())
 		write.Conditions = append(write.Conditions, wire.Condition{Key: key})
-		write.Changes = append(write.Changes, wire.Change{Put: key, Value: piece.At(key)})
+		write.Changes = append(write.Changes, wire.Change{Put: key, Value: piece.ValueForKey(key)})
 	}
-	write.Changes = append(write.Changes, wire.Change{Put: w.group.key, Value: pieces[0].At(w.group.key)})
+	write.Changes = append(write.Changes, wire.Change{Put: w.group.key, Value: pieces[0].ValueForKey(w.group.key)})
 }
 
 // doneJobRecord returns the record of a completed job. Tasks of a completed gang may still be on
 // machines and count toward its team's quota, so its record keeps the job's description.
 func (c *partitionOwner) doneJobRecord(j *job) json.RawMessage {
 	if j.spec.Gang {
-		return record.DoneGang(j.spec, j.acceptedAt, c.maxValueBytes())
+		return record.EncodeDoneGang(j.spec, j.acceptedAt, c.maxValueBytes())
 	}
-	return record.JSON(record.Job{FinalState: record.Done})
+	return record.JSON(record.Job{FinalState: record.StateDone})
 }
 
 // completesJob reports whether an update completes the last tasks of a job. A gang's tasks
@@ -99,7 +99,7 @@
 // still be on a machine that hangs.
 func (c *partitionOwner) completesJob(group *taskGroup, update *groupUpdate) bool {
 	job := group.job
-	if job.finalState != record.Unfinished || job.finalWriteInFlight {
+	if job.finalState != record.StateUnfinished || job.finalWriteInFlight {
 		return false
 	}
 	if update.gangDone {
@@ -109,7 +109,7 @@
 		return false
 	}
 	_, finished := job.countAssignedTasks()
-	return finished+update.doneTasks-group.doneTasks == job.spec.Tasks
+	return finished+update.doneTasks-group.doneTasks == job.spec.TaskCount
 }
 
 // handleResult handles the result of the write.
@@ -119,7 +119,7 @@
 	if w.finishesJob {
 		job.finalWriteInFlight = false
 	}
-	if job.finalState != record.Unfinished && group.partition == w.partition.index {
+	if job.finalState != record.StateUnfinished && group.partition == w.partition.index {
 		w.owner.cancelReservations(group, true) // made while the write was in flight
 	}
 	switch {
--- a/internal/controller/cancellation_gap_test.go
+++ b/internal/controller/cancellation_gap_test.go
@@ -49,14 +49,14 @@
 	c.runGapJobs(x.drift)
 	// All owners but the last are shut out: it alone confirms cancellations.
 	for _, n := range c.nodes[:2] {
-		n.transport.SetPolicy(onlyWhen(isStoreRequest, network.Refuse))
+		n.transport.SetPolicy(policyForMatching(isStoreRequest, network.Refuse))
 	}
 	c.setPeersBlocked(x.apart)
 	if x.successor {
 		time.Sleep(6 * time.Second)
 	}
 	for _, id := range gapJobs {
-		if answer := c.ask(2, cancelRequest(id)); answer.status != http.StatusOK {
+		if answer := c.sendRequest(2, cancelRequest(id)); answer.status != http.StatusOK {
 			c.t.Fatalf("cancellation of %s: %+v, want status 200", id, answer)
 		}
 	}
@@ -73,16 +73,16 @@
 	c.setPeersBlocked(false)
 	c.env.Store.SetDown(false)
 	c.env.SetSettled()
-	c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 4, CPUs: 1, EstimateS: 2}))
+	c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 4, CPUs: 1, EstimateS: 2}))
 	c.awaitDone("wk-9", time.Minute)
 }
 
 // runGapJobs has the jobs run on machines whose clocks drift; the last one has just begun.
 func (c *cluster) runGapJobs(drift float64) {
 	c.t.Helper()
-	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 4, CPUs: 2}))
-	c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 10, CPUs: 1, EstimateS: 300}))
-	saving := newSubmission(submission{ID: "wk-3", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 6, CPUs: 1, EstimateS: 300})
+	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 4, CPUs: 2}))
+	c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 10, CPUs: 1, EstimateS: 300}))
+	saving := newSubmission(submission{ID: "wk-3", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 6, CPUs: 1, EstimateS: 300})
 	saving.CheckpointS, saving.SaveS = 5, 60
 	c.submit(saving)
 	c.await("work runs", 2*time.Minute, func() bool {
@@ -92,7 +92,7 @@
 	for _, a := range c.env.Cloud.Agents() {
 		a.SetDrift(drift)
 	}
-	fetching := newSubmission(submission{ID: "wk-4", Kind: wire.Array, Team: "blue", Priority: "urgent", Tasks: 6, CPUs: 1, EstimateS: 300})
+	fetching := newSubmission(submission{ID: "wk-4", Kind: wire.KindArray, Team: "blue", Priority: "urgent", Tasks: 6, CPUs: 1, EstimateS: 300})
 	fetching.ImageGB, fetching.Image = 12, "other"
 	c.submit(fetching)
 	time.Sleep(1500 * time.Millisecond)
--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -32,7 +32,7 @@
 	CPUs         float64  `json:"cpus"`
 	Team         string   `json:"crew"`
 	Spot         bool     `json:"driftwood"`
-	DueS         float64  `json:"dueS,omitempty"`
+	DeadlineS    float64  `json:"dueS,omitempty"`
 	Tasks        int      `json:"eggs"`
 	Class        string   `json:"flock"`
 	MachineTypes []string `json:"hulls,omitempty"`
@@ -49,7 +49,7 @@
 	Spread       bool     `json:"spread"`
 	SaveS        float64  `json:"stowS"`
 	// omitted is a field, by the protocol's name, that the body lacks; "": none.
-	omitted string
+	omittedField string
 }
 
 // newSubmission fills in what most jobs of the tests have in common.
@@ -59,20 +59,20 @@
 }
 
 // body is the submission as it is sent.
-func (s *submission) body(t testing.TB) []byte {
+func (s *submission) encode(t testing.TB) []byte {
 	t.Helper()
 	raw, err := json.Marshal(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.omitted == "" {
+	if s.omittedField == "" {
 		return raw
 	}
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &fields); err != nil {
 		t.Fatal(err)
 	}
-	delete(fields, s.omitted)
+	delete(fields, s.omittedField)
 	if raw, err = json.Marshal(fields); err != nil {
 		t.Fatal(err)
 	}
@@ -80,27 +80,27 @@
 }
 
 // request is what a user asks of a controller.
-type request struct {
+type jobRequest struct {
 	operation trace.Operation
 	job       string
 	submitted *submission // of a submission
 	spec      *wire.Job   // what the rule checker takes the submission for; nil: nothing
 }
 
-func queryRequest(job string) request  { return request{operation: trace.Query, job: job} }
-func cancelRequest(job string) request { return request{operation: trace.Cancel, job: job} }
+func queryRequest(job string) jobRequest  { return jobRequest{operation: trace.Query, job: job} }
+func cancelRequest(job string) jobRequest { return jobRequest{operation: trace.Cancel, job: job} }
 
-func submitRequest(s *submission, spec *wire.Job) request {
-	return request{operation: trace.Submit, job: s.ID, submitted: s, spec: spec}
+func submitRequest(s *submission, spec *wire.Job) jobRequest {
+	return jobRequest{operation: trace.Submit, job: s.ID, submitted: s, spec: spec}
 }
 
 // http is the HTTP request to a controller's address.
-func (r request) http(ctx context.Context, t testing.TB, addr string) *http.Request {
+func (r jobRequest) http(ctx context.Context, t testing.TB, addr string) *http.Request {
 	t.Helper()
 	method, path, body := http.MethodPost, "/v1/jobs", emptyBody
 	switch r.operation {
 	case trace.Submit:
-		body = r.submitted.body(t)
+		body = r.submitted.encode(t)
 	case trace.Query:
 		method, path = http.MethodGet, "/v1/jobs/"+r.job
 	case trace.Cancel:
@@ -114,7 +114,7 @@
 }
 
 // timeout is for how long a user waits for the answer.
-func (r request) timeout() time.Duration {
+func (r jobRequest) timeout() time.Duration {
 	if r.operation == trace.Query {
 		return queryTimeout
 	}
@@ -122,32 +122,32 @@
 }
 
 // response is what a user was answered.
-type response struct {
+type jobResponse struct {
 	status int    // 0: nothing
 	state  string // of the job; "": the answer shows none
 }
 
 // isFinal tells whether another controller would answer the same.
-func (r response) isFinal() bool {
+func (r jobResponse) isFinal() bool {
 	return r.status != 0 && r.status < http.StatusInternalServerError && r.status != http.StatusTooManyRequests
 }
 
 // readResponse reads an answer.
-func readResponse(resp *http.Response) response {
+func readResponse(resp *http.Response) jobResponse {
 	defer resp.Body.Close()
 	var job wire.JobState
 	if raw, err := io.ReadAll(resp.Body); err == nil {
 		_ = json.Unmarshal(raw, &job) // an error's text shows no job
 	}
-	return response{resp.StatusCode, job.State}
+	return jobResponse{resp.StatusCode, job.State}
 }
 
 // ask makes one call to a node and records the answer for the rule checker.
-func (c *cluster) ask(node int, r request) response {
+func (c *cluster) sendRequest(node int, r jobRequest) jobResponse {
 	ctx, cancel := context.WithTimeout(c.ctx, r.timeout())
 	defer cancel()
 	event := trace.Response{RequestedAt: time.Now(), Operation: r.operation, Job: r.job, Spec: r.spec}
-	var answer response
+	var answer jobResponse
 	if resp, err := c.clientTransport.RoundTrip(r.http(ctx, c.t, c.nodes[node].cfg.APIAddr)); err == nil {
 		answer = readResponse(resp)
 	}
@@ -155,24 +155,24 @@
 	c.env.Trace.Record(event)
 	if until := c.queryAllUntil.Load(); until != nil && time.Now().Before(*until) && r.operation != trace.Query && answer.status/100 == 2 {
 		for i := range c.nodes {
-			go c.ask(i, queryRequest(r.job))
+			go c.sendRequest(i, queryRequest(r.job))
 		}
 	}
 	return answer
 }
 
 // call tries the nodes in turn until one gives a final answer.
-func (c *cluster) call(r request, within time.Duration) response {
+func (c *cluster) sendWithRetries(r jobRequest, within time.Duration) jobResponse {
 	until := time.Now().Add(within)
 	node := int(network.Draw(uint64(r.operation), r.job) * float64(len(c.nodes)))
 	for time.Now().Before(until) {
 		node = (node + 1) % len(c.nodes)
-		if answer := c.ask(node, r); answer.isFinal() {
+		if answer := c.sendRequest(node, r); answer.isFinal() {
 			return answer
 		}
 		time.Sleep(retryPause)
 	}
-	return response{}
+	return jobResponse{}
 }
 
 // submit submits a job, which must be accepted.
@@ -186,13 +186,13 @@
 // trySubmit submits a job; false: no controller answered.
 func (c *cluster) trySubmit(s *submission) bool {
 	c.t.Helper()
-	spec, err := wire.ParseJob(s.body(c.t))
+	spec, err := wire.ParseJob(s.encode(c.t))
 	if err != nil {
 		c.t.Errorf("%+v is malformed: %v", *s, err)
 		return false
 	}
 	c.env.Upload(spec)
-	answer := c.call(submitRequest(s, spec), 20*time.Second)
+	answer := c.sendWithRetries(submitRequest(s, spec), 20*time.Second)
 	switch answer.status {
 	case http.StatusCreated, http.StatusOK:
 		return true
@@ -204,9 +204,9 @@
 }
 
 // state is the state of a job that must be known.
-func (c *cluster) state(job string) string {
+func (c *cluster) jobState(job string) string {
 	c.t.Helper()
-	answer := c.call(queryRequest(job), 40*time.Second)
+	answer := c.sendWithRetries(queryRequest(job), 40*time.Second)
 	if answer.status != http.StatusOK {
 		c.t.Fatalf("query of %s: status %d, want 200", job, answer.status)
 	}
@@ -224,7 +224,7 @@
 // tryCancelJob cancels a job; false: no controller answered.
 func (c *cluster) tryCancelJob(job string) bool {
 	c.t.Helper()
-	answer := c.call(cancelRequest(job), 20*time.Second)
+	answer := c.sendWithRetries(cancelRequest(job), 20*time.Second)
 	if answer.status != 0 && answer.status != http.StatusOK {
 		c.t.Fatalf("cancellation of %s: status %d, want 200", job, answer.status)
 	}
@@ -245,26 +245,26 @@
 // awaitDone waits until a job is done.
 func (c *cluster) awaitDone(job string, limit time.Duration) {
 	c.t.Helper()
-	c.await(job+" is done", limit, func() bool { return c.state(job) == wire.Done })
+	c.await(job+" is done", limit, func() bool { return c.jobState(job) == wire.StateDone })
 }
 
 // submitServices submits the services wk-1, wk-2 and so on.
 func (c *cluster) submitServices(count, tasks int) {
 	c.t.Helper()
 	for i := range count {
-		c.submit(newSubmission(submission{ID: fmt.Sprintf("wk-%d", i+1), Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: tasks, CPUs: 2}))
+		c.submit(newSubmission(submission{ID: fmt.Sprintf("wk-%d", i+1), Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: tasks, CPUs: 2}))
 	}
 }
 
-// runServices submits services and waits until they run.
-func (c *cluster) runServices(count, tasks int) {
+// startServices submits services and waits until they run.
+func (c *cluster) startServices(count, tasks int) {
 	c.t.Helper()
 	c.submitServices(count, tasks)
-	c.await("the services run", time.Minute, func() bool { return c.servicesRun(count, tasks) })
+	c.await("the services run", time.Minute, func() bool { return c.areServicesRunning(count, tasks) })
 }
 
-// servicesRun tells whether the first so many jobs run with so many tasks each.
-func (c *cluster) servicesRun(count, tasks int) bool {
+// areServicesRunning tells whether the first so many jobs run with so many tasks each.
+func (c *cluster) areServicesRunning(count, tasks int) bool {
 	for i := range count {
 		if c.env.Running(fmt.Sprintf("wk-%d", i+1)) != tasks {
 			return false
@@ -277,7 +277,7 @@
 func (c *cluster) submitZonalServices(first, count int, zone string) {
 	c.t.Helper()
 	for i := range count {
-		s := newSubmission(submission{ID: fmt.Sprintf("wk-%d", first+i), Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 1, CPUs: 2})
+		s := newSubmission(submission{ID: fmt.Sprintf("wk-%d", first+i), Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 1, CPUs: 2})
 		s.Zone = zone
 		c.submit(s)
 	}
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -28,22 +28,22 @@
 	env             *simulation.Environment
 	nodes           []*node
 	clientTransport *network.Transport
-	// writtenByTest are keys whose values the test has written itself.
-	writtenByTest map[string]bool
+	// keysWrittenByTest are keys whose values the test has written itself.
+	keysWrittenByTest map[string]bool
 	// upgrades: the controllers take part in staged upgrades.
-	upgrades bool
+	upgradesEnabled bool
 	// frameObserver is called with each frame between controllers; nil: nobody is.
 	frameObserver atomic.Pointer[frameObserver]
 	// logs are what the controllers have logged, for the report of a failure.
 	logs *logBuffer
-	// keepsLogs: they are kept in any case, from the next start of a controller on.
-	keepsLogs bool
+	// alwaysKeepLogs: they are kept in any case, from the next start of a controller on.
+	alwaysKeepLogs bool
 	// queryAllUntil: until then users ask all controllers as soon as one has answered.
 	queryAllUntil atomic.Pointer[time.Time]
 
 	mu sync.Mutex // of what several goroutines of a test share
-	// readableByProcess are the ranges of levels that processes read, by process ID.
-	readableByProcess map[string]rollout.Range
+	// readableLevels are the ranges of levels that processes read, by process ID.
+	readableLevels map[string]rollout.LevelRange
 }
 
 // frameObserver is called with the sender, the receiver and the version of a frame.
@@ -97,14 +97,14 @@
 	return config.MaxStaleness(n.cfg.Settings.Workers.CancelS, n.cfg.Settings.Workers.LeaseS)
 }
 
-// testTypes are the machine types that the cloud has.
-var testTypes = []wire.MachineType{
-	{Name: "small", CPUs: 4, RAMGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 0.4, SpotPrice: 0.1, BootS: 5, Zones: []string{"a", "b"}},
-	{Name: "large", CPUs: 16, RAMGB: 64, CacheGB: 50, FetchGBPS: 1, Price: 1.2, SpotPrice: 0.3, BootS: 8, Zones: []string{"a"}},
+// testMachineTypes are the machine types that the cloud has.
+var testMachineTypes = []wire.MachineType{
+	{Name: "small", CPUs: 4, RAMGB: 16, ImageCacheGB: 20, ImageFetchGBPS: 1, Price: 0.4, SpotPrice: 0.1, BootS: 5, Zones: []string{"a", "b"}},
+	{Name: "large", CPUs: 16, RAMGB: 64, ImageCacheGB: 50, ImageFetchGBPS: 1, Price: 1.2, SpotPrice: 0.3, BootS: 8, Zones: []string{"a"}},
 }
 
-// usualControllers is how many controllers most clusters have.
-const usualControllers = 3
+// defaultControllerCount is how many controllers most clusters have.
+const defaultControllerCount = 3
 
 // startInterval is between the starts of controllers: their ticks are not at one time.
 const startInterval = 137 * time.Microsecond
@@ -113,16 +113,16 @@
 // of the key-value store was broken.
 func runCluster(t *testing.T, f func(c *cluster)) {
 	t.Helper()
-	runClusterWith(t, func(*node) {}, f)
+	runClusterWithSetup(t, func(*node) {}, f)
 }
 
-// runClusterWith is runCluster with nodes that are set up otherwise.
-func runClusterWith(t *testing.T, setUp func(*node), f func(c *cluster)) {
+// runClusterWithSetup is runCluster with nodes that are set up otherwise.
+func runClusterWithSetup(t *testing.T, setUp func(*node), f func(c *cluster)) {
 	t.Helper()
-	runClusterOf(t, usualControllers, setUp, f)
+	runClusterOf(t, defaultControllerCount, setUp, f)
 }
 
-// runClusterOf is runClusterWith with that many controllers.
+// runClusterOf is runClusterWithSetup with that many controllers.
 func runClusterOf(t *testing.T, controllers int, setUp func(*node), f func(c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -153,10 +153,10 @@
 	for i := range controllers {
 		members = append(members, agent.Controller{Name: fmt.Sprintf("n%d", i), Addr: fmt.Sprintf("10.0.0.%d:80", i+1)})
 	}
-	env := simulation.New(ctx, members, testTypes)
+	env := simulation.New(ctx, members, testMachineTypes)
 	env.SetQuota("red", 24)
 	env.Network.SetLatency(network.Latency{Seed: *networkSeed, Jitter: *networkJitter})
-	c := &cluster{t: t, logs: &logBuffer{}, ctx: ctx, env: env, clientTransport: env.Network.NewTransport(), writtenByTest: map[string]bool{}, readableByProcess: map[string]rollout.Range{}}
+	c := &cluster{t: t, logs: &logBuffer{}, ctx: ctx, env: env, clientTransport: env.Network.NewTransport(), keysWrittenByTest: map[string]bool{}, readableLevels: map[string]rollout.LevelRange{}}
 	for i := range members {
 		c.nodes = append(c.nodes, &node{cfg: testPlatform(env, members, i), transport: env.Network.NewTransport(), version: currentVersion})
 	}
@@ -196,7 +196,7 @@
 	c.recordProcess(p)
 	n.process.Store(p)
 	ctl.start(ctx, p.running)
-	c.env.Network.Serve(n.cfg.APIAddr, n.handler(api.Handler(ctl, api.Limits{Connections: 100, Requests: 50})))
+	c.env.Network.Serve(n.cfg.APIAddr, n.handler(api.NewHandler(ctl, api.Limits{MaxConnections: 100, MaxUserRequests: 50})))
 }
 
 // clientsOf is how a node's controller reaches all others.
@@ -265,8 +265,8 @@
 	}
 }
 
-// replaceEach ends one controller after the other and starts it again at once.
-func (c *cluster) replaceEach() {
+// restartOneByOne ends one controller after the other and starts it again at once.
+func (c *cluster) restartOneByOne() {
 	for i := range c.nodes {
 		c.kill(i)
 		c.start(i)
@@ -274,7 +274,7 @@
 }
 
 // leader is the node whose controller leads; 0: none does just now.
-func (c *cluster) leader() int {
+func (c *cluster) leaderIndex() int {
 	for i, n := range c.nodes {
 		if n.isLeader(c.ctx) {
 			return i
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -31,5 +31,5 @@
 		return true
 	}
 	// A task that can save its progress is stopped before its machine is terminated.
-	return !m.terminationAt.IsZero() && group.job.spec != nil && group.job.spec.CheckpointS > 0 || m.cordoned
+	return !m.terminationAt.IsZero() && group.job.spec != nil && group.job.spec.CheckpointIntervalS > 0 || m.cordoned
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -36,14 +36,14 @@
 // isFresh reports whether the last successful read of the key-value store began less than limit
 // ago, so that the replica is recent enough to act on.
 func (c *clusterState) isFresh(limit time.Duration) bool {
-	return c.replica.FreshWithin(limit, c.now)
+	return c.replica.IsFreshWithin(limit, c.now)
 }
 
 // SubmitWrite submits a write to the key-value store. done runs on the event loop with the
 // result; if the write succeeded, the replica already contains its changes.
 func (c *clusterState) SubmitWrite(write *store.Write, done func(err error)) {
 	startedAt := c.now
-	write.Done = func(revision uint64, err error) {
+	write.OnDone = func(revision uint64, err error) {
 		// A separate goroutine queues the event, so that the writer never blocks on a full
 		// event queue whose events in turn wait for the writer.
 		go c.enqueue(priorityStore, func() {
@@ -56,7 +56,7 @@
 	}
 	if !c.stateWriter.Submit(write) {
 		c.log.Error("write queue is full")
-		write.Done(0, store.ErrNotExecuted)
+		write.OnDone(0, store.ErrNotExecuted)
 	}
 }
 
@@ -102,11 +102,11 @@
 func (c *controller) newReader(ctx context.Context, jitter func(time.Duration) time.Duration) *replica.Reader {
 	s := &c.cfg.Settings
 	return replica.NewReader(ctx, replica.Config{
-		Prefix:            keyPrefix,
-		Controllers:       s.Count,
+		KeyPrefix:         keyPrefix,
+		ControllerCount:   s.Count,
 		RequestsPerSecond: s.Store.RPS,
 		Jitter:            jitter,
-		Loaded:            func() { c.archiveFinishedJobs(c.replica) },
+		OnLoaded:          func() { c.archiveFinishedJobs(c.replica) },
 		Log:               c.log,
 	}, c.replica, c.stateClient, priorityLoop{c.eventLoop, priorityStore})
 }
@@ -116,15 +116,15 @@
 func (c *controller) newElector(ctx context.Context) *election.Elector {
 	s := &c.cfg.Settings
 	return election.New(ctx, election.Config{
-		Node:              c.cfg.Name,
-		ProcessID:         c.processID,
-		Nodes:             c.cfg.Nodes(),
-		TTL:               c.operator.LeaseTTL,
-		StartedAt:         c.startedAt,
-		HeartbeatInterval: config.Seconds(s.Workers.ReportS),
-		WorkLifetime:      c.maxStaleness + c.leaseExpiry,
-		Log:               c.log,
-	}, election.Services{
+		Node:                   c.cfg.Name,
+		ProcessID:              c.processID,
+		Nodes:                  c.cfg.Nodes(),
+		TTL:                    c.operator.LeaseTTL,
+		StartedAt:              c.startedAt,
+		HeartbeatInterval:      config.Seconds(s.Workers.ReportS),
+		MaxUnreachableWorkTime: c.maxStaleness + c.leaseExpiry,
+		Log:                    c.log,
+	}, election.Dependencies{
 		Store:    c.stateClient,
 		Replica:  c.replica,
 		Reader:   c.reader,
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -36,7 +36,7 @@
 	cfg.Settings.Cloud.RPS = 1
 	c := newController(t.Context(), cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), dependencies{store: &grantingStore{}})
 	c.replica.Load(nil, 0, &wire.WatchResponse{})
-	c.replica.NoteRead(c.now)
+	c.replica.AdvanceReadTime(c.now)
 	c.machineTypes = map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAMGB: 8}}
 	p := c.partitions[0]
 	p.token, p.takeoverComplete, p.ownedSince = 1, true, c.now.Add(-time.Minute)
@@ -94,7 +94,7 @@
 			c := newTestController(t)
 			p := c.partitions[0]
 			c.applyHeartbeat(c.getOrAddMachine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, p, workerRequest)
-			spec := &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAMGB: 1, Team: "t", NoDeadline: true}
+			spec := &wire.Job{ID: "wk-1", TaskCount: 2, CPUs: 2, RAMGB: 1, Team: "t", NoDeadline: true}
 			c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: spec}), 2)
 			key := groupKey("wk-1", 0)
 			c.replica.Put(key, marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
@@ -129,7 +129,7 @@
 	c := newTestController(t)
 	c.becomeLeader(5)
 	c.leadership.active = true
-	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 9, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", TaskCount: 9, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
 	g := record.TaskGroup{Throttle: 1}
 	for i := range int32(9) {
 		g.Tasks = append(g.Tasks, record.Binding{Task: i})
@@ -166,8 +166,8 @@
 func TestReservationsOfMovedRecord(t *testing.T) {
 	c := newTestController(t)
 	p := c.partitions[0]
-	c.applyHeartbeat(c.getOrAddMachine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
-	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 2, RAMGB: 1, Team: "t", NoDeadline: true}}), 2)
+	c.applyHeartbeat(c.getOrAddMachine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 1}, p, workerRequest)
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", TaskCount: 2, CPUs: 2, RAMGB: 1, Team: "t", NoDeadline: true}}), 2)
 	key := groupKey("wk-1", 0)
 	c.replica.Put(key, marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
 	group := c.groupByKey[key]
@@ -186,11 +186,11 @@
 // known. It must not bring the record back.
 func TestLateWriteResultOfDeletedRecord(t *testing.T) {
 	c := newTestController(t)
-	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", TaskCount: 1, CPUs: 1, Team: "t"}}), 2)
 	key := groupKey("wk-1", 0)
 	c.replica.Put(key, marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Task: 0}}}), 3)
 	c.replica.Apply(&wire.WatchResponse{Revision: 9, Events: []wire.Event{{Delete: key, Revision: 9}}})
-	c.replica.Put(key, marshalJSON(t, record.TaskGroup{Done: 1}), 5)
+	c.replica.Put(key, marshalJSON(t, record.TaskGroup{DoneTasks: 1}), 5)
 	if c.groupByKey[key] != nil || len(c.jobs["wk-1"].groups) != 0 {
 		t.Error("a late write result brought a deleted record back")
 	}
@@ -272,10 +272,10 @@
 		t.Run(x.name, func(t *testing.T) {
 			c := newTestController(t)
 			p := c.partitions[0]
-			c.applyHeartbeat(c.getOrAddMachine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
+			c.applyHeartbeat(c.getOrAddMachine("host-1"), &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 1}, p, workerRequest)
 			for i, team := range []string{"blue", "red"} {
 				id := fmt.Sprintf("wk-%d", i+1)
-				c.replica.Put(jobKey(id), marshalJSON(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 1, CPUs: 4, RAMGB: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
+				c.replica.Put(jobKey(id), marshalJSON(t, record.Job{Spec: &wire.Job{ID: id, TaskCount: 1, CPUs: 4, RAMGB: 1, Team: team, Priority: 1, NoDeadline: true}}), uint64(2*i+2))
 			}
 			c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 10)
 			c.replica.Put(groupKey("wk-2", 0), marshalJSON(t, record.TaskGroup{Guaranteed: true, Tasks: []record.Binding{{}}}), 11)
@@ -301,7 +301,7 @@
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	spec := &wire.Job{Class: "c", Team: "t", Tasks: 1, Image: "img"}
+	spec := &wire.Job{Class: "c", Team: "t", TaskCount: 1, Image: "img"}
 	before := heapBytes()
 	for i := range jobs {
 		spec.ID = fmt.Sprintf("wk-%08d", i)
@@ -309,7 +309,7 @@
 		if i%2 == 0 { // the job ran while this controller did; the others are read after a start
 			c.replica.Put(jobKey(spec.ID), marshalJSON(t, record.Job{Spec: spec}), stamp)
 		}
-		c.replica.Put(jobKey(spec.ID), marshalJSON(t, record.Job{FinalState: record.Cancelled + record.FinalState(i/2%2)}), stamp+1)
+		c.replica.Put(jobKey(spec.ID), marshalJSON(t, record.Job{FinalState: record.StateCancelled + record.FinalState(i/2%2)}), stamp+1)
 		if i%500 != 499 {
 			continue
 		}
@@ -328,7 +328,7 @@
 	for _, x := range []struct {
 		id    string
 		state string
-	}{{"wk-00000000", wire.Cancelled}, {"wk-00000001", wire.Cancelled}, {"wk-00000002", wire.Done}, {"wk-00000003", wire.Done}} {
+	}{{"wk-00000000", wire.StateCancelled}, {"wk-00000001", wire.StateCancelled}, {"wk-00000002", wire.StateDone}, {"wk-00000003", wire.StateDone}} {
 		if job := c.lookupJob(x.id); job == nil || job.jobState().State != x.state {
 			t.Errorf("job %s is %+v, want state %s", x.id, job, x.state)
 		}
@@ -340,7 +340,7 @@
 	spec.ID = "wk-00000002"
 	c.replica = replica.New(recordApplier{c}) // a new replica, which has no record of the job yet
 	c.replica.Put(jobKey(spec.ID), marshalJSON(t, record.Job{Spec: spec}), 14)
-	if job := c.lookupJob(spec.ID); job.finalState != record.Done || len(c.jobs) != 0 {
+	if job := c.lookupJob(spec.ID); job.finalState != record.StateDone || len(c.jobs) != 0 {
 		t.Errorf("job %s went back to state %s", spec.ID, job.jobState().State)
 	}
 }
@@ -353,7 +353,7 @@
 	c := newTestController(t)
 	c.cfg.Settings.Teams = []config.Team{{Name: "t", CPUsMax: 100}}
 	team := c.getOrAddTeam("t")
-	spec := &wire.Job{ID: "wk-1", Team: "t", Service: true, Tasks: 1, CPUs: 2, Image: "img"}
+	spec := &wire.Job{ID: "wk-1", Team: "t", Service: true, TaskCount: 1, CPUs: 2, Image: "img"}
 	checkUsed := func(when string, want int64) {
 		t.Helper()
 		if got := c.quotas()[team].Usage.CPU; got != want*1000 {
@@ -367,7 +367,7 @@
 	c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{}}}), 11)
 	c.replica.Apply(&wire.WatchResponse{Revision: 11})
 	checkUsed("assigned:", 2)
-	cancelled := marshalJSON(t, record.Job{FinalState: record.Cancelled, Spec: spec})
+	cancelled := marshalJSON(t, record.Job{FinalState: record.StateCancelled, Spec: spec})
 	c.replica.Put(jobKey("wk-1"), cancelled, 20) // the result of this controller's own write
 	checkUsed("cancelled here:", 2)
 	c.replica.Apply(&wire.WatchResponse{Revision: 21, Events: []wire.Event{
--- a/internal/controller/cordons.go
+++ b/internal/controller/cordons.go
@@ -43,7 +43,7 @@
 		clear(m.failedJobs)
 	case wire.ReasonError:
 		c.handleTaskFailure(m, j)
-	case wire.ReasonNoRoom, wire.ReasonInUse, wire.ReasonUnknownTask:
+	case wire.ReasonNoCapacity, wire.ReasonOtherAttempt, wire.ReasonUnknownTask:
 		m.placementBackoffUntil = c.now.Add(refusedStartBackoff)
 		c.log.Info("start refused", "job", j.id, "machine", m.name, "why", reason)
 	}
--- a/internal/controller/cordons_test.go
+++ b/internal/controller/cordons_test.go
@@ -12,7 +12,7 @@
 // machine that failed a task backs off for a fixed time.
 func TestFailedJobBackoffGrowsWithFailedMachines(t *testing.T) {
 	c := newTestController(t)
-	j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 20}}
+	j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", TaskCount: 20}}
 	c.jobs["wk-1"] = j
 	for i, want := range []time.Duration{0, 0, 1, 2, 4, 8, 16, 30, 30} {
 		m := c.getOrAddMachine(fmt.Sprint("host-", i))
@@ -33,10 +33,10 @@
 // A machine that refuses a start backs off until its next heartbeats are in. Neither the
 // machine nor the job is charged with a failure.
 func TestRefusedStartIsNotAFailure(t *testing.T) {
-	for _, reason := range []string{wire.ReasonNoRoom, wire.ReasonInUse, wire.ReasonUnknownTask} {
+	for _, reason := range []string{wire.ReasonNoCapacity, wire.ReasonOtherAttempt, wire.ReasonUnknownTask} {
 		c := newTestController(t)
 		m := c.getOrAddMachine("host-1")
-		j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 1}}
+		j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", TaskCount: 1}}
 		c.handleTaskEnd(m, j, reason)
 		if got := m.placementBackoffUntil.Sub(c.now); got != time.Second {
 			t.Errorf("%s: the machine backs off for %v, want 1 s", reason, got)
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -28,7 +28,7 @@
 		Class:             spec.Class,
 		TaskSize:          j.taskSize,
 		Count:             count,
-		AllOrNothing:      spec.AllOrNothing(),
+		AllOrNothing:      spec.IsAllOrNothing(),
 		EstimateS:         spec.EstimateS,
 		CompletionWindowS: order.CompletionWindowS(),
 		SlackS:            c.slackS(j),
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -40,8 +40,8 @@
 	if c.now.Before(m.commandState.backoffUntil) || !c.isFresh(c.maxStaleness) {
 		return
 	}
-	if !c.directSlots.Available(workerclient.Commands) {
-		c.directSlots.Wait(m, workerclient.Commands)
+	if !c.directSlots.HasAvailable(workerclient.PurposeCommands) {
+		c.directSlots.Enqueue(m, workerclient.PurposeCommands)
 		return
 	}
 	if commands := c.commandsFor(m, p); len(commands) > 0 {
@@ -52,9 +52,9 @@
 // sendQueuedRequests sends requests to the machines that wait for a slot, as long as slots are
 // available.
 func (c *partitionOwner) sendQueuedRequests() {
-	for n := c.directSlots.Waiting(); n > 0 && c.directSlots.Available(workerclient.Commands); n-- {
-		m, purpose := c.directSlots.Next()
-		if purpose == workerclient.Commands {
+	for n := c.directSlots.QueueLength(); n > 0 && c.directSlots.HasAvailable(workerclient.PurposeCommands); n-- {
+		m, purpose := c.directSlots.Dequeue()
+		if purpose == workerclient.PurposeCommands {
 			c.sendCommandsNow(m)
 		} else if p := c.partitions[m.partition]; p.token != 0 && !m.terminated {
 			c.ping(m, p)
@@ -68,8 +68,8 @@
 	if m.commandState.inFlight || c.now.Before(m.commandState.backoffUntil) || m.incarnation == 0 || m.addr == "" || !c.isFresh(c.maxStaleness) {
 		return
 	}
-	if !c.directSlots.Available(workerclient.Ping) {
-		c.directSlots.Wait(m, workerclient.Ping)
+	if !c.directSlots.HasAvailable(workerclient.PurposePing) {
+		c.directSlots.Enqueue(m, workerclient.PurposePing)
 		return
 	}
 	c.sendDirectRequest(m, p, nil)
@@ -82,7 +82,7 @@
 	m.commandState.inFlight, m.commandState.sendAgain = true, false
 	m.commandState.carriesStart = slices.ContainsFunc(commands, isStartCommand)
 	request := directRequest{machine: m, partition: p, token: p.token, sentAt: c.now}
-	body := &wire.CommandRequest{Token: p.token, Incarnation: m.incarnation, Commands: commands}
+	body := &wire.CommandRequest{FencingToken: p.token, Incarnation: m.incarnation, Commands: commands}
 	timeout := workerclient.Timeout
 	if len(commands) == 0 {
 		timeout = workerclient.PingTimeout
@@ -136,7 +136,7 @@
 	if heartbeat.Machine != m.name {
 		return // the address now belongs to another machine
 	}
-	if p.token != 0 && heartbeat.Token <= p.token {
+	if p.token != 0 && heartbeat.FencingToken <= p.token {
 		c.applyHeartbeat(m, heartbeat, p, directCommandResponse)
 	}
 	if m.commandState.sendAgain || !executed {
--- a/internal/controller/direct_commands_test.go
+++ b/internal/controller/direct_commands_test.go
@@ -19,22 +19,22 @@
 	p := c.partitions[0]
 	c.directSlots = workerclient.NewSlots[*machine](40)
 	c.now = c.now.Add(20 * time.Second)
-	c.replica.NoteRead(c.now)
+	c.replica.AdvanceReadTime(c.now)
 	c.probeMachines()
-	if c.directSlots.Open() != 20 || c.directSlots.Open()+c.directSlots.Waiting() != len(p.machines) || len(p.machines) < 300 {
-		t.Fatalf("%d requests are in flight and %d machines wait, of %d machines; want 20 in flight and all others waiting", c.directSlots.Open(), c.directSlots.Waiting(), len(p.machines))
+	if c.directSlots.OpenCommands() != 20 || c.directSlots.OpenCommands()+c.directSlots.QueueLength() != len(p.machines) || len(p.machines) < 300 {
+		t.Fatalf("%d requests are in flight and %d machines wait, of %d machines; want 20 in flight and all others waiting", c.directSlots.OpenCommands(), c.directSlots.QueueLength(), len(p.machines))
 	}
 	pinged := map[string]bool{}
-	for rounds := 0; c.directSlots.Waiting() > 0; rounds++ {
+	for rounds := 0; c.directSlots.QueueLength() > 0; rounds++ {
 		if rounds > len(p.machines)/20 {
 			t.Fatal("machines still wait for a slot after enough rounds for all of them")
 		}
-		for c.directSlots.Open() > 0 {
+		for c.directSlots.OpenCommands() > 0 {
 			c.directSlots.Release()
 		}
 		c.sendQueuedRequests()
-		if c.directSlots.Open() > 20 {
-			t.Fatalf("%d requests are in flight, want at most 20", c.directSlots.Open())
+		if c.directSlots.OpenCommands() > 20 {
+			t.Fatalf("%d requests are in flight, want at most 20", c.directSlots.OpenCommands())
 		}
 	}
 	for _, m := range p.machines {
@@ -127,7 +127,7 @@
 		p := c.partitions[0]
 		m := c.getOrAddMachine("host-1")
 		m.commandState.inFlight, m.commandState.carriesStart, m.commandState.unanswered = true, true, 1
-		c.handleDirectAnswer(directRequest{machine: m, partition: p, token: p.token, sentAt: c.now}, &wire.Heartbeat{Machine: name, Incarnation: 1, Sequence: 1, Token: 1}, true)
+		c.handleDirectAnswer(directRequest{machine: m, partition: p, token: p.token, sentAt: c.now}, &wire.Heartbeat{Machine: name, Incarnation: 1, Sequence: 1, FencingToken: 1}, true)
 		if m.commandState.inFlight || m.commandState.carriesStart {
 			t.Errorf("answer of %s: the request still counts as in flight", name)
 		}
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -24,7 +24,7 @@
 
 // leaseKeys returns the keys that controllers campaign for: the leader's and those of all
 // partitions.
-func leaseKeys(keys rollout.Keys, partitions int) []string {
+func leaseKeys(keys rollout.LeaseKeys, partitions int) []string {
 	list := []string{keys.Leader()}
 	for n := range partitions {
 		list = append(list, keys.Partition(n))
@@ -34,7 +34,7 @@
 
 // isEligible reports whether this controller should hold leased keys.
 func (c *clusterState) isEligible() bool {
-	return c.isFresh(c.operator.LeaseTTL) && !c.election.BackingOff() && c.rollout.refusal == nil
+	return c.isFresh(c.operator.LeaseTTL) && !c.election.IsBackingOff() && c.rollout.refusal == nil
 }
 
 // campaign acquires vacant keys and hands partitions over to their preferred owners.
@@ -45,7 +45,7 @@
 	hashPartitions := c.partitions[:c.loanPartition()]
 	candidates := make([]election.Partition, len(hashPartitions))
 	for i, p := range hashPartitions {
-		candidates[i] = election.Partition{Index: p.index, Key: p.key, Owned: p.token != 0, OwnedSince: p.ownedSince, Settled: p.hasHeardAllMachines}
+		candidates[i] = election.Partition{Index: p.index, Key: p.key, IsOwned: p.token != 0, OwnedSince: p.ownedSince, HasHeardAllMachines: p.hasHeardAllMachines}
 	}
 	c.election.Campaign(candidates, c.leaderKey(), peerView{c})
 }
@@ -53,7 +53,7 @@
 // stepDownIfUnreachable gives up keys that other controllers are in a better position to hold.
 func (c *controller) stepDownIfUnreachable() {
 	workers, peers := workerContact{c}, peerView{c}
-	c.election.StepDownIfUnheard(workers, peers)
+	c.election.StepDownIfNoHeartbeats(workers, peers)
 	var keys []string
 	for _, p := range c.partitions[:c.loanPartition()] {
 		keys = append(keys, p.key)
@@ -172,7 +172,7 @@
 		for _, x := range other.Status.Machines {
 			m := c.getOrAddMachine(x.Name)
 			if m.machineType == "" {
-				m.machineType, m.zone, m.spot = x.Type, x.Zone, x.Flags&peer.Spot != 0
+				m.machineType, m.zone, m.spot = x.Type, x.Zone, x.Flags&peer.FlagSpot != 0
 			}
 			m.mergeIdentity(x.Addr, x.Incarnation)
 		}
@@ -204,7 +204,7 @@
 
 // Reporting returns how many machines of the owned partitions have sent a heartbeat within
 // recentHeartbeatWindow.
-func (w workerContact) Reporting() int {
+func (w workerContact) CountReportingMachines() int {
 	n := 0
 	for _, p := range w.partitions {
 		if p.token == 0 {
@@ -221,28 +221,28 @@
 
 // Heard summarizes the heartbeats that the owned partitions' machines sent within the given
 // time.
-func (w workerContact) Heard(within time.Duration) election.Heard {
-	var heard election.Heard
+func (w workerContact) SummarizeHeartbeats(within time.Duration) election.HeartbeatSummary {
+	var heard election.HeartbeatSummary
 	for _, p := range w.partitions {
 		if p.token == 0 {
 			continue
 		}
-		heard.Young = heard.Young || w.now.Sub(p.ownedSince) < within
+		heard.HasNewPartition = heard.HasNewPartition || w.now.Sub(p.ownedSince) < within
 		for _, m := range p.machines {
 			if m.terminated {
 				continue
 			}
 			if len(m.bindings) > 0 || !m.heartbeatAt.IsZero() && w.now.Sub(m.heartbeatAt) < recentHeartbeatWindow {
-				heard.Known++
+				heard.ExpectedMachines++
 			}
-			heard.Any = heard.Any || m.heartbeatAt.After(p.ownedSince) && w.now.Sub(m.heartbeatAt) < within
+			heard.HasHeartbeat = heard.HasHeartbeat || m.heartbeatAt.After(p.ownedSince) && w.now.Sub(m.heartbeatAt) < within
 		}
 	}
 	return heard
 }
 
 // LastHeartbeat returns the time of the last heartbeat from any worker.
-func (w workerContact) LastHeartbeat() time.Time { return w.lastHeartbeatAt }
+func (w workerContact) LastHeartbeatAt() time.Time { return w.lastHeartbeatAt }
 
 // ResumedAt returns the time at which this process last resumed after a pause.
 func (w workerContact) ResumedAt() time.Time { return w.resumedFromPauseAt }
@@ -251,29 +251,29 @@
 type peerView struct{ *controller }
 
 // Eligible reports whether a peer would take keys over.
-func (v peerView) Eligible(node string) bool {
+func (v peerView) IsEligible(node string) bool {
 	p := v.peers.Peer(node)
-	return p != nil && p.Heard(peer.Timeout, v.now) && p.Status.Eligible
+	return p != nil && p.HasRecentStatus(peer.Timeout, v.now) && p.Status.CanTakePartitions
 }
 
-// HeardSince returns the time since which status reports from a peer have arrived without a
+// AliveSince returns the time since which status reports from a peer have arrived without a
 // gap.
-func (v peerView) HeardSince(node string) time.Time { return v.peers.Peer(node).HeardSince }
+func (v peerView) ReachableSince(node string) time.Time { return v.peers.Peer(node).AliveSince }
 
 // Silent reports whether there are peers and none of them has been heard from for d.
-func (v peerView) Silent(d time.Duration) bool { return v.peers.Silent(d, v.now) }
+func (v peerView) AreAllSilent(d time.Duration) bool { return v.peers.IsIsolated(d, v.now) }
 
-// HearWorkers reports whether any peer receives heartbeats from a machine, and whether all
+// HaveWorkerContact reports whether any peer receives heartbeats from a machine, and whether all
 // peers have sent a recent status.
-func (v peerView) HearWorkers() (hear, allKnown bool) {
+func (v peerView) HaveWorkerContact() (hear, allKnown bool) {
 	allKnown = len(v.cfg.Peers) > 0
 	for _, p := range v.peers.All() {
-		if p.Status == nil || v.now.Sub(p.HeardAt) > peerStatusTimeout {
+		if p.Status == nil || v.now.Sub(p.LastStatusAt) > peerStatusTimeout {
 			allKnown = false
 			continue
 		}
 		for i := range p.Status.Machines {
-			if p.Status.Machines[i].Flags&peer.Reachable != 0 {
+			if p.Status.Machines[i].Flags&peer.FlagReachable != 0 {
 				return true, allKnown
 			}
 		}
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -17,7 +17,7 @@
 // Work continues while one controller after the other is stopped and restarted.
 func TestFailoverOfEachController(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 40, CPUs: 2, EstimateS: 8}))
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 40, CPUs: 2, EstimateS: 8}))
 		c.await("the array runs", time.Minute, func() bool { return c.env.Running("wk-1") > 4 })
 		for i := range 3 {
 			c.kill(i)
@@ -33,18 +33,18 @@
 // even while the cloud is unavailable.
 func TestAllControllersRestart(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 40, CPUs: 2, EstimateS: 8}))
-		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 2, CPUs: 2, EstimateS: 1}))
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 40, CPUs: 2, EstimateS: 8}))
+		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 2, CPUs: 2, EstimateS: 1}))
 		c.awaitDone("wk-2", time.Minute)
 		c.killAll()
 		time.Sleep(3 * time.Second)
 		c.env.Cloud.SetDown(true) // the stored machine types must suffice
 		c.startAll()
 		time.Sleep(5 * time.Second)
-		if s := c.state("wk-2"); s != wire.Done {
-			t.Errorf("state of a done job after the restart is %q, want %q", s, wire.Done)
+		if s := c.jobState("wk-2"); s != wire.StateDone {
+			t.Errorf("state of a done job after the restart is %q, want %q", s, wire.StateDone)
 		}
-		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 1, CPUs: 1, EstimateS: 1}))
+		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 1, CPUs: 1, EstimateS: 1}))
 		c.env.Cloud.SetDown(false)
 		c.awaitDone("wk-1", 3*time.Minute)
 		c.awaitDone("wk-3", time.Minute)
@@ -57,7 +57,7 @@
 	runCluster(t, func(c *cluster) {
 		c.submitServices(6, 2)
 		c.await("the services run", time.Minute, func() bool { return c.env.Starts() >= 12 })
-		c.nodes[1].transport.SetPolicy(onlyWhen(isStoreRequest, network.Refuse))
+		c.nodes[1].transport.SetPolicy(policyForMatching(isStoreRequest, network.Refuse))
 		time.Sleep(500 * time.Millisecond)
 		for i := range 6 {
 			c.cancelJob(fmt.Sprintf("wk-%d", i+1))
@@ -131,10 +131,10 @@
 // controllers take over its work.
 func TestOwnerIsolatedFromStoreAndPeers(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.runServices(6, 2)
+		c.startServices(6, 2)
 		agents := c.env.Cloud.Agents()
 		c.nodes[1].peersBlocked.Store(true)
-		c.nodes[1].transport.SetPolicy(onlyWhen(isStoreRequest, network.Drop))
+		c.nodes[1].transport.SetPolicy(policyForMatching(isStoreRequest, network.Drop))
 		time.Sleep(time.Second)
 		for i := range 3 {
 			c.cancelJob(fmt.Sprintf("wk-%d", i+1))
@@ -145,7 +145,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			heartbeat.Token = 0
+			heartbeat.FencingToken = 0
 			if status, err := c.postHeartbeat(1, record.JSON(heartbeat)); err != nil || status < http.StatusBadRequest {
 				t.Errorf("a heartbeat long after the last read got status %d (error %v), want a refusal", status, err)
 			}
@@ -158,7 +158,7 @@
 				t.Errorf("%d replicas of service %d run, want 2", n, i+4)
 			}
 		}
-		c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 12, CPUs: 2, EstimateS: 2}))
+		c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 12, CPUs: 2, EstimateS: 2}))
 		c.awaitDone("wk-9", time.Minute)
 		c.nodes[1].transport.SetPolicy(nil)
 		c.nodes[1].peersBlocked.Store(false)
@@ -169,7 +169,7 @@
 // key changes hands, and submitted jobs are assigned and run.
 func TestRefusedPeerConnectionsMoveNoLease(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.runServices(4, 2)
+		c.startServices(4, 2)
 		time.Sleep(10 * time.Second)
 		holders, partitions := c.leaseHolders(), c.countAssignedPartitions()
 		c.setPeersBlocked(true)
@@ -182,12 +182,12 @@
 		if slices.Contains(c.env.Cloud.Agents(), lost) {
 			t.Errorf("the dead machine %s has not been terminated", lost.Name())
 		}
-		c.submit(newSubmission(submission{ID: "wk-8", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 2}))
-		c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 12, CPUs: 2, EstimateS: 2}))
+		c.submit(newSubmission(submission{ID: "wk-8", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 2}))
+		c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 12, CPUs: 2, EstimateS: 2}))
 		c.await("the service runs", 30*time.Second, func() bool { return c.env.Running("wk-8") == 2 })
 		c.awaitDone("wk-9", time.Minute)
 		for i, n := range c.nodes {
-			if !n.controller().Ready() {
+			if !n.controller().IsReady() {
 				t.Errorf("controller %d is not ready", i)
 			}
 		}
@@ -243,8 +243,8 @@
 // election. All work still completes.
 func TestRestartsWithinASecond(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.runServices(3, 2)
-		c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 60, CPUs: 1, EstimateS: 4}))
+		c.startServices(3, 2)
+		c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 60, CPUs: 1, EstimateS: 4}))
 		for i := range 9 {
 			c.kill(i % 3)
 			time.Sleep(time.Duration(50+100*(i%4)) * time.Millisecond)
@@ -253,7 +253,7 @@
 			ws[i%len(ws)].Restart()
 			time.Sleep(time.Duration(100+700*(i%3)) * time.Millisecond)
 		}
-		c.await("the services run", 40*time.Second, func() bool { return c.servicesRun(3, 2) })
+		c.await("the services run", 40*time.Second, func() bool { return c.areServicesRunning(3, 2) })
 		c.awaitDone("wk-9", 2*time.Minute)
 	})
 }
@@ -297,8 +297,8 @@
 	c := newTestController(t)
 	p := c.partitions[0]
 	m := c.getOrAddMachine("host-1")
-	c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
-	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 1, CPUs: 1, Team: "t"}}), 2)
+	c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 1}, p, workerRequest)
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", TaskCount: 1, CPUs: 1, Team: "t"}}), 2)
 	c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1}}}), 3)
 	if cmds := c.commandsFor(m, p); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
 		t.Fatalf("commands %v, want one start", cmds)
@@ -317,7 +317,7 @@
 // the leases, and the end of the tasks would never be proven.
 func TestLeasesAreKeptWithoutAgents(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.runServices(6, 2)
+		c.startServices(6, 2)
 		time.Sleep(10 * time.Second)
 		c.env.Cloud.SetDown(true)
 		for _, w := range c.env.Cloud.Agents() {
@@ -330,11 +330,11 @@
 			t.Errorf("the holders of leased keys changed from %v to %v", before, after)
 		}
 		for i := range 6 {
-			if s := c.state(fmt.Sprintf("wk-%d", i+1)); s != wire.Queued {
-				t.Errorf("state of a service whose machines died is %s, want %s", s, wire.Queued)
+			if s := c.jobState(fmt.Sprintf("wk-%d", i+1)); s != wire.StateQueued {
+				t.Errorf("state of a service whose machines died is %s, want %s", s, wire.StateQueued)
 			}
 		}
 		c.env.Cloud.SetDown(false)
-		c.await("the services run", time.Minute, func() bool { return c.servicesRun(6, 2) })
+		c.await("the services run", time.Minute, func() bool { return c.areServicesRunning(6, 2) })
 	})
 }
--- a/internal/controller/failure_report_test.go
+++ b/internal/controller/failure_report_test.go
@@ -68,7 +68,7 @@
 // logger keeps everything that controllers log if failures are to be reported or the
 // test looks at them.
 func (c *cluster) logger() *slog.Logger {
-	if *failureDir != "" || c.keepsLogs {
+	if *failureDir != "" || c.alwaysKeepLogs {
 		return newTestLogger(c.logs)
 	}
 	return newTestLogger(io.Discard)
--- a/internal/controller/fault_effects_test.go
+++ b/internal/controller/fault_effects_test.go
@@ -18,8 +18,8 @@
 	storeRefuses:       requestFault(isStoreRequest, network.Refuse),
 	storeSilent:        requestFault(isStoreRequest, network.Drop),
 	storeSlow:          shareFault(isStoreRequest, network.Delay),
-	lateWrites:         shareFault(isTxnRequest, network.ExecuteLate),
-	lostResponses:      shareFault(isTxnRequest, network.DropResponse),
+	lateWrites:         shareFault(isTransactionRequest, network.ExecuteLate),
+	lostResponses:      shareFault(isTransactionRequest, network.DropResponse),
 	lateCommands:       shareFault(isAgentRequest, network.ExecuteLate),
 	agentsSilent:       (*scheduleRun).blockAgents,
 	noPeers:            (*scheduleRun).blockPeers,
@@ -71,13 +71,13 @@
 	return effect(s, f)
 }
 
-// isStoreRequest, isTxnRequest and isAgentRequest tell where a request goes.
-func isStoreRequest(r *http.Request) bool { return r.URL.Host == simulation.StoreAddr }
-func isTxnRequest(r *http.Request) bool   { return isStoreRequest(r) && r.URL.Path == "/txn" }
-func isAgentRequest(r *http.Request) bool { return strings.HasPrefix(r.URL.Host, "10.1.") }
+// isStoreRequest, isTransactionRequest and isAgentRequest tell where a request goes.
+func isStoreRequest(r *http.Request) bool       { return r.URL.Host == simulation.StoreAddr }
+func isTransactionRequest(r *http.Request) bool { return isStoreRequest(r) && r.URL.Path == "/txn" }
+func isAgentRequest(r *http.Request) bool       { return strings.HasPrefix(r.URL.Host, "10.1.") }
 
-// onlyWhen is a policy that has a fault happen to all requests of a kind.
-func onlyWhen(matches func(*http.Request) bool, happens network.Fault) network.Policy {
+// policyForMatching is a policy that has a fault happen to all requests of a kind.
+func policyForMatching(matches func(*http.Request) bool, happens network.Fault) network.Policy {
 	return func(r *http.Request) network.Fault {
 		if matches(r) {
 			return happens
--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -174,7 +174,7 @@
 	s.t.Helper()
 	settledAt := time.Now()
 	for _, id := range ids {
-		answer := s.call(queryRequest(id), maxRecovery)
+		answer := s.sendWithRetries(queryRequest(id), maxRecovery)
 		if answer.status != http.StatusOK && answer.status != http.StatusNotFound {
 			s.t.Errorf("seed %d: %s is not answered for %v after the faults", s.seed, id, time.Since(settledAt))
 		}
@@ -184,7 +184,7 @@
 // cancelServices cancels the services that nobody has cancelled.
 func (s *scheduleRun) cancelServices(ids []string) {
 	for _, id := range ids {
-		if s.submitted(id).Kind == wire.Service && !s.wasCancelled(id) {
+		if s.submitted(id).Kind == wire.KindService && !s.wasCancelled(id) {
 			s.persistentlyCancel(id)
 		}
 	}
@@ -193,10 +193,10 @@
 // isSettled tells whether a job is finished or was never accepted, or is a service that runs
 // whole.
 func (s *scheduleRun) isSettled(id string) bool {
-	answer := s.call(queryRequest(id), maxRecovery)
-	if answer.status == http.StatusNotFound || answer.state == wire.Done || answer.state == wire.Cancelled {
+	answer := s.sendWithRetries(queryRequest(id), maxRecovery)
+	if answer.status == http.StatusNotFound || answer.state == wire.StateDone || answer.state == wire.StateCancelled {
 		return true
 	}
 	job := s.submitted(id)
-	return job.Kind == wire.Service && s.env.Running(id) == job.Tasks
+	return job.Kind == wire.KindService && s.env.Running(id) == job.Tasks
 }
--- a/internal/controller/fault_user_effects_test.go
+++ b/internal/controller/fault_user_effects_test.go
@@ -50,7 +50,7 @@
 	s.mu.Lock()
 	s.cancelled[id] = true
 	s.mu.Unlock()
-	s.call(cancelRequest(id), 5*time.Minute)
+	s.sendWithRetries(cancelRequest(id), 5*time.Minute)
 }
 
 // uncancelledJobs are the jobs that nobody has cancelled, oldest first.
@@ -114,9 +114,9 @@
 		return
 	}
 	for i := range s.nodes {
-		go s.ask(i, queryRequest(id))
+		go s.sendRequest(i, queryRequest(id))
 	}
-	go s.ask(0, submitRequest(job, nil))
+	go s.sendRequest(0, submitRequest(job, nil))
 	if cancelled {
 		go s.persistentlyCancel(id)
 	}
@@ -144,19 +144,19 @@
 	}
 	s.mu.Unlock()
 	node := (number - 1) % len(s.nodes)
-	wrong := newSubmission(submission{ID: fmt.Sprintf("wk-9%05d", number), Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 1, CPUs: 1, EstimateS: 1})
+	wrong := newSubmission(submission{ID: fmt.Sprintf("wk-9%05d", number), Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 1, CPUs: 1, EstimateS: 1})
 	switch kind {
 	case 0:
 		if known != "" {
-			s.ask(node, submitRequest(s.submitted(known), nil))
+			s.sendRequest(node, submitRequest(s.submitted(known), nil))
 		}
 	case 1:
-		s.ask(node, queryRequest(fmt.Sprintf("wk-8%05d", number)))
+		s.sendRequest(node, queryRequest(fmt.Sprintf("wk-8%05d", number)))
 	case 2:
 		wrong.CPUs = 64
 		s.expectRefused(node, wrong, http.StatusUnprocessableEntity)
 	case 3:
-		wrong.omitted = "reckonS"
+		wrong.omittedField = "reckonS"
 		s.expectRefused(node, wrong, http.StatusBadRequest)
 	}
 }
@@ -165,7 +165,7 @@
 // an answer.
 func (s *scheduleRun) expectRefused(node int, wrong *submission, want int) {
 	for range 2 {
-		answer := s.ask(node, submitRequest(wrong, nil))
+		answer := s.sendRequest(node, submitRequest(wrong, nil))
 		if answer.status != want && answer.status != http.StatusServiceUnavailable && answer.status != 0 {
 			s.t.Errorf("seed %d: odd request %+v: status %d, want %d", s.seed, *wrong, answer.status, want)
 		}
@@ -191,7 +191,7 @@
 
 // submitUrgentArray submits an array with as many tasks as the target says.
 func (s *scheduleRun) submitUrgentArray(f fault) func() {
-	s.submitAsync(newSubmission(submission{Kind: wire.Array, Team: "blue", Priority: "urgent", Tasks: f.target, CPUs: 2, EstimateS: 3}))
+	s.submitAsync(newSubmission(submission{Kind: wire.KindArray, Team: "blue", Priority: "urgent", Tasks: f.target, CPUs: 2, EstimateS: 3}))
 	return doNothing
 }
 
@@ -200,7 +200,7 @@
 	const cancelledShare = 0.25
 	go func() {
 		for until := time.Now().Add(f.lasting()); time.Now().Before(until); time.Sleep(oneTaskJobInterval) {
-			id := s.submitAsync(newSubmission(submission{Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 1, CPUs: 1, EstimateS: 2}))
+			id := s.submitAsync(newSubmission(submission{Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 1, CPUs: 1, EstimateS: 2}))
 			s.mu.Lock()
 			cancelled := s.rng.Float64() < cancelledShare
 			s.mu.Unlock()
@@ -217,11 +217,11 @@
 	s.mu.Lock()
 	kind := s.rng.IntN(8)
 	team, priority := []string{"red", "blue"}[s.rng.IntN(2)], []string{"low", "normal"}[s.rng.IntN(2)]
-	job := newSubmission(submission{Kind: wire.Array, Team: team, Priority: priority, Tasks: 2 + s.rng.IntN(12), CPUs: 1})
+	job := newSubmission(submission{Kind: wire.KindArray, Team: team, Priority: priority, Tasks: 2 + s.rng.IntN(12), CPUs: 1})
 	job.EstimateS = 2 + float64(s.rng.IntN(12))
 	switch kind {
 	case 0:
-		job.Kind, job.Priority, job.Tasks, job.CPUs = wire.Service, "urgent", 1+s.rng.IntN(2), 2
+		job.Kind, job.Priority, job.Tasks, job.CPUs = wire.KindService, "urgent", 1+s.rng.IntN(2), 2
 	case 1:
 		job.SingleZone = true
 	case 2:
@@ -231,7 +231,7 @@
 	case 4:
 		job.Tasks, job.EstimateS = 2+s.rng.IntN(2), 30
 	case 5, 6:
-		job.Kind, job.Tasks, job.CheckpointS, job.SaveS = wire.Gang, 2+s.rng.IntN(4), 4, 1.5
+		job.Kind, job.Tasks, job.CheckpointS, job.SaveS = wire.KindGang, 2+s.rng.IntN(4), 4, 1.5
 		job.SingleZone, job.ImageGB = kind == 5, float64(1+s.rng.IntN(5))
 	}
 	s.mu.Unlock()
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -46,13 +46,13 @@
 	env.HeartbeatInterval, env.LeaseTTL, env.CancelWithin = 10*time.Second, 50*time.Second, 110*time.Second
 	env.Cloud.SetCapacity(machines)
 	// Each task takes a whole small machine.
-	array := newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: machines, CPUs: 4, EstimateS: 200})
+	array := newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: machines, CPUs: 4, EstimateS: 200})
 	array.MachineTypes = []string{"small"}
 	c.submit(array)
 	c.await("the fleet is up and busy", 15*time.Minute, func() bool { return env.Running("wk-1")+env.Completed("wk-1") >= machines*9/10 })
-	c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 20, CPUs: 2}))
+	c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 20, CPUs: 2}))
 	c.await("services have room made for them", 2*time.Minute, func() bool { return env.Running("wk-2") == 20 })
-	leader := c.leader()
+	leader := c.leaderIndex()
 	c.kill(leader)
 	time.Sleep(15 * time.Second)
 	c.start(leader)
@@ -65,9 +65,9 @@
 		a.SetIsolated(false)
 	}
 	env.SetSettled()
-	c.await("the array is done", 40*time.Minute, func() bool { return c.state("wk-1") == wire.Done })
+	c.await("the array is done", 40*time.Minute, func() bool { return c.jobState("wk-1") == wire.StateDone })
 	c.await("the services run", 2*time.Minute, func() bool { return env.Running("wk-2") == 20 })
-	if answer := c.ask(0, queryRequest("wk-1")); answer.status != http.StatusOK {
+	if answer := c.sendRequest(0, queryRequest("wk-1")); answer.status != http.StatusOK {
 		c.t.Errorf("a query is answered with status %d, want 200", answer.status)
 	}
 }
--- a/internal/controller/fleet_usage.go
+++ b/internal/controller/fleet_usage.go
@@ -23,7 +23,7 @@
 		}
 	}
 	waiting, unplaced := c.countWaitingTasks()
-	booting, draining := c.autoscaler.Counts()
+	booting, draining := c.autoscaler.MachineCounts()
 	c.log.Info("fleet", "up", len(summaries), "booting", booting,
 		"cpus", size.CPU/milliCPUs, "free_cpus", free.CPU/milliCPUs,
 		"spot_cpus", spot.CPU/milliCPUs, "spot_free_cpus", spotFree.CPU/milliCPUs,
@@ -34,11 +34,11 @@
 // those that are assigned but not bound yet (unplaced).
 func (c *catalog) countWaitingTasks() (waiting, unplaced int) {
 	for _, job := range c.activeJobs {
-		if job.finalState != record.Unfinished || job.spec == nil {
+		if job.finalState != record.StateUnfinished || job.spec == nil {
 			continue
 		}
 		assigned, _ := job.countAssignedTasks()
-		waiting += job.spec.Tasks - assigned
+		waiting += job.spec.TaskCount - assigned
 		for _, group := range job.groups {
 			unplaced += len(group.bindings) - group.boundTaskCount()
 		}
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -17,21 +17,21 @@
 func (j *job) jobState() wire.JobState {
 	s := wire.JobState{ID: j.id}
 	switch j.finalState {
-	case record.Done:
-		s.State = wire.Done
-	case record.Cancelled:
-		s.State = wire.Cancelled
+	case record.StateDone:
+		s.State = wire.StateDone
+	case record.StateCancelled:
+		s.State = wire.StateCancelled
 	default:
-		s.State = wire.Queued
+		s.State = wire.StateQueued
 		running, finished := 0, 0
 		for _, group := range j.groups {
 			running += group.boundTaskCount()
 			finished += group.doneTasks
 		}
 		if running > 0 {
-			s.State = wire.Running
+			s.State = wire.StateRunning
 		}
-		s.Done, s.Running = &finished, &running
+		s.DoneTasks, s.RunningTasks = &finished, &running
 	}
 	return s
 }
@@ -40,13 +40,13 @@
 type clusterView struct{ *controller }
 
 // Loaded reports whether all records have been read since the process started.
-func (v clusterView) Loaded() bool { return v.replica.Loaded() }
+func (v clusterView) HasLoadedRecords() bool { return v.replica.IsLoaded() }
 
-// FreshWithin reports whether the last successful read began less than limit ago.
-func (v clusterView) FreshWithin(limit time.Duration) bool { return v.isFresh(limit) }
+// IsFreshWithin reports whether the last successful read began less than limit ago.
+func (v clusterView) IsFreshWithin(limit time.Duration) bool { return v.isFresh(limit) }
 
 // Refusal returns the reason why this controller must not serve, or nil if it may.
-func (v clusterView) Refusal() error { return v.rollout.refusal }
+func (v clusterView) ServingError() error { return v.rollout.refusal }
 
 // MachineTypes returns the machine types that the cloud offers, by name. It is empty while they
 // are unknown.
@@ -61,22 +61,22 @@
 	if j == nil {
 		return nil
 	}
-	return &frontend.Job{State: j.jobState(), Final: j.finalState != record.Unfinished, Revision: j.revision, Spec: j.spec, AcceptedAt: j.acceptedAt}
+	return &frontend.Job{State: j.jobState(), IsFinal: j.finalState != record.StateUnfinished, Revision: j.revision, Spec: j.spec, AcceptedAt: j.acceptedAt}
 }
 
 // Unreadable reports whether any stored record of a job can't be decoded.
-func (v clusterView) Unreadable(id string) bool {
+func (v clusterView) HasUnreadableRecord(id string) bool {
 	j := v.jobs[id]
 	return j != nil && j.hasUnreadableRecords()
 }
 
-// PeersFresh reports whether any peer has sent its status within peer.Timeout, and whether any of
+// PeerFreshness reports whether any peer has sent its status within peer.Timeout, and whether any of
 // those peers reports that its replica of the key-value store is fresh.
-func (v clusterView) PeersFresh() (heard, fresh bool) {
+func (v clusterView) PeerFreshness() (heard, fresh bool) {
 	for _, p := range v.peers.All() {
-		if p.Heard(peer.Timeout, v.now) {
+		if p.HasRecentStatus(peer.Timeout, v.now) {
 			heard = true
-			fresh = fresh || p.Status.Fresh
+			fresh = fresh || p.Status.ReplicaIsCurrent
 		}
 	}
 	return heard, fresh
@@ -87,8 +87,8 @@
 func (c *controller) Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) api.Response {
 	var answer api.Response
 	if !c.call(ctx, priorityWorkers, func() { answer = c.handleHeartbeat(heartbeat) }) {
-		response := frontend.Unavailable("busy")
-		response.RetryAfter = c.events.retryAfterS()
+		response := frontend.UnavailableResponse("busy")
+		response.RetryAfterS = c.events.retryAfterS()
 		return response
 	}
 	return answer
--- a/internal/controller/full_fleet_test.go
+++ b/internal/controller/full_fleet_test.go
@@ -49,7 +49,7 @@
 	f.takeLeadership()
 	f.bindTasks(f.addMachines(machines))
 	for i := range machines / 10 {
-		f.addJob(&wire.Job{Class: "clean", Team: []string{"red", "blue"}[i%2], Priority: 1, Tasks: 40, CPUs: []float64{1, 2}[i/2%2]})
+		f.addJob(&wire.Job{Class: "clean", Team: []string{"red", "blue"}[i%2], Priority: 1, TaskCount: 40, CPUs: []float64{1, 2}[i/2%2]})
 	}
 	f.replica.Apply(&wire.WatchResponse{Revision: f.revision})
 	return f.controller
@@ -74,9 +74,9 @@
 	s.Cloud.RPS, s.Cloud.ListLagS = 6, 3
 	c := newController(ctx, cfg, config.DefaultOperator(), newTestLogger(io.Discard), dependencies{store: unresponsiveTransport{}, cloud: unresponsiveTransport{}, workers: unresponsiveTransport{}, sendFrame: func(string, []byte) {}})
 	c.replica.Load(nil, 0, &wire.WatchResponse{})
-	c.replica.NoteRead(c.now)
+	c.replica.AdvanceReadTime(c.now)
 	c.startedAt = c.now.Add(-time.Hour)
-	c.setMachineTypes(testTypes)
+	c.setMachineTypes(testMachineTypes)
 	return c
 }
 
@@ -90,7 +90,7 @@
 func (f *fullFleet) addPeers() {
 	for i := range fullFleetControllers {
 		node := fmt.Sprintf("n%d", i)
-		f.put(rollout.Initial.Keys().Partition(i), record.LeaseHolder{Node: node, ProcessID: "x"})
+		f.put(rollout.InitialState.LeaseKeys().Partition(i), record.LeaseHolder{Node: node, ProcessID: "x"})
 		f.addOwnerStatus(node, i)
 	}
 }
@@ -98,7 +98,7 @@
 // addOwnerStatus records a status of a peer that lists a partition as its own and stays valid
 // for an hour.
 func (c *controller) addOwnerStatus(node string, partition int) {
-	status := &peer.Status{Node: node, Fresh: true, Eligible: true, Partitions: []uint64{uint64(partition)}}
+	status := &peer.Status{Node: node, ReplicaIsCurrent: true, CanTakePartitions: true, Partitions: []uint64{uint64(partition)}}
 	c.peers.Update(status, c.now.Add(time.Hour))
 }
 
@@ -123,7 +123,7 @@
 		all = append(all, m)
 		if m.partition != 0 {
 			status := f.peers.Peer(fmt.Sprintf("n%d", m.partition)).Status
-			status.Machines = append(status.Machines, peer.Machine{Name: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: 1, Flags: peer.Reachable})
+			status.Machines = append(status.Machines, peer.Machine{Name: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Incarnation: 1, Flags: peer.FlagReachable})
 		}
 	}
 	return all
@@ -140,7 +140,7 @@
 
 // bindTasks fills every other machine with services and the rest with tasks of one array.
 func (f *fullFleet) bindTasks(machines []*machine) {
-	array := f.addJob(&wire.Job{Class: "clean", Team: "blue", Priority: 1, Tasks: len(machines) * tasksPerMachine / 2, CPUs: 2})
+	array := f.addJob(&wire.Job{Class: "clean", Team: "blue", Priority: 1, TaskCount: len(machines) * tasksPerMachine / 2, CPUs: 2})
 	arrayTasks := map[int][]record.Binding{} // by partition index
 	number := int32(0)
 	for i, m := range machines {
@@ -165,6 +165,6 @@
 
 // bindService adds a service with one task that runs on a machine.
 func (f *fullFleet) bindService(m *machine) {
-	id := f.addJob(&wire.Job{Class: "feed", Team: "red", Service: true, Priority: 2, Tasks: 1, CPUs: 2})
+	id := f.addJob(&wire.Job{Class: "feed", Team: "red", Service: true, Priority: 2, TaskCount: 1, CPUs: 2})
 	f.put(groupKey(id, 0), record.TaskGroup{Partition: m.partition, Guaranteed: true, Tasks: []record.Binding{{Attempt: 1, Machine: m.name, Incarnation: 1}}})
 }
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -41,7 +41,7 @@
 // mustStopGang reports whether a gang has to be stopped, because its job is final, one of its
 // tasks has to leave its machine, or its attempt is broken.
 func (c *clusterState) mustStopGang(j *job) bool {
-	if j.finalState != record.Unfinished {
+	if j.finalState != record.StateUnfinished {
 		return true
 	}
 	for bound, group := range j.allBindings() {
@@ -62,10 +62,10 @@
 // that the job asks for, or 0 if there is nothing to save. The members of a gang save together or
 // not at all, so a broken gang gets 0.
 func (c *clusterState) stopGraceS(j *job) float64 {
-	if j.finalState != record.Unfinished || j.spec == nil || j.spec.CheckpointS == 0 || j.spec.Gang && c.isGangBroken(j) {
+	if j.finalState != record.StateUnfinished || j.spec == nil || j.spec.CheckpointIntervalS == 0 || j.spec.Gang && c.isGangBroken(j) {
 		return 0
 	}
-	return j.spec.SaveS
+	return j.spec.CheckpointSaveS
 }
 
 // stopGangs sends stop commands for the gangs that have to stop, at once and to all their
@@ -74,7 +74,7 @@
 func (c *partitionOwner) stopGangs(p *partition) {
 	for _, group := range p.groups {
 		job := group.job
-		if group.boundCount > 0 && job.spec != nil && job.spec.Gang && job.finalState == record.Unfinished {
+		if group.boundCount > 0 && job.spec != nil && job.spec.Gang && job.finalState == record.StateUnfinished {
 			c.failIncompleteGang(job)
 			c.stopGang(job)
 		}
@@ -103,7 +103,7 @@
 // flight.
 func (c *partitionOwner) canReserveGang(p *partition, group *taskGroup) bool {
 	job := group.job
-	if assigned, _ := job.countAssignedTasks(); assigned < job.spec.Tasks || !job.hasAllGroupsIn(p.index, group.zone) {
+	if assigned, _ := job.countAssignedTasks(); assigned < job.spec.TaskCount || !job.hasAllGroupsIn(p.index, group.zone) {
 		return false
 	}
 	for _, other := range job.groups {
--- a/internal/controller/gang_attempt.go
+++ b/internal/controller/gang_attempt.go
@@ -34,7 +34,7 @@
 		}
 		n += group.boundCount
 	}
-	return n == j.spec.Tasks
+	return n == j.spec.TaskCount
 }
 
 // isGangDone reports whether a gang has completed. Its tasks complete together, so one task that
@@ -47,9 +47,9 @@
 // failover, only heartbeats show whether an attempt has run.
 func (j *job) observeGangTask(t *wire.TaskStatus) {
 	switch t.State {
-	case wire.Running, wire.Saving:
+	case wire.StateRunning, wire.StateSavingCheckpoint:
 		j.startedAttempt = max(j.startedAttempt, t.Attempt)
-	case wire.Exited:
+	case wire.StateExited:
 		j.observeGangExit(t)
 	}
 }
--- a/internal/controller/gang_ends_test.go
+++ b/internal/controller/gang_ends_test.go
@@ -22,7 +22,7 @@
 func TestGangMembersAreReplacedAfterLostWriteResponse(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		const services, remaining = 18, 2
-		c.runServices(services, 2)
+		c.startServices(services, 2)
 		for i := range services - remaining {
 			c.cancelJob(fmt.Sprintf("wk-%d", i+1))
 		}
@@ -47,7 +47,7 @@
 func dropOneResponse(prefix string) network.Policy {
 	var lost atomic.Bool
 	return func(r *http.Request) network.Fault {
-		if isTxnRequest(r) && strings.Contains(requestBody(r), `"write":"`+prefix) && lost.CompareAndSwap(false, true) {
+		if isTransactionRequest(r) && strings.Contains(requestBody(r), `"write":"`+prefix) && lost.CompareAndSwap(false, true) {
 			return network.DropResponse
 		}
 		return network.Deliver
@@ -81,13 +81,13 @@
 		c.await("the gang runs", time.Minute, func() bool { return c.env.Running("wk-1") == 4 })
 		started := time.Now()
 		// Two machines, with room for all that the team's quota allows once the gang is done.
-		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 1, CPUs: 6, MachineTypes: []string{"large"}}))
-		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "red", Priority: "normal", Tasks: 60, CPUs: 1, EstimateS: 300, MachineTypes: []string{"large"}}))
+		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 1, CPUs: 6, MachineTypes: []string{"large"}}))
+		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "red", Priority: "normal", Tasks: 60, CPUs: 1, EstimateS: 300, MachineTypes: []string{"large"}}))
 		c.await("the array runs as many tasks as the quota leaves", runTime/2, func() bool { return c.env.Running("wk-2") == 16 })
 		time.Sleep(runTime - time.Since(started) - hangsBefore)
 		hanging := c.agentWithJob("wk-1")
 		hanging.SetHanging(true)
-		c.await("the gang is done", 10*time.Second, func() bool { return c.state("wk-1") == wire.Done })
+		c.await("the gang is done", 10*time.Second, func() bool { return c.jobState("wk-1") == wire.StateDone })
 		if n := countTasksOn(hanging, "wk-1", 4); n == 0 {
 			t.Error("the machine that hangs has no task of the gang, want at least one")
 		}
--- a/internal/controller/gang_moves.go
+++ b/internal/controller/gang_moves.go
@@ -22,7 +22,7 @@
 		}
 		tasks += len(group.bindings)
 	}
-	if tasks < j.spec.Tasks {
+	if tasks < j.spec.TaskCount {
 		return false // the other tasks are assigned first
 	}
 	mayUse := func(summary *planning.MachineSummary) bool {
@@ -53,7 +53,7 @@
 		}
 		moved := *group
 		moved.partition, moved.zone = partition, zone
-		value := c.encodeGroup(&moved, group.doneTasks, group.bindings).At(group.key)
+		value := c.encodeGroup(&moved, group.doneTasks, group.bindings).ValueForKey(group.key)
 		size += len(value) + recordOverheadBytes
 		if n := len(write.Changes); n > 0 && (n == c.cfg.Settings.Store.TxnOps || size > store.MaxTxnBytes) {
 			break
@@ -72,7 +72,7 @@
 // one.
 func (c *leader) completeGangMoves() {
 	for _, job := range c.activeJobs {
-		if job.finalState != record.Unfinished || job.spec == nil || !job.spec.Gang || job.revision == 0 || len(job.groups) < 2 {
+		if job.finalState != record.StateUnfinished || job.spec == nil || !job.spec.Gang || job.revision == 0 || len(job.groups) < 2 {
 			continue
 		}
 		if first := job.firstGroup(); !job.hasAllGroupsIn(first.partition, first.zone) {
--- a/internal/controller/gang_phases_test.go
+++ b/internal/controller/gang_phases_test.go
@@ -46,27 +46,27 @@
 }
 
 var gangPhases = []gangPhase{
-	{"fetching", func(c *cluster) { c.awaitGangState(wire.Fetching, gangTasks) }},
+	{"fetching", func(c *cluster) { c.awaitGangState(wire.StateFetchingImage, gangTasks) }},
 	{"gathering", func(c *cluster) {
-		c.awaitGangState(wire.Fetching, gangTasks)
+		c.awaitGangState(wire.StateFetchingImage, gangTasks)
 		c.agentWithJob("wk-9").SetImageDelay(4 * time.Second)
-		c.awaitGangState(wire.Gathering, 1)
+		c.awaitGangState(wire.StateAwaitingGang, 1)
 	}},
 	{"running", func(c *cluster) {
-		c.awaitGangState(wire.Running, gangTasks)
+		c.awaitGangState(wire.StateRunning, gangTasks)
 		time.Sleep(6 * time.Second)
 	}},
 	{"saving", func(c *cluster) {
-		c.awaitGangState(wire.Running, gangTasks)
+		c.awaitGangState(wire.StateRunning, gangTasks)
 		time.Sleep(6 * time.Second)
 		c.cordonMachine(c.agentWithJob("wk-9"))
-		c.awaitGangState(wire.Saving, 1)
+		c.awaitGangState(wire.StateSavingCheckpoint, 1)
 	}},
 	{"ended", func(c *cluster) { // with the end not stored yet, because the store is down
-		c.awaitGangState(wire.Running, gangTasks)
+		c.awaitGangState(wire.StateRunning, gangTasks)
 		time.Sleep(18 * time.Second)
 		c.env.Store.SetDown(true)
-		c.awaitGangState(wire.Exited, gangTasks)
+		c.awaitGangState(wire.StateExited, gangTasks)
 		time.AfterFunc(2*time.Second, func() { c.env.Store.SetDown(false) })
 	}},
 }
@@ -92,7 +92,7 @@
 	{"cancelled", func(c *cluster) { c.tryCancelJob("wk-9") }},
 	{"evicted", func(c *cluster) {
 		c.env.Cloud.SetCapacity(0)
-		c.submit(newSubmission(submission{ID: "wk-91", Kind: wire.Array, Team: "blue", Priority: "production", Tasks: 40, CPUs: 2, EstimateS: 3}))
+		c.submit(newSubmission(submission{ID: "wk-91", Kind: wire.KindArray, Team: "blue", Priority: "production", Tasks: 40, CPUs: 2, EstimateS: 3}))
 	}},
 	{"spot notice", func(c *cluster) { c.agentWithJob("wk-9").TerminateAfter(8 * time.Second) }},
 	{"terminated without notice", func(c *cluster) { c.agentWithJob("wk-9").Terminate() }},
@@ -111,7 +111,7 @@
 		for _, n := range c.nodes {
 			n.transport.SetDelay(3*time.Second, 4*time.Second)
 		}
-		c.setPolicies(onlyWhen(isAgentRequest, network.ExecuteLate))
+		c.setPolicies(policyForMatching(isAgentRequest, network.ExecuteLate))
 		time.AfterFunc(15*time.Second, func() { c.setPolicies(nil) })
 	}},
 	{"all controllers restart", (*cluster).restartAll},
@@ -121,7 +121,7 @@
 		c.start(0)
 	}},
 	{"done and cancelled", func(c *cluster) {
-		go c.ask(1, submitRequest(phasedGangSubmission(), nil))
+		go c.sendRequest(1, submitRequest(phasedGangSubmission(), nil))
 		c.tryCancelJob("wk-9")
 	}},
 }
@@ -142,7 +142,7 @@
 // either all of its tasks done or none.
 func (c *cluster) checkGangEvent(phase gangPhase, event gangEvent) {
 	c.t.Helper()
-	c.runServices(2, 2)
+	c.startServices(2, 2)
 	c.submit(phasedGangSubmission())
 	phase.awaitPhase(c)
 	event.trigger(c)
@@ -150,8 +150,8 @@
 	c.env.Cloud.SetCapacity(20)
 	c.env.SetSettled()
 	c.await("the gang is done or cancelled", 3*time.Minute, func() bool {
-		s := c.state("wk-9")
-		return s == wire.Done || s == wire.Cancelled
+		s := c.jobState("wk-9")
+		return s == wire.StateDone || s == wire.StateCancelled
 	})
 	if n := c.env.Completed("wk-9"); n != 0 && n != gangTasks {
 		c.t.Errorf("%d of %d tasks are done, want none or all", n, gangTasks)
@@ -169,7 +169,7 @@
 var stopInterferences = []stopInterference{
 	{"all members are reached", func(*cluster, *agent.Agent) func() { return doNothing }, true},
 	{"one member is reached by the response to its heartbeat only", func(c *cluster, a *agent.Agent) func() {
-		c.setPolicies(onlyWhen(func(r *http.Request) bool { return r.URL.Host == a.Addr() }, network.Drop))
+		c.setPolicies(policyForMatching(func(r *http.Request) bool { return r.URL.Host == a.Addr() }, network.Drop))
 		return func() { c.setPolicies(nil) }
 	}, true},
 	{"no machine sends heartbeats for a while", func(c *cluster, _ *agent.Agent) func() {
@@ -205,7 +205,7 @@
 	gang := phasedGangSubmission()
 	gang.Priority, gang.EstimateS = "low", 60
 	c.submit(gang)
-	c.awaitGangState(wire.Running, gangTasks)
+	c.awaitGangState(wire.StateRunning, gangTasks)
 	time.Sleep(21 * time.Second)
 	a := c.agentWithJob("wk-9")
 	end := x.inject(c, a)
@@ -251,7 +251,7 @@
 func TestMissingGangMembersAreNotFailures(t *testing.T) {
 	c := newTestController(t)
 	m := c.getOrAddMachine("host-1")
-	j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2}}
+	j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Gang: true, TaskCount: 2}}
 	c.jobs["wk-1"] = j
 	for _, reason := range []string{wire.ReasonPeersGone, wire.ReasonIncompleteGang} {
 		for range 5 {
@@ -278,28 +278,28 @@
 		lost   bool
 		broken bool
 	}{
-		{"all gather", wire.Gathering, "", false, false}, {"one is lost while they gather", wire.Gathering, "", true, false},
-		{"all run", wire.Running, "", false, false}, {"one is lost while they run", wire.Running, "", true, true},
-		{"one is lost while they save", wire.Saving, "", true, true},
-		{"one reports an incomplete gang", wire.Exited, wire.ReasonIncompleteGang, false, true},
-		{"one has failed", wire.Exited, wire.ReasonError, false, true},
-		{"one reports that members are gone", wire.Exited, wire.ReasonPeersGone, false, true},
+		{"all gather", wire.StateAwaitingGang, "", false, false}, {"one is lost while they gather", wire.StateAwaitingGang, "", true, false},
+		{"all run", wire.StateRunning, "", false, false}, {"one is lost while they run", wire.StateRunning, "", true, true},
+		{"one is lost while they save", wire.StateSavingCheckpoint, "", true, true},
+		{"one reports an incomplete gang", wire.StateExited, wire.ReasonIncompleteGang, false, true},
+		{"one has failed", wire.StateExited, wire.ReasonError, false, true},
+		{"one reports that members are gone", wire.StateExited, wire.ReasonPeersGone, false, true},
 	} {
 		c := newTestController(t)
 		p := c.partitions[0]
 		m := c.getOrAddMachine("host-1")
-		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
-		c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 2, CPUs: 1, CheckpointS: 5, SaveS: 2, Team: "t"}}), 2)
+		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 1}, p, workerRequest)
+		c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, TaskCount: 2, CPUs: 1, CheckpointIntervalS: 5, CheckpointSaveS: 2, Team: "t"}}), 2)
 		tasks := []record.Binding{{Task: 0, Attempt: 1, Machine: "host-1", Incarnation: 1}, {Task: 1, Attempt: 1, Machine: "host-1", Incarnation: 1}}
 		if x.lost {
 			tasks[1] = record.Binding{Task: 1, Attempt: 1}
 		}
 		c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Tasks: tasks}), 3)
-		heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, Token: 1, Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: x.state, Reason: x.why}}}
+		heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, FencingToken: 1, Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: x.state, Reason: x.why}}}
 		if !x.lost {
-			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: "wk-1/1", Attempt: 1, State: wire.Running})
-			if x.state == wire.Gathering || x.why == wire.ReasonIncompleteGang {
-				heartbeat.Tasks[1].State = wire.Gathering
+			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: "wk-1/1", Attempt: 1, State: wire.StateRunning})
+			if x.state == wire.StateAwaitingGang || x.why == wire.ReasonIncompleteGang {
+				heartbeat.Tasks[1].State = wire.StateAwaitingGang
 			}
 		}
 		c.applyHeartbeat(m, heartbeat, p, workerRequest)
@@ -320,8 +320,8 @@
 	ctl := newTestController(t)
 	p := ctl.partitions[0]
 	m := ctl.getOrAddMachine("host-1")
-	ctl.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
-	ctl.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: ctl.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, Tasks: 4, CPUs: 1, Team: "t"}}), 2)
+	ctl.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 1}, p, workerRequest)
+	ctl.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: ctl.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Gang: true, TaskCount: 4, CPUs: 1, Team: "t"}}), 2)
 	var groups []*taskGroup
 	for groupNumber := range groupCount {
 		var tasks []record.Binding
@@ -338,12 +338,12 @@
 // sendGangHeartbeat applies the machine's next heartbeat. exitReasons has the exit reasons of the
 // tasks that have exited; all others run.
 func sendGangHeartbeat(ctl *controller, p *partition, exitReasons map[int]string) {
-	heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, Token: 1}
+	heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, FencingToken: 1}
 	for taskNumber := range 4 {
 		if reason, ok := exitReasons[taskNumber]; ok {
-			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: fmt.Sprint("wk-1/", taskNumber), Attempt: 1, State: wire.Exited, Reason: reason})
+			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: fmt.Sprint("wk-1/", taskNumber), Attempt: 1, State: wire.StateExited, Reason: reason})
 		} else {
-			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: fmt.Sprint("wk-1/", taskNumber), Attempt: 1, State: wire.Running})
+			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: fmt.Sprint("wk-1/", taskNumber), Attempt: 1, State: wire.StateRunning})
 		}
 	}
 	ctl.applyHeartbeat(ctl.getOrAddMachine("host-1"), heartbeat, p, workerRequest)
@@ -377,7 +377,7 @@
 		t.Errorf("no task is done: the update has %d tasks done and %d bindings, want 0 and 4", update.doneTasks, len(update.bindings))
 	}
 	c, p, groups = runningGang(t, 2)
-	c.replica.Put(groups[0].key, marshalJSON(t, record.TaskGroup{Done: 2, Tasks: []record.Binding{}}), 9) // written by the former owner
+	c.replica.Put(groups[0].key, marshalJSON(t, record.TaskGroup{DoneTasks: 2, Tasks: []record.Binding{}}), 9) // written by the former owner
 	sendGangHeartbeat(c, p, map[int]string{2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
 	if update := c.planUpdate(p, groups[1]); update.doneTasks != 2 || !c.completesJob(groups[1], &update) {
 		t.Errorf("half of the gang is stored as done: the update has %d of the other tasks done, want 2 and the job completed", update.doneTasks)
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -73,7 +73,7 @@
 // gang, and the gangs that may arrive before the reserve is filled again, estimated as the
 // square root of the number of unfinished gangs.
 func (class *gangClass) targetTasks() int {
-	return class.spec.Tasks * (1 + int(math.Ceil(math.Sqrt(float64(class.gangCount)))))
+	return class.spec.TaskCount * (1 + int(math.Ceil(math.Sqrt(float64(class.gangCount)))))
 }
 
 // canUseReserve reports whether a job may be placed on the machines of the leader's own
@@ -134,7 +134,7 @@
 		class.gangCount = 0
 	}
 	for _, job := range c.activeJobs {
-		if job.spec != nil && job.spec.Gang && job.finalState == record.Unfinished {
+		if job.spec != nil && job.spec.Gang && job.finalState == record.StateUnfinished {
 			reserve.recordGang(job, c.now)
 		}
 	}
@@ -152,7 +152,7 @@
 	if class == nil {
 		class = &gangClass{spec: gang.spec, taskSize: gang.taskSize}
 		reserve.classes[gang.spec.Class] = class
-	} else if class.spec.Tasks <= gang.spec.Tasks {
+	} else if class.spec.TaskCount <= gang.spec.TaskCount {
 		class.spec, class.taskSize = gang.spec, gang.taskSize
 	}
 	class.lastSeenAt = now
@@ -199,7 +199,7 @@
 		classes = append(classes, class)
 	}
 	slices.SortFunc(classes, func(x, y *gangClass) int {
-		return cmp.Or(cmp.Compare(y.spec.Tasks, x.spec.Tasks), cmp.Compare(x.spec.Class, y.spec.Class))
+		return cmp.Or(cmp.Compare(y.spec.TaskCount, x.spec.TaskCount), cmp.Compare(x.spec.Class, y.spec.Class))
 	})
 	return classes
 }
--- a/internal/controller/gang_reserve_fill.go
+++ b/internal/controller/gang_reserve_fill.go
@@ -70,7 +70,7 @@
 	selected := f.selectMachines(candidates[:firstBusy], class, lacking-empty)
 	room := 0
 	for _, summary := range selected {
-		room += summary.Size.CountFitting(class.taskSize, class.spec.Tasks)
+		room += summary.Size.CountFitting(class.taskSize, class.spec.TaskCount)
 	}
 	f.selectMachines(candidates[firstBusy:], class, lacking-empty-busy-room)
 }
@@ -123,7 +123,7 @@
 		if loan.Acknowledged {
 			continue
 		}
-		count := r.machineSize(m).CountFitting(class.taskSize, class.spec.Tasks)
+		count := r.machineSize(m).CountFitting(class.taskSize, class.spec.TaskCount)
 		if len(m.bindings) == 0 {
 			empty += count
 		} else {
@@ -163,7 +163,7 @@
 		}
 		machines[summary.Zone]++
 		if summary.Partition == r.loanPartition() {
-			room[summary.Zone] += summary.FreeResources.CountFitting(class.taskSize, class.spec.Tasks)
+			room[summary.Zone] += summary.FreeResources.CountFitting(class.taskSize, class.spec.TaskCount)
 		}
 	}
 	best := ""
--- a/internal/controller/gang_reserve_test.go
+++ b/internal/controller/gang_reserve_test.go
@@ -15,10 +15,10 @@
 	reserve := gangReserve{classes: map[string]*gangClass{}}
 	now := time.Now()
 	for _, spec := range []*wire.Job{
-		{ID: "wk-1", Class: "train", Tasks: 4, CPUs: 1},
-		{ID: "wk-2", Class: "train", Tasks: 9, CPUs: 2},
-		{ID: "wk-3", Class: "train", Tasks: 6, CPUs: 3},
-		{ID: "wk-4", Class: "eval", Tasks: 2, CPUs: 1},
+		{ID: "wk-1", Class: "train", TaskCount: 4, CPUs: 1},
+		{ID: "wk-2", Class: "train", TaskCount: 9, CPUs: 2},
+		{ID: "wk-3", Class: "train", TaskCount: 6, CPUs: 3},
+		{ID: "wk-4", Class: "eval", TaskCount: 2, CPUs: 1},
 	} {
 		reserve.recordGang(&job{id: spec.ID, spec: spec, taskSize: scheduling.NewResources(spec.CPUs, 0, 0)}, now)
 	}
@@ -38,7 +38,7 @@
 // Machines are retained for twice the target room of a class, starting with the first ones.
 func TestRetainedReserveMachines(t *testing.T) {
 	reserve := gangReserve{classes: map[string]*gangClass{
-		"train": {spec: &wire.Job{Class: "train", Tasks: 4}, taskSize: scheduling.NewResources(1, 0, 0)},
+		"train": {spec: &wire.Job{Class: "train", TaskCount: 4}, taskSize: scheduling.NewResources(1, 0, 0)},
 	}}
 	size := scheduling.NewResources(4, 0, 0)
 	var machines []*planning.MachineSummary
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -25,11 +25,11 @@
 		{"some tasks not assigned", all[:1], false},
 		{"in two partitions", []record.TaskGroup{all[0], {Partition: 1, Zone: "a", Tasks: all[1].Tasks}}, false},
 		{"in two zones", []record.TaskGroup{all[0], {Zone: "b", Tasks: all[1].Tasks}}, false},
-		{"some tasks done", []record.TaskGroup{all[0], {Zone: "a", Done: 2, Tasks: []record.Binding{}}}, false},
+		{"some tasks done", []record.TaskGroup{all[0], {Zone: "a", DoneTasks: 2, Tasks: []record.Binding{}}}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newTestController(t)
-			c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 1}}), 2)
+			c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, TaskCount: 4, CPUs: 1}}), 2)
 			for k, v := range test.records {
 				c.replica.Put(groupKey("wk-1", k), marshalJSON(t, v), uint64(3+k))
 			}
@@ -60,7 +60,7 @@
 			c.loans["host-1"] = &machineLoan{MachineLoan: record.MachineLoan{Job: test.job, Acknowledged: true}}
 			c.leadership.startedAt, m.partitionChangedAt, m.lastBoundAt = c.now.Add(-time.Hour), c.now.Add(-time.Hour), c.now.Add(-test.unused)
 			summary := &planning.MachineSummary{Index: m.index, Partition: c.loanPartition(), Type: "small", Zone: "a", Size: scheduling.NewResources(4, 0, 8), FreeResources: scheduling.NewResources(4, 0, 8)}
-			array := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Tasks: 9}, acceptedAt: c.now.Add(-time.Hour), assignedAt: c.now}
+			array := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", TaskCount: 9}, acceptedAt: c.now.Add(-time.Hour), assignedAt: c.now}
 			if got := c.reserveAllows(array, summary); got != test.open {
 				t.Errorf("the machine is open to arrays: %v, want %v", got, test.open)
 			}
@@ -69,7 +69,7 @@
 			}
 			// A gang that is assigned to the leader's partition but lacks room must not hold
 			// room there that other jobs may use.
-			c.replica.Put(jobKey("wk-3"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, Tasks: 4, CPUs: 2}}), 2)
+			c.replica.Put(jobKey("wk-3"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, TaskCount: 4, CPUs: 2}}), 2)
 			c.replica.Put(groupKey("wk-3", 0), marshalJSON(t, record.TaskGroup{Partition: c.loanPartition(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
 			c.placeAssignedTasks([]*planning.MachineSummary{summary}, c.urgencyComparator())
 			if held := summary.FreeResources.CPU < 4000; held == test.open {
@@ -83,7 +83,7 @@
 // room that is reserved for gangs.
 func TestZoneMoveCountsGangReserve(t *testing.T) {
 	c := newTestControllerInCluster(t, 3)
-	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, SingleZone: true, Tasks: 3, CPUs: 2}}), 2)
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, SingleZone: true, TaskCount: 3, CPUs: 2}}), 2)
 	c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}}}), 3)
 	group := c.groupByKey[groupKey("wk-1", 0)]
 	group.partitionAssignedAt = c.now.Add(-zoneMoveDelay - time.Second)
@@ -108,20 +108,20 @@
 	p := c.partitions[0]
 	m := c.getOrAddMachine("host-1")
 	heartbeat := func(sequence uint64, state, reason string) {
-		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: sequence, Token: 1,
-			Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: state, Reason: reason}, {Task: "wk-1/1", Attempt: 1, State: wire.Gathering}}}, p, workerRequest)
+		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: sequence, FencingToken: 1,
+			Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: state, Reason: reason}, {Task: "wk-1/1", Attempt: 1, State: wire.StateAwaitingGang}}}, p, workerRequest)
 	}
-	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 3, CPUs: 1, RAMGB: 1}}), 2)
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, TaskCount: 3, CPUs: 1, RAMGB: 1}}), 2)
 	bound := func(num int32) record.Binding {
 		return record.Binding{Task: num, Attempt: 1, Machine: "host-1", Incarnation: 1}
 	}
 	c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{bound(0), bound(1), {Task: 2, Attempt: 1}}}), 3)
-	heartbeat(2, wire.Gathering, "")
+	heartbeat(2, wire.StateAwaitingGang, "")
 	c.placeGroup(p, c.groupByKey[groupKey("wk-1", 0)])
 	if len(p.reservations) != 1 {
 		t.Fatalf("%d tasks have reserved cells, want 1, the lost one", len(p.reservations))
 	}
-	heartbeat(3, wire.Exited, wire.ReasonIncompleteGang)
+	heartbeat(3, wire.StateExited, wire.ReasonIncompleteGang)
 	c.stopGangs(p)
 	if len(p.reservations) != 0 {
 		t.Errorf("%d reservations are left, want none", len(p.reservations))
@@ -135,7 +135,7 @@
 	runCluster(t, func(c *cluster) {
 		c.env.Cloud.SetCapacity(3)
 		for n := range 3 {
-			service := newSubmission(submission{ID: fmt.Sprint("wk-", n+1), Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 1, CPUs: 10})
+			service := newSubmission(submission{ID: fmt.Sprint("wk-", n+1), Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 1, CPUs: 10})
 			service.MachineTypes = []string{"large"}
 			c.submit(service)
 		}
@@ -184,7 +184,7 @@
 		c.cancelJob("wk-1")
 		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
 		c.await("its record is deleted", 30*time.Second, func() bool { return len(c.env.Store.Keys(groupKey("wk-1", 0))) == 0 })
-		leader := c.leader()
+		leader := c.leaderIndex()
 		c.kill(leader)
 		time.Sleep(9 * time.Second)
 		c.start(leader)
@@ -216,7 +216,7 @@
 	m.token = p.token
 	for _, x := range m.bindings {
 		bound := x.group.binding(x.task.Number)
-		m.tasks = append(m.tasks, wire.TaskStatus{Task: taskName(x.group.job.id, bound.task), Attempt: bound.attempt, State: wire.Running})
+		m.tasks = append(m.tasks, wire.TaskStatus{Task: taskName(x.group.job.id, bound.task), Attempt: bound.attempt, State: wire.StateRunning})
 	}
 	if !c.runsOnlyServices(m, p) {
 		t.Fatal("runsOnlyServices is false for a machine that runs only services")
@@ -228,9 +228,9 @@
 		"a start command in a heartbeat response": {func() { m.responseCarriesStart = true }, func() { m.responseCarriesStart = false }},
 		"an older token on the machine":           {func() { m.token-- }, func() { m.token++ }},
 		"a task that is no service":               {func() { spec.Service = false }, func() { spec.Service = true }},
-		"a job that is cancelled":                 {func() { m.bindings[0].group.job.finalState = record.Cancelled }, func() { m.bindings[0].group.job.finalState = record.Unfinished }},
+		"a job that is cancelled":                 {func() { m.bindings[0].group.job.finalState = record.StateCancelled }, func() { m.bindings[0].group.job.finalState = record.StateUnfinished }},
 		"a write in flight":                       {func() { m.bindings[0].group.writeInFlight = true }, func() { m.bindings[0].group.writeInFlight = false }},
-		"a task that fetches its image":           {func() { m.tasks[0].State = wire.Fetching }, func() { m.tasks[0].State = wire.Running }},
+		"a task that fetches its image":           {func() { m.tasks[0].State = wire.StateFetchingImage }, func() { m.tasks[0].State = wire.StateRunning }},
 		"a binding to an earlier incarnation":     {func() { m.incarnation++ }, func() { m.incarnation-- }},
 	} {
 		change.do()
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -181,7 +181,7 @@
 // transaction of a move: the next leader moves the remaining records to where the first one is.
 func TestGangMovesTogether(t *testing.T) {
 	c := newTestControllerInCluster(t, 3)
-	spec := &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 4, CPUs: 2, Priority: 1, SingleZone: true}
+	spec := &wire.Job{ID: "wk-1", Team: "t", Gang: true, TaskCount: 4, CPUs: 2, Priority: 1, SingleZone: true}
 	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: spec}), 2)
 	c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Partition: 1, Zone: "a", Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
 	c.replica.Put(groupKey("wk-1", 1), marshalJSON(t, record.TaskGroup{Partition: 0, Zone: "a", Tasks: []record.Binding{{Task: 2}, {Task: 3}}}), 4)
@@ -230,7 +230,7 @@
 func TestPartiallyAssignedGangCountsWholeTowardQuota(t *testing.T) {
 	for _, guaranteed := range []bool{false, true} {
 		c := newTestController(t)
-		c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, Tasks: 5, CPUs: 2}}), 2)
+		c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-1", Team: "t", Gang: true, TaskCount: 5, CPUs: 2}}), 2)
 		c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Guaranteed: guaranteed, Tasks: []record.Binding{{Task: 0}, {Task: 1}}}), 3)
 		quota := c.quotas()[c.getOrAddTeam("t")]
 		if quota.Usage.CPU != 10_000 || (quota.GuaranteedUsage.CPU == 10_000) != guaranteed {
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -13,7 +13,7 @@
 
 // gangSubmission returns a submission of a gang that saves its progress every 4 s.
 func gangSubmission(id, team, priority string, tasks int, estimate float64) *submission {
-	gang := newSubmission(submission{ID: id, Kind: wire.Gang, Team: team, Priority: priority, Tasks: tasks, CPUs: 2, EstimateS: estimate})
+	gang := newSubmission(submission{ID: id, Kind: wire.KindGang, Team: team, Priority: priority, Tasks: tasks, CPUs: 2, EstimateS: estimate})
 	gang.CheckpointS, gang.SaveS = 4, 1.5
 	return gang
 }
@@ -90,7 +90,7 @@
 	// partition had no room left, the gang would begin a new attempt in another partition, which
 	// is correct.
 	const services, remaining = 18, 2
-	c.runServices(services, 2)
+	c.startServices(services, 2)
 	for i := range services - remaining {
 		c.cancelJob(fmt.Sprintf("wk-%d", i+1))
 	}
@@ -120,7 +120,7 @@
 		c.await("the gang runs", time.Minute, func() bool { return c.env.Running("wk-1") == 4 })
 		time.Sleep(25 * time.Second)
 		c.env.Cloud.SetCapacity(0)
-		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "blue", Priority: "urgent", Tasks: 40, CPUs: 2, EstimateS: 5}))
+		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "blue", Priority: "urgent", Tasks: 40, CPUs: 2, EstimateS: 5}))
 		c.await("no task of the gang runs", 20*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
 		if p := c.env.Checkpoint("wk-1"); p < 20*time.Second {
 			t.Errorf("%v of progress are saved, want at least 20 s", p)
@@ -136,7 +136,7 @@
 // ends as incomplete, and the whole gang starts again elsewhere.
 func TestIncompleteGangRestarts(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.runServices(4, 2)
+		c.startServices(4, 2)
 		gang := gangSubmission("wk-9", "blue", "urgent", 4, 10)
 		gang.ImageGB, gang.Image, gang.MachineTypes = 3, "gang", []string{"small"}
 		c.submit(gang)
@@ -172,7 +172,7 @@
 		} {
 			t.Run(fmt.Sprint(x.name, after), func(t *testing.T) {
 				runCluster(t, func(c *cluster) {
-					c.runServices(3, 2)
+					c.startServices(3, 2)
 					gang := gangSubmission("wk-9", "blue", "urgent", 5, 15)
 					gang.ImageGB, gang.SingleZone = 4, true
 					c.submit(gang)
@@ -209,7 +209,7 @@
 	runCluster(t, func(c *cluster) {
 		c.env.Cloud.SetCapacity(6)
 		for i := range 12 {
-			c.submit(newSubmission(submission{ID: fmt.Sprintf("wk-%d", i+1), Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 40, CPUs: 1, EstimateS: 9}))
+			c.submit(newSubmission(submission{ID: fmt.Sprintf("wk-%d", i+1), Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 40, CPUs: 1, EstimateS: 9}))
 		}
 		time.Sleep(30 * time.Second)
 		for i := range 3 {
@@ -242,7 +242,7 @@
 		time.Sleep(5 * time.Second)
 		for range 2 {
 			gang := gangSubmission("wk-1", "red", "normal", 13, 5) // 26 of 24 CPUs
-			if answer := c.call(submitRequest(gang, nil), 10*time.Second); answer.status != http.StatusUnprocessableEntity {
+			if answer := c.sendWithRetries(submitRequest(gang, nil), 10*time.Second); answer.status != http.StatusUnprocessableEntity {
 				t.Errorf("gang larger than its team's quota: status %d, want 422", answer.status)
 			}
 		}
@@ -263,7 +263,7 @@
 			status int
 		}{
 			{"unknown shape", func(b *submission) { b.Kind = "herd" }, http.StatusBadRequest},
-			{"no number of tasks", func(b *submission) { b.omitted = "eggs" }, http.StatusBadRequest},
+			{"no number of tasks", func(b *submission) { b.omittedField = "eggs" }, http.StatusBadRequest},
 			{"negative time to save", func(b *submission) { b.SaveS = -1 }, http.StatusBadRequest},
 			{"all tasks together exceed the quota", func(b *submission) { b.Team, b.Tasks = "red", 13 }, http.StatusUnprocessableEntity},
 			{"a task fits no allowed type", func(b *submission) { b.MachineTypes, b.CPUs = []string{"small"}, 5 }, http.StatusUnprocessableEntity},
@@ -274,7 +274,7 @@
 			id := fmt.Sprintf("wk-5%d", i)
 			b := gangSubmission(id, "blue", "normal", 3, 5)
 			x.change(b)
-			if answer := c.call(submitRequest(b, nil), 10*time.Second); answer.status != x.status {
+			if answer := c.sendWithRetries(submitRequest(b, nil), 10*time.Second); answer.status != x.status {
 				t.Errorf("%s: status %d, want %d", x.name, answer.status, x.status)
 			}
 		}
@@ -286,13 +286,13 @@
 			n.cfg.Settings.Teams = []config.Team{{Name: "blue"}, {Name: "red", CPUs: 2, CPUsMax: 4}}
 		}
 		c.restartAll()
-		if answer := c.call(submitRequest(gangSubmission("wk-6", "red", "normal", 10, 200), nil), 20*time.Second); answer.status != http.StatusOK || answer.state != wire.Running {
-			t.Errorf("repeated submission after a restart with lower quotas: status %d, %q; want 200, %q", answer.status, answer.state, wire.Running)
+		if answer := c.sendWithRetries(submitRequest(gangSubmission("wk-6", "red", "normal", 10, 200), nil), 20*time.Second); answer.status != http.StatusOK || answer.state != wire.StateRunning {
+			t.Errorf("repeated submission after a restart with lower quotas: status %d, %q; want 200, %q", answer.status, answer.state, wire.StateRunning)
 		}
-		if answer := c.call(submitRequest(gangSubmission("wk-7", "blue", "normal", 3, 200), nil), 20*time.Second); answer.status != http.StatusOK || answer.state != wire.Cancelled {
-			t.Errorf("repeated submission of a cancelled gang: status %d, %q; want 200, %q", answer.status, answer.state, wire.Cancelled)
+		if answer := c.sendWithRetries(submitRequest(gangSubmission("wk-7", "blue", "normal", 3, 200), nil), 20*time.Second); answer.status != http.StatusOK || answer.state != wire.StateCancelled {
+			t.Errorf("repeated submission of a cancelled gang: status %d, %q; want 200, %q", answer.status, answer.state, wire.StateCancelled)
 		}
-		if answer := c.call(queryRequest("wk-77"), 10*time.Second); answer.status != http.StatusNotFound {
+		if answer := c.sendWithRetries(queryRequest("wk-77"), 10*time.Second); answer.status != http.StatusNotFound {
 			t.Errorf("query of an unknown job: status %d, want 404", answer.status)
 		}
 		c.cancelJob("wk-6")
--- a/internal/controller/group_records.go
+++ b/internal/controller/group_records.go
@@ -74,7 +74,7 @@
 func (group *taskGroup) setContent(v *record.TaskGroup, stored storedValue) {
 	group.revision, group.storedSize, group.encoding = stored.revision, stored.size, stored.encoding
 	group.partition, group.zone, group.guaranteed = v.Partition, v.Zone, v.Guaranteed
-	group.doneTasks, group.throttle = v.Done, v.Throttle
+	group.doneTasks, group.throttle = v.DoneTasks, v.Throttle
 }
 
 // putBindings replaces the group's bindings and links the bound tasks to their machines.
--- a/internal/controller/group_size.go
+++ b/internal/controller/group_size.go
@@ -26,17 +26,17 @@
 
 // encodeGroup encodes a task group with the given bindings in the encoding that is currently
 // written.
-func (c *clusterState) encodeGroup(group *taskGroup, done int, bindings []binding) record.Content {
+func (c *clusterState) encodeGroup(group *taskGroup, done int, bindings []binding) record.EncodedGroup {
 	return group.toRecord(done, bindings).Encode(c.writeEncoding())
 }
 
 // splitToFit encodes a task group in as many pieces as the limit for a value requires. A group
 // exceeds the limit if it was written under a higher one or has long names, and is split when
 // it is written again. The first piece replaces the group itself.
-func (c *clusterState) splitToFit(group *taskGroup, done int, bindings []binding) []record.Content {
+func (c *clusterState) splitToFit(group *taskGroup, done int, bindings []binding) []record.EncodedGroup {
 	content := c.encodeGroup(group, done, bindings)
 	if content.Size() <= c.maxValueBytes() || len(bindings) < 2 {
-		return []record.Content{content}
+		return []record.EncodedGroup{content}
 	}
 	half := len(bindings) / 2
 	firstBindings, secondBindings := bindings[:half], bindings[half:]
