--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -27,7 +27,7 @@
 	c.metrics.count(countHeartbeats, 1)
 	c.lastHeartbeatAt = c.now
 	defer c.metrics.addBusyTime(activityHeartbeat, time.Now())
-	if !c.replica.Loaded() {
+	if !c.replica.IsLoaded() {
 		return api.Response{Status: http.StatusServiceUnavailable, Reason: "starting"}
 	}
 	if refusal, refused := c.refusalResponse(); refused {
@@ -49,7 +49,7 @@
 	if sentBefore.After(m.leaseRenewedAt) {
 		m.leaseRenewedAt = sentBefore
 	}
-	response := wire.HeartbeatResponse{Token: p.token, Commands: []wire.Command{}}
+	response := wire.HeartbeatResponse{FencingToken: p.token, Commands: []wire.Command{}}
 	if newer && !m.terminated && p.takeoverComplete {
 		response.Commands = append(response.Commands, c.commandsFor(m, p)...)
 		for _, command := range response.Commands {
@@ -70,7 +70,7 @@
 		c.metrics.count(countRedirectedHeartbeats, 1)
 		return api.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Node: holder.Node}}, true
 	}
-	if heartbeat.Token > p.token {
+	if heartbeat.FencingToken > p.token {
 		// A later owner has contacted the machine, so this controller has been replaced.
 		return api.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{}}, true
 	}
@@ -101,7 +101,7 @@
 	case directCommandResponse:
 		m.leaseLostWhileHeard, m.commandState.unanswered = false, 0
 	}
-	c.updateTerminationNotice(m, heartbeat.NoticeS)
+	c.updateTerminationNotice(m, heartbeat.TerminationNoticeS)
 	if p.takeoverComplete && !m.terminated {
 		c.reconcile(m, p)
 	}
@@ -125,7 +125,7 @@
 func (m *machine) updateIdentity(heartbeat *wire.Heartbeat) {
 	m.incarnation = heartbeat.Incarnation
 	m.sequence = heartbeat.Sequence
-	m.token = heartbeat.Token
+	m.token = heartbeat.FencingToken
 	m.addr = heartbeat.Addr
 	m.machineType = heartbeat.Type
 	m.zone = heartbeat.Zone
@@ -145,8 +145,8 @@
 // affectsScheduling reports whether a heartbeat requires a scheduling pass. Most heartbeats
 // change no scheduling decision and can wait for the next timer.
 func (c *partitionOwner) affectsScheduling(m *machine, heartbeat *wire.Heartbeat, p *partition, source heartbeatSource) bool {
-	hasNotice, hadNotice := heartbeat.NoticeS != nil, !m.terminationAt.IsZero()
-	return heartbeat.Incarnation != m.incarnation || heartbeat.Token != m.token || hasNotice != hadNotice ||
+	hasNotice, hadNotice := heartbeat.TerminationNoticeS != nil, !m.terminationAt.IsZero()
+	return heartbeat.Incarnation != m.incarnation || heartbeat.FencingToken != m.token || hasNotice != hadNotice ||
 		source == workerRequest && !c.isUsable(m, p)
 }
 
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -70,7 +70,7 @@
 		}
 		n += len(group.bindings) + group.doneTasks
 	}
-	return n < j.spec.Tasks
+	return n < j.spec.TaskCount
 }
 
 // countUnplacedTasks returns the number of tasks that are assigned but neither bound nor done.
@@ -100,7 +100,7 @@
 // isArchivable reports whether the job is final and has no task groups left. cursor is the
 // revision up to which the replica has all changes.
 func (j *job) isArchivable(cursor uint64) bool {
-	return j.finalState != record.Unfinished && len(j.groups) == 0 && j.revision <= cursor
+	return j.finalState != record.StateUnfinished && len(j.groups) == 0 && j.revision <= cursor
 }
 
 // releaseDetails drops the specification and the task groups of an archivable job. Its final
--- a/internal/controller/job_assignment.go
+++ b/internal/controller/job_assignment.go
@@ -58,7 +58,7 @@
 // an all-or-nothing job that is all of them or none.
 func (a *assignmentPass) tasksWithinQuota(j *job, remaining int) int {
 	count := a.teamQuotas[j.team].RemainingTasks(j.taskSize, remaining)
-	if j.spec.AllOrNothing() && count < remaining {
+	if j.spec.IsAllOrNothing() && count < remaining {
 		return 0
 	}
 	return count
@@ -102,7 +102,7 @@
 			continue
 		}
 		request := s.planningRequest(zone, count, i >= rounds)
-		if s.job.spec.AllOrNothing() {
+		if s.job.spec.IsAllOrNothing() {
 			if s.assignToOnePartition(request, zone) {
 				return true
 			}
@@ -119,7 +119,7 @@
 // remainingTasksForZone returns how many more tasks may be assigned to a zone.
 func (s *jobAssignment) remainingTasksForZone(zone string) int {
 	count := s.permittedTasks - s.assignedTasks
-	if s.job.spec.Spread {
+	if s.job.spec.SpreadsZones {
 		count = min(count, s.pass.remainingSpreadTasks(s.job, zone, s.groups))
 	}
 	return count
--- a/internal/controller/job_completion.go
+++ b/internal/controller/job_completion.go
@@ -22,7 +22,7 @@
 func (c *leader) finishJobs() {
 	c.archiveFinishedJobs(c.replica)
 	budget := maxFinishWrites
-	canDelete := c.stateWriter.Backlog() < maxCleanupBacklog
+	canDelete := c.stateWriter.BacklogDuration() < maxCleanupBacklog
 	for _, job := range c.activeJobs {
 		if budget == 0 {
 			return
@@ -31,7 +31,7 @@
 			continue
 		}
 		switch {
-		case job.finalState != record.Unfinished:
+		case job.finalState != record.StateUnfinished:
 			if canDelete {
 				budget -= c.deleteGroups(job, budget)
 			}
@@ -50,7 +50,7 @@
 		return false
 	}
 	assigned, finished := j.countAssignedTasks()
-	return assigned == finished && finished == j.spec.Tasks
+	return assigned == finished && finished == j.spec.TaskCount
 }
 
 // storeJobDone stores that a job is done.
@@ -58,7 +58,7 @@
 	j.finalWriteInFlight = true
 	c.SubmitWrite(&store.Write{
 		Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}},
-		Changes:    []wire.Change{{Put: jobKey(j.id), Value: record.JSON(record.Job{FinalState: record.Done})}},
+		Changes:    []wire.Change{{Put: jobKey(j.id), Value: record.JSON(record.Job{FinalState: record.StateDone})}},
 	}, func(error) { j.finalWriteInFlight = false })
 }
 
--- a/internal/controller/job_lifecycle_test.go
+++ b/internal/controller/job_lifecycle_test.go
@@ -14,9 +14,9 @@
 // record and no machine is left.
 func TestArraysServicesAndGangsRun(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 30, CPUs: 2, EstimateS: 5}))
-		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
-		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.Gang, Team: "blue", Priority: "normal", Tasks: 4, CPUs: 2, EstimateS: 5}))
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 30, CPUs: 2, EstimateS: 5}))
+		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
+		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.KindGang, Team: "blue", Priority: "normal", Tasks: 4, CPUs: 2, EstimateS: 5}))
 		c.await("the service runs", 40*time.Second, func() bool { return c.env.Running("wk-2") == 3 })
 		c.awaitDone("wk-1", 2*time.Minute)
 		c.awaitDone("wk-3", 2*time.Minute)
@@ -24,8 +24,8 @@
 		c.await("the service has stopped", 10*time.Second, func() bool { return c.env.Running("wk-2") == 0 })
 		c.await("the task groups' records are deleted", time.Minute, func() bool { return len(c.env.Store.Keys(groupPrefix)) == 0 })
 		c.await("all machines are terminated", time.Minute, func() bool { return len(c.env.Cloud.Agents()) == 0 })
-		if s := c.state("wk-2"); s != wire.Cancelled {
-			t.Errorf("state of the cancelled service is %q, want %q", s, wire.Cancelled)
+		if s := c.jobState("wk-2"); s != wire.StateCancelled {
+			t.Errorf("state of the cancelled service is %q, want %q", s, wire.StateCancelled)
 		}
 	})
 }
@@ -42,27 +42,27 @@
 		}{
 			{"unknown team", func(s *submission) { s.Team = "green" }, http.StatusUnprocessableEntity},
 			{"larger than any machine", func(s *submission) { s.CPUs = 17 }, http.StatusUnprocessableEntity},
-			{"service beyond the quota", func(s *submission) { s.Kind, s.Tasks, s.CPUs = wire.Service, 13, 2 }, http.StatusUnprocessableEntity},
+			{"service beyond the quota", func(s *submission) { s.Kind, s.Tasks, s.CPUs = wire.KindService, 13, 2 }, http.StatusUnprocessableEntity},
 			{"unknown zone", func(s *submission) { s.Zone = "c" }, http.StatusUnprocessableEntity},
 			{"no tasks", func(s *submission) { s.Tasks = 0 }, http.StatusBadRequest},
-			{"a field is missing", func(s *submission) { s.omitted = "stowS" }, http.StatusBadRequest},
+			{"a field is missing", func(s *submission) { s.omittedField = "stowS" }, http.StatusBadRequest},
 			{"malformed ID", func(s *submission) { s.ID = "job-1" }, http.StatusBadRequest},
 			{"image name too long", func(s *submission) { s.Image = strings.Repeat("x", 70_000) }, http.StatusBadRequest},
 			{"valid", func(*submission) {}, http.StatusCreated},
 			{"submitted again", func(*submission) {}, http.StatusOK},
 			{"known job with invalid content", func(s *submission) { s.Team = "green" }, http.StatusOK},
 		} {
-			s := newSubmission(submission{ID: "wk-7", Kind: wire.Array, Team: "red", Priority: "low", Tasks: 2, CPUs: 1, EstimateS: 1})
+			s := newSubmission(submission{ID: "wk-7", Kind: wire.KindArray, Team: "red", Priority: "low", Tasks: 2, CPUs: 1, EstimateS: 1})
 			x.change(s)
-			spec, err := wire.ParseJob(s.body(t))
+			spec, err := wire.ParseJob(s.encode(t))
 			if err == nil && x.status == http.StatusCreated {
 				c.env.Upload(spec)
 			}
-			if answer := c.call(submitRequest(s, spec), 10*time.Second); answer.status != x.status {
+			if answer := c.sendWithRetries(submitRequest(s, spec), 10*time.Second); answer.status != x.status {
 				t.Errorf("submission, %s: status %d, want %d", x.name, answer.status, x.status)
 			}
 		}
-		if answer := c.call(queryRequest("wk-99"), 10*time.Second); answer.status != http.StatusNotFound {
+		if answer := c.sendWithRetries(queryRequest("wk-99"), 10*time.Second); answer.status != http.StatusNotFound {
 			t.Errorf("query of an unknown job: status %d, want 404", answer.status)
 		}
 		c.awaitDone("wk-7", time.Minute)
@@ -73,14 +73,14 @@
 // values and transactions, which runCluster checks. Finished tasks must leave few records.
 func TestLargeArrayAmongManySmallOnes(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 1500, CPUs: 1, EstimateS: 1}))
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "low", Tasks: 1500, CPUs: 1, EstimateS: 1}))
 		for i := range 60 {
-			c.submit(newSubmission(submission{ID: fmt.Sprintf("wk-%d", i+2), Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 5, CPUs: 1, EstimateS: 1}))
+			c.submit(newSubmission(submission{ID: fmt.Sprintf("wk-%d", i+2), Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 5, CPUs: 1, EstimateS: 1}))
 		}
 		maxRecords := 0
 		c.await("the large array is done", 20*time.Minute, func() bool {
 			maxRecords = max(maxRecords, len(c.env.Store.Keys(groupPrefix+"wk-1/")))
-			return c.state("wk-1") == wire.Done
+			return c.jobState("wk-1") == wire.StateDone
 		})
 		if maxRecords > 120 {
 			t.Errorf("the large array had up to %d records, want at most 120", maxRecords)
@@ -98,7 +98,7 @@
 	runCluster(t, func(c *cluster) {
 		time.Sleep(3 * time.Second)
 		put := func(key, value string) {
-			c.writtenByTest[key] = true
+			c.keysWrittenByTest[key] = true
 			raw := fmt.Sprintf(`{"if":[],"then":[{"write":%q,"v":%s}]}`, key, value)
 			req, _ := http.NewRequestWithContext(c.ctx, http.MethodPost, "http://state:1/txn", strings.NewReader(raw))
 			if resp, err := c.clientTransport.RoundTrip(req); err != nil || resp.StatusCode != 200 {
@@ -108,7 +108,7 @@
 		put(jobKey("wk-9"), `"what"`)
 		put(groupKey("wk-8", 0), `{"p":77}`)
 		put("e/odd", `[]`)
-		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 3, CPUs: 1, EstimateS: 1}))
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 3, CPUs: 1, EstimateS: 1}))
 		c.awaitDone("wk-1", time.Minute)
 		for i := range c.nodes {
 			c.kill(i)
@@ -116,7 +116,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		for _, id := range []string{"wk-8", "wk-9"} {
-			if answer := c.call(queryRequest(id), 3*time.Second); answer.status != 0 {
+			if answer := c.sendWithRetries(queryRequest(id), 3*time.Second); answer.status != 0 {
 				t.Errorf("query of %s, whose record can't be decoded: status %d, want no final response", id, answer.status)
 			}
 		}
--- a/internal/controller/job_order.go
+++ b/internal/controller/job_order.go
@@ -10,7 +10,7 @@
 func (c *clusterState) jobOrder(j *job) *planning.JobTiming {
 	_, finished := j.countAssignedTasks()
 	return &planning.JobTiming{
-		AllOrNothing:     j.spec.AllOrNothing(),
+		AllOrNothing:     j.spec.IsAllOrNothing(),
 		NoDeadline:       j.spec.NoDeadline,
 		Started:          j.hasStarted(),
 		OverdueTimeSlice: planning.IsOverdueTimeSlice(c.now.Unix()),
@@ -18,7 +18,7 @@
 		EstimateS:        j.spec.EstimateS,
 		DeadlineS:        j.spec.DeadlineS,
 		ObjectiveS:       c.objectiveSeconds[j.spec.Class],
-		RemainingWork:    float64(j.spec.Tasks-finished) * j.spec.EstimateS * j.spec.CPUs,
+		RemainingWork:    float64(j.spec.TaskCount-finished) * j.spec.EstimateS * j.spec.CPUs,
 	}
 }
 
--- a/internal/controller/job_zones.go
+++ b/internal/controller/job_zones.go
@@ -31,7 +31,7 @@
 // candidateZones returns the zones to try for a job's tasks, those with the most free room
 // first. "" stands for any zone.
 func (c *clusterState) candidateZones(j *job, summaries []*planning.MachineSummary) []string {
-	if !j.spec.SingleZone && !j.spec.Spread {
+	if !j.spec.SingleZone && !j.spec.SpreadsZones {
 		return []string{""}
 	}
 	if zone := c.requiredZone(j); zone != "" {
@@ -40,7 +40,7 @@
 	free := map[string]int{}
 	for _, summary := range summaries {
 		if allowsMachine(j.spec, "", summary.Type, summary.Zone, summary.Spot) {
-			free[summary.Zone] += summary.FreeResources.CountFitting(j.taskSize, j.spec.Tasks)
+			free[summary.Zone] += summary.FreeResources.CountFitting(j.taskSize, j.spec.TaskCount)
 		}
 	}
 	var zones []string
@@ -58,7 +58,7 @@
 // assigned to a zone: each zone may have half of the job's tasks, rounded up. unstored has
 // the job's groups that are not stored yet.
 func (c *clusterState) remainingSpreadTasks(j *job, zone string, unstored []record.TaskGroup) int {
-	room := (j.spec.Tasks + 1) / 2
+	room := (j.spec.TaskCount + 1) / 2
 	for _, group := range j.groups {
 		if group.zone == zone {
 			room -= len(group.bindings)
--- a/internal/controller/late_requests_test.go
+++ b/internal/controller/late_requests_test.go
@@ -15,7 +15,7 @@
 // not change records that have been written since.
 func TestLateTransactions(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 40, CPUs: 2, EstimateS: 6}))
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 40, CPUs: 2, EstimateS: 6}))
 		c.await("the array runs", time.Minute, func() bool { return c.env.Running("wk-1") > 4 })
 		rng := rand.New(rand.NewPCG(1, 2))
 		var mu sync.Mutex
@@ -34,7 +34,7 @@
 		c.kill(0)
 		time.Sleep(15 * time.Second)
 		c.start(0)
-		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "red", Priority: "normal", Tasks: 10, CPUs: 2, EstimateS: 3}))
+		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "red", Priority: "normal", Tasks: 10, CPUs: 2, EstimateS: 3}))
 		time.Sleep(20 * time.Second)
 		for _, n := range c.nodes {
 			n.transport.SetPolicy(nil)
@@ -57,8 +57,8 @@
 				return network.Deliver
 			})
 		}
-		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 30, CPUs: 2, EstimateS: 3}))
-		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Service, Team: "blue", Priority: "production", Tasks: 2, CPUs: 4}))
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 30, CPUs: 2, EstimateS: 3}))
+		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindService, Team: "blue", Priority: "production", Tasks: 2, CPUs: 4}))
 		c.await("the service runs", time.Minute, func() bool { return c.env.Running("wk-2") == 2 })
 		c.cancelJob("wk-2")
 		c.awaitDone("wk-1", 3*time.Minute)
@@ -89,7 +89,7 @@
 			})
 		}
 		c.env.Cloud.SetCapacity(4)
-		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 700, CPUs: 1, EstimateS: 1}))
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "low", Tasks: 700, CPUs: 1, EstimateS: 1}))
 		c.awaitDone("wk-1", 20*time.Minute)
 		time.Sleep(time.Minute)
 		c.await("all task group records are deleted", 2*time.Minute, func() bool { return len(c.env.Store.Keys(groupPrefix)) == 0 })
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -65,7 +65,7 @@
 	c.autoscaler.DetectIsolatedZones()
 	// Lost machines are terminated at once, without waiting for pending writes: their tasks
 	// can't be placed again before the machines are proven to be gone.
-	c.autoscaler.TerminateLost()
+	c.autoscaler.TerminateLostMachines()
 	if c.leadership.writesInFlight > 0 {
 		return
 	}
--- a/internal/controller/legacy_store_view_test.go
+++ b/internal/controller/legacy_store_view_test.go
@@ -41,7 +41,7 @@
 		events.Events = kept
 		answer = events
 	} else {
-		var page wire.Page
+		var page wire.ItemPage
 		_ = json.Unmarshal(raw, &page)
 		kept := page.Items[:0]
 		for _, item := range page.Items {
@@ -58,7 +58,7 @@
 }
 
 func isRolloutKey(key string) bool {
-	return key == rollout.StateKey || strings.HasPrefix(key, rollout.ControllerPrefix)
+	return key == rollout.StateKey || strings.HasPrefix(key, rollout.RegistrationPrefix)
 }
 
 // hideEncoding replaces a value that is not a JSON object, so that decoding it fails as in an
--- a/internal/controller/level_history_test.go
+++ b/internal/controller/level_history_test.go
@@ -21,7 +21,7 @@
 func (h *levelHistoryChecker) checkEvent(e wire.Event) {
 	h.t.Helper()
 	key := e.Put + e.Delete
-	if isRolloutKey(key) && !h.upgrades {
+	if isRolloutKey(key) && !h.upgradesEnabled {
 		h.t.Errorf("%s is stored although staged upgrades are not enabled", key)
 	}
 	if key == rollout.StateKey {
@@ -45,7 +45,7 @@
 	h.t.Helper()
 	state, err := rollout.DecodeState(e.Value)
 	if err != nil {
-		if !h.writtenByTest[e.Put] {
+		if !h.keysWrittenByTest[e.Put] {
 			h.t.Error(err)
 		}
 		return
@@ -75,12 +75,12 @@
 		h.t.Error(err)
 	}
 	h.mu.Lock()
-	reads, isProcess := h.readableByProcess[holder.ProcessID]
+	reads, isProcess := h.readableLevels[holder.ProcessID]
 	h.mu.Unlock()
 	if !isProcess {
 		return // the key was closed by a rollout step
 	}
-	prefix := strings.TrimSuffix(h.state.Keys().Leader(), "leader")
+	prefix := strings.TrimSuffix(h.state.LeaseKeys().Leader(), "leader")
 	if rest, ok := strings.CutPrefix(e.Put, prefix); !ok || strings.HasPrefix(rest, "epoch/") {
 		h.t.Errorf("%s is acquired by %s at level %d in epoch %d, which has other keys", e.Put, holder.Node, h.state.Level, h.state.Epoch)
 	}
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -22,7 +22,7 @@
 		c.cfg.Settings.Store.ValueKB = rapid.Float64Range(0.5, 8).Draw(t, "value_kb")
 		group := drawGroup(t)
 		if rapid.Bool().Draw(t, "checked") {
-			c.rollout.state = rollout.State{Level: rollout.ChecksumLevel, Phase: rollout.Stable, Epoch: 1}
+			c.rollout.state = rollout.State{Level: rollout.ChecksumLevel, Phase: rollout.PhaseStable, Epoch: 1}
 		}
 		want := groupContents{tasks: len(group.bindings), allowed: group.bindLimit(), done: group.doneTasks}
 		for _, b := range group.bindings {
@@ -32,7 +32,7 @@
 		}
 		var got groupContents
 		for _, piece := range c.splitToFit(group, group.doneTasks, group.bindings) {
-			raw := piece.At(groupKey("wk-1", 0))
+			raw := piece.ValueForKey(groupKey("wk-1", 0))
 			if len(raw) > c.maxValueBytes() || piece.Encoding() != c.writeEncoding() {
 				t.Fatalf("a piece has %d bytes and encoding %d, want at most %d bytes and encoding %d", len(raw), piece.Encoding(), c.maxValueBytes(), c.writeEncoding())
 			}
@@ -84,7 +84,7 @@
 	}
 	g.tasks += len(stored.Tasks)
 	g.allowed += piece.bindLimit()
-	g.done += stored.Done
+	g.done += stored.DoneTasks
 }
 
 // Records written under a higher value limit must stay readable after the key-value store lowers
@@ -93,8 +93,8 @@
 func TestLoweredValueLimitSplitsRecords(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.env.Cloud.SetCapacity(6)
-		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 400, CPUs: 1, EstimateS: 4}))
-		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "red", Priority: "normal", Tasks: 60, CPUs: 2, EstimateS: 4}))
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "low", Tasks: 400, CPUs: 1, EstimateS: 4}))
+		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "red", Priority: "normal", Tasks: 60, CPUs: 2, EstimateS: 4}))
 		c.await("more than 20 tasks of the job are done", time.Minute, func() bool { return c.env.Completed("wk-1") > 20 })
 		c.killAll()
 		large := c.env.Store.CountLargerThan(1 << 10)
@@ -106,7 +106,7 @@
 		if large == 0 {
 			t.Error("no record exceeds the lower limit, want at least one")
 		}
-		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 50, CPUs: 1, EstimateS: 2}))
+		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 50, CPUs: 1, EstimateS: 2}))
 		c.awaitDone("wk-3", 2*time.Minute)
 		c.cancelJob("wk-2")
 		c.awaitDone("wk-1", 20*time.Minute)
@@ -121,7 +121,7 @@
 func TestJobSpecsLargerThanValueLimit(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		newJob := func(id string) *submission {
-			b := newSubmission(submission{ID: id, Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 300, CPUs: 1, EstimateS: 30})
+			b := newSubmission(submission{ID: id, Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 300, CPUs: 1, EstimateS: 30})
 			b.Image, b.Class = strings.Repeat("i", 190), strings.Repeat("f", 190)
 			b.MachineTypes = []string{"small", strings.Repeat("x", 190), strings.Repeat("y", 190)}
 			return b
@@ -134,10 +134,10 @@
 			n.cfg.Settings.Store.ValueKB, n.cfg.Settings.Store.TxnOps = 1, 10
 			c.start(i)
 		}
-		if answer := c.call(submitRequest(newJob("wk-2"), nil), 20*time.Second); answer.status != http.StatusUnprocessableEntity {
+		if answer := c.sendWithRetries(submitRequest(newJob("wk-2"), nil), 20*time.Second); answer.status != http.StatusUnprocessableEntity {
 			t.Errorf("submission of a job whose description exceeds the limit: status %d, want 422", answer.status)
 		}
-		if answer := c.call(submitRequest(newJob("wk-1"), nil), 20*time.Second); answer.status != http.StatusOK {
+		if answer := c.sendWithRetries(submitRequest(newJob("wk-1"), nil), 20*time.Second); answer.status != http.StatusOK {
 			t.Errorf("repeated submission of an accepted job: status %d, want 200", answer.status)
 		}
 		c.cancelJob("wk-1")
--- a/internal/controller/loan_leader.go
+++ b/internal/controller/loan_leader.go
@@ -46,7 +46,7 @@
 // borrowMachines starts loans of machines to the leader's partition. The write fails if a
 // partition that the machines are in has changed owners meanwhile.
 func (c *leader) borrowMachines(chosen []*planning.MachineSummary, loan record.MachineLoan, conditions ...wire.Condition) {
-	write := &store.Write{Prompt: true, Conditions: append([]wire.Condition{c.leaderCondition()}, conditions...)}
+	write := &store.Write{HighPriority: true, Conditions: append([]wire.Condition{c.leaderCondition()}, conditions...)}
 	guardedPartitions := map[int]bool{} // partitions whose owner is already a condition of the write
 	for _, summary := range chosen {
 		summary.InUse, summary.FreeResources = true, scheduling.Resources{}
@@ -99,7 +99,7 @@
 		return loan.Acknowledged && c.shouldRetain(m) || !loan.Acknowledged && c.now.Sub(loan.firstSeenAt) < reserveLoanTimeout
 	}
 	job := c.jobs[loan.Job]
-	if job == nil || job.finalState != record.Unfinished || job.spec == nil || m.terminated || !c.jobNeedsLoan(job, p.index) {
+	if job == nil || job.finalState != record.StateUnfinished || job.spec == nil || m.terminated || !c.jobNeedsLoan(job, p.index) {
 		return false
 	}
 	if m.machineType != "" && !allowsMachine(job.spec, c.zoneOfJob(job), m.machineType, m.zone, m.spot) {
--- a/internal/controller/loan_owner.go
+++ b/internal/controller/loan_owner.go
@@ -28,9 +28,9 @@
 	acknowledged := loan.MachineLoan
 	acknowledged.Acknowledged = true
 	c.SubmitWrite(&store.Write{
-		Prompt:     true,
-		Conditions: []wire.Condition{{Key: p.key, Revision: p.token}, {Key: loanKey(name), Revision: loan.revision}},
-		Changes:    []wire.Change{{Put: loanKey(name), Value: record.JSON(acknowledged)}},
+		HighPriority: true,
+		Conditions:   []wire.Condition{{Key: p.key, Revision: p.token}, {Key: loanKey(name), Revision: loan.revision}},
+		Changes:      []wire.Change{{Put: loanKey(name), Value: record.JSON(acknowledged)}},
 	}, func(error) { loan.writeInFlight = false })
 }
 
--- a/internal/controller/loan_selection.go
+++ b/internal/controller/loan_selection.go
@@ -43,7 +43,7 @@
 // isAvailableFor reports whether a machine is up, is not being drained, and may run a job's
 // tasks.
 func (c *leader) isAvailableFor(summary *planning.MachineSummary, spec *wire.Job, zone string) bool {
-	return !summary.Booting && !c.autoscaler.DrainedByLeader(c.machineByIndex[summary.Index].name) && allowsMachine(spec, zone, summary.Type, summary.Zone, summary.Spot)
+	return !summary.Booting && !c.autoscaler.IsDrainingAsLeader(c.machineByIndex[summary.Index].name) && allowsMachine(spec, zone, summary.Type, summary.Zone, summary.Spot)
 }
 
 // machinesToClear returns machines that together, once they are empty, have room for the
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -120,7 +120,7 @@
 	}
 	for _, x := range m.bindings {
 		group := x.group
-		if group.job.spec == nil || !group.job.spec.Service || group.job.finalState != record.Unfinished || group.writeInFlight {
+		if group.job.spec == nil || !group.job.spec.Service || group.job.finalState != record.StateUnfinished || group.writeInFlight {
 			return false
 		}
 		bound, cell := group.binding(x.task.Number), p.cells.Cell(x.task)
@@ -135,7 +135,7 @@
 // running.
 func (m *machine) isRunning(task string, bound *binding) bool {
 	return slices.ContainsFunc(m.tasks, func(t wire.TaskStatus) bool {
-		return t.Task == task && t.Attempt == bound.attempt && t.State == wire.Running && bound.incarnation == m.incarnation
+		return t.Task == task && t.Attempt == bound.attempt && t.State == wire.StateRunning && bound.incarnation == m.incarnation
 	})
 }
 
--- a/internal/controller/loans_test.go
+++ b/internal/controller/loans_test.go
@@ -40,9 +40,9 @@
 func (c *cluster) checkServiceAcrossPartitions(injectFault func(*cluster)) {
 	c.t.Helper()
 	c.env.Cloud.SetCapacity(8)
-	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 60, CPUs: 2, EstimateS: 10}))
+	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "low", Tasks: 60, CPUs: 2, EstimateS: 10}))
 	c.await("machines are up", time.Minute, func() bool { return c.env.Running("wk-1") >= 10 })
-	service := newSubmission(submission{ID: "wk-2", Kind: wire.Service, Team: "blue", Priority: "production", Tasks: 6, CPUs: 3})
+	service := newSubmission(submission{ID: "wk-2", Kind: wire.KindService, Team: "blue", Priority: "production", Tasks: 6, CPUs: 3})
 	service.MachineTypes = []string{"small"}
 	c.submit(service)
 	onLoan := func() bool { return len(c.env.Store.Keys(loanPrefix)) > 0 }
@@ -62,9 +62,9 @@
 // waits forever.
 func TestTaskEndOfAnotherPartitionsGroup(t *testing.T) {
 	c := newTestController(t)
-	c.partitions = append([]*partition{c.partitions[0], {index: 1, key: rollout.Initial.Keys().Partition(1)}}, &partition{index: 2, key: rollout.Initial.Keys().Leader()})
+	c.partitions = append([]*partition{c.partitions[0], {index: 1, key: rollout.InitialState.LeaseKeys().Partition(1)}}, &partition{index: 2, key: rollout.InitialState.LeaseKeys().Leader()})
 	p := c.partitions[0]
-	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", Tasks: 2, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", TaskCount: 2, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
 	key := groupKey("wk-1", 0)
 	value := func(machine string) record.TaskGroup {
 		return record.TaskGroup{Partition: 2, Tasks: []record.Binding{{Attempt: 1, Machine: machine, Incarnation: 1}, {Task: 1}}}
@@ -80,7 +80,7 @@
 	c.schedulePartition(p)
 	c.now = c.now.Add(maxEndBatchingDelay + time.Second) // ends are batched before they are stored
 	c.schedulePartition(p)
-	if !group.writeInFlight || c.stateWriter.Backlog() == 0 {
+	if !group.writeInFlight || c.stateWriter.BacklogDuration() == 0 {
 		t.Error("the end of the task is not stored")
 	}
 	// The cell must also be freed if the owner of the group has stored the end.
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -16,7 +16,7 @@
 // A machine that is isolated or fails all of its tasks does not hold up work for long.
 func TestFaultyMachinesDoNotBlockWork(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
 		c.await("the service runs", time.Minute, func() bool { return c.env.Running("wk-1") == 3 })
 		c.env.Cloud.Agents()[0].SetIsolated(true)
 		time.Sleep(40 * time.Second)
@@ -25,7 +25,7 @@
 		}
 		c.env.Cloud.Agents()[0].SetFailing(true)
 		for i := range 4 {
-			c.submit(newSubmission(submission{ID: fmt.Sprintf("wk-%d", i+2), Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 8, CPUs: 1, EstimateS: 2}))
+			c.submit(newSubmission(submission{ID: fmt.Sprintf("wk-%d", i+2), Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 8, CPUs: 1, EstimateS: 2}))
 		}
 		for i := range 4 {
 			c.awaitDone(fmt.Sprintf("wk-%d", i+2), 3*time.Minute)
@@ -53,15 +53,15 @@
 // ones: it would accept them and lose them again and again.
 func TestMachineNotReceiving(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.runServices(4, 2)
+		c.startServices(4, 2)
 		// There is more work than room, and no machine can be launched or terminated.
-		c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 600, CPUs: 1, EstimateS: 6}))
+		c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "low", Tasks: 600, CPUs: 1, EstimateS: 6}))
 		time.Sleep(15 * time.Second)
 		c.env.Cloud.SetDown(true)
 		w := c.env.Cloud.Agents()[0]
 		w.SetNotReceiving(true)
 		time.Sleep(25 * time.Second)
-		if !c.servicesRun(4, 2) {
+		if !c.areServicesRunning(4, 2) {
 			t.Error("replicas are missing long after the lease expired")
 		}
 		for range 20 {
@@ -71,7 +71,7 @@
 			}
 		}
 		w.SetNotReceiving(false)
-		c.submit(newSubmission(submission{ID: "wk-8", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 600, CPUs: 1, EstimateS: 6}))
+		c.submit(newSubmission(submission{ID: "wk-8", Kind: wire.KindArray, Team: "blue", Priority: "low", Tasks: 600, CPUs: 1, EstimateS: 6}))
 		c.await("the machine is used again", 20*time.Second, func() bool { return c.countTasksBoundTo(w.Name()) > 0 })
 		c.env.Cloud.SetDown(false)
 		c.awaitDone("wk-9", 10*time.Minute)
@@ -90,7 +90,7 @@
 		usable                       bool
 	}{{0, 1, 7, false}, {12, 1, 8, false}, {20, 1, 9, true}, {12, 1, 8, true}, {12, 2, 1, false}, {21, 2, 2, true}} {
 		c.now = c.now.Add(time.Second)
-		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: x.incarnation, Sequence: x.sequence, Token: x.token}, p, workerRequest)
+		c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: x.incarnation, Sequence: x.sequence, FencingToken: x.token}, p, workerRequest)
 		if got := c.isUsable(m, p); got != x.usable {
 			t.Errorf("after heartbeat %+v: usable %v, want %v", x, got, x.usable)
 		}
@@ -116,8 +116,8 @@
 
 func (c *cluster) checkLateCopies(failover bool) {
 	c.t.Helper()
-	c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 30, CPUs: 1, EstimateS: 90})) // low-priority tasks that the services can preempt
-	c.runServices(4, 2)
+	c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "low", Tasks: 30, CPUs: 1, EstimateS: 90})) // low-priority tasks that the services can preempt
+	c.startServices(4, 2)
 	dead := c.env.Cloud.Agents()[0]
 	if c.countTasksBoundTo(dead.Name()) == 0 {
 		c.t.Fatal("no task is bound to the first machine")
@@ -126,7 +126,7 @@
 	dead.Terminate()
 	c.env.Cloud.SetDown(true) // so that only the lease can prove the machine's end
 	if failover {
-		c.replaceEach()
+		c.restartOneByOne()
 	}
 	for i := range 70 {
 		if status, err := c.postHeartbeat(i%len(c.nodes), heartbeat); err == nil && !isHeartbeatStatus(status) {
@@ -136,7 +136,7 @@
 	}
 	// The wait is a whole lease, plus after a failover the time for which a former owner may
 	// have answered heartbeats.
-	c.await("the replicas run elsewhere", c.nodes[0].maxStaleness(), func() bool { return c.servicesRun(4, 2) })
+	c.await("the replicas run elsewhere", c.nodes[0].maxStaleness(), func() bool { return c.areServicesRunning(4, 2) })
 	if n := c.countTasksBoundTo(dead.Name()); n > 0 {
 		c.t.Errorf("%d tasks are bound to the dead machine %s, want none", n, dead.Name())
 	}
@@ -156,7 +156,7 @@
 	runCluster(t, func(c *cluster) {
 		c.submitZonalServices(1, 8, "b")
 		c.submitZonalServices(9, 8, "a")
-		c.await("the services run", time.Minute, func() bool { return c.servicesRun(16, 1) })
+		c.await("the services run", time.Minute, func() bool { return c.areServicesRunning(16, 1) })
 		time.Sleep(10 * time.Second)
 		dead := c.busyMachine()
 		dead.Terminate()
@@ -170,7 +170,7 @@
 		if slices.Contains(c.env.Cloud.Agents(), dead) {
 			t.Errorf("the dead machine %s is not terminated within %v", dead.Name(), limit)
 		}
-		c.await("the services run", 20*time.Second, func() bool { return c.servicesRun(16, 1) })
+		c.await("the services run", 20*time.Second, func() bool { return c.areServicesRunning(16, 1) })
 	})
 }
 
@@ -205,7 +205,7 @@
 	c := newTestController(t)
 	p := c.partitions[0]
 	p.ownedSince, p.formerOwnerMaxStaleness, p.firstToken = c.now, c.maxStaleness, p.token
-	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", Service: true, Tasks: 1, CPUs: 1}}), 5)
+	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", Service: true, TaskCount: 1, CPUs: 1}}), 5)
 	c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Tasks: []record.Binding{{Attempt: 1, Machine: "host-1", Incarnation: 1, Addr: "10.1.0.1:1"}}}), 6)
 	m := c.getOrAddMachine("host-1")
 	m.commandState.unanswered = unansweredLimit
@@ -224,7 +224,7 @@
 // silent, because this controller accepted no heartbeats during the outage.
 func TestMachinesAreKeptAfterALongOutage(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.runServices(4, 2)
+		c.startServices(4, 2)
 		var busy []*agent.Agent
 		for _, w := range c.env.Cloud.Agents() {
 			if c.countTasksBoundTo(w.Name()) > 0 {
@@ -243,7 +243,7 @@
 				}
 			}
 		}
-		c.await("the services run", 40*time.Second, func() bool { return c.servicesRun(4, 2) })
+		c.await("the services run", 40*time.Second, func() bool { return c.areServicesRunning(4, 2) })
 	})
 }
 
@@ -253,7 +253,7 @@
 // they were missing for just as long.)
 func TestMachineNotSending(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.runServices(5, 2)
+		c.startServices(5, 2)
 		time.Sleep(10 * time.Second)
 		var w *agent.Agent
 		for _, x := range c.env.Cloud.Agents() {
@@ -266,7 +266,7 @@
 		missing := time.Duration(0)
 		for time.Since(began) < 20*time.Second {
 			time.Sleep(100 * time.Millisecond)
-			if !c.servicesRun(5, 2) {
+			if !c.areServicesRunning(5, 2) {
 				missing += 100 * time.Millisecond
 			}
 		}
@@ -282,7 +282,7 @@
 func TestFailuresAreAttributedToMachineOrJob(t *testing.T) {
 	c := newTestController(t)
 	job := func(id string) *job {
-		c.replica.Put(jobKey(id), marshalJSON(t, record.Job{Spec: &wire.Job{ID: id, Tasks: 9, CPUs: 1, Team: "t"}}), uint64(len(c.jobs))+5)
+		c.replica.Put(jobKey(id), marshalJSON(t, record.Job{Spec: &wire.Job{ID: id, TaskCount: 9, CPUs: 1, Team: "t"}}), uint64(len(c.jobs))+5)
 		return c.jobs[id]
 	}
 	failing1, failing2 := job("wk-1"), job("wk-2")
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -50,7 +50,7 @@
 		bound = group.binding(number)
 	}
 	if bound == nil {
-		found.Unreadable = job.hasUnreadableRecords() && job.finalState == record.Unfinished
+		found.Unreadable = job.hasUnreadableRecords() && job.finalState == record.StateUnfinished
 		return found
 	}
 	found.Bound = bound.machine == r.machine
@@ -88,7 +88,7 @@
 	group := r.groups[task.Group]
 	job := group.job
 	if job.spec == nil || !job.spec.Gang {
-		return job.finalState != record.Unfinished || r.mustLeaveMachine(group, task, r.machine, r.partition)
+		return job.finalState != record.StateUnfinished || r.mustLeaveMachine(group, task, r.machine, r.partition)
 	}
 	if r.lastGang != job {
 		r.lastGang, r.lastGangMustStop = job, r.mustStopGang(job)
--- a/internal/controller/machine_summaries.go
+++ b/internal/controller/machine_summaries.go
@@ -46,7 +46,7 @@
 // as they were last reported, with the bindings that the records show.
 func (c *leader) appendPeerSummaries(summaries []*planning.MachineSummary, p *partition) []*planning.MachineSummary {
 	owner := c.peers.Peer(c.ownerOf(p.key))
-	if owner == nil || owner.Status == nil || c.now.Sub(owner.HeardAt) > maxOwnerStatusAge {
+	if owner == nil || owner.Status == nil || c.now.Sub(owner.LastStatusAt) > maxOwnerStatusAge {
 		return summaries
 	}
 	for i := range owner.Status.Machines {
@@ -56,7 +56,7 @@
 			continue
 		}
 		if reported.Type != "" { // the owner has received a heartbeat from it
-			m.machineType, m.zone, m.spot, m.addr = reported.Type, reported.Zone, reported.Flags&peer.Spot != 0, reported.Addr
+			m.machineType, m.zone, m.spot, m.addr = reported.Type, reported.Zone, reported.Flags&peer.FlagSpot != 0, reported.Addr
 		}
 		summaries = c.appendSummary(summaries, m, reported.Flags)
 	}
@@ -67,11 +67,11 @@
 // partition, or can't be used by its owner.
 func (c *leader) appendSummary(summaries []*planning.MachineSummary, m *machine, flags uint8) []*planning.MachineSummary {
 	machineType := c.machineTypes[m.machineType]
-	if machineType == nil || m.terminated || c.autoscaler.Terminating(m.name) {
+	if machineType == nil || m.terminated || c.autoscaler.IsTerminating(m.name) {
 		return summaries
 	}
-	c.autoscaler.MachineUp(m.autoscalerMachine())
-	if flags&peer.Reachable == 0 || flags&(peer.TerminationNotice|peer.Cordoned|peer.Unreachable) != 0 {
+	c.autoscaler.ObserveMachine(m.autoscalerMachine())
+	if flags&peer.FlagReachable == 0 || flags&(peer.FlagTerminationNotice|peer.FlagCordoned|peer.FlagUnreachable) != 0 {
 		return summaries
 	}
 	loan := c.loans[m.name]
@@ -84,7 +84,7 @@
 		InUse: loan != nil, // a loaned machine is needed even before anything is placed on it
 	}
 	addUsages(summary, m)
-	if c.autoscaler.DrainedByLeader(m.name) {
+	if c.autoscaler.IsDrainingAsLeader(m.name) {
 		summary.FreeResources, summary.Usages = scheduling.Resources{}, nil // a draining machine has no room for new tasks
 	}
 	return append(summaries, summary)
@@ -101,7 +101,7 @@
 		}
 		summary.FreeResources = summary.FreeResources.Minus(job.taskSize)
 		summary.Usages = append(summary.Usages, planning.TaskUsage{Claim: x.group.claim(), Size: job.taskSize})
-		summary.RunsService = summary.RunsService || job.spec.AllOrNothing()
+		summary.RunsService = summary.RunsService || job.spec.IsAllOrNothing()
 	}
 }
 
@@ -131,7 +131,7 @@
 // partition, unless that status is too old.
 func (c *clusterState) eachPeerMachine(p *partition, visit func(m *machine, flags uint8)) {
 	owner := c.peers.Peer(c.ownerOf(p.key))
-	if owner == nil || !owner.Heard(ownerStatusTimeout, c.now) {
+	if owner == nil || !owner.HasRecentStatus(ownerStatusTimeout, c.now) {
 		return
 	}
 	for i := range owner.Status.Machines {
@@ -140,7 +140,7 @@
 		if m.partition != p.index || m.terminated {
 			continue
 		}
-		if reported.Flags&peer.Cordoned != 0 && m.cordonedAt.IsZero() {
+		if reported.Flags&peer.FlagCordoned != 0 && m.cordonedAt.IsZero() {
 			m.cordonedAt = c.now
 		}
 		visit(m, reported.Flags)
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -128,7 +128,7 @@
 }
 
 // Submission counts a submission by the HTTP status of its response and records its latency.
-func (m *metrics) Submission(status int, took time.Duration) {
+func (m *metrics) CountSubmission(status int, took time.Duration) {
 	m.observeLatency(latencySubmit, took)
 	switch {
 	case status == http.StatusCreated:
@@ -141,7 +141,7 @@
 }
 
 // Poll counts a query of a job's state.
-func (m *metrics) Poll() { m.count(countPolls, 1) }
+func (m *metrics) CountPoll() { m.count(countPolls, 1) }
 
 // addBusyTime adds the time since startedAt to the time spent on an activity.
 func (m *metrics) addBusyTime(a activity, startedAt time.Time) {
@@ -193,7 +193,7 @@
 // storeAttributes returns the log attributes of the calls to the key-value store.
 func storeAttributes(s store.Stats) []any {
 	return []any{
-		"state_watches", s.Watches, "state_txns", s.Txns, "state_changes", s.Changes, "state_taken", s.Applied,
-		"state_renewals", s.Renewals, "state_refused", s.Refused, "state_conflicts", s.Conflicts,
+		"state_watches", s.Watches, "state_txns", s.Txns, "state_changes", s.Changes, "state_taken", s.AppliedChanges,
+		"state_renewals", s.Renewals, "state_refused", s.RefusedRequests, "state_conflicts", s.Conflicts,
 	}
 }
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -14,7 +14,7 @@
 
 // newMoveWrite returns a write, still without changes, that moves groups of a job.
 func (c *leader) newMoveWrite(j *job) *store.Write {
-	return &store.Write{Early: true, Contested: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
+	return &store.Write{MediumPriority: true, ConflictProne: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
 }
 
 // addGroupUpdate adds to a write the replacement of a group's stored value.
@@ -51,7 +51,7 @@
 	for _, other := range job.groups {
 		moved := *other
 		moved.zone = zone
-		addGroupUpdate(write, other, c.encodeGroup(&moved, other.doneTasks, other.bindings).At(other.key))
+		addGroupUpdate(write, other, c.encodeGroup(&moved, other.doneTasks, other.bindings).ValueForKey(other.key))
 	}
 	c.submitDecision(write)
 	return true
@@ -77,7 +77,7 @@
 		if other.writeInFlight || other.zone != group.zone || other.boundTaskCount() > 0 {
 			return 0, false
 		}
-		if group.job.spec.AllOrNothing() {
+		if group.job.spec.IsAllOrNothing() {
 			tasks = max(tasks, len(other.bindings))
 		}
 	}
@@ -114,7 +114,7 @@
 	if group.job.spec.Gang {
 		return c.moveGang(summaries, group.job)
 	}
-	movesWhole := group.job.spec.AllOrNothing() && group.boundTaskCount() == 0
+	movesWhole := group.job.spec.IsAllOrNothing() && group.boundTaskCount() == 0
 	if movesWhole {
 		count = max(count, len(group.bindings)) // a job that has not started moves as a whole
 	}
@@ -205,12 +205,12 @@
 	left, moved := group.split(staying, moving)
 	moved.partition = partition
 	if len(staying) == 0 {
-		addGroupUpdate(write, group, c.encodeGroup(&moved, group.doneTasks, moving).At(group.key))
+		addGroupUpdate(write, group, c.encodeGroup(&moved, group.doneTasks, moving).ValueForKey(group.key))
 	} else {
-		addGroupUpdate(write, group, c.encodeGroup(&left, group.doneTasks, staying).At(group.key))
+		addGroupUpdate(write, group, c.encodeGroup(&left, group.doneTasks, staying).ValueForKey(group.key))
 		key := groupKey(group.job.id, group.job.newGroupNumber())
 		write.Conditions = append(write.Conditions, wire.Condition{Key: key})
-		write.Changes = append(write.Changes, wire.Change{Put: key, Value: c.encodeGroup(&moved, 0, moving).At(key)})
+		write.Changes = append(write.Changes, wire.Change{Put: key, Value: c.encodeGroup(&moved, 0, moving).ValueForKey(key)})
 	}
 	c.metrics.count(countMovedGroups, 1)
 	c.log.Debug("tasks move to another partition", "job", group.job.id, "tasks", len(moving), "partition", partition)
--- a/internal/controller/outage_log_test.go
+++ b/internal/controller/outage_log_test.go
@@ -18,7 +18,7 @@
 		setDown func(c *cluster, down bool)
 		nodes   int // number of controllers that log the outage
 	}{
-		{"the key-value store", `of="key-value store"`, func(c *cluster, down bool) { c.env.Store.SetDown(down) }, usualControllers},
+		{"the key-value store", `of="key-value store"`, func(c *cluster, down bool) { c.env.Store.SetDown(down) }, defaultControllerCount},
 		{"the cloud", "of=cloud", func(c *cluster, down bool) { c.env.Cloud.SetDown(down) }, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -31,9 +31,9 @@
 // its beginning and its end.
 func (c *cluster) checkOutageLines(of string, nodes int, setDown func(down bool)) {
 	c.t.Helper()
-	c.keepsLogs = true
+	c.alwaysKeepLogs = true
 	c.restartAll()
-	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 1}))
+	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 1}))
 	c.await("the service runs", time.Minute, func() bool { return c.env.Running("wk-1") == 2 })
 	before := c.infoLines("outage")
 	if len(before) > 0 {
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -60,7 +60,7 @@
 // busy.
 func (c *cluster) checkSlowControllers(busy time.Duration) {
 	c.t.Helper()
-	c.runServices(4, 2)
+	c.startServices(4, 2)
 	time.Sleep(10 * time.Second)
 	owners, used := c.leaseOwners(), c.usedMachines()
 	stop := c.blockEventLoops(busy, 300*time.Millisecond)
@@ -68,9 +68,9 @@
 	if now := c.leaseOwners(); !maps.Equal(owners, now) {
 		c.t.Errorf("holders of leased keys changed from %v to %v", owners, now)
 	}
-	c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 6, CPUs: 2, EstimateS: 5}))
+	c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 6, CPUs: 2, EstimateS: 5}))
 	c.await("the array starts", 40*time.Second, func() bool { return c.env.Running("wk-9")+c.env.Completed("wk-9") > 0 })
-	if !c.servicesRun(4, 2) {
+	if !c.areServicesRunning(4, 2) {
 		c.t.Error("replicas are missing, want all to run")
 	}
 	remaining := c.env.Cloud.Agents()
@@ -99,7 +99,7 @@
 func TestBlockedControllerLosesItsLeases(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		const blocked = 2
-		c.runServices(4, 2)
+		c.startServices(4, 2)
 		time.Sleep(10 * time.Second)
 		before := c.leaseOwners()
 		c.nodes[blocked].controller().enqueue(priorityStore, func() { time.Sleep(time.Minute) })
@@ -111,7 +111,7 @@
 			}
 		}
 		time.Sleep(time.Minute)
-		if !c.servicesRun(4, 2) {
+		if !c.areServicesRunning(4, 2) {
 			t.Error("replicas are missing, want all to run")
 		}
 	})
@@ -126,7 +126,7 @@
 // has time.
 func TestOverloadedControllerRejectsUsersAtOnce(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 2, CPUs: 2, EstimateS: 5}))
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 2, CPUs: 2, EstimateS: 5}))
 		c.awaitDone("wk-1", 2*time.Minute)
 		ctl := c.nodes[0].controller()
 		ctx, cancel := context.WithCancel(c.ctx)
@@ -179,7 +179,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	switch {
-	case answer.Status == http.StatusServiceUnavailable && answer.RetryAfter < 1:
+	case answer.Status == http.StatusServiceUnavailable && answer.RetryAfterS < 1:
 		u.t.Error("a user is rejected without a time after which to retry")
 	case answer.Status == http.StatusServiceUnavailable && time.Since(begun) == 0:
 		u.rejected++
--- a/internal/controller/owner_liveness.go
+++ b/internal/controller/owner_liveness.go
@@ -54,7 +54,7 @@
 		return p.takeoverComplete
 	}
 	ownerPeer := c.peers.Peer(owner)
-	return ownerPeer != nil && ownerPeer.Heard(ownerStatusTimeout, c.now) && slices.Contains(ownerPeer.Status.Partitions, uint64(p.index))
+	return ownerPeer != nil && ownerPeer.HasRecentStatus(ownerStatusTimeout, c.now) && slices.Contains(ownerPeer.Status.Partitions, uint64(p.index))
 }
 
 // isOwnerViewComplete reports whether a partition's owner has been responsive for so long
--- a/internal/controller/partition_tokens_test.go
+++ b/internal/controller/partition_tokens_test.go
@@ -34,7 +34,7 @@
 			c.TokenRaised(p.key, raisedTo)
 			c.now = c.now.Add(time.Second)
 			m := c.getOrAddMachine("host-1")
-			heartbeat := &wire.Heartbeat{Machine: "host-1", Addr: "host-1:1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 32, Token: row.token}
+			heartbeat := &wire.Heartbeat{Machine: "host-1", Addr: "host-1:1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 32, FencingToken: row.token}
 			c.applyHeartbeat(m, heartbeat, p, workerRequest)
 			if got := c.isUsable(m, p); got != row.usable {
 				t.Errorf("machine is usable: %v, want %v", got, row.usable)
--- a/internal/controller/peer_status.go
+++ b/internal/controller/peer_status.go
@@ -7,7 +7,7 @@
 // buildPeerStatus returns the status that is sent to the peers: what they need to know about this
 // controller, its partitions and their machines.
 func (c *controller) buildPeerStatus() *peer.Status {
-	status := &peer.Status{Node: c.cfg.Name, ProcessID: c.processID, Fresh: c.isFresh(c.operator.LeaseTTL), Eligible: c.isEligible(), Draining: c.autoscaler.DrainedMachines()}
+	status := &peer.Status{Node: c.cfg.Name, ProcessID: c.processID, ReplicaIsCurrent: c.isFresh(c.operator.LeaseTTL), CanTakePartitions: c.isEligible(), DrainingMachines: c.autoscaler.DrainingMachines()}
 	for _, p := range c.partitions {
 		if p.token == 0 || !p.takeoverComplete {
 			continue
@@ -36,22 +36,22 @@
 func (c *clusterState) machineFlags(m *machine, p *partition) uint8 {
 	var flags uint8
 	if c.isUsable(m, p) {
-		flags |= peer.Reachable
+		flags |= peer.FlagReachable
 	}
 	if !m.terminationAt.IsZero() {
-		flags |= peer.TerminationNotice
+		flags |= peer.FlagTerminationNotice
 	}
 	if m.cordoned {
-		flags |= peer.Cordoned
+		flags |= peer.FlagCordoned
 	}
 	if m.spot {
-		flags |= peer.Spot
+		flags |= peer.FlagSpot
 	}
 	if c.isUnreachable(m, p) {
-		flags |= peer.Unreachable
+		flags |= peer.FlagUnreachable
 	}
 	if !m.heartbeatAt.After(p.machineOwnedSince(m)) {
-		flags |= peer.NotHeardYet
+		flags |= peer.FlagNoHeartbeatYet
 	}
 	return flags
 }
@@ -62,5 +62,5 @@
 	if !c.peers.Update(status, c.now) || c.ownerOf(c.leaderKey()) != status.Node {
 		return
 	}
-	c.autoscaler.ObserveDraining(status.Draining)
+	c.autoscaler.ObserveDraining(status.DrainingMachines)
 }
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -90,7 +90,7 @@
 	if group.job.spec == nil {
 		return false
 	}
-	hasPendingTasks := group.job.finalState == record.Unfinished && group.boundCount < len(group.bindings)
+	hasPendingTasks := group.job.finalState == record.StateUnfinished && group.boundCount < len(group.bindings)
 	return group.hasUnstoredEnds || group.storedSize > c.maxValueBytes() || hasPendingTasks
 }
 
@@ -99,7 +99,7 @@
 	clear(p.exhaustedClasses)
 	p.unplacedInPass = 0
 	for _, group := range groups {
-		if !group.writeInFlight && group.job.finalState == record.Unfinished && !c.now.Before(group.job.retryAt) {
+		if !group.writeInFlight && group.job.finalState == record.StateUnfinished && !c.now.Before(group.job.retryAt) {
 			c.placeGroup(p, group)
 		}
 	}
@@ -150,7 +150,7 @@
 // they preempt others: cells become free continually, and the work of a preempted task is lost.
 func (c *partitionOwner) newPlacement(p *partition, group *taskGroup) placement {
 	waited := c.now.Sub(group.partitionAssignedAt)
-	array := !group.job.spec.AllOrNothing()
+	array := !group.job.spec.IsAllOrNothing()
 	return placement{
 		owner:     c,
 		partition: p,
--- a/internal/controller/processes_test.go
+++ b/internal/controller/processes_test.go
@@ -160,7 +160,7 @@
 		addrs[i], mesh[i] = p.free(), p.free()
 		members[i] = agent.Controller{Name: name, Addr: addrs[i]}
 	}
-	p.env = simulation.New(ctx, members, testTypes)
+	p.env = simulation.New(ctx, members, testMachineTypes)
 	p.clientTransport = p.env.Network.NewTransport()
 	p.env.Cloud.MachineAddr = func(int) string { return p.listen() }
 	p.env.Network.Listen = func(addr string, h http.Handler) {
@@ -250,9 +250,9 @@
 	}
 	work := func() {
 		for _, team := range []string{"red", "blue"} {
-			p.submit(newSubmission(submission{ID: next(), Kind: wire.Array, Team: team, Priority: "normal", Tasks: 30, CPUs: 1, EstimateS: 3}))
+			p.submit(newSubmission(submission{ID: next(), Kind: wire.KindArray, Team: team, Priority: "normal", Tasks: 30, CPUs: 1, EstimateS: 3}))
 		}
-		p.submit(newSubmission(submission{ID: next(), Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 2}))
+		p.submit(newSubmission(submission{ID: next(), Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 2}))
 	}
 	work()
 	p.await("work runs", time.Minute, func() bool { return p.env.Starts() > 10 })
@@ -279,8 +279,8 @@
 	for n := range jobs {
 		id := fmt.Sprintf("wk-%d", n+1)
 		p.await(id+" is over", 3*time.Minute, func() bool {
-			s := p.state(id)
-			return s == wire.Done || p.env.Running(id) == 2
+			s := p.jobState(id)
+			return s == wire.StateDone || p.env.Running(id) == 2
 		})
 	}
 	for _, breach := range p.env.Violations() {
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -15,11 +15,11 @@
 func TestQuotaAndPreemption(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.env.Cloud.SetCapacity(3)
-		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "red", Priority: "low", Tasks: 40, CPUs: 2, EstimateS: 6}))
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "red", Priority: "low", Tasks: 40, CPUs: 2, EstimateS: 6}))
 		c.await("the array runs", time.Minute, func() bool { return c.env.Running("wk-1") > 2 })
-		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "blue", Priority: "low", Tasks: 40, CPUs: 2, EstimateS: 6}))
+		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "blue", Priority: "low", Tasks: 40, CPUs: 2, EstimateS: 6}))
 		time.Sleep(30 * time.Second)
-		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.Service, Team: "blue", Priority: "production", Tasks: 2, CPUs: 4}))
+		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.KindService, Team: "blue", Priority: "production", Tasks: 2, CPUs: 4}))
 		c.await("the service runs after preemption", 20*time.Second, func() bool { return c.env.Running("wk-3") == 2 })
 		c.awaitDone("wk-1", 10*time.Minute)
 		c.awaitDone("wk-2", 10*time.Minute)
@@ -30,9 +30,9 @@
 // limit. The array continues with the rest.
 func TestQuotaGoesToHigherPriority(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "red", Priority: "low", Tasks: 60, CPUs: 2, EstimateS: 30}))
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "red", Priority: "low", Tasks: 60, CPUs: 2, EstimateS: 30}))
 		c.await("the array fills the limit", time.Minute, func() bool { return c.env.Running("wk-1") == 12 })
-		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Service, Team: "red", Priority: "urgent", Tasks: 2, CPUs: 4}))
+		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindService, Team: "red", Priority: "urgent", Tasks: 2, CPUs: 4}))
 		c.await("the service runs", 10*time.Second, func() bool { return c.env.Running("wk-2") == 2 })
 		c.await("the array uses the rest of the limit", 20*time.Second, func() bool { return c.env.Running("wk-1") == 8 })
 		c.cancelJob("wk-2")
@@ -47,8 +47,8 @@
 	runCluster(t, func(c *cluster) {
 		c.env.Cloud.SetCapacity(2)
 		submitArray := func(id string, tasks int) {
-			b := newSubmission(submission{ID: id, Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: tasks, CPUs: 4, EstimateS: 8})
-			b.DueS = 60
+			b := newSubmission(submission{ID: id, Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: tasks, CPUs: 4, EstimateS: 8})
+			b.DeadlineS = 60
 			c.submit(b)
 		}
 		submitArray("wk-1", 200)
@@ -104,16 +104,16 @@
 // other jobs of the team took the freed quota and were stopped in turn.
 func TestUnplaceableJobStopsNothing(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Array, Team: "red", Priority: "low", Tasks: 40, CPUs: 2, EstimateS: 60}))
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "red", Priority: "low", Tasks: 40, CPUs: 2, EstimateS: 60}))
 		c.await("the limit is used up", time.Minute, func() bool { return c.env.Running("wk-1") == 12 })
-		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "red", Priority: "low", Tasks: 40, CPUs: 2, EstimateS: 60}))
+		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "red", Priority: "low", Tasks: 40, CPUs: 2, EstimateS: 60}))
 		c.env.Cloud.SetDown(true)
 		for _, w := range c.env.Cloud.Agents() {
 			if w.Zone() == "b" {
 				t.Fatal("there is a machine in zone b, want none")
 			}
 		}
-		b := newSubmission(submission{ID: "wk-3", Kind: wire.Array, Team: "red", Priority: "normal", Tasks: 8, CPUs: 2, EstimateS: 5})
+		b := newSubmission(submission{ID: "wk-3", Kind: wire.KindArray, Team: "red", Priority: "normal", Tasks: 8, CPUs: 2, EstimateS: 5})
 		b.Zone = "b"
 		c.submit(b)
 		before := c.env.Starts()
--- a/internal/controller/quota_usage.go
+++ b/internal/controller/quota_usage.go
@@ -19,7 +19,7 @@
 		quotas[group.job.team].Charge(use, group.guaranteed)
 	}
 	for _, job := range c.activeJobs {
-		if job.finalState == record.Unfinished && job.spec != nil {
+		if job.finalState == record.StateUnfinished && job.spec != nil {
 			chargeUnknownTasks(&quotas[job.team], job)
 			chargeUnassignedMembers(&quotas[job.team], job)
 		}
@@ -47,7 +47,7 @@
 		return
 	}
 	assigned, _ := j.countAssignedTasks()
-	unknown := min(j.spec.Tasks-assigned, len(j.unreadableKeys)*maxGroupBindings)
+	unknown := min(j.spec.TaskCount-assigned, len(j.unreadableKeys)*maxGroupBindings)
 	quota.Charge(j.taskSize.Times(unknown), false)
 }
 
@@ -58,7 +58,7 @@
 	if !j.spec.Gang {
 		return
 	}
-	if assigned, _ := j.countAssignedTasks(); assigned > 0 && assigned < j.spec.Tasks {
-		quota.Charge(j.taskSize.Times(j.spec.Tasks-assigned), j.firstGroup().guaranteed)
+	if assigned, _ := j.countAssignedTasks(); assigned > 0 && assigned < j.spec.TaskCount {
+		quota.Charge(j.taskSize.Times(j.spec.TaskCount-assigned), j.firstGroup().guaranteed)
 	}
 }
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -101,20 +101,20 @@
 		return // perhaps it was stored: the rules hold for it all the same
 	}
 	r.accepted = append(r.accepted, job.ID)
-	if r.rng.IntN(3) == 0 || job.Kind == wire.Service {
+	if r.rng.IntN(3) == 0 || job.Kind == wire.KindService {
 		r.cancelling = append(r.cancelling, job.ID)
 	}
 }
 
 // drawJob is a job of any kind.
 func (r *randomRun) drawJob(id string) *submission {
-	kind := []string{wire.Array, wire.Array, wire.Service, wire.Gang}[r.rng.IntN(4)]
+	kind := []string{wire.KindArray, wire.KindArray, wire.KindService, wire.KindGang}[r.rng.IntN(4)]
 	team := []string{"red", "blue"}[r.rng.IntN(2)]
 	priority := []string{"low", "normal", "urgent", "production"}[r.rng.IntN(4)]
 	job := newSubmission(submission{ID: id, Kind: kind, Team: team, Priority: priority, Tasks: 1 + r.rng.IntN(5)})
 	job.CPUs = 1 + float64(r.rng.IntN(3))
 	job.EstimateS = 1 + float64(r.rng.IntN(10))
-	if kind == wire.Array {
+	if kind == wire.KindArray {
 		job.Tasks = 1 + r.rng.IntN(25)
 		job.Spread = r.rng.IntN(4) == 0
 		job.Spot = r.rng.IntN(2) == 0
@@ -129,7 +129,7 @@
 	n := r.nodes[r.rng.IntN(3)]
 	host := []string{simulation.StoreAddr, "10.1", simulation.CloudAddr}[r.rng.IntN(3)]
 	happens := []network.Fault{network.Refuse, network.Drop, network.ExecuteLate}[r.rng.IntN(3)]
-	n.transport.SetPolicy(onlyWhen(func(req *http.Request) bool { return strings.HasPrefix(req.URL.Host, host) }, happens))
+	n.transport.SetPolicy(policyForMatching(func(req *http.Request) bool { return strings.HasPrefix(req.URL.Host, host) }, happens))
 	r.endLater(func() { n.transport.SetPolicy(nil) })
 }
 
@@ -156,7 +156,7 @@
 	}
 	settledAt := time.Now()
 	for _, id := range r.accepted {
-		r.state(id)
+		r.jobState(id)
 		if d := time.Since(settledAt); d > maxRecovery {
 			r.t.Errorf("%s is not answered for %v after the faults, want at most %v", id, d, maxRecovery)
 		}
@@ -164,8 +164,8 @@
 	time.Sleep(r.nodes[0].maxStaleness())
 	for _, id := range r.accepted {
 		r.await(id+" is finished", 8*time.Minute, func() bool {
-			state := r.state(id)
-			return state == wire.Done || state == wire.Cancelled
+			state := r.jobState(id)
+			return state == wire.StateDone || state == wire.StateCancelled
 		})
 	}
 }
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -50,7 +50,7 @@
 	if j.spec.Gang {
 		j.observeGangTask(status)
 	}
-	hasImage := status.State == wire.Running || status.State == wire.Gathering || status.State == wire.Saving
+	hasImage := status.State == wire.StateRunning || status.State == wire.StateAwaitingGang || status.State == wire.StateSavingCheckpoint
 	if hasImage && j.spec.Image != "" {
 		m.cachedImages[j.spec.Image] = true
 		delete(m.fetchStartedAt, j.spec.Image)
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -34,9 +34,9 @@
 	case kind == loanKind:
 		a.deleteLoan(name)
 	case key == rollout.StateKey:
-		a.setRolloutState(rollout.Initial, 0, nil)
-	case strings.HasPrefix(key, rollout.ControllerPrefix):
-		delete(a.rollout.registrations, strings.TrimPrefix(key, rollout.ControllerPrefix))
+		a.setRolloutState(rollout.InitialState, 0, nil)
+	case strings.HasPrefix(key, rollout.RegistrationPrefix):
+		delete(a.rollout.registrations, strings.TrimPrefix(key, rollout.RegistrationPrefix))
 	default:
 		a.election.ObserveVacancy(key)
 	}
@@ -59,7 +59,7 @@
 	case machineTypesKind:
 		return decodeInto(raw, func(list []wire.MachineType) {
 			a.setMachineTypes(list)
-			a.autoscaler.MachineTypesStored()
+			a.autoscaler.MarkMachineTypesStored()
 		})
 	case tombstoneKind:
 		a.putTombstone(key, tombstoneNames(name, raw))
@@ -76,7 +76,7 @@
 	if key == rollout.StateKey {
 		return a.putRolloutState(raw, revision)
 	}
-	if name, ok := strings.CutPrefix(key, rollout.ControllerPrefix); ok {
+	if name, ok := strings.CutPrefix(key, rollout.RegistrationPrefix); ok {
 		return a.putRegistration(name, raw, revision)
 	}
 	return decodeInto(raw, func(holder record.LeaseHolder) {
@@ -144,7 +144,7 @@
 	if v.Spec != nil {
 		a.setSpec(job, v)
 	}
-	if job.finalState != record.Unfinished {
+	if job.finalState != record.StateUnfinished {
 		job.releaseDetails(a.replica.Cursor())
 		a.stopFinalJob(job, before)
 	}
@@ -166,15 +166,15 @@
 func equivalenceClass(spec *wire.Job) string {
 	return fmt.Sprint(
 		spec.CPUs, spec.GPUs, spec.RAMGB,
-		spec.MachineTypes, spec.Zone, spec.Spot,
-		spec.Priority, spec.AllOrNothing(), spec.Team)
+		spec.MachineTypes, spec.Zone, spec.AllowsSpot,
+		spec.Priority, spec.IsAllOrNothing(), spec.Team)
 }
 
 // stopFinalJob cancels the reservations of a final job and sends the commands that stop its
 // tasks.
 func (a recordApplier) stopFinalJob(job *job, before record.FinalState) {
 	for _, group := range job.groups {
-		if before == record.Unfinished {
+		if before == record.StateUnfinished {
 			group.cancelWrite() // the write is conditional on the previous version of the job
 		}
 		a.cancelReservations(group, !group.writeInFlight)
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -25,7 +25,7 @@
 // made in package rollout.
 type rolloutState struct {
 	// supportedLevels is the range of levels that this process reads.
-	supportedLevels rollout.Range
+	supportedLevels rollout.LevelRange
 	// state is the last stored state that could be decoded, and revision is the revision of the
 	// stored value. If none is stored, they are rollout.Initial and 0.
 	state    rollout.State
@@ -33,9 +33,9 @@
 	// refusal is the reason why this process must not serve, or nil if it may.
 	refusal error
 	// leaseKeys are the keys under which leases are currently acquired.
-	leaseKeys rollout.Keys
+	leaseKeys rollout.LeaseKeys
 	// registrations holds the registered controllers by name.
-	registrations map[string]rollout.Registered
+	registrations map[string]rollout.StoredRegistration
 	// groupsByEncoding is the number of task groups stored in each encoding.
 	groupsByEncoding map[record.Encoding]int
 	// unreadableGroups holds the keys of the task groups that can't be decoded.
@@ -52,15 +52,15 @@
 func newRolloutState(cfg *config.Platform, op *config.Operator) rolloutState {
 	s := &cfg.Settings
 	perSecond := s.Store.WriteRPS * op.RewriteShare / float64(s.Count)
-	supported := rollout.Supported
+	supported := rollout.SupportedLevels
 	if op.HighestLevel > 0 {
 		supported.High = min(supported.High, rollout.Level(op.HighestLevel))
 	}
 	return rolloutState{
 		supportedLevels:  supported,
-		state:            rollout.Initial,
-		leaseKeys:        rollout.Initial.Keys(),
-		registrations:    map[string]rollout.Registered{},
+		state:            rollout.InitialState,
+		leaseKeys:        rollout.InitialState.LeaseKeys(),
+		registrations:    map[string]rollout.StoredRegistration{},
 		groupsByEncoding: map[record.Encoding]int{},
 		unreadableGroups: map[string]bool{},
 		rewriteLimiter:   rate.NewLimiter(rate.Limit(perSecond), 1),
@@ -77,7 +77,9 @@
 }
 
 // writeEncoding returns the encoding in which task groups are currently written.
-func (c *clusterState) writeEncoding() record.Encoding { return encodingAt(c.rollout.state.Writes()) }
+func (c *clusterState) writeEncoding() record.Encoding {
+	return encodingAt(c.rollout.state.WriteLevel())
+}
 
 // encodingAt returns the encoding of task groups at a feature level.
 func encodingAt(level rollout.Level) record.Encoding {
@@ -90,7 +92,7 @@
 // countGroupsToRewrite returns the number of task groups whose stored encoding differs from the
 // one in which they are currently written.
 func (s *rolloutState) countGroupsToRewrite() int {
-	writeEncoding := encodingAt(s.state.Writes())
+	writeEncoding := encodingAt(s.state.WriteLevel())
 	n := 0
 	for encoding, count := range s.groupsByEncoding {
 		if encoding != writeEncoding {
@@ -103,7 +105,7 @@
 // countGroupsAboveWriteEncoding returns the number of task groups whose stored encoding is newer
 // than the one in which they are currently written.
 func (s *rolloutState) countGroupsAboveWriteEncoding() int {
-	writeEncoding := encodingAt(s.state.Writes())
+	writeEncoding := encodingAt(s.state.WriteLevel())
 	n := 0
 	for encoding, count := range s.groupsByEncoding {
 		if encoding > writeEncoding {
@@ -135,18 +137,18 @@
 		refusal = &unsupportedLevelError{level: state.Level, supported: c.rollout.supportedLevels}
 	}
 	c.setRefusal(refusal)
-	if keys := state.Keys(); keys != c.rollout.leaseKeys {
+	if keys := state.LeaseKeys(); keys != c.rollout.leaseKeys {
 		c.switchLeaseKeys(keys)
 	}
 	if before != state {
-		c.log.Info("feature level state changed", "level", state.Level, "phase", state.Phase, "epoch", state.Epoch, "held", state.Held, "wish", state.Request)
+		c.log.Info("feature level state changed", "level", state.Level, "phase", state.Phase, "epoch", state.Epoch, "held", state.OnHold, "wish", state.Request)
 	}
 }
 
 // unsupportedLevelError means that this process does not read the feature level in force.
 type unsupportedLevelError struct {
 	level     rollout.Level
-	supported rollout.Range
+	supported rollout.LevelRange
 }
 
 func (e *unsupportedLevelError) Error() string {
@@ -171,7 +173,7 @@
 
 // switchLeaseKeys gives up all leases under the current keys, which no controller may hold any
 // longer, and makes this controller acquire its leases under the given keys from now on.
-func (c *controller) switchLeaseKeys(keys rollout.Keys) {
+func (c *controller) switchLeaseKeys(keys rollout.LeaseKeys) {
 	c.election.SetKeys(leaseKeys(keys, c.loanPartition())) // gives up the leases under the old keys
 	c.rollout.leaseKeys = keys
 	for _, p := range c.partitions {
@@ -183,27 +185,27 @@
 // putRegistration applies the stored registration of a controller. A controller whose registration
 // can't be decoded counts as not registered.
 func (a recordApplier) putRegistration(name string, raw json.RawMessage, revision uint64) error {
-	registration, err := rollout.DecodeController(raw)
+	registration, err := rollout.DecodeRegistration(raw)
 	if err != nil {
 		delete(a.rollout.registrations, name)
 		return err
 	}
-	a.rollout.registrations[name] = rollout.Registered{Controller: registration, Revision: revision}
+	a.rollout.registrations[name] = rollout.StoredRegistration{Registration: registration, Revision: revision}
 	return nil
 }
 
 // rolloutView returns the information on which the decision about the next step is based.
-func (c *controller) rolloutView() rollout.View {
+func (c *controller) rolloutView() rollout.ClusterView {
 	s := &c.rollout
-	return rollout.View{
+	return rollout.ClusterView{
 		Now:               c.now,
 		Members:           c.cfg.Nodes(),
-		Controllers:       s.registrations,
-		Leading:           c.isLeader(),
-		Current:           c.replica.Cursor() >= s.revision,
-		RecordsAbove:      s.countGroupsAboveWriteEncoding(),
+		Registrations:     s.registrations,
+		IsLeader:          c.isLeader(),
+		IsUpToDate:        c.replica.Cursor() >= s.revision,
+		NewerRecords:      s.countGroupsAboveWriteEncoding(),
 		UnreadableRecords: len(s.unreadableGroups),
-		Partitions:        c.loanPartition(),
+		PartitionCount:    c.loanPartition(),
 		MaxTxnChanges:     c.cfg.Settings.Store.TxnOps,
 		FinalizeAfter:     c.operator.FinalizeAfter,
 	}
@@ -223,10 +225,10 @@
 	if step == rollout.NoStep {
 		return
 	}
-	txn := rollout.Txn(s.state, step, next, view, rollout.Revisions{State: s.revision, Leader: c.leadership.token})
+	txn := rollout.NewStepTxn(s.state, step, next, view, rollout.Revisions{State: s.revision, Leader: c.leadership.token})
 	s.stepInFlight = true
 	c.log.Info("feature level step", "step", step, "from", s.state.Level, "phase", s.state.Phase)
-	write := &store.Write{Prompt: true, Contested: true, Conditions: txn.Conditions, Changes: txn.Changes}
+	write := &store.Write{HighPriority: true, ConflictProne: true, Conditions: txn.Conditions, Changes: txn.Changes}
 	c.SubmitWrite(write, func(err error) {
 		if err == nil {
 			s.stepInFlight = false
@@ -241,7 +243,7 @@
 // one currently written. The rate is limited, and nothing is rewritten while the write backlog is
 // above maxRewriteBacklog, so that users' writes and other work are not delayed.
 func (c *partitionOwner) rewriteGroups(p *partition) {
-	if c.rollout.countGroupsToRewrite() == 0 || c.stateWriter.Backlog() > maxRewriteBacklog {
+	if c.rollout.countGroupsToRewrite() == 0 || c.stateWriter.BacklogDuration() > maxRewriteBacklog {
 		return
 	}
 	encoding := c.writeEncoding()
@@ -266,7 +268,7 @@
 // and the plain version otherwise.
 func (c *controller) frameVersion(name string) peer.Version {
 	registration, ok := c.rollout.registrations[name]
-	if !ok || c.rollout.state.Active() < rollout.ChecksumLevel || registration.High < rollout.ChecksumLevel {
+	if !ok || c.rollout.state.ActiveLevel() < rollout.ChecksumLevel || registration.High < rollout.ChecksumLevel {
 		return peer.PlainFrame
 	}
 	if p := c.peers.Peer(name); p.Status != nil && p.Status.ProcessID != registration.ProcessID {
@@ -294,13 +296,13 @@
 	if c.rollout.refusal == nil {
 		return api.Response{}, false
 	}
-	return frontend.Unavailable(c.rollout.refusal.Error()), true
+	return frontend.UnavailableResponse(c.rollout.refusal.Error()), true
 }
 
 // runRegistrar keeps the range of levels that this controller reads registered until ctx ends.
 func (c *controller) runRegistrar(ctx context.Context) {
-	registration := rollout.Controller{Node: c.cfg.Name, ProcessID: c.processID, Build: Build, Range: c.rollout.supportedLevels}
-	r := &rollout.Registrar{Store: c.stateClient, Controller: registration, TTL: registrationTTLFactor * c.operator.LeaseTTL, Log: c.log}
+	registration := rollout.Registration{Node: c.cfg.Name, ProcessID: c.processID, Build: Build, LevelRange: c.rollout.supportedLevels}
+	r := &rollout.Registrar{Store: c.stateClient, Registration: registration, TTL: registrationTTLFactor * c.operator.LeaseTTL, Log: c.log}
 	if err := r.Run(ctx); err != nil && !errors.Is(err, ctx.Err()) {
 		c.log.Error("registration ended", "err", err)
 	}
--- a/internal/controller/rollout_cluster_test.go
+++ b/internal/controller/rollout_cluster_test.go
@@ -30,11 +30,11 @@
 
 // runUpgradeCluster is runCluster for a cluster whose controllers take part in staged upgrades.
 func runUpgradeCluster(t *testing.T, f func(c *cluster)) {
-	runClusterWith(t, func(n *node) {
+	runClusterWithSetup(t, func(n *node) {
 		n.operatorConfig = config.DefaultOperator()
 		n.operatorConfig.FeatureLevels = true
 	}, func(c *cluster) {
-		c.upgrades = true
+		c.upgradesEnabled = true
 		f(c)
 	})
 }
@@ -43,7 +43,7 @@
 func (c *cluster) storedRolloutState() rollout.State {
 	raw, ok := c.env.Store.Values(rollout.StateKey)[rollout.StateKey]
 	if !ok {
-		return rollout.Initial
+		return rollout.InitialState
 	}
 	state, err := rollout.DecodeState(raw)
 	if err != nil {
@@ -67,9 +67,9 @@
 }
 
 // upgradeOperator returns an operator who controls the cluster's upgrade.
-func (c *cluster) upgradeOperator() *rollout.Operator {
+func (c *cluster) upgradeOperator() *rollout.OperatorClient {
 	cfg := c.nodes[0].cfg
-	return &rollout.Operator{Store: c.storeClient(), Members: cfg.Nodes(), Partitions: cfg.Settings.Count, MaxTxnChanges: cfg.Settings.Store.TxnOps}
+	return &rollout.OperatorClient{Store: c.storeClient(), Members: cfg.Nodes(), PartitionCount: cfg.Settings.Count, MaxTxnChanges: cfg.Settings.Store.TxnOps}
 }
 
 // requestUpgrade stores an operator's request as the eiderhitch upgrade command does. It retries
@@ -105,20 +105,20 @@
 
 // softwareVersion is a version of the controller, described by its support for feature levels.
 type softwareVersion struct {
-	supportedLevels rollout.Range
+	supportedLevels rollout.LevelRange
 	predatesLevels  bool // the version does not know levels and writes records of the base level
 }
 
 // The versions that take part in the tests of upgrades. versionWithoutLevels runs the current code
 // behind legacyStoreView, which hides from it what such a version does not know.
 var (
-	currentVersion       = softwareVersion{supportedLevels: rollout.Supported}
-	baseLevelVersion     = softwareVersion{supportedLevels: rollout.Range{Low: rollout.BaseLevel, High: rollout.BaseLevel}}
-	versionWithoutLevels = softwareVersion{supportedLevels: rollout.Supported, predatesLevels: true}
+	currentVersion       = softwareVersion{supportedLevels: rollout.SupportedLevels}
+	baseLevelVersion     = softwareVersion{supportedLevels: rollout.LevelRange{Low: rollout.BaseLevel, High: rollout.BaseLevel}}
+	versionWithoutLevels = softwareVersion{supportedLevels: rollout.SupportedLevels, predatesLevels: true}
 )
 
 // readableLevels returns the range of levels whose records a version reads.
-func (v softwareVersion) readableLevels() rollout.Range {
+func (v softwareVersion) readableLevels() rollout.LevelRange {
 	if v.predatesLevels {
 		return baseLevelVersion.supportedLevels
 	}
@@ -129,5 +129,5 @@
 func (c *cluster) recordProcess(p *process) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readableByProcess[p.controller.processID] = p.version.readableLevels()
+	c.readableLevels[p.controller.processID] = p.version.readableLevels()
 }
--- a/internal/controller/rollout_processes_test.go
+++ b/internal/controller/rollout_processes_test.go
@@ -76,10 +76,10 @@
 		case <-time.After(every):
 		}
 		id := fmt.Sprintf("wk-%d%05d", round+1, n)
-		body := newSubmission(submission{ID: id, Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 3, CPUs: 1, EstimateS: 1})
+		body := newSubmission(submission{ID: id, Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 3, CPUs: 1, EstimateS: 1})
 		switch n % 8 {
 		case 0:
-			body = newSubmission(submission{ID: id, Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 1, CPUs: 1})
+			body = newSubmission(submission{ID: id, Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 1, CPUs: 1})
 		case 4:
 			body.CheckpointS, body.SaveS = 2, 1
 		}
@@ -92,7 +92,7 @@
 		_ = f.delays[f.phase].RecordValue(time.Since(begun).Milliseconds())
 		f.mu.Unlock()
 		if n%8 == 0 && n >= 24 { // few services run at a time
-			go f.call(cancelRequest(fmt.Sprintf("wk-%d%05d", round+1, n-24)), 20*time.Second)
+			go f.sendWithRetries(cancelRequest(fmt.Sprintf("wk-%d%05d", round+1, n-24)), 20*time.Second)
 		}
 	}
 }
@@ -177,8 +177,8 @@
 	f.await("work runs", time.Minute, func() bool { return f.env.Starts() > 10 })
 	f.enter("one at a time")
 	last := f.upgradeAll()
-	f.awaitPhase(1, rollout.Activated, time.Minute)
-	f.t.Logf("from the last controller's start to the active level: %v", time.UnixMilli(f.storedRolloutState().Since).Sub(last).Round(time.Millisecond))
+	f.awaitPhase(1, rollout.PhaseActive, time.Minute)
+	f.t.Logf("from the last controller's start to the active level: %v", time.UnixMilli(f.storedRolloutState().PhaseStartedAt).Sub(last).Round(time.Millisecond))
 	f.enter("switch and rewriting")
 	f.finalizeAndRewrite()
 	f.enter("after the switch")
@@ -186,7 +186,7 @@
 	f.enter("way back")
 	begun := time.Now()
 	f.command("abort")
-	f.awaitPhase(1, rollout.Stable, time.Minute)
+	f.awaitPhase(1, rollout.PhaseStable, time.Minute)
 	f.t.Logf("the way back: %v", time.Since(begun).Round(time.Millisecond))
 	for _, i := range f.rng.Perm(3) {
 		f.replaceBy(i, true)
@@ -254,8 +254,8 @@
 	f.env.SetSettled()
 	for _, id := range f.accepted {
 		f.await(id+" is over", 2*time.Minute, func() bool {
-			s := f.state(id)
-			return s == wire.Done || s == wire.Cancelled || f.env.Running(id) == 1
+			s := f.jobState(id)
+			return s == wire.StateDone || s == wire.StateCancelled || f.env.Running(id) == 1
 		})
 	}
 	for _, breach := range f.env.Violations() {
--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -24,21 +24,21 @@
 // they must be rewritten again before the level is lowered.
 func TestUpgradeAndRevert(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
-		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
-		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 60, CPUs: 2, EstimateS: 20}))
-		c.awaitLevel(1, rollout.Activated, 30*time.Second)
+		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
+		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 60, CPUs: 2, EstimateS: 20}))
+		c.awaitLevel(1, rollout.PhaseActive, 30*time.Second)
 		c.await("the service runs", 40*time.Second, func() bool { return c.env.Running("wk-1") == 3 })
 		c.requestUpgrade(rollout.RequestFinalize)
-		c.awaitLevel(2, rollout.Stable, 10*time.Second)
+		c.awaitLevel(2, rollout.PhaseStable, 10*time.Second)
 		c.await("records are rewritten", time.Minute, func() bool { f := c.countByEncoding(); return f[record.PlainJSON] == 0 && f[record.Checksummed] > 0 })
-		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.Gang, Team: "blue", Priority: "normal", Tasks: 4, CPUs: 2, EstimateS: 5}))
+		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.KindGang, Team: "blue", Priority: "normal", Tasks: 4, CPUs: 2, EstimateS: 5}))
 		c.awaitDone("wk-3", 2*time.Minute)
 		c.requestUpgrade(rollout.RequestAbort)
-		c.awaitLevel(1, rollout.Stable, time.Minute)
+		c.awaitLevel(1, rollout.PhaseStable, time.Minute)
 		if f := c.countByEncoding(); f[record.Checksummed] > 0 {
 			t.Errorf("records by encoding after the revert: %v, want none with a checksum", f)
 		}
-		if !c.storedRolloutState().Held {
+		if !c.storedRolloutState().OnHold {
 			t.Error("the level is not held after the revert")
 		}
 		c.awaitDone("wk-2", 5*time.Minute)
@@ -52,12 +52,12 @@
 // cluster to level 2.
 func (c *cluster) startWorkAndFinalize() {
 	c.t.Helper()
-	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.Service, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
-	c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 12, CPUs: 1, EstimateS: 300}))
+	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
+	c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 12, CPUs: 1, EstimateS: 300}))
 	c.await("the service and the array run", time.Minute, func() bool { return c.env.Running("wk-1") == 3 && c.env.Running("wk-2") == 12 })
-	c.awaitLevel(1, rollout.Activated, 30*time.Second)
+	c.awaitLevel(1, rollout.PhaseActive, 30*time.Second)
 	c.requestUpgrade(rollout.RequestFinalize)
-	c.awaitLevel(2, rollout.Stable, 30*time.Second)
+	c.awaitLevel(2, rollout.PhaseStable, 30*time.Second)
 	c.await("records are rewritten", time.Minute, func() bool { return c.countByEncoding()[record.PlainJSON] == 0 })
 }
 
@@ -90,10 +90,10 @@
 		const watched = 20
 		for range watched {
 			time.Sleep(time.Second)
-			if c.nodes[0].controller().Ready() || c.holdsLease(0) {
+			if c.nodes[0].controller().IsReady() || c.holdsLease(0) {
 				t.Fatal("the controller is ready or holds a leased key, want neither")
 			}
-			if answer := c.ask(0, queryRequest("wk-1")); answer.status != http.StatusServiceUnavailable {
+			if answer := c.sendRequest(0, queryRequest("wk-1")); answer.status != http.StatusServiceUnavailable {
 				t.Fatalf("query answered with status %d, want 503", answer.status)
 			}
 		}
@@ -104,7 +104,7 @@
 			t.Errorf("%d replicas run, want 3", n)
 		}
 		c.restartWithVersion(0, currentVersion)
-		c.await("the controller serves again", 20*time.Second, func() bool { return c.nodes[0].controller().Ready() && c.holdsLease(0) })
+		c.await("the controller serves again", 20*time.Second, func() bool { return c.nodes[0].controller().IsReady() && c.holdsLease(0) })
 	})
 }
 
@@ -116,16 +116,16 @@
 		c.startWorkAndFinalize()
 		c.restartWithVersion(0, versionWithoutLevels)
 		time.Sleep(5 * time.Second)
-		if answer := c.ask(0, queryRequest("wk-2")); answer.status != http.StatusServiceUnavailable {
+		if answer := c.sendRequest(0, queryRequest("wk-2")); answer.status != http.StatusServiceUnavailable {
 			t.Errorf("query of a job whose records the controller can't read answered with status %d, want 503", answer.status)
 		}
-		body := newSubmission(submission{ID: "wk-3", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 4, CPUs: 1, EstimateS: 3})
-		spec, err := wire.ParseJob(body.body(t))
+		body := newSubmission(submission{ID: "wk-3", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 4, CPUs: 1, EstimateS: 3})
+		spec, err := wire.ParseJob(body.encode(t))
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.env.Upload(spec)
-		if answer := c.ask(0, submitRequest(body, spec)); answer.status != http.StatusCreated {
+		if answer := c.sendRequest(0, submitRequest(body, spec)); answer.status != http.StatusCreated {
 			t.Errorf("submission answered with status %d, want 201", answer.status)
 		}
 		c.await("the job that it accepted is done", time.Minute, func() bool { return c.env.Completed("wk-3") == 4 })
@@ -152,7 +152,7 @@
 	bad := bytes.Clone(good)
 	at := len(bad) / 2
 	bad[at] = map[bool]byte{true: 'B', false: 'A'}[bad[at] == 'A']
-	c.writtenByTest[key] = true
+	c.keysWrittenByTest[key] = true
 	put := func(raw []byte) {
 		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Put: key, Value: raw}}}); err != nil {
 			c.t.Fatal(err)
@@ -182,7 +182,7 @@
 			t.Errorf("%d of 12 tasks run, %d were started after the corruption; want 12 and 0", n, c.env.Trace.Accepted("wk-2")-starts)
 		}
 		for i := range c.nodes {
-			if answer := c.ask(i, queryRequest("wk-2")); answer.status != http.StatusServiceUnavailable {
+			if answer := c.sendRequest(i, queryRequest("wk-2")); answer.status != http.StatusServiceUnavailable {
 				t.Errorf("node %d answers a query with status %d, want 503", i, answer.status)
 			}
 		}
@@ -197,7 +197,7 @@
 		for _, f := range undo {
 			f()
 		}
-		c.await("the job is known again", 20*time.Second, func() bool { return c.state("wk-2") == wire.Running })
+		c.await("the job is known again", 20*time.Second, func() bool { return c.jobState("wk-2") == wire.StateRunning })
 		c.cancelJob("wk-2")
 		c.await("the cancelled job has stopped", 40*time.Second, func() bool { return c.env.Running("wk-2") == 0 })
 	})
@@ -210,24 +210,24 @@
 		c.startWorkAndFinalize()
 		// The record of an unknown job: no controller rewrites it.
 		key := groupKey("wk-99", 0)
-		remaining := (&record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 1}}}).Encode(record.Checksummed).At(key)
+		remaining := (&record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 1}}}).Encode(record.Checksummed).ValueForKey(key)
 		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Put: key, Value: remaining}}}); err != nil {
 			t.Fatal(err)
 		}
 		c.requestUpgrade(rollout.RequestAbort)
-		c.awaitLevel(2, rollout.Reverting, 10*time.Second)
+		c.awaitLevel(2, rollout.PhaseReverting, 10*time.Second)
 		time.Sleep(20 * time.Second)
-		if s := c.storedRolloutState(); s.Phase != rollout.Reverting || s.Epoch != 1 {
-			t.Errorf("state is %+v while a record remains, want phase %s in epoch 1", s, rollout.Reverting)
+		if s := c.storedRolloutState(); s.Phase != rollout.PhaseReverting || s.Epoch != 1 {
+			t.Errorf("state is %+v while a record remains, want phase %s in epoch 1", s, rollout.PhaseReverting)
 		}
 		status, err := c.upgradeOperator().Status(c.ctx)
-		if err != nil || len(status.Blockers) != 1 || status.Blockers[0].Kind != rollout.BlockRecords || status.Records["form 2"] != 1 {
+		if err != nil || len(status.Blockers) != 1 || status.Blockers[0].Kind != rollout.BlockerNewerRecords || status.RecordsByEncoding["form 2"] != 1 {
 			t.Errorf("status is %+v (error %v), want one blocker of kind records and one record of form 2", status, err)
 		}
 		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Delete: key}}}); err != nil {
 			t.Fatal(err)
 		}
-		c.awaitLevel(1, rollout.Stable, 20*time.Second)
+		c.awaitLevel(1, rollout.PhaseStable, 20*time.Second)
 	})
 }
 
@@ -237,21 +237,21 @@
 	runUpgradeCluster(t, func(c *cluster) {
 		c.startWorkAndFinalize()
 		key := groupKey("wk-99", 0)
-		remaining := (&record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 1}}}).Encode(record.Checksummed).At(key)
+		remaining := (&record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 1}}}).Encode(record.Checksummed).ValueForKey(key)
 		// The record is stored in the transaction that closes the keys.
 		c.env.Store.BeforeTxn(func(t *wire.Txn) {
 			for _, change := range t.Changes {
-				if s, err := rollout.DecodeState(change.Value); change.Put == rollout.StateKey && err == nil && s.Phase == rollout.Closed && s.Epoch == 1 {
+				if s, err := rollout.DecodeState(change.Value); change.Put == rollout.StateKey && err == nil && s.Phase == rollout.PhaseClosed && s.Epoch == 1 {
 					t.Changes = append(t.Changes, wire.Change{Put: key, Value: remaining})
 				}
 			}
 		})
 		c.requestUpgrade(rollout.RequestAbort)
-		c.await("the revert continues in a new epoch", 30*time.Second, func() bool { s := c.storedRolloutState(); return s.Phase == rollout.Reverting && s.Epoch == 2 })
+		c.await("the revert continues in a new epoch", 30*time.Second, func() bool { s := c.storedRolloutState(); return s.Phase == rollout.PhaseReverting && s.Epoch == 2 })
 		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Delete: key}}}); err != nil {
 			t.Fatal(err)
 		}
-		c.awaitLevel(1, rollout.Stable, 20*time.Second)
+		c.awaitLevel(1, rollout.PhaseStable, 20*time.Second)
 		c.await("the service runs", 20*time.Second, func() bool { return c.env.Running("wk-1") == 3 })
 	})
 }
@@ -259,20 +259,20 @@
 // An active level must become final without a request once no controller has been restarted for the
 // time given in the settings.
 func TestAutomaticFinalize(t *testing.T) {
-	runClusterWith(t, func(n *node) {
+	runClusterWithSetup(t, func(n *node) {
 		n.operatorConfig = config.DefaultOperator()
 		n.operatorConfig.FeatureLevels, n.operatorConfig.FinalizeAfter = true, 30*time.Second
 	}, func(c *cluster) {
-		c.upgrades = true
-		c.awaitLevel(1, rollout.Activated, 10*time.Second)
+		c.upgradesEnabled = true
+		c.awaitLevel(1, rollout.PhaseActive, 10*time.Second)
 		time.Sleep(20 * time.Second)
 		c.kill(1)
 		c.start(1)
 		time.Sleep(20 * time.Second)
-		if s := c.storedRolloutState(); s.Phase != rollout.Activated {
+		if s := c.storedRolloutState(); s.Phase != rollout.PhaseActive {
 			t.Errorf("state is %+v 20 s after a restart, want the level not final yet", s)
 		}
-		c.awaitLevel(2, rollout.Stable, 20*time.Second)
+		c.awaitLevel(2, rollout.PhaseStable, 20*time.Second)
 	})
 }
 
@@ -280,9 +280,9 @@
 // the controller, and the level must stay.
 func TestMissingControllerBlocksFinalize(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
-		c.awaitLevel(1, rollout.Activated, 10*time.Second)
+		c.awaitLevel(1, rollout.PhaseActive, 10*time.Second)
 		c.kill(2)
-		c.await("the registration of n2 ends", 30*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n2"))) == 0 })
+		c.await("the registration of n2 ends", 30*time.Second, func() bool { return len(c.env.Store.Keys(rollout.RegistrationKey("n2"))) == 0 })
 		before := c.storedRolloutState()
 		_, err := c.upgradeOperator().Submit(c.ctx, rollout.RequestFinalize)
 		var refused *rollout.RefusedError
@@ -293,9 +293,9 @@
 			t.Errorf("the refused request changed the state from %+v to %+v", before, c.storedRolloutState())
 		}
 		c.start(2)
-		c.await("the controller is registered", 20*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n2"))) == 1 })
+		c.await("the controller is registered", 20*time.Second, func() bool { return len(c.env.Store.Keys(rollout.RegistrationKey("n2"))) == 1 })
 		c.requestUpgrade(rollout.RequestFinalize)
-		c.awaitLevel(2, rollout.Stable, 10*time.Second)
+		c.awaitLevel(2, rollout.PhaseStable, 10*time.Second)
 	})
 }
 
@@ -303,16 +303,16 @@
 // register again.
 func TestControllerRegistersAgainAfterLeaseExpiry(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
-		c.awaitLevel(1, rollout.Activated, 10*time.Second)
+		c.awaitLevel(1, rollout.PhaseActive, 10*time.Second)
 		c.nodes[1].transport.SetPolicy(func(r *http.Request) network.Fault {
 			if isStoreRequest(r) {
 				return network.Refuse
 			}
 			return network.Deliver
 		})
-		c.await("the registration of n1 expires", 30*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n1"))) == 0 })
+		c.await("the registration of n1 expires", 30*time.Second, func() bool { return len(c.env.Store.Keys(rollout.RegistrationKey("n1"))) == 0 })
 		c.nodes[1].transport.SetPolicy(nil)
-		c.await("the controller is registered again", 20*time.Second, func() bool { return len(c.env.Store.Keys(rollout.ControllerKey("n1"))) == 1 })
+		c.await("the controller is registered again", 20*time.Second, func() bool { return len(c.env.Store.Keys(rollout.RegistrationKey("n1"))) == 1 })
 	})
 }
 
@@ -320,19 +320,19 @@
 // written by a newer version.
 func TestUndecodableRolloutStateStopsService(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
-		c.awaitLevel(1, rollout.Activated, 10*time.Second)
+		c.awaitLevel(1, rollout.PhaseActive, 10*time.Second)
 		put := func(raw string) {
 			if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Put: rollout.StateKey, Value: json.RawMessage(raw)}}}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		c.writtenByTest[rollout.StateKey] = true
+		c.keysWrittenByTest[rollout.StateKey] = true
 		put(`{"level":1,"phase":"dissolved"}`)
 		c.await("no controller serves", 10*time.Second, func() bool {
-			return !c.nodes[0].controller().Ready() && !c.nodes[1].controller().Ready() && !c.nodes[2].controller().Ready() && !c.holdsLease(0)
+			return !c.nodes[0].controller().IsReady() && !c.nodes[1].controller().IsReady() && !c.nodes[2].controller().IsReady() && !c.holdsLease(0)
 		})
 		put(`{"level":1,"phase":"stable"}`)
-		c.await("the controllers serve again", 20*time.Second, func() bool { return c.nodes[0].controller().Ready() && c.holdsLease(0) })
+		c.await("the controllers serve again", 20*time.Second, func() bool { return c.nodes[0].controller().IsReady() && c.holdsLease(0) })
 	})
 }
 
@@ -359,14 +359,14 @@
 				}
 			}
 		}
-		c.awaitLevel(1, rollout.Activated, 10*time.Second)
+		c.awaitLevel(1, rollout.PhaseActive, 10*time.Second)
 		checkVersions(map[string]peer.Version{"n0n1": peer.ChecksummedFrame, "n1n0": peer.ChecksummedFrame, "n2n1": peer.ChecksummedFrame})
 		// n1 is killed without access to the key-value store, so its registration outlives it.
 		c.nodes[1].transport.SetPolicy(func(*http.Request) network.Fault { return network.Refuse })
 		c.kill(1)
 		c.nodes[1].transport.SetPolicy(nil)
 		c.restartWithVersion(1, versionWithoutLevels)
-		if len(c.env.Store.Keys(rollout.ControllerKey("n1"))) != 1 {
+		if len(c.env.Store.Keys(rollout.RegistrationKey("n1"))) != 1 {
 			t.Error("the registration of n1 ended with its process")
 		}
 		checkVersions(map[string]peer.Version{"n0n1": peer.PlainFrame, "n1n0": peer.PlainFrame, "n0n2": peer.ChecksummedFrame, "n2n1": peer.PlainFrame})
--- a/internal/controller/scoring.go
+++ b/internal/controller/scoring.go
@@ -75,7 +75,7 @@
 		return cachedImageScore
 	}
 	machineType := c.machineTypes[m.machineType]
-	if machineType == nil || !(machineType.FetchGBPS > 0) {
+	if machineType == nil || !(machineType.ImageFetchGBPS > 0) {
 		return 0
 	}
 	m.dropExpiredFetches(c.now)
@@ -84,10 +84,10 @@
 		remainingShare, otherFetches = remainingFetchShare, otherFetches-1
 	}
 	perSecond := float64(arrayFetchScore)
-	if spec.AllOrNothing() {
+	if spec.IsAllOrNothing() {
 		perSecond = serviceFetchScore
 	}
-	return min(perSecond*remainingShare*spec.ImageGB*float64(1+otherFetches)/machineType.FetchGBPS, maxFetchScore)
+	return min(perSecond*remainingShare*spec.ImageGB*float64(1+otherFetches)/machineType.ImageFetchGBPS, maxFetchScore)
 }
 
 // dropExpiredFetches removes the fetches that began more than fetchTimeout ago.
@@ -105,7 +105,7 @@
 	if m.schedulablePass != c.schedulingPass {
 		m.schedulablePass = c.schedulingPass
 		m.schedulable = c.isUsable(m, p) && m.terminationAt.IsZero() && !m.cordoned && !c.now.Before(m.placementBackoffUntil) &&
-			!c.autoscaler.Terminating(m.name) && !c.isReservedByLeader(m, p)
+			!c.autoscaler.IsTerminating(m.name) && !c.isReservedByLeader(m, p)
 	}
 	return m.schedulable
 }
@@ -118,7 +118,7 @@
 	if p.index == c.loanPartition() {
 		return loan != nil && loan.returnInFlight
 	}
-	return loan != nil || c.autoscaler.Draining(m.name)
+	return loan != nil || c.autoscaler.IsDraining(m.name)
 }
 
 // runsService reports whether a task of a service or gang is bound to a machine; see
@@ -133,7 +133,7 @@
 // hasServiceBinding reports whether a task of a service or gang is bound to a machine.
 func (m *machine) hasServiceBinding() bool {
 	for _, entry := range m.bindings {
-		if spec := entry.group.job.spec; spec != nil && spec.AllOrNothing() {
+		if spec := entry.group.job.spec; spec != nil && spec.IsAllOrNothing() {
 			return true
 		}
 	}
--- a/internal/controller/scoring_test.go
+++ b/internal/controller/scoring_test.go
@@ -33,7 +33,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := newTestController(t)
-			c.machineTypes = map[string]*wire.MachineType{"small": {Name: "small", FetchGBPS: x.rate}}
+			c.machineTypes = map[string]*wire.MachineType{"small": {Name: "small", ImageFetchGBPS: x.rate}}
 			m := &machine{machineType: "small", cachedImages: x.images, fetchStartedAt: map[string]time.Time{}}
 			for name, age := range x.fetching {
 				m.fetchStartedAt[name] = c.now.Add(-age)
@@ -55,10 +55,10 @@
 	c := newTestController(t)
 	p := c.partitions[0]
 	m := c.getOrAddMachine("host-1")
-	c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Spot: true, Incarnation: 1, Sequence: 1, Token: 1}, p, workerRequest)
+	c.applyHeartbeat(m, &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Spot: true, Incarnation: 1, Sequence: 1, FencingToken: 1}, p, workerRequest)
 	m.cachedImages[image] = true
-	service := &wire.Job{ID: "wk-1", Service: true, Tasks: 1, CPUs: 1, Team: "t", Spot: true}
-	array := &wire.Job{ID: "wk-2", Tasks: 1, CPUs: 1, Team: "t", Image: image, Spot: true}
+	service := &wire.Job{ID: "wk-1", Service: true, TaskCount: 1, CPUs: 1, Team: "t", AllowsSpot: true}
+	array := &wire.Job{ID: "wk-2", TaskCount: 1, CPUs: 1, Team: "t", Image: image, AllowsSpot: true}
 	for i, spec := range []*wire.Job{service, array} {
 		c.replica.Put(jobKey(spec.ID), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: spec}), uint64(2+i))
 	}
@@ -72,7 +72,7 @@
 		}
 	}
 	m.spot = false
-	array.Spot = false
+	array.AllowsSpot = false
 	if ordinary, spot := score(m.index, scheduling.NewResources(3, 0, 0)), -500.0; ordinary+spot < 0 {
 		t.Errorf("score %v of the same machine as an on-demand machine, want at least %v", ordinary, -spot)
 	}
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -135,7 +135,7 @@
 // serveAPI serves the HTTP API for users and workers until ctx ends.
 func (c *controller) serveAPI(ctx context.Context, listener net.Listener) error {
 	connections := c.cfg.Connections()
-	limits := api.Limits{Connections: connections, Requests: max(connections/2, minAPIRequests)}
+	limits := api.Limits{MaxConnections: connections, MaxUserRequests: max(connections/2, minAPIRequests)}
 	err := api.Serve(ctx, listener, c, c.log, limits)
 	if ctx.Err() != nil {
 		return nil
--- a/internal/controller/task_group.go
+++ b/internal/controller/task_group.go
@@ -97,7 +97,7 @@
 // was stored just before it: when such a task did not count in the meantime, it ran beside the
 // tasks that its quota was given to.
 func (group *taskGroup) quotaTaskCount(cursor uint64) int {
-	if group.job.finalState != record.Unfinished && group.job.revision <= cursor {
+	if group.job.finalState != record.StateUnfinished && group.job.revision <= cursor {
 		return group.boundTaskCount()
 	}
 	return max(group.boundTaskCount(), group.bindLimit())
@@ -145,7 +145,7 @@
 func (group *taskGroup) toRecord(done int, bindings []binding) *record.TaskGroup {
 	content := &record.TaskGroup{
 		Partition: group.partition, Zone: group.zone, Guaranteed: group.guaranteed,
-		Done: done, Throttle: group.throttle, Tasks: make([]record.Binding, 0, len(bindings)),
+		DoneTasks: done, Throttle: group.throttle, Tasks: make([]record.Binding, 0, len(bindings)),
 	}
 	for _, bound := range bindings {
 		task := record.Binding{Task: bound.task, Attempt: bound.attempt}
--- a/internal/controller/throttle.go
+++ b/internal/controller/throttle.go
@@ -45,7 +45,7 @@
 func (c *machineRegistry) groupsToThrottle(j *job) (groups []*taskGroup, released scheduling.Resources) {
 	for group := range c.allGroups() {
 		other := group.job
-		if other == j || other.spec == nil || other.team != j.team || other.finalState != record.Unfinished || other.spec.AllOrNothing() || other.spec.Priority > j.spec.Priority {
+		if other == j || other.spec == nil || other.team != j.team || other.finalState != record.StateUnfinished || other.spec.IsAllOrNothing() || other.spec.Priority > j.spec.Priority {
 			continue
 		}
 		if group.throttle != 0 {
@@ -92,9 +92,9 @@
 	group.throttleChangedAt = c.now
 	c.metrics.count(countThrottledGroups, 1)
 	write := &store.Write{
-		Early: true, Contested: true,
+		MediumPriority: true, ConflictProne: true,
 		Conditions: []wire.Condition{c.leaderCondition(), {Key: group.key, Revision: group.revision}},
-		Changes:    []wire.Change{{Put: group.key, Value: c.encodeGroup(&changed, group.doneTasks, group.bindings).At(group.key)}},
+		Changes:    []wire.Change{{Put: group.key, Value: c.encodeGroup(&changed, group.doneTasks, group.bindings).ValueForKey(group.key)}},
 	}
 	c.submitDecision(write, group)
 }
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -51,13 +51,13 @@
 	c.checkStoreOutage()
 	c.updateAcceptsHeartbeats()
 	c.UpdateReadiness()
-	if !c.replica.Loaded() {
+	if !c.replica.IsLoaded() {
 		return
 	}
 	c.campaign()
 	c.advanceRollout()
 	c.stepDownIfUnreachable()
-	c.autoscaler.Sync()
+	c.autoscaler.SyncWithCloud()
 	c.runSchedulingPassIfDue(due)
 	c.runPlanningIfDue(due)
 	c.updateStatusIfDue(due)
@@ -84,9 +84,9 @@
 // checkStoreOutage updates the outage monitor of the key-value store.
 func (c *controller) checkStoreOutage() {
 	if c.isFresh(maxReadAge) {
-		c.storeOutage.Answered(c.now)
+		c.storeOutage.ReportSuccess(c.now)
 	} else {
-		c.storeOutage.Failed(c.now)
+		c.storeOutage.ReportFailure(c.now)
 	}
 }
 
@@ -140,7 +140,7 @@
 	due.status = c.now.Add(statusInterval)
 	defer c.metrics.addBusyTime(activityStatus, time.Now())
 	c.probeMachines()
-	c.autoscaler.TerminateUnreachable()
+	c.autoscaler.TerminateUnreachableMachines()
 	c.broadcastStatus()
 }
 
@@ -151,6 +151,6 @@
 	}
 	due.metrics = c.now.Add(metricsInterval)
 	c.archiveFinishedJobs(c.replica)
-	c.metrics.logAndReset(c.log, len(c.jobs)+len(c.finalStates), len(c.machines), c.stateClient.Stats())
+	c.metrics.logAndReset(c.log, len(c.jobs)+len(c.finalStates), len(c.machines), c.stateClient.TakeStats())
 	c.logRollout(c.log)
 }
--- a/internal/controller/unplaced_tasks.go
+++ b/internal/controller/unplaced_tasks.go
@@ -63,7 +63,7 @@
 func (c *machineRegistry) groupsToPlace(byUrgency func(x, y *job) int) []*taskGroup {
 	var groups []*taskGroup
 	for group := range c.allGroups() {
-		if group.job.finalState == record.Unfinished && group.job.spec != nil && group.job.revision != 0 && group.bindLimit() > group.boundTaskCount() {
+		if group.job.finalState == record.StateUnfinished && group.job.spec != nil && group.job.revision != 0 && group.bindLimit() > group.boundTaskCount() {
 			groups = append(groups, group)
 		}
 	}
@@ -102,7 +102,7 @@
 	withoutRoom := map[unplacedClass]bool{}
 	for _, group := range unplacedGroups {
 		count, class := unplaced[group], group.unplacedClass()
-		if !group.writeInFlight && c.now.Sub(group.partitionAssignedAt) > groupMoveDelay && (group.job.spec.AllOrNothing() || !withoutRoom[class]) {
+		if !group.writeInFlight && c.now.Sub(group.partitionAssignedAt) > groupMoveDelay && (group.job.spec.IsAllOrNothing() || !withoutRoom[class]) {
 			if c.moveUnplacedTasks(summaries, group, count) {
 				continue
 			}
@@ -119,7 +119,7 @@
 // yet: the approximate time to store the end of the old task, to assign the new one, and to
 // store its binding.
 func (c *clusterState) reuseDelay() time.Duration {
-	return c.endBatchingDelay() + 2*min(c.stateWriter.Backlog(), maxBacklogDelay) + leaderPassDelay
+	return c.endBatchingDelay() + 2*min(c.stateWriter.BacklogDuration(), maxBacklogDelay) + leaderPassDelay
 }
 
 // maxTasksAhead returns for each partition how many tasks it may be assigned beyond its free
@@ -129,7 +129,7 @@
 	ahead := make([]float64, len(c.partitions))
 	reuseDelayS := c.reuseDelay().Seconds()
 	for group := range c.allGroups() {
-		if group.job.spec != nil && !group.job.spec.AllOrNothing() {
+		if group.job.spec != nil && !group.job.spec.IsAllOrNothing() {
 			ahead[group.partition] += planning.MaxTasksAhead(group.boundTaskCount(), group.job.spec.EstimateS, reuseDelayS)
 		}
 	}
--- a/internal/controller/upgrade_schedules_test.go
+++ b/internal/controller/upgrade_schedules_test.go
@@ -161,7 +161,7 @@
 	c.t.Helper()
 	ready := func() bool {
 		s := c.storedRolloutState()
-		return s.Level == rollout.Supported.High && s.Phase == rollout.Stable && !s.Held
+		return s.Level == rollout.SupportedLevels.High && s.Phase == rollout.PhaseStable && !s.OnHold
 	}
 	op := c.upgradeOperator()
 	c.await("the level is final", 2*time.Minute, func() bool {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -160,13 +160,13 @@
 func (c *cluster) checkStoredRecords() {
 	c.t.Helper()
 	gangs := map[string]bool{}
-	history := levelHistoryChecker{cluster: c, state: rollout.Initial, checksummedGroups: map[string]bool{}}
+	history := levelHistoryChecker{cluster: c, state: rollout.InitialState, checksummedGroups: map[string]bool{}}
 	for _, e := range c.env.Store.History() {
 		history.checkEvent(e)
 		if e.Put == "" {
 			continue
 		}
-		if err := checkReadableByProduction(e.Put, e.Value); err != nil && !c.writtenByTest[e.Put] {
+		if err := checkReadableByProduction(e.Put, e.Value); err != nil && !c.keysWrittenByTest[e.Put] {
 			c.t.Error(err)
 			return
 		}
@@ -210,7 +210,7 @@
 	c.cfg.Settings.Store.ValueKB = 0.5
 	m := c.getOrAddMachine("host-000231")
 	m.addr = "10.1.0.232:9000"
-	spec := &wire.Job{ID: "wk-2", Team: "t", Gang: true, Tasks: 3, CPUs: 2, CheckpointS: 4, MachineTypes: []string{"small"}}
+	spec := &wire.Job{ID: "wk-2", Team: "t", Gang: true, TaskCount: 3, CPUs: 2, CheckpointIntervalS: 4, MachineTypes: []string{"small"}}
 	group := &taskGroup{partition: 1, zone: "a", guaranteed: true, throttle: 3}
 	entries := []binding{{task: 0, attempt: 2, machine: m, incarnation: 2}, {task: 1, attempt: 2}, {task: 2, attempt: 2, machine: m, incarnation: 2}}
 	checkReadable := func(key string, raw []byte) {
@@ -220,9 +220,9 @@
 		}
 	}
 	checkReadable(jobKey("wk-2"), record.JSON(record.Job{AcceptedAtMS: 5, Spec: spec}))
-	checkReadable(jobKey("wk-2"), record.CancelledJob(spec, c.now, c.maxValueBytes()))
+	checkReadable(jobKey("wk-2"), record.EncodeCancelledJob(spec, c.now, c.maxValueBytes()))
 	for _, piece := range c.splitToFit(group, 2, append(entries, make([]binding, 60)...)) {
-		checkReadable(groupKey("wk-2", 0), piece.At(groupKey("wk-2", 0)))
+		checkReadable(groupKey("wk-2", 0), piece.ValueForKey(groupKey("wk-2", 0)))
 	}
 	checkReadable(loanPrefix+"host-1", record.JSON(record.MachineLoan{Job: gangReserveJobID, Acknowledged: true}))
 }
@@ -241,8 +241,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &peer.Status{Node: "perch-0", ProcessID: "00ff00ff00ff00ff", Fresh: true, Eligible: true, Partitions: []uint64{0, 3},
-		Machines: []peer.Machine{{Name: "host-000231", Addr: "10.1.0.232:9000", Type: "small", Zone: "a", Incarnation: 2, Flags: peer.Reachable | peer.Spot}}, Draining: []string{"host-000232"}}
+	want := &peer.Status{Node: "perch-0", ProcessID: "00ff00ff00ff00ff", ReplicaIsCurrent: true, CanTakePartitions: true, Partitions: []uint64{0, 3},
+		Machines: []peer.Machine{{Name: "host-000231", Addr: "10.1.0.232:9000", Type: "small", Zone: "a", Incarnation: 2, Flags: peer.FlagReachable | peer.FlagSpot}}, DrainingMachines: []string{"host-000232"}}
 	if d := cmp.Diff(want, s); d != "" {
 		t.Error(d)
 	}
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -30,7 +30,7 @@
 	c.t.Helper()
 	c.submitZonalServices(1, 14, "b")
 	c.submitZonalServices(15, 14, "a")
-	c.await("the services run", time.Minute, func() bool { return c.servicesRun(28, 1) })
+	c.await("the services run", time.Minute, func() bool { return c.areServicesRunning(28, 1) })
 	time.Sleep(15 * time.Second)
 	var isolated []*agent.Agent
 	for _, a := range c.env.Cloud.Agents() {
@@ -40,7 +40,7 @@
 		}
 	}
 	if leaderFails {
-		leader := c.leader()
+		leader := c.leaderIndex()
 		c.kill(leader)
 		c.start(leader)
 	}
@@ -51,7 +51,7 @@
 		}
 		a.SetIsolated(false)
 	}
-	c.await("the services run", 30*time.Second, func() bool { return c.servicesRun(28, 1) })
+	c.await("the services run", 30*time.Second, func() bool { return c.areServicesRunning(28, 1) })
 }
 
 // A single-zone job whose zone has lost all of its machines moves to a zone with room once
@@ -60,8 +60,8 @@
 	runCluster(t, func(c *cluster) {
 		c.submitZonalServices(1, 3, "a")
 		c.submitZonalServices(4, 3, "b")
-		c.await("the services run", time.Minute, func() bool { return c.servicesRun(6, 1) })
-		b := newSubmission(submission{ID: "wk-9", Kind: wire.Array, Team: "blue", Priority: "normal", Tasks: 2, CPUs: 1, EstimateS: 30})
+		c.await("the services run", time.Minute, func() bool { return c.areServicesRunning(6, 1) })
+		b := newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 2, CPUs: 1, EstimateS: 30})
 		b.SingleZone = true
 		c.submit(b)
 		c.await("the job runs", time.Minute, func() bool { return c.env.Running("wk-9") == 2 })
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -30,24 +30,24 @@
 	Index int
 	Key   string
 	// Owned: this process owns it, since OwnedSince.
-	Owned      bool
+	IsOwned    bool
 	OwnedSince time.Time
 	// Settled tells whether every machine of it on which something is bound has been
 	// heard since then.
-	Settled func() bool
+	HasHeardAllMachines func() bool
 }
 
 // Peers is what is known of the other controllers.
 type Peers interface {
 	// Eligible reports whether a controller would take keys over.
-	Eligible(node string) bool
-	// HeardSince is since when a controller has been heard without a gap.
-	HeardSince(node string) time.Time
+	IsEligible(node string) bool
+	// AliveSince is since when a controller has been heard without a gap.
+	ReachableSince(node string) time.Time
 	// Silent reports whether there are others and none of them was heard for d.
-	Silent(d time.Duration) bool
-	// HearWorkers reports whether a machine reports to any of the others, and whether all
+	AreAllSilent(d time.Duration) bool
+	// HaveWorkerContact reports whether a machine reports to any of the others, and whether all
 	// of them have told of late.
-	HearWorkers() (any, allKnown bool)
+	HaveWorkerContact() (any, allKnown bool)
 }
 
 // preferredOwner is the controller that a partition should be with, so that partitions
@@ -60,7 +60,7 @@
 // is for a controller that is eligible to hold keys.
 func (e *Elector) Campaign(partitions []Partition, leaderKey string, peers Peers) {
 	for i := range partitions {
-		if p := &partitions[i]; p.Owned {
+		if p := &partitions[i]; p.IsOwned {
 			e.handOver(p, peers)
 		} else {
 			e.tryAcquire(p.Key, e.vacancyWait(p, peers))
@@ -75,7 +75,7 @@
 	switch {
 	case preferred == e.Node:
 		return 0
-	case peers.Eligible(preferred) || e.Loop.Now().Sub(e.StartedAt) < startupGrace:
+	case peers.IsEligible(preferred) || e.Loop.Now().Sub(e.StartedAt) < startupGrace:
 		return preferredWait
 	}
 	return vacancyWait
@@ -88,10 +88,10 @@
 // their tasks were never proven gone.
 func (e *Elector) handOver(p *Partition, peers Peers) {
 	now, preferred := e.Loop.Now(), e.preferredOwner(p.Index)
-	if preferred == e.Node || !peers.Eligible(preferred) || now.Sub(p.OwnedSince) <= minTenure {
+	if preferred == e.Node || !peers.IsEligible(preferred) || now.Sub(p.OwnedSince) <= minTenure {
 		return
 	}
-	if now.Sub(peers.HeardSince(preferred)) > settledPeer && p.Settled() {
+	if now.Sub(peers.ReachableSince(preferred)) > settledPeer && p.HasHeardAllMachines() {
 		e.Log.Info("partition handed over", "partition", p.Index, "to", preferred)
 		e.Resign(p.Key)
 	}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -86,14 +86,14 @@
 	StartedAt time.Time
 	// HeartbeatInterval is that of workers.
 	HeartbeatInterval time.Duration
-	// WorkLifetime is how long the work of machines that nobody reaches goes on at most:
+	// MaxUnreachableWorkTime is how long the work of machines that nobody reaches goes on at most:
 	// after it every worker's lease has expired, whoever renewed it last.
-	WorkLifetime time.Duration
-	Log          *slog.Logger
+	MaxUnreachableWorkTime time.Duration
+	Log                    *slog.Logger
 }
 
-// Services are what an Elector works with.
-type Services struct {
+// Dependencies are what an Elector works with.
+type Dependencies struct {
 	Store    Store
 	Replica  Replica
 	Reader   Reader
@@ -118,7 +118,7 @@
 type Elector struct {
 	ctx context.Context // ends renewals and transactions under way
 	Config
-	Services
+	Dependencies
 	keys    map[string]*leasedKey
 	holders map[string]record.LeaseHolder
 	// backoffUntil: no key is acquired before then, since this controller stepped down.
@@ -128,8 +128,8 @@
 }
 
 // New returns an elector that campaigns for keys, none of which it holds yet.
-func New(ctx context.Context, config Config, services Services, keys []string) *Elector {
-	return &Elector{ctx: ctx, Config: config, Services: services, keys: vacantKeys(keys), holders: map[string]record.LeaseHolder{}}
+func New(ctx context.Context, config Config, services Dependencies, keys []string) *Elector {
+	return &Elector{ctx: ctx, Config: config, Dependencies: services, keys: vacantKeys(keys), holders: map[string]record.LeaseHolder{}}
 }
 
 func vacantKeys(names []string) map[string]*leasedKey {
@@ -193,8 +193,8 @@
 	leased.vacantSince = e.Loop.Now()
 }
 
-// BackingOff reports whether this controller has stepped down and acquires no key yet.
-func (e *Elector) BackingOff() bool { return e.Loop.Now().Before(e.backoffUntil) }
+// IsBackingOff reports whether this controller has stepped down and acquires no key yet.
+func (e *Elector) IsBackingOff() bool { return e.Loop.Now().Before(e.backoffUntil) }
 
 // ResignAll hands all keys back.
 func (e *Elector) ResignAll() {
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -133,8 +133,8 @@
 func newProcess(ctx context.Context, s *fakeStore, node, id string) *process {
 	p := &process{store: s, revisions: map[string]uint64{}, held: map[string]uint64{}}
 	config := Config{Node: node, ProcessID: id, Nodes: []string{"n0", "n1"}, TTL: testTTL, StartedAt: time.Now(),
-		HeartbeatInterval: time.Second, WorkLifetime: 30 * time.Second, Log: slog.New(slog.DiscardHandler)}
-	p.elector = New(ctx, config, Services{Store: s, Replica: p, Reader: p, Writer: p, Loop: p, Listener: p}, []string{leaderKey, partition0})
+		HeartbeatInterval: time.Second, MaxUnreachableWorkTime: 30 * time.Second, Log: slog.New(slog.DiscardHandler)}
+	p.elector = New(ctx, config, Dependencies{Store: s, Replica: p, Reader: p, Writer: p, Loop: p, Listener: p}, []string{leaderKey, partition0})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watchers = append(s.watchers, p)
@@ -212,8 +212,8 @@
 		p.store.expire()
 		p.store.mu.Unlock()
 		p.Enqueue(func() {
-			p.elector.Campaign([]Partition{{Index: 0, Key: partition0, Owned: p.elector.Token(partition0) != 0, OwnedSince: time.Now().Add(-time.Minute),
-				Settled: func() bool { return true }}}, leaderKey, peers)
+			p.elector.Campaign([]Partition{{Index: 0, Key: partition0, IsOwned: p.elector.Token(partition0) != 0, OwnedSince: time.Now().Add(-time.Minute),
+				HasHeardAllMachines: func() bool { return true }}}, leaderKey, peers)
 		})
 	}
 	synctest.Wait()
@@ -229,10 +229,10 @@
 // fakePeers are others that are all alike.
 type fakePeers struct{ eligible, silent, hear, allKnown bool }
 
-func (f fakePeers) Eligible(string) bool      { return f.eligible }
-func (fakePeers) HeardSince(string) time.Time { return time.Time{} }
-func (f fakePeers) Silent(time.Duration) bool { return f.silent }
-func (f fakePeers) HearWorkers() (bool, bool) { return f.hear, f.allKnown }
+func (f fakePeers) IsEligible(string) bool          { return f.eligible }
+func (fakePeers) ReachableSince(string) time.Time   { return time.Time{} }
+func (f fakePeers) AreAllSilent(time.Duration) bool { return f.silent }
+func (f fakePeers) HaveWorkerContact() (bool, bool) { return f.hear, f.allKnown }
 
 // inCluster runs f on fake time with two processes that campaign for the same keys.
 func inCluster(t *testing.T, f func(ctx context.Context, s *fakeStore, first, second *process)) {
@@ -338,18 +338,18 @@
 // fakeWorkers are how workers reach a controller.
 type fakeWorkers struct {
 	reporting     int
-	heard         Heard
+	heard         HeartbeatSummary
 	resumed, last time.Time
 }
 
-func (w fakeWorkers) Reporting() int            { return w.reporting }
-func (w fakeWorkers) Heard(time.Duration) Heard { return w.heard }
-func (w fakeWorkers) LastHeartbeat() time.Time  { return w.last }
-func (w fakeWorkers) ResumedAt() time.Time      { return w.resumed }
+func (w fakeWorkers) CountReportingMachines() int                        { return w.reporting }
+func (w fakeWorkers) SummarizeHeartbeats(time.Duration) HeartbeatSummary { return w.heard }
+func (w fakeWorkers) LastHeartbeatAt() time.Time                         { return w.last }
+func (w fakeWorkers) ResumedAt() time.Time                               { return w.resumed }
 
 // A controller that hears no worker steps down only where that may help somebody.
 func TestStepDownIfUnheard(t *testing.T) {
-	unheard := Heard{Known: 3}
+	unheard := HeartbeatSummary{ExpectedMachines: 3}
 	for _, test := range []struct {
 		name    string
 		workers fakeWorkers
@@ -359,18 +359,18 @@
 		{"a peer hears workers", fakeWorkers{heard: unheard}, fakePeers{hear: true, allKnown: true}, true},
 		{"what peers hear is not known", fakeWorkers{heard: unheard}, fakePeers{}, true},
 		{"no peer hears workers either", fakeWorkers{heard: unheard}, fakePeers{allKnown: true}, false},
-		{"a worker is heard", fakeWorkers{heard: Heard{Known: 3, Any: true}}, fakePeers{hear: true}, false},
-		{"too few machines are known", fakeWorkers{heard: Heard{Known: 1}}, fakePeers{hear: true}, false},
-		{"the partition is young", fakeWorkers{heard: Heard{Known: 3, Young: true}}, fakePeers{hear: true}, false},
+		{"a worker is heard", fakeWorkers{heard: HeartbeatSummary{ExpectedMachines: 3, HasHeartbeat: true}}, fakePeers{hear: true}, false},
+		{"too few machines are known", fakeWorkers{heard: HeartbeatSummary{ExpectedMachines: 1}}, fakePeers{hear: true}, false},
+		{"the partition is young", fakeWorkers{heard: HeartbeatSummary{ExpectedMachines: 3, HasNewPartition: true}}, fakePeers{hear: true}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			inCluster(t, func(_ context.Context, _ *fakeStore, first, _ *process) {
 				first.campaign(time.Second, fakePeers{})
-				first.Enqueue(func() { first.elector.StepDownIfUnheard(test.workers, test.peers) })
+				first.Enqueue(func() { first.elector.StepDownIfNoHeartbeats(test.workers, test.peers) })
 				if got := first.token(partition0) == 0; got != test.want {
 					t.Errorf("stepped down: %v, want %v", got, test.want)
 				}
-				if got := first.elector.BackingOff(); got != test.want {
+				if got := first.elector.IsBackingOff(); got != test.want {
 					t.Errorf("backing off: %v, want %v", got, test.want)
 				}
 			})
@@ -382,10 +382,10 @@
 // time that leases need to expire, not again and again.
 func TestStepDownOnceWhereNobodyHears(t *testing.T) {
 	inCluster(t, func(_ context.Context, _ *fakeStore, first, _ *process) {
-		workers, stepDowns := fakeWorkers{heard: Heard{Known: 3}}, 0
+		workers, stepDowns := fakeWorkers{heard: HeartbeatSummary{ExpectedMachines: 3}}, 0
 		for range 4 {
 			first.campaign(stepDownBackoff+time.Second, fakePeers{})
-			first.Enqueue(func() { first.elector.StepDownIfUnheard(workers, fakePeers{}) })
+			first.Enqueue(func() { first.elector.StepDownIfNoHeartbeats(workers, fakePeers{}) })
 			if first.token(partition0) == 0 {
 				stepDowns++
 			}
--- a/internal/election/stepdown.go
+++ b/internal/election/stepdown.go
@@ -27,43 +27,43 @@
 	stepDownLifetimes = 2
 )
 
-// Heard is what was heard of the machines of this controller's partitions.
-type Heard struct {
+// HeartbeatSummary is what was heard of the machines of this controller's partitions.
+type HeartbeatSummary struct {
 	// Known is how many should report: they have of late, or work is bound to them.
-	Known int
+	ExpectedMachines int
 	// Any: at least one has, within the time asked for.
-	Any bool
+	HasHeartbeat bool
 	// Young: a partition was acquired within that time, so that its machines may not
 	// have found this controller yet.
-	Young bool
+	HasNewPartition bool
 }
 
-// Workers is how workers reach this controller.
-type Workers interface {
+// WorkerContact is how workers reach this controller.
+type WorkerContact interface {
 	// Reporting is how many machines of its partitions have sent a heartbeat of late.
-	Reporting() int
+	CountReportingMachines() int
 	// Heard is what was heard of them within a time.
-	Heard(within time.Duration) Heard
+	SummarizeHeartbeats(within time.Duration) HeartbeatSummary
 	// LastHeartbeat is when any worker's last heartbeat came.
-	LastHeartbeat() time.Time
+	LastHeartbeatAt() time.Time
 	// ResumedAt is when this process last went on after a pause. What came in between
 	// still waits in its sockets.
 	ResumedAt() time.Time
 }
 
-// StepDownIfUnheard hands all keys back when no worker reaches this controller, since the
+// StepDownIfNoHeartbeats hands all keys back when no worker reaches this controller, since the
 // others may well be reachable.
-func (e *Elector) StepDownIfUnheard(workers Workers, peers Peers) {
+func (e *Elector) StepDownIfNoHeartbeats(workers WorkerContact, peers Peers) {
 	now, window := e.Loop.Now(), e.hearingWindow(workers)
 	if now.Sub(workers.ResumedAt()) < window {
 		return
 	}
-	heard := workers.Heard(window)
-	if heard.Known < minKnownMachines || heard.Any || heard.Young || !e.othersMayHear(workers, peers) {
+	heard := workers.SummarizeHeartbeats(window)
+	if heard.ExpectedMachines < minKnownMachines || heard.HasHeartbeat || heard.HasNewPartition || !e.othersMayHear(workers, peers) {
 		return
 	}
 	e.steppedDownAt = now
-	e.Log.Info("no worker reaches this controller: it steps down from everything", "machines", heard.Known)
+	e.Log.Info("no worker reaches this controller: it steps down from everything", "machines", heard.ExpectedMachines)
 	e.backoffUntil = now.Add(stepDownBackoff)
 	e.ResignAll()
 }
@@ -71,10 +71,10 @@
 // hearingWindow is how long this controller may hear no worker. Many machines that all
 // fall silent at once say more in a short time than few do in a long one. Their leases run
 // meanwhile, and finding the successor takes them some seconds more.
-func (e *Elector) hearingWindow(workers Workers) time.Duration {
+func (e *Elector) hearingWindow(workers WorkerContact) time.Duration {
 	interval := e.HeartbeatInterval
 	window := 2*interval + hearingSlack
-	if n := workers.Reporting(); n > 0 {
+	if n := workers.CountReportingMachines(); n > 0 {
 		quick := max(quickHearingIntervals*interval/time.Duration(n), interval/2+quickHearingSlack)
 		window = min(window, quick)
 	}
@@ -85,22 +85,22 @@
 // to a peer, or that is not known. Where all machines have died everybody hears none, and
 // keys that go round for ever have nobody wait for the leases to expire, so then each
 // controller steps down once in that time.
-func (e *Elector) othersMayHear(workers Workers, peers Peers) bool {
-	hear, allKnown := peers.HearWorkers()
+func (e *Elector) othersMayHear(workers WorkerContact, peers Peers) bool {
+	hear, allKnown := peers.HaveWorkerContact()
 	if hear {
 		return true
 	}
-	return !allKnown && (e.steppedDownAt.IsZero() || workers.LastHeartbeat().After(e.steppedDownAt) ||
-		e.Loop.Now().Sub(e.steppedDownAt) > stepDownLifetimes*e.WorkLifetime)
+	return !allKnown && (e.steppedDownAt.IsZero() || workers.LastHeartbeatAt().After(e.steppedDownAt) ||
+		e.Loop.Now().Sub(e.steppedDownAt) > stepDownLifetimes*e.MaxUnreachableWorkTime)
 }
 
 // StepDownIfIsolated hands the leadership back, held since leaderSince, when neither
 // workers nor other owners reach this controller. Peers alone don't count: where
 // connections between all controllers are refused, the leadership would go round for
 // nothing.
-func (e *Elector) StepDownIfIsolated(leaderKey string, leaderSince time.Time, partitionKeys []string, workers Workers, peers Peers) {
+func (e *Elector) StepDownIfIsolated(leaderKey string, leaderSince time.Time, partitionKeys []string, workers WorkerContact, peers Peers) {
 	now := e.Loop.Now()
-	if e.Token(leaderKey) == 0 || now.Sub(leaderSince) < minLeaderTenure || !peers.Silent(peerSilence) || workers.Reporting() > 0 {
+	if e.Token(leaderKey) == 0 || now.Sub(leaderSince) < minLeaderTenure || !peers.AreAllSilent(peerSilence) || workers.CountReportingMachines() > 0 {
 		return
 	}
 	for _, key := range partitionKeys {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -29,7 +29,7 @@
 type Job struct {
 	State wire.JobState
 	// Final: the job is done or cancelled, and stays so.
-	Final bool
+	IsFinal bool
 	// Revision is that of the job's record.
 	Revision uint64
 	// Spec and AcceptedAt are as they were submitted. Spec is nil where it is not kept
@@ -42,20 +42,20 @@
 // loop alone.
 type Cluster interface {
 	// Loaded reports whether the records have been read since the start.
-	Loaded() bool
-	// FreshWithin reports whether the last successful read began less than limit ago.
-	FreshWithin(limit time.Duration) bool
+	HasLoadedRecords() bool
+	// IsFreshWithin reports whether the last successful read began less than limit ago.
+	IsFreshWithin(limit time.Duration) bool
 	// Refusal is why this controller must not serve; nil: it may.
-	Refusal() error
+	ServingError() error
 	// Job is the accepted job of that id; nil if none was.
 	Job(id string) *Job
 	// Unreadable reports whether a record of the job can't be decoded.
-	Unreadable(id string) bool
+	HasUnreadableRecord(id string) bool
 	// MachineTypes lists the types on offer; empty while they are not known.
 	MachineTypes() map[string]*wire.MachineType
-	// PeersFresh reports whether any peer is heard, and whether one of those that are
+	// PeerFreshness reports whether any peer is heard, and whether one of those that are
 	// reaches the key-value store.
-	PeersFresh() (heard, fresh bool)
+	PeerFreshness() (heard, fresh bool)
 	// AfterRead runs f with the result of a read that begins after now.
 	AfterRead(f func(err error))
 	// SubmitWrite runs done on the event loop with the result of a write.
@@ -76,9 +76,9 @@
 // Recorder counts what users ask.
 type Recorder interface {
 	// Submission counts one by the status of its response, and how long that took.
-	Submission(status int, took time.Duration)
+	CountSubmission(status int, took time.Duration)
 	// Poll counts one.
-	Poll()
+	CountPoll()
 }
 
 // Config is what does not change while the process lives.
@@ -109,9 +109,9 @@
 	return &Frontend{config: config, cluster: cluster, loop: loop, recorder: recorder}
 }
 
-// Unavailable tells a user to come back.
-func Unavailable(reason string) api.Response {
-	return api.Response{Status: http.StatusServiceUnavailable, RetryAfter: 1, Reason: reason}
+// UnavailableResponse tells a user to come back.
+func UnavailableResponse(reason string) api.Response {
+	return api.Response{Status: http.StatusServiceUnavailable, RetryAfterS: 1, Reason: reason}
 }
 
 // Reasons that users are given. They are part of the interface.
@@ -127,19 +127,19 @@
 
 // busy tells a user to come back once the event loop has done what waits for it.
 func (f *Frontend) busy() api.Response {
-	response := Unavailable("busy")
-	response.RetryAfter = f.loop.RetryAfterS()
+	response := UnavailableResponse("busy")
+	response.RetryAfterS = f.loop.RetryAfterS()
 	return response
 }
 
 // notServing is the response of a controller that can't answer yet, or must not; false: it
 // can.
 func (f *Frontend) notServing() (api.Response, bool) {
-	if !f.cluster.Loaded() {
-		return Unavailable(reasonStarting), true
+	if !f.cluster.HasLoadedRecords() {
+		return UnavailableResponse(reasonStarting), true
 	}
-	if refusal := f.cluster.Refusal(); refusal != nil {
-		return Unavailable(refusal.Error()), true
+	if refusal := f.cluster.ServingError(); refusal != nil {
+		return UnavailableResponse(refusal.Error()), true
 	}
 	return api.Response{}, false
 }
@@ -150,8 +150,8 @@
 
 // Poll tells a job's state.
 func (f *Frontend) Poll(ctx context.Context, id string) api.Response {
-	f.recorder.Poll()
-	if !wire.ValidJobID(id) {
+	f.recorder.CountPoll()
+	if !wire.IsValidJobID(id) {
 		return api.Response{Status: http.StatusNotFound, Reason: reasonNoSuchJob}
 	}
 	// One turn of the event loop for the question and one for the result of the read:
@@ -164,7 +164,7 @@
 	case response := <-answer:
 		return response
 	case <-ctx.Done():
-		return Unavailable(reasonOutOfReach)
+		return UnavailableResponse(reasonOutOfReach)
 	}
 }
 
@@ -174,12 +174,12 @@
 		answer <- response
 		return
 	}
-	if job := f.cluster.Job(id); job != nil && job.Final {
+	if job := f.cluster.Job(id); job != nil && job.IsFinal {
 		answer <- jobResponse(http.StatusOK, job.State) // it stays so for ever
 		return
 	}
-	if f.cluster.Unreadable(id) {
-		answer <- Unavailable(reasonUndecodable)
+	if f.cluster.HasUnreadableRecord(id) {
+		answer <- UnavailableResponse(reasonUndecodable)
 		return
 	}
 	f.cluster.AfterRead(func(err error) { answer <- f.afterRead(id, err) })
@@ -188,15 +188,15 @@
 // afterRead is the answer to a poll once a read for it has ended.
 func (f *Frontend) afterRead(id string, err error) api.Response {
 	if err != nil {
-		return Unavailable(reasonOutOfReach)
+		return UnavailableResponse(reasonOutOfReach)
 	}
-	if refusal := f.cluster.Refusal(); refusal != nil {
-		return Unavailable(refusal.Error())
+	if refusal := f.cluster.ServingError(); refusal != nil {
+		return UnavailableResponse(refusal.Error())
 	}
 	job := f.cluster.Job(id)
 	switch {
-	case (job == nil || !job.Final) && f.cluster.Unreadable(id):
-		return Unavailable(reasonUndecodable)
+	case (job == nil || !job.IsFinal) && f.cluster.HasUnreadableRecord(id):
+		return UnavailableResponse(reasonUndecodable)
 	case job != nil:
 		return jobResponse(http.StatusOK, job.State)
 	}
@@ -207,10 +207,10 @@
 func (f *Frontend) Submit(ctx context.Context, spec *wire.Job) api.Response {
 	begun := time.Now()
 	response := f.submit(ctx, spec)
-	f.recorder.Submission(response.Status, time.Since(begun))
+	f.recorder.CountSubmission(response.Status, time.Since(begun))
 	switch {
 	case response.Status == http.StatusCreated:
-		f.config.Log.Info("job accepted", "job", spec.ID, "team", spec.Team, "class", spec.Class, "tasks", spec.Tasks)
+		f.config.Log.Info("job accepted", "job", spec.ID, "team", spec.Team, "class", spec.Class, "tasks", spec.TaskCount)
 	case response.Status >= http.StatusInternalServerError:
 		f.config.Log.Debug("job not taken", "job", spec.ID, "why", response.Reason)
 	case response.Status >= http.StatusBadRequest:
@@ -243,13 +243,13 @@
 	case err := <-begun.stored:
 		switch {
 		case err == nil:
-			return jobResponse(http.StatusCreated, wire.JobState{ID: spec.ID, State: wire.Queued})
+			return jobResponse(http.StatusCreated, wire.JobState{ID: spec.ID, State: wire.StateQueued})
 		case errors.Is(err, store.ErrConflict):
 			return f.pollSubmitted(ctx, spec) // an earlier try, or another controller, stored it
 		}
-		return Unavailable(reasonNotStored)
+		return UnavailableResponse(reasonNotStored)
 	case <-ctx.Done():
-		return Unavailable(reasonNoAnswer)
+		return UnavailableResponse(reasonNoAnswer)
 	}
 }
 
@@ -264,15 +264,15 @@
 	case f.cluster.Job(spec.ID) != nil:
 		return submission{poll: true} // accepted before, whatever the settings say today
 	case len(types) == 0:
-		return refuse(Unavailable(reasonUnknownTypes))
-	case !f.cluster.FreshWithin(f.config.LeaseTTL):
-		return refuse(Unavailable(reasonOutOfReach))
+		return refuse(UnavailableResponse(reasonUnknownTypes))
+	case !f.cluster.IsFreshWithin(f.config.LeaseTTL):
+		return refuse(UnavailableResponse(reasonOutOfReach))
 	case f.unsatisfiable(spec) != "":
 		return submission{poll: true}
 	}
 	stored := make(chan error, 1)
 	key := f.config.JobKey(spec.ID)
-	f.cluster.SubmitWrite(&store.Write{Urgent: true,
+	f.cluster.SubmitWrite(&store.Write{Interactive: true,
 		Conditions: []wire.Condition{{Key: key}},
 		Changes:    []wire.Change{{Put: key, Value: record.JSON(record.Job{AcceptedAtMS: f.loop.Now().UnixMilli(), Spec: spec})}},
 	}, func(err error) { stored <- err })
@@ -282,11 +282,11 @@
 // unsatisfiable is why a job can never run; "": it can.
 func (f *Frontend) unsatisfiable(spec *wire.Job) string {
 	// The record is largest once the job is cancelled.
-	largest := record.Job{FinalState: record.Cancelled, AcceptedAtMS: f.loop.Now().UnixMilli(), Spec: spec}
+	largest := record.Job{FinalState: record.StateCancelled, AcceptedAtMS: f.loop.Now().UnixMilli(), Spec: spec}
 	if len(record.JSON(largest)) > f.config.MaxValueBytes {
 		return "its description is larger than can be stored"
 	}
-	return f.config.Quotas.Unsatisfiable(spec, f.cluster.MachineTypes())
+	return f.config.Quotas.UnsatisfiableReason(spec, f.cluster.MachineTypes())
 }
 
 // pollSubmitted answers the submission of a job that is known already or, if it turns out
@@ -299,7 +299,7 @@
 	reason := ""
 	f.loop.Call(ctx, func() { reason = f.unsatisfiable(spec) })
 	if reason == "" {
-		return Unavailable("try again")
+		return UnavailableResponse("try again")
 	}
 	return api.Response{Status: http.StatusUnprocessableEntity, Reason: reason}
 }
@@ -310,7 +310,7 @@
 	for {
 		response := f.Poll(ctx, id)
 		state, ok := response.Body.(wire.JobState)
-		if response.Status != http.StatusOK || !ok || state.State == wire.Done || state.State == wire.Cancelled {
+		if response.Status != http.StatusOK || !ok || state.State == wire.StateDone || state.State == wire.StateCancelled {
 			return response
 		}
 		stored := make(chan error, 1)
@@ -320,13 +320,13 @@
 		select {
 		case err := <-stored:
 			if err == nil {
-				return jobResponse(http.StatusOK, wire.JobState{ID: id, State: wire.Cancelled})
+				return jobResponse(http.StatusOK, wire.JobState{ID: id, State: wire.StateCancelled})
 			}
 			if !errors.Is(err, store.ErrConflict) {
-				return Unavailable(reasonNotStored)
+				return UnavailableResponse(reasonNotStored)
 			}
 		case <-ctx.Done():
-			return Unavailable(reasonNoAnswer)
+			return UnavailableResponse(reasonNoAnswer)
 		}
 		if ctx.Err() != nil {
 			return f.busy()
@@ -337,13 +337,13 @@
 // beginCancellation has a job's cancellation stored.
 func (f *Frontend) beginCancellation(id string, stored chan<- error) {
 	job := f.cluster.Job(id)
-	if job == nil || job.Final || job.Spec == nil {
+	if job == nil || job.IsFinal || job.Spec == nil {
 		stored <- store.ErrConflict
 		return
 	}
 	key := f.config.JobKey(id)
-	f.cluster.SubmitWrite(&store.Write{Urgent: true,
+	f.cluster.SubmitWrite(&store.Write{Interactive: true,
 		Conditions: []wire.Condition{{Key: key, Revision: job.Revision}},
-		Changes:    []wire.Change{{Put: key, Value: record.CancelledJob(job.Spec, job.AcceptedAt, f.config.MaxValueBytes)}},
+		Changes:    []wire.Change{{Put: key, Value: record.EncodeCancelledJob(job.Spec, job.AcceptedAt, f.config.MaxValueBytes)}},
 	}, func(err error) { stored <- err })
 }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -35,17 +35,17 @@
 		types: map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAMGB: 8, Zones: []string{"a"}}}}
 }
 
-func (c *fakeCluster) Loaded() bool                               { return !c.starting }
-func (c *fakeCluster) FreshWithin(time.Duration) bool             { return !c.stale }
-func (c *fakeCluster) Refusal() error                             { return c.refusal }
+func (c *fakeCluster) HasLoadedRecords() bool                     { return !c.starting }
+func (c *fakeCluster) IsFreshWithin(time.Duration) bool           { return !c.stale }
+func (c *fakeCluster) ServingError() error                        { return c.refusal }
 func (c *fakeCluster) Job(id string) *Job                         { return c.jobs[id] }
-func (c *fakeCluster) Unreadable(id string) bool                  { return c.unreadable[id] }
+func (c *fakeCluster) HasUnreadableRecord(id string) bool         { return c.unreadable[id] }
 func (c *fakeCluster) MachineTypes() map[string]*wire.MachineType { return c.types }
-func (c *fakeCluster) PeersFresh() (heard, fresh bool)            { return c.peersHeard, c.peerFresh }
+func (c *fakeCluster) PeerFreshness() (heard, fresh bool)         { return c.peersHeard, c.peerFresh }
 func (c *fakeCluster) Now() time.Time                             { return time.Now() }
 func (c *fakeCluster) RetryAfterS() int                           { return 7 }
-func (c *fakeCluster) Submission(int, time.Duration)              {}
-func (c *fakeCluster) Poll()                                      {}
+func (c *fakeCluster) CountSubmission(int, time.Duration)         {}
+func (c *fakeCluster) CountPoll()                                 {}
 
 func (c *fakeCluster) Call(_ context.Context, f func()) bool {
 	if c.full {
@@ -73,14 +73,14 @@
 }
 
 func running(id string) *Job {
-	return &Job{State: wire.JobState{ID: id, State: wire.Running}, Revision: 5, Spec: &wire.Job{ID: id, Team: "red"}}
+	return &Job{State: wire.JobState{ID: id, State: wire.StateRunning}, Revision: 5, Spec: &wire.Job{ID: id, Team: "red"}}
 }
 
 func final(id, state string) *Job {
-	return &Job{State: wire.JobState{ID: id, State: state}, Final: true, Revision: 5}
+	return &Job{State: wire.JobState{ID: id, State: state}, IsFinal: true, Revision: 5}
 }
 
-var job = &wire.Job{ID: "wk-1", Team: "red", Tasks: 1, CPUs: 2, RAMGB: 1}
+var job = &wire.Job{ID: "wk-1", Team: "red", TaskCount: 1, CPUs: 2, RAMGB: 1}
 
 // Each state of the cluster has its answer to a submission, a poll and a cancellation.
 func TestAnswers(t *testing.T) {
@@ -92,7 +92,7 @@
 	}{
 		{"new job", func(*fakeCluster) {}, created, notFound, notFound},
 		{"known job", func(c *fakeCluster) { c.jobs["wk-1"] = running("wk-1") }, ok, ok, ok},
-		{"done job", func(c *fakeCluster) { c.jobs["wk-1"] = final("wk-1", wire.Done) }, ok, ok, ok},
+		{"done job", func(c *fakeCluster) { c.jobs["wk-1"] = final("wk-1", wire.StateDone) }, ok, ok, ok},
 		{"job that another controller has stored", func(c *fakeCluster) {
 			c.writeErr, c.onRead = store.ErrConflict, func() { c.jobs["wk-1"] = running("wk-1") }
 		}, ok, ok, unavailable},
@@ -103,12 +103,12 @@
 		{"machine types are not known, job is", func(c *fakeCluster) { c.types, c.jobs["wk-1"] = nil, running("wk-1") }, ok, ok, ok},
 		{"store out of reach", func(c *fakeCluster) { c.stale, c.readErr = true, store.ErrNotExecuted }, unavailable, unavailable, unavailable},
 		{"store out of reach, job done", func(c *fakeCluster) {
-			c.stale, c.readErr, c.jobs["wk-1"] = true, store.ErrNotExecuted, final("wk-1", wire.Done)
+			c.stale, c.readErr, c.jobs["wk-1"] = true, store.ErrNotExecuted, final("wk-1", wire.StateDone)
 		}, ok, ok, ok},
 		{"write has no known outcome", func(c *fakeCluster) { c.writeErr, c.jobs["wk-1"] = store.ErrOutcomeUnknown, running("wk-1") }, ok, ok, unavailable},
 		{"record can't be decoded", func(c *fakeCluster) { c.jobs["wk-1"], c.unreadable["wk-1"] = running("wk-1"), true }, unavailable, unavailable, unavailable},
 		{"record of a done job can't be decoded", func(c *fakeCluster) {
-			c.jobs["wk-1"], c.unreadable["wk-1"] = final("wk-1", wire.Done), true
+			c.jobs["wk-1"], c.unreadable["wk-1"] = final("wk-1", wire.StateDone), true
 		}, ok, ok, ok},
 		{"unsatisfiable job", func(c *fakeCluster) { c.types["small"].CPUs = 1 }, unprocessable, notFound, notFound},
 		{"unsatisfiable job that was accepted before", func(c *fakeCluster) {
@@ -138,14 +138,14 @@
 func TestCancellationIsACompareAndSwap(t *testing.T) {
 	c := newFakeCluster()
 	c.jobs["wk-1"] = running("wk-1")
-	if response := c.frontend().Cancel(t.Context(), "wk-1"); response.Body != (wire.JobState{ID: "wk-1", State: wire.Cancelled}) {
+	if response := c.frontend().Cancel(t.Context(), "wk-1"); response.Body != (wire.JobState{ID: "wk-1", State: wire.StateCancelled}) {
 		t.Fatalf("answered %+v", response)
 	}
 	if len(c.writes) != 1 || c.writes[0].Conditions[0] != (wire.Condition{Key: "e/job/wk-1", Revision: 5}) {
 		t.Fatalf("written: %+v", c.writes)
 	}
 	var stored record.Job
-	if err := json.Unmarshal(c.writes[0].Changes[0].Value, &stored); err != nil || stored.FinalState != record.Cancelled || stored.Spec == nil {
+	if err := json.Unmarshal(c.writes[0].Changes[0].Value, &stored); err != nil || stored.FinalState != record.StateCancelled || stored.Spec == nil {
 		t.Errorf("stored: %+v, %v", stored, err)
 	}
 }
@@ -158,18 +158,18 @@
 		job  wire.Job
 		want string
 	}{
-		{"unknown team", wire.Job{Team: "green", Tasks: 1, CPUs: 1}, "unknown team"},
-		{"array of many tasks", wire.Job{Team: "red", Tasks: 100, CPUs: 4}, ""},
-		{"task above the CPU limit", wire.Job{Team: "red", Tasks: 1, CPUs: 8.5}, "more than the team's limit"},
-		{"service at the CPU limit", wire.Job{Team: "red", Service: true, Tasks: 2, CPUs: 4}, ""},
-		{"service above the CPU limit", wire.Job{Team: "red", Service: true, Tasks: 3, CPUs: 4}, "more than the team's limit"},
-		{"gang above the GPU limit", wire.Job{Team: "red", Gang: true, Tasks: 2, CPUs: 1, GPUs: 1}, "more than the team's limit"},
-		{"team without a limit", wire.Job{Team: "blue", Service: true, Tasks: 1000, CPUs: 4}, ""},
-		{"no machine is large enough", wire.Job{Team: "blue", Tasks: 1, CPUs: 5}, "a task fits no allowed machine type"},
-		{"no machine of an allowed type", wire.Job{Team: "blue", Tasks: 1, CPUs: 1, MachineTypes: []string{"large"}}, "a task fits no allowed machine type"},
-		{"no machine in the zone", wire.Job{Team: "blue", Tasks: 1, CPUs: 1, Zone: "b"}, "a task fits no allowed machine type"},
+		{"unknown team", wire.Job{Team: "green", TaskCount: 1, CPUs: 1}, "unknown team"},
+		{"array of many tasks", wire.Job{Team: "red", TaskCount: 100, CPUs: 4}, ""},
+		{"task above the CPU limit", wire.Job{Team: "red", TaskCount: 1, CPUs: 8.5}, "more than the team's limit"},
+		{"service at the CPU limit", wire.Job{Team: "red", Service: true, TaskCount: 2, CPUs: 4}, ""},
+		{"service above the CPU limit", wire.Job{Team: "red", Service: true, TaskCount: 3, CPUs: 4}, "more than the team's limit"},
+		{"gang above the GPU limit", wire.Job{Team: "red", Gang: true, TaskCount: 2, CPUs: 1, GPUs: 1}, "more than the team's limit"},
+		{"team without a limit", wire.Job{Team: "blue", Service: true, TaskCount: 1000, CPUs: 4}, ""},
+		{"no machine is large enough", wire.Job{Team: "blue", TaskCount: 1, CPUs: 5}, "a task fits no allowed machine type"},
+		{"no machine of an allowed type", wire.Job{Team: "blue", TaskCount: 1, CPUs: 1, MachineTypes: []string{"large"}}, "a task fits no allowed machine type"},
+		{"no machine in the zone", wire.Job{Team: "blue", TaskCount: 1, CPUs: 1, Zone: "b"}, "a task fits no allowed machine type"},
 	} {
-		if got := quotas.Unsatisfiable(&test.job, types); got != test.want {
+		if got := quotas.UnsatisfiableReason(&test.job, types); got != test.want {
 			t.Errorf("%s: %q, want %q", test.name, got, test.want)
 		}
 	}
@@ -192,7 +192,7 @@
 		test.cluster(c)
 		f := c.frontend()
 		f.UpdateReadiness()
-		if got := f.Ready(); got != test.want {
+		if got := f.IsReady(); got != test.want {
 			t.Errorf("%s: ready is %v, want %v", test.name, got, test.want)
 		}
 	}
--- a/internal/frontend/quotas.go
+++ b/internal/frontend/quotas.go
@@ -12,16 +12,16 @@
 // Quotas are the limits of the teams.
 type Quotas []config.Team
 
-// Unsatisfiable is why a job can never run within its team's limit and on the machine types
+// UnsatisfiableReason is why a job can never run within its team's limit and on the machine types
 // on offer; "": it can.
-func (q Quotas) Unsatisfiable(spec *wire.Job, types map[string]*wire.MachineType) string {
+func (q Quotas) UnsatisfiableReason(spec *wire.Job, types map[string]*wire.MachineType) string {
 	team := q.team(spec.Team)
 	if team == nil {
 		return "unknown team"
 	}
 	atOnce := 1.0 // tasks of an array run one by one if need be
-	if spec.AllOrNothing() {
-		atOnce = float64(spec.Tasks)
+	if spec.IsAllOrNothing() {
+		atOnce = float64(spec.TaskCount)
 	}
 	if exceeds(spec.CPUs*atOnce, team.CPUsMax) || exceeds(spec.GPUs*atOnce, team.GPUsMax) {
 		return "more than the team's limit"
--- a/internal/frontend/readiness.go
+++ b/internal/frontend/readiness.go
@@ -6,17 +6,17 @@
 // successful read stays ready: users who are sent elsewhere and back lose more.
 const readinessGrace = 2 * time.Second
 
-// Ready tells the load balancer whether to send users. It does not wait for the event loop,
+// IsReady tells the load balancer whether to send users. It does not wait for the event loop,
 // but goes by what that noted last: the load balancer would take a probe that waits for a
 // failure, and send the users of a controller that is slow to others as slow.
-func (f *Frontend) Ready() bool {
+func (f *Frontend) IsReady() bool {
 	at := f.readyAt.Load()
 	return at != nil && time.Since(*at) < f.config.LeaseTTL
 }
 
 // UpdateReadiness notes for Ready what the event loop knows now.
 func (f *Frontend) UpdateReadiness() {
-	if !f.isReady() {
+	if !f.canServeUsers() {
 		f.readyAt.Store(nil)
 		return
 	}
@@ -24,16 +24,16 @@
 	f.readyAt.Store(&now)
 }
 
-// isReady reports whether users should be sent here. A controller that alone can't reach
+// canServeUsers reports whether users should be sent here. A controller that alone can't reach
 // the key-value store stands back; in an outage for all of them none does, since leaving
 // and coming back would only make it longer for users.
-func (f *Frontend) isReady() bool {
-	if f.cluster.Refusal() != nil {
+func (f *Frontend) canServeUsers() bool {
+	if f.cluster.ServingError() != nil {
 		return false
 	}
-	if f.cluster.Loaded() && len(f.cluster.MachineTypes()) > 0 && f.cluster.FreshWithin(f.config.LeaseTTL+readinessGrace) {
+	if f.cluster.HasLoadedRecords() && len(f.cluster.MachineTypes()) > 0 && f.cluster.IsFreshWithin(f.config.LeaseTTL+readinessGrace) {
 		return true
 	}
-	heard, fresh := f.cluster.PeersFresh()
+	heard, fresh := f.cluster.PeerFreshness()
 	return heard && !fresh
 }
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -26,8 +26,8 @@
 	return &Monitor{log: log, dependency: dependency, patience: patience}
 }
 
-// Failed notes that the dependency fails.
-func (m *Monitor) Failed(now time.Time) {
+// ReportFailure notes that the dependency fails.
+func (m *Monitor) ReportFailure(now time.Time) {
 	if m.failingSince.IsZero() {
 		m.failingSince = now
 	}
@@ -37,13 +37,13 @@
 	}
 }
 
-// Answered notes that the dependency answers.
-func (m *Monitor) Answered(now time.Time) {
+// ReportSuccess notes that the dependency answers.
+func (m *Monitor) ReportSuccess(now time.Time) {
 	if m.reported {
 		m.log.Info("outage ended", "of", m.dependency, "lasted", now.Sub(m.failingSince).Round(time.Millisecond))
 	}
-	m.Forget()
+	m.Reset()
 }
 
-// Forget begins anew, as when nobody has asked the dependency for anything.
-func (m *Monitor) Forget() { m.failingSince, m.reported = time.Time{}, false }
+// Reset begins anew, as when nobody has asked the dependency for anything.
+func (m *Monitor) Reset() { m.failingSince, m.reported = time.Time{}, false }
--- a/internal/outage/outage_test.go
+++ b/internal/outage/outage_test.go
@@ -56,9 +56,9 @@
 	for _, o := range seen {
 		now := start.Add(time.Duration(o.atS * float64(time.Second)))
 		if o.answered {
-			monitor.Answered(now)
+			monitor.ReportSuccess(now)
 		} else {
-			monitor.Failed(now)
+			monitor.ReportFailure(now)
 		}
 	}
 	return out.String()
@@ -69,10 +69,10 @@
 	var out bytes.Buffer
 	monitor := outage.NewMonitor(slog.New(slog.NewTextHandler(&out, nil)), "cloud", time.Second)
 	now := time.Unix(1e9, 0)
-	monitor.Failed(now)
-	monitor.Failed(now.Add(time.Minute))
-	monitor.Forget()
-	monitor.Answered(now.Add(time.Hour))
+	monitor.ReportFailure(now)
+	monitor.ReportFailure(now.Add(time.Minute))
+	monitor.Reset()
+	monitor.ReportSuccess(now.Add(time.Hour))
 	if got := strings.Count(out.String(), "\n"); got != 1 {
 		t.Errorf("%d lines, want the one of the beginning:\n%s", got, out.String())
 	}
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -12,14 +12,14 @@
 
 func TestStatusRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		status := &Status{Node: rapid.StringN(0, 20, 100).Draw(t, "node"), ProcessID: rapid.StringN(0, 20, 100).Draw(t, "process id"), Fresh: rapid.Bool().Draw(t, "fresh"), Eligible: rapid.Bool().Draw(t, "eligible"),
+		status := &Status{Node: rapid.StringN(0, 20, 100).Draw(t, "node"), ProcessID: rapid.StringN(0, 20, 100).Draw(t, "process id"), ReplicaIsCurrent: rapid.Bool().Draw(t, "fresh"), CanTakePartitions: rapid.Bool().Draw(t, "eligible"),
 			Partitions: rapid.SliceOf(rapid.Uint64()).Draw(t, "partitions")}
 		for range rapid.IntRange(0, 5).Draw(t, "n") {
 			status.Machines = append(status.Machines, Machine{Name: rapid.StringN(0, 20, 100).Draw(t, "name"), Addr: "10.1.0.2:9000", Type: "g8", Zone: "a",
 				Incarnation: rapid.Uint64().Draw(t, "incarnation"), Flags: rapid.Uint8().Draw(t, "flags")})
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "draining") {
-			status.Draining = append(status.Draining, rapid.StringN(0, 20, 100).Draw(t, "drained"))
+			status.DrainingMachines = append(status.DrainingMachines, rapid.StringN(0, 20, 100).Draw(t, "drained"))
 		}
 		if len(status.Partitions) == 0 {
 			status.Partitions = nil
@@ -76,8 +76,8 @@
 	status := &Status{Node: "perch-0", ProcessID: "0123456789abcdef", Partitions: []uint64{0, 1, 2, 3, 4, 5}}
 	for i := range 4000 {
 		name := fmt.Sprintf("host-%06d-in-a-long-name", i)
-		status.Machines = append(status.Machines, Machine{Name: name, Addr: fmt.Sprintf("10.101.%d.%d:65535", i/250, i%250), Type: "a-large-type", Zone: "a-long-zone", Incarnation: 1 << 40, Flags: Reachable})
-		status.Draining = append(status.Draining, name)
+		status.Machines = append(status.Machines, Machine{Name: name, Addr: fmt.Sprintf("10.101.%d.%d:65535", i/250, i%250), Type: "a-large-type", Zone: "a-long-zone", Incarnation: 1 << 40, Flags: FlagReachable})
+		status.DrainingMachines = append(status.DrainingMachines, name)
 	}
 	for _, version := range versions {
 		frame := AppendStatus(nil, status, version)
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -9,10 +9,10 @@
 // A frame of the checksummed version has exactly these bytes; of the plain one the
 // controller's tests hold what earlier versions wrote.
 func TestChecksummedFrameKeepsItsBytes(t *testing.T) {
-	status := &Status{Node: "n0", ProcessID: "00ff", Fresh: true, Eligible: true, Partitions: []uint64{0, 300},
-		Machines: []Machine{{Name: "host-1", Addr: "10.1.0.2:9000", Type: "g8", Zone: "a", Incarnation: 2, Flags: Reachable | Spot | NotHeardYet},
-			{Name: "host-2", Addr: "10.1.0.3:9000", Type: "g8", Zone: "b", Incarnation: 1, Flags: TerminationNotice | Cordoned | Unreachable}},
-		Draining: []string{"host-1", "host-2"}}
+	status := &Status{Node: "n0", ProcessID: "00ff", ReplicaIsCurrent: true, CanTakePartitions: true, Partitions: []uint64{0, 300},
+		Machines: []Machine{{Name: "host-1", Addr: "10.1.0.2:9000", Type: "g8", Zone: "a", Incarnation: 2, Flags: FlagReachable | FlagSpot | FlagNoHeartbeatYet},
+			{Name: "host-2", Addr: "10.1.0.3:9000", Type: "g8", Zone: "b", Incarnation: 1, Flags: FlagTerminationNotice | FlagCordoned | FlagUnreachable}},
+		DrainingMachines: []string{"host-1", "host-2"}}
 	const want = "454803010000005cda58ce9f0f38b39593028771623db5b1026e300430306666030200ac02020006686f73742d31000d31302e312e302e323a39303030000267380001610231" +
 		"0501320706333a393030300200000162010e020006686f73742d31050132"
 	if got := hex.EncodeToString(AppendStatus(nil, status, ChecksummedFrame)); got != want {
--- a/internal/peer/registry.go
+++ b/internal/peer/registry.go
@@ -13,17 +13,17 @@
 type Peer struct {
 	// Status is the last that it sent; nil before the first.
 	Status *Status
-	// HeardAt is when Status came.
-	HeardAt time.Time
-	// HeardSince is since when its statuses have come without a gap of Timeout.
-	HeardSince time.Time
+	// LastStatusAt is when Status came.
+	LastStatusAt time.Time
+	// AliveSince is since when its statuses have come without a gap of Timeout.
+	AliveSince time.Time
 	// formerProcess is the process before the present one. Its frames may still come.
 	formerProcess string
 }
 
-// Heard reports whether the peer's last status came less than limit before now.
-func (p *Peer) Heard(limit time.Duration, now time.Time) bool {
-	return p.Status != nil && now.Sub(p.HeardAt) < limit
+// HasRecentStatus reports whether the peer's last status came less than limit before now.
+func (p *Peer) HasRecentStatus(limit time.Duration, now time.Time) bool {
+	return p.Status != nil && now.Sub(p.LastStatusAt) < limit
 }
 
 // Registry has the other controllers of the cluster by name. It belongs to one goroutine.
@@ -65,17 +65,17 @@
 		}
 		p.formerProcess = p.Status.ProcessID
 	}
-	if now.Sub(p.HeardAt) > Timeout {
-		p.HeardSince = now
+	if now.Sub(p.LastStatusAt) > Timeout {
+		p.AliveSince = now
 	}
-	p.Status, p.HeardAt = status, now
+	p.Status, p.LastStatusAt = status, now
 	return true
 }
 
-// Silent reports whether there are peers and none of them was heard within d of now.
-func (r *Registry) Silent(d time.Duration, now time.Time) bool {
+// IsIsolated reports whether there are peers and none of them was heard within d of now.
+func (r *Registry) IsIsolated(d time.Duration, now time.Time) bool {
 	for _, p := range r.peers {
-		if now.Sub(p.HeardAt) < d {
+		if now.Sub(p.LastStatusAt) < d {
 			return false
 		}
 	}
--- a/internal/peer/registry_test.go
+++ b/internal/peer/registry_test.go
@@ -29,20 +29,20 @@
 
 func TestRegistryNotesGaps(t *testing.T) {
 	r, begun := NewRegistry([]string{"n1"}), time.Unix(1000, 0)
-	if !r.Silent(time.Second, begun) {
+	if !r.IsIsolated(time.Second, begun) {
 		t.Error("a peer that was never heard is not silent")
 	}
 	r.Update(&Status{Node: "n1"}, begun)
 	r.Update(&Status{Node: "n1"}, begun.Add(Timeout))
-	if p := r.Peer("n1"); !p.HeardSince.Equal(begun) || !p.Heard(time.Second, begun.Add(Timeout)) {
-		t.Errorf("heard since %v, want %v", p.HeardSince, begun)
+	if p := r.Peer("n1"); !p.AliveSince.Equal(begun) || !p.HasRecentStatus(time.Second, begun.Add(Timeout)) {
+		t.Errorf("heard since %v, want %v", p.AliveSince, begun)
 	}
 	late := begun.Add(2*Timeout + time.Millisecond)
 	r.Update(&Status{Node: "n1"}, late)
-	if p := r.Peer("n1"); !p.HeardSince.Equal(late) {
-		t.Errorf("after a gap: heard since %v, want %v", p.HeardSince, late)
+	if p := r.Peer("n1"); !p.AliveSince.Equal(late) {
+		t.Errorf("after a gap: heard since %v, want %v", p.AliveSince, late)
 	}
-	if r.Silent(time.Second, late) || !r.Silent(time.Second, late.Add(time.Second)) {
+	if r.IsIsolated(time.Second, late) || !r.IsIsolated(time.Second, late.Add(time.Second)) {
 		t.Error("a peer is silent a second after its last status, and not before")
 	}
 }
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -13,14 +13,14 @@
 	// its former self, whose frames may still come late.
 	ProcessID string
 	// Fresh: its replica of the key-value store is current.
-	Fresh bool
+	ReplicaIsCurrent bool
 	// Eligible: it may take partitions over, since it is fresh and workers reach it.
-	Eligible   bool
-	Partitions []uint64 // that it owns
-	Machines   []Machine
+	CanTakePartitions bool
+	Partitions        []uint64 // that it owns
+	Machines          []Machine
 	// Draining are the machines on which nothing may be placed any more, since the leader
 	// is about to return them.
-	Draining []string
+	DrainingMachines []string
 }
 
 // Machine is what the owner of a partition knows of one of its machines.
@@ -33,17 +33,17 @@
 // Flags of a machine.
 const (
 	// Reachable: heartbeats are arriving.
-	Reachable = 1 << iota
-	// TerminationNotice: the cloud is about to take the machine.
-	TerminationNotice
+	FlagReachable = 1 << iota
+	// FlagTerminationNotice: the cloud is about to take the machine.
+	FlagTerminationNotice
 	// Cordoned: tasks of several jobs failed on it; nothing is placed there.
-	Cordoned
+	FlagCordoned
 	// Unreachable: it neither sends heartbeats nor answers its owner, who hears from others.
-	Unreachable
+	FlagUnreachable
 	// Spot: it is a spot instance.
-	Spot
-	// NotHeardYet: no heartbeat has come since its owner took its partition over.
-	NotHeardYet
+	FlagSpot
+	// FlagNoHeartbeatYet: no heartbeat has come since its owner took its partition over.
+	FlagNoHeartbeatYet
 )
 
 // Flags of a status.
@@ -64,10 +64,10 @@
 	buf = codec.AppendString(buf, status.Node)
 	buf = codec.AppendString(buf, status.ProcessID)
 	var flags uint8
-	if status.Fresh {
+	if status.ReplicaIsCurrent {
 		flags |= flagFresh
 	}
-	if status.Eligible {
+	if status.CanTakePartitions {
 		flags |= flagEligible
 	}
 	buf = append(buf, flags)
@@ -90,8 +90,8 @@
 		buf = binary.AppendUvarint(buf, m.Incarnation)
 		buf = append(buf, m.Flags)
 	}
-	buf = binary.AppendUvarint(buf, uint64(len(status.Draining)))
-	for _, name := range status.Draining {
+	buf = binary.AppendUvarint(buf, uint64(len(status.DrainingMachines)))
+	for _, name := range status.DrainingMachines {
 		buf = codec.AppendString(buf, name)
 	}
 	return buf
@@ -111,9 +111,9 @@
 		buf = append(buf, m.Flags)
 		previous = m
 	}
-	buf = binary.AppendUvarint(buf, uint64(len(status.Draining)))
+	buf = binary.AppendUvarint(buf, uint64(len(status.DrainingMachines)))
 	previousName := ""
-	for _, name := range status.Draining {
+	for _, name := range status.DrainingMachines {
 		buf = codec.AppendSuffix(buf, previousName, name)
 		previousName = name
 	}
@@ -124,7 +124,7 @@
 func readSelf(reader *codec.Reader) *Status {
 	status := &Status{Node: reader.Text(), ProcessID: reader.Text()}
 	flags := reader.Byte()
-	status.Fresh, status.Eligible = flags&flagFresh != 0, flags&flagEligible != 0
+	status.ReplicaIsCurrent, status.CanTakePartitions = flags&flagFresh != 0, flags&flagEligible != 0
 	for range reader.Count(minElementBytes) {
 		status.Partitions = append(status.Partitions, reader.Uvarint())
 	}
@@ -141,7 +141,7 @@
 		}
 	}
 	for range reader.Count(minElementBytes) {
-		status.Draining = append(status.Draining, reader.Text())
+		status.DrainingMachines = append(status.DrainingMachines, reader.Text())
 	}
 }
 
@@ -159,6 +159,6 @@
 	previousName := ""
 	for range reader.Count(minElementBytes) {
 		previousName = reader.Suffix(previousName)
-		status.Draining = append(status.Draining, previousName)
+		status.DrainingMachines = append(status.DrainingMachines, previousName)
 	}
 }
--- a/internal/reconcile/differences.go
+++ b/internal/reconcile/differences.go
@@ -71,11 +71,11 @@
 			continue
 		}
 		shown.add(record.Binding.Task)
-		if status.State == wire.Exited || !records.MustStop(record.Binding.Task) {
+		if status.State == wire.StateExited || !records.MustStop(record.Binding.Task) {
 			continue
 		}
 		// A task that is already saving needs another stop command only to make it stop saving.
-		if grace := records.StopGraceS(record.Binding.Task); status.State != wire.Saving || grace == 0 {
+		if grace := records.StopGraceS(record.Binding.Task); status.State != wire.StateSavingCheckpoint || grace == 0 {
 			differences = append(differences, Difference{Kind: TaskToStop, TaskName: status.Task, Attempt: status.Attempt, GraceS: grace})
 		}
 	}
@@ -103,7 +103,7 @@
 	switch {
 	case record.Unreadable:
 		return UnreadableRecord
-	case status.State != wire.Exited:
+	case status.State != wire.StateExited:
 		return UnexpectedTask
 	case !machine.isStartRuledOut():
 		return RetainedExitedTask
--- a/internal/reconcile/fake_test.go
+++ b/internal/reconcile/fake_test.go
@@ -100,5 +100,5 @@
 }
 
 func exitedTask(name string, attempt uint64, reason string) wire.TaskStatus {
-	return wire.TaskStatus{Task: name, Attempt: attempt, State: wire.Exited, Reason: reason}
+	return wire.TaskStatus{Task: name, Attempt: attempt, State: wire.StateExited, Reason: reason}
 }
--- a/internal/reconcile/observations.go
+++ b/internal/reconcile/observations.go
@@ -91,7 +91,7 @@
 
 // classifyBound returns the kind of observation for a bound attempt in the heartbeat.
 func classifyBound(status *wire.TaskStatus, record *TaskRecord) ObservationKind {
-	if status.State != wire.Exited {
+	if status.State != wire.StateExited {
 		return TaskPresent
 	}
 	switch status.Reason {
@@ -101,7 +101,7 @@
 		}
 	case wire.ReasonError:
 		return TaskFailed
-	case wire.ReasonNoRoom, wire.ReasonInUse, wire.ReasonUnknownTask:
+	case wire.ReasonNoCapacity, wire.ReasonOtherAttempt, wire.ReasonUnknownTask:
 		return StartRefused
 	}
 	return TaskExited
--- a/internal/reconcile/observations_test.go
+++ b/internal/reconcile/observations_test.go
@@ -28,13 +28,13 @@
 
 var observationTests = []observationTest{
 	{"no tasks", confirmedMachine(), records{}, nil},
-	{"a task that runs", confirmedMachine(taskStatus("wk-1/0", 2, wire.Running)),
+	{"a task that runs", confirmedMachine(taskStatus("wk-1/0", 2, wire.StateRunning)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}},
 		[]observedTask{{reconcile.TaskPresent, "wk-1/0", 2, true}}},
-	{"a task that fetches its image", confirmedMachine(taskStatus("wk-1/0", 2, wire.Fetching)),
+	{"a task that fetches its image", confirmedMachine(taskStatus("wk-1/0", 2, wire.StateFetchingImage)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}},
 		[]observedTask{{reconcile.TaskPresent, "wk-1/0", 2, true}}},
-	{"a task that saves and must stop", confirmedMachine(taskStatus("wk-1/0", 2, wire.Saving)),
+	{"a task that saves and must stop", confirmedMachine(taskStatus("wk-1/0", 2, wire.StateSavingCheckpoint)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}},
 		[]observedTask{{reconcile.TaskPresent, "wk-1/0", 2, true}}},
 	{"a task that completed", confirmedMachine(exitedTask("wk-1/0", 2, wire.ReasonDone)),
@@ -46,7 +46,7 @@
 	{"a task that failed", confirmedMachine(exitedTask("wk-1/0", 2, wire.ReasonError)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}},
 		[]observedTask{{reconcile.TaskFailed, "wk-1/0", 2, true}}},
-	{"refused starts", confirmedMachine(exitedTask("wk-1/0", 2, wire.ReasonNoRoom), exitedTask("wk-1/1", 1, wire.ReasonInUse), exitedTask("wk-1/2", 1, wire.ReasonUnknownTask)),
+	{"refused starts", confirmedMachine(exitedTask("wk-1/0", 2, wire.ReasonNoCapacity), exitedTask("wk-1/1", 1, wire.ReasonOtherAttempt), exitedTask("wk-1/2", 1, wire.ReasonUnknownTask)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2}, {name: "wk-1/1", attempt: 1}, {name: "wk-1/2", attempt: 1}}},
 		[]observedTask{{reconcile.StartRefused, "wk-1/0", 2, true}, {reconcile.StartRefused, "wk-1/1", 1, true}, {reconcile.StartRefused, "wk-1/2", 1, true}}},
 	{"a task that was stopped", confirmedMachine(exitedTask("wk-1/0", 2, wire.ReasonStopped)),
@@ -73,10 +73,10 @@
 	{"an absent task that is cancelled", confirmedMachine(),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}},
 		[]observedTask{{reconcile.TaskAbsent, "wk-1/0", 2, false}}},
-	{"a cancelled task that still runs, and another that is missing", confirmedMachine(taskStatus("wk-1/0", 2, wire.Running)),
+	{"a cancelled task that still runs, and another that is missing", confirmedMachine(taskStatus("wk-1/0", 2, wire.StateRunning)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}, {name: "wk-1/1", attempt: 1}}},
 		[]observedTask{{reconcile.TaskPresent, "wk-1/0", 2, true}}},
-	{"an absent cancelled task of which another attempt is present", confirmedMachine(taskStatus("wk-1/0", 1, wire.Running)),
+	{"an absent cancelled task of which another attempt is present", confirmedMachine(taskStatus("wk-1/0", 1, wire.StateRunning)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}},
 		[]observedTask{{reconcile.TaskAbsent, "wk-1/0", 2, false}}},
 	{"an absent task that a start in flight may still start", machineWithStartInFlight(),
@@ -85,10 +85,10 @@
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}}}, nil},
 	{"an absent task that is no longer bound", confirmedMachine(),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true, unbound: true}}}, nil},
-	{"a task that is listed twice doesn't hide an absent one", confirmedMachine(taskStatus("wk-1/0", 2, wire.Running), taskStatus("wk-1/0", 2, wire.Running)),
+	{"a task that is listed twice doesn't hide an absent one", confirmedMachine(taskStatus("wk-1/0", 2, wire.StateRunning), taskStatus("wk-1/0", 2, wire.StateRunning)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2}, {name: "wk-1/1", attempt: 1, mustStop: true}}},
 		[]observedTask{{reconcile.TaskPresent, "wk-1/0", 2, true}, {reconcile.TaskPresent, "wk-1/0", 2, true}, {reconcile.TaskAbsent, "wk-1/1", 1, false}}},
-	{"tasks in the order of the heartbeat, then of the bindings", confirmedMachine(exitedTask("wk-1/3", 1, wire.ReasonError), taskStatus("wk-1/1", 1, wire.Running)),
+	{"tasks in the order of the heartbeat, then of the bindings", confirmedMachine(exitedTask("wk-1/3", 1, wire.ReasonError), taskStatus("wk-1/1", 1, wire.StateRunning)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2, mustStop: true}, {name: "wk-1/1", attempt: 1}, {name: "wk-1/2", attempt: 1, incarnation: 1}, {name: "wk-1/3", attempt: 1}}},
 		[]observedTask{{reconcile.TaskFailed, "wk-1/3", 1, true}, {reconcile.TaskPresent, "wk-1/1", 1, true}, {reconcile.TaskAbsent, "wk-1/0", 2, false}, {reconcile.IncarnationReplaced, "wk-1/2", 1, false}}},
 }
@@ -127,7 +127,7 @@
 // No records are queried after the loop over the observations has ended early.
 func TestObservationsStopWhenLoopBreaks(t *testing.T) {
 	r := &records{bound: []boundTask{{name: "wk-1/0", attempt: 1, incarnation: 2}, {name: "wk-1/1", attempt: 1, mustStop: true}, {name: "wk-1/2", attempt: 1}}}
-	for range reconcile.Observations(confirmedMachine(taskStatus("wk-1/2", 1, wire.Running)), r) {
+	for range reconcile.Observations(confirmedMachine(taskStatus("wk-1/2", 1, wire.StateRunning)), r) {
 		break
 	}
 	for observation := range reconcile.Observations(confirmedMachine(), r) {
@@ -144,7 +144,7 @@
 // expensive to find out whether a task must stop, and heartbeats come hundreds of times a second.
 func TestObservationsSkipQueriesWhenAllTasksAreShown(t *testing.T) {
 	r := &records{bound: []boundTask{{name: "wk-1/0", attempt: 1}, {name: "wk-1/1", attempt: 1}}}
-	for range reconcile.Observations(confirmedMachine(taskStatus("wk-1/0", 1, wire.Running), taskStatus("wk-1/1", 1, wire.Running)), r) {
+	for range reconcile.Observations(confirmedMachine(taskStatus("wk-1/0", 1, wire.StateRunning), taskStatus("wk-1/1", 1, wire.StateRunning)), r) {
 	}
 	if len(r.mustStopQueries) > 0 || r.bindingQueries > 0 {
 		t.Errorf("got queries whether tasks %v must stop and %d queries of bindings, want none", r.mustStopQueries, r.bindingQueries)
--- a/internal/record/cancelled_job.go
+++ b/internal/record/final_job.go
@@ -7,14 +7,14 @@
 	"eiderhitch/internal/wire"
 )
 
-// CancelledJob is a cancelled job's record.
-func CancelledJob(spec *wire.Job, acceptedAt time.Time, maxBytes int) json.RawMessage {
-	return finalJobWithTasks(Cancelled, spec, acceptedAt, maxBytes)
+// EncodeCancelledJob is a cancelled job's record.
+func EncodeCancelledJob(spec *wire.Job, acceptedAt time.Time, maxBytes int) json.RawMessage {
+	return finalJobWithTasks(StateCancelled, spec, acceptedAt, maxBytes)
 }
 
-// DoneGang is the record of a gang that is done while tasks of it may still be on machines.
-func DoneGang(spec *wire.Job, acceptedAt time.Time, maxBytes int) json.RawMessage {
-	return finalJobWithTasks(Done, spec, acceptedAt, maxBytes)
+// EncodeDoneGang is the record of a gang that is done while tasks of it may still be on machines.
+func EncodeDoneGang(spec *wire.Job, acceptedAt time.Time, maxBytes int) json.RawMessage {
+	return finalJobWithTasks(StateDone, spec, acceptedAt, maxBytes)
 }
 
 // finalJobWithTasks is the record of a final job that may have tasks on machines. The
--- a/internal/record/final_state.go
+++ b/internal/record/final_state.go
@@ -5,19 +5,19 @@
 
 // The states of a job as they are stored.
 const (
-	Unfinished FinalState = iota
-	Cancelled
-	Done
+	StateUnfinished FinalState = iota
+	StateCancelled
+	StateDone
 )
 
 // String is the state in words.
 func (s FinalState) String() string {
 	switch s {
-	case Unfinished:
+	case StateUnfinished:
 		return "unfinished"
-	case Cancelled:
+	case StateCancelled:
 		return "cancelled"
-	case Done:
+	case StateDone:
 		return "done"
 	}
 	return "unknown"
--- a/internal/record/group.go
+++ b/internal/record/group.go
@@ -39,34 +39,34 @@
 	ErrUnknownEncoding = errors.New("form is not known")
 )
 
-// Content is an encoded group that still lacks the key that it is for.
-type Content struct {
+// EncodedGroup is an encoded group that still lacks the key that it is for.
+type EncodedGroup struct {
 	encoding Encoding
 	content  []byte
 }
 
 // Encode encodes a group, to be stored under the key that At is given. A group that Checksummed
 // can't hold is encoded as PlainJSON: Content.Encoding tells.
-func (g *TaskGroup) Encode(encoding Encoding) Content {
+func (g *TaskGroup) Encode(encoding Encoding) EncodedGroup {
 	if encoding == PlainJSON || !g.fitsContent() {
-		return Content{encoding: PlainJSON, content: JSON(g)}
+		return EncodedGroup{encoding: PlainJSON, content: JSON(g)}
 	}
-	return Content{encoding: encoding, content: g.appendContent(nil)}
+	return EncodedGroup{encoding: encoding, content: g.appendContent(nil)}
 }
 
 // Encoding returns the encoding that was used.
-func (c Content) Encoding() Encoding { return c.encoding }
+func (c EncodedGroup) Encoding() Encoding { return c.encoding }
 
 // Size returns how many bytes the stored value has.
-func (c Content) Size() int {
+func (c EncodedGroup) Size() int {
 	if c.encoding == PlainJSON {
 		return len(c.content)
 	}
 	return base64.RawStdEncoding.EncodedLen(headerBytes+len(c.content)) + len(`""`)
 }
 
-// At returns the value that is stored at a key.
-func (c Content) At(key string) json.RawMessage {
+// ValueForKey returns the value that is stored at a key.
+func (c EncodedGroup) ValueForKey(key string) json.RawMessage {
 	if c.encoding == PlainJSON {
 		return c.content
 	}
--- a/internal/record/content.go
+++ b/internal/record/group_binary.go
@@ -33,7 +33,7 @@
 // fitsContent tells whether the content can hold all of the group. One with names longer than
 // any cloud gives can't be held.
 func (g *TaskGroup) fitsContent() bool {
-	if g.Partition < 0 || g.Done < 0 || g.Throttle < 0 || g.Done > maxTasks || g.Throttle > maxTasks || len(g.Zone) > codec.MaxString {
+	if g.Partition < 0 || g.DoneTasks < 0 || g.Throttle < 0 || g.DoneTasks > maxTasks || g.Throttle > maxTasks || len(g.Zone) > codec.MaxString {
 		return false
 	}
 	for i := range g.Tasks {
@@ -55,7 +55,7 @@
 	buf = binary.AppendUvarint(buf, uint64(g.Partition))
 	buf = append(buf, flags)
 	buf = codec.AppendString(buf, g.Zone)
-	buf = binary.AppendUvarint(buf, uint64(g.Done))
+	buf = binary.AppendUvarint(buf, uint64(g.DoneTasks))
 	buf = binary.AppendUvarint(buf, uint64(g.Throttle))
 	locations, index := g.locations()
 	buf = appendLocations(buf, locations)
@@ -107,7 +107,7 @@
 	g := &TaskGroup{Partition: int(min(r.Uvarint(), math.MaxInt32))}
 	g.Guaranteed = r.Byte()&flagGuaranteed != 0
 	g.Zone = r.Text()
-	g.Done = int(min(r.Uvarint(), maxTasks))
+	g.DoneTasks = int(min(r.Uvarint(), maxTasks))
 	g.Throttle = int(min(r.Uvarint(), maxTasks))
 	var ok bool
 	if g.Tasks, ok = readTasks(r, readLocations(r)); !ok || !r.Complete() {
--- a/internal/record/group_test.go
+++ b/internal/record/group_test.go
@@ -16,7 +16,7 @@
 
 func drawGroup(t *rapid.T) *TaskGroup {
 	g := &TaskGroup{Partition: rapid.IntRange(0, 40).Draw(t, "partition"), Zone: rapid.SampledFrom([]string{"", "a", "sundarban"}).Draw(t, "zone"),
-		Guaranteed: rapid.Bool().Draw(t, "guaranteed"), Done: rapid.IntRange(0, 1000).Draw(t, "done"), Throttle: rapid.IntRange(0, 1000).Draw(t, "throttle"), Tasks: []Binding{}}
+		Guaranteed: rapid.Bool().Draw(t, "guaranteed"), DoneTasks: rapid.IntRange(0, 1000).Draw(t, "done"), Throttle: rapid.IntRange(0, 1000).Draw(t, "throttle"), Tasks: []Binding{}}
 	for range rapid.IntRange(0, 20).Draw(t, "tasks") {
 		task := Binding{Task: rapid.Int32Range(0, 100_000).Draw(t, "num"), Attempt: rapid.Uint64().Draw(t, "attempt")}
 		if rapid.Bool().Draw(t, "bound") {
@@ -34,7 +34,7 @@
 		g := drawGroup(t)
 		for _, encoding := range []Encoding{PlainJSON, Checksummed} {
 			content := g.Encode(encoding)
-			raw := content.At("e/group/wk-1/0")
+			raw := content.ValueForKey("e/group/wk-1/0")
 			if len(raw) != content.Size() || !json.Valid(raw) {
 				t.Fatalf("encoding %d: %d bytes, not %d, or no JSON: %s", encoding, len(raw), content.Size(), raw)
 			}
@@ -57,7 +57,7 @@
 func TestDamagedAndMisplacedGroupsAreRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := drawGroup(t)
-		raw := g.Encode(Checksummed).At("e/group/wk-1/0")
+		raw := g.Encode(Checksummed).ValueForKey("e/group/wk-1/0")
 		if _, _, err := DecodeTaskGroup("e/group/wk-1/1", raw); !errors.Is(err, ErrChecksum) {
 			t.Fatalf("at another key: %v", err)
 		}
@@ -77,7 +77,7 @@
 // rather than take it for a group without tasks.
 func TestChecksummedGroupsAreNoPlainOnes(t *testing.T) {
 	var old TaskGroup
-	if err := wire.Decode((&TaskGroup{Partition: 1}).Encode(Checksummed).At("e/group/wk-1/0"), &old); err == nil {
+	if err := wire.Decode((&TaskGroup{Partition: 1}).Encode(Checksummed).ValueForKey("e/group/wk-1/0"), &old); err == nil {
 		t.Error("a checksummed value is decoded as JSON")
 	}
 }
@@ -93,7 +93,7 @@
 // What the checksummed encoding can't hold stays plain; nothing is cut.
 func TestLongNamesStayPlain(t *testing.T) {
 	g := &TaskGroup{Tasks: []Binding{{Machine: strings.Repeat("m", 2000)}}}
-	raw := g.Encode(Checksummed).At("e/group/wk-1/0")
+	raw := g.Encode(Checksummed).ValueForKey("e/group/wk-1/0")
 	got, encoding, err := DecodeTaskGroup("e/group/wk-1/0", raw)
 	if err != nil || encoding != PlainJSON {
 		t.Fatalf("encoding %d: %v", encoding, err)
@@ -122,10 +122,10 @@
 		g.Tasks = append(g.Tasks, Binding{Task: int32(i), Attempt: 1, Machine: fmt.Sprintf("host-%06d", i), Incarnation: 1, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
 	}
 	for _, encoding := range []Encoding{PlainJSON, Checksummed} {
-		raw := g.Encode(encoding).At("e/group/wk-1/0")
+		raw := g.Encode(encoding).ValueForKey("e/group/wk-1/0")
 		b.Run(fmt.Sprintf("encode as %d", encoding), func(b *testing.B) {
 			for b.Loop() {
-				g.Encode(encoding).At("e/group/wk-1/0")
+				g.Encode(encoding).ValueForKey("e/group/wk-1/0")
 			}
 		})
 		b.Run(fmt.Sprintf("decode %d", encoding), func(b *testing.B) {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -37,7 +37,7 @@
 	Partition  int    `json:"p"`
 	Zone       string `json:"z,omitempty"`
 	Guaranteed bool   `json:"o,omitempty"`
-	Done       int    `json:"d,omitempty"`
+	DoneTasks  int    `json:"d,omitempty"`
 	// Throttle is one more than the number of tasks that may be bound at a time; 0: all. The
 	// leader lowers it to make room within the team's limit.
 	Throttle int       `json:"c,omitempty"`
--- a/internal/replica/reader.go
+++ b/internal/replica/reader.go
@@ -52,14 +52,14 @@
 // Config says what a reader reads and how often it may.
 type Config struct {
 	// Prefix is that of all keys of the replica.
-	Prefix string
+	KeyPrefix string
 	// Controllers is how many controllers share the limit of RequestsPerSecond.
-	Controllers       int
+	ControllerCount   int
 	RequestsPerSecond float64
 	// Jitter draws a duration below the given one.
 	Jitter func(time.Duration) time.Duration
 	// Loaded is called on the event loop when a full read has been taken in.
-	Loaded func()
+	OnLoaded func()
 	// Log takes failed reads.
 	Log *slog.Logger
 }
@@ -126,7 +126,7 @@
 	waiting := r.waiting
 	r.waiting = nil
 	r.inFlight, r.startedAt = true, r.loop.Now()
-	go r.read(r.startedAt, r.replica.Cursor(), r.replica.Loaded(), waiting)
+	go r.read(r.startedAt, r.replica.Cursor(), r.replica.IsLoaded(), waiting)
 }
 
 // read carries a shared read out and has its result taken in on the event loop.
@@ -134,13 +134,13 @@
 	err := ErrNotLoaded
 	var changes *wire.WatchResponse
 	if loaded {
-		changes, err = r.store.Watch(r.ctx, r.config.Prefix, cursor, 0)
+		changes, err = r.store.Watch(r.ctx, r.config.KeyPrefix, cursor, 0)
 	}
 	r.loop.Enqueue(func() {
 		r.inFlight = false
 		if err == nil {
 			r.replica.Apply(changes)
-			r.replica.NoteRead(start)
+			r.replica.AdvanceReadTime(start)
 			now := r.loop.Now()
 			r.sharedAt.Store(&now)
 		}
@@ -160,7 +160,7 @@
 // to keep within their share of the store's limit.
 func (r *Reader) fairInterval() time.Duration {
 	perSecond := r.config.RequestsPerSecond * readShare
-	return time.Duration(float64(time.Second) * float64(r.config.Controllers) / perSecond)
+	return time.Duration(float64(time.Second) * float64(r.config.ControllerCount) / perSecond)
 }
 
 // Follow keeps the replica current until ctx ends. While shared reads do so it stands
@@ -203,18 +203,18 @@
 
 // load reads everything and sets cursor to the replica's.
 func (r *Reader) load(ctx context.Context, start time.Time, cursor *uint64) error {
-	items, revision, err := r.store.List(ctx, r.config.Prefix)
+	items, revision, err := r.store.List(ctx, r.config.KeyPrefix)
 	if err != nil {
 		return fmt.Errorf("full read: %w", err)
 	}
-	changes, err := r.store.Watch(ctx, r.config.Prefix, revision, 0)
+	changes, err := r.store.Watch(ctx, r.config.KeyPrefix, revision, 0)
 	if err != nil {
 		return fmt.Errorf("changes since the full read: %w", err)
 	}
 	r.loop.Call(ctx, func() {
 		r.replica.Load(items, revision, changes)
-		r.config.Loaded()
-		r.replica.NoteRead(start)
+		r.config.OnLoaded()
+		r.replica.AdvanceReadTime(start)
 		*cursor = r.replica.Cursor()
 	})
 	return nil
@@ -222,13 +222,13 @@
 
 // follow waits for changes after cursor, takes them in and moves cursor on.
 func (r *Reader) follow(ctx context.Context, start time.Time, cursor *uint64) error {
-	changes, err := r.store.Watch(ctx, r.config.Prefix, *cursor, watchWait)
+	changes, err := r.store.Watch(ctx, r.config.KeyPrefix, *cursor, watchWait)
 	if err != nil {
 		return fmt.Errorf("watch: %w", err)
 	}
 	r.loop.Call(ctx, func() {
 		r.replica.Apply(changes)
-		r.replica.NoteRead(start)
+		r.replica.AdvanceReadTime(start)
 		*cursor = r.replica.Cursor()
 	})
 	return nil
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -49,9 +49,9 @@
 	return &Replica{handler: handler, revisions: map[string]uint64{}, deleted: map[string]uint64{}}
 }
 
-// Loaded reports whether a full read has been taken in: before that a key's absence says
+// IsLoaded reports whether a full read has been taken in: before that a key's absence says
 // nothing.
-func (r *Replica) Loaded() bool { return r.loaded }
+func (r *Replica) IsLoaded() bool { return r.loaded }
 
 // Cursor is the revision up to which all changes are known.
 func (r *Replica) Cursor() uint64 { return r.cursor }
@@ -59,14 +59,14 @@
 // Revision is the revision of a key's last known change; 0 if it is not known to exist.
 func (r *Replica) Revision(key string) uint64 { return r.revisions[key] }
 
-// FreshWithin reports whether the last successful read began less than limit before now.
+// IsFreshWithin reports whether the last successful read began less than limit before now.
 // A replica that is not loaded is never fresh.
-func (r *Replica) FreshWithin(limit time.Duration, now time.Time) bool {
+func (r *Replica) IsFreshWithin(limit time.Duration, now time.Time) bool {
 	return r.loaded && now.Sub(r.readAt) < limit
 }
 
-// NoteRead notes that a read that began at start has been taken in.
-func (r *Replica) NoteRead(start time.Time) {
+// AdvanceReadTime notes that a read that began at start has been taken in.
+func (r *Replica) AdvanceReadTime(start time.Time) {
 	if start.After(r.readAt) {
 		r.readAt = start
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -188,7 +188,7 @@
 
 func newReader(t *testing.T, kv *fakeStore) (*replica.Reader, *replica.Replica, eventLoop) {
 	loop, r := newEventLoop(), replica.New(index{})
-	config := replica.Config{Controllers: 1, RequestsPerSecond: 100, Loaded: func() {},
+	config := replica.Config{ControllerCount: 1, RequestsPerSecond: 100, OnLoaded: func() {},
 		Jitter: func(time.Duration) time.Duration { return 0 }, Log: slog.New(slog.DiscardHandler)}
 	return replica.NewReader(t.Context(), config, r, kv, loop), r, loop
 }
@@ -261,8 +261,8 @@
 		pass(time.Second)
 		kv.put("b", "1")
 		pass(time.Second)
-		if !r.Loaded() || r.Revision("b") != 2 || !r.FreshWithin(time.Second, time.Now()) {
-			t.Errorf("loaded: %v, revision of b: %d", r.Loaded(), r.Revision("b"))
+		if !r.IsLoaded() || r.Revision("b") != 2 || !r.IsFreshWithin(time.Second, time.Now()) {
+			t.Errorf("loaded: %v, revision of b: %d", r.IsLoaded(), r.Revision("b"))
 		}
 		kv.fail(store.ErrCompacted)
 		kv.put("a", "")
--- a/internal/rollout/level.go
+++ b/internal/rollout/level.go
@@ -20,20 +20,20 @@
 	ChecksumLevel Level = 2
 )
 
-// Range is the range of levels that a version reads and writes, both ends included.
-type Range struct {
+// LevelRange is the range of levels that a version reads and writes, both ends included.
+type LevelRange struct {
 	Low  Level `json:"low"`
 	High Level `json:"high"`
 }
 
-// Supported is the range of this version.
-var Supported = Range{Low: BaseLevel, High: ChecksumLevel}
+// SupportedLevels is the range of this version.
+var SupportedLevels = LevelRange{Low: BaseLevel, High: ChecksumLevel}
 
 // Includes tells whether a level is in the range.
-func (r Range) Includes(l Level) bool { return r.Low <= l && l <= r.High }
+func (r LevelRange) Includes(l Level) bool { return r.Low <= l && l <= r.High }
 
 // String returns the range in words.
-func (r Range) String() string { return fmt.Sprintf("%d-%d", r.Low, r.High) }
+func (r LevelRange) String() string { return fmt.Sprintf("%d-%d", r.Low, r.High) }
 
 // Feature is what a level changes.
 type Feature struct {
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -16,12 +16,12 @@
 
 // modelRanges are the versions that a process may be of; an empty range is one that does
 // not know levels.
-var modelRanges = []Range{{}, {1, 1}, {1, 2}, {1, 3}, {2, 3}}
+var modelRanges = []LevelRange{{}, {1, 1}, {1, 2}, {1, 3}, {2, 3}}
 
 type process struct {
 	running    bool
-	version    int   // in modelRanges
-	registered Range // in its record; empty: there is none
+	version    int        // in modelRanges
+	registered LevelRange // in its record; empty: there is none
 }
 
 type model struct {
@@ -39,24 +39,24 @@
 func (p process) aware() bool { return modelRanges[p.version].High > 0 }
 
 // reads returns the range of levels that a process reads.
-func (p process) reads() Range {
+func (p process) reads() LevelRange {
 	if !p.aware() {
-		return Range{BaseLevel, BaseLevel}
+		return LevelRange{BaseLevel, BaseLevel}
 	}
 	return modelRanges[p.version]
 }
 
-func (m *model) view(leading bool) View {
-	view := View{Now: time.UnixMilli(0), Members: []string{"0", "1"}, Controllers: map[string]Registered{}, Leading: leading, Current: true,
-		Partitions: 1, MaxTxnChanges: 10}
+func (m *model) view(leading bool) ClusterView {
+	view := ClusterView{Now: time.UnixMilli(0), Members: []string{"0", "1"}, Registrations: map[string]StoredRegistration{}, IsLeader: leading, IsUpToDate: true,
+		PartitionCount: 1, MaxTxnChanges: 10}
 	for i, p := range m.processes {
 		if p.registered.High > 0 {
-			view.Controllers[fmt.Sprint(i)] = Registered{Controller: Controller{Range: p.registered}}
+			view.Registrations[fmt.Sprint(i)] = StoredRegistration{Registration: Registration{LevelRange: p.registered}}
 		}
 	}
 	for level, there := range m.levels {
-		if there && Level(level) > m.state.Writes() {
-			view.RecordsAbove++
+		if there && Level(level) > m.state.WriteLevel() {
+			view.NewerRecords++
 		}
 	}
 	return view
@@ -65,7 +65,7 @@
 // admitted tells whether a process may take a lease in the present state: one without levels
 // goes by the keys alone, which are closed above the base level.
 func (m *model) admitted(p process) bool {
-	if !p.running || m.state.Phase == Closed {
+	if !p.running || m.state.Phase == PhaseClosed {
 		return false
 	}
 	if !p.aware() {
@@ -121,7 +121,7 @@
 	all := []action{
 		{fmt.Sprintf("kill %d", i), func(n *model) { n.processes[i].running = false }},
 		{fmt.Sprintf("lease of %d ends", i), func(n *model) {
-			n.processes[i].registered = Range{}
+			n.processes[i].registered = LevelRange{}
 			n.controllerChanged()
 		}},
 		{fmt.Sprintf("register %d", i), func(n *model) {
@@ -156,7 +156,7 @@
 func (m *model) releaseLease(i int) {
 	if m.owner == i+1 {
 		m.owner, m.ownerWrites = 0, 0
-		if m.state.Phase != Closed {
+		if m.state.Phase != PhaseClosed {
 			m.pending = NoStep // it was conditional on the term
 		}
 	}
@@ -169,20 +169,20 @@
 	}
 	m.ownerWrites = BaseLevel
 	if m.processes[m.owner-1].aware() {
-		m.ownerWrites = m.state.Writes()
+		m.ownerWrites = m.state.WriteLevel()
 	}
 }
 
 // controllerChanged fails what is conditional on the controllers' records.
 func (m *model) controllerChanged() {
-	if m.pending == Activate || m.pending == Finalize {
+	if m.pending == StepActivate || m.pending == StepFinalize {
 		m.pending = NoStep
 	}
 }
 
 func (m *model) decide(i int) {
 	p := m.processes[i]
-	if !p.running || !p.aware() || m.state.Phase != Closed && m.owner != i+1 || !m.state.Admits(modelRanges[p.version]) {
+	if !p.running || !p.aware() || m.state.Phase != PhaseClosed && m.owner != i+1 || !m.state.Admits(modelRanges[p.version]) {
 		return
 	}
 	step, next := Decide(m.state, m.view(m.owner == i+1))
@@ -200,7 +200,7 @@
 	}
 	m.state = m.pendingFor
 	m.pending, m.pendingFor = NoStep, State{}
-	if step == Finalize || step == Close {
+	if step == StepFinalize || step == StepClose {
 		m.owner, m.ownerWrites = 0, 0
 	}
 }
@@ -230,10 +230,10 @@
 	if d := int(n.state.Level) - int(m.state.Level); d > 1 || d < -1 {
 		return fmt.Sprintf("from level %d to %d", m.state.Level, n.state.Level)
 	}
-	raised := n.state.Level > m.state.Level || n.state.Phase == Activated && m.state.Phase == Stable
+	raised := n.state.Level > m.state.Level || n.state.Phase == PhaseActive && m.state.Phase == PhaseStable
 	for i, p := range n.processes {
-		if raised && !p.registered.Includes(n.state.Active()) {
-			return fmt.Sprintf("level %d is raised though controller %d reads %s", n.state.Active(), i, p.registered)
+		if raised && !p.registered.Includes(n.state.ActiveLevel()) {
+			return fmt.Sprintf("level %d is raised though controller %d reads %s", n.state.ActiveLevel(), i, p.registered)
 		}
 	}
 	return ""
@@ -246,7 +246,7 @@
 }
 
 func start() model {
-	m := model{state: Initial}
+	m := model{state: InitialState}
 	m.levels[1] = true
 	return m
 }
@@ -282,9 +282,9 @@
 	t.Logf("%d states", len(states))
 	for name, goal := range map[string]func(model) bool{
 		"the base level with an owner that does not know levels": func(m model) bool {
-			return m.state.Level == BaseLevel && m.state.Phase == Stable && m.owner > 0 && !m.processes[m.owner-1].aware()
+			return m.state.Level == BaseLevel && m.state.Phase == PhaseStable && m.owner > 0 && !m.processes[m.owner-1].aware()
 		},
-		"level 2": func(m model) bool { return m.state.Level == 2 && m.state.Phase == Stable && m.owner > 0 },
+		"level 2": func(m model) bool { return m.state.Level == 2 && m.state.Phase == PhaseStable && m.owner > 0 },
 	} {
 		if n := unreachable(states, before, goal); n > 0 {
 			t.Errorf("%d of %d states have no way to %s", n, len(states), name)
--- a/internal/rollout/operator.go
+++ b/internal/rollout/operator.go
@@ -19,29 +19,29 @@
 	Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error)
 }
 
-// Operator carries out the commands of the people who run a cluster.
-type Operator struct {
-	Store         OperatorStore
-	Members       []string
-	Partitions    int
-	MaxTxnChanges int
-	// RetryUntil is up to when calls are tried again that the store refused or did not answer;
+// OperatorClient carries out the commands of the people who run a cluster.
+type OperatorClient struct {
+	Store          OperatorStore
+	Members        []string
+	PartitionCount int
+	MaxTxnChanges  int
+	// RetryDeadline is up to when calls are tried again that the store refused or did not answer;
 	// the zero time: none is.
-	RetryUntil time.Time
+	RetryDeadline time.Time
 }
 
 // Status is the state of an upgrade as operators are shown it. Its JSON is read by scripts.
 type Status struct {
-	State    State  `json:"state"`
-	Active   Level  `json:"active"`
-	Writes   Level  `json:"writes"`
-	Revision uint64 `json:"version"`
+	State       State  `json:"state"`
+	ActiveLevel Level  `json:"active"`
+	WriteLevel  Level  `json:"writes"`
+	Revision    uint64 `json:"version"`
 	// Controllers are those that are registered, by name.
-	Controllers []Controller `json:"controllers"`
+	Controllers []Registration `json:"controllers"`
 	// Missing are those that the settings name and that are not registered.
-	Missing []string `json:"missing,omitempty"`
+	MissingControllers []string `json:"missing,omitempty"`
 	// Records counts the task group records by the encoding they are stored in.
-	Records map[string]int `json:"records"`
+	RecordsByEncoding map[string]int `json:"records"`
 	// Blockers are why the next step can't be taken now.
 	Blockers []Blocker `json:"blockers,omitempty"`
 }
@@ -50,7 +50,7 @@
 const groupPrefix = "e/group/"
 
 // Status reads the state of an upgrade.
-func (o *Operator) Status(ctx context.Context) (*Status, error) {
+func (o *OperatorClient) Status(ctx context.Context) (*Status, error) {
 	state, revision, err := o.state(ctx)
 	if err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	status := &Status{State: state, Active: state.Active(), Writes: state.Writes(), Revision: revision}
+	status := &Status{State: state, ActiveLevel: state.ActiveLevel(), WriteLevel: state.WriteLevel(), Revision: revision}
 	view := o.view(controllers)
 	status.countRecords(groups, &view)
 	status.setControllers(controllers, o.Members)
@@ -75,37 +75,37 @@
 const unreadableRecords = "unreadable"
 
 // countRecords counts the task group records by their encoding, in the view, too.
-func (s *Status) countRecords(groups []wire.Item, view *View) {
-	s.Records = map[string]int{}
+func (s *Status) countRecords(groups []wire.Item, view *ClusterView) {
+	s.RecordsByEncoding = map[string]int{}
 	for i := range groups {
 		_, encoding, err := record.DecodeTaskGroup(groups[i].Key, groups[i].Value)
 		if err != nil {
-			s.Records[unreadableRecords]++
+			s.RecordsByEncoding[unreadableRecords]++
 			view.UnreadableRecords++
 			continue
 		}
-		s.Records[fmt.Sprintf("form %d", encoding)]++
-		if Level(encoding) > s.Writes {
-			view.RecordsAbove++
+		s.RecordsByEncoding[fmt.Sprintf("form %d", encoding)]++
+		if Level(encoding) > s.WriteLevel {
+			view.NewerRecords++
 		}
 	}
 }
 
 // setControllers sets which controllers are registered, by name, and which members are not.
-func (s *Status) setControllers(controllers map[string]Registered, members []string) {
+func (s *Status) setControllers(controllers map[string]StoredRegistration, members []string) {
 	for _, c := range controllers {
-		s.Controllers = append(s.Controllers, c.Controller)
+		s.Controllers = append(s.Controllers, c.Registration)
 	}
-	slices.SortFunc(s.Controllers, func(x, y Controller) int { return strings.Compare(x.Node, y.Node) })
+	slices.SortFunc(s.Controllers, func(x, y Registration) int { return strings.Compare(x.Node, y.Node) })
 	for _, name := range members {
 		if _, ok := controllers[name]; !ok {
-			s.Missing = append(s.Missing, name)
+			s.MissingControllers = append(s.MissingControllers, name)
 		}
 	}
 }
 
 // state returns the stored state and its revision.
-func (o *Operator) state(ctx context.Context) (State, uint64, error) {
+func (o *OperatorClient) state(ctx context.Context) (State, uint64, error) {
 	var item *wire.Item
 	err := o.retry(ctx, func() (err error) {
 		item, err = o.Store.Get(ctx, StateKey)
@@ -115,31 +115,31 @@
 		return State{}, 0, err
 	}
 	if item == nil {
-		return Initial, 0, nil
+		return InitialState, 0, nil
 	}
 	state, err := DecodeState(item.Value)
 	return state, item.Revision, err
 }
 
 // controllers returns the registered controllers by name.
-func (o *Operator) controllers(ctx context.Context) (map[string]Registered, error) {
-	items, err := o.list(ctx, ControllerPrefix)
+func (o *OperatorClient) controllers(ctx context.Context) (map[string]StoredRegistration, error) {
+	items, err := o.list(ctx, RegistrationPrefix)
 	if err != nil {
 		return nil, err
 	}
-	out := map[string]Registered{}
+	out := map[string]StoredRegistration{}
 	for i := range items {
-		c, err := DecodeController(items[i].Value)
+		c, err := DecodeRegistration(items[i].Value)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", items[i].Key, err)
 		}
-		out[strings.TrimPrefix(items[i].Key, ControllerPrefix)] = Registered{Controller: c, Revision: items[i].Revision}
+		out[strings.TrimPrefix(items[i].Key, RegistrationPrefix)] = StoredRegistration{Registration: c, Revision: items[i].Revision}
 	}
 	return out, nil
 }
 
 // list reads the keys below a prefix.
-func (o *Operator) list(ctx context.Context, prefix string) (items []wire.Item, err error) {
+func (o *OperatorClient) list(ctx context.Context, prefix string) (items []wire.Item, err error) {
 	err = o.retry(ctx, func() (err error) {
 		items, _, err = o.Store.List(ctx, prefix)
 		return err
@@ -148,9 +148,9 @@
 }
 
 // view returns what a decision of the leader would rest on, apart from the records.
-func (o *Operator) view(controllers map[string]Registered) View {
-	return View{Now: time.Now(), Members: o.Members, Controllers: controllers, Leading: true, Current: true,
-		Partitions: o.Partitions, MaxTxnChanges: o.MaxTxnChanges}
+func (o *OperatorClient) view(controllers map[string]StoredRegistration) ClusterView {
+	return ClusterView{Now: time.Now(), Members: o.Members, Registrations: controllers, IsLeader: true, IsUpToDate: true,
+		PartitionCount: o.PartitionCount, MaxTxnChanges: o.MaxTxnChanges}
 }
 
 // RefusedError says why a request is refused: nothing was changed.
@@ -172,14 +172,14 @@
 	return fmt.Sprintf("%s is refused: %s", e.Request, strings.Join(reasons, "; "))
 }
 
-// ErrChanged says that somebody else changed the state at the same moment: nothing was
+// ErrStateChanged says that somebody else changed the state at the same moment: nothing was
 // changed by this request.
-var ErrChanged = errors.New("the state has changed meanwhile; look at it again")
+var ErrStateChanged = errors.New("the state has changed meanwhile; look at it again")
 
 // Submit stores a request for the leader to carry out, and returns the state with it. Its
-// errors are a RefusedError, ErrChanged, an UnsettledError or, if nothing was changed, those of
+// errors are a RefusedError, ErrStateChanged, an OutcomeUnknownError or, if nothing was changed, those of
 // the store.
-func (o *Operator) Submit(ctx context.Context, request Request) (State, error) {
+func (o *OperatorClient) Submit(ctx context.Context, request Request) (State, error) {
 	state, revision, err := o.state(ctx)
 	if err != nil {
 		return State{}, err
@@ -200,31 +200,31 @@
 }
 
 // checkRequest returns a RefusedError if a request can't be carried out in a state.
-func checkRequest(s State, request Request, view View) error {
+func checkRequest(s State, request Request, view ClusterView) error {
 	refused := func(reason string, blockers ...Blocker) error {
 		return &RefusedError{Request: request, Reason: reason, Blockers: blockers}
 	}
 	switch {
-	case s.Phase == Closed:
+	case s.Phase == PhaseClosed:
 		return refused("a step is just being completed; try again in a second")
-	case request == RequestFinalize && (s.Held || s.Phase == Reverting):
+	case request == RequestFinalize && (s.OnHold || s.Phase == PhaseReverting):
 		return nil
-	case request == RequestFinalize && s.Phase == Stable:
+	case request == RequestFinalize && s.Phase == PhaseStable:
 		return refused("no level is active", Blockers(s, view)...)
 	case request == RequestFinalize:
 		if blockers := Blockers(s, view); len(blockers) > 0 {
 			return refused("", blockers...)
 		}
-	case request == RequestAbort && s.Phase == Reverting:
+	case request == RequestAbort && s.Phase == PhaseReverting:
 		return refused(fmt.Sprintf("level %d is being given up already", s.Level))
-	case request == RequestAbort && s.Phase == Stable && s.Level == BaseLevel && s.Held:
+	case request == RequestAbort && s.Phase == PhaseStable && s.Level == BaseLevel && s.OnHold:
 		return refused("level 1 is held already, and there is none before it")
 	}
 	return nil
 }
 
-// Completed tells whether a request, with which Submit returned a state, has been carried out
+// IsCompleted tells whether a request, with which Submit returned a state, has been carried out
 // by now.
-func Completed(asked State, now State) bool {
+func IsCompleted(asked State, now State) bool {
 	return now.Request == NoRequest && now != asked
 }
