--- a/internal/rollout/operator_retry.go
+++ b/internal/rollout/operator_retry.go
@@ -19,19 +19,19 @@
 	maxRetryDelay = 2 * time.Second
 )
 
-// UnsettledError says that it is not known whether a request was stored, or may be yet.
-type UnsettledError struct {
+// OutcomeUnknownError says that it is not known whether a request was stored, or may be yet.
+type OutcomeUnknownError struct {
 	Request Request
 	Err     error
 }
 
 // Error says so in one line.
-func (e *UnsettledError) Error() string {
+func (e *OutcomeUnknownError) Error() string {
 	return fmt.Sprintf("it is not known whether %s was stored: %v", e.Request, e.Err)
 }
 
 // Unwrap returns why it is not known.
-func (e *UnsettledError) Unwrap() error { return e.Err }
+func (e *OutcomeUnknownError) Unwrap() error { return e.Err }
 
 // isTransient tells whether a call that failed may succeed when it is made again.
 func isTransient(err error) bool {
@@ -40,11 +40,11 @@
 
 // retry makes a call until it succeeds, fails for good or the time to retry is over. The call
 // must be one that may be made twice.
-func (o *Operator) retry(ctx context.Context, call func() error) error {
+func (o *OperatorClient) retry(ctx context.Context, call func() error) error {
 	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		err := call()
 		pause := delay - rand.N(delay/2)
-		if err == nil || !isTransient(err) || time.Now().Add(pause).After(o.RetryUntil) {
+		if err == nil || !isTransient(err) || time.Now().Add(pause).After(o.RetryDeadline) {
 			return err
 		}
 		select {
@@ -58,7 +58,7 @@
 // storeRequest stores a state with a request in it in place of the state of a revision. The
 // transaction may be sent several times: all copies have the condition that the state is of
 // that revision, so that one of them at most is carried out, whenever it arrives.
-func (o *Operator) storeRequest(ctx context.Context, next State, revision uint64) error {
+func (o *OperatorClient) storeRequest(ctx context.Context, next State, revision uint64) error {
 	txn := &wire.Txn{
 		Conditions: []wire.Condition{{Key: StateKey, Revision: revision}},
 		Changes:    []wire.Change{{Put: StateKey, Value: next.Encode()}},
@@ -75,33 +75,33 @@
 	case maybeStored:
 		return o.settle(ctx, next, err)
 	case errors.Is(err, store.ErrConflict):
-		return ErrChanged
+		return ErrStateChanged
 	}
 	return err
 }
 
 // settle finds out by reading whether a request was stored of which an answer was lost. cause
 // is how the last try failed.
-func (o *Operator) settle(ctx context.Context, next State, cause error) error {
+func (o *OperatorClient) settle(ctx context.Context, next State, cause error) error {
 	now, _, err := o.state(ctx)
 	if err != nil {
-		return &UnsettledError{next.Request, err}
+		return &OutcomeUnknownError{next.Request, err}
 	}
 	if now == next || next.ledTo(now) {
 		return nil
 	}
-	return &UnsettledError{next.Request, cause}
+	return &OutcomeUnknownError{next.Request, cause}
 }
 
 // ledTo tells whether a state is what a leader makes of the request in this one.
 func (s State) ledTo(now State) bool {
-	outcomes := []State{s.finalized(View{})}
-	if s.Request == RequestAbort || s.Held || s.Phase == Reverting {
-		_, next := decideRequest(s, View{})
+	outcomes := []State{s.finalized(ClusterView{})}
+	if s.Request == RequestAbort || s.OnHold || s.Phase == PhaseReverting {
+		_, next := decideRequest(s, ClusterView{})
 		outcomes = []State{next}
 	}
 	for _, outcome := range outcomes {
-		outcome.Since = now.Since
+		outcome.PhaseStartedAt = now.PhaseStartedAt
 		if outcome == now {
 			return true
 		}
--- a/internal/rollout/registrar.go
+++ b/internal/rollout/registrar.go
@@ -22,8 +22,8 @@
 
 // Registrar keeps a controller registered, under a lease, while the process lives.
 type Registrar struct {
-	Store      RegistrarStore
-	Controller Controller
+	Store        RegistrarStore
+	Registration Registration
 	// TTL is how long the registration outlives its process.
 	TTL time.Duration
 	Log *slog.Logger
@@ -44,7 +44,7 @@
 	for {
 		lease, err := r.register(ctx)
 		if err == nil {
-			r.Log.Debug("controller registered", "levels", r.Controller.Range.String(), "build", r.Controller.Build)
+			r.Log.Debug("controller registered", "levels", r.Registration.LevelRange.String(), "build", r.Registration.Build)
 			err = r.renew(ctx, lease)
 		}
 		if ctx.Err() != nil {
@@ -60,7 +60,7 @@
 // register stores the registration in place of a former process's of the same name, and
 // returns the lease that it is under.
 func (r *Registrar) register(ctx context.Context) (uint64, error) {
-	key := ControllerKey(r.Controller.Node)
+	key := RegistrationKey(r.Registration.Node)
 	revision, err := r.Store.Revision(ctx, key)
 	if err != nil {
 		return 0, err
@@ -69,8 +69,8 @@
 	if err != nil {
 		return 0, err
 	}
-	c := r.Controller
-	c.StartedAt = time.Now().UnixMilli()
+	c := r.Registration
+	c.RegisteredAt = time.Now().UnixMilli()
 	_, err = r.Store.Txn(ctx, &wire.Txn{
 		Conditions: []wire.Condition{{Key: key, Revision: revision}},
 		Changes:    []wire.Change{{Put: key, Value: c.Encode(), Lease: lease}},
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -14,15 +14,15 @@
 type Phase string
 
 const (
-	// Stable means that the level is in force, and no other one is on its way.
-	Stable Phase = "stable"
-	// Activated means that behaviour of the next level runs; what is stored stays as it was.
-	Activated Phase = "active"
-	// Reverting means that records are written, and rewritten, in the encoding of the level before.
-	Reverting Phase = "reverting"
-	// Closed means that nobody may hold a leased key, so that no record of the level can
+	// PhaseStable means that the level is in force, and no other one is on its way.
+	PhaseStable Phase = "stable"
+	// PhaseActive means that behaviour of the next level runs; what is stored stays as it was.
+	PhaseActive Phase = "active"
+	// PhaseReverting means that records are written, and rewritten, in the encoding of the level before.
+	PhaseReverting Phase = "reverting"
+	// PhaseClosed means that nobody may hold a leased key, so that no record of the level can
 	// appear any more.
-	Closed Phase = "closed"
+	PhaseClosed Phase = "closed"
 )
 
 // Request is what an operator asked for and the leader has not carried out yet.
@@ -48,38 +48,38 @@
 	// Epoch names the set of leased keys above the base level.
 	Epoch uint64 `json:"epoch,omitempty"`
 	// Held is set when an operator reverted: no level is activated until one asks for it.
-	Held    bool    `json:"held,omitempty"`
+	OnHold  bool    `json:"held,omitempty"`
 	Request Request `json:"wish,omitempty"`
 	// Since is when the phase began, in milliseconds since the epoch.
-	Since int64 `json:"since,omitempty"`
+	PhaseStartedAt int64 `json:"since,omitempty"`
 }
 
-// Initial is the state of a cluster without a stored one.
-var Initial = State{Level: BaseLevel, Phase: Stable}
+// InitialState is the state of a cluster without a stored one.
+var InitialState = State{Level: BaseLevel, Phase: PhaseStable}
 
-// Active returns the level whose behaviour runs.
-func (s State) Active() Level {
+// ActiveLevel returns the level whose behaviour runs.
+func (s State) ActiveLevel() Level {
 	switch s.Phase {
-	case Activated:
+	case PhaseActive:
 		return s.Level + 1
-	case Reverting, Closed:
+	case PhaseReverting, PhaseClosed:
 		return s.Level - 1
-	case Stable:
+	case PhaseStable:
 	}
 	return s.Level
 }
 
-// Writes returns the level in whose encoding records are written.
-func (s State) Writes() Level {
-	if s.Phase == Activated {
+// WriteLevel returns the level in whose encoding records are written.
+func (s State) WriteLevel() Level {
+	if s.Phase == PhaseActive {
 		return s.Level
 	}
-	return s.Active()
+	return s.ActiveLevel()
 }
 
 // Admits tells whether a controller of a range may serve in this state.
-func (s State) Admits(r Range) bool {
-	return r.Includes(s.Level) && r.Includes(s.Writes())
+func (s State) Admits(r LevelRange) bool {
+	return r.Includes(s.Level) && r.Includes(s.WriteLevel())
 }
 
 // Encode returns the stored encoding.
@@ -97,11 +97,11 @@
 
 func (s State) validate() error {
 	switch s.Phase {
-	case Stable, Activated:
+	case PhaseStable, PhaseActive:
 		if s.Level < BaseLevel {
 			return fmt.Errorf("feature level: %d is below %d", s.Level, BaseLevel)
 		}
-	case Reverting, Closed:
+	case PhaseReverting, PhaseClosed:
 		if s.Level <= BaseLevel {
 			return fmt.Errorf("feature level: %d can't be %s", s.Level, s.Phase)
 		}
@@ -114,29 +114,29 @@
 	return nil
 }
 
-// Keys are the leased keys: one for the owner of each partition and one for the leader.
-type Keys struct{ prefix string }
+// LeaseKeys are the leased keys: one for the owner of each partition and one for the leader.
+type LeaseKeys struct{ prefix string }
 
 // baseKeys are the keys that versions without levels use.
-var baseKeys = Keys{prefix: "e/"}
+var baseKeys = LeaseKeys{prefix: "e/"}
 
-// Keys returns the leased keys of this state. Above the base level they are others than an
+// LeaseKeys returns the leased keys of this state. Above the base level they are others than an
 // earlier version knows, and others in each epoch.
-func (s State) Keys() Keys {
+func (s State) LeaseKeys() LeaseKeys {
 	if s.Level <= BaseLevel {
 		return baseKeys
 	}
-	return Keys{prefix: "e/epoch/" + strconv.FormatUint(s.Epoch, 10) + "/"}
+	return LeaseKeys{prefix: "e/epoch/" + strconv.FormatUint(s.Epoch, 10) + "/"}
 }
 
 // Partition returns the key of a partition's owner.
-func (k Keys) Partition(n int) string { return k.prefix + "part/" + strconv.Itoa(n) }
+func (k LeaseKeys) Partition(n int) string { return k.prefix + "part/" + strconv.Itoa(n) }
 
 // Leader returns the key of the leader.
-func (k Keys) Leader() string { return k.prefix + "leader" }
+func (k LeaseKeys) Leader() string { return k.prefix + "leader" }
 
 // all returns the keys of a cluster with that many partitions.
-func (k Keys) all(partitions int) []string {
+func (k LeaseKeys) all(partitions int) []string {
 	keys := []string{k.Leader()}
 	for n := range partitions {
 		keys = append(keys, k.Partition(n))
--- a/internal/rollout/txn.go
+++ b/internal/rollout/txn.go
@@ -27,28 +27,28 @@
 // ClosedNode returns the holder that is stored at a leased key which nobody may hold.
 func ClosedNode(level Level) string { return fmt.Sprintf("(closed by feature level %d)", level) }
 
-// Txn returns the transaction that takes a step. It fails if anything has changed that the
+// NewStepTxn returns the transaction that takes a step. It fails if anything has changed that the
 // decision rests on: the leader's term, the state, or, for a level to come, the record
 // of any controller, so that a restart voids it.
-func Txn(s State, step Step, next State, view View, at Revisions) *wire.Txn {
+func NewStepTxn(s State, step Step, next State, view ClusterView, at Revisions) *wire.Txn {
 	t := &wire.Txn{Conditions: []wire.Condition{{Key: StateKey, Revision: at.State}}}
-	if s.Phase != Closed {
-		t.Conditions = append(t.Conditions, wire.Condition{Key: s.Keys().Leader(), Revision: at.Leader})
+	if s.Phase != PhaseClosed {
+		t.Conditions = append(t.Conditions, wire.Condition{Key: s.LeaseKeys().Leader(), Revision: at.Leader})
 	}
-	if step == Activate || step == Finalize {
+	if step == StepActivate || step == StepFinalize {
 		for _, name := range view.Members {
-			t.Conditions = append(t.Conditions, wire.Condition{Key: ControllerKey(name), Revision: view.Controllers[name].Revision})
+			t.Conditions = append(t.Conditions, wire.Condition{Key: RegistrationKey(name), Revision: view.Registrations[name].Revision})
 		}
 	}
 	t.Changes = append(t.Changes, wire.Change{Put: StateKey, Value: next.Encode()})
 	switch step {
-	case Finalize, Close:
-		for _, key := range s.Keys().all(view.Partitions) {
+	case StepFinalize, StepClose:
+		for _, key := range s.LeaseKeys().all(view.PartitionCount) {
 			t.Changes = append(t.Changes, wire.Change{Put: key, Value: closedLeaseValue(max(s.Level, next.Level))})
 		}
-	case Open:
+	case StepOpen:
 		if next.Level == BaseLevel {
-			for _, key := range baseKeys.all(view.Partitions) {
+			for _, key := range baseKeys.all(view.PartitionCount) {
 				t.Changes = append(t.Changes, wire.Change{Delete: key})
 			}
 		}
--- a/internal/rollout/txn_test.go
+++ b/internal/rollout/txn_test.go
@@ -48,37 +48,37 @@
 }
 
 // settled returns the view and revisions of a cluster of two controllers in a state.
-func settled(t *testing.T, c *store.Client, s State) (View, Revisions) {
+func settled(t *testing.T, c *store.Client, s State) (ClusterView, Revisions) {
 	t.Helper()
-	view := View{Now: time.UnixMilli(0), Members: []string{"n0", "n1"}, Controllers: map[string]Registered{}, Leading: true, Current: true, Partitions: 2, MaxTxnChanges: 10}
+	view := ClusterView{Now: time.UnixMilli(0), Members: []string{"n0", "n1"}, Registrations: map[string]StoredRegistration{}, IsLeader: true, IsUpToDate: true, PartitionCount: 2, MaxTxnChanges: 10}
 	for _, name := range view.Members {
-		r := Controller{Node: name, Range: Supported}
-		view.Controllers[name] = Registered{Controller: r, Revision: put(t, c, ControllerKey(name), r)}
+		r := Registration{Node: name, LevelRange: SupportedLevels}
+		view.Registrations[name] = StoredRegistration{Registration: r, Revision: put(t, c, RegistrationKey(name), r)}
 	}
 	for n := range 2 {
-		put(t, c, s.Keys().Partition(n), "held")
+		put(t, c, s.LeaseKeys().Partition(n), "held")
 	}
-	leader := put(t, c, s.Keys().Leader(), "held")
+	leader := put(t, c, s.LeaseKeys().Leader(), "held")
 	return view, Revisions{State: put(t, c, StateKey, s), Leader: leader}
 }
 
 // A step fails when anything that it rests on has changed before it is applied: a leader that
 // was frozen meanwhile, or whose transaction is late, changes nothing.
 func TestStepsFailWhenAnythingHasChanged(t *testing.T) {
-	all := []string{StateKey, "leader", ControllerKey("n0"), ControllerKey("n1")}
+	all := []string{StateKey, "leader", RegistrationKey("n0"), RegistrationKey("n1")}
 	some := []string{StateKey, "leader"}
 	for _, x := range []struct {
 		step  Step
 		state State
 		rests []string // the keys that it rests on
 	}{
-		{Activate, Initial, all},
-		{Finalize, State{Level: 1, Phase: Activated, Request: RequestFinalize}, all},
-		{Hold, State{Level: 1, Phase: Activated, Request: RequestAbort}, some},
-		{Resume, State{Level: 1, Phase: Stable, Held: true, Request: RequestFinalize}, some},
-		{Revert, State{Level: 2, Phase: Stable, Epoch: 1, Request: RequestAbort}, some},
-		{Close, State{Level: 2, Phase: Reverting, Epoch: 1, Held: true}, some},
-		{Open, State{Level: 2, Phase: Closed, Epoch: 1, Held: true}, []string{StateKey}},
+		{StepActivate, InitialState, all},
+		{StepFinalize, State{Level: 1, Phase: PhaseActive, Request: RequestFinalize}, all},
+		{StepHold, State{Level: 1, Phase: PhaseActive, Request: RequestAbort}, some},
+		{StepResume, State{Level: 1, Phase: PhaseStable, OnHold: true, Request: RequestFinalize}, some},
+		{StepRevert, State{Level: 2, Phase: PhaseStable, Epoch: 1, Request: RequestAbort}, some},
+		{StepClose, State{Level: 2, Phase: PhaseReverting, Epoch: 1, OnHold: true}, some},
+		{StepOpen, State{Level: 2, Phase: PhaseClosed, Epoch: 1, OnHold: true}, []string{StateKey}},
 	} {
 		for _, changed := range append([]string{""}, x.rests...) {
 			state, c := newStore()
@@ -90,12 +90,12 @@
 			switch changed {
 			case "":
 			case "leader":
-				put(t, c, x.state.Keys().Leader(), "taken")
+				put(t, c, x.state.LeaseKeys().Leader(), "taken")
 			default:
 				put(t, c, changed, "changed")
 			}
 			before := state.Values("e/")
-			_, err := c.Txn(t.Context(), Txn(x.state, step, next, view, at))
+			_, err := c.Txn(t.Context(), NewStepTxn(x.state, step, next, view, at))
 			if changed == "" {
 				if err != nil {
 					t.Errorf("%s: %v", x.step, err)
@@ -113,24 +113,24 @@
 // way back is complete; then each is vacant.
 func TestKeysOfRightsAreClosedAndOpened(t *testing.T) {
 	state, c := newStore()
-	s := State{Level: 1, Phase: Activated, Request: RequestFinalize}
+	s := State{Level: 1, Phase: PhaseActive, Request: RequestFinalize}
 	view, at := settled(t, c, s)
 	step, next := Decide(s, view)
-	if _, err := c.Txn(t.Context(), Txn(s, step, next, view, at)); err != nil {
+	if _, err := c.Txn(t.Context(), NewStepTxn(s, step, next, view, at)); err != nil {
 		t.Fatal(err)
 	}
-	for _, key := range Initial.Keys().all(2) {
+	for _, key := range InitialState.LeaseKeys().all(2) {
 		if raw := state.Values(key)[key]; !bytes.Contains(raw, []byte("(closed")) {
 			t.Errorf("%s: %s", key, raw)
 		}
 	}
-	closed := State{Level: 2, Phase: Closed, Epoch: 1}
+	closed := State{Level: 2, Phase: PhaseClosed, Epoch: 1}
 	at.State = put(t, c, StateKey, closed)
 	step, next = Decide(closed, view)
-	if _, err := c.Txn(t.Context(), Txn(closed, step, next, view, at)); err != nil {
+	if _, err := c.Txn(t.Context(), NewStepTxn(closed, step, next, view, at)); err != nil {
 		t.Fatal(err)
 	}
-	for _, key := range Initial.Keys().all(2) {
+	for _, key := range InitialState.LeaseKeys().all(2) {
 		if raw, there := state.Values(key)[key]; there {
 			t.Errorf("%s: %s", key, raw)
 		}
@@ -140,14 +140,14 @@
 // Who does not lead, or does not know all that was stored before, decides nothing.
 func TestNobodyElseDecides(t *testing.T) {
 	_, c := newStore()
-	for _, s := range []State{Initial, {Level: 1, Phase: Activated, Request: RequestFinalize}, {Level: 2, Phase: Reverting, Epoch: 1}, {Level: 2, Phase: Closed, Epoch: 1}} {
+	for _, s := range []State{InitialState, {Level: 1, Phase: PhaseActive, Request: RequestFinalize}, {Level: 2, Phase: PhaseReverting, Epoch: 1}, {Level: 2, Phase: PhaseClosed, Epoch: 1}} {
 		view, _ := settled(t, c, s)
-		view.Current = false
+		view.IsUpToDate = false
 		if step, next := Decide(s, view); step != NoStep || next != s {
 			t.Errorf("%+v: %s with a replica that lags", s, step)
 		}
-		view.Current, view.Leading = true, false
-		if step, _ := Decide(s, view); step != NoStep && s.Phase != Closed {
+		view.IsUpToDate, view.IsLeader = true, false
+		if step, _ := Decide(s, view); step != NoStep && s.Phase != PhaseClosed {
 			t.Errorf("%+v: %s without the lead", s, step)
 		}
 	}
@@ -156,25 +156,25 @@
 // Each reason that keeps a step from being taken is named.
 func TestBlockersAreNamed(t *testing.T) {
 	_, c := newStore()
-	active := State{Level: 1, Phase: Activated, Request: RequestFinalize}
-	reverting := State{Level: 2, Phase: Reverting, Epoch: 1}
+	active := State{Level: 1, Phase: PhaseActive, Request: RequestFinalize}
+	reverting := State{Level: 2, Phase: PhaseReverting, Epoch: 1}
 	for _, x := range []struct {
 		state  State
-		change func(*View)
-		kind   BlockKind
+		change func(*ClusterView)
+		kind   BlockerKind
 		says   string
 	}{
-		{active, func(v *View) { delete(v.Controllers, "n1") }, BlockMissing, "n1"},
-		{active, func(v *View) { v.Members = append(v.Members, "n2") }, BlockMissing, "n2"},
-		{active, func(v *View) { v.Members = v.Members[:1] }, BlockForeign, "n1"},
-		{active, func(v *View) { v.MaxTxnChanges = 3 }, BlockLimit, "3 are allowed"},
-		{State{Level: 2, Phase: Activated, Epoch: 1}, func(*View) {}, BlockOld, "n0 does not read level 3"},
-		{State{Level: 1, Phase: Stable, Held: true}, func(*View) {}, BlockHeld, "operator"},
-		{reverting, func(v *View) { v.RecordsAbove = 7 }, BlockRecords, "7 records"},
-		{reverting, func(v *View) { v.UnreadableRecords = 2 }, BlockUnreadable, "2 records"},
-		{reverting, func(v *View) {
-			v.Controllers["n0"] = Registered{Controller: Controller{Node: "n0", Range: Range{2, 3}}}
-		}, BlockOld, "n0"},
+		{active, func(v *ClusterView) { delete(v.Registrations, "n1") }, BlockerMissingController, "n1"},
+		{active, func(v *ClusterView) { v.Members = append(v.Members, "n2") }, BlockerMissingController, "n2"},
+		{active, func(v *ClusterView) { v.Members = v.Members[:1] }, BlockerUnlistedController, "n1"},
+		{active, func(v *ClusterView) { v.MaxTxnChanges = 3 }, BlockerTxnLimit, "3 are allowed"},
+		{State{Level: 2, Phase: PhaseActive, Epoch: 1}, func(*ClusterView) {}, BlockerUnsupportedLevel, "n0 does not read level 3"},
+		{State{Level: 1, Phase: PhaseStable, OnHold: true}, func(*ClusterView) {}, BlockerOperatorHold, "operator"},
+		{reverting, func(v *ClusterView) { v.NewerRecords = 7 }, BlockerNewerRecords, "7 records"},
+		{reverting, func(v *ClusterView) { v.UnreadableRecords = 2 }, BlockerUnreadableRecords, "2 records"},
+		{reverting, func(v *ClusterView) {
+			v.Registrations["n0"] = StoredRegistration{Registration: Registration{Node: "n0", LevelRange: LevelRange{2, 3}}}
+		}, BlockerUnsupportedLevel, "n0"},
 	} {
 		view, _ := settled(t, c, x.state)
 		x.change(&view)
@@ -182,7 +182,7 @@
 		if len(blockers) == 0 || blockers[0].Kind != x.kind || !strings.Contains(blockers[0].String(), x.says) {
 			t.Errorf("%+v: %v, not %s", x.state, blockers, x.kind)
 		}
-		if step, _ := Decide(x.state, view); step == Activate || step == Finalize || step == Close {
+		if step, _ := Decide(x.state, view); step == StepActivate || step == StepFinalize || step == StepClose {
 			t.Errorf("%+v: %s in spite of %v", x.state, step, blockers)
 		}
 	}
@@ -204,11 +204,11 @@
 // Of two operators who ask at once one is told that the state has changed.
 func TestTwoOperatorsAtOnce(t *testing.T) {
 	_, c := newStore()
-	settled(t, c, State{Level: 1, Phase: Activated})
-	other := State{Level: 1, Phase: Activated, Request: RequestFinalize}
-	op := &Operator{Members: []string{"n0", "n1"}, Partitions: 2, MaxTxnChanges: 10}
+	settled(t, c, State{Level: 1, Phase: PhaseActive})
+	other := State{Level: 1, Phase: PhaseActive, Request: RequestFinalize}
+	op := &OperatorClient{Members: []string{"n0", "n1"}, PartitionCount: 2, MaxTxnChanges: 10}
 	op.Store = &racing{Client: c, first: func() { put(t, c, StateKey, other) }}
-	if _, err := op.Submit(t.Context(), RequestAbort); !errors.Is(err, ErrChanged) {
+	if _, err := op.Submit(t.Context(), RequestAbort); !errors.Is(err, ErrStateChanged) {
 		t.Errorf("the second one is told %v", err)
 	}
 	if now, _, err := op.state(t.Context()); err != nil || now != other {
@@ -232,14 +232,14 @@
 // that is merely missing says nothing.
 func TestControllerThatDoesNotReadALevelEndsIt(t *testing.T) {
 	_, c := newStore()
-	s := State{Level: 1, Phase: Activated}
+	s := State{Level: 1, Phase: PhaseActive}
 	view, _ := settled(t, c, s)
-	delete(view.Controllers, "n0")
+	delete(view.Registrations, "n0")
 	if step, _ := Decide(s, view); step != NoStep {
 		t.Errorf("%s while one is missing", step)
 	}
-	view.Controllers["n1"] = Registered{Controller: Controller{Node: "n1", Range: Range{BaseLevel, BaseLevel}}}
-	if step, next := Decide(s, view); step != Deactivate || next.Phase != Stable || next.Level != BaseLevel || next.Held {
+	view.Registrations["n1"] = StoredRegistration{Registration: Registration{Node: "n1", LevelRange: LevelRange{BaseLevel, BaseLevel}}}
+	if step, next := Decide(s, view); step != StepDeactivate || next.Phase != PhaseStable || next.Level != BaseLevel || next.OnHold {
 		t.Errorf("%s to %+v", step, next)
 	}
 }
--- a/internal/simulation/agent/commands.go
+++ b/internal/simulation/agent/commands.go
@@ -37,7 +37,7 @@
 		a.refuse(command, trace.UnknownJob)
 		return
 	}
-	a.tasks[command.Task] = &task{name: command.Task, attempt: command.Attempt, state: wire.Fetching, since: time.Now(), spec: spec}
+	a.tasks[command.Task] = &task{name: command.Task, attempt: command.Attempt, state: wire.StateFetchingImage, since: time.Now(), spec: spec}
 	a.fleet.recorder.Record(trace.TaskAccepted{At: time.Now(), Task: command.Task, Machine: a.instance.Name, Attempt: command.Attempt})
 	a.reportSoon()
 }
@@ -50,7 +50,7 @@
 // executeStop stops a task, with time to save its progress if it can.
 func (a *Agent) executeStop(command *wire.Command) {
 	t := a.tasks[command.Task]
-	if t == nil || t.attempt != command.Attempt || t.state == wire.Exited {
+	if t == nil || t.attempt != command.Attempt || t.state == wire.StateExited {
 		return
 	}
 	grace := 0.0
@@ -58,17 +58,17 @@
 		grace = *command.GraceS
 	}
 	switch {
-	case t.state == wire.Running && t.spec.CheckpointS > 0 && grace >= t.spec.SaveS && (!t.spec.Gang || a.fleet.stopGangTask(t)):
-		t.state, t.since = wire.Saving, time.Now()
+	case t.state == wire.StateRunning && t.spec.CheckpointIntervalS > 0 && grace >= t.spec.CheckpointSaveS && (!t.spec.Gang || a.fleet.stopGangTask(t)):
+		t.state, t.since = wire.StateSavingCheckpoint, time.Now()
 		a.reportSoon()
-	case t.state != wire.Saving || grace == 0:
+	case t.state != wire.StateSavingCheckpoint || grace == 0:
 		a.exitTask(t, wire.ReasonStopped)
 	}
 }
 
 // executeForget removes what is left of a task that has exited.
 func (a *Agent) executeForget(command *wire.Command) {
-	if t := a.tasks[command.Task]; t != nil && t.attempt == command.Attempt && t.state == wire.Exited {
+	if t := a.tasks[command.Task]; t != nil && t.attempt == command.Attempt && t.state == wire.StateExited {
 		delete(a.tasks, command.Task)
 		a.reportSoon()
 	}
@@ -94,11 +94,11 @@
 		return
 	}
 	a.advance()
-	if request.Token < a.token || request.Incarnation != a.incarnation {
+	if request.FencingToken < a.token || request.Incarnation != a.incarnation {
 		a.reply(w, http.StatusConflict)
 		return
 	}
-	a.raiseToken(request.Token)
+	a.raiseToken(request.FencingToken)
 	a.execute(request.Commands)
 	a.reply(w, http.StatusOK)
 }
--- a/internal/simulation/agent/gang.go
+++ b/internal/simulation/agent/gang.go
@@ -45,7 +45,7 @@
 	defer f.mu.Unlock()
 	g := f.gangOf(t)
 	g.waiting[t.name] = true
-	if g.startedAt.IsZero() && len(g.waiting) == t.spec.Tasks {
+	if g.startedAt.IsZero() && len(g.waiting) == t.spec.TaskCount {
 		g.startedAt = time.Now()
 	}
 }
@@ -67,7 +67,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range tasks {
-		if !t.spec.Gang || t.state == wire.Exited {
+		if !t.spec.Gang || t.state == wire.StateExited {
 			continue
 		}
 		if hanging {
@@ -112,41 +112,41 @@
 	g, now := f.gangOf(t), time.Now()
 	f.breakIfHanging(g)
 	switch {
-	case t.state == wire.Gathering && g.startedAt.IsZero():
+	case t.state == wire.StateAwaitingGang && g.startedAt.IsZero():
 		if now.Sub(t.since) >= f.GangWait {
-			return wire.Exited, wire.ReasonIncompleteGang
+			return wire.StateExited, wire.ReasonIncompleteGang
 		}
-		return wire.Gathering, ""
+		return wire.StateAwaitingGang, ""
 	case g.done:
-		return wire.Exited, wire.ReasonDone
+		return wire.StateExited, wire.ReasonDone
 	case !g.brokenAt.IsZero():
 		if now.Sub(g.brokenAt) >= f.GangPeerTimeout/2 {
-			return wire.Exited, wire.ReasonPeersGone
+			return wire.StateExited, wire.ReasonPeersGone
 		}
 		return t.state, ""
 	case !g.stoppedAt.IsZero():
 		return f.nextStoppingState(g, t, now)
 	case now.Sub(g.startedAt)+f.checkpoints[trace.JobOf(t.name)] >= seconds(t.spec.EstimateS):
 		f.completeGang(g)
-		return wire.Exited, wire.ReasonDone
+		return wire.StateExited, wire.ReasonDone
 	}
-	return wire.Running, ""
+	return wire.StateRunning, ""
 }
 
 // nextStoppingState is nextGangState of a gang of which a task was stopped: once all are,
 // its progress is saved, and if that takes too long they exit without.
 func (f *Fleet) nextStoppingState(g *gang, t *task, now time.Time) (state, reason string) {
 	stopping := now.Sub(g.stoppedAt)
-	all := len(g.stopping) == t.spec.Tasks
+	all := len(g.stopping) == t.spec.TaskCount
 	switch {
-	case all && stopping >= seconds(t.spec.SaveS):
+	case all && stopping >= seconds(t.spec.CheckpointSaveS):
 		if !g.saved {
 			g.saved = true
 			f.checkpoints[trace.JobOf(t.name)] += g.stoppedAt.Sub(g.startedAt)
 		}
-		return wire.Exited, wire.ReasonStopped
+		return wire.StateExited, wire.ReasonStopped
 	case !all && stopping > f.GangPeerTimeout:
-		return wire.Exited, wire.ReasonPeersGone
+		return wire.StateExited, wire.ReasonPeersGone
 	}
 	return t.state, ""
 }
--- a/internal/simulation/agent/heartbeat.go
+++ b/internal/simulation/agent/heartbeat.go
@@ -41,10 +41,10 @@
 	a.advance()
 	a.sequence++
 	h := wire.Heartbeat{Machine: a.instance.Name, Addr: a.instance.Addr, Type: a.instance.Type, Zone: a.instance.Zone, Spot: a.instance.Spot,
-		Incarnation: a.incarnation, Sequence: a.sequence, Token: a.token, Tasks: []wire.TaskStatus{}}
+		Incarnation: a.incarnation, Sequence: a.sequence, FencingToken: a.token, Tasks: []wire.TaskStatus{}}
 	if !a.terminatesAt.IsZero() {
 		left := max(0, time.Until(a.terminatesAt).Seconds())
-		h.NoticeS = &left
+		h.TerminationNoticeS = &left
 	}
 	for _, t := range a.tasks {
 		h.Tasks = append(h.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Reason: t.reason})
@@ -128,10 +128,10 @@
 // handleAccepted renews the lease and executes the commands of an answer.
 func (a *Agent) handleAccepted(out *outgoing, body []byte) {
 	var answer wire.HeartbeatResponse
-	if json.Unmarshal(body, &answer) != nil || answer.Token < a.token || out.Incarnation != a.incarnation {
+	if json.Unmarshal(body, &answer) != nil || answer.FencingToken < a.token || out.Incarnation != a.incarnation {
 		return
 	}
-	a.raiseToken(answer.Token)
+	a.raiseToken(answer.FencingToken)
 	if out.sentAt.After(a.renewedAt) {
 		a.renewedAt = out.sentAt
 	}
--- a/internal/simulation/agent/task.go
+++ b/internal/simulation/agent/task.go
@@ -31,7 +31,7 @@
 		return
 	}
 	for _, t := range a.sortedTasks() {
-		if t.state == wire.Fetching && now.Sub(t.since) >= seconds(t.spec.ImageGB)+a.faults.imageDelay {
+		if t.state == wire.StateFetchingImage && now.Sub(t.since) >= seconds(t.spec.ImageGB)+a.faults.imageDelay {
 			a.startTask(t, now)
 		}
 		if t.spec.Gang {
@@ -44,10 +44,10 @@
 
 // startTask has a task run, or wait for its gang, whose image has been fetched.
 func (a *Agent) startTask(t *task, now time.Time) {
-	t.state, t.since = wire.Running, now
+	t.state, t.since = wire.StateRunning, now
 	a.fleet.taskStarted(a, t)
 	if t.spec.Gang {
-		t.state = wire.Gathering
+		t.state = wire.StateAwaitingGang
 		a.fleet.joinGang(t)
 	}
 	a.reportSoon()
@@ -56,30 +56,30 @@
 // advanceTask moves on a task that is not of a gang.
 func (a *Agent) advanceTask(t *task, now time.Time) {
 	switch {
-	case t.state == wire.Running && !t.spec.Service && t.holds(now, t.spec.EstimateS):
+	case t.state == wire.StateRunning && !t.spec.Service && t.holds(now, t.spec.EstimateS):
 		reason := wire.ReasonDone
 		if a.faults.failing {
 			reason = wire.ReasonError
 		}
 		a.exitTask(t, reason)
-	case t.state == wire.Saving && t.holds(now, t.spec.SaveS):
+	case t.state == wire.StateSavingCheckpoint && t.holds(now, t.spec.CheckpointSaveS):
 		a.exitTask(t, wire.ReasonStopped)
 	}
 }
 
 // advanceGangTask moves on a task of a gang.
 func (a *Agent) advanceGangTask(t *task) {
-	if t.state == wire.Fetching || t.state == wire.Exited {
+	if t.state == wire.StateFetchingImage || t.state == wire.StateExited {
 		return
 	}
 	state, reason := a.fleet.nextGangState(t)
-	if state == wire.Running && a.faults.failing {
-		state, reason = wire.Exited, wire.ReasonError
+	if state == wire.StateRunning && a.faults.failing {
+		state, reason = wire.StateExited, wire.ReasonError
 	}
 	switch {
-	case state == wire.Exited:
+	case state == wire.StateExited:
 		a.exitTask(t, reason)
-	case state != t.state && t.state == wire.Gathering:
+	case state != t.state && t.state == wire.StateAwaitingGang:
 		t.state = state
 		a.reportSoon()
 	}
@@ -92,7 +92,7 @@
 	if t.spec.Gang {
 		a.fleet.leaveGang(t)
 	}
-	t.state, t.reason, t.since = wire.Exited, reason, now
+	t.state, t.reason, t.since = wire.StateExited, reason, now
 	if reason == wire.ReasonDone {
 		a.fleet.taskCompleted(t.name)
 	}
@@ -102,7 +102,7 @@
 // dropTasks ends all tasks without a trace on the machine; called with the lock held.
 func (a *Agent) dropTasks(at time.Time) {
 	for _, t := range a.sortedTasks() {
-		if t.state == wire.Exited {
+		if t.state == wire.StateExited {
 			continue
 		}
 		a.fleet.taskStopped(a, t, at)
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -77,7 +77,7 @@
 
 // TaskStates counts a job's tasks on their machines by state.
 func (e *Environment) TaskStates(job string) map[string]int {
-	tasks := e.Spec(job).Tasks
+	tasks := e.Spec(job).TaskCount
 	out := map[string]int{}
 	for _, a := range e.Cloud.Agents() {
 		for number := range tasks {
--- a/internal/simulation/kv/http.go
+++ b/internal/simulation/kv/http.go
@@ -69,7 +69,7 @@
 	query := r.URL.Query()
 	most, _ := strconv.Atoi(query.Get("most")) // an empty page, if it is missing
 	keys := s.keysAfter(query.Get("starts"), query.Get("since"))
-	page := wire.Page{Revision: s.revision, More: len(keys) > most}
+	page := wire.ItemPage{Revision: s.revision, HasMore: len(keys) > most}
 	for _, key := range keys[:min(len(keys), most)] {
 		e := s.entries[key]
 		page.Items = append(page.Items, wire.Item{Key: key, Value: e.value, Revision: e.revision})
--- a/internal/simulation/kv/store_test.go
+++ b/internal/simulation/kv/store_test.go
@@ -67,8 +67,8 @@
 		t.Fatalf("status %d, revision %d; want 200 and 1", status, answer.Revision)
 	}
 	status, answer := transact(t, s, []wire.Condition{{Key: "a"}, {Key: "b", Revision: 1}}, putOf("c", 3))
-	if status != http.StatusConflict || !slices.Equal(answer.Failed, []string{"a"}) {
-		t.Errorf("status %d, failed %v; want 409 and a", status, answer.Failed)
+	if status != http.StatusConflict || !slices.Equal(answer.FailedKeys, []string{"a"}) {
+		t.Errorf("status %d, failed %v; want 409 and a", status, answer.FailedKeys)
 	}
 	if keys := s.Keys(""); !slices.Equal(keys, []string{"a", "b"}) {
 		t.Errorf("keys %v, want a and b", keys)
--- a/internal/simulation/kv/txn.go
+++ b/internal/simulation/kv/txn.go
@@ -33,7 +33,7 @@
 		return
 	}
 	if failed := s.failedConditions(&txn); len(failed) > 0 {
-		reply(w, http.StatusConflict, wire.TxnResponse{Revision: s.revision, Failed: failed})
+		reply(w, http.StatusConflict, wire.TxnResponse{Revision: s.revision, FailedKeys: failed})
 		return
 	}
 	s.apply(&txn)
--- a/internal/simulation/rules/check_test.go
+++ b/internal/simulation/rules/check_test.go
@@ -28,12 +28,12 @@
 }
 
 func cancel(seconds float64, id string) trace.Response {
-	return respond(seconds, id, trace.Cancel, http.StatusOK, wire.Cancelled)
+	return respond(seconds, id, trace.Cancel, http.StatusOK, wire.StateCancelled)
 }
 
 // submit is a submission that is accepted in the first second.
 func submit(spec *wire.Job) trace.Response {
-	e := respond(1, spec.ID, trace.Submit, http.StatusCreated, wire.Queued)
+	e := respond(1, spec.ID, trace.Submit, http.StatusCreated, wire.StateQueued)
 	e.Spec = spec
 	return e
 }
@@ -58,7 +58,7 @@
 
 // testJob is a job of two tasks, of which two fill a machine.
 func testJob(id string) *wire.Job {
-	return &wire.Job{ID: id, Team: "red", Tasks: 2, CPUs: 2, RAMGB: 1}
+	return &wire.Job{ID: id, Team: "red", TaskCount: 2, CPUs: 2, RAMGB: 1}
 }
 
 // testMachines are two on-demand machines in zone a, m1 and m3, and the spot machine m2 in
@@ -144,7 +144,7 @@
 	var unanswered, othersAnswered []trace.Event
 	for s := 10.0; s < 110; s += 5 {
 		unanswered = append(unanswered, query(s, "wk-1", http.StatusServiceUnavailable, ""))
-		othersAnswered = append(othersAnswered, query(s, "wk-2", http.StatusOK, wire.Running))
+		othersAnswered = append(othersAnswered, query(s, "wk-2", http.StatusOK, wire.StateRunning))
 	}
 	submitOther := submit(testJob("wk-2"))
 	submitOther.At, submitOther.RequestedAt = at(2.5), at(2)
@@ -160,30 +160,30 @@
 	oneCompleted := append(slices.Clone(one), completed(9, "wk-1/0"))
 	bothCompleted := append(slices.Clone(oneCompleted), completed(9, "wk-1/1"))
 	cancelled := append(slices.Clone(one), cancel(3, "wk-1"))
-	done := query(10, "wk-1", http.StatusOK, wire.Done)
+	done := query(10, "wk-1", http.StatusOK, wire.StateDone)
 	refused := respond(4, "wk-1", trace.Submit, http.StatusUnprocessableEntity, "")
 	refused.Spec = testJob("wk-1")
 	only := func(e trace.Event) []trace.Event { return []trace.Event{e} }
 	return []ruleCase{
 		{"accepted, then unknown", Forgotten, 0, one, only(query(4, "wk-1", http.StatusNotFound, ""))},
 		{"accepted, then refused", Forgotten, 0, one, only(refused)},
-		{"never submitted", Invented, 0, one, only(query(4, "wk-7", http.StatusOK, wire.Queued))},
+		{"never submitted", Invented, 0, one, only(query(4, "wk-7", http.StatusOK, wire.StateQueued))},
 		{"asked before it was submitted", "", 0, one, only(query(0, "wk-1", http.StatusNotFound, ""))},
 		{"done too early", NotDone, 0, oneCompleted, only(done)},
 		{"a result twice", NotDone, 0, oneCompleted, []trace.Event{completed(9.5, "wk-1/0"), done}},
 		{"done", "", 0, bothCompleted, only(done)},
-		{"cancelled, then running", WentBack, 0, cancelled, only(query(4, "wk-1", http.StatusOK, wire.Running))},
-		{"asked before the cancellation was told", "", 0, cancelled, only(query(3.1, "wk-1", http.StatusOK, wire.Running))},
+		{"cancelled, then running", WentBack, 0, cancelled, only(query(4, "wk-1", http.StatusOK, wire.StateRunning))},
+		{"asked before the cancellation was told", "", 0, cancelled, only(query(3.1, "wk-1", http.StatusOK, wire.StateRunning))},
 		{"done and cancelled", WentBack, 0, append(slices.Clone(bothCompleted), done), only(cancel(10, "wk-1"))},
-		{"cancelled by nobody", WentBack, 0, one, only(query(4, "wk-1", http.StatusOK, wire.Cancelled))},
+		{"cancelled by nobody", WentBack, 0, one, only(query(4, "wk-1", http.StatusOK, wire.StateCancelled))},
 		{"nothing", NothingRan, 0, nil, only(ended)},
 	}
 }
 
 func waitingCases() []ruleCase {
 	one := run("wk-1/0", "m1", 2, 9)
-	running := func(seconds float64) trace.Event { return query(seconds, "wk-1", http.StatusOK, wire.Running) }
-	cancelled := []trace.Event{cancel(25, "wk-1"), query(50, "wk-1", http.StatusOK, wire.Cancelled), ended}
+	running := func(seconds float64) trace.Event { return query(seconds, "wk-1", http.StatusOK, wire.StateRunning) }
+	cancelled := []trace.Event{cancel(25, "wk-1"), query(50, "wk-1", http.StatusOK, wire.StateCancelled), ended}
 	return []ruleCase{
 		{"waits beside room", WaitsNeedlessly, 20, one, []trace.Event{running(30), running(50), running(200), ended}},
 		{"waits, cancelled", "", 20, one, cancelled},
@@ -212,9 +212,9 @@
 // Where tasks may be depends on their job.
 func TestPlacementByJob(t *testing.T) {
 	large := func(j *wire.Job) { j.MachineTypes = []string{"large"} }
-	zoneA := func(j *wire.Job) { j.Spot, j.Zone = true, "a" }
-	single := func(j *wire.Job) { j.Spot, j.SingleZone = true, true }
-	spread := func(j *wire.Job) { j.Spot, j.Spread = true, true }
+	zoneA := func(j *wire.Job) { j.AllowsSpot, j.Zone = true, "a" }
+	single := func(j *wire.Job) { j.AllowsSpot, j.SingleZone = true, true }
+	spread := func(j *wire.Job) { j.AllowsSpot, j.SpreadsZones = true, true }
 	first, second := run("wk-1/0", "m1", 2, 9), run("wk-1/1", "m2", 3, 9)
 	for _, x := range []struct {
 		name   string
--- a/internal/simulation/rules/placement.go
+++ b/internal/simulation/rules/placement.go
@@ -8,7 +8,7 @@
 
 // allows tells whether a job may be on a machine at all.
 func allows(spec *wire.Job, m *machine) bool {
-	if m.spot && !spec.Spot {
+	if m.spot && !spec.AllowsSpot {
 		return false
 	}
 	if spec.Zone != "" && spec.Zone != m.zone {
@@ -18,7 +18,7 @@
 }
 
 // maxPerZone is how many tasks of a job that is spread may be in one zone.
-func maxPerZone(spec *wire.Job) int { return (spec.Tasks + 1) / 2 }
+func maxPerZone(spec *wire.Job) int { return (spec.TaskCount + 1) / 2 }
 
 // checkMachine checks that a started task is on a machine that its job allows.
 func (c *checker) checkMachine(t *task) {
@@ -36,7 +36,7 @@
 		}
 	}
 	spec := started.job.spec
-	if spec.SingleZone && len(zones) > 1 || spec.Spread && zones[started.machine.zone] > maxPerZone(spec) {
+	if spec.SingleZone && len(zones) > 1 || spec.SpreadsZones && zones[started.machine.zone] > maxPerZone(spec) {
 		c.violate(WrongPlace, "%s among %v", started.name, zones)
 	}
 }
--- a/internal/simulation/rules/responses.go
+++ b/internal/simulation/rules/responses.go
@@ -49,7 +49,7 @@
 	if wasFinal && e.State != j.finalState && e.RequestedAt.After(j.finalAt) {
 		c.violate(WentBack, "%s is %s after it was %s", j.id, e.State, j.finalState)
 	}
-	if e.State != wire.Done && e.State != wire.Cancelled {
+	if e.State != wire.StateDone && e.State != wire.StateCancelled {
 		return
 	}
 	if wasFinal && e.State != j.finalState {
@@ -63,10 +63,10 @@
 
 // checkFinal checks that a final state has its cause.
 func (c *checker) checkFinal(j *job, state string, at time.Time) {
-	if state == wire.Cancelled && (j.cancelRequestedAt.IsZero() || j.cancelRequestedAt.After(at)) {
+	if state == wire.StateCancelled && (j.cancelRequestedAt.IsZero() || j.cancelRequestedAt.After(at)) {
 		c.violate(WentBack, "%s is cancelled, and its user did not ask for it", j.id)
 	}
-	if state == wire.Done && j.spec != nil && len(j.completed) < j.spec.Tasks {
-		c.violate(NotDone, "%s has %d of %d tasks done", j.id, len(j.completed), j.spec.Tasks)
+	if state == wire.StateDone && j.spec != nil && len(j.completed) < j.spec.TaskCount {
+		c.violate(NotDone, "%s has %d of %d tasks done", j.id, len(j.completed), j.spec.TaskCount)
 	}
 }
--- a/internal/simulation/rules/waiting.go
+++ b/internal/simulation/rules/waiting.go
@@ -38,7 +38,7 @@
 			continue
 		}
 		if waited := c.now.Sub(j.waitingSince); waited > maxWait {
-			c.violate(WaitsNeedlessly, "%s (%d of %d tasks there, %d done) beside room for %v", j.id, placed[j], j.spec.Tasks, len(j.completed), waited)
+			c.violate(WaitsNeedlessly, "%s (%d of %d tasks there, %d done) beside room for %v", j.id, placed[j], j.spec.TaskCount, len(j.completed), waited)
 			j.waitingSince = time.Time{}
 		}
 	}
@@ -51,11 +51,11 @@
 
 // hasRoom tells whether tasks of a job are missing for which there is room.
 func (c *checker) hasRoom(j *job, placed int, used scheduling.Resources) bool {
-	missing := j.spec.Tasks - placed - len(j.completed)
+	missing := j.spec.TaskCount - placed - len(j.completed)
 	if missing <= 0 {
 		return false
 	}
-	if !j.spec.AllOrNothing() || placed > 0 {
+	if !j.spec.IsAllOrNothing() || placed > 0 {
 		missing = 1
 	}
 	if c.exceedsQuota(j.spec.Team, used.Plus(j.need().Times(missing))) {
@@ -74,7 +74,7 @@
 	}
 	total := 0
 	for zone, room := range c.roomByZone(j, placed, missing) {
-		if j.spec.Spread {
+		if j.spec.SpreadsZones {
 			room = min(room, maxPerZone(j.spec)-placed[zone])
 		}
 		if j.spec.SingleZone && room < missing {
@@ -97,7 +97,7 @@
 			continue
 		}
 		zone := ""
-		if j.spec.SingleZone || j.spec.Spread {
+		if j.spec.SingleZone || j.spec.SpreadsZones {
 			zone = m.zone
 		}
 		room[zone] += m.capacity.Minus(m.used).CountFitting(j.need(), most)
--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -41,7 +41,7 @@
 	b.changes += len(write.Changes)
 	b.conditions += len(write.Conditions)
 	b.bytes += write.bytes
-	b.contested = b.contested || write.Contested
+	b.contested = b.contested || write.ConflictProne
 }
 
 // overlaps tells whether a write reads or changes a key that the batch changes.
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -36,18 +36,18 @@
 }
 
 // Stats are numbers of calls, and of changes in transactions, since the last Stats.
-type Stats struct{ Watches, Txns, Changes, Applied, Renewals, Refused, Conflicts int64 }
+type Stats struct{ Watches, Txns, Changes, AppliedChanges, Renewals, RefusedRequests, Conflicts int64 }
 
-// Stats returns the numbers since its last call and resets them.
-func (c *Client) Stats() Stats {
+// TakeStats returns the numbers since its last call and resets them.
+func (c *Client) TakeStats() Stats {
 	return Stats{
-		Watches:   c.watches.Swap(0),
-		Txns:      c.txns.Swap(0),
-		Changes:   c.changes.Swap(0),
-		Applied:   c.applied.Swap(0),
-		Renewals:  c.renewals.Swap(0),
-		Refused:   c.refused.Swap(0),
-		Conflicts: c.conflicts.Swap(0),
+		Watches:         c.watches.Swap(0),
+		Txns:            c.txns.Swap(0),
+		Changes:         c.changes.Swap(0),
+		AppliedChanges:  c.applied.Swap(0),
+		Renewals:        c.renewals.Swap(0),
+		RefusedRequests: c.refused.Swap(0),
+		Conflicts:       c.conflicts.Swap(0),
 	}
 }
 
@@ -142,7 +142,7 @@
 		return &response, nil
 	case errors.Is(err, ErrConflict):
 		c.conflicts.Add(1)
-		return &response, fmt.Errorf("transaction: %w on %q", err, response.Failed)
+		return &response, fmt.Errorf("transaction: %w on %q", err, response.FailedKeys)
 	default:
 		return nil, fmt.Errorf("transaction of %d changes: %w", changes, err)
 	}
@@ -163,7 +163,7 @@
 			revision = page.Revision
 		}
 		items = append(items, page.Items...)
-		if !page.More || len(page.Items) == 0 {
+		if !page.HasMore || len(page.Items) == 0 {
 			return items, revision, nil
 		}
 		after = page.Items[len(page.Items)-1].Key
@@ -171,12 +171,12 @@
 }
 
 // listPage reads the keys below a prefix that follow a key; "": from the first one.
-func (c *Client) listPage(ctx context.Context, prefix, after string) (*wire.Page, error) {
+func (c *Client) listPage(ctx context.Context, prefix, after string) (*wire.ItemPage, error) {
 	query := url.Values{"starts": {prefix}, "most": {listPageSize}}
 	if after != "" {
 		query.Set("since", after)
 	}
-	var page wire.Page
+	var page wire.ItemPage
 	err := c.call(ctx, request{method: http.MethodGet, path: "/kv?" + query.Encode(), timeout: listTimeout}, &page)
 	return &page, err
 }
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -45,7 +45,7 @@
 		switch {
 		case write.cancelled.Load():
 			return errWriteCancelled
-		case !write.Expires.IsZero() && !now.Before(write.Expires):
+		case !write.ExpiresAt.IsZero() && !now.Before(write.ExpiresAt):
 			return errWriteExpired
 		default:
 			return nil
@@ -68,7 +68,7 @@
 	case err == nil:
 		c.resolveAll(response.Revision, nil)
 	case errors.Is(err, ErrConflict):
-		c.resolveConflicts(response.Failed, err)
+		c.resolveConflicts(response.FailedKeys, err)
 	case errors.Is(err, ErrLeaseExpired), errors.Is(err, ErrInvalid):
 		c.resolveInvalid(ctx, err)
 	case errors.Is(err, ErrNotExecuted), errors.Is(err, ErrOutcomeUnknown):
@@ -132,7 +132,7 @@
 	refused := errors.Is(err, ErrNotExecuted)
 	c.resolveWhere(func(write *Write) error {
 		write.attempts++
-		if !write.Urgent || refused && write.attempts < urgentAttempts {
+		if !write.Interactive || refused && write.attempts < urgentAttempts {
 			return nil
 		}
 		return err
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -14,23 +14,23 @@
 	Changes    []wire.Change
 	// Urgent writes (submissions, cancellations) go first. Users wait for them, so that
 	// they are given up, rather than retried for long, when the store refuses them.
-	Urgent bool
+	Interactive bool
 	// Prompt writes go with the urgent ones, but are retried until their outcome is known:
 	// few, on which other work waits.
-	Prompt bool
+	HighPriority bool
 	// Early writes go before usual ones, since much other work waits for them.
-	Early bool
+	MediumPriority bool
 	// Contested writes may well find a condition failed, since other controllers write the
 	// same keys. They share a transaction with few: the changes of a failed transaction
 	// count against the rate limit, and all other writes in it must be sent again.
-	Contested bool
+	ConflictProne bool
 	// Expires: if not zero, the write is given up after this time.
-	Expires time.Time
+	ExpiresAt time.Time
 	// Done is called exactly once, on a goroutine of the Writer: with the revision on
 	// success; with ErrConflict when a condition failed (perhaps since an earlier attempt
 	// of this very write was applied: the caller reads back); with ErrOutcomeUnknown when
 	// it was given up; or with the error that the store refused it with.
-	Done func(revision uint64, err error)
+	OnDone func(revision uint64, err error)
 
 	bytes     int
 	attempts  int
@@ -43,7 +43,7 @@
 func (w *Write) Cancel() { w.cancelled.Store(true) }
 
 // immediate tells whether a write goes before all others and doesn't wait for the rate limit.
-func (w *Write) immediate() bool { return w.Urgent || w.Prompt }
+func (w *Write) immediate() bool { return w.Interactive || w.HighPriority }
 
 // Estimates of what JSON adds to the content of a change and of a condition.
 const (
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -50,16 +50,16 @@
 	}
 }
 
-// Backlog returns about how long it takes until what has been submitted is stored.
-func (w *Writer) Backlog() time.Duration {
+// BacklogDuration returns about how long it takes until what has been submitted is stored.
+func (w *Writer) BacklogDuration() time.Duration {
 	return time.Duration(float64(w.backlog.Load()) / w.rate.rate() * float64(time.Second))
 }
 
-// NearlyFull tells whether writes that can wait should not be submitted now: the rest of the
+// IsNearlyFull tells whether writes that can wait should not be submitted now: the rest of the
 // queue, the one for early or for usual writes, is for those that can't.
-func (w *Writer) NearlyFull(early bool) bool {
+func (w *Writer) IsNearlyFull(mediumPriority bool) bool {
 	queue := w.usual
-	if early {
+	if mediumPriority {
 		queue = w.early
 	}
 	return float64(len(queue)) >= nearlyFull*float64(cap(queue))
@@ -84,7 +84,7 @@
 	switch {
 	case write.immediate():
 		return w.urgent
-	case write.Early:
+	case write.MediumPriority:
 		return w.early
 	default:
 		return w.usual
@@ -94,7 +94,7 @@
 // resolve reports the outcome of a write.
 func (w *Writer) resolve(write *Write, revision uint64, err error) {
 	w.backlog.Add(-int64(len(write.Changes)))
-	write.Done(revision, err)
+	write.OnDone(revision, err)
 }
 
 // Run commits submitted writes until ctx ends and all attempts have been answered. Writes
--- a/internal/store/writer_test.go
+++ b/internal/store/writer_test.go
@@ -48,7 +48,7 @@
 			write := &store.Write{}
 			write.Conditions, write.Changes = put(fmt.Sprintf("k%d", i), uint64(i%5/4)) // each fifth must fail
 			wg.Add(1)
-			write.Done = func(_ uint64, err error) {
+			write.OnDone = func(_ uint64, err error) {
 				defer wg.Done()
 				mu.Lock()
 				defer mu.Unlock()
@@ -78,7 +78,7 @@
 	withWriter(t, nil, func(t *testing.T, _ *simulation.Environment, writer *store.Writer, _ *store.Client) {
 		results := make(chan error, 8)
 		for range 8 {
-			write := &store.Write{Done: func(_ uint64, err error) { results <- err }}
+			write := &store.Write{OnDone: func(_ uint64, err error) { results <- err }}
 			write.Conditions, write.Changes = put("job", 0)
 			writer.Submit(write)
 		}
@@ -107,7 +107,7 @@
 		return network.Deliver
 	}, func(t *testing.T, w *simulation.Environment, writer *store.Writer, c *store.Client) {
 		results := make(chan error, 2)
-		write := &store.Write{Done: func(_ uint64, err error) { results <- err }}
+		write := &store.Write{OnDone: func(_ uint64, err error) { results <- err }}
 		write.Conditions, write.Changes = put("k", 0)
 		writer.Submit(write)
 		if err := <-results; err != nil {
@@ -120,7 +120,7 @@
 		}
 		w.Store.SetDown(true)
 		start := time.Now()
-		write = &store.Write{Urgent: true, Done: func(_ uint64, err error) { results <- err }}
+		write = &store.Write{Interactive: true, OnDone: func(_ uint64, err error) { results <- err }}
 		write.Conditions, write.Changes = put("k2", 0)
 		writer.Submit(write)
 		if err := <-results; !errors.Is(err, store.ErrNotExecuted) || time.Since(start) > time.Second {
@@ -133,13 +133,13 @@
 // long as they don't queue for seconds. It counts those that are stored.
 func submitSteadily(ctx context.Context, writer *store.Writer, prefix string, perSecond int, stored *atomic.Int64) {
 	for n := 0; ctx.Err() == nil; n++ {
-		write := &store.Write{Done: func(_ uint64, err error) {
+		write := &store.Write{OnDone: func(_ uint64, err error) {
 			if err == nil {
 				stored.Add(1)
 			}
 		}}
 		write.Conditions, write.Changes = put(fmt.Sprintf("%s/%d", prefix, n), 0)
-		if writer.Backlog() < 2*time.Second {
+		if writer.BacklogDuration() < 2*time.Second {
 			writer.Submit(write)
 		}
 		time.Sleep(time.Second / time.Duration(perSecond))
@@ -182,7 +182,7 @@
 		var wg sync.WaitGroup
 		for i := range 60 {
 			wg.Add(1)
-			write := &store.Write{Contested: true, Done: func(uint64, error) { wg.Done() }}
+			write := &store.Write{ConflictProne: true, OnDone: func(uint64, error) { wg.Done() }}
 			write.Conditions, write.Changes = put(fmt.Sprintf("k%d", i), 0)
 			writer.Submit(write)
 		}
@@ -203,7 +203,7 @@
 		for i := range 400 {
 			early := i >= 350
 			wg.Add(1)
-			write := &store.Write{Early: early, Done: func(uint64, error) {
+			write := &store.Write{MediumPriority: early, OnDone: func(uint64, error) {
 				defer wg.Done()
 				mu.Lock()
 				defer mu.Unlock()
@@ -236,7 +236,7 @@
 		for i := range 300 {
 			wg.Add(1)
 			bad := i >= 100 && i%10 == 0
-			write := &store.Write{Done: func(_ uint64, err error) {
+			write := &store.Write{OnDone: func(_ uint64, err error) {
 				defer wg.Done()
 				switch {
 				case err == nil:
@@ -259,7 +259,7 @@
 		if stored.Load() != 280 || cancelled.Load() != 20 {
 			t.Errorf("%d writes are stored and %d cancelled", stored.Load(), cancelled.Load())
 		}
-		if n := c.Stats().Conflicts; n > 0 {
+		if n := c.TakeStats().Conflicts; n > 0 {
 			t.Errorf("%d transactions failed for cancelled writes", n)
 		}
 	})
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -2,16 +2,16 @@
 
 // MachineType is one type of machine on offer. Prices are per hour.
 type MachineType struct {
-	Name      string   `json:"label"`
-	CPUs      float64  `json:"cpus"`
-	GPUs      float64  `json:"cards"`
-	RAMGB     float64  `json:"ramGb"`
-	CacheGB   float64  `json:"cacheGb"`    // image cache
-	FetchGBPS float64  `json:"pullGbPerS"` // GB a second, of an image
-	Price     float64  `json:"price"`
-	SpotPrice float64  `json:"spotPrice"`
-	BootS     float64  `json:"startupS"` // nominal boot time in seconds
-	Zones     []string `json:"shores"`
+	Name           string   `json:"label"`
+	CPUs           float64  `json:"cpus"`
+	GPUs           float64  `json:"cards"`
+	RAMGB          float64  `json:"ramGb"`
+	ImageCacheGB   float64  `json:"cacheGb"`    // image cache
+	ImageFetchGBPS float64  `json:"pullGbPerS"` // GB a second, of an image
+	Price          float64  `json:"price"`
+	SpotPrice      float64  `json:"spotPrice"`
+	BootS          float64  `json:"startupS"` // nominal boot time in seconds
+	Zones          []string `json:"shores"`
 }
 
 // MachineTypes lists the types on offer.
@@ -47,5 +47,5 @@
 // InstanceList is one page of the cloud's list.
 type InstanceList struct {
 	Instances []Instance `json:"perches"`
-	More      bool       `json:"truncated"`
+	HasMore   bool       `json:"truncated"`
 }
--- a/internal/wire/decode_test.go
+++ b/internal/wire/decode_test.go
@@ -11,14 +11,14 @@
 func drawHeartbeat(t *rapid.T) Heartbeat {
 	text := rapid.OneOf(rapid.StringMatching(`[a-z]{1,6}-[0-9]{1,6}`), rapid.String())
 	r := Heartbeat{Machine: text.Draw(t, "machine"), Addr: "10.0.0.1:9000", Type: text.Draw(t, "type"), Zone: text.Draw(t, "zone"),
-		Spot: rapid.Bool().Draw(t, "spot"), Incarnation: rapid.Uint64().Draw(t, "incarnation"), Sequence: rapid.Uint64().Draw(t, "sequence"), Token: rapid.Uint64().Draw(t, "token")}
+		Spot: rapid.Bool().Draw(t, "spot"), Incarnation: rapid.Uint64().Draw(t, "incarnation"), Sequence: rapid.Uint64().Draw(t, "sequence"), FencingToken: rapid.Uint64().Draw(t, "token")}
 	if rapid.Bool().Draw(t, "noticed") {
 		n := rapid.Float64Range(0, 1e6).Draw(t, "notice")
-		r.NoticeS = &n
+		r.TerminationNoticeS = &n
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "tasks") {
 		r.Tasks = append(r.Tasks, TaskStatus{Task: text.Draw(t, "task"), Attempt: rapid.Uint64().Draw(t, "attempt"),
-			State: rapid.SampledFrom([]string{Fetching, Running, Saving, Exited}).Draw(t, "state"), Reason: text.Draw(t, "why"), Saved: rapid.Bool().Draw(t, "saved")})
+			State: rapid.SampledFrom([]string{StateFetchingImage, StateRunning, StateSavingCheckpoint, StateExited}).Draw(t, "state"), Reason: text.Draw(t, "why"), CheckpointSaved: rapid.Bool().Draw(t, "saved")})
 	}
 	return r
 }
--- a/internal/wire/values.go
+++ b/internal/wire/enums.go
@@ -2,28 +2,28 @@
 
 // States of a job, as users are told. Running is a state of tasks and instances, too.
 const (
-	Queued    = "queued" // no task runs
-	Running   = "running"
-	Done      = "done"
-	Cancelled = "withdrawn"
+	StateQueued    = "queued" // no task runs
+	StateRunning   = "running"
+	StateDone      = "done"
+	StateCancelled = "withdrawn"
 )
 
 // States of a task on its machine, besides Running.
 const (
-	Fetching  = "fetching"  // waits for its image
-	Gathering = "gathering" // a gang's task that waits for the others
-	Saving    = "flushing"  // was told to stop and saves its progress
-	Exited    = "ended"
+	StateFetchingImage    = "fetching"  // waits for its image
+	StateAwaitingGang     = "gathering" // a gang's task that waits for the others
+	StateSavingCheckpoint = "flushing"  // was told to stop and saves its progress
+	StateExited           = "ended"
 )
 
 // Reasons why a task exited, or why its start was refused.
 const (
-	ReasonDone        = "done"
-	ReasonStopped     = "halted"
-	ReasonError       = "error"
-	ReasonNoRoom      = "no_room"
-	ReasonInUse       = "in_use"  // the machine has another attempt of this task
-	ReasonUnknownTask = "no_such" // no such job or task was submitted
+	ReasonDone         = "done"
+	ReasonStopped      = "halted"
+	ReasonError        = "error"
+	ReasonNoCapacity   = "no_room"
+	ReasonOtherAttempt = "in_use"  // the machine has another attempt of this task
+	ReasonUnknownTask  = "no_such" // no such job or task was submitted
 
 	ReasonPeersGone      = "mates_gone" // another task of the gang is gone
 	ReasonIncompleteGang = "incomplete" // not all tasks of the gang came in time
@@ -41,9 +41,9 @@
 
 // Kinds of jobs.
 const (
-	Array   = "batch"
-	Service = "daemon"
-	Gang    = "gang"
+	KindArray   = "batch"
+	KindService = "daemon"
+	KindGang    = "gang"
 )
 
 // States of an instance in the cloud's list, besides Running.
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -18,39 +18,39 @@
 	Service bool   `json:"Service"`
 	Gang    bool   `json:"Gang"` // neither a service nor a gang: a job array
 	// Priority is 0 (low) to 3 (production).
-	Priority int     `json:"Priority"`
-	Tasks    int     `json:"Tasks"` // number of tasks
-	CPUs     float64 `json:"CPUs"`
-	GPUs     float64 `json:"GPUs"`
-	RAMGB    float64 `json:"RAM"`
-	Image    string  `json:"Image"`
-	ImageGB  float64 `json:"ImageGB"`
+	Priority  int     `json:"Priority"`
+	TaskCount int     `json:"Tasks"` // number of tasks
+	CPUs      float64 `json:"CPUs"`
+	GPUs      float64 `json:"GPUs"`
+	RAMGB     float64 `json:"RAM"`
+	Image     string  `json:"Image"`
+	ImageGB   float64 `json:"ImageGB"`
 	// MachineTypes are the allowed ones; nil: any.
 	MachineTypes []string `json:"Types"`
 	Zone         string   `json:"Zone"` // the only allowed one; "": any
 	SingleZone   bool     `json:"OneZone"`
-	Spread       bool     `json:"Spread"` // at most half of the tasks in one zone
-	Spot         bool     `json:"Spot"`   // may use spot instances
+	SpreadsZones bool     `json:"Spread"` // at most half of the tasks in one zone
+	AllowsSpot   bool     `json:"Spot"`   // may use spot instances
 	// EstimateS is the owner's estimate of a task's run time, in seconds.
 	EstimateS float64 `json:"EstimateS"`
 	// CheckpointS is the interval of a task's checkpoints, in seconds; 0: it has none.
-	CheckpointS float64 `json:"CheckS"`
-	SaveS       float64 `json:"SaveS"` // seconds to save a checkpoint when it is stopped
+	CheckpointIntervalS float64 `json:"CheckS"`
+	CheckpointSaveS     float64 `json:"SaveS"` // seconds to save a checkpoint when it is stopped
 	// DeadlineS is when the job should be complete, in seconds from its submission.
 	DeadlineS  float64 `json:"DeadlineS"`
 	NoDeadline bool    `json:"NoDeadline"`
 }
 
-// AllOrNothing tells whether the job's tasks are started together or not at all.
-func (j *Job) AllOrNothing() bool { return j.Service || j.Gang }
+// IsAllOrNothing tells whether the job's tasks are started together or not at all.
+func (j *Job) IsAllOrNothing() bool { return j.Service || j.Gang }
 
 const (
 	idPrefix    = "wk-"
 	maxIDDigits = 20
 )
 
-// ValidJobID tells whether id has the form of a job's id.
-func ValidJobID(id string) bool {
+// IsValidJobID tells whether id has the form of a job's id.
+func IsValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, idPrefix)
 	if !ok || digits == "" || len(digits) > maxIDDigits {
 		return false
@@ -60,8 +60,8 @@
 
 // JobState answers a user's request about a job. Done and Running count tasks.
 type JobState struct {
-	ID      string `json:"nameId"`
-	State   string `json:"tide"`
-	Done    *int   `json:"done,omitempty"`
-	Running *int   `json:"running,omitempty"`
+	ID           string `json:"nameId"`
+	State        string `json:"tide"`
+	DoneTasks    *int   `json:"done,omitempty"`
+	RunningTasks *int   `json:"running,omitempty"`
 }
--- a/internal/wire/allow.go
+++ b/internal/wire/job_placement.go
@@ -6,5 +6,5 @@
 // zones of the job's other tasks are not looked at.
 func (j *Job) Allows(machineType, zone string, spot bool) bool {
 	return (len(j.MachineTypes) == 0 || slices.Contains(j.MachineTypes, machineType)) &&
-		(j.Zone == "" || j.Zone == zone) && (!spot || j.Spot)
+		(j.Zone == "" || j.Zone == zone) && (!spot || j.AllowsSpot)
 }
--- a/internal/wire/parse_job.go
+++ b/internal/wire/parse_job.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	if !ValidJobID(job.ID) {
+	if !IsValidJobID(job.ID) {
 		return fieldErrorf("nameId", "%q is not of the form wk-000000", job.ID)
 	}
 	return nil
@@ -154,10 +154,10 @@
 		return fieldErrorf("shape", "missing or unknown")
 	}
 	switch *b.Kind {
-	case Array:
-	case Service:
+	case KindArray:
+	case KindService:
 		job.Service = true
-	case Gang:
+	case KindGang:
 		job.Gang = true
 	default:
 		return fieldErrorf("shape", "missing or unknown")
@@ -181,7 +181,7 @@
 	if b.Tasks == nil || *b.Tasks != math.Trunc(*b.Tasks) || *b.Tasks < 1 || *b.Tasks > MaxTasks {
 		return fieldErrorf("eggs", "must be an integer from 1 to %d", MaxTasks)
 	}
-	job.Tasks = int(*b.Tasks)
+	job.TaskCount = int(*b.Tasks)
 	return nil
 }
 
@@ -197,8 +197,8 @@
 		{"ramGb", b.RAMGB, &job.RAMGB},
 		{"imageGb", b.ImageGB, &job.ImageGB},
 		{"reckonS", b.EstimateS, &job.EstimateS},
-		{"moultS", b.CheckpointS, &job.CheckpointS},
-		{"stowS", b.SaveS, &job.SaveS},
+		{"moultS", b.CheckpointS, &job.CheckpointIntervalS},
+		{"stowS", b.SaveS, &job.CheckpointSaveS},
 		{"dueS", deadline, &job.DeadlineS},
 	}, checkAmount)
 }
@@ -242,7 +242,7 @@
 	anyValue := func(string, bool) error { return nil }
 	return takeRequired([]requiredField[bool]{
 		{"samePlace", b.SingleZone, &job.SingleZone},
-		{"spread", b.Spread, &job.Spread},
-		{"driftwood", b.Spot, &job.Spot},
+		{"spread", b.Spread, &job.SpreadsZones},
+		{"driftwood", b.Spot, &job.AllowsSpot},
 	}, anyValue)
 }
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -30,8 +30,8 @@
 // TxnResponse is the answer to a transaction: the store's revision, and the keys whose
 // conditions failed.
 type TxnResponse struct {
-	Revision uint64   `json:"logmark"`
-	Failed   []string `json:"failed"`
+	Revision   uint64   `json:"logmark"`
+	FailedKeys []string `json:"failed"`
 }
 
 // Item is a stored key with its value and the revision of its last change.
@@ -41,10 +41,10 @@
 	Revision uint64          `json:"stamp"`
 }
 
-// Page is one page of stored keys, in order, at a revision of the store.
-type Page struct {
+// ItemPage is one page of stored keys, in order, at a revision of the store.
+type ItemPage struct {
 	Items    []Item `json:"rows"`
-	More     bool   `json:"truncated"`
+	HasMore  bool   `json:"truncated"`
 	Revision uint64 `json:"logmark"`
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,7 +12,7 @@
 	amount := rapid.Float64Range(0, 1000)
 	b := map[string]any{
 		"nameId": rapid.StringMatching(`wk-[0-9]{1,12}`).Draw(t, "id"), "flock": "c", "crew": "t",
-		"shape": rapid.SampledFrom([]string{Array, Service, Gang}).Draw(t, "shape"),
+		"shape": rapid.SampledFrom([]string{KindArray, KindService, KindGang}).Draw(t, "shape"),
 		"rank":  rapid.SampledFrom([]string{"low", "normal", "urgent", "production"}).Draw(t, "rank"),
 		"eggs":  rapid.IntRange(1, MaxTasks).Draw(t, "eggs"), "plumage": "i",
 		"samePlace": rapid.Bool().Draw(t, "same"), "spread": rapid.Bool().Draw(t, "spread"), "driftwood": rapid.Bool().Draw(t, "spot"),
@@ -37,7 +37,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", raw, err)
 		}
-		if j.ID != b["nameId"] || j.Tasks != b["eggs"] || j.CPUs != b["cpus"] || j.Spot != b["driftwood"] || j.NoDeadline != (b["dueS"] == nil) {
+		if j.ID != b["nameId"] || j.TaskCount != b["eggs"] || j.CPUs != b["cpus"] || j.AllowsSpot != b["driftwood"] || j.NoDeadline != (b["dueS"] == nil) {
 			t.Fatalf("%s became %+v", raw, j)
 		}
 		// The stored form must give the same job back.
@@ -68,7 +68,7 @@
 			t.Fatalf("%s was accepted", raw)
 		}
 	})
-	good := map[string]any{"nameId": "wk-1", "flock": "c", "crew": "t", "shape": Array, "rank": "low", "eggs": 1, "cpus": 1, "cards": 0,
+	good := map[string]any{"nameId": "wk-1", "flock": "c", "crew": "t", "shape": KindArray, "rank": "low", "eggs": 1, "cpus": 1, "cards": 0,
 		"ramGb": 1, "plumage": "i", "imageGb": 1, "samePlace": false, "spread": false, "driftwood": false, "reckonS": 1, "moultS": 0, "stowS": 0}
 	for field, values := range map[string][]any{
 		"nameId": {"wk-", "wk-1x", "job-1", ""}, "eggs": {0, -1, 1.5, MaxTasks + 1}, "cpus": {-1, 1e300}, "rank": {"high"}, "shape": {"x"},
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -37,7 +37,7 @@
 		{200, `{}`, false, "worker w:1: report: machine or session is missing"},
 	} {
 		rt := &scripted{status: x.status, body: x.body}
-		report, executed, err := workerclient.NewClient(rt).Send(t.Context(), "w:1", &wire.CommandRequest{Token: 41, Incarnation: 1})
+		report, executed, err := workerclient.NewClient(rt).Send(t.Context(), "w:1", &wire.CommandRequest{FencingToken: 41, Incarnation: 1})
 		if want := `POST http://w:1/do {"baton":41,"watch":1,"calls":[]}`; rt.sent != want {
 			t.Errorf("sent %s, not %s", rt.sent, want)
 		}
--- a/internal/workerclient/slots.go
+++ b/internal/workerclient/slots.go
@@ -4,11 +4,11 @@
 type Purpose int
 
 const (
-	// Commands are to be sent. They may use all slots.
-	Commands Purpose = iota
-	// Ping only asks whether the machine is there, and shows it the fencing token. Pings may
+	// PurposeCommands are to be sent. They may use all slots.
+	PurposeCommands Purpose = iota
+	// PurposePing only asks whether the machine is there, and shows it the fencing token. Pings may
 	// use half of the slots: the rest is for commands.
-	Ping
+	PurposePing
 )
 
 // Slots limits how many direct commands are open at a time, and queues the machines that
@@ -27,15 +27,15 @@
 	return &Slots[Machine]{maximum: maximum, purposes: map[Machine]Purpose{}}
 }
 
-// Open returns how many commands are open.
-func (s *Slots[Machine]) Open() int { return s.open }
+// OpenCommands returns how many commands are open.
+func (s *Slots[Machine]) OpenCommands() int { return s.open }
 
-// Waiting returns how many machines are in the queue.
-func (s *Slots[Machine]) Waiting() int { return len(s.queue) }
+// QueueLength returns how many machines are in the queue.
+func (s *Slots[Machine]) QueueLength() int { return len(s.queue) }
 
-// Available reports whether a slot is left for a purpose.
-func (s *Slots[Machine]) Available(purpose Purpose) bool {
-	if purpose == Ping {
+// HasAvailable reports whether a slot is left for a purpose.
+func (s *Slots[Machine]) HasAvailable(purpose Purpose) bool {
+	if purpose == PurposePing {
 		return s.open < s.maximum/2
 	}
 	return s.open < s.maximum
@@ -46,16 +46,16 @@
 func (s *Slots[Machine]) Acquire(m Machine) {
 	s.open++
 	if _, queued := s.purposes[m]; queued {
-		s.purposes[m] = Commands
+		s.purposes[m] = PurposeCommands
 	}
 }
 
 // Release ends a command.
 func (s *Slots[Machine]) Release() { s.open-- }
 
-// Wait queues a machine, unless it is in the queue. If it waits for commands and for a ping,
+// Enqueue queues a machine, unless it is in the queue. If it waits for commands and for a ping,
 // its turn is a ping.
-func (s *Slots[Machine]) Wait(m Machine, purpose Purpose) {
+func (s *Slots[Machine]) Enqueue(m Machine, purpose Purpose) {
 	waitsFor, queued := s.purposes[m]
 	if !queued {
 		s.queue = append(s.queue, m)
@@ -63,9 +63,9 @@
 	s.purposes[m] = max(waitsFor, purpose)
 }
 
-// Next takes the first machine out of the queue, which must not be empty, and tells what it
+// Dequeue takes the first machine out of the queue, which must not be empty, and tells what it
 // waits for.
-func (s *Slots[Machine]) Next() (Machine, Purpose) {
+func (s *Slots[Machine]) Dequeue() (Machine, Purpose) {
 	m := s.queue[0]
 	s.queue = s.queue[1:]
 	purpose := s.purposes[m]
--- a/internal/workerclient/slots_test.go
+++ b/internal/workerclient/slots_test.go
@@ -16,21 +16,21 @@
 		{8, 8, 0, 0},
 		{1, 0, 0, 1},
 	} {
-		for purpose, want := range map[workerclient.Purpose]int{workerclient.Ping: x.pings, workerclient.Commands: x.commands} {
+		for purpose, want := range map[workerclient.Purpose]int{workerclient.PurposePing: x.pings, workerclient.PurposeCommands: x.commands} {
 			s := workerclient.NewSlots[string](x.maximum)
 			for range x.open {
 				s.Acquire("busy")
 			}
 			got := 0
-			for ; s.Available(purpose); got++ {
+			for ; s.HasAvailable(purpose); got++ {
 				s.Acquire("m")
 			}
-			if got != want || s.Open() != x.open+want {
-				t.Errorf("%d of %d open: %d are left for purpose %d (%d open then), want %d", x.open, x.maximum, got, purpose, s.Open(), want)
+			if got != want || s.OpenCommands() != x.open+want {
+				t.Errorf("%d of %d open: %d are left for purpose %d (%d open then), want %d", x.open, x.maximum, got, purpose, s.OpenCommands(), want)
 			}
 			s.Release()
-			if s.Open() != x.open+want-1 {
-				t.Errorf("%d open after a release, want %d", s.Open(), x.open+want-1)
+			if s.OpenCommands() != x.open+want-1 {
+				t.Errorf("%d open after a release, want %d", s.OpenCommands(), x.open+want-1)
 			}
 		}
 	}
@@ -51,37 +51,37 @@
 	}{
 		{"nobody waits", func(*workerclient.Slots[string]) {}, nil},
 		{"in order", func(s *workerclient.Slots[string]) {
-			s.Wait("b", workerclient.Commands)
-			s.Wait("a", workerclient.Ping)
-		}, []turn{{"b", workerclient.Commands}, {"a", workerclient.Ping}}},
+			s.Enqueue("b", workerclient.PurposeCommands)
+			s.Enqueue("a", workerclient.PurposePing)
+		}, []turn{{"b", workerclient.PurposeCommands}, {"a", workerclient.PurposePing}}},
 		{"once", func(s *workerclient.Slots[string]) {
-			s.Wait("a", workerclient.Commands)
-			s.Wait("b", workerclient.Commands)
-			s.Wait("a", workerclient.Commands)
-		}, []turn{{"a", workerclient.Commands}, {"b", workerclient.Commands}}},
+			s.Enqueue("a", workerclient.PurposeCommands)
+			s.Enqueue("b", workerclient.PurposeCommands)
+			s.Enqueue("a", workerclient.PurposeCommands)
+		}, []turn{{"a", workerclient.PurposeCommands}, {"b", workerclient.PurposeCommands}}},
 		{"a ping after commands", func(s *workerclient.Slots[string]) {
-			s.Wait("a", workerclient.Commands)
-			s.Wait("a", workerclient.Ping)
-		}, []turn{{"a", workerclient.Ping}}},
+			s.Enqueue("a", workerclient.PurposeCommands)
+			s.Enqueue("a", workerclient.PurposePing)
+		}, []turn{{"a", workerclient.PurposePing}}},
 		{"commands after a ping", func(s *workerclient.Slots[string]) {
-			s.Wait("a", workerclient.Ping)
-			s.Wait("a", workerclient.Commands)
-		}, []turn{{"a", workerclient.Ping}}},
+			s.Enqueue("a", workerclient.PurposePing)
+			s.Enqueue("a", workerclient.PurposeCommands)
+		}, []turn{{"a", workerclient.PurposePing}}},
 		{"what is sent meanwhile serves as the ping", func(s *workerclient.Slots[string]) {
-			s.Wait("a", workerclient.Ping)
+			s.Enqueue("a", workerclient.PurposePing)
 			s.Acquire("a")
-		}, []turn{{"a", workerclient.Commands}}},
+		}, []turn{{"a", workerclient.PurposeCommands}}},
 		{"again after its turn", func(s *workerclient.Slots[string]) {
-			s.Wait("a", workerclient.Ping)
-			s.Next()
-			s.Wait("a", workerclient.Commands)
-		}, []turn{{"a", workerclient.Commands}}},
+			s.Enqueue("a", workerclient.PurposePing)
+			s.Dequeue()
+			s.Enqueue("a", workerclient.PurposeCommands)
+		}, []turn{{"a", workerclient.PurposeCommands}}},
 	} {
 		s := workerclient.NewSlots[string](8)
 		x.wait(s)
 		var got []turn
-		for s.Waiting() > 0 {
-			machine, purpose := s.Next()
+		for s.QueueLength() > 0 {
+			machine, purpose := s.Dequeue()
 			got = append(got, turn{machine, purpose})
 		}
 		if !slices.Equal(got, x.want) {
