--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -189,16 +189,16 @@
 	Config
 	Services
 	// calls are calls to the cloud that wait for their turn.
-	calls chan call
+	queuedCalls chan cloudCall
 	// term is what is known and decided in the present term as the leader.
-	term term
+	term termState
 	// announcedDraining are the machines that the leader, this controller or another,
 	// last said to be draining.
 	announcedDraining map[string]bool
 	// terminating are the machines of which the cloud has been, or is to be, asked for
-	// that; toTerminate those of which it is to be.
+	// that; queuedTerminations those of which it is to be.
 	terminating         map[string]bool
-	toTerminate         []string
+	queuedTerminations  []string
 	terminationInFlight bool
 	// outage tells of the cloud's outages.
 	outage *outage.Monitor
@@ -207,7 +207,7 @@
 }
 
 // term is what only the leader knows. It is rebuilt after each failover.
-type term struct {
+type termState struct {
 	instances map[string]*instance
 	// idleSince is since when a machine has been idle without a gap.
 	idleSince map[string]time.Time
@@ -218,19 +218,19 @@
 
 	// launching is how many machines have been asked for in calls under way, and
 	// launchRequests how many of those calls there were.
-	launching      map[planning.Offer]int
-	launchRequests int
-	// refusedUntil is until when an offer is not asked for again, and backoff how long
+	pendingLaunches    map[planning.Offer]int
+	launchRequestCount int
+	// backoffUntil is until when an offer is not asked for again, and backoff how long
 	// that was, for offers that were refused.
-	refusedUntil map[planning.Offer]time.Time
-	backoff      map[planning.Offer]time.Duration
+	backoffUntil  map[planning.Offer]time.Time
+	backoffDelays map[planning.Offer]time.Duration
 
 	// listed: the cloud's list has been read in this term.
-	listed                bool
-	listInFlight          bool
-	listedAt              time.Time
-	machineTypesFetchedAt time.Time
-	deletingTombstones    bool
+	hasInstanceList           bool
+	listInFlight              bool
+	listRequestedAt           time.Time
+	machineTypesRequestedAt   time.Time
+	tombstoneDeletionInFlight bool
 
 	// isolatedSince is since when most machines of a zone have been out of reach.
 	isolatedSince map[string]time.Time
@@ -240,26 +240,26 @@
 
 // New returns an autoscaler without a term.
 func New(config Config, services Services) *Autoscaler {
-	return &Autoscaler{Config: config, Services: services, calls: make(chan call, callQueueLength),
-		terminating: map[string]bool{}, outage: outage.NewMonitor(config.Log, "cloud", outagePatience)}
+	return &Autoscaler{Config: config, Services: services, queuedCalls: make(chan cloudCall, callQueueLength),
+		terminating: map[string]bool{}, outage: outage.NewMonitor(config.Log, "cloud", outageThreshold)}
 }
 
 // StartTerm begins a term as the leader.
 func (a *Autoscaler) StartTerm() {
-	a.term = term{
-		instances:     map[string]*instance{},
-		idleSince:     map[string]time.Time{},
-		draining:      map[string]bool{},
-		launching:     map[planning.Offer]int{},
-		refusedUntil:  map[planning.Offer]time.Time{},
-		backoff:       map[planning.Offer]time.Duration{},
-		isolatedSince: map[string]time.Time{},
+	a.term = termState{
+		instances:       map[string]*instance{},
+		idleSince:       map[string]time.Time{},
+		draining:        map[string]bool{},
+		pendingLaunches: map[planning.Offer]int{},
+		backoffUntil:    map[planning.Offer]time.Time{},
+		backoffDelays:   map[planning.Offer]time.Duration{},
+		isolatedSince:   map[string]time.Time{},
 	}
 }
 
 // EndTerm forgets what only the leader may decide by.
 func (a *Autoscaler) EndTerm() {
-	a.term = term{}
+	a.term = termState{}
 	a.outage.Reset() // who does not lead asks the cloud for nothing
 }
 
--- a/internal/autoscaler/drain.go
+++ b/internal/autoscaler/drain.go
@@ -10,8 +10,8 @@
 
 const (
 	// minIdleTimeout is the least time that an idle machine is kept.
-	minIdleTimeout = 10 * time.Second
-	milliCPUs      = 1000 // in a CPU
+	minIdleTimeout  = 10 * time.Second
+	milliCPUsPerCPU = 1000 // in a CPU
 )
 
 // IsDraining reports whether a machine is drained, as the leader announced it last. Its owner
@@ -49,14 +49,14 @@
 	return max(config.Seconds(seconds), minIdleTimeout)
 }
 
-// nameOf is the name of the machine that a summary is of.
-func (a *Autoscaler) nameOf(summary *planning.MachineSummary) string {
+// machineName is the name of the machine that a summary is of.
+func (a *Autoscaler) machineName(summary *planning.MachineSummary) string {
 	return a.Machines.At(summary.Index).Name
 }
 
 // drainSurplus has a machine drained that the fleet has not needed of late: it takes no more
 // work, and is terminated when it is empty. In a shortage none is.
-func (a *Autoscaler) drainSurplus(summaries []*planning.MachineSummary, room *headroom, shortage bool) {
+func (a *Autoscaler) drainSurplus(summaries []*planning.MachineSummary, headroom *serviceHeadroom, shortage bool) {
 	a.announcedDraining = a.term.draining
 	if shortage {
 		clear(a.term.draining)
@@ -64,21 +64,21 @@
 		return
 	}
 	window := a.longestIdleTimeout(summaries)
-	age := a.Loop.Now().Sub(a.Cluster.Leadership().StartedAt)
-	leastFree, covered := a.term.freeHistory.Add(age.Seconds(), a.surplusCPUs(summaries, room), window.Seconds())
-	if !covered || age < window {
+	termAge := a.Loop.Now().Sub(a.Cluster.Leadership().StartedAt)
+	minSurplus, covered := a.term.freeHistory.Add(termAge.Seconds(), a.surplusMilliCPUs(summaries, headroom), window.Seconds())
+	if !covered || termAge < window {
 		return // not seen for long enough
 	}
-	best := planning.LeastUsedMachine(summaries, leastFree, room.priority, func(summary *planning.MachineSummary) bool {
-		return summary.Partition != a.LoanPartition && !a.term.draining[a.nameOf(summary)]
+	candidate := planning.LeastUsedMachine(summaries, minSurplus, headroom.minPriority, func(summary *planning.MachineSummary) bool {
+		return summary.Partition != a.LoanPartition && !a.term.draining[a.machineName(summary)]
 	})
-	if best == nil {
+	if candidate == nil {
 		return
 	}
-	name := a.nameOf(best)
+	name := a.machineName(candidate)
 	a.term.draining[name] = true
-	a.term.freeHistory.Subtract(best.Size.CPU - best.UsedResources().CPU)
-	a.Log.Info("machine is drained", "machine", name, "spare_cpus", leastFree/milliCPUs)
+	a.term.freeHistory.Subtract(candidate.Size.CPU - candidate.UsedResources().CPU)
+	a.Log.Info("machine is drained", "machine", name, "spare_cpus", minSurplus/milliCPUsPerCPU)
 }
 
 // longestIdleTimeout is that of the on-demand machines of any type in use.
@@ -91,19 +91,19 @@
 	return longest
 }
 
-// surplusCPUs is how much is free beyond the headroom, in thousandths of a CPU. Negative: it
+// surplusMilliCPUs is how much is free beyond the headroom, in thousandths of a CPU. Negative: it
 // is less.
-func (a *Autoscaler) surplusCPUs(summaries []*planning.MachineSummary, room *headroom) int64 {
-	free := int64(0)
+func (a *Autoscaler) surplusMilliCPUs(summaries []*planning.MachineSummary, headroom *serviceHeadroom) int64 {
+	surplus := int64(0)
 	for _, summary := range summaries {
-		if !a.term.draining[a.nameOf(summary)] {
-			free += summary.Size.CPU - summary.UsedResources().CPU
+		if !a.term.draining[a.machineName(summary)] {
+			surplus += summary.Size.CPU - summary.UsedResources().CPU
 		}
 	}
-	for _, demand := range room.demands {
-		free -= demand.TaskSize.CPU * int64(demand.Count)
+	for _, demand := range headroom.demands {
+		surplus -= demand.TaskSize.CPU * int64(demand.Count)
 	}
-	return free
+	return surplus
 }
 
 // terminateIdle terminates machines that have been idle for long, and drained ones as soon
@@ -115,20 +115,20 @@
 		switch {
 		case m.HasBoundTasks || summary.InUse:
 			delete(a.term.idleSince, m.Name)
-		case a.idleForLong(&m):
+		case a.exceedsIdleTimeout(&m):
 			names = append(names, m.Name)
 		}
 	}
 	a.terminate(names)
 }
 
-// idleForLong notes that a machine is idle, and tells whether it has been for too long. An
+// exceedsIdleTimeout notes that a machine is idle, and tells whether it has been for too long. An
 // outage, in which no heartbeats were accepted, tells nothing of what is needed.
-func (a *Autoscaler) idleForLong(m *Machine) bool {
-	since := a.term.idleSince[m.Name]
-	if since.IsZero() || since.Before(a.Cluster.HeartbeatsResumedAt()) {
+func (a *Autoscaler) exceedsIdleTimeout(m *Machine) bool {
+	idleSince := a.term.idleSince[m.Name]
+	if idleSince.IsZero() || idleSince.Before(a.Cluster.HeartbeatsResumedAt()) {
 		a.term.idleSince[m.Name] = a.Loop.Now()
 		return false
 	}
-	return a.announcedDraining[m.Name] || a.Loop.Now().Sub(since) > a.idleTimeout(a.Machines.Types()[m.Type], m.Spot)
+	return a.announcedDraining[m.Name] || a.Loop.Now().Sub(idleSince) > a.idleTimeout(a.Machines.Types()[m.Type], m.Spot)
 }
--- a/internal/autoscaler/fake_cluster_test.go
+++ b/internal/autoscaler/fake_cluster_test.go
@@ -20,22 +20,22 @@
 // fakeCloud answers by what a test sets, and keeps what it was asked.
 type fakeCloud struct {
 	// launch answers launches; nil: all that is asked for is launched.
-	launch       func(wire.LaunchRequest) ([]string, error)
-	launches     []wire.LaunchRequest
-	terminateErr error
-	terminations [][]string
-	list         []wire.Instance
-	listErr      error
-	lists        int
-	types        []wire.MachineType
-	typesErr     error
-	typeReads    int
+	launchFunc        func(wire.LaunchRequest) ([]string, error)
+	launchRequests    []wire.LaunchRequest
+	terminateErr      error
+	terminations      [][]string
+	instances         []wire.Instance
+	listErr           error
+	listCalls         int
+	machineTypes      []wire.MachineType
+	machineTypesErr   error
+	machineTypesCalls int
 }
 
 func (c *fakeCloud) Launch(_ context.Context, request wire.LaunchRequest) ([]string, error) {
-	c.launches = append(c.launches, request)
-	if c.launch != nil {
-		return c.launch(request)
+	c.launchRequests = append(c.launchRequests, request)
+	if c.launchFunc != nil {
+		return c.launchFunc(request)
 	}
 	var names []string
 	for i := range request.Count {
@@ -50,37 +50,37 @@
 }
 
 func (c *fakeCloud) List(context.Context) ([]wire.Instance, error) {
-	c.lists++
-	return c.list, c.listErr
+	c.listCalls++
+	return c.instances, c.listErr
 }
 
 func (c *fakeCloud) MachineTypes(context.Context) ([]wire.MachineType, error) {
-	c.typeReads++
-	return c.types, c.typesErr
+	c.machineTypesCalls++
+	return c.machineTypes, c.machineTypesErr
 }
 
 // fakeCluster are the machines, the cluster, the queue of writes and the event loop around
 // an autoscaler. Calls to the cloud wait until a test has them made.
 type fakeCluster struct {
-	cloud       fakeCloud
-	now         time.Time
-	machines    []*ReportedMachine // by index
-	neverUp     []string           // marked as terminated
-	unreachable []string
-	types       map[string]*wire.MachineType
-
-	starting      bool
-	leadership    Leadership
-	leaderHeardAt time.Time
-	partition     wire.Condition
-	ownersLost    bool
-	resumedAt     time.Time
-	unreadable    bool
-	tombstones    map[string]Tombstone
-
-	writes []*store.Write
-	done   []func(error)
-	queue  *store.Writer
+	cloud                fakeCloud
+	now                  time.Time
+	machines             []*ReportedMachine // by index
+	markedTerminated     []string           // marked as terminated
+	unreachableWithTasks []string
+	types                map[string]*wire.MachineType
+
+	loadingRecords       bool
+	leadership           Leadership
+	leaderLastHeardAt    time.Time
+	partitionCondition   wire.Condition
+	ownersUnresponsive   bool
+	heartbeatsResumedAt  time.Time
+	hasUnreadableRecords bool
+	tombstones           map[string]Tombstone
+
+	writes         []*store.Write
+	writeCallbacks []func(error)
+	writer         *store.Writer
 }
 
 const (
@@ -92,7 +92,7 @@
 var (
 	leaderCondition    = wire.Condition{Key: "e/leader", Revision: 7}
 	partitionCondition = wire.Condition{Key: "e/partition/0", Revision: 3}
-	small              = planning.Offer{Type: "small", Zone: "a"}
+	smallOffer         = planning.Offer{Type: "small", Zone: "a"}
 )
 
 // newFakeCluster is one that this controller has led for an hour.
@@ -103,17 +103,17 @@
 		types:      map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAMGB: 16, Price: 0.4, SpotPrice: 0.1, BootS: 40, Zones: []string{"a"}}},
 		leadership: Leadership{Epoch: leaderEpoch, StartedAt: now.Add(-hour), Active: true, CanAct: true, FencingCondition: leaderCondition},
 		tombstones: map[string]Tombstone{},
-		queue:      store.NewWriter(nil, 32, 40, 1, nil),
+		writer:     store.NewWriter(nil, 32, 40, 1, nil),
 	}
 }
 
 // follow has another controller lead.
-func (c *fakeCluster) follow() {
+func (c *fakeCluster) becomeFollower() {
 	c.leadership = Leadership{FencingCondition: wire.Condition{Key: leaderCondition.Key}}
 }
 
 // autoscaler is one in this cluster, at the start of its term if this controller leads.
-func (c *fakeCluster) autoscaler(t *testing.T) *Autoscaler {
+func (c *fakeCluster) newAutoscaler(t *testing.T) *Autoscaler {
 	t.Helper()
 	a := New(Config{
 		CloudSettings: config.CloudSettings{RPS: 6, ListLagS: 3}, Operator: config.DefaultOperator(),
@@ -127,7 +127,7 @@
 }
 
 // add adds machines of the small type that are up in zone a.
-func (c *fakeCluster) add(count int) {
+func (c *fakeCluster) addMachines(count int) {
 	for range count {
 		name := fmt.Sprintf("host-%06d", len(c.machines))
 		c.machines = append(c.machines, &ReportedMachine{Machine: Machine{Name: name, Type: "small", Zone: "a"}, Reachable: true})
@@ -135,10 +135,10 @@
 }
 
 // summaries are those of all machines, with what is bound using all of its machine.
-func (c *fakeCluster) summaries() []*planning.MachineSummary {
+func (c *fakeCluster) machineSummaries() []*planning.MachineSummary {
 	var all []*planning.MachineSummary
 	for i, m := range c.machines {
-		size := sizeOf(c.types[m.Type])
+		size := machineTypeSize(c.types[m.Type])
 		summary := &planning.MachineSummary{Index: scheduling.MachineIndex(i), Type: m.Type, Zone: m.Zone, Spot: m.Spot, Partition: m.Partition, Size: size, FreeResources: size}
 		if m.HasBoundTasks {
 			summary.FreeResources, summary.Usages = scheduling.Resources{}, []planning.TaskUsage{{Size: size}}
@@ -149,25 +149,25 @@
 }
 
 // workload is one of what waits alone.
-func (c *fakeCluster) workload(waiting ...planning.Demand) *Workload {
-	return &Workload{Machines: c.summaries(), UnplacedDemands: waiting, Services: slices.Values([]Service(nil))}
+func (c *fakeCluster) newWorkload(waiting ...planning.Demand) *Workload {
+	return &Workload{Machines: c.machineSummaries(), UnplacedDemands: waiting, Services: slices.Values([]Service(nil))}
 }
 
 // demand is one for tasks that fill a machine each.
-func (c *fakeCluster) demand(tasks int) planning.Demand {
-	return planning.Demand{Class: "c", TaskSize: sizeOf(c.types["small"]), Count: tasks, AllOrNothing: true,
+func (c *fakeCluster) newDemand(tasks int) planning.Demand {
+	return planning.Demand{Class: "c", TaskSize: machineTypeSize(c.types["small"]), Count: tasks, AllOrNothing: true,
 		AllowsOffer: func(offer planning.Offer) bool { return !offer.Spot }}
 }
 
-// makeCalls makes the calls to the cloud that wait, and those that come up by that.
-func (c *fakeCluster) makeCalls(a *Autoscaler) {
-	for len(a.calls) > 0 {
-		f := <-a.calls
-		f(context.Background())
+// runQueuedCalls makes the calls to the cloud that wait, and those that come up by that.
+func (c *fakeCluster) runQueuedCalls(a *Autoscaler) {
+	for len(a.queuedCalls) > 0 {
+		call := <-a.queuedCalls
+		call(context.Background())
 	}
 }
 
-func (c *fakeCluster) find(name string) *ReportedMachine {
+func (c *fakeCluster) findMachine(name string) *ReportedMachine {
 	for _, m := range c.machines {
 		if m.Name == name {
 			return m
@@ -177,14 +177,14 @@
 }
 
 func (c *fakeCluster) GetOrAdd(name string) Machine {
-	if m := c.find(name); m != nil {
+	if m := c.findMachine(name); m != nil {
 		return m.Machine
 	}
 	return Machine{Name: name}
 }
 
 func (c *fakeCluster) Lookup(name string) (Machine, bool) {
-	return c.GetOrAdd(name), c.find(name) != nil
+	return c.GetOrAdd(name), c.findMachine(name) != nil
 }
 
 func (c *fakeCluster) At(index scheduling.MachineIndex) Machine { return c.machines[index].Machine }
@@ -195,20 +195,22 @@
 	}
 }
 
-func (c *fakeCluster) UnreachableMachinesWithTasks() []string       { return c.unreachable }
-func (c *fakeCluster) MarkTerminated(name string)                   { c.neverUp = append(c.neverUp, name) }
+func (c *fakeCluster) UnreachableMachinesWithTasks() []string { return c.unreachableWithTasks }
+func (c *fakeCluster) MarkTerminated(name string) {
+	c.markedTerminated = append(c.markedTerminated, name)
+}
 func (c *fakeCluster) Types() map[string]*wire.MachineType          { return c.types }
-func (c *fakeCluster) HasLoadedRecords() bool                       { return !c.starting }
+func (c *fakeCluster) HasLoadedRecords() bool                       { return !c.loadingRecords }
 func (c *fakeCluster) Leadership() Leadership                       { return c.leadership }
-func (c *fakeCluster) LeaderLastHeardAt() time.Time                 { return c.leaderHeardAt }
-func (c *fakeCluster) PartitionFencingCondition(int) wire.Condition { return c.partition }
-func (c *fakeCluster) AreAllOwnersResponsive() bool                 { return !c.ownersLost }
-func (c *fakeCluster) HasCompleteView(int) bool                     { return !c.ownersLost }
-func (c *fakeCluster) HeartbeatsResumedAt() time.Time               { return c.resumedAt }
-func (c *fakeCluster) HasUnreadableRecords() bool                   { return c.unreadable }
+func (c *fakeCluster) LeaderLastHeardAt() time.Time                 { return c.leaderLastHeardAt }
+func (c *fakeCluster) PartitionFencingCondition(int) wire.Condition { return c.partitionCondition }
+func (c *fakeCluster) AreAllOwnersResponsive() bool                 { return !c.ownersUnresponsive }
+func (c *fakeCluster) HasCompleteView(int) bool                     { return !c.ownersUnresponsive }
+func (c *fakeCluster) HeartbeatsResumedAt() time.Time               { return c.heartbeatsResumedAt }
+func (c *fakeCluster) HasUnreadableRecords() bool                   { return c.hasUnreadableRecords }
 func (c *fakeCluster) Now() time.Time                               { return c.now }
 func (c *fakeCluster) Enqueue(f func())                             { f() }
-func (c *fakeCluster) Backlog() time.Duration                       { return c.queue.BacklogDuration() }
+func (c *fakeCluster) Backlog() time.Duration                       { return c.writer.BacklogDuration() }
 
 func (c *fakeCluster) SetTypes(types []wire.MachineType) {
 	c.types = map[string]*wire.MachineType{}
@@ -229,6 +231,6 @@
 
 // SubmitWrite keeps a write in the queue, where nothing stores it.
 func (c *fakeCluster) SubmitWrite(write *store.Write, done func(error)) {
-	c.writes, c.done = append(c.writes, write), append(c.done, done)
-	c.queue.Submit(write)
+	c.writes, c.writeCallbacks = append(c.writes, write), append(c.writeCallbacks, done)
+	c.writer.Submit(write)
 }
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -15,9 +15,9 @@
 	listRateShare = 0.15
 	// minListInterval is the least time between two lists.
 	minListInterval = 2 * time.Second
-	// outagePatience is for how long lists fail until it is an outage: some are refused when
+	// outageThreshold is for how long lists fail until it is an outage: some are refused when
 	// there are too many calls.
-	outagePatience = 10 * time.Second
+	outageThreshold = 10 * time.Second
 	// listLagMargin is how much longer than the lag of two lists an instance may be
 	// missing before it is taken not to exist.
 	listLagMargin = 10 * time.Second
@@ -28,11 +28,11 @@
 	machineType, zone string
 	spot              bool
 	launchedAt        time.Time
-	// reported: it has sent heartbeats to its owner, who told of it last at seenAt.
-	reported bool
-	seenAt   time.Time
+	// reported: it has sent heartbeats to its owner, who told of it last at lastReportedAt.
+	hasReported    bool
+	lastReportedAt time.Time
 	// listed: some list of the cloud has shown it.
-	listed bool
+	seenInList bool
 }
 
 // ObserveMachine notes that a machine's owner tells of it.
@@ -42,7 +42,7 @@
 		inst = &instance{machineType: m.Type, zone: m.Zone, spot: m.Spot, launchedAt: a.Loop.Now()}
 		a.term.instances[m.Name] = inst
 	}
-	inst.reported, inst.seenAt = true, a.Loop.Now()
+	inst.hasReported, inst.lastReportedAt = true, a.Loop.Now()
 }
 
 // SyncWithCloud keeps the machine types and the leader's list of instances current, and deletes
@@ -58,16 +58,16 @@
 
 // syncInstances reads the cloud's list when that is due.
 func (a *Autoscaler) syncInstances() {
-	if a.term.listInFlight || a.Loop.Now().Sub(a.term.listedAt) <= a.listInterval() {
+	if a.term.listInFlight || a.Loop.Now().Sub(a.term.listRequestedAt) <= a.listInterval() {
 		return
 	}
-	a.term.listInFlight, a.term.listedAt = true, a.Loop.Now()
+	a.term.listInFlight, a.term.listRequestedAt = true, a.Loop.Now()
 	epoch := a.epoch()
 	queued := a.queueCall(func(ctx context.Context) {
 		list, err := a.Cloud.List(ctx)
 		a.Loop.Enqueue(func() {
 			if a.epoch() == epoch {
-				a.listReceived(list, err)
+				a.handleList(list, err)
 			}
 		})
 	})
@@ -76,8 +76,8 @@
 	}
 }
 
-// listReceived takes in the result of a list of this term.
-func (a *Autoscaler) listReceived(list []wire.Instance, err error) {
+// handleList takes in the result of a list of this term.
+func (a *Autoscaler) handleList(list []wire.Instance, err error) {
 	a.term.listInFlight = false
 	if err != nil {
 		a.outage.ReportFailure(a.Loop.Now())
@@ -97,42 +97,42 @@
 // applyInstanceList takes the cloud's list in: machines that failed are terminated, ones
 // that nobody knows of are used.
 func (a *Autoscaler) applyInstanceList(list []wire.Instance) {
-	a.term.listed = true
+	a.term.hasInstanceList = true
 	var failed []string
 	listed := map[string]bool{}
 	for i := range list {
-		x := &list[i]
-		listed[x.Name] = true
-		if m, known := a.Machines.Lookup(x.Name); known && m.Terminated || a.terminating[x.Name] {
+		item := &list[i]
+		listed[item.Name] = true
+		if m, known := a.Machines.Lookup(item.Name); known && m.Terminated || a.terminating[item.Name] {
 			continue
 		}
-		if x.State == wire.InstanceFailed {
-			failed = append(failed, x.Name)
+		if item.State == wire.InstanceFailed {
+			failed = append(failed, item.Name)
 			continue
 		}
-		a.addListed(x)
+		a.addListedInstance(item)
 	}
-	a.dropUnlisted(listed)
+	a.dropUnlistedInstances(listed)
 	a.terminate(failed)
 }
 
-// addListed notes an instance that a list shows.
-func (a *Autoscaler) addListed(x *wire.Instance) {
-	inst := a.term.instances[x.Name]
+// addListedInstance notes an instance that a list shows.
+func (a *Autoscaler) addListedInstance(listed *wire.Instance) {
+	inst := a.term.instances[listed.Name]
 	if inst == nil {
-		inst = &instance{machineType: x.Type, zone: x.Zone, spot: x.Spot, launchedAt: a.Loop.Now().Add(-config.Seconds(x.AgeS))}
-		a.term.instances[x.Name] = inst
+		inst = &instance{machineType: listed.Type, zone: listed.Zone, spot: listed.Spot, launchedAt: a.Loop.Now().Add(-config.Seconds(listed.AgeS))}
+		a.term.instances[listed.Name] = inst
 	}
-	inst.listed = true
+	inst.seenInList = true
 }
 
-// dropUnlisted forgets instances that a list does not show. One that was listed and is no
+// dropUnlistedInstances forgets instances that a list does not show. One that was listed and is no
 // more has been taken back; one that never was after twice the lag does not exist.
-func (a *Autoscaler) dropUnlisted(listed map[string]bool) {
-	listLag := config.Seconds(2 * a.CloudSettings.ListLagS)
+func (a *Autoscaler) dropUnlistedInstances(listed map[string]bool) {
+	maxListLag := config.Seconds(2 * a.CloudSettings.ListLagS)
 	for name, inst := range a.term.instances {
-		overdue := a.Loop.Now().Sub(inst.launchedAt) > listLag+listLagMargin
-		if !listed[name] && (inst.listed || overdue) && !inst.reported {
+		overdue := a.Loop.Now().Sub(inst.launchedAt) > maxListLag+listLagMargin
+		if !listed[name] && (inst.seenInList || overdue) && !inst.hasReported {
 			delete(a.term.instances, name)
 		}
 	}
--- a/internal/autoscaler/isolated_zones.go
+++ b/internal/autoscaler/isolated_zones.go
@@ -6,15 +6,15 @@
 	minIsolatedMachines = 5
 )
 
-// zoneHeadcount is how many machines there are in a zone, and how many of them can't be
+// zoneReachability is how many machines there are in a zone, and how many of them can't be
 // reached.
-type zoneHeadcount struct{ all, outOfReach int }
+type zoneReachability struct{ total, unreachable int }
 
-// mostReachable reports whether at least half of them can be reached.
-func (h zoneHeadcount) mostReachable() bool { return h.outOfReach*2 <= h.all }
+// isMostlyReachable reports whether at least half of them can be reached.
+func (r zoneReachability) isMostlyReachable() bool { return r.unreachable*2 <= r.total }
 
-// zoneOf is a machine's zone, if anybody has told it; else "".
-func (a *Autoscaler) zoneOf(m *Machine) string {
+// machineZone is a machine's zone, if anybody has told it; else "".
+func (a *Autoscaler) machineZone(m *Machine) string {
 	if inst := a.term.instances[m.Name]; m.Zone == "" && inst != nil {
 		return inst.zone
 	}
@@ -38,13 +38,13 @@
 // proven gone by leases and agents' incarnations alone.
 func (a *Autoscaler) DetectIsolatedZones() {
 	zones := a.countMachinesByZone()
-	someZoneIsWell := false
+	anyZoneReachable := false
 	for zone, count := range zones {
-		someZoneIsWell = someZoneIsWell || zone != "" && count.mostReachable()
+		anyZoneReachable = anyZoneReachable || zone != "" && count.isMostlyReachable()
 	}
 	a.term.isolatedZones = map[string]bool{}
 	for zone, count := range zones {
-		if zone == "" || !someZoneIsWell || count.mostReachable() || count.outOfReach < minIsolatedMachines {
+		if zone == "" || !anyZoneReachable || count.isMostlyReachable() || count.unreachable < minIsolatedMachines {
 			delete(a.term.isolatedSince, zone)
 			continue
 		}
@@ -52,7 +52,7 @@
 		if !known {
 			since = a.Loop.Now()
 			a.term.isolatedSince[zone] = since
-			a.Log.Info("zone seems isolated", "zone", zone, "machines", count.all, "out_of_reach", count.outOfReach)
+			a.Log.Info("zone seems isolated", "zone", zone, "machines", count.total, "out_of_reach", count.unreachable)
 		}
 		a.term.isolatedZones[zone] = a.Loop.Now().Sub(since) < a.MaxUnreachableWorkDuration
 	}
@@ -60,17 +60,17 @@
 
 // countMachinesByZone counts the machines that owners tell about. Those whose owner has only
 // just come do not count: after a crash of all controllers that is so everywhere.
-func (a *Autoscaler) countMachinesByZone() map[string]zoneHeadcount {
-	zones := map[string]zoneHeadcount{}
+func (a *Autoscaler) countMachinesByZone() map[string]zoneReachability {
+	zones := map[string]zoneReachability{}
 	a.Machines.EachReportedMachine(func(m ReportedMachine) {
 		if m.AwaitingFirstHeartbeat && !m.Unreachable {
 			return
 		}
-		zone := a.zoneOf(&m.Machine)
+		zone := a.machineZone(&m.Machine)
 		count := zones[zone]
-		count.all++
+		count.total++
 		if !m.Reachable {
-			count.outOfReach++
+			count.unreachable++
 		}
 		zones[zone] = count
 	})
--- a/internal/autoscaler/launch.go
+++ b/internal/autoscaler/launch.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// maxLaunch is how many machines of an offer one call asks for: the rest is planned
+	// maxMachinesPerLaunch is how many machines of an offer one call asks for: the rest is planned
 	// anew once it is known how many there were.
-	maxLaunch = 50
+	maxMachinesPerLaunch = 50
 	// minLaunchBackoff and maxLaunchBackoff bound how long an offer that has too little
 	// capacity is not asked for again. It doubles each time.
 	minLaunchBackoff = 5 * time.Second
@@ -30,14 +30,14 @@
 // launch asks the cloud for machines, unless it has been asked for such already. The
 // idempotency key is unique for all time: an epoch never comes again.
 func (a *Autoscaler) launch(offer planning.Offer, count int) {
-	if a.term.launching[offer] > 0 {
+	if a.term.pendingLaunches[offer] > 0 {
 		return
 	}
-	a.term.launchRequests++
-	a.term.launching[offer] = count
-	epoch, launchedAt := a.epoch(), a.Loop.Now()
+	a.term.launchRequestCount++
+	a.term.pendingLaunches[offer] = count
+	epoch, requestedAt := a.epoch(), a.Loop.Now()
 	request := wire.LaunchRequest{
-		IdempotencyKey: fmt.Sprintf("r-%d-%d", epoch, a.term.launchRequests),
+		IdempotencyKey: fmt.Sprintf("r-%d-%d", epoch, a.term.launchRequestCount),
 		Type:           offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count,
 	}
 	queued := a.queueCall(func(ctx context.Context) {
@@ -47,12 +47,12 @@
 		}
 		a.Loop.Enqueue(func() {
 			if a.epoch() == epoch {
-				a.applyLaunch(launchResult{offer: offer, asked: count, launchedAt: launchedAt, names: names, err: err})
+				a.handleLaunchResult(launchResult{offer: offer, requestedCount: count, launchedAt: requestedAt, machineNames: names, err: err})
 			}
 		})
 	})
 	if !queued {
-		a.applyLaunch(launchResult{offer: offer, asked: count, err: errQueueFull})
+		a.handleLaunchResult(launchResult{offer: offer, requestedCount: count, err: errQueueFull})
 	}
 }
 
@@ -61,27 +61,27 @@
 
 // launchResult is what became of a launch.
 type launchResult struct {
-	offer      planning.Offer
-	asked      int
-	launchedAt time.Time
-	names      []string
-	err        error
+	offer          planning.Offer
+	requestedCount int
+	launchedAt     time.Time
+	machineNames   []string
+	err            error
 }
 
-// applyLaunch takes in the result of a launch of this term.
-func (a *Autoscaler) applyLaunch(result launchResult) {
+// handleLaunchResult takes in the result of a launch of this term.
+func (a *Autoscaler) handleLaunchResult(result launchResult) {
 	offer := result.offer
-	delete(a.term.launching, offer)
+	delete(a.term.pendingLaunches, offer)
 	if result.err == nil {
-		a.addInstances(offer, result.names, result.launchedAt)
-		a.Log.Info("instances launched", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "asked", result.asked, "got", len(result.names))
+		a.addInstances(offer, result.machineNames, result.launchedAt)
+		a.Log.Info("instances launched", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "asked", result.requestedCount, "got", len(result.machineNames))
 	}
-	if result.err == nil && len(result.names) == result.asked {
-		delete(a.term.backoff, offer)
+	if result.err == nil && len(result.machineNames) == result.requestedCount {
+		delete(a.term.backoffDelays, offer)
 		return
 	}
 	a.backOff(offer, result.err)
-	a.Log.Debug("launch not filled", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "asked", result.asked, "err", result.err)
+	a.Log.Debug("launch not filled", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "asked", result.requestedCount, "err", result.err)
 }
 
 // addInstances notes machines that the cloud has launched.
@@ -96,50 +96,50 @@
 // backOff has an offer not asked for again for a while. Each type, zone and kind has a
 // capacity of its own.
 func (a *Autoscaler) backOff(offer planning.Offer, err error) {
-	delay := min(max(2*a.term.backoff[offer], minLaunchBackoff), maxLaunchBackoff)
+	delay := min(max(2*a.term.backoffDelays[offer], minLaunchBackoff), maxLaunchBackoff)
 	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 		delay = launchRetryDelay
 	}
-	a.term.backoff[offer] = delay
-	a.term.refusedUntil[offer] = a.Loop.Now().Add(delay)
+	a.term.backoffDelays[offer] = delay
+	a.term.backoffUntil[offer] = a.Loop.Now().Add(delay)
 }
 
 // offers are what may be launched now, in a fixed order.
-func (a *Autoscaler) offers() []planning.PricedOffer {
+func (a *Autoscaler) availableOffers() []planning.PricedOffer {
 	var all []planning.PricedOffer
 	for _, machineType := range a.Machines.Types() {
 		for _, zone := range machineType.Zones {
 			if a.term.isolatedZones[zone] {
 				continue // what comes up there can't be reached either
 			}
-			all = append(all, a.offersOf(machineType, zone)...)
+			all = append(all, a.availableOffersIn(machineType, zone)...)
 		}
 	}
 	slices.SortFunc(all, func(x, y planning.PricedOffer) int {
-		return cmp.Or(cmp.Compare(x.Type, y.Type), cmp.Compare(x.Zone, y.Zone), onDemandFirst(x.Offer, y.Offer))
+		return cmp.Or(cmp.Compare(x.Type, y.Type), cmp.Compare(x.Zone, y.Zone), compareOnDemandFirst(x.Offer, y.Offer))
 	})
 	return all
 }
 
-// offersOf are those of a machine type in a zone.
-func (a *Autoscaler) offersOf(machineType *wire.MachineType, zone string) []planning.PricedOffer {
+// availableOffersIn are those of a machine type in a zone.
+func (a *Autoscaler) availableOffersIn(machineType *wire.MachineType, zone string) []planning.PricedOffer {
 	var offers []planning.PricedOffer
 	for _, spot := range []bool{false, true} {
 		offer := planning.Offer{Type: machineType.Name, Zone: zone, Spot: spot}
-		if spot && !a.Operator.Spot || a.Loop.Now().Before(a.term.refusedUntil[offer]) {
+		if spot && !a.Operator.Spot || a.Loop.Now().Before(a.term.backoffUntil[offer]) {
 			continue
 		}
 		price := machineType.Price
 		if spot {
 			price = machineType.SpotPrice
 		}
-		offers = append(offers, planning.PricedOffer{Offer: offer, Size: sizeOf(machineType), Price: price, BootS: machineType.BootS})
+		offers = append(offers, planning.PricedOffer{Offer: offer, Size: machineTypeSize(machineType), Price: price, BootS: machineType.BootS})
 	}
 	return offers
 }
 
-// onDemandFirst orders two offers: spot instances come last.
-func onDemandFirst(x, y planning.Offer) int {
+// compareOnDemandFirst orders two offers: spot instances come last.
+func compareOnDemandFirst(x, y planning.Offer) int {
 	switch {
 	case x.Spot == y.Spot:
 		return 0
@@ -150,7 +150,7 @@
 	}
 }
 
-// sizeOf are the resources of a machine type.
-func sizeOf(machineType *wire.MachineType) scheduling.Resources {
+// machineTypeSize are the resources of a machine type.
+func machineTypeSize(machineType *wire.MachineType) scheduling.Resources {
 	return scheduling.NewResources(machineType.CPUs, machineType.GPUs, machineType.RAMGB)
 }
--- a/internal/autoscaler/launch_test.go
+++ b/internal/autoscaler/launch_test.go
@@ -37,23 +37,23 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newFakeCluster()
-			a := c.autoscaler(t)
+			a := c.newAutoscaler(t)
 			for _, result := range test.results {
-				c.cloud.launch = func(wire.LaunchRequest) ([]string, error) {
+				c.cloud.launchFunc = func(wire.LaunchRequest) ([]string, error) {
 					return []string{"new-1", "new-2"}[:test.got], result
 				}
 				c.now = c.now.Add(time.Minute)
-				a.launch(small, 2)
-				c.makeCalls(a)
+				a.launch(smallOffer, 2)
+				c.runQueuedCalls(a)
 			}
-			if a.term.backoff[small] != test.backoff || len(c.cloud.launches) != test.calls {
-				t.Errorf("backoff %v after %d calls, want %v after %d", a.term.backoff[small], len(c.cloud.launches), test.backoff, test.calls)
+			if a.term.backoffDelays[smallOffer] != test.backoff || len(c.cloud.launchRequests) != test.calls {
+				t.Errorf("backoff %v after %d calls, want %v after %d", a.term.backoffDelays[smallOffer], len(c.cloud.launchRequests), test.backoff, test.calls)
 			}
 			if len(a.term.instances) != test.got {
 				t.Errorf("%d instances, want %d", len(a.term.instances), test.got)
 			}
-			isSmall := func(offer planning.PricedOffer) bool { return offer.Offer == small }
-			if offered := slices.ContainsFunc(a.offers(), isSmall); offered != (test.backoff == 0) {
+			isSmall := func(offer planning.PricedOffer) bool { return offer.Offer == smallOffer }
+			if offered := slices.ContainsFunc(a.availableOffers(), isSmall); offered != (test.backoff == 0) {
 				t.Errorf("it is on offer: %v, with a backoff of %v", offered, test.backoff)
 			}
 		})
@@ -61,22 +61,22 @@
 }
 
 // Who got no answer repeats the very request, and a launch that follows is another one.
-func TestIdempotencyKeys(t *testing.T) {
+func TestLaunchIdempotencyKeys(t *testing.T) {
 	c := newFakeCluster()
-	a := c.autoscaler(t)
-	c.cloud.launch = func(wire.LaunchRequest) ([]string, error) {
-		if len(c.cloud.launches) == 1 {
+	a := c.newAutoscaler(t)
+	c.cloud.launchFunc = func(wire.LaunchRequest) ([]string, error) {
+		if len(c.cloud.launchRequests) == 1 {
 			return nil, errors.New("no answer")
 		}
 		return []string{"new-1"}, nil
 	}
-	a.launch(small, 1)
-	a.launch(small, 1) // while the first is under way: it is not made
-	c.makeCalls(a)
-	a.launch(small, 1)
-	c.makeCalls(a)
+	a.launch(smallOffer, 1)
+	a.launch(smallOffer, 1) // while the first is under way: it is not made
+	c.runQueuedCalls(a)
+	a.launch(smallOffer, 1)
+	c.runQueuedCalls(a)
 	var keys []string
-	for _, request := range c.cloud.launches {
+	for _, request := range c.cloud.launchRequests {
 		keys = append(keys, request.IdempotencyKey)
 	}
 	if want := []string{"r-5-1", "r-5-1", "r-5-2"}; fmt.Sprint(keys) != fmt.Sprint(want) {
@@ -86,26 +86,26 @@
 
 // What a call of a former term brings is not counted as the present term's: only the cloud's
 // list tells of it.
-func TestResultsOfAFormerTermAreDropped(t *testing.T) {
+func TestResultsOfFormerTermAreDropped(t *testing.T) {
 	c := newFakeCluster()
-	a := c.autoscaler(t)
-	a.launch(small, 2)
+	a := c.newAutoscaler(t)
+	a.launch(smallOffer, 2)
 	a.syncInstances()
-	c.cloud.list = []wire.Instance{{Name: "new-1", Type: "small", Zone: "a"}}
+	c.cloud.instances = []wire.Instance{{Name: "new-1", Type: "small", Zone: "a"}}
 	c.leadership.Epoch++
 	a.StartTerm()
-	c.makeCalls(a)
-	if len(c.cloud.launches) != 1 || c.cloud.lists != 1 || len(a.term.instances) != 0 || a.term.listed {
-		t.Errorf("%d launches, %d lists, instances %v, listed %v; want one each, and nothing known", len(c.cloud.launches), c.cloud.lists, a.term.instances, a.term.listed)
+	c.runQueuedCalls(a)
+	if len(c.cloud.launchRequests) != 1 || c.cloud.listCalls != 1 || len(a.term.instances) != 0 || a.term.hasInstanceList {
+		t.Errorf("%d launches, %d lists, instances %v, listed %v; want one each, and nothing known", len(c.cloud.launchRequests), c.cloud.listCalls, a.term.instances, a.term.hasInstanceList)
 	}
-	a.launch(small, 1)
-	if len(a.calls) != 1 {
+	a.launch(smallOffer, 1)
+	if len(a.queuedCalls) != 1 {
 		t.Error("the new term's launch waits for the former term's")
 	}
 }
 
 // Nothing is launched before the leader knows what there is.
-func TestNothingIsLaunchedBeforeTheFleetIsKnown(t *testing.T) {
+func TestNoLaunchBeforeFleetIsKnown(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		cluster func(c *fakeCluster)
@@ -114,61 +114,61 @@
 	}{
 		{"new, not listed", func(*fakeCluster) {}, false, false},
 		{"new, listed", func(*fakeCluster) {}, true, true},
-		{"new, listed, an owner is not heard", func(c *fakeCluster) { c.ownersLost = true }, true, false},
+		{"new, listed, an owner is not heard", func(c *fakeCluster) { c.ownersUnresponsive = true }, true, false},
 		{"old, not listed", func(c *fakeCluster) { c.leadership.StartedAt = c.now.Add(-11 * time.Second) }, false, true},
-		{"heartbeats have only just resumed", func(c *fakeCluster) { c.resumedAt = c.now.Add(-2 * time.Second) }, true, false},
+		{"heartbeats have only just resumed", func(c *fakeCluster) { c.heartbeatsResumedAt = c.now.Add(-2 * time.Second) }, true, false},
 		{"no types", func(c *fakeCluster) { c.types = nil }, true, false},
-		{"isolated zone", func(c *fakeCluster) { c.add(6); c.isolate("a", "b") }, true, false},
+		{"isolated zone", func(c *fakeCluster) { c.addMachines(6); c.isolateZone("a", "b") }, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newFakeCluster()
 			c.leadership.StartedAt = c.now
-			waiting := c.demand(3)
+			waiting := c.newDemand(3)
 			test.cluster(c)
-			a := c.autoscaler(t)
-			a.term.listed = test.listed
+			a := c.newAutoscaler(t)
+			a.term.hasInstanceList = test.listed
 			a.DetectIsolatedZones()
-			a.Scale(&Workload{Services: c.workload().Services})
-			if len(a.calls) != 0 {
+			a.Scale(&Workload{Services: c.newWorkload().Services})
+			if len(a.queuedCalls) != 0 {
 				t.Error("machines are launched that nobody needs")
 			}
-			work := c.workload(waiting)
+			work := c.newWorkload(waiting)
 			work.Machines = nil
 			a.Scale(work)
-			c.makeCalls(a)
-			if got := len(c.cloud.launches) > 0; got != test.want {
-				t.Errorf("launches: %+v, want some: %v", c.cloud.launches, test.want)
+			c.runQueuedCalls(a)
+			if got := len(c.cloud.launchRequests) > 0; got != test.want {
+				t.Errorf("launches: %+v, want some: %v", c.cloud.launchRequests, test.want)
 			}
-			if test.want && (c.cloud.launches[0].Count != 3 || c.cloud.launches[0].Spot) {
-				t.Errorf("launches: %+v, want 3 on demand", c.cloud.launches)
+			if test.want && (c.cloud.launchRequests[0].Count != 3 || c.cloud.launchRequests[0].Spot) {
+				t.Errorf("launches: %+v, want 3 on demand", c.cloud.launchRequests)
 			}
 		})
 	}
 }
 
 // One call asks for a limited number of machines.
-func TestLargeLaunchesAreCut(t *testing.T) {
+func TestLaunchCountIsLimitedPerCall(t *testing.T) {
 	c := newFakeCluster()
-	a := c.autoscaler(t)
-	a.Scale(c.workload(c.demand(80)))
-	c.makeCalls(a)
-	if len(c.cloud.launches) != 1 || c.cloud.launches[0].Count != 50 {
-		t.Errorf("launches: %+v, want one of 50", c.cloud.launches)
+	a := c.newAutoscaler(t)
+	a.Scale(c.newWorkload(c.newDemand(80)))
+	c.runQueuedCalls(a)
+	if len(c.cloud.launchRequests) != 1 || c.cloud.launchRequests[0].Count != 50 {
+		t.Errorf("launches: %+v, want one of 50", c.cloud.launchRequests)
 	}
 }
 
 // What is booting is counted on, and not launched again, until it is overdue.
-func TestBootingMachinesAreCountedOn(t *testing.T) {
+func TestBootingMachinesCountAsCapacity(t *testing.T) {
 	c := newFakeCluster()
-	a := c.autoscaler(t)
-	a.Scale(c.workload(c.demand(3)))
-	a.Scale(c.workload(c.demand(3)))
-	c.makeCalls(a)
+	a := c.newAutoscaler(t)
+	a.Scale(c.newWorkload(c.newDemand(3)))
+	a.Scale(c.newWorkload(c.newDemand(3)))
+	c.runQueuedCalls(a)
 	c.now = c.now.Add(60 * time.Second)
-	a.Scale(c.workload(c.demand(3)))
-	c.makeCalls(a)
-	if booting, _ := a.MachineCounts(); booting != 3 || len(c.cloud.launches) != 1 {
-		t.Errorf("%d machines are booting after %d launches, want 3 after 1", booting, len(c.cloud.launches))
+	a.Scale(c.newWorkload(c.newDemand(3)))
+	c.runQueuedCalls(a)
+	if booting, _ := a.MachineCounts(); booting != 3 || len(c.cloud.launchRequests) != 1 {
+		t.Errorf("%d machines are booting after %d launches, want 3 after 1", booting, len(c.cloud.launchRequests))
 	}
 	a.terminate([]string{"r-5-1-0"})
 	if booting, _ := a.MachineCounts(); booting != 2 {
@@ -181,35 +181,35 @@
 }
 
 // Run makes calls until its context ends, and not after.
-func TestRunEndsWithItsContext(t *testing.T) {
+func TestRunStopsWhenContextIsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster()
-		a := c.autoscaler(t)
+		a := c.newAutoscaler(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := false
 		go func() { a.Run(ctx); ended = true }()
-		a.launch(small, 1)
+		a.launch(smallOffer, 1)
 		synctest.Wait()
-		if len(c.cloud.launches) != 1 {
-			t.Errorf("%d launches, want 1", len(c.cloud.launches))
+		if len(c.cloud.launchRequests) != 1 {
+			t.Errorf("%d launches, want 1", len(c.cloud.launchRequests))
 		}
 		cancel()
 		synctest.Wait()
 		if !ended {
 			t.Fatal("it goes on")
 		}
-		a.launch(small, 1)
+		a.launch(smallOffer, 1)
 		synctest.Wait()
-		if len(c.cloud.launches) != 1 {
-			t.Errorf("%d launches, want 1", len(c.cloud.launches))
+		if len(c.cloud.launchRequests) != 1 {
+			t.Errorf("%d launches, want 1", len(c.cloud.launchRequests))
 		}
 	})
 }
 
 // A full queue takes no more, and says so.
-func TestQueueOfCallsIsBounded(t *testing.T) {
+func TestCallQueueIsBounded(t *testing.T) {
 	c := newFakeCluster()
-	a := c.autoscaler(t)
+	a := c.newAutoscaler(t)
 	for i := range callQueueLength {
 		if !a.queueCall(func(context.Context) {}) {
 			t.Fatalf("call %d is not taken", i)
@@ -226,49 +226,49 @@
 // Why: a launch that the queue of calls has no room for, as in an outage of the cloud, counted as
 // under way, and no second one is made beside it.
 // Shown by: demand for the offer, no call of the cloud and no "launch not filled".
-func TestLaunchWithoutRoomInTheQueueIsMadeLater(t *testing.T) {
+func TestLaunchIsRetriedAfterFullQueue(t *testing.T) {
 	c := newFakeCluster()
-	a := c.autoscaler(t)
+	a := c.newAutoscaler(t)
 	for range callQueueLength {
 		a.queueCall(func(context.Context) {})
 	}
-	a.Scale(c.workload(c.demand(3)))
-	c.makeCalls(a)
-	if len(c.cloud.launches) != 0 {
-		t.Fatalf("%d launches, want none while the queue is full", len(c.cloud.launches))
+	a.Scale(c.newWorkload(c.newDemand(3)))
+	c.runQueuedCalls(a)
+	if len(c.cloud.launchRequests) != 0 {
+		t.Fatalf("%d launches, want none while the queue is full", len(c.cloud.launchRequests))
 	}
 	c.now = c.now.Add(launchRetryDelay)
-	a.Scale(c.workload(c.demand(3)))
-	c.makeCalls(a)
-	if len(c.cloud.launches) != 1 || c.cloud.launches[0].Count != 3 {
-		t.Errorf("launches: %+v, want one of 3", c.cloud.launches)
+	a.Scale(c.newWorkload(c.newDemand(3)))
+	c.runQueuedCalls(a)
+	if len(c.cloud.launchRequests) != 1 || c.cloud.launchRequests[0].Count != 3 {
+		t.Errorf("launches: %+v, want one of 3", c.cloud.launchRequests)
 	}
 }
 
 // A machine that does not come up is given up once, and what it was for goes to another offer
 // while there is one; its own is asked for again after the usual backoff.
-func TestDemandGoesElsewhereWhereMachinesDoNotComeUp(t *testing.T) {
+func TestFailedBootsMoveDemandToAnotherOffer(t *testing.T) {
 	c := newFakeCluster()
 	c.types["small"].Zones = []string{"a", "b"}
-	a := c.autoscaler(t)
-	a.term.listed = true
-	a.Scale(c.workload(c.demand(3)))
-	c.makeCalls(a)
-	first := c.cloud.launches[0]
+	a := c.newAutoscaler(t)
+	a.term.hasInstanceList = true
+	a.Scale(c.newWorkload(c.newDemand(3)))
+	c.runQueuedCalls(a)
+	first := c.cloud.launchRequests[0]
 	c.now = c.now.Add(a.bootTimeout(c.types["small"]) + time.Second)
 	for range 3 { // the leader's steps until the call to the cloud is made
 		a.TerminateLostMachines()
 	}
-	a.Scale(c.workload(c.demand(3)))
-	c.makeCalls(a)
+	a.Scale(c.newWorkload(c.newDemand(3)))
+	c.runQueuedCalls(a)
 	if len(c.cloud.terminations) != 1 || len(c.cloud.terminations[0]) != first.Count {
 		t.Errorf("terminations: %v, want all %d machines once", c.cloud.terminations, first.Count)
 	}
-	if len(c.cloud.launches) != 2 || c.cloud.launches[1].Zone == first.Zone || c.cloud.launches[1].Count != first.Count {
-		t.Fatalf("launches: %+v, want a second one of as many in the other zone", c.cloud.launches)
+	if len(c.cloud.launchRequests) != 2 || c.cloud.launchRequests[1].Zone == first.Zone || c.cloud.launchRequests[1].Count != first.Count {
+		t.Fatalf("launches: %+v, want a second one of as many in the other zone", c.cloud.launchRequests)
 	}
 	offer := planning.Offer{Type: first.Type, Zone: first.Zone, Spot: first.Spot}
-	if rest := a.term.refusedUntil[offer].Sub(c.now); rest != minLaunchBackoff {
+	if rest := a.term.backoffUntil[offer].Sub(c.now); rest != minLaunchBackoff {
 		t.Errorf("the first zone rests for %v, want %v", rest, minLaunchBackoff)
 	}
 }
--- a/internal/autoscaler/lost_machines.go
+++ b/internal/autoscaler/lost_machines.go
@@ -30,27 +30,27 @@
 // leader.
 func (a *Autoscaler) TerminateLostMachines() {
 	names := a.overdueInstances()
-	a.noteNeverUp(names)
+	a.backOffFailedBoots(names)
 	a.Machines.EachReportedMachine(func(m ReportedMachine) {
-		if a.lost(&m) {
+		if a.isLost(&m) {
 			names = append(names, m.Name)
 		}
 	})
 	a.terminate(names)
 }
 
-// noteNeverUp has the offers rest for a while of which machines did not come up. Like a lack of
+// backOffFailedBoots has the offers rest for a while of which machines did not come up. Like a lack of
 // capacity it befalls one type, zone and kind at a time: meanwhile what the machines were for
 // goes to another offer, if there is one.
-func (a *Autoscaler) noteNeverUp(overdue []string) {
-	neverUp := map[planning.Offer]int{}
+func (a *Autoscaler) backOffFailedBoots(overdue []string) {
+	failedBoots := map[planning.Offer]int{}
 	for _, name := range overdue {
 		inst := a.term.instances[name]
-		if !inst.reported && !a.terminating[name] {
-			neverUp[planning.Offer{Type: inst.machineType, Zone: inst.zone, Spot: inst.spot}]++
+		if !inst.hasReported && !a.terminating[name] {
+			failedBoots[planning.Offer{Type: inst.machineType, Zone: inst.zone, Spot: inst.spot}]++
 		}
 	}
-	for offer, count := range neverUp {
+	for offer, count := range failedBoots {
 		a.backOff(offer, cloud.ErrNoCapacity)
 		a.Log.Info("machines did not come up", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "machines", count)
 	}
@@ -69,8 +69,8 @@
 			continue
 		}
 		since := inst.launchedAt
-		if inst.reported {
-			since = inst.seenAt
+		if inst.hasReported {
+			since = inst.lastReportedAt
 		}
 		if a.Loop.Now().Sub(since) > a.bootTimeout(machineType) && a.Cluster.HasCompleteView(a.Machines.GetOrAdd(name).Partition) {
 			names = append(names, name)
@@ -82,8 +82,8 @@
 // lost tells whether a machine is no more use. Unreachable ones wait for the first list of
 // a new term: only the list tells the zone of a machine that has not sent a heartbeat since
 // a failover, and its zone may be isolated.
-func (a *Autoscaler) lost(m *ReportedMachine) bool {
-	if m.Unreachable && a.term.listed && !a.term.isolatedZones[a.zoneOf(&m.Machine)] {
+func (a *Autoscaler) isLost(m *ReportedMachine) bool {
+	if m.Unreachable && a.term.hasInstanceList && !a.term.isolatedZones[a.machineZone(&m.Machine)] {
 		return true
 	}
 	return m.Cordoned && (!m.HasBoundTasks || a.Loop.Now().Sub(m.CordonedAt) > cordonedTimeout)
--- a/internal/autoscaler/machine_types.go
+++ b/internal/autoscaler/machine_types.go
@@ -25,14 +25,14 @@
 // only while it knows none.
 func (a *Autoscaler) syncMachineTypes() {
 	unknown := len(a.Machines.Types()) == 0
-	age := a.Loop.Now().Sub(a.term.machineTypesFetchedAt)
+	age := a.Loop.Now().Sub(a.term.machineTypesRequestedAt)
 	if age <= machineTypesInterval && !(unknown && age > machineTypesRetry) {
 		return
 	}
 	if !a.Cluster.Leadership().CanAct && !(unknown && a.Cluster.HasLoadedRecords()) {
 		return
 	}
-	a.term.machineTypesFetchedAt = a.Loop.Now()
+	a.term.machineTypesRequestedAt = a.Loop.Now()
 	a.queueCall(a.fetchMachineTypes)
 }
 
--- a/internal/autoscaler/machines_test.go
+++ b/internal/autoscaler/machines_test.go
@@ -11,12 +11,12 @@
 )
 
 // isolate has all machines of a zone out of reach, and one of another zone well.
-func (c *fakeCluster) isolate(zone, other string) {
+func (c *fakeCluster) isolateZone(zone, reachableZone string) {
 	for _, m := range c.machines {
 		m.Zone, m.Reachable = zone, false
 	}
-	c.add(1)
-	c.machines[len(c.machines)-1].Zone = other
+	c.addMachines(1)
+	c.machines[len(c.machines)-1].Zone = reachableZone
 }
 
 func TestIsolatedZones(t *testing.T) {
@@ -25,30 +25,30 @@
 		cluster  func(c *fakeCluster)
 		isolated bool
 	}{
-		{"isolated", func(c *fakeCluster) { c.add(6); c.isolate("a", "b") }, true},
-		{"few machines", func(c *fakeCluster) { c.add(4); c.isolate("a", "b") }, false},
-		{"no other zone", func(c *fakeCluster) { c.add(6); c.isolate("a", "a") }, false},
-		{"zone is not known", func(c *fakeCluster) { c.add(6); c.isolate("", "b") }, false},
-		{"half of it is well", func(c *fakeCluster) { c.add(6); c.isolate("a", "b"); c.add(6) }, false},
+		{"isolated", func(c *fakeCluster) { c.addMachines(6); c.isolateZone("a", "b") }, true},
+		{"few machines", func(c *fakeCluster) { c.addMachines(4); c.isolateZone("a", "b") }, false},
+		{"no other zone", func(c *fakeCluster) { c.addMachines(6); c.isolateZone("a", "a") }, false},
+		{"zone is not known", func(c *fakeCluster) { c.addMachines(6); c.isolateZone("", "b") }, false},
+		{"half of it is well", func(c *fakeCluster) { c.addMachines(6); c.isolateZone("a", "b"); c.addMachines(6) }, false},
 		{"owners have only just come", func(c *fakeCluster) {
-			c.add(6)
-			c.isolate("a", "b")
+			c.addMachines(6)
+			c.isolateZone("a", "b")
 			for _, m := range c.machines {
 				m.AwaitingFirstHeartbeat = true
 			}
 		}, false},
 		{"owners have only just come, and asked", func(c *fakeCluster) {
-			c.add(6)
+			c.addMachines(6)
 			for _, m := range c.machines {
 				m.AwaitingFirstHeartbeat, m.Unreachable = true, true
 			}
-			c.isolate("a", "b")
+			c.isolateZone("a", "b")
 		}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newFakeCluster()
 			test.cluster(c)
-			a := c.autoscaler(t)
+			a := c.newAutoscaler(t)
 			a.DetectIsolatedZones()
 			if got := slices.Equal(a.IsolatedZones(), []string{"a"}); got != test.isolated || !got && len(a.IsolatedZones()) != 0 {
 				t.Errorf("isolated: %v, want a: %v", a.IsolatedZones(), test.isolated)
@@ -58,19 +58,19 @@
 }
 
 // The machines of an isolated zone are kept until what runs there has ended anyhow.
-func TestMachinesOfAnIsolatedZoneAreKept(t *testing.T) {
+func TestIsolatedZoneMachinesAreKeptUntilWorkExpires(t *testing.T) {
 	c := newFakeCluster()
-	c.add(6)
+	c.addMachines(6)
 	for _, m := range c.machines {
 		m.Unreachable, m.HasBoundTasks = true, true
 	}
-	c.isolate("a", "b")
-	a := c.autoscaler(t)
-	a.term.listed = true
+	c.isolateZone("a", "b")
+	a := c.newAutoscaler(t)
+	a.term.hasInstanceList = true
 	step := func() {
 		a.DetectIsolatedZones()
 		a.TerminateLostMachines()
-		c.makeCalls(a)
+		c.runQueuedCalls(a)
 	}
 	step()
 	c.now = c.now.Add(59 * time.Second)
@@ -93,7 +93,7 @@
 	}{
 		{"well", func(*fakeCluster, *Autoscaler) {}, 0},
 		{"unreachable", func(c *fakeCluster, _ *Autoscaler) { c.machines[0].Unreachable = true }, 1},
-		{"unreachable, not listed yet", func(c *fakeCluster, a *Autoscaler) { c.machines[0].Unreachable, a.term.listed = true, false }, 0},
+		{"unreachable, not listed yet", func(c *fakeCluster, a *Autoscaler) { c.machines[0].Unreachable, a.term.hasInstanceList = true, false }, 0},
 		{"cordoned and idle", func(c *fakeCluster, _ *Autoscaler) { c.machines[0].Cordoned = true }, 1},
 		{"cordoned of late, in use", func(c *fakeCluster, _ *Autoscaler) {
 			m := c.machines[0]
@@ -104,21 +104,21 @@
 			m.Cordoned, m.HasBoundTasks, m.CordonedAt = true, true, c.now.Add(-16*time.Second)
 		}, 1},
 		{"boots", func(c *fakeCluster, a *Autoscaler) {
-			a.addInstances(small, []string{"new-1"}, c.now.Add(-110*time.Second)) // 2.5 times of 40 s, and 10 s
+			a.addInstances(smallOffer, []string{"new-1"}, c.now.Add(-110*time.Second)) // 2.5 times of 40 s, and 10 s
 		}, 0},
 		{"does not come up", func(c *fakeCluster, a *Autoscaler) {
-			a.addInstances(small, []string{"new-1"}, c.now.Add(-111*time.Second))
+			a.addInstances(smallOffer, []string{"new-1"}, c.now.Add(-111*time.Second))
 		}, 1},
 		{"does not come up in an isolated zone", func(c *fakeCluster, a *Autoscaler) {
-			a.addInstances(small, []string{"new-1"}, c.now.Add(-111*time.Second))
+			a.addInstances(smallOffer, []string{"new-1"}, c.now.Add(-111*time.Second))
 			a.term.isolatedZones = map[string]bool{"a": true}
 		}, 0},
 		{"does not come up, its owner has only just come", func(c *fakeCluster, a *Autoscaler) {
-			a.addInstances(small, []string{"new-1"}, c.now.Add(-111*time.Second))
-			c.ownersLost = true
+			a.addInstances(smallOffer, []string{"new-1"}, c.now.Add(-111*time.Second))
+			c.ownersUnresponsive = true
 		}, 0},
 		{"long up, and told of", func(c *fakeCluster, a *Autoscaler) {
-			a.addInstances(small, []string{"host-000000"}, c.now.Add(-hour))
+			a.addInstances(smallOffer, []string{"host-000000"}, c.now.Add(-hour))
 			a.ObserveMachine(c.machines[0].Machine)
 		}, 0},
 		{"long up, not told of any more", func(c *fakeCluster, a *Autoscaler) {
@@ -128,12 +128,12 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newFakeCluster()
-			c.add(1)
-			a := c.autoscaler(t)
-			a.term.listed = true
+			c.addMachines(1)
+			a := c.newAutoscaler(t)
+			a.term.hasInstanceList = true
 			test.cluster(c, a)
 			a.TerminateLostMachines()
-			c.makeCalls(a)
+			c.runQueuedCalls(a)
 			if len(c.cloud.terminations) != test.want {
 				t.Errorf("terminated: %v, want %d", c.cloud.terminations, test.want)
 			}
@@ -142,24 +142,24 @@
 }
 
 // An owner terminates unreachable machines itself only while it hears nothing of the leader.
-func TestOwnerTerminatesWhileNoLeaderIsHeard(t *testing.T) {
+func TestOwnerTerminatesUnreachableMachinesWithoutLeader(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		cluster func(c *fakeCluster)
 		want    bool
 	}{
-		{"leader is heard", func(c *fakeCluster) { c.follow(); c.leaderHeardAt = c.now.Add(-3 * time.Second) }, false},
-		{"leader is not heard", func(c *fakeCluster) { c.follow(); c.leaderHeardAt = c.now.Add(-4 * time.Second) }, true},
-		{"there is none", func(c *fakeCluster) { c.follow() }, true},
+		{"leader is heard", func(c *fakeCluster) { c.becomeFollower(); c.leaderLastHeardAt = c.now.Add(-3 * time.Second) }, false},
+		{"leader is not heard", func(c *fakeCluster) { c.becomeFollower(); c.leaderLastHeardAt = c.now.Add(-4 * time.Second) }, true},
+		{"there is none", func(c *fakeCluster) { c.becomeFollower() }, true},
 		{"it leads itself", func(*fakeCluster) {}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newFakeCluster()
-			c.unreachable, c.partition = []string{"host-000000"}, partitionCondition
+			c.unreachableWithTasks, c.partitionCondition = []string{"host-000000"}, partitionCondition
 			test.cluster(c)
-			a := c.autoscaler(t)
+			a := c.newAutoscaler(t)
 			a.TerminateUnreachableMachines()
-			c.makeCalls(a)
+			c.runQueuedCalls(a)
 			if got := len(c.cloud.terminations) == 1; got != test.want {
 				t.Errorf("terminated: %v, want %v", got, test.want)
 			}
@@ -183,18 +183,18 @@
 		{"spot instance", func(c *fakeCluster) { c.machines[0].Spot = true }, onDemand + time.Second, false},
 		{"spot instance, for long", func(c *fakeCluster) { c.machines[0].Spot = true }, spot + time.Second, true},
 		{"in use", func(c *fakeCluster) { c.machines[0].HasBoundTasks = true }, hour, false},
-		{"records that can't be decoded", func(c *fakeCluster) { c.unreadable = true }, hour, false},
-		{"outage meanwhile", func(c *fakeCluster) { c.resumedAt = c.now.Add(time.Second) }, onDemand + time.Second, false},
+		{"records that can't be decoded", func(c *fakeCluster) { c.hasUnreadableRecords = true }, hour, false},
+		{"outage meanwhile", func(c *fakeCluster) { c.heartbeatsResumedAt = c.now.Add(time.Second) }, onDemand + time.Second, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newFakeCluster()
-			c.add(1)
+			c.addMachines(1)
 			test.cluster(c)
-			a := c.autoscaler(t)
-			a.Scale(c.workload())
+			a := c.newAutoscaler(t)
+			a.Scale(c.newWorkload())
 			c.now = c.now.Add(test.idle)
-			a.Scale(c.workload())
-			c.makeCalls(a)
+			a.Scale(c.newWorkload())
+			c.runQueuedCalls(a)
 			if got := len(c.cloud.terminations) == 1; got != test.want {
 				t.Errorf("terminated: %v, want %v", got, test.want)
 			}
@@ -204,12 +204,12 @@
 
 // When more is free all the time than a machine has, the least used one is drained, and
 // its owner and others learn of it. In a shortage none is.
-func TestSurplusIsDrained(t *testing.T) {
+func TestSurplusMachineIsDrained(t *testing.T) {
 	c := newFakeCluster()
-	c.add(2)
-	a := c.autoscaler(t)
+	c.addMachines(2)
+	a := c.newAutoscaler(t)
 	work := func() *Workload {
-		work := c.workload()
+		work := c.newWorkload()
 		for _, summary := range work.Machines { // a quarter of each is in use
 			used := summary.Size
 			used.CPU /= 4
@@ -226,7 +226,7 @@
 		t.Fatalf("drained: %v, want one, as announced", drained)
 	}
 	short := work()
-	short.UnplacedDemands = []planning.Demand{c.demand(9)}
+	short.UnplacedDemands = []planning.Demand{c.newDemand(9)}
 	a.Scale(short)
 	if _, draining := a.MachineCounts(); draining != 0 || a.IsDraining(drained[0]) {
 		t.Errorf("%d machines are drained in a shortage", draining)
@@ -234,10 +234,10 @@
 }
 
 // Who does not lead goes by what the leader announced last.
-func TestAnnouncedDraining(t *testing.T) {
+func TestFollowerUsesAnnouncedDraining(t *testing.T) {
 	c := newFakeCluster()
-	c.follow()
-	a := c.autoscaler(t)
+	c.becomeFollower()
+	a := c.newAutoscaler(t)
 	a.ObserveDraining([]string{"host-1"})
 	a.ObserveDraining([]string{"host-2"})
 	if a.IsDraining("host-1") || !a.IsDraining("host-2") || a.IsDrainingAsLeader("host-2") || len(a.DrainingMachines()) != 0 {
@@ -246,20 +246,20 @@
 }
 
 // The cloud's list tells of instances that a former leader launched, and of failed ones.
-func TestInstanceList(t *testing.T) {
+func TestInstanceListUpdatesInstances(t *testing.T) {
 	c := newFakeCluster()
-	c.add(1)
-	a := c.autoscaler(t)
+	c.addMachines(1)
+	a := c.newAutoscaler(t)
 	a.ObserveMachine(c.machines[0].Machine) // not on the list, which lags: it stays
-	a.addInstances(small, []string{"new-1", "new-2"}, c.now.Add(-17*time.Second))
-	a.addInstances(small, []string{"new-3"}, c.now.Add(-16*time.Second)) // twice the lag of 3 s, and 10 s
-	c.cloud.list = []wire.Instance{
+	a.addInstances(smallOffer, []string{"new-1", "new-2"}, c.now.Add(-17*time.Second))
+	a.addInstances(smallOffer, []string{"new-3"}, c.now.Add(-16*time.Second)) // twice the lag of 3 s, and 10 s
+	c.cloud.instances = []wire.Instance{
 		{Name: "new-1", Type: "small", Zone: "a"},
 		{Name: "old-1", Type: "small", Zone: "a", AgeS: 30},
 		{Name: "bad-1", Type: "small", Zone: "a", State: wire.InstanceFailed},
 	}
 	a.SyncWithCloud()
-	c.makeCalls(a)
+	c.runQueuedCalls(a)
 	var known []string
 	for name := range a.term.instances {
 		known = append(known, name)
@@ -274,10 +274,10 @@
 	if len(c.cloud.terminations) != 1 || !slices.Equal(c.cloud.terminations[0], []string{"bad-1"}) {
 		t.Errorf("terminated: %v, want the failed one", c.cloud.terminations)
 	}
-	c.cloud.list = nil
+	c.cloud.instances = nil
 	c.now = c.now.Add(hour)
 	a.SyncWithCloud()
-	c.makeCalls(a)
+	c.runQueuedCalls(a)
 	if len(a.term.instances) != 1 {
 		t.Errorf("%d instances, want only the one that is up", len(a.term.instances))
 	}
@@ -293,23 +293,26 @@
 		writes  int
 	}{
 		{"leader", func(*fakeCluster) {}, 1, 1},
-		{"follower", func(c *fakeCluster) { c.follow() }, 0, 0},
-		{"follower, types are not known", func(c *fakeCluster) { c.follow(); c.types = nil }, 1, 1},
-		{"starting", func(c *fakeCluster) { c.follow(); c.types, c.starting = nil, true }, 0, 0},
-		{"cloud is out of reach", func(c *fakeCluster) { c.follow(); c.types, c.cloud.typesErr = nil, errors.New("no answer") }, 20, 0},
+		{"follower", func(c *fakeCluster) { c.becomeFollower() }, 0, 0},
+		{"follower, types are not known", func(c *fakeCluster) { c.becomeFollower(); c.types = nil }, 1, 1},
+		{"starting", func(c *fakeCluster) { c.becomeFollower(); c.types, c.loadingRecords = nil, true }, 0, 0},
+		{"cloud is out of reach", func(c *fakeCluster) {
+			c.becomeFollower()
+			c.types, c.cloud.machineTypesErr = nil, errors.New("no answer")
+		}, 20, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newFakeCluster()
-			c.cloud.types = []wire.MachineType{{Name: "large"}}
+			c.cloud.machineTypes = []wire.MachineType{{Name: "large"}}
 			test.cluster(c)
-			a := c.autoscaler(t)
+			a := c.newAutoscaler(t)
 			for range 60 {
 				a.SyncWithCloud()
-				c.makeCalls(a)
+				c.runQueuedCalls(a)
 				c.now = c.now.Add(time.Second)
 			}
-			if c.cloud.typeReads != test.reads || len(c.writes) != test.writes {
-				t.Errorf("%d reads and %d transactions, want %d and %d", c.cloud.typeReads, len(c.writes), test.reads, test.writes)
+			if c.cloud.machineTypesCalls != test.reads || len(c.writes) != test.writes {
+				t.Errorf("%d reads and %d transactions, want %d and %d", c.cloud.machineTypesCalls, len(c.writes), test.reads, test.writes)
 			}
 		})
 	}
--- a/internal/autoscaler/scale.go
+++ b/internal/autoscaler/scale.go
@@ -18,9 +18,9 @@
 	// launchDelayAfterOutage is how much longer than the usual pause between heartbeats a
 	// leader waits after an outage in which none were accepted.
 	launchDelayAfterOutage = 2 * time.Second
-	// usualBootFactor is how many of its nominal boot times a machine usually takes at
+	// expectedBootFactor is how many of its nominal boot times a machine usually takes at
 	// the most. One that takes longer is not counted on any more.
-	usualBootFactor = 1.6
+	expectedBootFactor = 1.6
 )
 
 // Service is a service that is not finished.
@@ -45,22 +45,22 @@
 }
 
 // headroom is the room that is kept for services to come.
-type headroom struct {
+type serviceHeadroom struct {
 	demands []planning.Demand
 	// priority is the least of all services: they would preempt what is below it.
-	priority int
+	minPriority int
 }
 
 // Scale launches machines for what found no room and terminates those that are not needed.
-func (a *Autoscaler) Scale(work *Workload) {
+func (a *Autoscaler) Scale(workload *Workload) {
 	if len(a.Machines.Types()) == 0 {
 		return
 	}
-	room := a.headroomFor(work.Services)
-	plan, shortage := a.plan(work, room)
-	if a.knowsFleet() {
+	headroom := a.computeHeadroom(workload.Services)
+	plan, shortage := a.planLaunches(workload, headroom)
+	if a.isFleetKnown() {
 		for offer, count := range plan.Launches {
-			a.launch(offer, min(count, maxLaunch))
+			a.launch(offer, min(count, maxMachinesPerLaunch))
 		}
 	}
 	// What a record that can't be decoded binds may run on a machine that seems idle: it
@@ -68,24 +68,24 @@
 	if a.Cluster.HasUnreadableRecords() {
 		return
 	}
-	a.drainSurplus(work.Machines, room, shortage)
-	a.terminateIdle(work.Machines)
+	a.drainSurplus(workload.Machines, headroom, shortage)
+	a.terminateIdle(workload.Machines)
 }
 
 // plan plans launches for what found no room and for the headroom. It reports a shortage if
 // there was too little room without the headroom.
-func (a *Autoscaler) plan(work *Workload, room *headroom) (plan *planning.ScalingPlan, shortage bool) {
+func (a *Autoscaler) planLaunches(workload *Workload, headroom *serviceHeadroom) (plan *planning.ScalingPlan, shortage bool) {
 	plan = &planning.ScalingPlan{
-		Machines:            append(slices.Clone(work.Machines), a.booting()...),
-		Offers:              a.offers(),
-		RunningTasksByClass: work.RunningTasksByClass,
+		Machines:            append(slices.Clone(workload.Machines), a.bootingMachines()...),
+		Offers:              a.availableOffers(),
+		RunningTasksByClass: workload.RunningTasksByClass,
 		Launches:            map[planning.Offer]int{},
 	}
-	placeAll(plan, work.UnplacedDemands)
-	placeAll(plan, work.GangReserveShortfall)
+	placeAll(plan, workload.UnplacedDemands)
+	placeAll(plan, workload.GangReserveShortfall)
 	shortage = plan.Shortage
-	planning.TreatLowerPriorityAsFree(plan.Machines, room.priority)
-	placeAll(plan, room.demands)
+	planning.TreatLowerPriorityAsFree(plan.Machines, headroom.minPriority)
+	placeAll(plan, headroom.demands)
 	return plan, shortage
 }
 
@@ -96,18 +96,18 @@
 	}
 }
 
-// knowsFleet tells whether the leader knows what is up and booting. A new one does not yet,
+// isFleetKnown tells whether the leader knows what is up and booting. A new one does not yet,
 // nor does one after a long outage, in which no heartbeats were accepted: it would launch
 // all of it once more.
-func (a *Autoscaler) knowsFleet() bool {
+func (a *Autoscaler) isFleetKnown() bool {
 	now := a.Loop.Now()
-	known := a.term.listed && a.Cluster.AreAllOwnersResponsive() || now.Sub(a.Cluster.Leadership().StartedAt) > launchDelayAfterFailover
+	known := a.term.hasInstanceList && a.Cluster.AreAllOwnersResponsive() || now.Sub(a.Cluster.Leadership().StartedAt) > launchDelayAfterFailover
 	return known && now.Sub(a.Cluster.HeartbeatsResumedAt()) > a.HeartbeatTimeout+launchDelayAfterOutage
 }
 
-// headroomFor is the room to keep for services to come, by those there are.
-func (a *Autoscaler) headroomFor(services iter.Seq[Service]) *headroom {
-	room := &headroom{priority: math.MaxInt}
+// computeHeadroom is the room to keep for services to come, by those there are.
+func (a *Autoscaler) computeHeadroom(services iter.Seq[Service]) *serviceHeadroom {
+	headroom := &serviceHeadroom{minPriority: math.MaxInt}
 	byClass := map[string]*planning.Demand{}
 	var classes []string
 	for service := range services {
@@ -119,46 +119,46 @@
 			classes = append(classes, service.Class)
 		}
 		demand.Count += service.TaskCount
-		room.priority = min(room.priority, service.Priority)
+		headroom.minPriority = min(headroom.minPriority, service.Priority)
 	}
 	slices.Sort(classes)
 	for _, class := range classes {
 		demand := byClass[class]
 		demand.Count = planning.Headroom(demand.Count, a.Operator.HeadroomOf(class))
-		room.demands = append(room.demands, *demand)
+		headroom.demands = append(headroom.demands, *demand)
 	}
-	return room
+	return headroom
 }
 
 // MachineCounts is how many machines are booting, and how many are drained.
 func (a *Autoscaler) MachineCounts() (booting, draining int) {
-	return len(a.booting()), len(a.term.draining)
+	return len(a.bootingMachines()), len(a.term.draining)
 }
 
 // booting are the machines that are launched, or asked for, and have not come up yet.
-func (a *Autoscaler) booting() []*planning.MachineSummary {
+func (a *Autoscaler) bootingMachines() []*planning.MachineSummary {
 	var machines []*planning.MachineSummary
 	types := a.Machines.Types()
 	for name, inst := range a.term.instances {
 		machineType := types[inst.machineType]
-		if inst.reported || machineType == nil || a.terminating[name] {
+		if inst.hasReported || machineType == nil || a.terminating[name] {
 			continue
 		}
-		if a.Loop.Now().Sub(inst.launchedAt) > config.Seconds(usualBootFactor*machineType.BootS) {
+		if a.Loop.Now().Sub(inst.launchedAt) > config.Seconds(expectedBootFactor*machineType.BootS) {
 			continue
 		}
-		machines = append(machines, bootingMachine(machineType, planning.Offer{Type: inst.machineType, Zone: inst.zone, Spot: inst.spot}))
+		machines = append(machines, newBootingSummary(machineType, planning.Offer{Type: inst.machineType, Zone: inst.zone, Spot: inst.spot}))
 	}
-	for offer, count := range a.term.launching {
+	for offer, count := range a.term.pendingLaunches {
 		for range count {
-			machines = append(machines, bootingMachine(types[offer.Type], offer))
+			machines = append(machines, newBootingSummary(types[offer.Type], offer))
 		}
 	}
 	return machines
 }
 
-// bootingMachine is an empty machine that is not up yet.
-func bootingMachine(machineType *wire.MachineType, offer planning.Offer) *planning.MachineSummary {
-	size := sizeOf(machineType)
+// newBootingSummary is an empty machine that is not up yet.
+func newBootingSummary(machineType *wire.MachineType, offer planning.Offer) *planning.MachineSummary {
+	size := machineTypeSize(machineType)
 	return &planning.MachineSummary{Index: planning.UnassignedIndex, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Size: size, FreeResources: size, Booting: true}
 }
--- a/internal/autoscaler/termination.go
+++ b/internal/autoscaler/termination.go
@@ -18,17 +18,17 @@
 	for _, name := range names {
 		if !a.terminating[name] {
 			a.terminating[name] = true
-			a.toTerminate = append(a.toTerminate, name)
+			a.queuedTerminations = append(a.queuedTerminations, name)
 		}
 	}
-	if a.terminationInFlight || len(a.toTerminate) == 0 {
+	if a.terminationInFlight || len(a.queuedTerminations) == 0 {
 		return
 	}
-	batch := a.toTerminate[:min(len(a.toTerminate), cloud.MaxTerminateNames)]
-	a.toTerminate = a.toTerminate[len(batch):]
+	batch := a.queuedTerminations[:min(len(a.queuedTerminations), cloud.MaxTerminateNames)]
+	a.queuedTerminations = a.queuedTerminations[len(batch):]
 	a.terminationInFlight = a.queueCall(func(ctx context.Context) {
 		err := a.Cloud.Terminate(ctx, batch)
-		a.Loop.Enqueue(func() { a.terminated(batch, err) })
+		a.Loop.Enqueue(func() { a.handleTermination(batch, err) })
 	})
 	if !a.terminationInFlight {
 		a.cancelTermination(batch)
@@ -36,7 +36,7 @@
 }
 
 // terminated takes in the result of a call, and goes on with what has come up meanwhile.
-func (a *Autoscaler) terminated(names []string, err error) {
+func (a *Autoscaler) handleTermination(names []string, err error) {
 	a.terminationInFlight = false
 	if err != nil {
 		a.Log.Debug("termination failed", "machines", len(names), "err", err)
--- a/internal/autoscaler/tombstones_test.go
+++ b/internal/autoscaler/tombstones_test.go
@@ -17,7 +17,7 @@
 // key-value store allows, and assignment waited for seconds.
 func TestTombstonesAreDeletedOnce(t *testing.T) {
 	c := newFakeCluster()
-	a := c.autoscaler(t)
+	a := c.newAutoscaler(t)
 	for i := range 3 {
 		key := fmt.Sprint("e/gone/host-", i)
 		c.tombstones[key] = Tombstone{Key: key, MachineNames: []string{fmt.Sprint("host-", i)}, FirstSeenAt: c.now}
@@ -34,7 +34,7 @@
 	if len(c.writes) != 1 || len(c.writes[0].Changes) != 3 || !slices.Equal(c.writes[0].Conditions, []wire.Condition{leaderCondition}) {
 		t.Errorf("written: %+v, want one deletion of 3 tombstones by the leader", c.writes)
 	}
-	c.done[0](nil)
+	c.writeCallbacks[0](nil)
 	a.deleteTombstones()
 	if len(c.writes) != 2 {
 		t.Errorf("%d transactions, want another one once the first is stored", len(c.writes))
@@ -42,15 +42,15 @@
 }
 
 // The result of a former term's deletion does not end the wait for the present term's.
-func TestDeletionOfAFormerTerm(t *testing.T) {
+func TestFormerTermDeletionResultIsIgnored(t *testing.T) {
 	c := newFakeCluster()
 	c.tombstones["e/gone/x"] = Tombstone{Key: "e/gone/x", FirstSeenAt: c.now.Add(-hour)}
-	a := c.autoscaler(t)
+	a := c.newAutoscaler(t)
 	a.deleteTombstones()
 	c.leadership.Epoch++
 	a.StartTerm()
 	a.deleteTombstones()
-	c.done[0](nil)
+	c.writeCallbacks[0](nil)
 	a.deleteTombstones()
 	if len(c.writes) != 2 {
 		t.Errorf("%d transactions, want one of each term", len(c.writes))
@@ -59,7 +59,7 @@
 
 // A tombstone is kept while a list of the cloud may show its machines, and while a record
 // binds tasks to one of them.
-func TestTombstonesThatAreNeededStay(t *testing.T) {
+func TestNeededTombstonesAreKept(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		age  time.Duration
@@ -72,10 +72,10 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newFakeCluster()
-			c.add(2)
+			c.addMachines(2)
 			c.machines[1].HasBoundTasks = test.used
 			c.tombstones["e/gone/x"] = Tombstone{Key: "e/gone/x", MachineNames: []string{"host-000000", "host-000001"}, FirstSeenAt: c.now.Add(-test.age)}
-			c.autoscaler(t).deleteTombstones()
+			c.newAutoscaler(t).deleteTombstones()
 			if len(c.writes) != test.want {
 				t.Errorf("%d transactions, want %d", len(c.writes), test.want)
 			}
@@ -87,8 +87,8 @@
 // one change, not one for each: their tasks wait for it.
 func TestMachinesTerminatedTogetherShareATombstone(t *testing.T) {
 	c := newFakeCluster()
-	a := c.autoscaler(t)
-	c.add(240)
+	a := c.newAutoscaler(t)
+	c.addMachines(240)
 	var names []string
 	for _, m := range c.machines {
 		names = append(names, m.Name)
@@ -108,10 +108,10 @@
 }
 
 // No tombstone is larger than half of what a value may hold, and the name that fills it.
-func TestManyMachinesHaveSeveralTombstones(t *testing.T) {
+func TestLargeBatchIsSplitIntoSeveralTombstones(t *testing.T) {
 	c := newFakeCluster()
-	a := c.autoscaler(t)
-	c.add(600)
+	a := c.newAutoscaler(t)
+	c.addMachines(600)
 	var names []string
 	for _, m := range c.machines {
 		names = append(names, m.Name)
@@ -131,7 +131,7 @@
 }
 
 // Who holds the fencing token stores the tombstone; what never was up has none.
-func TestTombstoneIsStoredByWhoeverMay(t *testing.T) {
+func TestTombstoneFencingCondition(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		cluster   func(c *fakeCluster)
@@ -139,21 +139,21 @@
 		condition *wire.Condition
 	}{
 		{"leader", func(*fakeCluster) {}, false, &leaderCondition},
-		{"leader who owns the partition", func(c *fakeCluster) { c.partition = partitionCondition }, false, &leaderCondition},
-		{"owner", func(c *fakeCluster) { c.follow(); c.partition = partitionCondition }, false, &partitionCondition},
-		{"neither", func(c *fakeCluster) { c.follow() }, false, nil},
+		{"leader who owns the partition", func(c *fakeCluster) { c.partitionCondition = partitionCondition }, false, &leaderCondition},
+		{"owner", func(c *fakeCluster) { c.becomeFollower(); c.partitionCondition = partitionCondition }, false, &partitionCondition},
+		{"neither", func(c *fakeCluster) { c.becomeFollower() }, false, nil},
 		{"leader, never up", func(*fakeCluster) {}, true, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newFakeCluster()
 			test.cluster(c)
-			a := c.autoscaler(t)
-			c.add(1)
+			a := c.newAutoscaler(t)
+			c.addMachines(1)
 			if test.launched {
-				a.addInstances(small, []string{"host-000000"}, c.now)
+				a.addInstances(smallOffer, []string{"host-000000"}, c.now)
 			}
 			a.terminate([]string{"host-000000"})
-			c.makeCalls(a)
+			c.runQueuedCalls(a)
 			if test.condition == nil {
 				checkNoTombstone(t, c, a, test.launched)
 			} else {
@@ -170,7 +170,7 @@
 	if len(c.writes) != 0 || a.IsTerminating("host-000000") {
 		t.Errorf("%d transactions, terminating: %v; want neither", len(c.writes), a.IsTerminating("host-000000"))
 	}
-	if got := len(c.neverUp) == 1; got != neverUp {
+	if got := len(c.markedTerminated) == 1; got != neverUp {
 		t.Errorf("taken for terminated: %v, want %v", got, neverUp)
 	}
 }
@@ -188,7 +188,7 @@
 	if !a.IsTerminating("host-000000") {
 		t.Error("it is not being terminated while the tombstone is stored")
 	}
-	c.done[0](nil)
+	c.writeCallbacks[0](nil)
 	if a.IsTerminating("host-000000") {
 		t.Error("it is still being terminated once the tombstone is stored")
 	}
@@ -198,13 +198,13 @@
 // cloud takes; after a failed one they may be asked for again.
 func TestTerminationsAreBatched(t *testing.T) {
 	c := newFakeCluster()
-	a := c.autoscaler(t)
-	c.add(1 + cloud.MaxTerminateNames + 5)
+	a := c.newAutoscaler(t)
+	c.addMachines(1 + cloud.MaxTerminateNames + 5)
 	for _, m := range c.machines {
 		a.terminate([]string{m.Name})
 		a.terminate([]string{m.Name})
 	}
-	c.makeCalls(a)
+	c.runQueuedCalls(a)
 	var sizes []int
 	for _, names := range c.cloud.terminations {
 		sizes = append(sizes, len(names))
@@ -214,12 +214,12 @@
 	}
 
 	c = newFakeCluster()
-	a = c.autoscaler(t)
-	c.add(1)
+	a = c.newAutoscaler(t)
+	c.addMachines(1)
 	c.cloud.terminateErr = errors.New("no answer")
 	for range 2 {
 		a.terminate([]string{"host-000000"})
-		c.makeCalls(a)
+		c.runQueuedCalls(a)
 		if a.IsTerminating("host-000000") || len(c.writes) != 0 {
 			t.Errorf("terminating: %v, %d transactions; want neither after a failed call", a.IsTerminating("host-000000"), len(c.writes))
 		}
