--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,25 +1,27 @@
-// Package autoscaler launches and terminates the cluster's machines: for the leader what to
-// scale out and in, and for the owner of a partition those that nobody reaches while no
-// leader is heard.
+// Package autoscaler launches and terminates the cluster's machines. The leader scales the
+// fleet out and in. While no leader responds, the owner of a partition terminates the
+// unreachable machines of that partition.
 //
-// An Autoscaler owns the instances that the cloud has given, the calls to the cloud that
-// wait or are under way, the machines that are being terminated, those that are drained, and
-// the zones that seem isolated. How much room demands need is planned by package planning;
-// what is stored of terminated machines, their tombstones, is indexed by the Cluster.
+// An Autoscaler holds the instances that the cloud has launched, the queued and running calls
+// to the cloud, the machines that are being terminated, the machines that are being drained,
+// and the zones that seem isolated. Package planning computes how many machines the demands
+// need. The Cluster indexes the stored tombstones of terminated machines.
 //
-// All of it but the machines being terminated, and what the leader announced of draining, is
-// of one term as the leader: StartTerm and EndTerm forget it, and results of calls that a
-// former term made are dropped. After a failover the list of the cloud and the machines'
-// heartbeats tell what is up; nothing is launched before both are known, or the time for
-// that is over. A launch has an idempotency key that no other term or launch ever has.
+// Apart from the machines being terminated and the announced draining machines, all of this
+// state belongs to one leadership term. StartTerm and EndTerm discard it, and the results of
+// calls that an earlier term made are dropped. After a failover, the instance list of the
+// cloud and the machines' heartbeats show which machines are up. A new leader launches nothing
+// until it has the instance list and every partition's owner responds, or until a timeout.
+// The idempotency key of a launch request is unique across all terms and requests.
 //
-// Machines are terminated in two steps. Once the cloud has confirmed, a tombstone is stored
-// under the fencing token of the leader or of the machine's owner; only that proves to
-// everybody that the machine's tasks are gone. A tombstone is deleted when nothing refers to
-// its machines any more.
+// Machines are terminated in two steps. Once the cloud has confirmed the termination, a
+// tombstone is stored under the fencing token of the leader or of the partition's owner. Only
+// the tombstone proves to other controllers that the tasks on the machine have ended. A
+// tombstone is deleted when nothing refers to its machines any more.
 //
-// An Autoscaler belongs to the event loop's goroutine and holds no lock. Run alone runs
-// elsewhere: it makes the calls to the cloud, whose results come back by EventLoop.Enqueue.
+// An Autoscaler is confined to the event loop's goroutine and has no lock. The exception is
+// Run, which makes the calls to the cloud on goroutines of its own and passes their results
+// back through EventLoop.Enqueue.
 package autoscaler
 
 import (
@@ -36,146 +38,159 @@
 	"eiderhitch/internal/wire"
 )
 
-// Cloud is the client of the cloud. Its methods are called by Run's goroutines.
+// Cloud is the client for the cloud's API. Run's goroutines call its methods concurrently.
 type Cloud interface {
-	// Launch is idempotent by its request's key. It may launch fewer than asked.
+	// Launch launches machines and returns their names, which may be fewer than requested.
+	// Requests with the same idempotency key launch machines only once.
 	Launch(ctx context.Context, request wire.LaunchRequest) (names []string, err error)
-	// Terminate takes at most cloud.MaxTerminateNames machines. Without an error they are gone.
+	// Terminate terminates at most cloud.MaxTerminateNames machines. If it returns no error,
+	// the machines no longer exist.
 	Terminate(ctx context.Context, names []string) error
-	// List may lag.
+	// List returns all instances. It may lag behind launches and terminations.
 	List(ctx context.Context) ([]wire.Instance, error)
+	// MachineTypes returns the machine types on offer, with their current prices.
 	MachineTypes(ctx context.Context) ([]wire.MachineType, error)
 }
 
-// Machine is what is known of a machine.
+// Machine describes a machine as this controller knows it.
 type Machine struct {
 	Name string
-	// Type and Zone are empty as long as nobody has told them.
+	// Type and Zone are empty until they have been reported.
 	Type, Zone string
 	Spot       bool
-	// Partition is the index of the one that the machine is in now.
+	// Partition is the index of the machine's current partition.
 	Partition int
-	// Bound: tasks are bound to it.
+	// HasBoundTasks is true while tasks are bound to the machine.
 	HasBoundTasks bool
-	// Terminated: a tombstone says so.
+	// Terminated is true if a tombstone names the machine or MarkTerminated was called.
 	Terminated bool
 }
 
-// ReportedMachine is a machine with what its owner says of it.
+// ReportedMachine is a machine with the state that the owner of its partition reports.
 type ReportedMachine struct {
 	Machine
-	// Reachable: heartbeats are arriving. Unreachable: neither do they, nor does it answer.
+	// Reachable is true while heartbeats arrive. Unreachable is true if no heartbeats arrive
+	// and the machine does not answer its owner either. Both may be false.
 	Reachable, Unreachable bool
-	// FlagNoHeartbeatYet: no heartbeat has come since its owner took its partition over.
+	// AwaitingFirstHeartbeat is true until the first heartbeat arrives after the owner has
+	// taken over the partition.
 	AwaitingFirstHeartbeat bool
-	Cordoned               bool
-	CordonedAt             time.Time
+	// Cordoned is true if no new tasks are placed on the machine because tasks of several
+	// jobs have failed there. CordonedAt is when that began.
+	Cordoned   bool
+	CordonedAt time.Time
 }
 
-// Machines are all that are known, and the types on offer.
+// Machines gives access to all known machines and to the machine types on offer.
 type Machines interface {
-	// Machine is the machine of that name, which is known from then on.
+	// GetOrAdd returns the machine with a name, and adds it if it is not known.
 	GetOrAdd(name string) Machine
-	// Lookup is the machine of that name, if it is known.
+	// Lookup returns the machine with a name, or false if it is not known.
 	Lookup(name string) (Machine, bool)
-	// At is the machine with an index, as in planning.MachineSummary.
+	// At returns the machine with an index, which is that of a planning.MachineSummary.
 	At(index scheduling.MachineIndex) Machine
-	// EachReportedMachine calls f for each machine that its owner tells about.
+	// EachReportedMachine calls f for each machine that the owner of its partition reports.
 	EachReportedMachine(f func(ReportedMachine))
-	// UnreachableMachinesWithTasks names the machines of own partitions that can't be reached and have
-	// tasks bound to them.
+	// UnreachableMachinesWithTasks returns the names of the unreachable machines that have
+	// tasks bound to them, in the partitions that this controller owns.
 	UnreachableMachinesWithTasks() []string
-	// MarkTerminated takes a machine that never was for terminated, without a tombstone.
+	// MarkTerminated marks a machine that has never come up as terminated. Such a machine has
+	// no tombstone.
 	MarkTerminated(name string)
-	// Types are the machine types by name; empty while they are not known.
+	// Types returns the machine types by name. The map is empty while they are not known.
 	Types() map[string]*wire.MachineType
-	// SetTypes replaces them.
+	// SetTypes replaces the machine types.
 	SetTypes(types []wire.MachineType)
 }
 
-// Leadership is how far this controller leads.
+// Leadership describes the current leadership term of this controller, if it has one.
 type Leadership struct {
-	// Epoch tells one term from another; 0: there is none.
+	// Epoch is unique to the term. It is 0 while this controller is not the leader.
 	Epoch uint64
-	// Since is when the term began.
+	// StartedAt is when the term began.
 	StartedAt time.Time
-	// Active: all that was stored before the term has been read. Acting: besides, the
-	// replica is fresh enough to decide by.
+	// Active is true once everything that was stored before the term has been read. CanAct
+	// is true if, in addition, the replica is fresh enough to base decisions on.
 	Active, CanAct bool
-	// Condition has a write fail once the term is over.
+	// FencingCondition makes a write fail once the term has ended.
 	FencingCondition wire.Condition
 }
 
-// Tombstone is a stored one.
+// Tombstone is a stored record of terminated machines.
 type Tombstone struct {
 	Key string
-	// Names are those of the terminated machines.
+	// MachineNames lists the terminated machines.
 	MachineNames []string
-	// FirstSeenAt is when this controller first saw it.
+	// FirstSeenAt is when this controller first read the tombstone.
 	FirstSeenAt time.Time
 }
 
-// Cluster is the cluster around the machines.
+// Cluster gives access to the state of the cluster, as seen by this controller.
 type Cluster interface {
-	// Loaded reports whether the records have been read since the start.
+	// HasLoadedRecords reports whether all records have been read since the process started.
 	HasLoadedRecords() bool
-	// Leadership is this controller's.
+	// Leadership returns the leadership term of this controller.
 	Leadership() Leadership
-	// LeaderLastHeardAt is when the leader was last heard; zero: never, or it is no peer.
+	// LeaderLastHeardAt returns when the leader last sent a status. It is zero if the leader
+	// has never sent one or is not a peer of this controller.
 	LeaderLastHeardAt() time.Time
-	// PartitionFencingCondition has a write fail once a partition is owned by somebody else; its
-	// revision is 0 if this controller does not own it.
+	// PartitionFencingCondition returns a condition that makes a write fail once another
+	// controller owns the partition. Its revision is 0 if this controller does not own it.
 	PartitionFencingCondition(partition int) wire.Condition
-	// AreAllOwnersResponsive reports whether the leader hears every partition's owner, and
-	// HasCompleteView whether it has heard one's for so long that all machines of the
-	// partition must have reported.
+	// AreAllOwnersResponsive reports whether the leader receives statuses from the owner of
+	// every partition.
 	AreAllOwnersResponsive() bool
+	// HasCompleteView reports whether the leader has received statuses from a partition's
+	// owner for so long that all running machines of the partition must have sent heartbeats.
 	HasCompleteView(partition int) bool
-	// HeartbeatsResumedAt is when heartbeats were last accepted again after an outage.
+	// HeartbeatsResumedAt returns when heartbeats were last accepted again after an outage.
 	HeartbeatsResumedAt() time.Time
-	// HasUnreadableRecords reports whether some record can't be decoded, so that machines
-	// that seem idle may be in use.
+	// HasUnreadableRecords reports whether some record can't be decoded. While this is so, a
+	// machine that seems idle may be in use.
 	HasUnreadableRecords() bool
-	// Tombstones are all that are stored.
+	// Tombstones returns all stored tombstones.
 	Tombstones() iter.Seq[Tombstone]
 }
 
-// Writer submits transactions.
+// Writer submits writes to the key-value store.
 type Writer interface {
-	// SubmitWrite runs done on the event loop with the result.
+	// SubmitWrite queues a write and later runs done with its result on the event loop.
 	SubmitWrite(write *store.Write, done func(err error))
-	// Backlog is about how long it takes until what has been submitted is stored.
+	// Backlog returns the estimated time until all submitted writes are stored.
 	Backlog() time.Duration
 }
 
 // EventLoop runs functions on the goroutine that owns the Autoscaler.
 type EventLoop interface {
-	// Now is the time of the event that the loop works on.
+	// Now returns the time of the event that is being processed.
 	Now() time.Time
-	// Enqueue queues f.
+	// Enqueue queues f to run on the event loop. It may be called on any goroutine.
 	Enqueue(f func())
 }
 
-// Config is what does not change while the process lives.
+// Config holds the settings of an Autoscaler. They do not change after New.
 type Config struct {
 	config.CloudSettings
 	Operator *config.Operator
-	// TombstoneKeyPrefix is that of tombstones' keys, MachineTypesKey the types' key.
+	// TombstoneKeyPrefix is the prefix of the keys of tombstones. MachineTypesKey is the key
+	// of the stored machine types.
 	TombstoneKeyPrefix, MachineTypesKey string
-	// MaxValueBytes is how large a stored value may be, MaxTransactionChanges how many changes a
-	// transaction may have.
+	// MaxValueBytes is the maximum size of a stored value. MaxTransactionChanges is the
+	// maximum number of changes in a transaction.
 	MaxValueBytes, MaxTransactionChanges int
-	// LoanPartition is the partition of machines on loan, none of which is drained.
+	// LoanPartition is the index of the partition that holds the machines on loan. These
+	// machines are never drained.
 	LoanPartition int
-	// HeartbeatTimeout is the longest usual pause between a machine's heartbeats.
+	// HeartbeatTimeout is the longest normal interval between two heartbeats of a machine.
 	HeartbeatTimeout time.Duration
-	// MaxUnreachableWorkTime is how long the work of machines that nobody reaches goes on at most:
-	// after it every worker's lease has expired, whoever renewed it last.
+	// MaxUnreachableWorkDuration is the maximum time for which tasks keep running on machines
+	// that no controller can reach. After it the leases of all their workers have expired, no
+	// matter which controller renewed them last.
 	MaxUnreachableWorkDuration time.Duration
 	Log                        *slog.Logger
 }
 
-// Services are what an Autoscaler works with.
+// Services holds the components that an Autoscaler depends on.
 type Services struct {
 	Cloud    Cloud
 	Machines Machines
@@ -184,67 +199,72 @@
 	Loop     EventLoop
 }
 
-// Autoscaler launches and terminates machines.
+// Autoscaler launches and terminates machines. Use New to create one.
 type Autoscaler struct {
 	Config
 	Services
-	// calls are calls to the cloud that wait for their turn.
+	// queuedCalls holds the calls to the cloud that Run has not started yet.
 	queuedCalls chan cloudCall
-	// term is what is known and decided in the present term as the leader.
+	// term holds the state of the current leadership term. It is zero on a follower.
 	term termState
-	// announcedDraining are the machines that the leader, this controller or another,
-	// last said to be draining.
+	// announcedDraining is the set of machines that the leader last announced as draining. The
+	// leader may be this controller.
 	announcedDraining map[string]bool
-	// terminating are the machines of which the cloud has been, or is to be, asked for
-	// that; queuedTerminations those of which it is to be.
+	// terminating is the set of machines from the decision to terminate them until their
+	// tombstone is stored or the termination is cancelled. queuedTerminations lists those of
+	// them that no call to the cloud includes yet.
 	terminating         map[string]bool
 	queuedTerminations  []string
 	terminationInFlight bool
-	// outage tells of the cloud's outages.
+	// outage logs outages of the cloud's API.
 	outage *outage.Monitor
-	// machineTypesStored: the types are in the key-value store.
+	// machineTypesStored is true once the machine types have been written to the key-value
+	// store, or are being written.
 	machineTypesStored bool
 }
 
-// term is what only the leader knows. It is rebuilt after each failover.
+// termState holds the state that only the leader has. A new leader starts with an empty one.
 type termState struct {
+	// instances holds the machines that the cloud has launched, by name.
 	instances map[string]*instance
-	// idleSince is since when a machine has been idle without a gap.
+	// idleSince records when a machine was first seen idle after it was last in use.
 	idleSince map[string]time.Time
-	// draining are the machines that are drained.
+	// draining is the set of machines that this leader is draining.
 	draining map[string]bool
-	// freeHistory are the free CPUs of late.
+	// freeHistory records how much CPU was free recently, beyond the headroom.
 	freeHistory planning.FreeCPUHistory
 
-	// launching is how many machines have been asked for in calls under way, and
-	// launchRequests how many of those calls there were.
+	// pendingLaunches is the number of machines in the launch request that is queued or in
+	// flight for an offer. launchRequestCount is the number of launch requests in this term.
 	pendingLaunches    map[planning.Offer]int
 	launchRequestCount int
-	// backoffUntil is until when an offer is not asked for again, and backoff how long
-	// that was, for offers that were refused.
+	// backoffUntil is the time before which an offer is not requested again after a launch
+	// that was not filled, and backoffDelays is the delay that was applied last.
 	backoffUntil  map[planning.Offer]time.Time
 	backoffDelays map[planning.Offer]time.Duration
 
-	// listed: the cloud's list has been read in this term.
+	// hasInstanceList is true once the cloud's instance list has been read in this term.
 	hasInstanceList           bool
 	listInFlight              bool
 	listRequestedAt           time.Time
 	machineTypesRequestedAt   time.Time
 	tombstoneDeletionInFlight bool
 
-	// isolatedSince is since when most machines of a zone have been out of reach.
+	// isolatedSince records when a zone first seemed isolated.
 	isolatedSince map[string]time.Time
-	// isolatedZones are the zones that seem isolated; true: their machines are kept.
+	// isolatedZones holds the zones that seem isolated. The value is true as long as the
+	// machines of the zone are kept and none are launched there.
 	isolatedZones map[string]bool
 }
 
-// New returns an autoscaler without a term.
+// New returns an Autoscaler that is not in a leadership term. Run must be called for its calls
+// to the cloud to be made.
 func New(config Config, services Services) *Autoscaler {
 	return &Autoscaler{Config: config, Services: services, queuedCalls: make(chan cloudCall, callQueueLength),
 		terminating: map[string]bool{}, outage: outage.NewMonitor(config.Log, "cloud", outageThreshold)}
 }
 
-// StartTerm begins a term as the leader.
+// StartTerm begins a leadership term with empty state.
 func (a *Autoscaler) StartTerm() {
 	a.term = termState{
 		instances:       map[string]*instance{},
@@ -257,12 +277,12 @@
 	}
 }
 
-// EndTerm forgets what only the leader may decide by.
+// EndTerm discards the state of the leadership term. Terminations that have begun continue.
 func (a *Autoscaler) EndTerm() {
 	a.term = termState{}
-	a.outage.Reset() // who does not lead asks the cloud for nothing
+	a.outage.Reset() // a follower does not read the instance list
 }
 
-// epoch tells the present term from all others. Results of what a former term began are
-// dropped by it.
+// epoch returns the epoch of the current term. A call remembers the epoch in which it was
+// queued, and its result is dropped if the epoch has changed.
 func (a *Autoscaler) epoch() uint64 { return a.Cluster.Leadership().Epoch }
--- a/internal/autoscaler/cloud_calls.go
+++ b/internal/autoscaler/cloud_calls.go
@@ -6,18 +6,20 @@
 )
 
 const (
-	// maxConcurrentCalls is how many calls to the cloud are under way at a time: its rate limit
-	// is low, and a slow list must not hold launches up.
+	// maxConcurrentCalls limits the calls to the cloud that are in flight at a time, since the
+	// cloud's rate limit is low. It is more than one so that a slow list does not delay
+	// launches.
 	maxConcurrentCalls = 2
-	// callQueueLength is how many calls may wait. Each kind of call has few under way at
-	// a time, so more would wait only if the cloud has not answered for long.
+	// callQueueLength is the number of calls that may be queued. Each kind of call has few
+	// outstanding at a time, so the queue fills up only if the cloud has not answered for
+	// long.
 	callQueueLength = 64
 )
 
-// call makes a call to the cloud and hands its result to the event loop.
+// cloudCall makes a call to the cloud and passes its result to the event loop.
 type cloudCall func(ctx context.Context)
 
-// queueCall queues a call to the cloud. It reports false if too many wait.
+// queueCall queues a call to the cloud. It returns false if the queue is full.
 func (a *Autoscaler) queueCall(call cloudCall) bool {
 	select {
 	case a.queuedCalls <- call:
@@ -27,7 +29,8 @@
 	}
 }
 
-// Run makes the calls to the cloud until ctx ends.
+// Run makes the queued calls to the cloud until ctx is done. It returns after the calls that
+// are then in flight.
 func (a *Autoscaler) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	for range maxConcurrentCalls {
@@ -36,7 +39,7 @@
 	workers.Wait()
 }
 
-// runQueuedCalls makes one call after the other.
+// runCalls makes queued calls one after the other until ctx is done.
 func (a *Autoscaler) runCalls(ctx context.Context) {
 	for {
 		select {
--- a/internal/autoscaler/drain.go
+++ b/internal/autoscaler/drain.go
@@ -9,19 +9,21 @@
 )
 
 const (
-	// minIdleTimeout is the least time that an idle machine is kept.
-	minIdleTimeout  = 10 * time.Second
-	milliCPUsPerCPU = 1000 // in a CPU
+	// minIdleTimeout is the minimum time for which an idle machine is kept.
+	minIdleTimeout = 10 * time.Second
+
+	milliCPUsPerCPU = 1000
 )
 
-// IsDraining reports whether a machine is drained, as the leader announced it last. Its owner
-// places nothing on it.
+// IsDraining reports whether a machine is draining according to the leader's last announcement.
+// The owner of its partition places no tasks on it.
 func (a *Autoscaler) IsDraining(name string) bool { return a.announcedDraining[name] }
 
-// IsDrainingAsLeader reports whether this controller, as the leader, has a machine drained.
+// IsDrainingAsLeader reports whether this controller is the leader and is draining a machine.
 func (a *Autoscaler) IsDrainingAsLeader(name string) bool { return a.term.draining[name] }
 
-// DrainingMachines names the machines that this controller, as the leader, has drained.
+// DrainingMachines returns the names of the machines that this controller is draining, in no
+// particular order. It returns none on a follower.
 func (a *Autoscaler) DrainingMachines() []string {
 	var names []string
 	for name := range a.term.draining {
@@ -30,7 +32,8 @@
 	return names
 }
 
-// ObserveDraining takes in which machines the leader announces as draining.
+// ObserveDraining records the machines that the leader announces as draining. They replace
+// those announced before.
 func (a *Autoscaler) ObserveDraining(names []string) {
 	a.announcedDraining = map[string]bool{}
 	for _, name := range names {
@@ -38,9 +41,10 @@
 	}
 }
 
-// idleTimeout is how long a machine may be idle before it is terminated: as long as its
-// idling costs no more than it would to boot an on-demand one in its place, so that waiting
-// is never more than twice as dear as knowing the future.
+// idleTimeout returns how long a machine may be idle before it is terminated. An idle machine is
+// kept until its idle time has cost as much as booting an on-demand machine in its place, which
+// is longer for a cheaper spot instance. The total cost is then at most twice that of a decision
+// with knowledge of future demand.
 func (a *Autoscaler) idleTimeout(machineType *wire.MachineType, spot bool) time.Duration {
 	seconds := machineType.BootS * a.Operator.IdleBoots
 	if spot && machineType.SpotPrice > 0 {
@@ -49,13 +53,14 @@
 	return max(config.Seconds(seconds), minIdleTimeout)
 }
 
-// machineName is the name of the machine that a summary is of.
+// machineName returns the name of the machine that a summary describes.
 func (a *Autoscaler) machineName(summary *planning.MachineSummary) string {
 	return a.Machines.At(summary.Index).Name
 }
 
-// drainSurplus has a machine drained that the fleet has not needed of late: it takes no more
-// work, and is terminated when it is empty. In a shortage none is.
+// drainSurplus starts to drain a machine whose capacity has not been needed recently. A draining
+// machine gets no more tasks and is terminated once it is idle. In a shortage, no machine is
+// drained, and those that are draining are used again.
 func (a *Autoscaler) drainSurplus(summaries []*planning.MachineSummary, headroom *serviceHeadroom, shortage bool) {
 	a.announcedDraining = a.term.draining
 	if shortage {
@@ -67,7 +72,7 @@
 	termAge := a.Loop.Now().Sub(a.Cluster.Leadership().StartedAt)
 	minSurplus, covered := a.term.freeHistory.Add(termAge.Seconds(), a.surplusMilliCPUs(summaries, headroom), window.Seconds())
 	if !covered || termAge < window {
-		return // not seen for long enough
+		return // the surplus has not been observed for the whole window
 	}
 	candidate := planning.LeastUsedMachine(summaries, minSurplus, headroom.minPriority, func(summary *planning.MachineSummary) bool {
 		return summary.Partition != a.LoanPartition && !a.term.draining[a.machineName(summary)]
@@ -78,10 +83,11 @@
 	name := a.machineName(candidate)
 	a.term.draining[name] = true
 	a.term.freeHistory.Subtract(candidate.Size.CPU - candidate.UsedResources().CPU)
-	a.Log.Info("machine is drained", "machine", name, "spare_cpus", minSurplus/milliCPUsPerCPU)
+	a.Log.Info("draining machine", "machine", name, "spare_cpus", minSurplus/milliCPUsPerCPU)
 }
 
-// longestIdleTimeout is that of the on-demand machines of any type in use.
+// longestIdleTimeout returns the longest idle timeout of the machine types of the given
+// machines, as on-demand machines.
 func (a *Autoscaler) longestIdleTimeout(summaries []*planning.MachineSummary) time.Duration {
 	types := a.Machines.Types()
 	longest := time.Duration(0)
@@ -91,8 +97,8 @@
 	return longest
 }
 
-// surplusMilliCPUs is how much is free beyond the headroom, in thousandths of a CPU. Negative: it
-// is less.
+// surplusMilliCPUs returns how much CPU is free beyond the headroom on machines that are not
+// draining, in thousandths of a CPU. It is negative if the headroom is not met.
 func (a *Autoscaler) surplusMilliCPUs(summaries []*planning.MachineSummary, headroom *serviceHeadroom) int64 {
 	surplus := int64(0)
 	for _, summary := range summaries {
@@ -106,8 +112,8 @@
 	return surplus
 }
 
-// terminateIdle terminates machines that have been idle for long, and drained ones as soon
-// as they are.
+// terminateIdle terminates machines that have been idle for longer than their idle timeout, and
+// draining machines as soon as they are idle.
 func (a *Autoscaler) terminateIdle(summaries []*planning.MachineSummary) {
 	var names []string
 	for _, summary := range summaries {
@@ -122,8 +128,9 @@
 	a.terminate(names)
 }
 
-// exceedsIdleTimeout notes that a machine is idle, and tells whether it has been for too long. An
-// outage, in which no heartbeats were accepted, tells nothing of what is needed.
+// exceedsIdleTimeout records that a machine is idle and reports whether it is to be terminated
+// for that. The idle time starts again after an outage in which no heartbeats were accepted,
+// since an outage says nothing about which machines are needed.
 func (a *Autoscaler) exceedsIdleTimeout(m *Machine) bool {
 	idleSince := a.term.idleSince[m.Name]
 	if idleSince.IsZero() || idleSince.Before(a.Cluster.HeartbeatsResumedAt()) {
--- a/internal/autoscaler/fake_cluster_test.go
+++ b/internal/autoscaler/fake_cluster_test.go
@@ -28,7 +28,7 @@
 	listErr           error
 	listCalls         int
 	machineTypes      []wire.MachineType
-	machineTypesErr   error
+	typesErr          error
 	machineTypesCalls int
 }
 
@@ -56,7 +56,7 @@
 
 func (c *fakeCloud) MachineTypes(context.Context) ([]wire.MachineType, error) {
 	c.machineTypesCalls++
-	return c.machineTypes, c.machineTypesErr
+	return c.machineTypes, c.typesErr
 }
 
 // fakeCluster are the machines, the cluster, the queue of writes and the event loop around
@@ -65,7 +65,7 @@
 	cloud                fakeCloud
 	now                  time.Time
 	machines             []*ReportedMachine // by index
-	markedTerminated     []string           // marked as terminated
+	terminated           []string           // marked as terminated
 	unreachableWithTasks []string
 	types                map[string]*wire.MachineType
 
@@ -108,7 +108,7 @@
 }
 
 // follow has another controller lead.
-func (c *fakeCluster) becomeFollower() {
+func (c *fakeCluster) demote() {
 	c.leadership = Leadership{FencingCondition: wire.Condition{Key: leaderCondition.Key}}
 }
 
@@ -195,10 +195,8 @@
 	}
 }
 
-func (c *fakeCluster) UnreachableMachinesWithTasks() []string { return c.unreachableWithTasks }
-func (c *fakeCluster) MarkTerminated(name string) {
-	c.markedTerminated = append(c.markedTerminated, name)
-}
+func (c *fakeCluster) UnreachableMachinesWithTasks() []string       { return c.unreachableWithTasks }
+func (c *fakeCluster) MarkTerminated(name string)                   { c.terminated = append(c.terminated, name) }
 func (c *fakeCluster) Types() map[string]*wire.MachineType          { return c.types }
 func (c *fakeCluster) HasLoadedRecords() bool                       { return !c.loadingRecords }
 func (c *fakeCluster) Leadership() Leadership                       { return c.leadership }
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -10,32 +10,33 @@
 )
 
 const (
-	// listRateShare is the share of the cloud's calls that lists may take. A list of many
-	// machines is many calls, which must not crowd out launches.
+	// listRateShare is the share of the cloud's rate limit that reading the instance list may
+	// use. A list of many machines takes one call per page, which must not delay launches.
 	listRateShare = 0.15
-	// minListInterval is the least time between two lists.
+	// minListInterval is the minimum time between two reads of the instance list.
 	minListInterval = 2 * time.Second
-	// outageThreshold is for how long lists fail until it is an outage: some are refused when
-	// there are too many calls.
+	// outageThreshold is the time for which reading the instance list must fail before it is
+	// reported as an outage. Single reads also fail when the rate limit is exceeded.
 	outageThreshold = 10 * time.Second
-	// listLagMargin is how much longer than the lag of two lists an instance may be
-	// missing before it is taken not to exist.
+	// listLagMargin is added to twice the lag of the instance list. An instance that is still
+	// missing from the list after that time does not exist.
 	listLagMargin = 10 * time.Second
 )
 
-// instance is a machine that the cloud has given us, as far as the leader knows.
+// instance describes a machine that the cloud has launched, as far as the leader knows.
 type instance struct {
 	machineType, zone string
 	spot              bool
 	launchedAt        time.Time
-	// reported: it has sent heartbeats to its owner, who told of it last at lastReportedAt.
+	// hasReported is true if the machine has sent heartbeats to its owner. The owner last
+	// reported the machine at lastReportedAt.
 	hasReported    bool
 	lastReportedAt time.Time
-	// listed: some list of the cloud has shown it.
+	// seenInList is true if an instance list of the cloud has contained the machine.
 	seenInList bool
 }
 
-// ObserveMachine notes that a machine's owner tells of it.
+// ObserveMachine records that the owner of a machine's partition reports the machine.
 func (a *Autoscaler) ObserveMachine(m Machine) {
 	inst := a.term.instances[m.Name]
 	if inst == nil {
@@ -45,8 +46,8 @@
 	inst.hasReported, inst.lastReportedAt = true, a.Loop.Now()
 }
 
-// SyncWithCloud keeps the machine types and the leader's list of instances current, and deletes
-// tombstones that nobody needs any more.
+// SyncWithCloud updates the machine types and, on the leader, the instances, and deletes
+// tombstones that are no longer needed. It is called periodically and only starts what is due.
 func (a *Autoscaler) SyncWithCloud() {
 	a.syncMachineTypes()
 	if !a.Cluster.Leadership().CanAct {
@@ -56,7 +57,7 @@
 	a.deleteTombstones()
 }
 
-// syncInstances reads the cloud's list when that is due.
+// syncInstances reads the cloud's instance list when it is due.
 func (a *Autoscaler) syncInstances() {
 	if a.term.listInFlight || a.Loop.Now().Sub(a.term.listRequestedAt) <= a.listInterval() {
 		return
@@ -76,7 +77,8 @@
 	}
 }
 
-// handleList takes in the result of a list of this term.
+// handleList processes the result of reading the instance list. The read was queued in this
+// term.
 func (a *Autoscaler) handleList(list []wire.Instance, err error) {
 	a.term.listInFlight = false
 	if err != nil {
@@ -88,14 +90,15 @@
 	a.applyInstanceList(list)
 }
 
-// listInterval is the time between two lists.
+// listInterval returns the time between two reads of the instance list. It depends on the lag
+// of the list and on the number of pages.
 func (a *Autoscaler) listInterval() time.Duration {
 	pages := 1 + len(a.term.instances)/cloud.MaxListPage
 	return max(config.Seconds(a.CloudSettings.ListLagS/2), minListInterval, config.Seconds(float64(pages)/(listRateShare*a.CloudSettings.RPS)))
 }
 
-// applyInstanceList takes the cloud's list in: machines that failed are terminated, ones
-// that nobody knows of are used.
+// applyInstanceList updates the instances from the cloud's list. It terminates machines that
+// have failed and adds machines that this leader does not know yet.
 func (a *Autoscaler) applyInstanceList(list []wire.Instance) {
 	a.term.hasInstanceList = true
 	var failed []string
@@ -116,7 +119,7 @@
 	a.terminate(failed)
 }
 
-// addListedInstance notes an instance that a list shows.
+// addListedInstance records an instance that the instance list contains.
 func (a *Autoscaler) addListedInstance(listed *wire.Instance) {
 	inst := a.term.instances[listed.Name]
 	if inst == nil {
@@ -126,8 +129,9 @@
 	inst.seenInList = true
 }
 
-// dropUnlistedInstances forgets instances that a list does not show. One that was listed and is no
-// more has been taken back; one that never was after twice the lag does not exist.
+// dropUnlistedInstances drops instances that the instance list does not contain. An instance
+// that was in an earlier list has been taken back by the cloud. An instance that has been in no
+// list after twice the lag does not exist. Machines that have sent heartbeats are kept.
 func (a *Autoscaler) dropUnlistedInstances(listed map[string]bool) {
 	maxListLag := config.Seconds(2 * a.CloudSettings.ListLagS)
 	for name, inst := range a.term.instances {
--- a/internal/autoscaler/isolated_zones.go
+++ b/internal/autoscaler/isolated_zones.go
@@ -1,19 +1,19 @@
 package autoscaler
 
 const (
-	// minIsolatedMachines is how many machines must be out of reach together before that
-	// says something of their zone: some may well die at a time.
+	// minIsolatedMachines is the number of machines of a zone that must be unreachable before
+	// the zone can seem isolated. A few machines may fail at the same time for other reasons.
 	minIsolatedMachines = 5
 )
 
-// zoneReachability is how many machines there are in a zone, and how many of them can't be
-// reached.
-type zoneReachability struct{ total, unreachable int }
+// zoneReachability counts the machines of a zone and those of them that are not reachable.
+type zoneReachability struct{ total, notReachable int }
 
-// isMostlyReachable reports whether at least half of them can be reached.
-func (r zoneReachability) isMostlyReachable() bool { return r.unreachable*2 <= r.total }
+// isMostlyReachable reports whether at least half of the machines are reachable.
+func (r zoneReachability) isMostlyReachable() bool { return r.notReachable*2 <= r.total }
 
-// machineZone is a machine's zone, if anybody has told it; else "".
+// machineZone returns the zone of a machine from its heartbeats or, failing that, from its
+// launch or the instance list. It returns "" if the zone is not known.
 func (a *Autoscaler) machineZone(m *Machine) string {
 	if inst := a.term.instances[m.Name]; m.Zone == "" && inst != nil {
 		return inst.zone
@@ -21,7 +21,7 @@
 	return m.Zone
 }
 
-// IsolatedZones names the zones that seem isolated.
+// IsolatedZones returns the names of the zones that seem isolated, in no particular order.
 func (a *Autoscaler) IsolatedZones() []string {
 	var zones []string
 	for zone := range a.term.isolatedZones {
@@ -30,12 +30,15 @@
 	return zones
 }
 
-// DetectIsolatedZones finds zones that seem isolated: most machines there are out of reach
-// while those of another zone are not. What runs in such a zone goes on for as long as its
-// controllers may answer heartbeats, and its workers' leases after that, so terminating the
-// machines would stop it, and the other zones may have no room to take it. They are kept
-// until it must have ended anyhow, and nothing new is launched there. Tasks there are still
-// proven gone by leases and agents' incarnations alone.
+// DetectIsolatedZones finds zones that seem isolated: most of their machines are unreachable
+// while most machines of some other zone are reachable.
+//
+// Tasks in an isolated zone keep running as long as the controllers in the zone may answer
+// heartbeats, and after that until the leases of their workers expire. Terminating the machines
+// would stop these tasks, and the other zones may have no capacity for them. The machines are
+// therefore kept until the tasks must have ended in any case, and no machines are launched in
+// the zone. Whether a task in the zone has ended is still decided only by leases and by the
+// agents' incarnations.
 func (a *Autoscaler) DetectIsolatedZones() {
 	zones := a.countMachinesByZone()
 	anyZoneReachable := false
@@ -44,7 +47,7 @@
 	}
 	a.term.isolatedZones = map[string]bool{}
 	for zone, count := range zones {
-		if zone == "" || !anyZoneReachable || count.isMostlyReachable() || count.unreachable < minIsolatedMachines {
+		if zone == "" || !anyZoneReachable || count.isMostlyReachable() || count.notReachable < minIsolatedMachines {
 			delete(a.term.isolatedSince, zone)
 			continue
 		}
@@ -52,14 +55,15 @@
 		if !known {
 			since = a.Loop.Now()
 			a.term.isolatedSince[zone] = since
-			a.Log.Info("zone seems isolated", "zone", zone, "machines", count.total, "out_of_reach", count.unreachable)
+			a.Log.Info("zone seems isolated", "zone", zone, "machines", count.total, "out_of_reach", count.notReachable)
 		}
 		a.term.isolatedZones[zone] = a.Loop.Now().Sub(since) < a.MaxUnreachableWorkDuration
 	}
 }
 
-// countMachinesByZone counts the machines that owners tell about. Those whose owner has only
-// just come do not count: after a crash of all controllers that is so everywhere.
+// countMachinesByZone counts the reported machines of each zone. Machines whose owner has only
+// just taken over their partition, and has neither received a heartbeat nor found them
+// unreachable, are left out: after a crash of all controllers, this is true of all machines.
 func (a *Autoscaler) countMachinesByZone() map[string]zoneReachability {
 	zones := map[string]zoneReachability{}
 	a.Machines.EachReportedMachine(func(m ReportedMachine) {
@@ -70,7 +74,7 @@
 		count := zones[zone]
 		count.total++
 		if !m.Reachable {
-			count.unreachable++
+			count.notReachable++
 		}
 		zones[zone] = count
 	})
--- a/internal/autoscaler/launch.go
+++ b/internal/autoscaler/launch.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// maxMachinesPerLaunch is how many machines of an offer one call asks for: the rest is planned
-	// anew once it is known how many there were.
+	// maxMachinesPerLaunch limits the machines that one call requests of an offer. The rest is
+	// planned again once it is known how many were launched.
 	maxMachinesPerLaunch = 50
-	// minLaunchBackoff and maxLaunchBackoff bound how long an offer that has too little
-	// capacity is not asked for again. It doubles each time.
+	// minLaunchBackoff and maxLaunchBackoff bound the time for which an offer with too little
+	// capacity is not requested again. The time doubles with each launch that is not filled.
 	minLaunchBackoff = 5 * time.Second
 	maxLaunchBackoff = 40 * time.Second
-	// launchRetryDelay is that after a call that failed otherwise, which tells nothing
-	// of capacity.
+	// launchRetryDelay is the backoff after a call that failed for another reason, which says
+	// nothing about the capacity.
 	launchRetryDelay = 3 * time.Second
 )
 
-// launch asks the cloud for machines, unless it has been asked for such already. The
-// idempotency key is unique for all time: an epoch never comes again.
+// launch requests machines from the cloud, unless a request for the same offer is pending. The
+// idempotency key is never reused, since an epoch never occurs again.
 func (a *Autoscaler) launch(offer planning.Offer, count int) {
 	if a.term.pendingLaunches[offer] > 0 {
 		return
@@ -43,7 +43,7 @@
 	queued := a.queueCall(func(ctx context.Context) {
 		names, err := a.Cloud.Launch(ctx, request)
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) && !errors.Is(err, cloud.ErrRefused) {
-			names, err = a.Cloud.Launch(ctx, request) // unanswered: the same key launches nothing twice
+			names, err = a.Cloud.Launch(ctx, request) // the outcome is unknown, and the key makes a retry safe
 		}
 		a.Loop.Enqueue(func() {
 			if a.epoch() == epoch {
@@ -56,10 +56,10 @@
 	}
 }
 
-// errQueueFull says that a call to the cloud was not made.
-var errQueueFull = errors.New("too many calls to the cloud wait")
+// errQueueFull is the error of a call to the cloud that was not made.
+var errQueueFull = errors.New("queue of cloud calls is full")
 
-// launchResult is what became of a launch.
+// launchResult is the result of a launch request.
 type launchResult struct {
 	offer          planning.Offer
 	requestedCount int
@@ -68,7 +68,7 @@
 	err            error
 }
 
-// handleLaunchResult takes in the result of a launch of this term.
+// handleLaunchResult processes the result of a launch request of this term.
 func (a *Autoscaler) handleLaunchResult(result launchResult) {
 	offer := result.offer
 	delete(a.term.pendingLaunches, offer)
@@ -84,7 +84,7 @@
 	a.Log.Debug("launch not filled", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "asked", result.requestedCount, "err", result.err)
 }
 
-// addInstances notes machines that the cloud has launched.
+// addInstances records machines that the cloud has launched.
 func (a *Autoscaler) addInstances(offer planning.Offer, names []string, launchedAt time.Time) {
 	for _, name := range names {
 		if a.term.instances[name] == nil {
@@ -93,8 +93,8 @@
 	}
 }
 
-// backOff has an offer not asked for again for a while. Each type, zone and kind has a
-// capacity of its own.
+// backOff prevents further requests for an offer for some time. Other offers are not affected,
+// since each machine type has a separate capacity per zone, for on-demand and spot machines.
 func (a *Autoscaler) backOff(offer planning.Offer, err error) {
 	delay := min(max(2*a.term.backoffDelays[offer], minLaunchBackoff), maxLaunchBackoff)
 	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
@@ -104,13 +104,13 @@
 	a.term.backoffUntil[offer] = a.Loop.Now().Add(delay)
 }
 
-// offers are what may be launched now, in a fixed order.
+// availableOffers returns the offers that may be requested now, in a deterministic order.
 func (a *Autoscaler) availableOffers() []planning.PricedOffer {
 	var all []planning.PricedOffer
 	for _, machineType := range a.Machines.Types() {
 		for _, zone := range machineType.Zones {
 			if a.term.isolatedZones[zone] {
-				continue // what comes up there can't be reached either
+				continue // new machines there could not be reached either
 			}
 			all = append(all, a.availableOffersIn(machineType, zone)...)
 		}
@@ -121,7 +121,7 @@
 	return all
 }
 
-// availableOffersIn are those of a machine type in a zone.
+// availableOffersIn returns the offers of a machine type in a zone that may be requested now.
 func (a *Autoscaler) availableOffersIn(machineType *wire.MachineType, zone string) []planning.PricedOffer {
 	var offers []planning.PricedOffer
 	for _, spot := range []bool{false, true} {
@@ -138,7 +138,7 @@
 	return offers
 }
 
-// compareOnDemandFirst orders two offers: spot instances come last.
+// compareOnDemandFirst compares two offers, ordering on-demand machines before spot instances.
 func compareOnDemandFirst(x, y planning.Offer) int {
 	switch {
 	case x.Spot == y.Spot:
@@ -150,7 +150,7 @@
 	}
 }
 
-// machineTypeSize are the resources of a machine type.
+// machineTypeSize returns the resources of a machine of a type.
 func machineTypeSize(machineType *wire.MachineType) scheduling.Resources {
 	return scheduling.NewResources(machineType.CPUs, machineType.GPUs, machineType.RAMGB)
 }
--- a/internal/autoscaler/lost_machines.go
+++ b/internal/autoscaler/lost_machines.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// bootMarginS, in seconds, is added to the time that a machine may take to come up, for the call
-	// and its first heartbeat.
+	// bootMarginS is added to the boot time that a machine is allowed, in seconds, for the
+	// launch request and the first heartbeat.
 	bootMarginS = 10
-	// cordonedTimeout is how long tasks may go on on a cordoned machine before it is
-	// terminated with them.
+	// cordonedTimeout is the time for which tasks may keep running on a cordoned machine
+	// before it is terminated together with them.
 	cordonedTimeout = 15 * time.Second
-	// leaderTimeout is how long after it was last heard the leader is relied on to
-	// terminate machines that can't be reached.
+	// leaderTimeout is the time after the leader's last status for which owners still rely
+	// on the leader to terminate unreachable machines.
 	leaderTimeout = 4 * time.Second
 )
 
-// bootTimeout is how long a machine may take to come up before it is terminated.
+// bootTimeout returns the time within which a machine of a type must come up. After that it is
+// terminated.
 func (a *Autoscaler) bootTimeout(machineType *wire.MachineType) time.Duration {
 	return config.Seconds(a.Operator.BootPatience*machineType.BootS + bootMarginS)
 }
 
-// TerminateLostMachines terminates machines that are overdue, unreachable or cordoned, for the
-// leader.
+// TerminateLostMachines terminates machines that are overdue, unreachable or cordoned. It must
+// be called on the leader only.
 func (a *Autoscaler) TerminateLostMachines() {
 	names := a.overdueInstances()
 	a.backOffFailedBoots(names)
@@ -39,9 +40,9 @@
 	a.terminate(names)
 }
 
-// backOffFailedBoots has the offers rest for a while of which machines did not come up. Like a lack of
-// capacity it befalls one type, zone and kind at a time: meanwhile what the machines were for
-// goes to another offer, if there is one.
+// backOffFailedBoots prevents further requests, for some time, for the offers whose machines
+// did not come up. Like a lack of capacity, such failures affect one offer at a time. Meanwhile
+// the demand is met from another offer, if there is one.
 func (a *Autoscaler) backOffFailedBoots(overdue []string) {
 	failedBoots := map[planning.Offer]int{}
 	for _, name := range overdue {
@@ -56,10 +57,11 @@
 	}
 }
 
-// overdueInstances are those that have not come up in time, and those that no owner tells
-// of any more: they died while their partition, or they themselves, changed hands. Only its
-// partition's owner can tell whether a machine is up: after a failover a machine may be old
-// and busy and not have sent a heartbeat yet.
+// overdueInstances returns the instances that have not come up in time, and those that no owner
+// reports any more because they died while their partition changed its owner or while they were
+// moved to another partition. Only the owner of its partition knows whether a machine is up:
+// after a failover, a machine that has been running tasks for long may not have sent a heartbeat
+// yet.
 func (a *Autoscaler) overdueInstances() []string {
 	var names []string
 	types := a.Machines.Types()
@@ -79,9 +81,10 @@
 	return names
 }
 
-// lost tells whether a machine is no more use. Unreachable ones wait for the first list of
-// a new term: only the list tells the zone of a machine that has not sent a heartbeat since
-// a failover, and its zone may be isolated.
+// isLost reports whether a machine is to be terminated because it is unreachable or cordoned. In
+// a new term, unreachable machines are kept until the instance list has been read: only the list
+// shows the zone of a machine that has not sent a heartbeat since a failover, and that zone may
+// be isolated.
 func (a *Autoscaler) isLost(m *ReportedMachine) bool {
 	if m.Unreachable && a.term.hasInstanceList && !a.term.isolatedZones[a.machineZone(&m.Machine)] {
 		return true
@@ -89,9 +92,9 @@
 	return m.Cordoned && (!m.HasBoundTasks || a.Loop.Now().Sub(m.CordonedAt) > cordonedTimeout)
 }
 
-// TerminateUnreachableMachines has an owner that hears nothing of the leader terminate its
-// unreachable machines itself. The leader could not know of them, and their tasks would
-// wait for the whole lease.
+// TerminateUnreachableMachines terminates the unreachable machines of this controller's own
+// partitions if it receives no statuses from the leader. The leader may then not know that these
+// machines are unreachable, and their tasks would be replaced only after the lease has expired.
 func (a *Autoscaler) TerminateUnreachableMachines() {
 	if a.Cluster.Leadership().Active || a.Loop.Now().Sub(a.Cluster.LeaderLastHeardAt()) < leaderTimeout {
 		return
--- a/internal/autoscaler/machine_types.go
+++ b/internal/autoscaler/machine_types.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// machineTypesInterval is the time between two reads of the machine types by the
-	// leader: prices change slowly.
+	// machineTypesInterval is the time after which the leader reads the machine types again.
+	// Prices change slowly.
 	machineTypesInterval = time.Minute
-	// machineTypesRetry is the time between two reads as long as no types are known:
-	// without them no user's job can be accepted.
+	// machineTypesRetry is the time between two reads while no machine types are known. No
+	// job can be accepted without them.
 	machineTypesRetry = 2 * time.Second
 )
 
-// MarkMachineTypesStored notes that the machine types are in the key-value store.
+// MarkMachineTypesStored records that the machine types are in the key-value store, so that
+// they are not written again.
 func (a *Autoscaler) MarkMachineTypesStored() { a.machineTypesStored = true }
 
-// syncMachineTypes reads the machine types when that is due. Who does not lead reads them
-// only while it knows none.
+// syncMachineTypes reads the machine types from the cloud when they are due. A follower reads
+// them only while it knows none.
 func (a *Autoscaler) syncMachineTypes() {
 	unknown := len(a.Machines.Types()) == 0
 	age := a.Loop.Now().Sub(a.term.machineTypesRequestedAt)
@@ -36,7 +37,8 @@
 	a.queueCall(a.fetchMachineTypes)
 }
 
-// fetchMachineTypes reads the machine types, and has them stored if they never were.
+// fetchMachineTypes reads the machine types from the cloud, and stores them if they have never
+// been stored.
 func (a *Autoscaler) fetchMachineTypes(ctx context.Context) {
 	types, err := a.Cloud.MachineTypes(ctx)
 	a.Loop.Enqueue(func() {
@@ -49,8 +51,9 @@
 	})
 }
 
-// storeMachineTypes stores the machine types, unless they are stored. If that fails, so it
-// does because another controller has stored them, or the next process does it.
+// storeMachineTypes writes the machine types to the key-value store, unless they are already
+// there. A failed write is not retried: either another controller has stored the types, or the
+// next process to start does so.
 func (a *Autoscaler) storeMachineTypes(types []wire.MachineType) {
 	if a.machineTypesStored {
 		return
--- a/internal/autoscaler/machines_test.go
+++ b/internal/autoscaler/machines_test.go
@@ -148,9 +148,9 @@
 		cluster func(c *fakeCluster)
 		want    bool
 	}{
-		{"leader is heard", func(c *fakeCluster) { c.becomeFollower(); c.leaderLastHeardAt = c.now.Add(-3 * time.Second) }, false},
-		{"leader is not heard", func(c *fakeCluster) { c.becomeFollower(); c.leaderLastHeardAt = c.now.Add(-4 * time.Second) }, true},
-		{"there is none", func(c *fakeCluster) { c.becomeFollower() }, true},
+		{"leader is heard", func(c *fakeCluster) { c.demote(); c.leaderLastHeardAt = c.now.Add(-3 * time.Second) }, false},
+		{"leader is not heard", func(c *fakeCluster) { c.demote(); c.leaderLastHeardAt = c.now.Add(-4 * time.Second) }, true},
+		{"there is none", func(c *fakeCluster) { c.demote() }, true},
 		{"it leads itself", func(*fakeCluster) {}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -236,7 +236,7 @@
 // Who does not lead goes by what the leader announced last.
 func TestFollowerUsesAnnouncedDraining(t *testing.T) {
 	c := newFakeCluster()
-	c.becomeFollower()
+	c.demote()
 	a := c.newAutoscaler(t)
 	a.ObserveDraining([]string{"host-1"})
 	a.ObserveDraining([]string{"host-2"})
@@ -293,13 +293,10 @@
 		writes  int
 	}{
 		{"leader", func(*fakeCluster) {}, 1, 1},
-		{"follower", func(c *fakeCluster) { c.becomeFollower() }, 0, 0},
-		{"follower, types are not known", func(c *fakeCluster) { c.becomeFollower(); c.types = nil }, 1, 1},
-		{"starting", func(c *fakeCluster) { c.becomeFollower(); c.types, c.loadingRecords = nil, true }, 0, 0},
-		{"cloud is out of reach", func(c *fakeCluster) {
-			c.becomeFollower()
-			c.types, c.cloud.machineTypesErr = nil, errors.New("no answer")
-		}, 20, 0},
+		{"follower", func(c *fakeCluster) { c.demote() }, 0, 0},
+		{"follower, types are not known", func(c *fakeCluster) { c.demote(); c.types = nil }, 1, 1},
+		{"starting", func(c *fakeCluster) { c.demote(); c.types, c.loadingRecords = nil, true }, 0, 0},
+		{"cloud is out of reach", func(c *fakeCluster) { c.demote(); c.types, c.cloud.typesErr = nil, errors.New("no answer") }, 20, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newFakeCluster()
--- a/internal/autoscaler/scale.go
+++ b/internal/autoscaler/scale.go
@@ -12,46 +12,49 @@
 )
 
 const (
-	// launchDelayAfterFailover is how long a new leader waits for the cloud's list and for
-	// the partitions' owners before it launches.
+	// launchDelayAfterFailover is the maximum time for which a new leader waits for the
+	// cloud's instance list and for the owners of all partitions before it launches machines.
 	launchDelayAfterFailover = 10 * time.Second
-	// launchDelayAfterOutage is how much longer than the usual pause between heartbeats a
-	// leader waits after an outage in which none were accepted.
+	// launchDelayAfterOutage is added to the heartbeat timeout. After an outage in which no
+	// heartbeats were accepted, the leader launches no machines for that time.
 	launchDelayAfterOutage = 2 * time.Second
-	// expectedBootFactor is how many of its nominal boot times a machine usually takes at
-	// the most. One that takes longer is not counted on any more.
+	// expectedBootFactor times its nominal boot time is the longest that a machine usually
+	// takes to boot. A machine that takes longer no longer counts as capacity.
 	expectedBootFactor = 1.6
 )
 
-// Service is a service that is not finished.
+// Service describes a service job that has not finished.
 type Service struct {
 	Class     string
 	Priority  int
 	TaskCount int
-	// Demand is the demand for such services, of no tasks yet.
+	// Demand returns the demand that a service of this class makes, with a count of zero.
 	Demand func() planning.Demand
 }
 
-// Workload is what the cluster runs and what it has no room for.
+// Workload describes what the cluster runs and what it has no capacity for.
 type Workload struct {
-	// Machines are those that are up.
+	// Machines describes the machines that are up.
 	Machines []*planning.MachineSummary
-	// Waiting found no room; Reserve is what the reserve for gangs lacks.
+	// UnplacedDemands lists the demands that could not be placed. GangReserveShortfall lists
+	// what the capacity reserve for gangs lacks.
 	UnplacedDemands, GangReserveShortfall []planning.Demand
-	// RunningTasksByClass is how many tasks of each class run.
+	// RunningTasksByClass is the number of tasks of each class that run.
 	RunningTasksByClass map[string]int
-	// Services are all that are not finished.
+	// Services yields all services that have not finished.
 	Services iter.Seq[Service]
 }
 
-// headroom is the room that is kept for services to come.
+// serviceHeadroom describes the capacity that is kept free for future services.
 type serviceHeadroom struct {
 	demands []planning.Demand
-	// priority is the least of all services: they would preempt what is below it.
+	// minPriority is the lowest priority of all services. Services would preempt tasks below
+	// it, so the resources of such tasks count as free. It is math.MaxInt without services.
 	minPriority int
 }
 
-// Scale launches machines for what found no room and terminates those that are not needed.
+// Scale launches machines for demands that could not be placed, and drains and terminates
+// machines that are not needed. It must be called on the leader only.
 func (a *Autoscaler) Scale(workload *Workload) {
 	if len(a.Machines.Types()) == 0 {
 		return
@@ -63,8 +66,8 @@
 			a.launch(offer, min(count, maxMachinesPerLaunch))
 		}
 	}
-	// What a record that can't be decoded binds may run on a machine that seems idle: it
-	// was terminated, and the tasks were lost.
+	// Tasks bound by a record that can't be decoded may run on a machine that seems idle.
+	// Such machines have been terminated in the past, and their tasks were lost.
 	if a.Cluster.HasUnreadableRecords() {
 		return
 	}
@@ -72,8 +75,8 @@
 	a.terminateIdle(workload.Machines)
 }
 
-// plan plans launches for what found no room and for the headroom. It reports a shortage if
-// there was too little room without the headroom.
+// planLaunches plans launches for the demands that could not be placed and for the headroom.
+// shortage reports whether the capacity is too small even without the headroom.
 func (a *Autoscaler) planLaunches(workload *Workload, headroom *serviceHeadroom) (plan *planning.ScalingPlan, shortage bool) {
 	plan = &planning.ScalingPlan{
 		Machines:            append(slices.Clone(workload.Machines), a.bootingMachines()...),
@@ -89,23 +92,24 @@
 	return plan, shortage
 }
 
-// placeAll plans for demands, one after the other.
+// placeAll adds demands to a plan, one after the other.
 func placeAll(plan *planning.ScalingPlan, demands []planning.Demand) {
 	for _, demand := range demands {
 		plan.Place(demand)
 	}
 }
 
-// isFleetKnown tells whether the leader knows what is up and booting. A new one does not yet,
-// nor does one after a long outage, in which no heartbeats were accepted: it would launch
-// all of it once more.
+// isFleetKnown reports whether the leader knows which machines are up or booting. A new leader
+// does not know it yet, and neither does a leader after a long outage in which no heartbeats
+// were accepted. If such a leader scaled out, it would launch the whole fleet a second time.
 func (a *Autoscaler) isFleetKnown() bool {
 	now := a.Loop.Now()
 	known := a.term.hasInstanceList && a.Cluster.AreAllOwnersResponsive() || now.Sub(a.Cluster.Leadership().StartedAt) > launchDelayAfterFailover
 	return known && now.Sub(a.Cluster.HeartbeatsResumedAt()) > a.HeartbeatTimeout+launchDelayAfterOutage
 }
 
-// computeHeadroom is the room to keep for services to come, by those there are.
+// computeHeadroom returns the capacity to keep free for future services. It depends on how many
+// services of each class there are now.
 func (a *Autoscaler) computeHeadroom(services iter.Seq[Service]) *serviceHeadroom {
 	headroom := &serviceHeadroom{minPriority: math.MaxInt}
 	byClass := map[string]*planning.Demand{}
@@ -130,12 +134,14 @@
 	return headroom
 }
 
-// MachineCounts is how many machines are booting, and how many are drained.
+// MachineCounts returns how many machines are booting and how many are draining. Machines whose
+// launch is pending count as booting.
 func (a *Autoscaler) MachineCounts() (booting, draining int) {
 	return len(a.bootingMachines()), len(a.term.draining)
 }
 
-// booting are the machines that are launched, or asked for, and have not come up yet.
+// bootingMachines returns summaries of the machines that have been launched or requested and
+// have not come up yet. It leaves out machines that are late or are being terminated.
 func (a *Autoscaler) bootingMachines() []*planning.MachineSummary {
 	var machines []*planning.MachineSummary
 	types := a.Machines.Types()
@@ -157,7 +163,7 @@
 	return machines
 }
 
-// newBootingSummary is an empty machine that is not up yet.
+// newBootingSummary returns the summary of an empty machine that is not up yet.
 func newBootingSummary(machineType *wire.MachineType, offer planning.Offer) *planning.MachineSummary {
 	size := machineTypeSize(machineType)
 	return &planning.MachineSummary{Index: planning.UnassignedIndex, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Size: size, FreeResources: size, Booting: true}
--- a/internal/autoscaler/scale_test.go
+++ b/internal/autoscaler/scale_test.go
@@ -87,7 +87,7 @@
 	a.ObserveMachine(c.machines[0].Machine)
 	a.term.draining["host-000000"] = true
 	a.terminate([]string{"host-000000"})
-	c.becomeFollower()
+	c.demote()
 	c.partitionCondition = partitionCondition
 	a.EndTerm()
 	if booting, draining := a.MachineCounts(); booting != 0 || draining != 0 || len(a.term.instances) != 0 {
--- a/internal/autoscaler/termination.go
+++ b/internal/autoscaler/termination.go
@@ -6,14 +6,17 @@
 	"eiderhitch/internal/cloud"
 )
 
-// IsTerminating reports whether a machine is being terminated: nothing may be placed on it.
+// IsTerminating reports whether a machine is being terminated. No tasks may be placed on such a
+// machine.
 func (a *Autoscaler) IsTerminating(name string) bool { return a.terminating[name] }
 
-// terminate terminates machines. Once the cloud has confirmed they are gone with all that
-// was on them, which is stored for their partitions' owners to act on. One call is under
-// way at a time, and the next takes all that have come up meanwhile: the cloud allows few
-// calls, and a call for each machine had the last of forty dead ones wait for twenty
-// seconds.
+// terminate queues machines for termination. Once the cloud has confirmed it, the machines and
+// their tasks no longer exist, and tombstones are stored so that the owners of their partitions
+// can act on it.
+//
+// Only one call is in flight at a time, and the next one includes all machines that have been
+// queued meanwhile. The cloud's rate limit is low: with a call for each machine, the last of
+// forty dead machines was terminated only after twenty seconds.
 func (a *Autoscaler) terminate(names []string) {
 	for _, name := range names {
 		if !a.terminating[name] {
@@ -35,7 +38,8 @@
 	}
 }
 
-// terminated takes in the result of a call, and goes on with what has come up meanwhile.
+// handleTermination processes the result of a call and terminates the machines that have been
+// queued meanwhile.
 func (a *Autoscaler) handleTermination(names []string, err error) {
 	a.terminationInFlight = false
 	if err != nil {
@@ -48,7 +52,8 @@
 	a.terminate(nil)
 }
 
-// cancelTermination forgets that machines were to be terminated: if need be they are again.
+// cancelTermination no longer treats machines as being terminated. They are terminated again if
+// the reason for it persists.
 func (a *Autoscaler) cancelTermination(names []string) {
 	for _, name := range names {
 		delete(a.terminating, name)
--- a/internal/autoscaler/tombstones.go
+++ b/internal/autoscaler/tombstones.go
@@ -11,31 +11,32 @@
 )
 
 const (
-	// tombstoneValueDivisor: a tombstone takes up at most half of what a value may hold.
+	// tombstoneValueDivisor limits tombstones to half of the maximum size of a value.
 	tombstoneValueDivisor = 2
-	// nameOverheadBytes are a name's quotes and comma in a tombstone.
+	// nameOverheadBytes is the size of the quotes and the comma of a name in a tombstone.
 	nameOverheadBytes = 3
-	// minTombstoneAge and tombstoneListLagFactor are how long a tombstone is kept at least:
-	// until no list of the cloud, and no late heartbeat, shows its machines any more.
+	// A tombstone is kept for at least minTombstoneAge plus tombstoneListLagFactor times the
+	// lag of the instance list. After that neither the list nor a late heartbeat can refer to
+	// its machines.
 	minTombstoneAge        = 2 * time.Minute
 	tombstoneListLagFactor = 4
-	// tombstoneChangesDivisor: deleting tombstones takes up at most a quarter of the
-	// changes of a transaction.
+	// tombstoneChangesDivisor limits the deletion of tombstones to a quarter of the changes
+	// of a transaction.
 	tombstoneChangesDivisor = 4
-	// maxCleanupBacklog is the backlog of writes at which deleting can wait.
+	// maxCleanupBacklog is the backlog of writes above which tombstones are not deleted.
 	maxCleanupBacklog = time.Second
 )
 
-// tombstoneBatch are terminated machines that share a tombstone.
+// tombstoneBatch collects terminated machines that share a tombstone.
 type tombstoneBatch struct {
 	names        []string
 	encodedBytes int
 }
 
-// storeTombstones stores that machines are gone, under the leader's token or that of the
-// machine's partition. All that are terminated together share a tombstone: with one for
-// each, some hundred machines that die together took up what the key-value store allows
-// while their tasks waited for it.
+// storeTombstones stores tombstones for terminated machines, fenced by the leader's token or by
+// the token of the machine's partition. Machines that are terminated together share a tombstone.
+// With a tombstone for each machine, a few hundred machines that died together used up the write
+// rate that the key-value store allows, which delayed the replacement of their tasks.
 func (a *Autoscaler) storeTombstones(names []string) {
 	batches := map[wire.Condition]*tombstoneBatch{}
 	maxBytes := a.MaxValueBytes / tombstoneValueDivisor
@@ -61,15 +62,16 @@
 	}
 }
 
-// prepareTombstone forgets a terminated instance and returns under which condition its
-// tombstone is stored; false: it needs none, or somebody else has to store it.
+// prepareTombstone drops a terminated instance from the leader's state and returns the fencing
+// condition under which its tombstone is to be stored. It returns false if the machine needs no
+// tombstone or if this controller may not store it.
 func (a *Autoscaler) prepareTombstone(name string) (wire.Condition, bool) {
 	inst, m := a.term.instances[name], a.Machines.GetOrAdd(name)
 	delete(a.term.instances, name)
 	delete(a.term.idleSince, name)
 	delete(a.term.draining, name)
 	if inst != nil && !inst.hasReported && !m.HasBoundTasks {
-		a.Machines.MarkTerminated(name) // it never was: nobody needs to know
+		a.Machines.MarkTerminated(name) // it has never come up, so no other controller refers to it
 		delete(a.terminating, name)
 		return wire.Condition{}, false
 	}
@@ -79,13 +81,13 @@
 		condition = partitionCondition
 	}
 	if condition.Revision == 0 {
-		a.cancelTermination([]string{name}) // whoever may store it by now terminates it again
+		a.cancelTermination([]string{name}) // the controller that may store it terminates the machine again
 		return wire.Condition{}, false
 	}
 	return condition, true
 }
 
-// storeTombstone stores one tombstone for machines.
+// storeTombstone stores one tombstone for several machines. Its key contains the first name.
 func (a *Autoscaler) storeTombstone(condition wire.Condition, names []string) {
 	key := a.TombstoneKeyPrefix + names[0]
 	a.Writer.SubmitWrite(&store.Write{
@@ -95,9 +97,10 @@
 	}, func(error) { a.cancelTermination(names) })
 }
 
-// deleteTombstones deletes tombstones once nothing is bound to their machines any more and
-// no list can show them. One transaction at a time: asked for again at each tick until the
-// first was stored, a hundred tombstones took up all that the key-value store allows.
+// deleteTombstones deletes tombstones once no tasks are bound to their machines and the instance
+// list can't contain them any more. Only one transaction is pending at a time. When the deletion
+// of a hundred tombstones was submitted again at each tick until the first transaction was
+// stored, it used up all changes that the key-value store allows.
 func (a *Autoscaler) deleteTombstones() {
 	if a.term.tombstoneDeletionInFlight || a.Writer.Backlog() > maxCleanupBacklog {
 		return
@@ -118,7 +121,8 @@
 	})
 }
 
-// obsoleteTombstoneDeletions are the deletions of tombstones that nobody needs, at most limit.
+// obsoleteTombstoneDeletions returns the changes that delete tombstones that are no longer
+// needed, at most limit.
 func (a *Autoscaler) obsoleteTombstoneDeletions(limit int) []wire.Change {
 	var changes []wire.Change
 	minAge := minTombstoneAge + tombstoneListLagFactor*config.Seconds(a.CloudSettings.ListLagS)
@@ -133,7 +137,7 @@
 	return changes
 }
 
-// hasBoundTasks tells whether tasks are bound to a machine.
+// hasBoundTasks reports whether tasks are bound to a machine. It is false for unknown machines.
 func (a *Autoscaler) hasBoundTasks(name string) bool {
 	m, known := a.Machines.Lookup(name)
 	return known && m.HasBoundTasks
--- a/internal/autoscaler/tombstones_test.go
+++ b/internal/autoscaler/tombstones_test.go
@@ -140,8 +140,8 @@
 	}{
 		{"leader", func(*fakeCluster) {}, false, &leaderCondition},
 		{"leader who owns the partition", func(c *fakeCluster) { c.partitionCondition = partitionCondition }, false, &leaderCondition},
-		{"owner", func(c *fakeCluster) { c.becomeFollower(); c.partitionCondition = partitionCondition }, false, &partitionCondition},
-		{"neither", func(c *fakeCluster) { c.becomeFollower() }, false, nil},
+		{"owner", func(c *fakeCluster) { c.demote(); c.partitionCondition = partitionCondition }, false, &partitionCondition},
+		{"neither", func(c *fakeCluster) { c.demote() }, false, nil},
 		{"leader, never up", func(*fakeCluster) {}, true, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -170,7 +170,7 @@
 	if len(c.writes) != 0 || a.IsTerminating("host-000000") {
 		t.Errorf("%d transactions, terminating: %v; want neither", len(c.writes), a.IsTerminating("host-000000"))
 	}
-	if got := len(c.markedTerminated) == 1; got != neverUp {
+	if got := len(c.terminated) == 1; got != neverUp {
 		t.Errorf("taken for terminated: %v, want %v", got, neverUp)
 	}
 }
