--- a/internal/autoscaler/drain_test.go
+++ b/internal/autoscaler/drain_test.go
@@ -10,18 +10,19 @@
 	"eiderhitch/internal/wire"
 )
 
-// surplusWorkload is one of machines of which a quarter is in use, and no more is wanted.
+// surplusWorkload returns a workload in which a quarter of each machine is in use and there is no
+// unplaced demand.
 func (c *fakeCluster) surplusWorkload() *Workload {
-	work := c.newWorkload()
-	for _, summary := range work.Machines {
+	workload := c.newWorkload()
+	for _, summary := range workload.Machines {
 		used := summary.Size
 		used.CPU /= 4
 		summary.InUse, summary.FreeResources, summary.Usages = true, summary.Size.Minus(used), []planning.TaskUsage{{Size: used}}
 	}
-	return work
+	return workload
 }
 
-// scaleFor has an autoscaler decide each second for a while.
+// scaleFor calls Scale once a second for a duration of the fake clock.
 func (c *fakeCluster) scaleFor(a *Autoscaler, duration time.Duration, newWorkload func() *Workload) {
 	for range int(duration / time.Second) {
 		a.Scale(newWorkload())
@@ -29,10 +30,11 @@
 	}
 }
 
-// idleWindow is how long the small type's machines are kept: 0.4 boot times of 40 s.
+// idleWindow is the idle timeout of an on-demand machine of type small: 0.4 times its boot time
+// of 40 s.
 const idleWindow = 16 * time.Second
 
-// A new leader drains nothing before it has led for the whole window.
+// A new leader drains no machine before it has observed a surplus for the whole window.
 func TestNewLeaderDrainsNothingBeforeFullWindow(t *testing.T) {
 	c := newFakeCluster()
 	c.leadership.StartedAt = c.now
@@ -40,49 +42,50 @@
 	a := c.newAutoscaler(t)
 	c.scaleFor(a, idleWindow, c.surplusWorkload)
 	if names := a.DrainingMachines(); len(names) != 0 {
-		t.Errorf("drained within the window: %v, want none", names)
+		t.Errorf("machines %v are draining within the window, want none", names)
 	}
 	a.Scale(c.surplusWorkload())
 	if names := a.DrainingMachines(); len(names) != 1 {
-		t.Errorf("drained after the window: %v, want one", names)
+		t.Errorf("machines %v are draining after the window, want one", names)
 	}
 }
 
-// After a shortage the surplus has to last for the whole window once more.
+// After a shortage, no machine is drained until the surplus has lasted for the whole window again.
 func TestShortageRestartsSurplusWindow(t *testing.T) {
 	c := newFakeCluster()
 	c.addMachines(2)
 	a := c.newAutoscaler(t)
 	c.scaleFor(a, idleWindow-2*time.Second, c.surplusWorkload)
-	short := c.surplusWorkload()
-	short.UnplacedDemands = []planning.Demand{c.newDemand(9)}
-	a.Scale(short)
+	shortage := c.surplusWorkload()
+	shortage.UnplacedDemands = []planning.Demand{c.newDemand(9)}
+	a.Scale(shortage)
 	c.now = c.now.Add(time.Second)
 	c.scaleFor(a, idleWindow/2, c.surplusWorkload)
 	if names := a.DrainingMachines(); len(names) != 0 {
-		t.Errorf("drained: %v, want none", names)
+		t.Errorf("machines %v are draining soon after a shortage, want none", names)
 	}
 }
 
-// The headroom for services is no surplus.
+// Capacity that is needed as headroom for services does not count as surplus.
 func TestHeadroomIsNotSurplus(t *testing.T) {
 	c := newFakeCluster()
 	c.addMachines(2)
 	a := c.newAutoscaler(t)
 	a.Operator.Headroom = 1
 	c.scaleFor(a, 2*idleWindow, func() *Workload {
-		work := c.surplusWorkload()
+		workload := c.surplusWorkload()
 		demand := c.newDemand(0)
 		demand.TaskSize.CPU = 3000
-		work.Services = slices.Values([]Service{{Class: "c", Priority: 1, TaskCount: 1, Demand: func() planning.Demand { return demand }}})
-		return work
+		workload.Services = slices.Values([]Service{{Class: "c", Priority: 1, TaskCount: 1, Demand: func() planning.Demand { return demand }}})
+		return workload
 	})
 	if names := a.DrainingMachines(); len(names) != 0 {
-		t.Errorf("drained: %v, want none: with 3 of 6 CPUs kept free no machine is surplus", names)
+		t.Errorf("machines %v are draining, want none: with 3 of 6 free CPUs as headroom, no machine is surplus", names)
 	}
 }
 
-// What is free on a machine that is drained counts as free no more, nor as having been so.
+// The free capacity of a draining machine no longer counts as surplus, and neither do earlier
+// samples of it.
 func TestDrainingMachinesDoNotCountAsSurplus(t *testing.T) {
 	c := newFakeCluster()
 	c.addMachines(2)
@@ -91,36 +94,36 @@
 		a.Scale(c.surplusWorkload())
 		c.now = c.now.Add(time.Second)
 	}
-	work := c.surplusWorkload()
-	for _, summary := range work.Machines { // the tasks of the other one have ended
+	workload := c.surplusWorkload()
+	for _, summary := range workload.Machines { // the tasks of the other machine have ended
 		if !a.IsDrainingAsLeader(a.machineName(summary)) {
 			summary.FreeResources, summary.Usages = summary.Size, nil
 		}
 	}
-	a.Scale(work)
+	a.Scale(workload)
 	if names := a.DrainingMachines(); len(names) != 1 {
-		t.Errorf("drained: %v, want one: the other has been free for a moment", names)
+		t.Errorf("machines %v are draining, want one: the other has only just become free", names)
 	}
 }
 
-// A machine that is wanted, or was in between, is not idle for long.
+// A machine that is in use, or was in use recently, is not terminated as idle.
 func TestMachineInUseRestartsIdleTime(t *testing.T) {
 	c := newFakeCluster()
 	c.addMachines(1)
 	c.machines[0].Partition = loanPartition
 	a := c.newAutoscaler(t)
-	c.scaleFor(a, 2*idleWindow, c.surplusWorkload) // planned for
+	c.scaleFor(a, 2*idleWindow, c.surplusWorkload) // the machine is in use
 	c.scaleFor(a, idleWindow-time.Second, func() *Workload { return c.newWorkload() })
 	c.machines[0].HasBoundTasks = true
 	a.Scale(c.newWorkload())
 	c.machines[0].HasBoundTasks = false
 	c.scaleFor(a, idleWindow, func() *Workload { return c.newWorkload() })
 	if len(a.queuedCalls) != 0 {
-		t.Error("it is terminated, though it was in use of late")
+		t.Error("the machine is terminated although it was in use recently")
 	}
 }
 
-// A terminated machine is forgotten: it neither counts as drained nor as idle.
+// After its termination, a machine no longer counts as an instance, as draining or as idle.
 func TestTerminationDropsLeaderState(t *testing.T) {
 	c := newFakeCluster()
 	c.addMachines(1)
@@ -130,11 +133,12 @@
 	a.terminate([]string{"host-000000"})
 	c.runQueuedCalls(a)
 	if len(a.term.draining)+len(a.term.idleSince)+len(a.term.instances) != 0 {
-		t.Errorf("draining %v, idle %v, instances %v; want none", a.term.draining, a.term.idleSince, a.term.instances)
+		t.Errorf("after the termination: draining %v, idle %v, instances %v; want none", a.term.draining, a.term.idleSince, a.term.instances)
 	}
 }
 
-// The list lags: what it shows of machines that are terminated, or being so, says nothing.
+// Machines that have been or are being terminated are ignored in the instance list, since the
+// list lags.
 func TestInstanceListIgnoresTerminatedMachines(t *testing.T) {
 	c := newFakeCluster()
 	c.addMachines(2)
@@ -145,25 +149,25 @@
 		a.applyInstanceList([]wire.Instance{{Name: "host-000000", Type: "small", State: state}, {Name: "host-000001", Type: "small", State: state}})
 	}
 	if len(a.term.instances) != 0 || len(a.queuedCalls) != 0 {
-		t.Errorf("instances %v, %d calls; want none", a.term.instances, len(a.queuedCalls))
+		t.Errorf("%v are known instances, %d calls are queued; want none", a.term.instances, len(a.queuedCalls))
 	}
 }
 
-// Tombstones wait while the key-value store has much to do.
+// Tombstones are not deleted while many writes are queued for the key-value store.
 func TestTombstoneDeletionWaitsForWriteBacklog(t *testing.T) {
 	c := newFakeCluster()
 	c.tombstones["e/gone/x"] = Tombstone{Key: "e/gone/x", FirstSeenAt: c.now.Add(-hour)}
 	c.writer.Submit(&store.Write{Changes: make([]wire.Change, 200)})
 	if c.Backlog() <= time.Second {
-		t.Fatalf("the backlog is %v, want more than a second", c.Backlog())
+		t.Fatalf("backlog of %v, want more than a second", c.Backlog())
 	}
 	c.newAutoscaler(t).deleteTombstones()
 	if len(c.writes) != 0 {
-		t.Errorf("written: %+v, want nothing", c.writes)
+		t.Errorf("writes %+v, want none", c.writes)
 	}
 }
 
-// A zone that was isolated once is given the whole time when it is again.
+// If a zone becomes isolated a second time, its machines are kept for the full time again.
 func TestZoneIsolationTimeRestarts(t *testing.T) {
 	c := newFakeCluster()
 	c.addMachines(6)
@@ -178,12 +182,12 @@
 		a.DetectIsolatedZones()
 	}
 	if !a.term.isolatedZones["a"] {
-		t.Error("its machines are not kept")
+		t.Error("the machines of the zone are not kept the second time")
 	}
 }
 
-// Work of services preempts what is below them, so that room is headroom; and what is up is
-// not booting.
+// Tasks below the priority of all services count as headroom, since services preempt them. A
+// machine that is up does not count as booting.
 func TestLowerPriorityTasksCountAsHeadroom(t *testing.T) {
 	c := newFakeCluster()
 	c.addMachines(1)
@@ -192,15 +196,15 @@
 	a.Operator.Headroom = 1
 	a.ObserveMachine(c.machines[0].Machine)
 	if booting, _ := a.MachineCounts(); booting != 0 {
-		t.Errorf("%d machines are booting, want none", booting)
+		t.Errorf("%d machines count as booting, want none", booting)
 	}
 	demand := c.newDemand(0)
 	for priority, launches := range map[int]int{0: 1, 1: 0} {
-		work := c.newWorkload()
-		work.Services = slices.Values([]Service{{Class: "c", Priority: priority, TaskCount: 1, Demand: func() planning.Demand { return demand }}})
-		plan, _ := a.planLaunches(work, a.computeHeadroom(work.Services))
+		workload := c.newWorkload()
+		workload.Services = slices.Values([]Service{{Class: "c", Priority: priority, TaskCount: 1, Demand: func() planning.Demand { return demand }}})
+		plan, _ := a.planLaunches(workload, a.computeHeadroom(workload.Services))
 		if plan.Launches[smallOffer] != launches {
-			t.Errorf("priority %d above tasks of 0: launches %v, want %d", priority, plan.Launches, launches)
+			t.Errorf("services of priority %d, running tasks of priority 0: launches %v, want %d", priority, plan.Launches, launches)
 		}
 	}
 }
--- a/internal/autoscaler/fake_cluster_test.go
+++ b/internal/autoscaler/fake_cluster_test.go
@@ -17,9 +17,9 @@
 	"eiderhitch/internal/wire"
 )
 
-// fakeCloud answers by what a test sets, and keeps what it was asked.
+// fakeCloud is a Cloud that returns what the test sets and records the calls.
 type fakeCloud struct {
-	// launch answers launches; nil: all that is asked for is launched.
+	// launchFunc implements Launch. If it is nil, all requested machines are launched.
 	launchFunc        func(wire.LaunchRequest) ([]string, error)
 	launchRequests    []wire.LaunchRequest
 	terminateErr      error
@@ -59,13 +59,13 @@
 	return c.machineTypes, c.typesErr
 }
 
-// fakeCluster are the machines, the cluster, the queue of writes and the event loop around
-// an autoscaler. Calls to the cloud wait until a test has them made.
+// fakeCluster implements the components that an Autoscaler depends on: Machines, Cluster, Writer
+// and EventLoop. Calls to its fakeCloud stay queued until the test calls runQueuedCalls.
 type fakeCluster struct {
 	cloud                fakeCloud
 	now                  time.Time
-	machines             []*ReportedMachine // by index
-	terminated           []string           // marked as terminated
+	machines             []*ReportedMachine // by machine index
+	terminated           []string           // the arguments of MarkTerminated
 	unreachableWithTasks []string
 	types                map[string]*wire.MachineType
 
@@ -95,7 +95,7 @@
 	smallOffer         = planning.Offer{Type: "small", Zone: "a"}
 )
 
-// newFakeCluster is one that this controller has led for an hour.
+// newFakeCluster returns a cluster that this controller has led for an hour. It has no machines.
 func newFakeCluster() *fakeCluster {
 	now := time.Unix(1_000_000_000, 0)
 	return &fakeCluster{
@@ -107,12 +107,13 @@
 	}
 }
 
-// follow has another controller lead.
+// demote makes this controller a follower.
 func (c *fakeCluster) demote() {
 	c.leadership = Leadership{FencingCondition: wire.Condition{Key: leaderCondition.Key}}
 }
 
-// autoscaler is one in this cluster, at the start of its term if this controller leads.
+// newAutoscaler returns an Autoscaler for the cluster. Its term has started if this controller is
+// the leader.
 func (c *fakeCluster) newAutoscaler(t *testing.T) *Autoscaler {
 	t.Helper()
 	a := New(Config{
@@ -126,7 +127,7 @@
 	return a
 }
 
-// add adds machines of the small type that are up in zone a.
+// addMachines adds reachable machines of type small in zone a.
 func (c *fakeCluster) addMachines(count int) {
 	for range count {
 		name := fmt.Sprintf("host-%06d", len(c.machines))
@@ -134,7 +135,7 @@
 	}
 }
 
-// summaries are those of all machines, with what is bound using all of its machine.
+// machineSummaries returns summaries of all machines. A machine with bound tasks is fully used.
 func (c *fakeCluster) machineSummaries() []*planning.MachineSummary {
 	var all []*planning.MachineSummary
 	for i, m := range c.machines {
@@ -148,18 +149,18 @@
 	return all
 }
 
-// workload is one of what waits alone.
+// newWorkload returns a workload with unplaced demands and no services.
 func (c *fakeCluster) newWorkload(waiting ...planning.Demand) *Workload {
 	return &Workload{Machines: c.machineSummaries(), UnplacedDemands: waiting, Services: slices.Values([]Service(nil))}
 }
 
-// demand is one for tasks that fill a machine each.
+// newDemand returns a demand for tasks that each fill an on-demand machine of type small.
 func (c *fakeCluster) newDemand(tasks int) planning.Demand {
 	return planning.Demand{Class: "c", TaskSize: machineTypeSize(c.types["small"]), Count: tasks, AllOrNothing: true,
 		AllowsOffer: func(offer planning.Offer) bool { return !offer.Spot }}
 }
 
-// runQueuedCalls makes the calls to the cloud that wait, and those that come up by that.
+// runQueuedCalls makes the queued calls to the cloud, and the calls that they queue in turn.
 func (c *fakeCluster) runQueuedCalls(a *Autoscaler) {
 	for len(a.queuedCalls) > 0 {
 		call := <-a.queuedCalls
@@ -227,7 +228,7 @@
 	}
 }
 
-// SubmitWrite keeps a write in the queue, where nothing stores it.
+// SubmitWrite records a write. It is queued but never stored.
 func (c *fakeCluster) SubmitWrite(write *store.Write, done func(error)) {
 	c.writes, c.writeCallbacks = append(c.writes, write), append(c.writeCallbacks, done)
 	c.writer.Submit(write)
--- a/internal/autoscaler/scale_test.go
+++ b/internal/autoscaler/scale_test.go
@@ -13,8 +13,8 @@
 	"eiderhitch/internal/wire"
 )
 
-// Room is kept for as many services of a class as the operator's factor says for the number
-// there is, in the order of the classes' names.
+// The headroom of a class follows from its number of services and the operator's factor for the
+// class. Classes are in alphabetical order.
 func TestHeadroomByClass(t *testing.T) {
 	c := newFakeCluster()
 	a := c.newAutoscaler(t)
@@ -24,40 +24,41 @@
 			return planning.Demand{Class: class, TaskSize: scheduling.NewResources(1, 0, 1)}
 		}}
 	}
-	room := a.computeHeadroom(slices.Values([]Service{service("web", 7, 3), service("feed", 5, 4), service("web", 6, 6)}))
+	headroom := a.computeHeadroom(slices.Values([]Service{service("web", 7, 3), service("feed", 5, 4), service("web", 6, 6)}))
 	var got []string
-	for _, demand := range room.demands {
+	for _, demand := range headroom.demands {
 		got = append(got, fmt.Sprintf("%s %d", demand.Class, demand.Count))
 	}
-	if want := []string{"feed 2", "web 6"}; !slices.Equal(got, want) || room.minPriority != 5 {
-		t.Errorf("room for %v, above priority %d; want %v, 5", got, room.minPriority, want)
+	if want := []string{"feed 2", "web 6"}; !slices.Equal(got, want) || headroom.minPriority != 5 {
+		t.Errorf("headroom for %v, lowest priority %d; want %v, 5", got, headroom.minPriority, want)
 	}
 	none := a.computeHeadroom(slices.Values([]Service(nil)))
 	if len(none.demands) != 0 || none.minPriority != math.MaxInt {
-		t.Errorf("room for %v, above priority %d without any service", none.demands, none.minPriority)
+		t.Errorf("headroom for %v, lowest priority %d without any service, want none", none.demands, none.minPriority)
 	}
 }
 
-// Headroom has machines launched, but is no shortage: machines are drained all the same.
+// A lack of headroom makes the plan launch machines but is no shortage, which would prevent
+// draining. A lack in the gang reserve is one.
 func TestHeadroomIsNoShortage(t *testing.T) {
 	c := newFakeCluster()
 	a := c.newAutoscaler(t)
 	demand := c.newDemand(0)
 	services := slices.Values([]Service{{Class: "c", TaskCount: 4, Demand: func() planning.Demand { return demand }}})
-	work := &Workload{Services: services}
-	room := a.computeHeadroom(services)
-	plan, shortage := a.planLaunches(work, room)
+	workload := &Workload{Services: services}
+	headroom := a.computeHeadroom(services)
+	plan, shortage := a.planLaunches(workload, headroom)
 	if shortage || plan.Launches[smallOffer] == 0 {
 		t.Errorf("shortage: %v, launches %v; want launches without a shortage", shortage, plan.Launches)
 	}
-	work.GangReserveShortfall = []planning.Demand{c.newDemand(1)}
-	if _, shortage = a.planLaunches(work, room); !shortage {
-		t.Error("what the reserve lacks is no shortage")
+	workload.GangReserveShortfall = []planning.Demand{c.newDemand(1)}
+	if _, shortage = a.planLaunches(workload, headroom); !shortage {
+		t.Error("shortfall of the gang reserve is not reported as a shortage")
 	}
 }
 
-// Offers come in one order, whatever that of the types is; spot instances only if the operator
-// allows them.
+// Offers are sorted, whatever the order of the machine types. Spot instances are offered only if
+// the operator allows them.
 func TestOffersAreSorted(t *testing.T) {
 	for _, spot := range []bool{false, true} {
 		c := newFakeCluster()
@@ -73,13 +74,13 @@
 			want = []string{"{large a false} 1.2", "{large a true} 0.3", "{large b false} 1.2", "{large b true} 0.3", "{small a false} 0.4", "{small a true} 0.1"}
 		}
 		if !slices.Equal(got, want) {
-			t.Errorf("spot %v: offers %q, want %q", spot, got, want)
+			t.Errorf("spot instances allowed: %v: offers %q, want %q", spot, got, want)
 		}
 	}
 }
 
-// With its term a leader forgets what it knew of the fleet, but not which machines are being
-// terminated: their tombstones are stored by whoever may by then.
+// At the end of its term, a leader discards its view of the fleet but not the machines that are
+// being terminated. Their tombstones are stored under any token that it still has.
 func TestEndTermKeepsTerminations(t *testing.T) {
 	c := newFakeCluster()
 	c.addMachines(1)
@@ -91,44 +92,45 @@
 	c.partitionCondition = partitionCondition
 	a.EndTerm()
 	if booting, draining := a.MachineCounts(); booting != 0 || draining != 0 || len(a.term.instances) != 0 {
-		t.Errorf("%d machines boot, %d are drained, instances %v; want none", booting, draining, a.term.instances)
+		t.Errorf("%d machines booting, %d draining, instances %v; want none", booting, draining, a.term.instances)
 	}
 	if !a.IsTerminating("host-000000") {
-		t.Error("it is not being terminated any more")
+		t.Error("the machine is no longer being terminated")
 	}
 	c.runQueuedCalls(a)
 	if len(c.writes) != 1 || c.writes[0].Conditions[0] != partitionCondition {
-		t.Errorf("written: %+v, want a tombstone under the partition's token", c.writes)
+		t.Errorf("writes %+v, want a tombstone under the partition's token", c.writes)
 	}
 	a.SyncWithCloud()
 	if len(a.queuedCalls) != 0 {
-		t.Error("who does not lead reads the list")
+		t.Error("a follower reads the instance list")
 	}
 }
 
-// A list that fails is read again when the next one is due, and tells nothing.
+// If reading the instance list fails, nothing is known from it, and it is read again when the next
+// read is due.
 func TestFailedInstanceListIsRetried(t *testing.T) {
 	c := newFakeCluster()
 	a := c.newAutoscaler(t)
 	c.cloud.listErr = errors.New("no answer")
 	a.syncInstances()
-	a.syncInstances() // one is under way
+	a.syncInstances() // not queued, since one is in flight
 	c.runQueuedCalls(a)
 	a.syncInstances() // not due yet
 	c.runQueuedCalls(a)
 	if c.cloud.listCalls != 1 || a.term.hasInstanceList {
-		t.Errorf("%d lists, listed: %v; want 1, and nothing known", c.cloud.listCalls, a.term.hasInstanceList)
+		t.Errorf("%d reads, instance list known: %v; want 1, not known", c.cloud.listCalls, a.term.hasInstanceList)
 	}
 	c.now = c.now.Add(a.listInterval() + time.Millisecond)
 	c.cloud.listErr = nil
 	a.syncInstances()
 	c.runQueuedCalls(a)
 	if c.cloud.listCalls != 2 || !a.term.hasInstanceList {
-		t.Errorf("%d lists, listed: %v; want 2, and known", c.cloud.listCalls, a.term.hasInstanceList)
+		t.Errorf("%d reads, instance list known: %v; want 2, known", c.cloud.listCalls, a.term.hasInstanceList)
 	}
 }
 
-// A transaction deletes a limited number of tombstones.
+// The number of tombstones that one transaction deletes is limited.
 func TestTombstoneDeletionIsLimited(t *testing.T) {
 	c := newFakeCluster()
 	for i := range 20 {
@@ -137,11 +139,11 @@
 	}
 	c.newAutoscaler(t).deleteTombstones()
 	if len(c.writes) != 1 || len(c.writes[0].Changes) != 8 {
-		t.Errorf("written: %+v, want 8 deletions", c.writes)
+		t.Errorf("writes %+v, want one with 8 deletions", c.writes)
 	}
 }
 
-// Types that somebody has stored are not stored again.
+// Machine types that are already in the key-value store are not written again.
 func TestStoredMachineTypesAreNotStoredAgain(t *testing.T) {
 	c := newFakeCluster()
 	c.cloud.machineTypes = []wire.MachineType{{Name: "large"}}
@@ -150,6 +152,6 @@
 	a.SyncWithCloud()
 	c.runQueuedCalls(a)
 	if len(c.writes) != 0 || c.types["large"] == nil {
-		t.Errorf("%d transactions, types %v; want none, and the types known", len(c.writes), c.types)
+		t.Errorf("%d writes, machine types %v; want no write, and type large known", len(c.writes), c.types)
 	}
 }
--- a/internal/autoscaler/tombstones_test.go
+++ b/internal/autoscaler/tombstones_test.go
@@ -12,9 +12,9 @@
 	"eiderhitch/internal/wire"
 )
 
-// Tombstones are deleted in one transaction, not asked for again at each tick until
-// the first is stored: with a hundred of them that took up all changes that the
-// key-value store allows, and assignment waited for seconds.
+// Only one deletion of tombstones is pending at a time. Guards against a fault in which the
+// deletion was submitted again at each tick until the first was stored: with a hundred tombstones,
+// it used up all changes that the key-value store allows and delayed assignment by seconds.
 func TestTombstonesAreDeletedOnce(t *testing.T) {
 	c := newFakeCluster()
 	a := c.newAutoscaler(t)
@@ -29,19 +29,20 @@
 		a.deleteTombstones()
 	}
 	if queued == 0 || c.Backlog() != queued {
-		t.Errorf("the backlog is %v after one call, %v after many; want the same, and not 0", queued, c.Backlog())
+		t.Errorf("backlog of %v after one call, %v after many; want the same, and not 0", queued, c.Backlog())
 	}
 	if len(c.writes) != 1 || len(c.writes[0].Changes) != 3 || !slices.Equal(c.writes[0].Conditions, []wire.Condition{leaderCondition}) {
-		t.Errorf("written: %+v, want one deletion of 3 tombstones by the leader", c.writes)
+		t.Errorf("writes %+v, want one that deletes 3 tombstones under the leader's token", c.writes)
 	}
 	c.writeCallbacks[0](nil)
 	a.deleteTombstones()
 	if len(c.writes) != 2 {
-		t.Errorf("%d transactions, want another one once the first is stored", len(c.writes))
+		t.Errorf("%d writes, want another one once the first is stored", len(c.writes))
 	}
 }
 
-// The result of a former term's deletion does not end the wait for the present term's.
+// The result of a deletion from an earlier term does not allow a second deletion while that of the
+// current term is pending.
 func TestFormerTermDeletionResultIsIgnored(t *testing.T) {
 	c := newFakeCluster()
 	c.tombstones["e/gone/x"] = Tombstone{Key: "e/gone/x", FirstSeenAt: c.now.Add(-hour)}
@@ -53,12 +54,12 @@
 	c.writeCallbacks[0](nil)
 	a.deleteTombstones()
 	if len(c.writes) != 2 {
-		t.Errorf("%d transactions, want one of each term", len(c.writes))
+		t.Errorf("%d writes, want one in each term", len(c.writes))
 	}
 }
 
-// A tombstone is kept while a list of the cloud may show its machines, and while a record
-// binds tasks to one of them.
+// A tombstone is kept while the instance list may contain its machines, and while tasks are bound
+// to one of them.
 func TestNeededTombstonesAreKept(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -77,14 +78,14 @@
 			c.tombstones["e/gone/x"] = Tombstone{Key: "e/gone/x", MachineNames: []string{"host-000000", "host-000001"}, FirstSeenAt: c.now.Add(-test.age)}
 			c.newAutoscaler(t).deleteTombstones()
 			if len(c.writes) != test.want {
-				t.Errorf("%d transactions, want %d", len(c.writes), test.want)
+				t.Errorf("%d writes, want %d", len(c.writes), test.want)
 			}
 		})
 	}
 }
 
-// Machines that die together are terminated together, and what is stored of that is
-// one change, not one for each: their tasks wait for it.
+// Machines that are terminated together share a tombstone, which is a single change. Guards
+// against a write backlog that delays the replacement of their tasks.
 func TestMachinesTerminatedTogetherShareATombstone(t *testing.T) {
 	c := newFakeCluster()
 	a := c.newAutoscaler(t)
@@ -95,19 +96,19 @@
 	}
 	a.storeTombstones(names)
 	if n := c.Backlog(); n > time.Second/10 {
-		t.Errorf("the backlog is %v, want at most 100 ms", n)
+		t.Errorf("backlog of %v, want at most 100 ms", n)
 	}
 	if len(c.writes) != 1 || len(c.writes[0].Changes) != 1 {
-		t.Fatalf("%d transactions, want one of one change", len(c.writes))
+		t.Fatalf("%d writes, want one with a single change", len(c.writes))
 	}
 	var stored []string
 	change := c.writes[0].Changes[0]
 	if err := json.Unmarshal(change.Value, &stored); err != nil || change.Put != "e/gone/host-000000" || !slices.Equal(stored, names) {
-		t.Errorf("stored under %s: %v, %v; want all names under the first", change.Put, stored, err)
+		t.Errorf("key %s, names %v, error %v; want all names under the first one", change.Put, stored, err)
 	}
 }
 
-// No tombstone is larger than half of what a value may hold, and the name that fills it.
+// A tombstone is at most as large as half the maximum size of a value plus one name.
 func TestLargeBatchIsSplitIntoSeveralTombstones(t *testing.T) {
 	c := newFakeCluster()
 	a := c.newAutoscaler(t)
@@ -121,7 +122,7 @@
 	for _, write := range c.writes {
 		var stored []string
 		if err := json.Unmarshal(write.Changes[0].Value, &stored); err != nil || len(write.Changes[0].Value) > 4<<10+20 {
-			t.Errorf("a tombstone of %d bytes: %v", len(write.Changes[0].Value), err)
+			t.Errorf("tombstone of %d bytes, error %v; want at most half of the value size and a name", len(write.Changes[0].Value), err)
 		}
 		all = append(all, stored...)
 	}
@@ -130,23 +131,24 @@
 	}
 }
 
-// Who holds the fencing token stores the tombstone; what never was up has none.
+// A tombstone is stored under the leader's fencing token or that of the partition's owner. A
+// controller that is neither stores none, and a machine that has never come up has none.
 func TestTombstoneFencingCondition(t *testing.T) {
 	for _, test := range []struct {
 		name      string
-		cluster   func(c *fakeCluster)
-		launched  bool // and not up yet
+		setup     func(c *fakeCluster)
+		launched  bool // launched by this leader, not up yet
 		condition *wire.Condition
 	}{
 		{"leader", func(*fakeCluster) {}, false, &leaderCondition},
 		{"leader who owns the partition", func(c *fakeCluster) { c.partitionCondition = partitionCondition }, false, &leaderCondition},
 		{"owner", func(c *fakeCluster) { c.demote(); c.partitionCondition = partitionCondition }, false, &partitionCondition},
 		{"neither", func(c *fakeCluster) { c.demote() }, false, nil},
-		{"leader, never up", func(*fakeCluster) {}, true, nil},
+		{"leader, machine never up", func(*fakeCluster) {}, true, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newFakeCluster()
-			test.cluster(c)
+			test.setup(c)
 			a := c.newAutoscaler(t)
 			c.addMachines(1)
 			if test.launched {
@@ -163,39 +165,39 @@
 	}
 }
 
-// checkNoTombstone checks that none is stored for host-000000, and that it is taken for
-// terminated if it never was up.
+// checkNoTombstone checks that no tombstone is stored for host-000000, and that the machine is
+// marked as terminated if, and only if, it has never come up.
 func checkNoTombstone(t *testing.T, c *fakeCluster, a *Autoscaler, neverUp bool) {
 	t.Helper()
 	if len(c.writes) != 0 || a.IsTerminating("host-000000") {
-		t.Errorf("%d transactions, terminating: %v; want neither", len(c.writes), a.IsTerminating("host-000000"))
+		t.Errorf("%d writes, machine is being terminated: %v; want neither", len(c.writes), a.IsTerminating("host-000000"))
 	}
 	if got := len(c.terminated) == 1; got != neverUp {
-		t.Errorf("taken for terminated: %v, want %v", got, neverUp)
+		t.Errorf("machine is marked as terminated: %v, want %v", got, neverUp)
 	}
 }
 
-// checkTombstone checks that one is stored for host-000000, which is being terminated until
-// then.
+// checkTombstone checks that a tombstone for host-000000 is submitted under a condition, and that
+// the machine counts as being terminated until the tombstone is stored.
 func checkTombstone(t *testing.T, c *fakeCluster, a *Autoscaler, condition wire.Condition) {
 	t.Helper()
 	if len(c.writes) != 1 || c.writes[0].Conditions[0] != condition || c.writes[0].Conditions[1] != (wire.Condition{Key: "e/gone/host-000000"}) {
-		t.Fatalf("written: %+v, want one tombstone under %v", c.writes, condition)
+		t.Fatalf("writes %+v, want one tombstone under %v", c.writes, condition)
 	}
 	if !c.writes[0].MediumPriority {
-		t.Error("the tombstone waits behind usual writes, and tasks for it")
+		t.Error("the tombstone has normal priority, which delays the replacement of tasks")
 	}
 	if !a.IsTerminating("host-000000") {
-		t.Error("it is not being terminated while the tombstone is stored")
+		t.Error("the machine is not being terminated while its tombstone is pending")
 	}
 	c.writeCallbacks[0](nil)
 	if a.IsTerminating("host-000000") {
-		t.Error("it is still being terminated once the tombstone is stored")
+		t.Error("the machine is still being terminated after its tombstone is stored")
 	}
 }
 
-// One call terminates all machines that have come up since the one before, up to what the
-// cloud takes; after a failed one they may be asked for again.
+// One call terminates all machines that were queued since the previous call, up to the limit of
+// the cloud's API. After a failed call, the machines can be queued again.
 func TestTerminationsAreBatched(t *testing.T) {
 	c := newFakeCluster()
 	a := c.newAutoscaler(t)
@@ -210,7 +212,7 @@
 		sizes = append(sizes, len(names))
 	}
 	if !slices.Equal(sizes, []int{1, cloud.MaxTerminateNames, 5}) {
-		t.Errorf("calls for %v machines, want 1, %d and 5", sizes, cloud.MaxTerminateNames)
+		t.Errorf("calls for %v machines, want calls for 1, %d and 5", sizes, cloud.MaxTerminateNames)
 	}
 
 	c = newFakeCluster()
@@ -221,7 +223,7 @@
 		a.terminate([]string{"host-000000"})
 		c.runQueuedCalls(a)
 		if a.IsTerminating("host-000000") || len(c.writes) != 0 {
-			t.Errorf("terminating: %v, %d transactions; want neither after a failed call", a.IsTerminating("host-000000"), len(c.writes))
+			t.Errorf("machine is being terminated: %v, %d writes; want neither after a failed call", a.IsTerminating("host-000000"), len(c.writes))
 		}
 	}
 	if len(c.cloud.terminations) != 2 {
