--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -120,11 +120,11 @@
 }
 
 // addListedInstance records an instance that the instance list contains.
-func (a *Autoscaler) addListedInstance(listed *wire.Instance) {
-	inst := a.term.instances[listed.Name]
+func (a *Autoscaler) addListedInstance(item *wire.Instance) {
+	inst := a.term.instances[item.Name]
 	if inst == nil {
-		inst = &instance{machineType: listed.Type, zone: listed.Zone, spot: listed.Spot, launchedAt: a.Loop.Now().Add(-config.Seconds(listed.AgeS))}
-		a.term.instances[listed.Name] = inst
+		inst = &instance{machineType: item.Type, zone: item.Zone, spot: item.Spot, launchedAt: a.Loop.Now().Add(-config.Seconds(item.AgeS))}
+		a.term.instances[item.Name] = inst
 	}
 	inst.seenInList = true
 }
