--- a/internal/autoscaler/drain.go
+++ b/internal/autoscaler/drain.go
@@ -9,19 +9,21 @@
 )
 
 const (
-	// minIdleTimeout is the least time that an idle machine is kept.
+	// minIdleTimeout is the minimum time for which an idle machine is kept.
 	minIdleTimeout = 10 * time.Second
-	milliCPUs      = 1000 // in a CPU
+
+	milliCPUsPerCPU = 1000
 )
 
-// IsDraining reports whether a machine is drained, as the leader announced it last. Its owner
-// places nothing on it.
+// IsDraining reports whether a machine is draining according to the leader's last announcement.
+// The owner of its partition places no tasks on it.
 func (a *Autoscaler) IsDraining(name string) bool { return a.announcedDraining[name] }
 
-// IsDrainingAsLeader reports whether this controller, as the leader, has a machine drained.
+// IsDrainingAsLeader reports whether this controller is the leader and is draining a machine.
 func (a *Autoscaler) IsDrainingAsLeader(name string) bool { return a.term.draining[name] }
 
-// DrainingMachines names the machines that this controller, as the leader, has drained.
+// DrainingMachines returns the names of the machines that this controller is draining, in no
+// particular order. It returns none on a follower.
 func (a *Autoscaler) DrainingMachines() []string {
 	var names []string
 	for name := range a.term.draining {
@@ -30,7 +32,8 @@
 	return names
 }
 
-// ObserveDraining takes in which machines the leader announces as draining.
+// ObserveDraining records the machines that the leader announces as draining. They replace
+// those announced before.
 func (a *Autoscaler) ObserveDraining(names []string) {
 	a.announcedDraining = map[string]bool{}
 	for _, name := range names {
@@ -38,9 +41,10 @@
 	}
 }
 
-// idleTimeout is how long a machine may be idle before it is terminated: as long as its
-// idling costs no more than it would to boot an on-demand one in its place, so that waiting
-// is never more than twice as dear as knowing the future.
+// idleTimeout returns how long a machine may be idle before it is terminated. An idle machine is
+// kept until its idle time has cost as much as booting an on-demand machine in its place, which
+// is longer for a cheaper spot instance. The total cost is then at most twice that of a decision
+// with knowledge of future demand.
 func (a *Autoscaler) idleTimeout(machineType *wire.MachineType, spot bool) time.Duration {
 	seconds := machineType.BootS * a.Operator.IdleBoots
 	if spot && machineType.SpotPrice > 0 {
@@ -49,14 +53,15 @@
 	return max(config.Seconds(seconds), minIdleTimeout)
 }
 
-// nameOf is the name of the machine that a summary is of.
-func (a *Autoscaler) nameOf(summary *planning.MachineSummary) string {
+// machineName returns the name of the machine that a summary describes.
+func (a *Autoscaler) machineName(summary *planning.MachineSummary) string {
 	return a.Machines.At(summary.Index).Name
 }
 
-// drainSurplus has a machine drained that the fleet has not needed of late: it takes no more
-// work, and is terminated when it is empty. In a shortage none is.
-func (a *Autoscaler) drainSurplus(summaries []*planning.MachineSummary, room *headroom, shortage bool) {
+// drainSurplus starts to drain a machine whose capacity has not been needed recently. A draining
+// machine gets no more tasks and is terminated once it is idle. In a shortage, no machine is
+// drained, and those that are draining are used again.
+func (a *Autoscaler) drainSurplus(summaries []*planning.MachineSummary, headroom *serviceHeadroom, shortage bool) {
 	a.announcedDraining = a.term.draining
 	if shortage {
 		clear(a.term.draining)
@@ -64,24 +69,25 @@
 		return
 	}
 	window := a.longestIdleTimeout(summaries)
-	age := a.Loop.Now().Sub(a.Cluster.Leadership().StartedAt)
-	leastFree, covered := a.term.freeHistory.Add(age.Seconds(), a.surplusCPUs(summaries, room), window.Seconds())
-	if !covered || age < window {
-		return // not seen for long enough
+	termAge := a.Loop.Now().Sub(a.Cluster.Leadership().StartedAt)
+	minSurplus, covered := a.term.freeHistory.Add(termAge.Seconds(), a.surplusMilliCPUs(summaries, headroom), window.Seconds())
+	if !covered || termAge < window {
+		return // the surplus has not been observed for the whole window
 	}
-	best := planning.LeastUsedMachine(summaries, leastFree, room.priority, func(summary *planning.MachineSummary) bool {
-		return summary.Partition != a.LoanPartition && !a.term.draining[a.nameOf(summary)]
+	candidate := planning.LeastUsedMachine(summaries, minSurplus, headroom.minPriority, func(summary *planning.MachineSummary) bool {
+		return summary.Partition != a.LoanPartition && !a.term.draining[a.machineName(summary)]
 	})
-	if best == nil {
+	if candidate == nil {
 		return
 	}
-	name := a.nameOf(best)
+	name := a.machineName(candidate)
 	a.term.draining[name] = true
-	a.term.freeHistory.Subtract(best.Size.CPU - best.UsedResources().CPU)
-	a.Log.Info("machine is drained", "machine", name, "spare_cpus", leastFree/milliCPUs)
+	a.term.freeHistory.Subtract(candidate.Size.CPU - candidate.UsedResources().CPU)
+	a.Log.Info("draining machine", "machine", name, "spare_cpus", minSurplus/milliCPUsPerCPU)
 }
 
-// longestIdleTimeout is that of the on-demand machines of any type in use.
+// longestIdleTimeout returns the longest idle timeout of the machine types of the given
+// machines, as on-demand machines.
 func (a *Autoscaler) longestIdleTimeout(summaries []*planning.MachineSummary) time.Duration {
 	types := a.Machines.Types()
 	longest := time.Duration(0)
@@ -91,23 +97,23 @@
 	return longest
 }
 
-// surplusCPUs is how much is free beyond the headroom, in thousandths of a CPU. Negative: it
-// is less.
-func (a *Autoscaler) surplusCPUs(summaries []*planning.MachineSummary, room *headroom) int64 {
-	free := int64(0)
+// surplusMilliCPUs returns how much CPU is free beyond the headroom on machines that are not
+// draining, in thousandths of a CPU. It is negative if the headroom is not met.
+func (a *Autoscaler) surplusMilliCPUs(summaries []*planning.MachineSummary, headroom *serviceHeadroom) int64 {
+	surplus := int64(0)
 	for _, summary := range summaries {
-		if !a.term.draining[a.nameOf(summary)] {
-			free += summary.Size.CPU - summary.UsedResources().CPU
+		if !a.term.draining[a.machineName(summary)] {
+			surplus += summary.Size.CPU - summary.UsedResources().CPU
 		}
 	}
-	for _, demand := range room.demands {
-		free -= demand.TaskSize.CPU * int64(demand.Count)
+	for _, demand := range headroom.demands {
+		surplus -= demand.TaskSize.CPU * int64(demand.Count)
 	}
-	return free
+	return surplus
 }
 
-// terminateIdle terminates machines that have been idle for long, and drained ones as soon
-// as they are.
+// terminateIdle terminates machines that have been idle for longer than their idle timeout, and
+// draining machines as soon as they are idle.
 func (a *Autoscaler) terminateIdle(summaries []*planning.MachineSummary) {
 	var names []string
 	for _, summary := range summaries {
@@ -115,20 +121,21 @@
 		switch {
 		case m.HasBoundTasks || summary.InUse:
 			delete(a.term.idleSince, m.Name)
-		case a.idleForLong(&m):
+		case a.exceedsIdleTimeout(&m):
 			names = append(names, m.Name)
 		}
 	}
 	a.terminate(names)
 }
 
-// idleForLong notes that a machine is idle, and tells whether it has been for too long. An
-// outage, in which no heartbeats were accepted, tells nothing of what is needed.
-func (a *Autoscaler) idleForLong(m *Machine) bool {
-	since := a.term.idleSince[m.Name]
-	if since.IsZero() || since.Before(a.Cluster.HeartbeatsResumedAt()) {
+// exceedsIdleTimeout records that a machine is idle and reports whether it is to be terminated
+// for that. The idle time starts again after an outage in which no heartbeats were accepted,
+// since an outage says nothing about which machines are needed.
+func (a *Autoscaler) exceedsIdleTimeout(m *Machine) bool {
+	idleSince := a.term.idleSince[m.Name]
+	if idleSince.IsZero() || idleSince.Before(a.Cluster.HeartbeatsResumedAt()) {
 		a.term.idleSince[m.Name] = a.Loop.Now()
 		return false
 	}
-	return a.announcedDraining[m.Name] || a.Loop.Now().Sub(since) > a.idleTimeout(a.Machines.Types()[m.Type], m.Spot)
+	return a.announcedDraining[m.Name] || a.Loop.Now().Sub(idleSince) > a.idleTimeout(a.Machines.Types()[m.Type], m.Spot)
 }
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -10,43 +10,44 @@
 )
 
 const (
-	// listRateShare is the share of the cloud's calls that lists may take. A list of many
-	// machines is many calls, which must not crowd out launches.
+	// listRateShare is the share of the cloud's rate limit that reading the instance list may
+	// use. A list of many machines takes one call per page, which must not delay launches.
 	listRateShare = 0.15
-	// minListInterval is the least time between two lists.
+	// minListInterval is the minimum time between two reads of the instance list.
 	minListInterval = 2 * time.Second
-	// outagePatience is for how long lists fail until it is an outage: some are refused when
-	// there are too many calls.
-	outagePatience = 10 * time.Second
-	// listLagMargin is how much longer than the lag of two lists an instance may be
-	// missing before it is taken not to exist.
+	// outageThreshold is the time for which reading the instance list must fail before it is
+	// reported as an outage. Single reads also fail when the rate limit is exceeded.
+	outageThreshold = 10 * time.Second
+	// listLagMargin is added to twice the lag of the instance list. An instance that is still
+	// missing from the list after that time does not exist.
 	listLagMargin = 10 * time.Second
 )
 
-// instance is a machine that the cloud has given us, as far as the leader knows.
+// instance describes a machine that the cloud has launched, as far as the leader knows.
 type instance struct {
 	machineType, zone string
 	spot              bool
 	launchedAt        time.Time
-	// reported: it has sent heartbeats to its owner, who told of it last at seenAt.
-	reported bool
-	seenAt   time.Time
-	// listed: some list of the cloud has shown it.
-	listed bool
+	// hasReported is true if the machine has sent heartbeats to its owner. The owner last
+	// reported the machine at lastReportedAt.
+	hasReported    bool
+	lastReportedAt time.Time
+	// seenInList is true if an instance list of the cloud has contained the machine.
+	seenInList bool
 }
 
-// ObserveMachine notes that a machine's owner tells of it.
+// ObserveMachine records that the owner of a machine's partition reports the machine.
 func (a *Autoscaler) ObserveMachine(m Machine) {
 	inst := a.term.instances[m.Name]
 	if inst == nil {
 		inst = &instance{machineType: m.Type, zone: m.Zone, spot: m.Spot, launchedAt: a.Loop.Now()}
 		a.term.instances[m.Name] = inst
 	}
-	inst.reported, inst.seenAt = true, a.Loop.Now()
+	inst.hasReported, inst.lastReportedAt = true, a.Loop.Now()
 }
 
-// SyncWithCloud keeps the machine types and the leader's list of instances current, and deletes
-// tombstones that nobody needs any more.
+// SyncWithCloud updates the machine types and, on the leader, the instances, and deletes
+// tombstones that are no longer needed. It is called periodically and only starts what is due.
 func (a *Autoscaler) SyncWithCloud() {
 	a.syncMachineTypes()
 	if !a.Cluster.Leadership().CanAct {
@@ -56,18 +57,18 @@
 	a.deleteTombstones()
 }
 
-// syncInstances reads the cloud's list when that is due.
+// syncInstances reads the cloud's instance list when it is due.
 func (a *Autoscaler) syncInstances() {
-	if a.term.listInFlight || a.Loop.Now().Sub(a.term.listedAt) <= a.listInterval() {
+	if a.term.listInFlight || a.Loop.Now().Sub(a.term.listRequestedAt) <= a.listInterval() {
 		return
 	}
-	a.term.listInFlight, a.term.listedAt = true, a.Loop.Now()
+	a.term.listInFlight, a.term.listRequestedAt = true, a.Loop.Now()
 	epoch := a.epoch()
 	queued := a.queueCall(func(ctx context.Context) {
 		list, err := a.Cloud.List(ctx)
 		a.Loop.Enqueue(func() {
 			if a.epoch() == epoch {
-				a.listReceived(list, err)
+				a.handleList(list, err)
 			}
 		})
 	})
@@ -76,8 +77,9 @@
 	}
 }
 
-// listReceived takes in the result of a list of this term.
-func (a *Autoscaler) listReceived(list []wire.Instance, err error) {
+// handleList processes the result of reading the instance list. The read was queued in this
+// term.
+func (a *Autoscaler) handleList(list []wire.Instance, err error) {
 	a.term.listInFlight = false
 	if err != nil {
 		a.outage.ReportFailure(a.Loop.Now())
@@ -88,51 +90,53 @@
 	a.applyInstanceList(list)
 }
 
-// listInterval is the time between two lists.
+// listInterval returns the time between two reads of the instance list. It depends on the lag
+// of the list and on the number of pages.
 func (a *Autoscaler) listInterval() time.Duration {
 	pages := 1 + len(a.term.instances)/cloud.MaxListPage
 	return max(config.Seconds(a.CloudSettings.ListLagS/2), minListInterval, config.Seconds(float64(pages)/(listRateShare*a.CloudSettings.RPS)))
 }
 
-// applyInstanceList takes the cloud's list in: machines that failed are terminated, ones
-// that nobody knows of are used.
+// applyInstanceList updates the instances from the cloud's list. It terminates machines that
+// have failed and adds machines that this leader does not know yet.
 func (a *Autoscaler) applyInstanceList(list []wire.Instance) {
-	a.term.listed = true
+	a.term.hasInstanceList = true
 	var failed []string
 	listed := map[string]bool{}
 	for i := range list {
-		x := &list[i]
-		listed[x.Name] = true
-		if m, known := a.Machines.Lookup(x.Name); known && m.Terminated || a.terminating[x.Name] {
+		item := &list[i]
+		listed[item.Name] = true
+		if m, known := a.Machines.Lookup(item.Name); known && m.Terminated || a.terminating[item.Name] {
 			continue
 		}
-		if x.State == wire.InstanceFailed {
-			failed = append(failed, x.Name)
+		if item.State == wire.InstanceFailed {
+			failed = append(failed, item.Name)
 			continue
 		}
-		a.addListed(x)
+		a.addListedInstance(item)
 	}
-	a.dropUnlisted(listed)
+	a.dropUnlistedInstances(listed)
 	a.terminate(failed)
 }
 
-// addListed notes an instance that a list shows.
-func (a *Autoscaler) addListed(x *wire.Instance) {
-	inst := a.term.instances[x.Name]
+// addListedInstance records an instance that the instance list contains.
+func (a *Autoscaler) addListedInstance(item *wire.Instance) {
+	inst := a.term.instances[item.Name]
 	if inst == nil {
-		inst = &instance{machineType: x.Type, zone: x.Zone, spot: x.Spot, launchedAt: a.Loop.Now().Add(-config.Seconds(x.AgeS))}
-		a.term.instances[x.Name] = inst
+		inst = &instance{machineType: item.Type, zone: item.Zone, spot: item.Spot, launchedAt: a.Loop.Now().Add(-config.Seconds(item.AgeS))}
+		a.term.instances[item.Name] = inst
 	}
-	inst.listed = true
+	inst.seenInList = true
 }
 
-// dropUnlisted forgets instances that a list does not show. One that was listed and is no
-// more has been taken back; one that never was after twice the lag does not exist.
-func (a *Autoscaler) dropUnlisted(listed map[string]bool) {
-	listLag := config.Seconds(2 * a.CloudSettings.ListLagS)
+// dropUnlistedInstances drops instances that the instance list does not contain. An instance
+// that was in an earlier list has been taken back by the cloud. An instance that has been in no
+// list after twice the lag does not exist. Machines that have sent heartbeats are kept.
+func (a *Autoscaler) dropUnlistedInstances(listed map[string]bool) {
+	maxListLag := config.Seconds(2 * a.CloudSettings.ListLagS)
 	for name, inst := range a.term.instances {
-		overdue := a.Loop.Now().Sub(inst.launchedAt) > listLag+listLagMargin
-		if !listed[name] && (inst.listed || overdue) && !inst.reported {
+		overdue := a.Loop.Now().Sub(inst.launchedAt) > maxListLag+listLagMargin
+		if !listed[name] && (inst.seenInList || overdue) && !inst.hasReported {
 			delete(a.term.instances, name)
 		}
 	}
--- a/internal/autoscaler/isolated_zones.go
+++ b/internal/autoscaler/isolated_zones.go
@@ -1,27 +1,27 @@
 package autoscaler
 
 const (
-	// minIsolatedMachines is how many machines must be out of reach together before that
-	// says something of their zone: some may well die at a time.
+	// minIsolatedMachines is the number of machines of a zone that must be unreachable before
+	// the zone can seem isolated. A few machines may fail at the same time for other reasons.
 	minIsolatedMachines = 5
 )
 
-// zoneHeadcount is how many machines there are in a zone, and how many of them can't be
-// reached.
-type zoneHeadcount struct{ all, outOfReach int }
+// zoneReachability counts the machines of a zone and those of them that are not reachable.
+type zoneReachability struct{ total, notReachable int }
 
-// mostReachable reports whether at least half of them can be reached.
-func (h zoneHeadcount) mostReachable() bool { return h.outOfReach*2 <= h.all }
+// isMostlyReachable reports whether at least half of the machines are reachable.
+func (r zoneReachability) isMostlyReachable() bool { return r.notReachable*2 <= r.total }
 
-// zoneOf is a machine's zone, if anybody has told it; else "".
-func (a *Autoscaler) zoneOf(m *Machine) string {
+// machineZone returns the zone of a machine from its heartbeats or, failing that, from its
+// launch or the instance list. It returns "" if the zone is not known.
+func (a *Autoscaler) machineZone(m *Machine) string {
 	if inst := a.term.instances[m.Name]; m.Zone == "" && inst != nil {
 		return inst.zone
 	}
 	return m.Zone
 }
 
-// IsolatedZones names the zones that seem isolated.
+// IsolatedZones returns the names of the zones that seem isolated, in no particular order.
 func (a *Autoscaler) IsolatedZones() []string {
 	var zones []string
 	for zone := range a.term.isolatedZones {
@@ -30,21 +30,24 @@
 	return zones
 }
 
-// DetectIsolatedZones finds zones that seem isolated: most machines there are out of reach
-// while those of another zone are not. What runs in such a zone goes on for as long as its
-// controllers may answer heartbeats, and its workers' leases after that, so terminating the
-// machines would stop it, and the other zones may have no room to take it. They are kept
-// until it must have ended anyhow, and nothing new is launched there. Tasks there are still
-// proven gone by leases and agents' incarnations alone.
+// DetectIsolatedZones finds zones that seem isolated: most of their machines are unreachable
+// while most machines of some other zone are reachable.
+//
+// Tasks in an isolated zone keep running as long as the controllers in the zone may answer
+// heartbeats, and after that until the leases of their workers expire. Terminating the machines
+// would stop these tasks, and the other zones may have no capacity for them. The machines are
+// therefore kept until the tasks must have ended in any case, and no machines are launched in
+// the zone. Whether a task in the zone has ended is still decided only by leases and by the
+// agents' incarnations.
 func (a *Autoscaler) DetectIsolatedZones() {
 	zones := a.countMachinesByZone()
-	someZoneIsWell := false
+	anyZoneReachable := false
 	for zone, count := range zones {
-		someZoneIsWell = someZoneIsWell || zone != "" && count.mostReachable()
+		anyZoneReachable = anyZoneReachable || zone != "" && count.isMostlyReachable()
 	}
 	a.term.isolatedZones = map[string]bool{}
 	for zone, count := range zones {
-		if zone == "" || !someZoneIsWell || count.mostReachable() || count.outOfReach < minIsolatedMachines {
+		if zone == "" || !anyZoneReachable || count.isMostlyReachable() || count.notReachable < minIsolatedMachines {
 			delete(a.term.isolatedSince, zone)
 			continue
 		}
@@ -52,25 +55,26 @@
 		if !known {
 			since = a.Loop.Now()
 			a.term.isolatedSince[zone] = since
-			a.Log.Info("zone seems isolated", "zone", zone, "machines", count.all, "out_of_reach", count.outOfReach)
+			a.Log.Info("zone seems isolated", "zone", zone, "machines", count.total, "out_of_reach", count.notReachable)
 		}
 		a.term.isolatedZones[zone] = a.Loop.Now().Sub(since) < a.MaxUnreachableWorkDuration
 	}
 }
 
-// countMachinesByZone counts the machines that owners tell about. Those whose owner has only
-// just come do not count: after a crash of all controllers that is so everywhere.
-func (a *Autoscaler) countMachinesByZone() map[string]zoneHeadcount {
-	zones := map[string]zoneHeadcount{}
+// countMachinesByZone counts the reported machines of each zone. Machines whose owner has only
+// just taken over their partition, and has neither received a heartbeat nor found them
+// unreachable, are left out: after a crash of all controllers, this is true of all machines.
+func (a *Autoscaler) countMachinesByZone() map[string]zoneReachability {
+	zones := map[string]zoneReachability{}
 	a.Machines.EachReportedMachine(func(m ReportedMachine) {
 		if m.AwaitingFirstHeartbeat && !m.Unreachable {
 			return
 		}
-		zone := a.zoneOf(&m.Machine)
+		zone := a.machineZone(&m.Machine)
 		count := zones[zone]
-		count.all++
+		count.total++
 		if !m.Reachable {
-			count.outOfReach++
+			count.notReachable++
 		}
 		zones[zone] = count
 	})
--- a/internal/autoscaler/scale.go
+++ b/internal/autoscaler/scale.go
@@ -12,102 +12,106 @@
 )
 
 const (
-	// launchDelayAfterFailover is how long a new leader waits for the cloud's list and for
-	// the partitions' owners before it launches.
+	// launchDelayAfterFailover is the maximum time for which a new leader waits for the
+	// cloud's instance list and for the owners of all partitions before it launches machines.
 	launchDelayAfterFailover = 10 * time.Second
-	// launchDelayAfterOutage is how much longer than the usual pause between heartbeats a
-	// leader waits after an outage in which none were accepted.
+	// launchDelayAfterOutage is added to the heartbeat timeout. After an outage in which no
+	// heartbeats were accepted, the leader launches no machines for that time.
 	launchDelayAfterOutage = 2 * time.Second
-	// usualBootFactor is how many of its nominal boot times a machine usually takes at
-	// the most. One that takes longer is not counted on any more.
-	usualBootFactor = 1.6
+	// expectedBootFactor times its nominal boot time is the longest that a machine usually
+	// takes to boot. A machine that takes longer no longer counts as capacity.
+	expectedBootFactor = 1.6
 )
 
-// Service is a service that is not finished.
+// Service describes a service job that has not finished.
 type Service struct {
 	Class     string
 	Priority  int
 	TaskCount int
-	// Demand is the demand for such services, of no tasks yet.
+	// Demand returns the demand that a service of this class makes, with a count of zero.
 	Demand func() planning.Demand
 }
 
-// Workload is what the cluster runs and what it has no room for.
+// Workload describes what the cluster runs and what it has no capacity for.
 type Workload struct {
-	// Machines are those that are up.
+	// Machines describes the machines that are up.
 	Machines []*planning.MachineSummary
-	// Waiting found no room; Reserve is what the reserve for gangs lacks.
+	// UnplacedDemands lists the demands that could not be placed. GangReserveShortfall lists
+	// what the capacity reserve for gangs lacks.
 	UnplacedDemands, GangReserveShortfall []planning.Demand
-	// RunningTasksByClass is how many tasks of each class run.
+	// RunningTasksByClass is the number of tasks of each class that run.
 	RunningTasksByClass map[string]int
-	// Services are all that are not finished.
+	// Services yields all services that have not finished.
 	Services iter.Seq[Service]
 }
 
-// headroom is the room that is kept for services to come.
-type headroom struct {
+// serviceHeadroom describes the capacity that is kept free for future services.
+type serviceHeadroom struct {
 	demands []planning.Demand
-	// priority is the least of all services: they would preempt what is below it.
-	priority int
+	// minPriority is the lowest priority of all services. Services would preempt tasks below
+	// it, so the resources of such tasks count as free. It is math.MaxInt without services.
+	minPriority int
 }
 
-// Scale launches machines for what found no room and terminates those that are not needed.
-func (a *Autoscaler) Scale(work *Workload) {
+// Scale launches machines for demands that could not be placed, and drains and terminates
+// machines that are not needed. It must be called on the leader only.
+func (a *Autoscaler) Scale(workload *Workload) {
 	if len(a.Machines.Types()) == 0 {
 		return
 	}
-	room := a.headroomFor(work.Services)
-	plan, shortage := a.plan(work, room)
-	if a.knowsFleet() {
+	headroom := a.computeHeadroom(workload.Services)
+	plan, shortage := a.planLaunches(workload, headroom)
+	if a.isFleetKnown() {
 		for offer, count := range plan.Launches {
-			a.launch(offer, min(count, maxLaunch))
+			a.launch(offer, min(count, maxMachinesPerLaunch))
 		}
 	}
-	// What a record that can't be decoded binds may run on a machine that seems idle: it
-	// was terminated, and the tasks were lost.
+	// Tasks bound by a record that can't be decoded may run on a machine that seems idle.
+	// Such machines have been terminated in the past, and their tasks were lost.
 	if a.Cluster.HasUnreadableRecords() {
 		return
 	}
-	a.drainSurplus(work.Machines, room, shortage)
-	a.terminateIdle(work.Machines)
+	a.drainSurplus(workload.Machines, headroom, shortage)
+	a.terminateIdle(workload.Machines)
 }
 
-// plan plans launches for what found no room and for the headroom. It reports a shortage if
-// there was too little room without the headroom.
-func (a *Autoscaler) plan(work *Workload, room *headroom) (plan *planning.ScalingPlan, shortage bool) {
+// planLaunches plans launches for the demands that could not be placed and for the headroom.
+// shortage reports whether the capacity is too small even without the headroom.
+func (a *Autoscaler) planLaunches(workload *Workload, headroom *serviceHeadroom) (plan *planning.ScalingPlan, shortage bool) {
 	plan = &planning.ScalingPlan{
-		Machines:            append(slices.Clone(work.Machines), a.booting()...),
-		Offers:              a.offers(),
-		RunningTasksByClass: work.RunningTasksByClass,
+		Machines:            append(slices.Clone(workload.Machines), a.bootingMachines()...),
+		Offers:              a.availableOffers(),
+		RunningTasksByClass: workload.RunningTasksByClass,
 		Launches:            map[planning.Offer]int{},
 	}
-	placeAll(plan, work.UnplacedDemands)
-	placeAll(plan, work.GangReserveShortfall)
+	placeAll(plan, workload.UnplacedDemands)
+	placeAll(plan, workload.GangReserveShortfall)
 	shortage = plan.Shortage
-	planning.TreatLowerPriorityAsFree(plan.Machines, room.priority)
-	placeAll(plan, room.demands)
+	planning.TreatLowerPriorityAsFree(plan.Machines, headroom.minPriority)
+	placeAll(plan, headroom.demands)
 	return plan, shortage
 }
 
-// placeAll plans for demands, one after the other.
+// placeAll adds demands to a plan, one after the other.
 func placeAll(plan *planning.ScalingPlan, demands []planning.Demand) {
 	for _, demand := range demands {
 		plan.Place(demand)
 	}
 }
 
-// knowsFleet tells whether the leader knows what is up and booting. A new one does not yet,
-// nor does one after a long outage, in which no heartbeats were accepted: it would launch
-// all of it once more.
-func (a *Autoscaler) knowsFleet() bool {
+// isFleetKnown reports whether the leader knows which machines are up or booting. A new leader
+// does not know it yet, and neither does a leader after a long outage in which no heartbeats
+// were accepted. If such a leader scaled out, it would launch the whole fleet a second time.
+func (a *Autoscaler) isFleetKnown() bool {
 	now := a.Loop.Now()
-	known := a.term.listed && a.Cluster.AreAllOwnersResponsive() || now.Sub(a.Cluster.Leadership().StartedAt) > launchDelayAfterFailover
+	known := a.term.hasInstanceList && a.Cluster.AreAllOwnersResponsive() || now.Sub(a.Cluster.Leadership().StartedAt) > launchDelayAfterFailover
 	return known && now.Sub(a.Cluster.HeartbeatsResumedAt()) > a.HeartbeatTimeout+launchDelayAfterOutage
 }
 
-// headroomFor is the room to keep for services to come, by those there are.
-func (a *Autoscaler) headroomFor(services iter.Seq[Service]) *headroom {
-	room := &headroom{priority: math.MaxInt}
+// computeHeadroom returns the capacity to keep free for future services. It depends on how many
+// services of each class there are now.
+func (a *Autoscaler) computeHeadroom(services iter.Seq[Service]) *serviceHeadroom {
+	headroom := &serviceHeadroom{minPriority: math.MaxInt}
 	byClass := map[string]*planning.Demand{}
 	var classes []string
 	for service := range services {
@@ -119,46 +123,48 @@
 			classes = append(classes, service.Class)
 		}
 		demand.Count += service.TaskCount
-		room.priority = min(room.priority, service.Priority)
+		headroom.minPriority = min(headroom.minPriority, service.Priority)
 	}
 	slices.Sort(classes)
 	for _, class := range classes {
 		demand := byClass[class]
 		demand.Count = planning.Headroom(demand.Count, a.Operator.HeadroomOf(class))
-		room.demands = append(room.demands, *demand)
+		headroom.demands = append(headroom.demands, *demand)
 	}
-	return room
+	return headroom
 }
 
-// MachineCounts is how many machines are booting, and how many are drained.
+// MachineCounts returns how many machines are booting and how many are draining. Machines whose
+// launch is pending count as booting.
 func (a *Autoscaler) MachineCounts() (booting, draining int) {
-	return len(a.booting()), len(a.term.draining)
+	return len(a.bootingMachines()), len(a.term.draining)
 }
 
-// booting are the machines that are launched, or asked for, and have not come up yet.
-func (a *Autoscaler) booting() []*planning.MachineSummary {
+// bootingMachines returns summaries of the machines that have been launched or requested and
+// have not come up yet. It leaves out machines that are late or are being terminated.
+func (a *Autoscaler) bootingMachines() []*planning.MachineSummary {
 	var machines []*planning.MachineSummary
 	types := a.Machines.Types()
 	for name, inst := range a.term.instances {
 		machineType := types[inst.machineType]
-		if inst.reported || machineType == nil || a.terminating[name] {
+		if inst.hasReported || machineType == nil || a.terminating[name] {
 			continue
 		}
-		if a.Loop.Now().Sub(inst.launchedAt) > config.Seconds(usualBootFactor*machineType.BootS) {
+		if a.Loop.Now().Sub(inst.launchedAt) > config.Seconds(expectedBootFactor*machineType.BootS) {
 			continue
 		}
-		machines = append(machines, bootingMachine(machineType, planning.Offer{Type: inst.machineType, Zone: inst.zone, Spot: inst.spot}))
+		machines = append(machines, newBootingSummary(machineType, planning.Offer{Type: inst.machineType, Zone: inst.zone, Spot: inst.spot}))
 	}
-	for offer, count := range a.term.launching {
+	for offer, count := range a.term.pendingLaunches {
 		for range count {
-			machines = append(machines, bootingMachine(types[offer.Type], offer))
+			machines = append(machines, newBootingSummary(types[offer.Type], offer))
 		}
 	}
 	return machines
 }
 
-// bootingMachine is an empty machine that is not up yet.
-func bootingMachine(machineType *wire.MachineType, offer planning.Offer) *planning.MachineSummary {
-	size := sizeOf(machineType)
+// newBootingSummary returns the summary of an empty machine that is not up yet.
+func newBootingSummary(machineType *wire.MachineType, offer planning.Offer) *planning.MachineSummary {
+	size := machineTypeSize(machineType)
 	return &planning.MachineSummary{Index: planning.UnassignedIndex, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Size: size, FreeResources: size, Booting: true}
 }
--- a/internal/autoscaler/termination.go
+++ b/internal/autoscaler/termination.go
@@ -6,37 +6,41 @@
 	"eiderhitch/internal/cloud"
 )
 
-// IsTerminating reports whether a machine is being terminated: nothing may be placed on it.
+// IsTerminating reports whether a machine is being terminated. No tasks may be placed on such a
+// machine.
 func (a *Autoscaler) IsTerminating(name string) bool { return a.terminating[name] }
 
-// terminate terminates machines. Once the cloud has confirmed they are gone with all that
-// was on them, which is stored for their partitions' owners to act on. One call is under
-// way at a time, and the next takes all that have come up meanwhile: the cloud allows few
-// calls, and a call for each machine had the last of forty dead ones wait for twenty
-// seconds.
+// terminate queues machines for termination. Once the cloud has confirmed it, the machines and
+// their tasks no longer exist, and tombstones are stored so that the owners of their partitions
+// can act on it.
+//
+// Only one call is in flight at a time, and the next one includes all machines that have been
+// queued meanwhile. The cloud's rate limit is low: with a call for each machine, the last of
+// forty dead machines was terminated only after twenty seconds.
 func (a *Autoscaler) terminate(names []string) {
 	for _, name := range names {
 		if !a.terminating[name] {
 			a.terminating[name] = true
-			a.toTerminate = append(a.toTerminate, name)
+			a.queuedTerminations = append(a.queuedTerminations, name)
 		}
 	}
-	if a.terminationInFlight || len(a.toTerminate) == 0 {
+	if a.terminationInFlight || len(a.queuedTerminations) == 0 {
 		return
 	}
-	batch := a.toTerminate[:min(len(a.toTerminate), cloud.MaxTerminateNames)]
-	a.toTerminate = a.toTerminate[len(batch):]
+	batch := a.queuedTerminations[:min(len(a.queuedTerminations), cloud.MaxTerminateNames)]
+	a.queuedTerminations = a.queuedTerminations[len(batch):]
 	a.terminationInFlight = a.queueCall(func(ctx context.Context) {
 		err := a.Cloud.Terminate(ctx, batch)
-		a.Loop.Enqueue(func() { a.terminated(batch, err) })
+		a.Loop.Enqueue(func() { a.handleTermination(batch, err) })
 	})
 	if !a.terminationInFlight {
 		a.cancelTermination(batch)
 	}
 }
 
-// terminated takes in the result of a call, and goes on with what has come up meanwhile.
-func (a *Autoscaler) terminated(names []string, err error) {
+// handleTermination processes the result of a call and terminates the machines that have been
+// queued meanwhile.
+func (a *Autoscaler) handleTermination(names []string, err error) {
 	a.terminationInFlight = false
 	if err != nil {
 		a.Log.Debug("termination failed", "machines", len(names), "err", err)
@@ -48,7 +52,8 @@
 	a.terminate(nil)
 }
 
-// cancelTermination forgets that machines were to be terminated: if need be they are again.
+// cancelTermination no longer treats machines as being terminated. They are terminated again if
+// the reason for it persists.
 func (a *Autoscaler) cancelTermination(names []string) {
 	for _, name := range names {
 		delete(a.terminating, name)
