--- a/internal/election/acquire.go
+++ b/internal/election/acquire.go
@@ -12,8 +12,8 @@
 const (
 	// resignBackoff is how long a key that was handed back is left to others.
 	resignBackoff = 2 * time.Second
-	// retryAcquireAfter is how long a key that could not be acquired counts as taken.
-	retryAcquireAfter = 200 * time.Millisecond
+	// acquireRetryDelay is how long a key that could not be acquired counts as taken.
+	acquireRetryDelay = 200 * time.Millisecond
 	// renewalsPerTTL is how often a lease is renewed within its lifetime, so that a few
 	// renewals may fail.
 	renewalsPerTTL = 4
@@ -21,9 +21,9 @@
 
 // tryAcquire acquires a key that has been vacant for wait, or that a former process of
 // this controller holds: that process is surely dead.
-func (e *Elector) tryAcquire(key string, wait time.Duration) {
+func (e *Elector) tryAcquire(key string, delay time.Duration) {
 	now, leased := e.Loop.Now(), e.keys[key]
-	if leased.busy || leased.token != 0 || now.Before(leased.backoffUntil) {
+	if leased.writeInFlight || leased.token != 0 || now.Before(leased.backoffUntil) {
 		return
 	}
 	holder, held := e.holders[key]
@@ -35,11 +35,11 @@
 		if leased.vacantSince.IsZero() {
 			leased.vacantSince = now
 		}
-		if now.Sub(leased.vacantSince) < wait {
+		if now.Sub(leased.vacantSince) < delay {
 			return
 		}
 	}
-	leased.busy = true
+	leased.writeInFlight = true
 	go e.acquire(leased, key, e.Replica.Revision(key))
 }
 
@@ -59,21 +59,21 @@
 		}
 	}
 	e.Loop.Enqueue(func() {
-		leased.busy = false
+		leased.writeInFlight = false
 		if e.keys[key] != leased { // other keys are used meanwhile
 			go e.revoke(lease)
 			return
 		}
 		if err != nil {
-			leased.vacantSince = e.Loop.Now().Add(retryAcquireAfter)
+			leased.vacantSince = e.Loop.Now().Add(acquireRetryDelay)
 			return
 		}
-		e.acquired(leased, key, lease, response.Revision)
+		e.handleAcquired(leased, key, lease, response.Revision)
 	})
 }
 
 // acquired notes that a key was taken at revision, unless it is lost again already.
-func (e *Elector) acquired(leased *leasedKey, key string, lease, revision uint64) {
+func (e *Elector) handleAcquired(leased *leasedKey, key string, lease, revision uint64) {
 	leased.token, leased.lease, leased.vacantSince = revision, lease, time.Time{}
 	e.Replica.Put(key, e.holderValue(), revision)
 	if e.Replica.Revision(key) != revision {
@@ -91,35 +91,35 @@
 func (e *Elector) keepAlive(ctx context.Context, leased *leasedKey, key string, lease uint64) {
 	ticker := time.NewTicker(e.TTL / renewalsPerTTL)
 	defer ticker.Stop()
-	lost := make(chan bool, 1)
-	askedAt := time.Time{} // since when the event loop's answer is awaited; zero: it is not
+	checkResult := make(chan bool, 1)
+	checkStartedAt := time.Time{} // since when the event loop's answer is awaited; zero: it is not
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case gone := <-lost:
-			if gone {
+		case lost := <-checkResult:
+			if lost {
 				return
 			}
-			askedAt = time.Time{}
+			checkStartedAt = time.Time{}
 			continue
 		case <-ticker.C:
 		}
-		if !askedAt.IsZero() && time.Since(askedAt) > e.TTL {
+		if !checkStartedAt.IsZero() && time.Since(checkStartedAt) > e.TTL {
 			continue // not renewed before the event loop is back
 		}
 		err := e.Store.RenewLease(ctx, lease)
-		expired := errors.Is(err, store.ErrLeaseExpired)
-		if !askedAt.IsZero() && !expired {
+		leaseExpired := errors.Is(err, store.ErrLeaseExpired)
+		if !checkStartedAt.IsZero() && !leaseExpired {
 			continue
 		}
-		askedAt = time.Now()
+		checkStartedAt = time.Now()
 		go e.Loop.Enqueue(func() {
-			if leased.lease == lease && expired {
-				e.lose(key, "lease expired")
+			if leased.lease == lease && leaseExpired {
+				e.markLost(key, "lease expired")
 			}
 			select {
-			case lost <- leased.lease != lease:
+			case checkResult <- leased.lease != lease:
 			default: // an earlier answer says the same
 			}
 		})
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// vacancyWait is how long a key must be vacant before a controller takes it that it
+	// acquireDelay is how long a key must be vacant before a controller takes it that it
 	// is not meant for.
-	vacancyWait = 300 * time.Millisecond
-	// preferredWait is how long it waits instead while the preferred owner can take the
+	nonPreferredAcquireDelay = 300 * time.Millisecond
+	// preferredOwnerHeadStart is how long it waits instead while the preferred owner can take the
 	// key itself, or may only have started.
-	preferredWait = 2 * time.Second
+	preferredOwnerHeadStart = 2 * time.Second
 	// leaderStagger is by how much longer each controller waits than the one before it
 	// in the order of names, so that not all of them campaign for the leadership at once.
 	leaderStagger = 100 * time.Millisecond
-	// minTenure is how long a partition stays with an owner at least, and settledPeer
+	// minPartitionTenure is how long a partition stays with an owner at least, and minPeerReachableTime
 	// how long the preferred owner must have been heard without a gap, before the
 	// partition is handed over to it: partitions must not change hands to and fro.
-	minTenure   = 5 * time.Second
-	settledPeer = 4 * time.Second
-	// startupGrace is how long after its start a controller takes the others for alive
+	minPartitionTenure   = 5 * time.Second
+	minPeerReachableTime = 4 * time.Second
+	// startupGracePeriod is how long after its start a controller takes the others for alive
 	// although it has not heard them yet.
-	startupGrace = 2 * time.Second
+	startupGracePeriod = 2 * time.Second
 )
 
 // Partition is what a campaign needs to know of a partition.
@@ -63,22 +63,22 @@
 		if p := &partitions[i]; p.IsOwned {
 			e.handOver(p, peers)
 		} else {
-			e.tryAcquire(p.Key, e.vacancyWait(p, peers))
+			e.tryAcquire(p.Key, e.acquireDelay(p, peers))
 		}
 	}
 	e.tryAcquire(leaderKey, leaderStagger*time.Duration(slices.Index(e.Nodes, e.Node)))
 }
 
-// vacancyWait is how long a partition's key must be vacant before it is taken here.
-func (e *Elector) vacancyWait(p *Partition, peers Peers) time.Duration {
+// acquireDelay is how long a partition's key must be vacant before it is taken here.
+func (e *Elector) acquireDelay(p *Partition, peers Peers) time.Duration {
 	preferred := e.preferredOwner(p.Index)
 	switch {
 	case preferred == e.Node:
 		return 0
-	case peers.IsEligible(preferred) || e.Loop.Now().Sub(e.StartedAt) < startupGrace:
-		return preferredWait
+	case peers.IsEligible(preferred) || e.Loop.Now().Sub(e.StartedAt) < startupGracePeriod:
+		return preferredOwnerHeadStart
 	}
-	return vacancyWait
+	return nonPreferredAcquireDelay
 }
 
 // handOver resigns a partition whose preferred owner is another controller, if that has
@@ -88,10 +88,10 @@
 // their tasks were never proven gone.
 func (e *Elector) handOver(p *Partition, peers Peers) {
 	now, preferred := e.Loop.Now(), e.preferredOwner(p.Index)
-	if preferred == e.Node || !peers.IsEligible(preferred) || now.Sub(p.OwnedSince) <= minTenure {
+	if preferred == e.Node || !peers.IsEligible(preferred) || now.Sub(p.OwnedSince) <= minPartitionTenure {
 		return
 	}
-	if now.Sub(peers.ReachableSince(preferred)) > settledPeer && p.HasHeardAllMachines() {
+	if now.Sub(peers.ReachableSince(preferred)) > minPeerReachableTime && p.HasHeardAllMachines() {
 		e.Log.Info("partition handed over", "partition", p.Index, "to", preferred)
 		e.Resign(p.Key)
 	}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -107,7 +107,7 @@
 	token uint64 // 0: not held
 	lease uint64
 	// busy: a transaction on the key is under way.
-	busy bool
+	writeInFlight bool
 	// vacantSince is since when the key is known to have no holder; zero: it has one.
 	vacantSince time.Time
 	// backoffUntil: the key is not acquired before then, since it was handed back.
@@ -128,24 +128,24 @@
 }
 
 // New returns an elector that campaigns for keys, none of which it holds yet.
-func New(ctx context.Context, config Config, services Dependencies, keys []string) *Elector {
-	return &Elector{ctx: ctx, Config: config, Dependencies: services, keys: vacantKeys(keys), holders: map[string]record.LeaseHolder{}}
+func New(ctx context.Context, config Config, dependencies Dependencies, keys []string) *Elector {
+	return &Elector{ctx: ctx, Config: config, Dependencies: dependencies, keys: newLeasedKeys(keys), holders: map[string]record.LeaseHolder{}}
 }
 
-func vacantKeys(names []string) map[string]*leasedKey {
-	keys := make(map[string]*leasedKey, len(names))
-	for _, name := range names {
-		keys[name] = &leasedKey{}
+func newLeasedKeys(keys []string) map[string]*leasedKey {
+	leasedKeys := make(map[string]*leasedKey, len(keys))
+	for _, key := range keys {
+		leasedKeys[key] = &leasedKey{}
 	}
-	return keys
+	return leasedKeys
 }
 
 // SetKeys loses all keys, since others are campaigned for from now on.
 func (e *Elector) SetKeys(keys []string) {
 	for key := range e.keys {
-		e.lose(key, "other keys are used from now on")
+		e.markLost(key, "other keys are used from now on")
 	}
-	e.keys = vacantKeys(keys)
+	e.keys = newLeasedKeys(keys)
 }
 
 // Token is the fencing token under which this process holds a key; 0: it does not.
@@ -178,7 +178,7 @@
 	e.holders[key] = holder
 	leased := e.keys[key]
 	if leased != nil && leased.token != 0 && revision > leased.token && holder.ProcessID != e.ProcessID {
-		e.lose(key, "taken by "+holder.Node)
+		e.markLost(key, "taken by "+holder.Node)
 	}
 }
 
@@ -189,7 +189,7 @@
 	if leased == nil {
 		return
 	}
-	e.lose(key, "lease expired")
+	e.markLost(key, "lease expired")
 	leased.vacantSince = e.Loop.Now()
 }
 
@@ -210,7 +210,7 @@
 		return
 	}
 	lease := leased.lease
-	e.lose(key, "handed back")
+	e.markLost(key, "handed back")
 	leased.backoffUntil = e.Loop.Now().Add(resignBackoff)
 	go e.revoke(lease)
 }
@@ -223,7 +223,7 @@
 }
 
 // lose notes that a key is not held any more, if it was.
-func (e *Elector) lose(key, why string) {
+func (e *Elector) markLost(key, why string) {
 	leased := e.keys[key]
 	if leased.token == 0 {
 		return
@@ -243,34 +243,34 @@
 // means that it can't be begun now.
 func (e *Elector) RaiseToken(key string) bool {
 	leased := e.keys[key]
-	if leased == nil || leased.busy || leased.token == 0 {
+	if leased == nil || leased.writeInFlight || leased.token == 0 {
 		return false
 	}
-	leased.busy = true
-	before := leased.token
+	leased.writeInFlight = true
+	oldToken := leased.token
 	e.Writer.SubmitWrite(&store.Write{
-		Conditions: []wire.Condition{{Key: key, Revision: before}},
+		Conditions: []wire.Condition{{Key: key, Revision: oldToken}},
 		Changes:    []wire.Change{{Put: key, Value: e.holderValue(), Lease: leased.lease}},
 	}, func(err error) {
-		leased.busy = false
-		if leased.token != before {
+		leased.writeInFlight = false
+		if leased.token != oldToken {
 			return
 		}
 		if err == nil {
-			e.tokenRaised(key, leased)
+			e.handleTokenRaised(key, leased)
 			return
 		}
 		e.Reader.AfterSuccessfulRead(func() { // a try without an answer may have been applied
-			if leased.token == before && e.Replica.Revision(key) != before {
-				e.tokenRaised(key, leased)
+			if leased.token == oldToken && e.Replica.Revision(key) != oldToken {
+				e.handleTokenRaised(key, leased)
 			}
 		})
 	})
 	return true
 }
 
-// tokenRaised takes the key's present revision for its token, if we wrote it.
-func (e *Elector) tokenRaised(key string, leased *leasedKey) {
+// handleTokenRaised takes the key's present revision for its token, if we wrote it.
+func (e *Elector) handleTokenRaised(key string, leased *leasedKey) {
 	if e.holders[key].ProcessID != e.ProcessID {
 		return
 	}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	testTTL    = 2 * time.Second
-	leaderKey  = "e/leader"
-	partition0 = "e/part/0"
+	testTTL       = 2 * time.Second
+	leaderKey     = "e/leader"
+	partition0Key = "e/part/0"
 )
 
 // fakeStore is a key-value store in memory with leases that do expire.
 type fakeStore struct {
-	mu       sync.Mutex
-	revision uint64
-	leases   map[uint64]time.Time // until when each lives
-	keys     map[string]storedKey
-	watchers []*process
-	// loseAnswers: transactions are applied, and the answers get lost.
-	loseAnswers bool
+	mu          sync.Mutex
+	revision    uint64
+	leaseExpiry map[uint64]time.Time // until when each lives
+	keys        map[string]storedKey
+	watchers    []*testController
+	// dropResponses: transactions are applied, and the answers get lost.
+	dropResponses bool
 }
 
 type storedKey struct {
@@ -39,14 +39,14 @@
 }
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{leases: map[uint64]time.Time{}, keys: map[string]storedKey{}}
+	return &fakeStore{leaseExpiry: map[uint64]time.Time{}, keys: map[string]storedKey{}}
 }
 
 func (s *fakeStore) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.leases[s.revision] = time.Now().Add(ttl)
+	s.leaseExpiry[s.revision] = time.Now().Add(ttl)
 	return s.revision, nil
 }
 
@@ -54,17 +54,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	if _, lives := s.leases[lease]; !lives {
+	if _, lives := s.leaseExpiry[lease]; !lives {
 		return store.ErrLeaseExpired
 	}
-	s.leases[lease] = time.Now().Add(testTTL)
+	s.leaseExpiry[lease] = time.Now().Add(testTTL)
 	return nil
 }
 
 func (s *fakeStore) RevokeLease(_ context.Context, lease uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.leases, lease)
+	delete(s.leaseExpiry, lease)
 	s.expire()
 	return nil
 }
@@ -80,7 +80,7 @@
 	}
 	s.revision++
 	for _, change := range txn.Changes {
-		if _, lives := s.leases[change.Lease]; !lives {
+		if _, lives := s.leaseExpiry[change.Lease]; !lives {
 			return nil, store.ErrLeaseExpired
 		}
 		var holder record.LeaseHolder
@@ -88,9 +88,9 @@
 			return nil, err
 		}
 		s.keys[change.Put] = storedKey{holder, s.revision, change.Lease}
-		s.tell(change.Put)
+		s.notifyWatchers(change.Put)
 	}
-	if s.loseAnswers {
+	if s.dropResponses {
 		return nil, store.ErrOutcomeUnknown
 	}
 	return &wire.TxnResponse{Revision: s.revision}, nil
@@ -98,22 +98,22 @@
 
 // expire deletes the keys whose leases have expired.
 func (s *fakeStore) expire() {
-	for lease, until := range s.leases {
+	for lease, until := range s.leaseExpiry {
 		if time.Now().After(until) {
-			delete(s.leases, lease)
+			delete(s.leaseExpiry, lease)
 		}
 	}
 	for key, stored := range s.keys {
-		if _, lives := s.leases[stored.lease]; !lives {
+		if _, lives := s.leaseExpiry[stored.lease]; !lives {
 			s.revision++
 			delete(s.keys, key)
-			s.tell(key)
+			s.notifyWatchers(key)
 		}
 	}
 }
 
 // tell has every process learn of a key's present state.
-func (s *fakeStore) tell(key string) {
+func (s *fakeStore) notifyWatchers(key string) {
 	stored := s.keys[key]
 	for _, p := range s.watchers {
 		go p.Enqueue(func() { p.observe(key, stored) })
@@ -121,32 +121,32 @@
 }
 
 // process is a controller around an elector: replica, event loop and listener in one.
-type process struct {
-	mu        sync.Mutex
-	elector   *Elector
-	store     *fakeStore
-	revisions map[string]uint64
-	held      map[string]uint64
-	stalled   bool // its event loop does nothing
+type testController struct {
+	mu          sync.Mutex
+	elector     *Elector
+	store       *fakeStore
+	revisions   map[string]uint64
+	heldTokens  map[string]uint64
+	loopStalled bool // its event loop does nothing
 }
 
-func newProcess(ctx context.Context, s *fakeStore, node, id string) *process {
-	p := &process{store: s, revisions: map[string]uint64{}, held: map[string]uint64{}}
+func newTestController(ctx context.Context, s *fakeStore, node, id string) *testController {
+	p := &testController{store: s, revisions: map[string]uint64{}, heldTokens: map[string]uint64{}}
 	config := Config{Node: node, ProcessID: id, Nodes: []string{"n0", "n1"}, TTL: testTTL, StartedAt: time.Now(),
 		HeartbeatInterval: time.Second, MaxUnreachableWorkTime: 30 * time.Second, Log: slog.New(slog.DiscardHandler)}
-	p.elector = New(ctx, config, Dependencies{Store: s, Replica: p, Reader: p, Writer: p, Loop: p, Listener: p}, []string{leaderKey, partition0})
+	p.elector = New(ctx, config, Dependencies{Store: s, Replica: p, Reader: p, Writer: p, Loop: p, Listener: p}, []string{leaderKey, partition0Key})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watchers = append(s.watchers, p)
 	return p
 }
 
-func (p *process) Now() time.Time { return time.Now() }
+func (p *testController) Now() time.Time { return time.Now() }
 
-func (p *process) Enqueue(f func()) {
+func (p *testController) Enqueue(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.stalled {
+	for p.loopStalled {
 		p.mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
 		p.mu.Lock()
@@ -154,9 +154,9 @@
 	f()
 }
 
-func (p *process) Revision(key string) uint64 { return p.revisions[key] }
+func (p *testController) Revision(key string) uint64 { return p.revisions[key] }
 
-func (p *process) Put(key string, value json.RawMessage, revision uint64) {
+func (p *testController) Put(key string, value json.RawMessage, revision uint64) {
 	var holder record.LeaseHolder
 	if err := json.Unmarshal(value, &holder); err != nil {
 		panic(err)
@@ -164,7 +164,7 @@
 	p.observe(key, storedKey{holder: holder, revision: revision})
 }
 
-func (p *process) observe(key string, stored storedKey) {
+func (p *testController) observe(key string, stored storedKey) {
 	switch {
 	case stored.revision == 0 && p.revisions[key] != 0:
 		delete(p.revisions, key)
@@ -175,7 +175,7 @@
 	}
 }
 
-func (p *process) AfterSuccessfulRead(f func()) {
+func (p *testController) AfterSuccessfulRead(f func()) {
 	go func() {
 		p.store.mu.Lock()
 		stored := maps.Clone(p.store.keys)
@@ -189,7 +189,7 @@
 	}()
 }
 
-func (p *process) SubmitWrite(write *store.Write, done func(error)) {
+func (p *testController) SubmitWrite(write *store.Write, done func(error)) {
 	go func() {
 		response, err := p.store.Txn(context.Background(), &wire.Txn{Conditions: write.Conditions, Changes: write.Changes})
 		p.Enqueue(func() {
@@ -201,18 +201,18 @@
 	}()
 }
 
-func (p *process) KeyAcquired(key string, token uint64) { p.held[key] = token }
-func (p *process) KeyLost(key string)                   { delete(p.held, key) }
-func (p *process) TokenRaised(key string, token uint64) { p.held[key] = token }
+func (p *testController) KeyAcquired(key string, token uint64) { p.heldTokens[key] = token }
+func (p *testController) KeyLost(key string)                   { delete(p.heldTokens, key) }
+func (p *testController) TokenRaised(key string, token uint64) { p.heldTokens[key] = token }
 
 // campaign campaigns for partition 0 and the leadership, ten times a second, for d.
-func (p *process) campaign(d time.Duration, peers Peers) {
+func (p *testController) campaignFor(d time.Duration, peers Peers) {
 	for until := time.Now().Add(d); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
 		p.store.mu.Lock()
 		p.store.expire()
 		p.store.mu.Unlock()
 		p.Enqueue(func() {
-			p.elector.Campaign([]Partition{{Index: 0, Key: partition0, IsOwned: p.elector.Token(partition0) != 0, OwnedSince: time.Now().Add(-time.Minute),
+			p.elector.Campaign([]Partition{{Index: 0, Key: partition0Key, IsOwned: p.elector.Token(partition0Key) != 0, OwnedSince: time.Now().Add(-time.Minute),
 				HasHeardAllMachines: func() bool { return true }}}, leaderKey, peers)
 		})
 	}
@@ -220,27 +220,27 @@
 }
 
 // token is the token of a key that a process holds; 0: none.
-func (p *process) token(key string) uint64 {
+func (p *testController) heldToken(key string) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.held[key]
+	return p.heldTokens[key]
 }
 
 // fakePeers are others that are all alike.
-type fakePeers struct{ eligible, silent, hear, allKnown bool }
+type fakePeers struct{ areEligible, areSilent, haveContact, allKnown bool }
 
-func (f fakePeers) IsEligible(string) bool          { return f.eligible }
+func (f fakePeers) IsEligible(string) bool          { return f.areEligible }
 func (fakePeers) ReachableSince(string) time.Time   { return time.Time{} }
-func (f fakePeers) AreAllSilent(time.Duration) bool { return f.silent }
-func (f fakePeers) HaveWorkerContact() (bool, bool) { return f.hear, f.allKnown }
+func (f fakePeers) AreAllSilent(time.Duration) bool { return f.areSilent }
+func (f fakePeers) HaveWorkerContact() (bool, bool) { return f.haveContact, f.allKnown }
 
-// inCluster runs f on fake time with two processes that campaign for the same keys.
-func inCluster(t *testing.T, f func(ctx context.Context, s *fakeStore, first, second *process)) {
+// runWithTwoControllers runs f on fake time with two processes that campaign for the same keys.
+func runWithTwoControllers(t *testing.T, f func(ctx context.Context, s *fakeStore, first, second *testController)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := newFakeStore()
-		f(ctx, s, newProcess(ctx, s, "n0", "a"), newProcess(ctx, s, "n1", "b"))
+		f(ctx, s, newTestController(ctx, s, "n0", "a"), newTestController(ctx, s, "n1", "b"))
 		cancel()
 		time.Sleep(time.Minute) // whatever still waits ends
 	})
@@ -249,41 +249,41 @@
 // A key has one holder, who keeps it while the lease is renewed; a later holder's token is
 // higher.
 func TestFailover(t *testing.T) {
-	inCluster(t, func(_ context.Context, _ *fakeStore, first, second *process) {
-		first.campaign(time.Second, fakePeers{})
-		before := first.token(partition0)
-		second.campaign(5*time.Second, fakePeers{})
-		if before == 0 || first.token(partition0) != before || second.token(partition0) != 0 {
-			t.Fatalf("tokens of partition 0: %d, then %d and %d", before, first.token(partition0), second.token(partition0))
+	runWithTwoControllers(t, func(_ context.Context, _ *fakeStore, first, second *testController) {
+		first.campaignFor(time.Second, fakePeers{})
+		before := first.heldToken(partition0Key)
+		second.campaignFor(5*time.Second, fakePeers{})
+		if before == 0 || first.heldToken(partition0Key) != before || second.heldToken(partition0Key) != 0 {
+			t.Fatalf("tokens of partition 0: %d, then %d and %d", before, first.heldToken(partition0Key), second.heldToken(partition0Key))
 		}
 		first.mu.Lock()
-		first.stalled = true
+		first.loopStalled = true
 		first.mu.Unlock()
-		second.campaign(3*testTTL, fakePeers{})
-		if after := second.token(partition0); after <= before {
+		second.campaignFor(3*testTTL, fakePeers{})
+		if after := second.heldToken(partition0Key); after <= before {
 			t.Errorf("after the first process stalled, the second one's token is %d, want more than %d", after, before)
 		}
 		first.mu.Lock()
-		first.stalled = false
+		first.loopStalled = false
 		first.mu.Unlock()
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if token := first.token(partition0); token != 0 {
+		if token := first.heldToken(partition0Key); token != 0 {
 			t.Errorf("the first process still holds partition 0 under %d", token)
 		}
 	})
 }
 
 // A process takes the keys of its controller's former process at once: that one is dead.
-func TestRestartTakesItsOwnKeys(t *testing.T) {
-	inCluster(t, func(ctx context.Context, s *fakeStore, first, _ *process) {
-		first.campaign(time.Second, fakePeers{})
-		before := first.token(partition0)
-		restarted := newProcess(ctx, s, "n0", "c")
-		restarted.observe(partition0, s.keys[partition0])
-		restarted.campaign(200*time.Millisecond, fakePeers{})
-		if after := restarted.token(partition0); after <= before || first.token(partition0) != 0 {
-			t.Errorf("the restarted process has token %d, the former one %d; want one above %d, and 0", after, first.token(partition0), before)
+func TestRestartedControllerTakesOverItsKeys(t *testing.T) {
+	runWithTwoControllers(t, func(ctx context.Context, s *fakeStore, first, _ *testController) {
+		first.campaignFor(time.Second, fakePeers{})
+		before := first.heldToken(partition0Key)
+		restarted := newTestController(ctx, s, "n0", "c")
+		restarted.observe(partition0Key, s.keys[partition0Key])
+		restarted.campaignFor(200*time.Millisecond, fakePeers{})
+		if after := restarted.heldToken(partition0Key); after <= before || first.heldToken(partition0Key) != 0 {
+			t.Errorf("the restarted process has token %d, the former one %d; want one above %d, and 0", after, first.heldToken(partition0Key), before)
 		}
 	})
 }
@@ -291,17 +291,17 @@
 // A partition that is not with its preferred owner is handed over once that can take it,
 // and is left to it for a while.
 func TestHandOverToPreferredOwner(t *testing.T) {
-	inCluster(t, func(_ context.Context, _ *fakeStore, first, second *process) {
-		second.campaign(startupGrace+preferredWait, fakePeers{})
-		if second.token(partition0) == 0 {
+	runWithTwoControllers(t, func(_ context.Context, _ *fakeStore, first, second *testController) {
+		second.campaignFor(startupGracePeriod+preferredOwnerHeadStart, fakePeers{})
+		if second.heldToken(partition0Key) == 0 {
 			t.Fatal("a vacant partition is not taken in the absence of its preferred owner")
 		}
-		second.campaign(resignBackoff/2, fakePeers{eligible: true})
-		if token := second.token(partition0); token != 0 {
+		second.campaignFor(resignBackoff/2, fakePeers{areEligible: true})
+		if token := second.heldToken(partition0Key); token != 0 {
 			t.Fatalf("the partition is kept under token %d", token)
 		}
-		first.campaign(time.Second, fakePeers{eligible: true})
-		if first.token(partition0) == 0 {
+		first.campaignFor(time.Second, fakePeers{areEligible: true})
+		if first.heldToken(partition0Key) == 0 {
 			t.Error("the preferred owner has not taken it")
 		}
 	})
@@ -314,20 +314,20 @@
 		lost bool
 	}{{"answered", false}, {"answer lost", true}} {
 		t.Run(test.name, func(t *testing.T) {
-			inCluster(t, func(_ context.Context, s *fakeStore, first, _ *process) {
-				first.campaign(time.Second, fakePeers{})
-				before := first.token(partition0)
+			runWithTwoControllers(t, func(_ context.Context, s *fakeStore, first, _ *testController) {
+				first.campaignFor(time.Second, fakePeers{})
+				before := first.heldToken(partition0Key)
 				s.mu.Lock()
-				s.loseAnswers = test.lost
+				s.dropResponses = test.lost
 				s.mu.Unlock()
 				first.Enqueue(func() {
-					if !first.elector.RaiseToken(partition0) || first.elector.RaiseToken(partition0) {
+					if !first.elector.RaiseToken(partition0Key) || first.elector.RaiseToken(partition0Key) {
 						t.Error("a token is raised by one transaction at a time")
 					}
 				})
 				time.Sleep(time.Second)
 				synctest.Wait()
-				if after := first.token(partition0); after <= before {
+				if after := first.heldToken(partition0Key); after <= before {
 					t.Errorf("token %d, want more than %d", after, before)
 				}
 			})
@@ -337,18 +337,18 @@
 
 // fakeWorkers are how workers reach a controller.
 type fakeWorkers struct {
-	reporting     int
-	heard         HeartbeatSummary
-	resumed, last time.Time
+	reportingMachines          int
+	heartbeats                 HeartbeatSummary
+	resumedAt, lastHeartbeatAt time.Time
 }
 
-func (w fakeWorkers) CountReportingMachines() int                        { return w.reporting }
-func (w fakeWorkers) SummarizeHeartbeats(time.Duration) HeartbeatSummary { return w.heard }
-func (w fakeWorkers) LastHeartbeatAt() time.Time                         { return w.last }
-func (w fakeWorkers) ResumedAt() time.Time                               { return w.resumed }
+func (w fakeWorkers) CountReportingMachines() int                        { return w.reportingMachines }
+func (w fakeWorkers) SummarizeHeartbeats(time.Duration) HeartbeatSummary { return w.heartbeats }
+func (w fakeWorkers) LastHeartbeatAt() time.Time                         { return w.lastHeartbeatAt }
+func (w fakeWorkers) ResumedAt() time.Time                               { return w.resumedAt }
 
 // A controller that hears no worker steps down only where that may help somebody.
-func TestStepDownIfUnheard(t *testing.T) {
+func TestStepDownIfNoHeartbeats(t *testing.T) {
 	unheard := HeartbeatSummary{ExpectedMachines: 3}
 	for _, test := range []struct {
 		name    string
@@ -356,18 +356,18 @@
 		peers   fakePeers
 		want    bool
 	}{
-		{"a peer hears workers", fakeWorkers{heard: unheard}, fakePeers{hear: true, allKnown: true}, true},
-		{"what peers hear is not known", fakeWorkers{heard: unheard}, fakePeers{}, true},
-		{"no peer hears workers either", fakeWorkers{heard: unheard}, fakePeers{allKnown: true}, false},
-		{"a worker is heard", fakeWorkers{heard: HeartbeatSummary{ExpectedMachines: 3, HasHeartbeat: true}}, fakePeers{hear: true}, false},
-		{"too few machines are known", fakeWorkers{heard: HeartbeatSummary{ExpectedMachines: 1}}, fakePeers{hear: true}, false},
-		{"the partition is young", fakeWorkers{heard: HeartbeatSummary{ExpectedMachines: 3, HasNewPartition: true}}, fakePeers{hear: true}, false},
+		{"a peer hears workers", fakeWorkers{heartbeats: unheard}, fakePeers{haveContact: true, allKnown: true}, true},
+		{"what peers hear is not known", fakeWorkers{heartbeats: unheard}, fakePeers{}, true},
+		{"no peer hears workers either", fakeWorkers{heartbeats: unheard}, fakePeers{allKnown: true}, false},
+		{"a worker is heard", fakeWorkers{heartbeats: HeartbeatSummary{ExpectedMachines: 3, HasHeartbeat: true}}, fakePeers{haveContact: true}, false},
+		{"too few machines are known", fakeWorkers{heartbeats: HeartbeatSummary{ExpectedMachines: 1}}, fakePeers{haveContact: true}, false},
+		{"the partition is young", fakeWorkers{heartbeats: HeartbeatSummary{ExpectedMachines: 3, HasNewPartition: true}}, fakePeers{haveContact: true}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			inCluster(t, func(_ context.Context, _ *fakeStore, first, _ *process) {
-				first.campaign(time.Second, fakePeers{})
+			runWithTwoControllers(t, func(_ context.Context, _ *fakeStore, first, _ *testController) {
+				first.campaignFor(time.Second, fakePeers{})
 				first.Enqueue(func() { first.elector.StepDownIfNoHeartbeats(test.workers, test.peers) })
-				if got := first.token(partition0) == 0; got != test.want {
+				if got := first.heldToken(partition0Key) == 0; got != test.want {
 					t.Errorf("stepped down: %v, want %v", got, test.want)
 				}
 				if got := first.elector.IsBackingOff(); got != test.want {
@@ -380,13 +380,13 @@
 
 // Where all machines have died nobody hears any: then a controller steps down once in the
 // time that leases need to expire, not again and again.
-func TestStepDownOnceWhereNobodyHears(t *testing.T) {
-	inCluster(t, func(_ context.Context, _ *fakeStore, first, _ *process) {
-		workers, stepDowns := fakeWorkers{heard: HeartbeatSummary{ExpectedMachines: 3}}, 0
+func TestStepDownOnceIfNoControllerHasHeartbeats(t *testing.T) {
+	runWithTwoControllers(t, func(_ context.Context, _ *fakeStore, first, _ *testController) {
+		workers, stepDowns := fakeWorkers{heartbeats: HeartbeatSummary{ExpectedMachines: 3}}, 0
 		for range 4 {
-			first.campaign(stepDownBackoff+time.Second, fakePeers{})
+			first.campaignFor(stepDownBackoff+time.Second, fakePeers{})
 			first.Enqueue(func() { first.elector.StepDownIfNoHeartbeats(workers, fakePeers{}) })
-			if first.token(partition0) == 0 {
+			if first.heldToken(partition0Key) == 0 {
 				stepDowns++
 			}
 		}
@@ -405,22 +405,22 @@
 		peers     fakePeers
 		want      bool
 	}{
-		{"isolated", true, 0, fakePeers{silent: true}, true},
-		{"it owns everything", false, 0, fakePeers{silent: true}, false},
-		{"workers report", true, 1, fakePeers{silent: true}, false},
+		{"isolated", true, 0, fakePeers{areSilent: true}, true},
+		{"it owns everything", false, 0, fakePeers{areSilent: true}, false},
+		{"workers report", true, 1, fakePeers{areSilent: true}, false},
 		{"peers are heard", true, 0, fakePeers{}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			inCluster(t, func(_ context.Context, _ *fakeStore, first, _ *process) {
-				first.campaign(time.Second, fakePeers{})
+			runWithTwoControllers(t, func(_ context.Context, _ *fakeStore, first, _ *testController) {
+				first.campaignFor(time.Second, fakePeers{})
 				if test.other {
 					first.Enqueue(func() { first.elector.ObserveHolder("e/part/1", record.LeaseHolder{Node: "n1", ProcessID: "b"}, 900) })
 				}
 				since := time.Now().Add(-minLeaderTenure)
 				first.Enqueue(func() {
-					first.elector.StepDownIfIsolated(leaderKey, since, []string{partition0, "e/part/1"}, fakeWorkers{reporting: test.reporting}, test.peers)
+					first.elector.StepDownIfIsolated(leaderKey, since, []string{partition0Key, "e/part/1"}, fakeWorkers{reportingMachines: test.reporting}, test.peers)
 				})
-				if got := first.token(leaderKey) == 0; got != test.want {
+				if got := first.heldToken(leaderKey) == 0; got != test.want {
 					t.Errorf("leadership handed back: %v, want %v", got, test.want)
 				}
 			})
--- a/internal/election/stepdown.go
+++ b/internal/election/stepdown.go
@@ -5,26 +5,26 @@
 const (
 	// stepDownBackoff is how long a controller that stepped down acquires nothing.
 	stepDownBackoff = 15 * time.Second
-	// hearingSlack is what a worker may need, on top of two heartbeat intervals, to be
+	// heartbeatSlack is what a worker may need, on top of two heartbeat intervals, to be
 	// heard: an answer that is outstanding for 4 s, and the way to the next controller.
-	hearingSlack = 6 * time.Second
-	// quickHearingIntervals is within how many heartbeat intervals of a single machine
+	heartbeatSlack = 6 * time.Second
+	// fleetSilenceIntervals is within how many heartbeat intervals of a single machine
 	// many machines together must be heard: of n that report independently, none is
 	// heard for 20/n intervals by chance once in e to the 20th.
-	quickHearingIntervals = 20
-	// quickHearingSlack is the least that heartbeats need in any case.
-	quickHearingSlack = 2 * time.Second
-	// minKnownMachines is how many machines must be known before their silence says
+	fleetSilenceIntervals = 20
+	// minFleetSilenceSlack is the least that heartbeats need in any case.
+	minFleetSilenceSlack = 2 * time.Second
+	// minExpectedMachines is how many machines must be known before their silence says
 	// something about this controller.
-	minKnownMachines = 2
+	minExpectedMachines = 2
 	// minLeaderTenure is how long a leader may take to be heard.
 	minLeaderTenure = 8 * time.Second
-	// peerSilence is for how long a leader hears no peer before it takes itself for
+	// peerSilenceTimeout is for how long a leader hears no peer before it takes itself for
 	// isolated.
-	peerSilence = 6 * time.Second
-	// stepDownLifetimes is how many lifetimes of unreachable work pass before a
+	peerSilenceTimeout = 6 * time.Second
+	// stepDownRepeatFactor is how many lifetimes of unreachable work pass before a
 	// controller that hears no worker steps down once more.
-	stepDownLifetimes = 2
+	stepDownRepeatFactor = 2
 )
 
 // HeartbeatSummary is what was heard of the machines of this controller's partitions.
@@ -54,44 +54,44 @@
 // StepDownIfNoHeartbeats hands all keys back when no worker reaches this controller, since the
 // others may well be reachable.
 func (e *Elector) StepDownIfNoHeartbeats(workers WorkerContact, peers Peers) {
-	now, window := e.Loop.Now(), e.hearingWindow(workers)
+	now, window := e.Loop.Now(), e.heartbeatWindow(workers)
 	if now.Sub(workers.ResumedAt()) < window {
 		return
 	}
-	heard := workers.SummarizeHeartbeats(window)
-	if heard.ExpectedMachines < minKnownMachines || heard.HasHeartbeat || heard.HasNewPartition || !e.othersMayHear(workers, peers) {
+	heartbeats := workers.SummarizeHeartbeats(window)
+	if heartbeats.ExpectedMachines < minExpectedMachines || heartbeats.HasHeartbeat || heartbeats.HasNewPartition || !e.canPeersHaveContact(workers, peers) {
 		return
 	}
 	e.steppedDownAt = now
-	e.Log.Info("no worker reaches this controller: it steps down from everything", "machines", heard.ExpectedMachines)
+	e.Log.Info("no worker reaches this controller: it steps down from everything", "machines", heartbeats.ExpectedMachines)
 	e.backoffUntil = now.Add(stepDownBackoff)
 	e.ResignAll()
 }
 
-// hearingWindow is how long this controller may hear no worker. Many machines that all
+// heartbeatWindow is how long this controller may hear no worker. Many machines that all
 // fall silent at once say more in a short time than few do in a long one. Their leases run
 // meanwhile, and finding the successor takes them some seconds more.
-func (e *Elector) hearingWindow(workers WorkerContact) time.Duration {
+func (e *Elector) heartbeatWindow(workers WorkerContact) time.Duration {
 	interval := e.HeartbeatInterval
-	window := 2*interval + hearingSlack
+	window := 2*interval + heartbeatSlack
 	if n := workers.CountReportingMachines(); n > 0 {
-		quick := max(quickHearingIntervals*interval/time.Duration(n), interval/2+quickHearingSlack)
-		window = min(window, quick)
+		fleetWindow := max(fleetSilenceIntervals*interval/time.Duration(n), interval/2+minFleetSilenceSlack)
+		window = min(window, fleetWindow)
 	}
 	return window
 }
 
-// othersMayHear tells whether it may help that somebody else has our keys: machines report
+// canPeersHaveContact tells whether it may help that somebody else has our keys: machines report
 // to a peer, or that is not known. Where all machines have died everybody hears none, and
 // keys that go round for ever have nobody wait for the leases to expire, so then each
 // controller steps down once in that time.
-func (e *Elector) othersMayHear(workers WorkerContact, peers Peers) bool {
-	hear, allKnown := peers.HaveWorkerContact()
-	if hear {
+func (e *Elector) canPeersHaveContact(workers WorkerContact, peers Peers) bool {
+	peersHaveContact, allKnown := peers.HaveWorkerContact()
+	if peersHaveContact {
 		return true
 	}
 	return !allKnown && (e.steppedDownAt.IsZero() || workers.LastHeartbeatAt().After(e.steppedDownAt) ||
-		e.Loop.Now().Sub(e.steppedDownAt) > stepDownLifetimes*e.MaxUnreachableWorkTime)
+		e.Loop.Now().Sub(e.steppedDownAt) > stepDownRepeatFactor*e.MaxUnreachableWorkTime)
 }
 
 // StepDownIfIsolated hands the leadership back, held since leaderSince, when neither
@@ -100,7 +100,7 @@
 // nothing.
 func (e *Elector) StepDownIfIsolated(leaderKey string, leaderSince time.Time, partitionKeys []string, workers WorkerContact, peers Peers) {
 	now := e.Loop.Now()
-	if e.Token(leaderKey) == 0 || now.Sub(leaderSince) < minLeaderTenure || !peers.AreAllSilent(peerSilence) || workers.CountReportingMachines() > 0 {
+	if e.Token(leaderKey) == 0 || now.Sub(leaderSince) < minLeaderTenure || !peers.AreAllSilent(peerSilenceTimeout) || workers.CountReportingMachines() > 0 {
 		return
 	}
 	for _, key := range partitionKeys {
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -108,18 +108,18 @@
 	switch s.Phase {
 	case PhaseStable:
 		if len(Blockers(s, view)) == 0 {
-			return StepActivate, s.enter(PhaseActive, view)
+			return StepActivate, s.withPhase(PhaseActive, view)
 		}
 	case PhaseActive:
-		if view.anyBelow(s.ActiveLevel()) {
-			return StepDeactivate, s.enter(PhaseStable, view)
+		if view.hasControllerBelow(s.ActiveLevel()) {
+			return StepDeactivate, s.withPhase(PhaseStable, view)
 		}
-		if len(Blockers(s, view)) == 0 && (s.Request == RequestFinalize || view.sinceLastRestart(s) >= view.FinalizeAfter && view.FinalizeAfter > 0) {
-			return StepFinalize, s.finalized(view)
+		if len(Blockers(s, view)) == 0 && (s.Request == RequestFinalize || view.timeSinceLastRestart(s) >= view.FinalizeAfter && view.FinalizeAfter > 0) {
+			return StepFinalize, s.withLevelFinalized(view)
 		}
 	case PhaseReverting:
 		if len(Blockers(s, view)) == 0 {
-			return StepClose, s.enter(PhaseClosed, view)
+			return StepClose, s.withPhase(PhaseClosed, view)
 		}
 	case PhaseClosed:
 	}
@@ -129,16 +129,16 @@
 // decideRequest returns the step that an operator's request leads to at once.
 func decideRequest(s State, view ClusterView) (Step, State) {
 	switch {
-	case s.Request == RequestAbort && s.Phase == PhaseStable && s.Level > BaseLevel && (s.OnHold || !view.nextLevelKnown(s)):
-		next := s.enter(PhaseReverting, view)
+	case s.Request == RequestAbort && s.Phase == PhaseStable && s.Level > BaseLevel && (s.OnHold || !view.hasNextLevelReader(s)):
+		next := s.withPhase(PhaseReverting, view)
 		next.OnHold = true
 		return StepRevert, next
 	case s.Request == RequestAbort && s.Phase != PhaseReverting:
-		next := s.enter(PhaseStable, view)
+		next := s.withPhase(PhaseStable, view)
 		next.OnHold = true
 		return StepHold, next
 	case s.Request == RequestFinalize && (s.OnHold || s.Phase == PhaseReverting):
-		next := s.enter(PhaseStable, view)
+		next := s.withPhase(PhaseStable, view)
 		next.OnHold = false
 		return StepResume, next
 	}
@@ -151,11 +151,11 @@
 		return NoStep, s
 	}
 	if view.NewerRecords > 0 || view.UnreadableRecords > 0 {
-		next := s.enter(PhaseReverting, view)
+		next := s.withPhase(PhaseReverting, view)
 		next.Epoch++
 		return StepReopen, next
 	}
-	next := s.enter(PhaseStable, view)
+	next := s.withPhase(PhaseStable, view)
 	next.Level--
 	if next.Level > BaseLevel {
 		next.Epoch++
@@ -164,14 +164,14 @@
 }
 
 // enter returns the state in another phase, with the request carried out.
-func (s State) enter(p Phase, view ClusterView) State {
+func (s State) withPhase(p Phase, view ClusterView) State {
 	s.Phase, s.Request, s.PhaseStartedAt = p, NoRequest, view.Now.UnixMilli()
 	return s
 }
 
 // finalized returns the state with the active level made final.
-func (s State) finalized(view ClusterView) State {
-	s = s.enter(PhaseStable, view)
+func (s State) withLevelFinalized(view ClusterView) State {
+	s = s.withPhase(PhaseStable, view)
 	s.Level++
 	s.Epoch++
 	return s
@@ -180,79 +180,79 @@
 // Blockers returns the reasons why the next step of an upgrade, or of a revert, can't be taken
 // now; none while there is no next step but an operator's.
 func Blockers(s State, view ClusterView) []Blocker {
-	var out []Blocker
+	var blockers []Blocker
 	switch s.Phase {
 	case PhaseStable:
 		if s.OnHold {
-			out = append(out, Blocker{Kind: BlockerOperatorHold, Detail: "an operator went back; finalize ends that"})
+			blockers = append(blockers, Blocker{Kind: BlockerOperatorHold, Detail: "an operator went back; finalize ends that"})
 		}
-		out = append(out, view.controllerBlockers(s.Level+1)...)
+		blockers = append(blockers, view.controllerBlockers(s.Level+1)...)
 	case PhaseActive:
-		out = append(out, view.controllerBlockers(s.ActiveLevel())...)
-		out = append(out, view.txnLimitBlockers()...)
+		blockers = append(blockers, view.controllerBlockers(s.ActiveLevel())...)
+		blockers = append(blockers, view.txnLimitBlockers()...)
 	case PhaseReverting:
-		out = append(out, view.txnLimitBlockers()...)
-		out = append(out, view.recordBlockers()...)
-		out = append(out, view.lostLevelBlockers(s.WriteLevel())...)
+		blockers = append(blockers, view.txnLimitBlockers()...)
+		blockers = append(blockers, view.recordBlockers()...)
+		blockers = append(blockers, view.droppedLevelBlockers(s.WriteLevel())...)
 	case PhaseClosed:
 	}
-	return out
+	return blockers
 }
 
 // recordBlockers returns whether records keep the level before from being all that is stored.
 func (v *ClusterView) recordBlockers() []Blocker {
-	var out []Blocker
+	var blockers []Blocker
 	if v.NewerRecords > 0 {
-		out = append(out, Blocker{Kind: BlockerNewerRecords, Detail: fmt.Sprintf("%d records are still to be rewritten", v.NewerRecords)})
+		blockers = append(blockers, Blocker{Kind: BlockerNewerRecords, Detail: fmt.Sprintf("%d records are still to be rewritten", v.NewerRecords)})
 	}
 	if v.UnreadableRecords > 0 {
-		out = append(out, Blocker{Kind: BlockerUnreadableRecords, Detail: fmt.Sprintf("%d records can't be decoded; correct or delete them", v.UnreadableRecords)})
+		blockers = append(blockers, Blocker{Kind: BlockerUnreadableRecords, Detail: fmt.Sprintf("%d records can't be decoded; correct or delete them", v.UnreadableRecords)})
 	}
-	return out
+	return blockers
 }
 
-// lostLevelBlockers returns the controllers that don't read a level any more.
-func (v *ClusterView) lostLevelBlockers(level Level) []Blocker {
-	var out []Blocker
+// droppedLevelBlockers returns the controllers that don't read a level any more.
+func (v *ClusterView) droppedLevelBlockers(level Level) []Blocker {
+	var blockers []Blocker
 	for _, name := range slices.Sorted(maps.Keys(v.Registrations)) {
 		if c := v.Registrations[name]; c.Low > level {
-			out = append(out, Blocker{Kind: BlockerUnsupportedLevel, Node: name, Detail: fmt.Sprintf("does not read level %d any more (it reads %s)", level, c.LevelRange)})
+			blockers = append(blockers, Blocker{Kind: BlockerUnsupportedLevel, Node: name, Detail: fmt.Sprintf("does not read level %d any more (it reads %s)", level, c.LevelRange)})
 		}
 	}
-	return out
+	return blockers
 }
 
 // controllerBlockers returns the controllers that keep a level from being used.
 func (v *ClusterView) controllerBlockers(level Level) []Blocker {
-	var out []Blocker
+	var blockers []Blocker
 	for _, name := range v.Members {
-		c, ok := v.Registrations[name]
+		c, isRegistered := v.Registrations[name]
 		switch {
-		case !ok:
-			out = append(out, Blocker{Kind: BlockerMissingController, Node: name, Detail: "is not registered: it is down, of a version without levels, or has them switched off"})
+		case !isRegistered:
+			blockers = append(blockers, Blocker{Kind: BlockerMissingController, Node: name, Detail: "is not registered: it is down, of a version without levels, or has them switched off"})
 		case !c.Includes(level):
-			out = append(out, Blocker{Kind: BlockerUnsupportedLevel, Node: name, Detail: fmt.Sprintf("does not read level %d (it reads %s)", level, c.LevelRange)})
+			blockers = append(blockers, Blocker{Kind: BlockerUnsupportedLevel, Node: name, Detail: fmt.Sprintf("does not read level %d (it reads %s)", level, c.LevelRange)})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(v.Registrations)) {
 		if !slices.Contains(v.Members, name) {
-			out = append(out, Blocker{Kind: BlockerUnlistedController, Node: name, Detail: "is registered, but not named by the settings"})
+			blockers = append(blockers, Blocker{Kind: BlockerUnlistedController, Node: name, Detail: "is registered, but not named by the settings"})
 		}
 	}
-	return out
+	return blockers
 }
 
 // txnLimitBlockers returns whether closing the keys takes more changes than a transaction may
 // have.
 func (v *ClusterView) txnLimitBlockers() []Blocker {
-	if n := v.PartitionCount + closingExtraChanges; n > v.MaxTxnChanges {
+	if n := v.PartitionCount + extraCloseChanges; n > v.MaxTxnChanges {
 		return []Blocker{{Kind: BlockerTxnLimit, Detail: fmt.Sprintf("closing the keys takes %d changes in one transaction, and %d are allowed", n, v.MaxTxnChanges)}}
 	}
 	return nil
 }
 
-// anyBelow tells whether a controller is registered that does not read a level.
-func (v *ClusterView) anyBelow(level Level) bool {
+// hasControllerBelow tells whether a controller is registered that does not read a level.
+func (v *ClusterView) hasControllerBelow(level Level) bool {
 	for _, c := range v.Registrations {
 		if c.High < level {
 			return true
@@ -261,9 +261,9 @@
 	return false
 }
 
-// nextLevelKnown tells whether a registered controller reads the level after the state's: an
+// hasNextLevelReader tells whether a registered controller reads the level after the state's: an
 // upgrade to it is on its way, or may be.
-func (v *ClusterView) nextLevelKnown(s State) bool {
+func (v *ClusterView) hasNextLevelReader(s State) bool {
 	for _, c := range v.Registrations {
 		if c.High > s.Level {
 			return true
@@ -272,8 +272,8 @@
 	return false
 }
 
-// sinceLastRestart returns how long the phase has lasted without a controller's restart.
-func (v *ClusterView) sinceLastRestart(s State) time.Duration {
+// timeSinceLastRestart returns how long the phase has lasted without a controller's restart.
+func (v *ClusterView) timeSinceLastRestart(s State) time.Duration {
 	last := s.PhaseStartedAt
 	for _, c := range v.Registrations {
 		last = max(last, c.RegisteredAt)
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -6,7 +6,7 @@
 )
 
 // What is stored, and where, has exactly these bytes: other versions read them.
-func TestRecordsKeepTheirBytes(t *testing.T) {
+func TestStoredEncodingsAreStable(t *testing.T) {
 	state := State{Level: 2, Phase: PhaseReverting, Epoch: 3, OnHold: true, Request: RequestAbort, PhaseStartedAt: 5}
 	txn, err := json.Marshal(NewStepTxn(InitialState, StepFinalize, state, ClusterView{Members: []string{"n0"}, PartitionCount: 1}, Revisions{State: 1, Leader: 2}))
 	if err != nil {
--- a/internal/rollout/level.go
+++ b/internal/rollout/level.go
@@ -39,17 +39,17 @@
 type Feature struct {
 	Level Level
 	Name  string
-	// WhenActive is what begins as soon as the level is active. Controllers that don't
+	// ActiveEffect is what begins as soon as the level is active. Controllers that don't
 	// know the level work on beside it.
-	WhenActive string
-	// WhenFinal is what begins when the level is final. Controllers that don't know the
+	ActiveEffect string
+	// FinalEffect is what begins when the level is final. Controllers that don't know the
 	// level are kept out from then on.
-	WhenFinal string
+	FinalEffect string
 }
 
 // Features lists the levels that this version knows.
 var Features = []Feature{
-	{Level: BaseLevel, Name: "base", WhenActive: "nothing", WhenFinal: "records in form 1, status frames of version 2"},
-	{Level: ChecksumLevel, Name: "checksums", WhenActive: "status frames of version 3 to controllers that read them",
-		WhenFinal: "task group records in form 2; partitions and leadership under keys of their own"},
+	{Level: BaseLevel, Name: "base", ActiveEffect: "nothing", FinalEffect: "records in form 1, status frames of version 2"},
+	{Level: ChecksumLevel, Name: "checksums", ActiveEffect: "status frames of version 3 to controllers that read them",
+		FinalEffect: "task group records in form 2; partitions and leadership under keys of their own"},
 }
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -14,47 +14,47 @@
 
 const modelControllers = 2
 
-// modelRanges are the versions that a process may be of; an empty range is one that does
+// versionLevels are the versions that a process may be of; an empty range is one that does
 // not know levels.
-var modelRanges = []LevelRange{{}, {1, 1}, {1, 2}, {1, 3}, {2, 3}}
+var versionLevels = []LevelRange{{}, {1, 1}, {1, 2}, {1, 3}, {2, 3}}
 
-type process struct {
-	running    bool
-	version    int        // in modelRanges
-	registered LevelRange // in its record; empty: there is none
+type modelProcess struct {
+	running          bool
+	version          int        // in versionLevels
+	registeredLevels LevelRange // in its record; empty: there is none
 }
 
 type model struct {
 	state     State // its epoch is left out, it only ever rises
-	processes [modelControllers]process
+	processes [modelControllers]modelProcess
 	// owner holds the lease, 0: nobody, else one more than its index. It writes as it last
 	// saw the state, however long ago that was.
-	owner       int
-	ownerWrites Level
-	levels      [4]bool // of the encodings of stored records
-	pending     Step    // a transaction on its way whose conditions hold still
-	pendingFor  State   // what it leads to
+	owner        int
+	ownerWrites  Level
+	storedLevels [4]bool // of the encodings of stored records
+	pendingStep  Step    // a transaction on its way whose conditions hold still
+	pendingState State   // what it leads to
 }
 
-func (p process) aware() bool { return modelRanges[p.version].High > 0 }
+func (p modelProcess) knowsLevels() bool { return versionLevels[p.version].High > 0 }
 
 // reads returns the range of levels that a process reads.
-func (p process) reads() LevelRange {
-	if !p.aware() {
+func (p modelProcess) readableLevels() LevelRange {
+	if !p.knowsLevels() {
 		return LevelRange{BaseLevel, BaseLevel}
 	}
-	return modelRanges[p.version]
+	return versionLevels[p.version]
 }
 
 func (m *model) view(leading bool) ClusterView {
 	view := ClusterView{Now: time.UnixMilli(0), Members: []string{"0", "1"}, Registrations: map[string]StoredRegistration{}, IsLeader: leading, IsUpToDate: true,
 		PartitionCount: 1, MaxTxnChanges: 10}
 	for i, p := range m.processes {
-		if p.registered.High > 0 {
-			view.Registrations[fmt.Sprint(i)] = StoredRegistration{Registration: Registration{LevelRange: p.registered}}
+		if p.registeredLevels.High > 0 {
+			view.Registrations[fmt.Sprint(i)] = StoredRegistration{Registration: Registration{LevelRange: p.registeredLevels}}
 		}
 	}
-	for level, there := range m.levels {
+	for level, there := range m.storedLevels {
 		if there && Level(level) > m.state.WriteLevel() {
 			view.NewerRecords++
 		}
@@ -64,27 +64,27 @@
 
 // admitted tells whether a process may take a lease in the present state: one without levels
 // goes by the keys alone, which are closed above the base level.
-func (m *model) admitted(p process) bool {
+func (m *model) canTakeLease(p modelProcess) bool {
 	if !p.running || m.state.Phase == PhaseClosed {
 		return false
 	}
-	if !p.aware() {
+	if !p.knowsLevels() {
 		return m.state.Level == BaseLevel
 	}
-	return m.state.Admits(modelRanges[p.version])
+	return m.state.Admits(versionLevels[p.version])
 }
 
 // action is something that may happen, with its name.
 type action struct {
-	name string
-	do   func(*model)
+	name  string
+	apply func(*model)
 }
 
 // next lists the states that one action leads to, each with the action's name.
-func (m model) next(versions int) (out []model, names []string) {
+func (m model) successors(versions int) (out []model, names []string) {
 	for _, a := range m.actions(versions) {
 		n := m
-		a.do(&n)
+		a.apply(&n)
 		if n != m {
 			out, names = append(out, n), append(names, a.name)
 		}
@@ -94,12 +94,12 @@
 
 func (m model) actions(versions int) []action {
 	all := []action{
-		{"owner reads", (*model).ownerSees},
+		{"owner reads", (*model).ownerReadsState},
 		{"lease expires", func(n *model) { n.releaseLease(n.owner - 1) }},
 		{"write", (*model).write},
 		{"rewrite", func(n *model) {
 			if n.owner > 0 {
-				n.levels = [4]bool{}
+				n.storedLevels = [4]bool{}
 			}
 			n.write()
 		}},
@@ -108,7 +108,7 @@
 	for _, w := range []Request{RequestFinalize, RequestAbort} {
 		all = append(all, action{string(w), func(n *model) {
 			n.state.Request = w
-			n.pending = NoStep
+			n.pendingStep = NoStep
 		}})
 	}
 	for i := range m.processes {
@@ -121,25 +121,25 @@
 	all := []action{
 		{fmt.Sprintf("kill %d", i), func(n *model) { n.processes[i].running = false }},
 		{fmt.Sprintf("lease of %d ends", i), func(n *model) {
-			n.processes[i].registered = LevelRange{}
-			n.controllerChanged()
+			n.processes[i].registeredLevels = LevelRange{}
+			n.registrationChanged()
 		}},
 		{fmt.Sprintf("register %d", i), func(n *model) {
-			if p := &n.processes[i]; p.running && p.aware() {
-				p.registered = modelRanges[p.version]
-				n.controllerChanged()
+			if p := &n.processes[i]; p.running && p.knowsLevels() {
+				p.registeredLevels = versionLevels[p.version]
+				n.registrationChanged()
 			}
 		}},
 		{fmt.Sprintf("take lease %d", i), func(n *model) {
-			if n.owner == 0 && n.admitted(n.processes[i]) {
+			if n.owner == 0 && n.canTakeLease(n.processes[i]) {
 				n.owner = i + 1
-				n.ownerSees()
+				n.ownerReadsState()
 			}
 		}},
 		{fmt.Sprintf("decide %d", i), func(n *model) { n.decide(i) }},
 	}
 	for version := range versions {
-		all = append(all, action{fmt.Sprintf("restart %d as %v", i, modelRanges[version]), func(n *model) {
+		all = append(all, action{fmt.Sprintf("restart %d as %v", i, versionLevels[version]), func(n *model) {
 			n.processes[i].running, n.processes[i].version = true, version
 			n.releaseLease(i)
 		}})
@@ -149,7 +149,7 @@
 
 func (m *model) write() {
 	if m.owner > 0 {
-		m.levels[m.ownerWrites] = true
+		m.storedLevels[m.ownerWrites] = true
 	}
 }
 
@@ -157,64 +157,64 @@
 	if m.owner == i+1 {
 		m.owner, m.ownerWrites = 0, 0
 		if m.state.Phase != PhaseClosed {
-			m.pending = NoStep // it was conditional on the term
+			m.pendingStep = NoStep // it was conditional on the term
 		}
 	}
 }
 
-// ownerSees has the owner read the present state.
-func (m *model) ownerSees() {
+// ownerReadsState has the owner read the present state.
+func (m *model) ownerReadsState() {
 	if m.owner == 0 {
 		return
 	}
 	m.ownerWrites = BaseLevel
-	if m.processes[m.owner-1].aware() {
+	if m.processes[m.owner-1].knowsLevels() {
 		m.ownerWrites = m.state.WriteLevel()
 	}
 }
 
-// controllerChanged fails what is conditional on the controllers' records.
-func (m *model) controllerChanged() {
-	if m.pending == StepActivate || m.pending == StepFinalize {
-		m.pending = NoStep
+// registrationChanged fails what is conditional on the controllers' records.
+func (m *model) registrationChanged() {
+	if m.pendingStep == StepActivate || m.pendingStep == StepFinalize {
+		m.pendingStep = NoStep
 	}
 }
 
 func (m *model) decide(i int) {
 	p := m.processes[i]
-	if !p.running || !p.aware() || m.state.Phase != PhaseClosed && m.owner != i+1 || !m.state.Admits(modelRanges[p.version]) {
+	if !p.running || !p.knowsLevels() || m.state.Phase != PhaseClosed && m.owner != i+1 || !m.state.Admits(versionLevels[p.version]) {
 		return
 	}
 	step, next := Decide(m.state, m.view(m.owner == i+1))
 	next.Epoch = 0
-	m.pending, m.pendingFor = step, next
+	m.pendingStep, m.pendingState = step, next
 	if step == NoStep {
-		m.pendingFor = State{}
+		m.pendingState = State{}
 	}
 }
 
 func (m *model) commit() {
-	step := m.pending
+	step := m.pendingStep
 	if step == NoStep {
 		return
 	}
-	m.state = m.pendingFor
-	m.pending, m.pendingFor = NoStep, State{}
+	m.state = m.pendingState
+	m.pendingStep, m.pendingState = NoStep, State{}
 	if step == StepFinalize || step == StepClose {
 		m.owner, m.ownerWrites = 0, 0
 	}
 }
 
 // broken returns which invariant does not hold, or "".
-func (m *model) broken() string {
-	for level, there := range m.levels {
+func (m *model) violatedInvariant() string {
+	for level, there := range m.storedLevels {
 		if there && Level(level) > m.state.Level {
 			return fmt.Sprintf("encoding %d is stored at level %d", level, m.state.Level)
 		}
 	}
 	if m.owner > 0 {
-		for level, there := range m.levels {
-			if r := m.processes[m.owner-1].reads(); there && Level(level) > r.High {
+		for level, there := range m.storedLevels {
+			if r := m.processes[m.owner-1].readableLevels(); there && Level(level) > r.High {
 				return fmt.Sprintf("the owner reads %s, encoding %d is stored", r, level)
 			}
 		}
@@ -225,15 +225,15 @@
 	return ""
 }
 
-// badStep returns what is wrong with a transition, or "".
-func badStep(m, n model) string {
+// invalidTransition returns what is wrong with a transition, or "".
+func invalidTransition(m, n model) string {
 	if d := int(n.state.Level) - int(m.state.Level); d > 1 || d < -1 {
 		return fmt.Sprintf("from level %d to %d", m.state.Level, n.state.Level)
 	}
 	raised := n.state.Level > m.state.Level || n.state.Phase == PhaseActive && m.state.Phase == PhaseStable
 	for i, p := range n.processes {
-		if raised && !p.registered.Includes(n.state.ActiveLevel()) {
-			return fmt.Sprintf("level %d is raised though controller %d reads %s", n.state.ActiveLevel(), i, p.registered)
+		if raised && !p.registeredLevels.Includes(n.state.ActiveLevel()) {
+			return fmt.Sprintf("level %d is raised though controller %d reads %s", n.state.ActiveLevel(), i, p.registeredLevels)
 		}
 	}
 	return ""
@@ -245,55 +245,55 @@
 	return s.validate()
 }
 
-func start() model {
+func initialModel() model {
 	m := model{state: InitialState}
-	m.levels[1] = true
+	m.storedLevels[1] = true
 	return m
 }
 
 // The whole state space for two controllers of versions that read up to level 2: no
 // invariant breaks in any state, no step skips a level, and from each state there is a
 // way both to the base level, served by a version without levels, and to level 2.
-func TestEveryReachableStateIsSafeAndHasAWayOn(t *testing.T) {
+func TestReachableStatesAreSafeAndCanProceed(t *testing.T) {
 	const versions = 3
-	index := map[model]int32{start(): 0}
-	states := []model{start()}
-	var before [][]int32 // by state: those that lead to it
-	before = append(before, nil)
+	index := map[model]int32{initialModel(): 0}
+	states := []model{initialModel()}
+	var predecessors [][]int32 // by state: those that lead to it
+	predecessors = append(predecessors, nil)
 	for at := 0; at < len(states); at++ {
 		m := states[at]
-		if why := m.broken(); why != "" {
+		if why := m.violatedInvariant(); why != "" {
 			t.Fatalf("%s: %+v", why, m)
 		}
-		successors, names := m.next(versions)
+		successors, names := m.successors(versions)
 		for k, n := range successors {
-			if why := badStep(m, n); why != "" {
+			if why := invalidTransition(m, n); why != "" {
 				t.Fatalf("%s: %s: %+v", names[k], why, m)
 			}
 			to, known := index[n]
 			if !known {
 				to = int32(len(states))
 				index[n] = to
-				states, before = append(states, n), append(before, nil)
+				states, predecessors = append(states, n), append(predecessors, nil)
 			}
-			before[to] = append(before[to], int32(at))
+			predecessors[to] = append(predecessors[to], int32(at))
 		}
 	}
 	t.Logf("%d states", len(states))
 	for name, goal := range map[string]func(model) bool{
 		"the base level with an owner that does not know levels": func(m model) bool {
-			return m.state.Level == BaseLevel && m.state.Phase == PhaseStable && m.owner > 0 && !m.processes[m.owner-1].aware()
+			return m.state.Level == BaseLevel && m.state.Phase == PhaseStable && m.owner > 0 && !m.processes[m.owner-1].knowsLevels()
 		},
 		"level 2": func(m model) bool { return m.state.Level == 2 && m.state.Phase == PhaseStable && m.owner > 0 },
 	} {
-		if n := unreachable(states, before, goal); n > 0 {
+		if n := countWithoutPath(states, predecessors, goal); n > 0 {
 			t.Errorf("%d of %d states have no way to %s", n, len(states), name)
 		}
 	}
 }
 
 // unreachable counts the states from which no goal can be reached.
-func unreachable(states []model, before [][]int32, goal func(model) bool) int {
+func countWithoutPath(states []model, predecessors [][]int32, goal func(model) bool) int {
 	reached := make([]bool, len(states))
 	var queue []int32
 	for i, m := range states {
@@ -305,35 +305,35 @@
 	for len(queue) > 0 {
 		at := queue[0]
 		queue = queue[1:]
-		for _, from := range before[at] {
+		for _, from := range predecessors[at] {
 			if !reached[from] {
 				reached[from] = true
 				queue = append(queue, from)
 			}
 		}
 	}
-	n := 0
+	count := 0
 	for _, ok := range reached {
 		if !ok {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // Generated walks with versions that read up to level 3, and one that has given up the
 // base level.
-func TestGeneratedUpgrades(t *testing.T) {
+func TestRandomUpgradeSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := start()
+		m := initialModel()
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			successors, names := m.next(len(modelRanges))
+			successors, names := m.successors(len(versionLevels))
 			k := rapid.IntRange(0, len(successors)-1).Draw(t, "action")
-			if why := badStep(m, successors[k]); why != "" {
+			if why := invalidTransition(m, successors[k]); why != "" {
 				t.Fatalf("%s: %s: %+v", names[k], why, m)
 			}
 			m = successors[k]
-			if why := m.broken(); why != "" {
+			if why := m.violatedInvariant(); why != "" {
 				t.Fatalf("after %s: %s: %+v", names[k], why, m)
 			}
 		}
--- a/internal/rollout/operator.go
+++ b/internal/rollout/operator.go
@@ -51,11 +51,11 @@
 
 // Status reads the state of an upgrade.
 func (o *OperatorClient) Status(ctx context.Context) (*Status, error) {
-	state, revision, err := o.state(ctx)
+	state, revision, err := o.readState(ctx)
 	if err != nil {
 		return nil, err
 	}
-	controllers, err := o.controllers(ctx)
+	controllers, err := o.readRegistrations(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -64,15 +64,15 @@
 		return nil, err
 	}
 	status := &Status{State: state, ActiveLevel: state.ActiveLevel(), WriteLevel: state.WriteLevel(), Revision: revision}
-	view := o.view(controllers)
+	view := o.clusterView(controllers)
 	status.countRecords(groups, &view)
 	status.setControllers(controllers, o.Members)
 	status.Blockers = Blockers(state, view)
 	return status, nil
 }
 
-// unreadableRecords is the name under which Records counts what can't be decoded.
-const unreadableRecords = "unreadable"
+// unreadableEncoding is the name under which Records counts what can't be decoded.
+const unreadableEncoding = "unreadable"
 
 // countRecords counts the task group records by their encoding, in the view, too.
 func (s *Status) countRecords(groups []wire.Item, view *ClusterView) {
@@ -80,7 +80,7 @@
 	for i := range groups {
 		_, encoding, err := record.DecodeTaskGroup(groups[i].Key, groups[i].Value)
 		if err != nil {
-			s.RecordsByEncoding[unreadableRecords]++
+			s.RecordsByEncoding[unreadableEncoding]++
 			view.UnreadableRecords++
 			continue
 		}
@@ -105,7 +105,7 @@
 }
 
 // state returns the stored state and its revision.
-func (o *OperatorClient) state(ctx context.Context) (State, uint64, error) {
+func (o *OperatorClient) readState(ctx context.Context) (State, uint64, error) {
 	var item *wire.Item
 	err := o.retry(ctx, func() (err error) {
 		item, err = o.Store.Get(ctx, StateKey)
@@ -122,20 +122,20 @@
 }
 
 // controllers returns the registered controllers by name.
-func (o *OperatorClient) controllers(ctx context.Context) (map[string]StoredRegistration, error) {
+func (o *OperatorClient) readRegistrations(ctx context.Context) (map[string]StoredRegistration, error) {
 	items, err := o.list(ctx, RegistrationPrefix)
 	if err != nil {
 		return nil, err
 	}
-	out := map[string]StoredRegistration{}
+	registrations := map[string]StoredRegistration{}
 	for i := range items {
 		c, err := DecodeRegistration(items[i].Value)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", items[i].Key, err)
 		}
-		out[strings.TrimPrefix(items[i].Key, RegistrationPrefix)] = StoredRegistration{Registration: c, Revision: items[i].Revision}
+		registrations[strings.TrimPrefix(items[i].Key, RegistrationPrefix)] = StoredRegistration{Registration: c, Revision: items[i].Revision}
 	}
-	return out, nil
+	return registrations, nil
 }
 
 // list reads the keys below a prefix.
@@ -148,7 +148,7 @@
 }
 
 // view returns what a decision of the leader would rest on, apart from the records.
-func (o *OperatorClient) view(controllers map[string]StoredRegistration) ClusterView {
+func (o *OperatorClient) clusterView(controllers map[string]StoredRegistration) ClusterView {
 	return ClusterView{Now: time.Now(), Members: o.Members, Registrations: controllers, IsLeader: true, IsUpToDate: true,
 		PartitionCount: o.PartitionCount, MaxTxnChanges: o.MaxTxnChanges}
 }
@@ -180,15 +180,15 @@
 // errors are a RefusedError, ErrStateChanged, an OutcomeUnknownError or, if nothing was changed, those of
 // the store.
 func (o *OperatorClient) Submit(ctx context.Context, request Request) (State, error) {
-	state, revision, err := o.state(ctx)
+	state, revision, err := o.readState(ctx)
 	if err != nil {
 		return State{}, err
 	}
-	controllers, err := o.controllers(ctx)
+	controllers, err := o.readRegistrations(ctx)
 	if err != nil {
 		return State{}, err
 	}
-	if err := checkRequest(state, request, o.view(controllers)); err != nil {
+	if err := checkRequest(state, request, o.clusterView(controllers)); err != nil {
 		return state, err
 	}
 	next := state
@@ -225,6 +225,6 @@
 
 // IsCompleted tells whether a request, with which Submit returned a state, has been carried out
 // by now.
-func IsCompleted(asked State, now State) bool {
-	return now.Request == NoRequest && now != asked
+func IsCompleted(submitted State, now State) bool {
+	return now.Request == NoRequest && now != submitted
 }
--- a/internal/rollout/operator_retry.go
+++ b/internal/rollout/operator_retry.go
@@ -43,12 +43,12 @@
 func (o *OperatorClient) retry(ctx context.Context, call func() error) error {
 	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		err := call()
-		pause := delay - rand.N(delay/2)
-		if err == nil || !isTransient(err) || time.Now().Add(pause).After(o.RetryDeadline) {
+		wait := delay - rand.N(delay/2)
+		if err == nil || !isTransient(err) || time.Now().Add(wait).After(o.RetryDeadline) {
 			return err
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(wait):
 		case <-ctx.Done():
 			return err
 		}
@@ -73,7 +73,7 @@
 	case err == nil:
 		return nil
 	case maybeStored:
-		return o.settle(ctx, next, err)
+		return o.resolveOutcome(ctx, next, err)
 	case errors.Is(err, store.ErrConflict):
 		return ErrStateChanged
 	}
@@ -82,27 +82,27 @@
 
 // settle finds out by reading whether a request was stored of which an answer was lost. cause
 // is how the last try failed.
-func (o *OperatorClient) settle(ctx context.Context, next State, cause error) error {
-	now, _, err := o.state(ctx)
+func (o *OperatorClient) resolveOutcome(ctx context.Context, next State, cause error) error {
+	current, _, err := o.readState(ctx)
 	if err != nil {
 		return &OutcomeUnknownError{next.Request, err}
 	}
-	if now == next || next.ledTo(now) {
+	if current == next || next.canLeadTo(current) {
 		return nil
 	}
 	return &OutcomeUnknownError{next.Request, cause}
 }
 
-// ledTo tells whether a state is what a leader makes of the request in this one.
-func (s State) ledTo(now State) bool {
-	outcomes := []State{s.finalized(ClusterView{})}
+// canLeadTo tells whether a state is what a leader makes of the request in this one.
+func (s State) canLeadTo(current State) bool {
+	outcomes := []State{s.withLevelFinalized(ClusterView{})}
 	if s.Request == RequestAbort || s.OnHold || s.Phase == PhaseReverting {
 		_, next := decideRequest(s, ClusterView{})
 		outcomes = []State{next}
 	}
 	for _, outcome := range outcomes {
-		outcome.PhaseStartedAt = now.PhaseStartedAt
-		if outcome == now {
+		outcome.PhaseStartedAt = current.PhaseStartedAt
+		if outcome == current {
 			return true
 		}
 	}
--- a/internal/rollout/registrar.go
+++ b/internal/rollout/registrar.go
@@ -51,7 +51,7 @@
 			return ctx.Err()
 		}
 		r.Log.Debug("controller is not registered", "err", err)
-		if !pause(ctx, registerRetryInterval) {
+		if !sleep(ctx, registerRetryInterval) {
 			return ctx.Err()
 		}
 	}
@@ -87,7 +87,7 @@
 // goes on: an outage ends no lease.
 func (r *Registrar) renew(ctx context.Context, lease uint64) error {
 	for {
-		if !pause(ctx, r.TTL/renewalsPerTTL) {
+		if !sleep(ctx, r.TTL/renewalsPerTTL) {
 			r.revoke(context.WithoutCancel(ctx), lease)
 			return ctx.Err()
 		}
@@ -105,7 +105,7 @@
 }
 
 // pause waits; it returns false if ctx ended meanwhile.
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -117,14 +117,14 @@
 // LeaseKeys are the leased keys: one for the owner of each partition and one for the leader.
 type LeaseKeys struct{ prefix string }
 
-// baseKeys are the keys that versions without levels use.
-var baseKeys = LeaseKeys{prefix: "e/"}
+// baseLeaseKeys are the keys that versions without levels use.
+var baseLeaseKeys = LeaseKeys{prefix: "e/"}
 
 // LeaseKeys returns the leased keys of this state. Above the base level they are others than an
 // earlier version knows, and others in each epoch.
 func (s State) LeaseKeys() LeaseKeys {
 	if s.Level <= BaseLevel {
-		return baseKeys
+		return baseLeaseKeys
 	}
 	return LeaseKeys{prefix: "e/epoch/" + strconv.FormatUint(s.Epoch, 10) + "/"}
 }
@@ -136,7 +136,7 @@
 func (k LeaseKeys) Leader() string { return k.prefix + "leader" }
 
 // all returns the keys of a cluster with that many partitions.
-func (k LeaseKeys) all(partitions int) []string {
+func (k LeaseKeys) list(partitions int) []string {
 	keys := []string{k.Leader()}
 	for n := range partitions {
 		keys = append(keys, k.Partition(n))
--- a/internal/rollout/txn.go
+++ b/internal/rollout/txn.go
@@ -7,9 +7,9 @@
 	"eiderhitch/internal/wire"
 )
 
-// closingExtraChanges is how many changes closing the keys takes beyond one for each
+// extraCloseChanges is how many changes closing the keys takes beyond one for each
 // partition: the leader's key and the state.
-const closingExtraChanges = 2
+const extraCloseChanges = 2
 
 // Revisions are the revisions of the keys that a step rests on.
 type Revisions struct {
@@ -17,15 +17,15 @@
 	Leader uint64 // of the leader's key, while one leads
 }
 
-// closedLease is the value of a leased key that nobody may hold. It is under no lease, and its
+// closedHolder is the value of a leased key that nobody may hold. It is under no lease, and its
 // node is no controller's name, so that a version without levels takes the key for held.
-type closedLease struct {
+type closedHolder struct {
 	Node      string `json:"n"`
 	ProcessID string `json:"b"`
 }
 
-// ClosedNode returns the holder that is stored at a leased key which nobody may hold.
-func ClosedNode(level Level) string { return fmt.Sprintf("(closed by feature level %d)", level) }
+// ClosedHolderNode returns the holder that is stored at a leased key which nobody may hold.
+func ClosedHolderNode(level Level) string { return fmt.Sprintf("(closed by feature level %d)", level) }
 
 // NewStepTxn returns the transaction that takes a step. It fails if anything has changed that the
 // decision rests on: the leader's term, the state, or, for a level to come, the record
@@ -43,12 +43,12 @@
 	t.Changes = append(t.Changes, wire.Change{Put: StateKey, Value: next.Encode()})
 	switch step {
 	case StepFinalize, StepClose:
-		for _, key := range s.LeaseKeys().all(view.PartitionCount) {
-			t.Changes = append(t.Changes, wire.Change{Put: key, Value: closedLeaseValue(max(s.Level, next.Level))})
+		for _, key := range s.LeaseKeys().list(view.PartitionCount) {
+			t.Changes = append(t.Changes, wire.Change{Put: key, Value: closedHolderValue(max(s.Level, next.Level))})
 		}
 	case StepOpen:
 		if next.Level == BaseLevel {
-			for _, key := range baseKeys.all(view.PartitionCount) {
+			for _, key := range baseLeaseKeys.list(view.PartitionCount) {
 				t.Changes = append(t.Changes, wire.Change{Delete: key})
 			}
 		}
@@ -56,6 +56,6 @@
 	return t
 }
 
-func closedLeaseValue(level Level) json.RawMessage {
-	return encode(closedLease{Node: ClosedNode(level)})
+func closedHolderValue(level Level) json.RawMessage {
+	return encode(closedHolder{Node: ClosedHolderNode(level)})
 }
--- a/internal/rollout/txn_test.go
+++ b/internal/rollout/txn_test.go
@@ -16,22 +16,22 @@
 	"eiderhitch/internal/wire"
 )
 
-// inProcess carries requests to a simulated store without a network.
-type inProcess struct{ state *kv.Store }
+// inProcessTransport carries requests to a simulated store without a network.
+type inProcessTransport struct{ store *kv.Store }
 
 // RoundTrip answers a request.
-func (p inProcess) RoundTrip(r *http.Request) (*http.Response, error) {
+func (p inProcessTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	rec := httptest.NewRecorder()
 	if r.Body == nil {
 		r.Body = http.NoBody
 	}
-	p.state.ServeHTTP(rec, r)
+	p.store.ServeHTTP(rec, r)
 	return rec.Result(), nil
 }
 
 func newStore() (*kv.Store, *store.Client) {
-	state := kv.NewStore()
-	return state, store.NewClient("state:1", inProcess{state})
+	simulatedStore := kv.NewStore()
+	return simulatedStore, store.NewClient("state:1", inProcessTransport{simulatedStore})
 }
 
 func put(t *testing.T, c *store.Client, key string, value any) uint64 {
@@ -48,7 +48,7 @@
 }
 
 // settled returns the view and revisions of a cluster of two controllers in a state.
-func settled(t *testing.T, c *store.Client, s State) (ClusterView, Revisions) {
+func storeCluster(t *testing.T, c *store.Client, s State) (ClusterView, Revisions) {
 	t.Helper()
 	view := ClusterView{Now: time.UnixMilli(0), Members: []string{"n0", "n1"}, Registrations: map[string]StoredRegistration{}, IsLeader: true, IsUpToDate: true, PartitionCount: 2, MaxTxnChanges: 10}
 	for _, name := range view.Members {
@@ -64,7 +64,7 @@
 
 // A step fails when anything that it rests on has changed before it is applied: a leader that
 // was frozen meanwhile, or whose transaction is late, changes nothing.
-func TestStepsFailWhenAnythingHasChanged(t *testing.T) {
+func TestStepsFailIfConditionsChanged(t *testing.T) {
 	all := []string{StateKey, "leader", RegistrationKey("n0"), RegistrationKey("n1")}
 	some := []string{StateKey, "leader"}
 	for _, x := range []struct {
@@ -82,7 +82,7 @@
 	} {
 		for _, changed := range append([]string{""}, x.rests...) {
 			state, c := newStore()
-			view, at := settled(t, c, x.state)
+			view, at := storeCluster(t, c, x.state)
 			step, next := Decide(x.state, view)
 			if step != x.step {
 				t.Fatalf("%+v: step %q, not %q", x.state, step, x.step)
@@ -111,15 +111,15 @@
 
 // After the switch each key of the level before is held by nobody who could be, until the
 // way back is complete; then each is vacant.
-func TestKeysOfRightsAreClosedAndOpened(t *testing.T) {
+func TestLeaseKeysAreClosedAndReopened(t *testing.T) {
 	state, c := newStore()
 	s := State{Level: 1, Phase: PhaseActive, Request: RequestFinalize}
-	view, at := settled(t, c, s)
+	view, at := storeCluster(t, c, s)
 	step, next := Decide(s, view)
 	if _, err := c.Txn(t.Context(), NewStepTxn(s, step, next, view, at)); err != nil {
 		t.Fatal(err)
 	}
-	for _, key := range InitialState.LeaseKeys().all(2) {
+	for _, key := range InitialState.LeaseKeys().list(2) {
 		if raw := state.Values(key)[key]; !bytes.Contains(raw, []byte("(closed")) {
 			t.Errorf("%s: %s", key, raw)
 		}
@@ -130,7 +130,7 @@
 	if _, err := c.Txn(t.Context(), NewStepTxn(closed, step, next, view, at)); err != nil {
 		t.Fatal(err)
 	}
-	for _, key := range InitialState.LeaseKeys().all(2) {
+	for _, key := range InitialState.LeaseKeys().list(2) {
 		if raw, there := state.Values(key)[key]; there {
 			t.Errorf("%s: %s", key, raw)
 		}
@@ -138,10 +138,10 @@
 }
 
 // Who does not lead, or does not know all that was stored before, decides nothing.
-func TestNobodyElseDecides(t *testing.T) {
+func TestOnlyUpToDateLeaderDecides(t *testing.T) {
 	_, c := newStore()
 	for _, s := range []State{InitialState, {Level: 1, Phase: PhaseActive, Request: RequestFinalize}, {Level: 2, Phase: PhaseReverting, Epoch: 1}, {Level: 2, Phase: PhaseClosed, Epoch: 1}} {
-		view, _ := settled(t, c, s)
+		view, _ := storeCluster(t, c, s)
 		view.IsUpToDate = false
 		if step, next := Decide(s, view); step != NoStep || next != s {
 			t.Errorf("%+v: %s with a replica that lags", s, step)
@@ -154,7 +154,7 @@
 }
 
 // Each reason that keeps a step from being taken is named.
-func TestBlockersAreNamed(t *testing.T) {
+func TestBlockersAreReported(t *testing.T) {
 	_, c := newStore()
 	active := State{Level: 1, Phase: PhaseActive, Request: RequestFinalize}
 	reverting := State{Level: 2, Phase: PhaseReverting, Epoch: 1}
@@ -176,7 +176,7 @@
 			v.Registrations["n0"] = StoredRegistration{Registration: Registration{Node: "n0", LevelRange: LevelRange{2, 3}}}
 		}, BlockerUnsupportedLevel, "n0"},
 	} {
-		view, _ := settled(t, c, x.state)
+		view, _ := storeCluster(t, c, x.state)
 		x.change(&view)
 		blockers := Blockers(x.state, view)
 		if len(blockers) == 0 || blockers[0].Kind != x.kind || !strings.Contains(blockers[0].String(), x.says) {
@@ -190,28 +190,28 @@
 
 // racing is a key-value store at which another operator's change comes between a command's
 // reading and its writing.
-type racing struct {
+type racingStore struct {
 	*store.Client
-	first func()
+	beforeTxn func()
 }
 
 // Txn has the other change applied first.
-func (r *racing) Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error) {
-	r.first()
+func (r *racingStore) Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error) {
+	r.beforeTxn()
 	return r.Client.Txn(ctx, t)
 }
 
 // Of two operators who ask at once one is told that the state has changed.
-func TestTwoOperatorsAtOnce(t *testing.T) {
+func TestConcurrentOperatorRequests(t *testing.T) {
 	_, c := newStore()
-	settled(t, c, State{Level: 1, Phase: PhaseActive})
+	storeCluster(t, c, State{Level: 1, Phase: PhaseActive})
 	other := State{Level: 1, Phase: PhaseActive, Request: RequestFinalize}
 	op := &OperatorClient{Members: []string{"n0", "n1"}, PartitionCount: 2, MaxTxnChanges: 10}
-	op.Store = &racing{Client: c, first: func() { put(t, c, StateKey, other) }}
+	op.Store = &racingStore{Client: c, beforeTxn: func() { put(t, c, StateKey, other) }}
 	if _, err := op.Submit(t.Context(), RequestAbort); !errors.Is(err, ErrStateChanged) {
 		t.Errorf("the second one is told %v", err)
 	}
-	if now, _, err := op.state(t.Context()); err != nil || now != other {
+	if now, _, err := op.readState(t.Context()); err != nil || now != other {
 		t.Errorf("%+v after the first one's request: %v", now, err)
 	}
 	op.Store = c
@@ -220,7 +220,7 @@
 	}
 }
 
-func TestStatesThatMakeNoSense(t *testing.T) {
+func TestInvalidStatesAreRejected(t *testing.T) {
 	for _, raw := range []string{``, `17`, `{}`, `{"level":0,"phase":"stable"}`, `{"level":1,"phase":"closed"}`, `{"level":1,"phase":"reverting"}`, `{"level":2,"phase":"stable"}`, `{"level":1,"phase":"gone"}`, `{"level":"2"}`} {
 		if s, err := DecodeState([]byte(raw)); err == nil {
 			t.Errorf("%s is read as %+v", raw, s)
@@ -230,10 +230,10 @@
 
 // An active level ends as soon as a controller is registered that does not read it; one
 // that is merely missing says nothing.
-func TestControllerThatDoesNotReadALevelEndsIt(t *testing.T) {
+func TestControllerWithoutLevelDeactivatesIt(t *testing.T) {
 	_, c := newStore()
 	s := State{Level: 1, Phase: PhaseActive}
-	view, _ := settled(t, c, s)
+	view, _ := storeCluster(t, c, s)
 	delete(view.Registrations, "n0")
 	if step, _ := Decide(s, view); step != NoStep {
 		t.Errorf("%s while one is missing", step)
