--- a/internal/election/acquire.go
+++ b/internal/election/acquire.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// resignBackoff is how long a key that was handed back is left to others.
+	// resignBackoff is how long this process does not acquire a key after resigning it.
 	resignBackoff = 2 * time.Second
-	// acquireRetryDelay is how long a key that could not be acquired counts as taken.
+	// acquireRetryDelay is how long a key is not tried again after a failed attempt.
 	acquireRetryDelay = 200 * time.Millisecond
-	// renewalsPerTTL is how often a lease is renewed within its lifetime, so that a few
-	// renewals may fail.
+	// renewalsPerTTL is the number of renewals of a lease within its TTL. It is above 1 so
+	// that single renewals may fail.
 	renewalsPerTTL = 4
 )
 
-// tryAcquire acquires a key that has been vacant for wait, or that a former process of
-// this controller holds: that process is surely dead.
+// tryAcquire begins to acquire a key that has been vacant for delay. A key that is held by a
+// former process of this controller is acquired at once, since that process has ended.
 func (e *Elector) tryAcquire(key string, delay time.Duration) {
 	now, leased := e.Loop.Now(), e.keys[key]
 	if leased.writeInFlight || leased.token != 0 || now.Before(leased.backoffUntil) {
@@ -43,7 +43,7 @@
 	go e.acquire(leased, key, e.Replica.Revision(key))
 }
 
-// acquire takes a key by compare-and-swap: it must still be at revision.
+// acquire acquires a key by compare-and-swap, on condition that it is still at revision.
 func (e *Elector) acquire(leased *leasedKey, key string, revision uint64) {
 	lease, err := e.Store.GrantLease(e.ctx, e.TTL)
 	var response *wire.TxnResponse
@@ -53,14 +53,14 @@
 			Changes:    []wire.Change{{Put: key, Value: e.holderValue(), Lease: lease}},
 		})
 		if err != nil {
-			// Perhaps it was applied: revoking the lease deletes the key, and refuses
-			// the transaction if it arrives later.
+			// The transaction may have been applied. Revoking the lease deletes the key and
+			// makes the transaction fail if it arrives later.
 			e.revoke(lease)
 		}
 	}
 	e.Loop.Enqueue(func() {
 		leased.writeInFlight = false
-		if e.keys[key] != leased { // other keys are used meanwhile
+		if e.keys[key] != leased { // SetKeys was called in the meantime
 			go e.revoke(lease)
 			return
 		}
@@ -72,7 +72,8 @@
 	})
 }
 
-// acquired notes that a key was taken at revision, unless it is lost again already.
+// handleAcquired records that a key was acquired at revision, unless the replica shows that it
+// has been lost again already.
 func (e *Elector) handleAcquired(leased *leasedKey, key string, lease, revision uint64) {
 	leased.token, leased.lease, leased.vacantSince = revision, lease, time.Time{}
 	e.Replica.Put(key, e.holderValue(), revision)
@@ -85,14 +86,15 @@
 	go e.keepAlive(e.ctx, leased, key, lease)
 }
 
-// keepAlive renews the lease of a key until the key is lost. A slow event loop keeps its
-// keys, since another controller would hardly be faster and a failover costs both; one
-// that has not come round for a whole lifetime can't serve, and lets them go.
+// keepAlive renews the lease of a key until the key is lost. A controller with a slow event
+// loop keeps its keys, since another controller would hardly be faster and a failover costs
+// time on both. If the event loop has not run for a whole TTL, the controller can't serve, and
+// the lease is left to expire. To detect that, each renewal enqueues a check on the event loop.
 func (e *Elector) keepAlive(ctx context.Context, leased *leasedKey, key string, lease uint64) {
 	ticker := time.NewTicker(e.TTL / renewalsPerTTL)
 	defer ticker.Stop()
 	checkResult := make(chan bool, 1)
-	checkStartedAt := time.Time{} // since when the event loop's answer is awaited; zero: it is not
+	checkStartedAt := time.Time{} // start of the check whose result is awaited; zero if none is
 	for {
 		select {
 		case <-ctx.Done():
@@ -106,7 +108,7 @@
 		case <-ticker.C:
 		}
 		if !checkStartedAt.IsZero() && time.Since(checkStartedAt) > e.TTL {
-			continue // not renewed before the event loop is back
+			continue // don't renew until the event loop runs again
 		}
 		err := e.Store.RenewLease(ctx, lease)
 		leaseExpired := errors.Is(err, store.ErrLeaseExpired)
@@ -120,7 +122,7 @@
 			}
 			select {
 			case checkResult <- leased.lease != lease:
-			default: // an earlier answer says the same
+			default: // an earlier result is unread; if it is false, a later renewal checks again
 			}
 		})
 	}
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -6,58 +6,62 @@
 )
 
 const (
-	// acquireDelay is how long a key must be vacant before a controller takes it that it
-	// is not meant for.
+	// nonPreferredAcquireDelay is how long a partition's key must be vacant before a
+	// controller other than the preferred owner acquires it.
 	nonPreferredAcquireDelay = 300 * time.Millisecond
-	// preferredOwnerHeadStart is how long it waits instead while the preferred owner can take the
-	// key itself, or may only have started.
+	// preferredOwnerHeadStart replaces nonPreferredAcquireDelay while the preferred owner can
+	// acquire the key itself, or may not have been heard from only because it has just
+	// started.
 	preferredOwnerHeadStart = 2 * time.Second
-	// leaderStagger is by how much longer each controller waits than the one before it
-	// in the order of names, so that not all of them campaign for the leadership at once.
+	// leaderStagger is the difference between the delays of two successive controllers in the
+	// list of nodes, so that they do not all campaign for the leadership at once.
 	leaderStagger = 100 * time.Millisecond
-	// minPartitionTenure is how long a partition stays with an owner at least, and minPeerReachableTime
-	// how long the preferred owner must have been heard without a gap, before the
-	// partition is handed over to it: partitions must not change hands to and fro.
+	// minPartitionTenure is the minimum time for which a partition stays with an owner, and
+	// minPeerReachableTime is how long the preferred owner must have been reachable without a
+	// gap, before the partition is handed over to it. They keep partitions from moving back
+	// and forth between owners.
 	minPartitionTenure   = 5 * time.Second
 	minPeerReachableTime = 4 * time.Second
-	// startupGracePeriod is how long after its start a controller takes the others for alive
-	// although it has not heard them yet.
+	// startupGracePeriod is the time after this process's start during which all other
+	// controllers are assumed to be alive although nothing has been heard from them yet.
 	startupGracePeriod = 2 * time.Second
 )
 
-// Partition is what a campaign needs to know of a partition.
+// Partition is the state of a partition that a campaign depends on.
 type Partition struct {
 	Index int
 	Key   string
-	// Owned: this process owns it, since OwnedSince.
+	// IsOwned is set if this process owns the partition, since OwnedSince.
 	IsOwned    bool
 	OwnedSince time.Time
-	// Settled tells whether every machine of it on which something is bound has been
-	// heard since then.
+	// HasHeardAllMachines reports whether each of the partition's machines with a bound
+	// task has sent a heartbeat since OwnedSince. It is called only if IsOwned is set.
 	HasHeardAllMachines func() bool
 }
 
-// Peers is what is known of the other controllers.
+// Peers provides what is known of the other controllers.
 type Peers interface {
-	// Eligible reports whether a controller would take keys over.
+	// IsEligible reports whether the named controller could take over keys.
 	IsEligible(node string) bool
-	// AliveSince is since when a controller has been heard without a gap.
+	// ReachableSince returns the time since which the named controller has been reachable
+	// without a gap.
 	ReachableSince(node string) time.Time
-	// Silent reports whether there are others and none of them was heard for d.
+	// AreAllSilent reports whether there are other controllers and none of them has been
+	// heard from for d.
 	AreAllSilent(d time.Duration) bool
-	// HaveWorkerContact reports whether a machine reports to any of the others, and whether all
-	// of them have told of late.
-	HaveWorkerContact() (any, allKnown bool)
+	// HaveWorkerContact reports whether any other controller has contact with a worker, and
+	// whether the status of all other controllers is known and recent.
+	HaveWorkerContact() (haveContact, allKnown bool)
 }
 
-// preferredOwner is the controller that a partition should be with, so that partitions
-// spread evenly.
+// preferredOwner returns the controller that should own a partition. Partitions are spread
+// evenly over all controllers.
 func (e *Elector) preferredOwner(partition int) string {
 	return e.Nodes[partition%len(e.Nodes)]
 }
 
 // Campaign acquires vacant keys, and hands partitions over to their preferred owners. It
-// is for a controller that is eligible to hold keys.
+// must be called only while this controller is eligible to hold keys.
 func (e *Elector) Campaign(partitions []Partition, leaderKey string, peers Peers) {
 	for i := range partitions {
 		if p := &partitions[i]; p.IsOwned {
@@ -69,7 +73,7 @@
 	e.tryAcquire(leaderKey, leaderStagger*time.Duration(slices.Index(e.Nodes, e.Node)))
 }
 
-// acquireDelay is how long a partition's key must be vacant before it is taken here.
+// acquireDelay returns how long a partition's key must be vacant before this process acquires it.
 func (e *Elector) acquireDelay(p *Partition, peers Peers) time.Duration {
 	preferred := e.preferredOwner(p.Index)
 	switch {
@@ -81,11 +85,11 @@
 	return nonPreferredAcquireDelay
 }
 
-// handOver resigns a partition whose preferred owner is another controller, if that has
-// been there for a while and nothing of the partition is unsettled. Each change of hands
-// begins the wait for workers' leases anew: a partition whose machines had all died went
-// back and forth between its preferred owner, which heard no worker, and another, and
-// their tasks were never proven gone.
+// handOver resigns a partition whose preferred owner is another controller, if that controller
+// has been reachable for a while and all machines with bound tasks have been heard from. A
+// change of owner restarts the wait for workers' leases to expire: a partition whose machines
+// had all died moved back and forth between its preferred owner, which received no heartbeats,
+// and another controller, and its tasks were never proven gone.
 func (e *Elector) handOver(p *Partition, peers Peers) {
 	now, preferred := e.Loop.Now(), e.preferredOwner(p.Index)
 	if preferred == e.Node || !peers.IsEligible(preferred) || now.Sub(p.OwnedSince) <= minPartitionTenure {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,16 +1,18 @@
-// Package election holds the leased keys of a controller: one for each partition of the
-// machines and one for the leadership. Who holds a key acts for it; the revision of the
-// write that took the key is its fencing token.
+// Package election manages the leased keys of a controller: one for each partition of the
+// machines and one for the leadership. The process that holds a partition's key owns that
+// partition, and the process that holds the leader key is the leader. The revision of the
+// write that acquired a key is its fencing token.
 //
-// An Elector owns which keys this process holds, their tokens and leases, and the holders
-// of all keys as the replica shows them. It acquires vacant keys by compare-and-swap under
-// a lease of the key-value store, renews the leases, notices their loss, hands keys over to
-// the controllers that they are meant for, and steps down when others can do better.
+// An Elector keeps track of the keys that this process holds, their tokens and leases, and
+// the holders of all keys as the replica shows them. It acquires vacant keys by
+// compare-and-swap under a lease of the key-value store, renews the leases, detects their
+// loss, hands partitions over to their preferred owners, and steps down when other
+// controllers are more likely to reach the workers.
 //
-// After a failover a key's new holder has a higher token than every holder before it, so
-// that the transactions and commands of those fail wherever they arrive late. A key counts
-// as held only while the replica shows this process as its holder: a lease that expired,
-// or a key taken by somebody else, ends that at the next change that is read.
+// After a failover the new holder of a key has a higher token than all its former holders,
+// so that their late transactions and commands fail. A key counts as held only while the
+// replica shows this process as its holder: it is lost as soon as the replica reads that the
+// lease expired or that another process acquired the key.
 //
 // An Elector belongs to the event loop's goroutine and holds no lock. Calls to the store
 // run on goroutines of their own, which end with the context given to New.
@@ -28,7 +30,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// Store is the part of the key-value store's client that leases need.
+// Store contains the calls of the key-value store's client that the Elector makes.
 type Store interface {
 	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
 	RenewLease(ctx context.Context, lease uint64) error
@@ -36,63 +38,65 @@
 	Txn(ctx context.Context, txn *wire.Txn) (*wire.TxnResponse, error)
 }
 
-// Replica is the local copy of the store. What is put into it comes back by
-// ObserveHolder.
+// Replica is the local copy of the store. The Elector learns of each value put into it
+// through ObserveHolder.
 type Replica interface {
 	Revision(key string) uint64
 	Put(key string, value json.RawMessage, revision uint64)
 }
 
-// Reader reads the store once more.
+// Reader reads changes from the store into the replica.
 type Reader interface {
-	// AfterSuccessfulRead runs f once the replica has all changes up to now.
+	// AfterSuccessfulRead runs f once the replica has all changes made before this call.
 	AfterSuccessfulRead(f func())
 }
 
 // Writer submits transactions.
 type Writer interface {
 	// SubmitWrite runs done on the event loop with the result, after the replica has
-	// taken the changes in.
+	// applied the changes.
 	SubmitWrite(write *store.Write, done func(err error))
 }
 
 // EventLoop runs functions on the goroutine that owns the Elector.
 type EventLoop interface {
-	// Now is the time of the event that the loop works on.
+	// Now returns the time of the event that the loop is processing.
 	Now() time.Time
-	// Enqueue queues f.
+	// Enqueue queues f to be run by the event loop.
 	Enqueue(f func())
 }
 
-// Listener is told, on the event loop, what becomes of this process's keys.
+// Listener is notified, on the event loop, of changes to the keys that this process holds.
 type Listener interface {
-	// KeyAcquired tells that the key is held from now on, under token.
+	// KeyAcquired reports that this process now holds the key under the given token.
 	KeyAcquired(key string, token uint64)
-	// KeyLost tells that it is not held any more. Nothing may be decided by its token.
+	// KeyLost reports that this process no longer holds the key. Its token must not be
+	// used for any further decision.
 	KeyLost(key string)
-	// TokenRaised tells that a held key has a higher token from now on.
+	// TokenRaised reports that a held key now has the given, higher token.
 	TokenRaised(key string, token uint64)
 }
 
-// Config is who campaigns, and how.
+// Config identifies the controller that campaigns and sets its timeouts.
 type Config struct {
-	// Node is this controller's name; ProcessID tells this process from former ones.
+	// Node is this controller's name. ProcessID differs for each process of the controller.
 	Node, ProcessID string
-	// Nodes are the names of all controllers, in an order that all of them share.
+	// Nodes are the names of all controllers, in the same order on every controller.
 	Nodes []string
-	// TTL is the lifetime of leases.
+	// TTL is the time after which a lease expires unless it is renewed.
 	TTL time.Duration
-	// StartedAt is when this process started.
+	// StartedAt is the time at which this process started.
 	StartedAt time.Time
-	// HeartbeatInterval is that of workers.
+	// HeartbeatInterval is the time between two heartbeats of a worker.
 	HeartbeatInterval time.Duration
-	// MaxUnreachableWorkTime is how long the work of machines that nobody reaches goes on at most:
-	// after it every worker's lease has expired, whoever renewed it last.
+	// MaxUnreachableWorkTime is the longest time for which a machine goes on working while
+	// no controller reaches it. After this time the lease of every worker has expired,
+	// whichever controller renewed it last.
 	MaxUnreachableWorkTime time.Duration
 	Log                    *slog.Logger
 }
 
-// Dependencies are what an Elector works with.
+// Dependencies are the components that an Elector uses.
 type Dependencies struct {
 	Store    Store
 	Replica  Replica
@@ -102,32 +106,34 @@
 	Listener Listener
 }
 
-// leasedKey is a key that this process holds, or campaigns for.
+// leasedKey is the state of a key that this process holds or campaigns for.
 type leasedKey struct {
-	token uint64 // 0: not held
+	token uint64 // 0 if the key is not held
 	lease uint64
-	// busy: a transaction on the key is under way.
+	// writeInFlight is set while a transaction on the key is under way.
 	writeInFlight bool
-	// vacantSince is since when the key is known to have no holder; zero: it has one.
+	// vacantSince is the time since which the key is known to have no holder. It is zero
+	// while the key has a holder. After a failed attempt it lies in the future.
 	vacantSince time.Time
-	// backoffUntil: the key is not acquired before then, since it was handed back.
+	// backoffUntil is the time before which the key is not acquired, since this process
+	// resigned it.
 	backoffUntil time.Time
 }
 
-// Elector holds the leased keys of one process.
+// Elector manages the leased keys of one process.
 type Elector struct {
-	ctx context.Context // ends renewals and transactions under way
+	ctx context.Context // ends renewals and transactions in flight
 	Config
 	Dependencies
 	keys    map[string]*leasedKey
 	holders map[string]record.LeaseHolder
-	// backoffUntil: no key is acquired before then, since this controller stepped down.
+	// backoffUntil is the time before which no key is acquired after a step-down.
 	backoffUntil time.Time
-	// steppedDownAt is when it last did.
+	// steppedDownAt is the time of the last step-down for lack of heartbeats; zero if none.
 	steppedDownAt time.Time
 }
 
-// New returns an elector that campaigns for keys, none of which it holds yet.
+// New returns an Elector that campaigns for the given keys and holds none of them yet.
 func New(ctx context.Context, config Config, dependencies Dependencies, keys []string) *Elector {
 	return &Elector{ctx: ctx, Config: config, Dependencies: dependencies, keys: newLeasedKeys(keys), holders: map[string]record.LeaseHolder{}}
 }
@@ -140,7 +146,7 @@
 	return leasedKeys
 }
 
-// SetKeys loses all keys, since others are campaigned for from now on.
+// SetKeys replaces the set of leased keys. All keys that are held are lost.
 func (e *Elector) SetKeys(keys []string) {
 	for key := range e.keys {
 		e.markLost(key, "other keys are used from now on")
@@ -148,7 +154,7 @@
 	e.keys = newLeasedKeys(keys)
 }
 
-// Token is the fencing token under which this process holds a key; 0: it does not.
+// Token returns the fencing token under which this process holds a key, or 0 if it does not.
 func (e *Elector) Token(key string) uint64 {
 	if leased := e.keys[key]; leased != nil {
 		return leased.token
@@ -156,13 +162,14 @@
 	return 0
 }
 
-// Holder is the process that holds a key, as far as the replica shows it.
+// Holder returns the process that holds a key according to the replica. held is false if the
+// key is vacant.
 func (e *Elector) Holder(key string) (holder record.LeaseHolder, held bool) {
 	holder, held = e.holders[key]
 	return holder, held
 }
 
-// Holders goes through all keys that are held by anybody.
+// Holders iterates over all keys that have a holder, in no particular order.
 func (e *Elector) Holders() iter.Seq2[string, record.LeaseHolder] {
 	return func(yield func(string, record.LeaseHolder) bool) {
 		for key, holder := range e.holders {
@@ -173,7 +180,7 @@
 	}
 }
 
-// ObserveHolder takes in who holds a key since revision.
+// ObserveHolder records that a key has had the given holder since revision.
 func (e *Elector) ObserveHolder(key string, holder record.LeaseHolder, revision uint64) {
 	e.holders[key] = holder
 	leased := e.keys[key]
@@ -182,7 +189,7 @@
 	}
 }
 
-// ObserveVacancy takes in that a key has no holder any more.
+// ObserveVacancy records that a key has no holder any more.
 func (e *Elector) ObserveVacancy(key string) {
 	delete(e.holders, key)
 	leased := e.keys[key]
@@ -196,14 +203,14 @@
 // IsBackingOff reports whether this controller has stepped down and acquires no key yet.
 func (e *Elector) IsBackingOff() bool { return e.Loop.Now().Before(e.backoffUntil) }
 
-// ResignAll hands all keys back.
+// ResignAll resigns all keys that this process holds.
 func (e *Elector) ResignAll() {
 	for key := range e.keys {
 		e.Resign(key)
 	}
 }
 
-// Resign hands a key back at once, if it is held.
+// Resign gives a key up at once by revoking its lease, if this process holds it.
 func (e *Elector) Resign(key string) {
 	leased := e.keys[key]
 	if leased == nil || leased.token == 0 {
@@ -215,14 +222,14 @@
 	go e.revoke(lease)
 }
 
-// revoke ends a lease. Where that fails the lease expires by itself, within its TTL.
+// revoke revokes a lease. If that fails, the lease expires by itself within its TTL.
 func (e *Elector) revoke(lease uint64) {
 	if err := e.Store.RevokeLease(e.ctx, lease); err != nil {
 		e.Log.Debug("lease not revoked, it will expire", "lease", lease, "err", err)
 	}
 }
 
-// lose notes that a key is not held any more, if it was.
+// markLost marks a key as no longer held and notifies the listener, if the key was held.
 func (e *Elector) markLost(key, why string) {
 	leased := e.keys[key]
 	if leased.token == 0 {
@@ -233,14 +240,14 @@
 	e.Listener.KeyLost(key)
 }
 
-// holderValue is what this process stores at a key that it holds.
+// holderValue returns the value that this process stores at the keys it holds.
 func (e *Elector) holderValue() json.RawMessage {
 	return record.JSON(record.LeaseHolder{Node: e.Node, ProcessID: e.ProcessID})
 }
 
-// RaiseToken rewrites a held key, which gives it a higher token: that fences commands of
-// this process that may still be under way. The listener is told when it is done. False
-// means that it can't be begun now.
+// RaiseToken rewrites a held key so that it gets a higher token, which fences commands of
+// this process that may still be in flight. The listener is notified once that is done.
+// RaiseToken returns false if the key is not held or a transaction on it is in flight.
 func (e *Elector) RaiseToken(key string) bool {
 	leased := e.keys[key]
 	if leased == nil || leased.writeInFlight || leased.token == 0 {
@@ -260,7 +267,7 @@
 			e.handleTokenRaised(key, leased)
 			return
 		}
-		e.Reader.AfterSuccessfulRead(func() { // a try without an answer may have been applied
+		e.Reader.AfterSuccessfulRead(func() { // a transaction without a response may have been applied
 			if leased.token == oldToken && e.Replica.Revision(key) != oldToken {
 				e.handleTokenRaised(key, leased)
 			}
@@ -269,7 +276,7 @@
 	return true
 }
 
-// handleTokenRaised takes the key's present revision for its token, if we wrote it.
+// handleTokenRaised uses the key's current revision as its token if this process wrote it.
 func (e *Elector) handleTokenRaised(key string, leased *leasedKey) {
 	if e.holders[key].ProcessID != e.ProcessID {
 		return
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -21,14 +21,14 @@
 	partition0Key = "e/part/0"
 )
 
-// fakeStore is a key-value store in memory with leases that do expire.
+// fakeStore is an in-memory key-value store whose leases expire.
 type fakeStore struct {
 	mu          sync.Mutex
 	revision    uint64
-	leaseExpiry map[uint64]time.Time // until when each lives
+	leaseExpiry map[uint64]time.Time // by lease
 	keys        map[string]storedKey
 	watchers    []*testController
-	// dropResponses: transactions are applied, and the answers get lost.
+	// dropResponses makes the store apply transactions without returning their responses.
 	dropResponses bool
 }
 
@@ -96,7 +96,7 @@
 	return &wire.TxnResponse{Revision: s.revision}, nil
 }
 
-// expire deletes the keys whose leases have expired.
+// expire deletes the expired leases and the keys under them.
 func (s *fakeStore) expire() {
 	for lease, until := range s.leaseExpiry {
 		if time.Now().After(until) {
@@ -112,7 +112,7 @@
 	}
 }
 
-// tell has every process learn of a key's present state.
+// notifyWatchers sends the current state of a key to all controllers.
 func (s *fakeStore) notifyWatchers(key string) {
 	stored := s.keys[key]
 	for _, p := range s.watchers {
@@ -120,14 +120,15 @@
 	}
 }
 
-// process is a controller around an elector: replica, event loop and listener in one.
+// testController runs an Elector and implements its replica, reader, writer, event loop and
+// listener.
 type testController struct {
 	mu          sync.Mutex
 	elector     *Elector
 	store       *fakeStore
 	revisions   map[string]uint64
 	heldTokens  map[string]uint64
-	loopStalled bool // its event loop does nothing
+	loopStalled bool // its event loop runs nothing
 }
 
 func newTestController(ctx context.Context, s *fakeStore, node, id string) *testController {
@@ -205,7 +206,7 @@
 func (p *testController) KeyLost(key string)                   { delete(p.heldTokens, key) }
 func (p *testController) TokenRaised(key string, token uint64) { p.heldTokens[key] = token }
 
-// campaign campaigns for partition 0 and the leadership, ten times a second, for d.
+// campaignFor campaigns for partition 0 and the leadership ten times a second for d.
 func (p *testController) campaignFor(d time.Duration, peers Peers) {
 	for until := time.Now().Add(d); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
 		p.store.mu.Lock()
@@ -219,14 +220,14 @@
 	synctest.Wait()
 }
 
-// token is the token of a key that a process holds; 0: none.
+// heldToken returns the token under which this controller holds a key, or 0 if it does not.
 func (p *testController) heldToken(key string) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.heldTokens[key]
 }
 
-// fakePeers are others that are all alike.
+// fakePeers gives the same answers about every peer.
 type fakePeers struct{ areEligible, areSilent, haveContact, allKnown bool }
 
 func (f fakePeers) IsEligible(string) bool          { return f.areEligible }
@@ -234,7 +235,7 @@
 func (f fakePeers) AreAllSilent(time.Duration) bool { return f.areSilent }
 func (f fakePeers) HaveWorkerContact() (bool, bool) { return f.haveContact, f.allKnown }
 
-// runWithTwoControllers runs f on fake time with two processes that campaign for the same keys.
+// runWithTwoControllers runs f on fake time with two controllers that campaign for the same keys.
 func runWithTwoControllers(t *testing.T, f func(ctx context.Context, s *fakeStore, first, second *testController)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -242,26 +243,26 @@
 		s := newFakeStore()
 		f(ctx, s, newTestController(ctx, s, "n0", "a"), newTestController(ctx, s, "n1", "b"))
 		cancel()
-		time.Sleep(time.Minute) // whatever still waits ends
+		time.Sleep(time.Minute) // let the remaining goroutines end
 	})
 }
 
-// A key has one holder, who keeps it while the lease is renewed; a later holder's token is
-// higher.
+// A key has one holder, which keeps it while it renews the lease. The next holder gets a higher
+// token.
 func TestFailover(t *testing.T) {
 	runWithTwoControllers(t, func(_ context.Context, _ *fakeStore, first, second *testController) {
 		first.campaignFor(time.Second, fakePeers{})
-		before := first.heldToken(partition0Key)
+		oldToken := first.heldToken(partition0Key)
 		second.campaignFor(5*time.Second, fakePeers{})
-		if before == 0 || first.heldToken(partition0Key) != before || second.heldToken(partition0Key) != 0 {
-			t.Fatalf("tokens of partition 0: %d, then %d and %d", before, first.heldToken(partition0Key), second.heldToken(partition0Key))
+		if oldToken == 0 || first.heldToken(partition0Key) != oldToken || second.heldToken(partition0Key) != 0 {
+			t.Fatalf("tokens of partition 0: the first controller had %d, then %d; the second has %d; want the first to keep it", oldToken, first.heldToken(partition0Key), second.heldToken(partition0Key))
 		}
 		first.mu.Lock()
 		first.loopStalled = true
 		first.mu.Unlock()
 		second.campaignFor(3*testTTL, fakePeers{})
-		if after := second.heldToken(partition0Key); after <= before {
-			t.Errorf("after the first process stalled, the second one's token is %d, want more than %d", after, before)
+		if newToken := second.heldToken(partition0Key); newToken <= oldToken {
+			t.Errorf("after the first controller stalled, the second has token %d, want one above %d", newToken, oldToken)
 		}
 		first.mu.Lock()
 		first.loopStalled = false
@@ -269,73 +270,74 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if token := first.heldToken(partition0Key); token != 0 {
-			t.Errorf("the first process still holds partition 0 under %d", token)
+			t.Errorf("the first controller still holds partition 0 under token %d", token)
 		}
 	})
 }
 
-// A process takes the keys of its controller's former process at once: that one is dead.
+// A restarted controller acquires the keys of its former process at once, since that process
+// has ended.
 func TestRestartedControllerTakesOverItsKeys(t *testing.T) {
 	runWithTwoControllers(t, func(ctx context.Context, s *fakeStore, first, _ *testController) {
 		first.campaignFor(time.Second, fakePeers{})
-		before := first.heldToken(partition0Key)
+		oldToken := first.heldToken(partition0Key)
 		restarted := newTestController(ctx, s, "n0", "c")
 		restarted.observe(partition0Key, s.keys[partition0Key])
 		restarted.campaignFor(200*time.Millisecond, fakePeers{})
-		if after := restarted.heldToken(partition0Key); after <= before || first.heldToken(partition0Key) != 0 {
-			t.Errorf("the restarted process has token %d, the former one %d; want one above %d, and 0", after, first.heldToken(partition0Key), before)
+		if newToken := restarted.heldToken(partition0Key); newToken <= oldToken || first.heldToken(partition0Key) != 0 {
+			t.Errorf("the restarted process has token %d and the former one %d; want one above %d, and 0", newToken, first.heldToken(partition0Key), oldToken)
 		}
 	})
 }
 
-// A partition that is not with its preferred owner is handed over once that can take it,
-// and is left to it for a while.
+// A partition owned by another controller is handed over to its preferred owner once that can
+// take it over, and is not acquired again at once by the controller that resigned it.
 func TestHandOverToPreferredOwner(t *testing.T) {
 	runWithTwoControllers(t, func(_ context.Context, _ *fakeStore, first, second *testController) {
 		second.campaignFor(startupGracePeriod+preferredOwnerHeadStart, fakePeers{})
 		if second.heldToken(partition0Key) == 0 {
-			t.Fatal("a vacant partition is not taken in the absence of its preferred owner")
+			t.Fatal("a vacant partition was not acquired in the absence of its preferred owner")
 		}
 		second.campaignFor(resignBackoff/2, fakePeers{areEligible: true})
 		if token := second.heldToken(partition0Key); token != 0 {
-			t.Fatalf("the partition is kept under token %d", token)
+			t.Fatalf("the partition was not handed over; it is still held under token %d", token)
 		}
 		first.campaignFor(time.Second, fakePeers{areEligible: true})
 		if first.heldToken(partition0Key) == 0 {
-			t.Error("the preferred owner has not taken it")
+			t.Error("the preferred owner has not acquired the partition")
 		}
 	})
 }
 
-// RaiseToken gives a higher token, also where the answer to its transaction got lost.
+// RaiseToken results in a higher token, even if the response to its transaction is lost.
 func TestRaiseToken(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		lost bool
-	}{{"answered", false}, {"answer lost", true}} {
+	}{{"response received", false}, {"response lost", true}} {
 		t.Run(test.name, func(t *testing.T) {
 			runWithTwoControllers(t, func(_ context.Context, s *fakeStore, first, _ *testController) {
 				first.campaignFor(time.Second, fakePeers{})
-				before := first.heldToken(partition0Key)
+				oldToken := first.heldToken(partition0Key)
 				s.mu.Lock()
 				s.dropResponses = test.lost
 				s.mu.Unlock()
 				first.Enqueue(func() {
 					if !first.elector.RaiseToken(partition0Key) || first.elector.RaiseToken(partition0Key) {
-						t.Error("a token is raised by one transaction at a time")
+						t.Error("RaiseToken must return true, and false while its transaction is in flight")
 					}
 				})
 				time.Sleep(time.Second)
 				synctest.Wait()
-				if after := first.heldToken(partition0Key); after <= before {
-					t.Errorf("token %d, want more than %d", after, before)
+				if newToken := first.heldToken(partition0Key); newToken <= oldToken {
+					t.Errorf("token %d after RaiseToken, want one above %d", newToken, oldToken)
 				}
 			})
 		})
 	}
 }
 
-// fakeWorkers are how workers reach a controller.
+// fakeWorkers implements WorkerContact with fixed values.
 type fakeWorkers struct {
 	reportingMachines          int
 	heartbeats                 HeartbeatSummary
@@ -347,21 +349,22 @@
 func (w fakeWorkers) LastHeartbeatAt() time.Time                         { return w.lastHeartbeatAt }
 func (w fakeWorkers) ResumedAt() time.Time                               { return w.resumedAt }
 
-// A controller that hears no worker steps down only where that may help somebody.
+// A controller without heartbeats steps down only if another controller may have contact with
+// workers.
 func TestStepDownIfNoHeartbeats(t *testing.T) {
-	unheard := HeartbeatSummary{ExpectedMachines: 3}
+	noHeartbeats := HeartbeatSummary{ExpectedMachines: 3}
 	for _, test := range []struct {
 		name    string
 		workers fakeWorkers
 		peers   fakePeers
 		want    bool
 	}{
-		{"a peer hears workers", fakeWorkers{heartbeats: unheard}, fakePeers{haveContact: true, allKnown: true}, true},
-		{"what peers hear is not known", fakeWorkers{heartbeats: unheard}, fakePeers{}, true},
-		{"no peer hears workers either", fakeWorkers{heartbeats: unheard}, fakePeers{allKnown: true}, false},
-		{"a worker is heard", fakeWorkers{heartbeats: HeartbeatSummary{ExpectedMachines: 3, HasHeartbeat: true}}, fakePeers{haveContact: true}, false},
-		{"too few machines are known", fakeWorkers{heartbeats: HeartbeatSummary{ExpectedMachines: 1}}, fakePeers{haveContact: true}, false},
-		{"the partition is young", fakeWorkers{heartbeats: HeartbeatSummary{ExpectedMachines: 3, HasNewPartition: true}}, fakePeers{haveContact: true}, false},
+		{"a peer has contact with workers", fakeWorkers{heartbeats: noHeartbeats}, fakePeers{haveContact: true, allKnown: true}, true},
+		{"contact of peers is unknown", fakeWorkers{heartbeats: noHeartbeats}, fakePeers{}, true},
+		{"no peer has contact with workers", fakeWorkers{heartbeats: noHeartbeats}, fakePeers{allKnown: true}, false},
+		{"a heartbeat was received", fakeWorkers{heartbeats: HeartbeatSummary{ExpectedMachines: 3, HasHeartbeat: true}}, fakePeers{haveContact: true}, false},
+		{"too few machines are expected", fakeWorkers{heartbeats: HeartbeatSummary{ExpectedMachines: 1}}, fakePeers{haveContact: true}, false},
+		{"a partition was just acquired", fakeWorkers{heartbeats: HeartbeatSummary{ExpectedMachines: 3, HasNewPartition: true}}, fakePeers{haveContact: true}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			runWithTwoControllers(t, func(_ context.Context, _ *fakeStore, first, _ *testController) {
@@ -371,15 +374,15 @@
 					t.Errorf("stepped down: %v, want %v", got, test.want)
 				}
 				if got := first.elector.IsBackingOff(); got != test.want {
-					t.Errorf("backing off: %v, want %v", got, test.want)
+					t.Errorf("IsBackingOff() = %v, want %v", got, test.want)
 				}
 			})
 		})
 	}
 }
 
-// Where all machines have died nobody hears any: then a controller steps down once in the
-// time that leases need to expire, not again and again.
+// If all machines have died, no controller receives heartbeats. A controller then steps down
+// only once in the time that workers' leases need to expire.
 func TestStepDownOnceIfNoControllerHasHeartbeats(t *testing.T) {
 	runWithTwoControllers(t, func(_ context.Context, _ *fakeStore, first, _ *testController) {
 		workers, stepDowns := fakeWorkers{heartbeats: HeartbeatSummary{ExpectedMachines: 3}}, 0
@@ -391,12 +394,12 @@
 			}
 		}
 		if stepDowns != 1 {
-			t.Errorf("%d of 4 times, want 1: the time for leases to expire has not passed", stepDowns)
+			t.Errorf("stepped down %d times in 4 attempts, want 1, since the leases have not had the time to expire", stepDowns)
 		}
 	})
 }
 
-// A leader that neither workers nor peers reach steps down if there are other owners.
+// A leader that neither workers nor peers reach steps down if there are other partition owners.
 func TestStepDownIfIsolated(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -406,9 +409,9 @@
 		want      bool
 	}{
 		{"isolated", true, 0, fakePeers{areSilent: true}, true},
-		{"it owns everything", false, 0, fakePeers{areSilent: true}, false},
+		{"it owns all partitions", false, 0, fakePeers{areSilent: true}, false},
 		{"workers report", true, 1, fakePeers{areSilent: true}, false},
-		{"peers are heard", true, 0, fakePeers{}, false},
+		{"peers are reachable", true, 0, fakePeers{}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			runWithTwoControllers(t, func(_ context.Context, _ *fakeStore, first, _ *testController) {
@@ -421,7 +424,7 @@
 					first.elector.StepDownIfIsolated(leaderKey, since, []string{partition0Key, "e/part/1"}, fakeWorkers{reportingMachines: test.reporting}, test.peers)
 				})
 				if got := first.heldToken(leaderKey) == 0; got != test.want {
-					t.Errorf("leadership handed back: %v, want %v", got, test.want)
+					t.Errorf("leadership resigned: %v, want %v", got, test.want)
 				}
 			})
 		})
--- a/internal/election/stepdown.go
+++ b/internal/election/stepdown.go
@@ -3,56 +3,60 @@
 import "time"
 
 const (
-	// stepDownBackoff is how long a controller that stepped down acquires nothing.
+	// stepDownBackoff is how long a controller acquires no key after stepping down.
 	stepDownBackoff = 15 * time.Second
-	// heartbeatSlack is what a worker may need, on top of two heartbeat intervals, to be
-	// heard: an answer that is outstanding for 4 s, and the way to the next controller.
+	// heartbeatSlack is the time that a worker may need, in addition to two heartbeat
+	// intervals, to reach this controller: 4 s for a request without a response, and then the
+	// time to try the next controller.
 	heartbeatSlack = 6 * time.Second
-	// fleetSilenceIntervals is within how many heartbeat intervals of a single machine
-	// many machines together must be heard: of n that report independently, none is
-	// heard for 20/n intervals by chance once in e to the 20th.
+	// fleetSilenceIntervals is the number of heartbeat intervals, divided by the number of
+	// machines, within which at least one of many machines must be heard from. If n machines
+	// report independently of each other, the probability that none does in 20/n intervals is
+	// e to the power of -20.
 	fleetSilenceIntervals = 20
-	// minFleetSilenceSlack is the least that heartbeats need in any case.
+	// minFleetSilenceSlack is the time that heartbeats may need, however many machines report.
 	minFleetSilenceSlack = 2 * time.Second
-	// minExpectedMachines is how many machines must be known before their silence says
-	// something about this controller.
+	// minExpectedMachines is the number of machines that must be expected to report before
+	// their silence counts as evidence against this controller's network.
 	minExpectedMachines = 2
-	// minLeaderTenure is how long a leader may take to be heard.
+	// minLeaderTenure is how long a new leader is given before it may step down as isolated.
 	minLeaderTenure = 8 * time.Second
-	// peerSilenceTimeout is for how long a leader hears no peer before it takes itself for
-	// isolated.
+	// peerSilenceTimeout is how long a leader must have heard from no peer before it considers
+	// itself isolated.
 	peerSilenceTimeout = 6 * time.Second
-	// stepDownRepeatFactor is how many lifetimes of unreachable work pass before a
-	// controller that hears no worker steps down once more.
+	// stepDownRepeatFactor is the number of MaxUnreachableWorkTime periods that pass before a
+	// controller that still receives no heartbeats steps down again.
 	stepDownRepeatFactor = 2
 )
 
-// HeartbeatSummary is what was heard of the machines of this controller's partitions.
+// HeartbeatSummary summarizes the heartbeats from the machines of this controller's partitions.
 type HeartbeatSummary struct {
-	// Known is how many should report: they have of late, or work is bound to them.
+	// ExpectedMachines is the number of machines that should report: those that have
+	// reported recently, and those with bound tasks.
 	ExpectedMachines int
-	// Any: at least one has, within the time asked for.
+	// HasHeartbeat is set if at least one of them reported within the given time.
 	HasHeartbeat bool
-	// Young: a partition was acquired within that time, so that its machines may not
-	// have found this controller yet.
+	// HasNewPartition is set if a partition was acquired within the given time, so that
+	// its machines may not have found this controller yet.
 	HasNewPartition bool
 }
 
-// WorkerContact is how workers reach this controller.
+// WorkerContact provides what is known of the workers' heartbeats to this controller.
 type WorkerContact interface {
-	// Reporting is how many machines of its partitions have sent a heartbeat of late.
+	// CountReportingMachines returns the number of machines of its partitions that have sent
+	// a heartbeat recently.
 	CountReportingMachines() int
-	// Heard is what was heard of them within a time.
+	// SummarizeHeartbeats summarizes the heartbeats received within the given time.
 	SummarizeHeartbeats(within time.Duration) HeartbeatSummary
-	// LastHeartbeat is when any worker's last heartbeat came.
+	// LastHeartbeatAt returns the time of the last heartbeat from any worker.
 	LastHeartbeatAt() time.Time
-	// ResumedAt is when this process last went on after a pause. What came in between
-	// still waits in its sockets.
+	// ResumedAt returns the time at which this process last resumed after a pause. Messages
+	// that arrived during the pause may still be unread in its sockets.
 	ResumedAt() time.Time
 }
 
-// StepDownIfNoHeartbeats hands all keys back when no worker reaches this controller, since the
-// others may well be reachable.
+// StepDownIfNoHeartbeats resigns all keys when no heartbeat reaches this controller, since other
+// controllers may well be reachable.
 func (e *Elector) StepDownIfNoHeartbeats(workers WorkerContact, peers Peers) {
 	now, window := e.Loop.Now(), e.heartbeatWindow(workers)
 	if now.Sub(workers.ResumedAt()) < window {
@@ -63,14 +67,15 @@
 		return
 	}
 	e.steppedDownAt = now
-	e.Log.Info("no worker reaches this controller: it steps down from everything", "machines", heartbeats.ExpectedMachines)
+	e.Log.Info("no worker reaches this controller: it resigns all leased keys", "machines", heartbeats.ExpectedMachines)
 	e.backoffUntil = now.Add(stepDownBackoff)
 	e.ResignAll()
 }
 
-// heartbeatWindow is how long this controller may hear no worker. Many machines that all
-// fall silent at once say more in a short time than few do in a long one. Their leases run
-// meanwhile, and finding the successor takes them some seconds more.
+// heartbeatWindow returns how long this controller may go without a heartbeat. If many machines
+// fall silent at once, a short time is enough evidence; for few machines it takes longer. The
+// window must be short, since workers' leases keep running out meanwhile and workers need a few
+// more seconds to find the next owner.
 func (e *Elector) heartbeatWindow(workers WorkerContact) time.Duration {
 	interval := e.HeartbeatInterval
 	window := 2*interval + heartbeatSlack
@@ -81,10 +86,11 @@
 	return window
 }
 
-// canPeersHaveContact tells whether it may help that somebody else has our keys: machines report
-// to a peer, or that is not known. Where all machines have died everybody hears none, and
-// keys that go round for ever have nobody wait for the leases to expire, so then each
-// controller steps down once in that time.
+// canPeersHaveContact reports whether it may help to give the keys to other controllers: a peer
+// has contact with workers, or it is not known whether any has. If all machines have died, no
+// controller receives heartbeats. If the keys were then passed on again and again, no owner would
+// wait long enough for the workers' leases to expire. Therefore, while no heartbeat arrives, each
+// controller steps down only once in that time.
 func (e *Elector) canPeersHaveContact(workers WorkerContact, peers Peers) bool {
 	peersHaveContact, allKnown := peers.HaveWorkerContact()
 	if peersHaveContact {
@@ -94,10 +100,10 @@
 		e.Loop.Now().Sub(e.steppedDownAt) > stepDownRepeatFactor*e.MaxUnreachableWorkTime)
 }
 
-// StepDownIfIsolated hands the leadership back, held since leaderSince, when neither
-// workers nor other owners reach this controller. Peers alone don't count: where
-// connections between all controllers are refused, the leadership would go round for
-// nothing.
+// StepDownIfIsolated resigns the leadership, held since leaderSince, when neither workers nor
+// other partition owners reach this controller. Silence of the peers alone is not enough: if
+// connections between all controllers were refused, the leadership would move around without
+// any benefit.
 func (e *Elector) StepDownIfIsolated(leaderKey string, leaderSince time.Time, partitionKeys []string, workers WorkerContact, peers Peers) {
 	now := e.Loop.Now()
 	if e.Token(leaderKey) == 0 || now.Sub(leaderSince) < minLeaderTenure || !peers.AreAllSilent(peerSilenceTimeout) || workers.CountReportingMachines() > 0 {
