--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -7,75 +7,79 @@
 	"time"
 )
 
-// ClusterView is what a decision rests on, as one replica of the stored records shows it.
+// ClusterView is the state of the cluster that a decision depends on, as one replica shows it.
 type ClusterView struct {
 	Now time.Time
-	// Members are the controllers that the settings name.
+	// Members are the names of the controllers in the settings.
 	Members []string
-	// Controllers are those that are registered now, by name. One that is missing is
-	// unknown: it may be down, or of a version without levels.
+	// Registrations holds the current registrations by controller name. A controller without
+	// one may be down, or run a version without feature levels.
 	Registrations map[string]StoredRegistration
-	// Leading tells whether the controller that decides is the leader.
+	// IsLeader is set if the deciding controller is the leader.
 	IsLeader bool
-	// Current tells whether the replica has all changes before the state's last one.
+	// IsUpToDate is set if the replica has all changes made before the last change of the state.
 	IsUpToDate bool
-	// NewerRecords counts the records whose encoding is of a level above State.Writes.
+	// NewerRecords is the number of records in an encoding above State.WriteLevel.
 	NewerRecords int
-	// UnreadableRecords counts the records that can't be decoded: they may be of any level.
+	// UnreadableRecords is the number of records that can't be decoded. They may be of any level.
 	UnreadableRecords int
 	PartitionCount    int
-	// MaxTxnChanges is how many changes a transaction may have.
+	// MaxTxnChanges is the maximum number of changes in a transaction.
 	MaxTxnChanges int
-	// FinalizeAfter is the time without a restart after which an active level becomes
-	// final by itself; 0: only an operator makes it final.
+	// FinalizeAfter is the time without a controller restart after which an active level is
+	// finalized automatically. 0 means that only an operator finalizes it.
 	FinalizeAfter time.Duration
 }
 
-// Step is a transition between states.
+// Step is a transition from one state to another.
 type Step string
 
 const (
-	// NoStep means that the state stays.
+	// NoStep means that the state does not change.
 	NoStep Step = ""
-	// StepActivate starts the behaviour of the next level.
+	// StepActivate activates the next level.
 	StepActivate Step = "activate"
-	// StepDeactivate ends it, since a controller that doesn't know it has registered.
+	// StepDeactivate deactivates the next level, since a controller that does not support it
+	// has registered.
 	StepDeactivate Step = "deactivate"
-	// StepFinalize has records written in the next level's encoding and closes the leased keys
-	// that versions before know.
+	// StepFinalize makes the active level final: records are written in its encoding from then
+	// on, and the leased keys that earlier versions know are closed.
 	StepFinalize Step = "finalize"
-	// StepHold ends an active level, or keeps the next one from being activated, since an
-	// operator said so.
+	// StepHold deactivates an active level, or prevents the next one from being activated, as
+	// an operator requested.
 	StepHold Step = "hold"
-	// StepResume ends a hold, or a revert.
+	// StepResume ends a hold or cancels a revert.
 	StepResume Step = "resume"
-	// StepRevert begins to go back to the level before.
+	// StepRevert starts to revert to the previous level.
 	StepRevert Step = "revert"
-	// StepClose closes all leased keys, when no record of the level seems to be left.
+	// StepClose closes all leased keys once no record in the level's encoding is known to be left.
 	StepClose Step = "close"
-	// StepReopen goes on with the revert: a record of the level was left after all.
+	// StepReopen continues the revert, since a record in the level's encoding was left.
 	StepReopen Step = "reopen"
 	// StepOpen completes the revert.
 	StepOpen Step = "open"
 )
 
-// BlockerKind is a kind of reason why a step can't be taken.
+// BlockerKind is the kind of a Blocker.
 type BlockerKind string
 
 const (
 	// BlockerMissingController means that a controller of the settings is not registered.
 	BlockerMissingController BlockerKind = "missing"
-	// BlockerUnsupportedLevel means that a controller does not read the level to come.
+	// BlockerUnsupportedLevel means that a controller does not support a level that the step
+	// requires.
 	BlockerUnsupportedLevel BlockerKind = "old"
-	// BlockerUnlistedController means that a controller is registered that the settings don't name.
+	// BlockerUnlistedController means that a registered controller is not in the settings.
 	BlockerUnlistedController BlockerKind = "foreign"
 	// BlockerTxnLimit means that the step needs more changes than a transaction may have.
 	BlockerTxnLimit BlockerKind = "limit"
-	// BlockerNewerRecords means that records are still stored in an encoding above the one to come.
+	// BlockerNewerRecords means that records are still stored in the encoding being reverted.
 	BlockerNewerRecords BlockerKind = "records"
-	// BlockerOperatorHold means that an operator reverted, and none has asked to go on.
+	// BlockerOperatorHold means that an operator has aborted, and none has requested
+	// RequestFinalize since.
 	BlockerOperatorHold BlockerKind = "held"
-	// BlockerUnreadableRecords means that records can't be decoded, so that their level is not known.
+	// BlockerUnreadableRecords means that records can't be decoded, so that their level is
+	// unknown.
 	BlockerUnreadableRecords BlockerKind = "unreadable"
 )
 
@@ -86,7 +90,7 @@
 	Detail string      `json:"detail"`
 }
 
-// String returns the reason in words.
+// String returns the controller's name, if there is one, and the detail.
 func (b Blocker) String() string {
 	if b.Node == "" {
 		return b.Detail
@@ -94,7 +98,8 @@
 	return b.Node + " " + b.Detail
 }
 
-// Decide returns the step to take and the state that it leads to.
+// Decide returns the step to take from state s, and the state that it results in. If there is
+// no step to take, it returns NoStep and s.
 func Decide(s State, view ClusterView) (Step, State) {
 	if s.Phase == PhaseClosed {
 		return decideClosed(s, view)
@@ -126,7 +131,7 @@
 	return NoStep, s
 }
 
-// decideRequest returns the step that an operator's request leads to at once.
+// decideRequest returns the step that carries out an operator's request immediately, or NoStep.
 func decideRequest(s State, view ClusterView) (Step, State) {
 	switch {
 	case s.Request == RequestAbort && s.Phase == PhaseStable && s.Level > BaseLevel && (s.OnHold || !view.hasNextLevelReader(s)):
@@ -145,7 +150,8 @@
 	return NoStep, s
 }
 
-// decideClosed completes a revert. Nobody leads then, so that any controller may.
+// decideClosed completes a revert. Any controller may do so, since no leader exists while the
+// leased keys are closed.
 func decideClosed(s State, view ClusterView) (Step, State) {
 	if !view.IsUpToDate {
 		return NoStep, s
@@ -163,13 +169,13 @@
 	return StepOpen, next
 }
 
-// enter returns the state in another phase, with the request carried out.
+// withPhase returns the state in phase p, without a request.
 func (s State) withPhase(p Phase, view ClusterView) State {
 	s.Phase, s.Request, s.PhaseStartedAt = p, NoRequest, view.Now.UnixMilli()
 	return s
 }
 
-// finalized returns the state with the active level made final.
+// withLevelFinalized returns the state with the active level made final.
 func (s State) withLevelFinalized(view ClusterView) State {
 	s = s.withPhase(PhaseStable, view)
 	s.Level++
@@ -177,14 +183,14 @@
 	return s
 }
 
-// Blockers returns the reasons why the next step of an upgrade, or of a revert, can't be taken
-// now; none while there is no next step but an operator's.
+// Blockers returns the reasons why the next step of an upgrade or revert can't be taken now. It
+// returns none if the only possible next step is an operator's.
 func Blockers(s State, view ClusterView) []Blocker {
 	var blockers []Blocker
 	switch s.Phase {
 	case PhaseStable:
 		if s.OnHold {
-			blockers = append(blockers, Blocker{Kind: BlockerOperatorHold, Detail: "an operator went back; finalize ends that"})
+			blockers = append(blockers, Blocker{Kind: BlockerOperatorHold, Detail: "an operator went back; finalize ends the hold"})
 		}
 		blockers = append(blockers, view.controllerBlockers(s.Level+1)...)
 	case PhaseActive:
@@ -199,7 +205,7 @@
 	return blockers
 }
 
-// recordBlockers returns whether records keep the level before from being all that is stored.
+// recordBlockers returns the reasons why records prevent a revert from being completed.
 func (v *ClusterView) recordBlockers() []Blocker {
 	var blockers []Blocker
 	if v.NewerRecords > 0 {
@@ -211,7 +217,7 @@
 	return blockers
 }
 
-// droppedLevelBlockers returns the controllers that don't read a level any more.
+// droppedLevelBlockers returns a blocker for each controller that no longer supports a level.
 func (v *ClusterView) droppedLevelBlockers(level Level) []Blocker {
 	var blockers []Blocker
 	for _, name := range slices.Sorted(maps.Keys(v.Registrations)) {
@@ -222,7 +228,7 @@
 	return blockers
 }
 
-// controllerBlockers returns the controllers that keep a level from being used.
+// controllerBlockers returns a blocker for each controller that prevents a level from being used.
 func (v *ClusterView) controllerBlockers(level Level) []Blocker {
 	var blockers []Blocker
 	for _, name := range v.Members {
@@ -242,8 +248,8 @@
 	return blockers
 }
 
-// txnLimitBlockers returns whether closing the keys takes more changes than a transaction may
-// have.
+// txnLimitBlockers returns a blocker if closing the keys takes more changes than a transaction
+// may have.
 func (v *ClusterView) txnLimitBlockers() []Blocker {
 	if n := v.PartitionCount + extraCloseChanges; n > v.MaxTxnChanges {
 		return []Blocker{{Kind: BlockerTxnLimit, Detail: fmt.Sprintf("closing the keys takes %d changes in one transaction, and %d are allowed", n, v.MaxTxnChanges)}}
@@ -251,7 +257,8 @@
 	return nil
 }
 
-// hasControllerBelow tells whether a controller is registered that does not read a level.
+// hasControllerBelow reports whether a registered controller does not support a level because
+// its version is too old.
 func (v *ClusterView) hasControllerBelow(level Level) bool {
 	for _, c := range v.Registrations {
 		if c.High < level {
@@ -261,8 +268,8 @@
 	return false
 }
 
-// hasNextLevelReader tells whether a registered controller reads the level after the state's: an
-// upgrade to it is on its way, or may be.
+// hasNextLevelReader reports whether a registered controller supports the level after the
+// state's, so that an upgrade to it may be in progress.
 func (v *ClusterView) hasNextLevelReader(s State) bool {
 	for _, c := range v.Registrations {
 		if c.High > s.Level {
@@ -272,7 +279,8 @@
 	return false
 }
 
-// timeSinceLastRestart returns how long the phase has lasted without a controller's restart.
+// timeSinceLastRestart returns the time since the phase began or a controller last registered,
+// whichever is later.
 func (v *ClusterView) timeSinceLastRestart(s State) time.Duration {
 	last := s.PhaseStartedAt
 	for _, c := range v.Registrations {
--- a/internal/rollout/encode.go
+++ b/internal/rollout/encode.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// encode returns the stored encoding of a value made of plain data, which always encodes.
+// encode returns the stored encoding of a value. It panics if the value can't be encoded, which
+// does not happen for the plain data types of this package.
 func encode(value any) json.RawMessage {
 	raw, err := json.Marshal(value)
 	if err != nil {
--- a/internal/rollout/level.go
+++ b/internal/rollout/level.go
@@ -1,49 +1,50 @@
-// Package rollout upgrades a cluster of controllers in stages: an encoding of stored records
-// or of messages that an earlier version does not know is used only once every controller
-// reads it, and can be reverted.
+// Package rollout upgrades a cluster of controllers in stages. An encoding of stored records
+// or messages that earlier versions do not know is used only once every controller can read
+// it, and its use can be reverted.
 //
-// The decisions are pure (Decide); what they change is one stored record (State), written
-// by a transaction with the revision of everything that the decision rests on (Txn). A
-// Registrar keeps each controller registered; an Operator carries out the commands of the
-// people who run the cluster.
+// Decide is a pure function. The result of its decisions is one stored record, State, which is
+// written by a transaction that is conditional on the revisions of everything that the decision
+// depends on (NewStepTxn). A Registrar keeps the registration of each controller stored, and an
+// OperatorClient executes the upgrade commands of operators.
 package rollout
 
 import "fmt"
 
-// Level is a feature level: a set of encodings of what is stored and sent.
+// Level is a feature level: a set of encodings for stored records and messages.
 type Level uint32
 
 const (
-	// BaseLevel is what versions that do not know levels read and write.
+	// BaseLevel is the level of versions that have no feature levels.
 	BaseLevel Level = 1
-	// ChecksumLevel brings checksums to task group records and status frames.
+	// ChecksumLevel adds checksums to task group records and status frames.
 	ChecksumLevel Level = 2
 )
 
-// LevelRange is the range of levels that a version reads and writes, both ends included.
+// LevelRange is the range of levels that a version can read and write, both ends included. The
+// zero value includes no valid level.
 type LevelRange struct {
 	Low  Level `json:"low"`
 	High Level `json:"high"`
 }
 
-// SupportedLevels is the range of this version.
+// SupportedLevels is the range of levels of this version.
 var SupportedLevels = LevelRange{Low: BaseLevel, High: ChecksumLevel}
 
-// Includes tells whether a level is in the range.
+// Includes reports whether the range includes a level.
 func (r LevelRange) Includes(l Level) bool { return r.Low <= l && l <= r.High }
 
-// String returns the range in words.
+// String formats the range as "LOW-HIGH".
 func (r LevelRange) String() string { return fmt.Sprintf("%d-%d", r.Low, r.High) }
 
-// Feature is what a level changes.
+// Feature describes what a level changes.
 type Feature struct {
 	Level Level
 	Name  string
-	// ActiveEffect is what begins as soon as the level is active. Controllers that don't
-	// know the level work on beside it.
+	// ActiveEffect describes what starts when the level becomes active. Controllers that
+	// do not support the level continue to run alongside.
 	ActiveEffect string
-	// FinalEffect is what begins when the level is final. Controllers that don't know the
-	// level are kept out from then on.
+	// FinalEffect describes what starts when the level becomes final. From then on,
+	// controllers that do not support the level can't hold leased keys.
 	FinalEffect string
 }
 
--- a/internal/rollout/operator.go
+++ b/internal/rollout/operator.go
@@ -12,44 +12,44 @@
 	"eiderhitch/internal/wire"
 )
 
-// OperatorStore is what an operator's commands need of the key-value store.
+// OperatorStore contains the calls of the key-value store's client that an OperatorClient makes.
 type OperatorStore interface {
 	Get(ctx context.Context, key string) (*wire.Item, error)
 	List(ctx context.Context, prefix string) ([]wire.Item, uint64, error)
 	Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error)
 }
 
-// OperatorClient carries out the commands of the people who run a cluster.
+// OperatorClient executes the upgrade commands of operators.
 type OperatorClient struct {
 	Store          OperatorStore
 	Members        []string
 	PartitionCount int
 	MaxTxnChanges  int
-	// RetryDeadline is up to when calls are tried again that the store refused or did not answer;
-	// the zero time: none is.
+	// RetryDeadline is the time until which calls are retried that the store refused or did
+	// not answer. The zero time means that calls are not retried.
 	RetryDeadline time.Time
 }
 
-// Status is the state of an upgrade as operators are shown it. Its JSON is read by scripts.
+// Status is the state of an upgrade as it is shown to operators. Scripts read its JSON.
 type Status struct {
 	State       State  `json:"state"`
 	ActiveLevel Level  `json:"active"`
 	WriteLevel  Level  `json:"writes"`
 	Revision    uint64 `json:"version"`
-	// Controllers are those that are registered, by name.
+	// Controllers are the current registrations, sorted by name.
 	Controllers []Registration `json:"controllers"`
-	// Missing are those that the settings name and that are not registered.
+	// MissingControllers are the controllers in the settings that are not registered.
 	MissingControllers []string `json:"missing,omitempty"`
-	// Records counts the task group records by the encoding they are stored in.
+	// RecordsByEncoding counts the task group records by their stored encoding.
 	RecordsByEncoding map[string]int `json:"records"`
-	// Blockers are why the next step can't be taken now.
+	// Blockers are the reasons why the next step can't be taken now.
 	Blockers []Blocker `json:"blockers,omitempty"`
 }
 
 // groupPrefix is the prefix of the keys of task group records.
 const groupPrefix = "e/group/"
 
-// Status reads the state of an upgrade.
+// Status reads the state of an upgrade from the key-value store.
 func (o *OperatorClient) Status(ctx context.Context) (*Status, error) {
 	state, revision, err := o.readState(ctx)
 	if err != nil {
@@ -71,10 +71,10 @@
 	return status, nil
 }
 
-// unreadableEncoding is the name under which Records counts what can't be decoded.
+// unreadableEncoding is the key of RecordsByEncoding for records that can't be decoded.
 const unreadableEncoding = "unreadable"
 
-// countRecords counts the task group records by their encoding, in the view, too.
+// countRecords counts the task group records by their encoding, and sets the counts of view.
 func (s *Status) countRecords(groups []wire.Item, view *ClusterView) {
 	s.RecordsByEncoding = map[string]int{}
 	for i := range groups {
@@ -91,7 +91,7 @@
 	}
 }
 
-// setControllers sets which controllers are registered, by name, and which members are not.
+// setControllers sets the registered controllers, sorted by name, and the missing ones.
 func (s *Status) setControllers(controllers map[string]StoredRegistration, members []string) {
 	for _, c := range controllers {
 		s.Controllers = append(s.Controllers, c.Registration)
@@ -104,7 +104,7 @@
 	}
 }
 
-// state returns the stored state and its revision.
+// readState returns the stored state and its revision, or InitialState and 0 if none is stored.
 func (o *OperatorClient) readState(ctx context.Context) (State, uint64, error) {
 	var item *wire.Item
 	err := o.retry(ctx, func() (err error) {
@@ -121,7 +121,7 @@
 	return state, item.Revision, err
 }
 
-// controllers returns the registered controllers by name.
+// readRegistrations returns the current registrations by controller name.
 func (o *OperatorClient) readRegistrations(ctx context.Context) (map[string]StoredRegistration, error) {
 	items, err := o.list(ctx, RegistrationPrefix)
 	if err != nil {
@@ -138,7 +138,7 @@
 	return registrations, nil
 }
 
-// list reads the keys below a prefix.
+// list reads all keys with a prefix.
 func (o *OperatorClient) list(ctx context.Context, prefix string) (items []wire.Item, err error) {
 	err = o.retry(ctx, func() (err error) {
 		items, _, err = o.Store.List(ctx, prefix)
@@ -147,20 +147,21 @@
 	return items, err
 }
 
-// view returns what a decision of the leader would rest on, apart from the records.
+// clusterView returns the view that the leader's decisions would depend on, without the counts
+// of records.
 func (o *OperatorClient) clusterView(controllers map[string]StoredRegistration) ClusterView {
 	return ClusterView{Now: time.Now(), Members: o.Members, Registrations: controllers, IsLeader: true, IsUpToDate: true,
 		PartitionCount: o.PartitionCount, MaxTxnChanges: o.MaxTxnChanges}
 }
 
-// RefusedError says why a request is refused: nothing was changed.
+// RefusedError is the error of a request that was refused. Nothing was changed.
 type RefusedError struct {
 	Request  Request
 	Reason   string
 	Blockers []Blocker
 }
 
-// Error returns the reasons in one line.
+// Error returns the request and all reasons in one line.
 func (e *RefusedError) Error() string {
 	reasons := []string{}
 	if e.Reason != "" {
@@ -172,13 +173,13 @@
 	return fmt.Sprintf("%s is refused: %s", e.Request, strings.Join(reasons, "; "))
 }
 
-// ErrStateChanged says that somebody else changed the state at the same moment: nothing was
-// changed by this request.
-var ErrStateChanged = errors.New("the state has changed meanwhile; look at it again")
+// ErrStateChanged is the error of a request that was not stored because the state had been
+// changed since it was read.
+var ErrStateChanged = errors.New("the state has been changed since it was read; look at it again")
 
-// Submit stores a request for the leader to carry out, and returns the state with it. Its
-// errors are a RefusedError, ErrStateChanged, an OutcomeUnknownError or, if nothing was changed, those of
-// the store.
+// Submit stores a request for the leader to carry out, and returns the state that contains it. It
+// returns a RefusedError, ErrStateChanged, an OutcomeUnknownError, or an error of the store or of
+// decoding. After any error but an OutcomeUnknownError, this request has changed nothing.
 func (o *OperatorClient) Submit(ctx context.Context, request Request) (State, error) {
 	state, revision, err := o.readState(ctx)
 	if err != nil {
@@ -199,14 +200,14 @@
 	return next, nil
 }
 
-// checkRequest returns a RefusedError if a request can't be carried out in a state.
+// checkRequest returns a RefusedError if a request can't be carried out in state s.
 func checkRequest(s State, request Request, view ClusterView) error {
 	refused := func(reason string, blockers ...Blocker) error {
 		return &RefusedError{Request: request, Reason: reason, Blockers: blockers}
 	}
 	switch {
 	case s.Phase == PhaseClosed:
-		return refused("a step is just being completed; try again in a second")
+		return refused("a step is being completed; try again in a second")
 	case request == RequestFinalize && (s.OnHold || s.Phase == PhaseReverting):
 		return nil
 	case request == RequestFinalize && s.Phase == PhaseStable:
@@ -216,15 +217,15 @@
 			return refused("", blockers...)
 		}
 	case request == RequestAbort && s.Phase == PhaseReverting:
-		return refused(fmt.Sprintf("level %d is being given up already", s.Level))
+		return refused(fmt.Sprintf("level %d is already being reverted", s.Level))
 	case request == RequestAbort && s.Phase == PhaseStable && s.Level == BaseLevel && s.OnHold:
-		return refused("level 1 is held already, and there is none before it")
+		return refused("level 1 is already on hold, and there is none before it")
 	}
 	return nil
 }
 
-// IsCompleted tells whether a request, with which Submit returned a state, has been carried out
-// by now.
+// IsCompleted reports whether the request in a state that Submit returned has been carried out,
+// given the current state.
 func IsCompleted(submitted State, now State) bool {
 	return now.Request == NoRequest && now != submitted
 }
--- a/internal/rollout/operator_retry.go
+++ b/internal/rollout/operator_retry.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	// minRetryDelay and maxRetryDelay bound how long an operator's command waits before it
-	// tries a call again: twice as long each time, less up to a half, so that commands which
-	// were refused together don't come back together.
+	// minRetryDelay and maxRetryDelay are the limits of the delay between two tries of a call. The
+	// delay doubles with each try and is then shortened by a random part of up to a half, so that
+	// commands that were refused at the same time do not retry at the same time.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 2 * time.Second
 )
 
-// OutcomeUnknownError says that it is not known whether a request was stored, or may be yet.
+// OutcomeUnknownError means that it is not known whether a request was stored or still will be.
 type OutcomeUnknownError struct {
 	Request Request
 	Err     error
 }
 
-// Error says so in one line.
+// Error returns the request and the cause in one line.
 func (e *OutcomeUnknownError) Error() string {
 	return fmt.Sprintf("it is not known whether %s was stored: %v", e.Request, e.Err)
 }
 
-// Unwrap returns why it is not known.
+// Unwrap returns the cause.
 func (e *OutcomeUnknownError) Unwrap() error { return e.Err }
 
-// isTransient tells whether a call that failed may succeed when it is made again.
+// isTransient reports whether a failed call may succeed if it is repeated.
 func isTransient(err error) bool {
 	return errors.Is(err, store.ErrNotExecuted) || errors.Is(err, store.ErrOutcomeUnknown)
 }
 
-// retry makes a call until it succeeds, fails for good or the time to retry is over. The call
-// must be one that may be made twice.
+// retry makes a call until it succeeds, fails permanently, or RetryDeadline is reached. The call
+// must be safe to repeat.
 func (o *OperatorClient) retry(ctx context.Context, call func() error) error {
 	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		err := call()
@@ -55,9 +55,9 @@
 	}
 }
 
-// storeRequest stores a state with a request in it in place of the state of a revision. The
-// transaction may be sent several times: all copies have the condition that the state is of
-// that revision, so that one of them at most is carried out, whenever it arrives.
+// storeRequest replaces the state at the given revision by next, which contains a request. The
+// transaction may be sent several times. Since each copy is conditional on that revision, at most
+// one of them is applied, whenever it arrives.
 func (o *OperatorClient) storeRequest(ctx context.Context, next State, revision uint64) error {
 	txn := &wire.Txn{
 		Conditions: []wire.Condition{{Key: StateKey, Revision: revision}},
@@ -80,8 +80,8 @@
 	return err
 }
 
-// settle finds out by reading whether a request was stored of which an answer was lost. cause
-// is how the last try failed.
+// resolveOutcome reads the state to find out whether a request was stored after a response was
+// lost. cause is the error of the last try.
 func (o *OperatorClient) resolveOutcome(ctx context.Context, next State, cause error) error {
 	current, _, err := o.readState(ctx)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return &OutcomeUnknownError{next.Request, cause}
 }
 
-// canLeadTo tells whether a state is what a leader makes of the request in this one.
+// canLeadTo reports whether current can result from the leader carrying out the request in s.
 func (s State) canLeadTo(current State) bool {
 	outcomes := []State{s.withLevelFinalized(ClusterView{})}
 	if s.Request == RequestAbort || s.OnHold || s.Phase == PhaseReverting {
--- a/internal/rollout/registrar.go
+++ b/internal/rollout/registrar.go
@@ -11,7 +11,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// RegistrarStore is what a registration needs of the key-value store.
+// RegistrarStore contains the calls of the key-value store's client that a Registrar makes.
 type RegistrarStore interface {
 	Revision(ctx context.Context, key string) (uint64, error)
 	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
@@ -20,26 +20,27 @@
 	Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error)
 }
 
-// Registrar keeps a controller registered, under a lease, while the process lives.
+// Registrar keeps a controller registered, under a lease, while the process runs.
 type Registrar struct {
 	Store        RegistrarStore
 	Registration Registration
-	// TTL is how long the registration outlives its process.
+	// TTL is how long the registration remains after the process has ended.
 	TTL time.Duration
 	Log *slog.Logger
 }
 
 const (
-	// renewalsPerTTL is how often a registration is renewed within its lease.
+	// renewalsPerTTL is the number of renewals of a registration's lease within its TTL.
 	renewalsPerTTL = 4
-	// registerRetryInterval is the pause after an attempt to register that failed.
+	// registerRetryInterval is the pause after a failed attempt to register.
 	registerRetryInterval = time.Second
-	// revokeTimeout bounds the call that ends a registration.
+	// revokeTimeout limits the duration of the call that ends a registration.
 	revokeTimeout = time.Second
 )
 
-// Run registers the controller, renews its lease, and registers it anew when the lease has
-// expired, as after a pause of the process. When ctx ends so does the registration.
+// Run registers the controller and renews its lease. If the lease has expired, as happens when the
+// process was paused, Run registers the controller again. It ends the registration and returns
+// when ctx ends.
 func (r *Registrar) Run(ctx context.Context) error {
 	for {
 		lease, err := r.register(ctx)
@@ -57,8 +58,8 @@
 	}
 }
 
-// register stores the registration in place of a former process's of the same name, and
-// returns the lease that it is under.
+// register stores the registration, replacing that of a former process of this controller, and
+// returns the lease that it is stored under.
 func (r *Registrar) register(ctx context.Context) (uint64, error) {
 	key := RegistrationKey(r.Registration.Node)
 	revision, err := r.Store.Revision(ctx, key)
@@ -76,15 +77,15 @@
 		Changes:    []wire.Change{{Put: key, Value: c.Encode(), Lease: lease}},
 	})
 	if err != nil {
-		// Perhaps it was applied: ending the lease takes the record along.
+		// The transaction may have been applied. Revoking the lease deletes the record.
 		r.revoke(ctx, lease)
 		return 0, fmt.Errorf("register: %w", err)
 	}
 	return lease, nil
 }
 
-// renew renews the lease until it has expired. While the key-value store can't be reached it
-// goes on: an outage ends no lease.
+// renew renews the lease until it has expired. It continues while the key-value store can't be
+// reached, since leases do not expire during an outage of the store.
 func (r *Registrar) renew(ctx context.Context, lease uint64) error {
 	for {
 		if !sleep(ctx, r.TTL/renewalsPerTTL) {
@@ -97,14 +98,14 @@
 	}
 }
 
-// revoke ends a lease, and the registration with it.
+// revoke revokes a lease, which ends the registration.
 func (r *Registrar) revoke(ctx context.Context, lease uint64) {
 	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
-	_ = r.Store.RevokeLease(ctx, lease) // if it fails the lease expires
+	_ = r.Store.RevokeLease(ctx, lease) // on failure the lease expires by itself
 }
 
-// pause waits; it returns false if ctx ended meanwhile.
+// sleep waits for d. It returns false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -6,58 +6,64 @@
 	"strconv"
 )
 
-// StateKey is the key of the state. A version that does not know levels takes the value for
-// the holder of a leased key that it has no use for.
+// StateKey is the key of the stored state. Versions without feature levels read the value as the
+// holder of a leased key, and ignore it.
 const StateKey = "e/level"
 
-// Phase is a stage of an upgrade or of the way back.
+// Phase is a phase of an upgrade or a revert.
 type Phase string
 
 const (
-	// PhaseStable means that the level is in force, and no other one is on its way.
+	// PhaseStable means that State.Level is final and the next level is not active.
 	PhaseStable Phase = "stable"
-	// PhaseActive means that behaviour of the next level runs; what is stored stays as it was.
+	// PhaseActive means that the next level is active, while records are still written in the
+	// encoding of State.Level.
 	PhaseActive Phase = "active"
-	// PhaseReverting means that records are written, and rewritten, in the encoding of the level before.
+	// PhaseReverting means that records are written, and existing ones rewritten, in the
+	// encoding of the previous level.
 	PhaseReverting Phase = "reverting"
-	// PhaseClosed means that nobody may hold a leased key, so that no record of the level can
-	// appear any more.
+	// PhaseClosed means that no controller may hold a leased key, so that no more records can
+	// be written in the encoding of State.Level.
 	PhaseClosed Phase = "closed"
 )
 
-// Request is what an operator asked for and the leader has not carried out yet.
+// Request is an operator's request that the leader has not carried out yet.
 type Request string
 
 const (
-	// NoRequest means that nothing was asked for.
+	// NoRequest means that there is no request.
 	NoRequest Request = ""
-	// RequestFinalize asks to make the active level final, to end a hold, or to stay at a
-	// level that is being reverted.
+	// RequestFinalize requests to make the active level final, to end a hold, or to cancel a
+	// revert and stay at the level.
 	RequestFinalize Request = "finalize"
-	// RequestAbort asks to revert to the level before, and to stay there.
+	// RequestAbort requests to revert to the previous level and to stay there.
 	RequestAbort Request = "abort"
 )
 
-// State is the stored state of an upgrade. The zero value stands for a cluster that
-// has never been upgraded in stages.
+// State is the stored state of an upgrade. A cluster without a stored state is in InitialState;
+// the zero value is not a valid state.
 type State struct {
-	// Level is the highest of which records may be stored. A controller that doesn't read
-	// it must not serve.
+	// Level is the highest level in whose encoding records may be stored. A controller that
+	// does not support it must not serve.
 	Level Level `json:"level"`
 	Phase Phase `json:"phase"`
-	// Epoch names the set of leased keys above the base level.
+	// Epoch distinguishes the successive sets of leased keys above the base level. It never
+	// decreases, and is 0 until the base level is left for the first time.
 	Epoch uint64 `json:"epoch,omitempty"`
-	// Held is set when an operator reverted: no level is activated until one asks for it.
+	// OnHold is set after an operator has aborted: no level is activated until an operator
+	// requests RequestFinalize.
 	OnHold  bool    `json:"held,omitempty"`
 	Request Request `json:"wish,omitempty"`
-	// Since is when the phase began, in milliseconds since the epoch.
+	// PhaseStartedAt is the time at which the phase began, in milliseconds since the Unix
+	// epoch.
 	PhaseStartedAt int64 `json:"since,omitempty"`
 }
 
-// InitialState is the state of a cluster without a stored one.
+// InitialState is the state of a cluster that has no stored state.
 var InitialState = State{Level: BaseLevel, Phase: PhaseStable}
 
-// ActiveLevel returns the level whose behaviour runs.
+// ActiveLevel returns the level whose features are in use. Records are written in the encoding
+// of WriteLevel.
 func (s State) ActiveLevel() Level {
 	switch s.Phase {
 	case PhaseActive:
@@ -77,7 +83,7 @@
 	return s.ActiveLevel()
 }
 
-// Admits tells whether a controller of a range may serve in this state.
+// Admits reports whether a controller that supports the given levels may serve in this state.
 func (s State) Admits(r LevelRange) bool {
 	return r.Includes(s.Level) && r.Includes(s.WriteLevel())
 }
@@ -85,12 +91,12 @@
 // Encode returns the stored encoding.
 func (s State) Encode() json.RawMessage { return encode(s) }
 
-// DecodeState decodes what Encode returned. A state that makes no sense is an error: it was
-// written by a version that knows more, or by hand.
+// DecodeState decodes and validates a state that Encode encoded. An invalid state was written by
+// a later version or by hand.
 func DecodeState(raw []byte) (State, error) {
 	var s State
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return State{}, fmt.Errorf("feature level: %w", err)
+		return State{}, fmt.Errorf("decode feature level state: %w", err)
 	}
 	return s, s.validate()
 }
@@ -99,29 +105,29 @@
 	switch s.Phase {
 	case PhaseStable, PhaseActive:
 		if s.Level < BaseLevel {
-			return fmt.Errorf("feature level: %d is below %d", s.Level, BaseLevel)
+			return fmt.Errorf("feature level state: level %d is below %d", s.Level, BaseLevel)
 		}
 	case PhaseReverting, PhaseClosed:
 		if s.Level <= BaseLevel {
-			return fmt.Errorf("feature level: %d can't be %s", s.Level, s.Phase)
+			return fmt.Errorf("feature level state: level %d can't be in phase %s", s.Level, s.Phase)
 		}
 	default:
-		return fmt.Errorf("feature level: unknown phase %q", s.Phase)
+		return fmt.Errorf("feature level state: unknown phase %q", s.Phase)
 	}
 	if s.Level > BaseLevel && s.Epoch == 0 {
-		return fmt.Errorf("feature level: %d without an epoch", s.Level)
+		return fmt.Errorf("feature level state: level %d requires an epoch", s.Level)
 	}
 	return nil
 }
 
-// LeaseKeys are the leased keys: one for the owner of each partition and one for the leader.
+// LeaseKeys names the leased keys: one for the owner of each partition and one for the leader.
 type LeaseKeys struct{ prefix string }
 
-// baseLeaseKeys are the keys that versions without levels use.
+// baseLeaseKeys are the keys that versions without feature levels use.
 var baseLeaseKeys = LeaseKeys{prefix: "e/"}
 
-// LeaseKeys returns the leased keys of this state. Above the base level they are others than an
-// earlier version knows, and others in each epoch.
+// LeaseKeys returns the leased keys in this state. Above the base level, earlier versions do not
+// know them, and they differ in each epoch.
 func (s State) LeaseKeys() LeaseKeys {
 	if s.Level <= BaseLevel {
 		return baseLeaseKeys
@@ -129,13 +135,13 @@
 	return LeaseKeys{prefix: "e/epoch/" + strconv.FormatUint(s.Epoch, 10) + "/"}
 }
 
-// Partition returns the key of a partition's owner.
+// Partition returns the key of partition n's owner.
 func (k LeaseKeys) Partition(n int) string { return k.prefix + "part/" + strconv.Itoa(n) }
 
 // Leader returns the key of the leader.
 func (k LeaseKeys) Leader() string { return k.prefix + "leader" }
 
-// all returns the keys of a cluster with that many partitions.
+// list returns the keys of a cluster with the given number of partitions.
 func (k LeaseKeys) list(partitions int) []string {
 	keys := []string{k.Leader()}
 	for n := range partitions {
--- a/internal/rollout/txn.go
+++ b/internal/rollout/txn.go
@@ -7,29 +7,30 @@
 	"eiderhitch/internal/wire"
 )
 
-// extraCloseChanges is how many changes closing the keys takes beyond one for each
-// partition: the leader's key and the state.
+// extraCloseChanges is the number of changes that closing the keys takes in addition to one for
+// each partition: one for the leader's key and one for the state.
 const extraCloseChanges = 2
 
-// Revisions are the revisions of the keys that a step rests on.
+// Revisions are the revisions of the keys that a step is conditional on.
 type Revisions struct {
-	State  uint64 // 0: none is stored
-	Leader uint64 // of the leader's key, while one leads
+	State  uint64 // 0 if no state is stored
+	Leader uint64 // of the leader's key; unused in PhaseClosed
 }
 
-// closedHolder is the value of a leased key that nobody may hold. It is under no lease, and its
-// node is no controller's name, so that a version without levels takes the key for held.
+// closedHolder is the value of a closed leased key. The key is under no lease, and the node is
+// not the name of a controller, so that versions without feature levels consider the key held.
 type closedHolder struct {
 	Node      string `json:"n"`
 	ProcessID string `json:"b"`
 }
 
-// ClosedHolderNode returns the holder that is stored at a leased key which nobody may hold.
+// ClosedHolderNode returns the name that is stored as the holder of a closed leased key.
 func ClosedHolderNode(level Level) string { return fmt.Sprintf("(closed by feature level %d)", level) }
 
-// NewStepTxn returns the transaction that takes a step. It fails if anything has changed that the
-// decision rests on: the leader's term, the state, or, for a level to come, the record
-// of any controller, so that a restart voids it.
+// NewStepTxn returns the transaction that takes a step. The transaction is conditional on
+// everything that the decision depends on: the state, the leader's term unless the keys are
+// closed, and, for StepActivate and StepFinalize, the registration of each controller, so that it
+// fails if a controller restarts.
 func NewStepTxn(s State, step Step, next State, view ClusterView, at Revisions) *wire.Txn {
 	t := &wire.Txn{Conditions: []wire.Condition{{Key: StateKey, Revision: at.State}}}
 	if s.Phase != PhaseClosed {
