--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What is stored, and where, has exactly these bytes: other versions read them.
+// Other versions read the stored records and keys, so their bytes must not change.
 func TestStoredEncodingsAreStable(t *testing.T) {
 	state := State{Level: 2, Phase: PhaseReverting, Epoch: 3, OnHold: true, Request: RequestAbort, PhaseStartedAt: 5}
 	txn, err := json.Marshal(NewStepTxn(InitialState, StepFinalize, state, ClusterView{Members: []string{"n0"}, PartitionCount: 1}, Revisions{State: 1, Leader: 2}))
@@ -24,7 +24,7 @@
 		{RegistrationKey("n0"), "e/node/n0"},
 	} {
 		if x.got != x.want {
-			t.Errorf("%s, not\n%s", x.got, x.want)
+			t.Errorf("got %s, want\n%s", x.got, x.want)
 		}
 	}
 }
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -8,62 +8,62 @@
 	"pgregory.net/rapid"
 )
 
-// The model has two controllers, one leased key (partitions and leadership are alike) and the
-// stored records, of which only the levels of their encodings matter. A transaction is decided
-// upon at one moment and applied at another; it fails when a condition has changed meanwhile.
+// The model has two controllers, one leased key, since partition and leader keys behave alike, and
+// stored records, of which only the levels of their encodings matter. Deciding on a transaction
+// and applying it are separate actions. Applying it fails if a condition has changed in between.
 
 const modelControllers = 2
 
-// versionLevels are the versions that a process may be of; an empty range is one that does
-// not know levels.
+// versionLevels are the levels that each version of a process supports. The empty range stands for
+// a version without feature levels.
 var versionLevels = []LevelRange{{}, {1, 1}, {1, 2}, {1, 3}, {2, 3}}
 
 type modelProcess struct {
 	running          bool
-	version          int        // in versionLevels
-	registeredLevels LevelRange // in its record; empty: there is none
+	versionIndex     int        // index into versionLevels
+	registeredLevels LevelRange // in its stored registration; empty if there is none
 }
 
 type model struct {
-	state     State // its epoch is left out, it only ever rises
+	state     State // without the epoch, which only increases
 	processes [modelControllers]modelProcess
-	// owner holds the lease, 0: nobody, else one more than its index. It writes as it last
-	// saw the state, however long ago that was.
+	// owner is 1 plus the index of the process that holds the lease, or 0 if none does. It
+	// writes in the encoding of ownerWrites, which it read from the state at some earlier time.
 	owner        int
 	ownerWrites  Level
-	storedLevels [4]bool // of the encodings of stored records
-	pendingStep  Step    // a transaction on its way whose conditions hold still
-	pendingState State   // what it leads to
+	storedLevels [4]bool // whether records in the encoding of each level are stored
+	pendingStep  Step    // the step of a transaction in flight whose conditions still hold
+	pendingState State   // the state that pendingStep results in
 }
 
-func (p modelProcess) knowsLevels() bool { return versionLevels[p.version].High > 0 }
+func (p modelProcess) knowsLevels() bool { return versionLevels[p.versionIndex].High > 0 }
 
-// reads returns the range of levels that a process reads.
+// readableLevels returns the range of levels that a process reads.
 func (p modelProcess) readableLevels() LevelRange {
 	if !p.knowsLevels() {
 		return LevelRange{BaseLevel, BaseLevel}
 	}
-	return versionLevels[p.version]
+	return versionLevels[p.versionIndex]
 }
 
-func (m *model) view(leading bool) ClusterView {
-	view := ClusterView{Now: time.UnixMilli(0), Members: []string{"0", "1"}, Registrations: map[string]StoredRegistration{}, IsLeader: leading, IsUpToDate: true,
+func (m *model) view(isLeader bool) ClusterView {
+	view := ClusterView{Now: time.UnixMilli(0), Members: []string{"0", "1"}, Registrations: map[string]StoredRegistration{}, IsLeader: isLeader, IsUpToDate: true,
 		PartitionCount: 1, MaxTxnChanges: 10}
 	for i, p := range m.processes {
 		if p.registeredLevels.High > 0 {
 			view.Registrations[fmt.Sprint(i)] = StoredRegistration{Registration: Registration{LevelRange: p.registeredLevels}}
 		}
 	}
-	for level, there := range m.storedLevels {
-		if there && Level(level) > m.state.WriteLevel() {
+	for level, isStored := range m.storedLevels {
+		if isStored && Level(level) > m.state.WriteLevel() {
 			view.NewerRecords++
 		}
 	}
 	return view
 }
 
-// admitted tells whether a process may take a lease in the present state: one without levels
-// goes by the keys alone, which are closed above the base level.
+// canTakeLease reports whether a process may take a lease in the current state. A version without
+// feature levels only checks that the key is vacant, and its keys are closed above the base level.
 func (m *model) canTakeLease(p modelProcess) bool {
 	if !p.running || m.state.Phase == PhaseClosed {
 		return false
@@ -71,25 +71,25 @@
 	if !p.knowsLevels() {
 		return m.state.Level == BaseLevel
 	}
-	return m.state.Admits(versionLevels[p.version])
+	return m.state.Admits(versionLevels[p.versionIndex])
 }
 
-// action is something that may happen, with its name.
+// action is a named action that changes the model.
 type action struct {
 	name  string
 	apply func(*model)
 }
 
-// next lists the states that one action leads to, each with the action's name.
-func (m model) successors(versions int) (out []model, names []string) {
+// successors returns the states that one action leads to, and the name of each action.
+func (m model) successors(versions int) (states []model, names []string) {
 	for _, a := range m.actions(versions) {
 		n := m
 		a.apply(&n)
 		if n != m {
-			out, names = append(out, n), append(names, a.name)
+			states, names = append(states, n), append(names, a.name)
 		}
 	}
-	return out, names
+	return states, names
 }
 
 func (m model) actions(versions int) []action {
@@ -105,9 +105,9 @@
 		}},
 		{"commit", (*model).commit},
 	}
-	for _, w := range []Request{RequestFinalize, RequestAbort} {
-		all = append(all, action{string(w), func(n *model) {
-			n.state.Request = w
+	for _, request := range []Request{RequestFinalize, RequestAbort} {
+		all = append(all, action{string(request), func(n *model) {
+			n.state.Request = request
 			n.pendingStep = NoStep
 		}})
 	}
@@ -126,7 +126,7 @@
 		}},
 		{fmt.Sprintf("register %d", i), func(n *model) {
 			if p := &n.processes[i]; p.running && p.knowsLevels() {
-				p.registeredLevels = versionLevels[p.version]
+				p.registeredLevels = versionLevels[p.versionIndex]
 				n.registrationChanged()
 			}
 		}},
@@ -140,7 +140,7 @@
 	}
 	for version := range versions {
 		all = append(all, action{fmt.Sprintf("restart %d as %v", i, versionLevels[version]), func(n *model) {
-			n.processes[i].running, n.processes[i].version = true, version
+			n.processes[i].running, n.processes[i].versionIndex = true, version
 			n.releaseLease(i)
 		}})
 	}
@@ -157,12 +157,12 @@
 	if m.owner == i+1 {
 		m.owner, m.ownerWrites = 0, 0
 		if m.state.Phase != PhaseClosed {
-			m.pendingStep = NoStep // it was conditional on the term
+			m.pendingStep = NoStep // it was conditional on the leader's term
 		}
 	}
 }
 
-// ownerReadsState has the owner read the present state.
+// ownerReadsState makes the owner read the current state.
 func (m *model) ownerReadsState() {
 	if m.owner == 0 {
 		return
@@ -173,7 +173,7 @@
 	}
 }
 
-// registrationChanged fails what is conditional on the controllers' records.
+// registrationChanged voids a pending transaction that is conditional on the registrations.
 func (m *model) registrationChanged() {
 	if m.pendingStep == StepActivate || m.pendingStep == StepFinalize {
 		m.pendingStep = NoStep
@@ -182,7 +182,7 @@
 
 func (m *model) decide(i int) {
 	p := m.processes[i]
-	if !p.running || !p.knowsLevels() || m.state.Phase != PhaseClosed && m.owner != i+1 || !m.state.Admits(versionLevels[p.version]) {
+	if !p.running || !p.knowsLevels() || m.state.Phase != PhaseClosed && m.owner != i+1 || !m.state.Admits(versionLevels[p.versionIndex]) {
 		return
 	}
 	step, next := Decide(m.state, m.view(m.owner == i+1))
@@ -205,41 +205,41 @@
 	}
 }
 
-// broken returns which invariant does not hold, or "".
+// violatedInvariant describes an invariant that does not hold, or returns "".
 func (m *model) violatedInvariant() string {
-	for level, there := range m.storedLevels {
-		if there && Level(level) > m.state.Level {
-			return fmt.Sprintf("encoding %d is stored at level %d", level, m.state.Level)
+	for level, isStored := range m.storedLevels {
+		if isStored && Level(level) > m.state.Level {
+			return fmt.Sprintf("a record in the encoding of level %d is stored at level %d", level, m.state.Level)
 		}
 	}
 	if m.owner > 0 {
-		for level, there := range m.storedLevels {
-			if r := m.processes[m.owner-1].readableLevels(); there && Level(level) > r.High {
-				return fmt.Sprintf("the owner reads %s, encoding %d is stored", r, level)
+		for level, isStored := range m.storedLevels {
+			if r := m.processes[m.owner-1].readableLevels(); isStored && Level(level) > r.High {
+				return fmt.Sprintf("the owner reads levels %s, but a record in the encoding of level %d is stored", r, level)
 			}
 		}
 	}
 	if m.state.Level > 3 || m.state.validateWithoutEpoch() != nil {
-		return fmt.Sprintf("state %+v makes no sense", m.state)
+		return fmt.Sprintf("invalid state %+v", m.state)
 	}
 	return ""
 }
 
-// invalidTransition returns what is wrong with a transition, or "".
-func invalidTransition(m, n model) string {
-	if d := int(n.state.Level) - int(m.state.Level); d > 1 || d < -1 {
-		return fmt.Sprintf("from level %d to %d", m.state.Level, n.state.Level)
+// invalidTransition describes what is wrong with a transition, or returns "".
+func invalidTransition(before, after model) string {
+	if d := int(after.state.Level) - int(before.state.Level); d > 1 || d < -1 {
+		return fmt.Sprintf("the level changes from %d to %d in one step", before.state.Level, after.state.Level)
 	}
-	raised := n.state.Level > m.state.Level || n.state.Phase == PhaseActive && m.state.Phase == PhaseStable
-	for i, p := range n.processes {
-		if raised && !p.registeredLevels.Includes(n.state.ActiveLevel()) {
-			return fmt.Sprintf("level %d is raised though controller %d reads %s", n.state.ActiveLevel(), i, p.registeredLevels)
+	raised := after.state.Level > before.state.Level || after.state.Phase == PhaseActive && before.state.Phase == PhaseStable
+	for i, p := range after.processes {
+		if raised && !p.registeredLevels.Includes(after.state.ActiveLevel()) {
+			return fmt.Sprintf("level %d was activated although controller %d reads levels %s", after.state.ActiveLevel(), i, p.registeredLevels)
 		}
 	}
 	return ""
 }
 
-// validateWithoutEpoch validates a state with the epoch that the model leaves out.
+// validateWithoutEpoch validates a state of the model, which has no epoch.
 func (s State) validateWithoutEpoch() error {
 	s.Epoch = 1
 	return s.validate()
@@ -251,48 +251,48 @@
 	return m
 }
 
-// The whole state space for two controllers of versions that read up to level 2: no
-// invariant breaks in any state, no step skips a level, and from each state there is a
-// way both to the base level, served by a version without levels, and to level 2.
+// This test explores the whole state space for two controllers with versions that read up to level
+// 2. No state violates an invariant, no step skips a level, and from each state there is a path to
+// the base level, served by a version without feature levels, and one to level 2.
 func TestReachableStatesAreSafeAndCanProceed(t *testing.T) {
 	const versions = 3
 	index := map[model]int32{initialModel(): 0}
 	states := []model{initialModel()}
-	var predecessors [][]int32 // by state: those that lead to it
+	var predecessors [][]int32 // of each state
 	predecessors = append(predecessors, nil)
-	for at := 0; at < len(states); at++ {
-		m := states[at]
-		if why := m.violatedInvariant(); why != "" {
-			t.Fatalf("%s: %+v", why, m)
+	for current := 0; current < len(states); current++ {
+		m := states[current]
+		if violation := m.violatedInvariant(); violation != "" {
+			t.Fatalf("%s: %+v", violation, m)
 		}
 		successors, names := m.successors(versions)
 		for k, n := range successors {
-			if why := invalidTransition(m, n); why != "" {
-				t.Fatalf("%s: %s: %+v", names[k], why, m)
+			if violation := invalidTransition(m, n); violation != "" {
+				t.Fatalf("%s: %s: %+v", names[k], violation, m)
 			}
-			to, known := index[n]
+			successor, known := index[n]
 			if !known {
-				to = int32(len(states))
-				index[n] = to
+				successor = int32(len(states))
+				index[n] = successor
 				states, predecessors = append(states, n), append(predecessors, nil)
 			}
-			predecessors[to] = append(predecessors[to], int32(at))
+			predecessors[successor] = append(predecessors[successor], int32(current))
 		}
 	}
 	t.Logf("%d states", len(states))
 	for name, goal := range map[string]func(model) bool{
-		"the base level with an owner that does not know levels": func(m model) bool {
+		"the base level with an owner without feature levels": func(m model) bool {
 			return m.state.Level == BaseLevel && m.state.Phase == PhaseStable && m.owner > 0 && !m.processes[m.owner-1].knowsLevels()
 		},
 		"level 2": func(m model) bool { return m.state.Level == 2 && m.state.Phase == PhaseStable && m.owner > 0 },
 	} {
 		if n := countWithoutPath(states, predecessors, goal); n > 0 {
-			t.Errorf("%d of %d states have no way to %s", n, len(states), name)
+			t.Errorf("from %d of %d states there is no path to %s", n, len(states), name)
 		}
 	}
 }
 
-// unreachable counts the states from which no goal can be reached.
+// countWithoutPath counts the states from which no goal state can be reached.
 func countWithoutPath(states []model, predecessors [][]int32, goal func(model) bool) int {
 	reached := make([]bool, len(states))
 	var queue []int32
@@ -303,9 +303,9 @@
 		}
 	}
 	for len(queue) > 0 {
-		at := queue[0]
+		current := queue[0]
 		queue = queue[1:]
-		for _, from := range predecessors[at] {
+		for _, from := range predecessors[current] {
 			if !reached[from] {
 				reached[from] = true
 				queue = append(queue, from)
@@ -321,8 +321,8 @@
 	return count
 }
 
-// Generated walks with versions that read up to level 3, and one that has given up the
-// base level.
+// This test checks the invariants in random sequences of actions, with versions that read up to
+// level 3 and one that no longer reads the base level.
 func TestRandomUpgradeSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := initialModel()
--- a/internal/rollout/operator.go
+++ b/internal/rollout/operator.go
@@ -16,7 +16,7 @@
 type OperatorStore interface {
 	Get(ctx context.Context, key string) (*wire.Item, error)
 	List(ctx context.Context, prefix string) ([]wire.Item, uint64, error)
-	Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error)
+	Txn(ctx context.Context, txn *wire.Txn) (*wire.TxnResponse, error)
 }
 
 // OperatorClient executes the upgrade commands of operators.
@@ -59,13 +59,13 @@
 	if err != nil {
 		return nil, err
 	}
-	groups, err := o.list(ctx, groupPrefix)
+	taskGroups, err := o.list(ctx, groupPrefix)
 	if err != nil {
 		return nil, err
 	}
 	status := &Status{State: state, ActiveLevel: state.ActiveLevel(), WriteLevel: state.WriteLevel(), Revision: revision}
 	view := o.clusterView(controllers)
-	status.countRecords(groups, &view)
+	status.countRecords(taskGroups, &view)
 	status.setControllers(controllers, o.Members)
 	status.Blockers = Blockers(state, view)
 	return status, nil
@@ -92,13 +92,13 @@
 }
 
 // setControllers sets the registered controllers, sorted by name, and the missing ones.
-func (s *Status) setControllers(controllers map[string]StoredRegistration, members []string) {
-	for _, c := range controllers {
+func (s *Status) setControllers(registrations map[string]StoredRegistration, members []string) {
+	for _, c := range registrations {
 		s.Controllers = append(s.Controllers, c.Registration)
 	}
 	slices.SortFunc(s.Controllers, func(x, y Registration) int { return strings.Compare(x.Node, y.Node) })
 	for _, name := range members {
-		if _, ok := controllers[name]; !ok {
+		if _, ok := registrations[name]; !ok {
 			s.MissingControllers = append(s.MissingControllers, name)
 		}
 	}
@@ -149,8 +149,8 @@
 
 // clusterView returns the view that the leader's decisions would depend on, without the counts
 // of records.
-func (o *OperatorClient) clusterView(controllers map[string]StoredRegistration) ClusterView {
-	return ClusterView{Now: time.Now(), Members: o.Members, Registrations: controllers, IsLeader: true, IsUpToDate: true,
+func (o *OperatorClient) clusterView(registrations map[string]StoredRegistration) ClusterView {
+	return ClusterView{Now: time.Now(), Members: o.Members, Registrations: registrations, IsLeader: true, IsUpToDate: true,
 		PartitionCount: o.PartitionCount, MaxTxnChanges: o.MaxTxnChanges}
 }
 
@@ -224,8 +224,8 @@
 	return nil
 }
 
-// IsCompleted reports whether the request in a state that Submit returned has been carried out,
-// given the current state.
-func IsCompleted(submitted State, now State) bool {
-	return now.Request == NoRequest && now != submitted
+// IsCompleted reports whether the request in submitted, the state that Submit returned, has been
+// carried out by the time of the state current.
+func IsCompleted(submitted State, current State) bool {
+	return current.Request == NoRequest && current != submitted
 }
--- a/internal/rollout/registrar.go
+++ b/internal/rollout/registrar.go
@@ -15,9 +15,9 @@
 type RegistrarStore interface {
 	Revision(ctx context.Context, key string) (uint64, error)
 	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
-	RenewLease(ctx context.Context, id uint64) error
-	RevokeLease(ctx context.Context, id uint64) error
-	Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error)
+	RenewLease(ctx context.Context, lease uint64) error
+	RevokeLease(ctx context.Context, lease uint64) error
+	Txn(ctx context.Context, txn *wire.Txn) (*wire.TxnResponse, error)
 }
 
 // Registrar keeps a controller registered, under a lease, while the process runs.
--- a/internal/rollout/txn.go
+++ b/internal/rollout/txn.go
@@ -31,30 +31,30 @@
 // everything that the decision depends on: the state, the leader's term unless the keys are
 // closed, and, for StepActivate and StepFinalize, the registration of each controller, so that it
 // fails if a controller restarts.
-func NewStepTxn(s State, step Step, next State, view ClusterView, at Revisions) *wire.Txn {
-	t := &wire.Txn{Conditions: []wire.Condition{{Key: StateKey, Revision: at.State}}}
+func NewStepTxn(s State, step Step, next State, view ClusterView, revisions Revisions) *wire.Txn {
+	txn := &wire.Txn{Conditions: []wire.Condition{{Key: StateKey, Revision: revisions.State}}}
 	if s.Phase != PhaseClosed {
-		t.Conditions = append(t.Conditions, wire.Condition{Key: s.LeaseKeys().Leader(), Revision: at.Leader})
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: s.LeaseKeys().Leader(), Revision: revisions.Leader})
 	}
 	if step == StepActivate || step == StepFinalize {
 		for _, name := range view.Members {
-			t.Conditions = append(t.Conditions, wire.Condition{Key: RegistrationKey(name), Revision: view.Registrations[name].Revision})
+			txn.Conditions = append(txn.Conditions, wire.Condition{Key: RegistrationKey(name), Revision: view.Registrations[name].Revision})
 		}
 	}
-	t.Changes = append(t.Changes, wire.Change{Put: StateKey, Value: next.Encode()})
+	txn.Changes = append(txn.Changes, wire.Change{Put: StateKey, Value: next.Encode()})
 	switch step {
 	case StepFinalize, StepClose:
 		for _, key := range s.LeaseKeys().list(view.PartitionCount) {
-			t.Changes = append(t.Changes, wire.Change{Put: key, Value: closedHolderValue(max(s.Level, next.Level))})
+			txn.Changes = append(txn.Changes, wire.Change{Put: key, Value: closedHolderValue(max(s.Level, next.Level))})
 		}
 	case StepOpen:
 		if next.Level == BaseLevel {
 			for _, key := range baseLeaseKeys.list(view.PartitionCount) {
-				t.Changes = append(t.Changes, wire.Change{Delete: key})
+				txn.Changes = append(txn.Changes, wire.Change{Delete: key})
 			}
 		}
 	}
-	return t
+	return txn
 }
 
 func closedHolderValue(level Level) json.RawMessage {
--- a/internal/rollout/txn_test.go
+++ b/internal/rollout/txn_test.go
@@ -16,10 +16,10 @@
 	"eiderhitch/internal/wire"
 )
 
-// inProcessTransport carries requests to a simulated store without a network.
+// inProcessTransport passes requests to a simulated store without a network.
 type inProcessTransport struct{ store *kv.Store }
 
-// RoundTrip answers a request.
+// RoundTrip returns the store's response to a request.
 func (p inProcessTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	rec := httptest.NewRecorder()
 	if r.Body == nil {
@@ -40,14 +40,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ans, err := c.Txn(t.Context(), &wire.Txn{Changes: []wire.Change{{Put: key, Value: raw}}})
+	response, err := c.Txn(t.Context(), &wire.Txn{Changes: []wire.Change{{Put: key, Value: raw}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return ans.Revision
+	return response.Revision
 }
 
-// settled returns the view and revisions of a cluster of two controllers in a state.
+// storeCluster stores the records of a cluster of two controllers in state s, and returns the view
+// and the revisions of that cluster.
 func storeCluster(t *testing.T, c *store.Client, s State) (ClusterView, Revisions) {
 	t.Helper()
 	view := ClusterView{Now: time.UnixMilli(0), Members: []string{"n0", "n1"}, Registrations: map[string]StoredRegistration{}, IsLeader: true, IsUpToDate: true, PartitionCount: 2, MaxTxnChanges: 10}
@@ -62,98 +63,99 @@
 	return view, Revisions{State: put(t, c, StateKey, s), Leader: leader}
 }
 
-// A step fails when anything that it rests on has changed before it is applied: a leader that
-// was frozen meanwhile, or whose transaction is late, changes nothing.
+// A step must fail if anything that it is conditional on has changed before it is applied, so that
+// a leader that was paused, or whose transaction is late, changes nothing.
 func TestStepsFailIfConditionsChanged(t *testing.T) {
-	all := []string{StateKey, "leader", RegistrationKey("n0"), RegistrationKey("n1")}
-	some := []string{StateKey, "leader"}
+	withRegistrations := []string{StateKey, "leader", RegistrationKey("n0"), RegistrationKey("n1")}
+	stateAndLeader := []string{StateKey, "leader"}
 	for _, x := range []struct {
-		step  Step
-		state State
-		rests []string // the keys that it rests on
+		step           Step
+		simulatedStore State
+		conditionKeys  []string // keys that the step is conditional on
 	}{
-		{StepActivate, InitialState, all},
-		{StepFinalize, State{Level: 1, Phase: PhaseActive, Request: RequestFinalize}, all},
-		{StepHold, State{Level: 1, Phase: PhaseActive, Request: RequestAbort}, some},
-		{StepResume, State{Level: 1, Phase: PhaseStable, OnHold: true, Request: RequestFinalize}, some},
-		{StepRevert, State{Level: 2, Phase: PhaseStable, Epoch: 1, Request: RequestAbort}, some},
-		{StepClose, State{Level: 2, Phase: PhaseReverting, Epoch: 1, OnHold: true}, some},
+		{StepActivate, InitialState, withRegistrations},
+		{StepFinalize, State{Level: 1, Phase: PhaseActive, Request: RequestFinalize}, withRegistrations},
+		{StepHold, State{Level: 1, Phase: PhaseActive, Request: RequestAbort}, stateAndLeader},
+		{StepResume, State{Level: 1, Phase: PhaseStable, OnHold: true, Request: RequestFinalize}, stateAndLeader},
+		{StepRevert, State{Level: 2, Phase: PhaseStable, Epoch: 1, Request: RequestAbort}, stateAndLeader},
+		{StepClose, State{Level: 2, Phase: PhaseReverting, Epoch: 1, OnHold: true}, stateAndLeader},
 		{StepOpen, State{Level: 2, Phase: PhaseClosed, Epoch: 1, OnHold: true}, []string{StateKey}},
 	} {
-		for _, changed := range append([]string{""}, x.rests...) {
-			state, c := newStore()
-			view, at := storeCluster(t, c, x.state)
-			step, next := Decide(x.state, view)
+		for _, changed := range append([]string{""}, x.conditionKeys...) {
+			simulatedStore, c := newStore()
+			view, revisions := storeCluster(t, c, x.simulatedStore)
+			step, next := Decide(x.simulatedStore, view)
 			if step != x.step {
-				t.Fatalf("%+v: step %q, not %q", x.state, step, x.step)
+				t.Fatalf("%+v: Decide returns step %q, want %q", x.simulatedStore, step, x.step)
 			}
 			switch changed {
 			case "":
 			case "leader":
-				put(t, c, x.state.LeaseKeys().Leader(), "taken")
+				put(t, c, x.simulatedStore.LeaseKeys().Leader(), "taken")
 			default:
 				put(t, c, changed, "changed")
 			}
-			before := state.Values("e/")
-			_, err := c.Txn(t.Context(), NewStepTxn(x.state, step, next, view, at))
+			valuesBefore := simulatedStore.Values("e/")
+			_, err := c.Txn(t.Context(), NewStepTxn(x.simulatedStore, step, next, view, revisions))
 			if changed == "" {
 				if err != nil {
-					t.Errorf("%s: %v", x.step, err)
+					t.Errorf("transaction of step %s: %v, want no error", x.step, err)
 				}
 				continue
 			}
-			if !errors.Is(err, store.ErrConflict) || len(before) != len(state.Values("e/")) {
-				t.Errorf("%s after %s has changed: %v", x.step, changed, err)
+			if !errors.Is(err, store.ErrConflict) || len(valuesBefore) != len(simulatedStore.Values("e/")) {
+				t.Errorf("transaction of step %s after a change of %s: %v, want a conflict and no change", x.step, changed, err)
 			}
 		}
 	}
 }
 
-// After the switch each key of the level before is held by nobody who could be, until the
-// way back is complete; then each is vacant.
+// After an upgrade, no controller can hold the leased keys of the previous level until a revert is
+// complete. Then the keys are vacant.
 func TestLeaseKeysAreClosedAndReopened(t *testing.T) {
-	state, c := newStore()
+	simulatedStore, c := newStore()
 	s := State{Level: 1, Phase: PhaseActive, Request: RequestFinalize}
-	view, at := storeCluster(t, c, s)
+	view, revisions := storeCluster(t, c, s)
 	step, next := Decide(s, view)
-	if _, err := c.Txn(t.Context(), NewStepTxn(s, step, next, view, at)); err != nil {
+	if _, err := c.Txn(t.Context(), NewStepTxn(s, step, next, view, revisions)); err != nil {
 		t.Fatal(err)
 	}
 	for _, key := range InitialState.LeaseKeys().list(2) {
-		if raw := state.Values(key)[key]; !bytes.Contains(raw, []byte("(closed")) {
-			t.Errorf("%s: %s", key, raw)
+		if raw := simulatedStore.Values(key)[key]; !bytes.Contains(raw, []byte("(closed")) {
+			t.Errorf("key %s holds %s, want a closed key", key, raw)
 		}
 	}
 	closed := State{Level: 2, Phase: PhaseClosed, Epoch: 1}
-	at.State = put(t, c, StateKey, closed)
+	revisions.State = put(t, c, StateKey, closed)
 	step, next = Decide(closed, view)
-	if _, err := c.Txn(t.Context(), NewStepTxn(closed, step, next, view, at)); err != nil {
+	if _, err := c.Txn(t.Context(), NewStepTxn(closed, step, next, view, revisions)); err != nil {
 		t.Fatal(err)
 	}
 	for _, key := range InitialState.LeaseKeys().list(2) {
-		if raw, there := state.Values(key)[key]; there {
-			t.Errorf("%s: %s", key, raw)
+		if raw, exists := simulatedStore.Values(key)[key]; exists {
+			t.Errorf("key %s holds %s, want a vacant key", key, raw)
 		}
 	}
 }
 
-// Who does not lead, or does not know all that was stored before, decides nothing.
+// A controller that is not the leader, or whose replica is not up to date, must not decide on a
+// step. In PhaseClosed there is no leader, and the replica alone matters.
 func TestOnlyUpToDateLeaderDecides(t *testing.T) {
 	_, c := newStore()
 	for _, s := range []State{InitialState, {Level: 1, Phase: PhaseActive, Request: RequestFinalize}, {Level: 2, Phase: PhaseReverting, Epoch: 1}, {Level: 2, Phase: PhaseClosed, Epoch: 1}} {
 		view, _ := storeCluster(t, c, s)
 		view.IsUpToDate = false
 		if step, next := Decide(s, view); step != NoStep || next != s {
-			t.Errorf("%+v: %s with a replica that lags", s, step)
+			t.Errorf("%+v: step %s with a replica that is not up to date, want none", s, step)
 		}
 		view.IsUpToDate, view.IsLeader = true, false
 		if step, _ := Decide(s, view); step != NoStep && s.Phase != PhaseClosed {
-			t.Errorf("%+v: %s without the lead", s, step)
+			t.Errorf("%+v: step %s by a controller that is not the leader, want none", s, step)
 		}
 	}
 }
 
-// Each reason that keeps a step from being taken is named.
+// Each reason that prevents a step from being taken is reported as a blocker.
 func TestBlockersAreReported(t *testing.T) {
 	_, c := newStore()
 	active := State{Level: 1, Phase: PhaseActive, Request: RequestFinalize}
@@ -162,7 +164,7 @@
 		state  State
 		change func(*ClusterView)
 		kind   BlockerKind
-		says   string
+		detail string
 	}{
 		{active, func(v *ClusterView) { delete(v.Registrations, "n1") }, BlockerMissingController, "n1"},
 		{active, func(v *ClusterView) { v.Members = append(v.Members, "n2") }, BlockerMissingController, "n2"},
@@ -179,67 +181,67 @@
 		view, _ := storeCluster(t, c, x.state)
 		x.change(&view)
 		blockers := Blockers(x.state, view)
-		if len(blockers) == 0 || blockers[0].Kind != x.kind || !strings.Contains(blockers[0].String(), x.says) {
-			t.Errorf("%+v: %v, not %s", x.state, blockers, x.kind)
+		if len(blockers) == 0 || blockers[0].Kind != x.kind || !strings.Contains(blockers[0].String(), x.detail) {
+			t.Errorf("%+v: blockers %v, want the first to be of kind %s", x.state, blockers, x.kind)
 		}
 		if step, _ := Decide(x.state, view); step == StepActivate || step == StepFinalize || step == StepClose {
-			t.Errorf("%+v: %s in spite of %v", x.state, step, blockers)
+			t.Errorf("%+v: step %s despite the blockers %v", x.state, step, blockers)
 		}
 	}
 }
 
-// racing is a key-value store at which another operator's change comes between a command's
-// reading and its writing.
+// racingStore is a key-value store in which another operator changes the state between a command's
+// read and its write.
 type racingStore struct {
 	*store.Client
 	beforeTxn func()
 }
 
-// Txn has the other change applied first.
+// Txn applies the other operator's change first.
 func (r *racingStore) Txn(ctx context.Context, t *wire.Txn) (*wire.TxnResponse, error) {
 	r.beforeTxn()
 	return r.Client.Txn(ctx, t)
 }
 
-// Of two operators who ask at once one is told that the state has changed.
+// If two operators submit requests at the same time, one of them gets ErrStateChanged.
 func TestConcurrentOperatorRequests(t *testing.T) {
 	_, c := newStore()
 	storeCluster(t, c, State{Level: 1, Phase: PhaseActive})
-	other := State{Level: 1, Phase: PhaseActive, Request: RequestFinalize}
+	otherState := State{Level: 1, Phase: PhaseActive, Request: RequestFinalize}
 	op := &OperatorClient{Members: []string{"n0", "n1"}, PartitionCount: 2, MaxTxnChanges: 10}
-	op.Store = &racingStore{Client: c, beforeTxn: func() { put(t, c, StateKey, other) }}
+	op.Store = &racingStore{Client: c, beforeTxn: func() { put(t, c, StateKey, otherState) }}
 	if _, err := op.Submit(t.Context(), RequestAbort); !errors.Is(err, ErrStateChanged) {
-		t.Errorf("the second one is told %v", err)
+		t.Errorf("Submit after a concurrent change: %v, want ErrStateChanged", err)
 	}
-	if now, _, err := op.readState(t.Context()); err != nil || now != other {
-		t.Errorf("%+v after the first one's request: %v", now, err)
+	if current, _, err := op.readState(t.Context()); err != nil || current != otherState {
+		t.Errorf("stored state %+v (%v), want the other operator's request to remain", current, err)
 	}
 	op.Store = c
 	if _, err := op.Submit(t.Context(), RequestAbort); err != nil {
-		t.Errorf("asked again: %v", err)
+		t.Errorf("second Submit: %v, want no error", err)
 	}
 }
 
 func TestInvalidStatesAreRejected(t *testing.T) {
 	for _, raw := range []string{``, `17`, `{}`, `{"level":0,"phase":"stable"}`, `{"level":1,"phase":"closed"}`, `{"level":1,"phase":"reverting"}`, `{"level":2,"phase":"stable"}`, `{"level":1,"phase":"gone"}`, `{"level":"2"}`} {
 		if s, err := DecodeState([]byte(raw)); err == nil {
-			t.Errorf("%s is read as %+v", raw, s)
+			t.Errorf("DecodeState(%s) = %+v, want an error", raw, s)
 		}
 	}
 }
 
-// An active level ends as soon as a controller is registered that does not read it; one
-// that is merely missing says nothing.
+// An active level is deactivated once a controller that does not read it registers. A controller
+// that is merely missing has no such effect.
 func TestControllerWithoutLevelDeactivatesIt(t *testing.T) {
 	_, c := newStore()
 	s := State{Level: 1, Phase: PhaseActive}
 	view, _ := storeCluster(t, c, s)
 	delete(view.Registrations, "n0")
 	if step, _ := Decide(s, view); step != NoStep {
-		t.Errorf("%s while one is missing", step)
+		t.Errorf("step %s while a controller is missing, want none", step)
 	}
 	view.Registrations["n1"] = StoredRegistration{Registration: Registration{Node: "n1", LevelRange: LevelRange{BaseLevel, BaseLevel}}}
 	if step, next := Decide(s, view); step != StepDeactivate || next.Phase != PhaseStable || next.Level != BaseLevel || next.OnHold {
-		t.Errorf("%s to %+v", step, next)
+		t.Errorf("step %s to state %+v, want StepDeactivate to the base level", step, next)
 	}
 }
