--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -110,10 +110,11 @@
 type leasedKey struct {
 	token uint64 // 0 if the key is not held
 	lease uint64
-	// writeInFlight is set while a transaction on the key is under way.
+	// writeInFlight is set while a transaction on the key is in flight.
 	writeInFlight bool
-	// vacantSince is the time since which the key is known to have no holder. It is zero
-	// while the key has a holder. After a failed attempt it lies in the future.
+	// vacantSince is the time since which the key is known to have no holder, or zero if it
+	// is not known to be vacant. After a failed attempt it lies acquireRetryDelay in the
+	// future.
 	vacantSince time.Time
 	// backoffUntil is the time before which the key is not acquired, since this process
 	// resigned it.
--- a/internal/election/stepdown.go
+++ b/internal/election/stepdown.go
@@ -89,8 +89,9 @@
 // canPeersHaveContact reports whether it may help to give the keys to other controllers: a peer
 // has contact with workers, or it is not known whether any has. If all machines have died, no
 // controller receives heartbeats. If the keys were then passed on again and again, no owner would
-// wait long enough for the workers' leases to expire. Therefore, while no heartbeat arrives, each
-// controller steps down only once in that time.
+// wait long enough for the workers' leases to expire. Therefore, while no heartbeat arrives and no
+// peer is known to have contact, a controller steps down only once in stepDownRepeatFactor times
+// MaxUnreachableWorkTime.
 func (e *Elector) canPeersHaveContact(workers WorkerContact, peers Peers) bool {
 	peersHaveContact, allKnown := peers.HaveWorkerContact()
 	if peersHaveContact {
