--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -7,75 +7,79 @@
 	"time"
 )
 
-// ClusterView is what a decision rests on, as one replica of the stored records shows it.
+// ClusterView is the state of the cluster that a decision depends on, as one replica shows it.
 type ClusterView struct {
 	Now time.Time
-	// Members are the controllers that the settings name.
+	// Members are the names of the controllers in the settings.
 	Members []string
-	// Controllers are those that are registered now, by name. One that is missing is
-	// unknown: it may be down, or of a version without levels.
+	// Registrations holds the current registrations by controller name. A controller without
+	// one may be down, or run a version without feature levels.
 	Registrations map[string]StoredRegistration
-	// Leading tells whether the controller that decides is the leader.
+	// IsLeader is set if the deciding controller is the leader.
 	IsLeader bool
-	// Current tells whether the replica has all changes before the state's last one.
+	// IsUpToDate is set if the replica has all changes made before the last change of the state.
 	IsUpToDate bool
-	// NewerRecords counts the records whose encoding is of a level above State.Writes.
+	// NewerRecords is the number of records in an encoding above State.WriteLevel.
 	NewerRecords int
-	// UnreadableRecords counts the records that can't be decoded: they may be of any level.
+	// UnreadableRecords is the number of records that can't be decoded. They may be of any level.
 	UnreadableRecords int
 	PartitionCount    int
-	// MaxTxnChanges is how many changes a transaction may have.
+	// MaxTxnChanges is the maximum number of changes in a transaction.
 	MaxTxnChanges int
-	// FinalizeAfter is the time without a restart after which an active level becomes
-	// final by itself; 0: only an operator makes it final.
+	// FinalizeAfter is the time without a controller restart after which an active level is
+	// finalized automatically. 0 means that only an operator finalizes it.
 	FinalizeAfter time.Duration
 }
 
-// Step is a transition between states.
+// Step is a transition from one state to another.
 type Step string
 
 const (
-	// NoStep means that the state stays.
+	// NoStep means that the state does not change.
 	NoStep Step = ""
-	// StepActivate starts the behaviour of the next level.
+	// StepActivate activates the next level.
 	StepActivate Step = "activate"
-	// StepDeactivate ends it, since a controller that doesn't know it has registered.
+	// StepDeactivate deactivates the next level, since a controller that does not support it
+	// has registered.
 	StepDeactivate Step = "deactivate"
-	// StepFinalize has records written in the next level's encoding and closes the leased keys
-	// that versions before know.
+	// StepFinalize makes the active level final: records are written in its encoding from then
+	// on, and the leased keys that earlier versions know are closed.
 	StepFinalize Step = "finalize"
-	// StepHold ends an active level, or keeps the next one from being activated, since an
-	// operator said so.
+	// StepHold deactivates an active level, or prevents the next one from being activated, as
+	// an operator requested.
 	StepHold Step = "hold"
-	// StepResume ends a hold, or a revert.
+	// StepResume ends a hold or cancels a revert.
 	StepResume Step = "resume"
-	// StepRevert begins to go back to the level before.
+	// StepRevert starts to revert to the previous level.
 	StepRevert Step = "revert"
-	// StepClose closes all leased keys, when no record of the level seems to be left.
+	// StepClose closes all leased keys once no record in the level's encoding is known to be left.
 	StepClose Step = "close"
-	// StepReopen goes on with the revert: a record of the level was left after all.
+	// StepReopen continues the revert, since a record in the level's encoding was left.
 	StepReopen Step = "reopen"
 	// StepOpen completes the revert.
 	StepOpen Step = "open"
 )
 
-// BlockerKind is a kind of reason why a step can't be taken.
+// BlockerKind is the kind of a Blocker.
 type BlockerKind string
 
 const (
 	// BlockerMissingController means that a controller of the settings is not registered.
 	BlockerMissingController BlockerKind = "missing"
-	// BlockerUnsupportedLevel means that a controller does not read the level to come.
+	// BlockerUnsupportedLevel means that a controller does not support a level that the step
+	// requires.
 	BlockerUnsupportedLevel BlockerKind = "old"
-	// BlockerUnlistedController means that a controller is registered that the settings don't name.
+	// BlockerUnlistedController means that a registered controller is not in the settings.
 	BlockerUnlistedController BlockerKind = "foreign"
 	// BlockerTxnLimit means that the step needs more changes than a transaction may have.
 	BlockerTxnLimit BlockerKind = "limit"
-	// BlockerNewerRecords means that records are still stored in an encoding above the one to come.
+	// BlockerNewerRecords means that records are still stored in the encoding being reverted.
 	BlockerNewerRecords BlockerKind = "records"
-	// BlockerOperatorHold means that an operator reverted, and none has asked to go on.
+	// BlockerOperatorHold means that an operator has aborted, and none has requested
+	// RequestFinalize since.
 	BlockerOperatorHold BlockerKind = "held"
-	// BlockerUnreadableRecords means that records can't be decoded, so that their level is not known.
+	// BlockerUnreadableRecords means that records can't be decoded, so that their level is
+	// unknown.
 	BlockerUnreadableRecords BlockerKind = "unreadable"
 )
 
@@ -86,7 +90,7 @@
 	Detail string      `json:"detail"`
 }
 
-// String returns the reason in words.
+// String returns the controller's name, if there is one, and the detail.
 func (b Blocker) String() string {
 	if b.Node == "" {
 		return b.Detail
@@ -94,7 +98,8 @@
 	return b.Node + " " + b.Detail
 }
 
-// Decide returns the step to take and the state that it leads to.
+// Decide returns the step to take from state s, and the state that it results in. If there is
+// no step to take, it returns NoStep and s.
 func Decide(s State, view ClusterView) (Step, State) {
 	if s.Phase == PhaseClosed {
 		return decideClosed(s, view)
@@ -108,54 +113,55 @@
 	switch s.Phase {
 	case PhaseStable:
 		if len(Blockers(s, view)) == 0 {
-			return StepActivate, s.enter(PhaseActive, view)
+			return StepActivate, s.withPhase(PhaseActive, view)
 		}
 	case PhaseActive:
-		if view.anyBelow(s.ActiveLevel()) {
-			return StepDeactivate, s.enter(PhaseStable, view)
+		if view.hasControllerBelow(s.ActiveLevel()) {
+			return StepDeactivate, s.withPhase(PhaseStable, view)
 		}
-		if len(Blockers(s, view)) == 0 && (s.Request == RequestFinalize || view.sinceLastRestart(s) >= view.FinalizeAfter && view.FinalizeAfter > 0) {
-			return StepFinalize, s.finalized(view)
+		if len(Blockers(s, view)) == 0 && (s.Request == RequestFinalize || view.timeSinceLastRestart(s) >= view.FinalizeAfter && view.FinalizeAfter > 0) {
+			return StepFinalize, s.withLevelFinalized(view)
 		}
 	case PhaseReverting:
 		if len(Blockers(s, view)) == 0 {
-			return StepClose, s.enter(PhaseClosed, view)
+			return StepClose, s.withPhase(PhaseClosed, view)
 		}
 	case PhaseClosed:
 	}
 	return NoStep, s
 }
 
-// decideRequest returns the step that an operator's request leads to at once.
+// decideRequest returns the step that carries out an operator's request immediately, or NoStep.
 func decideRequest(s State, view ClusterView) (Step, State) {
 	switch {
-	case s.Request == RequestAbort && s.Phase == PhaseStable && s.Level > BaseLevel && (s.OnHold || !view.nextLevelKnown(s)):
-		next := s.enter(PhaseReverting, view)
+	case s.Request == RequestAbort && s.Phase == PhaseStable && s.Level > BaseLevel && (s.OnHold || !view.hasNextLevelReader(s)):
+		next := s.withPhase(PhaseReverting, view)
 		next.OnHold = true
 		return StepRevert, next
 	case s.Request == RequestAbort && s.Phase != PhaseReverting:
-		next := s.enter(PhaseStable, view)
+		next := s.withPhase(PhaseStable, view)
 		next.OnHold = true
 		return StepHold, next
 	case s.Request == RequestFinalize && (s.OnHold || s.Phase == PhaseReverting):
-		next := s.enter(PhaseStable, view)
+		next := s.withPhase(PhaseStable, view)
 		next.OnHold = false
 		return StepResume, next
 	}
 	return NoStep, s
 }
 
-// decideClosed completes a revert. Nobody leads then, so that any controller may.
+// decideClosed completes a revert. Any controller may do so, since no leader exists while the
+// leased keys are closed.
 func decideClosed(s State, view ClusterView) (Step, State) {
 	if !view.IsUpToDate {
 		return NoStep, s
 	}
 	if view.NewerRecords > 0 || view.UnreadableRecords > 0 {
-		next := s.enter(PhaseReverting, view)
+		next := s.withPhase(PhaseReverting, view)
 		next.Epoch++
 		return StepReopen, next
 	}
-	next := s.enter(PhaseStable, view)
+	next := s.withPhase(PhaseStable, view)
 	next.Level--
 	if next.Level > BaseLevel {
 		next.Epoch++
@@ -163,96 +169,97 @@
 	return StepOpen, next
 }
 
-// enter returns the state in another phase, with the request carried out.
-func (s State) enter(p Phase, view ClusterView) State {
+// withPhase returns the state in phase p, without a request.
+func (s State) withPhase(p Phase, view ClusterView) State {
 	s.Phase, s.Request, s.PhaseStartedAt = p, NoRequest, view.Now.UnixMilli()
 	return s
 }
 
-// finalized returns the state with the active level made final.
-func (s State) finalized(view ClusterView) State {
-	s = s.enter(PhaseStable, view)
+// withLevelFinalized returns the state with the active level made final.
+func (s State) withLevelFinalized(view ClusterView) State {
+	s = s.withPhase(PhaseStable, view)
 	s.Level++
 	s.Epoch++
 	return s
 }
 
-// Blockers returns the reasons why the next step of an upgrade, or of a revert, can't be taken
-// now; none while there is no next step but an operator's.
+// Blockers returns the reasons why the next step of an upgrade or revert can't be taken now. It
+// returns none if the only possible next step is an operator's.
 func Blockers(s State, view ClusterView) []Blocker {
-	var out []Blocker
+	var blockers []Blocker
 	switch s.Phase {
 	case PhaseStable:
 		if s.OnHold {
-			out = append(out, Blocker{Kind: BlockerOperatorHold, Detail: "an operator went back; finalize ends that"})
+			blockers = append(blockers, Blocker{Kind: BlockerOperatorHold, Detail: "an operator went back; finalize ends the hold"})
 		}
-		out = append(out, view.controllerBlockers(s.Level+1)...)
+		blockers = append(blockers, view.controllerBlockers(s.Level+1)...)
 	case PhaseActive:
-		out = append(out, view.controllerBlockers(s.ActiveLevel())...)
-		out = append(out, view.txnLimitBlockers()...)
+		blockers = append(blockers, view.controllerBlockers(s.ActiveLevel())...)
+		blockers = append(blockers, view.txnLimitBlockers()...)
 	case PhaseReverting:
-		out = append(out, view.txnLimitBlockers()...)
-		out = append(out, view.recordBlockers()...)
-		out = append(out, view.lostLevelBlockers(s.WriteLevel())...)
+		blockers = append(blockers, view.txnLimitBlockers()...)
+		blockers = append(blockers, view.recordBlockers()...)
+		blockers = append(blockers, view.droppedLevelBlockers(s.WriteLevel())...)
 	case PhaseClosed:
 	}
-	return out
+	return blockers
 }
 
-// recordBlockers returns whether records keep the level before from being all that is stored.
+// recordBlockers returns the reasons why records prevent a revert from being completed.
 func (v *ClusterView) recordBlockers() []Blocker {
-	var out []Blocker
+	var blockers []Blocker
 	if v.NewerRecords > 0 {
-		out = append(out, Blocker{Kind: BlockerNewerRecords, Detail: fmt.Sprintf("%d records are still to be rewritten", v.NewerRecords)})
+		blockers = append(blockers, Blocker{Kind: BlockerNewerRecords, Detail: fmt.Sprintf("%d records are still to be rewritten", v.NewerRecords)})
 	}
 	if v.UnreadableRecords > 0 {
-		out = append(out, Blocker{Kind: BlockerUnreadableRecords, Detail: fmt.Sprintf("%d records can't be decoded; correct or delete them", v.UnreadableRecords)})
+		blockers = append(blockers, Blocker{Kind: BlockerUnreadableRecords, Detail: fmt.Sprintf("%d records can't be decoded; correct or delete them", v.UnreadableRecords)})
 	}
-	return out
+	return blockers
 }
 
-// lostLevelBlockers returns the controllers that don't read a level any more.
-func (v *ClusterView) lostLevelBlockers(level Level) []Blocker {
-	var out []Blocker
+// droppedLevelBlockers returns a blocker for each controller that no longer supports a level.
+func (v *ClusterView) droppedLevelBlockers(level Level) []Blocker {
+	var blockers []Blocker
 	for _, name := range slices.Sorted(maps.Keys(v.Registrations)) {
 		if c := v.Registrations[name]; c.Low > level {
-			out = append(out, Blocker{Kind: BlockerUnsupportedLevel, Node: name, Detail: fmt.Sprintf("does not read level %d any more (it reads %s)", level, c.LevelRange)})
+			blockers = append(blockers, Blocker{Kind: BlockerUnsupportedLevel, Node: name, Detail: fmt.Sprintf("does not read level %d any more (it reads %s)", level, c.LevelRange)})
 		}
 	}
-	return out
+	return blockers
 }
 
-// controllerBlockers returns the controllers that keep a level from being used.
+// controllerBlockers returns a blocker for each controller that prevents a level from being used.
 func (v *ClusterView) controllerBlockers(level Level) []Blocker {
-	var out []Blocker
+	var blockers []Blocker
 	for _, name := range v.Members {
-		c, ok := v.Registrations[name]
+		c, isRegistered := v.Registrations[name]
 		switch {
-		case !ok:
-			out = append(out, Blocker{Kind: BlockerMissingController, Node: name, Detail: "is not registered: it is down, of a version without levels, or has them switched off"})
+		case !isRegistered:
+			blockers = append(blockers, Blocker{Kind: BlockerMissingController, Node: name, Detail: "is not registered: it is down, of a version without levels, or has them switched off"})
 		case !c.Includes(level):
-			out = append(out, Blocker{Kind: BlockerUnsupportedLevel, Node: name, Detail: fmt.Sprintf("does not read level %d (it reads %s)", level, c.LevelRange)})
+			blockers = append(blockers, Blocker{Kind: BlockerUnsupportedLevel, Node: name, Detail: fmt.Sprintf("does not read level %d (it reads %s)", level, c.LevelRange)})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(v.Registrations)) {
 		if !slices.Contains(v.Members, name) {
-			out = append(out, Blocker{Kind: BlockerUnlistedController, Node: name, Detail: "is registered, but not named by the settings"})
+			blockers = append(blockers, Blocker{Kind: BlockerUnlistedController, Node: name, Detail: "is registered, but not named by the settings"})
 		}
 	}
-	return out
+	return blockers
 }
 
-// txnLimitBlockers returns whether closing the keys takes more changes than a transaction may
-// have.
+// txnLimitBlockers returns a blocker if closing the keys takes more changes than a transaction
+// may have.
 func (v *ClusterView) txnLimitBlockers() []Blocker {
-	if n := v.PartitionCount + closingExtraChanges; n > v.MaxTxnChanges {
+	if n := v.PartitionCount + extraCloseChanges; n > v.MaxTxnChanges {
 		return []Blocker{{Kind: BlockerTxnLimit, Detail: fmt.Sprintf("closing the keys takes %d changes in one transaction, and %d are allowed", n, v.MaxTxnChanges)}}
 	}
 	return nil
 }
 
-// anyBelow tells whether a controller is registered that does not read a level.
-func (v *ClusterView) anyBelow(level Level) bool {
+// hasControllerBelow reports whether a registered controller does not support a level because
+// its version is too old.
+func (v *ClusterView) hasControllerBelow(level Level) bool {
 	for _, c := range v.Registrations {
 		if c.High < level {
 			return true
@@ -261,9 +268,9 @@
 	return false
 }
 
-// nextLevelKnown tells whether a registered controller reads the level after the state's: an
-// upgrade to it is on its way, or may be.
-func (v *ClusterView) nextLevelKnown(s State) bool {
+// hasNextLevelReader reports whether a registered controller supports the level after the
+// state's, so that an upgrade to it may be in progress.
+func (v *ClusterView) hasNextLevelReader(s State) bool {
 	for _, c := range v.Registrations {
 		if c.High > s.Level {
 			return true
@@ -272,8 +279,9 @@
 	return false
 }
 
-// sinceLastRestart returns how long the phase has lasted without a controller's restart.
-func (v *ClusterView) sinceLastRestart(s State) time.Duration {
+// timeSinceLastRestart returns the time since the phase began or a controller last registered,
+// whichever is later.
+func (v *ClusterView) timeSinceLastRestart(s State) time.Duration {
 	last := s.PhaseStartedAt
 	for _, c := range v.Registrations {
 		last = max(last, c.RegisteredAt)
