--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -14,17 +14,17 @@
 )
 
 // scripted answers every request alike and keeps what was sent.
-type scripted struct {
-	status     int
-	body, sent string
+type fakeTransport struct {
+	status            int
+	body, lastRequest string
 }
 
-func (s *scripted) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *fakeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	var body []byte
 	if r.Body != nil {
 		body, _ = io.ReadAll(r.Body) // what can't be read fails the comparison
 	}
-	s.sent = strings.TrimSpace(fmt.Sprintf("%s %s %s", r.Method, r.URL, body))
+	s.lastRequest = strings.TrimSpace(fmt.Sprintf("%s %s %s", r.Method, r.URL, body))
 	return &http.Response{StatusCode: s.status, Body: io.NopCloser(strings.NewReader(s.body)), Header: http.Header{}}, nil
 }
 
@@ -57,10 +57,10 @@
 			{404, ``, nil, "status 404"},
 			{500, ``, nil, "status 500"},
 		} {
-			rt := &scripted{status: y.status, body: y.body}
+			rt := &fakeTransport{status: y.status, body: y.body}
 			err := x.call(t.Context(), cloud.NewClient("cloud:1", 100, rt))
-			if rt.sent != x.sent {
-				t.Errorf("%s sent\n%s, not\n%s", x.name, rt.sent, x.sent)
+			if rt.lastRequest != x.sent {
+				t.Errorf("%s sent\n%s, not\n%s", x.name, rt.lastRequest, x.sent)
 			}
 			ok := err == nil
 			if y.text != "" {
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -14,17 +14,17 @@
 	return append(buf, s...)
 }
 
-// AppendSuffix appends s, cut to MaxString, as the length of the prefix that it shares with the
+// AppendPrefixCompressed appends s, cut to MaxString, as the length of the prefix that it shares with the
 // previous string and the rest. Names and addresses in a list mostly differ at their ends
 // alone.
-func AppendSuffix(buf []byte, previous, s string) []byte {
+func AppendPrefixCompressed(buf []byte, previous, s string) []byte {
 	s = s[:min(len(s), MaxString)]
-	shared := 0
-	for shared < min(len(previous), len(s)) && previous[shared] == s[shared] {
-		shared++
+	prefixBytes := 0
+	for prefixBytes < min(len(previous), len(s)) && previous[prefixBytes] == s[prefixBytes] {
+		prefixBytes++
 	}
-	buf = binary.AppendUvarint(buf, uint64(shared))
-	return AppendString(buf, s[shared:])
+	buf = binary.AppendUvarint(buf, uint64(prefixBytes))
+	return AppendString(buf, s[prefixBytes:])
 }
 
 // Reader takes values off a buffer. After a malformed value all further ones are zero;
@@ -38,10 +38,10 @@
 func NewReader(buf []byte) *Reader { return &Reader{buf: buf} }
 
 // Malformed tells whether something malformed was read.
-func (r *Reader) Malformed() bool { return r.malformed }
+func (r *Reader) IsMalformed() bool { return r.malformed }
 
 // Complete tells whether all was well formed and nothing is left.
-func (r *Reader) Complete() bool { return !r.malformed && len(r.buf) == 0 }
+func (r *Reader) IsComplete() bool { return !r.malformed && len(r.buf) == 0 }
 
 // Uvarint reads an unsigned varint.
 func (r *Reader) Uvarint() uint64 {
@@ -77,14 +77,14 @@
 	return s
 }
 
-// Suffix reads a string that AppendSuffix wrote after the previous string.
-func (r *Reader) Suffix(previous string) string {
-	shared := r.Uvarint()
-	if r.malformed || shared > uint64(len(previous)) {
+// Suffix reads a string that AppendPrefixCompressed wrote after the previous string.
+func (r *Reader) PrefixCompressed(previous string) string {
+	prefixBytes := r.Uvarint()
+	if r.malformed || prefixBytes > uint64(len(previous)) {
 		r.malformed = true
 		return ""
 	}
-	s := previous[:shared] + r.Text()
+	s := previous[:prefixBytes] + r.Text()
 	if len(s) > MaxString {
 		r.malformed = true
 		return ""
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -24,7 +24,7 @@
 // Serve accepts peers on l, which it closes, and calls deliver with each status that they send
 // until ctx ends. deliver is called concurrently. A bad frame ends its connection and nothing
 // else.
-func Serve(ctx context.Context, l net.Listener, log *slog.Logger, deliver func(*Status)) {
+func Serve(ctx context.Context, l net.Listener, log *slog.Logger, handle func(*Status)) {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
 	var connections sync.WaitGroup
@@ -51,13 +51,13 @@
 		}
 		connections.Go(func() {
 			defer func() { <-slots }()
-			receive(ctx, conn, log, deliver)
+			receive(ctx, conn, log, handle)
 		})
 	}
 }
 
 // receive calls deliver with each status of a connection until that, or ctx, ends.
-func receive(ctx context.Context, conn net.Conn, log *slog.Logger, deliver func(*Status)) {
+func receive(ctx context.Context, conn net.Conn, log *slog.Logger, handle func(*Status)) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	defer conn.Close()
@@ -66,35 +66,35 @@
 		// It fails on a closed connection alone, and then so does the read.
 		_ = conn.SetReadDeadline(time.Now().Add(readTimeout))
 		status, err := ReadStatus(reader)
-		if errors.Is(err, ErrVersion) || errors.Is(err, ErrChecksum) {
-			log.Error("peer refused", "addr", conn.RemoteAddr().String(), "err", err)
+		if errors.Is(err, ErrUnknownVersion) || errors.Is(err, ErrChecksum) {
+			log.Error("peer frame rejected", "addr", conn.RemoteAddr().String(), "err", err)
 			return
 		}
 		if err != nil {
 			log.Debug("peer connection ended", "addr", conn.RemoteAddr().String(), "err", err)
 			return
 		}
-		deliver(status)
+		handle(status)
 	}
 }
 
 // Sender keeps a connection to one peer and sends it the latest status.
 type Sender struct {
-	addr   string
-	latest chan []byte
+	addr         string
+	pendingFrame chan []byte
 }
 
 // NewSender returns a sender to the peer at addr (host:port).
-func NewSender(addr string) *Sender { return &Sender{addr: addr, latest: make(chan []byte, 1)} }
+func NewSender(addr string) *Sender { return &Sender{addr: addr, pendingFrame: make(chan []byte, 1)} }
 
 // Offer replaces the frame that waits to be sent. It doesn't block.
 func (s *Sender) Offer(frame []byte) {
 	select {
-	case <-s.latest:
+	case <-s.pendingFrame:
 	default:
 	}
 	select {
-	case s.latest <- frame:
+	case s.pendingFrame <- frame:
 	default:
 	}
 }
@@ -111,7 +111,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case frame := <-s.latest:
+		case frame := <-s.pendingFrame:
 			conn = s.send(ctx, conn, frame)
 		}
 	}
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -28,11 +28,11 @@
 
 // The header of a frame.
 const (
-	magic       = "EH"
-	versionAt   = 2
-	kindAt      = 3
-	lengthAt    = 4
-	headerBytes = 8
+	magic         = "EH"
+	versionOffset = 2
+	kindOffset    = 3
+	lengthOffset  = 4
+	headerBytes   = 8
 
 	kindStatus = 1
 )
@@ -46,12 +46,12 @@
 
 // Errors of frames.
 var (
-	// ErrVersion says that a frame is of an unknown version.
-	ErrVersion = errors.New("peer: unknown frame version")
+	// ErrUnknownVersion says that a frame is of an unknown version.
+	ErrUnknownVersion = errors.New("peer: unknown frame version")
 	// ErrChecksum says that a frame is damaged.
 	ErrChecksum = errors.New("peer: checksum of a frame does not match")
 
-	errNoFrame   = errors.New("peer: not a frame")
+	errBadMagic  = errors.New("peer: not a frame")
 	errMalformed = errors.New("peer: malformed status")
 )
 
@@ -63,10 +63,10 @@
 	if version == ChecksummedFrame {
 		buf = appendChecksummed(buf, status)
 	} else {
-		buf = appendSelf(buf, status)
-		buf = appendMachines(buf, status)
+		buf = appendController(buf, status)
+		buf = appendPlainMachines(buf, status)
 	}
-	binary.BigEndian.PutUint32(buf[start+lengthAt:], uint32(len(buf)-start-headerBytes))
+	binary.BigEndian.PutUint32(buf[start+lengthOffset:], uint32(len(buf)-start-headerBytes))
 	return buf
 }
 
@@ -75,8 +75,8 @@
 	var checksum [codec.ChecksumSize]byte
 	buf = append(buf, checksum[:]...)
 	content := len(buf)
-	buf = appendSelf(buf, status)
-	buf = appendMachinesBySuffix(buf, status)
+	buf = appendController(buf, status)
+	buf = appendCompressedMachines(buf, status)
 	checksum = codec.Checksum(checksumDomain, "", byte(ChecksummedFrame), buf[content:])
 	copy(buf[content-codec.ChecksumSize:], checksum[:])
 	return buf
@@ -90,16 +90,16 @@
 		return nil, err
 	}
 	if string(header[:len(magic)]) != magic {
-		return nil, errNoFrame
+		return nil, errBadMagic
 	}
-	version := Version(header[versionAt])
+	version := Version(header[versionOffset])
 	if version != PlainFrame && version != ChecksummedFrame {
-		return nil, fmt.Errorf("%w: %d, known are %d and %d", ErrVersion, version, PlainFrame, ChecksummedFrame)
+		return nil, fmt.Errorf("%w: %d, known are %d and %d", ErrUnknownVersion, version, PlainFrame, ChecksummedFrame)
 	}
-	if kind := header[kindAt]; kind != kindStatus {
+	if kind := header[kindOffset]; kind != kindStatus {
 		return nil, fmt.Errorf("peer: unknown kind %d of a frame", kind)
 	}
-	length := binary.BigEndian.Uint32(header[lengthAt:])
+	length := binary.BigEndian.Uint32(header[lengthOffset:])
 	if length > maxPayloadBytes {
 		return nil, fmt.Errorf("peer: frame of %d bytes", length)
 	}
@@ -123,13 +123,13 @@
 		}
 	}
 	reader := codec.NewReader(content)
-	status := readSelf(reader)
+	status := readController(reader)
 	if version == ChecksummedFrame {
-		readMachinesBySuffix(reader, status)
+		readCompressedMachines(reader, status)
 	} else {
-		readMachines(reader, status)
+		readPlainMachines(reader, status)
 	}
-	if !reader.Complete() {
+	if !reader.IsComplete() {
 		return nil, errMalformed
 	}
 	return status, nil
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -39,7 +39,7 @@
 var versions = []Version{PlainFrame, ChecksummedFrame}
 
 // A checksummed frame that is damaged is refused, whatever the damage would make of it.
-func TestDamagedFramesAreRefused(t *testing.T) {
+func TestDamagedFramesAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		frame := AppendStatus(nil, &Status{Node: "n", ProcessID: "b", Partitions: []uint64{1}, Machines: []Machine{{Name: "m", Addr: "10.1.0.2:9000", Incarnation: 3}}}, ChecksummedFrame)
 		at := rapid.IntRange(headerBytes, len(frame)-1).Draw(t, "at")
@@ -51,7 +51,7 @@
 }
 
 // A bad frame is an error, never a panic and never a huge allocation.
-func TestBadFrames(t *testing.T) {
+func TestMalformedFramesAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		good := AppendStatus(nil, &Status{Node: "n", Partitions: []uint64{1}, Machines: []Machine{{Name: "m"}}}, rapid.SampledFrom(versions).Draw(t, "version"))
 		for range rapid.IntRange(1, 4).Draw(t, "flips") {
@@ -65,14 +65,14 @@
 	})
 	other := AppendStatus(nil, &Status{}, PlainFrame)
 	other[2] = byte(ChecksummedFrame) + 1
-	if _, err := ReadStatus(bytes.NewReader(other)); !errors.Is(err, ErrVersion) {
+	if _, err := ReadStatus(bytes.NewReader(other)); !errors.Is(err, ErrUnknownVersion) {
 		t.Fatalf("another version: %v", err)
 	}
 }
 
 // The status of the only owner of 4,000 machines, all of them being drained, fits a frame
 // of either version.
-func TestStatusOfManyMachines(t *testing.T) {
+func TestLargeStatusFitsInFrame(t *testing.T) {
 	status := &Status{Node: "perch-0", ProcessID: "0123456789abcdef", Partitions: []uint64{0, 1, 2, 3, 4, 5}}
 	for i := range 4000 {
 		name := fmt.Sprintf("host-%06d-in-a-long-name", i)
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -8,7 +8,7 @@
 
 // A frame of the checksummed version has exactly these bytes; of the plain one the
 // controller's tests hold what earlier versions wrote.
-func TestChecksummedFrameKeepsItsBytes(t *testing.T) {
+func TestChecksummedFrameBytes(t *testing.T) {
 	status := &Status{Node: "n0", ProcessID: "00ff", ReplicaIsCurrent: true, CanTakePartitions: true, Partitions: []uint64{0, 300},
 		Machines: []Machine{{Name: "host-1", Addr: "10.1.0.2:9000", Type: "g8", Zone: "a", Incarnation: 2, Flags: FlagReachable | FlagSpot | FlagNoHeartbeatYet},
 			{Name: "host-2", Addr: "10.1.0.3:9000", Type: "g8", Zone: "b", Incarnation: 1, Flags: FlagTerminationNotice | FlagCordoned | FlagUnreachable}},
--- a/internal/peer/registry.go
+++ b/internal/peer/registry.go
@@ -17,13 +17,13 @@
 	LastStatusAt time.Time
 	// AliveSince is since when its statuses have come without a gap of Timeout.
 	AliveSince time.Time
-	// formerProcess is the process before the present one. Its frames may still come.
-	formerProcess string
+	// previousProcessID is the process before the present one. Its frames may still come.
+	previousProcessID string
 }
 
 // HasRecentStatus reports whether the peer's last status came less than limit before now.
-func (p *Peer) HasRecentStatus(limit time.Duration, now time.Time) bool {
-	return p.Status != nil && now.Sub(p.LastStatusAt) < limit
+func (p *Peer) HasRecentStatus(maxAge time.Duration, now time.Time) bool {
+	return p.Status != nil && now.Sub(p.LastStatusAt) < maxAge
 }
 
 // Registry has the other controllers of the cluster by name. It belongs to one goroutine.
@@ -60,10 +60,10 @@
 		return false
 	}
 	if p.Status != nil && p.Status.ProcessID != status.ProcessID {
-		if p.formerProcess == status.ProcessID {
+		if p.previousProcessID == status.ProcessID {
 			return false
 		}
-		p.formerProcess = p.Status.ProcessID
+		p.previousProcessID = p.Status.ProcessID
 	}
 	if now.Sub(p.LastStatusAt) > Timeout {
 		p.AliveSince = now
@@ -73,9 +73,9 @@
 }
 
 // IsIsolated reports whether there are peers and none of them was heard within d of now.
-func (r *Registry) IsIsolated(d time.Duration, now time.Time) bool {
+func (r *Registry) IsIsolated(window time.Duration, now time.Time) bool {
 	for _, p := range r.peers {
-		if now.Sub(p.LastStatusAt) < d {
+		if now.Sub(p.LastStatusAt) < window {
 			return false
 		}
 	}
--- a/internal/peer/registry_test.go
+++ b/internal/peer/registry_test.go
@@ -7,7 +7,7 @@
 
 // Frames of a process that was replaced may come after the first of its successor: they
 // must not be taken for news.
-func TestRegistryKeepsToTheNewestProcess(t *testing.T) {
+func TestRegistryIgnoresReplacedProcess(t *testing.T) {
 	r, now := NewRegistry([]string{"n1"}), time.Unix(1000, 0)
 	for _, step := range []struct {
 		name, node, process string
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestRegistryNotesGaps(t *testing.T) {
+func TestRegistryDetectsStatusGaps(t *testing.T) {
 	r, begun := NewRegistry([]string{"n1"}), time.Unix(1000, 0)
 	if !r.IsIsolated(time.Second, begun) {
 		t.Error("a peer that was never heard is not silent")
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -48,8 +48,8 @@
 
 // Flags of a status.
 const (
-	flagFresh = 1 << iota
-	flagEligible
+	statusFlagReplicaIsCurrent = 1 << iota
+	statusFlagCanTakePartitions
 )
 
 const (
@@ -59,16 +59,16 @@
 	minElementBytes = 1
 )
 
-// appendSelf appends what a controller tells about itself.
-func appendSelf(buf []byte, status *Status) []byte {
+// appendController appends what a controller tells about itself.
+func appendController(buf []byte, status *Status) []byte {
 	buf = codec.AppendString(buf, status.Node)
 	buf = codec.AppendString(buf, status.ProcessID)
 	var flags uint8
 	if status.ReplicaIsCurrent {
-		flags |= flagFresh
+		flags |= statusFlagReplicaIsCurrent
 	}
 	if status.CanTakePartitions {
-		flags |= flagEligible
+		flags |= statusFlagCanTakePartitions
 	}
 	buf = append(buf, flags)
 	buf = binary.AppendUvarint(buf, uint64(len(status.Partitions)))
@@ -78,8 +78,8 @@
 	return buf
 }
 
-// appendMachines appends the machines as PlainFrame has them.
-func appendMachines(buf []byte, status *Status) []byte {
+// appendPlainMachines appends the machines as PlainFrame has them.
+func appendPlainMachines(buf []byte, status *Status) []byte {
 	buf = binary.AppendUvarint(buf, uint64(len(status.Machines)))
 	for i := range status.Machines {
 		m := &status.Machines[i]
@@ -97,16 +97,16 @@
 	return buf
 }
 
-// appendMachinesBySuffix appends the machines as ChecksummedFrame has them.
-func appendMachinesBySuffix(buf []byte, status *Status) []byte {
+// appendCompressedMachines appends the machines as ChecksummedFrame has them.
+func appendCompressedMachines(buf []byte, status *Status) []byte {
 	buf = binary.AppendUvarint(buf, uint64(len(status.Machines)))
 	previous := &Machine{}
 	for i := range status.Machines {
 		m := &status.Machines[i]
-		buf = codec.AppendSuffix(buf, previous.Name, m.Name)
-		buf = codec.AppendSuffix(buf, previous.Addr, m.Addr)
-		buf = codec.AppendSuffix(buf, previous.Type, m.Type)
-		buf = codec.AppendSuffix(buf, previous.Zone, m.Zone)
+		buf = codec.AppendPrefixCompressed(buf, previous.Name, m.Name)
+		buf = codec.AppendPrefixCompressed(buf, previous.Addr, m.Addr)
+		buf = codec.AppendPrefixCompressed(buf, previous.Type, m.Type)
+		buf = codec.AppendPrefixCompressed(buf, previous.Zone, m.Zone)
 		buf = binary.AppendUvarint(buf, m.Incarnation)
 		buf = append(buf, m.Flags)
 		previous = m
@@ -114,29 +114,29 @@
 	buf = binary.AppendUvarint(buf, uint64(len(status.DrainingMachines)))
 	previousName := ""
 	for _, name := range status.DrainingMachines {
-		buf = codec.AppendSuffix(buf, previousName, name)
+		buf = codec.AppendPrefixCompressed(buf, previousName, name)
 		previousName = name
 	}
 	return buf
 }
 
-// readSelf reads what appendSelf appended.
-func readSelf(reader *codec.Reader) *Status {
+// readController reads what appendController appended.
+func readController(reader *codec.Reader) *Status {
 	status := &Status{Node: reader.Text(), ProcessID: reader.Text()}
 	flags := reader.Byte()
-	status.ReplicaIsCurrent, status.CanTakePartitions = flags&flagFresh != 0, flags&flagEligible != 0
+	status.ReplicaIsCurrent, status.CanTakePartitions = flags&statusFlagReplicaIsCurrent != 0, flags&statusFlagCanTakePartitions != 0
 	for range reader.Count(minElementBytes) {
 		status.Partitions = append(status.Partitions, reader.Uvarint())
 	}
 	return status
 }
 
-// readMachines reads what appendMachines appended.
-func readMachines(reader *codec.Reader, status *Status) {
+// readPlainMachines reads what appendPlainMachines appended.
+func readPlainMachines(reader *codec.Reader, status *Status) {
 	for range reader.Count(minMachineBytes) {
 		status.Machines = append(status.Machines, Machine{Name: reader.Text(), Addr: reader.Text(), Type: reader.Text(), Zone: reader.Text(),
 			Incarnation: reader.Uvarint(), Flags: reader.Byte()})
-		if reader.Malformed() {
+		if reader.IsMalformed() {
 			return
 		}
 	}
@@ -145,20 +145,20 @@
 	}
 }
 
-// readMachinesBySuffix reads what appendMachinesBySuffix appended.
-func readMachinesBySuffix(reader *codec.Reader, status *Status) {
+// readCompressedMachines reads what appendCompressedMachines appended.
+func readCompressedMachines(reader *codec.Reader, status *Status) {
 	previous := Machine{}
 	for range reader.Count(minMachineBytes) {
-		previous = Machine{Name: reader.Suffix(previous.Name), Addr: reader.Suffix(previous.Addr), Type: reader.Suffix(previous.Type), Zone: reader.Suffix(previous.Zone),
+		previous = Machine{Name: reader.PrefixCompressed(previous.Name), Addr: reader.PrefixCompressed(previous.Addr), Type: reader.PrefixCompressed(previous.Type), Zone: reader.PrefixCompressed(previous.Zone),
 			Incarnation: reader.Uvarint(), Flags: reader.Byte()}
-		if reader.Malformed() {
+		if reader.IsMalformed() {
 			return
 		}
 		status.Machines = append(status.Machines, previous)
 	}
 	previousName := ""
 	for range reader.Count(minElementBytes) {
-		previousName = reader.Suffix(previousName)
+		previousName = reader.PrefixCompressed(previousName)
 		status.DrainingMachines = append(status.DrainingMachines, previousName)
 	}
 }
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -7,7 +7,7 @@
 )
 
 // What is stored has exactly these bytes: other versions read them.
-func TestRecordsKeepTheirBytes(t *testing.T) {
+func TestStoredBytes(t *testing.T) {
 	g := &TaskGroup{Partition: 3, Zone: "a", Guaranteed: true, DoneTasks: 1, Throttle: 2, Tasks: []Binding{
 		{Task: 4, Attempt: 2, Machine: "host-000231", Incarnation: 1, Addr: "10.1.0.232:9000"},
 		{Task: 7, Attempt: 1, Machine: "host-000232", Incarnation: 3, Addr: "10.1.0.233:9000"}, {Task: 2}}}
--- a/internal/record/group.go
+++ b/internal/record/group.go
@@ -48,10 +48,10 @@
 // Encode encodes a group, to be stored under the key that At is given. A group that Checksummed
 // can't hold is encoded as PlainJSON: Content.Encoding tells.
 func (g *TaskGroup) Encode(encoding Encoding) EncodedGroup {
-	if encoding == PlainJSON || !g.fitsContent() {
+	if encoding == PlainJSON || !g.canEncodeBinary() {
 		return EncodedGroup{encoding: PlainJSON, content: JSON(g)}
 	}
-	return EncodedGroup{encoding: encoding, content: g.appendContent(nil)}
+	return EncodedGroup{encoding: encoding, content: g.appendBinary(nil)}
 }
 
 // Encoding returns the encoding that was used.
@@ -121,19 +121,19 @@
 		}
 		return group, PlainJSON, nil
 	case Checksummed:
-		content, err := verifiedContent(key, raw)
+		content, err := verifyContent(key, raw)
 		if err != nil {
 			return nil, Checksummed, err
 		}
-		group, err := decodeContent(content)
+		group, err := decodeBinary(content)
 		return group, Checksummed, err
 	default:
 		return nil, encoding, fmt.Errorf("%w: %d", ErrUnknownEncoding, encoding)
 	}
 }
 
-// verifiedContent returns the content of a checksummed value, a JSON string.
-func verifiedContent(key string, raw []byte) ([]byte, error) {
+// verifyContent returns the content of a checksummed value, a JSON string.
+func verifyContent(key string, raw []byte) ([]byte, error) {
 	if raw[len(raw)-1] != '"' {
 		return nil, ErrChecksum
 	}
--- a/internal/record/group_binary.go
+++ b/internal/record/group_binary.go
@@ -18,21 +18,23 @@
 	minTaskBytes     = 3
 )
 
-// errMalformedContent says that the content makes no sense although its checksum matches.
-var errMalformedContent = errors.New("content is malformed")
+// errMalformedBinary says that the content makes no sense although its checksum matches.
+var errMalformedBinary = errors.New("content is malformed")
 
 // location is where a task is bound. Several tasks of a group often share one; the zero value
 // is for tasks that are not bound.
-type location struct {
+type machineLocation struct {
 	machine, addr string
 	incarnation   uint64
 }
 
-func (b *Binding) location() location { return location{b.Machine, b.Addr, b.Incarnation} }
+func (b *Binding) location() machineLocation {
+	return machineLocation{b.Machine, b.Addr, b.Incarnation}
+}
 
-// fitsContent tells whether the content can hold all of the group. One with names longer than
+// canEncodeBinary tells whether the content can hold all of the group. One with names longer than
 // any cloud gives can't be held.
-func (g *TaskGroup) fitsContent() bool {
+func (g *TaskGroup) canEncodeBinary() bool {
 	if g.Partition < 0 || g.DoneTasks < 0 || g.Throttle < 0 || g.DoneTasks > maxTasks || g.Throttle > maxTasks || len(g.Zone) > codec.MaxString {
 		return false
 	}
@@ -44,10 +46,10 @@
 	return true
 }
 
-// appendContent appends the content of the checksummed encoding: the group's fields, the
+// appendBinary appends the content of the checksummed encoding: the group's fields, the
 // locations that tasks are bound to, and the tasks, each with the distance of its number from
 // the one before and its location's index, from 1; 0: not bound.
-func (g *TaskGroup) appendContent(buf []byte) []byte {
+func (g *TaskGroup) appendBinary(buf []byte) []byte {
 	var flags uint8
 	if g.Guaranteed {
 		flags |= flagGuaranteed
@@ -63,12 +65,12 @@
 }
 
 // locations returns the locations that tasks are bound to, in order, and the index of each.
-func (g *TaskGroup) locations() ([]location, map[location]uint64) {
-	var locations []location
-	index := map[location]uint64{}
+func (g *TaskGroup) locations() ([]machineLocation, map[machineLocation]uint64) {
+	var locations []machineLocation
+	index := map[machineLocation]uint64{}
 	for i := range g.Tasks {
 		l := g.Tasks[i].location()
-		if _, known := index[l]; !known && l != (location{}) {
+		if _, known := index[l]; !known && l != (machineLocation{}) {
 			locations = append(locations, l)
 			index[l] = uint64(len(locations))
 		}
@@ -76,19 +78,19 @@
 	return locations, index
 }
 
-func appendLocations(buf []byte, locations []location) []byte {
+func appendLocations(buf []byte, locations []machineLocation) []byte {
 	buf = binary.AppendUvarint(buf, uint64(len(locations)))
-	previous := location{}
+	previous := machineLocation{}
 	for _, l := range locations {
-		buf = codec.AppendSuffix(buf, previous.machine, l.machine)
-		buf = codec.AppendSuffix(buf, previous.addr, l.addr)
+		buf = codec.AppendPrefixCompressed(buf, previous.machine, l.machine)
+		buf = codec.AppendPrefixCompressed(buf, previous.addr, l.addr)
 		buf = binary.AppendUvarint(buf, l.incarnation)
 		previous = l
 	}
 	return buf
 }
 
-func (g *TaskGroup) appendTasks(buf []byte, index map[location]uint64) []byte {
+func (g *TaskGroup) appendTasks(buf []byte, index map[machineLocation]uint64) []byte {
 	buf = binary.AppendUvarint(buf, uint64(len(g.Tasks)))
 	previous := int32(0)
 	for i := range g.Tasks {
@@ -101,8 +103,8 @@
 	return buf
 }
 
-// decodeContent decodes what appendContent wrote.
-func decodeContent(content []byte) (*TaskGroup, error) {
+// decodeBinary decodes what appendBinary wrote.
+func decodeBinary(content []byte) (*TaskGroup, error) {
 	r := codec.NewReader(content)
 	g := &TaskGroup{Partition: int(min(r.Uvarint(), math.MaxInt32))}
 	g.Guaranteed = r.Byte()&flagGuaranteed != 0
@@ -110,31 +112,31 @@
 	g.DoneTasks = int(min(r.Uvarint(), maxTasks))
 	g.Throttle = int(min(r.Uvarint(), maxTasks))
 	var ok bool
-	if g.Tasks, ok = readTasks(r, readLocations(r)); !ok || !r.Complete() {
-		return nil, errMalformedContent
+	if g.Tasks, ok = readTasks(r, readLocations(r)); !ok || !r.IsComplete() {
+		return nil, errMalformedBinary
 	}
 	return g, nil
 }
 
 // readLocations returns the locations by index; the first one is for tasks that are not bound.
-func readLocations(r *codec.Reader) []location {
-	locations := make([]location, 1, 1+r.Count(minLocationBytes))
+func readLocations(r *codec.Reader) []machineLocation {
+	locations := make([]machineLocation, 1, 1+r.Count(minLocationBytes))
 	for i := range cap(locations) - 1 {
 		previous := &locations[i]
-		locations = append(locations, location{machine: r.Suffix(previous.machine), addr: r.Suffix(previous.addr), incarnation: r.Uvarint()})
+		locations = append(locations, machineLocation{machine: r.PrefixCompressed(previous.machine), addr: r.PrefixCompressed(previous.addr), incarnation: r.Uvarint()})
 	}
 	return locations
 }
 
 // readTasks returns the tasks; false: they are malformed.
-func readTasks(r *codec.Reader, locations []location) ([]Binding, bool) {
+func readTasks(r *codec.Reader, locations []machineLocation) ([]Binding, bool) {
 	tasks := make([]Binding, 0, r.Count(minTaskBytes))
 	number := int64(0)
 	for range cap(tasks) {
 		number += r.Varint()
 		task := Binding{Task: int32(number), Attempt: r.Uvarint()}
 		index := r.Uvarint()
-		if r.Malformed() || index >= uint64(len(locations)) || int64(task.Task) != number {
+		if r.IsMalformed() || index >= uint64(len(locations)) || int64(task.Task) != number {
 			return nil, false
 		}
 		l := locations[index]
--- a/internal/record/group_test.go
+++ b/internal/record/group_test.go
@@ -29,7 +29,7 @@
 	return g
 }
 
-func TestGroupsAreReadAsTheyWereWritten(t *testing.T) {
+func TestTaskGroupRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := drawGroup(t)
 		for _, encoding := range []Encoding{PlainJSON, Checksummed} {
@@ -54,7 +54,7 @@
 
 // A checksummed value that is damaged anywhere, cut, or stored at another key is refused; it
 // is never read as something else.
-func TestDamagedAndMisplacedGroupsAreRefused(t *testing.T) {
+func TestDamagedOrMisplacedGroupsAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := drawGroup(t)
 		raw := g.Encode(Checksummed).ValueForKey("e/group/wk-1/0")
@@ -75,14 +75,14 @@
 
 // A version that knows PlainJSON alone can't decode a checksummed value: it leaves it alone,
 // rather than take it for a group without tasks.
-func TestChecksummedGroupsAreNoPlainOnes(t *testing.T) {
+func TestChecksummedGroupIsNotDecodedAsJSON(t *testing.T) {
 	var old TaskGroup
 	if err := wire.Decode((&TaskGroup{Partition: 1}).Encode(Checksummed).ValueForKey("e/group/wk-1/0"), &old); err == nil {
 		t.Error("a checksummed value is decoded as JSON")
 	}
 }
 
-func TestUnknownEncodingsAreNamed(t *testing.T) {
+func TestUnknownEncodingsAreRejected(t *testing.T) {
 	for _, raw := range []string{`"AwAAAAAAAAAAAAAAAAAAAAAAAAA"`, `[]`, `17`, ``, `"`, `""`, `"A"`} {
 		if g, _, err := DecodeTaskGroup("e/group/wk-1/0", []byte(raw)); g != nil || !errors.Is(err, ErrUnknownEncoding) && !errors.Is(err, ErrChecksum) {
 			t.Errorf("%s: %v, %v", raw, g, err)
@@ -91,7 +91,7 @@
 }
 
 // What the checksummed encoding can't hold stays plain; nothing is cut.
-func TestLongNamesStayPlain(t *testing.T) {
+func TestLongNamesFallBackToPlainJSON(t *testing.T) {
 	g := &TaskGroup{Tasks: []Binding{{Machine: strings.Repeat("m", 2000)}}}
 	raw := g.Encode(Checksummed).ValueForKey("e/group/wk-1/0")
 	got, encoding, err := DecodeTaskGroup("e/group/wk-1/0", raw)
@@ -116,7 +116,7 @@
 	}
 }
 
-func BenchmarkGroup(b *testing.B) {
+func BenchmarkTaskGroup(b *testing.B) {
 	g := &TaskGroup{Partition: 3}
 	for i := range 24 {
 		g.Tasks = append(g.Tasks, Binding{Task: int32(i), Attempt: 1, Machine: fmt.Sprintf("host-%06d", i), Incarnation: 1, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
--- a/internal/wire/decode_test.go
+++ b/internal/wire/decode_test.go
@@ -25,7 +25,7 @@
 
 // What the fast decoder makes of a document is what the standard one makes of it,
 // also where the document is damaged: whatever the standard one refuses is refused.
-func TestDecodeAsTheStandardDoes(t *testing.T) {
+func TestDecodeMatchesStandardLibrary(t *testing.T) {
 	refused := 0
 	rapid.Check(t, func(t *rapid.T) {
 		raw, err := json.Marshal(drawHeartbeat(t))
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -13,7 +13,7 @@
 func pointer[T any](v T) *T { return &v }
 
 // Every message has exactly these bytes, and the bytes give the message back.
-func TestMessagesKeepTheirBytes(t *testing.T) {
+func TestMessageBytes(t *testing.T) {
 	command := Command{Op: OpStop, Task: "wk-1/0", Attempt: 1, GraceS: pointer(10.0)}
 	start := Command{Op: OpStart, Task: "wk-1/0", Attempt: 2}
 	for _, x := range []struct {
@@ -67,13 +67,13 @@
 }
 
 // submission is the protocol's own example.
-const submission = `{"nameId":"wk-000412","flock":"train","crew":"vision","shape":"batch","rank":"urgent","eggs":16,` +
+const exampleSubmission = `{"nameId":"wk-000412","flock":"train","crew":"vision","shape":"batch","rank":"urgent","eggs":16,` +
 	`"cpus":8.0,"cards":1.0,"ramGb":64.0,"plumage":"img-07","imageGb":6.2,` +
 	`"hulls":["g8"],"shore":null,"samePlace":true,"spread":false,"driftwood":true,"reckonS":240.0,"moultS":30.0,"stowS":4.0,"dueS":900.0}`
 
 // The words of the settings that users see stand in the texts of refusals.
-func TestSubmissionsAreStoredAndRefusedByTheirExactText(t *testing.T) {
-	job, err := ParseJob([]byte(submission))
+func TestSubmissionStoredBytesAndErrorTexts(t *testing.T) {
+	job, err := ParseJob([]byte(exampleSubmission))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,8 +84,8 @@
 	}
 	long := `"` + strings.Repeat("x", 201) + `"`
 	for _, x := range []struct{ from, to, text string }{
-		{submission, ` []`, "body: not a JSON object"},
-		{submission, `{"nameId":7}`, "body: json: cannot unmarshal number into Go struct field jobBody.nameId of type string"},
+		{exampleSubmission, ` []`, "body: not a JSON object"},
+		{exampleSubmission, `{"nameId":7}`, "body: json: cannot unmarshal number into Go struct field jobBody.nameId of type string"},
 		{`"nameId":"wk-000412",`, ``, "nameId: missing"},
 		{`"wk-000412"`, `"job-1"`, `nameId: "job-1" is not of the form wk-000000`},
 		{`"flock":"train"`, `"flock":""`, "flock: must have 1 to 200 bytes"},
@@ -107,7 +107,7 @@
 		// Of several faults the first one in the order of the checks is named.
 		{`"flock":"train","crew":"vision","shape":"batch"`, `"shape":"x","samePlace":null`, "flock: missing"},
 	} {
-		if _, err := ParseJob([]byte(strings.Replace(submission, x.from, x.to, 1))); err == nil || err.Error() != x.text {
+		if _, err := ParseJob([]byte(strings.Replace(exampleSubmission, x.from, x.to, 1))); err == nil || err.Error() != x.text {
 			t.Errorf("%s: %v, not %s", x.to, err, x.text)
 		} else if field, ok := errors.AsType[*FieldError](err); !ok || !strings.HasPrefix(x.text, field.Field+": ") {
 			t.Errorf("%s: %T names no field", x.to, err)
--- a/internal/wire/parse_job.go
+++ b/internal/wire/parse_job.go
@@ -11,12 +11,12 @@
 const (
 	// maxAmount bounds every amount, so that sums of them stay exact.
 	maxAmount = 1e9
-	// maxName is how many bytes a name may have.
-	maxName = 200
+	// maxNameBytes is how many bytes a name may have.
+	maxNameBytes = 200
 	// maxMachineTypes is how many machine types a job may allow by name.
 	maxMachineTypes = 32
-	// maxLeadingSpace is how many bytes may stand before the body's opening brace.
-	maxLeadingSpace = 63
+	// maxLeadingSpaceBytes is how many bytes may stand before the body's opening brace.
+	maxLeadingSpaceBytes = 63
 )
 
 // bodyField is the Field of errors about a message as a whole.
@@ -49,26 +49,26 @@
 // jobBody is a submission as it comes; nil: the field is missing or null. Users see this
 // type's name in the texts of encoding/json.
 type jobBody struct {
-	ID           *string  `json:"nameId"`
-	Class        *string  `json:"flock"`
-	Team         *string  `json:"crew"`
-	Kind         *string  `json:"shape"`
-	Priority     *string  `json:"rank"`
-	Tasks        *float64 `json:"eggs"`
-	CPUs         *float64 `json:"cpus"`
-	GPUs         *float64 `json:"cards"`
-	RAMGB        *float64 `json:"ramGb"`
-	Image        *string  `json:"plumage"`
-	ImageGB      *float64 `json:"imageGb"`
-	MachineTypes []string `json:"hulls"`
-	Zone         *string  `json:"shore"`
-	SingleZone   *bool    `json:"samePlace"`
-	Spread       *bool    `json:"spread"`
-	Spot         *bool    `json:"driftwood"`
-	EstimateS    *float64 `json:"reckonS"`
-	CheckpointS  *float64 `json:"moultS"`
-	SaveS        *float64 `json:"stowS"`
-	DeadlineS    *float64 `json:"dueS"`
+	ID                  *string  `json:"nameId"`
+	Class               *string  `json:"flock"`
+	Team                *string  `json:"crew"`
+	Kind                *string  `json:"shape"`
+	Priority            *string  `json:"rank"`
+	Tasks               *float64 `json:"eggs"`
+	CPUs                *float64 `json:"cpus"`
+	GPUs                *float64 `json:"cards"`
+	RAMGB               *float64 `json:"ramGb"`
+	Image               *string  `json:"plumage"`
+	ImageGB             *float64 `json:"imageGb"`
+	MachineTypes        []string `json:"hulls"`
+	Zone                *string  `json:"shore"`
+	SingleZone          *bool    `json:"samePlace"`
+	Spread              *bool    `json:"spread"`
+	Spot                *bool    `json:"driftwood"`
+	EstimateS           *float64 `json:"reckonS"`
+	CheckpointIntervalS *float64 `json:"moultS"`
+	CheckpointSaveS     *float64 `json:"stowS"`
+	DeadlineS           *float64 `json:"dueS"`
 }
 
 // ParseJob decodes and validates a submission. Every error is a FieldError of the first
@@ -91,7 +91,7 @@
 
 // decodeJobBody decodes a submission without looking at its values.
 func decodeJobBody(body []byte) (*jobBody, error) {
-	start := string(body[:min(len(body), maxLeadingSpace+1)])
+	start := string(body[:min(len(body), maxLeadingSpaceBytes+1)])
 	if !strings.HasPrefix(strings.TrimLeft(start, " \t\r\n"), "{") {
 		return nil, fieldErrorf(bodyField, "not a JSON object")
 	}
@@ -104,27 +104,27 @@
 
 // requiredField is a field that a submission must have, and where its value goes.
 type requiredField[T any] struct {
-	name string
-	from *T // nil: it is missing or null
-	to   *T
+	name        string
+	source      *T // nil: it is missing or null
+	destination *T
 }
 
-// takeRequired takes the fields' values over, up to the first that is missing or refused.
-func takeRequired[T any](fields []requiredField[T], check func(name string, value T) error) error {
+// copyRequiredFields takes the fields' values over, up to the first that is missing or refused.
+func copyRequiredFields[T any](fields []requiredField[T], check func(name string, value T) error) error {
 	for _, field := range fields {
-		if field.from == nil {
+		if field.source == nil {
 			return &FieldError{Field: field.name, Err: errMissing}
 		}
-		if err := check(field.name, *field.from); err != nil {
+		if err := check(field.name, *field.source); err != nil {
 			return err
 		}
-		*field.to = *field.from
+		*field.destination = *field.source
 	}
 	return nil
 }
 
 func (b *jobBody) parseNames(job *Job) error {
-	err := takeRequired([]requiredField[string]{
+	err := copyRequiredFields([]requiredField[string]{
 		{"nameId", b.ID, &job.ID},
 		{"flock", b.Class, &job.Class},
 		{"crew", b.Team, &job.Team},
@@ -141,13 +141,13 @@
 
 // checkName refuses names that are too short or too long.
 func checkName(field, name string) error {
-	if !validName(name) {
-		return fieldErrorf(field, "must have 1 to %d bytes", maxName)
+	if !isValidName(name) {
+		return fieldErrorf(field, "must have 1 to %d bytes", maxNameBytes)
 	}
 	return nil
 }
 
-func validName(name string) bool { return name != "" && len(name) <= maxName }
+func isValidName(name string) bool { return name != "" && len(name) <= maxNameBytes }
 
 func (b *jobBody) parseKind(job *Job) error {
 	if b.Kind == nil {
@@ -191,14 +191,14 @@
 		job.NoDeadline = true
 		deadline = new(float64)
 	}
-	return takeRequired([]requiredField[float64]{
+	return copyRequiredFields([]requiredField[float64]{
 		{"cpus", b.CPUs, &job.CPUs},
 		{"cards", b.GPUs, &job.GPUs},
 		{"ramGb", b.RAMGB, &job.RAMGB},
 		{"imageGb", b.ImageGB, &job.ImageGB},
 		{"reckonS", b.EstimateS, &job.EstimateS},
-		{"moultS", b.CheckpointS, &job.CheckpointIntervalS},
-		{"stowS", b.SaveS, &job.CheckpointSaveS},
+		{"moultS", b.CheckpointIntervalS, &job.CheckpointIntervalS},
+		{"stowS", b.CheckpointSaveS, &job.CheckpointSaveS},
 		{"dueS", deadline, &job.DeadlineS},
 	}, checkAmount)
 }
@@ -216,8 +216,8 @@
 		return fieldErrorf("hulls", "more than %d", maxMachineTypes)
 	}
 	for _, name := range b.MachineTypes {
-		if !validName(name) {
-			return fieldErrorf("hulls", "names must have 1 to %d bytes", maxName)
+		if !isValidName(name) {
+			return fieldErrorf("hulls", "names must have 1 to %d bytes", maxNameBytes)
 		}
 	}
 	if b.MachineTypes != nil && len(b.MachineTypes) == 0 {
@@ -231,18 +231,18 @@
 	if b.Zone == nil {
 		return nil
 	}
-	if !validName(*b.Zone) {
-		return fieldErrorf("shore", "must have 1 to %d bytes", maxName)
+	if !isValidName(*b.Zone) {
+		return fieldErrorf("shore", "must have 1 to %d bytes", maxNameBytes)
 	}
 	job.Zone = *b.Zone
 	return nil
 }
 
 func (b *jobBody) parseFlags(job *Job) error {
-	anyValue := func(string, bool) error { return nil }
-	return takeRequired([]requiredField[bool]{
+	acceptAny := func(string, bool) error { return nil }
+	return copyRequiredFields([]requiredField[bool]{
 		{"samePlace", b.SingleZone, &job.SingleZone},
 		{"spread", b.Spread, &job.SpreadsZones},
 		{"driftwood", b.Spot, &job.AllowsSpot},
-	}, anyValue)
+	}, acceptAny)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func body(t *rapid.T) map[string]any {
+func drawSubmission(t *rapid.T) map[string]any {
 	amount := rapid.Float64Range(0, 1000)
 	b := map[string]any{
 		"nameId": rapid.StringMatching(`wk-[0-9]{1,12}`).Draw(t, "id"), "flock": "c", "crew": "t",
@@ -31,7 +31,7 @@
 
 func TestValidSubmissionsParse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := body(t)
+		b := drawSubmission(t)
 		raw, _ := json.Marshal(b)
 		j, err := ParseJob(raw)
 		if err != nil {
@@ -49,9 +49,9 @@
 	})
 }
 
-func TestInvalidSubmissionsAreRefused(t *testing.T) {
+func TestInvalidSubmissionsAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := body(t)
+		b := drawSubmission(t)
 		required := []string{"nameId", "flock", "crew", "shape", "rank", "eggs", "cpus", "cards", "ramGb", "plumage", "imageGb",
 			"samePlace", "spread", "driftwood", "reckonS", "moultS", "stowS"}
 		field := rapid.SampledFrom(required).Draw(t, "field")
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestReportsNeverPanic(t *testing.T) {
+func TestParseHeartbeatNeverPanics(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, err := ParseHeartbeat([]byte(rapid.String().Draw(t, "body")))
 		if (r == nil) == (err == nil) {
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -11,14 +11,14 @@
 	"eiderhitch/internal/workerclient"
 )
 
-type scripted struct {
-	status     int
-	body, sent string
+type fakeTransport struct {
+	status            int
+	body, lastRequest string
 }
 
-func (s *scripted) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *fakeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	body, _ := io.ReadAll(r.Body) // what can't be read fails the comparison
-	s.sent = fmt.Sprintf("%s %s %s", r.Method, r.URL, body)
+	s.lastRequest = fmt.Sprintf("%s %s %s", r.Method, r.URL, body)
 	return &http.Response{StatusCode: s.status, Body: io.NopCloser(strings.NewReader(s.body)), Header: http.Header{}}, nil
 }
 
@@ -36,10 +36,10 @@
 		{503, `{}`, false, "worker w:1: status 503"},
 		{200, `{}`, false, "worker w:1: report: machine or session is missing"},
 	} {
-		rt := &scripted{status: x.status, body: x.body}
+		rt := &fakeTransport{status: x.status, body: x.body}
 		report, executed, err := workerclient.NewClient(rt).Send(t.Context(), "w:1", &wire.CommandRequest{FencingToken: 41, Incarnation: 1})
-		if want := `POST http://w:1/do {"baton":41,"watch":1,"calls":[]}`; rt.sent != want {
-			t.Errorf("sent %s, not %s", rt.sent, want)
+		if want := `POST http://w:1/do {"baton":41,"watch":1,"calls":[]}`; rt.lastRequest != want {
+			t.Errorf("sent %s, not %s", rt.lastRequest, want)
 		}
 		if (err == nil) != (x.text == "") || err != nil && err.Error() != x.text || executed != x.executed || (report == nil) != (err != nil) {
 			t.Errorf("%d %s: %+v, %v, %v", x.status, x.body, report, executed, err)
--- a/internal/workerclient/slots.go
+++ b/internal/workerclient/slots.go
@@ -17,18 +17,18 @@
 //
 // A machine is in the queue once at most. Slots belongs to one goroutine.
 type Slots[Machine comparable] struct {
-	open, maximum int
-	queue         []Machine
-	purposes      map[Machine]Purpose // of the machines in the queue
+	openCommands, capacity int
+	queue                  []Machine
+	purposes               map[Machine]Purpose // of the machines in the queue
 }
 
 // NewSlots returns slots for maximum commands at a time, none of which is open.
-func NewSlots[Machine comparable](maximum int) *Slots[Machine] {
-	return &Slots[Machine]{maximum: maximum, purposes: map[Machine]Purpose{}}
+func NewSlots[Machine comparable](capacity int) *Slots[Machine] {
+	return &Slots[Machine]{capacity: capacity, purposes: map[Machine]Purpose{}}
 }
 
 // OpenCommands returns how many commands are open.
-func (s *Slots[Machine]) OpenCommands() int { return s.open }
+func (s *Slots[Machine]) OpenCommands() int { return s.openCommands }
 
 // QueueLength returns how many machines are in the queue.
 func (s *Slots[Machine]) QueueLength() int { return len(s.queue) }
@@ -36,22 +36,22 @@
 // HasAvailable reports whether a slot is left for a purpose.
 func (s *Slots[Machine]) HasAvailable(purpose Purpose) bool {
 	if purpose == PurposePing {
-		return s.open < s.maximum/2
+		return s.openCommands < s.capacity/2
 	}
-	return s.open < s.maximum
+	return s.openCommands < s.capacity
 }
 
 // Acquire opens a command to a machine. A ping that it waits for is thereby sent; its place
 // in the queue stays.
 func (s *Slots[Machine]) Acquire(m Machine) {
-	s.open++
+	s.openCommands++
 	if _, queued := s.purposes[m]; queued {
 		s.purposes[m] = PurposeCommands
 	}
 }
 
 // Release ends a command.
-func (s *Slots[Machine]) Release() { s.open-- }
+func (s *Slots[Machine]) Release() { s.openCommands-- }
 
 // Enqueue queues a machine, unless it is in the queue. If it waits for commands and for a ping,
 // its turn is a ping.
--- a/internal/workerclient/slots_test.go
+++ b/internal/workerclient/slots_test.go
@@ -37,52 +37,52 @@
 }
 
 // turn is a machine that has its turn, and what it waited for.
-type turn struct {
+type dequeued struct {
 	machine string
 	purpose workerclient.Purpose
 }
 
 // Machines have their turns in the order in which they came, each once.
-func TestMachinesWaitInOrder(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		wait func(s *workerclient.Slots[string])
-		want []turn
+		want []dequeued
 	}{
 		{"nobody waits", func(*workerclient.Slots[string]) {}, nil},
 		{"in order", func(s *workerclient.Slots[string]) {
 			s.Enqueue("b", workerclient.PurposeCommands)
 			s.Enqueue("a", workerclient.PurposePing)
-		}, []turn{{"b", workerclient.PurposeCommands}, {"a", workerclient.PurposePing}}},
+		}, []dequeued{{"b", workerclient.PurposeCommands}, {"a", workerclient.PurposePing}}},
 		{"once", func(s *workerclient.Slots[string]) {
 			s.Enqueue("a", workerclient.PurposeCommands)
 			s.Enqueue("b", workerclient.PurposeCommands)
 			s.Enqueue("a", workerclient.PurposeCommands)
-		}, []turn{{"a", workerclient.PurposeCommands}, {"b", workerclient.PurposeCommands}}},
+		}, []dequeued{{"a", workerclient.PurposeCommands}, {"b", workerclient.PurposeCommands}}},
 		{"a ping after commands", func(s *workerclient.Slots[string]) {
 			s.Enqueue("a", workerclient.PurposeCommands)
 			s.Enqueue("a", workerclient.PurposePing)
-		}, []turn{{"a", workerclient.PurposePing}}},
+		}, []dequeued{{"a", workerclient.PurposePing}}},
 		{"commands after a ping", func(s *workerclient.Slots[string]) {
 			s.Enqueue("a", workerclient.PurposePing)
 			s.Enqueue("a", workerclient.PurposeCommands)
-		}, []turn{{"a", workerclient.PurposePing}}},
+		}, []dequeued{{"a", workerclient.PurposePing}}},
 		{"what is sent meanwhile serves as the ping", func(s *workerclient.Slots[string]) {
 			s.Enqueue("a", workerclient.PurposePing)
 			s.Acquire("a")
-		}, []turn{{"a", workerclient.PurposeCommands}}},
+		}, []dequeued{{"a", workerclient.PurposeCommands}}},
 		{"again after its turn", func(s *workerclient.Slots[string]) {
 			s.Enqueue("a", workerclient.PurposePing)
 			s.Dequeue()
 			s.Enqueue("a", workerclient.PurposeCommands)
-		}, []turn{{"a", workerclient.PurposeCommands}}},
+		}, []dequeued{{"a", workerclient.PurposeCommands}}},
 	} {
 		s := workerclient.NewSlots[string](8)
 		x.wait(s)
-		var got []turn
+		var got []dequeued
 		for s.QueueLength() > 0 {
 			machine, purpose := s.Dequeue()
-			got = append(got, turn{machine, purpose})
+			got = append(got, dequeued{machine, purpose})
 		}
 		if !slices.Equal(got, x.want) {
 			t.Errorf("%s: %v, want %v", x.name, got, x.want)
