--- a/internal/record/final_job.go
+++ b/internal/record/final_job.go
@@ -7,20 +7,23 @@
 	"eiderhitch/internal/wire"
 )
 
-// EncodeCancelledJob is a cancelled job's record.
+// EncodeCancelledJob returns the encoded record of a cancelled job. If the record is larger than
+// maxBytes, it omits the fields of the description that are needed only to place tasks.
 func EncodeCancelledJob(spec *wire.Job, acceptedAt time.Time, maxBytes int) json.RawMessage {
 	return encodeFinalJob(StateCancelled, spec, acceptedAt, maxBytes)
 }
 
-// EncodeDoneGang is the record of a gang that is done while tasks of it may still be on machines.
+// EncodeDoneGang returns the encoded record of a gang that is done, some of whose tasks may still
+// be on machines. It handles maxBytes like EncodeCancelledJob.
 func EncodeDoneGang(spec *wire.Job, acceptedAt time.Time, maxBytes int) json.RawMessage {
 	return encodeFinalJob(StateDone, spec, acceptedAt, maxBytes)
 }
 
-// encodeFinalJob is the record of a final job that may have tasks on machines. The
-// description stays: its tasks count for the team's quota until they are gone, also for a
-// controller that starts later. Of one too large for maxBytes, what placing it would need is
-// left out.
+// encodeFinalJob returns the encoded record of a job in a final state that may still have tasks
+// on machines. The record keeps the job's description because those tasks count towards the
+// team's quota until they are gone, and a controller that starts later must be able to count
+// them. If the record is larger than maxBytes, the fields that are needed only to place tasks
+// are omitted.
 func encodeFinalJob(state FinalState, spec *wire.Job, acceptedAt time.Time, maxBytes int) json.RawMessage {
 	final := Job{FinalState: state, AcceptedAtMS: acceptedAt.UnixMilli(), Spec: spec}
 	value := JSON(final)
--- a/internal/record/final_state.go
+++ b/internal/record/final_state.go
@@ -1,16 +1,17 @@
 package record
 
-// FinalState is how a job ended. A final job stays as it is for ever.
+// FinalState tells how a job ended; the zero value means that it has not ended. A job in a final
+// state never changes its state again.
 type FinalState uint8
 
-// The states of a job as they are stored.
+// The stored final states. The numbers are part of the stored form.
 const (
 	StateUnfinished FinalState = iota
 	StateCancelled
 	StateDone
 )
 
-// String is the state in words.
+// String returns the state as it is printed for operators, or "unknown" for other numbers.
 func (s FinalState) String() string {
 	switch s {
 	case StateUnfinished:
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -6,7 +6,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// What is stored has exactly these bytes: other versions read them.
+// Stored records must keep exactly these bytes, since other versions of the program read them.
 func TestStoredBytes(t *testing.T) {
 	g := &TaskGroup{Partition: 3, Zone: "a", Guaranteed: true, DoneTasks: 1, Throttle: 2, Tasks: []Binding{
 		{Task: 4, Attempt: 2, Machine: "host-000231", Incarnation: 1, Addr: "10.1.0.232:9000"},
@@ -24,7 +24,7 @@
 		{string(JSON(MachineLoan{Job: "wk-1", Team: "t"})), `{"j":"wk-1","l":0,"t":"t"}`},
 	} {
 		if x.got != x.want {
-			t.Errorf("stored as\n%s, not\n%s", x.got, x.want)
+			t.Errorf("stored as\n%s, want\n%s", x.got, x.want)
 		}
 	}
 }
--- a/internal/record/group.go
+++ b/internal/record/group.go
@@ -10,43 +10,44 @@
 	"eiderhitch/internal/wire"
 )
 
-// Encoding is a stored encoding of a task group. The numbers are the feature levels that bring
-// them.
+// Encoding is a stored encoding of a task group. Its number is the feature level from which
+// controllers may write it. The zero value stands for an unknown encoding.
 type Encoding uint8
 
 const (
-	// unknownEncoding is that of a value that is not a task group in any encoding.
+	// unknownEncoding is returned for a value that is not a task group in any encoding.
 	unknownEncoding Encoding = 0
-	// PlainJSON is JSON.
+	// PlainJSON is a JSON object without a checksum. All versions can read it.
 	PlainJSON Encoding = 1
-	// Checksummed is binary, with a checksum.
+	// Checksummed is a binary format with a checksum, stored as base64 in a JSON string.
 	Checksummed Encoding = 2
 )
 
 const (
-	// groupChecksumDomain keeps groups' checksums apart from those of other values.
+	// groupChecksumDomain separates the checksums of task groups from those of other kinds of
+	// values.
 	groupChecksumDomain = "eiderhitch task group"
-	// headerBytes is what stands before the content of a checksummed value: encoding and
-	// checksum.
+	// headerBytes is the size of a checksummed value's header: the encoding and the checksum.
 	headerBytes = 1 + codec.ChecksumSize
 )
 
-// Errors of stored groups.
+// Errors of DecodeTaskGroup.
 var (
-	// ErrChecksum says that a value is damaged, or was written for another key.
-	ErrChecksum = errors.New("checksum does not match: the value is damaged or stands at a wrong key")
-	// ErrUnknownEncoding says that this version does not know a value's encoding.
-	ErrUnknownEncoding = errors.New("form is not known")
+	// ErrChecksum means that a value is damaged or was written for another key.
+	ErrChecksum = errors.New("checksum does not match: the value is damaged or stored under the wrong key")
+	// ErrUnknownEncoding means that this version does not know the value's encoding.
+	ErrUnknownEncoding = errors.New("unknown encoding")
 )
 
-// EncodedGroup is an encoded group that still lacks the key that it is for.
+// EncodedGroup is an encoded task group. ValueForKey completes it to the value that is stored under
+// a key, since the checksum covers the key.
 type EncodedGroup struct {
 	encoding Encoding
 	content  []byte
 }
 
-// Encode encodes a group, to be stored under the key that At is given. A group that Checksummed
-// can't hold is encoded as PlainJSON: Content.Encoding tells.
+// Encode encodes a group in the given encoding. A group that Checksummed can't hold is encoded as
+// PlainJSON; EncodedGroup.Encoding returns the encoding that was used.
 func (g *TaskGroup) Encode(encoding Encoding) EncodedGroup {
 	if encoding == PlainJSON || !g.canEncodeBinary() {
 		return EncodedGroup{encoding: PlainJSON, content: JSON(g)}
@@ -57,7 +58,7 @@
 // Encoding returns the encoding that was used.
 func (c EncodedGroup) Encoding() Encoding { return c.encoding }
 
-// Size returns how many bytes the stored value has.
+// Size returns the size of the stored value in bytes.
 func (c EncodedGroup) Size() int {
 	if c.encoding == PlainJSON {
 		return len(c.content)
@@ -65,7 +66,7 @@
 	return base64.RawStdEncoding.EncodedLen(headerBytes+len(c.content)) + len(`""`)
 }
 
-// ValueForKey returns the value that is stored at a key.
+// ValueForKey returns the value to store under a key.
 func (c EncodedGroup) ValueForKey(key string) json.RawMessage {
 	if c.encoding == PlainJSON {
 		return c.content
@@ -81,7 +82,8 @@
 	return append(quoted, '"')
 }
 
-// EncodingOf returns a stored value's encoding without decoding it; 0: it has none.
+// EncodingOf returns the encoding of a stored value without decoding or verifying it. It returns
+// 0 if the value is not a task group in any encoding.
 func EncodingOf(raw []byte) Encoding {
 	if len(raw) == 0 {
 		return unknownEncoding
@@ -96,8 +98,8 @@
 	}
 }
 
-// encodingOfString returns the encoding that a JSON string's first two characters of base64
-// name.
+// encodingOfString returns the encoding of a JSON string, which holds it in the first byte of its
+// base64 content. The first two base64 characters suffice to decode that byte.
 func encodingOfString(raw []byte) Encoding {
 	const first, end = 1, 3
 	if len(raw) <= end {
@@ -110,8 +112,8 @@
 	return Encoding(header[0])
 }
 
-// DecodeTaskGroup decodes the value that is stored at a key, in whatever encoding. It returns
-// the encoding as far as it is known, even with an error.
+// DecodeTaskGroup decodes the value that is stored under a key, in any known encoding. It returns
+// the encoding even with an error, as far as it could be determined.
 func DecodeTaskGroup(key string, raw []byte) (*TaskGroup, Encoding, error) {
 	switch encoding := EncodingOf(raw); encoding {
 	case PlainJSON:
@@ -132,7 +134,8 @@
 	}
 }
 
-// verifyContent returns the content of a checksummed value, a JSON string.
+// verifyContent decodes the JSON string of a checksummed value and returns its content, or
+// ErrChecksum if the value is malformed or its checksum does not match.
 func verifyContent(key string, raw []byte) ([]byte, error) {
 	if raw[len(raw)-1] != '"' {
 		return nil, ErrChecksum
--- a/internal/record/group_binary.go
+++ b/internal/record/group_binary.go
@@ -9,31 +9,32 @@
 )
 
 const (
-	// maxTasks bounds what a damaged count can ask for; a job has at most 100,000 tasks.
+	// maxTasks limits the counts that are read from a record, which may be damaged. It exceeds
+	// wire.MaxTasks, the 100,000 tasks that a job may have.
 	maxTasks = 1 << 17
-	// flagGuaranteed is the flag of TaskGroup.Guaranteed.
+	// flagGuaranteed is the bit that holds TaskGroup.Guaranteed.
 	flagGuaranteed = 1
-	// minLocationBytes and minTaskBytes are the least that one takes in the content.
+	// minLocationBytes and minTaskBytes are the smallest encoded sizes of a location and of a
+	// task.
 	minLocationBytes = 5
 	minTaskBytes     = 3
 )
 
-// errMalformedBinary says that the content makes no sense although its checksum matches.
+// errMalformedBinary means that the content can't be decoded although its checksum matches.
 var errMalformedBinary = errors.New("content is malformed")
 
-// location is where a task is bound. Several tasks of a group often share one; the zero value
-// is for tasks that are not bound.
-type machineLocation struct {
+// location is the machine that a task is bound to. Several tasks of a group often share one, so
+// the content holds each location once. The zero value stands for tasks that are not bound.
+type location struct {
 	machine, addr string
 	incarnation   uint64
 }
 
-func (b *Binding) location() machineLocation {
-	return machineLocation{b.Machine, b.Addr, b.Incarnation}
-}
+func (b *Binding) location() location { return location{b.Machine, b.Addr, b.Incarnation} }
 
-// canEncodeBinary tells whether the content can hold all of the group. One with names longer than
-// any cloud gives can't be held.
+// canEncodeBinary reports whether the binary content can hold the whole group. It can't if a
+// number is out of range or a name or address is longer than codec.MaxString, which exceeds the
+// names that clouds give.
 func (g *TaskGroup) canEncodeBinary() bool {
 	if g.Partition < 0 || g.DoneTasks < 0 || g.Throttle < 0 || g.DoneTasks > maxTasks || g.Throttle > maxTasks || len(g.Zone) > codec.MaxString {
 		return false
@@ -46,9 +47,8 @@
 	return true
 }
 
-// appendBinary appends the content of the checksummed encoding: the group's fields, the
-// locations that tasks are bound to, and the tasks, each with the distance of its number from
-// the one before and its location's index, from 1; 0: not bound.
+// appendBinary appends the content of the checksummed encoding: the group's fields, the locations
+// that tasks are bound to, and the tasks, which refer to the locations by index.
 func (g *TaskGroup) appendBinary(buf []byte) []byte {
 	var flags uint8
 	if g.Guaranteed {
@@ -64,13 +64,14 @@
 	return g.appendTasks(buf, index)
 }
 
-// locations returns the locations that tasks are bound to, in order, and the index of each.
-func (g *TaskGroup) locations() ([]machineLocation, map[machineLocation]uint64) {
-	var locations []machineLocation
-	index := map[machineLocation]uint64{}
+// locations returns the distinct locations that tasks are bound to, in the order of the tasks,
+// and the index of each. Indexes start at 1, since 0 stands for tasks that are not bound.
+func (g *TaskGroup) locations() ([]location, map[location]uint64) {
+	var locations []location
+	index := map[location]uint64{}
 	for i := range g.Tasks {
 		l := g.Tasks[i].location()
-		if _, known := index[l]; !known && l != (machineLocation{}) {
+		if _, known := index[l]; !known && l != (location{}) {
 			locations = append(locations, l)
 			index[l] = uint64(len(locations))
 		}
@@ -78,9 +79,11 @@
 	return locations, index
 }
 
-func appendLocations(buf []byte, locations []machineLocation) []byte {
+// appendLocations appends the locations. Names and addresses are compressed by the prefix that
+// they share with those of the previous location.
+func appendLocations(buf []byte, locations []location) []byte {
 	buf = binary.AppendUvarint(buf, uint64(len(locations)))
-	previous := machineLocation{}
+	previous := location{}
 	for _, l := range locations {
 		buf = codec.AppendPrefixCompressed(buf, previous.machine, l.machine)
 		buf = codec.AppendPrefixCompressed(buf, previous.addr, l.addr)
@@ -90,7 +93,9 @@
 	return buf
 }
 
-func (g *TaskGroup) appendTasks(buf []byte, index map[machineLocation]uint64) []byte {
+// appendTasks appends the tasks. A task's number is encoded as its difference from the previous
+// one, and its location as an index; 0 means that the task is not bound.
+func (g *TaskGroup) appendTasks(buf []byte, index map[location]uint64) []byte {
 	buf = binary.AppendUvarint(buf, uint64(len(g.Tasks)))
 	previous := int32(0)
 	for i := range g.Tasks {
@@ -103,7 +108,7 @@
 	return buf
 }
 
-// decodeBinary decodes what appendBinary wrote.
+// decodeBinary decodes content that appendBinary wrote.
 func decodeBinary(content []byte) (*TaskGroup, error) {
 	r := codec.NewReader(content)
 	g := &TaskGroup{Partition: int(min(r.Uvarint(), math.MaxInt32))}
@@ -118,18 +123,20 @@
 	return g, nil
 }
 
-// readLocations returns the locations by index; the first one is for tasks that are not bound.
-func readLocations(r *codec.Reader) []machineLocation {
-	locations := make([]machineLocation, 1, 1+r.Count(minLocationBytes))
+// readLocations reads the locations and returns them by index. The first one is the zero value,
+// for tasks that are not bound.
+func readLocations(r *codec.Reader) []location {
+	locations := make([]location, 1, 1+r.Count(minLocationBytes))
 	for i := range cap(locations) - 1 {
 		previous := &locations[i]
-		locations = append(locations, machineLocation{machine: r.PrefixCompressed(previous.machine), addr: r.PrefixCompressed(previous.addr), incarnation: r.Uvarint()})
+		locations = append(locations, location{machine: r.PrefixCompressed(previous.machine), addr: r.PrefixCompressed(previous.addr), incarnation: r.Uvarint()})
 	}
 	return locations
 }
 
-// readTasks returns the tasks; false: they are malformed.
-func readTasks(r *codec.Reader, locations []machineLocation) ([]Binding, bool) {
+// readTasks reads the tasks and looks up their locations. It returns false if they are
+// malformed.
+func readTasks(r *codec.Reader, locations []location) ([]Binding, bool) {
 	tasks := make([]Binding, 0, r.Count(minTaskBytes))
 	number := int64(0)
 	for range cap(tasks) {
--- a/internal/record/group_test.go
+++ b/internal/record/group_test.go
@@ -14,6 +14,7 @@
 	"pgregory.net/rapid"
 )
 
+// drawGroup draws a group, some of whose tasks are bound to the same machines.
 func drawGroup(t *rapid.T) *TaskGroup {
 	g := &TaskGroup{Partition: rapid.IntRange(0, 40).Draw(t, "partition"), Zone: rapid.SampledFrom([]string{"", "a", "sundarban"}).Draw(t, "zone"),
 		Guaranteed: rapid.Bool().Draw(t, "guaranteed"), DoneTasks: rapid.IntRange(0, 1000).Draw(t, "done"), Throttle: rapid.IntRange(0, 1000).Draw(t, "throttle"), Tasks: []Binding{}}
@@ -29,6 +30,7 @@
 	return g
 }
 
+// A group must be decoded as it was encoded, in each encoding.
 func TestTaskGroupRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := drawGroup(t)
@@ -36,45 +38,45 @@
 			content := g.Encode(encoding)
 			raw := content.ValueForKey("e/group/wk-1/0")
 			if len(raw) != content.Size() || !json.Valid(raw) {
-				t.Fatalf("encoding %d: %d bytes, not %d, or no JSON: %s", encoding, len(raw), content.Size(), raw)
+				t.Fatalf("encoding %d: value has %d bytes, want %d bytes of valid JSON: %s", encoding, len(raw), content.Size(), raw)
 			}
 			if EncodingOf(raw) != encoding {
-				t.Fatalf("encoding %d is taken for %d", encoding, EncodingOf(raw))
+				t.Fatalf("value in encoding %d: EncodingOf returns %d", encoding, EncodingOf(raw))
 			}
 			got, as, err := DecodeTaskGroup("e/group/wk-1/0", raw)
 			if err != nil || as != encoding {
-				t.Fatalf("encoding %d: read as %d: %v", encoding, as, err)
+				t.Fatalf("value in encoding %d: decoded as encoding %d, error %v", encoding, as, err)
 			}
 			if d := cmp.Diff(g, got); d != "" {
-				t.Fatalf("encoding %d: %s", encoding, d)
+				t.Fatalf("encoding %d: decoded group differs (-want +got):\n%s", encoding, d)
 			}
 		}
 	})
 }
 
-// A checksummed value that is damaged anywhere, cut, or stored at another key is refused; it
-// is never read as something else.
+// A checksummed value that is damaged at any byte, truncated or stored under another key must be
+// rejected, never decoded as a different group.
 func TestDamagedOrMisplacedGroupsAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := drawGroup(t)
 		raw := g.Encode(Checksummed).ValueForKey("e/group/wk-1/0")
 		if _, _, err := DecodeTaskGroup("e/group/wk-1/1", raw); !errors.Is(err, ErrChecksum) {
-			t.Fatalf("at another key: %v", err)
+			t.Fatalf("value under another key: error %v, want ErrChecksum", err)
 		}
 		bad := bytes.Clone(raw)
 		bad[rapid.IntRange(0, len(bad)-1).Draw(t, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
 		if got, _, err := DecodeTaskGroup("e/group/wk-1/0", bad); err == nil && !cmp.Equal(g, got) {
-			t.Fatalf("%s is read as %+v", bad, got)
+			t.Fatalf("damaged value %s is decoded as %+v", bad, got)
 		}
 		cut := raw[:rapid.IntRange(0, len(raw)-1).Draw(t, "cut")]
 		if _, _, err := DecodeTaskGroup("e/group/wk-1/0", cut); err == nil {
-			t.Fatalf("%s is read", cut)
+			t.Fatalf("truncated value %s is decoded", cut)
 		}
 	})
 }
 
-// A version that knows PlainJSON alone can't decode a checksummed value: it leaves it alone,
-// rather than take it for a group without tasks.
+// A version that knows only PlainJSON must fail to decode a checksummed value and thus leave it
+// unchanged, instead of taking it for a group without tasks.
 func TestChecksummedGroupIsNotDecodedAsJSON(t *testing.T) {
 	var old TaskGroup
 	if err := wire.Decode((&TaskGroup{Partition: 1}).Encode(Checksummed).ValueForKey("e/group/wk-1/0"), &old); err == nil {
@@ -82,37 +84,40 @@
 	}
 }
 
+// Values without a known encoding must be rejected with an error that callers can recognize.
 func TestUnknownEncodingsAreRejected(t *testing.T) {
 	for _, raw := range []string{`"AwAAAAAAAAAAAAAAAAAAAAAAAAA"`, `[]`, `17`, ``, `"`, `""`, `"A"`} {
 		if g, _, err := DecodeTaskGroup("e/group/wk-1/0", []byte(raw)); g != nil || !errors.Is(err, ErrUnknownEncoding) && !errors.Is(err, ErrChecksum) {
-			t.Errorf("%s: %v, %v", raw, g, err)
+			t.Errorf("%s: group %v, error %v, want ErrUnknownEncoding or ErrChecksum", raw, g, err)
 		}
 	}
 }
 
-// What the checksummed encoding can't hold stays plain; nothing is cut.
+// A group with a name that the checksummed encoding can't hold must be stored as PlainJSON, without
+// truncating the name.
 func TestLongNamesFallBackToPlainJSON(t *testing.T) {
 	g := &TaskGroup{Tasks: []Binding{{Machine: strings.Repeat("m", 2000)}}}
 	raw := g.Encode(Checksummed).ValueForKey("e/group/wk-1/0")
 	got, encoding, err := DecodeTaskGroup("e/group/wk-1/0", raw)
 	if err != nil || encoding != PlainJSON {
-		t.Fatalf("encoding %d: %v", encoding, err)
+		t.Fatalf("encoding %d, want PlainJSON; error %v", encoding, err)
 	}
 	if d := cmp.Diff(g, got); d != "" {
 		t.Error(d)
 	}
 }
 
-// The checksummed encoding of a full record with a machine for each task is smaller.
+// The checksummed encoding of a full record with a different machine for each task must be at most
+// two thirds as large as PlainJSON.
 func TestChecksummedEncodingIsSmaller(t *testing.T) {
 	g := &TaskGroup{Partition: 3, Zone: "sundarban"}
 	for i := range 100 {
 		g.Tasks = append(g.Tasks, Binding{Task: int32(i), Attempt: 1, Machine: fmt.Sprintf("host-%06d", i), Incarnation: 1, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
 	}
 	plain, checked := g.Encode(PlainJSON).Size(), g.Encode(Checksummed).Size()
-	t.Logf("plain %d bytes, checked %d", plain, checked)
+	t.Logf("plain JSON: %d bytes, checksummed: %d bytes", plain, checked)
 	if checked*3 > plain*2 {
-		t.Errorf("plain %d bytes, checked %d", plain, checked)
+		t.Errorf("plain JSON: %d bytes, checksummed: %d bytes, want at most two thirds", plain, checked)
 	}
 }
 
