--- a/internal/codec/checksum.go
+++ b/internal/codec/checksum.go
@@ -10,19 +10,19 @@
 // ChecksumSize is the size of a keyed checksum in bytes.
 const ChecksumSize = 16
 
-// Checksum returns a keyed BLAKE2b-128 hash of the name, the encoding and the content of a
-// value. The domain, a constant of at most 64 bytes, keeps checksums of different kinds of
-// values apart. It finds damaged and misplaced values; it is no signature, since the domain is
-// no secret.
+// Checksum returns the BLAKE2b-128 hash of a value's name, encoding and content, keyed with a
+// domain. The domain separates the checksums of different kinds of values; it is a constant of at
+// most 64 bytes, and Checksum panics if it is longer. The checksum detects values that are damaged
+// or stored under the wrong name. It is not a signature, since the domain is not secret.
 func Checksum(domain, name string, encoding uint8, content []byte) [ChecksumSize]byte {
 	hash, err := blake2b.New(ChecksumSize, []byte(domain))
 	if err != nil {
-		panic("codec: domain of a checksum is too long: " + domain) // a constant of ours
+		panic("codec: checksum domain is longer than 64 bytes: " + domain) // domains are constants of the program
 	}
 	header := binary.AppendUvarint(nil, uint64(len(name)))
 	header = append(header, name...)
 	header = append(header, encoding)
-	// Write of a hash.Hash never returns an error.
+	// The Write method of a hash.Hash never returns an error.
 	_, _ = hash.Write(header)
 	_, _ = hash.Write(content)
 	var sum [ChecksumSize]byte
@@ -30,7 +30,7 @@
 	return sum
 }
 
-// ChecksumMatches tells whether sum is the checksum of a value.
+// ChecksumMatches reports whether sum is the checksum of a value, as Checksum returns it.
 func ChecksumMatches(sum []byte, domain, name string, encoding uint8, content []byte) bool {
 	want := Checksum(domain, name, encoding, content)
 	return subtle.ConstantTimeCompare(sum, want[:]) == 1
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,22 +1,24 @@
-// Package codec has the building blocks of the handwritten binary formats: varints,
-// length-prefixed strings, bytes, checksums, and a reader that remembers the first error.
+// Package codec provides the building blocks of the handwritten binary formats: varints,
+// length-prefixed strings, prefix-compressed strings, bytes and checksums. Its Reader remembers
+// the first error, so that callers need to check for errors only once.
 package codec
 
 import "encoding/binary"
 
-// MaxString bounds a string's length in bytes: of both writers and readers.
+// MaxString is the maximum length of an encoded string in bytes. Longer strings are truncated when
+// they are written and rejected when they are read.
 const MaxString = 1 << 10
 
-// AppendString appends s, cut to MaxString, with its length.
+// AppendString appends the length of s and then s, truncated to MaxString bytes.
 func AppendString(buf []byte, s string) []byte {
 	s = s[:min(len(s), MaxString)]
 	buf = binary.AppendUvarint(buf, uint64(len(s)))
 	return append(buf, s...)
 }
 
-// AppendPrefixCompressed appends s, cut to MaxString, as the length of the prefix that it shares with the
-// previous string and the rest. Names and addresses in a list mostly differ at their ends
-// alone.
+// AppendPrefixCompressed appends s, truncated to MaxString bytes, as the length of the prefix that
+// it shares with the previous string, followed by the rest as a string. This saves space because
+// consecutive names and addresses in a list mostly differ only at their ends.
 func AppendPrefixCompressed(buf []byte, previous, s string) []byte {
 	s = s[:min(len(s), MaxString)]
 	prefixBytes := 0
@@ -27,20 +29,22 @@
 	return AppendString(buf, s[prefixBytes:])
 }
 
-// Reader takes values off a buffer. After a malformed value all further ones are zero;
-// Complete tells whether everything was well formed. The buffer must not be modified meanwhile.
+// Reader reads values from a buffer in the order in which they were appended. A malformed value is
+// read as zero, and the values that are read after it are undefined: callers must check
+// IsMalformed or IsComplete before they use the results. The buffer must not be modified while it
+// is read.
 type Reader struct {
 	buf       []byte
 	malformed bool
 }
 
-// NewReader returns a reader of buf.
+// NewReader returns a Reader that reads from the start of buf.
 func NewReader(buf []byte) *Reader { return &Reader{buf: buf} }
 
-// Malformed tells whether something malformed was read.
+// IsMalformed reports whether a malformed value has been read.
 func (r *Reader) IsMalformed() bool { return r.malformed }
 
-// Complete tells whether all was well formed and nothing is left.
+// IsComplete reports whether the whole buffer has been read and no value was malformed.
 func (r *Reader) IsComplete() bool { return !r.malformed && len(r.buf) == 0 }
 
 // Uvarint reads an unsigned varint.
@@ -65,7 +69,7 @@
 	return v
 }
 
-// Text reads a string.
+// Text reads a string that AppendString wrote. A string longer than MaxString is malformed.
 func (r *Reader) Text() string {
 	n := r.Uvarint()
 	if r.malformed || n > MaxString || n > uint64(len(r.buf)) {
@@ -77,7 +81,7 @@
 	return s
 }
 
-// Suffix reads a string that AppendPrefixCompressed wrote after the previous string.
+// PrefixCompressed reads a string that AppendPrefixCompressed wrote with the same previous string.
 func (r *Reader) PrefixCompressed(previous string) string {
 	prefixBytes := r.Uvarint()
 	if r.malformed || prefixBytes > uint64(len(previous)) {
@@ -103,8 +107,9 @@
 	return b
 }
 
-// Count reads a number of elements of at least elementBytes each, so that a malformed count
-// can't ask for more memory than the buffer accounts for.
+// Count reads the number of elements that follow, each of which takes at least elementBytes bytes.
+// A count that exceeds what the rest of the buffer can hold is malformed, so that damaged input
+// can't cause a large allocation.
 func (r *Reader) Count(elementBytes int) int {
 	n := r.Uvarint()
 	if r.malformed || n > uint64(len(r.buf)/elementBytes) {
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -13,17 +13,18 @@
 const (
 	dialTimeout  = time.Second
 	writeTimeout = 2 * time.Second
-	// readTimeout: a peer that sends nothing for this long has lost the connection.
+	// readTimeout is how long a connection may stay without a frame before it is closed.
 	readTimeout = 5 * time.Second
-	// maxConnections is how many connections of peers are served at a time.
+	// maxConnections is the maximum number of connections from peers that are open at a time.
+	// Further ones are closed at once.
 	maxConnections = 32
-	// acceptRetryInterval is the pause after a connection could not be accepted.
+	// acceptRetryInterval is the delay before the next attempt after accepting a connection failed.
 	acceptRetryInterval = 100 * time.Millisecond
 )
 
-// Serve accepts peers on l, which it closes, and calls deliver with each status that they send
-// until ctx ends. deliver is called concurrently. A bad frame ends its connection and nothing
-// else.
+// Serve accepts connections from peers on l and calls handle with each status that they send. It
+// calls handle concurrently. When ctx ends, it closes l and all connections and returns. An invalid
+// frame closes its own connection but does not affect the others.
 func Serve(ctx context.Context, l net.Listener, log *slog.Logger, handle func(*Status)) {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
@@ -56,14 +57,15 @@
 	}
 }
 
-// receive calls deliver with each status of a connection until that, or ctx, ends.
+// receive calls handle with each status that arrives on a connection. It closes the connection and
+// returns when ctx ends, the peer closes the connection or a frame is invalid or late.
 func receive(ctx context.Context, conn net.Conn, log *slog.Logger, handle func(*Status)) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
-		// It fails on a closed connection alone, and then so does the read.
+		// This fails only on a closed connection, on which the read fails too.
 		_ = conn.SetReadDeadline(time.Now().Add(readTimeout))
 		status, err := ReadStatus(reader)
 		if errors.Is(err, ErrUnknownVersion) || errors.Is(err, ErrChecksum) {
@@ -78,16 +80,16 @@
 	}
 }
 
-// Sender keeps a connection to one peer and sends it the latest status.
+// Sender maintains a connection to one peer and sends it the latest status frame.
 type Sender struct {
 	addr         string
 	pendingFrame chan []byte
 }
 
-// NewSender returns a sender to the peer at addr (host:port).
+// NewSender returns a Sender for the peer at addr (host:port). It sends nothing before Run is called.
 func NewSender(addr string) *Sender { return &Sender{addr: addr, pendingFrame: make(chan []byte, 1)} }
 
-// Offer replaces the frame that waits to be sent. It doesn't block.
+// Offer replaces the frame that is waiting to be sent, if any, by a newer one. It doesn't block.
 func (s *Sender) Offer(frame []byte) {
 	select {
 	case <-s.pendingFrame:
@@ -99,7 +101,8 @@
 	}
 }
 
-// Run sends until ctx ends. A frame that can't be sent is dropped: the next one is newer.
+// Run connects to the peer and sends frames until ctx ends. A frame that can't be sent is dropped,
+// since the next one holds a newer status.
 func (s *Sender) Run(ctx context.Context) {
 	var conn net.Conn
 	defer func() {
@@ -117,8 +120,8 @@
 	}
 }
 
-// send sends a frame on a connection, or on a new one if that is nil, and returns the
-// connection to use for the next frame; nil: a new one.
+// send sends a frame on a connection, or on a new one if conn is nil. It returns the connection for
+// the next frame, or nil if the next frame needs a new connection.
 func (s *Sender) send(ctx context.Context, conn net.Conn, frame []byte) net.Conn {
 	if conn == nil {
 		dialer := net.Dialer{Timeout: dialTimeout}
@@ -128,7 +131,7 @@
 		}
 		conn = dialed
 	}
-	// It fails on a closed connection alone, and then so does the write.
+	// This fails only on a closed connection, on which the write fails too.
 	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := conn.Write(frame); err != nil {
 		conn.Close()
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -1,10 +1,10 @@
-// Package peer exchanges status frames between controllers, in a handwritten binary format:
-// every controller sends its status to each of its peers over TCP.
+// Package peer exchanges status frames between controllers in a handwritten binary format. Every
+// controller sends its status to each of its peers over TCP.
 //
-// A frame is the magic "EH", a version byte, a kind byte, the payload's length (4 bytes, big
-// endian) and the payload. Numbers are unsigned varints, strings a length and their bytes. In
-// version 3 a checksum stands before the content, and a machine's strings are encoded by the
-// prefix that they share with those of the previous one.
+// A frame consists of the magic bytes "EH", a version byte, a kind byte, the payload's length (4
+// bytes, big endian) and the payload. In the payload, numbers are unsigned varints, and a string is
+// its length followed by its bytes. In version 3 a checksum precedes the content, and the strings
+// of a machine are compressed by the prefix that they share with those of the previous machine.
 package peer
 
 import (
@@ -16,17 +16,17 @@
 	"eiderhitch/internal/codec"
 )
 
-// Version is a version of the frame format. A frame of an unknown one is refused.
+// Version is a version of the frame format. Frames of an unknown version are rejected.
 type Version uint8
 
 const (
-	// PlainFrame is understood by all versions of the program.
+	// PlainFrame has no checksum. All versions of the program can read it.
 	PlainFrame Version = 2
-	// ChecksummedFrame has a checksum and is smaller. Feature level 2 brings it.
+	// ChecksummedFrame has a checksum and is smaller. It is sent from feature level 2 on.
 	ChecksummedFrame Version = 3
 )
 
-// The header of a frame.
+// The layout of a frame's header. Offsets are in bytes from the start of the frame.
 const (
 	magic         = "EH"
 	versionOffset = 2
@@ -38,24 +38,25 @@
 )
 
 const (
-	// maxPayloadBytes bounds a frame: a status of ten thousand machines with long names.
+	// maxPayloadBytes is the maximum size of a frame's payload. It suffices for a status with ten
+	// thousand machines with long names.
 	maxPayloadBytes = 1 << 20
-	// checksumDomain keeps frames' checksums apart from those of other values.
+	// checksumDomain separates the checksums of frames from those of other kinds of values.
 	checksumDomain = "eiderhitch status frame"
 )
 
-// Errors of frames.
+// Errors of ReadStatus.
 var (
-	// ErrUnknownVersion says that a frame is of an unknown version.
+	// ErrUnknownVersion means that this version of the program does not know the frame's version.
 	ErrUnknownVersion = errors.New("peer: unknown frame version")
-	// ErrChecksum says that a frame is damaged.
-	ErrChecksum = errors.New("peer: checksum of a frame does not match")
+	// ErrChecksum means that a frame is damaged.
+	ErrChecksum = errors.New("peer: frame checksum does not match")
 
-	errBadMagic  = errors.New("peer: not a frame")
+	errBadMagic  = errors.New("peer: frame does not start with the magic bytes")
 	errMalformed = errors.New("peer: malformed status")
 )
 
-// AppendStatus appends a frame with a status to buf.
+// AppendStatus appends a frame that holds a status, in a given version, to buf.
 func AppendStatus(buf []byte, status *Status, version Version) []byte {
 	start := len(buf)
 	buf = append(buf, magic...)
@@ -70,7 +71,7 @@
 	return buf
 }
 
-// appendChecksummed appends a status with its checksum.
+// appendChecksummed appends the payload of a ChecksummedFrame: the checksum and the status.
 func appendChecksummed(buf []byte, status *Status) []byte {
 	var checksum [codec.ChecksumSize]byte
 	buf = append(buf, checksum[:]...)
@@ -82,8 +83,8 @@
 	return buf
 }
 
-// ReadStatus reads one frame. After an error the reader is not at the start of a frame any
-// more.
+// ReadStatus reads one frame and returns its status. After an error the position of the reader is
+// undefined, so no further frame can be read from it.
 func ReadStatus(reader io.Reader) (*Status, error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
@@ -94,14 +95,14 @@
 	}
 	version := Version(header[versionOffset])
 	if version != PlainFrame && version != ChecksummedFrame {
-		return nil, fmt.Errorf("%w: %d, known are %d and %d", ErrUnknownVersion, version, PlainFrame, ChecksummedFrame)
+		return nil, fmt.Errorf("%w %d, supported versions are %d and %d", ErrUnknownVersion, version, PlainFrame, ChecksummedFrame)
 	}
 	if kind := header[kindOffset]; kind != kindStatus {
-		return nil, fmt.Errorf("peer: unknown kind %d of a frame", kind)
+		return nil, fmt.Errorf("peer: unknown frame kind %d", kind)
 	}
 	length := binary.BigEndian.Uint32(header[lengthOffset:])
 	if length > maxPayloadBytes {
-		return nil, fmt.Errorf("peer: frame of %d bytes", length)
+		return nil, fmt.Errorf("peer: frame payload of %d bytes is too large", length)
 	}
 	payload := make([]byte, length)
 	if _, err := io.ReadFull(reader, payload); err != nil {
@@ -110,7 +111,7 @@
 	return decodeStatus(payload, version)
 }
 
-// decodeStatus decodes the payload of a frame.
+// decodeStatus verifies and decodes the payload of a frame.
 func decodeStatus(payload []byte, version Version) (*Status, error) {
 	content := payload
 	if version == ChecksummedFrame {
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -10,6 +10,7 @@
 	"pgregory.net/rapid"
 )
 
+// A status must be decoded as it was encoded, in each frame version.
 func TestStatusRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		status := &Status{Node: rapid.StringN(0, 20, 100).Draw(t, "node"), ProcessID: rapid.StringN(0, 20, 100).Draw(t, "process id"), ReplicaIsCurrent: rapid.Bool().Draw(t, "fresh"), CanTakePartitions: rapid.Bool().Draw(t, "eligible"),
@@ -38,19 +39,21 @@
 
 var versions = []Version{PlainFrame, ChecksummedFrame}
 
-// A checksummed frame that is damaged is refused, whatever the damage would make of it.
+// A checksummed frame whose payload is damaged must be rejected, even if the damaged payload could be
+// decoded.
 func TestDamagedFramesAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		frame := AppendStatus(nil, &Status{Node: "n", ProcessID: "b", Partitions: []uint64{1}, Machines: []Machine{{Name: "m", Addr: "10.1.0.2:9000", Incarnation: 3}}}, ChecksummedFrame)
 		at := rapid.IntRange(headerBytes, len(frame)-1).Draw(t, "at")
 		frame[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
 		if status, err := ReadStatus(bytes.NewReader(frame)); !errors.Is(err, ErrChecksum) {
-			t.Fatalf("byte %d: %+v, %v", at, status, err)
+			t.Fatalf("damage at byte %d: status %+v, error %v, want ErrChecksum", at, status, err)
 		}
 	})
 }
 
-// A bad frame is an error, never a panic and never a huge allocation.
+// A malformed or truncated frame must give an error or a status; it must not cause a panic or a huge
+// allocation.
 func TestMalformedFramesAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		good := AppendStatus(nil, &Status{Node: "n", Partitions: []uint64{1}, Machines: []Machine{{Name: "m"}}}, rapid.SampledFrom(versions).Draw(t, "version"))
@@ -60,18 +63,18 @@
 		good = good[:rapid.IntRange(0, len(good)).Draw(t, "cut")]
 		status, err := ReadStatus(bytes.NewReader(good))
 		if (status == nil) == (err == nil) {
-			t.Fatalf("status %v, error %v", status, err)
+			t.Fatalf("status %v and error %v, want exactly one of them", status, err)
 		}
 	})
 	other := AppendStatus(nil, &Status{}, PlainFrame)
 	other[2] = byte(ChecksummedFrame) + 1
 	if _, err := ReadStatus(bytes.NewReader(other)); !errors.Is(err, ErrUnknownVersion) {
-		t.Fatalf("another version: %v", err)
+		t.Fatalf("frame of an unknown version: error %v, want ErrUnknownVersion", err)
 	}
 }
 
-// The status of the only owner of 4,000 machines, all of them being drained, fits a frame
-// of either version.
+// The status of a controller that owns all of 4,000 machines, all of which are being drained, must
+// fit in a frame of either version.
 func TestLargeStatusFitsInFrame(t *testing.T) {
 	status := &Status{Node: "perch-0", ProcessID: "0123456789abcdef", Partitions: []uint64{0, 1, 2, 3, 4, 5}}
 	for i := range 4000 {
--- a/internal/peer/registry.go
+++ b/internal/peer/registry.go
@@ -5,19 +5,21 @@
 	"time"
 )
 
-// Timeout is how long after its last status a peer is not counted on any more: five times
-// the interval at which controllers send theirs, so that a few may be late or lost.
+// Timeout is the time after its last status at which a peer counts as unreachable. It is five times
+// the interval at which controllers send their status, so that a few frames may be late or lost.
 const Timeout = 2500 * time.Millisecond
 
-// Peer is what is known of another controller. Nobody but the Registry changes it.
+// Peer is what this controller knows about another controller. Only the Registry modifies it.
 type Peer struct {
-	// Status is the last that it sent; nil before the first.
+	// Status is the last status that the peer sent, or nil before the first one.
 	Status *Status
-	// LastStatusAt is when Status came.
+	// LastStatusAt is the time at which Status arrived, or the zero time before the first one.
 	LastStatusAt time.Time
-	// AliveSince is since when its statuses have come without a gap of Timeout.
+	// AliveSince is the start of the current period in which statuses arrived without a gap longer
+	// than Timeout.
 	AliveSince time.Time
-	// previousProcessID is the process before the present one. Its frames may still come.
+	// previousProcessID is the id of the process that the peer ran before its current one. Frames
+	// of that process may still arrive.
 	previousProcessID string
 }
 
@@ -26,10 +28,11 @@
 	return p.Status != nil && now.Sub(p.LastStatusAt) < maxAge
 }
 
-// Registry has the other controllers of the cluster by name. It belongs to one goroutine.
+// Registry holds the other controllers of the cluster by name. It is not safe for concurrent use.
 type Registry struct{ peers map[string]*Peer }
 
-// NewRegistry returns a registry of the controllers of those names.
+// NewRegistry returns a Registry of the controllers with the given names. None of them has sent a
+// status yet.
 func NewRegistry(names []string) *Registry {
 	r := &Registry{peers: make(map[string]*Peer, len(names))}
 	for _, name := range names {
@@ -38,10 +41,10 @@
 	return r
 }
 
-// Peer is the controller of that name; nil if it is none of the cluster's.
+// Peer returns the controller with the given name, or nil if the cluster has no such controller.
 func (r *Registry) Peer(name string) *Peer { return r.peers[name] }
 
-// All goes through the peers in no order.
+// All iterates over the peers and their names, in no particular order.
 func (r *Registry) All() iter.Seq2[string, *Peer] {
 	return func(yield func(string, *Peer) bool) {
 		for name, p := range r.peers {
@@ -52,8 +55,9 @@
 	}
 }
 
-// Update takes a status in. False means that it is passed over: it comes from none of the
-// cluster's controllers, or from a process that has since been replaced.
+// Update records a status that arrived at now. It reports whether the status was accepted: it is
+// ignored if its sender is not a controller of the cluster, or is a process that its successor has
+// already replaced.
 func (r *Registry) Update(status *Status, now time.Time) bool {
 	p := r.peers[status.Node]
 	if p == nil {
@@ -72,7 +76,8 @@
 	return true
 }
 
-// IsIsolated reports whether there are peers and none of them was heard within d of now.
+// IsIsolated reports whether there are peers and none of them sent a status within the window before
+// now.
 func (r *Registry) IsIsolated(window time.Duration, now time.Time) bool {
 	for _, p := range r.peers {
 		if now.Sub(p.LastStatusAt) < window {
--- a/internal/peer/registry_test.go
+++ b/internal/peer/registry_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Frames of a process that was replaced may come after the first of its successor: they
-// must not be taken for news.
+// Frames of a process that was replaced may arrive after the first frame of its successor. The
+// registry must ignore them, since they hold an outdated status.
 func TestRegistryIgnoresReplacedProcess(t *testing.T) {
 	r, now := NewRegistry([]string{"n1"}), time.Unix(1000, 0)
 	for _, step := range []struct {
@@ -15,34 +15,36 @@
 	}{
 		{"first status", "n1", "old", true},
 		{"restarted", "n1", "new", true},
-		{"late frame of the former process", "n1", "old", false},
+		{"late frame of the replaced process", "n1", "old", false},
 		{"unknown controller", "n9", "x", false},
 	} {
 		if got := r.Update(&Status{Node: step.node, ProcessID: step.process}, now); got != step.taken {
-			t.Errorf("%s: taken is %v, want %v", step.name, got, step.taken)
+			t.Errorf("%s: Update returned %v, want %v", step.name, got, step.taken)
 		}
 	}
 	if got := r.Peer("n1").Status.ProcessID; got != "new" {
-		t.Errorf("the peer's process is %q, want %q", got, "new")
+		t.Errorf("the peer's process id is %q, want %q", got, "new")
 	}
 }
 
+// AliveSince must survive a gap of exactly Timeout between two statuses and restart after a longer
+// one; IsIsolated must depend on the time since the last status.
 func TestRegistryDetectsStatusGaps(t *testing.T) {
 	r, begun := NewRegistry([]string{"n1"}), time.Unix(1000, 0)
 	if !r.IsIsolated(time.Second, begun) {
-		t.Error("a peer that was never heard is not silent")
+		t.Error("IsIsolated is false although no peer has sent a status")
 	}
 	r.Update(&Status{Node: "n1"}, begun)
 	r.Update(&Status{Node: "n1"}, begun.Add(Timeout))
 	if p := r.Peer("n1"); !p.AliveSince.Equal(begun) || !p.HasRecentStatus(time.Second, begun.Add(Timeout)) {
-		t.Errorf("heard since %v, want %v", p.AliveSince, begun)
+		t.Errorf("peer alive since %v, want %v, or its status is not recent", p.AliveSince, begun)
 	}
 	late := begun.Add(2*Timeout + time.Millisecond)
 	r.Update(&Status{Node: "n1"}, late)
 	if p := r.Peer("n1"); !p.AliveSince.Equal(late) {
-		t.Errorf("after a gap: heard since %v, want %v", p.AliveSince, late)
+		t.Errorf("after a gap: peer alive since %v, want %v", p.AliveSince, late)
 	}
 	if r.IsIsolated(time.Second, late) || !r.IsIsolated(time.Second, late.Add(time.Second)) {
-		t.Error("a peer is silent a second after its last status, and not before")
+		t.Error("IsIsolated must be false until a second after the last status, and true from then on")
 	}
 }
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -6,60 +6,66 @@
 	"eiderhitch/internal/codec"
 )
 
-// Status is what one controller tells its peers.
+// Status is the state of a controller that it sends to its peers.
 type Status struct {
+	// Node is the controller's name.
 	Node string
-	// ProcessID is drawn at the start of the process: a restarted controller has the name of
-	// its former self, whose frames may still come late.
+	// ProcessID is chosen at random when the process starts. It distinguishes a restarted
+	// controller from its previous process, which has the same name and whose last frames may
+	// arrive late.
 	ProcessID string
-	// Fresh: its replica of the key-value store is current.
+	// ReplicaIsCurrent is set if the controller's replica of the key-value store is up to date.
 	ReplicaIsCurrent bool
-	// Eligible: it may take partitions over, since it is fresh and workers reach it.
+	// CanTakePartitions is set if the controller may take over partitions, because its replica is
+	// up to date and workers can reach it.
 	CanTakePartitions bool
-	Partitions        []uint64 // that it owns
+	Partitions        []uint64 // indexes of the partitions that the controller owns
 	Machines          []Machine
-	// Draining are the machines on which nothing may be placed any more, since the leader
-	// is about to return them.
+	// DrainingMachines names the machines that accept no new tasks because the leader is about to
+	// return them to the cloud.
 	DrainingMachines []string
 }
 
-// Machine is what the owner of a partition knows of one of its machines.
+// Machine describes a machine to the peers of its partition's owner. Flags combines the Flag
+// constants.
 type Machine struct {
 	Name, Addr, Type, Zone string
 	Incarnation            uint64
 	Flags                  uint8
 }
 
-// Flags of a machine.
+// Flags of a machine. The numbers are sent to other versions of the program.
 const (
-	// Reachable: heartbeats are arriving.
+	// FlagReachable is set while the machine's heartbeats arrive.
 	FlagReachable = 1 << iota
-	// FlagTerminationNotice: the cloud is about to take the machine.
+	// FlagTerminationNotice is set if the cloud has announced that it will terminate the machine.
 	FlagTerminationNotice
-	// Cordoned: tasks of several jobs failed on it; nothing is placed there.
+	// FlagCordoned is set if tasks of several jobs failed on the machine. No task is placed on it.
 	FlagCordoned
-	// Unreachable: it neither sends heartbeats nor answers its owner, who hears from others.
+	// FlagUnreachable is set if the machine neither sends heartbeats nor answers its owner, while
+	// the owner does receive heartbeats from other machines.
 	FlagUnreachable
-	// Spot: it is a spot instance.
+	// FlagSpot is set if the machine is a spot instance.
 	FlagSpot
-	// FlagNoHeartbeatYet: no heartbeat has come since its owner took its partition over.
+	// FlagNoHeartbeatYet is set if no heartbeat of the machine has arrived since its owner took over
+	// its partition.
 	FlagNoHeartbeatYet
 )
 
-// Flags of a status.
+// Flags of a status. The numbers are sent to other versions of the program.
 const (
 	statusFlagReplicaIsCurrent = 1 << iota
 	statusFlagCanTakePartitions
 )
 
 const (
-	// minMachineBytes is the least that a machine takes in any version.
+	// minMachineBytes is the smallest encoded size of a machine in any frame version.
 	minMachineBytes = 6
-	// minElementBytes is the least that a number or a string takes.
+	// minElementBytes is the smallest encoded size of a number or a string.
 	minElementBytes = 1
 )
 
-// appendController appends what a controller tells about itself.
+// appendController appends the fields that describe the controller itself.
 func appendController(buf []byte, status *Status) []byte {
 	buf = codec.AppendString(buf, status.Node)
 	buf = codec.AppendString(buf, status.ProcessID)
@@ -78,7 +84,7 @@
 	return buf
 }
 
-// appendPlainMachines appends the machines as PlainFrame has them.
+// appendPlainMachines appends the machines and the draining machines in the format of PlainFrame.
 func appendPlainMachines(buf []byte, status *Status) []byte {
 	buf = binary.AppendUvarint(buf, uint64(len(status.Machines)))
 	for i := range status.Machines {
@@ -97,7 +103,8 @@
 	return buf
 }
 
-// appendCompressedMachines appends the machines as ChecksummedFrame has them.
+// appendCompressedMachines appends the machines and the draining machines in the format of
+// ChecksummedFrame, with prefix-compressed strings.
 func appendCompressedMachines(buf []byte, status *Status) []byte {
 	buf = binary.AppendUvarint(buf, uint64(len(status.Machines)))
 	previous := &Machine{}
@@ -120,7 +127,7 @@
 	return buf
 }
 
-// readController reads what appendController appended.
+// readController reads the fields that appendController appended.
 func readController(reader *codec.Reader) *Status {
 	status := &Status{Node: reader.Text(), ProcessID: reader.Text()}
 	flags := reader.Byte()
@@ -131,7 +138,7 @@
 	return status
 }
 
-// readPlainMachines reads what appendPlainMachines appended.
+// readPlainMachines reads the machines that appendPlainMachines appended into status.
 func readPlainMachines(reader *codec.Reader, status *Status) {
 	for range reader.Count(minMachineBytes) {
 		status.Machines = append(status.Machines, Machine{Name: reader.Text(), Addr: reader.Text(), Type: reader.Text(), Zone: reader.Text(),
@@ -145,7 +152,7 @@
 	}
 }
 
-// readCompressedMachines reads what appendCompressedMachines appended.
+// readCompressedMachines reads the machines that appendCompressedMachines appended into status.
 func readCompressedMachines(reader *codec.Reader, status *Status) {
 	previous := Machine{}
 	for range reader.Count(minMachineBytes) {
