--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,4 +1,4 @@
-// Package cloud is the client of the cloud that machines are rented from.
+// Package cloud provides a client of the API of the cloud that rents out the machines.
 package cloud
 
 import (
@@ -17,42 +17,45 @@
 	"eiderhitch/internal/wire"
 )
 
-// Errors that callers act on. The methods of Client wrap them with the request: compare with
-// errors.Is. After any other error a request may have been executed, or may be later.
+// Errors that callers handle. The methods of Client wrap them in an error that names the request;
+// use errors.Is to compare. After any other error the request may have been executed already, or may
+// still be executed later.
 var (
-	// ErrNoCapacity says that the cloud has no machine of that type, zone and kind.
+	// ErrNoCapacity means that the cloud has no machine of the requested type, in the requested zone,
+	// as a spot or on-demand instance as requested.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrRefused says that a call was not executed: in an outage, or above the rate limit.
+	// ErrRefused means that the cloud did not execute the request, because of an outage or because
+	// the rate limit was exceeded.
 	ErrRefused = errors.New("refused")
 )
 
 const (
-	// MaxTerminateNames is how many machines one call may terminate.
+	// MaxTerminateNames is the maximum number of machines that one call of Terminate accepts.
 	MaxTerminateNames = 100
-	// MaxListPage is how many machines one page of the list may have.
+	// MaxListPage is the maximum number of machines in one page of the list.
 	MaxListPage = 500
 
-	// callTimeout bounds each call.
+	// callTimeout is the timeout of each call.
 	callTimeout = 4 * time.Second
-	// maxResponseBytes bounds a response: a page of the list has some 100 KB.
+	// maxResponseBytes is the maximum size of a response. A page of the list has about 100 KB.
 	maxResponseBytes = 8 << 20
-	// rateShare is the share of the cloud's rate limit that this client uses.
+	// rateShare is the fraction of the cloud's rate limit that this client uses.
 	rateShare = 0.8
 )
 
-// noCapacity is the cloud's answer when it has no machine to rent.
+// noCapacity is the error text in the cloud's response if it has no machine to rent out.
 const noCapacity = "no capacity"
 
-// Client calls the cloud, within its rate limit: calls wait for their turn. Its methods may
-// be called concurrently.
+// Client calls the API of the cloud. Calls wait as long as needed to stay within the cloud's rate
+// limit. The methods of Client may be called concurrently.
 type Client struct {
 	base  string
 	http  *http.Client
 	limit *rate.Limiter
 }
 
-// NewClient returns a client of the cloud at addr (host:port), which allows rps requests a
-// second, that sends its requests by transport.
+// NewClient returns a Client that sends its requests through transport to the cloud at addr
+// (host:port). The cloud allows rps requests per second.
 func NewClient(addr string, rps float64, transport http.RoundTripper) *Client {
 	return &Client{
 		base:  "http://" + addr,
@@ -61,14 +64,15 @@
 	}
 }
 
-// request is one call of the cloud.
+// request is one call of the cloud's API.
 type request struct {
 	method string
 	path   string
-	body   any // nil: none
+	body   any // nil if the request has no body
 }
 
-// call sends a request and decodes the response into out, unless that is nil.
+// call waits for the rate limit, sends a request and decodes the response into out, unless out is
+// nil.
 func (c *Client) call(ctx context.Context, r request, out any) error {
 	if err := c.limit.Wait(ctx); err != nil {
 		return err
@@ -87,7 +91,7 @@
 	return nil
 }
 
-// responseError returns what a status other than 200 means.
+// responseError returns the error for a response with a status other than 200, or nil for 200.
 func responseError(response *httpjson.Response) error {
 	switch response.Status {
 	case http.StatusOK:
@@ -107,7 +111,7 @@
 	}
 }
 
-// MachineTypes lists the machine types with current prices.
+// MachineTypes returns the machine types with their current prices.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var response wire.MachineTypes
 	if err := c.call(ctx, request{http.MethodGet, "/machine_types", nil}, &response); err != nil {
@@ -116,8 +120,8 @@
 	return response.Types, nil
 }
 
-// Launch rents machines and returns their names. It is idempotent: repeating a request that
-// was granted rents nothing.
+// Launch rents machines and returns their names. It is idempotent: repeating a request that has
+// succeeded rents no further machines.
 func (c *Client) Launch(ctx context.Context, launch wire.LaunchRequest) ([]string, error) {
 	var response wire.MachineNames
 	if err := c.call(ctx, request{http.MethodPost, "/rentals", launch}, &response); err != nil {
@@ -126,14 +130,14 @@
 	return response.Names, nil
 }
 
-// Terminate returns at most MaxTerminateNames machines. Without an error they are gone, with all
-// that was on them. Unknown names are ignored.
+// Terminate returns at most MaxTerminateNames machines to the cloud. If it returns no error, the
+// machines and everything that ran on them are gone. Unknown names are ignored.
 func (c *Client) Terminate(ctx context.Context, names []string) error {
 	return c.call(ctx, request{http.MethodPost, "/rentals/release", wire.MachineNames{Names: names}}, nil)
 }
 
-// List reads the whole list of machines, page by page. It lags, and may be older than the
-// one read before.
+// List reads the whole list of rented machines, page by page. The list lags behind the actual state
+// and may even be older than the one that was read before.
 func (c *Client) List(ctx context.Context) ([]wire.Instance, error) {
 	var all []wire.Instance
 	after := ""
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -13,7 +13,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// scripted answers every request alike and keeps what was sent.
+// fakeTransport gives the same response to every request and records the last request.
 type fakeTransport struct {
 	status            int
 	body, lastRequest string
@@ -22,13 +22,14 @@
 func (s *fakeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	var body []byte
 	if r.Body != nil {
-		body, _ = io.ReadAll(r.Body) // what can't be read fails the comparison
+		body, _ = io.ReadAll(r.Body) // a read error makes the comparison with the expected request fail
 	}
 	s.lastRequest = strings.TrimSpace(fmt.Sprintf("%s %s %s", r.Method, r.URL, body))
 	return &http.Response{StatusCode: s.status, Body: io.NopCloser(strings.NewReader(s.body)), Header: http.Header{}}, nil
 }
 
-// Each call sends exactly this, and each answer becomes the error that callers decide on.
+// Each call must send exactly the listed request, and each response must give the error by which
+// callers decide what to do.
 func TestRequestsAndErrors(t *testing.T) {
 	for _, x := range []struct {
 		name, sent string
@@ -60,7 +61,7 @@
 			rt := &fakeTransport{status: y.status, body: y.body}
 			err := x.call(t.Context(), cloud.NewClient("cloud:1", 100, rt))
 			if rt.lastRequest != x.sent {
-				t.Errorf("%s sent\n%s, not\n%s", x.name, rt.lastRequest, x.sent)
+				t.Errorf("%s: sent\n%s, want\n%s", x.name, rt.lastRequest, x.sent)
 			}
 			ok := err == nil
 			if y.text != "" {
@@ -69,7 +70,7 @@
 				ok = errors.Is(err, y.want)
 			}
 			if !ok || y.want == nil && (errors.Is(err, cloud.ErrNoCapacity) || errors.Is(err, cloud.ErrRefused)) {
-				t.Errorf("%s, %d %s: %v", x.name, y.status, y.body, err)
+				t.Errorf("%s: unexpected error for response %d %s: %v", x.name, y.status, y.body, err)
 			}
 		}
 	}
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -1,6 +1,6 @@
-// Package workerclient sends commands straight to workers, without waiting for their next
-// heartbeat. Client sends them; Slots limits how many are open, and queues the machines that
-// wait.
+// Package workerclient sends commands directly to workers instead of waiting for their next
+// heartbeat. Client sends them. Slots limits how many are in progress and queues the machines that
+// wait for a slot.
 package workerclient
 
 import (
@@ -14,27 +14,29 @@
 )
 
 const (
-	// Timeout bounds a direct command; workers answer within milliseconds.
+	// Timeout is the timeout of a direct command. Workers normally respond within milliseconds.
 	Timeout = 2 * time.Second
-	// PingTimeout bounds one that only asks whether the machine is there.
+	// PingTimeout is the timeout of a ping, a direct command that only checks whether the machine
+	// responds.
 	PingTimeout = time.Second
 
-	// maxResponseBytes bounds a heartbeat: machines hold few tasks.
+	// maxResponseBytes is the maximum size of the heartbeat in a response. It is ample, since a
+	// machine holds few tasks.
 	maxResponseBytes = 8 << 20
 )
 
 // Client sends commands to workers. Its methods may be called concurrently.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client that sends its requests by transport.
+// NewClient returns a Client that sends its requests through transport.
 func NewClient(transport http.RoundTripper) *Client {
 	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// Send sends commands to the worker at addr (host:port) and returns the worker's heartbeat,
-// and whether the commands were executed: they are not if the fencing token is lower than
-// one that the worker has seen, or the incarnation is another one. An error means that they
-// may have been executed, or may be executed later.
+// Send sends commands to the worker at addr (host:port). It returns the worker's heartbeat and
+// whether the worker executed the commands. The worker doesn't execute them if it has seen a higher
+// fencing token or has a different incarnation. If Send returns an error, the commands may have been
+// executed already, or may still be executed later.
 func (c *Client) Send(ctx context.Context, addr string, commands *wire.CommandRequest) (*wire.Heartbeat, bool, error) {
 	heartbeat, executed, err := c.send(ctx, addr, commands)
 	if err != nil {
@@ -43,6 +45,7 @@
 	return heartbeat, executed, nil
 }
 
+// send does the work of Send, without naming the worker in its errors.
 func (c *Client) send(ctx context.Context, addr string, commands *wire.CommandRequest) (*wire.Heartbeat, bool, error) {
 	if commands.Commands == nil {
 		commands.Commands = []wire.Command{}
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -11,18 +11,20 @@
 	"eiderhitch/internal/workerclient"
 )
 
+// fakeTransport gives the same response to every request and records the last request.
 type fakeTransport struct {
 	status            int
 	body, lastRequest string
 }
 
 func (s *fakeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	body, _ := io.ReadAll(r.Body) // what can't be read fails the comparison
+	body, _ := io.ReadAll(r.Body) // a read error makes the comparison with the expected request fail
 	s.lastRequest = fmt.Sprintf("%s %s %s", r.Method, r.URL, body)
 	return &http.Response{StatusCode: s.status, Body: io.NopCloser(strings.NewReader(s.body)), Header: http.Header{}}, nil
 }
 
-// A command is sent as exactly this; an answer is a report, executed or not, or an error.
+// A command must be sent as exactly this request. A response must give a heartbeat and whether the
+// commands were executed, or an error.
 func TestCommandsAndAnswers(t *testing.T) {
 	for _, x := range []struct {
 		status   int
@@ -39,10 +41,10 @@
 		rt := &fakeTransport{status: x.status, body: x.body}
 		report, executed, err := workerclient.NewClient(rt).Send(t.Context(), "w:1", &wire.CommandRequest{FencingToken: 41, Incarnation: 1})
 		if want := `POST http://w:1/do {"baton":41,"watch":1,"calls":[]}`; rt.lastRequest != want {
-			t.Errorf("sent %s, not %s", rt.lastRequest, want)
+			t.Errorf("sent %s, want %s", rt.lastRequest, want)
 		}
 		if (err == nil) != (x.text == "") || err != nil && err.Error() != x.text || executed != x.executed || (report == nil) != (err != nil) {
-			t.Errorf("%d %s: %+v, %v, %v", x.status, x.body, report, executed, err)
+			t.Errorf("response %d %s: unexpected result: heartbeat %+v, executed %v, error %v", x.status, x.body, report, executed, err)
 		}
 	}
 }
--- a/internal/workerclient/slots.go
+++ b/internal/workerclient/slots.go
@@ -1,39 +1,41 @@
 package workerclient
 
-// Purpose is what a slot for a direct command is wanted for.
+// Purpose tells what a slot for a direct command is used for.
 type Purpose int
 
 const (
-	// PurposeCommands are to be sent. They may use all slots.
+	// PurposeCommands means that commands are to be sent. Commands may use all slots.
 	PurposeCommands Purpose = iota
-	// PurposePing only asks whether the machine is there, and shows it the fencing token. Pings may
-	// use half of the slots: the rest is for commands.
+	// PurposePing means that the machine is only asked whether it responds; the request also tells
+	// it the fencing token. Pings may use half of the slots, so that the rest is left for commands.
 	PurposePing
 )
 
-// Slots limits how many direct commands are open at a time, and queues the machines that
-// wait for a slot. A command to a machine that does not answer holds a socket until it times
-// out, so that some hundred of them at once would take the sockets of workers and users.
+// Slots limits how many direct commands are in progress at a time and queues the machines that wait
+// for a slot. The limit is needed because a command to a machine that does not respond occupies a
+// socket until it times out: about a hundred of them at once would use up the sockets that workers
+// and users need.
 //
-// A machine is in the queue once at most. Slots belongs to one goroutine.
+// A machine is in the queue at most once. Slots is not safe for concurrent use.
 type Slots[Machine comparable] struct {
 	openCommands, capacity int
 	queue                  []Machine
-	purposes               map[Machine]Purpose // of the machines in the queue
+	purposes               map[Machine]Purpose // for the machines in the queue
 }
 
-// NewSlots returns slots for maximum commands at a time, none of which is open.
+// NewSlots returns Slots for at most capacity commands at a time, with all slots free and an empty
+// queue.
 func NewSlots[Machine comparable](capacity int) *Slots[Machine] {
 	return &Slots[Machine]{capacity: capacity, purposes: map[Machine]Purpose{}}
 }
 
-// OpenCommands returns how many commands are open.
+// OpenCommands returns the number of commands in progress.
 func (s *Slots[Machine]) OpenCommands() int { return s.openCommands }
 
-// QueueLength returns how many machines are in the queue.
+// QueueLength returns the number of machines in the queue.
 func (s *Slots[Machine]) QueueLength() int { return len(s.queue) }
 
-// HasAvailable reports whether a slot is left for a purpose.
+// HasAvailable reports whether a slot is available for the given purpose.
 func (s *Slots[Machine]) HasAvailable(purpose Purpose) bool {
 	if purpose == PurposePing {
 		return s.openCommands < s.capacity/2
@@ -41,8 +43,9 @@
 	return s.openCommands < s.capacity
 }
 
-// Acquire opens a command to a machine. A ping that it waits for is thereby sent; its place
-// in the queue stays.
+// Acquire takes a slot for a command to a machine. It doesn't check the limit: callers check
+// HasAvailable first. The command also serves as the ping that the machine may be queued for, so the
+// machine keeps its place in the queue but is queued for commands from then on.
 func (s *Slots[Machine]) Acquire(m Machine) {
 	s.openCommands++
 	if _, queued := s.purposes[m]; queued {
@@ -50,21 +53,21 @@
 	}
 }
 
-// Release ends a command.
+// Release returns the slot of a command that has ended.
 func (s *Slots[Machine]) Release() { s.openCommands-- }
 
-// Enqueue queues a machine, unless it is in the queue. If it waits for commands and for a ping,
-// its turn is a ping.
+// Enqueue adds a machine to the end of the queue, unless it is in the queue already. A machine that
+// is queued both for commands and for a ping is dequeued for a ping.
 func (s *Slots[Machine]) Enqueue(m Machine, purpose Purpose) {
-	waitsFor, queued := s.purposes[m]
+	queuedFor, queued := s.purposes[m]
 	if !queued {
 		s.queue = append(s.queue, m)
 	}
-	s.purposes[m] = max(waitsFor, purpose)
+	s.purposes[m] = max(queuedFor, purpose)
 }
 
-// Dequeue takes the first machine out of the queue, which must not be empty, and tells what it
-// waits for.
+// Dequeue removes the first machine from the queue and returns it and the purpose that it is queued
+// for. The queue must not be empty.
 func (s *Slots[Machine]) Dequeue() (Machine, Purpose) {
 	m := s.queue[0]
 	s.queue = s.queue[1:]
--- a/internal/workerclient/slots_test.go
+++ b/internal/workerclient/slots_test.go
@@ -7,7 +7,7 @@
 	"eiderhitch/internal/workerclient"
 )
 
-// Pings use half of the slots, so that commands find the other half whatever is pinged.
+// Pings must use at most half of the slots, so that commands always have the other half.
 func TestPingsLeaveSlotsForCommands(t *testing.T) {
 	for _, x := range []struct{ maximum, open, pings, commands int }{
 		{8, 0, 4, 8},
@@ -26,35 +26,35 @@
 				s.Acquire("m")
 			}
 			if got != want || s.OpenCommands() != x.open+want {
-				t.Errorf("%d of %d open: %d are left for purpose %d (%d open then), want %d", x.open, x.maximum, got, purpose, s.OpenCommands(), want)
+				t.Errorf("%d of %d slots in use: %d more were available for purpose %d (%d in use then), want %d", x.open, x.maximum, got, purpose, s.OpenCommands(), want)
 			}
 			s.Release()
 			if s.OpenCommands() != x.open+want-1 {
-				t.Errorf("%d open after a release, want %d", s.OpenCommands(), x.open+want-1)
+				t.Errorf("%d slots in use after a release, want %d", s.OpenCommands(), x.open+want-1)
 			}
 		}
 	}
 }
 
-// turn is a machine that has its turn, and what it waited for.
+// dequeued is a machine that was dequeued, and the purpose that it was queued for.
 type dequeued struct {
 	machine string
 	purpose workerclient.Purpose
 }
 
-// Machines have their turns in the order in which they came, each once.
+// Machines must be dequeued in the order in which they were enqueued, each once.
 func TestQueueOrder(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		wait func(s *workerclient.Slots[string])
 		want []dequeued
 	}{
-		{"nobody waits", func(*workerclient.Slots[string]) {}, nil},
+		{"empty queue", func(*workerclient.Slots[string]) {}, nil},
 		{"in order", func(s *workerclient.Slots[string]) {
 			s.Enqueue("b", workerclient.PurposeCommands)
 			s.Enqueue("a", workerclient.PurposePing)
 		}, []dequeued{{"b", workerclient.PurposeCommands}, {"a", workerclient.PurposePing}}},
-		{"once", func(s *workerclient.Slots[string]) {
+		{"enqueued twice", func(s *workerclient.Slots[string]) {
 			s.Enqueue("a", workerclient.PurposeCommands)
 			s.Enqueue("b", workerclient.PurposeCommands)
 			s.Enqueue("a", workerclient.PurposeCommands)
@@ -67,11 +67,11 @@
 			s.Enqueue("a", workerclient.PurposePing)
 			s.Enqueue("a", workerclient.PurposeCommands)
 		}, []dequeued{{"a", workerclient.PurposePing}}},
-		{"what is sent meanwhile serves as the ping", func(s *workerclient.Slots[string]) {
+		{"a command sent while queued serves as the ping", func(s *workerclient.Slots[string]) {
 			s.Enqueue("a", workerclient.PurposePing)
 			s.Acquire("a")
 		}, []dequeued{{"a", workerclient.PurposeCommands}}},
-		{"again after its turn", func(s *workerclient.Slots[string]) {
+		{"enqueued again after it was dequeued", func(s *workerclient.Slots[string]) {
 			s.Enqueue("a", workerclient.PurposePing)
 			s.Dequeue()
 			s.Enqueue("a", workerclient.PurposeCommands)
@@ -85,7 +85,7 @@
 			got = append(got, dequeued{machine, purpose})
 		}
 		if !slices.Equal(got, x.want) {
-			t.Errorf("%s: %v, want %v", x.name, got, x.want)
+			t.Errorf("%s: dequeued %v, want %v", x.name, got, x.want)
 		}
 	}
 }
