--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -66,10 +66,10 @@
 // MachineLoan is the record of a machine that its owner lends to the leader's partition for the
 // tasks of a job.
 type MachineLoan struct {
-	Job          string `json:"j"`
-	Priority     int    `json:"l"`
-	Guaranteed   bool   `json:"o,omitempty"`
-	Team         string `json:"t"`
+	Job        string `json:"j"`
+	Priority   int    `json:"l"`
+	Guaranteed bool   `json:"o,omitempty"`
+	Team       string `json:"t"`
 	// Acknowledged is set by the machine's owner when it hands the machine over.
 	Acknowledged bool `json:"a,omitempty"`
 }
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -1,39 +1,40 @@
 package wire
 
-// MachineType is one type of machine on offer. Prices are per hour.
+// MachineType is one type of machine that the cloud offers. Prices are per machine and hour.
 type MachineType struct {
 	Name           string   `json:"label"`
 	CPUs           float64  `json:"cpus"`
 	GPUs           float64  `json:"cards"`
 	RAMGB          float64  `json:"ramGb"`
-	ImageCacheGB   float64  `json:"cacheGb"`    // image cache
-	ImageFetchGBPS float64  `json:"pullGbPerS"` // GB a second, of an image
+	ImageCacheGB   float64  `json:"cacheGb"`    // size of the image cache
+	ImageFetchGBPS float64  `json:"pullGbPerS"` // rate at which images are fetched, in GB per second
 	Price          float64  `json:"price"`
 	SpotPrice      float64  `json:"spotPrice"`
 	BootS          float64  `json:"startupS"` // nominal boot time in seconds
 	Zones          []string `json:"shores"`
 }
 
-// MachineTypes lists the types on offer.
+// MachineTypes lists the machine types that the cloud offers.
 type MachineTypes struct {
 	Types []MachineType `json:"hulls"`
 }
 
-// LaunchRequest asks the cloud for machines.
+// LaunchRequest asks the cloud for Count machines. IdempotencyKey identifies the request, so that a
+// repeated request rents no further machines.
 type LaunchRequest struct {
-	IdempotencyKey string `json:"charter"` // never reused for another request
+	IdempotencyKey string `json:"charter"` // must not be reused for another request
 	Type           string `json:"hull"`
 	Zone           string `json:"shore"`
 	Spot           bool   `json:"driftwood"`
 	Count          int    `json:"howMany"`
 }
 
-// MachineNames lists machines by name.
+// MachineNames lists the names of machines.
 type MachineNames struct {
 	Names []string `json:"perches"`
 }
 
-// Instance is one machine in the cloud's list.
+// Instance is one machine in the cloud's list of rented machines.
 type Instance struct {
 	Name  string  `json:"nameId"`
 	Addr  string  `json:"addr"`
@@ -41,10 +42,11 @@
 	Zone  string  `json:"shore"`
 	Spot  bool    `json:"driftwood"`
 	State string  `json:"tide"`
-	AgeS  float64 `json:"heldS"` // seconds since it was requested
+	AgeS  float64 `json:"heldS"` // seconds since the machine was requested
 }
 
-// InstanceList is one page of the cloud's list.
+// InstanceList is one page of the cloud's list of rented machines. HasMore is set if another page
+// follows.
 type InstanceList struct {
 	Instances []Instance `json:"perches"`
 	HasMore   bool       `json:"truncated"`
--- a/internal/wire/decode_test.go
+++ b/internal/wire/decode_test.go
@@ -23,8 +23,8 @@
 	return r
 }
 
-// What the fast decoder makes of a document is what the standard one makes of it,
-// also where the document is damaged: whatever the standard one refuses is refused.
+// Decode must give the same result as the standard library's decoder, and must reject a damaged
+// document exactly if the standard decoder does.
 func TestDecodeMatchesStandardLibrary(t *testing.T) {
 	refused := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -39,15 +39,15 @@
 		var want, got Heartbeat
 		wantErr, gotErr := json.Unmarshal(raw, &want), Decode(raw, &got)
 		if (wantErr == nil) != (gotErr == nil) {
-			t.Fatalf("%s: %v, standard: %v", raw, gotErr, wantErr)
+			t.Fatalf("%s: Decode returned error %v, the standard decoder %v", raw, gotErr, wantErr)
 		}
 		if wantErr != nil {
 			refused++
 		} else if d := cmp.Diff(want, got); d != "" {
-			t.Fatalf("%s:\n%s", raw, d)
+			t.Fatalf("%s: decoded heartbeat differs (-standard +Decode):\n%s", raw, d)
 		}
 	})
 	if refused == 0 {
-		t.Error("no document was damaged enough to be refused")
+		t.Error("the standard decoder rejected none of the damaged documents")
 	}
 }
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,8 +1,9 @@
-// Package wire has the JSON messages between users, controllers, workers, the cloud and the
-// key-value store. It validates what users and workers send, and ignores unknown fields.
+// Package wire defines the JSON messages that users, controllers, workers, the cloud and the
+// key-value store exchange. It validates the requests of users and workers, and ignores unknown
+// fields.
 //
-// The protocols have words of their own. They stand in this package's JSON tags and string
-// constants alone; the rest of the program uses the field's terms:
+// The protocols use names of their own. These occur only in this package's JSON tags and string
+// constants; the rest of the program uses the usual terms:
 //
 //	protocol                  here
 //	baton                     fencing token
--- a/internal/wire/enums.go
+++ b/internal/wire/enums.go
@@ -1,42 +1,42 @@
 package wire
 
-// States of a job, as users are told. Running is a state of tasks and instances, too.
+// States of a job in responses to users. StateRunning is also a state of tasks and instances.
 const (
-	StateQueued    = "queued" // no task runs
+	StateQueued    = "queued" // no task is running
 	StateRunning   = "running"
 	StateDone      = "done"
 	StateCancelled = "withdrawn"
 )
 
-// States of a task on its machine, besides Running.
+// States of a task on its machine, besides StateRunning.
 const (
-	StateFetchingImage    = "fetching"  // waits for its image
-	StateAwaitingGang     = "gathering" // a gang's task that waits for the others
-	StateSavingCheckpoint = "flushing"  // was told to stop and saves its progress
+	StateFetchingImage    = "fetching"  // waiting for its image
+	StateAwaitingGang     = "gathering" // waiting for the other tasks of its gang
+	StateSavingCheckpoint = "flushing"  // stopping and saving a checkpoint
 	StateExited           = "ended"
 )
 
-// Reasons why a task exited, or why its start was refused.
+// Reasons why a task exited or why a worker did not start it.
 const (
 	ReasonDone         = "done"
 	ReasonStopped      = "halted"
 	ReasonError        = "error"
 	ReasonNoCapacity   = "no_room"
-	ReasonOtherAttempt = "in_use"  // the machine has another attempt of this task
-	ReasonUnknownTask  = "no_such" // no such job or task was submitted
+	ReasonOtherAttempt = "in_use"  // the machine has another attempt of the same task
+	ReasonUnknownTask  = "no_such" // the job or task was never submitted
 
 	ReasonPeersGone      = "mates_gone" // another task of the gang is gone
-	ReasonIncompleteGang = "incomplete" // not all tasks of the gang came in time
+	ReasonIncompleteGang = "incomplete" // not all tasks of the gang were started in time
 )
 
-// Operation is what a command has a worker do.
+// Operation is the operation that a command tells a worker to perform.
 type Operation string
 
 // Operations of commands.
 const (
 	OpStart  Operation = "start"
 	OpStop   Operation = "stop"
-	OpForget Operation = "reap" // remove an exited task from the heartbeats
+	OpForget Operation = "reap" // stop reporting an exited task in heartbeats
 )
 
 // Kinds of jobs.
@@ -46,8 +46,8 @@
 	KindGang    = "gang"
 )
 
-// States of an instance in the cloud's list, besides Running.
+// States of an instance in the cloud's list, besides StateRunning.
 const (
 	InstanceStarting = "starting"
-	InstanceFailed   = "failed" // it stopped on its own
+	InstanceFailed   = "failed" // the instance stopped without being terminated
 )
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -12,7 +12,8 @@
 
 func pointer[T any](v T) *T { return &v }
 
-// Every message has exactly these bytes, and the bytes give the message back.
+// Every message must be encoded as exactly these bytes, and the bytes must be decoded as the same
+// message.
 func TestMessageBytes(t *testing.T) {
 	command := Command{Op: OpStop, Task: "wk-1/0", Attempt: 1, GraceS: pointer(10.0)}
 	start := Command{Op: OpStart, Task: "wk-1/0", Attempt: 2}
@@ -54,24 +55,25 @@
 	} {
 		raw, err := json.Marshal(x.message)
 		if err != nil || string(raw) != x.bytes {
-			t.Errorf("%+v is encoded as\n%s, not\n%s (%v)", x.message, raw, x.bytes, err)
+			t.Errorf("%+v is encoded as\n%s, want\n%s (error %v)", x.message, raw, x.bytes, err)
 		}
 		again := reflect.New(reflect.TypeOf(x.message))
 		if err := Decode([]byte(x.bytes), again.Interface()); err != nil {
-			t.Errorf("%s: %v", x.bytes, err)
+			t.Errorf("%s can't be decoded: %v", x.bytes, err)
 		}
 		if d := cmp.Diff(x.message, again.Elem().Interface()); d != "" {
-			t.Errorf("%s:\n%s", x.bytes, d)
+			t.Errorf("%s is decoded as another message (-want +got):\n%s", x.bytes, d)
 		}
 	}
 }
 
-// submission is the protocol's own example.
+// exampleSubmission is the example in the description of the protocol.
 const exampleSubmission = `{"nameId":"wk-000412","flock":"train","crew":"vision","shape":"batch","rank":"urgent","eggs":16,` +
 	`"cpus":8.0,"cards":1.0,"ramGb":64.0,"plumage":"img-07","imageGb":6.2,` +
 	`"hulls":["g8"],"shore":null,"samePlace":true,"spread":false,"driftwood":true,"reckonS":240.0,"moultS":30.0,"stowS":4.0,"dueS":900.0}`
 
-// The words of the settings that users see stand in the texts of refusals.
+// A valid submission must be stored as exactly these bytes. An invalid one must be rejected with exactly
+// the listed text, which names the field as the protocol does.
 func TestSubmissionStoredBytesAndErrorTexts(t *testing.T) {
 	job, err := ParseJob([]byte(exampleSubmission))
 	if err != nil {
@@ -80,7 +82,7 @@
 	const stored = `{"ID":"wk-000412","Class":"train","Team":"vision","Service":false,"Gang":false,"Priority":2,"Tasks":16,"CPUs":8,"GPUs":1,"RAM":64,` +
 		`"Image":"img-07","ImageGB":6.2,"Types":["g8"],"Zone":"","OneZone":true,"Spread":false,"Spot":true,"EstimateS":240,"CheckS":30,"SaveS":4,"DeadlineS":900,"NoDeadline":false}`
 	if raw, err := json.Marshal(job); err != nil || string(raw) != stored {
-		t.Errorf("stored as\n%s, not\n%s (%v)", raw, stored, err)
+		t.Errorf("stored as\n%s, want\n%s (error %v)", raw, stored, err)
 	}
 	long := `"` + strings.Repeat("x", 201) + `"`
 	for _, x := range []struct{ from, to, text string }{
@@ -104,13 +106,13 @@
 		{`"shore":null`, `"shore":""`, "shore: must have 1 to 200 bytes"},
 		{`"samePlace":true,`, ``, "samePlace: missing"},
 		{`"driftwood":true,`, ``, "driftwood: missing"},
-		// Of several faults the first one in the order of the checks is named.
+		// If several fields are invalid, the error names the first one in the order of the checks.
 		{`"flock":"train","crew":"vision","shape":"batch"`, `"shape":"x","samePlace":null`, "flock: missing"},
 	} {
 		if _, err := ParseJob([]byte(strings.Replace(exampleSubmission, x.from, x.to, 1))); err == nil || err.Error() != x.text {
-			t.Errorf("%s: %v, not %s", x.to, err, x.text)
+			t.Errorf("%s: error %v, want %s", x.to, err, x.text)
 		} else if field, ok := errors.AsType[*FieldError](err); !ok || !strings.HasPrefix(x.text, field.Field+": ") {
-			t.Errorf("%s: %T names no field", x.to, err)
+			t.Errorf("%s: the error has type %T or names another field than its text", x.to, err)
 		}
 	}
 	for body, text := range map[string]string{
@@ -118,7 +120,7 @@
 		`{"perch":"m","watch":"x"}`: "report: json: cannot unmarshal \"\\\"x\\\"}\" into Go struct field wire.Heartbeat.watch of type uint64",
 	} {
 		if _, err := ParseHeartbeat([]byte(body)); err == nil || err.Error() != text {
-			t.Errorf("%s: %v, not %s", body, err, text)
+			t.Errorf("%s: error %v, want %s", body, err, text)
 		}
 	}
 }
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -2,22 +2,21 @@
 
 import "strings"
 
-// MaxTasks is how many tasks a job may have.
+// MaxTasks is the maximum number of tasks in a job.
 const MaxTasks = 100_000
 
-// MaxBodyBytes is how large the body of a request may be.
+// MaxBodyBytes is the maximum size of a request's body.
 const MaxBodyBytes = 64 << 10
 
-// Job is a validated submission. It is stored with the job, under the names in the tags:
-// these must not change. It isn't modified after ParseJob. Amounts of resources are those
-// of each task.
+// Job is a validated submission. It is stored in the job's record under the names in the tags, which
+// must not change. It is not modified after ParseJob. Amounts of resources are per task.
 type Job struct {
 	ID      string `json:"ID"`
-	Class   string `json:"Class"` // whose service-level objectives apply
-	Team    string `json:"Team"`  // whose quota applies
+	Class   string `json:"Class"` // determines the service-level objectives
+	Team    string `json:"Team"`  // determines the quota
 	Service bool   `json:"Service"`
-	Gang    bool   `json:"Gang"` // neither a service nor a gang: a job array
-	// Priority is 0 (low) to 3 (production).
+	Gang    bool   `json:"Gang"` // a job that is neither a service nor a gang is a job array
+	// Priority ranges from 0 (low) to 3 (production).
 	Priority  int     `json:"Priority"`
 	TaskCount int     `json:"Tasks"` // number of tasks
 	CPUs      float64 `json:"CPUs"`
@@ -25,23 +24,25 @@
 	RAMGB     float64 `json:"RAM"`
 	Image     string  `json:"Image"`
 	ImageGB   float64 `json:"ImageGB"`
-	// MachineTypes are the allowed ones; nil: any.
+	// MachineTypes lists the allowed machine types; nil means any.
 	MachineTypes []string `json:"Types"`
-	Zone         string   `json:"Zone"` // the only allowed one; "": any
+	Zone         string   `json:"Zone"` // the only allowed zone; "" means any
 	SingleZone   bool     `json:"OneZone"`
-	SpreadsZones bool     `json:"Spread"` // at most half of the tasks in one zone
-	AllowsSpot   bool     `json:"Spot"`   // may use spot instances
-	// EstimateS is the owner's estimate of a task's run time, in seconds.
+	SpreadsZones bool     `json:"Spread"` // no zone may hold more than half of the tasks
+	AllowsSpot   bool     `json:"Spot"`   // tasks may run on spot instances
+	// EstimateS is the user's estimate of a task's run time in seconds.
 	EstimateS float64 `json:"EstimateS"`
-	// CheckpointS is the interval of a task's checkpoints, in seconds; 0: it has none.
+	// CheckpointIntervalS is the interval between a task's checkpoints in seconds, or 0 if the
+	// task saves none.
 	CheckpointIntervalS float64 `json:"CheckS"`
-	CheckpointSaveS     float64 `json:"SaveS"` // seconds to save a checkpoint when it is stopped
-	// DeadlineS is when the job should be complete, in seconds from its submission.
+	CheckpointSaveS     float64 `json:"SaveS"` // seconds that a stopped task needs to save a checkpoint
+	// DeadlineS is the time from submission within which the job should be complete, in seconds.
+	// It is ignored if NoDeadline is set.
 	DeadlineS  float64 `json:"DeadlineS"`
 	NoDeadline bool    `json:"NoDeadline"`
 }
 
-// IsAllOrNothing tells whether the job's tasks are started together or not at all.
+// IsAllOrNothing reports whether the job's tasks must be started all together or not at all.
 func (j *Job) IsAllOrNothing() bool { return j.Service || j.Gang }
 
 const (
@@ -49,7 +50,7 @@
 	maxIDDigits = 20
 )
 
-// IsValidJobID tells whether id has the form of a job's id.
+// IsValidJobID reports whether id has the form of a job id: the prefix "wk-" and 1 to 20 digits.
 func IsValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, idPrefix)
 	if !ok || digits == "" || len(digits) > maxIDDigits {
@@ -58,7 +59,8 @@
 	return strings.Trim(digits, "0123456789") == ""
 }
 
-// JobState answers a user's request about a job. Done and Running count tasks.
+// JobState is the response to a user's request for the state of a job. DoneTasks and RunningTasks are
+// omitted if they are nil.
 type JobState struct {
 	ID           string `json:"nameId"`
 	State        string `json:"tide"`
--- a/internal/wire/parse_job.go
+++ b/internal/wire/parse_job.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// maxAmount bounds every amount, so that sums of them stay exact.
+	// maxAmount is the maximum of every amount. It keeps sums of amounts exact.
 	maxAmount = 1e9
-	// maxNameBytes is how many bytes a name may have.
+	// maxNameBytes is the maximum length of a name in bytes.
 	maxNameBytes = 200
-	// maxMachineTypes is how many machine types a job may allow by name.
+	// maxMachineTypes is the maximum number of machine types that a job may list.
 	maxMachineTypes = 32
-	// maxLeadingSpaceBytes is how many bytes may stand before the body's opening brace.
+	// maxLeadingSpaceBytes is the maximum number of white space bytes before the opening brace of
+	// a request's body.
 	maxLeadingSpaceBytes = 63
 )
 
-// bodyField is the Field of errors about a message as a whole.
+// bodyField is the Field of a FieldError that concerns the whole message.
 const bodyField = "body"
 
-// FieldError says which field of a submission is refused, and why. Its text is answered to
-// users.
+// FieldError names the invalid field of a submission and the reason. Its text is sent to users.
 type FieldError struct {
-	Field string // the field's name in the protocol
+	Field string // the name of the field in the protocol
 	Err   error
 }
 
-// Error names the field and the reason.
+// Error returns the name of the field and the reason.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
 // Unwrap returns the reason.
@@ -40,14 +40,14 @@
 	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
 }
 
-// errMissing is the reason when a required field is missing or null.
+// errMissing is the reason for a required field that is missing or null.
 var errMissing = errors.New("missing")
 
-// priorities are the priorities by the protocol's names.
+// priorities maps the protocol's names of priorities to Job.Priority.
 var priorities = map[string]int{"low": 0, "normal": 1, "urgent": 2, "production": 3}
 
-// jobBody is a submission as it comes; nil: the field is missing or null. Users see this
-// type's name in the texts of encoding/json.
+// jobBody is a decoded submission before validation. A field is nil if it is missing or null. Users
+// see the name of this type in the error texts of encoding/json.
 type jobBody struct {
 	ID                  *string  `json:"nameId"`
 	Class               *string  `json:"flock"`
@@ -71,8 +71,8 @@
 	DeadlineS           *float64 `json:"dueS"`
 }
 
-// ParseJob decodes and validates a submission. Every error is a FieldError of the first
-// field that is invalid, and means status 400.
+// ParseJob decodes and validates a submission. Every error is a *FieldError for the first invalid
+// field, and the response to it has status 400.
 func ParseJob(body []byte) (*Job, error) {
 	b, err := decodeJobBody(body)
 	if err != nil {
@@ -89,7 +89,7 @@
 	return job, nil
 }
 
-// decodeJobBody decodes a submission without looking at its values.
+// decodeJobBody decodes a submission without validating its values.
 func decodeJobBody(body []byte) (*jobBody, error) {
 	start := string(body[:min(len(body), maxLeadingSpaceBytes+1)])
 	if !strings.HasPrefix(strings.TrimLeft(start, " \t\r\n"), "{") {
@@ -102,14 +102,15 @@
 	return b, nil
 }
 
-// requiredField is a field that a submission must have, and where its value goes.
+// requiredField is a field that a submission must contain, and the destination of its value.
 type requiredField[T any] struct {
 	name        string
-	source      *T // nil: it is missing or null
+	source      *T // nil if the field is missing or null
 	destination *T
 }
 
-// copyRequiredFields takes the fields' values over, up to the first that is missing or refused.
+// copyRequiredFields copies the values of the fields. It stops with an error at the first field that
+// is missing or whose value fails the check.
 func copyRequiredFields[T any](fields []requiredField[T], check func(name string, value T) error) error {
 	for _, field := range fields {
 		if field.source == nil {
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// checkName refuses names that are too short or too long.
+// checkName returns an error for a name that is empty or too long.
 func checkName(field, name string) error {
 	if !isValidName(name) {
 		return fieldErrorf(field, "must have 1 to %d bytes", maxNameBytes)
@@ -203,7 +204,7 @@
 	}, checkAmount)
 }
 
-// checkAmount refuses amounts that are negative, too large or no number.
+// checkAmount returns an error for an amount that is negative, too large or not a number.
 func checkAmount(field string, amount float64) error {
 	if !(amount >= 0 && amount <= maxAmount) {
 		return fieldErrorf(field, "must be between 0 and %g", maxAmount)
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -2,14 +2,15 @@
 
 import "encoding/json"
 
-// Condition of a transaction: the revision of a key's last change; 0: the key does not exist.
+// Condition is a condition of a transaction: Key was last changed at Revision, or does not exist if
+// Revision is 0.
 type Condition struct {
 	Key      string `json:"k"`
 	Revision uint64 `json:"stamp"`
 }
 
-// Change of a transaction: a put, or a delete. A put without a lease detaches the key from
-// the one that it had.
+// Change is a change of a transaction: either a put of the key Put or a delete of the key Delete. A
+// put with Lease 0 detaches the key from its lease, if it has one.
 type Change struct {
 	Put    string          `json:"write,omitempty"`
 	Value  json.RawMessage `json:"v,omitempty"`
@@ -20,14 +21,14 @@
 // Key returns the key that is put or deleted.
 func (c *Change) Key() string { return c.Put + c.Delete }
 
-// Txn is a transaction: an atomic compare-and-swap of several keys. If all conditions hold
-// all changes are made, with one revision; else none.
+// Txn is a transaction, an atomic compare-and-swap of several keys. If all conditions hold, all
+// changes are made at the same revision of the store; otherwise none is made.
 type Txn struct {
 	Conditions []Condition `json:"if"`
 	Changes    []Change    `json:"then,omitempty"`
 }
 
-// TxnResponse is the answer to a transaction: the store's revision, and the keys whose
+// TxnResponse is the response to a transaction: the revision of the store, and the keys whose
 // conditions failed.
 type TxnResponse struct {
 	Revision   uint64   `json:"logmark"`
@@ -41,14 +42,16 @@
 	Revision uint64          `json:"stamp"`
 }
 
-// ItemPage is one page of stored keys, in order, at a revision of the store.
+// ItemPage is one page of stored keys in their order, as of a revision of the store. HasMore is set if
+// another page follows.
 type ItemPage struct {
 	Items    []Item `json:"rows"`
 	HasMore  bool   `json:"truncated"`
 	Revision uint64 `json:"logmark"`
 }
 
-// Event is one change seen by a watch: a put, or a delete.
+// Event is one change in the response to a watch: either a put of the key Put or a delete of the key
+// Delete.
 type Event struct {
 	Put      string          `json:"write"`
 	Delete   string          `json:"drop"`
@@ -56,18 +59,19 @@
 	Revision uint64          `json:"stamp"`
 }
 
-// WatchResponse is the answer to a watch: the changes up to a revision of the store.
+// WatchResponse is the response to a watch: the changes up to a revision of the store.
 type WatchResponse struct {
 	Revision uint64  `json:"logmark"`
 	Events   []Event `json:"news"`
 }
 
-// LeaseRequest asks the key-value store for a lease that ends if it isn't renewed in time.
+// LeaseRequest asks the key-value store for a lease, which expires unless it is renewed within TTLMS
+// milliseconds.
 type LeaseRequest struct {
 	TTLMS int64 `json:"lifeMs"`
 }
 
-// LeaseResponse names the lease that was granted.
+// LeaseResponse contains the id of the granted lease.
 type LeaseResponse struct {
 	Lease uint64 `json:"mooring"`
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,6 +8,8 @@
 	"pgregory.net/rapid"
 )
 
+// drawSubmission draws the fields of a valid submission and an unknown field. The optional fields may
+// be set, null or missing.
 func drawSubmission(t *rapid.T) map[string]any {
 	amount := rapid.Float64Range(0, 1000)
 	b := map[string]any{
@@ -29,26 +31,28 @@
 	return b
 }
 
+// A valid submission must be accepted and keep its values, also when the job is stored and read again.
 func TestValidSubmissionsParse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := drawSubmission(t)
 		raw, _ := json.Marshal(b)
 		j, err := ParseJob(raw)
 		if err != nil {
-			t.Fatalf("%s: %v", raw, err)
+			t.Fatalf("%s was rejected: %v", raw, err)
 		}
 		if j.ID != b["nameId"] || j.TaskCount != b["eggs"] || j.CPUs != b["cpus"] || j.AllowsSpot != b["driftwood"] || j.NoDeadline != (b["dueS"] == nil) {
-			t.Fatalf("%s became %+v", raw, j)
+			t.Fatalf("%s was parsed as %+v", raw, j)
 		}
-		// The stored form must give the same job back.
+		// The stored form must be decoded as the same job.
 		var again Job
 		stored, _ := json.Marshal(j)
 		if err := json.Unmarshal(stored, &again); err != nil || again.ID != j.ID || again.Gang != j.Gang || again.EstimateS != j.EstimateS {
-			t.Fatalf("stored as %s, read as %+v", stored, again)
+			t.Fatalf("job is stored as %s and decoded as %+v", stored, again)
 		}
 	})
 }
 
+// A submission without a required field, or with an invalid value, must be rejected.
 func TestInvalidSubmissionsAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := drawSubmission(t)
@@ -90,11 +94,12 @@
 	}
 }
 
+// ParseHeartbeat must return either a heartbeat or an error for any body.
 func TestParseHeartbeatNeverPanics(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, err := ParseHeartbeat([]byte(rapid.String().Draw(t, "body")))
 		if (r == nil) == (err == nil) {
-			t.Fatalf("%v, %v", r, err)
+			t.Fatalf("heartbeat %v and error %v, want exactly one of them", r, err)
 		}
 	})
 }
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// TaskStatus is one task in a worker's heartbeat.
+// TaskStatus is the status of one task in a worker's heartbeat. Reason is set only if the task has
+// exited.
 type TaskStatus struct {
 	Task            string `json:"egg"`
 	Attempt         uint64 `json:"launch"`
@@ -14,8 +15,8 @@
 	CheckpointSaved bool   `json:"kept"`
 }
 
-// Heartbeat is a worker's periodic report, or its answer to a command. The one with the
-// larger (Incarnation, Sequence) is the newer one.
+// Heartbeat is a worker's periodic report or its response to a direct command. Of two heartbeats of
+// a machine, the one with the larger (Incarnation, Sequence) is newer.
 type Heartbeat struct {
 	Machine            string       `json:"perch"`
 	Addr               string       `json:"addr"`
@@ -25,11 +26,12 @@
 	Incarnation        uint64       `json:"watch"` // increases when the worker's lease expires
 	Sequence           uint64       `json:"tally"`
 	FencingToken       uint64       `json:"baton"`    // highest fencing token that the worker has seen
-	TerminationNoticeS *float64     `json:"warningS"` // seconds until the cloud takes the machine; nil: no notice
-	Tasks              []TaskStatus `json:"eggs"`     // exited tasks included, until they are forgotten
+	TerminationNoticeS *float64     `json:"warningS"` // seconds until the cloud terminates the machine; nil if it gave no notice
+	Tasks              []TaskStatus `json:"eggs"`     // includes exited tasks until OpForget
 }
 
-// ParseHeartbeat decodes and validates a heartbeat. Its errors mean status 400.
+// ParseHeartbeat decodes and validates a heartbeat. The response to a heartbeat that causes an error
+// has status 400.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	heartbeat := &Heartbeat{}
 	if err := Decode(body, heartbeat); err != nil {
@@ -41,29 +43,31 @@
 	return heartbeat, nil
 }
 
-// Command is one command to a worker. Workers execute them in order.
+// Command is one command to a worker. A worker executes commands in their order.
 type Command struct {
 	Op      Operation `json:"call"`
 	Task    string    `json:"egg"`
 	Attempt uint64    `json:"launch"`
-	// GraceS is how many seconds a task that is stopped has to save its progress.
+	// GraceS is the time in seconds that a stopped task has to save a checkpoint. It is set only for
+	// OpStop.
 	GraceS *float64 `json:"slackS,omitempty"`
 }
 
-// HeartbeatResponse is the answer to a heartbeat. A worker drops one with a lower fencing
-// token than the highest that it has seen.
+// HeartbeatResponse is the response to a heartbeat. A worker ignores a response whose fencing token
+// is lower than the highest that it has seen.
 type HeartbeatResponse struct {
 	FencingToken uint64    `json:"baton"`
 	Commands     []Command `json:"calls"`
 }
 
-// Redirect names the controller that a worker should report to; "": any other one.
+// Redirect tells a worker to send its heartbeats to the controller Node, or to any other controller if
+// Node is "".
 type Redirect struct {
 	Node string `json:"harbour,omitempty"`
 }
 
-// CommandRequest sends commands straight to a worker. It executes none of them if the fencing
-// token is lower than the highest that it has seen, or the incarnation is another one.
+// CommandRequest sends commands directly to a worker. The worker executes none of them if the fencing
+// token is lower than the highest that it has seen, or if its incarnation differs from Incarnation.
 type CommandRequest struct {
 	FencingToken uint64    `json:"baton"`
 	Incarnation  uint64    `json:"watch"`
