--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -43,8 +43,8 @@
 	rateShare = 0.8
 )
 
-// noCapacity is the error text in the cloud's response if it has no machine to rent out.
-const noCapacity = "no capacity"
+// noCapacityText is the error text in the cloud's response if it has no machine to rent out.
+const noCapacityText = "no capacity"
 
 // Client calls the API of the cloud. Calls wait as long as needed to stay within the cloud's rate
 // limit. The methods of Client may be called concurrently.
@@ -97,10 +97,10 @@
 	case http.StatusOK:
 		return nil
 	case http.StatusServiceUnavailable:
-		var answer struct {
+		var body struct {
 			Error string `json:"error"`
 		}
-		if json.Unmarshal(response.Body, &answer) == nil && answer.Error == noCapacity {
+		if json.Unmarshal(response.Body, &body) == nil && body.Error == noCapacityText {
 			return ErrNoCapacity
 		}
 		return ErrRefused
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -54,14 +54,14 @@
 
 // A malformed or truncated frame must give an error or a status; it must not cause a panic or a huge
 // allocation.
-func TestMalformedFramesAreRejected(t *testing.T) {
+func TestMalformedFramesDoNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		good := AppendStatus(nil, &Status{Node: "n", Partitions: []uint64{1}, Machines: []Machine{{Name: "m"}}}, rapid.SampledFrom(versions).Draw(t, "version"))
+		frame := AppendStatus(nil, &Status{Node: "n", Partitions: []uint64{1}, Machines: []Machine{{Name: "m"}}}, rapid.SampledFrom(versions).Draw(t, "version"))
 		for range rapid.IntRange(1, 4).Draw(t, "flips") {
-			good[rapid.IntRange(0, len(good)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
+			frame[rapid.IntRange(0, len(frame)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
-		good = good[:rapid.IntRange(0, len(good)).Draw(t, "cut")]
-		status, err := ReadStatus(bytes.NewReader(good))
+		frame = frame[:rapid.IntRange(0, len(frame)).Draw(t, "cut")]
+		status, err := ReadStatus(bytes.NewReader(frame))
 		if (status == nil) == (err == nil) {
 			t.Fatalf("status %v and error %v, want exactly one of them", status, err)
 		}
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := ReadStatus(bytes.NewReader(raw)); err != nil || !bytes.Equal(AppendStatus(nil, again, ChecksummedFrame), raw) {
-		t.Errorf("frame is decoded as %+v, which is encoded differently, or error %v", again, err)
+	if decoded, err := ReadStatus(bytes.NewReader(raw)); err != nil || !bytes.Equal(AppendStatus(nil, decoded, ChecksummedFrame), raw) {
+		t.Errorf("frame is decoded as %+v, which is encoded differently, or error %v", decoded, err)
 	}
 }
--- a/internal/peer/registry.go
+++ b/internal/peer/registry.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Timeout is the time after its last status at which a peer counts as unreachable. It is five times
+// Timeout is how long after its last status a peer is still considered available. It is five times
 // the interval at which controllers send their status, so that a few frames may be late or lost.
 const Timeout = 2500 * time.Millisecond
 
--- a/internal/peer/registry_test.go
+++ b/internal/peer/registry_test.go
@@ -11,15 +11,15 @@
 	r, now := NewRegistry([]string{"n1"}), time.Unix(1000, 0)
 	for _, step := range []struct {
 		name, node, process string
-		taken               bool
+		accepted            bool
 	}{
 		{"first status", "n1", "old", true},
 		{"restarted", "n1", "new", true},
 		{"late frame of the replaced process", "n1", "old", false},
 		{"unknown controller", "n9", "x", false},
 	} {
-		if got := r.Update(&Status{Node: step.node, ProcessID: step.process}, now); got != step.taken {
-			t.Errorf("%s: Update returned %v, want %v", step.name, got, step.taken)
+		if got := r.Update(&Status{Node: step.node, ProcessID: step.process}, now); got != step.accepted {
+			t.Errorf("%s: Update returned %v, want %v", step.name, got, step.accepted)
 		}
 	}
 	if got := r.Peer("n1").Status.ProcessID; got != "new" {
@@ -30,16 +30,16 @@
 // AliveSince must survive a gap of exactly Timeout between two statuses and restart after a longer
 // one; IsIsolated must depend on the time since the last status.
 func TestRegistryDetectsStatusGaps(t *testing.T) {
-	r, begun := NewRegistry([]string{"n1"}), time.Unix(1000, 0)
-	if !r.IsIsolated(time.Second, begun) {
+	r, start := NewRegistry([]string{"n1"}), time.Unix(1000, 0)
+	if !r.IsIsolated(time.Second, start) {
 		t.Error("IsIsolated is false although no peer has sent a status")
 	}
-	r.Update(&Status{Node: "n1"}, begun)
-	r.Update(&Status{Node: "n1"}, begun.Add(Timeout))
-	if p := r.Peer("n1"); !p.AliveSince.Equal(begun) || !p.HasRecentStatus(time.Second, begun.Add(Timeout)) {
-		t.Errorf("peer alive since %v, want %v, or its status is not recent", p.AliveSince, begun)
+	r.Update(&Status{Node: "n1"}, start)
+	r.Update(&Status{Node: "n1"}, start.Add(Timeout))
+	if p := r.Peer("n1"); !p.AliveSince.Equal(start) || !p.HasRecentStatus(time.Second, start.Add(Timeout)) {
+		t.Errorf("peer alive since %v, want %v, or its status is not recent", p.AliveSince, start)
 	}
-	late := begun.Add(2*Timeout + time.Millisecond)
+	late := start.Add(2*Timeout + time.Millisecond)
 	r.Update(&Status{Node: "n1"}, late)
 	if p := r.Peer("n1"); !p.AliveSince.Equal(late) {
 		t.Errorf("after a gap: peer alive since %v, want %v", p.AliveSince, late)
--- a/internal/record/group.go
+++ b/internal/record/group.go
@@ -56,27 +56,27 @@
 }
 
 // Encoding returns the encoding that was used.
-func (c EncodedGroup) Encoding() Encoding { return c.encoding }
+func (g EncodedGroup) Encoding() Encoding { return g.encoding }
 
 // Size returns the size of the stored value in bytes.
-func (c EncodedGroup) Size() int {
-	if c.encoding == PlainJSON {
-		return len(c.content)
+func (g EncodedGroup) Size() int {
+	if g.encoding == PlainJSON {
+		return len(g.content)
 	}
-	return base64.RawStdEncoding.EncodedLen(headerBytes+len(c.content)) + len(`""`)
+	return base64.RawStdEncoding.EncodedLen(headerBytes+len(g.content)) + len(`""`)
 }
 
 // ValueForKey returns the value to store under a key.
-func (c EncodedGroup) ValueForKey(key string) json.RawMessage {
-	if c.encoding == PlainJSON {
-		return c.content
+func (g EncodedGroup) ValueForKey(key string) json.RawMessage {
+	if g.encoding == PlainJSON {
+		return g.content
 	}
-	checksum := codec.Checksum(groupChecksumDomain, key, uint8(c.encoding), c.content)
-	value := make([]byte, 0, headerBytes+len(c.content))
-	value = append(value, byte(c.encoding))
+	checksum := codec.Checksum(groupChecksumDomain, key, uint8(g.encoding), g.content)
+	value := make([]byte, 0, headerBytes+len(g.content))
+	value = append(value, byte(g.encoding))
 	value = append(value, checksum[:]...)
-	value = append(value, c.content...)
-	quoted := make([]byte, 0, c.Size())
+	value = append(value, g.content...)
+	quoted := make([]byte, 0, g.Size())
 	quoted = append(quoted, '"')
 	quoted = base64.RawStdEncoding.AppendEncode(quoted, value)
 	return append(quoted, '"')
--- a/internal/record/group_test.go
+++ b/internal/record/group_test.go
@@ -43,9 +43,9 @@
 			if EncodingOf(raw) != encoding {
 				t.Fatalf("value in encoding %d: EncodingOf returns %d", encoding, EncodingOf(raw))
 			}
-			got, as, err := DecodeTaskGroup("e/group/wk-1/0", raw)
-			if err != nil || as != encoding {
-				t.Fatalf("value in encoding %d: decoded as encoding %d, error %v", encoding, as, err)
+			got, gotEncoding, err := DecodeTaskGroup("e/group/wk-1/0", raw)
+			if err != nil || gotEncoding != encoding {
+				t.Fatalf("value in encoding %d: decoded as encoding %d, error %v", encoding, gotEncoding, err)
 			}
 			if d := cmp.Diff(g, got); d != "" {
 				t.Fatalf("encoding %d: decoded group differs (-want +got):\n%s", encoding, d)
@@ -63,14 +63,14 @@
 		if _, _, err := DecodeTaskGroup("e/group/wk-1/1", raw); !errors.Is(err, ErrChecksum) {
 			t.Fatalf("value under another key: error %v, want ErrChecksum", err)
 		}
-		bad := bytes.Clone(raw)
-		bad[rapid.IntRange(0, len(bad)-1).Draw(t, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
-		if got, _, err := DecodeTaskGroup("e/group/wk-1/0", bad); err == nil && !cmp.Equal(g, got) {
-			t.Fatalf("damaged value %s is decoded as %+v", bad, got)
+		damaged := bytes.Clone(raw)
+		damaged[rapid.IntRange(0, len(damaged)-1).Draw(t, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
+		if got, _, err := DecodeTaskGroup("e/group/wk-1/0", damaged); err == nil && !cmp.Equal(g, got) {
+			t.Fatalf("damaged value %s is decoded as %+v", damaged, got)
 		}
-		cut := raw[:rapid.IntRange(0, len(raw)-1).Draw(t, "cut")]
-		if _, _, err := DecodeTaskGroup("e/group/wk-1/0", cut); err == nil {
-			t.Fatalf("truncated value %s is decoded", cut)
+		truncated := raw[:rapid.IntRange(0, len(raw)-1).Draw(t, "cut")]
+		if _, _, err := DecodeTaskGroup("e/group/wk-1/0", truncated); err == nil {
+			t.Fatalf("truncated value %s is decoded", truncated)
 		}
 	})
 }
@@ -114,10 +114,10 @@
 	for i := range 100 {
 		g.Tasks = append(g.Tasks, Binding{Task: int32(i), Attempt: 1, Machine: fmt.Sprintf("host-%06d", i), Incarnation: 1, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
 	}
-	plain, checked := g.Encode(PlainJSON).Size(), g.Encode(Checksummed).Size()
-	t.Logf("plain JSON: %d bytes, checksummed: %d bytes", plain, checked)
-	if checked*3 > plain*2 {
-		t.Errorf("plain JSON: %d bytes, checksummed: %d bytes, want at most two thirds", plain, checked)
+	plain, checksummed := g.Encode(PlainJSON).Size(), g.Encode(Checksummed).Size()
+	t.Logf("plain JSON: %d bytes, checksummed: %d bytes", plain, checksummed)
+	if checksummed*3 > plain*2 {
+		t.Errorf("plain JSON: %d bytes, checksummed: %d bytes, want at most two thirds", plain, checksummed)
 	}
 }
 
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -57,11 +57,11 @@
 		if err != nil || string(raw) != x.bytes {
 			t.Errorf("%+v is encoded as\n%s, want\n%s (error %v)", x.message, raw, x.bytes, err)
 		}
-		again := reflect.New(reflect.TypeOf(x.message))
-		if err := Decode([]byte(x.bytes), again.Interface()); err != nil {
+		decoded := reflect.New(reflect.TypeOf(x.message))
+		if err := Decode([]byte(x.bytes), decoded.Interface()); err != nil {
 			t.Errorf("%s can't be decoded: %v", x.bytes, err)
 		}
-		if d := cmp.Diff(x.message, again.Elem().Interface()); d != "" {
+		if d := cmp.Diff(x.message, decoded.Elem().Interface()); d != "" {
 			t.Errorf("%s is decoded as another message (-want +got):\n%s", x.bytes, d)
 		}
 	}
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -18,7 +18,7 @@
 	Gang    bool   `json:"Gang"` // a job that is neither a service nor a gang is a job array
 	// Priority ranges from 0 (low) to 3 (production).
 	Priority  int     `json:"Priority"`
-	TaskCount int     `json:"Tasks"` // number of tasks
+	TaskCount int     `json:"Tasks"`
 	CPUs      float64 `json:"CPUs"`
 	GPUs      float64 `json:"GPUs"`
 	RAMGB     float64 `json:"RAM"`
@@ -26,10 +26,10 @@
 	ImageGB   float64 `json:"ImageGB"`
 	// MachineTypes lists the allowed machine types; nil means any.
 	MachineTypes []string `json:"Types"`
-	Zone         string   `json:"Zone"` // the only allowed zone; "" means any
-	SingleZone   bool     `json:"OneZone"`
-	SpreadsZones bool     `json:"Spread"` // no zone may hold more than half of the tasks
-	AllowsSpot   bool     `json:"Spot"`   // tasks may run on spot instances
+	Zone         string   `json:"Zone"`    // the only allowed zone; "" means any
+	SingleZone   bool     `json:"OneZone"` // all tasks must run in the same zone
+	SpreadsZones bool     `json:"Spread"`  // no zone may hold more than half of the tasks
+	AllowsSpot   bool     `json:"Spot"`    // tasks may run on spot instances
 	// EstimateS is the user's estimate of a task's run time in seconds.
 	EstimateS float64 `json:"EstimateS"`
 	// CheckpointIntervalS is the interval between a task's checkpoints in seconds, or 0 if the
@@ -37,7 +37,7 @@
 	CheckpointIntervalS float64 `json:"CheckS"`
 	CheckpointSaveS     float64 `json:"SaveS"` // seconds that a stopped task needs to save a checkpoint
 	// DeadlineS is the time from submission within which the job should be complete, in seconds.
-	// It is ignored if NoDeadline is set.
+	// It is 0 if NoDeadline is set.
 	DeadlineS  float64 `json:"DeadlineS"`
 	NoDeadline bool    `json:"NoDeadline"`
 }
--- a/internal/wire/parse_job.go
+++ b/internal/wire/parse_job.go
@@ -54,7 +54,7 @@
 	Team                *string  `json:"crew"`
 	Kind                *string  `json:"shape"`
 	Priority            *string  `json:"rank"`
-	Tasks               *float64 `json:"eggs"`
+	TaskCount           *float64 `json:"eggs"`
 	CPUs                *float64 `json:"cpus"`
 	GPUs                *float64 `json:"cards"`
 	RAMGB               *float64 `json:"ramGb"`
@@ -63,8 +63,8 @@
 	MachineTypes        []string `json:"hulls"`
 	Zone                *string  `json:"shore"`
 	SingleZone          *bool    `json:"samePlace"`
-	Spread              *bool    `json:"spread"`
-	Spot                *bool    `json:"driftwood"`
+	SpreadsZones        *bool    `json:"spread"`
+	AllowsSpot          *bool    `json:"driftwood"`
 	EstimateS           *float64 `json:"reckonS"`
 	CheckpointIntervalS *float64 `json:"moultS"`
 	CheckpointSaveS     *float64 `json:"stowS"`
@@ -80,7 +80,7 @@
 	}
 	job := &Job{}
 	for _, parse := range []func(*Job) error{
-		b.parseNames, b.parseKind, b.parsePriority, b.parseTasks, b.parseAmounts, b.parseMachineTypes, b.parseZone, b.parseFlags,
+		b.parseNames, b.parseKind, b.parsePriority, b.parseTaskCount, b.parseAmounts, b.parseMachineTypes, b.parseZone, b.parseFlags,
 	} {
 		if err := parse(job); err != nil {
 			return nil, err
@@ -178,11 +178,11 @@
 	return nil
 }
 
-func (b *jobBody) parseTasks(job *Job) error {
-	if b.Tasks == nil || *b.Tasks != math.Trunc(*b.Tasks) || *b.Tasks < 1 || *b.Tasks > MaxTasks {
+func (b *jobBody) parseTaskCount(job *Job) error {
+	if b.TaskCount == nil || *b.TaskCount != math.Trunc(*b.TaskCount) || *b.TaskCount < 1 || *b.TaskCount > MaxTasks {
 		return fieldErrorf("eggs", "must be an integer from 1 to %d", MaxTasks)
 	}
-	job.TaskCount = int(*b.Tasks)
+	job.TaskCount = int(*b.TaskCount)
 	return nil
 }
 
@@ -243,7 +243,7 @@
 	acceptAny := func(string, bool) error { return nil }
 	return copyRequiredFields([]requiredField[bool]{
 		{"samePlace", b.SingleZone, &job.SingleZone},
-		{"spread", b.Spread, &job.SpreadsZones},
-		{"driftwood", b.Spot, &job.AllowsSpot},
+		{"spread", b.SpreadsZones, &job.SpreadsZones},
+		{"driftwood", b.AllowsSpot, &job.AllowsSpot},
 	}, acceptAny)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -32,7 +32,7 @@
 }
 
 // A valid submission must be accepted and keep its values, also when the job is stored and read again.
-func TestValidSubmissionsParse(t *testing.T) {
+func TestValidSubmissionsAreParsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := drawSubmission(t)
 		raw, _ := json.Marshal(b)
@@ -44,10 +44,10 @@
 			t.Fatalf("%s was parsed as %+v", raw, j)
 		}
 		// The stored form must be decoded as the same job.
-		var again Job
+		var decoded Job
 		stored, _ := json.Marshal(j)
-		if err := json.Unmarshal(stored, &again); err != nil || again.ID != j.ID || again.Gang != j.Gang || again.EstimateS != j.EstimateS {
-			t.Fatalf("job is stored as %s and decoded as %+v", stored, again)
+		if err := json.Unmarshal(stored, &decoded); err != nil || decoded.ID != j.ID || decoded.Gang != j.Gang || decoded.EstimateS != j.EstimateS {
+			t.Fatalf("job is stored as %s and decoded as %+v", stored, decoded)
 		}
 	})
 }
