--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -6,69 +6,75 @@
 	"eiderhitch/internal/codec"
 )
 
-// Status is what one controller tells its peers.
+// Status is the state of a controller that it sends to its peers.
 type Status struct {
+	// Node is the controller's name.
 	Node string
-	// ProcessID is drawn at the start of the process: a restarted controller has the name of
-	// its former self, whose frames may still come late.
+	// ProcessID is chosen at random when the process starts. It distinguishes a restarted
+	// controller from its previous process, which has the same name and whose last frames may
+	// arrive late.
 	ProcessID string
-	// Fresh: its replica of the key-value store is current.
+	// ReplicaIsCurrent is set if the controller's replica of the key-value store is up to date.
 	ReplicaIsCurrent bool
-	// Eligible: it may take partitions over, since it is fresh and workers reach it.
+	// CanTakePartitions is set if the controller may take over partitions, because its replica is
+	// up to date and workers can reach it.
 	CanTakePartitions bool
-	Partitions        []uint64 // that it owns
+	Partitions        []uint64 // indexes of the partitions that the controller owns
 	Machines          []Machine
-	// Draining are the machines on which nothing may be placed any more, since the leader
-	// is about to return them.
+	// DrainingMachines names the machines that accept no new tasks because the leader is about to
+	// return them to the cloud.
 	DrainingMachines []string
 }
 
-// Machine is what the owner of a partition knows of one of its machines.
+// Machine describes a machine to the peers of its partition's owner. Flags combines the Flag
+// constants.
 type Machine struct {
 	Name, Addr, Type, Zone string
 	Incarnation            uint64
 	Flags                  uint8
 }
 
-// Flags of a machine.
+// Flags of a machine. The numbers are sent to other versions of the program.
 const (
-	// Reachable: heartbeats are arriving.
+	// FlagReachable is set while the machine's heartbeats arrive.
 	FlagReachable = 1 << iota
-	// FlagTerminationNotice: the cloud is about to take the machine.
+	// FlagTerminationNotice is set if the cloud has announced that it will terminate the machine.
 	FlagTerminationNotice
-	// Cordoned: tasks of several jobs failed on it; nothing is placed there.
+	// FlagCordoned is set if tasks of several jobs failed on the machine. No task is placed on it.
 	FlagCordoned
-	// Unreachable: it neither sends heartbeats nor answers its owner, who hears from others.
+	// FlagUnreachable is set if the machine neither sends heartbeats nor answers its owner, while
+	// the owner does receive heartbeats from other machines.
 	FlagUnreachable
-	// Spot: it is a spot instance.
+	// FlagSpot is set if the machine is a spot instance.
 	FlagSpot
-	// FlagNoHeartbeatYet: no heartbeat has come since its owner took its partition over.
+	// FlagNoHeartbeatYet is set if no heartbeat of the machine has arrived since its owner took over
+	// its partition.
 	FlagNoHeartbeatYet
 )
 
-// Flags of a status.
+// Flags of a status. The numbers are sent to other versions of the program.
 const (
-	flagFresh = 1 << iota
-	flagEligible
+	statusFlagReplicaIsCurrent = 1 << iota
+	statusFlagCanTakePartitions
 )
 
 const (
-	// minMachineBytes is the least that a machine takes in any version.
+	// minMachineBytes is the smallest encoded size of a machine in any frame version.
 	minMachineBytes = 6
-	// minElementBytes is the least that a number or a string takes.
+	// minElementBytes is the smallest encoded size of a number or a string.
 	minElementBytes = 1
 )
 
-// appendSelf appends what a controller tells about itself.
-func appendSelf(buf []byte, status *Status) []byte {
+// appendController appends the fields that describe the controller itself.
+func appendController(buf []byte, status *Status) []byte {
 	buf = codec.AppendString(buf, status.Node)
 	buf = codec.AppendString(buf, status.ProcessID)
 	var flags uint8
 	if status.ReplicaIsCurrent {
-		flags |= flagFresh
+		flags |= statusFlagReplicaIsCurrent
 	}
 	if status.CanTakePartitions {
-		flags |= flagEligible
+		flags |= statusFlagCanTakePartitions
 	}
 	buf = append(buf, flags)
 	buf = binary.AppendUvarint(buf, uint64(len(status.Partitions)))
@@ -78,8 +84,8 @@
 	return buf
 }
 
-// appendMachines appends the machines as PlainFrame has them.
-func appendMachines(buf []byte, status *Status) []byte {
+// appendPlainMachines appends the machines and the draining machines in the format of PlainFrame.
+func appendPlainMachines(buf []byte, status *Status) []byte {
 	buf = binary.AppendUvarint(buf, uint64(len(status.Machines)))
 	for i := range status.Machines {
 		m := &status.Machines[i]
@@ -97,16 +103,17 @@
 	return buf
 }
 
-// appendMachinesBySuffix appends the machines as ChecksummedFrame has them.
-func appendMachinesBySuffix(buf []byte, status *Status) []byte {
+// appendCompressedMachines appends the machines and the draining machines in the format of
+// ChecksummedFrame, with prefix-compressed strings.
+func appendCompressedMachines(buf []byte, status *Status) []byte {
 	buf = binary.AppendUvarint(buf, uint64(len(status.Machines)))
 	previous := &Machine{}
 	for i := range status.Machines {
 		m := &status.Machines[i]
-		buf = codec.AppendSuffix(buf, previous.Name, m.Name)
-		buf = codec.AppendSuffix(buf, previous.Addr, m.Addr)
-		buf = codec.AppendSuffix(buf, previous.Type, m.Type)
-		buf = codec.AppendSuffix(buf, previous.Zone, m.Zone)
+		buf = codec.AppendPrefixCompressed(buf, previous.Name, m.Name)
+		buf = codec.AppendPrefixCompressed(buf, previous.Addr, m.Addr)
+		buf = codec.AppendPrefixCompressed(buf, previous.Type, m.Type)
+		buf = codec.AppendPrefixCompressed(buf, previous.Zone, m.Zone)
 		buf = binary.AppendUvarint(buf, m.Incarnation)
 		buf = append(buf, m.Flags)
 		previous = m
@@ -114,29 +121,29 @@
 	buf = binary.AppendUvarint(buf, uint64(len(status.DrainingMachines)))
 	previousName := ""
 	for _, name := range status.DrainingMachines {
-		buf = codec.AppendSuffix(buf, previousName, name)
+		buf = codec.AppendPrefixCompressed(buf, previousName, name)
 		previousName = name
 	}
 	return buf
 }
 
-// readSelf reads what appendSelf appended.
-func readSelf(reader *codec.Reader) *Status {
+// readController reads the fields that appendController appended.
+func readController(reader *codec.Reader) *Status {
 	status := &Status{Node: reader.Text(), ProcessID: reader.Text()}
 	flags := reader.Byte()
-	status.ReplicaIsCurrent, status.CanTakePartitions = flags&flagFresh != 0, flags&flagEligible != 0
+	status.ReplicaIsCurrent, status.CanTakePartitions = flags&statusFlagReplicaIsCurrent != 0, flags&statusFlagCanTakePartitions != 0
 	for range reader.Count(minElementBytes) {
 		status.Partitions = append(status.Partitions, reader.Uvarint())
 	}
 	return status
 }
 
-// readMachines reads what appendMachines appended.
-func readMachines(reader *codec.Reader, status *Status) {
+// readPlainMachines reads the machines that appendPlainMachines appended into status.
+func readPlainMachines(reader *codec.Reader, status *Status) {
 	for range reader.Count(minMachineBytes) {
 		status.Machines = append(status.Machines, Machine{Name: reader.Text(), Addr: reader.Text(), Type: reader.Text(), Zone: reader.Text(),
 			Incarnation: reader.Uvarint(), Flags: reader.Byte()})
-		if reader.Malformed() {
+		if reader.IsMalformed() {
 			return
 		}
 	}
@@ -145,20 +152,20 @@
 	}
 }
 
-// readMachinesBySuffix reads what appendMachinesBySuffix appended.
-func readMachinesBySuffix(reader *codec.Reader, status *Status) {
+// readCompressedMachines reads the machines that appendCompressedMachines appended into status.
+func readCompressedMachines(reader *codec.Reader, status *Status) {
 	previous := Machine{}
 	for range reader.Count(minMachineBytes) {
-		previous = Machine{Name: reader.Suffix(previous.Name), Addr: reader.Suffix(previous.Addr), Type: reader.Suffix(previous.Type), Zone: reader.Suffix(previous.Zone),
+		previous = Machine{Name: reader.PrefixCompressed(previous.Name), Addr: reader.PrefixCompressed(previous.Addr), Type: reader.PrefixCompressed(previous.Type), Zone: reader.PrefixCompressed(previous.Zone),
 			Incarnation: reader.Uvarint(), Flags: reader.Byte()}
-		if reader.Malformed() {
+		if reader.IsMalformed() {
 			return
 		}
 		status.Machines = append(status.Machines, previous)
 	}
 	previousName := ""
 	for range reader.Count(minElementBytes) {
-		previousName = reader.Suffix(previousName)
+		previousName = reader.PrefixCompressed(previousName)
 		status.DrainingMachines = append(status.DrainingMachines, previousName)
 	}
 }
--- a/internal/record/group_binary.go
+++ b/internal/record/group_binary.go
@@ -9,20 +9,22 @@
 )
 
 const (
-	// maxTasks bounds what a damaged count can ask for; a job has at most 100,000 tasks.
+	// maxTasks limits the counts that are read from a record, which may be damaged. It exceeds
+	// wire.MaxTasks, the 100,000 tasks that a job may have.
 	maxTasks = 1 << 17
-	// flagGuaranteed is the flag of TaskGroup.Guaranteed.
+	// flagGuaranteed is the bit that holds TaskGroup.Guaranteed.
 	flagGuaranteed = 1
-	// minLocationBytes and minTaskBytes are the least that one takes in the content.
+	// minLocationBytes and minTaskBytes are the smallest encoded sizes of a location and of a
+	// task.
 	minLocationBytes = 5
 	minTaskBytes     = 3
 )
 
-// errMalformedContent says that the content makes no sense although its checksum matches.
-var errMalformedContent = errors.New("content is malformed")
+// errMalformedBinary means that the content can't be decoded although its checksum matches.
+var errMalformedBinary = errors.New("content is malformed")
 
-// location is where a task is bound. Several tasks of a group often share one; the zero value
-// is for tasks that are not bound.
+// location is the machine that a task is bound to. Several tasks of a group often share one, so
+// the content holds each location once. The zero value stands for tasks that are not bound.
 type location struct {
 	machine, addr string
 	incarnation   uint64
@@ -30,9 +32,10 @@
 
 func (b *Binding) location() location { return location{b.Machine, b.Addr, b.Incarnation} }
 
-// fitsContent tells whether the content can hold all of the group. One with names longer than
-// any cloud gives can't be held.
-func (g *TaskGroup) fitsContent() bool {
+// canEncodeBinary reports whether the binary content can hold the whole group. It can't if a
+// number is out of range or a name or address is longer than codec.MaxString, which exceeds the
+// names that clouds give.
+func (g *TaskGroup) canEncodeBinary() bool {
 	if g.Partition < 0 || g.DoneTasks < 0 || g.Throttle < 0 || g.DoneTasks > maxTasks || g.Throttle > maxTasks || len(g.Zone) > codec.MaxString {
 		return false
 	}
@@ -44,10 +47,9 @@
 	return true
 }
 
-// appendContent appends the content of the checksummed encoding: the group's fields, the
-// locations that tasks are bound to, and the tasks, each with the distance of its number from
-// the one before and its location's index, from 1; 0: not bound.
-func (g *TaskGroup) appendContent(buf []byte) []byte {
+// appendBinary appends the content of the checksummed encoding: the group's fields, the locations
+// that tasks are bound to, and the tasks, which refer to the locations by index.
+func (g *TaskGroup) appendBinary(buf []byte) []byte {
 	var flags uint8
 	if g.Guaranteed {
 		flags |= flagGuaranteed
@@ -62,7 +64,8 @@
 	return g.appendTasks(buf, index)
 }
 
-// locations returns the locations that tasks are bound to, in order, and the index of each.
+// locations returns the distinct locations that tasks are bound to, in the order of the tasks,
+// and the index of each. Indexes start at 1, since 0 stands for tasks that are not bound.
 func (g *TaskGroup) locations() ([]location, map[location]uint64) {
 	var locations []location
 	index := map[location]uint64{}
@@ -76,18 +79,22 @@
 	return locations, index
 }
 
+// appendLocations appends the locations. Names and addresses are compressed by the prefix that
+// they share with those of the previous location.
 func appendLocations(buf []byte, locations []location) []byte {
 	buf = binary.AppendUvarint(buf, uint64(len(locations)))
 	previous := location{}
 	for _, l := range locations {
-		buf = codec.AppendSuffix(buf, previous.machine, l.machine)
-		buf = codec.AppendSuffix(buf, previous.addr, l.addr)
+		buf = codec.AppendPrefixCompressed(buf, previous.machine, l.machine)
+		buf = codec.AppendPrefixCompressed(buf, previous.addr, l.addr)
 		buf = binary.AppendUvarint(buf, l.incarnation)
 		previous = l
 	}
 	return buf
 }
 
+// appendTasks appends the tasks. A task's number is encoded as its difference from the previous
+// one, and its location as an index; 0 means that the task is not bound.
 func (g *TaskGroup) appendTasks(buf []byte, index map[location]uint64) []byte {
 	buf = binary.AppendUvarint(buf, uint64(len(g.Tasks)))
 	previous := int32(0)
@@ -101,8 +108,8 @@
 	return buf
 }
 
-// decodeContent decodes what appendContent wrote.
-func decodeContent(content []byte) (*TaskGroup, error) {
+// decodeBinary decodes content that appendBinary wrote.
+func decodeBinary(content []byte) (*TaskGroup, error) {
 	r := codec.NewReader(content)
 	g := &TaskGroup{Partition: int(min(r.Uvarint(), math.MaxInt32))}
 	g.Guaranteed = r.Byte()&flagGuaranteed != 0
@@ -110,23 +117,25 @@
 	g.DoneTasks = int(min(r.Uvarint(), maxTasks))
 	g.Throttle = int(min(r.Uvarint(), maxTasks))
 	var ok bool
-	if g.Tasks, ok = readTasks(r, readLocations(r)); !ok || !r.Complete() {
-		return nil, errMalformedContent
+	if g.Tasks, ok = readTasks(r, readLocations(r)); !ok || !r.IsComplete() {
+		return nil, errMalformedBinary
 	}
 	return g, nil
 }
 
-// readLocations returns the locations by index; the first one is for tasks that are not bound.
+// readLocations reads the locations and returns them by index. The first one is the zero value,
+// for tasks that are not bound.
 func readLocations(r *codec.Reader) []location {
 	locations := make([]location, 1, 1+r.Count(minLocationBytes))
 	for i := range cap(locations) - 1 {
 		previous := &locations[i]
-		locations = append(locations, location{machine: r.Suffix(previous.machine), addr: r.Suffix(previous.addr), incarnation: r.Uvarint()})
+		locations = append(locations, location{machine: r.PrefixCompressed(previous.machine), addr: r.PrefixCompressed(previous.addr), incarnation: r.Uvarint()})
 	}
 	return locations
 }
 
-// readTasks returns the tasks; false: they are malformed.
+// readTasks reads the tasks and looks up their locations. It returns false if they are
+// malformed.
 func readTasks(r *codec.Reader, locations []location) ([]Binding, bool) {
 	tasks := make([]Binding, 0, r.Count(minTaskBytes))
 	number := int64(0)
@@ -134,7 +143,7 @@
 		number += r.Varint()
 		task := Binding{Task: int32(number), Attempt: r.Uvarint()}
 		index := r.Uvarint()
-		if r.Malformed() || index >= uint64(len(locations)) || int64(task.Task) != number {
+		if r.IsMalformed() || index >= uint64(len(locations)) || int64(task.Task) != number {
 			return nil, false
 		}
 		l := locations[index]
--- a/internal/wire/parse_job.go
+++ b/internal/wire/parse_job.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// maxAmount bounds every amount, so that sums of them stay exact.
+	// maxAmount is the maximum of every amount. It keeps sums of amounts exact.
 	maxAmount = 1e9
-	// maxName is how many bytes a name may have.
-	maxName = 200
-	// maxMachineTypes is how many machine types a job may allow by name.
+	// maxNameBytes is the maximum length of a name in bytes.
+	maxNameBytes = 200
+	// maxMachineTypes is the maximum number of machine types that a job may list.
 	maxMachineTypes = 32
-	// maxLeadingSpace is how many bytes may stand before the body's opening brace.
-	maxLeadingSpace = 63
+	// maxLeadingSpaceBytes is the maximum number of white space bytes before the opening brace of
+	// a request's body.
+	maxLeadingSpaceBytes = 63
 )
 
-// bodyField is the Field of errors about a message as a whole.
+// bodyField is the Field of a FieldError that concerns the whole message.
 const bodyField = "body"
 
-// FieldError says which field of a submission is refused, and why. Its text is answered to
-// users.
+// FieldError names the invalid field of a submission and the reason. Its text is sent to users.
 type FieldError struct {
-	Field string // the field's name in the protocol
+	Field string // the name of the field in the protocol
 	Err   error
 }
 
-// Error names the field and the reason.
+// Error returns the name of the field and the reason.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
 // Unwrap returns the reason.
@@ -40,39 +40,39 @@
 	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
 }
 
-// errMissing is the reason when a required field is missing or null.
+// errMissing is the reason for a required field that is missing or null.
 var errMissing = errors.New("missing")
 
-// priorities are the priorities by the protocol's names.
+// priorities maps the protocol's names of priorities to Job.Priority.
 var priorities = map[string]int{"low": 0, "normal": 1, "urgent": 2, "production": 3}
 
-// jobBody is a submission as it comes; nil: the field is missing or null. Users see this
-// type's name in the texts of encoding/json.
+// jobBody is a decoded submission before validation. A field is nil if it is missing or null. Users
+// see the name of this type in the error texts of encoding/json.
 type jobBody struct {
-	ID           *string  `json:"nameId"`
-	Class        *string  `json:"flock"`
-	Team         *string  `json:"crew"`
-	Kind         *string  `json:"shape"`
-	Priority     *string  `json:"rank"`
-	Tasks        *float64 `json:"eggs"`
-	CPUs         *float64 `json:"cpus"`
-	GPUs         *float64 `json:"cards"`
-	RAMGB        *float64 `json:"ramGb"`
-	Image        *string  `json:"plumage"`
-	ImageGB      *float64 `json:"imageGb"`
-	MachineTypes []string `json:"hulls"`
-	Zone         *string  `json:"shore"`
-	SingleZone   *bool    `json:"samePlace"`
-	Spread       *bool    `json:"spread"`
-	Spot         *bool    `json:"driftwood"`
-	EstimateS    *float64 `json:"reckonS"`
-	CheckpointS  *float64 `json:"moultS"`
-	SaveS        *float64 `json:"stowS"`
-	DeadlineS    *float64 `json:"dueS"`
-}
-
-// ParseJob decodes and validates a submission. Every error is a FieldError of the first
-// field that is invalid, and means status 400.
+	ID                  *string  `json:"nameId"`
+	Class               *string  `json:"flock"`
+	Team                *string  `json:"crew"`
+	Kind                *string  `json:"shape"`
+	Priority            *string  `json:"rank"`
+	TaskCount           *float64 `json:"eggs"`
+	CPUs                *float64 `json:"cpus"`
+	GPUs                *float64 `json:"cards"`
+	RAMGB               *float64 `json:"ramGb"`
+	Image               *string  `json:"plumage"`
+	ImageGB             *float64 `json:"imageGb"`
+	MachineTypes        []string `json:"hulls"`
+	Zone                *string  `json:"shore"`
+	SingleZone          *bool    `json:"samePlace"`
+	SpreadsZones        *bool    `json:"spread"`
+	AllowsSpot          *bool    `json:"driftwood"`
+	EstimateS           *float64 `json:"reckonS"`
+	CheckpointIntervalS *float64 `json:"moultS"`
+	CheckpointSaveS     *float64 `json:"stowS"`
+	DeadlineS           *float64 `json:"dueS"`
+}
+
+// ParseJob decodes and validates a submission. Every error is a *FieldError for the first invalid
+// field, and the response to it has status 400.
 func ParseJob(body []byte) (*Job, error) {
 	b, err := decodeJobBody(body)
 	if err != nil {
@@ -80,7 +80,7 @@
 	}
 	job := &Job{}
 	for _, parse := range []func(*Job) error{
-		b.parseNames, b.parseKind, b.parsePriority, b.parseTasks, b.parseAmounts, b.parseMachineTypes, b.parseZone, b.parseFlags,
+		b.parseNames, b.parseKind, b.parsePriority, b.parseTaskCount, b.parseAmounts, b.parseMachineTypes, b.parseZone, b.parseFlags,
 	} {
 		if err := parse(job); err != nil {
 			return nil, err
@@ -89,9 +89,9 @@
 	return job, nil
 }
 
-// decodeJobBody decodes a submission without looking at its values.
+// decodeJobBody decodes a submission without validating its values.
 func decodeJobBody(body []byte) (*jobBody, error) {
-	start := string(body[:min(len(body), maxLeadingSpace+1)])
+	start := string(body[:min(len(body), maxLeadingSpaceBytes+1)])
 	if !strings.HasPrefix(strings.TrimLeft(start, " \t\r\n"), "{") {
 		return nil, fieldErrorf(bodyField, "not a JSON object")
 	}
@@ -102,29 +102,30 @@
 	return b, nil
 }
 
-// requiredField is a field that a submission must have, and where its value goes.
+// requiredField is a field that a submission must contain, and the destination of its value.
 type requiredField[T any] struct {
-	name string
-	from *T // nil: it is missing or null
-	to   *T
+	name        string
+	source      *T // nil if the field is missing or null
+	destination *T
 }
 
-// takeRequired takes the fields' values over, up to the first that is missing or refused.
-func takeRequired[T any](fields []requiredField[T], check func(name string, value T) error) error {
+// copyRequiredFields copies the values of the fields. It stops with an error at the first field that
+// is missing or whose value fails the check.
+func copyRequiredFields[T any](fields []requiredField[T], check func(name string, value T) error) error {
 	for _, field := range fields {
-		if field.from == nil {
+		if field.source == nil {
 			return &FieldError{Field: field.name, Err: errMissing}
 		}
-		if err := check(field.name, *field.from); err != nil {
+		if err := check(field.name, *field.source); err != nil {
 			return err
 		}
-		*field.to = *field.from
+		*field.destination = *field.source
 	}
 	return nil
 }
 
 func (b *jobBody) parseNames(job *Job) error {
-	err := takeRequired([]requiredField[string]{
+	err := copyRequiredFields([]requiredField[string]{
 		{"nameId", b.ID, &job.ID},
 		{"flock", b.Class, &job.Class},
 		{"crew", b.Team, &job.Team},
@@ -139,15 +140,15 @@
 	return nil
 }
 
-// checkName refuses names that are too short or too long.
+// checkName returns an error for a name that is empty or too long.
 func checkName(field, name string) error {
-	if !validName(name) {
-		return fieldErrorf(field, "must have 1 to %d bytes", maxName)
+	if !isValidName(name) {
+		return fieldErrorf(field, "must have 1 to %d bytes", maxNameBytes)
 	}
 	return nil
 }
 
-func validName(name string) bool { return name != "" && len(name) <= maxName }
+func isValidName(name string) bool { return name != "" && len(name) <= maxNameBytes }
 
 func (b *jobBody) parseKind(job *Job) error {
 	if b.Kind == nil {
@@ -177,11 +178,11 @@
 	return nil
 }
 
-func (b *jobBody) parseTasks(job *Job) error {
-	if b.Tasks == nil || *b.Tasks != math.Trunc(*b.Tasks) || *b.Tasks < 1 || *b.Tasks > MaxTasks {
+func (b *jobBody) parseTaskCount(job *Job) error {
+	if b.TaskCount == nil || *b.TaskCount != math.Trunc(*b.TaskCount) || *b.TaskCount < 1 || *b.TaskCount > MaxTasks {
 		return fieldErrorf("eggs", "must be an integer from 1 to %d", MaxTasks)
 	}
-	job.TaskCount = int(*b.Tasks)
+	job.TaskCount = int(*b.TaskCount)
 	return nil
 }
 
@@ -191,19 +192,19 @@
 		job.NoDeadline = true
 		deadline = new(float64)
 	}
-	return takeRequired([]requiredField[float64]{
+	return copyRequiredFields([]requiredField[float64]{
 		{"cpus", b.CPUs, &job.CPUs},
 		{"cards", b.GPUs, &job.GPUs},
 		{"ramGb", b.RAMGB, &job.RAMGB},
 		{"imageGb", b.ImageGB, &job.ImageGB},
 		{"reckonS", b.EstimateS, &job.EstimateS},
-		{"moultS", b.CheckpointS, &job.CheckpointIntervalS},
-		{"stowS", b.SaveS, &job.CheckpointSaveS},
+		{"moultS", b.CheckpointIntervalS, &job.CheckpointIntervalS},
+		{"stowS", b.CheckpointSaveS, &job.CheckpointSaveS},
 		{"dueS", deadline, &job.DeadlineS},
 	}, checkAmount)
 }
 
-// checkAmount refuses amounts that are negative, too large or no number.
+// checkAmount returns an error for an amount that is negative, too large or not a number.
 func checkAmount(field string, amount float64) error {
 	if !(amount >= 0 && amount <= maxAmount) {
 		return fieldErrorf(field, "must be between 0 and %g", maxAmount)
@@ -216,8 +217,8 @@
 		return fieldErrorf("hulls", "more than %d", maxMachineTypes)
 	}
 	for _, name := range b.MachineTypes {
-		if !validName(name) {
-			return fieldErrorf("hulls", "names must have 1 to %d bytes", maxName)
+		if !isValidName(name) {
+			return fieldErrorf("hulls", "names must have 1 to %d bytes", maxNameBytes)
 		}
 	}
 	if b.MachineTypes != nil && len(b.MachineTypes) == 0 {
@@ -231,18 +232,18 @@
 	if b.Zone == nil {
 		return nil
 	}
-	if !validName(*b.Zone) {
-		return fieldErrorf("shore", "must have 1 to %d bytes", maxName)
+	if !isValidName(*b.Zone) {
+		return fieldErrorf("shore", "must have 1 to %d bytes", maxNameBytes)
 	}
 	job.Zone = *b.Zone
 	return nil
 }
 
 func (b *jobBody) parseFlags(job *Job) error {
-	anyValue := func(string, bool) error { return nil }
-	return takeRequired([]requiredField[bool]{
+	acceptAny := func(string, bool) error { return nil }
+	return copyRequiredFields([]requiredField[bool]{
 		{"samePlace", b.SingleZone, &job.SingleZone},
-		{"spread", b.Spread, &job.SpreadsZones},
-		{"driftwood", b.Spot, &job.AllowsSpot},
-	}, anyValue)
+		{"spread", b.SpreadsZones, &job.SpreadsZones},
+		{"driftwood", b.AllowsSpot, &job.AllowsSpot},
+	}, acceptAny)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,7 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-func body(t *rapid.T) map[string]any {
+// drawSubmission draws the fields of a valid submission and an unknown field. The optional fields may
+// be set, null or missing.
+func drawSubmission(t *rapid.T) map[string]any {
 	amount := rapid.Float64Range(0, 1000)
 	b := map[string]any{
 		"nameId": rapid.StringMatching(`wk-[0-9]{1,12}`).Draw(t, "id"), "flock": "c", "crew": "t",
@@ -29,29 +31,31 @@
 	return b
 }
 
-func TestValidSubmissionsParse(t *testing.T) {
+// A valid submission must be accepted and keep its values, also when the job is stored and read again.
+func TestValidSubmissionsAreParsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := body(t)
+		b := drawSubmission(t)
 		raw, _ := json.Marshal(b)
 		j, err := ParseJob(raw)
 		if err != nil {
-			t.Fatalf("%s: %v", raw, err)
+			t.Fatalf("%s was rejected: %v", raw, err)
 		}
 		if j.ID != b["nameId"] || j.TaskCount != b["eggs"] || j.CPUs != b["cpus"] || j.AllowsSpot != b["driftwood"] || j.NoDeadline != (b["dueS"] == nil) {
-			t.Fatalf("%s became %+v", raw, j)
+			t.Fatalf("%s was parsed as %+v", raw, j)
 		}
-		// The stored form must give the same job back.
-		var again Job
+		// The stored form must be decoded as the same job.
+		var decoded Job
 		stored, _ := json.Marshal(j)
-		if err := json.Unmarshal(stored, &again); err != nil || again.ID != j.ID || again.Gang != j.Gang || again.EstimateS != j.EstimateS {
-			t.Fatalf("stored as %s, read as %+v", stored, again)
+		if err := json.Unmarshal(stored, &decoded); err != nil || decoded.ID != j.ID || decoded.Gang != j.Gang || decoded.EstimateS != j.EstimateS {
+			t.Fatalf("job is stored as %s and decoded as %+v", stored, decoded)
 		}
 	})
 }
 
-func TestInvalidSubmissionsAreRefused(t *testing.T) {
+// A submission without a required field, or with an invalid value, must be rejected.
+func TestInvalidSubmissionsAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := body(t)
+		b := drawSubmission(t)
 		required := []string{"nameId", "flock", "crew", "shape", "rank", "eggs", "cpus", "cards", "ramGb", "plumage", "imageGb",
 			"samePlace", "spread", "driftwood", "reckonS", "moultS", "stowS"}
 		field := rapid.SampledFrom(required).Draw(t, "field")
@@ -90,11 +94,12 @@
 	}
 }
 
-func TestReportsNeverPanic(t *testing.T) {
+// ParseHeartbeat must return either a heartbeat or an error for any body.
+func TestParseHeartbeatNeverPanics(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, err := ParseHeartbeat([]byte(rapid.String().Draw(t, "body")))
 		if (r == nil) == (err == nil) {
-			t.Fatalf("%v, %v", r, err)
+			t.Fatalf("heartbeat %v and error %v, want exactly one of them", r, err)
 		}
 	})
 }
