--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -15,29 +15,33 @@
 )
 
 // idle answers without work.
-type idle struct{}
+type idleService struct{}
 
-func (idle) Submit(context.Context, *wire.Job) Response { return Response{Status: http.StatusCreated} }
-func (idle) Poll(context.Context, string) Response      { return Response{Status: http.StatusNotFound} }
-func (idle) Cancel(context.Context, string) Response    { return Response{Status: http.StatusOK} }
-func (idle) IsReady() bool                              { return true }
-func (idle) Heartbeat(context.Context, *wire.Heartbeat) Response {
+func (idleService) Submit(context.Context, *wire.Job) Response {
+	return Response{Status: http.StatusCreated}
+}
+func (idleService) Poll(context.Context, string) Response {
+	return Response{Status: http.StatusNotFound}
+}
+func (idleService) Cancel(context.Context, string) Response { return Response{Status: http.StatusOK} }
+func (idleService) IsReady() bool                           { return true }
+func (idleService) Heartbeat(context.Context, *wire.Heartbeat) Response {
 	return Response{Status: http.StatusOK, Body: wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{}}}
 }
 
 // What connections hold bounds how many may be open: see config.Limits.
-func TestConnectionsHoldWhatIsPlannedFor(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func TestConnectionMemoryIsWithinPlan(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	const n = 300
+	const connectionCount = 300
 	go func() {
-		_ = Serve(ctx, l, idle{}, slog.New(slog.NewTextHandler(io.Discard, nil)), Limits{MaxConnections: n, MaxUserRequests: n})
+		_ = Serve(ctx, listener, idleService{}, slog.New(slog.NewTextHandler(io.Discard, nil)), Limits{MaxConnections: connectionCount, MaxUserRequests: connectionCount})
 	}()
-	held := func() uint64 {
+	memoryInUse := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
@@ -45,25 +49,25 @@
 	}
 	body := `{"perch":"host-000231","addr":"10.1.0.232:9000","hull":"g8","shore":"a","driftwood":true,"watch":1,"tally":88,"baton":41,"warningS":null,"eggs":[]}`
 	request := fmt.Sprintf("POST /v1/report HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	before := held()
-	for range n {
-		c, err := net.Dial("tcp", l.Addr().String())
+	before := memoryInUse()
+	for range connectionCount {
+		connection, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		if _, err := io.WriteString(c, request); err != nil {
+		defer connection.Close()
+		if _, err := io.WriteString(connection, request); err != nil {
 			t.Fatal(err)
 		}
 		// Read without a buffer that would be counted for the server's.
-		var small [512]byte
-		if _, err := c.Read(small[:]); err != nil {
+		var buffer [512]byte
+		if _, err := connection.Read(buffer[:]); err != nil {
 			t.Fatal(err)
 		}
 	}
-	each := int(held()-before) / n
-	if each > config.ConnectionBytes {
-		t.Errorf("a connection holds %d bytes, %d are planned for", each, config.ConnectionBytes)
+	bytesPerConnection := int(memoryInUse()-before) / connectionCount
+	if bytesPerConnection > config.ConnectionBytes {
+		t.Errorf("a connection holds %d bytes, %d are planned for", bytesPerConnection, config.ConnectionBytes)
 	}
-	t.Logf("a connection holds %d bytes", each)
+	t.Logf("a connection holds %d bytes", bytesPerConnection)
 }
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -11,26 +11,26 @@
 )
 
 // stub gives one answer to every request.
-type stub struct {
-	answer Response
-	ready  bool
+type stubService struct {
+	response Response
+	ready    bool
 }
 
-func (s stub) Submit(context.Context, *wire.Job) Response          { return s.answer }
-func (s stub) Poll(context.Context, string) Response               { return s.answer }
-func (s stub) Cancel(context.Context, string) Response             { return s.answer }
-func (s stub) Heartbeat(context.Context, *wire.Heartbeat) Response { return s.answer }
-func (s stub) IsReady() bool                                       { return s.ready }
+func (s stubService) Submit(context.Context, *wire.Job) Response          { return s.response }
+func (s stubService) Poll(context.Context, string) Response               { return s.response }
+func (s stubService) Cancel(context.Context, string) Response             { return s.response }
+func (s stubService) Heartbeat(context.Context, *wire.Heartbeat) Response { return s.response }
+func (s stubService) IsReady() bool                                       { return s.ready }
 
 // Status, headers and body of every kind of answer stay as they are.
-func TestAnswersKeepTheirBytes(t *testing.T) {
+func TestResponsesAreUnchanged(t *testing.T) {
 	state := Response{Status: 200, Body: wire.JobState{ID: "wk-1", State: wire.StateDone}}
-	for _, x := range []struct {
-		request, body string
-		answer        Response
-		slots         int
-		status        int
-		retry, text   string
+	for _, test := range []struct {
+		request, body            string
+		response                 Response
+		maxUserRequests          int
+		status                   int
+		retryAfter, responseBody string
 	}{
 		{"GET /v1/jobs/wk-1", "", state, 1, 200, "", `{"nameId":"wk-1","tide":"done"}`},
 		{"POST /v1/jobs/wk-1/abort", "", state, 1, 200, "", `{"nameId":"wk-1","tide":"done"}`},
@@ -49,15 +49,15 @@
 		{"GET /v1/jobs/wk-1/", "", state, 1, 404, "", "404 page not found\n"},
 		{"PUT /v1/jobs", "", state, 1, 405, "", "Method Not Allowed\n"},
 	} {
-		method, path, _ := strings.Cut(x.request, " ")
-		w := httptest.NewRecorder()
-		NewHandler(stub{answer: x.answer, ready: x.body == ""}, Limits{MaxUserRequests: x.slots}).
-			ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(x.body)))
-		if w.Code != x.status || w.Body.String() != x.text || w.Header().Get("Retry-After") != x.retry {
-			t.Errorf("%s %.40s: %d, Retry-After %q, %s", x.request, x.body, w.Code, w.Header().Get("Retry-After"), w.Body)
+		method, path, _ := strings.Cut(test.request, " ")
+		recorder := httptest.NewRecorder()
+		NewHandler(stubService{response: test.response, ready: test.body == ""}, Limits{MaxUserRequests: test.maxUserRequests}).
+			ServeHTTP(recorder, httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(test.body)))
+		if recorder.Code != test.status || recorder.Body.String() != test.responseBody || recorder.Header().Get("Retry-After") != test.retryAfter {
+			t.Errorf("%s %.40s: %d, Retry-After %q, %s", test.request, test.body, recorder.Code, recorder.Header().Get("Retry-After"), recorder.Body)
 		}
-		if routed := x.status != http.StatusMethodNotAllowed && !strings.HasSuffix(path, "/"); routed && w.Header().Get("Content-Type") != "application/json" {
-			t.Errorf("%s: content type %q", x.request, w.Header().Get("Content-Type"))
+		if routed := test.status != http.StatusMethodNotAllowed && !strings.HasSuffix(path, "/"); routed && recorder.Header().Get("Content-Type") != "application/json" {
+			t.Errorf("%s: content type %q", test.request, recorder.Header().Get("Content-Type"))
 		}
 	}
 }
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -32,18 +32,18 @@
 
 // handler answers requests with what the service says.
 type handler struct {
-	service Service
-	slots   chan struct{} // one for each request of a user that may be served at a time
+	service          Service
+	userRequestSlots chan struct{} // one for each request of a user that may be served at a time
 }
 
 // NewHandler returns a handler that answers requests with what the service says.
 func NewHandler(service Service, limits Limits) http.Handler {
-	h := &handler{service: service, slots: make(chan struct{}, limits.MaxUserRequests)}
+	h := &handler{service: service, userRequestSlots: make(chan struct{}, limits.MaxUserRequests)}
 	router := httprouter.New()
 	router.RedirectTrailingSlash, router.RedirectFixedPath = false, false
-	router.POST("/v1/jobs", h.user(changeTimeout, h.submit))
-	router.GET("/v1/jobs/:id", h.user(pollTimeout, h.poll))
-	router.POST("/v1/jobs/:id/abort", h.user(changeTimeout, h.cancel))
+	router.POST("/v1/jobs", h.limitUserRequest(changeTimeout, h.submit))
+	router.GET("/v1/jobs/:id", h.limitUserRequest(pollTimeout, h.poll))
+	router.POST("/v1/jobs/:id/abort", h.limitUserRequest(changeTimeout, h.cancel))
 	router.GET("/ready", h.ready)
 	router.POST("/v1/report", h.heartbeat)
 	return router
@@ -54,11 +54,11 @@
 
 // user wraps a handler of users' requests: no more than a bounded number are served at a time,
 // so that heartbeats and lease renewals are served in a flood of users.
-func (h *handler) user(timeout time.Duration, handle userHandler) httprouter.Handle {
+func (h *handler) limitUserRequest(timeout time.Duration, handle userHandler) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 		select {
-		case h.slots <- struct{}{}:
-			defer func() { <-h.slots }()
+		case h.userRequestSlots <- struct{}{}:
+			defer func() { <-h.userRequestSlots }()
 		default:
 			Response{Status: http.StatusServiceUnavailable, RetryAfterS: overloadRetryAfter, Reason: "too many requests in work"}.write(w)
 			return
@@ -100,10 +100,10 @@
 func (h *handler) heartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	ctx, cancel := context.WithTimeout(r.Context(), heartbeatTimeout)
 	defer cancel()
-	h.answerHeartbeat(ctx, r).write(w)
+	h.heartbeatResponse(ctx, r).write(w)
 }
 
-func (h *handler) answerHeartbeat(ctx context.Context, r *http.Request) Response {
+func (h *handler) heartbeatResponse(ctx context.Context, r *http.Request) Response {
 	body, err := readBody(r, maxHeartbeatBytes)
 	if err != nil {
 		return badRequest(err)
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -45,7 +45,7 @@
 
 // Serve answers requests on l with what the service says until ctx ends. Requests that are
 // being served then are cut off.
-func Serve(ctx context.Context, l net.Listener, service Service, log *slog.Logger, limits Limits) error {
+func Serve(ctx context.Context, listener net.Listener, service Service, log *slog.Logger, limits Limits) error {
 	server := &http.Server{
 		Handler:           NewHandler(service, limits),
 		ReadHeaderTimeout: readHeaderTimeout,
@@ -58,7 +58,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
-	err := server.Serve(netutil.LimitListener(l, limits.MaxConnections))
+	err := server.Serve(netutil.LimitListener(listener, limits.MaxConnections))
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -100,8 +100,8 @@
 	cluster  Cluster
 	loop     EventLoop
 	recorder Recorder
-	// readyAt is when this controller last was ready; nil: it is not.
-	readyAt atomic.Pointer[time.Time]
+	// lastReadyAt is when this controller last was ready; nil: it is not.
+	lastReadyAt atomic.Pointer[time.Time]
 }
 
 // New returns a frontend to a cluster.
@@ -126,15 +126,15 @@
 )
 
 // busy tells a user to come back once the event loop has done what waits for it.
-func (f *Frontend) busy() api.Response {
+func (f *Frontend) busyResponse() api.Response {
 	response := UnavailableResponse("busy")
 	response.RetryAfterS = f.loop.RetryAfterS()
 	return response
 }
 
-// notServing is the response of a controller that can't answer yet, or must not; false: it
+// notServingResponse is the response of a controller that can't answer yet, or must not; false: it
 // can.
-func (f *Frontend) notServing() (api.Response, bool) {
+func (f *Frontend) notServingResponse() (api.Response, bool) {
 	if !f.cluster.HasLoadedRecords() {
 		return UnavailableResponse(reasonStarting), true
 	}
@@ -158,7 +158,7 @@
 	// each may be long in coming when there is little processor time.
 	answer := make(chan api.Response, 1)
 	if !f.loop.Call(ctx, func() { f.poll(id, answer) }) {
-		return f.busy()
+		return f.busyResponse()
 	}
 	select {
 	case response := <-answer:
@@ -170,7 +170,7 @@
 
 // poll sends the answer to a poll, now or after a read.
 func (f *Frontend) poll(id string, answer chan<- api.Response) {
-	if response, out := f.notServing(); out {
+	if response, out := f.notServingResponse(); out {
 		answer <- response
 		return
 	}
@@ -182,11 +182,11 @@
 		answer <- UnavailableResponse(reasonUndecodable)
 		return
 	}
-	f.cluster.AfterRead(func(err error) { answer <- f.afterRead(id, err) })
+	f.cluster.AfterRead(func(err error) { answer <- f.responseAfterRead(id, err) })
 }
 
-// afterRead is the answer to a poll once a read for it has ended.
-func (f *Frontend) afterRead(id string, err error) api.Response {
+// responseAfterRead is the answer to a poll once a read for it has ended.
+func (f *Frontend) responseAfterRead(id string, err error) api.Response {
 	if err != nil {
 		return UnavailableResponse(reasonOutOfReach)
 	}
@@ -205,9 +205,9 @@
 
 // Submit accepts a job.
 func (f *Frontend) Submit(ctx context.Context, spec *wire.Job) api.Response {
-	begun := time.Now()
+	start := time.Now()
 	response := f.submit(ctx, spec)
-	f.recorder.CountSubmission(response.Status, time.Since(begun))
+	f.recorder.CountSubmission(response.Status, time.Since(start))
 	switch {
 	case response.Status == http.StatusCreated:
 		f.config.Log.Info("job accepted", "job", spec.ID, "team", spec.Team, "class", spec.Class, "tasks", spec.TaskCount)
@@ -220,32 +220,32 @@
 }
 
 // submission is what becomes of a submission on the event loop: one of these is set.
-type submission struct {
+type submissionResult struct {
 	response *api.Response
 	// poll: the job is known already, or can never run; a poll tells which.
-	poll bool
+	needsPoll bool
 	// stored has the result of the write.
-	stored chan error
+	writeResult chan error
 }
 
 func (f *Frontend) submit(ctx context.Context, spec *wire.Job) api.Response {
-	var begun submission
-	if !f.loop.Call(ctx, func() { begun = f.beginSubmission(spec) }) {
-		return f.busy()
+	var result submissionResult
+	if !f.loop.Call(ctx, func() { result = f.beginSubmission(spec) }) {
+		return f.busyResponse()
 	}
 	switch {
-	case begun.response != nil:
-		return *begun.response
-	case begun.poll:
-		return f.pollSubmitted(ctx, spec)
+	case result.response != nil:
+		return *result.response
+	case result.needsPoll:
+		return f.responseForKnownJob(ctx, spec)
 	}
 	select {
-	case err := <-begun.stored:
+	case err := <-result.writeResult:
 		switch {
 		case err == nil:
 			return jobResponse(http.StatusCreated, wire.JobState{ID: spec.ID, State: wire.StateQueued})
 		case errors.Is(err, store.ErrConflict):
-			return f.pollSubmitted(ctx, spec) // an earlier try, or another controller, stored it
+			return f.responseForKnownJob(ctx, spec) // an earlier try, or another controller, stored it
 		}
 		return UnavailableResponse(reasonNotStored)
 	case <-ctx.Done():
@@ -254,33 +254,33 @@
 }
 
 // beginSubmission has a job stored, if it is new and can be decided on now.
-func (f *Frontend) beginSubmission(spec *wire.Job) submission {
-	refuse := func(response api.Response) submission { return submission{response: &response} }
-	if response, out := f.notServing(); out {
+func (f *Frontend) beginSubmission(spec *wire.Job) submissionResult {
+	refuse := func(response api.Response) submissionResult { return submissionResult{response: &response} }
+	if response, out := f.notServingResponse(); out {
 		return refuse(response)
 	}
 	types := f.cluster.MachineTypes()
 	switch {
 	case f.cluster.Job(spec.ID) != nil:
-		return submission{poll: true} // accepted before, whatever the settings say today
+		return submissionResult{needsPoll: true} // accepted before, whatever the settings say today
 	case len(types) == 0:
 		return refuse(UnavailableResponse(reasonUnknownTypes))
 	case !f.cluster.IsFreshWithin(f.config.LeaseTTL):
 		return refuse(UnavailableResponse(reasonOutOfReach))
-	case f.unsatisfiable(spec) != "":
-		return submission{poll: true}
+	case f.unsatisfiableReason(spec) != "":
+		return submissionResult{needsPoll: true}
 	}
-	stored := make(chan error, 1)
+	writeResult := make(chan error, 1)
 	key := f.config.JobKey(spec.ID)
 	f.cluster.SubmitWrite(&store.Write{Interactive: true,
 		Conditions: []wire.Condition{{Key: key}},
 		Changes:    []wire.Change{{Put: key, Value: record.JSON(record.Job{AcceptedAtMS: f.loop.Now().UnixMilli(), Spec: spec})}},
-	}, func(err error) { stored <- err })
-	return submission{stored: stored}
+	}, func(err error) { writeResult <- err })
+	return submissionResult{writeResult: writeResult}
 }
 
 // unsatisfiable is why a job can never run; "": it can.
-func (f *Frontend) unsatisfiable(spec *wire.Job) string {
+func (f *Frontend) unsatisfiableReason(spec *wire.Job) string {
 	// The record is largest once the job is cancelled.
 	largest := record.Job{FinalState: record.StateCancelled, AcceptedAtMS: f.loop.Now().UnixMilli(), Spec: spec}
 	if len(record.JSON(largest)) > f.config.MaxValueBytes {
@@ -289,15 +289,15 @@
 	return f.config.Quotas.UnsatisfiableReason(spec, f.cluster.MachineTypes())
 }
 
-// pollSubmitted answers the submission of a job that is known already or, if it turns out
+// responseForKnownJob answers the submission of a job that is known already or, if it turns out
 // not to be, of one that can never run.
-func (f *Frontend) pollSubmitted(ctx context.Context, spec *wire.Job) api.Response {
+func (f *Frontend) responseForKnownJob(ctx context.Context, spec *wire.Job) api.Response {
 	response := f.Poll(ctx, spec.ID)
 	if response.Status != http.StatusNotFound {
 		return response
 	}
 	reason := ""
-	f.loop.Call(ctx, func() { reason = f.unsatisfiable(spec) })
+	f.loop.Call(ctx, func() { reason = f.unsatisfiableReason(spec) })
 	if reason == "" {
 		return UnavailableResponse("try again")
 	}
@@ -313,12 +313,12 @@
 		if response.Status != http.StatusOK || !ok || state.State == wire.StateDone || state.State == wire.StateCancelled {
 			return response
 		}
-		stored := make(chan error, 1)
-		if !f.loop.Call(ctx, func() { f.beginCancellation(id, stored) }) {
-			return f.busy()
+		writeResult := make(chan error, 1)
+		if !f.loop.Call(ctx, func() { f.beginCancellation(id, writeResult) }) {
+			return f.busyResponse()
 		}
 		select {
-		case err := <-stored:
+		case err := <-writeResult:
 			if err == nil {
 				return jobResponse(http.StatusOK, wire.JobState{ID: id, State: wire.StateCancelled})
 			}
@@ -329,21 +329,21 @@
 			return UnavailableResponse(reasonNoAnswer)
 		}
 		if ctx.Err() != nil {
-			return f.busy()
+			return f.busyResponse()
 		}
 	}
 }
 
 // beginCancellation has a job's cancellation stored.
-func (f *Frontend) beginCancellation(id string, stored chan<- error) {
+func (f *Frontend) beginCancellation(id string, writeResult chan<- error) {
 	job := f.cluster.Job(id)
 	if job == nil || job.IsFinal || job.Spec == nil {
-		stored <- store.ErrConflict
+		writeResult <- store.ErrConflict
 		return
 	}
 	key := f.config.JobKey(id)
 	f.cluster.SubmitWrite(&store.Write{Interactive: true,
 		Conditions: []wire.Condition{{Key: key, Revision: job.Revision}},
 		Changes:    []wire.Change{{Put: key, Value: record.EncodeCancelledJob(job.Spec, job.AcceptedAt, f.config.MaxValueBytes)}},
-	}, func(err error) { stored <- err })
+	}, func(err error) { writeResult <- err })
 }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -16,12 +16,12 @@
 
 // fakeCluster is a cluster's state, and the event loop that it is on.
 type fakeCluster struct {
-	starting, stale, full bool
-	refusal               error
-	jobs                  map[string]*Job
-	unreadable            map[string]bool
-	types                 map[string]*wire.MachineType
-	peersHeard, peerFresh bool
+	notLoaded, stale, queueFull bool
+	servingErr                  error
+	jobs                        map[string]*Job
+	unreadable                  map[string]bool
+	types                       map[string]*wire.MachineType
+	peersHeard, peerFresh       bool
 	// readErr is the result of reads; onRead is what a read finds.
 	readErr error
 	onRead  func()
@@ -35,9 +35,9 @@
 		types: map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAMGB: 8, Zones: []string{"a"}}}}
 }
 
-func (c *fakeCluster) HasLoadedRecords() bool                     { return !c.starting }
+func (c *fakeCluster) HasLoadedRecords() bool                     { return !c.notLoaded }
 func (c *fakeCluster) IsFreshWithin(time.Duration) bool           { return !c.stale }
-func (c *fakeCluster) ServingError() error                        { return c.refusal }
+func (c *fakeCluster) ServingError() error                        { return c.servingErr }
 func (c *fakeCluster) Job(id string) *Job                         { return c.jobs[id] }
 func (c *fakeCluster) HasUnreadableRecord(id string) bool         { return c.unreadable[id] }
 func (c *fakeCluster) MachineTypes() map[string]*wire.MachineType { return c.types }
@@ -48,7 +48,7 @@
 func (c *fakeCluster) CountPoll()                                 {}
 
 func (c *fakeCluster) Call(_ context.Context, f func()) bool {
-	if c.full {
+	if c.queueFull {
 		return false
 	}
 	f()
@@ -72,72 +72,72 @@
 		Quotas: Quotas{{Name: "red", CPUsMax: 8}}, Log: slog.New(slog.DiscardHandler)}, c, c, c)
 }
 
-func running(id string) *Job {
+func runningJob(id string) *Job {
 	return &Job{State: wire.JobState{ID: id, State: wire.StateRunning}, Revision: 5, Spec: &wire.Job{ID: id, Team: "red"}}
 }
 
-func final(id, state string) *Job {
+func finalJob(id, state string) *Job {
 	return &Job{State: wire.JobState{ID: id, State: state}, IsFinal: true, Revision: 5}
 }
 
-var job = &wire.Job{ID: "wk-1", Team: "red", TaskCount: 1, CPUs: 2, RAMGB: 1}
+var testJob = &wire.Job{ID: "wk-1", Team: "red", TaskCount: 1, CPUs: 2, RAMGB: 1}
 
 // Each state of the cluster has its answer to a submission, a poll and a cancellation.
-func TestAnswers(t *testing.T) {
+func TestResponsesByClusterState(t *testing.T) {
 	const created, ok, notFound, unprocessable, unavailable = http.StatusCreated, http.StatusOK, http.StatusNotFound, http.StatusUnprocessableEntity, http.StatusServiceUnavailable
 	for _, test := range []struct {
 		name                 string
-		cluster              func(c *fakeCluster)
+		setUp                func(c *fakeCluster)
 		submit, poll, cancel int
 	}{
 		{"new job", func(*fakeCluster) {}, created, notFound, notFound},
-		{"known job", func(c *fakeCluster) { c.jobs["wk-1"] = running("wk-1") }, ok, ok, ok},
-		{"done job", func(c *fakeCluster) { c.jobs["wk-1"] = final("wk-1", wire.StateDone) }, ok, ok, ok},
+		{"known job", func(c *fakeCluster) { c.jobs["wk-1"] = runningJob("wk-1") }, ok, ok, ok},
+		{"done job", func(c *fakeCluster) { c.jobs["wk-1"] = finalJob("wk-1", wire.StateDone) }, ok, ok, ok},
 		{"job that another controller has stored", func(c *fakeCluster) {
-			c.writeErr, c.onRead = store.ErrConflict, func() { c.jobs["wk-1"] = running("wk-1") }
+			c.writeErr, c.onRead = store.ErrConflict, func() { c.jobs["wk-1"] = runningJob("wk-1") }
 		}, ok, ok, unavailable},
-		{"starting", func(c *fakeCluster) { c.starting = true }, unavailable, unavailable, unavailable},
-		{"must not serve", func(c *fakeCluster) { c.refusal = errors.New("level 3 is in force") }, unavailable, unavailable, unavailable},
-		{"queue is full", func(c *fakeCluster) { c.full = true }, unavailable, unavailable, unavailable},
+		{"starting", func(c *fakeCluster) { c.notLoaded = true }, unavailable, unavailable, unavailable},
+		{"must not serve", func(c *fakeCluster) { c.servingErr = errors.New("level 3 is in force") }, unavailable, unavailable, unavailable},
+		{"queue is full", func(c *fakeCluster) { c.queueFull = true }, unavailable, unavailable, unavailable},
 		{"machine types are not known", func(c *fakeCluster) { c.types = nil }, unavailable, notFound, notFound},
-		{"machine types are not known, job is", func(c *fakeCluster) { c.types, c.jobs["wk-1"] = nil, running("wk-1") }, ok, ok, ok},
+		{"machine types are not known, job is", func(c *fakeCluster) { c.types, c.jobs["wk-1"] = nil, runningJob("wk-1") }, ok, ok, ok},
 		{"store out of reach", func(c *fakeCluster) { c.stale, c.readErr = true, store.ErrNotExecuted }, unavailable, unavailable, unavailable},
 		{"store out of reach, job done", func(c *fakeCluster) {
-			c.stale, c.readErr, c.jobs["wk-1"] = true, store.ErrNotExecuted, final("wk-1", wire.StateDone)
+			c.stale, c.readErr, c.jobs["wk-1"] = true, store.ErrNotExecuted, finalJob("wk-1", wire.StateDone)
 		}, ok, ok, ok},
-		{"write has no known outcome", func(c *fakeCluster) { c.writeErr, c.jobs["wk-1"] = store.ErrOutcomeUnknown, running("wk-1") }, ok, ok, unavailable},
-		{"record can't be decoded", func(c *fakeCluster) { c.jobs["wk-1"], c.unreadable["wk-1"] = running("wk-1"), true }, unavailable, unavailable, unavailable},
+		{"write has no known outcome", func(c *fakeCluster) { c.writeErr, c.jobs["wk-1"] = store.ErrOutcomeUnknown, runningJob("wk-1") }, ok, ok, unavailable},
+		{"record can't be decoded", func(c *fakeCluster) { c.jobs["wk-1"], c.unreadable["wk-1"] = runningJob("wk-1"), true }, unavailable, unavailable, unavailable},
 		{"record of a done job can't be decoded", func(c *fakeCluster) {
-			c.jobs["wk-1"], c.unreadable["wk-1"] = final("wk-1", wire.StateDone), true
+			c.jobs["wk-1"], c.unreadable["wk-1"] = finalJob("wk-1", wire.StateDone), true
 		}, ok, ok, ok},
 		{"unsatisfiable job", func(c *fakeCluster) { c.types["small"].CPUs = 1 }, unprocessable, notFound, notFound},
 		{"unsatisfiable job that was accepted before", func(c *fakeCluster) {
-			c.types["small"].CPUs, c.jobs["wk-1"] = 1, running("wk-1")
+			c.types["small"].CPUs, c.jobs["wk-1"] = 1, runningJob("wk-1")
 		}, ok, ok, ok},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			ask := func(what string, want int, f func(f *Frontend) int) {
+			checkStatus := func(what string, want int, f func(f *Frontend) int) {
 				t.Helper()
 				c := newFakeCluster()
-				test.cluster(c)
+				test.setUp(c)
 				if got := f(c.frontend()); got != want {
 					t.Errorf("%s: status %d, want %d", what, got, want)
 				}
 			}
-			ask("submission", test.submit, func(f *Frontend) int { return f.Submit(t.Context(), job).Status })
-			ask("poll", test.poll, func(f *Frontend) int { return f.Poll(t.Context(), "wk-1").Status })
+			checkStatus("submission", test.submit, func(f *Frontend) int { return f.Submit(t.Context(), testJob).Status })
+			checkStatus("poll", test.poll, func(f *Frontend) int { return f.Poll(t.Context(), "wk-1").Status })
 			cancelLimit, stop := context.WithTimeout(t.Context(), 50*time.Millisecond) // a conflict is tried again
 			defer stop()
-			ask("cancellation", test.cancel, func(f *Frontend) int { return f.Cancel(cancelLimit, "wk-1").Status })
+			checkStatus("cancellation", test.cancel, func(f *Frontend) int { return f.Cancel(cancelLimit, "wk-1").Status })
 		})
 	}
 }
 
 // A cancellation is conditional on the job's record as it was read, and keeps its
 // description.
-func TestCancellationIsACompareAndSwap(t *testing.T) {
+func TestCancellationIsCompareAndSwap(t *testing.T) {
 	c := newFakeCluster()
-	c.jobs["wk-1"] = running("wk-1")
+	c.jobs["wk-1"] = runningJob("wk-1")
 	if response := c.frontend().Cancel(t.Context(), "wk-1"); response.Body != (wire.JobState{ID: "wk-1", State: wire.StateCancelled}) {
 		t.Fatalf("answered %+v", response)
 	}
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestUnsatisfiable(t *testing.T) {
+func TestUnsatisfiableReason(t *testing.T) {
 	quotas := Quotas{{Name: "red", CPUsMax: 8, GPUsMax: 1}, {Name: "blue"}}
 	types := map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, GPUs: 1, RAMGB: 8, Zones: []string{"a"}}}
 	for _, test := range []struct {
@@ -177,19 +177,19 @@
 
 func TestReadiness(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		cluster func(c *fakeCluster)
-		want    bool
+		name  string
+		setUp func(c *fakeCluster)
+		want  bool
 	}{
 		{"fresh", func(*fakeCluster) {}, true},
-		{"starting", func(c *fakeCluster) { c.starting = true }, false},
+		{"starting", func(c *fakeCluster) { c.notLoaded = true }, false},
 		{"alone without the store", func(c *fakeCluster) { c.stale, c.peersHeard, c.peerFresh = true, true, true }, false},
 		{"nobody reaches the store", func(c *fakeCluster) { c.stale, c.peersHeard = true, true }, true},
 		{"no peer is heard", func(c *fakeCluster) { c.stale = true }, false},
-		{"must not serve", func(c *fakeCluster) { c.refusal = errors.New("level 3 is in force") }, false},
+		{"must not serve", func(c *fakeCluster) { c.servingErr = errors.New("level 3 is in force") }, false},
 	} {
 		c := newFakeCluster()
-		test.cluster(c)
+		test.setUp(c)
 		f := c.frontend()
 		f.UpdateReadiness()
 		if got := f.IsReady(); got != test.want {
--- a/internal/frontend/quotas.go
+++ b/internal/frontend/quotas.go
@@ -15,15 +15,15 @@
 // UnsatisfiableReason is why a job can never run within its team's limit and on the machine types
 // on offer; "": it can.
 func (q Quotas) UnsatisfiableReason(spec *wire.Job, types map[string]*wire.MachineType) string {
-	team := q.team(spec.Team)
+	team := q.findTeam(spec.Team)
 	if team == nil {
 		return "unknown team"
 	}
-	atOnce := 1.0 // tasks of an array run one by one if need be
+	concurrentTasks := 1.0 // tasks of an array run one by one if need be
 	if spec.IsAllOrNothing() {
-		atOnce = float64(spec.TaskCount)
+		concurrentTasks = float64(spec.TaskCount)
 	}
-	if exceeds(spec.CPUs*atOnce, team.CPUsMax) || exceeds(spec.GPUs*atOnce, team.GPUsMax) {
+	if exceeds(spec.CPUs*concurrentTasks, team.CPUsMax) || exceeds(spec.GPUs*concurrentTasks, team.GPUsMax) {
 		return "more than the team's limit"
 	}
 	if !fitsAnyType(spec, types) {
@@ -32,7 +32,7 @@
 	return ""
 }
 
-func (q Quotas) team(name string) *config.Team {
+func (q Quotas) findTeam(name string) *config.Team {
 	for i := range q {
 		if q[i].Name == name {
 			return &q[i]
--- a/internal/httpjson/httpjson_test.go
+++ b/internal/httpjson/httpjson_test.go
@@ -12,47 +12,47 @@
 )
 
 // transport answers with what a function says.
-type transport func(*http.Request) (*http.Response, error)
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
-func (f transport) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
 var errReset = errors.New("connection reset")
 
 // Whatever may have been executed is told by a NoResponseError, and nothing else is.
-func TestOutcomes(t *testing.T) {
+func TestDoReportsOutcome(t *testing.T) {
 	answer := func(*http.Request) (*http.Response, error) {
 		return &http.Response{StatusCode: http.StatusTeapot, Body: io.NopCloser(strings.NewReader("0123456789"))}, nil
 	}
-	for _, x := range []struct {
-		name      string
-		transport transport
-		body      any
-		limit     int64
-		want      string
-		unknown   bool
-		failed    bool
+	for _, test := range []struct {
+		name           string
+		transport      roundTripFunc
+		body           any
+		limit          int64
+		want           string
+		outcomeUnknown bool
+		failed         bool
 	}{
 		{name: "any status is a response", transport: answer, want: "0123456789"},
 		{name: "a long response is cut", transport: answer, limit: 4, want: "0123"},
 		{name: "a body that can't be encoded", transport: answer, body: func() {}, failed: true},
-		{name: "no response", transport: func(*http.Request) (*http.Response, error) { return nil, errReset }, unknown: true, failed: true},
+		{name: "no response", transport: func(*http.Request) (*http.Response, error) { return nil, errReset }, outcomeUnknown: true, failed: true},
 		{name: "half a response", transport: func(*http.Request) (*http.Response, error) {
-			return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(io.MultiReader(strings.NewReader("01"), failing{}))}, nil
-		}, unknown: true, failed: true},
+			return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(io.MultiReader(strings.NewReader("01"), failingReader{}))}, nil
+		}, outcomeUnknown: true, failed: true},
 	} {
-		response, err := httpjson.Do(t.Context(), &http.Client{Transport: x.transport},
-			httpjson.Request{Method: http.MethodPost, URL: "http://x/", Body: x.body, Timeout: time.Second, MaxResponseBytes: x.limit})
-		_, unknown := errors.AsType[*httpjson.NoResponseError](err)
-		if (err != nil) != x.failed || unknown != x.unknown || unknown && !errors.Is(err, errReset) {
-			t.Errorf("%s: %v", x.name, err)
+		response, err := httpjson.Do(t.Context(), &http.Client{Transport: test.transport},
+			httpjson.Request{Method: http.MethodPost, URL: "http://x/", Body: test.body, Timeout: time.Second, MaxResponseBytes: test.limit})
+		_, outcomeUnknown := errors.AsType[*httpjson.NoResponseError](err)
+		if (err != nil) != test.failed || outcomeUnknown != test.outcomeUnknown || outcomeUnknown && !errors.Is(err, errReset) {
+			t.Errorf("%s: %v", test.name, err)
 		}
-		if err == nil && (response.Status != http.StatusTeapot || string(response.Body) != x.want) {
-			t.Errorf("%s: %d %s", x.name, response.Status, response.Body)
+		if err == nil && (response.Status != http.StatusTeapot || string(response.Body) != test.want) {
+			t.Errorf("%s: %d %s", test.name, response.Status, response.Body)
 		}
 	}
 }
 
 // failing is a body that breaks off.
-type failing struct{}
+type failingReader struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, errReset }
+func (failingReader) Read([]byte) (int, error) { return 0, errReset }
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -14,7 +14,7 @@
 	// dependency is what is followed, as the log lines name it.
 	dependency string
 	// patience is for how long it has to fail until that is an outage.
-	patience time.Duration
+	gracePeriod time.Duration
 
 	failingSince time.Time // zero: it does not fail
 	reported     bool
@@ -22,8 +22,8 @@
 
 // NewMonitor returns a monitor of a dependency, which is out once it has failed for as long
 // as patience.
-func NewMonitor(log *slog.Logger, dependency string, patience time.Duration) *Monitor {
-	return &Monitor{log: log, dependency: dependency, patience: patience}
+func NewMonitor(log *slog.Logger, dependency string, gracePeriod time.Duration) *Monitor {
+	return &Monitor{log: log, dependency: dependency, gracePeriod: gracePeriod}
 }
 
 // ReportFailure notes that the dependency fails.
@@ -31,7 +31,7 @@
 	if m.failingSince.IsZero() {
 		m.failingSince = now
 	}
-	if !m.reported && now.Sub(m.failingSince) >= m.patience {
+	if !m.reported && now.Sub(m.failingSince) >= m.gracePeriod {
 		m.reported = true
 		m.log.Info("outage began", "of", m.dependency, "since", m.failingSince)
 	}
--- a/internal/outage/outage_test.go
+++ b/internal/outage/outage_test.go
@@ -12,16 +12,16 @@
 
 // observation is what a monitor is told, some seconds after the start.
 type observation struct {
-	atS      float64
-	answered bool
+	atS       float64
+	succeeded bool
 }
 
 // An outage has a line when it has lasted for a while, and one with its length when it is over.
-func TestLinesOfAnOutage(t *testing.T) {
-	for _, x := range []struct {
-		name string
-		seen []observation
-		want []string
+func TestOutageLogLines(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		observations []observation
+		wantLines    []string
 	}{
 		{"it always answers", []observation{{0, true}, {60, true}}, nil},
 		{"single failures", []observation{{0, false}, {1, true}, {9, false}, {10, true}}, nil},
@@ -30,32 +30,32 @@
 		{"two outages", []observation{{0, false}, {6, false}, {7, true}, {8, false}, {20, false}, {30, true}},
 			[]string{"outage began", "lasted=7s", "outage began", "lasted=22s"}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			out := linesAfter(x.seen)
+		t.Run(test.name, func(t *testing.T) {
+			out := logOutput(test.observations)
 			lines := strings.Split(strings.TrimSpace(out), "\n")
 			if out == "" {
 				lines = nil
 			}
-			if len(lines) != len(x.want) {
-				t.Fatalf("%d lines, want %d:\n%s", len(lines), len(x.want), out)
+			if len(lines) != len(test.wantLines) {
+				t.Fatalf("%d lines, want %d:\n%s", len(lines), len(test.wantLines), out)
 			}
-			for i, want := range x.want {
-				if !strings.Contains(lines[i], want) || !strings.Contains(lines[i], "of=store") {
-					t.Errorf("line %d is %q, want %q in it", i, lines[i], want)
+			for i, wantLines := range test.wantLines {
+				if !strings.Contains(lines[i], wantLines) || !strings.Contains(lines[i], "of=store") {
+					t.Errorf("line %d is %q, want %q in it", i, lines[i], wantLines)
 				}
 			}
 		})
 	}
 }
 
-// linesAfter are the lines of a monitor that is told of observations.
-func linesAfter(seen []observation) string {
+// logOutput are the lines of a monitor that is told of observations.
+func logOutput(observations []observation) string {
 	var out bytes.Buffer
 	monitor := outage.NewMonitor(slog.New(slog.NewTextHandler(&out, nil)), "store", 5*time.Second)
 	start := time.Unix(1e9, 0)
-	for _, o := range seen {
+	for _, o := range observations {
 		now := start.Add(time.Duration(o.atS * float64(time.Second)))
-		if o.answered {
+		if o.succeeded {
 			monitor.ReportSuccess(now)
 		} else {
 			monitor.ReportFailure(now)
@@ -65,7 +65,7 @@
 }
 
 // What a monitor forgets has no end to tell of.
-func TestForget(t *testing.T) {
+func TestResetSuppressesOutageEnd(t *testing.T) {
 	var out bytes.Buffer
 	monitor := outage.NewMonitor(slog.New(slog.NewTextHandler(&out, nil)), "cloud", time.Second)
 	now := time.Unix(1e9, 0)
--- a/internal/replica/reader.go
+++ b/internal/replica/reader.go
@@ -19,15 +19,15 @@
 	// readShare is the share of the key-value store's limit of requests that all
 	// controllers together use for reads.
 	readShare = 0.25
-	// minSharedInterval spaces shared reads: who asks waits up to 2 s, and should cost
+	// minSharedReadInterval spaces shared reads: who asks waits up to 2 s, and should cost
 	// no more requests than that needs.
-	minSharedInterval = 200 * time.Millisecond
-	// minFollowInterval spaces the watches of Follow.
-	minFollowInterval = 100 * time.Millisecond
+	minSharedReadInterval = 200 * time.Millisecond
+	// minWatchInterval spaces the watches of Follow.
+	minWatchInterval = 100 * time.Millisecond
 	// watchWait is how long a watch of Follow waits for a change.
 	watchWait = 1500 * time.Millisecond
 	// retryAfter and retryJitter space tries after a failed read.
-	retryAfter  = 200 * time.Millisecond
+	retryDelay  = 200 * time.Millisecond
 	retryJitter = 100 * time.Millisecond
 )
 
@@ -74,12 +74,12 @@
 	store   Store
 	loop    EventLoop
 
-	inFlight  bool
-	scheduled bool
-	startedAt time.Time // when the last shared read began
-	waiting   []func(error)
-	// sharedAt is when the last shared read succeeded; Follow looks at it.
-	sharedAt atomic.Pointer[time.Time]
+	readInFlight        bool
+	readScheduled       bool
+	sharedReadStartedAt time.Time // when the last shared read began
+	waitingCallbacks    []func(error)
+	// sharedReadSucceededAt is when the last shared read succeeded; Follow looks at it.
+	sharedReadSucceededAt atomic.Pointer[time.Time]
 }
 
 // NewReader returns a reader that keeps replica current. Shared reads end with ctx.
@@ -91,8 +91,8 @@
 // replica has every change that was stored before the call. It is what makes an answer
 // to a client linearizable.
 func (r *Reader) AfterRead(f func(err error)) {
-	r.waiting = append(r.waiting, f)
-	r.start()
+	r.waitingCallbacks = append(r.waitingCallbacks, f)
+	r.startSharedRead()
 }
 
 // AfterSuccessfulRead runs f after a successful read that begins after now, however many
@@ -109,56 +109,56 @@
 
 // start begins a shared read for everybody who waits, unless one is under way or was
 // begun just now.
-func (r *Reader) start() {
-	if r.inFlight || len(r.waiting) == 0 || r.scheduled {
+func (r *Reader) startSharedRead() {
+	if r.readInFlight || len(r.waitingCallbacks) == 0 || r.readScheduled {
 		return
 	}
-	if wait := r.sharedInterval() - r.loop.Now().Sub(r.startedAt); wait > 0 {
-		r.scheduled = true
+	if wait := r.sharedReadInterval() - r.loop.Now().Sub(r.sharedReadStartedAt); wait > 0 {
+		r.readScheduled = true
 		time.AfterFunc(wait, func() {
 			r.loop.Enqueue(func() {
-				r.scheduled = false
-				r.start()
+				r.readScheduled = false
+				r.startSharedRead()
 			})
 		})
 		return
 	}
-	waiting := r.waiting
-	r.waiting = nil
-	r.inFlight, r.startedAt = true, r.loop.Now()
-	go r.read(r.startedAt, r.replica.Cursor(), r.replica.IsLoaded(), waiting)
+	callbacks := r.waitingCallbacks
+	r.waitingCallbacks = nil
+	r.readInFlight, r.sharedReadStartedAt = true, r.loop.Now()
+	go r.runSharedRead(r.sharedReadStartedAt, r.replica.Cursor(), r.replica.IsLoaded(), callbacks)
 }
 
 // read carries a shared read out and has its result taken in on the event loop.
-func (r *Reader) read(start time.Time, cursor uint64, loaded bool, waiting []func(error)) {
+func (r *Reader) runSharedRead(start time.Time, cursor uint64, loaded bool, callbacks []func(error)) {
 	err := ErrNotLoaded
 	var changes *wire.WatchResponse
 	if loaded {
 		changes, err = r.store.Watch(r.ctx, r.config.KeyPrefix, cursor, 0)
 	}
 	r.loop.Enqueue(func() {
-		r.inFlight = false
+		r.readInFlight = false
 		if err == nil {
 			r.replica.Apply(changes)
 			r.replica.AdvanceReadTime(start)
 			now := r.loop.Now()
-			r.sharedAt.Store(&now)
+			r.sharedReadSucceededAt.Store(&now)
 		}
-		for _, f := range waiting {
+		for _, f := range callbacks {
 			f(err)
 		}
-		r.start()
+		r.startSharedRead()
 	})
 }
 
-// sharedInterval spaces shared reads.
-func (r *Reader) sharedInterval() time.Duration {
-	return max(r.fairInterval(), minSharedInterval)
+// sharedReadInterval spaces shared reads.
+func (r *Reader) sharedReadInterval() time.Duration {
+	return max(r.fairReadInterval(), minSharedReadInterval)
 }
 
-// fairInterval is how far apart the reads of one controller have to be for all together
+// fairReadInterval is how far apart the reads of one controller have to be for all together
 // to keep within their share of the store's limit.
-func (r *Reader) fairInterval() time.Duration {
+func (r *Reader) fairReadInterval() time.Duration {
 	perSecond := r.config.RequestsPerSecond * readShare
 	return time.Duration(float64(time.Second) * float64(r.config.ControllerCount) / perSecond)
 }
@@ -166,43 +166,43 @@
 // Follow keeps the replica current until ctx ends. While shared reads do so it stands
 // back: both would ask for, and decode, the same changes.
 func (r *Reader) Follow(ctx context.Context) {
-	interval := max(r.fairInterval(), minFollowInterval)
+	interval := max(r.fairReadInterval(), minWatchInterval)
 	var cursor uint64
 	loaded := false
 	for ctx.Err() == nil {
 		start := time.Now()
-		if rest := r.untilNeeded(start); loaded && rest > 0 {
-			sleep(ctx, rest)
+		if covered := r.sharedReadCoverage(start); loaded && covered > 0 {
+			sleep(ctx, covered)
 			continue
 		}
 		var err error
 		if loaded {
-			err = r.follow(ctx, start, &cursor)
+			err = r.watchOnce(ctx, start, &cursor)
 			loaded = !errors.Is(err, store.ErrCompacted)
 		} else {
-			err = r.load(ctx, start, &cursor)
+			err = r.loadAll(ctx, start, &cursor)
 			loaded = err == nil
 		}
 		wait := interval
 		if err != nil {
 			r.config.Log.Debug("read of the key-value store failed", "err", err)
-			wait = retryAfter + r.config.Jitter(retryJitter)
+			wait = retryDelay + r.config.Jitter(retryJitter)
 		}
 		sleep(ctx, wait)
 	}
 }
 
-// untilNeeded is how long shared reads still keep the replica current.
-func (r *Reader) untilNeeded(now time.Time) time.Duration {
-	at := r.sharedAt.Load()
+// sharedReadCoverage is how long shared reads still keep the replica current.
+func (r *Reader) sharedReadCoverage(now time.Time) time.Duration {
+	at := r.sharedReadSucceededAt.Load()
 	if at == nil {
 		return 0
 	}
-	return 2*r.sharedInterval() - now.Sub(*at)
+	return 2*r.sharedReadInterval() - now.Sub(*at)
 }
 
 // load reads everything and sets cursor to the replica's.
-func (r *Reader) load(ctx context.Context, start time.Time, cursor *uint64) error {
+func (r *Reader) loadAll(ctx context.Context, start time.Time, cursor *uint64) error {
 	items, revision, err := r.store.List(ctx, r.config.KeyPrefix)
 	if err != nil {
 		return fmt.Errorf("full read: %w", err)
@@ -221,7 +221,7 @@
 }
 
 // follow waits for changes after cursor, takes them in and moves cursor on.
-func (r *Reader) follow(ctx context.Context, start time.Time, cursor *uint64) error {
+func (r *Reader) watchOnce(ctx context.Context, start time.Time, cursor *uint64) error {
 	changes, err := r.store.Watch(ctx, r.config.KeyPrefix, *cursor, watchWait)
 	if err != nil {
 		return fmt.Errorf("watch: %w", err)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -35,18 +35,18 @@
 	revisions map[string]uint64
 	// deleted has the revision at which a key was deleted, until the cursor has passed
 	// it: an older put may still arrive before that.
-	deleted map[string]uint64
+	deletedAt map[string]uint64
 	// cursor is the revision up to which all changes are known.
 	cursor uint64
 	// loaded is set once a full read has been taken in.
 	loaded bool
-	// readAt is when the last successful read began.
-	readAt time.Time
+	// lastReadStartedAt is when the last successful read began.
+	lastReadStartedAt time.Time
 }
 
 // New returns an empty replica, which is not loaded.
 func New(handler Handler) *Replica {
-	return &Replica{handler: handler, revisions: map[string]uint64{}, deleted: map[string]uint64{}}
+	return &Replica{handler: handler, revisions: map[string]uint64{}, deletedAt: map[string]uint64{}}
 }
 
 // IsLoaded reports whether a full read has been taken in: before that a key's absence says
@@ -62,13 +62,13 @@
 // IsFreshWithin reports whether the last successful read began less than limit before now.
 // A replica that is not loaded is never fresh.
 func (r *Replica) IsFreshWithin(limit time.Duration, now time.Time) bool {
-	return r.loaded && now.Sub(r.readAt) < limit
+	return r.loaded && now.Sub(r.lastReadStartedAt) < limit
 }
 
 // AdvanceReadTime notes that a read that began at start has been taken in.
 func (r *Replica) AdvanceReadTime(start time.Time) {
-	if start.After(r.readAt) {
-		r.readAt = start
+	if start.After(r.lastReadStartedAt) {
+		r.lastReadStartedAt = start
 	}
 }
 
@@ -76,13 +76,13 @@
 // first was at revision, and the changes since. Only both together are a state that ever
 // existed: a value that moved from one key to another between two pages would else be
 // seen twice, or not at all.
-func (r *Replica) Load(items []wire.Item, revision uint64, since *wire.WatchResponse) {
+func (r *Replica) Load(items []wire.Item, revision uint64, changes *wire.WatchResponse) {
 	listed := make(map[string]bool, len(items))
 	for i := range items {
 		listed[items[i].Key] = true
 	}
-	for key, known := range r.revisions {
-		if !listed[key] && known <= revision {
+	for key, knownRevision := range r.revisions {
+		if !listed[key] && knownRevision <= revision {
 			r.Delete(key, revision)
 		}
 	}
@@ -90,7 +90,7 @@
 		r.Put(items[i].Key, items[i].Value, items[i].Revision)
 	}
 	r.cursor = max(r.cursor, revision)
-	r.Apply(since)
+	r.Apply(changes)
 	r.loaded = true
 }
 
@@ -108,9 +108,9 @@
 		}
 	}
 	r.cursor = changes.Revision
-	for key, revision := range r.deleted {
+	for key, revision := range r.deletedAt {
 		if revision <= r.cursor {
-			delete(r.deleted, key)
+			delete(r.deletedAt, key)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 // Put takes in a value that was stored at revision, unless a later change of its key is
 // known.
 func (r *Replica) Put(key string, value json.RawMessage, revision uint64) {
-	if r.revisions[key] >= revision || r.deleted[key] >= revision {
+	if r.revisions[key] >= revision || r.deletedAt[key] >= revision {
 		return
 	}
 	if r.revisions[key] == 0 && revision <= r.cursor {
@@ -147,7 +147,7 @@
 		return
 	}
 	if revision > r.cursor {
-		r.deleted[key] = revision
+		r.deletedAt[key] = revision
 	}
 	if _, ok := r.revisions[key]; !ok {
 		return
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -20,11 +20,11 @@
 )
 
 // index is a Handler that remembers the values it was given.
-type index map[string]string
+type valueMap map[string]string
 
-func (x index) PutValue(key string, value json.RawMessage, _ uint64) { x[key] = string(value) }
-func (x index) DeleteValue(key string)                               { delete(x, key) }
-func (x index) ChangesApplied(time.Time)                             {}
+func (m valueMap) PutValue(key string, value json.RawMessage, _ uint64) { m[key] = string(value) }
+func (m valueMap) DeleteValue(key string)                               { delete(m, key) }
+func (x valueMap) ChangesApplied(time.Time)                             {}
 
 // fakeStore is a key-value store in memory that keeps its whole history.
 type fakeStore struct {
@@ -83,8 +83,8 @@
 	return &wire.WatchResponse{Revision: s.revision(), Events: s.history[min(since, s.revision()):]}, nil
 }
 
-func (s *fakeStore) contents() index {
-	out := index{}
+func (s *fakeStore) contents() valueMap {
+	out := valueMap{}
 	for key, item := range s.values {
 		out[key] = string(item.Value)
 	}
@@ -92,7 +92,7 @@
 }
 
 // deliveries draws an order in which a replica learns of what is stored.
-type deliveries struct {
+type deliveryModel struct {
 	store   *fakeStore
 	replica *replica.Replica
 	// results of own writes, which may arrive late and more than once.
@@ -100,7 +100,7 @@
 }
 
 // step draws one write or one delivery.
-func (d *deliveries) step(t *rapid.T) {
+func (d *deliveryModel) step(t *rapid.T) {
 	switch rapid.SampledFrom([]string{"write", "result", "watch", "load"}).Draw(t, "step") {
 	case "write":
 		key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
@@ -127,10 +127,10 @@
 // replica that has read up to the end has what the store has.
 func TestReplicaConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		kv, copied := newFakeStore(), index{}
-		r := replica.New(copied)
+		kv, values := newFakeStore(), valueMap{}
+		r := replica.New(values)
 		r.Load(nil, 0, &wire.WatchResponse{})
-		d := &deliveries{store: kv, replica: r}
+		d := &deliveryModel{store: kv, replica: r}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			d.step(t)
 		}
@@ -139,8 +139,8 @@
 		for _, result := range d.results {
 			result()
 		}
-		if want := kv.contents(); !maps.Equal(copied, want) {
-			t.Fatalf("the replica has %v, the store %v", copied, want)
+		if want := kv.contents(); !maps.Equal(values, want) {
+			t.Fatalf("the replica has %v, the store %v", values, want)
 		}
 		for key, item := range kv.values {
 			if got := r.Revision(key); got != item.Revision {
@@ -152,13 +152,13 @@
 
 // A value that moved between two pages of a full read is seen once: pages count only
 // together with the changes since the first.
-func TestLoadTakesChangesSinceItsFirstPage(t *testing.T) {
-	copied := index{}
-	r := replica.New(copied)
+func TestLoadAppliesChangesSinceFirstPage(t *testing.T) {
+	values := valueMap{}
+	r := replica.New(values)
 	stale := []wire.Item{{Key: "a", Value: json.RawMessage("1"), Revision: 1}, {Key: "b", Value: json.RawMessage("1"), Revision: 3}}
 	r.Load(stale, 1, &wire.WatchResponse{Revision: 3, Events: []wire.Event{{Delete: "a", Revision: 2}, {Put: "b", Value: json.RawMessage("1"), Revision: 3}}})
-	if want := (index{"b": "1"}); !maps.Equal(copied, want) {
-		t.Errorf("loaded %v, want %v", copied, want)
+	if want := (valueMap{"b": "1"}); !maps.Equal(values, want) {
+		t.Errorf("loaded %v, want %v", values, want)
 	}
 }
 
@@ -181,13 +181,13 @@
 }
 
 // pass lets time pass, and waits for all that happens until then.
-func pass(d time.Duration) {
+func advanceTime(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
 func newReader(t *testing.T, kv *fakeStore) (*replica.Reader, *replica.Replica, eventLoop) {
-	loop, r := newEventLoop(), replica.New(index{})
+	loop, r := newEventLoop(), replica.New(valueMap{})
 	config := replica.Config{ControllerCount: 1, RequestsPerSecond: 100, OnLoaded: func() {},
 		Jitter: func(time.Duration) time.Duration { return 0 }, Log: slog.New(slog.DiscardHandler)}
 	return replica.NewReader(t.Context(), config, r, kv, loop), r, loop
@@ -195,25 +195,25 @@
 
 // Reads that are asked for while one is under way share the next one: it begins after all
 // of them were asked for, and costs one request.
-func TestReadsAreShared(t *testing.T) {
+func TestConcurrentReadsAreShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := newFakeStore()
 		reader, r, loop := newReader(t, kv)
 		r.Load(nil, 0, &wire.WatchResponse{})
-		pass(time.Second)
-		done := 0
+		advanceTime(time.Second)
+		succeeded := 0
 		loop.Enqueue(func() {
 			for range 5 {
 				reader.AfterRead(func(err error) {
 					if err == nil {
-						done++
+						succeeded++
 					}
 				})
 			}
 		})
-		pass(time.Second)
-		if done != 5 || kv.watches != 2 {
-			t.Errorf("%d of 5 reads succeeded with %d requests, want 2", done, kv.watches)
+		advanceTime(time.Second)
+		if succeeded != 5 || kv.watches != 2 {
+			t.Errorf("%d of 5 reads succeeded with %d requests, want 2", succeeded, kv.watches)
 		}
 	})
 }
@@ -223,25 +223,25 @@
 	synctest.Test(t, func(t *testing.T) {
 		kv := newFakeStore()
 		reader, r, loop := newReader(t, kv)
-		var once error
-		loop.Enqueue(func() { reader.AfterRead(func(err error) { once = err }) })
-		pass(time.Second)
-		if !errors.Is(once, replica.ErrNotLoaded) {
-			t.Errorf("before a full read: %v, want %v", once, replica.ErrNotLoaded)
+		var readErr error
+		loop.Enqueue(func() { reader.AfterRead(func(err error) { readErr = err }) })
+		advanceTime(time.Second)
+		if !errors.Is(readErr, replica.ErrNotLoaded) {
+			t.Errorf("before a full read: %v, want %v", readErr, replica.ErrNotLoaded)
 		}
 		r.Load(nil, 0, &wire.WatchResponse{})
 		kv.fail(store.ErrNotExecuted)
 		succeeded := false
 		loop.Enqueue(func() {
-			reader.AfterRead(func(err error) { once = err })
+			reader.AfterRead(func(err error) { readErr = err })
 			reader.AfterSuccessfulRead(func() { succeeded = true })
 		})
-		pass(5 * time.Second)
-		if !errors.Is(once, store.ErrNotExecuted) || succeeded {
-			t.Errorf("while the store refuses: %v, succeeded: %v", once, succeeded)
+		advanceTime(5 * time.Second)
+		if !errors.Is(readErr, store.ErrNotExecuted) || succeeded {
+			t.Errorf("while the store refuses: %v, succeeded: %v", readErr, succeeded)
 		}
 		kv.fail(nil)
-		pass(time.Second)
+		advanceTime(time.Second)
 		if !succeeded {
 			t.Error("the read is not repeated until it succeeds")
 		}
@@ -250,7 +250,7 @@
 
 // Follow reads everything once, then the changes; a store that has dropped the changes
 // since the cursor is read in full again.
-func TestFollow(t *testing.T) {
+func TestFollowLoadsThenWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := newFakeStore()
 		kv.put("a", "1")
@@ -258,17 +258,17 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		finished := make(chan struct{})
 		go func() { defer close(finished); reader.Follow(ctx) }()
-		pass(time.Second)
+		advanceTime(time.Second)
 		kv.put("b", "1")
-		pass(time.Second)
+		advanceTime(time.Second)
 		if !r.IsLoaded() || r.Revision("b") != 2 || !r.IsFreshWithin(time.Second, time.Now()) {
 			t.Errorf("loaded: %v, revision of b: %d", r.IsLoaded(), r.Revision("b"))
 		}
 		kv.fail(store.ErrCompacted)
 		kv.put("a", "")
-		pass(time.Second)
+		advanceTime(time.Second)
 		kv.fail(nil)
-		pass(time.Second)
+		advanceTime(time.Second)
 		if r.Revision("a") != 0 || r.Cursor() != 3 {
 			t.Errorf("after a compaction: revision of a: %d, cursor %d", r.Revision("a"), r.Cursor())
 		}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -24,15 +24,15 @@
 	listPageSize = "400"
 )
 
-// noSuchLease is the store's answer to a put under a lease that has expired.
-const noSuchLease = "no such lease"
+// noSuchLeaseMessage is the store's answer to a put under a lease that has expired.
+const noSuchLeaseMessage = "no such lease"
 
 // Client calls the key-value store. Its methods may be called concurrently.
 type Client struct {
 	base string
 	http *http.Client
 
-	watches, txns, changes, applied, renewals, refused, conflicts atomic.Int64
+	watches, txns, changes, appliedChanges, renewals, refusedRequests, conflicts atomic.Int64
 }
 
 // Stats are numbers of calls, and of changes in transactions, since the last Stats.
@@ -44,9 +44,9 @@
 		Watches:         c.watches.Swap(0),
 		Txns:            c.txns.Swap(0),
 		Changes:         c.changes.Swap(0),
-		AppliedChanges:  c.applied.Swap(0),
+		AppliedChanges:  c.appliedChanges.Swap(0),
 		Renewals:        c.renewals.Swap(0),
-		RefusedRequests: c.refused.Swap(0),
+		RefusedRequests: c.refusedRequests.Swap(0),
 		Conflicts:       c.conflicts.Swap(0),
 	}
 }
@@ -81,13 +81,13 @@
 	}
 	switch response.Status {
 	case http.StatusTooManyRequests:
-		c.refused.Add(1)
+		c.refusedRequests.Add(1)
 		return ErrThrottled
 	case http.StatusServiceUnavailable:
-		c.refused.Add(1)
+		c.refusedRequests.Add(1)
 		return fmt.Errorf("%w: status %d", ErrNotExecuted, response.Status)
 	case http.StatusBadRequest:
-		return badRequest(response.Body)
+		return badRequestError(response.Body)
 	case http.StatusOK, http.StatusConflict:
 		if out == nil {
 			break
@@ -100,11 +100,11 @@
 }
 
 // badRequest returns what a status 400 means.
-func badRequest(body []byte) error {
+func badRequestError(body []byte) error {
 	var answer struct {
 		Error string `json:"error"`
 	}
-	if json.Unmarshal(body, &answer) == nil && answer.Error == noSuchLease {
+	if json.Unmarshal(body, &answer) == nil && answer.Error == noSuchLeaseMessage {
 		return ErrLeaseExpired
 	}
 	return ErrInvalid
@@ -138,7 +138,7 @@
 		statusErrors: map[int]error{http.StatusConflict: ErrConflict}}, &response)
 	switch {
 	case err == nil:
-		c.applied.Add(changes)
+		c.appliedChanges.Add(changes)
 		return &response, nil
 	case errors.Is(err, ErrConflict):
 		c.conflicts.Add(1)
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -17,19 +17,19 @@
 )
 
 // scripted answers every request alike and keeps what was sent.
-type scripted struct {
-	status int
-	body   string
-	err    error
-	sent   string
+type fixedTransport struct {
+	status      int
+	body        string
+	err         error
+	sentRequest string
 }
 
-func (s *scripted) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *fixedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	var body []byte
 	if r.Body != nil {
 		body, _ = io.ReadAll(r.Body) // what can't be read fails the comparison
 	}
-	s.sent = strings.TrimSpace(fmt.Sprintf("%s %s %s", r.Method, r.URL, body))
+	s.sentRequest = strings.TrimSpace(fmt.Sprintf("%s %s %s", r.Method, r.URL, body))
 	if s.err != nil {
 		return nil, s.err
 	}
@@ -70,14 +70,14 @@
 }
 
 // kinds are the errors that callers tell apart.
-var kinds = []error{store.ErrConflict, store.ErrLeaseExpired, store.ErrCompacted, store.ErrInvalid, store.ErrNotExecuted, store.ErrThrottled, store.ErrOutcomeUnknown}
+var errorKinds = []error{store.ErrConflict, store.ErrLeaseExpired, store.ErrCompacted, store.ErrInvalid, store.ErrNotExecuted, store.ErrThrottled, store.ErrOutcomeUnknown}
 
-// hasKinds tells whether err is of exactly the kinds in want; none, or nil: no error.
-func hasKinds(err error, want []error) bool {
+// hasExactlyKinds tells whether err is of exactly the kinds in want; none, or nil: no error.
+func hasExactlyKinds(err error, want []error) bool {
 	if len(want) == 0 || want[0] == nil {
 		return err == nil
 	}
-	for _, kind := range kinds {
+	for _, kind := range errorKinds {
 		if errors.Is(err, kind) != slices.Contains(want, kind) {
 			return false
 		}
@@ -88,18 +88,18 @@
 // Each call sends exactly this, and each answer becomes the error that callers decide on.
 func TestRequestsAndErrors(t *testing.T) {
 	other := errors.New("an error of none of these kinds")
-	for _, x := range []struct {
-		status int
-		body   string
-		err    error
-		want   []error          // of every call
-		but    map[string]error // of these calls; nil: none
+	for _, test := range []struct {
+		status     int
+		body       string
+		err        error
+		want       []error          // of every call
+		exceptions map[string]error // of these calls; nil: none
 	}{
 		{status: 200, body: `{}`},
-		{status: 200, body: `{`, want: []error{store.ErrOutcomeUnknown}, but: map[string]error{"renew": nil, "revoke": nil}},
-		{status: 404, body: `{}`, want: []error{other}, but: map[string]error{"get": nil, "revision": nil, "renew": store.ErrLeaseExpired, "revoke": nil}},
-		{status: 409, body: `{"failed":["a/b"]}`, want: []error{other}, but: map[string]error{"txn": store.ErrConflict, "revoke": nil}},
-		{status: 410, body: `{}`, want: []error{other}, but: map[string]error{"watch": store.ErrCompacted, "revoke": nil}},
+		{status: 200, body: `{`, want: []error{store.ErrOutcomeUnknown}, exceptions: map[string]error{"renew": nil, "revoke": nil}},
+		{status: 404, body: `{}`, want: []error{other}, exceptions: map[string]error{"get": nil, "revision": nil, "renew": store.ErrLeaseExpired, "revoke": nil}},
+		{status: 409, body: `{"failed":["a/b"]}`, want: []error{other}, exceptions: map[string]error{"txn": store.ErrConflict, "revoke": nil}},
+		{status: 410, body: `{}`, want: []error{other}, exceptions: map[string]error{"watch": store.ErrCompacted, "revoke": nil}},
 		{status: 400, body: `{"error":"no such lease"}`, want: []error{store.ErrLeaseExpired}},
 		{status: 400, body: `{}`, want: []error{store.ErrInvalid}},
 		{status: 429, want: []error{store.ErrNotExecuted, store.ErrThrottled}},
@@ -107,18 +107,18 @@
 		{status: 500, want: []error{store.ErrOutcomeUnknown}},
 		{err: errors.New("reset"), want: []error{store.ErrOutcomeUnknown}},
 	} {
-		for _, y := range calls {
-			rt := &scripted{status: x.status, body: x.body, err: x.err}
-			err := y.call(t.Context(), store.NewClient("kv:1", rt))
-			if rt.sent != y.sent {
-				t.Errorf("%s sent\n%s, not\n%s", y.name, rt.sent, y.sent)
+		for _, call := range calls {
+			transport := &fixedTransport{status: test.status, body: test.body, err: test.err}
+			err := call.call(t.Context(), store.NewClient("kv:1", transport))
+			if transport.sentRequest != call.sent {
+				t.Errorf("%s sent\n%s, not\n%s", call.name, transport.sentRequest, call.sent)
 			}
-			want := x.want
-			if e, ok := x.but[y.name]; ok {
+			want := test.want
+			if e, ok := test.exceptions[call.name]; ok {
 				want = []error{e}
 			}
-			if !hasKinds(err, want) {
-				t.Errorf("%s, %d %s: %v, not %v", y.name, x.status, x.body, err, want)
+			if !hasExactlyKinds(err, want) {
+				t.Errorf("%s, %d %s: %v, not %v", call.name, test.status, test.body, err, want)
 			}
 		}
 	}
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// urgentAttempts is how often an urgent write is offered to a store that refuses it.
-	urgentAttempts = 3
+	// maxInteractiveAttempts is how often an urgent write is offered to a store that refuses it.
+	maxInteractiveAttempts = 3
 	// minBackoff and maxBackoff bound the pause between two attempts, before jitter.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 200 * time.Millisecond
@@ -31,7 +31,7 @@
 func (w *Writer) commit(ctx context.Context, writes []*Write) {
 	c := &commit{writer: w, pending: writes, backoff: minBackoff}
 	for {
-		c.dropVoid(time.Now())
+		c.dropCancelledAndExpired(time.Now())
 		if len(c.pending) == 0 {
 			return
 		}
@@ -39,8 +39,8 @@
 	}
 }
 
-// dropVoid resolves the writes that were cancelled or have expired.
-func (c *commit) dropVoid(now time.Time) {
+// dropCancelledAndExpired resolves the writes that were cancelled or have expired.
+func (c *commit) dropCancelledAndExpired(now time.Time) {
 	c.resolveWhere(func(write *Write) error {
 		switch {
 		case write.cancelled.Load():
@@ -55,15 +55,15 @@
 
 // attempt sends the pending writes in one transaction and acts on its outcome.
 func (c *commit) attempt(ctx context.Context) {
-	txn := transactionOf(c.pending)
+	txn := buildTransaction(c.pending)
 	// Users' writes don't queue behind those of records for the local rate limit: they
 	// are few, and after an outage there are seconds' worth of records.
-	if err := c.writer.rate.wait(ctx, len(txn.Changes), c.pending[0].immediate()); err != nil {
+	if err := c.writer.limiter.wait(ctx, len(txn.Changes), c.pending[0].isImmediate()); err != nil {
 		c.resolveAll(0, errWriterStopped)
 		return
 	}
 	response, err := c.writer.client.Txn(ctx, txn)
-	c.writer.rate.answered(time.Now(), err)
+	c.writer.limiter.observeResult(time.Now(), err)
 	switch {
 	case err == nil:
 		c.resolveAll(response.Revision, nil)
@@ -72,15 +72,15 @@
 	case errors.Is(err, ErrLeaseExpired), errors.Is(err, ErrInvalid):
 		c.resolveInvalid(ctx, err)
 	case errors.Is(err, ErrNotExecuted), errors.Is(err, ErrOutcomeUnknown):
-		c.giveUpUrgent(err)
+		c.giveUpInteractive(err)
 		c.wait(ctx)
 	default:
 		c.resolveAll(0, err)
 	}
 }
 
-// transactionOf returns the transaction that has all conditions and changes of some writes.
-func transactionOf(writes []*Write) *wire.Txn {
+// buildTransaction returns the transaction that has all conditions and changes of some writes.
+func buildTransaction(writes []*Write) *wire.Txn {
 	txn := &wire.Txn{}
 	known := map[wire.Condition]bool{}
 	for _, write := range writes {
@@ -125,14 +125,14 @@
 	}
 }
 
-// giveUpUrgent resolves the urgent writes that have been attempted often enough. Users are
+// giveUpInteractive resolves the urgent writes that have been attempted often enough. Users are
 // answered soon, so that they know when to come back: an urgent write is not repeated
 // after an unknown outcome, and seldom after a refusal.
-func (c *commit) giveUpUrgent(err error) {
+func (c *commit) giveUpInteractive(err error) {
 	refused := errors.Is(err, ErrNotExecuted)
 	c.resolveWhere(func(write *Write) error {
 		write.attempts++
-		if !write.Interactive || refused && write.attempts < urgentAttempts {
+		if !write.Interactive || refused && write.attempts < maxInteractiveAttempts {
 			return nil
 		}
 		return err
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -32,9 +32,9 @@
 	// it was given up; or with the error that the store refused it with.
 	OnDone func(revision uint64, err error)
 
-	bytes     int
-	attempts  int
-	cancelled atomic.Bool
+	estimatedBytes int
+	attempts       int
+	cancelled      atomic.Bool
 }
 
 // Cancel says that a condition of the write is known to fail by now, so that it need not be
@@ -43,7 +43,7 @@
 func (w *Write) Cancel() { w.cancelled.Store(true) }
 
 // immediate tells whether a write goes before all others and doesn't wait for the rate limit.
-func (w *Write) immediate() bool { return w.Interactive || w.HighPriority }
+func (w *Write) isImmediate() bool { return w.Interactive || w.HighPriority }
 
 // Estimates of what JSON adds to the content of a change and of a condition.
 const (
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -9,91 +9,91 @@
 
 const (
 	// committers is how many transactions are on their way at a time.
-	committers = 4
-	// queueSeconds is how many seconds' worth of changes a queue holds.
-	queueSeconds = 15
-	// minQueue is the least capacity of a queue, in writes.
-	minQueue = 1024
-	// usualQueueFactor is how much larger the queue of usual writes is: there may be one
+	committerCount = 4
+	// queueCapacitySeconds is how many seconds' worth of changes a queue holds.
+	queueCapacitySeconds = 15
+	// minQueueCapacity is the least capacity of a queue, in writes.
+	minQueueCapacity = 1024
+	// normalQueueFactor is how much larger the queue of usual writes is: there may be one
 	// for each of a thousand machines' tasks.
-	usualQueueFactor = 4
-	// nearlyFull is the share of a queue from which on writes that can wait should.
-	nearlyFull = 0.75
+	normalQueueFactor = 4
+	// nearlyFullShare is the share of a queue from which on writes that can wait should.
+	nearlyFullShare = 0.75
 )
 
 // Writer commits writes in groups, a few transactions at a time, within the store's rate
 // limit. Its methods may be called concurrently.
 type Writer struct {
-	client     *Client
-	maxChanges int
-	rate       *rateController
-	urgent     chan *Write
-	early      chan *Write
-	usual      chan *Write
-	jitter     func(time.Duration) time.Duration
-	backlog    atomic.Int64 // changes submitted whose outcome is not known
+	client         *Client
+	maxChanges     int
+	limiter        *adaptiveLimiter
+	highPriority   chan *Write
+	mediumPriority chan *Write
+	normalPriority chan *Write
+	jitter         func(time.Duration) time.Duration
+	backlogChanges atomic.Int64 // changes submitted whose outcome is not known
 }
 
 // NewWriter returns a writer for transactions of at most maxChanges changes. The store's
 // limit of writeRPS changes a second is for all sharers together. jitter draws a duration
 // below the given one, by which a retry is put off.
-func NewWriter(client *Client, maxChanges int, writeRPS float64, sharers int, jitter func(time.Duration) time.Duration) *Writer {
-	capacity := max(minQueue, int(writeRPS*queueSeconds))
+func NewWriter(client *Client, maxChanges int, writeRPS float64, controllers int, jitter func(time.Duration) time.Duration) *Writer {
+	capacity := max(minQueueCapacity, int(writeRPS*queueCapacitySeconds))
 	return &Writer{
-		client:     client,
-		maxChanges: maxChanges,
-		rate:       newRateController(writeRPS, sharers, maxChanges),
-		urgent:     make(chan *Write, capacity),
-		early:      make(chan *Write, capacity),
-		usual:      make(chan *Write, usualQueueFactor*capacity),
-		jitter:     jitter,
+		client:         client,
+		maxChanges:     maxChanges,
+		limiter:        newAdaptiveLimiter(writeRPS, controllers, maxChanges),
+		highPriority:   make(chan *Write, capacity),
+		mediumPriority: make(chan *Write, capacity),
+		normalPriority: make(chan *Write, normalQueueFactor*capacity),
+		jitter:         jitter,
 	}
 }
 
 // BacklogDuration returns about how long it takes until what has been submitted is stored.
 func (w *Writer) BacklogDuration() time.Duration {
-	return time.Duration(float64(w.backlog.Load()) / w.rate.rate() * float64(time.Second))
+	return time.Duration(float64(w.backlogChanges.Load()) / w.limiter.rate() * float64(time.Second))
 }
 
 // IsNearlyFull tells whether writes that can wait should not be submitted now: the rest of the
 // queue, the one for early or for usual writes, is for those that can't.
 func (w *Writer) IsNearlyFull(mediumPriority bool) bool {
-	queue := w.usual
+	queue := w.normalPriority
 	if mediumPriority {
-		queue = w.early
+		queue = w.mediumPriority
 	}
-	return float64(len(queue)) >= nearlyFull*float64(cap(queue))
+	return float64(len(queue)) >= nearlyFullShare*float64(cap(queue))
 }
 
 // Submit queues a write. If the queue is full it returns false, and the write's Done will
 // not be called.
 func (w *Writer) Submit(write *Write) bool {
-	write.bytes = write.estimateBytes()
-	w.backlog.Add(int64(len(write.Changes)))
+	write.estimatedBytes = write.estimateBytes()
+	w.backlogChanges.Add(int64(len(write.Changes)))
 	select {
-	case w.queueOf(write) <- write:
+	case w.queueFor(write) <- write:
 		return true
 	default:
-		w.backlog.Add(-int64(len(write.Changes)))
+		w.backlogChanges.Add(-int64(len(write.Changes)))
 		return false
 	}
 }
 
-// queueOf returns the queue that a write belongs to.
-func (w *Writer) queueOf(write *Write) chan<- *Write {
+// queueFor returns the queue that a write belongs to.
+func (w *Writer) queueFor(write *Write) chan<- *Write {
 	switch {
-	case write.immediate():
-		return w.urgent
+	case write.isImmediate():
+		return w.highPriority
 	case write.MediumPriority:
-		return w.early
+		return w.mediumPriority
 	default:
-		return w.usual
+		return w.normalPriority
 	}
 }
 
 // resolve reports the outcome of a write.
 func (w *Writer) resolve(write *Write, revision uint64, err error) {
-	w.backlog.Add(-int64(len(write.Changes)))
+	w.backlogChanges.Add(-int64(len(write.Changes)))
 	write.OnDone(revision, err)
 }
 
@@ -102,11 +102,11 @@
 func (w *Writer) Run(ctx context.Context) {
 	// One committer is for users' writes alone: the others may all be held up by
 	// transactions that the store refuses.
-	users := queues{urgent: w.urgent}
-	all := queues{urgent: w.urgent, early: w.early, usual: w.usual}
+	highPriorityOnly := queues{highPriority: w.highPriority}
+	all := queues{highPriority: w.highPriority, mediumPriority: w.mediumPriority, normalPriority: w.normalPriority}
 	var committing sync.WaitGroup
-	committing.Go(func() { w.commitFrom(ctx, &users) })
-	for range committers - 1 {
+	committing.Go(func() { w.commitFrom(ctx, &highPriorityOnly) })
+	for range committerCount - 1 {
 		committing.Go(func() { w.commitFrom(ctx, &all) })
 	}
 	committing.Wait()
@@ -124,7 +124,7 @@
 			return
 		}
 		var writes []*Write
-		writes, next = q.gather(first, w.rate.batch(w.maxChanges))
+		writes, next = q.gatherBatch(first, w.limiter.maxBatchChanges(w.maxChanges))
 		w.commit(ctx, writes)
 	}
 }
--- a/internal/store/writer_test.go
+++ b/internal/store/writer_test.go
@@ -18,29 +18,29 @@
 	"eiderhitch/internal/wire"
 )
 
-func withWriter(t *testing.T, judge network.Policy, f func(t *testing.T, w *simulation.Environment, writer *store.Writer, c *store.Client)) {
+func withWriter(t *testing.T, policy network.Policy, f func(t *testing.T, env *simulation.Environment, writer *store.Writer, client *store.Client)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := simulation.New(ctx, nil, nil)
-		net := w.Network.NewTransport()
-		net.SetPolicy(judge)
-		c := store.NewClient("state:1", net)
-		writer := store.NewWriter(c, 32, 60, 3, halfOf)
+		env := simulation.New(ctx, nil, nil)
+		net := env.Network.NewTransport()
+		net.SetPolicy(policy)
+		client := store.NewClient("state:1", net)
+		writer := store.NewWriter(client, 32, 60, 3, halfJitter)
 		done := make(chan struct{})
 		go func() { defer close(done); writer.Run(ctx) }()
 		defer func() { cancel(); <-done; time.Sleep(time.Minute) }()
-		f(t, w, writer, c)
+		f(t, env, writer, client)
 	})
 }
 
-func put(key string, stamp uint64) ([]wire.Condition, []wire.Change) {
-	return []wire.Condition{{Key: key, Revision: stamp}}, []wire.Change{{Put: key, Value: json.RawMessage("1")}}
+func put(key string, revision uint64) ([]wire.Condition, []wire.Change) {
+	return []wire.Condition{{Key: key, Revision: revision}}, []wire.Change{{Put: key, Value: json.RawMessage("1")}}
 }
 
 // Every write gets one result, whatever else shares its transaction, and the
 // limits of a transaction hold.
 func TestWritesAreIndependent(t *testing.T) {
-	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, writer *store.Writer, _ *store.Client) {
+	withWriter(t, nil, func(t *testing.T, env *simulation.Environment, writer *store.Writer, _ *store.Client) {
 		var mu sync.Mutex
 		got := map[int]error{}
 		var wg sync.WaitGroup
@@ -67,14 +67,14 @@
 				t.Errorf("write %d: %v", i, got[i])
 			}
 		}
-		if w.Store.Stats().OverLimits > 0 {
+		if env.Store.Stats().OverLimits > 0 {
 			t.Error("a transaction was beyond the limits")
 		}
 	})
 }
 
 // "Cancelled" and "done" of one job, submitted together, must not both be granted.
-func TestRivalsDoNotShareATransaction(t *testing.T) {
+func TestConflictingWritesDoNotShareTransaction(t *testing.T) {
 	withWriter(t, nil, func(t *testing.T, _ *simulation.Environment, writer *store.Writer, _ *store.Client) {
 		results := make(chan error, 8)
 		for range 8 {
@@ -82,30 +82,30 @@
 			write.Conditions, write.Changes = put("job", 0)
 			writer.Submit(write)
 		}
-		granted := 0
+		succeeded := 0
 		for range 8 {
 			if err := <-results; err == nil {
-				granted++
+				succeeded++
 			} else if !errors.Is(err, store.ErrConflict) {
 				t.Error(err)
 			}
 		}
-		if granted != 1 {
-			t.Errorf("%d rivals were granted", granted)
+		if succeeded != 1 {
+			t.Errorf("%d rivals were granted", succeeded)
 		}
 	})
 }
 
 // A try without an answer that is applied late can't be applied twice, and an
 // urgent write is answered at once while the store refuses.
-func TestUnansweredAndRefused(t *testing.T) {
-	tries := 0
+func TestLateExecutionAndRefusedWrite(t *testing.T) {
+	requests := 0
 	withWriter(t, func(_ *http.Request) network.Fault {
-		if tries++; tries == 1 {
+		if requests++; requests == 1 {
 			return network.ExecuteLate
 		}
 		return network.Deliver
-	}, func(t *testing.T, w *simulation.Environment, writer *store.Writer, c *store.Client) {
+	}, func(t *testing.T, env *simulation.Environment, writer *store.Writer, client *store.Client) {
 		results := make(chan error, 2)
 		write := &store.Write{OnDone: func(_ uint64, err error) { results <- err }}
 		write.Conditions, write.Changes = put("k", 0)
@@ -114,11 +114,11 @@
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Second)
-		items, _, err := c.List(t.Context(), "k")
+		items, _, err := client.List(t.Context(), "k")
 		if err != nil || len(items) != 1 || items[0].Revision != 1 {
 			t.Fatalf("%v %v", items, err)
 		}
-		w.Store.SetDown(true)
+		env.Store.SetDown(true)
 		start := time.Now()
 		write = &store.Write{Interactive: true, OnDone: func(_ uint64, err error) { results <- err }}
 		write.Conditions, write.Changes = put("k2", 0)
@@ -131,11 +131,11 @@
 
 // submitSteadily submits writes, each of its own key below prefix, at a rate until ctx ends, as
 // long as they don't queue for seconds. It counts those that are stored.
-func submitSteadily(ctx context.Context, writer *store.Writer, prefix string, perSecond int, stored *atomic.Int64) {
+func submitSteadily(ctx context.Context, writer *store.Writer, prefix string, perSecond int, storedCount *atomic.Int64) {
 	for n := 0; ctx.Err() == nil; n++ {
 		write := &store.Write{OnDone: func(_ uint64, err error) {
 			if err == nil {
-				stored.Add(1)
+				storedCount.Add(1)
 			}
 		}}
 		write.Conditions, write.Changes = put(fmt.Sprintf("%s/%d", prefix, n), 0)
@@ -149,17 +149,17 @@
 // The limit of changes is for all controllers together, and they need different
 // shares of it: without a word between them, three writers, one of whom wants
 // almost all, neither overload the store nor leave much of its limit unused.
-func TestWritersShareTheLimit(t *testing.T) {
+func TestWritersShareRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := simulation.New(ctx, nil, nil)
-		w.Store.SetRate(60)
+		env := simulation.New(ctx, nil, nil)
+		env.Store.SetRate(60)
 		var wg sync.WaitGroup
 		var stored [3]atomic.Int64
-		for i, want := range []int{200, 10, 10} {
-			writer := store.NewWriter(store.NewClient("state:1", w.Network.NewTransport()), 32, 60, 3, halfOf)
+		for i, changesPerSecond := range []int{200, 10, 10} {
+			writer := store.NewWriter(store.NewClient("state:1", env.Network.NewTransport()), 32, 60, 3, halfJitter)
 			wg.Go(func() { writer.Run(ctx) })
-			wg.Go(func() { submitSteadily(ctx, writer, fmt.Sprintf("k%d", i), want, &stored[i]) })
+			wg.Go(func() { submitSteadily(ctx, writer, fmt.Sprintf("k%d", i), changesPerSecond, &stored[i]) })
 		}
 		time.Sleep(time.Minute)
 		cancel()
@@ -169,16 +169,16 @@
 		if a+b+c < 60*60*3/4 || b < 500 || c < 500 {
 			t.Errorf("%d, %d and %d changes stored in a minute", a, b, c)
 		}
-		if w.Store.Stats().Throttled*5 > w.Store.Stats().Admitted {
-			t.Errorf("%d transactions refused, %d taken", w.Store.Stats().Throttled, w.Store.Stats().Admitted)
+		if env.Store.Stats().Throttled*5 > env.Store.Stats().Admitted {
+			t.Errorf("%d transactions refused, %d taken", env.Store.Stats().Throttled, env.Store.Stats().Admitted)
 		}
 	})
 }
 
 // A contested write may fail, and then all that shares its transaction is sent,
 // and counted, again: it shares with few.
-func TestContestedShareWithFew(t *testing.T) {
-	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, writer *store.Writer, _ *store.Client) {
+func TestConflictProneWritesShareSmallTransactions(t *testing.T) {
+	withWriter(t, nil, func(t *testing.T, env *simulation.Environment, writer *store.Writer, _ *store.Client) {
 		var wg sync.WaitGroup
 		for i := range 60 {
 			wg.Add(1)
@@ -187,35 +187,35 @@
 			writer.Submit(write)
 		}
 		wg.Wait()
-		if w.Store.Stats().MostChanges == 0 || w.Store.Stats().MostChanges > 8 {
-			t.Errorf("%d contested changes in one transaction", w.Store.Stats().MostChanges)
+		if env.Store.Stats().MostChanges == 0 || env.Store.Stats().MostChanges > 8 {
+			t.Errorf("%d contested changes in one transaction", env.Store.Stats().MostChanges)
 		}
 	})
 }
 
 // Early writes don't wait behind usual ones that were submitted before them.
-func TestEarlyGoFirst(t *testing.T) {
-	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, writer *store.Writer, _ *store.Client) {
-		w.Store.SetRate(60)
+func TestMediumPriorityWritesGoFirst(t *testing.T) {
+	withWriter(t, nil, func(t *testing.T, env *simulation.Environment, writer *store.Writer, _ *store.Client) {
+		env.Store.SetRate(60)
 		var mu sync.Mutex
 		var order []bool
 		var wg sync.WaitGroup
 		for i := range 400 {
-			early := i >= 350
+			mediumPriority := i >= 350
 			wg.Add(1)
-			write := &store.Write{MediumPriority: early, OnDone: func(uint64, error) {
+			write := &store.Write{MediumPriority: mediumPriority, OnDone: func(uint64, error) {
 				defer wg.Done()
 				mu.Lock()
 				defer mu.Unlock()
-				order = append(order, early)
+				order = append(order, mediumPriority)
 			}}
 			write.Conditions, write.Changes = put(fmt.Sprintf("k%d", i), 0)
 			writer.Submit(write)
 		}
 		wg.Wait()
 		late := 0
-		for _, early := range order[150:] {
-			if early {
+		for _, mediumPriority := range order[150:] {
+			if mediumPriority {
 				late++
 			}
 		}
@@ -227,43 +227,43 @@
 
 // A write that is cancelled by the time of its turn fails nothing that would have shared
 // its transaction.
-func TestCancelledWrites(t *testing.T) {
-	withWriter(t, nil, func(t *testing.T, w *simulation.Environment, writer *store.Writer, c *store.Client) {
-		w.Store.SetRate(60)
+func TestCancelledWritesFailNoTransaction(t *testing.T) {
+	withWriter(t, nil, func(t *testing.T, env *simulation.Environment, writer *store.Writer, client *store.Client) {
+		env.Store.SetRate(60)
 		var wg sync.WaitGroup
 		var stored, cancelled atomic.Int64
-		var units []*store.Write
+		var cancelledWrites []*store.Write
 		for i := range 300 {
 			wg.Add(1)
-			bad := i >= 100 && i%10 == 0
+			willConflict := i >= 100 && i%10 == 0
 			write := &store.Write{OnDone: func(_ uint64, err error) {
 				defer wg.Done()
 				switch {
 				case err == nil:
 					stored.Add(1)
-				case bad && errors.Is(err, store.ErrConflict):
+				case willConflict && errors.Is(err, store.ErrConflict):
 					cancelled.Add(1)
 				}
 			}}
 			write.Conditions, write.Changes = put(fmt.Sprintf("k%d", i), 0)
-			if bad {
+			if willConflict {
 				write.Conditions[0].Revision = 99 // would fail
-				units = append(units, write)
+				cancelledWrites = append(cancelledWrites, write)
 			}
 			writer.Submit(write)
 		}
-		for _, write := range units {
+		for _, write := range cancelledWrites {
 			write.Cancel()
 		}
 		wg.Wait()
 		if stored.Load() != 280 || cancelled.Load() != 20 {
 			t.Errorf("%d writes are stored and %d cancelled", stored.Load(), cancelled.Load())
 		}
-		if n := c.TakeStats().Conflicts; n > 0 {
+		if n := client.TakeStats().Conflicts; n > 0 {
 			t.Errorf("%d transactions failed for cancelled writes", n)
 		}
 	})
 }
 
-// halfOf is a jitter without chance.
-func halfOf(d time.Duration) time.Duration { return d / 2 }
+// halfJitter is a jitter without chance.
+func halfJitter(d time.Duration) time.Duration { return d / 2 }
