--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -14,7 +14,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// idle answers without work.
+// idleService returns fixed responses without doing any work.
 type idleService struct{}
 
 func (idleService) Submit(context.Context, *wire.Job) Response {
@@ -29,7 +29,9 @@
 	return Response{Status: http.StatusOK, Body: wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{}}}
 }
 
-// What connections hold bounds how many may be open: see config.Limits.
+// The configuration derives the number of connections that may be open from the memory that
+// each needs (config.ConnectionBytes). If a connection needed more, the controller could run
+// out of memory.
 func TestConnectionMemoryIsWithinPlan(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,7 +61,7 @@
 		if _, err := io.WriteString(connection, request); err != nil {
 			t.Fatal(err)
 		}
-		// Read without a buffer that would be counted for the server's.
+		// A small buffer, because the client's memory is measured with the server's.
 		var buffer [512]byte
 		if _, err := connection.Read(buffer[:]); err != nil {
 			t.Fatal(err)
@@ -67,7 +69,7 @@
 	}
 	bytesPerConnection := int(memoryInUse()-before) / connectionCount
 	if bytesPerConnection > config.ConnectionBytes {
-		t.Errorf("a connection holds %d bytes, %d are planned for", bytesPerConnection, config.ConnectionBytes)
+		t.Errorf("a connection uses %d bytes of memory, the limit is %d", bytesPerConnection, config.ConnectionBytes)
 	}
-	t.Logf("a connection holds %d bytes", bytesPerConnection)
+	t.Logf("a connection uses %d bytes of memory", bytesPerConnection)
 }
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -10,7 +10,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// stub gives one answer to every request.
+// stubService returns the same response to every request.
 type stubService struct {
 	response Response
 	ready    bool
@@ -22,7 +22,7 @@
 func (s stubService) Heartbeat(context.Context, *wire.Heartbeat) Response { return s.response }
 func (s stubService) IsReady() bool                                       { return s.ready }
 
-// Status, headers and body of every kind of answer stay as they are.
+// Clients depend on the exact status, headers and body of every kind of response.
 func TestResponsesAreUnchanged(t *testing.T) {
 	state := Response{Status: 200, Body: wire.JobState{ID: "wk-1", State: wire.StateDone}}
 	for _, test := range []struct {
@@ -37,7 +37,7 @@
 		{"GET /v1/jobs/wk-1", "", Response{Status: 404, Reason: "no such job"}, 1, 404, "", `{"error":"no such job"}`},
 		{"GET /v1/jobs/wk-1", "", Response{Status: 503, RetryAfterS: 2, Reason: "later"}, 1, 503, "2", `{"error":"later"}`},
 		{"GET /v1/jobs/wk-1", "", Response{Status: 200, Body: func() {}}, 1, 500, "", `{}`},
-		{"GET /v1/jobs/wk-1", "", state, 0, 503, "1", `{"error":"too many requests in work"}`},
+		{"GET /v1/jobs/wk-1", "", state, 0, 503, "1", `{"error":"too many requests in progress"}`},
 		{"POST /v1/jobs", "[]", state, 1, 400, "", `{"error":"body: not a JSON object"}`},
 		{"POST /v1/jobs", "{}", state, 1, 400, "", `{"error":"nameId: missing"}`},
 		{"POST /v1/jobs", strings.Repeat(" ", 65537), state, 1, 400, "", `{"error":"body: too large"}`},
@@ -54,10 +54,10 @@
 		NewHandler(stubService{response: test.response, ready: test.body == ""}, Limits{MaxUserRequests: test.maxUserRequests}).
 			ServeHTTP(recorder, httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(test.body)))
 		if recorder.Code != test.status || recorder.Body.String() != test.responseBody || recorder.Header().Get("Retry-After") != test.retryAfter {
-			t.Errorf("%s %.40s: %d, Retry-After %q, %s", test.request, test.body, recorder.Code, recorder.Header().Get("Retry-After"), recorder.Body)
+			t.Errorf("%s %.40s: got status %d, Retry-After %q, body %s", test.request, test.body, recorder.Code, recorder.Header().Get("Retry-After"), recorder.Body)
 		}
 		if routed := test.status != http.StatusMethodNotAllowed && !strings.HasSuffix(path, "/"); routed && recorder.Header().Get("Content-Type") != "application/json" {
-			t.Errorf("%s: content type %q", test.request, recorder.Header().Get("Content-Type"))
+			t.Errorf("%s: got Content-Type %q, want application/json", test.request, recorder.Header().Get("Content-Type"))
 		}
 	}
 }
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -12,31 +12,34 @@
 	"eiderhitch/internal/wire"
 )
 
-// How long the service may take, less than what the callers wait.
+// Timeouts of the service by kind of request. They are shorter than the timeouts of the
+// callers.
 const (
-	changeTimeout    = 4500 * time.Millisecond // submissions and cancellations
+	changeTimeout    = 4500 * time.Millisecond // for submissions and cancellations
 	pollTimeout      = 1800 * time.Millisecond
 	heartbeatTimeout = 3500 * time.Millisecond
 )
 
 const (
-	// maxHeartbeatBytes bounds a worker's heartbeat: machines hold few tasks.
+	// maxHeartbeatBytes limits the body of a worker's heartbeat. It suffices because a
+	// machine runs few tasks.
 	maxHeartbeatBytes = 4 << 20
-	// overloadRetryAfter is after how many seconds a user should retry a request that is
-	// refused since too many are being served.
-	overloadRetryAfter = 1
+	// overloadRetryAfterS is the Retry-After value, in seconds, of a request that is refused
+	// because too many requests are in progress.
+	overloadRetryAfterS = 1
 )
 
-// errBodyTooLarge says that the body of a request is beyond its limit.
+// errBodyTooLarge reports that the body of a request exceeds its size limit.
 var errBodyTooLarge = errors.New("body: too large")
 
-// handler answers requests with what the service says.
+// handler decodes HTTP requests, passes them to the service and writes its responses.
 type handler struct {
 	service          Service
-	userRequestSlots chan struct{} // one for each request of a user that may be served at a time
+	userRequestSlots chan struct{} // holds one element for each user request in progress
 }
 
-// NewHandler returns a handler that answers requests with what the service says.
+// NewHandler returns a handler that serves the requests of users, workers and the load
+// balancer by calling the service.
 func NewHandler(service Service, limits Limits) http.Handler {
 	h := &handler{service: service, userRequestSlots: make(chan struct{}, limits.MaxUserRequests)}
 	router := httprouter.New()
@@ -49,18 +52,19 @@
 	return router
 }
 
-// userHandler answers one request of a user.
+// userHandler returns the response to a user's request.
 type userHandler func(context.Context, *http.Request, httprouter.Params) Response
 
-// user wraps a handler of users' requests: no more than a bounded number are served at a time,
-// so that heartbeats and lease renewals are served in a flood of users.
+// limitUserRequest wraps a handler of user requests with a timeout and a limit on the number of
+// user requests in progress. The limit keeps capacity for heartbeats and lease renewals while
+// users overload the controller.
 func (h *handler) limitUserRequest(timeout time.Duration, handle userHandler) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 		select {
 		case h.userRequestSlots <- struct{}{}:
 			defer func() { <-h.userRequestSlots }()
 		default:
-			Response{Status: http.StatusServiceUnavailable, RetryAfterS: overloadRetryAfter, Reason: "too many requests in work"}.write(w)
+			Response{Status: http.StatusServiceUnavailable, RetryAfterS: overloadRetryAfterS, Reason: "too many requests in progress"}.write(w)
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), timeout)
@@ -115,7 +119,8 @@
 	return h.service.Heartbeat(ctx, heartbeat)
 }
 
-// readBody reads the body of a request of at most limit bytes.
+// readBody reads the body of a request. It returns errBodyTooLarge for a body of more than
+// limit bytes.
 func readBody(r *http.Request, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
--- a/internal/api/response.go
+++ b/internal/api/response.go
@@ -6,37 +6,40 @@
 	"strconv"
 )
 
-// Response is the answer of the service to one request.
+// Response is the service's response to one request.
 type Response struct {
+	// Status is the HTTP status code.
 	Status int
-	// Body is encoded as JSON; nil: the body is an object with the Reason as its error.
+	// Body is encoded as JSON. If it is nil, the body is an object whose error field holds
+	// Reason.
 	Body any
-	// RetryAfterS is after how many seconds the request should be retried; 0: not said. It
-	// goes with status 503.
+	// RetryAfterS is the number of seconds after which the client should retry the request.
+	// It accompanies status 503; if it is 0, the header is omitted.
 	RetryAfterS int
-	// Reason of a refusal, for people.
+	// Reason is a human-readable explanation of a refusal.
 	Reason string
 }
 
-// errorBody is the body of a response without one of its own.
+// errorBody is the body of a response whose Body is nil.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// badRequest returns the response to a request that is malformed.
+// badRequest returns the response to a malformed request.
 func badRequest(err error) Response {
 	return Response{Status: http.StatusBadRequest, Reason: err.Error()}
 }
 
-// unavailable returns the response to a request that can't be served now.
+// unavailable returns the response to a request that can't be served at present.
 func unavailable(reason string) Response {
 	return Response{Status: http.StatusServiceUnavailable, Reason: reason}
 }
 
-// contentType is shared by all responses: nobody changes it.
+// contentType is shared by all responses, which saves an allocation for each, and is never
+// modified.
 var contentType = []string{"application/json"}
 
-// write sends the response.
+// write writes the response to w. A body that can't be encoded becomes status 500.
 func (r Response) write(w http.ResponseWriter) {
 	body := r.Body
 	if body == nil {
@@ -51,5 +54,5 @@
 		w.Header().Set("Retry-After", strconv.Itoa(r.RetryAfterS))
 	}
 	w.WriteHeader(r.Status)
-	_, _ = w.Write(raw) // the client is gone: it will retry
+	_, _ = w.Write(raw) // an error means that the client has disconnected; it will retry
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,4 +1,5 @@
-// Package api is the HTTP interface of a controller for users, workers and the load balancer.
+// Package api serves the HTTP interface of a controller to users, workers and the load
+// balancer.
 package api
 
 import (
@@ -14,23 +15,29 @@
 	"eiderhitch/internal/wire"
 )
 
-// Service answers the requests. Its methods are called concurrently, and return by the end of
-// the context.
+// Service executes the requests. Its methods are called concurrently and must return when the
+// context ends.
 type Service interface {
+	// Submit stores a job.
 	Submit(ctx context.Context, job *wire.Job) Response
+	// Poll returns the state of a job.
 	Poll(ctx context.Context, id string) Response
+	// Cancel cancels a job.
 	Cancel(ctx context.Context, id string) Response
+	// Heartbeat processes the heartbeat of a worker and returns commands for it.
 	Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) Response
-	// Ready tells whether the controller can take requests. It must not block.
+	// IsReady reports whether the load balancer should send requests to this controller. It
+	// must not block.
 	IsReady() bool
 }
 
-// Limits of the interface.
+// Limits limits the concurrency of the interface.
 type Limits struct {
-	// Connections is how many connections are served at a time.
+	// MaxConnections is the number of connections that may be open at a time; further ones
+	// wait to be accepted.
 	MaxConnections int
-	// Requests is how many requests of users are served at a time; more are refused with
-	// status 503.
+	// MaxUserRequests is the number of user requests that are served at a time; further
+	// ones are refused with status 503.
 	MaxUserRequests int
 }
 
@@ -43,8 +50,8 @@
 	maxHeaderBytes    = 16 << 10
 )
 
-// Serve answers requests on l with what the service says until ctx ends. Requests that are
-// being served then are cut off.
+// Serve serves the requests on the listener until ctx ends; requests in progress are then
+// aborted. It returns nil after ctx has ended.
 func Serve(ctx context.Context, listener net.Listener, service Service, log *slog.Logger, limits Limits) error {
 	server := &http.Server{
 		Handler:           NewHandler(service, limits),
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -1,6 +1,6 @@
-// Package httpjson sends single HTTP requests with JSON bodies. It is what the clients of
-// the key-value store, the cloud and the workers have in common; each of them maps the
-// response statuses to errors of its own.
+// Package httpjson sends single HTTP requests with JSON bodies. The clients of the key-value
+// store, the cloud and the workers share it; each of them maps the response statuses to its
+// own errors.
 package httpjson
 
 import (
@@ -13,42 +13,44 @@
 	"time"
 )
 
-// Request is one HTTP request.
+// Request describes one HTTP request.
 type Request struct {
 	Method string
 	URL    string
-	// Body is encoded as JSON; nil: the request has no body.
+	// Body is encoded as JSON. If it is nil, the request has no body.
 	Body any
-	// Timeout bounds the whole exchange, reading of the response included.
+	// Timeout limits the whole exchange, including reading the response body.
 	Timeout time.Duration
-	// MaxResponseBytes bounds how much of the response's body is read; 0: all of it.
+	// MaxResponseBytes limits how many bytes of the response body are read; the rest is
+	// dropped. If it is 0, the whole body is read.
 	MaxResponseBytes int64
 }
 
-// Response is the response to a request, with its body read.
+// Response holds the status and the complete body of an HTTP response.
 type Response struct {
 	Status int
 	Body   []byte
 }
 
-// NoResponseError says that no complete response came. The request may have been
-// executed, or may be executed later. It unwraps to the error of the HTTP client.
+// NoResponseError reports that no complete response was received. The server may have
+// executed the request, or may still execute it. It wraps the error of the HTTP client.
 type NoResponseError struct{ Err error }
 
-// Error is the text of the underlying error.
+// Error returns the text of the underlying error.
 func (e *NoResponseError) Error() string { return e.Err.Error() }
 
 // Unwrap returns the underlying error.
 func (e *NoResponseError) Unwrap() error { return e.Err }
 
-// StatusError is a response status that the caller did not expect.
+// StatusError reports a response status that the caller does not handle.
 type StatusError struct{ Status int }
 
-// Error names the status.
+// Error returns a text with the status code.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
 
-// Do sends a request and reads the response, whatever its status. A NoResponseError means
-// that the outcome is unknown; after any other error nothing was sent.
+// Do sends a request and reads the response. Any status counts as success. After a
+// NoResponseError the outcome of the request is unknown; after any other error the request
+// was not sent.
 func Do(ctx context.Context, client *http.Client, request Request) (*Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, request.Timeout)
 	defer cancel()
@@ -72,7 +74,7 @@
 	return &Response{Status: response.StatusCode, Body: raw}, nil
 }
 
-// encode returns the request with its body encoded.
+// encode returns the HTTP request with the body encoded as JSON.
 func (r *Request) encode(ctx context.Context) (*http.Request, error) {
 	var body io.Reader
 	if r.Body != nil {
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -1,6 +1,6 @@
-// Package outage tells operators of the outages of what a process depends on: once when one
-// has lasted for a while, and once when it is over, with its length. Single failures are not
-// worth a line each; hundreds of them a minute would hide what else happens.
+// Package outage logs outages of the services that a process depends on. It logs one line when
+// an outage has lasted for a grace period, and one line with its duration when it ends. Single
+// failures are not logged: hundreds of lines a minute would hide other events.
 package outage
 
 import (
@@ -8,25 +8,27 @@
 	"time"
 )
 
-// Monitor follows one thing that a process depends on. It belongs to one goroutine.
+// Monitor detects and logs the outages of one dependency. It must be used by one goroutine
+// only.
 type Monitor struct {
 	log *slog.Logger
-	// dependency is what is followed, as the log lines name it.
+	// dependency is the name of the monitored service in log lines.
 	dependency string
-	// patience is for how long it has to fail until that is an outage.
+	// gracePeriod is how long the dependency must fail before that counts as an outage.
 	gracePeriod time.Duration
 
-	failingSince time.Time // zero: it does not fail
-	reported     bool
+	failingSince time.Time // time of the first failure since the last success; zero if none
+	reported     bool      // whether the beginning of the current outage has been logged
 }
 
-// NewMonitor returns a monitor of a dependency, which is out once it has failed for as long
-// as patience.
+// NewMonitor returns a monitor of a dependency. An outage begins once the dependency has
+// failed for gracePeriod without a success.
 func NewMonitor(log *slog.Logger, dependency string, gracePeriod time.Duration) *Monitor {
 	return &Monitor{log: log, dependency: dependency, gracePeriod: gracePeriod}
 }
 
-// ReportFailure notes that the dependency fails.
+// ReportFailure records a failure of the dependency at now, and logs the beginning of an
+// outage if the grace period has passed.
 func (m *Monitor) ReportFailure(now time.Time) {
 	if m.failingSince.IsZero() {
 		m.failingSince = now
@@ -37,7 +39,8 @@
 	}
 }
 
-// ReportSuccess notes that the dependency answers.
+// ReportSuccess records a success of the dependency at now, and logs the end of an outage if
+// its beginning was logged.
 func (m *Monitor) ReportSuccess(now time.Time) {
 	if m.reported {
 		m.log.Info("outage ended", "of", m.dependency, "lasted", now.Sub(m.failingSince).Round(time.Millisecond))
@@ -45,5 +48,6 @@
 	m.Reset()
 }
 
-// Reset begins anew, as when nobody has asked the dependency for anything.
+// Reset returns the monitor to its initial state without logging anything. It is for times at
+// which the process does not use the dependency.
 func (m *Monitor) Reset() { m.failingSince, m.reported = time.Time{}, false }
--- a/internal/outage/outage_test.go
+++ b/internal/outage/outage_test.go
@@ -10,23 +10,23 @@
 	"eiderhitch/internal/outage"
 )
 
-// observation is what a monitor is told, some seconds after the start.
+// observation is a success or failure that is reported to a monitor.
 type observation struct {
-	atS       float64
+	atS       float64 // seconds after the start of the test
 	succeeded bool
 }
 
-// An outage has a line when it has lasted for a while, and one with its length when it is over.
+// An outage is logged once it exceeds the grace period, and with its duration when it ends.
 func TestOutageLogLines(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		observations []observation
 		wantLines    []string
 	}{
-		{"it always answers", []observation{{0, true}, {60, true}}, nil},
+		{"no failures", []observation{{0, true}, {60, true}}, nil},
 		{"single failures", []observation{{0, false}, {1, true}, {9, false}, {10, true}}, nil},
-		{"failures without an answer between them", []observation{{0, false}, {4, false}, {5, false}, {60, false}}, []string{"outage began"}},
-		{"it is over", []observation{{0, true}, {2, false}, {8, false}, {40.5, true}, {41, true}}, []string{"outage began", "lasted=38.5s"}},
+		{"failures without a success between them", []observation{{0, false}, {4, false}, {5, false}, {60, false}}, []string{"outage began"}},
+		{"outage that ends", []observation{{0, true}, {2, false}, {8, false}, {40.5, true}, {41, true}}, []string{"outage began", "lasted=38.5s"}},
 		{"two outages", []observation{{0, false}, {6, false}, {7, true}, {8, false}, {20, false}, {30, true}},
 			[]string{"outage began", "lasted=7s", "outage began", "lasted=22s"}},
 	} {
@@ -37,18 +37,18 @@
 				lines = nil
 			}
 			if len(lines) != len(test.wantLines) {
-				t.Fatalf("%d lines, want %d:\n%s", len(lines), len(test.wantLines), out)
+				t.Fatalf("got %d log lines, want %d:\n%s", len(lines), len(test.wantLines), out)
 			}
 			for i, wantLines := range test.wantLines {
 				if !strings.Contains(lines[i], wantLines) || !strings.Contains(lines[i], "of=store") {
-					t.Errorf("line %d is %q, want %q in it", i, lines[i], wantLines)
+					t.Errorf("log line %d is %q, want it to contain %q and of=store", i, lines[i], wantLines)
 				}
 			}
 		})
 	}
 }
 
-// logOutput are the lines of a monitor that is told of observations.
+// logOutput returns what a monitor logs for the observations.
 func logOutput(observations []observation) string {
 	var out bytes.Buffer
 	monitor := outage.NewMonitor(slog.New(slog.NewTextHandler(&out, nil)), "store", 5*time.Second)
@@ -64,7 +64,7 @@
 	return out.String()
 }
 
-// What a monitor forgets has no end to tell of.
+// A monitor that was reset during an outage does not log the end of that outage.
 func TestResetSuppressesOutageEnd(t *testing.T) {
 	var out bytes.Buffer
 	monitor := outage.NewMonitor(slog.New(slog.NewTextHandler(&out, nil)), "cloud", time.Second)
@@ -74,6 +74,6 @@
 	monitor.Reset()
 	monitor.ReportSuccess(now.Add(time.Hour))
 	if got := strings.Count(out.String(), "\n"); got != 1 {
-		t.Errorf("%d lines, want the one of the beginning:\n%s", got, out.String())
+		t.Errorf("got %d log lines, want only the one of the beginning:\n%s", got, out.String())
 	}
 }
