--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -14,18 +14,14 @@
 	"eiderhitch/internal/wire"
 )
 
-// idleService returns fixed responses without doing any work.
-type idleService struct{}
+// noop is a Service that returns fixed responses without doing any work.
+type noop struct{}
 
-func (idleService) Submit(context.Context, *wire.Job) Response {
-	return Response{Status: http.StatusCreated}
-}
-func (idleService) Poll(context.Context, string) Response {
-	return Response{Status: http.StatusNotFound}
-}
-func (idleService) Cancel(context.Context, string) Response { return Response{Status: http.StatusOK} }
-func (idleService) IsReady() bool                           { return true }
-func (idleService) Heartbeat(context.Context, *wire.Heartbeat) Response {
+func (noop) Submit(context.Context, *wire.Job) Response { return Response{Status: http.StatusCreated} }
+func (noop) Poll(context.Context, string) Response      { return Response{Status: http.StatusNotFound} }
+func (noop) Cancel(context.Context, string) Response    { return Response{Status: http.StatusOK} }
+func (noop) IsReady() bool                              { return true }
+func (noop) Heartbeat(context.Context, *wire.Heartbeat) Response {
 	return Response{Status: http.StatusOK, Body: wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{}}}
 }
 
@@ -41,7 +37,7 @@
 	defer cancel()
 	const connectionCount = 300
 	go func() {
-		_ = Serve(ctx, listener, idleService{}, slog.New(slog.NewTextHandler(io.Discard, nil)), Limits{MaxConnections: connectionCount, MaxUserRequests: connectionCount})
+		_ = Serve(ctx, listener, noop{}, slog.New(slog.NewTextHandler(io.Discard, nil)), Limits{MaxConnections: connectionCount, MaxUserRequests: connectionCount})
 	}()
 	memoryInUse := func() uint64 {
 		runtime.GC()
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,14 +1,15 @@
-// Package frontend answers users: it accepts, shows and cancels jobs, and tells the load
-// balancer whether to send more users.
+// Package frontend serves the requests of users: it accepts jobs, returns their states and
+// cancels them, and tells the load balancer whether to send requests to this controller.
 //
-// A Frontend owns nothing but its readiness. What it answers it takes from the Cluster, on
-// the event loop; what it changes is one write of the job's record each. Answers are
-// linearizable: no controller gives an older one than any controller has given before. For
-// that a state that may still change is told only after a read of the key-value store that
-// began after the question came. Submissions and cancellations are idempotent requests: a
-// repeated one is answered with the job's present state.
+// The only state of a Frontend is its readiness. It takes responses from the Cluster, on the
+// event loop, and makes each change with one write of the job's record. Responses are
+// linearizable: no controller returns an older state than any controller has returned before.
+// Therefore a state that may still change is returned only after a read of the key-value store
+// that began after the request arrived. Submissions and cancellations are idempotent: a
+// repeated one is answered with the job's current state.
 //
-// All methods but UpdateReadiness may be called from any goroutine.
+// All methods except UpdateReadiness may be called from any goroutine; UpdateReadiness must be
+// called on the event loop.
 package frontend
 
 import (
@@ -25,115 +26,125 @@
 	"eiderhitch/internal/wire"
 )
 
-// Job is what the cluster knows of a job that was accepted.
+// Job holds the cluster's knowledge of an accepted job.
 type Job struct {
+	// State is the job's state as users receive it.
 	State wire.JobState
-	// Final: the job is done or cancelled, and stays so.
+	// IsFinal is set if the job is done or cancelled, which never changes again.
 	IsFinal bool
-	// Revision is that of the job's record.
+	// Revision is the revision of the job's record in the key-value store.
 	Revision uint64
-	// Spec and AcceptedAt are as they were submitted. Spec is nil where it is not kept
-	// any more.
-	Spec       *wire.Job
+	// Spec is the job as it was submitted; nil if the controller no longer keeps it.
+	Spec *wire.Job
+	// AcceptedAt is the time at which the job was accepted.
 	AcceptedAt time.Time
 }
 
-// Cluster is the state that answers are taken from. Its methods are called on the event
-// loop alone.
+// Cluster provides the state from which requests are answered, and stores changes. Its methods
+// are called only on the event loop.
 type Cluster interface {
-	// Loaded reports whether the records have been read since the start.
+	// HasLoadedRecords reports whether all records have been read since the process started.
 	HasLoadedRecords() bool
 	// IsFreshWithin reports whether the last successful read began less than limit ago.
 	IsFreshWithin(limit time.Duration) bool
-	// Refusal is why this controller must not serve; nil: it may.
+	// ServingError returns the reason why this controller must not serve requests, or nil if
+	// it may.
 	ServingError() error
-	// Job is the accepted job of that id; nil if none was.
+	// Job returns the accepted job with this id, or nil if there is none.
 	Job(id string) *Job
-	// Unreadable reports whether a record of the job can't be decoded.
+	// HasUnreadableRecord reports whether a record of the job can't be decoded.
 	HasUnreadableRecord(id string) bool
-	// MachineTypes lists the types on offer; empty while they are not known.
+	// MachineTypes returns the machine types that the cloud offers, by name. It is empty until
+	// they are known.
 	MachineTypes() map[string]*wire.MachineType
-	// PeerFreshness reports whether any peer is heard, and whether one of those that are
-	// reaches the key-value store.
+	// PeerFreshness reports whether this controller receives messages from any peer (heard),
+	// and whether one of those peers can read the key-value store (fresh).
 	PeerFreshness() (heard, fresh bool)
-	// AfterRead runs f with the result of a read that begins after now.
+	// AfterRead calls f on the event loop with the result of a read of the key-value store
+	// that begins after this call.
 	AfterRead(f func(err error))
-	// SubmitWrite runs done on the event loop with the result of a write.
+	// SubmitWrite submits a write and calls done on the event loop with its result.
 	SubmitWrite(write *store.Write, done func(err error))
 }
 
-// EventLoop runs functions for users, at their priority.
+// EventLoop runs functions at the priority of user requests.
 type EventLoop interface {
-	// Now is the time of the event that the loop works on.
+	// Now returns the time of the event that the loop is processing.
 	Now() time.Time
-	// Call runs f and waits for it. False means that it has not run and won't: ctx ended,
-	// or too many users wait already.
+	// Call runs f on the event loop and waits until it has returned. It returns false if f has
+	// not run and will not run, because ctx ended or too many user requests are queued.
 	Call(ctx context.Context, f func()) bool
-	// RetryAfterS is in how many seconds a user who was turned away should come back.
+	// RetryAfterS returns the number of seconds after which a user should retry a request
+	// that was refused because of overload.
 	RetryAfterS() int
 }
 
-// Recorder counts what users ask.
+// Recorder collects metrics of user requests.
 type Recorder interface {
-	// Submission counts one by the status of its response, and how long that took.
+	// CountSubmission records the response status and the duration of a submission.
 	CountSubmission(status int, took time.Duration)
-	// Poll counts one.
+	// CountPoll counts a poll.
 	CountPoll()
 }
 
-// Config is what does not change while the process lives.
+// Config holds the settings of a Frontend. They don't change during the life of the process.
 type Config struct {
-	// JobKey is the key of a job's record.
+	// JobKey returns the key of a job's record.
 	JobKey func(id string) string
-	// LeaseTTL is the lifetime of leased keys: who has read nothing for that long must not
-	// decide anything new.
+	// LeaseTTL is the lifetime of leased keys. A controller that has not read the key-value
+	// store successfully for that long must not make new decisions.
 	LeaseTTL time.Duration
-	// MaxValueBytes is how large a stored value may be.
+	// MaxValueBytes is the largest size of a stored value.
 	MaxValueBytes int
-	Quotas        Quotas
-	Log           *slog.Logger
+	// Quotas holds the limits of all teams.
+	Quotas Quotas
+	// Log receives accepted and refused jobs.
+	Log *slog.Logger
 }
 
-// Frontend answers users.
+// Frontend serves the requests of users.
 type Frontend struct {
 	config   Config
 	cluster  Cluster
 	loop     EventLoop
 	recorder Recorder
-	// lastReadyAt is when this controller last was ready; nil: it is not.
+	// lastReadyAt is the time at which the controller was last found ready; nil if it is not
+	// ready.
 	lastReadyAt atomic.Pointer[time.Time]
 }
 
-// New returns a frontend to a cluster.
+// New returns a frontend that answers requests from a cluster. It is not ready until
+// UpdateReadiness finds it ready.
 func New(config Config, cluster Cluster, loop EventLoop, recorder Recorder) *Frontend {
 	return &Frontend{config: config, cluster: cluster, loop: loop, recorder: recorder}
 }
 
-// UnavailableResponse tells a user to come back.
+// UnavailableResponse returns a response with status 503 that asks the client to retry after a
+// second.
 func UnavailableResponse(reason string) api.Response {
 	return api.Response{Status: http.StatusServiceUnavailable, RetryAfterS: 1, Reason: reason}
 }
 
-// Reasons that users are given. They are part of the interface.
+// Reasons in responses to users. Their texts are part of the interface.
 const (
-	reasonStarting     = "starting"
-	reasonOutOfReach   = "state service out of reach"
-	reasonNotStored    = "state service: not stored"
-	reasonNoAnswer     = "state service: no answer"
-	reasonUndecodable  = "a stored record of the job can't be decoded"
-	reasonUnknownTypes = "machine types are not known yet"
-	reasonNoSuchJob    = "no such job"
+	reasonStarting         = "starting"
+	reasonStoreUnreachable = "state service out of reach"
+	reasonNotStored        = "state service: not stored"
+	reasonNoAnswer         = "state service: no answer"
+	reasonUndecodable      = "a stored record of the job can't be decoded"
+	reasonUnknownTypes     = "machine types are not known yet"
+	reasonNoSuchJob        = "no such job"
 )
 
-// busy tells a user to come back once the event loop has done what waits for it.
+// busyResponse asks the user to retry once the event loop has processed its queue.
 func (f *Frontend) busyResponse() api.Response {
 	response := UnavailableResponse("busy")
 	response.RetryAfterS = f.loop.RetryAfterS()
 	return response
 }
 
-// notServingResponse is the response of a controller that can't answer yet, or must not; false: it
-// can.
+// notServingResponse returns the response of a controller that has not loaded the records yet
+// or must not serve, and true. It returns false if the controller can serve requests.
 func (f *Frontend) notServingResponse() (api.Response, bool) {
 	if !f.cluster.HasLoadedRecords() {
 		return UnavailableResponse(reasonStarting), true
@@ -148,14 +159,14 @@
 	return api.Response{Status: status, Body: state}
 }
 
-// Poll tells a job's state.
+// Poll returns a job's state.
 func (f *Frontend) Poll(ctx context.Context, id string) api.Response {
 	f.recorder.CountPoll()
 	if !wire.IsValidJobID(id) {
 		return api.Response{Status: http.StatusNotFound, Reason: reasonNoSuchJob}
 	}
-	// One turn of the event loop for the question and one for the result of the read:
-	// each may be long in coming when there is little processor time.
+	// The request needs two turns of the event loop, one for the request and one for the result
+	// of the read. Each may come late when processor time is short.
 	answer := make(chan api.Response, 1)
 	if !f.loop.Call(ctx, func() { f.poll(id, answer) }) {
 		return f.busyResponse()
@@ -164,18 +175,18 @@
 	case response := <-answer:
 		return response
 	case <-ctx.Done():
-		return UnavailableResponse(reasonOutOfReach)
+		return UnavailableResponse(reasonStoreUnreachable)
 	}
 }
 
-// poll sends the answer to a poll, now or after a read.
+// poll sends the response to a poll to answer, either immediately or after a read.
 func (f *Frontend) poll(id string, answer chan<- api.Response) {
-	if response, out := f.notServingResponse(); out {
+	if response, isNotServing := f.notServingResponse(); isNotServing {
 		answer <- response
 		return
 	}
 	if job := f.cluster.Job(id); job != nil && job.IsFinal {
-		answer <- jobResponse(http.StatusOK, job.State) // it stays so for ever
+		answer <- jobResponse(http.StatusOK, job.State) // a final state never changes, so no read is needed
 		return
 	}
 	if f.cluster.HasUnreadableRecord(id) {
@@ -185,10 +196,10 @@
 	f.cluster.AfterRead(func(err error) { answer <- f.responseAfterRead(id, err) })
 }
 
-// responseAfterRead is the answer to a poll once a read for it has ended.
+// responseAfterRead returns the response to a poll after its read has ended with err.
 func (f *Frontend) responseAfterRead(id string, err error) api.Response {
 	if err != nil {
-		return UnavailableResponse(reasonOutOfReach)
+		return UnavailableResponse(reasonStoreUnreachable)
 	}
 	if refusal := f.cluster.ServingError(); refusal != nil {
 		return UnavailableResponse(refusal.Error())
@@ -203,7 +214,7 @@
 	return api.Response{Status: http.StatusNotFound, Reason: reasonNoSuchJob}
 }
 
-// Submit accepts a job.
+// Submit stores a new job. A job that was accepted before gets the response to a poll.
 func (f *Frontend) Submit(ctx context.Context, spec *wire.Job) api.Response {
 	start := time.Now()
 	response := f.submit(ctx, spec)
@@ -212,20 +223,22 @@
 	case response.Status == http.StatusCreated:
 		f.config.Log.Info("job accepted", "job", spec.ID, "team", spec.Team, "class", spec.Class, "tasks", spec.TaskCount)
 	case response.Status >= http.StatusInternalServerError:
-		f.config.Log.Debug("job not taken", "job", spec.ID, "why", response.Reason)
+		f.config.Log.Debug("job not accepted", "job", spec.ID, "why", response.Reason)
 	case response.Status >= http.StatusBadRequest:
 		f.config.Log.Info("job refused", "job", spec.ID, "why", response.Reason)
 	}
 	return response
 }
 
-// submission is what becomes of a submission on the event loop: one of these is set.
+// submissionResult is the result of beginSubmission. Exactly one of its fields is set.
 type submissionResult struct {
+	// response is the final response to the submission.
 	response *api.Response
-	// poll: the job is known already, or can never run; a poll tells which.
+	// needsPoll is set if the job is already known or can never run. A poll determines
+	// which.
 	needsPoll bool
-	// stored has the result of the write.
-	writeResult chan error
+	// writeErr receives the result of the write that stores the job.
+	writeErr chan error
 }
 
 func (f *Frontend) submit(ctx context.Context, spec *wire.Job) api.Response {
@@ -240,12 +253,12 @@
 		return f.responseForKnownJob(ctx, spec)
 	}
 	select {
-	case err := <-result.writeResult:
+	case err := <-result.writeErr:
 		switch {
 		case err == nil:
 			return jobResponse(http.StatusCreated, wire.JobState{ID: spec.ID, State: wire.StateQueued})
 		case errors.Is(err, store.ErrConflict):
-			return f.responseForKnownJob(ctx, spec) // an earlier try, or another controller, stored it
+			return f.responseForKnownJob(ctx, spec) // an earlier attempt or another controller has stored the job
 		}
 		return UnavailableResponse(reasonNotStored)
 	case <-ctx.Done():
@@ -253,35 +266,36 @@
 	}
 }
 
-// beginSubmission has a job stored, if it is new and can be decided on now.
+// beginSubmission submits the write that stores a job, if the job is new and can be accepted
+// now.
 func (f *Frontend) beginSubmission(spec *wire.Job) submissionResult {
 	refuse := func(response api.Response) submissionResult { return submissionResult{response: &response} }
-	if response, out := f.notServingResponse(); out {
+	if response, isNotServing := f.notServingResponse(); isNotServing {
 		return refuse(response)
 	}
 	types := f.cluster.MachineTypes()
 	switch {
 	case f.cluster.Job(spec.ID) != nil:
-		return submissionResult{needsPoll: true} // accepted before, whatever the settings say today
+		return submissionResult{needsPoll: true} // a job that was accepted stays accepted, even if the settings have changed since
 	case len(types) == 0:
 		return refuse(UnavailableResponse(reasonUnknownTypes))
 	case !f.cluster.IsFreshWithin(f.config.LeaseTTL):
-		return refuse(UnavailableResponse(reasonOutOfReach))
+		return refuse(UnavailableResponse(reasonStoreUnreachable))
 	case f.unsatisfiableReason(spec) != "":
 		return submissionResult{needsPoll: true}
 	}
-	writeResult := make(chan error, 1)
+	writeErr := make(chan error, 1)
 	key := f.config.JobKey(spec.ID)
 	f.cluster.SubmitWrite(&store.Write{Interactive: true,
 		Conditions: []wire.Condition{{Key: key}},
 		Changes:    []wire.Change{{Put: key, Value: record.JSON(record.Job{AcceptedAtMS: f.loop.Now().UnixMilli(), Spec: spec})}},
-	}, func(err error) { writeResult <- err })
-	return submissionResult{writeResult: writeResult}
+	}, func(err error) { writeErr <- err })
+	return submissionResult{writeErr: writeErr}
 }
 
-// unsatisfiable is why a job can never run; "": it can.
+// unsatisfiableReason returns the reason why a job can never run, or "" if it can.
 func (f *Frontend) unsatisfiableReason(spec *wire.Job) string {
-	// The record is largest once the job is cancelled.
+	// The record has its largest size when the job is cancelled.
 	largest := record.Job{FinalState: record.StateCancelled, AcceptedAtMS: f.loop.Now().UnixMilli(), Spec: spec}
 	if len(record.JSON(largest)) > f.config.MaxValueBytes {
 		return "its description is larger than can be stored"
@@ -289,8 +303,8 @@
 	return f.config.Quotas.UnsatisfiableReason(spec, f.cluster.MachineTypes())
 }
 
-// responseForKnownJob answers the submission of a job that is known already or, if it turns out
-// not to be, of one that can never run.
+// responseForKnownJob returns the response to the submission of a job that is already known.
+// If a poll finds that it is not, the submission is refused because the job can never run.
 func (f *Frontend) responseForKnownJob(ctx context.Context, spec *wire.Job) api.Response {
 	response := f.Poll(ctx, spec.ID)
 	if response.Status != http.StatusNotFound {
@@ -304,8 +318,8 @@
 	return api.Response{Status: http.StatusUnprocessableEntity, Reason: reason}
 }
 
-// Cancel cancels a job. It repeats until the write was not overtaken by another one of the
-// job's record, as by its completion.
+// Cancel cancels a job. It retries when another write of the job's record, such as the job's
+// completion, has caused a conflict.
 func (f *Frontend) Cancel(ctx context.Context, id string) api.Response {
 	for {
 		response := f.Poll(ctx, id)
@@ -313,12 +327,12 @@
 		if response.Status != http.StatusOK || !ok || state.State == wire.StateDone || state.State == wire.StateCancelled {
 			return response
 		}
-		writeResult := make(chan error, 1)
-		if !f.loop.Call(ctx, func() { f.beginCancellation(id, writeResult) }) {
+		writeErr := make(chan error, 1)
+		if !f.loop.Call(ctx, func() { f.beginCancellation(id, writeErr) }) {
 			return f.busyResponse()
 		}
 		select {
-		case err := <-writeResult:
+		case err := <-writeErr:
 			if err == nil {
 				return jobResponse(http.StatusOK, wire.JobState{ID: id, State: wire.StateCancelled})
 			}
@@ -334,16 +348,17 @@
 	}
 }
 
-// beginCancellation has a job's cancellation stored.
-func (f *Frontend) beginCancellation(id string, writeResult chan<- error) {
+// beginCancellation submits the write that stores a job's cancellation. It sends the result of
+// the write to writeErr.
+func (f *Frontend) beginCancellation(id string, writeErr chan<- error) {
 	job := f.cluster.Job(id)
 	if job == nil || job.IsFinal || job.Spec == nil {
-		writeResult <- store.ErrConflict
+		writeErr <- store.ErrConflict
 		return
 	}
 	key := f.config.JobKey(id)
 	f.cluster.SubmitWrite(&store.Write{Interactive: true,
 		Conditions: []wire.Condition{{Key: key, Revision: job.Revision}},
 		Changes:    []wire.Change{{Put: key, Value: record.EncodeCancelledJob(job.Spec, job.AcceptedAt, f.config.MaxValueBytes)}},
-	}, func(err error) { writeResult <- err })
+	}, func(err error) { writeErr <- err })
 }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -14,7 +14,8 @@
 	"eiderhitch/internal/wire"
 )
 
-// fakeCluster is a cluster's state, and the event loop that it is on.
+// fakeCluster is a Cluster with preset state. It is also the EventLoop, which runs functions at
+// once, and the Recorder, which records nothing.
 type fakeCluster struct {
 	notLoaded, stale, queueFull bool
 	servingErr                  error
@@ -22,10 +23,11 @@
 	unreadable                  map[string]bool
 	types                       map[string]*wire.MachineType
 	peersHeard, peerFresh       bool
-	// readErr is the result of reads; onRead is what a read finds.
+	// readErr is the result of all reads. If onRead is not nil, each read calls it to apply
+	// changes.
 	readErr error
 	onRead  func()
-	// writeErr is the result of writes, which are kept.
+	// writeErr is the result of all writes. Submitted writes are kept in writes.
 	writeErr error
 	writes   []*store.Write
 }
@@ -82,7 +84,7 @@
 
 var testJob = &wire.Job{ID: "wk-1", Team: "red", TaskCount: 1, CPUs: 2, RAMGB: 1}
 
-// Each state of the cluster has its answer to a submission, a poll and a cancellation.
+// Each state of the cluster determines the status of a submission, a poll and a cancellation.
 func TestResponsesByClusterState(t *testing.T) {
 	const created, ok, notFound, unprocessable, unavailable = http.StatusCreated, http.StatusOK, http.StatusNotFound, http.StatusUnprocessableEntity, http.StatusServiceUnavailable
 	for _, test := range []struct {
@@ -97,12 +99,12 @@
 			c.writeErr, c.onRead = store.ErrConflict, func() { c.jobs["wk-1"] = runningJob("wk-1") }
 		}, ok, ok, unavailable},
 		{"starting", func(c *fakeCluster) { c.notLoaded = true }, unavailable, unavailable, unavailable},
-		{"must not serve", func(c *fakeCluster) { c.servingErr = errors.New("level 3 is in force") }, unavailable, unavailable, unavailable},
+		{"must not serve", func(c *fakeCluster) { c.servingErr = errors.New("level 3 is active") }, unavailable, unavailable, unavailable},
 		{"queue is full", func(c *fakeCluster) { c.queueFull = true }, unavailable, unavailable, unavailable},
-		{"machine types are not known", func(c *fakeCluster) { c.types = nil }, unavailable, notFound, notFound},
-		{"machine types are not known, job is", func(c *fakeCluster) { c.types, c.jobs["wk-1"] = nil, runningJob("wk-1") }, ok, ok, ok},
-		{"store out of reach", func(c *fakeCluster) { c.stale, c.readErr = true, store.ErrNotExecuted }, unavailable, unavailable, unavailable},
-		{"store out of reach, job done", func(c *fakeCluster) {
+		{"machine types unknown", func(c *fakeCluster) { c.types = nil }, unavailable, notFound, notFound},
+		{"machine types unknown, job known", func(c *fakeCluster) { c.types, c.jobs["wk-1"] = nil, runningJob("wk-1") }, ok, ok, ok},
+		{"store unreachable", func(c *fakeCluster) { c.stale, c.readErr = true, store.ErrNotExecuted }, unavailable, unavailable, unavailable},
+		{"store unreachable, job done", func(c *fakeCluster) {
 			c.stale, c.readErr, c.jobs["wk-1"] = true, store.ErrNotExecuted, finalJob("wk-1", wire.StateDone)
 		}, ok, ok, ok},
 		{"write has no known outcome", func(c *fakeCluster) { c.writeErr, c.jobs["wk-1"] = store.ErrOutcomeUnknown, runningJob("wk-1") }, ok, ok, unavailable},
@@ -126,27 +128,27 @@
 			}
 			checkStatus("submission", test.submit, func(f *Frontend) int { return f.Submit(t.Context(), testJob).Status })
 			checkStatus("poll", test.poll, func(f *Frontend) int { return f.Poll(t.Context(), "wk-1").Status })
-			cancelLimit, stop := context.WithTimeout(t.Context(), 50*time.Millisecond) // a conflict is tried again
+			cancelLimit, stop := context.WithTimeout(t.Context(), 50*time.Millisecond) // a conflict is retried until the context ends
 			defer stop()
 			checkStatus("cancellation", test.cancel, func(f *Frontend) int { return f.Cancel(cancelLimit, "wk-1").Status })
 		})
 	}
 }
 
-// A cancellation is conditional on the job's record as it was read, and keeps its
-// description.
+// A cancellation requires that the job's record is unchanged since it was read, so that it can't
+// overwrite a completion. It keeps the job's spec.
 func TestCancellationIsCompareAndSwap(t *testing.T) {
 	c := newFakeCluster()
 	c.jobs["wk-1"] = runningJob("wk-1")
 	if response := c.frontend().Cancel(t.Context(), "wk-1"); response.Body != (wire.JobState{ID: "wk-1", State: wire.StateCancelled}) {
-		t.Fatalf("answered %+v", response)
+		t.Fatalf("unexpected response to the cancellation: %+v", response)
 	}
 	if len(c.writes) != 1 || c.writes[0].Conditions[0] != (wire.Condition{Key: "e/job/wk-1", Revision: 5}) {
-		t.Fatalf("written: %+v", c.writes)
+		t.Fatalf("unexpected writes: %+v", c.writes)
 	}
 	var stored record.Job
 	if err := json.Unmarshal(c.writes[0].Changes[0].Value, &stored); err != nil || stored.FinalState != record.StateCancelled || stored.Spec == nil {
-		t.Errorf("stored: %+v, %v", stored, err)
+		t.Errorf("unexpected job record: %+v, error %v", stored, err)
 	}
 }
 
@@ -170,7 +172,7 @@
 		{"no machine in the zone", wire.Job{Team: "blue", TaskCount: 1, CPUs: 1, Zone: "b"}, "a task fits no allowed machine type"},
 	} {
 		if got := quotas.UnsatisfiableReason(&test.job, types); got != test.want {
-			t.Errorf("%s: %q, want %q", test.name, got, test.want)
+			t.Errorf("%s: got reason %q, want %q", test.name, got, test.want)
 		}
 	}
 }
@@ -183,10 +185,10 @@
 	}{
 		{"fresh", func(*fakeCluster) {}, true},
 		{"starting", func(c *fakeCluster) { c.notLoaded = true }, false},
-		{"alone without the store", func(c *fakeCluster) { c.stale, c.peersHeard, c.peerFresh = true, true, true }, false},
-		{"nobody reaches the store", func(c *fakeCluster) { c.stale, c.peersHeard = true, true }, true},
-		{"no peer is heard", func(c *fakeCluster) { c.stale = true }, false},
-		{"must not serve", func(c *fakeCluster) { c.servingErr = errors.New("level 3 is in force") }, false},
+		{"only this controller can't reach the store", func(c *fakeCluster) { c.stale, c.peersHeard, c.peerFresh = true, true, true }, false},
+		{"no controller can reach the store", func(c *fakeCluster) { c.stale, c.peersHeard = true, true }, true},
+		{"store unreachable, no peer heard", func(c *fakeCluster) { c.stale = true }, false},
+		{"must not serve", func(c *fakeCluster) { c.servingErr = errors.New("level 3 is active") }, false},
 	} {
 		c := newFakeCluster()
 		test.setUp(c)
--- a/internal/frontend/quotas.go
+++ b/internal/frontend/quotas.go
@@ -6,20 +6,21 @@
 	"eiderhitch/internal/wire"
 )
 
-// quotaTolerance is by how much a job may exceed its team's limit through rounding.
+// quotaTolerance is the amount by which a job may exceed its team's limit, to allow for
+// rounding errors.
 const quotaTolerance = 1e-9
 
-// Quotas are the limits of the teams.
+// Quotas holds the resource limits of all teams.
 type Quotas []config.Team
 
-// UnsatisfiableReason is why a job can never run within its team's limit and on the machine types
-// on offer; "": it can.
+// UnsatisfiableReason returns the reason why a job can never run within its team's limit and on
+// the machine types that the cloud offers, or "" if it can. Users receive this text.
 func (q Quotas) UnsatisfiableReason(spec *wire.Job, types map[string]*wire.MachineType) string {
 	team := q.findTeam(spec.Team)
 	if team == nil {
 		return "unknown team"
 	}
-	concurrentTasks := 1.0 // tasks of an array run one by one if need be
+	concurrentTasks := 1.0 // the tasks of an array can run one after another
 	if spec.IsAllOrNothing() {
 		concurrentTasks = float64(spec.TaskCount)
 	}
@@ -41,11 +42,11 @@
 	return nil
 }
 
-// exceeds reports whether an amount is above a limit; 0: there is none.
+// exceeds reports whether an amount is above a limit. A limit of 0 means no limit.
 func exceeds(amount, limit float64) bool { return limit > 0 && amount > limit+quotaTolerance }
 
-// fitsAnyType reports whether a task fits a machine of a type, in a zone, that the job
-// allows.
+// fitsAnyType reports whether a task of the job fits a machine of an allowed type in an allowed
+// zone.
 func fitsAnyType(spec *wire.Job, types map[string]*wire.MachineType) bool {
 	size := scheduling.NewResources(spec.CPUs, spec.GPUs, spec.RAMGB)
 	for _, t := range types {
--- a/internal/frontend/readiness.go
+++ b/internal/frontend/readiness.go
@@ -2,19 +2,22 @@
 
 import "time"
 
-// readinessGracePeriod is for how long beyond the lifetime of a lease a controller without a
-// successful read stays ready: users who are sent elsewhere and back lose more.
+// readinessGracePeriod is how long a controller without a successful read stays ready after the
+// lifetime of a lease has passed. Short failures must not make the load balancer move users to
+// other controllers and back, which costs users more than waiting.
 const readinessGracePeriod = 2 * time.Second
 
-// IsReady tells the load balancer whether to send users. It does not wait for the event loop,
-// but goes by what that noted last: the load balancer would take a probe that waits for a
-// failure, and send the users of a controller that is slow to others as slow.
+// IsReady reports whether the load balancer should send users to this controller. It returns the
+// result of the last UpdateReadiness instead of waiting for the event loop: the load balancer
+// would treat a slow probe as a failure, and move the users of a slow controller to others that
+// are just as slow. A result older than the lifetime of a lease counts as not ready.
 func (f *Frontend) IsReady() bool {
 	at := f.lastReadyAt.Load()
 	return at != nil && time.Since(*at) < f.config.LeaseTTL
 }
 
-// UpdateReadiness notes for Ready what the event loop knows now.
+// UpdateReadiness computes the result that IsReady returns. It must be called on the event loop
+// more often than once in the lifetime of a lease.
 func (f *Frontend) UpdateReadiness() {
 	if !f.canServeUsers() {
 		f.lastReadyAt.Store(nil)
@@ -24,9 +27,10 @@
 	f.lastReadyAt.Store(&now)
 }
 
-// canServeUsers reports whether users should be sent here. A controller that alone can't reach
-// the key-value store stands back; in an outage for all of them none does, since leaving
-// and coming back would only make it longer for users.
+// canServeUsers reports whether users should be sent to this controller. A controller that can't
+// reach the key-value store is not ready if a peer can reach it or if no peer is heard. If the
+// peers that are heard can't reach it either, the controller is ready: taking all controllers
+// out of the load balancer and back would only prolong the outage for users.
 func (f *Frontend) canServeUsers() bool {
 	if f.cluster.ServingError() != nil {
 		return false
