--- a/internal/replica/reader.go
+++ b/internal/replica/reader.go
@@ -12,73 +12,78 @@
 	"eiderhitch/internal/wire"
 )
 
-// ErrNotLoaded is what waits for a shared read is told while no full read has succeeded.
+// ErrNotLoaded is the result of a shared read while no full read has succeeded.
 var ErrNotLoaded = errors.New("replica: not loaded yet")
 
 const (
-	// readShare is the share of the key-value store's limit of requests that all
-	// controllers together use for reads.
+	// readShare is the share of the key-value store's request rate limit that all controllers
+	// together use for reads.
 	readShare = 0.25
-	// minSharedReadInterval spaces shared reads: who asks waits up to 2 s, and should cost
-	// no more requests than that needs.
+	// minSharedReadInterval is the minimum time between the starts of two shared reads. Users
+	// wait up to 2 s for a response, so that reads need not be more frequent.
 	minSharedReadInterval = 200 * time.Millisecond
-	// minWatchInterval spaces the watches of Follow.
+	// minWatchInterval is the minimum pause between two watches of Follow.
 	minWatchInterval = 100 * time.Millisecond
-	// watchWait is how long a watch of Follow waits for a change.
+	// watchWait is the time that a watch of Follow waits for a change.
 	watchWait = 1500 * time.Millisecond
-	// retryAfter and retryJitter space tries after a failed read.
+	// retryDelay is the delay before Follow retries a failed read. A random duration of up to
+	// retryJitter is added to it.
 	retryDelay  = 200 * time.Millisecond
 	retryJitter = 100 * time.Millisecond
 )
 
-// Store is the part of the key-value store's client that reads need.
+// Store is the part of the key-value store's client that a Reader uses.
 type Store interface {
-	// List returns all keys below prefix, and the revision of the first page.
+	// List returns all keys below prefix and the store's revision at the first page.
 	List(ctx context.Context, prefix string) ([]wire.Item, uint64, error)
-	// Watch returns the changes below prefix after a revision; it waits for one.
+	// Watch returns the changes below prefix after the revision since. If there are none, it
+	// waits up to wait for one.
 	Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (*wire.WatchResponse, error)
 }
 
 // EventLoop runs functions on the goroutine that owns the replica.
 type EventLoop interface {
-	// Now is the time of the event that the loop works on.
+	// Now returns the time of the event that the loop is processing.
 	Now() time.Time
-	// Enqueue queues f.
+	// Enqueue queues f without waiting for it to run.
 	Enqueue(f func())
-	// Call runs f and waits for it; false if ctx ended first.
+	// Call runs f and waits until it has returned. It returns false if ctx ended before f ran.
 	Call(ctx context.Context, f func()) bool
 }
 
-// Config says what a reader reads and how often it may.
+// Config holds the settings of a Reader.
 type Config struct {
-	// Prefix is that of all keys of the replica.
+	// KeyPrefix is the common prefix of all keys of the replica.
 	KeyPrefix string
-	// Controllers is how many controllers share the limit of RequestsPerSecond.
-	ControllerCount   int
+	// ControllerCount is the number of controllers that share RequestsPerSecond.
+	ControllerCount int
+	// RequestsPerSecond is the store's request rate limit.
 	RequestsPerSecond float64
-	// Jitter draws a duration below the given one.
+	// Jitter returns a random duration below the given one.
 	Jitter func(time.Duration) time.Duration
-	// Loaded is called on the event loop when a full read has been taken in.
+	// OnLoaded is called on the event loop after a full read has been applied.
 	OnLoaded func()
-	// Log takes failed reads.
+	// Log receives the errors of failed reads.
 	Log *slog.Logger
 }
 
-// Reader keeps a replica current: Follow does so in the background, AfterRead for those
-// who need a read that begins now. Reads asked for at the same time are shared.
+// Reader keeps a replica up to date. Follow does so in the background; AfterRead does so for
+// callers that need a read that begins now. Concurrent calls of AfterRead share reads.
 type Reader struct {
-	// ctx ends shared reads, which are begun from the event loop wherever one is needed.
+	// ctx ends shared reads. It is a field because callers on the event loop have no context
+	// to pass.
 	ctx     context.Context
 	config  Config
 	replica *Replica
 	store   Store
 	loop    EventLoop
 
-	readInFlight        bool
-	readScheduled       bool
-	sharedReadStartedAt time.Time // when the last shared read began
-	waitingCallbacks    []func(error)
-	// sharedReadSucceededAt is when the last shared read succeeded; Follow looks at it.
+	readInFlight        bool          // whether a shared read is in progress
+	readScheduled       bool          // whether a timer will start the next shared read
+	sharedReadStartedAt time.Time     // time at which the last shared read began
+	waitingCallbacks    []func(error) // callers that wait for the next shared read
+	// sharedReadSucceededAt is the time at which the last shared read succeeded; nil if none
+	// has. Follow reads it on its own goroutine.
 	sharedReadSucceededAt atomic.Pointer[time.Time]
 }
 
@@ -87,16 +92,16 @@
 	return &Reader{ctx: ctx, config: config, replica: replica, store: store, loop: loop}
 }
 
-// AfterRead runs f with the result of a read that begins after now: on success the
-// replica has every change that was stored before the call. It is what makes an answer
-// to a client linearizable.
+// AfterRead calls f on the event loop with the result of a read that begins after this call. If
+// the read succeeds, the replica has every change that was stored before the call, which makes
+// responses to clients linearizable.
 func (r *Reader) AfterRead(f func(err error)) {
 	r.waitingCallbacks = append(r.waitingCallbacks, f)
 	r.startSharedRead()
 }
 
-// AfterSuccessfulRead runs f after a successful read that begins after now, however many
-// tries that takes.
+// AfterSuccessfulRead calls f on the event loop after a successful read that begins after this
+// call. Failed reads are repeated until one succeeds.
 func (r *Reader) AfterSuccessfulRead(f func()) {
 	r.AfterRead(func(err error) {
 		if err != nil {
@@ -107,8 +112,8 @@
 	})
 }
 
-// start begins a shared read for everybody who waits, unless one is under way or was
-// begun just now.
+// startSharedRead starts a shared read for all waiting callers, unless one is in progress or
+// scheduled. If the last one began too recently, it schedules the next one.
 func (r *Reader) startSharedRead() {
 	if r.readInFlight || len(r.waitingCallbacks) == 0 || r.readScheduled {
 		return
@@ -129,17 +134,17 @@
 	go r.runSharedRead(r.sharedReadStartedAt, r.replica.Cursor(), r.replica.IsLoaded(), callbacks)
 }
 
-// read carries a shared read out and has its result taken in on the event loop.
+// runSharedRead executes a shared read and applies its result on the event loop.
 func (r *Reader) runSharedRead(start time.Time, cursor uint64, loaded bool, callbacks []func(error)) {
 	err := ErrNotLoaded
-	var changes *wire.WatchResponse
+	var response *wire.WatchResponse
 	if loaded {
-		changes, err = r.store.Watch(r.ctx, r.config.KeyPrefix, cursor, 0)
+		response, err = r.store.Watch(r.ctx, r.config.KeyPrefix, cursor, 0)
 	}
 	r.loop.Enqueue(func() {
 		r.readInFlight = false
 		if err == nil {
-			r.replica.Apply(changes)
+			r.replica.Apply(response)
 			r.replica.AdvanceReadTime(start)
 			now := r.loop.Now()
 			r.sharedReadSucceededAt.Store(&now)
@@ -151,20 +156,20 @@
 	})
 }
 
-// sharedReadInterval spaces shared reads.
+// sharedReadInterval returns the minimum time between the starts of two shared reads.
 func (r *Reader) sharedReadInterval() time.Duration {
 	return max(r.fairReadInterval(), minSharedReadInterval)
 }
 
-// fairReadInterval is how far apart the reads of one controller have to be for all together
-// to keep within their share of the store's limit.
+// fairReadInterval returns the time between two reads of one controller at which all controllers
+// together stay within readShare of the store's rate limit.
 func (r *Reader) fairReadInterval() time.Duration {
 	perSecond := r.config.RequestsPerSecond * readShare
 	return time.Duration(float64(time.Second) * float64(r.config.ControllerCount) / perSecond)
 }
 
-// Follow keeps the replica current until ctx ends. While shared reads do so it stands
-// back: both would ask for, and decode, the same changes.
+// Follow keeps the replica up to date until ctx ends. It pauses while shared reads do so, because
+// both would request and decode the same changes.
 func (r *Reader) Follow(ctx context.Context) {
 	interval := max(r.fairReadInterval(), minWatchInterval)
 	var cursor uint64
@@ -192,7 +197,8 @@
 	}
 }
 
-// sharedReadCoverage is how long shared reads still keep the replica current.
+// sharedReadCoverage returns how long after now the replica counts as up to date because of the
+// last shared read. It is zero or negative if a watch is needed.
 func (r *Reader) sharedReadCoverage(now time.Time) time.Duration {
 	at := r.sharedReadSucceededAt.Load()
 	if at == nil {
@@ -201,18 +207,18 @@
 	return 2*r.sharedReadInterval() - now.Sub(*at)
 }
 
-// load reads everything and sets cursor to the replica's.
+// loadAll reads all keys, applies them to the replica and sets cursor to the replica's cursor.
 func (r *Reader) loadAll(ctx context.Context, start time.Time, cursor *uint64) error {
 	items, revision, err := r.store.List(ctx, r.config.KeyPrefix)
 	if err != nil {
 		return fmt.Errorf("full read: %w", err)
 	}
-	changes, err := r.store.Watch(ctx, r.config.KeyPrefix, revision, 0)
+	response, err := r.store.Watch(ctx, r.config.KeyPrefix, revision, 0)
 	if err != nil {
 		return fmt.Errorf("changes since the full read: %w", err)
 	}
 	r.loop.Call(ctx, func() {
-		r.replica.Load(items, revision, changes)
+		r.replica.Load(items, revision, response)
 		r.config.OnLoaded()
 		r.replica.AdvanceReadTime(start)
 		*cursor = r.replica.Cursor()
@@ -220,14 +226,14 @@
 	return nil
 }
 
-// follow waits for changes after cursor, takes them in and moves cursor on.
+// watchOnce waits for changes after cursor, applies them and advances cursor.
 func (r *Reader) watchOnce(ctx context.Context, start time.Time, cursor *uint64) error {
-	changes, err := r.store.Watch(ctx, r.config.KeyPrefix, *cursor, watchWait)
+	response, err := r.store.Watch(ctx, r.config.KeyPrefix, *cursor, watchWait)
 	if err != nil {
 		return fmt.Errorf("watch: %w", err)
 	}
 	r.loop.Call(ctx, func() {
-		r.replica.Apply(changes)
+		r.replica.Apply(response)
 		r.replica.AdvanceReadTime(start)
 		*cursor = r.replica.Cursor()
 	})
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,13 +1,14 @@
-// Package replica keeps a controller's local copy of the key-value store: which revision of
-// each key is known, up to which revision all changes are known, and how fresh that is.
+// Package replica maintains a controller's local copy of the key-value store. It tracks the known
+// revision of each key, the revision up to which all changes are known, and the age of that
+// information.
 //
-// A Replica owns the order of changes. Results of a controller's own writes, pages of a
-// full read and the responses of watches reach it in any order; it hands each change to a
-// Handler once, oldest first for a key, and drops what a later change has overtaken. It
-// does not know what the values mean: the Handler decodes and indexes them.
+// A Replica determines the order of changes. The results of a controller's own writes, the pages
+// of full reads and the responses to watches arrive in any order. The replica passes each change
+// to a Handler once, in the order of revisions for each key, and drops changes that a later one
+// has superseded. It does not interpret values: the Handler decodes and indexes them.
 //
-// A Replica and a Reader belong to the event loop's goroutine. They hold no lock. Only
-// Reader.Follow runs on a goroutine of its own; it reaches the state by EventLoop.Call.
+// A Replica and a Reader are used only on the event loop's goroutine and have no locks. Only
+// Reader.Follow runs on its own goroutine; it accesses the replica through EventLoop.Call.
 package replica
 
 import (
@@ -17,46 +18,47 @@
 	"eiderhitch/internal/wire"
 )
 
-// Handler takes in the changes of stored values.
+// Handler processes changes of stored values.
 type Handler interface {
-	// PutValue takes in a value that is new or has changed.
+	// PutValue processes a value that is new or has changed.
 	PutValue(key string, value json.RawMessage, revision uint64)
-	// DeleteValue forgets a value that PutValue has told of before.
+	// DeleteValue removes a value that was passed to PutValue before.
 	DeleteValue(key string)
-	// ChangesApplied is told when the changes of a watch have been taken in, and when
-	// that began.
+	// ChangesApplied is called after the changes of a watch have been applied, with the time at
+	// which that began.
 	ChangesApplied(begun time.Time)
 }
 
-// Replica is the local copy of the key-value store. The zero value is not ready for use.
+// Replica tracks the local copy of the key-value store. The zero value is not usable.
 type Replica struct {
 	handler Handler
-	// revisions has the revision of each key that is known to exist.
+	// revisions holds the revision of each key that is known to exist.
 	revisions map[string]uint64
-	// deleted has the revision at which a key was deleted, until the cursor has passed
-	// it: an older put may still arrive before that.
+	// deletedAt holds the revision at which a key was deleted. An entry is kept until the
+	// cursor reaches that revision, because an older put may still arrive before that.
 	deletedAt map[string]uint64
 	// cursor is the revision up to which all changes are known.
 	cursor uint64
-	// loaded is set once a full read has been taken in.
+	// loaded is set once a full read has been applied.
 	loaded bool
-	// lastReadStartedAt is when the last successful read began.
+	// lastReadStartedAt is the time at which the last successful read began.
 	lastReadStartedAt time.Time
 }
 
-// New returns an empty replica, which is not loaded.
+// New returns an empty replica that is not loaded.
 func New(handler Handler) *Replica {
 	return &Replica{handler: handler, revisions: map[string]uint64{}, deletedAt: map[string]uint64{}}
 }
 
-// IsLoaded reports whether a full read has been taken in: before that a key's absence says
-// nothing.
+// IsLoaded reports whether a full read has been applied. Before that, a key that is absent from
+// the replica may exist in the store.
 func (r *Replica) IsLoaded() bool { return r.loaded }
 
-// Cursor is the revision up to which all changes are known.
+// Cursor returns the revision up to which all changes are known.
 func (r *Replica) Cursor() uint64 { return r.cursor }
 
-// Revision is the revision of a key's last known change; 0 if it is not known to exist.
+// Revision returns the revision of a key's last known change, or 0 if the key is not known to
+// exist.
 func (r *Replica) Revision(key string) uint64 { return r.revisions[key] }
 
 // IsFreshWithin reports whether the last successful read began less than limit before now.
@@ -65,17 +67,18 @@
 	return r.loaded && now.Sub(r.lastReadStartedAt) < limit
 }
 
-// AdvanceReadTime notes that a read that began at start has been taken in.
+// AdvanceReadTime records that a read that began at start has been applied. A start before that
+// of an earlier call has no effect.
 func (r *Replica) AdvanceReadTime(start time.Time) {
 	if start.After(r.lastReadStartedAt) {
 		r.lastReadStartedAt = start
 	}
 }
 
-// Load takes in a full read: pages that were read at different revisions, of which the
-// first was at revision, and the changes since. Only both together are a state that ever
-// existed: a value that moved from one key to another between two pages would else be
-// seen twice, or not at all.
+// Load applies a full read. It consists of items from pages that were read at different
+// revisions, the first at revision, and of the changes since revision. Only both together are a
+// state that existed at one time: a value that moved between keys from one page to the next
+// would otherwise be seen twice or not at all.
 func (r *Replica) Load(items []wire.Item, revision uint64, changes *wire.WatchResponse) {
 	listed := make(map[string]bool, len(items))
 	for i := range items {
@@ -94,20 +97,20 @@
 	r.loaded = true
 }
 
-// Apply takes in the response of a watch that began at or before the cursor.
-func (r *Replica) Apply(changes *wire.WatchResponse) {
+// Apply applies the response to a watch that began at or before the cursor.
+func (r *Replica) Apply(response *wire.WatchResponse) {
 	defer r.handler.ChangesApplied(time.Now())
-	if changes.Revision <= r.cursor {
+	if response.Revision <= r.cursor {
 		return
 	}
-	for _, event := range changes.Events {
+	for _, event := range response.Events {
 		if event.Delete != "" {
 			r.Delete(event.Delete, event.Revision)
 		} else {
 			r.Put(event.Put, event.Value, event.Revision)
 		}
 	}
-	r.cursor = changes.Revision
+	r.cursor = response.Revision
 	for key, revision := range r.deletedAt {
 		if revision <= r.cursor {
 			delete(r.deletedAt, key)
@@ -115,7 +118,7 @@
 	}
 }
 
-// ApplyTxn takes in the changes of a transaction that succeeded at revision.
+// ApplyTxn applies the changes of a transaction that succeeded at revision.
 func (r *Replica) ApplyTxn(changes []wire.Change, revision uint64) {
 	for _, change := range changes {
 		if change.Delete != "" {
@@ -126,22 +129,22 @@
 	}
 }
 
-// Put takes in a value that was stored at revision, unless a later change of its key is
-// known.
+// Put applies a value that was stored at revision, unless the replica already knows this or a
+// later change of the key.
 func (r *Replica) Put(key string, value json.RawMessage, revision uint64) {
 	if r.revisions[key] >= revision || r.deletedAt[key] >= revision {
 		return
 	}
 	if r.revisions[key] == 0 && revision <= r.cursor {
-		// All changes up to the cursor are known, and the key does not exist: it was
-		// deleted after this put, which is the late result of a write of our own.
+		// All changes up to the cursor are known and the key does not exist, so it was deleted
+		// after this put. The put is the late result of one of the controller's own writes.
 		return
 	}
 	r.revisions[key] = revision
 	r.handler.PutValue(key, value, revision)
 }
 
-// Delete takes in that a key was deleted at revision, unless a later change is known.
+// Delete applies the deletion of a key at revision, unless a later change of the key is known.
 func (r *Replica) Delete(key string, revision uint64) {
 	if r.revisions[key] > revision {
 		return
@@ -156,6 +159,6 @@
 	r.handler.DeleteValue(key)
 }
 
-// Forget drops a key that is never written again from the replica's own books, so that
-// memory does not grow with all that has ever been stored. The handler is not told.
+// Forget stops tracking a key that is never written again, so that memory does not grow with the
+// number of keys that were ever stored. The handler is not called.
 func (r *Replica) Forget(key string) { delete(r.revisions, key) }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -19,20 +19,20 @@
 	"eiderhitch/internal/wire"
 )
 
-// index is a Handler that remembers the values it was given.
+// valueMap is a Handler that keeps the current value of each key.
 type valueMap map[string]string
 
 func (m valueMap) PutValue(key string, value json.RawMessage, _ uint64) { m[key] = string(value) }
 func (m valueMap) DeleteValue(key string)                               { delete(m, key) }
 func (x valueMap) ChangesApplied(time.Time)                             {}
 
-// fakeStore is a key-value store in memory that keeps its whole history.
+// fakeStore is an in-memory key-value store that keeps its whole history.
 type fakeStore struct {
 	mu      sync.Mutex
 	values  map[string]wire.Item
 	history []wire.Event
-	err     error
-	// watches counts the calls of Watch.
+	err     error // result of all calls
+	// watches is the number of calls of Watch.
 	watches int
 }
 
@@ -40,7 +40,7 @@
 
 func (s *fakeStore) revision() uint64 { return uint64(len(s.history)) }
 
-// put stores a value, or deletes the key if value is empty, and returns the revision.
+// put stores a value, or deletes the key if value is empty, and returns the new revision.
 func (s *fakeStore) put(key, value string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +56,7 @@
 	return revision
 }
 
-// fail has all calls fail with err; nil: succeed again.
+// fail makes all calls return err until the next fail. With nil, calls succeed again.
 func (s *fakeStore) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,15 +91,15 @@
 	return out
 }
 
-// deliveries draws an order in which a replica learns of what is stored.
+// deliveryModel makes random writes to a store and delivers them to a replica in a random order.
 type deliveryModel struct {
 	store   *fakeStore
 	replica *replica.Replica
-	// results of own writes, which may arrive late and more than once.
+	// results apply the controller's own writes. They may arrive late and more than once.
 	results []func()
 }
 
-// step draws one write or one delivery.
+// step makes one random write or one random delivery.
 func (d *deliveryModel) step(t *rapid.T) {
 	switch rapid.SampledFrom([]string{"write", "result", "watch", "load"}).Draw(t, "step") {
 	case "write":
@@ -123,8 +123,9 @@
 	}
 }
 
-// Whatever the order in which own writes' results, watches and full reads arrive, a
-// replica that has read up to the end has what the store has.
+// A replica that has seen all changes has the same content as the store, regardless of the order
+// in which results of its own writes, watches and full reads arrived. Otherwise a late result
+// could restore a deleted or outdated value.
 func TestReplicaConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kv, values := newFakeStore(), valueMap{}
@@ -140,7 +141,7 @@
 			result()
 		}
 		if want := kv.contents(); !maps.Equal(values, want) {
-			t.Fatalf("the replica has %v, the store %v", values, want)
+			t.Fatalf("the replica contains %v, the store contains %v", values, want)
 		}
 		for key, item := range kv.values {
 			if got := r.Revision(key); got != item.Revision {
@@ -150,8 +151,8 @@
 	})
 }
 
-// A value that moved between two pages of a full read is seen once: pages count only
-// together with the changes since the first.
+// A value that moved between two keys while the pages of a full read were listed is seen once,
+// because Load also applies the changes since the first page.
 func TestLoadAppliesChangesSinceFirstPage(t *testing.T) {
 	values := valueMap{}
 	r := replica.New(values)
@@ -162,7 +163,7 @@
 	}
 }
 
-// eventLoop runs everything at once, under a lock that stands for the loop's goroutine.
+// eventLoop runs functions immediately, under a lock that replaces the loop's goroutine.
 type eventLoop struct{ lock chan struct{} }
 
 func newEventLoop() eventLoop { return eventLoop{make(chan struct{}, 1)} }
@@ -180,7 +181,7 @@
 	return true
 }
 
-// pass lets time pass, and waits for all that happens until then.
+// advanceTime sleeps for d and then waits until all goroutines of the test are idle.
 func advanceTime(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
@@ -193,8 +194,8 @@
 	return replica.NewReader(t.Context(), config, r, kv, loop), r, loop
 }
 
-// Reads that are asked for while one is under way share the next one: it begins after all
-// of them were asked for, and costs one request.
+// Reads that are requested while one is in progress share the next one, which costs a single
+// request and begins after all of them were requested.
 func TestConcurrentReadsAreShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := newFakeStore()
@@ -213,12 +214,12 @@
 		})
 		advanceTime(time.Second)
 		if succeeded != 5 || kv.watches != 2 {
-			t.Errorf("%d of 5 reads succeeded with %d requests, want 2", succeeded, kv.watches)
+			t.Errorf("%d of 5 reads succeeded with %d requests, want all 5 with 2 requests", succeeded, kv.watches)
 		}
 	})
 }
 
-// A read that fails says so to who asked once, and is repeated for who needs it to succeed.
+// AfterRead reports the failure of a read; AfterSuccessfulRead repeats the read until it succeeds.
 func TestFailedReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := newFakeStore()
@@ -227,7 +228,7 @@
 		loop.Enqueue(func() { reader.AfterRead(func(err error) { readErr = err }) })
 		advanceTime(time.Second)
 		if !errors.Is(readErr, replica.ErrNotLoaded) {
-			t.Errorf("before a full read: %v, want %v", readErr, replica.ErrNotLoaded)
+			t.Errorf("before a full read: got error %v, want %v", readErr, replica.ErrNotLoaded)
 		}
 		r.Load(nil, 0, &wire.WatchResponse{})
 		kv.fail(store.ErrNotExecuted)
@@ -238,18 +239,18 @@
 		})
 		advanceTime(5 * time.Second)
 		if !errors.Is(readErr, store.ErrNotExecuted) || succeeded {
-			t.Errorf("while the store refuses: %v, succeeded: %v", readErr, succeeded)
+			t.Errorf("while the store refuses requests: error %v, successful read: %v", readErr, succeeded)
 		}
 		kv.fail(nil)
 		advanceTime(time.Second)
 		if !succeeded {
-			t.Error("the read is not repeated until it succeeds")
+			t.Error("AfterSuccessfulRead did not call back after the store recovered")
 		}
 	})
 }
 
-// Follow reads everything once, then the changes; a store that has dropped the changes
-// since the cursor is read in full again.
+// Follow reads all keys once and then only changes. If the store no longer keeps the changes since
+// the cursor, Follow reads all keys again.
 func TestFollowLoadsThenWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := newFakeStore()
@@ -262,7 +263,7 @@
 		kv.put("b", "1")
 		advanceTime(time.Second)
 		if !r.IsLoaded() || r.Revision("b") != 2 || !r.IsFreshWithin(time.Second, time.Now()) {
-			t.Errorf("loaded: %v, revision of b: %d", r.IsLoaded(), r.Revision("b"))
+			t.Errorf("the replica does not follow the store: loaded: %v, revision of b: %d, want 2", r.IsLoaded(), r.Revision("b"))
 		}
 		kv.fail(store.ErrCompacted)
 		kv.put("a", "")
@@ -270,7 +271,7 @@
 		kv.fail(nil)
 		advanceTime(time.Second)
 		if r.Revision("a") != 0 || r.Cursor() != 3 {
-			t.Errorf("after a compaction: revision of a: %d, cursor %d", r.Revision("a"), r.Cursor())
+			t.Errorf("after a compaction: revision of a is %d, want 0; cursor is %d, want 3", r.Revision("a"), r.Cursor())
 		}
 		cancel()
 		<-finished
