--- a/internal/replica/reader.go
+++ b/internal/replica/reader.go
@@ -45,7 +45,7 @@
 type EventLoop interface {
 	// Now returns the time of the event that the loop is processing.
 	Now() time.Time
-	// Enqueue queues f without waiting for it to run.
+	// Enqueue queues f without waiting for it to run. It blocks while the queue is full.
 	Enqueue(f func())
 	// Call runs f and waits until it has returned. It returns false if ctx ended before f ran.
 	Call(ctx context.Context, f func()) bool
--- a/internal/store/adaptive_limiter.go
+++ b/internal/store/adaptive_limiter.go
@@ -9,37 +9,38 @@
 	"golang.org/x/time/rate"
 )
 
-// Shares of the store's limit of changes a second, which is for all controllers together.
+// Parameters relative to the store's limit on changes per second, which all controllers share.
 const (
-	initialShare    = 0.7 // rate of one controller at its start
+	initialShare    = 0.7 // initial rate of one controller
 	maxShare        = 0.9 // largest rate of one controller
-	minTotalShare   = 0.8 // least rates of all controllers, together
-	maxBurstSeconds = 0.5 // largest burst, in seconds' worth of the whole limit
+	minTotalShare   = 0.8 // sum of the lowest rates of all controllers
+	maxBurstSeconds = 0.5 // largest burst of one controller, as changes in this time at the full rate
 )
 
 const (
-	// rateIncrease is added, as a share of the largest rate, for each transaction that
-	// succeeds.
+	// rateIncrease is the share of the largest rate by which the rate increases with each
+	// successful transaction.
 	rateIncrease = 0.02
-	// rateDecrease is the factor when a transaction is throttled, once in
-	// decreaseInterval at most: several in flight are throttled for the same reason.
+	// rateDecrease is the factor by which the rate is multiplied when a transaction is
+	// throttled. That happens at most once in decreaseInterval, because several transactions
+	// in flight can be throttled for the same reason.
 	rateDecrease     = 0.75
 	decreaseInterval = 500 * time.Millisecond
 
-	// batchSeconds is how many seconds' worth of changes one transaction has at most.
+	// batchSeconds limits the changes of one transaction to those that the current rate allows
+	// in this time.
 	batchSeconds = 0.3
-	// minBatchChanges is how many changes a transaction may always have.
+	// minBatchChanges is the number of changes that a transaction may have at any rate.
 	minBatchChanges = 4
-	// maxDebtSeconds is how many seconds' worth of changes immediate writes may put the
-	// others back.
+	// maxDebtSeconds is about the longest time by which immediate writes can delay the others.
 	maxDebtSeconds = 0.3
 )
 
-// adaptiveLimiter limits how fast one controller writes. The store's limit is for all
-// controllers together, and they need very different shares of it: each goes faster while
-// nothing is throttled, and slower when the store says that it is too much (additive
-// increase, multiplicative decrease). A fixed share would leave the leader short while
-// others need little. Its methods may be called concurrently.
+// adaptiveLimiter limits the rate at which one controller writes. The controllers share the store's
+// limit and need very different shares of it. Each one increases its rate while its transactions
+// succeed and decreases it when the store throttles them (additive increase, multiplicative
+// decrease). With a fixed share, the leader's rate would be too low while the other controllers
+// write little. Its methods may be called concurrently.
 type adaptiveLimiter struct {
 	limiter          *rate.Limiter
 	minRate, maxRate rate.Limit
@@ -48,40 +49,43 @@
 	decreasedAt time.Time
 }
 
-func newAdaptiveLimiter(writeRPS float64, controllers, maxChanges int) *adaptiveLimiter {
-	fullRate := rate.Limit(writeRPS)
+func newAdaptiveLimiter(changesPerSecond float64, controllers, maxChanges int) *adaptiveLimiter {
+	fullRate := rate.Limit(changesPerSecond)
 	return &adaptiveLimiter{
-		limiter: rate.NewLimiter(fullRate*initialShare, max(maxChanges, int(writeRPS*maxBurstSeconds))),
+		limiter: rate.NewLimiter(fullRate*initialShare, max(maxChanges, int(changesPerSecond*maxBurstSeconds))),
 		minRate: fullRate * minTotalShare / rate.Limit(max(controllers, 1)),
 		maxRate: fullRate * maxShare,
 	}
 }
 
-// batch returns how many changes one transaction should have at most: what the limit frees
-// in a fraction of a second. One that wants a whole second's worth at once would be
-// throttled time after time while others take it change by change.
+// maxBatchChanges returns the largest number of changes that one transaction should have: as many
+// as the rate allows in a fraction of a second. A transaction with as many changes as the limit
+// allows in a whole second would be throttled repeatedly, because smaller transactions of other
+// controllers keep using up the limit.
 func (r *adaptiveLimiter) maxBatchChanges(maxChanges int) int {
-	return min(maxChanges, max(minBatchChanges, int(r.rate()*batchSeconds)))
+	return min(maxChanges, max(minBatchChanges, int(r.changesPerSecond()*batchSeconds)))
 }
 
-// rate returns the present rate in changes a second.
-func (r *adaptiveLimiter) rate() float64 { return float64(r.limiter.Limit()) }
+// changesPerSecond returns the current rate.
+func (r *adaptiveLimiter) changesPerSecond() float64 { return float64(r.limiter.Limit()) }
 
-// wait waits until a number of changes may be sent. Immediate ones don't wait, but count.
+// wait waits until a transaction with this number of changes may be sent, and returns an error if
+// ctx ends first. Immediate changes don't wait. They count toward the rate until others would be
+// delayed by more than maxDebtSeconds.
 func (r *adaptiveLimiter) wait(ctx context.Context, changes int, immediate bool) error {
 	changes = min(changes, r.limiter.Burst())
 	if !immediate {
 		return r.limiter.WaitN(ctx, changes)
 	}
-	// After an outage the first controller that users reach gets all that they have put
-	// off, for which it would else store nothing of its own for seconds.
-	if now := time.Now(); r.limiter.TokensAt(now) > -maxDebtSeconds*r.rate() {
+	// After an outage, the first controller that becomes ready receives all requests that users
+	// have postponed. Without this limit on the debt, it could store no other writes for seconds.
+	if now := time.Now(); r.limiter.TokensAt(now) > -maxDebtSeconds*r.changesPerSecond() {
 		r.limiter.ReserveN(now, changes)
 	}
 	return nil
 }
 
-// answered adapts the rate to the result of a transaction.
+// observeResult adapts the rate to the result of a transaction.
 func (r *adaptiveLimiter) observeResult(now time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -3,15 +3,18 @@
 import "context"
 
 const (
-	// MaxTxnBytes leaves room below the 64 KiB that a transaction may have.
+	// MaxTxnBytes is the largest estimated size of a transaction. It leaves a margin below the
+	// store's limit of 64 KiB.
 	MaxTxnBytes = 56 << 10
-	// maxConflictProneChanges is how many changes a transaction with contested writes may have.
+	// maxConflictProneChanges is the largest number of changes in a transaction that contains a
+	// conflict-prone write.
 	maxConflictProneChanges = 4
-	// conditionsPerChange bounds the conditions of a transaction; the store allows four.
+	// conditionsPerChange, times the limit on changes, is the largest number of conditions in a
+	// transaction. The store allows four conditions per change.
 	conditionsPerChange = 3
 )
 
-// batch is the writes that are to share a transaction, and what they add up to.
+// batch collects writes for one transaction, with their total numbers and sizes.
 type batch struct {
 	writes        []*Write
 	changes       int
@@ -19,9 +22,9 @@
 	bytes         int
 	conflictProne bool
 	changedKeys   map[string]bool // the keys that the writes change
-	// overlapping: a write reads or changes a key that an earlier one changes. They must
-	// not share a transaction: the conditions of both would hold, and "cancelled" and
-	// "done" of one job could both be granted.
+	// hasOverlap is set if a write reads or changes a key that an earlier write changes. Such
+	// writes must not share a transaction: the conditions of both would hold, so that for
+	// example both the cancellation and the completion of a job could succeed.
 	hasOverlap bool
 }
 
@@ -44,7 +47,7 @@
 	b.conflictProne = b.conflictProne || write.ConflictProne
 }
 
-// overlaps tells whether a write reads or changes a key that the batch changes.
+// overlaps reports whether a write reads or changes a key that the batch changes.
 func (b *batch) overlaps(write *Write) bool {
 	for i := range write.Conditions {
 		if b.changedKeys[write.Conditions[i].Key] {
@@ -59,7 +62,7 @@
 	return false
 }
 
-// fits tells whether the writes may share a transaction of at most maxChanges.
+// fits reports whether the writes may share a transaction of at most maxChanges changes.
 func (b *batch) fits(maxChanges int) bool {
 	if b.conflictProne {
 		maxChanges = min(maxChanges, maxConflictProneChanges)
@@ -67,11 +70,13 @@
 	return !b.hasOverlap && b.changes <= maxChanges && b.conditions <= conditionsPerChange*maxChanges && b.bytes <= MaxTxnBytes
 }
 
-// queues are the queues that one worker takes writes from, in this order; nil: none.
+// queues holds the queues from which one committer takes writes, in the order of priority. A
+// queue that is nil is not used.
 type queues struct{ highPriority, mediumPriority, normalPriority <-chan *Write }
 
-// gather takes the writes that are queued behind the first one and fit into a transaction of
-// at most maxChanges with it, and the next one, if any, that doesn't fit any more.
+// gatherBatch takes writes from the queues as long as they fit into a transaction of at most
+// maxChanges changes together with the first one. It returns these writes and, if it took one
+// that no longer fits, that one as next.
 func (q *queues) gatherBatch(first *Write, maxChanges int) (writes []*Write, next *Write) {
 	b := newBatch(first)
 	for b.fits(maxChanges) {
@@ -83,12 +88,13 @@
 	}
 	last := len(b.writes) - 1
 	if last == 0 {
-		return b.writes, nil // larger alone than a batch should be
+		return b.writes, nil // a single write is sent even if it exceeds the limits of a batch
 	}
 	return b.writes[:last], b.writes[last]
 }
 
-// wait returns the write whose turn it is, waiting for one until ctx ends; nil then.
+// wait returns the next write in the order of priority. It waits for one if all queues are empty,
+// and returns nil if ctx ends first.
 func (q *queues) wait(ctx context.Context) *Write {
 	if write := receiveFirst(q.highPriority, q.mediumPriority, q.normalPriority); write != nil {
 		return write
@@ -105,7 +111,9 @@
 	}
 }
 
-// following returns a queued write that may go with the first one, or nil.
+// nextForBatch returns the next queued write that may share a transaction with the first one, or
+// nil if none is queued. Immediate writes share transactions only with each other, because other
+// transactions wait for the rate limit.
 func (q *queues) nextForBatch(first *Write) *Write {
 	if first.isImmediate() {
 		return receiveFirst(q.highPriority)
@@ -113,7 +121,7 @@
 	return receiveFirst(q.mediumPriority, q.normalPriority)
 }
 
-// poll takes a write from the first queue that has one, or returns nil.
+// receiveFirst takes a write from the first queue that has one. It returns nil if all are empty.
 func receiveFirst(queues ...<-chan *Write) *Write {
 	for _, queue := range queues {
 		select {
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// callTimeout bounds each call; the store mostly answers within 10 ms.
+	// callTimeout is the timeout of each call. The store usually responds within 10 ms.
 	callTimeout = 1500 * time.Millisecond
-	// listTimeout bounds the read of one page of keys.
+	// listTimeout is the timeout for reading one page of keys.
 	listTimeout = 2 * callTimeout
-	// listPageSize is how many keys are read at a time.
+	// listPageSize is the number of keys on a page, as a query parameter.
 	listPageSize = "400"
 )
 
-// noSuchLeaseMessage is the store's answer to a put under a lease that has expired.
+// noSuchLeaseMessage is the error text in the store's response to a put under an expired lease.
 const noSuchLeaseMessage = "no such lease"
 
-// Client calls the key-value store. Its methods may be called concurrently.
+// Client is a client of the key-value store. Its methods may be called concurrently.
 type Client struct {
 	base string
 	http *http.Client
@@ -35,10 +35,12 @@
 	watches, txns, changes, appliedChanges, renewals, refusedRequests, conflicts atomic.Int64
 }
 
-// Stats are numbers of calls, and of changes in transactions, since the last Stats.
+// Stats holds the numbers of calls, and of changes in transactions, between two calls of
+// TakeStats. RefusedRequests counts responses with status 429 or 503, AppliedChanges the changes of
+// successful transactions, and Conflicts the transactions with a failed condition.
 type Stats struct{ Watches, Txns, Changes, AppliedChanges, Renewals, RefusedRequests, Conflicts int64 }
 
-// TakeStats returns the numbers since its last call and resets them.
+// TakeStats returns the numbers since its last call and resets them to zero.
 func (c *Client) TakeStats() Stats {
 	return Stats{
 		Watches:         c.watches.Swap(0),
@@ -51,26 +53,27 @@
 	}
 }
 
-// NewClient returns a client of the key-value store at addr (host:port) that sends its
-// requests by transport.
+// NewClient returns a client of the key-value store at addr (host:port) that sends its requests
+// through transport.
 func NewClient(addr string, transport http.RoundTripper) *Client {
 	return &Client{base: "http://" + addr, http: &http.Client{Transport: transport}}
 }
 
-// request is one call of the store.
+// request describes one call of the store.
 type request struct {
 	method  string
 	path    string
-	body    any // nil: none
+	body    any // encoded as JSON; nil if the request has no body
 	timeout time.Duration
-	// statusErrors are the errors that statuses mean for this call alone.
+	// statusErrors maps response statuses to errors that are specific to this call.
 	statusErrors map[int]error
 }
 
-// errKeyNotFound says that a key does not exist.
+// errKeyNotFound reports that a key does not exist.
 var errKeyNotFound = errors.New("key-value store: no such key")
 
-// call sends a request and decodes the response into out, unless that is nil.
+// call sends a request and decodes the response into out. If out is nil, the response body is
+// ignored.
 func (c *Client) call(ctx context.Context, r request, out any) error {
 	response, err := httpjson.Do(ctx, c.http, httpjson.Request{Method: r.method, URL: c.base + r.path, Body: r.body, Timeout: r.timeout})
 	if _, unanswered := errors.AsType[*httpjson.NoResponseError](err); unanswered {
@@ -99,7 +102,7 @@
 	return r.statusError(response.Status)
 }
 
-// badRequest returns what a status 400 means.
+// badRequestError returns the error for a response with status 400 and this body.
 func badRequestError(body []byte) error {
 	var answer struct {
 		Error string `json:"error"`
@@ -110,7 +113,7 @@
 	return ErrInvalid
 }
 
-// statusError returns what any other status means.
+// statusError returns the error, or nil, for a status that is not the same for all calls.
 func (r *request) statusError(status int) error {
 	if err, known := r.statusErrors[status]; known {
 		return err
@@ -124,8 +127,8 @@
 	return &httpjson.StatusError{Status: status}
 }
 
-// Txn executes one transaction. On ErrConflict, and then alone, a response comes with the
-// error: it names the keys whose conditions failed.
+// Txn executes one transaction. With ErrConflict it also returns a response, which names the keys
+// whose conditions failed; with any other error the response is nil.
 func (c *Client) Txn(ctx context.Context, txn *wire.Txn) (*wire.TxnResponse, error) {
 	if txn.Conditions == nil {
 		txn.Conditions = []wire.Condition{}
@@ -148,8 +151,9 @@
 	}
 }
 
-// List reads all keys below a prefix, page by page, in the order of the keys. The revision
-// is the one of the first page: a Watch from there sees whatever the pages may lack.
+// List reads all keys below a prefix, page by page, in the order of the keys. It returns the
+// revision of the first page; a Watch from this revision returns the changes that later pages may
+// have missed.
 func (c *Client) List(ctx context.Context, prefix string) ([]wire.Item, uint64, error) {
 	var items []wire.Item
 	var revision uint64
@@ -170,7 +174,8 @@
 	}
 }
 
-// listPage reads the keys below a prefix that follow a key; "": from the first one.
+// listPage reads one page of the keys below a prefix that follow the key after. If after is "", the
+// page starts at the first key.
 func (c *Client) listPage(ctx context.Context, prefix, after string) (*wire.ItemPage, error) {
 	query := url.Values{"starts": {prefix}, "most": {listPageSize}}
 	if after != "" {
@@ -181,7 +186,7 @@
 	return &page, err
 }
 
-// Revision returns the revision of a key's last change; 0: the key does not exist.
+// Revision returns the revision of a key's last change, or 0 if the key does not exist.
 func (c *Client) Revision(ctx context.Context, key string) (uint64, error) {
 	item, err := c.Get(ctx, key)
 	if err != nil || item == nil {
@@ -190,7 +195,7 @@
 	return item.Revision, nil
 }
 
-// Get reads a key; nil without an error: the key does not exist.
+// Get reads a key. It returns nil without an error if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (*wire.Item, error) {
 	var item wire.Item
 	err := c.call(ctx, request{method: http.MethodGet, path: "/kv/" + key, timeout: callTimeout,
@@ -204,8 +209,8 @@
 	return &item, nil
 }
 
-// Watch returns the changes below a prefix after a revision. If there are none yet it waits
-// for one for up to wait, and then returns none.
+// Watch returns the changes below a prefix after the revision since. If there are none, it waits up
+// to wait for one, and returns none after that.
 func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (*wire.WatchResponse, error) {
 	query := url.Values{
 		"starts": {prefix},
@@ -222,7 +227,8 @@
 	return &response, nil
 }
 
-// GrantLease obtains a lease that expires unless it is renewed within each ttl.
+// GrantLease creates a lease and returns its id. The lease expires when it has not been renewed for
+// ttl.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	var response wire.LeaseResponse
 	err := c.call(ctx, request{method: http.MethodPost, path: "/leases", body: wire.LeaseRequest{TTLMS: ttl.Milliseconds()}, timeout: callTimeout}, &response)
@@ -232,7 +238,8 @@
 	return response.Lease, nil
 }
 
-// RenewLease gives a lease its full time again; ErrLeaseExpired: it has ended.
+// RenewLease restarts the time to live of a lease. It returns ErrLeaseExpired if the lease has
+// expired or was revoked.
 func (c *Client) RenewLease(ctx context.Context, id uint64) error {
 	c.renewals.Add(1)
 	err := c.call(ctx, request{method: http.MethodPost, path: fmt.Sprintf("/leases/%d/extend", id), body: struct{}{}, timeout: callTimeout,
@@ -243,11 +250,11 @@
 	return nil
 }
 
-// RevokeLease ends a lease, and deletes its keys, at once. One that has ended is no error.
+// RevokeLease ends a lease and deletes its keys. It returns nil if the lease has already ended.
 func (c *Client) RevokeLease(ctx context.Context, id uint64) error {
 	err := c.call(ctx, request{method: http.MethodDelete, path: fmt.Sprintf("/leases/%d", id), timeout: callTimeout}, nil)
 	if _, unexpected := errors.AsType[*httpjson.StatusError](err); unexpected {
-		return nil // 404: it has ended; after any other status it will expire
+		return nil // status 404 means that the lease has ended; after any other status it will expire
 	}
 	if err != nil {
 		return fmt.Errorf("revoke lease %d: %w", id, err)
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -16,7 +16,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// scripted answers every request alike and keeps what was sent.
+// fixedTransport gives the same response or error to every request and keeps the last request.
 type fixedTransport struct {
 	status      int
 	body        string
@@ -27,7 +27,7 @@
 func (s *fixedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	var body []byte
 	if r.Body != nil {
-		body, _ = io.ReadAll(r.Body) // what can't be read fails the comparison
+		body, _ = io.ReadAll(r.Body) // after a read error the comparison of the request fails
 	}
 	s.sentRequest = strings.TrimSpace(fmt.Sprintf("%s %s %s", r.Method, r.URL, body))
 	if s.err != nil {
@@ -36,8 +36,8 @@
 	return &http.Response{StatusCode: s.status, Body: io.NopCloser(strings.NewReader(s.body)), Header: http.Header{}}, nil
 }
 
-// calls are all calls of a client.
-var calls = []struct {
+// clientCalls are all calls of a client, with the requests that they send.
+var clientCalls = []struct {
 	name, sent string
 	call       func(context.Context, *store.Client) error
 }{
@@ -69,10 +69,11 @@
 	{"revoke", `DELETE http://kv:1/leases/7`, func(ctx context.Context, c *store.Client) error { return c.RevokeLease(ctx, 7) }},
 }
 
-// kinds are the errors that callers tell apart.
+// errorKinds are the errors that callers distinguish.
 var errorKinds = []error{store.ErrConflict, store.ErrLeaseExpired, store.ErrCompacted, store.ErrInvalid, store.ErrNotExecuted, store.ErrThrottled, store.ErrOutcomeUnknown}
 
-// hasExactlyKinds tells whether err is of exactly the kinds in want; none, or nil: no error.
+// hasExactlyKinds reports whether err is of exactly the kinds in want. If want is empty or starts
+// with nil, it reports whether err is nil.
 func hasExactlyKinds(err error, want []error) bool {
 	if len(want) == 0 || want[0] == nil {
 		return err == nil
@@ -85,15 +86,16 @@
 	return err != nil
 }
 
-// Each call sends exactly this, and each answer becomes the error that callers decide on.
+// Each call sends exactly the expected request, and each response becomes the error by which callers
+// decide whether to retry.
 func TestRequestsAndErrors(t *testing.T) {
 	other := errors.New("an error of none of these kinds")
 	for _, test := range []struct {
 		status     int
 		body       string
 		err        error
-		want       []error          // of every call
-		exceptions map[string]error // of these calls; nil: none
+		want       []error          // for all calls but the exceptions; none: no error
+		exceptions map[string]error // by name of the call; nil: no error
 	}{
 		{status: 200, body: `{}`},
 		{status: 200, body: `{`, want: []error{store.ErrOutcomeUnknown}, exceptions: map[string]error{"renew": nil, "revoke": nil}},
@@ -107,18 +109,18 @@
 		{status: 500, want: []error{store.ErrOutcomeUnknown}},
 		{err: errors.New("reset"), want: []error{store.ErrOutcomeUnknown}},
 	} {
-		for _, call := range calls {
+		for _, call := range clientCalls {
 			transport := &fixedTransport{status: test.status, body: test.body, err: test.err}
 			err := call.call(t.Context(), store.NewClient("kv:1", transport))
 			if transport.sentRequest != call.sent {
-				t.Errorf("%s sent\n%s, not\n%s", call.name, transport.sentRequest, call.sent)
+				t.Errorf("%s: sent\n%s, want\n%s", call.name, transport.sentRequest, call.sent)
 			}
 			want := test.want
 			if e, ok := test.exceptions[call.name]; ok {
 				want = []error{e}
 			}
 			if !hasExactlyKinds(err, want) {
-				t.Errorf("%s, %d %s: %v, not %v", call.name, test.status, test.body, err, want)
+				t.Errorf("%s with response %d %s: got error %v, want %v", call.name, test.status, test.body, err, want)
 			}
 		}
 	}
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -10,24 +10,26 @@
 )
 
 const (
-	// maxInteractiveAttempts is how often an urgent write is offered to a store that refuses it.
+	// maxInteractiveAttempts is the number of attempts after which an interactive write that the
+	// store refuses is given up.
 	maxInteractiveAttempts = 3
-	// minBackoff and maxBackoff bound the pause between two attempts, before jitter.
+	// minBackoff and maxBackoff are the limits of the pause between two attempts. Jitter is
+	// added to the pause.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 200 * time.Millisecond
 )
 
-// commit is a batch of writes on its way into the store. Once a write's outcome is known it
-// is resolved and leaves pending.
+// commit is the process of storing a batch of writes. A write whose outcome is known is resolved
+// and removed from pending.
 type commit struct {
 	writer  *Writer
 	pending []*Write
-	backoff time.Duration // the pause after the next attempt without an outcome
+	backoff time.Duration // pause after the next attempt without an outcome, before jitter
 }
 
-// commit attempts writes until the outcome of each is known. An attempt without an answer is
-// repeated with the same conditions: if the first one was or will be applied, the repeat
-// fails by them, so that nothing is applied twice.
+// commit attempts writes until the outcome of each is known. An attempt without a response is
+// repeated with the same conditions. If the first attempt was or will be applied, the conditions
+// make one of the two fail, so that nothing is applied twice.
 func (w *Writer) commit(ctx context.Context, writes []*Write) {
 	c := &commit{writer: w, pending: writes, backoff: minBackoff}
 	for {
@@ -39,7 +41,8 @@
 	}
 }
 
-// dropCancelledAndExpired resolves the writes that were cancelled or have expired.
+// dropCancelledAndExpired resolves writes that were cancelled or have expired, without sending
+// them.
 func (c *commit) dropCancelledAndExpired(now time.Time) {
 	c.resolveWhere(func(write *Write) error {
 		switch {
@@ -53,11 +56,11 @@
 	})
 }
 
-// attempt sends the pending writes in one transaction and acts on its outcome.
+// attempt sends the pending writes in one transaction and processes its result.
 func (c *commit) attempt(ctx context.Context) {
 	txn := buildTransaction(c.pending)
-	// Users' writes don't queue behind those of records for the local rate limit: they
-	// are few, and after an outage there are seconds' worth of records.
+	// Immediate writes don't wait for the local rate limit. They are few, and after an outage
+	// other writes can keep the limiter busy for seconds.
 	if err := c.writer.limiter.wait(ctx, len(txn.Changes), c.pending[0].isImmediate()); err != nil {
 		c.resolveAll(0, errWriterStopped)
 		return
@@ -79,14 +82,15 @@
 	}
 }
 
-// buildTransaction returns the transaction that has all conditions and changes of some writes.
+// buildTransaction returns a transaction with all conditions and changes of the writes. A condition
+// that several writes have is included once.
 func buildTransaction(writes []*Write) *wire.Txn {
 	txn := &wire.Txn{}
-	known := map[wire.Condition]bool{}
+	added := map[wire.Condition]bool{}
 	for _, write := range writes {
 		for _, condition := range write.Conditions {
-			if !known[condition] {
-				known[condition] = true
+			if !added[condition] {
+				added[condition] = true
 				txn.Conditions = append(txn.Conditions, condition)
 			}
 		}
@@ -95,8 +99,8 @@
 	return txn
 }
 
-// resolveConflicts resolves the writes that have a condition on one of the failed keys. The
-// others are to be attempted again.
+// resolveConflicts resolves the writes that have a condition on one of the failed keys. The others
+// stay pending for another attempt.
 func (c *commit) resolveConflicts(failed []string, err error) {
 	before := len(c.pending)
 	c.resolveWhere(func(write *Write) error {
@@ -107,12 +111,13 @@
 		}
 		return nil
 	})
-	if len(c.pending) == before { // no failed key is one of ours: a retry would fail alike
+	if len(c.pending) == before { // no write has a failed key, so a retry would fail in the same way
 		c.resolveAll(0, err)
 	}
 }
 
-// resolveInvalid finds which write makes a transaction invalid by committing each by itself.
+// resolveInvalid determines which write makes a transaction invalid by committing each write
+// separately.
 func (c *commit) resolveInvalid(ctx context.Context, err error) {
 	if len(c.pending) == 1 {
 		c.resolveAll(0, err)
@@ -125,9 +130,9 @@
 	}
 }
 
-// giveUpInteractive resolves the urgent writes that have been attempted often enough. Users are
-// answered soon, so that they know when to come back: an urgent write is not repeated
-// after an unknown outcome, and seldom after a refusal.
+// giveUpInteractive resolves the interactive writes that must not be retried further. An
+// interactive write is not repeated after an unknown outcome, and only a few times after a refusal,
+// so that users get a response soon and can retry later.
 func (c *commit) giveUpInteractive(err error) {
 	refused := errors.Is(err, ErrNotExecuted)
 	c.resolveWhere(func(write *Write) error {
@@ -139,7 +144,8 @@
 	})
 }
 
-// wait pauses before the next attempt. If ctx ends meanwhile nothing is attempted any more.
+// wait pauses before the next attempt. If ctx ends during the pause, it resolves all pending
+// writes.
 func (c *commit) wait(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -149,10 +155,10 @@
 	}
 }
 
-// resolveWhere resolves the pending writes that outcome returns an error for.
-func (c *commit) resolveWhere(outcome func(*Write) error) {
+// resolveWhere resolves the pending writes for which errorOf returns an error, with that error.
+func (c *commit) resolveWhere(errorOf func(*Write) error) {
 	c.pending = slices.DeleteFunc(c.pending, func(write *Write) bool {
-		err := outcome(write)
+		err := errorOf(write)
 		if err != nil {
 			c.writer.resolve(write, 0, err)
 		}
@@ -160,7 +166,7 @@
 	})
 }
 
-// resolveAll resolves all pending writes alike.
+// resolveAll resolves all pending writes with the same outcome.
 func (c *commit) resolveAll(revision uint64, err error) {
 	for _, write := range c.pending {
 		c.writer.resolve(write, revision, err)
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -7,29 +7,35 @@
 	"eiderhitch/internal/wire"
 )
 
-// Write is a set of changes that apply together or not at all: a compare-and-swap of
-// several keys. It must not be changed, except by Cancel, once it has been submitted.
+// Write is a compare-and-swap of several keys: a set of changes that are applied together, or not at
+// all if a condition fails. After it has been submitted, only Cancel may modify it.
 type Write struct {
+	// Conditions are the revisions that keys must have for the changes to be applied.
 	Conditions []wire.Condition
-	Changes    []wire.Change
-	// Urgent writes (submissions, cancellations) go first. Users wait for them, so that
-	// they are given up, rather than retried for long, when the store refuses them.
+	// Changes are the puts and deletes.
+	Changes []wire.Change
+	// Interactive is set for submissions and cancellations by users. Such writes go first. They
+	// are given up after few attempts instead of being retried for long, because users wait for
+	// them.
 	Interactive bool
-	// Prompt writes go with the urgent ones, but are retried until their outcome is known:
-	// few, on which other work waits.
+	// HighPriority writes use the queue of the interactive ones but are retried until their
+	// outcome is known. It is for few writes that block other work.
 	HighPriority bool
-	// Early writes go before usual ones, since much other work waits for them.
+	// MediumPriority writes go before those of normal priority. It is for writes that block much
+	// other work.
 	MediumPriority bool
-	// Contested writes may well find a condition failed, since other controllers write the
-	// same keys. They share a transaction with few: the changes of a failed transaction
-	// count against the rate limit, and all other writes in it must be sent again.
+	// ConflictProne is set if a condition is likely to fail because other controllers write the
+	// same keys. Such writes share a transaction with few others: the changes of a failed
+	// transaction count against the rate limit, and all its other writes must be sent again.
 	ConflictProne bool
-	// Expires: if not zero, the write is given up after this time.
+	// ExpiresAt is the time after which the write is no longer attempted. If it is zero, the
+	// write does not expire.
 	ExpiresAt time.Time
-	// Done is called exactly once, on a goroutine of the Writer: with the revision on
-	// success; with ErrConflict when a condition failed (perhaps since an earlier attempt
-	// of this very write was applied: the caller reads back); with ErrOutcomeUnknown when
-	// it was given up; or with the error that the store refused it with.
+	// OnDone is called exactly once, on a goroutine of the Writer, unless the Writer stops while
+	// the write is queued. On success it gets the revision. Otherwise the error is ErrConflict if
+	// a condition failed, ErrOutcomeUnknown if the write was given up with an unknown outcome, or
+	// the error with which the store refused it. After ErrConflict the caller must read the keys,
+	// because an earlier attempt of the same write may have been applied.
 	OnDone func(revision uint64, err error)
 
 	estimatedBytes int
@@ -37,22 +43,24 @@
 	cancelled      atomic.Bool
 }
 
-// Cancel says that a condition of the write is known to fail by now, so that it need not be
-// attempted. A failed condition that only the store finds out fails the whole transaction,
-// whose other writes are then sent, and counted, once more. It may be called concurrently.
+// Cancel marks the write as one whose conditions are known to fail, so that it is no longer
+// attempted and ends with ErrConflict. If the store had to detect the failed condition, the whole
+// transaction would fail, and its other writes would be sent again and counted twice against the
+// rate limit. It may be called concurrently.
 func (w *Write) Cancel() { w.cancelled.Store(true) }
 
-// immediate tells whether a write goes before all others and doesn't wait for the rate limit.
+// isImmediate reports whether the write goes before all others and does not wait for the rate
+// limit.
 func (w *Write) isImmediate() bool { return w.Interactive || w.HighPriority }
 
-// Estimates of what JSON adds to the content of a change and of a condition.
+// Upper estimates of the bytes that the JSON encoding adds to a change and to a condition.
 const (
 	changeOverheadBytes    = 64
 	conditionOverheadBytes = 40
 )
 
-// estimateBytes returns about how large the write is in a transaction, and not less. Keys
-// of changes count twice, for characters that JSON escapes.
+// estimateBytes returns an upper estimate of the write's size in a transaction. Keys of changes
+// count twice, to allow for characters that JSON escapes.
 func (w *Write) estimateBytes() int {
 	total := 0
 	for i := range w.Changes {
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -8,21 +8,23 @@
 )
 
 const (
-	// committers is how many transactions are on their way at a time.
+	// committerCount is the number of transactions that may be in flight at a time.
 	committerCount = 4
-	// queueCapacitySeconds is how many seconds' worth of changes a queue holds.
+	// queueCapacitySeconds sets the capacity of a queue to the number of changes that the store
+	// accepts in this time.
 	queueCapacitySeconds = 15
-	// minQueueCapacity is the least capacity of a queue, in writes.
+	// minQueueCapacity is the smallest capacity of a queue, in writes.
 	minQueueCapacity = 1024
-	// normalQueueFactor is how much larger the queue of usual writes is: there may be one
-	// for each of a thousand machines' tasks.
+	// normalQueueFactor is the capacity of the queue for normal priority relative to the other
+	// queues. It may hold a write for each task of a thousand machines.
 	normalQueueFactor = 4
-	// nearlyFullShare is the share of a queue from which on writes that can wait should.
+	// nearlyFullShare is the fill level, as a share of the capacity, at which a queue counts as
+	// nearly full.
 	nearlyFullShare = 0.75
 )
 
-// Writer commits writes in groups, a few transactions at a time, within the store's rate
-// limit. Its methods may be called concurrently.
+// Writer queues writes and commits them in batches, with a few transactions in flight at a time,
+// within the store's rate limit. Its methods may be called concurrently.
 type Writer struct {
 	client         *Client
 	maxChanges     int
@@ -31,18 +33,18 @@
 	mediumPriority chan *Write
 	normalPriority chan *Write
 	jitter         func(time.Duration) time.Duration
-	backlogChanges atomic.Int64 // changes submitted whose outcome is not known
+	backlogChanges atomic.Int64 // number of submitted changes whose outcome is not known
 }
 
-// NewWriter returns a writer for transactions of at most maxChanges changes. The store's
-// limit of writeRPS changes a second is for all sharers together. jitter draws a duration
-// below the given one, by which a retry is put off.
-func NewWriter(client *Client, maxChanges int, writeRPS float64, controllers int, jitter func(time.Duration) time.Duration) *Writer {
-	capacity := max(minQueueCapacity, int(writeRPS*queueCapacitySeconds))
+// NewWriter returns a writer that sends transactions of at most maxChanges changes. All
+// controllers, whose number is given, share the store's limit of changesPerSecond. jitter returns a
+// random duration below the given one, which is added to the delay of a retry.
+func NewWriter(client *Client, maxChanges int, changesPerSecond float64, controllers int, jitter func(time.Duration) time.Duration) *Writer {
+	capacity := max(minQueueCapacity, int(changesPerSecond*queueCapacitySeconds))
 	return &Writer{
 		client:         client,
 		maxChanges:     maxChanges,
-		limiter:        newAdaptiveLimiter(writeRPS, controllers, maxChanges),
+		limiter:        newAdaptiveLimiter(changesPerSecond, controllers, maxChanges),
 		highPriority:   make(chan *Write, capacity),
 		mediumPriority: make(chan *Write, capacity),
 		normalPriority: make(chan *Write, normalQueueFactor*capacity),
@@ -50,13 +52,14 @@
 	}
 }
 
-// BacklogDuration returns about how long it takes until what has been submitted is stored.
+// BacklogDuration estimates the time until all submitted writes are stored.
 func (w *Writer) BacklogDuration() time.Duration {
-	return time.Duration(float64(w.backlogChanges.Load()) / w.limiter.rate() * float64(time.Second))
+	return time.Duration(float64(w.backlogChanges.Load()) / w.limiter.changesPerSecond() * float64(time.Second))
 }
 
-// IsNearlyFull tells whether writes that can wait should not be submitted now: the rest of the
-// queue, the one for early or for usual writes, is for those that can't.
+// IsNearlyFull reports whether the queue for medium priority, or otherwise the one for normal
+// priority, is nearly full. The rest of the capacity is reserved for writes that can't be delayed;
+// others should be submitted later.
 func (w *Writer) IsNearlyFull(mediumPriority bool) bool {
 	queue := w.normalPriority
 	if mediumPriority {
@@ -65,8 +68,8 @@
 	return float64(len(queue)) >= nearlyFullShare*float64(cap(queue))
 }
 
-// Submit queues a write. If the queue is full it returns false, and the write's Done will
-// not be called.
+// Submit queues a write. It returns false, and never calls the write's OnDone, if the queue is
+// full.
 func (w *Writer) Submit(write *Write) bool {
 	write.estimatedBytes = write.estimateBytes()
 	w.backlogChanges.Add(int64(len(write.Changes)))
@@ -79,7 +82,7 @@
 	}
 }
 
-// queueFor returns the queue that a write belongs to.
+// queueFor returns the queue for a write of this priority.
 func (w *Writer) queueFor(write *Write) chan<- *Write {
 	switch {
 	case write.isImmediate():
@@ -91,16 +94,16 @@
 	}
 }
 
-// resolve reports the outcome of a write.
+// resolve passes the outcome of a write to its OnDone.
 func (w *Writer) resolve(write *Write, revision uint64, err error) {
 	w.backlogChanges.Add(-int64(len(write.Changes)))
 	write.OnDone(revision, err)
 }
 
-// Run commits submitted writes until ctx ends and all attempts have been answered. Writes
-// still queued then stay without an outcome.
+// Run commits submitted writes until ctx ends, and returns when no attempt is in progress. The
+// OnDone of writes that are still queued then is not called.
 func (w *Writer) Run(ctx context.Context) {
-	// One committer is for users' writes alone: the others may all be held up by
+	// One committer takes only immediate writes, because all others may be waiting to retry
 	// transactions that the store refuses.
 	highPriorityOnly := queues{highPriority: w.highPriority}
 	all := queues{highPriority: w.highPriority, mediumPriority: w.mediumPriority, normalPriority: w.normalPriority}
@@ -112,7 +115,7 @@
 	committing.Wait()
 }
 
-// commitFrom commits the writes of some queues until ctx ends.
+// commitFrom commits writes from the queues until ctx ends.
 func (w *Writer) commitFrom(ctx context.Context, q *queues) {
 	var next *Write
 	for {
--- a/internal/store/writer_test.go
+++ b/internal/store/writer_test.go
@@ -18,6 +18,8 @@
 	"eiderhitch/internal/wire"
 )
 
+// withWriter runs f with a writer of at most 32 changes per transaction and a client, both connected
+// to the simulated store. Requests of both are subject to the fault policy, which may be nil.
 func withWriter(t *testing.T, policy network.Policy, f func(t *testing.T, env *simulation.Environment, writer *store.Writer, client *store.Client)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -33,12 +35,13 @@
 	})
 }
 
+// put returns the condition that key has this revision, and a change that puts it.
 func put(key string, revision uint64) ([]wire.Condition, []wire.Change) {
 	return []wire.Condition{{Key: key, Revision: revision}}, []wire.Change{{Put: key, Value: json.RawMessage("1")}}
 }
 
-// Every write gets one result, whatever else shares its transaction, and the
-// limits of a transaction hold.
+// Every write gets exactly one result, regardless of the other writes in its transaction, and no
+// transaction exceeds the limits.
 func TestWritesAreIndependent(t *testing.T) {
 	withWriter(t, nil, func(t *testing.T, env *simulation.Environment, writer *store.Writer, _ *store.Client) {
 		var mu sync.Mutex
@@ -46,14 +49,14 @@
 		var wg sync.WaitGroup
 		for i := range 200 {
 			write := &store.Write{}
-			write.Conditions, write.Changes = put(fmt.Sprintf("k%d", i), uint64(i%5/4)) // each fifth must fail
+			write.Conditions, write.Changes = put(fmt.Sprintf("k%d", i), uint64(i%5/4)) // every fifth one has a condition that fails
 			wg.Add(1)
 			write.OnDone = func(_ uint64, err error) {
 				defer wg.Done()
 				mu.Lock()
 				defer mu.Unlock()
 				if _, ok := got[i]; ok {
-					t.Errorf("write %d has two results", i)
+					t.Errorf("write %d got two results", i)
 				}
 				got[i] = err
 			}
@@ -64,16 +67,17 @@
 		wg.Wait()
 		for i := range 200 {
 			if fails := i%5 == 4; errors.Is(got[i], store.ErrConflict) != fails || !fails && got[i] != nil {
-				t.Errorf("write %d: %v", i, got[i])
+				t.Errorf("write %d: unexpected result %v", i, got[i])
 			}
 		}
 		if env.Store.Stats().OverLimits > 0 {
-			t.Error("a transaction was beyond the limits")
+			t.Error("a transaction exceeded the limits of the store")
 		}
 	})
 }
 
-// "Cancelled" and "done" of one job, submitted together, must not both be granted.
+// If two writes of one key shared a transaction, the conditions of both would hold. The cancellation
+// and the completion of a job could then both succeed.
 func TestConflictingWritesDoNotShareTransaction(t *testing.T) {
 	withWriter(t, nil, func(t *testing.T, _ *simulation.Environment, writer *store.Writer, _ *store.Client) {
 		results := make(chan error, 8)
@@ -91,13 +95,13 @@
 			}
 		}
 		if succeeded != 1 {
-			t.Errorf("%d rivals were granted", succeeded)
+			t.Errorf("%d conflicting writes succeeded, want 1", succeeded)
 		}
 	})
 }
 
-// A try without an answer that is applied late can't be applied twice, and an
-// urgent write is answered at once while the store refuses.
+// A write whose first attempt gets no response and is executed late is applied only once. While the
+// store refuses requests, an interactive write fails within a second.
 func TestLateExecutionAndRefusedWrite(t *testing.T) {
 	requests := 0
 	withWriter(t, func(_ *http.Request) network.Fault {
@@ -116,7 +120,7 @@
 		time.Sleep(10 * time.Second)
 		items, _, err := client.List(t.Context(), "k")
 		if err != nil || len(items) != 1 || items[0].Revision != 1 {
-			t.Fatalf("%v %v", items, err)
+			t.Fatalf("want one item at revision 1, got %v, error %v", items, err)
 		}
 		env.Store.SetDown(true)
 		start := time.Now()
@@ -124,13 +128,13 @@
 		write.Conditions, write.Changes = put("k2", 0)
 		writer.Submit(write)
 		if err := <-results; !errors.Is(err, store.ErrNotExecuted) || time.Since(start) > time.Second {
-			t.Errorf("%v after %v", err, time.Since(start))
+			t.Errorf("interactive write: got %v after %v, want a refusal within a second", err, time.Since(start))
 		}
 	})
 }
 
-// submitSteadily submits writes, each of its own key below prefix, at a rate until ctx ends, as
-// long as they don't queue for seconds. It counts those that are stored.
+// submitSteadily submits writes at a constant rate until ctx ends, each with its own key below
+// prefix. It skips writes while the backlog is two seconds or more, and counts those that are stored.
 func submitSteadily(ctx context.Context, writer *store.Writer, prefix string, perSecond int, storedCount *atomic.Int64) {
 	for n := 0; ctx.Err() == nil; n++ {
 		write := &store.Write{OnDone: func(_ uint64, err error) {
@@ -146,9 +150,9 @@
 	}
 }
 
-// The limit of changes is for all controllers together, and they need different
-// shares of it: without a word between them, three writers, one of whom wants
-// almost all, neither overload the store nor leave much of its limit unused.
+// All controllers share the store's rate limit and need different shares of it. Three writers that
+// don't communicate, one of which submits more than the whole limit, neither overload the store nor
+// leave much of its limit unused.
 func TestWritersShareRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -167,16 +171,16 @@
 		time.Sleep(time.Minute)
 		a, b, c := stored[0].Load(), stored[1].Load(), stored[2].Load()
 		if a+b+c < 60*60*3/4 || b < 500 || c < 500 {
-			t.Errorf("%d, %d and %d changes stored in a minute", a, b, c)
+			t.Errorf("%d, %d and %d changes stored in a minute, want at least 2700 in total and 500 of each of the last two", a, b, c)
 		}
 		if env.Store.Stats().Throttled*5 > env.Store.Stats().Admitted {
-			t.Errorf("%d transactions refused, %d taken", env.Store.Stats().Throttled, env.Store.Stats().Admitted)
+			t.Errorf("%d transactions throttled, %d admitted; want at most a fifth as many throttled", env.Store.Stats().Throttled, env.Store.Stats().Admitted)
 		}
 	})
 }
 
-// A contested write may fail, and then all that shares its transaction is sent,
-// and counted, again: it shares with few.
+// A conflict-prone write may fail its transaction, whose other writes are then sent again and count
+// twice against the rate limit. It therefore shares a transaction with few others.
 func TestConflictProneWritesShareSmallTransactions(t *testing.T) {
 	withWriter(t, nil, func(t *testing.T, env *simulation.Environment, writer *store.Writer, _ *store.Client) {
 		var wg sync.WaitGroup
@@ -188,12 +192,12 @@
 		}
 		wg.Wait()
 		if env.Store.Stats().MostChanges == 0 || env.Store.Stats().MostChanges > 8 {
-			t.Errorf("%d contested changes in one transaction", env.Store.Stats().MostChanges)
+			t.Errorf("%d conflict-prone changes in one transaction, want 1 to 8", env.Store.Stats().MostChanges)
 		}
 	})
 }
 
-// Early writes don't wait behind usual ones that were submitted before them.
+// Medium-priority writes don't wait for normal ones that were submitted before them.
 func TestMediumPriorityWritesGoFirst(t *testing.T) {
 	withWriter(t, nil, func(t *testing.T, env *simulation.Environment, writer *store.Writer, _ *store.Client) {
 		env.Store.SetRate(60)
@@ -220,13 +224,13 @@
 			}
 		}
 		if late > 0 {
-			t.Errorf("%d of 50 early writes are not among the first 150 of 400", late)
+			t.Errorf("%d of 50 medium-priority writes are not among the first 150 of 400", late)
 		}
 	})
 }
 
-// A write that is cancelled by the time of its turn fails nothing that would have shared
-// its transaction.
+// A write that is cancelled while it is queued is not sent, so that it can't fail the transaction of
+// other writes.
 func TestCancelledWritesFailNoTransaction(t *testing.T) {
 	withWriter(t, nil, func(t *testing.T, env *simulation.Environment, writer *store.Writer, client *store.Client) {
 		env.Store.SetRate(60)
@@ -247,7 +251,7 @@
 			}}
 			write.Conditions, write.Changes = put(fmt.Sprintf("k%d", i), 0)
 			if willConflict {
-				write.Conditions[0].Revision = 99 // would fail
+				write.Conditions[0].Revision = 99 // a condition that would fail
 				cancelledWrites = append(cancelledWrites, write)
 			}
 			writer.Submit(write)
@@ -257,13 +261,13 @@
 		}
 		wg.Wait()
 		if stored.Load() != 280 || cancelled.Load() != 20 {
-			t.Errorf("%d writes are stored and %d cancelled", stored.Load(), cancelled.Load())
+			t.Errorf("%d writes stored and %d cancelled, want 280 and 20", stored.Load(), cancelled.Load())
 		}
 		if n := client.TakeStats().Conflicts; n > 0 {
-			t.Errorf("%d transactions failed for cancelled writes", n)
+			t.Errorf("%d transactions failed because of cancelled writes", n)
 		}
 	})
 }
 
-// halfJitter is a jitter without chance.
+// halfJitter is a deterministic jitter.
 func halfJitter(d time.Duration) time.Duration { return d / 2 }
