--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -149,8 +149,8 @@
 	if !f.cluster.HasLoadedRecords() {
 		return UnavailableResponse(reasonStarting), true
 	}
-	if refusal := f.cluster.ServingError(); refusal != nil {
-		return UnavailableResponse(refusal.Error()), true
+	if servingErr := f.cluster.ServingError(); servingErr != nil {
+		return UnavailableResponse(servingErr.Error()), true
 	}
 	return api.Response{}, false
 }
@@ -201,8 +201,8 @@
 	if err != nil {
 		return UnavailableResponse(reasonStoreUnreachable)
 	}
-	if refusal := f.cluster.ServingError(); refusal != nil {
-		return UnavailableResponse(refusal.Error())
+	if servingErr := f.cluster.ServingError(); servingErr != nil {
+		return UnavailableResponse(servingErr.Error())
 	}
 	job := f.cluster.Job(id)
 	switch {
@@ -303,8 +303,9 @@
 	return f.config.Quotas.UnsatisfiableReason(spec, f.cluster.MachineTypes())
 }
 
-// responseForKnownJob returns the response to the submission of a job that is already known.
-// If a poll finds that it is not, the submission is refused because the job can never run.
+// responseForKnownJob returns the response to a poll of the submitted job. If the poll finds no
+// such job, it refuses the submission because the job can never run or, if that has changed in the
+// meantime, asks the user to retry.
 func (f *Frontend) responseForKnownJob(ctx context.Context, spec *wire.Job) api.Response {
 	response := f.Poll(ctx, spec.ID)
 	if response.Status != http.StatusNotFound {
--- a/internal/replica/reader.go
+++ b/internal/replica/reader.go
@@ -87,7 +87,7 @@
 	sharedReadSucceededAt atomic.Pointer[time.Time]
 }
 
-// NewReader returns a reader that keeps replica current. Shared reads end with ctx.
+// NewReader returns a reader that keeps replica up to date. Shared reads end when ctx ends.
 func NewReader(ctx context.Context, config Config, replica *Replica, store Store, loop EventLoop) *Reader {
 	return &Reader{ctx: ctx, config: config, replica: replica, store: store, loop: loop}
 }
--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -17,10 +17,10 @@
 // batch collects writes for one transaction, with their total numbers and sizes.
 type batch struct {
 	writes        []*Write
-	changes       int
-	conditions    int
-	bytes         int
-	conflictProne bool
+	changes       int             // total number of changes
+	conditions    int             // total number of conditions
+	bytes         int             // total estimated size
+	conflictProne bool            // whether any write is conflict-prone
 	changedKeys   map[string]bool // the keys that the writes change
 	// hasOverlap is set if a write reads or changes a key that an earlier write changes. Such
 	// writes must not share a transaction: the conditions of both would hold, so that for
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -29,9 +29,10 @@
 
 // Client is a client of the key-value store. Its methods may be called concurrently.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL    string
+	httpClient *http.Client
 
+	// Counters for TakeStats.
 	watches, txns, changes, appliedChanges, renewals, refusedRequests, conflicts atomic.Int64
 }
 
@@ -56,7 +57,7 @@
 // NewClient returns a client of the key-value store at addr (host:port) that sends its requests
 // through transport.
 func NewClient(addr string, transport http.RoundTripper) *Client {
-	return &Client{base: "http://" + addr, http: &http.Client{Transport: transport}}
+	return &Client{baseURL: "http://" + addr, httpClient: &http.Client{Transport: transport}}
 }
 
 // request describes one call of the store.
@@ -75,8 +76,8 @@
 // call sends a request and decodes the response into out. If out is nil, the response body is
 // ignored.
 func (c *Client) call(ctx context.Context, r request, out any) error {
-	response, err := httpjson.Do(ctx, c.http, httpjson.Request{Method: r.method, URL: c.base + r.path, Body: r.body, Timeout: r.timeout})
-	if _, unanswered := errors.AsType[*httpjson.NoResponseError](err); unanswered {
+	response, err := httpjson.Do(ctx, c.httpClient, httpjson.Request{Method: r.method, URL: c.baseURL + r.path, Body: r.body, Timeout: r.timeout})
+	if _, noResponse := errors.AsType[*httpjson.NoResponseError](err); noResponse {
 		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	if err != nil {
@@ -113,7 +114,7 @@
 	return ErrInvalid
 }
 
-// statusError returns the error, or nil, for a status that is not the same for all calls.
+// statusError returns the error, or nil, for a status that call does not handle itself.
 func (r *request) statusError(status int) error {
 	if err, known := r.statusErrors[status]; known {
 		return err
@@ -250,11 +251,12 @@
 	return nil
 }
 
-// RevokeLease ends a lease and deletes its keys. It returns nil if the lease has already ended.
+// RevokeLease ends a lease and deletes its keys. It returns nil if the lease has already ended. It
+// also returns nil after an unexpected status, because the lease then expires by itself.
 func (c *Client) RevokeLease(ctx context.Context, id uint64) error {
 	err := c.call(ctx, request{method: http.MethodDelete, path: fmt.Sprintf("/leases/%d", id), timeout: callTimeout}, nil)
 	if _, unexpected := errors.AsType[*httpjson.StatusError](err); unexpected {
-		return nil // status 404 means that the lease has ended; after any other status it will expire
+		return nil // status 404 means that the lease has ended
 	}
 	if err != nil {
 		return fmt.Errorf("revoke lease %d: %w", id, err)
--- a/internal/store/rate_controller.go
+++ b/internal/store/rate_controller.go
@@ -43,10 +43,10 @@
 // write little. Its methods may be called concurrently.
 type adaptiveLimiter struct {
 	limiter          *rate.Limiter
-	minRate, maxRate rate.Limit
+	minRate, maxRate rate.Limit // limits of the rate, in changes per second
 
 	mu          sync.Mutex
-	decreasedAt time.Time
+	decreasedAt time.Time // time of the last decrease of the rate; guarded by mu
 }
 
 func newAdaptiveLimiter(changesPerSecond float64, controllers, maxChanges int) *adaptiveLimiter {
@@ -77,8 +77,8 @@
 	if !immediate {
 		return r.limiter.WaitN(ctx, changes)
 	}
-	// After an outage, the first controller that becomes ready receives all requests that users
-	// have postponed. Without this limit on the debt, it could store no other writes for seconds.
+	// After an outage, the first controller that users reach receives all requests that they have
+	// postponed. Without this limit on the debt, it could store no other writes for seconds.
 	if now := time.Now(); r.limiter.TokensAt(now) > -maxDebtSeconds*r.changesPerSecond() {
 		r.limiter.ReserveN(now, changes)
 	}
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -19,10 +19,10 @@
 	// them.
 	Interactive bool
 	// HighPriority writes use the queue of the interactive ones but are retried until their
-	// outcome is known. It is for few writes that block other work.
+	// outcome is known. There must be few of them; they are writes that block other work.
 	HighPriority bool
-	// MediumPriority writes go before those of normal priority. It is for writes that block much
-	// other work.
+	// MediumPriority writes go before those of normal priority because they block much other
+	// work.
 	MediumPriority bool
 	// ConflictProne is set if a condition is likely to fail because other controllers write the
 	// same keys. Such writes share a transaction with few others: the changes of a failed
@@ -38,9 +38,9 @@
 	// because an earlier attempt of the same write may have been applied.
 	OnDone func(revision uint64, err error)
 
-	estimatedBytes int
-	attempts       int
-	cancelled      atomic.Bool
+	estimatedBytes int         // set by Submit
+	attempts       int         // number of attempts without an outcome
+	cancelled      atomic.Bool // set by Cancel
 }
 
 // Cancel marks the write as one whose conditions are known to fail, so that it is no longer
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -29,9 +29,9 @@
 	client         *Client
 	maxChanges     int
 	limiter        *adaptiveLimiter
-	highPriority   chan *Write
-	mediumPriority chan *Write
-	normalPriority chan *Write
+	highPriority   chan *Write // interactive and high-priority writes
+	mediumPriority chan *Write // medium-priority writes
+	normalPriority chan *Write // all other writes
 	jitter         func(time.Duration) time.Duration
 	backlogChanges atomic.Int64 // number of submitted changes whose outcome is not known
 }
