--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -250,7 +250,7 @@
 	case result.response != nil:
 		return *result.response
 	case result.needsPoll:
-		return f.responseForKnownJob(ctx, spec)
+		return f.pollSubmittedJob(ctx, spec)
 	}
 	select {
 	case err := <-result.writeErr:
@@ -258,7 +258,7 @@
 		case err == nil:
 			return jobResponse(http.StatusCreated, wire.JobState{ID: spec.ID, State: wire.StateQueued})
 		case errors.Is(err, store.ErrConflict):
-			return f.responseForKnownJob(ctx, spec) // an earlier attempt or another controller has stored the job
+			return f.pollSubmittedJob(ctx, spec) // an earlier attempt or another controller has stored the job
 		}
 		return UnavailableResponse(reasonNotStored)
 	case <-ctx.Done():
@@ -303,10 +303,10 @@
 	return f.config.Quotas.UnsatisfiableReason(spec, f.cluster.MachineTypes())
 }
 
-// responseForKnownJob returns the response to a poll of the submitted job. If the poll finds no
+// pollSubmittedJob returns the response to a poll of the submitted job. If the poll finds no
 // such job, it refuses the submission because the job can never run or, if that has changed in the
 // meantime, asks the user to retry.
-func (f *Frontend) responseForKnownJob(ctx context.Context, spec *wire.Job) api.Response {
+func (f *Frontend) pollSubmittedJob(ctx context.Context, spec *wire.Job) api.Response {
 	response := f.Poll(ctx, spec.ID)
 	if response.Status != http.StatusNotFound {
 		return response
