--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -14,30 +14,32 @@
 	"eiderhitch/internal/wire"
 )
 
-// idle answers without work.
-type idle struct{}
+// noop is a Service that returns fixed responses without doing any work.
+type noop struct{}
 
-func (idle) Submit(context.Context, *wire.Job) Response { return Response{Status: http.StatusCreated} }
-func (idle) Poll(context.Context, string) Response      { return Response{Status: http.StatusNotFound} }
-func (idle) Cancel(context.Context, string) Response    { return Response{Status: http.StatusOK} }
-func (idle) IsReady() bool                              { return true }
-func (idle) Heartbeat(context.Context, *wire.Heartbeat) Response {
+func (noop) Submit(context.Context, *wire.Job) Response { return Response{Status: http.StatusCreated} }
+func (noop) Poll(context.Context, string) Response      { return Response{Status: http.StatusNotFound} }
+func (noop) Cancel(context.Context, string) Response    { return Response{Status: http.StatusOK} }
+func (noop) IsReady() bool                              { return true }
+func (noop) Heartbeat(context.Context, *wire.Heartbeat) Response {
 	return Response{Status: http.StatusOK, Body: wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{}}}
 }
 
-// What connections hold bounds how many may be open: see config.Limits.
-func TestConnectionsHoldWhatIsPlannedFor(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// The configuration derives the number of connections that may be open from the memory that
+// each needs (config.ConnectionBytes). If a connection needed more, the controller could run
+// out of memory.
+func TestConnectionMemoryIsWithinPlan(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	const n = 300
+	const connectionCount = 300
 	go func() {
-		_ = Serve(ctx, l, idle{}, slog.New(slog.NewTextHandler(io.Discard, nil)), Limits{MaxConnections: n, MaxUserRequests: n})
+		_ = Serve(ctx, listener, noop{}, slog.New(slog.NewTextHandler(io.Discard, nil)), Limits{MaxConnections: connectionCount, MaxUserRequests: connectionCount})
 	}()
-	held := func() uint64 {
+	memoryInUse := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
@@ -45,25 +47,25 @@
 	}
 	body := `{"perch":"host-000231","addr":"10.1.0.232:9000","hull":"g8","shore":"a","driftwood":true,"watch":1,"tally":88,"baton":41,"warningS":null,"eggs":[]}`
 	request := fmt.Sprintf("POST /v1/report HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	before := held()
-	for range n {
-		c, err := net.Dial("tcp", l.Addr().String())
+	before := memoryInUse()
+	for range connectionCount {
+		connection, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		if _, err := io.WriteString(c, request); err != nil {
+		defer connection.Close()
+		if _, err := io.WriteString(connection, request); err != nil {
 			t.Fatal(err)
 		}
-		// Read without a buffer that would be counted for the server's.
-		var small [512]byte
-		if _, err := c.Read(small[:]); err != nil {
+		// A small buffer, because the client's memory is measured with the server's.
+		var buffer [512]byte
+		if _, err := connection.Read(buffer[:]); err != nil {
 			t.Fatal(err)
 		}
 	}
-	each := int(held()-before) / n
-	if each > config.ConnectionBytes {
-		t.Errorf("a connection holds %d bytes, %d are planned for", each, config.ConnectionBytes)
+	bytesPerConnection := int(memoryInUse()-before) / connectionCount
+	if bytesPerConnection > config.ConnectionBytes {
+		t.Errorf("a connection uses %d bytes of memory, the limit is %d", bytesPerConnection, config.ConnectionBytes)
 	}
-	t.Logf("a connection holds %d bytes", each)
+	t.Logf("a connection uses %d bytes of memory", bytesPerConnection)
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -19,20 +19,20 @@
 	"eiderhitch/internal/wire"
 )
 
-// index is a Handler that remembers the values it was given.
-type index map[string]string
+// valueMap is a Handler that keeps the current value of each key.
+type valueMap map[string]string
 
-func (x index) PutValue(key string, value json.RawMessage, _ uint64) { x[key] = string(value) }
-func (x index) DeleteValue(key string)                               { delete(x, key) }
-func (x index) ChangesApplied(time.Time)                             {}
+func (m valueMap) PutValue(key string, value json.RawMessage, _ uint64) { m[key] = string(value) }
+func (m valueMap) DeleteValue(key string)                               { delete(m, key) }
+func (x valueMap) ChangesApplied(time.Time)                             {}
 
-// fakeStore is a key-value store in memory that keeps its whole history.
+// fakeStore is an in-memory key-value store that keeps its whole history.
 type fakeStore struct {
 	mu      sync.Mutex
 	values  map[string]wire.Item
 	history []wire.Event
-	err     error
-	// watches counts the calls of Watch.
+	err     error // result of all calls
+	// watches is the number of calls of Watch.
 	watches int
 }
 
@@ -40,7 +40,7 @@
 
 func (s *fakeStore) revision() uint64 { return uint64(len(s.history)) }
 
-// put stores a value, or deletes the key if value is empty, and returns the revision.
+// put stores a value, or deletes the key if value is empty, and returns the new revision.
 func (s *fakeStore) put(key, value string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +56,7 @@
 	return revision
 }
 
-// fail has all calls fail with err; nil: succeed again.
+// fail makes all calls return err until the next fail. With nil, calls succeed again.
 func (s *fakeStore) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,24 +83,24 @@
 	return &wire.WatchResponse{Revision: s.revision(), Events: s.history[min(since, s.revision()):]}, nil
 }
 
-func (s *fakeStore) contents() index {
-	out := index{}
+func (s *fakeStore) contents() valueMap {
+	out := valueMap{}
 	for key, item := range s.values {
 		out[key] = string(item.Value)
 	}
 	return out
 }
 
-// deliveries draws an order in which a replica learns of what is stored.
-type deliveries struct {
+// deliveryModel makes random writes to a store and delivers them to a replica in a random order.
+type deliveryModel struct {
 	store   *fakeStore
 	replica *replica.Replica
-	// results of own writes, which may arrive late and more than once.
+	// results apply the controller's own writes. They may arrive late and more than once.
 	results []func()
 }
 
-// step draws one write or one delivery.
-func (d *deliveries) step(t *rapid.T) {
+// step makes one random write or one random delivery.
+func (d *deliveryModel) step(t *rapid.T) {
 	switch rapid.SampledFrom([]string{"write", "result", "watch", "load"}).Draw(t, "step") {
 	case "write":
 		key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
@@ -123,14 +123,15 @@
 	}
 }
 
-// Whatever the order in which own writes' results, watches and full reads arrive, a
-// replica that has read up to the end has what the store has.
+// A replica that has seen all changes has the same content as the store, regardless of the order
+// in which results of its own writes, watches and full reads arrived. Otherwise a late result
+// could restore a deleted or outdated value.
 func TestReplicaConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		kv, copied := newFakeStore(), index{}
-		r := replica.New(copied)
+		kv, values := newFakeStore(), valueMap{}
+		r := replica.New(values)
 		r.Load(nil, 0, &wire.WatchResponse{})
-		d := &deliveries{store: kv, replica: r}
+		d := &deliveryModel{store: kv, replica: r}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			d.step(t)
 		}
@@ -139,8 +140,8 @@
 		for _, result := range d.results {
 			result()
 		}
-		if want := kv.contents(); !maps.Equal(copied, want) {
-			t.Fatalf("the replica has %v, the store %v", copied, want)
+		if want := kv.contents(); !maps.Equal(values, want) {
+			t.Fatalf("the replica contains %v, the store contains %v", values, want)
 		}
 		for key, item := range kv.values {
 			if got := r.Revision(key); got != item.Revision {
@@ -150,19 +151,19 @@
 	})
 }
 
-// A value that moved between two pages of a full read is seen once: pages count only
-// together with the changes since the first.
-func TestLoadTakesChangesSinceItsFirstPage(t *testing.T) {
-	copied := index{}
-	r := replica.New(copied)
+// A value that moved between two keys while the pages of a full read were listed is seen once,
+// because Load also applies the changes since the first page.
+func TestLoadAppliesChangesSinceFirstPage(t *testing.T) {
+	values := valueMap{}
+	r := replica.New(values)
 	stale := []wire.Item{{Key: "a", Value: json.RawMessage("1"), Revision: 1}, {Key: "b", Value: json.RawMessage("1"), Revision: 3}}
 	r.Load(stale, 1, &wire.WatchResponse{Revision: 3, Events: []wire.Event{{Delete: "a", Revision: 2}, {Put: "b", Value: json.RawMessage("1"), Revision: 3}}})
-	if want := (index{"b": "1"}); !maps.Equal(copied, want) {
-		t.Errorf("loaded %v, want %v", copied, want)
+	if want := (valueMap{"b": "1"}); !maps.Equal(values, want) {
+		t.Errorf("loaded %v, want %v", values, want)
 	}
 }
 
-// eventLoop runs everything at once, under a lock that stands for the loop's goroutine.
+// eventLoop runs functions immediately, under a lock that replaces the loop's goroutine.
 type eventLoop struct{ lock chan struct{} }
 
 func newEventLoop() eventLoop { return eventLoop{make(chan struct{}, 1)} }
@@ -180,77 +181,77 @@
 	return true
 }
 
-// pass lets time pass, and waits for all that happens until then.
-func pass(d time.Duration) {
+// advanceTime sleeps for d and then waits until all goroutines of the test are idle.
+func advanceTime(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
 func newReader(t *testing.T, kv *fakeStore) (*replica.Reader, *replica.Replica, eventLoop) {
-	loop, r := newEventLoop(), replica.New(index{})
+	loop, r := newEventLoop(), replica.New(valueMap{})
 	config := replica.Config{ControllerCount: 1, RequestsPerSecond: 100, OnLoaded: func() {},
 		Jitter: func(time.Duration) time.Duration { return 0 }, Log: slog.New(slog.DiscardHandler)}
 	return replica.NewReader(t.Context(), config, r, kv, loop), r, loop
 }
 
-// Reads that are asked for while one is under way share the next one: it begins after all
-// of them were asked for, and costs one request.
-func TestReadsAreShared(t *testing.T) {
+// Reads that are requested while one is in progress share the next one, which costs a single
+// request and begins after all of them were requested.
+func TestConcurrentReadsAreShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := newFakeStore()
 		reader, r, loop := newReader(t, kv)
 		r.Load(nil, 0, &wire.WatchResponse{})
-		pass(time.Second)
-		done := 0
+		advanceTime(time.Second)
+		succeeded := 0
 		loop.Enqueue(func() {
 			for range 5 {
 				reader.AfterRead(func(err error) {
 					if err == nil {
-						done++
+						succeeded++
 					}
 				})
 			}
 		})
-		pass(time.Second)
-		if done != 5 || kv.watches != 2 {
-			t.Errorf("%d of 5 reads succeeded with %d requests, want 2", done, kv.watches)
+		advanceTime(time.Second)
+		if succeeded != 5 || kv.watches != 2 {
+			t.Errorf("%d of 5 reads succeeded with %d requests, want all 5 with 2 requests", succeeded, kv.watches)
 		}
 	})
 }
 
-// A read that fails says so to who asked once, and is repeated for who needs it to succeed.
+// AfterRead reports the failure of a read; AfterSuccessfulRead repeats the read until it succeeds.
 func TestFailedReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := newFakeStore()
 		reader, r, loop := newReader(t, kv)
-		var once error
-		loop.Enqueue(func() { reader.AfterRead(func(err error) { once = err }) })
-		pass(time.Second)
-		if !errors.Is(once, replica.ErrNotLoaded) {
-			t.Errorf("before a full read: %v, want %v", once, replica.ErrNotLoaded)
+		var readErr error
+		loop.Enqueue(func() { reader.AfterRead(func(err error) { readErr = err }) })
+		advanceTime(time.Second)
+		if !errors.Is(readErr, replica.ErrNotLoaded) {
+			t.Errorf("before a full read: got error %v, want %v", readErr, replica.ErrNotLoaded)
 		}
 		r.Load(nil, 0, &wire.WatchResponse{})
 		kv.fail(store.ErrNotExecuted)
 		succeeded := false
 		loop.Enqueue(func() {
-			reader.AfterRead(func(err error) { once = err })
+			reader.AfterRead(func(err error) { readErr = err })
 			reader.AfterSuccessfulRead(func() { succeeded = true })
 		})
-		pass(5 * time.Second)
-		if !errors.Is(once, store.ErrNotExecuted) || succeeded {
-			t.Errorf("while the store refuses: %v, succeeded: %v", once, succeeded)
+		advanceTime(5 * time.Second)
+		if !errors.Is(readErr, store.ErrNotExecuted) || succeeded {
+			t.Errorf("while the store refuses requests: error %v, successful read: %v", readErr, succeeded)
 		}
 		kv.fail(nil)
-		pass(time.Second)
+		advanceTime(time.Second)
 		if !succeeded {
-			t.Error("the read is not repeated until it succeeds")
+			t.Error("AfterSuccessfulRead did not call back after the store recovered")
 		}
 	})
 }
 
-// Follow reads everything once, then the changes; a store that has dropped the changes
-// since the cursor is read in full again.
-func TestFollow(t *testing.T) {
+// Follow reads all keys once and then only changes. If the store no longer keeps the changes since
+// the cursor, Follow reads all keys again.
+func TestFollowLoadsThenWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := newFakeStore()
 		kv.put("a", "1")
@@ -258,19 +259,19 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		finished := make(chan struct{})
 		go func() { defer close(finished); reader.Follow(ctx) }()
-		pass(time.Second)
+		advanceTime(time.Second)
 		kv.put("b", "1")
-		pass(time.Second)
+		advanceTime(time.Second)
 		if !r.IsLoaded() || r.Revision("b") != 2 || !r.IsFreshWithin(time.Second, time.Now()) {
-			t.Errorf("loaded: %v, revision of b: %d", r.IsLoaded(), r.Revision("b"))
+			t.Errorf("the replica does not follow the store: loaded: %v, revision of b: %d, want 2", r.IsLoaded(), r.Revision("b"))
 		}
 		kv.fail(store.ErrCompacted)
 		kv.put("a", "")
-		pass(time.Second)
+		advanceTime(time.Second)
 		kv.fail(nil)
-		pass(time.Second)
+		advanceTime(time.Second)
 		if r.Revision("a") != 0 || r.Cursor() != 3 {
-			t.Errorf("after a compaction: revision of a: %d, cursor %d", r.Revision("a"), r.Cursor())
+			t.Errorf("after a compaction: revision of a is %d, want 0; cursor is %d, want 3", r.Revision("a"), r.Cursor())
 		}
 		cancel()
 		<-finished
--- a/internal/store/rate_controller.go
+++ b/internal/store/rate_controller.go
@@ -9,91 +9,95 @@
 	"golang.org/x/time/rate"
 )
 
-// Shares of the store's limit of changes a second, which is for all controllers together.
+// Parameters relative to the store's limit on changes per second, which all controllers share.
 const (
-	initialShare = 0.7 // rate of one controller at its start
-	maxShare     = 0.9 // largest rate of one controller
-	sharedShare  = 0.8 // least rates of all controllers, together
-	burstShare   = 0.5 // largest burst, in seconds' worth of the whole limit
+	initialShare    = 0.7 // initial rate of one controller
+	maxShare        = 0.9 // largest rate of one controller
+	minTotalShare   = 0.8 // sum of the lowest rates of all controllers
+	maxBurstSeconds = 0.5 // largest burst of one controller, as changes in this time at the full rate
 )
 
 const (
-	// rateIncrease is added, as a share of the largest rate, for each transaction that
-	// succeeds.
+	// rateIncrease is the share of the largest rate by which the rate increases with each
+	// successful transaction.
 	rateIncrease = 0.02
-	// rateDecrease is the factor when a transaction is throttled, once in
-	// decreaseInterval at most: several in flight are throttled for the same reason.
+	// rateDecrease is the factor by which the rate is multiplied when a transaction is
+	// throttled. That happens at most once in decreaseInterval, because several transactions
+	// in flight can be throttled for the same reason.
 	rateDecrease     = 0.75
 	decreaseInterval = 500 * time.Millisecond
 
-	// batchSeconds is how many seconds' worth of changes one transaction has at most.
+	// batchSeconds limits the changes of one transaction to those that the current rate allows
+	// in this time.
 	batchSeconds = 0.3
-	// minBatch is how many changes a transaction may always have.
-	minBatch = 4
-	// maxDebtSeconds is how many seconds' worth of changes immediate writes may put the
-	// others back.
+	// minBatchChanges is the number of changes that a transaction may have at any rate.
+	minBatchChanges = 4
+	// maxDebtSeconds is about the longest time by which immediate writes can delay the others.
 	maxDebtSeconds = 0.3
 )
 
-// rateController limits how fast one controller writes. The store's limit is for all
-// controllers together, and they need very different shares of it: each goes faster while
-// nothing is throttled, and slower when the store says that it is too much (additive
-// increase, multiplicative decrease). A fixed share would leave the leader short while
-// others need little. Its methods may be called concurrently.
-type rateController struct {
-	limit            *rate.Limiter
-	minRate, maxRate rate.Limit
+// adaptiveLimiter limits the rate at which one controller writes. The controllers share the store's
+// limit and need very different shares of it. Each one increases its rate while its transactions
+// succeed and decreases it when the store throttles them (additive increase, multiplicative
+// decrease). With a fixed share, the leader's rate would be too low while the other controllers
+// write little. Its methods may be called concurrently.
+type adaptiveLimiter struct {
+	limiter          *rate.Limiter
+	minRate, maxRate rate.Limit // limits of the rate, in changes per second
 
 	mu          sync.Mutex
-	decreasedAt time.Time
+	decreasedAt time.Time // time of the last decrease of the rate; guarded by mu
 }
 
-func newRateController(writeRPS float64, sharers, maxChanges int) *rateController {
-	whole := rate.Limit(writeRPS)
-	return &rateController{
-		limit:   rate.NewLimiter(whole*initialShare, max(maxChanges, int(writeRPS*burstShare))),
-		minRate: whole * sharedShare / rate.Limit(max(sharers, 1)),
-		maxRate: whole * maxShare,
+func newAdaptiveLimiter(changesPerSecond float64, controllers, maxChanges int) *adaptiveLimiter {
+	fullRate := rate.Limit(changesPerSecond)
+	return &adaptiveLimiter{
+		limiter: rate.NewLimiter(fullRate*initialShare, max(maxChanges, int(changesPerSecond*maxBurstSeconds))),
+		minRate: fullRate * minTotalShare / rate.Limit(max(controllers, 1)),
+		maxRate: fullRate * maxShare,
 	}
 }
 
-// batch returns how many changes one transaction should have at most: what the limit frees
-// in a fraction of a second. One that wants a whole second's worth at once would be
-// throttled time after time while others take it change by change.
-func (r *rateController) batch(maxChanges int) int {
-	return min(maxChanges, max(minBatch, int(r.rate()*batchSeconds)))
+// maxBatchChanges returns the largest number of changes that one transaction should have: as many
+// as the rate allows in a fraction of a second. A transaction with as many changes as the limit
+// allows in a whole second would be throttled repeatedly, because smaller transactions of other
+// controllers keep using up the limit.
+func (r *adaptiveLimiter) maxBatchChanges(maxChanges int) int {
+	return min(maxChanges, max(minBatchChanges, int(r.changesPerSecond()*batchSeconds)))
 }
 
-// rate returns the present rate in changes a second.
-func (r *rateController) rate() float64 { return float64(r.limit.Limit()) }
+// changesPerSecond returns the current rate.
+func (r *adaptiveLimiter) changesPerSecond() float64 { return float64(r.limiter.Limit()) }
 
-// wait waits until a number of changes may be sent. Immediate ones don't wait, but count.
-func (r *rateController) wait(ctx context.Context, changes int, immediate bool) error {
-	changes = min(changes, r.limit.Burst())
+// wait waits until a transaction with this number of changes may be sent, and returns an error if
+// ctx ends first. Immediate changes don't wait. They count toward the rate until others would be
+// delayed by more than maxDebtSeconds.
+func (r *adaptiveLimiter) wait(ctx context.Context, changes int, immediate bool) error {
+	changes = min(changes, r.limiter.Burst())
 	if !immediate {
-		return r.limit.WaitN(ctx, changes)
+		return r.limiter.WaitN(ctx, changes)
 	}
-	// After an outage the first controller that users reach gets all that they have put
-	// off, for which it would else store nothing of its own for seconds.
-	if now := time.Now(); r.limit.TokensAt(now) > -maxDebtSeconds*r.rate() {
-		r.limit.ReserveN(now, changes)
+	// After an outage, the first controller that users reach receives all requests that they have
+	// postponed. Without this limit on the debt, it could store no other writes for seconds.
+	if now := time.Now(); r.limiter.TokensAt(now) > -maxDebtSeconds*r.changesPerSecond() {
+		r.limiter.ReserveN(now, changes)
 	}
 	return nil
 }
 
-// answered adapts the rate to the result of a transaction.
-func (r *rateController) answered(now time.Time, err error) {
+// observeResult adapts the rate to the result of a transaction.
+func (r *adaptiveLimiter) observeResult(now time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	current := r.limit.Limit()
+	current := r.limiter.Limit()
 	switch {
 	case errors.Is(err, ErrThrottled):
 		if now.Sub(r.decreasedAt) < decreaseInterval {
 			return
 		}
 		r.decreasedAt = now
-		r.limit.SetLimitAt(now, max(current*rateDecrease, r.minRate))
+		r.limiter.SetLimitAt(now, max(current*rateDecrease, r.minRate))
 	case err == nil:
-		r.limit.SetLimitAt(now, min(current+rateIncrease*r.maxRate, r.maxRate))
+		r.limiter.SetLimitAt(now, min(current+rateIncrease*r.maxRate, r.maxRate))
 	}
 }
