--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func BenchmarkLeadStep(b *testing.B) {
+func BenchmarkLeaderPass(b *testing.B) {
 	for _, n := range []int{50, 500, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := newFullFleetController(b, n)
@@ -17,7 +17,7 @@
 	}
 }
 
-func BenchmarkStepPart(b *testing.B) {
+func BenchmarkSchedulePartitions(b *testing.B) {
 	for _, n := range []int{50, 500, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := newFullFleetController(b, n)
--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -19,7 +19,7 @@
 const (
 	queryTimeout  = 2 * time.Second
 	changeTimeout = 5 * time.Second
-	retryPause    = time.Second
+	retryDelay    = time.Second
 )
 
 // emptyBody is the body of requests that need none.
@@ -81,26 +81,26 @@
 
 // request is what a user asks of a controller.
 type jobRequest struct {
-	operation trace.Operation
-	job       string
-	submitted *submission // of a submission
-	spec      *wire.Job   // what the rule checker takes the submission for; nil: nothing
+	operation  trace.Operation
+	job        string
+	submission *submission // of a submission
+	spec       *wire.Job   // what the rule checker takes the submission for; nil: nothing
 }
 
 func queryRequest(job string) jobRequest  { return jobRequest{operation: trace.Query, job: job} }
 func cancelRequest(job string) jobRequest { return jobRequest{operation: trace.Cancel, job: job} }
 
 func submitRequest(s *submission, spec *wire.Job) jobRequest {
-	return jobRequest{operation: trace.Submit, job: s.ID, submitted: s, spec: spec}
+	return jobRequest{operation: trace.Submit, job: s.ID, submission: s, spec: spec}
 }
 
 // http is the HTTP request to a controller's address.
-func (r jobRequest) http(ctx context.Context, t testing.TB, addr string) *http.Request {
+func (r jobRequest) newHTTPRequest(ctx context.Context, t testing.TB, addr string) *http.Request {
 	t.Helper()
 	method, path, body := http.MethodPost, "/v1/jobs", emptyBody
 	switch r.operation {
 	case trace.Submit:
-		body = r.submitted.encode(t)
+		body = r.submission.encode(t)
 	case trace.Query:
 		method, path = http.MethodGet, "/v1/jobs/"+r.job
 	case trace.Cancel:
@@ -147,30 +147,30 @@
 	ctx, cancel := context.WithTimeout(c.ctx, r.timeout())
 	defer cancel()
 	event := trace.Response{RequestedAt: time.Now(), Operation: r.operation, Job: r.job, Spec: r.spec}
-	var answer jobResponse
-	if resp, err := c.clientTransport.RoundTrip(r.http(ctx, c.t, c.nodes[node].cfg.APIAddr)); err == nil {
-		answer = readResponse(resp)
+	var response jobResponse
+	if resp, err := c.clientTransport.RoundTrip(r.newHTTPRequest(ctx, c.t, c.nodes[node].cfg.APIAddr)); err == nil {
+		response = readResponse(resp)
 	}
-	event.At, event.Status, event.State = time.Now(), answer.status, answer.state
+	event.At, event.Status, event.State = time.Now(), response.status, response.state
 	c.env.Trace.Record(event)
-	if until := c.queryAllUntil.Load(); until != nil && time.Now().Before(*until) && r.operation != trace.Query && answer.status/100 == 2 {
+	if queryUntil := c.queryAllUntil.Load(); queryUntil != nil && time.Now().Before(*queryUntil) && r.operation != trace.Query && response.status/100 == 2 {
 		for i := range c.nodes {
 			go c.sendRequest(i, queryRequest(r.job))
 		}
 	}
-	return answer
+	return response
 }
 
 // call tries the nodes in turn until one gives a final answer.
-func (c *cluster) sendWithRetries(r jobRequest, within time.Duration) jobResponse {
-	until := time.Now().Add(within)
+func (c *cluster) sendWithRetries(r jobRequest, timeout time.Duration) jobResponse {
+	deadline := time.Now().Add(timeout)
 	node := int(network.Draw(uint64(r.operation), r.job) * float64(len(c.nodes)))
-	for time.Now().Before(until) {
+	for time.Now().Before(deadline) {
 		node = (node + 1) % len(c.nodes)
-		if answer := c.sendRequest(node, r); answer.isFinal() {
-			return answer
+		if response := c.sendRequest(node, r); response.isFinal() {
+			return response
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryDelay)
 	}
 	return jobResponse{}
 }
@@ -192,25 +192,25 @@
 		return false
 	}
 	c.env.Upload(spec)
-	answer := c.sendWithRetries(submitRequest(s, spec), 20*time.Second)
-	switch answer.status {
+	response := c.sendWithRetries(submitRequest(s, spec), 20*time.Second)
+	switch response.status {
 	case http.StatusCreated, http.StatusOK:
 		return true
 	case 0:
 		return false
 	}
-	c.t.Errorf("submission of %s: status %d, want 200 or 201", s.ID, answer.status)
+	c.t.Errorf("submission of %s: status %d, want 200 or 201", s.ID, response.status)
 	return false
 }
 
 // state is the state of a job that must be known.
 func (c *cluster) jobState(job string) string {
 	c.t.Helper()
-	answer := c.sendWithRetries(queryRequest(job), 40*time.Second)
-	if answer.status != http.StatusOK {
-		c.t.Fatalf("query of %s: status %d, want 200", job, answer.status)
+	response := c.sendWithRetries(queryRequest(job), 40*time.Second)
+	if response.status != http.StatusOK {
+		c.t.Fatalf("query of %s: status %d, want 200", job, response.status)
 	}
-	return answer.state
+	return response.state
 }
 
 // cancelJob cancels a job, which must be confirmed.
@@ -224,28 +224,28 @@
 // tryCancelJob cancels a job; false: no controller answered.
 func (c *cluster) tryCancelJob(job string) bool {
 	c.t.Helper()
-	answer := c.sendWithRetries(cancelRequest(job), 20*time.Second)
-	if answer.status != 0 && answer.status != http.StatusOK {
-		c.t.Fatalf("cancellation of %s: status %d, want 200", job, answer.status)
+	response := c.sendWithRetries(cancelRequest(job), 20*time.Second)
+	if response.status != 0 && response.status != http.StatusOK {
+		c.t.Fatalf("cancellation of %s: status %d, want 200", job, response.status)
 	}
-	return answer.status != 0
+	return response.status != 0
 }
 
 // await waits until something holds.
-func (c *cluster) await(what string, limit time.Duration, holds func() bool) {
+func (c *cluster) await(description string, timeout time.Duration, condition func() bool) {
 	c.t.Helper()
-	for until := time.Now().Add(limit); time.Now().Before(until); time.Sleep(time.Second) {
-		if holds() {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(time.Second) {
+		if condition() {
 			return
 		}
 	}
-	c.t.Fatalf("%s: not within %v", what, limit)
+	c.t.Fatalf("%s: not within %v", description, timeout)
 }
 
 // awaitDone waits until a job is done.
-func (c *cluster) awaitDone(job string, limit time.Duration) {
+func (c *cluster) awaitDone(job string, timeout time.Duration) {
 	c.t.Helper()
-	c.await(job+" is done", limit, func() bool { return c.jobState(job) == wire.StateDone })
+	c.await(job+" is done", timeout, func() bool { return c.jobState(job) == wire.StateDone })
 }
 
 // submitServices submits the services wk-1, wk-2 and so on.
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -2,8 +2,8 @@
 
 import "eiderhitch/internal/scheduling"
 
-// checkAll checks that no rule and no limit of the key-value store was broken.
-func (c *cluster) checkAll() {
+// checkInvariants checks that no rule and no limit of the key-value store was broken.
+func (c *cluster) checkInvariants() {
 	c.t.Helper()
 	for i := range c.nodes {
 		c.checkPartitions(i)
@@ -24,14 +24,14 @@
 	if ctl == nil {
 		return
 	}
-	answers := ctl.call(c.ctx, priorityStore, func() {
+	answered := ctl.call(c.ctx, priorityStore, func() {
 		for _, p := range ctl.partitions {
 			if p.token != 0 && p.takeoverComplete {
 				c.checkPartition(i, ctl, p)
 			}
 		}
 	})
-	if !answers {
+	if !answered {
 		c.t.Errorf("node %d does not answer", i)
 	}
 }
@@ -52,15 +52,15 @@
 		if p.cells.Cell(t) == nil {
 			c.t.Errorf("node %d partition %d: %v is reserved without a cell", i, p.index, t)
 		}
-		if group := ctl.groups[t.Group]; group != nil && ctl.isBoundAndReserved(group, t) {
+		if group := ctl.groups[t.Group]; group != nil && ctl.hasLiveBinding(group, t) {
 			c.t.Errorf("node %d partition %d: %v is reserved while it is bound", i, p.index, t)
 		}
 	}
 }
 
-// isBoundAndReserved tells whether a task with a reservation has a binding that nobody takes
+// hasLiveBinding tells whether a task with a reservation has a binding that nobody takes
 // for ended: the reservation would bind it anew as soon as it ends.
-func (c *controller) isBoundAndReserved(group *taskGroup, task scheduling.TaskID) bool {
-	bound := group.binding(task.Number)
-	return bound != nil && bound.machine != nil && !group.writeInFlight && !c.isLost(group, bound)
+func (c *controller) hasLiveBinding(group *taskGroup, task scheduling.TaskID) bool {
+	binding := group.binding(task.Number)
+	return binding != nil && binding.machine != nil && !group.writeInFlight && !c.isLost(group, binding)
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -119,11 +119,11 @@
 // runClusterWithSetup is runCluster with nodes that are set up otherwise.
 func runClusterWithSetup(t *testing.T, setUp func(*node), f func(c *cluster)) {
 	t.Helper()
-	runClusterOf(t, defaultControllerCount, setUp, f)
+	runClusterOfSize(t, defaultControllerCount, setUp, f)
 }
 
-// runClusterOf is runClusterWithSetup with that many controllers.
-func runClusterOf(t *testing.T, controllers int, setUp func(*node), f func(c *cluster)) {
+// runClusterOfSize is runClusterWithSetup with that many controllers.
+func runClusterOfSize(t *testing.T, controllers int, setUp func(*node), f func(c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -142,7 +142,7 @@
 			time.Sleep(time.Minute) // whatever still waits ends on the bubble's clock
 		}()
 		f(c)
-		c.checkAll()
+		c.checkInvariants()
 	})
 }
 
@@ -158,13 +158,13 @@
 	env.Network.SetLatency(network.Latency{Seed: *networkSeed, Jitter: *networkJitter})
 	c := &cluster{t: t, logs: &logBuffer{}, ctx: ctx, env: env, clientTransport: env.Network.NewTransport(), keysWrittenByTest: map[string]bool{}, readableLevels: map[string]rollout.LevelRange{}}
 	for i := range members {
-		c.nodes = append(c.nodes, &node{cfg: testPlatform(env, members, i), transport: env.Network.NewTransport(), version: currentVersion})
+		c.nodes = append(c.nodes, &node{cfg: newTestPlatform(env, members, i), transport: env.Network.NewTransport(), version: currentVersion})
 	}
 	return c
 }
 
-// testPlatform are the platform's settings of a member.
-func testPlatform(env *simulation.Environment, members []agent.Controller, self int) *config.Platform {
+// newTestPlatform are the platform's settings of a member.
+func newTestPlatform(env *simulation.Environment, members []agent.Controller, self int) *config.Platform {
 	cfg := &config.Platform{Name: members[self].Name, Zone: "a", APIAddr: members[self].Addr}
 	for i, other := range members {
 		if i != self {
@@ -190,29 +190,29 @@
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
 	cfg := *n.cfg // tests change the node's settings for its next process
-	ctl := newController(ctx, &cfg, n.operatorSettings(), c.logger(), c.clientsOf(i))
+	ctl := newController(ctx, &cfg, n.operatorSettings(), c.logger(), c.dependenciesOf(i))
 	ctl.rollout.supportedLevels = n.version.supportedLevels
 	p := &process{controller: ctl, version: n.version, cancel: cancel, running: &sync.WaitGroup{}}
 	c.recordProcess(p)
 	n.process.Store(p)
 	ctl.start(ctx, p.running)
-	c.env.Network.Serve(n.cfg.APIAddr, n.handler(api.NewHandler(ctl, api.Limits{MaxConnections: 100, MaxUserRequests: 50})))
+	c.env.Network.Serve(n.cfg.APIAddr, n.blockingHandler(api.NewHandler(ctl, api.Limits{MaxConnections: 100, MaxUserRequests: 50})))
 }
 
-// clientsOf is how a node's controller reaches all others.
-func (c *cluster) clientsOf(i int) dependencies {
+// dependenciesOf is how a node's controller reaches all others.
+func (c *cluster) dependenciesOf(i int) dependencies {
 	n := c.nodes[i]
 	return dependencies{
 		store: n.storeTransport(), cloud: n.transport, workers: n.transport,
-		jitter: func(most time.Duration) time.Duration {
-			return time.Duration(network.Draw(uint64(i), n.cfg.Name) * float64(most))
+		jitter: func(maxDelay time.Duration) time.Duration {
+			return time.Duration(network.Draw(uint64(i), n.cfg.Name) * float64(maxDelay))
 		},
 		sendFrame: func(to string, frame []byte) { c.sendFrame(n, to, frame) },
 	}
 }
 
 // handler keeps requests from a controller's handler that the node blocks.
-func (n *node) handler(inner http.Handler) http.Handler {
+func (n *node) blockingHandler(inner http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		blocked := &n.usersBlocked
 		if r.URL.Path == agent.HeartbeatPath {
--- a/internal/controller/failure_report_test.go
+++ b/internal/controller/failure_report_test.go
@@ -107,7 +107,7 @@
 		return err
 	}
 	for _, event := range c.env.Trace.Events() {
-		if _, polled := event.(trace.Response); polled {
+		if _, isResponse := event.(trace.Response); isResponse {
 			continue // too many, and the rule checker names those that matter
 		}
 		if _, err := fmt.Fprintf(out, "time=%s %T %+v\n", event.Time().UTC().Format("2006-01-02T15:04:05.000Z07:00"), event, event); err != nil {
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// usualSeed is the seed of schedules that name none.
-const usualSeed = 7
+// defaultSeed is the seed of schedules that name none.
+const defaultSeed = 7
 
 // combination is a schedule in which faults come together.
-type combination struct {
+type faultCombination struct {
 	name   string
 	jobs   int    // that are submitted before
-	seed   uint64 // 0: usualSeed
+	seed   uint64 // 0: defaultSeed
 	faults []fault
 }
 
@@ -24,13 +24,13 @@
 	for _, x := range slices.Concat(clusterCombinations, gangCombinations) {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			runFaults(t, cmp.Or(x.seed, usualSeed), x.jobs, x.faults)
+			runFaults(t, cmp.Or(x.seed, defaultSeed), x.jobs, x.faults)
 		})
 	}
 }
 
 // clusterCombinations are those of all jobs.
-var clusterCombinations = []combination{
+var clusterCombinations = []faultCombination{
 	{
 		name: "cancelled while one controller's work changes hands",
 		jobs: 14,
@@ -46,7 +46,7 @@
 		name: "late transactions after newer ones",
 		jobs: 12,
 		faults: []fault{
-			{at: 0, kind: lateWrites, target: allNodes, duration: 60, share: 0.3},
+			{at: 0, kind: lateTransactions, target: allNodes, duration: 60, share: 0.3},
 			{at: 5, kind: submitJobs, target: 6},
 			{at: 12, kind: cancelJobs, target: 4},
 			{at: 20, kind: killController, target: leaderNode, duration: 0.4},
@@ -111,7 +111,7 @@
 		name: "leader cut off with its agents",
 		jobs: 14,
 		faults: []fault{
-			{at: 5, kind: agentsAndUsersOnly, target: leaderNode, duration: 60},
+			{at: 5, kind: storeAndPeersUnreachable, target: leaderNode, duration: 60},
 			{at: 12, kind: cancelJobs, target: 6},
 			{at: 14, kind: cancelJobs, target: 3},
 		},
@@ -250,7 +250,7 @@
 		faults: []fault{
 			{at: 10, kind: killController, target: leaderNode, duration: 9},
 			{at: 30, kind: killController, target: leaderNode, duration: 0.4},
-			{at: 40, kind: lateWrites, target: allNodes, duration: 20, share: 0.3},
+			{at: 40, kind: lateTransactions, target: allNodes, duration: 20, share: 0.3},
 		},
 	},
 	{
@@ -308,7 +308,7 @@
 		name: "odd requests, restarts",
 		jobs: 10,
 		faults: []fault{
-			{at: 0, kind: oddRequests, duration: 70},
+			{at: 0, kind: unusualRequests, duration: 70},
 			{at: 10, kind: killController, target: leaderNode, duration: 4},
 			{at: 20, kind: cancelJobs, target: 4},
 			{at: 30, kind: killController, target: allNodes, duration: 1},
--- a/internal/controller/fault_effects_test.go
+++ b/internal/controller/fault_effects_test.go
@@ -14,18 +14,18 @@
 
 // faultEffects are the effects of all faults.
 var faultEffects = map[faultKind]faultEffect{
-	storeDown:          (*scheduleRun).takeStoreDown,
-	storeRefuses:       requestFault(isStoreRequest, network.Refuse),
-	storeSilent:        requestFault(isStoreRequest, network.Drop),
-	storeSlow:          shareFault(isStoreRequest, network.Delay),
-	lateWrites:         shareFault(isTransactionRequest, network.ExecuteLate),
-	lostResponses:      shareFault(isTransactionRequest, network.DropResponse),
-	lateCommands:       shareFault(isAgentRequest, network.ExecuteLate),
-	agentsSilent:       (*scheduleRun).blockAgents,
-	noPeers:            (*scheduleRun).blockPeers,
-	agentsAndUsersOnly: (*scheduleRun).blockStoreAndPeers,
-	killController:     (*scheduleRun).restartControllers,
-	isolateZone:        (*scheduleRun).isolateZone,
+	storeDown:                (*scheduleRun).takeStoreDown,
+	storeRefuses:             requestFault(isStoreRequest, network.Refuse),
+	storeUnresponsive:        requestFault(isStoreRequest, network.Drop),
+	storeSlow:                partialRequestFault(isStoreRequest, network.Delay),
+	lateTransactions:         partialRequestFault(isTransactionRequest, network.ExecuteLate),
+	lostResponses:            partialRequestFault(isTransactionRequest, network.DropResponse),
+	lateCommands:             partialRequestFault(isAgentRequest, network.ExecuteLate),
+	agentsUnreachable:        (*scheduleRun).blockAgents,
+	peersUnreachable:         (*scheduleRun).blockPeers,
+	storeAndPeersUnreachable: (*scheduleRun).blockStoreAndPeers,
+	killController:           (*scheduleRun).restartControllers,
+	isolateZone:              (*scheduleRun).isolateZone,
 
 	machinesNotReceiving: machineFault((*agent.Agent).SetNotReceiving),
 	machinesNotSending:   machineFault((*agent.Agent).SetNotSending),
@@ -45,18 +45,18 @@
 	cancelAsMachinesHang: (*scheduleRun).cancelAsMachinesHang,
 	raceCompletion:       (*scheduleRun).raceCompletion,
 	queryAllControllers:  (*scheduleRun).queryAllControllers,
-	oddRequests:          (*scheduleRun).sendOddRequests,
+	unusualRequests:      (*scheduleRun).sendUnusualRequests,
 	submitJobs:           (*scheduleRun).submitJobs,
 	submitGangs:          (*scheduleRun).submitGangs,
 	submitUrgentArray:    (*scheduleRun).submitUrgentArray,
 	submitOneTaskJobs:    (*scheduleRun).submitOneTaskJobs,
 	lowerLimits:          (*scheduleRun).lowerLimits,
 
-	finalizeUpgrade:  (*scheduleRun).finalizeUpgrade,
-	abortUpgrade:     (*scheduleRun).abortUpgrade,
-	finalizeAndAbort: (*scheduleRun).finalizeAndAbort,
-	startUnaware:     (*scheduleRun).startUnaware,
-	startBaseLevel:   (*scheduleRun).startBaseLevel,
+	finalizeUpgrade:    (*scheduleRun).finalizeUpgrade,
+	abortUpgrade:       (*scheduleRun).abortUpgrade,
+	finalizeAndAbort:   (*scheduleRun).finalizeAndAbort,
+	startWithoutLevels: (*scheduleRun).startWithoutLevels,
+	startWithBaseLevel: (*scheduleRun).startWithBaseLevel,
 }
 
 // doNothing ends a fault that ends by itself.
@@ -77,34 +77,34 @@
 func isAgentRequest(r *http.Request) bool       { return strings.HasPrefix(r.URL.Host, "10.1.") }
 
 // policyForMatching is a policy that has a fault happen to all requests of a kind.
-func policyForMatching(matches func(*http.Request) bool, happens network.Fault) network.Policy {
+func policyForMatching(matches func(*http.Request) bool, networkFault network.Fault) network.Policy {
 	return func(r *http.Request) network.Fault {
 		if matches(r) {
-			return happens
+			return networkFault
 		}
 		return network.Deliver
 	}
 }
 
 // requestFault is an effect on all requests of a kind that the target makes.
-func requestFault(matches func(*http.Request) bool, happens network.Fault) faultEffect {
+func requestFault(matches func(*http.Request) bool, networkFault network.Fault) faultEffect {
 	return func(s *scheduleRun, f fault) func() {
-		return s.addPolicy(f.target, s.policyFor(1, matches, happens))
+		return s.addPolicy(f.target, s.policyForShare(1, matches, networkFault))
 	}
 }
 
-// shareFault is requestFault for a share of the requests.
-func shareFault(matches func(*http.Request) bool, happens network.Fault) faultEffect {
+// partialRequestFault is requestFault for a share of the requests.
+func partialRequestFault(matches func(*http.Request) bool, networkFault network.Fault) faultEffect {
 	return func(s *scheduleRun, f fault) func() {
-		return s.addPolicy(f.target, s.policyFor(f.share, matches, happens))
+		return s.addPolicy(f.target, s.policyForShare(f.share, matches, networkFault))
 	}
 }
 
-// policyFor has a fault happen to a share of the requests that match.
-func (s *scheduleRun) policyFor(share float64, matches func(*http.Request) bool, happens network.Fault) network.Policy {
+// policyForShare has a fault happen to a share of the requests that match.
+func (s *scheduleRun) policyForShare(share float64, matches func(*http.Request) bool, networkFault network.Fault) network.Policy {
 	return func(r *http.Request) network.Fault {
 		if matches(r) && network.Draw(s.seed, r.URL.String()) < share {
-			return happens
+			return networkFault
 		}
 		return network.Deliver
 	}
@@ -112,9 +112,9 @@
 
 // addPolicy adds a policy for controllers, which removes it again.
 func (s *scheduleRun) addPolicy(target int, policy network.Policy) (remove func()) {
-	nodes := s.nodesOf(target)
-	s.lastPolicy++
-	id := s.lastPolicy
+	nodes := s.targetNodes(target)
+	s.lastPolicyID++
+	id := s.lastPolicyID
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, i := range nodes {
@@ -129,12 +129,12 @@
 	}
 }
 
-// nodesOf are the controllers that a fault is about.
-func (s *scheduleRun) nodesOf(target int) []int {
+// targetNodes are the controllers that a fault is about.
+func (s *scheduleRun) targetNodes(target int) []int {
 	var out []int
 	for i, n := range s.nodes {
-		leads := target == leaderNode && n.isLeader(s.ctx)
-		if target == allNodes || target == i || leads {
+		isTargetLeader := target == leaderNode && n.isLeader(s.ctx)
+		if target == allNodes || target == i || isTargetLeader {
 			out = append(out, i)
 		}
 	}
@@ -157,8 +157,8 @@
 
 // blockAgents has a controller and the agents not reach each other.
 func (s *scheduleRun) blockAgents(f fault) func() {
-	remove := s.addPolicy(f.target, s.policyFor(1, isAgentRequest, network.Drop))
-	nodes := s.nodesOf(f.target)
+	remove := s.addPolicy(f.target, s.policyForShare(1, isAgentRequest, network.Drop))
+	nodes := s.targetNodes(f.target)
 	for _, i := range nodes {
 		s.nodes[i].agentsBlocked.Store(true)
 	}
@@ -171,7 +171,7 @@
 }
 
 func (s *scheduleRun) blockPeers(f fault) func() {
-	nodes := s.nodesOf(f.target)
+	nodes := s.targetNodes(f.target)
 	for _, i := range nodes {
 		s.nodes[i].peersBlocked.Store(true)
 	}
@@ -185,19 +185,19 @@
 // blockStoreAndPeers leaves a controller its agents and users.
 func (s *scheduleRun) blockStoreAndPeers(f fault) func() {
 	var ends []func()
-	for _, i := range s.nodesOf(f.target) {
-		remove := s.addPolicy(i, s.policyFor(1, isStoreRequest, network.Drop))
+	for _, i := range s.targetNodes(f.target) {
+		remove := s.addPolicy(i, s.policyForShare(1, isStoreRequest, network.Drop))
 		s.nodes[i].peersBlocked.Store(true)
 		ends = append(ends, func() {
 			remove()
 			s.nodes[i].peersBlocked.Store(false)
 		})
 	}
-	return inOrder(ends)
+	return callInOrder(ends)
 }
 
 func (s *scheduleRun) restartControllers(f fault) func() {
-	nodes := s.nodesOf(f.target)
+	nodes := s.targetNodes(f.target)
 	for _, i := range nodes {
 		s.kill(i)
 	}
@@ -208,8 +208,8 @@
 	}
 }
 
-// inOrder calls functions one after the other.
-func inOrder(functions []func()) func() {
+// callInOrder calls functions one after the other.
+func callInOrder(functions []func()) func() {
 	return func() {
 		for _, f := range functions {
 			f()
@@ -221,27 +221,27 @@
 func (s *scheduleRun) isolateZone(fault) func() {
 	const zone = "b"
 	node := len(s.nodes) - 1
-	inside := map[string]bool{s.nodes[node].cfg.APIAddr: true}
+	addrsInZone := map[string]bool{s.nodes[node].cfg.APIAddr: true}
 	for _, a := range s.env.Cloud.Agents() {
 		if a.Zone() == zone {
-			inside[a.Addr()] = true
+			addrsInZone[a.Addr()] = true
 		}
 	}
-	crosses := func(fromInside bool) func(*http.Request) bool {
-		return func(r *http.Request) bool { return inside[r.URL.Host] != fromInside }
+	crossesBoundary := func(fromInside bool) func(*http.Request) bool {
+		return func(r *http.Request) bool { return addrsInZone[r.URL.Host] != fromInside }
 	}
 	var ends []func()
 	for _, a := range s.env.Cloud.Agents() {
-		a.Transport().SetPolicy(s.policyFor(1, crosses(inside[a.Addr()]), network.Drop))
+		a.Transport().SetPolicy(s.policyForShare(1, crossesBoundary(addrsInZone[a.Addr()]), network.Drop))
 		ends = append(ends, func() { a.Transport().SetPolicy(nil) })
 	}
 	for i := range s.nodes {
-		ends = append(ends, s.addPolicy(i, s.policyFor(1, crosses(i == node), network.Drop)))
+		ends = append(ends, s.addPolicy(i, s.policyForShare(1, crossesBoundary(i == node), network.Drop)))
 	}
 	s.nodes[node].peersBlocked.Store(true)
 	s.nodes[node].usersBlocked.Store(true)
 	return func() {
-		inOrder(ends)()
+		callInOrder(ends)()
 		s.nodes[node].peersBlocked.Store(false)
 		s.nodes[node].usersBlocked.Store(false)
 	}
--- a/internal/controller/fault_generator_test.go
+++ b/internal/controller/fault_generator_test.go
@@ -9,7 +9,7 @@
 )
 
 // combinations is how many generated schedules are played; a long search plays more.
-var combinations = flag.Int("combinations", 24, "generated schedules of faults to play")
+var generatedScheduleCount = flag.Int("combinations", 24, "generated schedules of faults to play")
 
 // firstSeed is where they begin.
 var firstSeed = flag.Uint64("first-seed", 1, "seed of the first generated schedule")
@@ -17,22 +17,22 @@
 // generatorSeed draws schedules, apart from what users do in them.
 const generatorSeed = 3
 
-// generatedFaults are the faults that a schedule is drawn from, with their usual durations;
+// faultTemplates are the faults that a schedule is drawn from, with their usual durations;
 // those that are there twice come more often.
-var generatedFaults = []fault{
+var faultTemplates = []fault{
 	{kind: cloudDown, duration: 40},
 	{kind: noCapacity, duration: 60},
 	{kind: storeDown, duration: 45},
 	{kind: storeRefuses, duration: 20},
-	{kind: storeSilent, duration: 15},
+	{kind: storeUnresponsive, duration: 15},
 	{kind: storeSlow, duration: 30, share: 0.3},
-	{kind: lateWrites, target: allNodes, duration: 40, share: 0.3},
+	{kind: lateTransactions, target: allNodes, duration: 40, share: 0.3},
 	{kind: lostResponses, target: allNodes, duration: 40, share: 0.3},
 	{kind: lateCommands, target: allNodes, duration: 30, share: 0.3},
-	{kind: agentsSilent, duration: 20},
-	{kind: noPeers, duration: 30},
-	{kind: noPeers, target: allNodes, duration: 30},
-	{kind: agentsAndUsersOnly, duration: 40},
+	{kind: agentsUnreachable, duration: 20},
+	{kind: peersUnreachable, duration: 30},
+	{kind: peersUnreachable, target: allNodes, duration: 30},
+	{kind: storeAndPeersUnreachable, duration: 40},
 	{kind: killController, duration: 0.3},
 	{kind: killController, duration: 6},
 	{kind: killController, target: allNodes, duration: 0.5},
@@ -51,7 +51,7 @@
 	{kind: cancelAsMachinesHang, target: 3, duration: 7},
 	{kind: raceCompletion, duration: 40, share: 0.4},
 	{kind: queryAllControllers, duration: 40},
-	{kind: oddRequests, duration: 30},
+	{kind: unusualRequests, duration: 30},
 	{kind: copyHeartbeats, duration: 40, share: 0.3},
 	{kind: copyHeartbeatsLate, duration: 40, share: 0.3},
 	{kind: submitJobs, target: 6},
@@ -66,7 +66,7 @@
 // it can become a row of TestFaultCombinations.
 func TestGeneratedFaultSchedules(t *testing.T) {
 	t.Parallel()
-	for seed := *firstSeed; seed < *firstSeed+uint64(*combinations); seed++ {
+	for seed := *firstSeed; seed < *firstSeed+uint64(*generatedScheduleCount); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			faults := generateSchedule(seed)
@@ -92,10 +92,10 @@
 	rng := rand.New(rand.NewPCG(seed, generatorSeed))
 	var faults []fault
 	for range 7 + rng.IntN(6) {
-		f := generatedFaults[rng.IntN(len(generatedFaults))]
+		f := faultTemplates[rng.IntN(len(faultTemplates))]
 		f.at = float64(rng.IntN(600)) / 10
 		f.duration *= 0.4 + 0.8*rng.Float64()
-		if f.hitsOneController() && f.target != allNodes {
+		if f.targetsOneController() && f.target != allNodes {
 			f.target = drawController(rng)
 		}
 		faults = append(faults, f)
@@ -104,10 +104,10 @@
 	return faults
 }
 
-// hitsOneController tells whether a fault's target is a controller.
-func (f fault) hitsOneController() bool {
+// targetsOneController tells whether a fault's target is a controller.
+func (f fault) targetsOneController() bool {
 	switch f.kind {
-	case storeRefuses, storeSilent, storeSlow, agentsSilent, noPeers, agentsAndUsersOnly, killController:
+	case storeRefuses, storeUnresponsive, storeSlow, agentsUnreachable, peersUnreachable, storeAndPeersUnreachable, killController:
 		return true
 	}
 	return false
--- a/internal/controller/fault_machine_effects_test.go
+++ b/internal/controller/fault_machine_effects_test.go
@@ -13,7 +13,7 @@
 
 // machineFault is an effect on the busiest machines that lasts.
 func machineFault(set func(a *agent.Agent, on bool)) faultEffect {
-	return func(s *scheduleRun, f fault) func() { return s.setOnBusiest(f.target, set) }
+	return func(s *scheduleRun, f fault) func() { return s.setOnBusiestMachines(f.target, set) }
 }
 
 // machineEvent is an effect on the busiest machines that does not last.
@@ -26,8 +26,8 @@
 	}
 }
 
-// setOnBusiest sets something on the busiest machines, and returns what unsets it.
-func (s *scheduleRun) setOnBusiest(count int, set func(a *agent.Agent, on bool)) (unset func()) {
+// setOnBusiestMachines sets something on the busiest machines, and returns what unsets it.
+func (s *scheduleRun) setOnBusiestMachines(count int, set func(a *agent.Agent, on bool)) (unset func()) {
 	agents := s.busiestMachines(count)
 	for _, a := range agents {
 		set(a, true)
@@ -57,8 +57,8 @@
 
 // freezeCapacity lets the cloud have no more machines than there are.
 func (s *scheduleRun) freezeCapacity(fault) func() {
-	before := s.env.Cloud.SetCapacity(len(s.env.Cloud.Agents()))
-	return func() { s.env.Cloud.SetCapacity(before) }
+	oldCapacity := s.env.Cloud.SetCapacity(len(s.env.Cloud.Agents()))
+	return func() { s.env.Cloud.SetCapacity(oldCapacity) }
 }
 
 // maxCopyDelay is by how much more than the least a copy of a heartbeat may be late.
@@ -70,14 +70,14 @@
 }
 
 // duplicateHeartbeats has a share of all heartbeats arrive again, somewhere, later.
-func (s *scheduleRun) duplicateHeartbeats(share float64, least time.Duration) func() {
+func (s *scheduleRun) duplicateHeartbeats(share float64, minDelay time.Duration) func() {
 	agents := s.env.Cloud.Agents()
 	for _, a := range agents {
 		a.OnHeartbeat(func(raw []byte) {
-			again := network.Draw(s.seed, a.Name()) < share
+			isDuplicated := network.Draw(s.seed, a.Name()) < share
 			node := int(network.Draw(s.seed+1, a.Name()) * float64(len(s.nodes)))
-			delay := least + time.Duration(network.Draw(s.seed+2, a.Name())*float64(maxCopyDelay))
-			if again {
+			delay := minDelay + time.Duration(network.Draw(s.seed+2, a.Name())*float64(maxCopyDelay))
+			if isDuplicated {
 				time.AfterFunc(delay, func() { s.resendHeartbeat(raw, node) })
 			}
 		})
--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -15,19 +15,19 @@
 // scheduleRun is a cluster at work, to which the faults of a schedule happen.
 type scheduleRun struct {
 	*cluster
-	seed       uint64
-	rng        *rand.Rand
-	policies   []map[int]network.Policy // by controller, of the faults that last
-	lastPolicy int
+	seed         uint64
+	rng          *rand.Rand
+	policies     []map[int]network.Policy // by controller, of the faults that last
+	lastPolicyID int
 	// scarce: there are too few machines for all jobs.
-	scarce          bool
-	savedHeartbeats map[string][]byte // by machine
+	insufficientCapacity bool
+	savedHeartbeats      map[string][]byte // by machine
 
 	// These are shared by users; cluster.mu guards them.
-	ids            []string // of the jobs that were submitted, accepted or not
-	submissions    map[string]*submission
-	completionSeen map[string]bool
-	cancelled      map[string]bool // somebody asked for it
+	ids                []string // of the jobs that were submitted, accepted or not
+	submissions        map[string]*submission
+	handledCompletions map[string]bool
+	cancelled          map[string]bool // somebody asked for it
 }
 
 // The limits that the key-value store has once they have been lowered.
@@ -42,12 +42,12 @@
 	// minRequestDelay and requestDelayJitter are by how much late requests are late.
 	minRequestDelay    = 2 * time.Second
 	requestDelayJitter = 10 * time.Second
-	// maxRecovery is in what time all controllers answer again once all faults are over.
-	maxRecovery = 75 * time.Second
+	// maxRecoveryTime is in what time all controllers answer again once all faults are over.
+	maxRecoveryTime = 75 * time.Second
 )
 
 // capacities are how many machines the cloud has, by seed: enough, and too few.
-var capacities = []int{20, 8, 5}
+var cloudCapacities = []int{20, 8, 5}
 
 // runFaults has the faults of a schedule happen to a cluster at work, and waits until all
 // that was accepted is done, runs or is cancelled. Whatever happens is checked from outside.
@@ -61,9 +61,9 @@
 	if slices.ContainsFunc(faults, func(f fault) bool { return f.kind == lowerLimits }) {
 		c.announceLimits(loweredValueBytes, loweredTxnChanges)
 	}
-	size := int(seed % uint64(len(capacities)))
-	s.scarce = size > 0
-	c.env.Cloud.SetCapacity(capacities[size])
+	capacityIndex := int(seed % uint64(len(cloudCapacities)))
+	s.insufficientCapacity = capacityIndex > 0
+	c.env.Cloud.SetCapacity(cloudCapacities[capacityIndex])
 	for range jobs {
 		s.submitRandomJob()
 		time.Sleep(time.Millisecond)
@@ -71,23 +71,23 @@
 	c.await("work runs", time.Minute, func() bool { return c.env.Starts() > jobs })
 	s.injectAll(faults)
 	c.env.SetSettled()
-	s.settle()
+	s.awaitSettled()
 }
 
 // newScheduleRun has the requests of all controllers pass the faults that last.
 func newScheduleRun(c *cluster, seed uint64) *scheduleRun {
 	s := &scheduleRun{cluster: c, seed: seed, rng: rand.New(rand.NewPCG(seed, scheduleSeed)), submissions: map[string]*submission{},
-		completionSeen: map[string]bool{}, cancelled: map[string]bool{}, savedHeartbeats: map[string][]byte{}}
+		handledCompletions: map[string]bool{}, cancelled: map[string]bool{}, savedHeartbeats: map[string][]byte{}}
 	for i, n := range c.nodes {
 		s.policies = append(s.policies, map[int]network.Policy{})
 		n.transport.SetDelay(minRequestDelay, requestDelayJitter)
-		n.transport.SetPolicy(func(r *http.Request) network.Fault { return s.decide(i, r) })
+		n.transport.SetPolicy(func(r *http.Request) network.Fault { return s.chooseFault(i, r) })
 	}
 	return s
 }
 
 // decide is what the faults that last do to a controller's request; the oldest goes first.
-func (s *scheduleRun) decide(node int, r *http.Request) network.Fault {
+func (s *scheduleRun) chooseFault(node int, r *http.Request) network.Fault {
 	s.mu.Lock()
 	var policies []network.Policy
 	for _, id := range slices.Sorted(maps.Keys(s.policies[node])) {
@@ -95,15 +95,15 @@
 	}
 	s.mu.Unlock()
 	for _, policy := range policies {
-		if happens := policy(r); happens != network.Deliver {
-			return happens
+		if networkFault := policy(r); networkFault != network.Deliver {
+			return networkFault
 		}
 	}
 	return network.Deliver
 }
 
-// lastingFault is a fault that has begun.
-type lastingFault struct {
+// activeFault is a fault that has begun.
+type activeFault struct {
 	endsAt float64
 	end    func()
 }
@@ -113,29 +113,29 @@
 
 // injectAll has faults begin and end at their times.
 func (s *scheduleRun) injectAll(faults []fault) {
-	begun := time.Now()
+	startedAt := time.Now()
 	sleepUntil := func(at float64) {
-		time.Sleep(time.Until(begun.Add(time.Duration(at * float64(time.Second)))))
+		time.Sleep(time.Until(startedAt.Add(time.Duration(at * float64(time.Second)))))
 	}
-	var lasting []lastingFault
+	var active []activeFault
 	for _, f := range faults {
-		lasting = endUntil(f.at, lasting, sleepUntil)
+		active = endFaultsUntil(f.at, active, sleepUntil)
 		sleepUntil(f.at)
-		lasting = append(lasting, lastingFault{f.at + f.duration, s.inject(f)})
+		active = append(active, activeFault{f.at + f.duration, s.inject(f)})
 	}
 	const forever = 1e9
-	endUntil(forever, lasting, sleepUntil)
+	endFaultsUntil(forever, active, sleepUntil)
 }
 
-// endUntil ends faults, each at its time, up to a time, and returns those that still last.
-func endUntil(at float64, lasting []lastingFault, sleepUntil func(float64)) []lastingFault {
-	slices.SortStableFunc(lasting, func(x, y lastingFault) int { return compareTimes(x.endsAt, y.endsAt) })
-	for len(lasting) > 0 && lasting[0].endsAt <= at {
-		sleepUntil(lasting[0].endsAt)
-		lasting[0].end()
-		lasting = lasting[1:]
+// endFaultsUntil ends faults, each at its time, up to a time, and returns those that still last.
+func endFaultsUntil(at float64, active []activeFault, sleepUntil func(float64)) []activeFault {
+	slices.SortStableFunc(active, func(x, y activeFault) int { return compareTimes(x.endsAt, y.endsAt) })
+	for len(active) > 0 && active[0].endsAt <= at {
+		sleepUntil(active[0].endsAt)
+		active[0].end()
+		active = active[1:]
 	}
-	return lasting
+	return active
 }
 
 // announceLimits has the controllers start anew with settings that name lower limits to
@@ -151,15 +151,15 @@
 }
 
 // settle waits until all is as it should be once the faults are over.
-func (s *scheduleRun) settle() {
+func (s *scheduleRun) awaitSettled() {
 	s.t.Helper()
 	s.queryAllUntil.Store(nil)
 	time.Sleep(5 * time.Second)
 	s.mu.Lock()
 	ids := slices.Clone(s.ids)
 	s.mu.Unlock()
-	s.checkAnswered(ids)
-	if s.scarce { // services would keep all machines from the rest for good
+	s.checkQueriesAnswered(ids)
+	if s.insufficientCapacity { // services would keep all machines from the rest for good
 		time.Sleep(2 * time.Minute)
 		s.cancelServices(ids)
 	}
@@ -170,12 +170,12 @@
 }
 
 // checkAnswered checks that queries of all jobs are answered.
-func (s *scheduleRun) checkAnswered(ids []string) {
+func (s *scheduleRun) checkQueriesAnswered(ids []string) {
 	s.t.Helper()
 	settledAt := time.Now()
 	for _, id := range ids {
-		answer := s.sendWithRetries(queryRequest(id), maxRecovery)
-		if answer.status != http.StatusOK && answer.status != http.StatusNotFound {
+		response := s.sendWithRetries(queryRequest(id), maxRecoveryTime)
+		if response.status != http.StatusOK && response.status != http.StatusNotFound {
 			s.t.Errorf("seed %d: %s is not answered for %v after the faults", s.seed, id, time.Since(settledAt))
 		}
 	}
@@ -184,8 +184,8 @@
 // cancelServices cancels the services that nobody has cancelled.
 func (s *scheduleRun) cancelServices(ids []string) {
 	for _, id := range ids {
-		if s.submitted(id).Kind == wire.KindService && !s.wasCancelled(id) {
-			s.persistentlyCancel(id)
+		if s.submissionOf(id).Kind == wire.KindService && !s.wasCancelled(id) {
+			s.cancelWithRetries(id)
 		}
 	}
 }
@@ -193,10 +193,10 @@
 // isSettled tells whether a job is finished or was never accepted, or is a service that runs
 // whole.
 func (s *scheduleRun) isSettled(id string) bool {
-	answer := s.sendWithRetries(queryRequest(id), maxRecovery)
-	if answer.status == http.StatusNotFound || answer.state == wire.StateDone || answer.state == wire.StateCancelled {
+	response := s.sendWithRetries(queryRequest(id), maxRecoveryTime)
+	if response.status == http.StatusNotFound || response.state == wire.StateDone || response.state == wire.StateCancelled {
 		return true
 	}
-	job := s.submitted(id)
+	job := s.submissionOf(id)
 	return job.Kind == wire.KindService && s.env.Running(id) == job.Tasks
 }
--- a/internal/controller/fault_user_effects_test.go
+++ b/internal/controller/fault_user_effects_test.go
@@ -12,12 +12,12 @@
 // How often users do what they do while a fault lasts.
 const (
 	completionCheckInterval = 20 * time.Millisecond
-	oddRequestInterval      = 700 * time.Millisecond
+	unusualRequestInterval  = 700 * time.Millisecond
 	oneTaskJobInterval      = 250 * time.Millisecond
 )
 
 // lasting is for how long a fault lasts.
-func (f fault) lasting() time.Duration { return time.Duration(f.duration * float64(time.Second)) }
+func (f fault) activeTime() time.Duration { return time.Duration(f.duration * float64(time.Second)) }
 
 // cancelSomeJobs cancels jobs that are drawn.
 func (s *scheduleRun) cancelSomeJobs(f fault) func() {
@@ -33,7 +33,7 @@
 func (s *scheduleRun) cancelAsMachinesHang(f fault) func() {
 	const hanging = 8
 	ids := s.uncancelledJobs()
-	end := s.setOnBusiest(hanging, (*agent.Agent).SetHanging)
+	end := s.setOnBusiestMachines(hanging, (*agent.Agent).SetHanging)
 	s.cancelAll(ids[:min(f.target, len(ids))])
 	return end
 }
@@ -41,12 +41,12 @@
 // cancelAll cancels jobs in the background.
 func (s *scheduleRun) cancelAll(ids []string) {
 	for _, id := range ids {
-		go s.persistentlyCancel(id)
+		go s.cancelWithRetries(id)
 	}
 }
 
-// persistentlyCancel cancels a job until there is a final answer.
-func (s *scheduleRun) persistentlyCancel(id string) {
+// cancelWithRetries cancels a job until there is a final answer.
+func (s *scheduleRun) cancelWithRetries(id string) {
 	s.mu.Lock()
 	s.cancelled[id] = true
 	s.mu.Unlock()
@@ -74,7 +74,7 @@
 }
 
 // submitted is what was submitted of a job.
-func (s *scheduleRun) submitted(id string) *submission {
+func (s *scheduleRun) submissionOf(id string) *submission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.submissions[id]
@@ -82,8 +82,8 @@
 
 // queryAllControllers has users ask all controllers as soon as one has answered.
 func (s *scheduleRun) queryAllControllers(f fault) func() {
-	until := time.Now().Add(f.lasting())
-	s.queryAllUntil.Store(&until)
+	queryUntil := time.Now().Add(f.activeTime())
+	s.queryAllUntil.Store(&queryUntil)
 	return doNothing
 }
 
@@ -91,7 +91,7 @@
 // come with the end of the last task.
 func (s *scheduleRun) raceCompletion(f fault) func() {
 	go func() {
-		for until := time.Now().Add(f.lasting()); time.Now().Before(until); time.Sleep(completionCheckInterval) {
+		for deadline := time.Now().Add(f.activeTime()); time.Now().Before(deadline); time.Sleep(completionCheckInterval) {
 			for _, id := range s.uncancelledJobs() {
 				s.raceCompletionOf(id, f.share)
 			}
@@ -102,11 +102,11 @@
 
 // raceCompletionOf does so for one job, if its last task has just ended.
 func (s *scheduleRun) raceCompletionOf(id string, share float64) {
-	job := s.submitted(id)
+	job := s.submissionOf(id)
 	s.mu.Lock()
-	justEnded := !s.completionSeen[id] && s.env.Completed(id) >= job.Tasks
+	justEnded := !s.handledCompletions[id] && s.env.Completed(id) >= job.Tasks
 	if justEnded {
-		s.completionSeen[id] = true
+		s.handledCompletions[id] = true
 	}
 	cancelled := s.rng.Float64() < share
 	s.mu.Unlock()
@@ -118,24 +118,24 @@
 	}
 	go s.sendRequest(0, submitRequest(job, nil))
 	if cancelled {
-		go s.persistentlyCancel(id)
+		go s.cancelWithRetries(id)
 	}
 }
 
-// sendOddRequests sends requests that are repeated, late or wrong.
-func (s *scheduleRun) sendOddRequests(f fault) func() {
+// sendUnusualRequests sends requests that are repeated, late or wrong.
+func (s *scheduleRun) sendUnusualRequests(f fault) func() {
 	go func() {
 		number := 0
-		for until := time.Now().Add(f.lasting()); time.Now().Before(until); time.Sleep(oddRequestInterval) {
+		for deadline := time.Now().Add(f.activeTime()); time.Now().Before(deadline); time.Sleep(unusualRequestInterval) {
 			number++
-			s.sendOddRequest(number)
+			s.sendUnusualRequest(number)
 		}
 	}()
 	return doNothing
 }
 
-// sendOddRequest sends one of a drawn kind.
-func (s *scheduleRun) sendOddRequest(number int) {
+// sendUnusualRequest sends one of a drawn kind.
+func (s *scheduleRun) sendUnusualRequest(number int) {
 	s.mu.Lock()
 	kind := s.rng.IntN(4)
 	known := ""
@@ -144,30 +144,30 @@
 	}
 	s.mu.Unlock()
 	node := (number - 1) % len(s.nodes)
-	wrong := newSubmission(submission{ID: fmt.Sprintf("wk-9%05d", number), Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 1, CPUs: 1, EstimateS: 1})
+	invalid := newSubmission(submission{ID: fmt.Sprintf("wk-9%05d", number), Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 1, CPUs: 1, EstimateS: 1})
 	switch kind {
 	case 0:
 		if known != "" {
-			s.sendRequest(node, submitRequest(s.submitted(known), nil))
+			s.sendRequest(node, submitRequest(s.submissionOf(known), nil))
 		}
 	case 1:
 		s.sendRequest(node, queryRequest(fmt.Sprintf("wk-8%05d", number)))
 	case 2:
-		wrong.CPUs = 64
-		s.expectRefused(node, wrong, http.StatusUnprocessableEntity)
+		invalid.CPUs = 64
+		s.checkRefused(node, invalid, http.StatusUnprocessableEntity)
 	case 3:
-		wrong.omittedField = "reckonS"
-		s.expectRefused(node, wrong, http.StatusBadRequest)
+		invalid.omittedField = "reckonS"
+		s.checkRefused(node, invalid, http.StatusBadRequest)
 	}
 }
 
-// expectRefused submits a wrong job twice, which must be refused with a status if there is
+// checkRefused submits a wrong job twice, which must be refused with a status if there is
 // an answer.
-func (s *scheduleRun) expectRefused(node int, wrong *submission, want int) {
+func (s *scheduleRun) checkRefused(node int, invalid *submission, want int) {
 	for range 2 {
-		answer := s.sendRequest(node, submitRequest(wrong, nil))
-		if answer.status != want && answer.status != http.StatusServiceUnavailable && answer.status != 0 {
-			s.t.Errorf("seed %d: odd request %+v: status %d, want %d", s.seed, *wrong, answer.status, want)
+		response := s.sendRequest(node, submitRequest(invalid, nil))
+		if response.status != want && response.status != http.StatusServiceUnavailable && response.status != 0 {
+			s.t.Errorf("seed %d: odd request %+v: status %d, want %d", s.seed, *invalid, response.status, want)
 		}
 	}
 }
@@ -199,13 +199,13 @@
 func (s *scheduleRun) submitOneTaskJobs(f fault) func() {
 	const cancelledShare = 0.25
 	go func() {
-		for until := time.Now().Add(f.lasting()); time.Now().Before(until); time.Sleep(oneTaskJobInterval) {
+		for deadline := time.Now().Add(f.activeTime()); time.Now().Before(deadline); time.Sleep(oneTaskJobInterval) {
 			id := s.submitAsync(newSubmission(submission{Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 1, CPUs: 1, EstimateS: 2}))
 			s.mu.Lock()
 			cancelled := s.rng.Float64() < cancelledShare
 			s.mu.Unlock()
 			if cancelled {
-				go s.persistentlyCancel(id)
+				go s.cancelWithRetries(id)
 			}
 		}
 	}()
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -16,11 +16,11 @@
 // falls silent; more take longer.
 var fleetSize = flag.Int("fleet", 400, "machines of the large fleet")
 
-// fleetSilence is for how long it falls silent; a lease is 50 s.
-var fleetSilence = flag.Duration("fleet-silence", 20*time.Second, "how long the large fleet falls silent")
+// fleetIsolationTime is for how long it falls silent; a lease is 50 s.
+var fleetIsolationTime = flag.Duration("fleet-silence", 20*time.Second, "how long the large fleet falls silent")
 
-// setUpFleet gives a node the settings of a large deployment.
-func setUpFleet(n *node) {
+// configureLargeFleet gives a node the settings of a large deployment.
+func configureLargeFleet(n *node) {
 	s := &n.cfg.Settings
 	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 10, 50, 110
 	s.Store.RPS, s.Store.WriteRPS = 1000, 300
@@ -36,12 +36,12 @@
 	for _, controllers := range []int{3, 5} {
 		t.Run(fmt.Sprint(controllers, " controllers"), func(t *testing.T) {
 			t.Parallel()
-			runClusterOf(t, controllers, setUpFleet, func(c *cluster) { c.playFleet(*fleetSize) })
+			runClusterOfSize(t, controllers, configureLargeFleet, func(c *cluster) { c.runLargeFleet(*fleetSize) })
 		})
 	}
 }
 
-func (c *cluster) playFleet(machines int) {
+func (c *cluster) runLargeFleet(machines int) {
 	env := c.env
 	env.HeartbeatInterval, env.LeaseTTL, env.CancelWithin = 10*time.Second, 50*time.Second, 110*time.Second
 	env.Cloud.SetCapacity(machines)
@@ -60,7 +60,7 @@
 	for _, a := range env.Cloud.Agents() {
 		a.SetIsolated(true)
 	}
-	time.Sleep(*fleetSilence)
+	time.Sleep(*fleetIsolationTime)
 	for _, a := range env.Cloud.Agents() {
 		a.SetIsolated(false)
 	}
@@ -74,7 +74,7 @@
 
 // When thousands of services are lost at once there is more to store than may queue: the
 // rest waits for its turn, and what waits is neither refused nor given up.
-func TestMassLossFitsTheQueue(t *testing.T) {
+func TestMassTaskLossFitsWriteQueue(t *testing.T) {
 	const machines = 4000
 	c := newFullFleetController(t, machines)
 	var log bytes.Buffer
--- a/internal/controller/gang_fault_combinations_test.go
+++ b/internal/controller/gang_fault_combinations_test.go
@@ -1,7 +1,7 @@
 package controller
 
 // gangCombinations are those of gangs, and of limits that fall.
-var gangCombinations = []combination{
+var gangCombinations = []faultCombination{
 	{
 		name: "a gang assigned to a partition that has lost its room",
 		jobs: 10,
--- a/internal/controller/processes_test.go
+++ b/internal/controller/processes_test.go
@@ -27,19 +27,19 @@
 // present one. Real processes on real time: run by hand, see docs/design.md.
 var oldVersion = flag.String("old-version", "", "commit whose processes share a cluster with today's")
 
-// processes is a cluster of real processes on loopback, in a simulated environment.
-type processes struct {
+// processCluster is a cluster of real processes on loopback, in a simulated environment.
+type processCluster struct {
 	*cluster
 	dir       string
-	running   []*exec.Cmd
-	used      []time.Duration // processor time of those that have ended, by controller
+	commands  []*exec.Cmd
+	cpuTime   []time.Duration // processor time of those that have ended, by controller
 	mu        sync.Mutex
 	listeners map[string]net.Listener
 	logs      *os.File
 }
 
-// settingsFile is a controller's settings as the platform hands them over.
-const settingsFile = `node_name = %q
+// settingsTemplate is a controller's settings as the platform hands them over.
+const settingsTemplate = `node_name = %q
 location = "a"
 api_addr = %q
 mesh_addr = %q
@@ -96,7 +96,7 @@
 `
 
 // listen is an address on loopback with a listener that waits for its handler.
-func (p *processes) listen() string {
+func (p *processCluster) newListenAddr() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		p.t.Fatal(err)
@@ -108,14 +108,14 @@
 }
 
 // free is an address on loopback that a process may take.
-func (p *processes) free() string {
-	addr := p.listen()
+func (p *processCluster) unusedAddr() string {
+	addr := p.newListenAddr()
 	_ = p.listeners[addr].Close()
 	return addr
 }
 
 // build makes the program of a commit, or of the sources as they are.
-func build(t *testing.T, commit, out string) {
+func buildController(t *testing.T, commit, out string) {
 	t.Helper()
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -142,27 +142,27 @@
 	}
 }
 
-// newProcesses sets the environment up; no controller runs yet.
-func newProcesses(t *testing.T) *processes {
+// newProcessCluster sets the environment up; no controller runs yet.
+func newProcessCluster(t *testing.T) *processCluster {
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	dir := t.TempDir()
-	p := &processes{cluster: &cluster{t: t, ctx: ctx}, dir: dir, listeners: map[string]net.Listener{}, running: make([]*exec.Cmd, 3), used: make([]time.Duration, 3)}
+	p := &processCluster{cluster: &cluster{t: t, ctx: ctx}, dir: dir, listeners: map[string]net.Listener{}, commands: make([]*exec.Cmd, 3), cpuTime: make([]time.Duration, 3)}
 	logs, err := os.Create(filepath.Join(os.TempDir(), "eiderhitch-processes.log"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.logs = logs
 	names := []string{"n0", "n1", "n2"}
-	addrs, mesh := make([]string, 3), make([]string, 3)
+	addrs, peerAddrs := make([]string, 3), make([]string, 3)
 	members := make([]agent.Controller, 3)
 	for i, name := range names {
-		addrs[i], mesh[i] = p.free(), p.free()
+		addrs[i], peerAddrs[i] = p.unusedAddr(), p.unusedAddr()
 		members[i] = agent.Controller{Name: name, Addr: addrs[i]}
 	}
 	p.env = simulation.New(ctx, members, testMachineTypes)
 	p.clientTransport = p.env.Network.NewTransport()
-	p.env.Cloud.MachineAddr = func(int) string { return p.listen() }
+	p.env.Cloud.MachineAddr = func(int) string { return p.newListenAddr() }
 	p.env.Network.Listen = func(addr string, h http.Handler) {
 		p.mu.Lock()
 		l := p.listeners[addr]
@@ -171,9 +171,9 @@
 			go func() { _ = http.Serve(l, h) }()
 		}
 	}
-	state, cloud := p.listen(), p.listen()
-	p.env.Network.Listen(state, p.env.Store)
-	p.env.Network.Listen(cloud, p.env.Cloud)
+	storeAddr, cloudAddr := p.newListenAddr(), p.newListenAddr()
+	p.env.Network.Listen(storeAddr, p.env.Store)
+	p.env.Network.Listen(cloudAddr, p.env.Cloud)
 	p.env.SetQuota("red", 24)
 	for i, name := range names {
 		target, _ := url.Parse("http://" + addrs[i])
@@ -184,47 +184,47 @@
 		var siblings strings.Builder
 		for k, other := range names {
 			if k != i {
-				fmt.Fprintf(&siblings, "\n[[siblings]]\nnode_name = %q\nlocation = \"a\"\npeer_addr = %q\n", other, mesh[k])
+				fmt.Fprintf(&siblings, "\n[[siblings]]\nnode_name = %q\nlocation = \"a\"\npeer_addr = %q\n", other, peerAddrs[k])
 			}
 		}
-		text := fmt.Sprintf(settingsFile, name, addrs[i], mesh[i], siblings.String(), cloud, state)
+		text := fmt.Sprintf(settingsTemplate, name, addrs[i], peerAddrs[i], siblings.String(), cloudAddr, storeAddr)
 		if err := os.WriteFile(filepath.Join(dir, name+".toml"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	t.Cleanup(func() {
-		for i := range p.running {
-			p.end(i)
+		for i := range p.commands {
+			p.killProcess(i)
 		}
 	})
 	return p
 }
 
 // settings is the file that the platform hands to a controller.
-func (p *processes) settings(i int) string {
+func (p *processCluster) settingsPath(i int) string {
 	return filepath.Join(p.dir, p.nodes[i].cfg.Name+".toml")
 }
 
 // run starts a controller's process.
-func (p *processes) run(i int, program string, more ...string) {
+func (p *processCluster) startProcess(i int, program string, arguments ...string) {
 	p.t.Helper()
-	p.end(i)
-	cmd := exec.Command(program, append(more, "--config", p.settings(i))...)
+	p.killProcess(i)
+	cmd := exec.Command(program, append(arguments, "--config", p.settingsPath(i))...)
 	cmd.Env = append(os.Environ(), "LOG_LEVEL=debug")
 	cmd.Stderr = p.logs
 	if err := cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	p.running[i] = cmd
+	p.commands[i] = cmd
 }
 
 // end kills a controller's process.
-func (p *processes) end(i int) {
-	if cmd := p.running[i]; cmd != nil {
+func (p *processCluster) killProcess(i int) {
+	if cmd := p.commands[i]; cmd != nil {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
-		p.used[i] += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-		p.running[i] = nil
+		p.cpuTime[i] += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+		p.commands[i] = nil
 	}
 }
 
@@ -236,45 +236,45 @@
 		t.Skip("-old-version COMMIT plays it")
 	}
 	bin := t.TempDir()
-	older, today := filepath.Join(bin, "old"), filepath.Join(bin, "today")
-	build(t, *oldVersion, older)
-	build(t, "", today)
-	p := newProcesses(t)
+	oldBinary, newBinary := filepath.Join(bin, "old"), filepath.Join(bin, "today")
+	buildController(t, *oldVersion, oldBinary)
+	buildController(t, "", newBinary)
+	p := newProcessCluster(t)
 	for i := range p.nodes {
-		p.run(i, older)
+		p.startProcess(i, oldBinary)
 	}
 	jobs := 0
-	next := func() string {
+	nextID := func() string {
 		jobs++
 		return fmt.Sprintf("wk-%d", jobs)
 	}
-	work := func() {
+	submitWork := func() {
 		for _, team := range []string{"red", "blue"} {
-			p.submit(newSubmission(submission{ID: next(), Kind: wire.KindArray, Team: team, Priority: "normal", Tasks: 30, CPUs: 1, EstimateS: 3}))
+			p.submit(newSubmission(submission{ID: nextID(), Kind: wire.KindArray, Team: team, Priority: "normal", Tasks: 30, CPUs: 1, EstimateS: 3}))
 		}
-		p.submit(newSubmission(submission{ID: next(), Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 2}))
+		p.submit(newSubmission(submission{ID: nextID(), Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 2}))
 	}
-	work()
+	submitWork()
 	p.await("work runs", time.Minute, func() bool { return p.env.Starts() > 10 })
 	for _, step := range []struct {
 		node    int
 		program string
-	}{{0, today}, {1, today}, {1, older}, {2, today}, {0, today}, {1, today}} {
-		work()
-		p.end(step.node)
+	}{{0, newBinary}, {1, newBinary}, {1, oldBinary}, {2, newBinary}, {0, newBinary}, {1, newBinary}} {
+		submitWork()
+		p.killProcess(step.node)
 		time.Sleep(time.Second)
-		p.run(step.node, step.program)
+		p.startProcess(step.node, step.program)
 		time.Sleep(9 * time.Second)
 	}
 	p.env.Store.SetLimits(2<<10, 10)
 	for range 3 {
-		b := gangSubmission(next(), "blue", "normal", 6, 8)
-		b.SingleZone = true
-		p.submit(b)
+		gang := gangSubmission(nextID(), "blue", "normal", 6, 8)
+		gang.SingleZone = true
+		p.submit(gang)
 	}
-	p.end(0)
+	p.killProcess(0)
 	time.Sleep(500 * time.Millisecond)
-	p.run(0, today)
+	p.startProcess(0, newBinary)
 	p.env.SetSettled()
 	for n := range jobs {
 		id := fmt.Sprintf("wk-%d", n+1)
@@ -283,8 +283,8 @@
 			return s == wire.StateDone || p.env.Running(id) == 2
 		})
 	}
-	for _, breach := range p.env.Violations() {
-		t.Error(breach)
+	for _, violation := range p.env.Violations() {
+		t.Error(violation)
 	}
 	if n := p.env.Store.Stats().OverLimits; n > 0 {
 		t.Errorf("%d transactions were beyond the limits, want none", n)
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -24,59 +24,59 @@
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			runCluster(t, func(c *cluster) {
-				r := &randomRun{cluster: c, rng: rand.New(rand.NewPCG(seed, 7))}
+				r := &randomFaultRun{cluster: c, rng: rand.New(rand.NewPCG(seed, 7))}
 				r.run()
-				r.settle()
+				r.awaitSettled()
 			})
 		})
 	}
 }
 
-// randomRun is a cluster at work, to which random faults happen.
-type randomRun struct {
+// randomFaultRun is a cluster at work, to which random faults happen.
+type randomFaultRun struct {
 	*cluster
-	rng        *rand.Rand
-	ends       []func() // of the faults that last
-	jobs       int
-	accepted   []string
-	cancelling []string // accepted jobs that are still to be cancelled
+	rng          *rand.Rand
+	endFunctions []func() // of the faults that last
+	jobs         int
+	accepted     []string
+	jobsToCancel []string // accepted jobs that are still to be cancelled
 }
 
 // run takes random steps, and ends all faults.
-func (r *randomRun) run() {
+func (r *randomFaultRun) run() {
 	for range randomFaultSteps {
 		r.step()
 		time.Sleep(time.Duration(r.rng.IntN(6000)) * time.Millisecond)
-		if len(r.ends) > maxRandomFaults {
-			r.ends[0]()
-			r.ends = r.ends[1:]
+		if len(r.endFunctions) > maxRandomFaults {
+			r.endFunctions[0]()
+			r.endFunctions = r.endFunctions[1:]
 		}
 	}
 	r.endFaults()
 }
 
 // step does one thing that is drawn.
-func (r *randomRun) step() {
+func (r *randomFaultRun) step() {
 	switch r.rng.IntN(11) {
 	case 0, 1, 2:
 		r.submitJob()
 	case 3:
-		if len(r.cancelling) > 0 && r.tryCancelJob(r.cancelling[0]) {
-			r.cancelling = r.cancelling[1:]
+		if len(r.jobsToCancel) > 0 && r.tryCancelJob(r.jobsToCancel[0]) {
+			r.jobsToCancel = r.jobsToCancel[1:]
 		}
 	case 4:
 		i := r.rng.IntN(3)
 		r.kill(i)
-		r.endLater(func() { r.start(i) })
+		r.addActiveFault(func() { r.start(i) })
 	case 5:
 		r.env.Store.SetDown(true)
-		r.endLater(func() { r.env.Store.SetDown(false) })
+		r.addActiveFault(func() { r.env.Store.SetDown(false) })
 	case 6:
 		r.failRequests()
 	case 7:
 		n := r.nodes[r.rng.IntN(3)]
 		n.peersBlocked.Store(true)
-		r.endLater(func() { n.peersBlocked.Store(false) })
+		r.addActiveFault(func() { n.peersBlocked.Store(false) })
 	case 8:
 		r.failMachine()
 	default:
@@ -84,17 +84,17 @@
 	}
 }
 
-// endLater notes what ends a fault.
-func (r *randomRun) endLater(end func()) { r.ends = append(r.ends, end) }
+// addActiveFault notes what ends a fault.
+func (r *randomFaultRun) addActiveFault(end func()) { r.endFunctions = append(r.endFunctions, end) }
 
 // endFaults ends all faults.
-func (r *randomRun) endFaults() {
-	inOrder(r.ends)()
-	r.ends = nil
+func (r *randomFaultRun) endFaults() {
+	callInOrder(r.endFunctions)()
+	r.endFunctions = nil
 }
 
 // submitJob submits a job that is drawn.
-func (r *randomRun) submitJob() {
+func (r *randomFaultRun) submitJob() {
 	r.jobs++
 	job := r.drawJob(fmt.Sprintf("wk-%d", r.jobs))
 	if !r.trySubmit(job) {
@@ -102,12 +102,12 @@
 	}
 	r.accepted = append(r.accepted, job.ID)
 	if r.rng.IntN(3) == 0 || job.Kind == wire.KindService {
-		r.cancelling = append(r.cancelling, job.ID)
+		r.jobsToCancel = append(r.jobsToCancel, job.ID)
 	}
 }
 
 // drawJob is a job of any kind.
-func (r *randomRun) drawJob(id string) *submission {
+func (r *randomFaultRun) drawJob(id string) *submission {
 	kind := []string{wire.KindArray, wire.KindArray, wire.KindService, wire.KindGang}[r.rng.IntN(4)]
 	team := []string{"red", "blue"}[r.rng.IntN(2)]
 	priority := []string{"low", "normal", "urgent", "production"}[r.rng.IntN(4)]
@@ -125,16 +125,16 @@
 
 // failRequests has a fault happen to all requests of a controller to one service, or to all
 // agents.
-func (r *randomRun) failRequests() {
+func (r *randomFaultRun) failRequests() {
 	n := r.nodes[r.rng.IntN(3)]
 	host := []string{simulation.StoreAddr, "10.1", simulation.CloudAddr}[r.rng.IntN(3)]
-	happens := []network.Fault{network.Refuse, network.Drop, network.ExecuteLate}[r.rng.IntN(3)]
-	n.transport.SetPolicy(policyForMatching(func(req *http.Request) bool { return strings.HasPrefix(req.URL.Host, host) }, happens))
-	r.endLater(func() { n.transport.SetPolicy(nil) })
+	networkFault := []network.Fault{network.Refuse, network.Drop, network.ExecuteLate}[r.rng.IntN(3)]
+	n.transport.SetPolicy(policyForMatching(func(req *http.Request) bool { return strings.HasPrefix(req.URL.Host, host) }, networkFault))
+	r.addActiveFault(func() { n.transport.SetPolicy(nil) })
 }
 
 // failMachine terminates a machine, or cuts it off.
-func (r *randomRun) failMachine() {
+func (r *randomFaultRun) failMachine() {
 	agents := r.env.Cloud.Agents()
 	if len(agents) == 0 {
 		return
@@ -145,20 +145,20 @@
 		return
 	}
 	a.SetIsolated(true)
-	r.endLater(func() { a.SetIsolated(false) })
+	r.addActiveFault(func() { a.SetIsolated(false) })
 }
 
 // settle waits until all that was accepted is finished.
-func (r *randomRun) settle() {
+func (r *randomFaultRun) awaitSettled() {
 	r.t.Helper()
-	for _, id := range r.cancelling {
+	for _, id := range r.jobsToCancel {
 		r.cancelJob(id)
 	}
 	settledAt := time.Now()
 	for _, id := range r.accepted {
 		r.jobState(id)
-		if d := time.Since(settledAt); d > maxRecovery {
-			r.t.Errorf("%s is not answered for %v after the faults, want at most %v", id, d, maxRecovery)
+		if d := time.Since(settledAt); d > maxRecoveryTime {
+			r.t.Errorf("%s is not answered for %v after the faults, want at most %v", id, d, maxRecoveryTime)
 		}
 	}
 	time.Sleep(r.nodes[0].maxStaleness())
--- a/internal/controller/rollout_processes_test.go
+++ b/internal/controller/rollout_processes_test.go
@@ -27,25 +27,25 @@
 // upgradeSeed is the seed of the first round.
 var upgradeSeed = flag.Uint64("upgrade-seed", 1, "seed of the first round of upgrades of real processes")
 
-// fleetUnderUpgrade is a cluster of real processes that is upgraded while jobs come.
-type fleetUnderUpgrade struct {
-	*processes
-	rng          *rand.Rand
-	today, older string
-	oldSettings  []string // arguments of the old version
-	newSettings  []string
+// upgradeRun is a cluster of real processes that is upgraded while jobs come.
+type upgradeRun struct {
+	*processCluster
+	rng                  *rand.Rand
+	newBinary, oldBinary string
+	oldArguments         []string // arguments of the old version
+	newArguments         []string
 
-	mu       sync.Mutex
-	phase    string
-	delays   map[string]*hdrhistogram.Histogram // of submissions in milliseconds, by phase
-	phases   []string
-	accepted []string
-	stop     chan struct{}
-	stopped  sync.WaitGroup
+	mu             sync.Mutex
+	phase          string
+	submitLatency  map[string]*hdrhistogram.Histogram // of submissions in milliseconds, by phase
+	phases         []string
+	accepted       []string
+	stopSubmitting chan struct{}
+	submitters     sync.WaitGroup
 }
 
-// operatorFile writes operators' settings to a file.
-func (p *processes) operatorFile(name, text string) []string {
+// writeOperatorSettings writes operators' settings to a file.
+func (p *processCluster) writeOperatorSettings(name, text string) []string {
 	p.t.Helper()
 	path := filepath.Join(p.dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -55,25 +55,25 @@
 }
 
 // enter begins a phase, by which delays are measured.
-func (f *fleetUnderUpgrade) enter(phase string) {
+func (f *upgradeRun) beginPhase(phase string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.phase = phase
-	if f.delays[phase] == nil {
-		f.delays[phase] = hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
+	if f.submitLatency[phase] == nil {
+		f.submitLatency[phase] = hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
 		f.phases = append(f.phases, phase)
 	}
 }
 
 // submitSteadily submits a small job every so often until it is stopped.
-func (f *fleetUnderUpgrade) submitSteadily(round int) {
-	defer f.stopped.Done()
-	const every = 250 * time.Millisecond
+func (f *upgradeRun) submitSteadily(round int) {
+	defer f.submitters.Done()
+	const interval = 250 * time.Millisecond
 	for n := 0; ; n++ {
 		select {
-		case <-f.stop:
+		case <-f.stopSubmitting:
 			return
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 		id := fmt.Sprintf("wk-%d%05d", round+1, n)
 		body := newSubmission(submission{ID: id, Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 3, CPUs: 1, EstimateS: 1})
@@ -89,7 +89,7 @@
 		if ok {
 			f.accepted = append(f.accepted, id)
 		}
-		_ = f.delays[f.phase].RecordValue(time.Since(begun).Milliseconds())
+		_ = f.submitLatency[f.phase].RecordValue(time.Since(begun).Milliseconds())
 		f.mu.Unlock()
 		if n%8 == 0 && n >= 24 { // few services run at a time
 			go f.sendWithRetries(cancelRequest(fmt.Sprintf("wk-%d%05d", round+1, n-24)), 20*time.Second)
@@ -97,22 +97,22 @@
 	}
 }
 
-// replaceBy has a controller's process killed and come back as a version.
-func (f *fleetUnderUpgrade) replaceBy(i int, old bool) {
-	f.end(i)
+// replaceProcess has a controller's process killed and come back as a version.
+func (f *upgradeRun) replaceProcess(i int, old bool) {
+	f.killProcess(i)
 	time.Sleep(time.Duration(f.rng.IntN(600)) * time.Millisecond)
 	if old {
-		f.run(i, f.older, f.oldSettings...)
+		f.startProcess(i, f.oldBinary, f.oldArguments...)
 	} else {
-		f.run(i, f.today, f.newSettings...)
+		f.startProcess(i, f.newBinary, f.newArguments...)
 	}
 }
 
 // command runs an operator's command and returns the status that it prints.
-func (f *fleetUnderUpgrade) command(name string) *rollout.Status {
+func (f *upgradeRun) runUpgradeCommand(name string) *rollout.Status {
 	f.t.Helper()
 	var failure bytes.Buffer
-	command := exec.Command(f.today, "upgrade", name, "--json", "--wait", "30s", "--config", f.settings(f.rng.IntN(3)))
+	command := exec.Command(f.newBinary, "upgrade", name, "--json", "--wait", "30s", "--config", f.settingsPath(f.rng.IntN(3)))
 	command.Stderr = &failure
 	begun := time.Now()
 	raw, err := command.Output()
@@ -127,7 +127,7 @@
 }
 
 // awaitPhase waits for a level in a phase.
-func (f *fleetUnderUpgrade) awaitPhase(level rollout.Level, phase rollout.Phase, limit time.Duration) {
+func (f *upgradeRun) awaitPhase(level rollout.Level, phase rollout.Phase, limit time.Duration) {
 	f.t.Helper()
 	begun := time.Now()
 	for time.Since(begun) < limit {
@@ -146,81 +146,81 @@
 func TestUpgradeOfRealProcesses(t *testing.T) {
 	t.Parallel()
 	bin := t.TempDir()
-	today := filepath.Join(bin, "today")
-	build(t, "", today)
-	older := today
+	newBinary := filepath.Join(bin, "today")
+	buildController(t, "", newBinary)
+	oldBinary := newBinary
 	if *oldVersion != "" {
-		older = filepath.Join(bin, "old")
-		build(t, *oldVersion, older)
+		oldBinary = filepath.Join(bin, "old")
+		buildController(t, *oldVersion, oldBinary)
 	}
 	for round := range *upgradeRounds {
 		seed := *upgradeSeed + uint64(round)
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			f := &fleetUnderUpgrade{processes: newProcesses(t), rng: rand.New(rand.NewPCG(seed, 17)), today: today, older: older,
-				delays: map[string]*hdrhistogram.Histogram{}, stop: make(chan struct{})}
-			f.newSettings = f.operatorFile("new.sexp", "(eiderhitch (feature-levels yes))")
+			f := &upgradeRun{processCluster: newProcessCluster(t), rng: rand.New(rand.NewPCG(seed, 17)), newBinary: newBinary, oldBinary: oldBinary,
+				submitLatency: map[string]*hdrhistogram.Histogram{}, stopSubmitting: make(chan struct{})}
+			f.newArguments = f.writeOperatorSettings("new.sexp", "(eiderhitch (feature-levels yes))")
 			if *oldVersion == "" {
-				f.oldSettings = f.operatorFile("old.sexp", "(eiderhitch (feature-levels yes) (highest-level 1))")
+				f.oldArguments = f.writeOperatorSettings("old.sexp", "(eiderhitch (feature-levels yes) (highest-level 1))")
 			}
-			f.playRound(round)
+			f.runRound(round)
 		})
 	}
 }
 
-func (f *fleetUnderUpgrade) playRound(round int) {
+func (f *upgradeRun) runRound(round int) {
 	for i := range f.nodes {
-		f.run(i, f.older, f.oldSettings...)
+		f.startProcess(i, f.oldBinary, f.oldArguments...)
 	}
-	f.enter("old")
-	f.stopped.Add(1)
+	f.beginPhase("old")
+	f.submitters.Add(1)
 	go f.submitSteadily(round)
 	f.await("work runs", time.Minute, func() bool { return f.env.Starts() > 10 })
-	f.enter("one at a time")
-	last := f.upgradeAll()
+	f.beginPhase("one at a time")
+	lastStartedAt := f.upgradeAll()
 	f.awaitPhase(1, rollout.PhaseActive, time.Minute)
-	f.t.Logf("from the last controller's start to the active level: %v", time.UnixMilli(f.storedRolloutState().PhaseStartedAt).Sub(last).Round(time.Millisecond))
-	f.enter("switch and rewriting")
+	f.t.Logf("from the last controller's start to the active level: %v", time.UnixMilli(f.storedRolloutState().PhaseStartedAt).Sub(lastStartedAt).Round(time.Millisecond))
+	f.beginPhase("switch and rewriting")
 	f.finalizeAndRewrite()
-	f.enter("after the switch")
-	f.disturb()
-	f.enter("way back")
+	f.beginPhase("after the switch")
+	f.disruptControllers()
+	f.beginPhase("way back")
 	begun := time.Now()
-	f.command("abort")
+	f.runUpgradeCommand("abort")
 	f.awaitPhase(1, rollout.PhaseStable, time.Minute)
 	f.t.Logf("the way back: %v", time.Since(begun).Round(time.Millisecond))
 	for _, i := range f.rng.Perm(3) {
-		f.replaceBy(i, true)
+		f.replaceProcess(i, true)
 		time.Sleep(time.Second)
 	}
-	f.enter("old again")
+	f.beginPhase("old again")
 	time.Sleep(3 * time.Second)
-	f.judgeRound()
+	f.checkRound()
 }
 
 // upgradeAll replaces one controller after the other, and goes back once on the way. It
 // returns when the last one was started.
-func (f *fleetUnderUpgrade) upgradeAll() (last time.Time) {
+func (f *upgradeRun) upgradeAll() (lastStartedAt time.Time) {
 	order := f.rng.Perm(3)
 	f.t.Logf("order %v", order)
-	f.replaceBy(order[0], false)
+	f.replaceProcess(order[0], false)
 	time.Sleep(1500 * time.Millisecond)
-	f.replaceBy(order[1], false)
+	f.replaceProcess(order[1], false)
 	time.Sleep(500 * time.Millisecond)
-	f.replaceBy(order[f.rng.IntN(2)], true) // abandoned halfway
+	f.replaceProcess(order[f.rng.IntN(2)], true) // abandoned halfway
 	time.Sleep(time.Second)
 	for _, i := range order {
-		f.replaceBy(i, false)
-		last = time.Now()
+		f.replaceProcess(i, false)
+		lastStartedAt = time.Now()
 		time.Sleep(time.Duration(500+f.rng.IntN(1000)) * time.Millisecond)
 	}
-	return last
+	return lastStartedAt
 }
 
-func (f *fleetUnderUpgrade) finalizeAndRewrite() {
+func (f *upgradeRun) finalizeAndRewrite() {
 	f.t.Helper()
 	before := f.countByEncoding()[record.PlainJSON]
 	begun := time.Now()
-	status := f.command("finalize")
+	status := f.runUpgradeCommand("finalize")
 	if status.State.Level != 2 {
 		f.t.Fatalf("after finalize: %+v", status.State)
 	}
@@ -229,28 +229,28 @@
 }
 
 // disturb has a controller come back old for a while, another one killed, and all.
-func (f *fleetUnderUpgrade) disturb() {
+func (f *upgradeRun) disruptControllers() {
 	old := f.rng.IntN(3)
-	f.replaceBy(old, true)
+	f.replaceProcess(old, true)
 	time.Sleep(4 * time.Second)
-	f.replaceBy((old+1)%3, false)
+	f.replaceProcess((old+1)%3, false)
 	time.Sleep(2 * time.Second)
-	f.replaceBy(old, false)
+	f.replaceProcess(old, false)
 	time.Sleep(2 * time.Second)
 	for i := range f.nodes {
-		f.end(i)
+		f.killProcess(i)
 	}
 	for i := range f.nodes {
-		f.run(i, f.today, f.newSettings...)
+		f.startProcess(i, f.newBinary, f.newArguments...)
 	}
 	time.Sleep(3 * time.Second)
 }
 
-// judgeRound waits until all that was accepted is over, and judges.
-func (f *fleetUnderUpgrade) judgeRound() {
+// checkRound waits until all that was accepted is over, and judges.
+func (f *upgradeRun) checkRound() {
 	f.t.Helper()
-	close(f.stop)
-	f.stopped.Wait()
+	close(f.stopSubmitting)
+	f.submitters.Wait()
 	f.env.SetSettled()
 	for _, id := range f.accepted {
 		f.await(id+" is over", 2*time.Minute, func() bool {
@@ -258,16 +258,16 @@
 			return s == wire.StateDone || s == wire.StateCancelled || f.env.Running(id) == 1
 		})
 	}
-	for _, breach := range f.env.Violations() {
-		f.t.Error(breach)
+	for _, violation := range f.env.Violations() {
+		f.t.Error(violation)
 	}
 	f.t.Logf("%d jobs accepted", len(f.accepted))
 	for _, phase := range f.phases {
-		h := f.delays[phase]
+		h := f.submitLatency[phase]
 		f.t.Logf("submission, %s: %d, 50%% %d ms, 95%% %d ms, most %d ms", phase, h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(95), h.Max())
 	}
 	for i := range f.nodes {
-		f.end(i)
-		f.t.Logf("controller %d: %v of processor time", i, f.used[i].Round(time.Millisecond))
+		f.killProcess(i)
+		f.t.Logf("controller %d: %v of processor time", i, f.cpuTime[i].Round(time.Millisecond))
 	}
 }
--- a/internal/controller/upgrade_faults_test.go
+++ b/internal/controller/upgrade_faults_test.go
@@ -22,12 +22,12 @@
 	return doNothing
 }
 
-func (s *scheduleRun) startUnaware(f fault) func() {
-	return s.replaceUntilUndone(f.target, versionWithoutLevels)
+func (s *scheduleRun) startWithoutLevels(f fault) func() {
+	return s.replaceTemporarily(f.target, versionWithoutLevels)
 }
 
-func (s *scheduleRun) startBaseLevel(f fault) func() {
-	return s.replaceUntilUndone(f.target, baseLevelVersion)
+func (s *scheduleRun) startWithBaseLevel(f fault) func() {
+	return s.replaceTemporarily(f.target, baseLevelVersion)
 }
 
 // tryUpgradeRequest asks for something once; that it is refused, or the answer lost, is no
@@ -39,9 +39,9 @@
 	}
 }
 
-// replaceUntilUndone has controllers come back as another version until it is undone.
-func (s *scheduleRun) replaceUntilUndone(target int, version softwareVersion) func() {
-	nodes := s.nodesOf(target)
+// replaceTemporarily has controllers come back as another version until it is undone.
+func (s *scheduleRun) replaceTemporarily(target int, version softwareVersion) func() {
+	nodes := s.targetNodes(target)
 	for _, i := range nodes {
 		s.restartWithVersion(i, version)
 	}
--- a/internal/controller/upgrade_schedules_test.go
+++ b/internal/controller/upgrade_schedules_test.go
@@ -21,7 +21,7 @@
 			t.Parallel()
 			runUpgradeCluster(t, func(c *cluster) {
 				c.runSchedule(7, 12, x.faults)
-				c.settleUpgrade()
+				c.awaitFinalLevel()
 			})
 		})
 	}
@@ -33,41 +33,41 @@
 	faults []fault
 }{
 	{"an old controller comes before, during and after the switch", []fault{
-		{at: 1, kind: startUnaware, target: 1, duration: 14},
+		{at: 1, kind: startWithoutLevels, target: 1, duration: 14},
 		{at: 25, kind: finalizeUpgrade},
-		{at: 25.1, kind: startUnaware, target: 2, duration: 12},
-		{at: 50, kind: startUnaware, target: leaderNode, duration: 20},
+		{at: 25.1, kind: startWithoutLevels, target: 2, duration: 12},
+		{at: 50, kind: startWithoutLevels, target: leaderNode, duration: 20},
 	}},
 	{"old controllers alone after the switch", []fault{
 		{at: 5, kind: finalizeUpgrade},
-		{at: 15, kind: startUnaware, target: allNodes, duration: 25},
+		{at: 15, kind: startWithoutLevels, target: allNodes, duration: 25},
 	}},
 	{"old controllers come while records are rewritten", []fault{
 		{at: 5, kind: finalizeUpgrade},
-		{at: 6, kind: startUnaware, target: leaderNode, duration: 15},
+		{at: 6, kind: startWithoutLevels, target: leaderNode, duration: 15},
 		{at: 7, kind: submitJobs, target: 6},
 	}},
 	{"a controller of the base level comes before it is final", []fault{
-		{at: 1, kind: startBaseLevel, target: 0, duration: 10},
+		{at: 1, kind: startWithBaseLevel, target: 0, duration: 10},
 		{at: 25, kind: finalizeUpgrade},
-		{at: 25.05, kind: startBaseLevel, target: 1, duration: 10},
-		{at: 50, kind: startBaseLevel, target: leaderNode, duration: 15},
+		{at: 25.05, kind: startWithBaseLevel, target: 1, duration: 10},
+		{at: 50, kind: startWithBaseLevel, target: leaderNode, duration: 15},
 	}},
 	{"controllers of the base level come after it is final", []fault{
 		{at: 5, kind: finalizeUpgrade},
-		{at: 15, kind: startBaseLevel, target: leaderNode, duration: 15},
-		{at: 45, kind: startBaseLevel, target: allNodes, duration: 20},
+		{at: 15, kind: startWithBaseLevel, target: leaderNode, duration: 15},
+		{at: 45, kind: startWithBaseLevel, target: allNodes, duration: 20},
 	}},
 	{"abandoned before it is final, and begun again", []fault{
 		{at: 5, kind: abortUpgrade},
-		{at: 15, kind: startUnaware, target: 0, duration: 10},
+		{at: 15, kind: startWithoutLevels, target: 0, duration: 10},
 		{at: 30, kind: finalizeUpgrade},
 		{at: 40, kind: finalizeUpgrade},
 	}},
 	{"rolled back while records are rewritten", []fault{
 		{at: 5, kind: finalizeUpgrade},
 		{at: 6, kind: abortUpgrade},
-		{at: 12, kind: startUnaware, target: allNodes, duration: 25},
+		{at: 12, kind: startWithoutLevels, target: allNodes, duration: 25},
 		{at: 40, kind: submitJobs, target: 6},
 	}},
 	{"up, back and up again", []fault{
@@ -110,17 +110,17 @@
 		{at: 40, kind: finalizeUpgrade},
 	}},
 	{"late transactions", []fault{
-		{at: 0, kind: lateWrites, target: allNodes, duration: 60, share: 0.4},
+		{at: 0, kind: lateTransactions, target: allNodes, duration: 60, share: 0.4},
 		{at: 5, kind: finalizeUpgrade},
 		{at: 15, kind: killController, target: leaderNode, duration: 4},
 		{at: 25, kind: abortUpgrade},
 		{at: 30, kind: killController, target: leaderNode, duration: 4},
 	}},
 	{"the leader is alone while the level is raised by another", []fault{
-		{at: 4, kind: agentsAndUsersOnly, target: leaderNode, duration: 30},
+		{at: 4, kind: storeAndPeersUnreachable, target: leaderNode, duration: 30},
 		{at: 14, kind: finalizeUpgrade},
 		{at: 25, kind: cancelJobs, target: 4},
-		{at: 50, kind: agentsAndUsersOnly, target: leaderNode, duration: 25},
+		{at: 50, kind: storeAndPeersUnreachable, target: leaderNode, duration: 25},
 		{at: 60, kind: abortUpgrade},
 	}},
 	{"outage of the state service at each step", []fault{
@@ -155,9 +155,9 @@
 	}},
 }
 
-// settleUpgrade checks that there is a way on from wherever a schedule ended: up to the
+// awaitFinalLevel checks that there is a way on from wherever a schedule ended: up to the
 // level that all controllers read, with all records in its encoding.
-func (c *cluster) settleUpgrade() {
+func (c *cluster) awaitFinalLevel() {
 	c.t.Helper()
 	ready := func() bool {
 		s := c.storedRolloutState()
@@ -175,38 +175,38 @@
 	c.await("records are in its encoding", 2*time.Minute, func() bool { return c.countByEncoding()[record.PlainJSON] == 0 })
 }
 
-// upgradeCombinations is how many generated schedules of upgrades are played.
-var upgradeCombinations = flag.Int("upgrades", 10, "generated schedules of upgrades and faults to play")
+// generatedUpgradeScheduleCount is how many generated schedules of upgrades are played.
+var generatedUpgradeScheduleCount = flag.Int("upgrades", 10, "generated schedules of upgrades and faults to play")
 
 // upgradeGeneratorSeed draws schedules of upgrades, apart from what users do in them.
 const upgradeGeneratorSeed = 5
 
-// generatedUpgradeSteps are the steps of upgrades that a schedule is drawn from, and
-// generatedOtherFaults the other faults, with their usual durations; those that are there
+// upgradeStepTemplates are the steps of upgrades that a schedule is drawn from, and
+// upgradeFaultTemplates the other faults, with their usual durations; those that are there
 // twice come more often.
 var (
-	generatedUpgradeSteps = []fault{
+	upgradeStepTemplates = []fault{
 		{kind: finalizeUpgrade},
 		{kind: finalizeUpgrade},
 		{kind: abortUpgrade},
 		{kind: finalizeAndAbort},
-		{kind: startUnaware, duration: 12},
-		{kind: startUnaware, duration: 12},
-		{kind: startBaseLevel, duration: 12},
-		{kind: startUnaware, target: allNodes, duration: 20},
+		{kind: startWithoutLevels, duration: 12},
+		{kind: startWithoutLevels, duration: 12},
+		{kind: startWithBaseLevel, duration: 12},
+		{kind: startWithoutLevels, target: allNodes, duration: 20},
 	}
-	generatedOtherFaults = []fault{
+	upgradeFaultTemplates = []fault{
 		{kind: killController, duration: 0.3},
 		{kind: killController, duration: 6},
 		{kind: killController, target: allNodes, duration: 0.5},
 		{kind: killController, target: allNodes, duration: 13},
 		{kind: storeDown, duration: 30},
 		{kind: storeRefuses, duration: 15},
-		{kind: lateWrites, target: allNodes, duration: 30, share: 0.3},
+		{kind: lateTransactions, target: allNodes, duration: 30, share: 0.3},
 		{kind: lostResponses, target: allNodes, duration: 30, share: 0.3},
 		{kind: storeSlow, target: allNodes, duration: 20, share: 0.4},
-		{kind: agentsAndUsersOnly, duration: 30},
-		{kind: noPeers, target: allNodes, duration: 30},
+		{kind: storeAndPeersUnreachable, duration: 30},
+		{kind: peersUnreachable, target: allNodes, duration: 30},
 		{kind: machinesIsolated, target: 2, duration: 20},
 		{kind: terminateMachines, target: 2},
 		{kind: cancelJobs, target: 3},
@@ -221,14 +221,14 @@
 // of other faults.
 func TestGeneratedUpgradeSchedules(t *testing.T) {
 	t.Parallel()
-	for seed := *firstSeed; seed < *firstSeed+uint64(*upgradeCombinations); seed++ {
+	for seed := *firstSeed; seed < *firstSeed+uint64(*generatedUpgradeScheduleCount); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			faults := generateUpgradeSchedule(seed)
 			logScheduleOnFailure(t, seed, faults)
 			runUpgradeCluster(t, func(c *cluster) {
 				c.runSchedule(seed, 10, faults)
-				c.settleUpgrade()
+				c.awaitFinalLevel()
 			})
 		})
 	}
@@ -239,9 +239,9 @@
 	rng := rand.New(rand.NewPCG(seed, upgradeGeneratorSeed))
 	var faults []fault
 	for range 8 + rng.IntN(7) {
-		f := generatedOtherFaults[rng.IntN(len(generatedOtherFaults))]
+		f := upgradeFaultTemplates[rng.IntN(len(upgradeFaultTemplates))]
 		if rng.IntN(2) == 0 {
-			f = generatedUpgradeSteps[rng.IntN(len(generatedUpgradeSteps))]
+			f = upgradeStepTemplates[rng.IntN(len(upgradeStepTemplates))]
 		}
 		f.at = float64(rng.IntN(700)) / 10
 		f.duration *= 0.4 + 0.8*rng.Float64()
