--- a/internal/controller/cancellation_gap_test.go
+++ b/internal/controller/cancellation_gap_test.go
@@ -12,31 +12,32 @@
 	"pgregory.net/rapid"
 )
 
-// cancellationGapCase is a variant of TestCancellationGap.
+// cancellationGapCase is one case of TestCancellationGap.
 type cancellationGapCase struct {
 	name                 string
-	failoverBeforeOutage bool // another has taken the owner's keys before the outage
-	peersBlocked         bool // no controller hears another
-	clockDrift           float64
+	failoverBeforeOutage bool    // another controller takes the leased keys of the isolated owners before the outage
+	peersBlocked         bool    // controllers receive no status frames from each other
+	clockDrift           float64 // fraction by which the machines' leases run longer than nominal
 }
 
-// cancellationGapJobs are the jobs that are cancelled: running, saving and fetching tasks, and some that
-// have just been started.
+// cancellationGapJobs are the jobs that the test cancels: a service, an array, an array whose
+// tasks save checkpoints, and an array that has just been submitted and is fetching its image.
 var cancellationGapJobs = []string{"wk-1", "wk-2", "wk-3", "wk-4"}
 
-// The gap: the key-value store refuses the owner alone; others confirm cancellations; then
-// the store is down for all for longer than cancel_s, while agents go on sending heartbeats
-// to the old owner. What was cancelled must be gone in time all the same, whatever state its
-// tasks are in, whoever holds the leased keys by then, and by any clock.
+// Cancelled tasks must end within cancel_s even if their partition's owner never learns of the
+// cancellation. The key-value store first refuses the requests of two owners while the third
+// controller confirms cancellations; then the store is down for everyone for longer than cancel_s,
+// while agents keep sending heartbeats to the old owners. The cases vary the holder of the leased
+// keys, the contact between controllers and the machines' clocks.
 func TestCancellationGap(t *testing.T) {
 	for _, x := range []cancellationGapCase{
-		{"alone", false, false, 0},
-		{"successor", true, false, 0},
-		{"no peers", false, true, 0},
-		{"successor, no peers", true, true, 0},
+		{"only the store fails", false, false, 0},
+		{"failover before the outage", true, false, 0},
+		{"peers blocked", false, true, 0},
+		{"failover, peers blocked", true, true, 0},
 		{"slow clocks", false, true, 0.001},
 		{"fast clocks", false, true, -0.001},
-		{"slow clocks, successor", true, true, 0.001},
+		{"slow clocks, failover", true, true, 0.001},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			runCluster(t, func(c *cluster) { c.checkCancellationGap(x) })
@@ -44,10 +45,11 @@
 	}
 }
 
+// checkCancellationGap runs one case of TestCancellationGap.
 func (c *cluster) checkCancellationGap(x cancellationGapCase) {
 	c.t.Helper()
 	c.startCancellationGapJobs(x.clockDrift)
-	// All owners but the last are shut out: it alone confirms cancellations.
+	// Only the last controller can still use the store and confirm cancellations.
 	for _, n := range c.nodes[:2] {
 		n.transport.SetPolicy(policyForMatching(isStoreRequest, network.Refuse))
 	}
@@ -56,15 +58,15 @@
 		time.Sleep(6 * time.Second)
 	}
 	for _, id := range cancellationGapJobs {
-		if answer := c.sendRequest(2, cancelRequest(id)); answer.status != http.StatusOK {
-			c.t.Fatalf("cancellation of %s: %+v, want status 200", id, answer)
+		if response := c.sendRequest(2, cancelRequest(id)); response.status != http.StatusOK {
+			c.t.Fatalf("cancellation of %s: %+v, want status 200", id, response)
 		}
 	}
 	c.env.Store.SetDown(true)
 	time.Sleep(50 * time.Second) // cancel_s is 35
 	for _, id := range cancellationGapJobs {
 		if n := c.env.Running(id); n > 0 {
-			c.t.Errorf("%d tasks of the cancelled %s are there, want none", n, id)
+			c.t.Errorf("%d tasks of the cancelled job %s still run, want none", n, id)
 		}
 	}
 	for _, n := range c.nodes {
@@ -77,7 +79,8 @@
 	c.awaitDone("wk-9", time.Minute)
 }
 
-// startCancellationGapJobs has the jobs run on machines whose clocks drift; the last one has just begun.
+// startCancellationGapJobs submits the jobs of cancellationGapJobs, waits until the tasks of all but
+// the last one run, sets the drift of the machines' clocks and then submits the last one.
 func (c *cluster) startCancellationGapJobs(clockDrift float64) {
 	c.t.Helper()
 	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 4, CPUs: 2}))
@@ -85,7 +88,7 @@
 	savingJob := newSubmission(submission{ID: "wk-3", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 6, CPUs: 1, EstimateS: 300})
 	savingJob.CheckpointS, savingJob.SaveS = 5, 60
 	c.submit(savingJob)
-	c.await("work runs", 2*time.Minute, func() bool {
+	c.await("all tasks of the first three jobs run", 2*time.Minute, func() bool {
 		return c.env.Running("wk-1") == 4 && c.env.Running("wk-2") == 10 && c.env.Running("wk-3") == 6
 	})
 	time.Sleep(10 * time.Second)
@@ -98,26 +101,28 @@
 	time.Sleep(1500 * time.Millisecond)
 }
 
-// Whatever the settings, what is answered last, within the maximum staleness of a read that began
-// before a cancellation, has ended on the slowest clock within cancel_s; and a former
-// owner's time and a successor's don't add up, since each counts from a read of its own.
+// For any valid settings, an owner whose last read began before a cancellation stops extending
+// leases early enough that the tasks end within cancel_s on the slowest clocks. The times of a
+// former owner and its successor don't add up, since each counts from a read of its own. Nor may a
+// lease be taken to have expired while it can still run on a machine with a slow clock.
 func TestMaxStalenessBoundsCancellationTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leaseS := rapid.Float64Range(0.5, 600).Draw(t, "lease")
-		cancelS := leaseS + rapid.Float64Range(0.05, 600).Draw(t, "more")
+		cancelS := leaseS + rapid.Float64Range(0.05, 600).Draw(t, "cancel_s beyond the lease")
 		maxStaleness := config.MaxStaleness(cancelS, leaseS)
 		if maxStaleness <= 0 {
-			return // refused as a setting
+			return // the validation refuses such settings
 		}
-		// The controller's clock is slow, the agent's too, by the bound of each.
+		// drift is the largest deviation allowed for each clock; here the controller's and the
+		// agent's clock are both slow by that much.
 		const drift = 0.0005
 		readAt := rapid.Float64Range(-5, 0).Draw(t, "read before the cancellation")
 		lastResponseAt := readAt + maxStaleness.Seconds()*(1+drift)
 		if end := lastResponseAt + leaseS*(1+drift); end >= cancelS {
-			t.Fatalf("lease %v s, cancel %v s: gone after %v s, want less than cancel", leaseS, cancelS, end)
+			t.Fatalf("lease %v s, cancel_s %v: the tasks end after %v s, want less than cancel_s", leaseS, cancelS, end)
 		}
 		if end := config.LeaseExpiry(cancelS, leaseS).Seconds() * (1 - drift); end <= leaseS*(1+drift) {
-			t.Fatalf("lease %v s is taken to have expired after %v s, want later than it can last", leaseS, end)
+			t.Fatalf("lease %v s is taken to have expired after %v s, want a later time than it can last on a slow clock", leaseS, end)
 		}
 	})
 }
--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -15,18 +15,19 @@
 	"eiderhitch/internal/wire"
 )
 
-// How long users wait for an answer, and before they try the next controller.
 const (
-	queryTimeout  = 2 * time.Second
+	// queryTimeout limits how long a user waits for the response to a query.
+	queryTimeout = 2 * time.Second
+	// changeTimeout limits how long a user waits for the response to a submission or cancellation.
 	changeTimeout = 5 * time.Second
-	retryDelay    = time.Second
+	// retryDelay is how long a user waits before trying the next controller.
+	retryDelay = time.Second
 )
 
-// emptyBody is the body of requests that need none.
+// emptyBody is the body of requests that carry no data.
 var emptyBody = []byte("null")
 
-// submission is a job as users submit it. The fields are in the order of the protocol's
-// names.
+// submission is a job as users submit it. The fields are sorted by their names in the protocol.
 type submission struct {
 	GPUs         float64  `json:"cards"`
 	CPUs         float64  `json:"cpus"`
@@ -48,17 +49,18 @@
 	Zone         string   `json:"shore,omitempty"`
 	Spread       bool     `json:"spread"`
 	SaveS        float64  `json:"stowS"`
-	// omitted is a field, by the protocol's name, that the body lacks; "": none.
+	// omittedField is the protocol's name of a field to leave out of the body; empty: none.
 	omittedField string
 }
 
-// newSubmission fills in what most jobs of the tests have in common.
+// newSubmission returns a copy of s with the fields set that are the same for most jobs of the
+// tests.
 func newSubmission(s submission) *submission {
 	s.Class, s.Image, s.RAM, s.ImageGB = "x", "img", 1, 1
 	return &s
 }
 
-// body is the submission as it is sent.
+// encode returns the body of the request that submits the job.
 func (s *submission) encode(t testing.TB) []byte {
 	t.Helper()
 	raw, err := json.Marshal(s)
@@ -79,22 +81,27 @@
 	return raw
 }
 
-// request is what a user asks of a controller.
+// jobRequest is a user's request about one job.
 type jobRequest struct {
 	operation  trace.Operation
 	job        string
-	submission *submission // of a submission
-	spec       *wire.Job   // what the rule checker takes the submission for; nil: nothing
+	submission *submission // only for submissions
+	spec       *wire.Job   // job that the rule checker is told of; nil for invalid and repeated submissions
 }
 
-func queryRequest(job string) jobRequest  { return jobRequest{operation: trace.Query, job: job} }
+// queryRequest returns a request for the state of a job.
+func queryRequest(job string) jobRequest { return jobRequest{operation: trace.Query, job: job} }
+
+// cancelRequest returns a request to cancel a job.
 func cancelRequest(job string) jobRequest { return jobRequest{operation: trace.Cancel, job: job} }
 
+// submitRequest returns a request to submit a job. The rule checker takes spec as the submitted job;
+// nil if the submission is invalid or repeated.
 func submitRequest(s *submission, spec *wire.Job) jobRequest {
 	return jobRequest{operation: trace.Submit, job: s.ID, submission: s, spec: spec}
 }
 
-// http is the HTTP request to a controller's address.
+// newHTTPRequest returns the HTTP request for the controller at addr.
 func (r jobRequest) newHTTPRequest(ctx context.Context, t testing.TB, addr string) *http.Request {
 	t.Helper()
 	method, path, body := http.MethodPost, "/v1/jobs", emptyBody
@@ -113,7 +120,7 @@
 	return req
 }
 
-// timeout is for how long a user waits for the answer.
+// timeout returns how long a user waits for the response.
 func (r jobRequest) timeout() time.Duration {
 	if r.operation == trace.Query {
 		return queryTimeout
@@ -121,28 +128,29 @@
 	return changeTimeout
 }
 
-// response is what a user was answered.
+// jobResponse is the response that a user received to a request.
 type jobResponse struct {
-	status int    // 0: nothing
-	state  string // of the job; "": the answer shows none
+	status int    // HTTP status; 0: no response was received
+	state  string // state of the job; empty: the response has none
 }
 
-// isFinal tells whether another controller would answer the same.
+// isFinal reports whether there is no point in retrying the request at another controller.
 func (r jobResponse) isFinal() bool {
 	return r.status != 0 && r.status < http.StatusInternalServerError && r.status != http.StatusTooManyRequests
 }
 
-// readResponse reads an answer.
+// readResponse reads and closes the body of a response.
 func readResponse(resp *http.Response) jobResponse {
 	defer resp.Body.Close()
 	var job wire.JobState
 	if raw, err := io.ReadAll(resp.Body); err == nil {
-		_ = json.Unmarshal(raw, &job) // an error's text shows no job
+		_ = json.Unmarshal(raw, &job) // the body of an error response has no state
 	}
 	return jobResponse{resp.StatusCode, job.State}
 }
 
-// ask makes one call to a node and records the answer for the rule checker.
+// sendRequest sends a request once, to one node, and records the response for the rule checker. Until
+// queryAllUntil, a change that succeeds is followed by a query to each controller.
 func (c *cluster) sendRequest(node int, r jobRequest) jobResponse {
 	ctx, cancel := context.WithTimeout(c.ctx, r.timeout())
 	defer cancel()
@@ -161,7 +169,8 @@
 	return response
 }
 
-// call tries the nodes in turn until one gives a final answer.
+// sendWithRetries tries the nodes in turn until one gives a final response. It returns the zero value
+// if none does before the timeout.
 func (c *cluster) sendWithRetries(r jobRequest, timeout time.Duration) jobResponse {
 	deadline := time.Now().Add(timeout)
 	node := int(network.Draw(uint64(r.operation), r.job) * float64(len(c.nodes)))
@@ -175,20 +184,21 @@
 	return jobResponse{}
 }
 
-// submit submits a job, which must be accepted.
+// submit submits a job. The test fails if it is not accepted.
 func (c *cluster) submit(s *submission) {
 	c.t.Helper()
 	if !c.trySubmit(s) {
-		c.t.Fatalf("%+v is not accepted", *s)
+		c.t.Fatalf("submission %+v was not accepted", *s)
 	}
 }
 
-// trySubmit submits a job; false: no controller answered.
+// trySubmit submits a job and reports whether it was accepted. The test fails if the submission was
+// refused; it does not fail if no controller responded.
 func (c *cluster) trySubmit(s *submission) bool {
 	c.t.Helper()
 	spec, err := wire.ParseJob(s.encode(c.t))
 	if err != nil {
-		c.t.Errorf("%+v is malformed: %v", *s, err)
+		c.t.Errorf("submission %+v is malformed: %v", *s, err)
 		return false
 	}
 	c.env.Upload(spec)
@@ -203,7 +213,7 @@
 	return false
 }
 
-// state is the state of a job that must be known.
+// jobState returns the state of a job. The test fails if no controller knows the job.
 func (c *cluster) jobState(job string) string {
 	c.t.Helper()
 	response := c.sendWithRetries(queryRequest(job), 40*time.Second)
@@ -213,15 +223,16 @@
 	return response.state
 }
 
-// cancelJob cancels a job, which must be confirmed.
+// cancelJob cancels a job. The test fails if the cancellation is not confirmed.
 func (c *cluster) cancelJob(job string) {
 	c.t.Helper()
 	if !c.tryCancelJob(job) {
-		c.t.Fatalf("%s can't be cancelled", job)
+		c.t.Fatalf("no controller responded to the cancellation of %s", job)
 	}
 }
 
-// tryCancelJob cancels a job; false: no controller answered.
+// tryCancelJob cancels a job and reports whether a controller confirmed it. The test fails if the
+// cancellation was refused; it does not fail if no controller responded.
 func (c *cluster) tryCancelJob(job string) bool {
 	c.t.Helper()
 	response := c.sendWithRetries(cancelRequest(job), 20*time.Second)
@@ -231,7 +242,8 @@
 	return response.status != 0
 }
 
-// await waits until something holds.
+// await polls once a second until the condition holds. The test fails if that takes longer than the
+// timeout.
 func (c *cluster) await(description string, timeout time.Duration, condition func() bool) {
 	c.t.Helper()
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(time.Second) {
@@ -239,16 +251,16 @@
 			return
 		}
 	}
-	c.t.Fatalf("%s: not within %v", description, timeout)
+	c.t.Fatalf("timed out waiting until %s: more than %v", description, timeout)
 }
 
-// awaitDone waits until a job is done.
+// awaitDone waits until a job is in the state done.
 func (c *cluster) awaitDone(job string, timeout time.Duration) {
 	c.t.Helper()
 	c.await(job+" is done", timeout, func() bool { return c.jobState(job) == wire.StateDone })
 }
 
-// submitServices submits the services wk-1, wk-2 and so on.
+// submitServices submits services wk-1, wk-2 and so on, each with the given number of tasks.
 func (c *cluster) submitServices(count, tasks int) {
 	c.t.Helper()
 	for i := range count {
@@ -256,14 +268,15 @@
 	}
 }
 
-// startServices submits services and waits until they run.
+// startServices submits services like submitServices and waits until all their tasks run.
 func (c *cluster) startServices(count, tasks int) {
 	c.t.Helper()
 	c.submitServices(count, tasks)
-	c.await("the services run", time.Minute, func() bool { return c.areServicesRunning(count, tasks) })
+	c.await("all tasks of the services run", time.Minute, func() bool { return c.areServicesRunning(count, tasks) })
 }
 
-// areServicesRunning tells whether the first so many jobs run with so many tasks each.
+// areServicesRunning reports whether each of the jobs wk-1 to wk-COUNT runs with exactly the given
+// number of tasks.
 func (c *cluster) areServicesRunning(count, tasks int) bool {
 	for i := range count {
 		if c.env.Running(fmt.Sprintf("wk-%d", i+1)) != tasks {
@@ -273,7 +286,7 @@
 	return true
 }
 
-// submitZonalServices submits services of one replica for a zone.
+// submitZonalServices submits count services of one task for a zone. The first one is wk-FIRST.
 func (c *cluster) submitZonalServices(first, count int, zone string) {
 	c.t.Helper()
 	for i := range count {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -21,50 +21,54 @@
 	"eiderhitch/internal/wire"
 )
 
-// cluster is a few controllers in a simulated environment, all on fake time.
+// cluster runs several controllers in a simulated environment. Tests run it on the fake clock of
+// testing/synctest, unless its controllers are real processes.
 type cluster struct {
 	t               *testing.T
 	ctx             context.Context
 	env             *simulation.Environment
 	nodes           []*node
 	clientTransport *network.Transport
-	// keysWrittenByTest are keys whose values the test has written itself.
+	// keysWrittenByTest are store keys whose values the test has written itself. The checks of
+	// stored records skip them.
 	keysWrittenByTest map[string]bool
-	// upgrades: the controllers take part in staged upgrades.
+	// upgradesEnabled says that the controllers take part in staged upgrades.
 	upgradesEnabled bool
-	// frameObserver is called with each frame between controllers; nil: nobody is.
+	// frameObserver is called with each frame between controllers; nil: none.
 	frameObserver atomic.Pointer[frameObserver]
-	// logs are what the controllers have logged, for the report of a failure.
+	// logs holds the log lines of the controllers for the report of a failure.
 	logs *logBuffer
-	// alwaysKeepLogs: they are kept in any case, from the next start of a controller on.
+	// alwaysKeepLogs makes controllers that start later write to logs even without -failure-dir.
 	alwaysKeepLogs bool
-	// queryAllUntil: until then users ask all controllers as soon as one has answered.
+	// queryAllUntil is the time until which users query all controllers after each successful
+	// change; nil: they never do.
 	queryAllUntil atomic.Pointer[time.Time]
 
-	mu sync.Mutex // of what several goroutines of a test share
-	// readableLevels are the ranges of levels that processes read, by process ID.
+	mu sync.Mutex // guards the fields that several goroutines of a test share
+	// readableLevels holds the range of levels that each process reads, by process ID.
 	readableLevels map[string]rollout.LevelRange
 }
 
 // frameObserver is called with the sender, the receiver and the version of a frame.
 type frameObserver func(from, to string, version peer.Version)
 
-// node is a place at which controller processes run, one after the other. Its settings
-// and its version are those of its next process: the test that drives the cluster may
-// change them, since no process reads them once it has started.
+// node runs controller processes, one after the other. cfg, operatorConfig and version apply to its
+// next process: the test may change them at any time, since a process does not read them once it has
+// started.
 type node struct {
 	cfg            *config.Platform
 	transport      *network.Transport
-	operatorConfig *config.Operator // nil: the defaults
+	operatorConfig *config.Operator // nil: the defaults apply
 	version        softwareVersion
-	// process runs now; nil: none. Other nodes and clients read it at any time.
+	// process is the running process; nil: none. Other nodes and clients read it concurrently.
 	process atomic.Pointer[process]
-	// What these block hangs until the caller gives up.
+	// Frames are dropped while peersBlocked is set. Requests of agents or users hang until the
+	// caller gives up while agentsBlocked or usersBlocked is set.
 	peersBlocked, agentsBlocked, usersBlocked atomic.Bool
 }
 
-// process is one run of a controller on a node. Its fields are set before it is published
-// and never change: what sees the process sees the version that it is of.
+// process is one run of a controller on a node. Its fields are set before it is published and never
+// change, so every reader of a process sees the matching version.
 type process struct {
 	controller *controller
 	version    softwareVersion
@@ -72,7 +76,7 @@
 	running    *sync.WaitGroup
 }
 
-// controller is the node's controller; nil: none runs.
+// controller returns the node's controller, or nil if none runs.
 func (n *node) controller() *controller {
 	if p := n.process.Load(); p != nil {
 		return p.controller
@@ -80,10 +84,10 @@
 	return nil
 }
 
-// isRunning tells whether a process runs on the node.
+// isRunning reports whether a process runs on the node.
 func (n *node) isRunning() bool { return n.process.Load() != nil }
 
-// isLeader tells whether the node's controller leads.
+// isLeader reports whether the node's controller is the leader.
 func (n *node) isLeader(ctx context.Context) bool {
 	leads := false
 	if p := n.process.Load(); p != nil {
@@ -92,37 +96,39 @@
 	return leads
 }
 
-// maxStaleness is for how long the node's controller may act on what it has read.
+// maxStaleness returns how long the node's controller may answer heartbeats after the start of its
+// last read of the key-value store.
 func (n *node) maxStaleness() time.Duration {
 	return config.MaxStaleness(n.cfg.Settings.Workers.CancelS, n.cfg.Settings.Workers.LeaseS)
 }
 
-// testMachineTypes are the machine types that the cloud has.
+// testMachineTypes are the machine types that the simulated cloud offers.
 var testMachineTypes = []wire.MachineType{
 	{Name: "small", CPUs: 4, RAMGB: 16, ImageCacheGB: 20, ImageFetchGBPS: 1, Price: 0.4, SpotPrice: 0.1, BootS: 5, Zones: []string{"a", "b"}},
 	{Name: "large", CPUs: 16, RAMGB: 64, ImageCacheGB: 50, ImageFetchGBPS: 1, Price: 1.2, SpotPrice: 0.3, BootS: 8, Zones: []string{"a"}},
 }
 
-// defaultControllerCount is how many controllers most clusters have.
+// defaultControllerCount is the number of controllers of most clusters.
 const defaultControllerCount = 3
 
-// startInterval is between the starts of controllers: their ticks are not at one time.
+// startInterval is the time between the starts of controllers. It keeps their periodic work from
+// running at the same instant.
 const startInterval = 137 * time.Microsecond
 
-// runCluster runs f with a started cluster and checks afterwards that no rule and no limit
-// of the key-value store was broken.
+// runCluster runs f with a started cluster and then checks that no rule and no limit of the key-value
+// store was broken.
 func runCluster(t *testing.T, f func(c *cluster)) {
 	t.Helper()
 	runClusterWithSetup(t, func(*node) {}, f)
 }
 
-// runClusterWithSetup is runCluster with nodes that are set up otherwise.
+// runClusterWithSetup is like runCluster, but calls setUp for each node before the node starts.
 func runClusterWithSetup(t *testing.T, setUp func(*node), f func(c *cluster)) {
 	t.Helper()
 	runClusterOfSize(t, defaultControllerCount, setUp, f)
 }
 
-// runClusterOfSize is runClusterWithSetup with that many controllers.
+// runClusterOfSize is like runClusterWithSetup, with the given number of controllers.
 func runClusterOfSize(t *testing.T, controllers int, setUp func(*node), f func(c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -139,14 +145,14 @@
 			}
 			cancel()
 			c.reportFailure()
-			time.Sleep(time.Minute) // whatever still waits ends on the bubble's clock
+			time.Sleep(time.Minute) // lets the remaining goroutines of the synctest bubble end
 		}()
 		f(c)
 		c.checkInvariants()
 	})
 }
 
-// newCluster is a cluster of which no controller runs yet.
+// newCluster returns a cluster whose controllers have not been started.
 func newCluster(ctx context.Context, t *testing.T, controllers int) *cluster {
 	t.Helper()
 	var members []agent.Controller
@@ -163,7 +169,7 @@
 	return c
 }
 
-// newTestPlatform are the platform's settings of a member.
+// newTestPlatform returns the platform's settings for the member with index self.
 func newTestPlatform(env *simulation.Environment, members []agent.Controller, self int) *config.Platform {
 	cfg := &config.Platform{Name: members[self].Name, Zone: "a", APIAddr: members[self].Addr}
 	for i, other := range members {
@@ -182,14 +188,14 @@
 	return cfg
 }
 
-// start starts a node's controller, unless it runs.
+// start starts a controller on a node, unless one is running.
 func (c *cluster) start(i int) {
 	n := c.nodes[i]
 	if n.isRunning() {
 		return
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
-	cfg := *n.cfg // tests change the node's settings for its next process
+	cfg := *n.cfg // a copy, since tests change the node's settings for its next process
 	ctl := newController(ctx, &cfg, n.operatorSettings(), c.logger(), c.dependenciesOf(i))
 	ctl.rollout.supportedLevels = n.version.supportedLevels
 	p := &process{controller: ctl, version: n.version, cancel: cancel, running: &sync.WaitGroup{}}
@@ -199,7 +205,8 @@
 	c.env.Network.Serve(n.cfg.APIAddr, n.blockingHandler(api.NewHandler(ctl, api.Limits{MaxConnections: 100, MaxUserRequests: 50})))
 }
 
-// dependenciesOf is how a node's controller reaches all others.
+// dependenciesOf returns the dependencies of a node's controller: its transports, its jitter and the
+// delivery of its frames.
 func (c *cluster) dependenciesOf(i int) dependencies {
 	n := c.nodes[i]
 	return dependencies{
@@ -211,7 +218,8 @@
 	}
 }
 
-// handler keeps requests from a controller's handler that the node blocks.
+// blockingHandler returns a handler that passes requests on to inner, unless the node blocks their
+// sender. Blocked requests hang until the caller gives up.
 func (n *node) blockingHandler(inner http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		blocked := &n.usersBlocked
@@ -226,7 +234,7 @@
 	})
 }
 
-// kill ends a node's controller without a word, if one runs.
+// kill stops a node's controller without a graceful shutdown, if one runs.
 func (c *cluster) kill(i int) {
 	n := c.nodes[i]
 	if !n.isRunning() {
@@ -238,34 +246,36 @@
 	p.running.Wait()
 }
 
-// killAll ends all controllers, and startAll starts them.
+// killAll kills all controllers.
 func (c *cluster) killAll() {
 	for i := range c.nodes {
 		c.kill(i)
 	}
 }
 
+// startAll starts the controllers that are not running.
 func (c *cluster) startAll() {
 	for i := range c.nodes {
 		c.start(i)
 	}
 }
 
-// restartAll ends all controllers and starts them again a moment later.
+// restartAll kills all controllers and starts them again half a second later.
 func (c *cluster) restartAll() {
 	c.killAll()
 	time.Sleep(500 * time.Millisecond)
 	c.startAll()
 }
 
-// setPolicies sets what happens to the requests of all controllers; nil: they are delivered.
+// setPolicies sets the network policy for the requests of all controllers; nil: all requests are
+// delivered.
 func (c *cluster) setPolicies(policy network.Policy) {
 	for _, n := range c.nodes {
 		n.transport.SetPolicy(policy)
 	}
 }
 
-// restartOneByOne ends one controller after the other and starts it again at once.
+// restartOneByOne kills each controller in turn and starts it again at once.
 func (c *cluster) restartOneByOne() {
 	for i := range c.nodes {
 		c.kill(i)
@@ -273,7 +283,8 @@
 	}
 }
 
-// leader is the node whose controller leads; 0: none does just now.
+// leaderIndex returns the index of the node whose controller is the leader, or 0 if there is no leader
+// at the moment.
 func (c *cluster) leaderIndex() int {
 	for i, n := range c.nodes {
 		if n.isLeader(c.ctx) {
@@ -283,7 +294,7 @@
 	return 0
 }
 
-// sendFrame delivers a frame of a node's controller to the process that runs on another.
+// sendFrame delivers a frame of a node's controller to the process on another node.
 func (c *cluster) sendFrame(from *node, to string, frame []byte) {
 	version := peer.Version(frame[2])
 	for _, n := range c.nodes {
@@ -295,7 +306,7 @@
 			(*observe)(from.cfg.Name, to, version)
 		}
 		if receiver.version.predatesLevels && version != peer.PlainFrame {
-			continue // refused by name
+			continue // a version without levels refuses all other frame versions
 		}
 		status, err := peer.ReadStatus(bytes.NewReader(frame))
 		if err != nil {
--- a/internal/controller/failure_report_test.go
+++ b/internal/controller/failure_report_test.go
@@ -16,28 +16,28 @@
 	"eiderhitch/internal/simulation/trace"
 )
 
-// A simulated cluster that fails a test leaves a report: what its controllers logged, at all
-// levels, and what was seen from outside, in the order in which it happened.
+// A simulated cluster writes a report if its test fails: the log lines of its controllers at all
+// levels, then the events that the simulated environment has recorded. Both are in order of time.
 
 var (
-	failureDir    = flag.String("failure-dir", "", "folder for the reports of simulated clusters that fail a test")
-	networkSeed   = flag.Uint64("network-seed", 0, "seed of the time that requests take in simulated clusters")
-	networkJitter = flag.Duration("network-jitter", 500*time.Microsecond, "by how much the time that requests take differs")
+	failureDir    = flag.String("failure-dir", "", "directory for reports of simulated clusters whose tests fail")
+	networkSeed   = flag.Uint64("network-seed", 0, "seed of the latency of requests in simulated clusters")
+	networkJitter = flag.Duration("network-jitter", 500*time.Microsecond, "maximum jitter of the latency of requests in simulated clusters")
 )
 
-// maxLogChunks and logChunkBytes bound what is kept of a cluster's logs: the newest.
 const (
+	// maxLogChunks and logChunkBytes limit how much of a cluster's newest log lines is kept.
 	maxLogChunks  = 64
 	logChunkBytes = 1 << 20
 )
 
-// logBuffer keeps the newest log lines of a cluster.
+// logBuffer holds the newest log lines of a cluster. It is an io.Writer.
 type logBuffer struct {
 	mu     sync.Mutex
 	chunks []*bytes.Buffer
 }
 
-// Write adds a log line.
+// Write adds a log line and discards the oldest lines beyond the limit.
 func (b *logBuffer) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -53,7 +53,7 @@
 	return b.chunks[last].Write(line)
 }
 
-// writeTo writes the lines that are kept.
+// writeTo writes the buffered lines to out.
 func (b *logBuffer) writeTo(out io.Writer) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// logger keeps everything that controllers log if failures are to be reported or the
-// test looks at them.
+// logger returns the logger of the controllers. It writes to the cluster's logs if -failure-dir is
+// set or the test needs the lines; otherwise it discards them.
 func (c *cluster) logger() *slog.Logger {
 	if *failureDir != "" || c.alwaysKeepLogs {
 		return newTestLogger(c.logs)
@@ -74,8 +74,8 @@
 	return newTestLogger(io.Discard)
 }
 
-// newTestLogger logs at all levels to a writer, and prints it as well if a test runs
-// verbosely and asks for it.
+// newTestLogger returns a logger that writes lines of all levels to out. It also prints them if the
+// test is verbose and LOG_LEVEL is debug.
 func newTestLogger(out io.Writer) *slog.Logger {
 	if testing.Verbose() && os.Getenv("LOG_LEVEL") == "debug" {
 		out = io.MultiWriter(out, os.Stderr)
@@ -83,7 +83,7 @@
 	return slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
 }
 
-// reportFailure writes the report of a cluster whose test has failed.
+// reportFailure writes a report to -failure-dir if that is set and the test has failed.
 func (c *cluster) reportFailure() {
 	if !c.t.Failed() || *failureDir == "" {
 		return
@@ -101,14 +101,14 @@
 	c.t.Logf("report: %s (network seed %d, jitter %v)", filepath.Clean(file.Name()), *networkSeed, *networkJitter)
 }
 
-// writeReport writes the log lines, then what was seen from outside.
+// writeReport writes the log lines and then the recorded events, without responses to users.
 func (c *cluster) writeReport(out io.Writer) error {
 	if err := c.logs.writeTo(out); err != nil {
 		return err
 	}
 	for _, event := range c.env.Trace.Events() {
 		if _, isResponse := event.(trace.Response); isResponse {
-			continue // too many, and the rule checker names those that matter
+			continue // responses are too many; the rule checker reports those that break a rule
 		}
 		if _, err := fmt.Fprintf(out, "time=%s %T %+v\n", event.Time().UTC().Format("2006-01-02T15:04:05.000Z07:00"), event, event); err != nil {
 			return err
