--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-// defaultSeed is the seed of schedules that name none.
+// defaultSeed is the seed of schedules without a seed of their own.
 const defaultSeed = 7
 
-// combination is a schedule in which faults come together.
+// faultCombination is a schedule of overlapping faults.
 type faultCombination struct {
 	name   string
-	jobs   int    // that are submitted before
+	jobs   int    // number of jobs that are submitted before the first fault
 	seed   uint64 // 0: defaultSeed
 	faults []fault
 }
 
-// The combinations of faults that the users have seen rules broken in; see
-// docs/fault-combinations.md for the code that each is about.
+// Combinations of faults under which users have seen rules broken. docs/fault-combinations.md names
+// the code that each one exercises.
 func TestFaultCombinations(t *testing.T) {
 	t.Parallel()
 	for _, x := range slices.Concat(clusterCombinations, gangCombinations) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// clusterCombinations are those of all jobs.
+// clusterCombinations are the combinations for jobs of all kinds.
 var clusterCombinations = []faultCombination{
 	{
 		name: "cancelled while one controller's work changes hands",
--- a/internal/controller/fault_test.go
+++ b/internal/controller/fault_test.go
@@ -4,70 +4,70 @@
 	"fmt"
 )
 
-// fault is one fault of a schedule: what happens, when, for how long, and to whom.
+// fault is one entry of a schedule: a fault or an action of users or operators.
 type fault struct {
-	at       float64 // seconds after the work has begun
+	at       float64 // start, in seconds after the first tasks run
 	kind     faultKind
-	target   int     // a controller, leaderNode, allNodes, or how many machines or jobs
-	duration float64 // seconds
-	share    float64 // of what is affected
+	target   int     // index of a controller, leaderNode, allNodes, or a number of machines, jobs or tasks
+	duration float64 // seconds; 0 for events that do not last
+	share    float64 // fraction of the requests, heartbeats or jobs that are affected
 }
 
-// Controllers by their role at the time.
+// Targets that are resolved when the fault begins.
 const (
-	leaderNode = -1
-	allNodes   = -2
+	leaderNode = -1 // the controller that is the leader
+	allNodes   = -2 // all controllers
 )
 
-// faultKind is what happens. Its text is the name of the constant, so that a schedule which
-// is printed can become a row of a test.
+// faultKind names what happens. Its text is the name of its constant, so that a printed schedule can
+// be copied into a test as Go code.
 type faultKind string
 
-// The faults, in the order in which faultEffects has them.
+// The kinds of faults. Their effects are in faultEffects, in the same order.
 const (
 	storeDown                faultKind = "storeDown"                // the key-value store is down for all
-	storeRefuses             faultKind = "storeRefuses"             // it refuses a controller
-	storeUnresponsive        faultKind = "storeUnresponsive"        // it does not answer a controller
-	storeSlow                faultKind = "storeSlow"                // a share of its answers comes late
-	lateTransactions         faultKind = "lateTransactions"         // a share of transactions is executed long after they were given up
-	lostResponses            faultKind = "lostResponses"            // a share of transactions is executed, and the answers are lost
-	lateCommands             faultKind = "lateCommands"             // a share of direct commands is executed long after they were given up
-	agentsUnreachable        faultKind = "agentsUnreachable"        // a controller and the agents do not reach each other
-	peersUnreachable         faultKind = "peersUnreachable"         // a controller and its peers do not reach each other
-	storeAndPeersUnreachable faultKind = "storeAndPeersUnreachable" // a controller reaches neither the store nor its peers
-	killController           faultKind = "killController"           // a controller ends and is started again
-	isolateZone              faultKind = "isolateZone"              // zone b and a controller in it are cut off
-	machinesNotReceiving     faultKind = "machinesNotReceiving"     // nothing reaches machines, whose heartbeats arrive
-	machinesNotSending       faultKind = "machinesNotSending"       // machines reach no controller, while commands reach them
-	machinesHang             faultKind = "machinesHang"             // machines stand still
-	machinesIsolated         faultKind = "machinesIsolated"         // machines are cut off
-	cloudDown                faultKind = "cloudDown"                // the cloud does not answer
-	noCapacity               faultKind = "noCapacity"               // the cloud has no more machines
+	storeRefuses             faultKind = "storeRefuses"             // the store refuses the requests of a controller
+	storeUnresponsive        faultKind = "storeUnresponsive"        // the store does not respond to a controller
+	storeSlow                faultKind = "storeSlow"                // a share of the store's responses is delayed
+	lateTransactions         faultKind = "lateTransactions"         // a share of transactions is executed long after the caller's timeout
+	lostResponses            faultKind = "lostResponses"            // a share of transactions is executed, but the responses are lost
+	lateCommands             faultKind = "lateCommands"             // a share of direct commands is executed long after the caller's timeout
+	agentsUnreachable        faultKind = "agentsUnreachable"        // a controller and the agents can't reach each other
+	peersUnreachable         faultKind = "peersUnreachable"         // a controller and its peers can't reach each other
+	storeAndPeersUnreachable faultKind = "storeAndPeersUnreachable" // a controller can reach neither the store nor its peers
+	killController           faultKind = "killController"           // a controller is killed and started again after the duration
+	isolateZone              faultKind = "isolateZone"              // the machines of zone b and one controller are isolated from the rest
+	machinesNotReceiving     faultKind = "machinesNotReceiving"     // machines send heartbeats but receive neither responses nor commands
+	machinesNotSending       faultKind = "machinesNotSending"       // machines reach no controller but receive direct commands
+	machinesHang             faultKind = "machinesHang"             // machines hang
+	machinesIsolated         faultKind = "machinesIsolated"         // machines neither send nor receive anything
+	cloudDown                faultKind = "cloudDown"                // the cloud does not respond
+	noCapacity               faultKind = "noCapacity"               // the cloud can't launch further machines
 	tasksFail                faultKind = "tasksFail"                // all tasks on machines fail
-	terminateMachines        faultKind = "terminateMachines"        // machines are gone
-	restartMachines          faultKind = "restartMachines"          // machines are back at once, without their tasks
+	terminateMachines        faultKind = "terminateMachines"        // machines terminate without notice
+	restartMachines          faultKind = "restartMachines"          // machines restart at once and lose their tasks
 	cancelJobs               faultKind = "cancelJobs"               // users cancel some jobs
 	cancelAsMachinesHang     faultKind = "cancelAsMachinesHang"     // machines hang, and users cancel some jobs
-	raceCompletion           faultKind = "raceCompletion"           // a share of jobs is cancelled as their last task ends
-	queryAllControllers      faultKind = "queryAllControllers"      // users ask all controllers after each answer
-	unusualRequests          faultKind = "unusualRequests"          // requests are repeated, late or wrong
-	copyHeartbeats           faultKind = "copyHeartbeats"           // a share of heartbeats arrives again
-	copyHeartbeatsLate       faultKind = "copyHeartbeatsLate"       // a share of heartbeats arrives again much later
-	saveHeartbeats           faultKind = "saveHeartbeats"           // the last heartbeats are saved
-	resendHeartbeats         faultKind = "resendHeartbeats"         // the saved heartbeats arrive
+	raceCompletion           faultKind = "raceCompletion"           // jobs are queried and submitted again as their last task ends; a share is cancelled
+	queryAllControllers      faultKind = "queryAllControllers"      // users query all controllers after each successful change
+	unusualRequests          faultKind = "unusualRequests"          // users repeat submissions, query unknown jobs and submit invalid ones
+	copyHeartbeats           faultKind = "copyHeartbeats"           // a share of heartbeats is delivered a second time
+	copyHeartbeatsLate       faultKind = "copyHeartbeatsLate"       // a share of heartbeats is delivered a second time much later
+	saveHeartbeats           faultKind = "saveHeartbeats"           // the last heartbeat of each machine is saved
+	resendHeartbeats         faultKind = "resendHeartbeats"         // the saved heartbeats are delivered again
 	submitJobs               faultKind = "submitJobs"               // users submit jobs of several kinds
-	submitGangs              faultKind = "submitGangs"              // users submit gangs of one priority
-	submitUrgentArray        faultKind = "submitUrgentArray"        // users submit an urgent array of so many tasks
-	submitOneTaskJobs        faultKind = "submitOneTaskJobs"        // users submit four jobs of one task a second
-	lowerLimits              faultKind = "lowerLimits"              // the store has the lower limits that the settings announced
-	finalizeUpgrade          faultKind = "finalizeUpgrade"          // an operator asks to make the level final
-	abortUpgrade             faultKind = "abortUpgrade"             // an operator asks to abandon the upgrade
-	finalizeAndAbort         faultKind = "finalizeAndAbort"         // two operators ask for either
-	startWithoutLevels       faultKind = "startWithoutLevels"       // controllers come back as a version without feature levels
-	startWithBaseLevel       faultKind = "startWithBaseLevel"       // controllers come back as a version of the base level
+	submitGangs              faultKind = "submitGangs"              // users submit gangs of the same priority
+	submitUrgentArray        faultKind = "submitUrgentArray"        // users submit an urgent array with as many tasks as the target says
+	submitOneTaskJobs        faultKind = "submitOneTaskJobs"        // users submit four one-task jobs a second
+	lowerLimits              faultKind = "lowerLimits"              // the store applies the lower limits that the settings have announced
+	finalizeUpgrade          faultKind = "finalizeUpgrade"          // an operator requests that the level become final
+	abortUpgrade             faultKind = "abortUpgrade"             // an operator requests that the upgrade be aborted
+	finalizeAndAbort         faultKind = "finalizeAndAbort"         // two operators request finalize and abort at the same time
+	startWithoutLevels       faultKind = "startWithoutLevels"       // controllers are replaced by a version without feature levels
+	startWithBaseLevel       faultKind = "startWithBaseLevel"       // controllers are replaced by a version that supports only the base level
 )
 
-// String is the fault as a row of a test.
+// String returns the fault as a composite literal for a test.
 func (f fault) String() string {
 	return fmt.Sprintf("{at: %.1f, kind: %s, target: %d, duration: %.1f, share: %.2f}", f.at, f.kind, f.target, f.duration, f.share)
 }
--- a/internal/controller/gang_fault_combinations_test.go
+++ b/internal/controller/gang_fault_combinations_test.go
@@ -1,6 +1,6 @@
 package controller
 
-// gangCombinations are those of gangs, and of limits that fall.
+// gangCombinations are the combinations for gangs and for lowered limits of the key-value store.
 var gangCombinations = []faultCombination{
 	{
 		name: "a gang assigned to a partition that has lost its room",
@@ -18,7 +18,7 @@
 		},
 	},
 	{
-		name: "gangs gather room one after the other beside small work",
+		name: "gangs reserve room one after the other beside small jobs",
 		jobs: 10,
 		seed: 155,
 		faults: []fault{
@@ -34,7 +34,7 @@
 		},
 	},
 	{
-		name: "limits fall during a failover",
+		name: "limits are lowered during a failover",
 		jobs: 10,
 		faults: []fault{
 			{at: 0, kind: submitGangs, target: 4},
@@ -46,7 +46,7 @@
 		},
 	},
 	{
-		name: "limits fall while gangs stop",
+		name: "limits are lowered while gangs are stopped",
 		jobs: 10,
 		faults: []fault{
 			{at: 0, kind: submitGangs, target: 4},
@@ -57,7 +57,7 @@
 		},
 	},
 	{
-		name: "machines die without notice during a rollout",
+		name: "machines terminate without notice during a rolling restart",
 		jobs: 10,
 		faults: []fault{
 			{at: 0, kind: submitGangs, target: 4},
@@ -71,7 +71,7 @@
 		},
 	},
 	{
-		name: "cloud out while gangs wait for a task",
+		name: "cloud outage while gangs wait for a replacement task",
 		jobs: 8,
 		faults: []fault{
 			{at: 0, kind: submitGangs, target: 4},
@@ -82,7 +82,7 @@
 		},
 	},
 	{
-		name: "members on machines that hang, receive nothing, send nothing or fail tasks",
+		name: "gang members on machines that hang, receive nothing, send nothing or fail tasks",
 		jobs: 8,
 		faults: []fault{
 			{at: 0, kind: submitGangs, target: 5},
@@ -94,7 +94,7 @@
 		},
 	},
 	{
-		name: "leader ends between reserving, binding and starting",
+		name: "leader is killed between reserving, binding and starting",
 		jobs: 8,
 		faults: []fault{
 			{at: 5, kind: submitGangs, target: 3},
@@ -106,7 +106,7 @@
 		},
 	},
 	{
-		name: "late and copied heartbeats of an earlier attempt",
+		name: "late and duplicate heartbeats of an earlier attempt",
 		jobs: 8,
 		faults: []fault{
 			{at: 0, kind: submitGangs, target: 5},
@@ -121,7 +121,7 @@
 		},
 	},
 	{
-		name: "late stops and starts of gangs",
+		name: "late stop and start commands of gangs",
 		jobs: 8,
 		faults: []fault{
 			{at: 0, kind: submitGangs, target: 5},
@@ -133,7 +133,7 @@
 		},
 	},
 	{
-		name: "gangs done and cancelled at once",
+		name: "gangs cancelled as they complete",
 		jobs: 6,
 		faults: []fault{
 			{at: 0, kind: submitGangs, target: 6},
