--- a/internal/controller/fault_effects_test.go
+++ b/internal/controller/fault_effects_test.go
@@ -9,10 +9,10 @@
 	"eiderhitch/internal/simulation/network"
 )
 
-// faultEffect has a fault begin, and returns what ends it.
+// faultEffect makes a fault begin and returns the function that ends it.
 type faultEffect func(s *scheduleRun, f fault) (end func())
 
-// faultEffects are the effects of all faults.
+// faultEffects holds the effect of each kind of fault.
 var faultEffects = map[faultKind]faultEffect{
 	storeDown:                (*scheduleRun).takeStoreDown,
 	storeRefuses:             requestFault(isStoreRequest, network.Refuse),
@@ -59,24 +59,28 @@
 	startWithBaseLevel: (*scheduleRun).startWithBaseLevel,
 }
 
-// doNothing ends a fault that ends by itself.
+// doNothing is the end function of faults that end by themselves.
 func doNothing() {}
 
-// inject has a fault begin and returns what ends it.
+// inject makes a fault begin and returns the function that ends it.
 func (s *scheduleRun) inject(f fault) (end func()) {
 	effect := faultEffects[f.kind]
 	if effect == nil {
-		s.t.Fatalf("unknown fault %q", f.kind)
+		s.t.Fatalf("fault kind %q has no effect", f.kind)
 	}
 	return effect(s, f)
 }
 
-// isStoreRequest, isTransactionRequest and isAgentRequest tell where a request goes.
-func isStoreRequest(r *http.Request) bool       { return r.URL.Host == simulation.StoreAddr }
+// isStoreRequest reports whether a request goes to the key-value store.
+func isStoreRequest(r *http.Request) bool { return r.URL.Host == simulation.StoreAddr }
+
+// isTransactionRequest reports whether a request is a transaction of the key-value store.
 func isTransactionRequest(r *http.Request) bool { return isStoreRequest(r) && r.URL.Path == "/txn" }
-func isAgentRequest(r *http.Request) bool       { return strings.HasPrefix(r.URL.Host, "10.1.") }
 
-// policyForMatching is a policy that has a fault happen to all requests of a kind.
+// isAgentRequest reports whether a request goes to an agent: machines have addresses in 10.1.
+func isAgentRequest(r *http.Request) bool { return strings.HasPrefix(r.URL.Host, "10.1.") }
+
+// policyForMatching returns a policy that applies a network fault to all requests that match.
 func policyForMatching(matches func(*http.Request) bool, networkFault network.Fault) network.Policy {
 	return func(r *http.Request) network.Fault {
 		if matches(r) {
@@ -86,21 +90,21 @@
 	}
 }
 
-// requestFault is an effect on all requests of a kind that the target makes.
+// requestFault returns an effect that applies a network fault to all matching requests of the target.
 func requestFault(matches func(*http.Request) bool, networkFault network.Fault) faultEffect {
 	return func(s *scheduleRun, f fault) func() {
 		return s.addPolicy(f.target, s.policyForShare(1, matches, networkFault))
 	}
 }
 
-// partialRequestFault is requestFault for a share of the requests.
+// partialRequestFault is like requestFault, but affects only the fault's share of the requests.
 func partialRequestFault(matches func(*http.Request) bool, networkFault network.Fault) faultEffect {
 	return func(s *scheduleRun, f fault) func() {
 		return s.addPolicy(f.target, s.policyForShare(f.share, matches, networkFault))
 	}
 }
 
-// policyForShare has a fault happen to a share of the requests that match.
+// policyForShare returns a policy that applies a network fault to a share of the matching requests.
 func (s *scheduleRun) policyForShare(share float64, matches func(*http.Request) bool, networkFault network.Fault) network.Policy {
 	return func(r *http.Request) network.Fault {
 		if matches(r) && network.Draw(s.seed, r.URL.String()) < share {
@@ -110,7 +114,7 @@
 	}
 }
 
-// addPolicy adds a policy for controllers, which removes it again.
+// addPolicy adds a policy to the target controllers and returns the function that removes it.
 func (s *scheduleRun) addPolicy(target int, policy network.Policy) (remove func()) {
 	nodes := s.targetNodes(target)
 	s.lastPolicyID++
@@ -129,7 +133,8 @@
 	}
 }
 
-// targetNodes are the controllers that a fault is about.
+// targetNodes returns the indices of a fault's target controllers. If the target is the leader and
+// there is none, it returns the first controller.
 func (s *scheduleRun) targetNodes(target int) []int {
 	var out []int
 	for i, n := range s.nodes {
@@ -139,23 +144,24 @@
 		}
 	}
 	if len(out) == 0 {
-		out = append(out, 0) // nobody leads just now
+		out = append(out, 0) // there is no leader at the moment
 	}
 	return out
 }
 
+// takeStoreDown makes the key-value store unavailable to everyone.
 func (s *scheduleRun) takeStoreDown(fault) func() {
 	s.env.Store.SetDown(true)
 	return func() { s.env.Store.SetDown(false) }
 }
 
-// lowerLimits are those that the settings announced, see runSchedule.
+// lowerLimits makes the store apply the lower limits that runSchedule announced in the settings.
 func (s *scheduleRun) lowerLimits(fault) func() {
 	s.env.Store.SetLimits(loweredValueBytes, loweredTxnChanges)
 	return doNothing
 }
 
-// blockAgents has a controller and the agents not reach each other.
+// blockAgents cuts the connections between the target controllers and the agents in both directions.
 func (s *scheduleRun) blockAgents(f fault) func() {
 	remove := s.addPolicy(f.target, s.policyForShare(1, isAgentRequest, network.Drop))
 	nodes := s.targetNodes(f.target)
@@ -170,6 +176,7 @@
 	}
 }
 
+// blockPeers cuts the connections between the target controllers and their peers.
 func (s *scheduleRun) blockPeers(f fault) func() {
 	nodes := s.targetNodes(f.target)
 	for _, i := range nodes {
@@ -182,7 +189,8 @@
 	}
 }
 
-// blockStoreAndPeers leaves a controller its agents and users.
+// blockStoreAndPeers cuts the connections of the target controllers to the store and their peers.
+// Agents and users still reach them.
 func (s *scheduleRun) blockStoreAndPeers(f fault) func() {
 	var ends []func()
 	for _, i := range s.targetNodes(f.target) {
@@ -196,6 +204,7 @@
 	return callInOrder(ends)
 }
 
+// restartControllers kills the target controllers. The end of the fault starts them again.
 func (s *scheduleRun) restartControllers(f fault) func() {
 	nodes := s.targetNodes(f.target)
 	for _, i := range nodes {
@@ -208,7 +217,7 @@
 	}
 }
 
-// callInOrder calls functions one after the other.
+// callInOrder returns a function that calls the given functions one after the other.
 func callInOrder(functions []func()) func() {
 	return func() {
 		for _, f := range functions {
@@ -217,7 +226,8 @@
 	}
 }
 
-// isolateZone cuts the machines of zone b and the last controller off from all others.
+// isolateZone isolates the machines of zone b, together with the last controller, from everything
+// else.
 func (s *scheduleRun) isolateZone(fault) func() {
 	const zone = "b"
 	node := len(s.nodes) - 1
--- a/internal/controller/fault_generator_test.go
+++ b/internal/controller/fault_generator_test.go
@@ -8,17 +8,19 @@
 	"testing"
 )
 
-// combinations is how many generated schedules are played; a long search plays more.
-var generatedScheduleCount = flag.Int("combinations", 24, "generated schedules of faults to play")
+// generatedScheduleCount is the number of generated schedules that the test runs. The default is
+// small; a long search for faults sets a larger one.
+var generatedScheduleCount = flag.Int("combinations", 24, "number of generated fault schedules to run")
 
-// firstSeed is where they begin.
+// firstSeed is the seed of the first generated schedule; the others follow consecutively.
 var firstSeed = flag.Uint64("first-seed", 1, "seed of the first generated schedule")
 
-// generatorSeed draws schedules, apart from what users do in them.
+// generatorSeed is the second part of the seed for drawing schedules. It differs from scheduleSeed, so
+// that schedules and the actions of users in them are drawn independently.
 const generatorSeed = 3
 
-// faultTemplates are the faults that a schedule is drawn from, with their usual durations;
-// those that are there twice come more often.
+// faultTemplates are the faults that schedules are drawn from, with the durations that are scaled
+// randomly. Faults that are listed twice are drawn more often.
 var faultTemplates = []fault{
 	{kind: cloudDown, duration: 40},
 	{kind: noCapacity, duration: 60},
@@ -62,8 +64,8 @@
 	{kind: lowerLimits},
 }
 
-// Generated schedules of faults: a seed that breaks a rule prints its schedule, so that
-// it can become a row of TestFaultCombinations.
+// No rule may be broken under randomly generated schedules of faults. A failing seed prints its
+// schedule, which can then be added to TestFaultCombinations.
 func TestGeneratedFaultSchedules(t *testing.T) {
 	t.Parallel()
 	for seed := *firstSeed; seed < *firstSeed+uint64(*generatedScheduleCount); seed++ {
@@ -77,7 +79,7 @@
 	}
 }
 
-// logScheduleOnFailure prints a schedule if its test fails.
+// logScheduleOnFailure logs a schedule when the test ends, if it has failed.
 func logScheduleOnFailure(t *testing.T, seed uint64, faults []fault) {
 	t.Helper()
 	t.Cleanup(func() {
@@ -87,7 +89,7 @@
 	})
 }
 
-// generateSchedule is the schedule of faults that follows from a seed.
+// generateSchedule draws a schedule of 7 to 12 faults. The same seed gives the same schedule.
 func generateSchedule(seed uint64) []fault {
 	rng := rand.New(rand.NewPCG(seed, generatorSeed))
 	var faults []fault
@@ -104,7 +106,7 @@
 	return faults
 }
 
-// targetsOneController tells whether a fault's target is a controller.
+// targetsOneController reports whether a fault has one controller as its target.
 func (f fault) targetsOneController() bool {
 	switch f.kind {
 	case storeRefuses, storeUnresponsive, storeSlow, agentsUnreachable, peersUnreachable, storeAndPeersUnreachable, killController:
@@ -113,10 +115,10 @@
 	return false
 }
 
-// drawController is the leader or one of three controllers.
+// drawController draws leaderNode or the index of one of three controllers.
 func drawController(rng *rand.Rand) int { return rng.IntN(4) + leaderNode }
 
-// sortByTime puts faults in the order in which they begin.
+// sortByTime sorts faults by the time at which they begin.
 func sortByTime(faults []fault) {
 	slices.SortStableFunc(faults, func(x, y fault) int { return compareTimes(x.at, y.at) })
 }
--- a/internal/controller/fault_machine_effects_test.go
+++ b/internal/controller/fault_machine_effects_test.go
@@ -11,12 +11,12 @@
 	"eiderhitch/internal/simulation/network"
 )
 
-// machineFault is an effect on the busiest machines that lasts.
+// machineFault returns an effect that sets a fault on the busiest machines and clears it at the end.
 func machineFault(set func(a *agent.Agent, on bool)) faultEffect {
 	return func(s *scheduleRun, f fault) func() { return s.setOnBusiestMachines(f.target, set) }
 }
 
-// machineEvent is an effect on the busiest machines that does not last.
+// machineEvent returns an effect that calls happen once for each of the busiest machines.
 func machineEvent(happen func(a *agent.Agent)) faultEffect {
 	return func(s *scheduleRun, f fault) func() {
 		for _, a := range s.busiestMachines(f.target) {
@@ -26,7 +26,8 @@
 	}
 }
 
-// setOnBusiestMachines sets something on the busiest machines, and returns what unsets it.
+// setOnBusiestMachines calls set with true for the busiest machines, and returns a function that calls
+// it with false for the same machines.
 func (s *scheduleRun) setOnBusiestMachines(count int, set func(a *agent.Agent, on bool)) (unset func()) {
 	agents := s.busiestMachines(count)
 	for _, a := range agents {
@@ -39,7 +40,7 @@
 	}
 }
 
-// busiestMachines are up to so many machines, those with the most bindings first.
+// busiestMachines returns at most count machines, those with the most bound tasks first.
 func (s *scheduleRun) busiestMachines(count int) []*agent.Agent {
 	agents := s.env.Cloud.Agents()
 	bound := map[string]int{}
@@ -50,26 +51,32 @@
 	return agents[:min(count, len(agents))]
 }
 
+// takeCloudDown makes the cloud unavailable.
 func (s *scheduleRun) takeCloudDown(fault) func() {
 	s.env.Cloud.SetDown(true)
 	return func() { s.env.Cloud.SetDown(false) }
 }
 
-// freezeCapacity lets the cloud have no more machines than there are.
+// freezeCapacity limits the cloud to the number of machines that exist now.
 func (s *scheduleRun) freezeCapacity(fault) func() {
 	oldCapacity := s.env.Cloud.SetCapacity(len(s.env.Cloud.Agents()))
 	return func() { s.env.Cloud.SetCapacity(oldCapacity) }
 }
 
-// maxCopyDelay is by how much more than the least a copy of a heartbeat may be late.
+// maxCopyDelay is the upper bound of the random delay of a duplicate heartbeat. Late duplicates are
+// delayed by this much in addition.
 const maxCopyDelay = 12 * time.Second
 
+// copyHeartbeats delivers duplicates of a share of the heartbeats after up to maxCopyDelay.
 func (s *scheduleRun) copyHeartbeats(f fault) func() { return s.duplicateHeartbeats(f.share, 0) }
+
+// copyHeartbeatsLate delivers duplicates of a share of the heartbeats after at least maxCopyDelay.
 func (s *scheduleRun) copyHeartbeatsLate(f fault) func() {
 	return s.duplicateHeartbeats(f.share, maxCopyDelay)
 }
 
-// duplicateHeartbeats has a share of all heartbeats arrive again, somewhere, later.
+// duplicateHeartbeats delivers duplicates of a share of the heartbeats to random controllers, each
+// after minDelay and a random delay of up to maxCopyDelay.
 func (s *scheduleRun) duplicateHeartbeats(share float64, minDelay time.Duration) func() {
 	agents := s.env.Cloud.Agents()
 	for _, a := range agents {
@@ -89,6 +96,7 @@
 	}
 }
 
+// saveHeartbeats saves the last heartbeat of each machine for resendHeartbeats.
 func (s *scheduleRun) saveHeartbeats(fault) func() {
 	for _, a := range s.env.Cloud.Agents() {
 		s.savedHeartbeats[a.Name()] = a.LastHeartbeat()
@@ -96,6 +104,7 @@
 	return doNothing
 }
 
+// resendHeartbeats delivers the saved heartbeats to all three controllers.
 func (s *scheduleRun) resendHeartbeats(fault) func() {
 	for _, raw := range s.savedHeartbeats {
 		if raw != nil {
@@ -105,14 +114,14 @@
 	return doNothing
 }
 
-// resendHeartbeat posts a heartbeat to controllers; what they answer reaches nobody.
+// resendHeartbeat posts a heartbeat to controllers and discards their responses.
 func (s *scheduleRun) resendHeartbeat(raw []byte, nodes ...int) {
 	for _, i := range nodes {
 		_, _ = s.postHeartbeat(i, raw)
 	}
 }
 
-// postHeartbeat posts a heartbeat to a controller, and returns the status of the answer.
+// postHeartbeat posts a heartbeat to a controller and returns the HTTP status of the response.
 func (c *cluster) postHeartbeat(node int, raw []byte) (status int, err error) {
 	const timeout = 4 * time.Second
 	ctx, cancel := context.WithTimeout(c.ctx, timeout)
--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -12,50 +12,54 @@
 	"eiderhitch/internal/wire"
 )
 
-// scheduleRun is a cluster at work, to which the faults of a schedule happen.
+// scheduleRun runs a schedule of faults against a cluster that executes jobs.
 type scheduleRun struct {
 	*cluster
 	seed         uint64
 	rng          *rand.Rand
-	policies     []map[int]network.Policy // by controller, of the faults that last
+	policies     []map[int]network.Policy // policies of the active faults by ID, for each controller
 	lastPolicyID int
-	// scarce: there are too few machines for all jobs.
+	// insufficientCapacity says that the cloud has too few machines to run all jobs at a time.
 	insufficientCapacity bool
-	savedHeartbeats      map[string][]byte // by machine
+	savedHeartbeats      map[string][]byte // encoded heartbeats by machine
 
-	// These are shared by users; cluster.mu guards them.
-	ids                []string // of the jobs that were submitted, accepted or not
+	// The goroutines of users share the following fields and rng. cluster.mu guards them.
+	ids                []string // IDs of all submitted jobs in order, accepted or not
 	submissions        map[string]*submission
 	handledCompletions map[string]bool
-	cancelled          map[string]bool // somebody asked for it
+	cancelled          map[string]bool // jobs that a user has asked to cancel
 }
 
-// The limits that the key-value store has once they have been lowered.
+// The limits of the key-value store after lowerLimits.
 const (
 	loweredValueBytes = 1 << 10
 	loweredTxnChanges = 8
 )
 
 const (
-	// scheduleSeed draws what users do, apart from what generates a schedule.
+	// scheduleSeed is the second part of the seed for the actions of users. It differs from
+	// generatorSeed, so that they are drawn independently of the schedule.
 	scheduleSeed = 11
-	// minRequestDelay and requestDelayJitter are by how much late requests are late.
+	// minRequestDelay is the minimum delay of late requests, and requestDelayJitter the largest
+	// random delay in addition.
 	minRequestDelay    = 2 * time.Second
 	requestDelayJitter = 10 * time.Second
-	// maxRecoveryTime is in what time all controllers answer again once all faults are over.
+	// maxRecoveryTime is how long after the last fault users may have to wait for a response.
 	maxRecoveryTime = 75 * time.Second
 )
 
-// capacities are how many machines the cloud has, by seed: enough, and too few.
+// cloudCapacities are the numbers of machines that the cloud has, chosen by the seed. Only the first
+// one is enough for all jobs.
 var cloudCapacities = []int{20, 8, 5}
 
-// runFaults has the faults of a schedule happen to a cluster at work, and waits until all
-// that was accepted is done, runs or is cancelled. Whatever happens is checked from outside.
+// runFaults runs a schedule of faults against a new cluster that executes random jobs. It then waits
+// until all accepted jobs are done or cancelled, or run completely as services. The rule checker
+// verifies the recorded events.
 func runFaults(t *testing.T, seed uint64, jobs int, faults []fault) {
 	runCluster(t, func(c *cluster) { c.runSchedule(seed, jobs, faults) })
 }
 
-// runSchedule is runFaults in a cluster that has been set up.
+// runSchedule is like runFaults, but runs the schedule against c.
 func (c *cluster) runSchedule(seed uint64, jobs int, faults []fault) {
 	s := newScheduleRun(c, seed)
 	if slices.ContainsFunc(faults, func(f fault) bool { return f.kind == lowerLimits }) {
@@ -68,13 +72,13 @@
 		s.submitRandomJob()
 		time.Sleep(time.Millisecond)
 	}
-	c.await("work runs", time.Minute, func() bool { return c.env.Starts() > jobs })
+	c.await("the first tasks run", time.Minute, func() bool { return c.env.Starts() > jobs })
 	s.injectAll(faults)
 	c.env.SetSettled()
 	s.awaitSettled()
 }
 
-// newScheduleRun has the requests of all controllers pass the faults that last.
+// newScheduleRun returns a run whose active faults apply to the requests of all controllers.
 func newScheduleRun(c *cluster, seed uint64) *scheduleRun {
 	s := &scheduleRun{cluster: c, seed: seed, rng: rand.New(rand.NewPCG(seed, scheduleSeed)), submissions: map[string]*submission{},
 		handledCompletions: map[string]bool{}, cancelled: map[string]bool{}, savedHeartbeats: map[string][]byte{}}
@@ -86,7 +90,8 @@
 	return s
 }
 
-// decide is what the faults that last do to a controller's request; the oldest goes first.
+// chooseFault returns the network fault for a controller's request: that of the oldest active policy
+// which doesn't deliver the request.
 func (s *scheduleRun) chooseFault(node int, r *http.Request) network.Fault {
 	s.mu.Lock()
 	var policies []network.Policy
@@ -102,16 +107,16 @@
 	return network.Deliver
 }
 
-// activeFault is a fault that has begun.
+// activeFault is a fault that has begun and not yet ended.
 type activeFault struct {
-	endsAt float64
+	endsAt float64 // seconds since the start of the schedule
 	end    func()
 }
 
-// compareTimes orders times of a schedule, to the millisecond.
+// compareTimes compares times of a schedule with a resolution of a millisecond.
 func compareTimes(x, y float64) int { return int(1000 * (x - y)) }
 
-// injectAll has faults begin and end at their times.
+// injectAll starts and ends the faults of a schedule at their times. It returns after the last end.
 func (s *scheduleRun) injectAll(faults []fault) {
 	startedAt := time.Now()
 	sleepUntil := func(at float64) {
@@ -127,7 +132,8 @@
 	endFaultsUntil(forever, active, sleepUntil)
 }
 
-// endFaultsUntil ends faults, each at its time, up to a time, and returns those that still last.
+// endFaultsUntil ends the faults whose end is not after the given time, each at its own time. It
+// returns the faults that are still active.
 func endFaultsUntil(at float64, active []activeFault, sleepUntil func(float64)) []activeFault {
 	slices.SortStableFunc(active, func(x, y activeFault) int { return compareTimes(x.endsAt, y.endsAt) })
 	for len(active) > 0 && active[0].endsAt <= at {
@@ -138,8 +144,8 @@
 	return active
 }
 
-// announceLimits has the controllers start anew with settings that name lower limits to
-// come.
+// announceLimits restarts the controllers with settings that announce lower limits of the key-value
+// store.
 func (c *cluster) announceLimits(valueBytes, txnChanges int) {
 	for i := range c.nodes {
 		c.kill(i)
@@ -150,7 +156,7 @@
 	}
 }
 
-// settle waits until all is as it should be once the faults are over.
+// awaitSettled waits until all jobs are finished or run as services after the last fault.
 func (s *scheduleRun) awaitSettled() {
 	s.t.Helper()
 	s.queryAllUntil.Store(nil)
@@ -159,29 +165,29 @@
 	ids := slices.Clone(s.ids)
 	s.mu.Unlock()
 	s.checkQueriesAnswered(ids)
-	if s.insufficientCapacity { // services would keep all machines from the rest for good
+	if s.insufficientCapacity { // otherwise services could occupy all machines, and the other jobs would never run
 		time.Sleep(2 * time.Minute)
 		s.cancelServices(ids)
 	}
 	for _, id := range ids {
-		s.await(id+" is finished, or runs as a service", 8*time.Minute, func() bool { return s.isSettled(id) })
+		s.await(id+" is finished, or runs completely as a service", 8*time.Minute, func() bool { return s.isSettled(id) })
 	}
-	time.Sleep(s.nodes[0].maxStaleness() + 15*time.Second) // what was cancelled must be gone
+	time.Sleep(s.nodes[0].maxStaleness() + 15*time.Second) // by then the tasks of cancelled jobs must have ended
 }
 
-// checkAnswered checks that queries of all jobs are answered.
+// checkQueriesAnswered checks that queries of all jobs are answered within maxRecoveryTime.
 func (s *scheduleRun) checkQueriesAnswered(ids []string) {
 	s.t.Helper()
 	settledAt := time.Now()
 	for _, id := range ids {
 		response := s.sendWithRetries(queryRequest(id), maxRecoveryTime)
 		if response.status != http.StatusOK && response.status != http.StatusNotFound {
-			s.t.Errorf("seed %d: %s is not answered for %v after the faults", s.seed, id, time.Since(settledAt))
+			s.t.Errorf("seed %d: a query of %s was not answered within %v after the last fault", s.seed, id, time.Since(settledAt))
 		}
 	}
 }
 
-// cancelServices cancels the services that nobody has cancelled.
+// cancelServices cancels the services that no user has cancelled.
 func (s *scheduleRun) cancelServices(ids []string) {
 	for _, id := range ids {
 		if s.submissionOf(id).Kind == wire.KindService && !s.wasCancelled(id) {
@@ -190,8 +196,8 @@
 	}
 }
 
-// isSettled tells whether a job is finished or was never accepted, or is a service that runs
-// whole.
+// isSettled reports whether a job is finished, is unknown because it was never accepted, or is a
+// service all of whose tasks run.
 func (s *scheduleRun) isSettled(id string) bool {
 	response := s.sendWithRetries(queryRequest(id), maxRecoveryTime)
 	if response.status == http.StatusNotFound || response.state == wire.StateDone || response.state == wire.StateCancelled {
--- a/internal/controller/fault_user_effects_test.go
+++ b/internal/controller/fault_user_effects_test.go
@@ -9,17 +9,17 @@
 	"eiderhitch/internal/wire"
 )
 
-// How often users do what they do while a fault lasts.
+// The intervals at which users act while a fault is active.
 const (
 	completionCheckInterval = 20 * time.Millisecond
 	unusualRequestInterval  = 700 * time.Millisecond
 	oneTaskJobInterval      = 250 * time.Millisecond
 )
 
-// lasting is for how long a fault lasts.
+// activeTime returns how long a fault is active.
 func (f fault) activeTime() time.Duration { return time.Duration(f.duration * float64(time.Second)) }
 
-// cancelSomeJobs cancels jobs that are drawn.
+// cancelSomeJobs cancels as many random jobs as the target says.
 func (s *scheduleRun) cancelSomeJobs(f fault) func() {
 	ids := s.uncancelledJobs()
 	s.mu.Lock()
@@ -29,7 +29,7 @@
 	return doNothing
 }
 
-// cancelAsMachinesHang cancels the oldest jobs while machines hang.
+// cancelAsMachinesHang makes the busiest machines hang and cancels the oldest jobs meanwhile.
 func (s *scheduleRun) cancelAsMachinesHang(f fault) func() {
 	const hanging = 8
 	ids := s.uncancelledJobs()
@@ -38,14 +38,15 @@
 	return end
 }
 
-// cancelAll cancels jobs in the background.
+// cancelAll cancels jobs, each in a goroutine of its own.
 func (s *scheduleRun) cancelAll(ids []string) {
 	for _, id := range ids {
 		go s.cancelWithRetries(id)
 	}
 }
 
-// cancelWithRetries cancels a job until there is a final answer.
+// cancelWithRetries requests the cancellation of a job until there is a final response, for at most
+// five minutes.
 func (s *scheduleRun) cancelWithRetries(id string) {
 	s.mu.Lock()
 	s.cancelled[id] = true
@@ -53,7 +54,7 @@
 	s.sendWithRetries(cancelRequest(id), 5*time.Minute)
 }
 
-// uncancelledJobs are the jobs that nobody has cancelled, oldest first.
+// uncancelledJobs returns the jobs that no user has asked to cancel, oldest first.
 func (s *scheduleRun) uncancelledJobs() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,29 +67,29 @@
 	return out
 }
 
-// wasCancelled tells whether somebody asked to cancel a job.
+// wasCancelled reports whether a user has asked to cancel a job.
 func (s *scheduleRun) wasCancelled(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cancelled[id]
 }
 
-// submitted is what was submitted of a job.
+// submissionOf returns the submission of a job, or nil if there was none.
 func (s *scheduleRun) submissionOf(id string) *submission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.submissions[id]
 }
 
-// queryAllControllers has users ask all controllers as soon as one has answered.
+// queryAllControllers makes users query all controllers after each successful change.
 func (s *scheduleRun) queryAllControllers(f fault) func() {
 	queryUntil := time.Now().Add(f.activeTime())
 	s.queryAllUntil.Store(&queryUntil)
 	return doNothing
 }
 
-// raceCompletion has queries, a repeated submission and, for a share of jobs, a cancellation
-// come with the end of the last task.
+// raceCompletion sends requests about each job just as its last task ends: queries to all controllers,
+// a repeated submission and, for a share of the jobs, a cancellation.
 func (s *scheduleRun) raceCompletion(f fault) func() {
 	go func() {
 		for deadline := time.Now().Add(f.activeTime()); time.Now().Before(deadline); time.Sleep(completionCheckInterval) {
@@ -100,7 +101,7 @@
 	return doNothing
 }
 
-// raceCompletionOf does so for one job, if its last task has just ended.
+// raceCompletionOf sends these requests for one job, if its last task has just ended.
 func (s *scheduleRun) raceCompletionOf(id string, share float64) {
 	job := s.submissionOf(id)
 	s.mu.Lock()
@@ -122,7 +123,7 @@
 	}
 }
 
-// sendUnusualRequests sends requests that are repeated, late or wrong.
+// sendUnusualRequests repeats submissions, queries unknown jobs and submits invalid jobs at random.
 func (s *scheduleRun) sendUnusualRequests(f fault) func() {
 	go func() {
 		number := 0
@@ -134,7 +135,7 @@
 	return doNothing
 }
 
-// sendUnusualRequest sends one of a drawn kind.
+// sendUnusualRequest sends one request of a random kind. The number distinguishes its job from others.
 func (s *scheduleRun) sendUnusualRequest(number int) {
 	s.mu.Lock()
 	kind := s.rng.IntN(4)
@@ -161,17 +162,18 @@
 	}
 }
 
-// checkRefused submits a wrong job twice, which must be refused with a status if there is
-// an answer.
+// checkRefused submits an invalid job twice. Each response, if there is one, must have the wanted
+// status; a controller may also be unavailable.
 func (s *scheduleRun) checkRefused(node int, invalid *submission, want int) {
 	for range 2 {
 		response := s.sendRequest(node, submitRequest(invalid, nil))
 		if response.status != want && response.status != http.StatusServiceUnavailable && response.status != 0 {
-			s.t.Errorf("seed %d: odd request %+v: status %d, want %d", s.seed, *invalid, response.status, want)
+			s.t.Errorf("seed %d: submission of the invalid job %+v: status %d, want %d", s.seed, *invalid, response.status, want)
 		}
 	}
 }
 
+// submitJobs submits as many random jobs as the target says.
 func (s *scheduleRun) submitJobs(f fault) func() {
 	for range f.target {
 		s.submitRandomJob()
@@ -179,7 +181,7 @@
 	return doNothing
 }
 
-// submitGangs submits gangs of several sizes, all at once and of one priority.
+// submitGangs submits gangs of several sizes at once, all of the same priority.
 func (s *scheduleRun) submitGangs(f fault) func() {
 	for n := range f.target {
 		gang := gangSubmission("", "blue", "normal", 3+n%3, 8)
@@ -195,7 +197,7 @@
 	return doNothing
 }
 
-// submitOneTaskJobs submits small jobs at a steady rate, and cancels a quarter of them.
+// submitOneTaskJobs submits one-task jobs at a steady rate and cancels a quarter of them.
 func (s *scheduleRun) submitOneTaskJobs(f fault) func() {
 	const cancelledShare = 0.25
 	go func() {
@@ -212,7 +214,7 @@
 	return doNothing
 }
 
-// submitRandomJob submits a job of a drawn kind.
+// submitRandomJob submits a job of a random kind in the background.
 func (s *scheduleRun) submitRandomJob() {
 	s.mu.Lock()
 	kind := s.rng.IntN(8)
@@ -238,7 +240,7 @@
 	s.submitAsync(job)
 }
 
-// submitAsync gives a job an ID and submits it in the background.
+// submitAsync assigns an ID to a job and submits it in the background.
 func (s *scheduleRun) submitAsync(job *submission) (id string) {
 	s.mu.Lock()
 	id = fmt.Sprintf("wk-%d", len(s.ids)+1)
