--- a/internal/controller/fault_user_effects_test.go
+++ b/internal/controller/fault_user_effects_test.go
@@ -31,9 +31,9 @@
 
 // cancelAsMachinesHang makes the busiest machines hang and cancels the oldest jobs meanwhile.
 func (s *scheduleRun) cancelAsMachinesHang(f fault) func() {
-	const hanging = 8
+	const hangingMachines = 8
 	ids := s.uncancelledJobs()
-	end := s.setOnBusiestMachines(hanging, (*agent.Agent).SetHanging)
+	end := s.setOnBusiestMachines(hangingMachines, (*agent.Agent).SetHanging)
 	s.cancelAll(ids[:min(f.target, len(ids))])
 	return end
 }
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -12,14 +12,14 @@
 	"eiderhitch/internal/wire"
 )
 
-// fleetSize is how many machines the fleet has that is brought up, loses its leader and
-// falls silent; more take longer.
-var fleetSize = flag.Int("fleet", 400, "machines of the large fleet")
+// fleetSize is the number of machines of TestLargeFleet. The run time grows with it.
+var fleetSize = flag.Int("fleet", 400, "number of machines of the large fleet")
 
-// fleetIsolationTime is for how long it falls silent; a lease is 50 s.
-var fleetIsolationTime = flag.Duration("fleet-silence", 20*time.Second, "how long the large fleet falls silent")
+// fleetIsolationTime is how long TestLargeFleet isolates all machines at once. Leases of its machines
+// last 50 s.
+var fleetIsolationTime = flag.Duration("fleet-silence", 20*time.Second, "how long all machines of the large fleet are isolated")
 
-// configureLargeFleet gives a node the settings of a large deployment.
+// configureLargeFleet sets a node's timing and limits to those of a large deployment.
 func configureLargeFleet(n *node) {
 	s := &n.cfg.Settings
 	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 10, 50, 110
@@ -28,9 +28,9 @@
 	s.Limits.MaxSockets = 8000
 }
 
-// A fleet of thousands of machines comes up for an array and services, loses its leader,
-// and falls silent as a whole for a while: nothing is lost, no queue overflows, and no
-// message is beyond its limit (the simulated services refuse those).
+// A large fleet is launched for an array and a service, its leader is killed, and then all machines
+// are isolated at once for a while. All jobs must still complete and no rule may be broken. The
+// simulated services refuse messages and transactions beyond their limits.
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
 	for _, controllers := range []int{3, 5} {
@@ -41,17 +41,18 @@
 	}
 }
 
+// runLargeFleet runs the phases of TestLargeFleet with the given number of machines.
 func (c *cluster) runLargeFleet(machines int) {
 	env := c.env
 	env.HeartbeatInterval, env.LeaseTTL, env.CancelWithin = 10*time.Second, 50*time.Second, 110*time.Second
 	env.Cloud.SetCapacity(machines)
-	// Each task takes a whole small machine.
+	// Each task occupies a small machine completely.
 	array := newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: machines, CPUs: 4, EstimateS: 200})
 	array.MachineTypes = []string{"small"}
 	c.submit(array)
-	c.await("the fleet is up and busy", 15*time.Minute, func() bool { return env.Running("wk-1")+env.Completed("wk-1") >= machines*9/10 })
+	c.await("nine tenths of the array's tasks run or are complete", 15*time.Minute, func() bool { return env.Running("wk-1")+env.Completed("wk-1") >= machines*9/10 })
 	c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 20, CPUs: 2}))
-	c.await("services have room made for them", 2*time.Minute, func() bool { return env.Running("wk-2") == 20 })
+	c.await("all tasks of the service run", 2*time.Minute, func() bool { return env.Running("wk-2") == 20 })
 	leader := c.leaderIndex()
 	c.kill(leader)
 	time.Sleep(15 * time.Second)
@@ -66,14 +67,15 @@
 	}
 	env.SetSettled()
 	c.await("the array is done", 40*time.Minute, func() bool { return c.jobState("wk-1") == wire.StateDone })
-	c.await("the services run", 2*time.Minute, func() bool { return env.Running("wk-2") == 20 })
+	c.await("all tasks of the service run again", 2*time.Minute, func() bool { return env.Running("wk-2") == 20 })
 	if answer := c.sendRequest(0, queryRequest("wk-1")); answer.status != http.StatusOK {
-		c.t.Errorf("a query is answered with status %d, want 200", answer.status)
+		c.t.Errorf("query of the array: status %d, want 200", answer.status)
 	}
 }
 
-// When thousands of services are lost at once there is more to store than may queue: the
-// rest waits for its turn, and what waits is neither refused nor given up.
+// When thousands of services are lost at once, their records exceed the length of the write queue.
+// The remaining records must wait until the queue has room, without errors, and no end of a task may
+// be forgotten.
 func TestMassTaskLossFitsWriteQueue(t *testing.T) {
 	const machines = 4000
 	c := newFullFleetController(t, machines)
@@ -89,7 +91,7 @@
 		c.schedulePartition(p)
 	}
 	if lost < 5000 || log.Len() > 0 {
-		t.Errorf("%d tasks are lost: %s", lost, log.String()[:min(log.Len(), 300)])
+		t.Errorf("%d tasks are lost, want at least 5000; logged errors, want none: %s", lost, log.String()[:min(log.Len(), 300)])
 	}
 	waiting := 0
 	for _, group := range p.groups {
@@ -98,6 +100,6 @@
 		}
 	}
 	if waiting == 0 || len(c.unstoredEnds) != lost {
-		t.Errorf("%d records wait, %d of %d ends are remembered", waiting, len(c.unstoredEnds), lost)
+		t.Errorf("%d records wait for the write queue, want at least 1; %d of %d ends of tasks are remembered, want all", waiting, len(c.unstoredEnds), lost)
 	}
 }
--- a/internal/controller/processes_test.go
+++ b/internal/controller/processes_test.go
@@ -23,22 +23,24 @@
 	"eiderhitch/internal/wire"
 )
 
-// oldVersion is a commit of the repository's history whose build shares a cluster with the
-// present one. Real processes on real time: run by hand, see docs/design.md.
-var oldVersion = flag.String("old-version", "", "commit whose processes share a cluster with today's")
+// oldVersion is a commit of this repository whose build runs in a cluster with the current one. The
+// tests with an old version run real processes in real time. They are started by hand; see
+// docs/design.md.
+var oldVersion = flag.String("old-version", "", "commit whose build runs in a cluster with the current one")
 
-// processCluster is a cluster of real processes on loopback, in a simulated environment.
+// processCluster is a cluster of three real controller processes on the loopback interface, in a
+// simulated environment and on real time.
 type processCluster struct {
 	*cluster
-	dir       string
-	commands  []*exec.Cmd
-	cpuTime   []time.Duration // processor time of those that have ended, by controller
+	dir       string          // holds the settings files
+	commands  []*exec.Cmd     // running processes by controller; nil: none
+	cpuTime   []time.Duration // CPU time of the ended processes, by controller
 	mu        sync.Mutex
-	listeners map[string]net.Listener
-	logs      *os.File
+	listeners map[string]net.Listener // by address; guarded by mu
+	logFile   *os.File
 }
 
-// settingsTemplate is a controller's settings as the platform hands them over.
+// settingsTemplate is the format of the settings file that the platform passes to a controller.
 const settingsTemplate = `node_name = %q
 location = "a"
 api_addr = %q
@@ -95,26 +97,28 @@
 max_sockets = 600
 `
 
-// listen is an address on loopback with a listener that waits for its handler.
+// newListenAddr opens a listener on the loopback interface and returns its address. Connections wait
+// until a handler serves the listener.
 func (p *processCluster) newListenAddr() string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.listeners[l.Addr().String()] = l
-	return l.Addr().String()
+	p.listeners[listener.Addr().String()] = listener
+	return listener.Addr().String()
 }
 
-// free is an address on loopback that a process may take.
+// unusedAddr returns an address on the loopback interface on which a process can listen.
 func (p *processCluster) unusedAddr() string {
 	addr := p.newListenAddr()
 	_ = p.listeners[addr].Close()
 	return addr
 }
 
-// build makes the program of a commit, or of the sources as they are.
+// buildController builds the program of a commit, or of the working tree if commit is empty, and
+// writes it to out.
 func buildController(t *testing.T, commit, out string) {
 	t.Helper()
 	root, err := filepath.Abs("../..")
@@ -142,7 +146,8 @@
 	}
 }
 
-// newProcessCluster sets the environment up; no controller runs yet.
+// newProcessCluster sets up the environment and the settings files. It starts no controller. The
+// controllers log to one file in the directory for temporary files.
 func newProcessCluster(t *testing.T) *processCluster {
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
@@ -152,7 +157,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.logs = logs
+	p.logFile = logs
 	names := []string{"n0", "n1", "n2"}
 	addrs, peerAddrs := make([]string, 3), make([]string, 3)
 	members := make([]agent.Controller, 3)
@@ -165,10 +170,10 @@
 	p.env.Cloud.MachineAddr = func(int) string { return p.newListenAddr() }
 	p.env.Network.Listen = func(addr string, h http.Handler) {
 		p.mu.Lock()
-		l := p.listeners[addr]
+		listener := p.listeners[addr]
 		p.mu.Unlock()
-		if l != nil {
-			go func() { _ = http.Serve(l, h) }()
+		if listener != nil {
+			go func() { _ = http.Serve(listener, h) }()
 		}
 	}
 	storeAddr, cloudAddr := p.newListenAddr(), p.newListenAddr()
@@ -200,25 +205,25 @@
 	return p
 }
 
-// settings is the file that the platform hands to a controller.
+// settingsPath returns the path of a controller's settings file.
 func (p *processCluster) settingsPath(i int) string {
 	return filepath.Join(p.dir, p.nodes[i].cfg.Name+".toml")
 }
 
-// run starts a controller's process.
+// startProcess kills a controller's process, if one runs, and starts program in its place.
 func (p *processCluster) startProcess(i int, program string, arguments ...string) {
 	p.t.Helper()
 	p.killProcess(i)
 	cmd := exec.Command(program, append(arguments, "--config", p.settingsPath(i))...)
 	cmd.Env = append(os.Environ(), "LOG_LEVEL=debug")
-	cmd.Stderr = p.logs
+	cmd.Stderr = p.logFile
 	if err := cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
 	p.commands[i] = cmd
 }
 
-// end kills a controller's process.
+// killProcess kills a controller's process, if one runs, and adds its CPU time to cpuTime.
 func (p *processCluster) killProcess(i int) {
 	if cmd := p.commands[i]; cmd != nil {
 		_ = cmd.Process.Kill()
@@ -228,15 +233,16 @@
 	}
 }
 
-// Processes of an old and of today's version share a cluster: killed and brought back in
-// turn while there is work, one of them coming back old; then all are new, the state
-// service lowers its limits, and gangs come. No rule is broken, and all gets done.
+// Processes of an old and the current version run in one cluster. They are replaced in turn while
+// there is work, one of them by the old version again. Once all run the current version, the
+// key-value store lowers its limits and gangs are submitted. No rule may be broken, and all jobs must
+// be done or run as services.
 func TestOldProcessesBesideNew(t *testing.T) {
 	if *oldVersion == "" {
-		t.Skip("-old-version COMMIT plays it")
+		t.Skip("needs -old-version COMMIT")
 	}
 	bin := t.TempDir()
-	oldBinary, newBinary := filepath.Join(bin, "old"), filepath.Join(bin, "today")
+	oldBinary, newBinary := filepath.Join(bin, "old"), filepath.Join(bin, "new")
 	buildController(t, *oldVersion, oldBinary)
 	buildController(t, "", newBinary)
 	p := newProcessCluster(t)
@@ -255,7 +261,7 @@
 		p.submit(newSubmission(submission{ID: nextID(), Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 2}))
 	}
 	submitWork()
-	p.await("work runs", time.Minute, func() bool { return p.env.Starts() > 10 })
+	p.await("the first tasks run", time.Minute, func() bool { return p.env.Starts() > 10 })
 	for _, step := range []struct {
 		node    int
 		program string
@@ -278,7 +284,7 @@
 	p.env.SetSettled()
 	for n := range jobs {
 		id := fmt.Sprintf("wk-%d", n+1)
-		p.await(id+" is over", 3*time.Minute, func() bool {
+		p.await(id+" is done, or runs completely as a service", 3*time.Minute, func() bool {
 			s := p.jobState(id)
 			return s == wire.StateDone || p.env.Running(id) == 2
 		})
@@ -287,6 +293,6 @@
 		t.Error(violation)
 	}
 	if n := p.env.Store.Stats().OverLimits; n > 0 {
-		t.Errorf("%d transactions were beyond the limits, want none", n)
+		t.Errorf("%d transactions exceeded the limits of the key-value store, want none", n)
 	}
 }
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -13,13 +13,15 @@
 	"eiderhitch/internal/wire"
 )
 
-// randomFaultSteps is how many steps a run of random faults has.
+// randomFaultSteps is the number of steps in a run of random faults.
 const randomFaultSteps = 40
 
-// maxRandomFaults is how many random faults last at a time.
+// maxRandomFaults is the number of faults that may stay active after a step. If there are more, the
+// oldest ends.
 const maxRandomFaults = 3
 
-// Random faults, overlapping: no rule breaks, and afterwards all is done.
+// Random faults overlap while random jobs run. No rule may be broken, and afterwards all accepted jobs
+// must finish.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -32,17 +34,17 @@
 	}
 }
 
-// randomFaultRun is a cluster at work, to which random faults happen.
+// randomFaultRun injects random faults into a cluster that executes random jobs.
 type randomFaultRun struct {
 	*cluster
 	rng          *rand.Rand
-	endFunctions []func() // of the faults that last
+	endFunctions []func() // end the active faults, oldest first
 	jobs         int
 	accepted     []string
 	jobsToCancel []string // accepted jobs that are still to be cancelled
 }
 
-// run takes random steps, and ends all faults.
+// run takes random steps and finally ends all faults.
 func (r *randomFaultRun) run() {
 	for range randomFaultSteps {
 		r.step()
@@ -55,7 +57,7 @@
 	r.endFaults()
 }
 
-// step does one thing that is drawn.
+// step takes one random step: it submits or cancels a job, injects a fault, or ends all faults.
 func (r *randomFaultRun) step() {
 	switch r.rng.IntN(11) {
 	case 0, 1, 2:
@@ -84,21 +86,22 @@
 	}
 }
 
-// addActiveFault notes what ends a fault.
+// addActiveFault records the function that ends a fault.
 func (r *randomFaultRun) addActiveFault(end func()) { r.endFunctions = append(r.endFunctions, end) }
 
-// endFaults ends all faults.
+// endFaults ends all active faults.
 func (r *randomFaultRun) endFaults() {
 	callInOrder(r.endFunctions)()
 	r.endFunctions = nil
 }
 
-// submitJob submits a job that is drawn.
+// submitJob submits a random job. Services and a third of the other jobs are cancelled later, unless
+// no controller responded.
 func (r *randomFaultRun) submitJob() {
 	r.jobs++
 	job := r.drawJob(fmt.Sprintf("wk-%d", r.jobs))
 	if !r.trySubmit(job) {
-		return // perhaps it was stored: the rules hold for it all the same
+		return // it may have been stored nevertheless; the rule checker covers it
 	}
 	r.accepted = append(r.accepted, job.ID)
 	if r.rng.IntN(3) == 0 || job.Kind == wire.KindService {
@@ -106,7 +109,7 @@
 	}
 }
 
-// drawJob is a job of any kind.
+// drawJob returns a random job.
 func (r *randomFaultRun) drawJob(id string) *submission {
 	kind := []string{wire.KindArray, wire.KindArray, wire.KindService, wire.KindGang}[r.rng.IntN(4)]
 	team := []string{"red", "blue"}[r.rng.IntN(2)]
@@ -123,8 +126,8 @@
 	return job
 }
 
-// failRequests has a fault happen to all requests of a controller to one service, or to all
-// agents.
+// failRequests applies a network fault to all requests of a random controller to the key-value store,
+// to the cloud or to all agents.
 func (r *randomFaultRun) failRequests() {
 	n := r.nodes[r.rng.IntN(3)]
 	host := []string{simulation.StoreAddr, "10.1", simulation.CloudAddr}[r.rng.IntN(3)]
@@ -133,7 +136,7 @@
 	r.addActiveFault(func() { n.transport.SetPolicy(nil) })
 }
 
-// failMachine terminates a machine, or cuts it off.
+// failMachine terminates or isolates a random machine.
 func (r *randomFaultRun) failMachine() {
 	agents := r.env.Cloud.Agents()
 	if len(agents) == 0 {
@@ -148,7 +151,7 @@
 	r.addActiveFault(func() { a.SetIsolated(false) })
 }
 
-// settle waits until all that was accepted is finished.
+// awaitSettled cancels the remaining jobs to cancel and waits until all accepted jobs are finished.
 func (r *randomFaultRun) awaitSettled() {
 	r.t.Helper()
 	for _, id := range r.jobsToCancel {
@@ -158,7 +161,7 @@
 	for _, id := range r.accepted {
 		r.jobState(id)
 		if d := time.Since(settledAt); d > maxRecoveryTime {
-			r.t.Errorf("%s is not answered for %v after the faults, want at most %v", id, d, maxRecoveryTime)
+			r.t.Errorf("a query of %s was answered %v after the last fault, want at most %v", id, d, maxRecoveryTime)
 		}
 	}
 	time.Sleep(r.nodes[0].maxStaleness())
--- a/internal/controller/rollout_processes_test.go
+++ b/internal/controller/rollout_processes_test.go
@@ -20,31 +20,34 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// upgradeRounds is how many times processes are upgraded and rolled back; each draws an
-// order of its own. A long run plays more, also from earlier versions (-old-version).
-var upgradeRounds = flag.Int("upgrade-rounds", 1, "rounds of upgrades of real processes")
+// upgradeRounds is the number of times that the processes are upgraded and rolled back. Each round
+// draws its own order of the controllers. Long runs set more rounds, also with earlier versions
+// (-old-version).
+var upgradeRounds = flag.Int("upgrade-rounds", 1, "number of rounds in which real processes are upgraded and rolled back")
 
 // upgradeSeed is the seed of the first round.
-var upgradeSeed = flag.Uint64("upgrade-seed", 1, "seed of the first round of upgrades of real processes")
+var upgradeSeed = flag.Uint64("upgrade-seed", 1, "seed of the first round of upgrades of real processes; it grows by 1 with each round")
 
-// upgradeRun is a cluster of real processes that is upgraded while jobs come.
+// upgradeRun is one round: a cluster of real processes that is upgraded and rolled back while jobs are
+// submitted.
 type upgradeRun struct {
 	*processCluster
 	rng                  *rand.Rand
 	newBinary, oldBinary string
-	oldArguments         []string // arguments of the old version
-	newArguments         []string
+	oldArguments         []string // command-line arguments of the old version
+	newArguments         []string // command-line arguments of the current version
 
-	mu             sync.Mutex
-	phase          string
-	submitLatency  map[string]*hdrhistogram.Histogram // of submissions in milliseconds, by phase
-	phases         []string
-	accepted       []string
-	stopSubmitting chan struct{}
-	submitters     sync.WaitGroup
+	mu             sync.Mutex // guards the fields below up to acceptedIDs
+	currentPhase   string
+	submitLatency  map[string]*hdrhistogram.Histogram // in milliseconds, by phase
+	phases         []string                           // in order
+	acceptedIDs    []string                           // IDs of the accepted jobs
+	stopSubmitting chan struct{}                      // closed to stop submitSteadily
+	submitters     sync.WaitGroup                     // waits for submitSteadily
 }
 
-// writeOperatorSettings writes operators' settings to a file.
+// writeOperatorSettings writes an operator's settings file and returns the command-line arguments that
+// select it.
 func (p *processCluster) writeOperatorSettings(name, text string) []string {
 	p.t.Helper()
 	path := filepath.Join(p.dir, name)
@@ -54,99 +57,102 @@
 	return []string{"--settings", path}
 }
 
-// enter begins a phase, by which delays are measured.
-func (f *upgradeRun) beginPhase(phase string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.phase = phase
-	if f.submitLatency[phase] == nil {
-		f.submitLatency[phase] = hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
-		f.phases = append(f.phases, phase)
+// beginPhase begins a phase. The latency of submissions is measured separately for each phase.
+func (u *upgradeRun) beginPhase(phase string) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.currentPhase = phase
+	if u.submitLatency[phase] == nil {
+		u.submitLatency[phase] = hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
+		u.phases = append(u.phases, phase)
 	}
 }
 
-// submitSteadily submits a small job every so often until it is stopped.
-func (f *upgradeRun) submitSteadily(round int) {
-	defer f.submitters.Done()
+// submitSteadily submits small jobs at a fixed interval until stopSubmitting is closed. Every eighth
+// job is a service.
+func (u *upgradeRun) submitSteadily(round int) {
+	defer u.submitters.Done()
 	const interval = 250 * time.Millisecond
 	for n := 0; ; n++ {
 		select {
-		case <-f.stopSubmitting:
+		case <-u.stopSubmitting:
 			return
 		case <-time.After(interval):
 		}
 		id := fmt.Sprintf("wk-%d%05d", round+1, n)
-		body := newSubmission(submission{ID: id, Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 3, CPUs: 1, EstimateS: 1})
+		job := newSubmission(submission{ID: id, Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 3, CPUs: 1, EstimateS: 1})
 		switch n % 8 {
 		case 0:
-			body = newSubmission(submission{ID: id, Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 1, CPUs: 1})
+			job = newSubmission(submission{ID: id, Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 1, CPUs: 1})
 		case 4:
-			body.CheckpointS, body.SaveS = 2, 1
+			job.CheckpointS, job.SaveS = 2, 1
 		}
-		begun := time.Now()
-		ok := f.trySubmit(body)
-		f.mu.Lock()
+		startedAt := time.Now()
+		ok := u.trySubmit(job)
+		u.mu.Lock()
 		if ok {
-			f.accepted = append(f.accepted, id)
+			u.acceptedIDs = append(u.acceptedIDs, id)
 		}
-		_ = f.submitLatency[f.phase].RecordValue(time.Since(begun).Milliseconds())
-		f.mu.Unlock()
-		if n%8 == 0 && n >= 24 { // few services run at a time
-			go f.sendWithRetries(cancelRequest(fmt.Sprintf("wk-%d%05d", round+1, n-24)), 20*time.Second)
+		_ = u.submitLatency[u.currentPhase].RecordValue(time.Since(startedAt).Milliseconds())
+		u.mu.Unlock()
+		if n%8 == 0 && n >= 24 { // limits how many services run at a time
+			go u.sendWithRetries(cancelRequest(fmt.Sprintf("wk-%d%05d", round+1, n-24)), 20*time.Second)
 		}
 	}
 }
 
-// replaceProcess has a controller's process killed and come back as a version.
-func (f *upgradeRun) replaceProcess(i int, old bool) {
-	f.killProcess(i)
-	time.Sleep(time.Duration(f.rng.IntN(600)) * time.Millisecond)
+// replaceProcess kills a controller's process and, after up to 0.6 s, starts one of the old or the
+// current version.
+func (u *upgradeRun) replaceProcess(i int, old bool) {
+	u.killProcess(i)
+	time.Sleep(time.Duration(u.rng.IntN(600)) * time.Millisecond)
 	if old {
-		f.startProcess(i, f.oldBinary, f.oldArguments...)
+		u.startProcess(i, u.oldBinary, u.oldArguments...)
 	} else {
-		f.startProcess(i, f.newBinary, f.newArguments...)
+		u.startProcess(i, u.newBinary, u.newArguments...)
 	}
 }
 
-// command runs an operator's command and returns the status that it prints.
-func (f *upgradeRun) runUpgradeCommand(name string) *rollout.Status {
-	f.t.Helper()
-	var failure bytes.Buffer
-	command := exec.Command(f.newBinary, "upgrade", name, "--json", "--wait", "30s", "--config", f.settingsPath(f.rng.IntN(3)))
-	command.Stderr = &failure
-	begun := time.Now()
+// runUpgradeCommand runs an eiderhitch upgrade command and returns the status that it prints.
+func (u *upgradeRun) runUpgradeCommand(name string) *rollout.Status {
+	u.t.Helper()
+	var stderr bytes.Buffer
+	command := exec.Command(u.newBinary, "upgrade", name, "--json", "--wait", "30s", "--config", u.settingsPath(u.rng.IntN(3)))
+	command.Stderr = &stderr
+	startedAt := time.Now()
 	raw, err := command.Output()
 	if err != nil {
-		f.t.Fatalf("upgrade %s: %v after %v: %s%s; the state is %+v; the controllers' logs are in %s", name, err, time.Since(begun), raw, failure.Bytes(), f.storedRolloutState(), f.logs.Name())
+		u.t.Fatalf("upgrade %s: %v after %v: %s%s; the stored state is %+v; the controllers' logs are in %s", name, err, time.Since(startedAt), raw, stderr.Bytes(), u.storedRolloutState(), u.logFile.Name())
 	}
 	var status rollout.Status
 	if err := json.Unmarshal(raw, &status); err != nil {
-		f.t.Fatalf("upgrade %s: %v: %s", name, err, raw)
+		u.t.Fatalf("upgrade %s: can't decode the printed status: %v: %s", name, err, raw)
 	}
 	return &status
 }
 
-// awaitPhase waits for a level in a phase.
-func (f *upgradeRun) awaitPhase(level rollout.Level, phase rollout.Phase, limit time.Duration) {
-	f.t.Helper()
-	begun := time.Now()
-	for time.Since(begun) < limit {
-		if s := f.storedRolloutState(); s.Level == level && s.Phase == phase {
+// awaitPhase waits until the stored state has the level and the phase.
+func (u *upgradeRun) awaitPhase(level rollout.Level, phase rollout.Phase, timeout time.Duration) {
+	u.t.Helper()
+	startedAt := time.Now()
+	for time.Since(startedAt) < timeout {
+		if s := u.storedRolloutState(); s.Level == level && s.Phase == phase {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.t.Fatalf("level %d is not %s within %v: %+v", level, phase, limit, f.storedRolloutState())
+	u.t.Fatalf("level %d did not reach phase %s within %v: the stored state is %+v", level, phase, timeout, u.storedRolloutState())
 }
 
-// Three controllers, real processes on loopback, are upgraded one at a time in a drawn
-// order under steady submission, abandoned halfway, killed, and rolled back after the
-// switch; old ones come back in between. No job is lost, no task placed twice, no answer
-// older than an earlier one: the rule checker judges by what users and workers saw.
+// Three real controller processes are upgraded one at a time in a random order while jobs are
+// submitted steadily. On the way one of them returns to the old version; after the new level is final,
+// controllers are killed or replaced by the old version, and at the end the upgrade is rolled back. The
+// rule checker verifies from the responses to users and the events on machines that no job is lost, no
+// task runs twice and no response is older than an earlier one.
 func TestUpgradeOfRealProcesses(t *testing.T) {
 	t.Parallel()
 	bin := t.TempDir()
-	newBinary := filepath.Join(bin, "today")
+	newBinary := filepath.Join(bin, "new")
 	buildController(t, "", newBinary)
 	oldBinary := newBinary
 	if *oldVersion != "" {
@@ -156,118 +162,124 @@
 	for round := range *upgradeRounds {
 		seed := *upgradeSeed + uint64(round)
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			f := &upgradeRun{processCluster: newProcessCluster(t), rng: rand.New(rand.NewPCG(seed, 17)), newBinary: newBinary, oldBinary: oldBinary,
+			u := &upgradeRun{processCluster: newProcessCluster(t), rng: rand.New(rand.NewPCG(seed, 17)), newBinary: newBinary, oldBinary: oldBinary,
 				submitLatency: map[string]*hdrhistogram.Histogram{}, stopSubmitting: make(chan struct{})}
-			f.newArguments = f.writeOperatorSettings("new.sexp", "(eiderhitch (feature-levels yes))")
+			u.newArguments = u.writeOperatorSettings("new.sexp", "(eiderhitch (feature-levels yes))")
 			if *oldVersion == "" {
-				f.oldArguments = f.writeOperatorSettings("old.sexp", "(eiderhitch (feature-levels yes) (highest-level 1))")
+				u.oldArguments = u.writeOperatorSettings("old.sexp", "(eiderhitch (feature-levels yes) (highest-level 1))")
 			}
-			f.runRound(round)
+			u.runRound(round)
 		})
 	}
 }
 
-func (f *upgradeRun) runRound(round int) {
-	for i := range f.nodes {
-		f.startProcess(i, f.oldBinary, f.oldArguments...)
+// runRound runs one round: it upgrades all controllers, makes the level final, disrupts the controllers
+// and rolls the upgrade back.
+func (u *upgradeRun) runRound(round int) {
+	for i := range u.nodes {
+		u.startProcess(i, u.oldBinary, u.oldArguments...)
 	}
-	f.beginPhase("old")
-	f.submitters.Add(1)
-	go f.submitSteadily(round)
-	f.await("work runs", time.Minute, func() bool { return f.env.Starts() > 10 })
-	f.beginPhase("one at a time")
-	lastStartedAt := f.upgradeAll()
-	f.awaitPhase(1, rollout.PhaseActive, time.Minute)
-	f.t.Logf("from the last controller's start to the active level: %v", time.UnixMilli(f.storedRolloutState().PhaseStartedAt).Sub(lastStartedAt).Round(time.Millisecond))
-	f.beginPhase("switch and rewriting")
-	f.finalizeAndRewrite()
-	f.beginPhase("after the switch")
-	f.disruptControllers()
-	f.beginPhase("way back")
-	begun := time.Now()
-	f.runUpgradeCommand("abort")
-	f.awaitPhase(1, rollout.PhaseStable, time.Minute)
-	f.t.Logf("the way back: %v", time.Since(begun).Round(time.Millisecond))
-	for _, i := range f.rng.Perm(3) {
-		f.replaceProcess(i, true)
+	u.beginPhase("old")
+	u.submitters.Add(1)
+	go u.submitSteadily(round)
+	u.await("the first tasks run", time.Minute, func() bool { return u.env.Starts() > 10 })
+	u.beginPhase("rolling upgrade")
+	lastStartedAt := u.upgradeAll()
+	u.awaitPhase(1, rollout.PhaseActive, time.Minute)
+	u.t.Logf("from the start of the last controller until the level is active: %v", time.UnixMilli(u.storedRolloutState().PhaseStartedAt).Sub(lastStartedAt).Round(time.Millisecond))
+	u.beginPhase("finalization and rewriting")
+	u.finalizeAndRewrite()
+	u.beginPhase("after finalization")
+	u.disruptControllers()
+	u.beginPhase("rollback")
+	startedAt := time.Now()
+	u.runUpgradeCommand("abort")
+	u.awaitPhase(1, rollout.PhaseStable, time.Minute)
+	u.t.Logf("rollback of the level: %v", time.Since(startedAt).Round(time.Millisecond))
+	for _, i := range u.rng.Perm(3) {
+		u.replaceProcess(i, true)
 		time.Sleep(time.Second)
 	}
-	f.beginPhase("old again")
+	u.beginPhase("old again")
 	time.Sleep(3 * time.Second)
-	f.checkRound()
+	u.checkRound()
 }
 
-// upgradeAll replaces one controller after the other, and goes back once on the way. It
-// returns when the last one was started.
-func (f *upgradeRun) upgradeAll() (lastStartedAt time.Time) {
-	order := f.rng.Perm(3)
-	f.t.Logf("order %v", order)
-	f.replaceProcess(order[0], false)
+// upgradeAll replaces one controller after the other by the current version. After two of them it
+// returns one to the old version and starts again. It returns the time at which the last process was
+// started.
+func (u *upgradeRun) upgradeAll() (lastStartedAt time.Time) {
+	order := u.rng.Perm(3)
+	u.t.Logf("order of the controllers: %v", order)
+	u.replaceProcess(order[0], false)
 	time.Sleep(1500 * time.Millisecond)
-	f.replaceProcess(order[1], false)
+	u.replaceProcess(order[1], false)
 	time.Sleep(500 * time.Millisecond)
-	f.replaceProcess(order[f.rng.IntN(2)], true) // abandoned halfway
+	u.replaceProcess(order[u.rng.IntN(2)], true) // the upgrade is abandoned halfway
 	time.Sleep(time.Second)
 	for _, i := range order {
-		f.replaceProcess(i, false)
+		u.replaceProcess(i, false)
 		lastStartedAt = time.Now()
-		time.Sleep(time.Duration(500+f.rng.IntN(1000)) * time.Millisecond)
+		time.Sleep(time.Duration(500+u.rng.IntN(1000)) * time.Millisecond)
 	}
 	return lastStartedAt
 }
 
-func (f *upgradeRun) finalizeAndRewrite() {
-	f.t.Helper()
-	before := f.countByEncoding()[record.PlainJSON]
-	begun := time.Now()
-	status := f.runUpgradeCommand("finalize")
+// finalizeAndRewrite makes the level final and waits until no stored record is in the former encoding.
+func (u *upgradeRun) finalizeAndRewrite() {
+	u.t.Helper()
+	plainRecords := u.countByEncoding()[record.PlainJSON]
+	startedAt := time.Now()
+	status := u.runUpgradeCommand("finalize")
 	if status.State.Level != 2 {
-		f.t.Fatalf("after finalize: %+v", status.State)
+		u.t.Fatalf("after finalize the level is not 2: %+v", status.State)
 	}
-	f.await("records are rewritten", time.Minute, func() bool { return f.countByEncoding()[record.PlainJSON] == 0 })
-	f.t.Logf("%d records in the former form were rewritten, or done, within %v", before, time.Since(begun).Round(time.Millisecond))
+	u.await("all records are rewritten", time.Minute, func() bool { return u.countByEncoding()[record.PlainJSON] == 0 })
+	u.t.Logf("%d records in the former encoding were rewritten or deleted within %v", plainRecords, time.Since(startedAt).Round(time.Millisecond))
 }
 
-// disturb has a controller come back old for a while, another one killed, and all.
-func (f *upgradeRun) disruptControllers() {
-	old := f.rng.IntN(3)
-	f.replaceProcess(old, true)
+// disruptControllers runs the old version on one controller for a while, restarts another one, and
+// then restarts all controllers at once.
+func (u *upgradeRun) disruptControllers() {
+	oldNode := u.rng.IntN(3)
+	u.replaceProcess(oldNode, true)
 	time.Sleep(4 * time.Second)
-	f.replaceProcess((old+1)%3, false)
+	u.replaceProcess((oldNode+1)%3, false)
 	time.Sleep(2 * time.Second)
-	f.replaceProcess(old, false)
+	u.replaceProcess(oldNode, false)
 	time.Sleep(2 * time.Second)
-	for i := range f.nodes {
-		f.killProcess(i)
+	for i := range u.nodes {
+		u.killProcess(i)
 	}
-	for i := range f.nodes {
-		f.startProcess(i, f.newBinary, f.newArguments...)
+	for i := range u.nodes {
+		u.startProcess(i, u.newBinary, u.newArguments...)
 	}
 	time.Sleep(3 * time.Second)
 }
 
-// checkRound waits until all that was accepted is over, and judges.
-func (f *upgradeRun) checkRound() {
-	f.t.Helper()
-	close(f.stopSubmitting)
-	f.submitters.Wait()
-	f.env.SetSettled()
-	for _, id := range f.accepted {
-		f.await(id+" is over", 2*time.Minute, func() bool {
-			s := f.jobState(id)
-			return s == wire.StateDone || s == wire.StateCancelled || f.env.Running(id) == 1
+// checkRound waits until all accepted jobs are finished or run as services, reports broken rules and
+// logs the measurements.
+func (u *upgradeRun) checkRound() {
+	u.t.Helper()
+	close(u.stopSubmitting)
+	u.submitters.Wait()
+	u.env.SetSettled()
+	for _, id := range u.acceptedIDs {
+		u.await(id+" is finished, or runs as a service", 2*time.Minute, func() bool {
+			s := u.jobState(id)
+			return s == wire.StateDone || s == wire.StateCancelled || u.env.Running(id) == 1
 		})
 	}
-	for _, violation := range f.env.Violations() {
-		f.t.Error(violation)
+	for _, violation := range u.env.Violations() {
+		u.t.Error(violation)
 	}
-	f.t.Logf("%d jobs accepted", len(f.accepted))
-	for _, phase := range f.phases {
-		h := f.submitLatency[phase]
-		f.t.Logf("submission, %s: %d, 50%% %d ms, 95%% %d ms, most %d ms", phase, h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(95), h.Max())
+	u.t.Logf("%d jobs accepted", len(u.acceptedIDs))
+	for _, phase := range u.phases {
+		h := u.submitLatency[phase]
+		u.t.Logf("submissions in phase %s: %d, 50%% %d ms, 95%% %d ms, maximum %d ms", phase, h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(95), h.Max())
 	}
-	for i := range f.nodes {
-		f.killProcess(i)
-		f.t.Logf("controller %d: %v of processor time", i, f.cpuTime[i].Round(time.Millisecond))
+	for i := range u.nodes {
+		u.killProcess(i)
+		u.t.Logf("controller %d: %v of CPU time", i, u.cpuTime[i].Round(time.Millisecond))
 	}
 }
