--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -251,7 +251,7 @@
 			return
 		}
 	}
-	c.t.Fatalf("timed out waiting until %s: more than %v", description, timeout)
+	c.t.Fatalf("timed out after %[2]v waiting for: %[1]s", description, timeout)
 }
 
 // awaitDone waits until a job is in the state done.
--- a/internal/controller/upgrade_faults_test.go
+++ b/internal/controller/upgrade_faults_test.go
@@ -6,32 +6,37 @@
 	"eiderhitch/internal/rollout"
 )
 
+// finalizeUpgrade requests in the background that the active level become final.
 func (s *scheduleRun) finalizeUpgrade(fault) func() {
 	go s.tryUpgradeRequest(rollout.RequestFinalize)
 	return doNothing
 }
 
+// abortUpgrade requests in the background that the upgrade be aborted.
 func (s *scheduleRun) abortUpgrade(fault) func() {
 	go s.tryUpgradeRequest(rollout.RequestAbort)
 	return doNothing
 }
 
+// finalizeAndAbort sends both requests at the same time.
 func (s *scheduleRun) finalizeAndAbort(fault) func() {
 	go s.tryUpgradeRequest(rollout.RequestFinalize)
 	go s.tryUpgradeRequest(rollout.RequestAbort)
 	return doNothing
 }
 
+// startWithoutLevels runs a version without feature levels on the target controllers.
 func (s *scheduleRun) startWithoutLevels(f fault) func() {
 	return s.replaceTemporarily(f.target, versionWithoutLevels)
 }
 
+// startWithBaseLevel runs a version that supports only the base level on the target controllers.
 func (s *scheduleRun) startWithBaseLevel(f fault) func() {
 	return s.replaceTemporarily(f.target, baseLevelVersion)
 }
 
-// tryUpgradeRequest asks for something once; that it is refused, or the answer lost, is no
-// fault.
+// tryUpgradeRequest sends an operator's request once. It is no failure of the test if the request is
+// refused or the response is lost.
 func (s *scheduleRun) tryUpgradeRequest(request rollout.Request) {
 	_, err := s.upgradeOperator().Submit(s.ctx, request)
 	if err != nil && testing.Verbose() {
@@ -39,7 +44,8 @@
 	}
 }
 
-// replaceTemporarily has controllers come back as another version until it is undone.
+// replaceTemporarily replaces the target controllers by another version. The function that it returns
+// restores the current version.
 func (s *scheduleRun) replaceTemporarily(target int, version softwareVersion) func() {
 	nodes := s.targetNodes(target)
 	for _, i := range nodes {
--- a/internal/controller/upgrade_schedules_test.go
+++ b/internal/controller/upgrade_schedules_test.go
@@ -11,9 +11,9 @@
 	"eiderhitch/internal/rollout"
 )
 
-// Upgrades under faults, as schedules; whatever happens is judged by the rule checker, and
-// no record may ever be stored in an encoding that the level in force at that
-// moment does not allow.
+// Upgrades run under schedules of faults. No rule may be broken, and no record may be stored in an
+// encoding that the level in force at that moment does not allow. After each schedule the upgrade must
+// still be able to finish.
 func TestUpgradesUnderFaults(t *testing.T) {
 	t.Parallel()
 	for _, x := range upgradeSchedules {
@@ -27,38 +27,38 @@
 	}
 }
 
-// upgradeSchedules are upgrades that faults come to.
+// upgradeSchedules are the schedules of TestUpgradesUnderFaults.
 var upgradeSchedules = []struct {
 	name   string
 	faults []fault
 }{
-	{"an old controller comes before, during and after the switch", []fault{
+	{"a controller without levels starts before, during and after finalization", []fault{
 		{at: 1, kind: startWithoutLevels, target: 1, duration: 14},
 		{at: 25, kind: finalizeUpgrade},
 		{at: 25.1, kind: startWithoutLevels, target: 2, duration: 12},
 		{at: 50, kind: startWithoutLevels, target: leaderNode, duration: 20},
 	}},
-	{"old controllers alone after the switch", []fault{
+	{"only controllers without levels after finalization", []fault{
 		{at: 5, kind: finalizeUpgrade},
 		{at: 15, kind: startWithoutLevels, target: allNodes, duration: 25},
 	}},
-	{"old controllers come while records are rewritten", []fault{
+	{"a controller without levels starts while records are rewritten", []fault{
 		{at: 5, kind: finalizeUpgrade},
 		{at: 6, kind: startWithoutLevels, target: leaderNode, duration: 15},
 		{at: 7, kind: submitJobs, target: 6},
 	}},
-	{"a controller of the base level comes before it is final", []fault{
+	{"a controller of the base level starts before and during finalization", []fault{
 		{at: 1, kind: startWithBaseLevel, target: 0, duration: 10},
 		{at: 25, kind: finalizeUpgrade},
 		{at: 25.05, kind: startWithBaseLevel, target: 1, duration: 10},
 		{at: 50, kind: startWithBaseLevel, target: leaderNode, duration: 15},
 	}},
-	{"controllers of the base level come after it is final", []fault{
+	{"controllers of the base level start after finalization", []fault{
 		{at: 5, kind: finalizeUpgrade},
 		{at: 15, kind: startWithBaseLevel, target: leaderNode, duration: 15},
 		{at: 45, kind: startWithBaseLevel, target: allNodes, duration: 20},
 	}},
-	{"abandoned before it is final, and begun again", []fault{
+	{"aborted before finalization and started again", []fault{
 		{at: 5, kind: abortUpgrade},
 		{at: 15, kind: startWithoutLevels, target: 0, duration: 10},
 		{at: 30, kind: finalizeUpgrade},
@@ -70,20 +70,20 @@
 		{at: 12, kind: startWithoutLevels, target: allNodes, duration: 25},
 		{at: 40, kind: submitJobs, target: 6},
 	}},
-	{"up, back and up again", []fault{
+	{"finalized, aborted and finalized again", []fault{
 		{at: 5, kind: finalizeUpgrade},
 		{at: 15, kind: abortUpgrade},
 		{at: 30, kind: finalizeUpgrade},
 		{at: 35, kind: finalizeUpgrade},
 		{at: 45, kind: abortUpgrade},
 	}},
-	{"the way back is given up", []fault{
+	{"finalized again during the rollback", []fault{
 		{at: 5, kind: finalizeUpgrade},
 		{at: 14, kind: storeSlow, target: allNodes, duration: 10, share: 0.6},
 		{at: 15, kind: abortUpgrade},
 		{at: 15.8, kind: finalizeUpgrade},
 	}},
-	{"the leader ends as the level is raised", []fault{
+	{"the leader is killed while the level changes", []fault{
 		{at: 5, kind: finalizeUpgrade},
 		{at: 5.05, kind: killController, target: leaderNode, duration: 3},
 		{at: 20, kind: finalizeUpgrade},
@@ -91,7 +91,7 @@
 		{at: 35, kind: abortUpgrade},
 		{at: 35.2, kind: killController, target: leaderNode, duration: 0.3},
 	}},
-	{"all end just after a step", []fault{
+	{"all controllers are killed just after a step", []fault{
 		{at: 5, kind: finalizeUpgrade},
 		{at: 5.4, kind: killController, target: allNodes, duration: 0.5},
 		{at: 25, kind: abortUpgrade},
@@ -103,7 +103,7 @@
 		{at: 35, kind: finalizeAndAbort},
 		{at: 50, kind: finalizeAndAbort},
 	}},
-	{"answers to transactions are lost", []fault{
+	{"responses to transactions are lost", []fault{
 		{at: 0, kind: lostResponses, target: allNodes, duration: 60, share: 0.5},
 		{at: 5, kind: finalizeUpgrade},
 		{at: 20, kind: abortUpgrade},
@@ -116,27 +116,27 @@
 		{at: 25, kind: abortUpgrade},
 		{at: 30, kind: killController, target: leaderNode, duration: 4},
 	}},
-	{"the leader is alone while the level is raised by another", []fault{
+	{"the leader is isolated while another controller changes the level", []fault{
 		{at: 4, kind: storeAndPeersUnreachable, target: leaderNode, duration: 30},
 		{at: 14, kind: finalizeUpgrade},
 		{at: 25, kind: cancelJobs, target: 4},
 		{at: 50, kind: storeAndPeersUnreachable, target: leaderNode, duration: 25},
 		{at: 60, kind: abortUpgrade},
 	}},
-	{"outage of the state service at each step", []fault{
+	{"outage of the key-value store at each step", []fault{
 		{at: 4.9, kind: finalizeUpgrade},
 		{at: 5, kind: storeDown, duration: 20},
 		{at: 40, kind: abortUpgrade},
 		{at: 40.3, kind: storeDown, duration: 40},
 	}},
-	{"limits fall in the middle", []fault{
+	{"limits are lowered during the upgrade", []fault{
 		{at: 5, kind: finalizeUpgrade},
 		{at: 6, kind: lowerLimits},
 		{at: 7, kind: submitGangs, target: 3},
 		{at: 25, kind: abortUpgrade},
 		{at: 26, kind: submitGangs, target: 3},
 	}},
-	{"gangs are bound and machines lent at each step", []fault{
+	{"gangs are bound and machines are lent at each step", []fault{
 		{at: 0, kind: submitGangs, target: 4},
 		{at: 1, kind: finalizeUpgrade},
 		{at: 10, kind: submitGangs, target: 4},
@@ -145,7 +145,7 @@
 		{at: 22, kind: finalizeUpgrade},
 		{at: 24, kind: finalizeUpgrade},
 	}},
-	{"machines die and are cut off while leased keys change", []fault{
+	{"machines terminate or are isolated while lease keys change", []fault{
 		{at: 5, kind: machinesIsolated, target: 3, duration: 25},
 		{at: 5, kind: terminateMachines, target: 2},
 		{at: 5.1, kind: finalizeUpgrade},
@@ -155,8 +155,8 @@
 	}},
 }
 
-// awaitFinalLevel checks that there is a way on from wherever a schedule ended: up to the
-// level that all controllers read, with all records in its encoding.
+// awaitFinalLevel finalizes the upgrade from any state in which a schedule has left it. It waits until
+// the highest level is final and stable and all records are in its encoding.
 func (c *cluster) awaitFinalLevel() {
 	c.t.Helper()
 	ready := func() bool {
@@ -172,18 +172,19 @@
 		time.Sleep(2 * time.Second)
 		return ready()
 	})
-	c.await("records are in its encoding", 2*time.Minute, func() bool { return c.countByEncoding()[record.PlainJSON] == 0 })
+	c.await("all records are in the encoding of the level", 2*time.Minute, func() bool { return c.countByEncoding()[record.PlainJSON] == 0 })
 }
 
-// generatedUpgradeScheduleCount is how many generated schedules of upgrades are played.
-var generatedUpgradeScheduleCount = flag.Int("upgrades", 10, "generated schedules of upgrades and faults to play")
+// generatedUpgradeScheduleCount is the number of generated schedules of upgrades that the test runs.
+var generatedUpgradeScheduleCount = flag.Int("upgrades", 10, "number of generated schedules of upgrades and faults to run")
 
-// upgradeGeneratorSeed draws schedules of upgrades, apart from what users do in them.
+// upgradeGeneratorSeed is the second part of the seed for drawing schedules of upgrades. It differs
+// from scheduleSeed, so that the actions of users are drawn independently.
 const upgradeGeneratorSeed = 5
 
-// upgradeStepTemplates are the steps of upgrades that a schedule is drawn from, and
-// upgradeFaultTemplates the other faults, with their usual durations; those that are there
-// twice come more often.
+// Schedules are drawn from upgradeStepTemplates, the steps of upgrades, and upgradeFaultTemplates, the
+// other faults, with the durations that are scaled randomly. Entries that are listed twice are drawn
+// more often.
 var (
 	upgradeStepTemplates = []fault{
 		{kind: finalizeUpgrade},
@@ -217,8 +218,8 @@
 	}
 )
 
-// Generated schedules of upgrades, of controllers that come back as other versions, and
-// of other faults.
+// No rule may be broken under randomly generated schedules of upgrade requests, restarts of controllers
+// with other versions, and other faults.
 func TestGeneratedUpgradeSchedules(t *testing.T) {
 	t.Parallel()
 	for seed := *firstSeed; seed < *firstSeed+uint64(*generatedUpgradeScheduleCount); seed++ {
@@ -234,7 +235,8 @@
 	}
 }
 
-// generateUpgradeSchedule is the schedule that follows from a seed.
+// generateUpgradeSchedule draws a schedule of 8 to 14 steps and faults. The same seed gives the same
+// schedule.
 func generateUpgradeSchedule(seed uint64) []fault {
 	rng := rand.New(rand.NewPCG(seed, upgradeGeneratorSeed))
 	var faults []fault
