--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -27,7 +27,8 @@
 // emptyBody is the body of requests that carry no data.
 var emptyBody = []byte("null")
 
-// submission is a job as users submit it. The fields are sorted by their names in the protocol.
+// submission is a job as users submit it. The fields are sorted by their names in the protocol. Times
+// are in seconds, and sizes in GB.
 type submission struct {
 	GPUs         float64  `json:"cards"`
 	CPUs         float64  `json:"cpus"`
--- a/internal/controller/failure_report_test.go
+++ b/internal/controller/failure_report_test.go
@@ -26,8 +26,9 @@
 )
 
 const (
-	// maxLogChunks and logChunkBytes limit how much of a cluster's newest log lines is kept.
-	maxLogChunks  = 64
+	// maxLogChunks is how many chunks of a cluster's newest log lines are kept.
+	maxLogChunks = 64
+	// logChunkBytes is the maximum size of a chunk.
 	logChunkBytes = 1 << 20
 )
 
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -11,10 +11,10 @@
 
 // faultCombination is a schedule of overlapping faults.
 type faultCombination struct {
-	name   string
-	jobs   int    // number of jobs that are submitted before the first fault
-	seed   uint64 // 0: defaultSeed
-	faults []fault
+	name        string
+	initialJobs int    // number of jobs submitted before the first fault
+	seed        uint64 // 0: defaultSeed
+	faults      []fault
 }
 
 // Combinations of faults under which users have seen rules broken. docs/fault-combinations.md names
@@ -24,7 +24,7 @@
 	for _, x := range slices.Concat(clusterCombinations, gangCombinations) {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			runFaults(t, cmp.Or(x.seed, defaultSeed), x.jobs, x.faults)
+			runFaults(t, cmp.Or(x.seed, defaultSeed), x.initialJobs, x.faults)
 		})
 	}
 }
@@ -32,8 +32,8 @@
 // clusterCombinations are the combinations for jobs of all kinds.
 var clusterCombinations = []faultCombination{
 	{
-		name: "cancelled while one controller's work changes hands",
-		jobs: 14,
+		name:        "cancelled while one controller's work changes hands",
+		initialJobs: 14,
 		faults: []fault{
 			{at: 5, kind: killController, target: 0, duration: 8},
 			{at: 5.2, kind: cancelJobs, target: 4},
@@ -43,8 +43,8 @@
 		},
 	},
 	{
-		name: "late transactions after newer ones",
-		jobs: 12,
+		name:        "late transactions after newer ones",
+		initialJobs: 12,
 		faults: []fault{
 			{at: 0, kind: lateTransactions, target: allNodes, duration: 60, share: 0.3},
 			{at: 5, kind: submitJobs, target: 6},
@@ -56,8 +56,8 @@
 		},
 	},
 	{
-		name: "cancellation, question and submission at the end",
-		jobs: 16,
+		name:        "cancellation, question and submission at the end",
+		initialJobs: 16,
 		faults: []fault{
 			{at: 0, kind: raceCompletion, duration: 90, share: 0.5},
 			{at: 10, kind: submitJobs, target: 10},
@@ -65,8 +65,8 @@
 		},
 	},
 	{
-		name: "all nodes asked within milliseconds",
-		jobs: 12,
+		name:        "all nodes asked within milliseconds",
+		initialJobs: 12,
 		faults: []fault{
 			{at: 0, kind: queryAllControllers, duration: 80},
 			{at: 0, kind: raceCompletion, duration: 80, share: 0.4},
@@ -78,8 +78,8 @@
 		},
 	},
 	{
-		name: "heartbeat kept until a new leader has acted",
-		jobs: 12,
+		name:        "heartbeat kept until a new leader has acted",
+		initialJobs: 12,
 		faults: []fault{
 			{at: 5, kind: saveHeartbeats},
 			{at: 6, kind: killController, target: leaderNode, duration: 12},
@@ -89,8 +89,8 @@
 		},
 	},
 	{
-		name: "one-task jobs four a second",
-		jobs: 4,
+		name:        "one-task jobs four a second",
+		initialJobs: 4,
 		faults: []fault{
 			{at: 0, kind: submitOneTaskJobs, duration: 120},
 			{at: 40, kind: killController, target: leaderNode, duration: 5},
@@ -98,8 +98,8 @@
 		},
 	},
 	{
-		name: "leader ends while machines can't be reached",
-		jobs: 14,
+		name:        "leader ends while machines can't be reached",
+		initialJobs: 14,
 		faults: []fault{
 			{at: 5, kind: machinesIsolated, target: 3, duration: 25},
 			{at: 5, kind: machinesNotReceiving, target: 3, duration: 25},
@@ -108,8 +108,8 @@
 		},
 	},
 	{
-		name: "leader cut off with its agents",
-		jobs: 14,
+		name:        "leader cut off with its agents",
+		initialJobs: 14,
 		faults: []fault{
 			{at: 5, kind: storeAndPeersUnreachable, target: leaderNode, duration: 60},
 			{at: 12, kind: cancelJobs, target: 6},
@@ -117,8 +117,8 @@
 		},
 	},
 	{
-		name: "old heartbeat after newer ones",
-		jobs: 12,
+		name:        "old heartbeat after newer ones",
+		initialJobs: 12,
 		faults: []fault{
 			{at: 0, kind: copyHeartbeats, duration: 80, share: 0.5},
 			{at: 0, kind: copyHeartbeatsLate, duration: 80, share: 0.3},
@@ -129,8 +129,8 @@
 		},
 	},
 	{
-		name: "commands held up",
-		jobs: 12,
+		name:        "commands held up",
+		initialJobs: 12,
 		faults: []fault{
 			{at: 0, kind: lateCommands, target: allNodes, duration: 60, share: 0.6},
 			{at: 5, kind: machinesHang, target: 3, duration: 6},
@@ -140,8 +140,8 @@
 		},
 	},
 	{
-		name: "zone-bound jobs lose machines",
-		jobs: 18,
+		name:        "zone-bound jobs lose machines",
+		initialJobs: 18,
 		faults: []fault{
 			{at: 8, kind: terminateMachines, target: 4},
 			{at: 20, kind: terminateMachines, target: 4},
@@ -149,8 +149,8 @@
 		},
 	},
 	{
-		name: "answers to transactions lost while others read",
-		jobs: 12,
+		name:        "answers to transactions lost while others read",
+		initialJobs: 12,
 		faults: []fault{
 			{at: 0, kind: lostResponses, target: allNodes, duration: 70, share: 0.4},
 			{at: 0, kind: queryAllControllers, duration: 70},
@@ -161,8 +161,8 @@
 		},
 	},
 	{
-		name: "teams at their limit, cancelled on cut and hung machines",
-		jobs: 24,
+		name:        "teams at their limit, cancelled on cut and hung machines",
+		initialJobs: 24,
 		faults: []fault{
 			{at: 10, kind: machinesIsolated, target: 3, duration: 30},
 			{at: 10, kind: machinesHang, target: 3, duration: 9},
@@ -172,8 +172,8 @@
 		},
 	},
 	{
-		name: "new machines at once while writes lag, leader ends",
-		jobs: 10,
+		name:        "new machines at once while writes lag, leader ends",
+		initialJobs: 10,
 		faults: []fault{
 			{at: 0, kind: storeSlow, target: allNodes, duration: 50, share: 0.5},
 			{at: 1, kind: submitJobs, target: 12},
@@ -183,8 +183,8 @@
 		},
 	},
 	{
-		name: "machines that reach no controller",
-		jobs: 14,
+		name:        "machines that reach no controller",
+		initialJobs: 14,
 		faults: []fault{
 			{at: 5, kind: machinesNotSending, target: 4, duration: 30},
 			{at: 7, kind: killController, target: leaderNode, duration: 10},
@@ -192,8 +192,8 @@
 		},
 	},
 	{
-		name: "slow, then refused alone, then down for all",
-		jobs: 14,
+		name:        "slow, then refused alone, then down for all",
+		initialJobs: 14,
 		faults: []fault{
 			{at: 0, kind: storeSlow, target: allNodes, duration: 10, share: 0.5},
 			{at: 10, kind: storeRefuses, target: leaderNode, duration: 10},
@@ -203,8 +203,8 @@
 		},
 	},
 	{
-		name: "failover and back, all end, one returns",
-		jobs: 14,
+		name:        "failover and back, all end, one returns",
+		initialJobs: 14,
 		faults: []fault{
 			{at: 5, kind: killController, target: 0, duration: 8},
 			{at: 20, kind: killController, target: 1, duration: 0.5},
@@ -216,8 +216,8 @@
 		},
 	},
 	{
-		name: "ten leaders in two minutes, also in an outage",
-		jobs: 14,
+		name:        "ten leaders in two minutes, also in an outage",
+		initialJobs: 14,
 		faults: []fault{
 			{at: 5, kind: killController, target: leaderNode, duration: 1},
 			{at: 17, kind: killController, target: leaderNode, duration: 1},
@@ -234,8 +234,8 @@
 		},
 	},
 	{
-		name: "all away for longer than a lease",
-		jobs: 14,
+		name:        "all away for longer than a lease",
+		initialJobs: 14,
 		faults: []fault{
 			{at: 5, kind: cancelJobs, target: 3},
 			{at: 5.5, kind: killController, target: allNodes, duration: 15},
@@ -245,8 +245,8 @@
 		},
 	},
 	{
-		name: "few long tasks across a change of leader",
-		jobs: 20,
+		name:        "few long tasks across a change of leader",
+		initialJobs: 20,
 		faults: []fault{
 			{at: 10, kind: killController, target: leaderNode, duration: 9},
 			{at: 30, kind: killController, target: leaderNode, duration: 0.4},
@@ -254,8 +254,8 @@
 		},
 	},
 	{
-		name: "old heartbeats just as a leader begins",
-		jobs: 12,
+		name:        "old heartbeats just as a leader begins",
+		initialJobs: 12,
 		faults: []fault{
 			{at: 5, kind: saveHeartbeats},
 			{at: 8, kind: restartMachines, target: 3},
@@ -265,8 +265,8 @@
 		},
 	},
 	{
-		name: "limit, change of leader, unreachable machines, cancellation",
-		jobs: 24,
+		name:        "limit, change of leader, unreachable machines, cancellation",
+		initialJobs: 24,
 		faults: []fault{
 			{at: 10, kind: machinesNotReceiving, target: 3, duration: 25},
 			{at: 10, kind: machinesIsolated, target: 2, duration: 25},
@@ -276,8 +276,8 @@
 		},
 	},
 	{
-		name: "more work than room over slow links",
-		jobs: 30,
+		name:        "more work than room over slow links",
+		initialJobs: 30,
 		faults: []fault{
 			{at: 0, kind: storeSlow, target: allNodes, duration: 60, share: 0.3},
 			{at: 0, kind: lateCommands, target: allNodes, duration: 60, share: 0.3},
@@ -286,8 +286,8 @@
 		},
 	},
 	{
-		name: "cancelled as the leader is refused, then an outage",
-		jobs: 14,
+		name:        "cancelled as the leader is refused, then an outage",
+		initialJobs: 14,
 		faults: []fault{
 			{at: 5, kind: storeRefuses, target: leaderNode, duration: 12},
 			{at: 5, kind: cancelJobs, target: 6},
@@ -295,8 +295,8 @@
 		},
 	},
 	{
-		name: "zone cut for longer than a lease",
-		jobs: 16,
+		name:        "zone cut for longer than a lease",
+		initialJobs: 16,
 		faults: []fault{
 			{at: 8, kind: isolateZone, duration: 25},
 			{at: 9, kind: cancelJobs, target: 4},
@@ -305,8 +305,8 @@
 		},
 	},
 	{
-		name: "odd requests, restarts",
-		jobs: 10,
+		name:        "odd requests, restarts",
+		initialJobs: 10,
 		faults: []fault{
 			{at: 0, kind: unusualRequests, duration: 70},
 			{at: 10, kind: killController, target: leaderNode, duration: 4},
--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -17,16 +17,16 @@
 	*cluster
 	seed         uint64
 	rng          *rand.Rand
-	policies     []map[int]network.Policy // policies of the active faults by ID, for each controller
+	policies     []map[int]network.Policy // policies of the active faults by ID, for each controller; guarded by cluster.mu
 	lastPolicyID int
 	// insufficientCapacity says that the cloud has too few machines to run all jobs at a time.
 	insufficientCapacity bool
 	savedHeartbeats      map[string][]byte // encoded heartbeats by machine
 
 	// The goroutines of users share the following fields and rng. cluster.mu guards them.
-	ids                []string // IDs of all submitted jobs in order, accepted or not
+	submittedIDs       []string // IDs of all submitted jobs in order, accepted or not
 	submissions        map[string]*submission
-	handledCompletions map[string]bool
+	handledCompletions map[string]bool // jobs for which raceCompletion has sent its requests
 	cancelled          map[string]bool // jobs that a user has asked to cancel
 }
 
@@ -162,7 +162,7 @@
 	s.queryAllUntil.Store(nil)
 	time.Sleep(5 * time.Second)
 	s.mu.Lock()
-	ids := slices.Clone(s.ids)
+	ids := slices.Clone(s.submittedIDs)
 	s.mu.Unlock()
 	s.checkQueriesAnswered(ids)
 	if s.insufficientCapacity { // otherwise services could occupy all machines, and the other jobs would never run
@@ -178,11 +178,11 @@
 // checkQueriesAnswered checks that queries of all jobs are answered within maxRecoveryTime.
 func (s *scheduleRun) checkQueriesAnswered(ids []string) {
 	s.t.Helper()
-	settledAt := time.Now()
+	startedAt := time.Now()
 	for _, id := range ids {
 		response := s.sendWithRetries(queryRequest(id), maxRecoveryTime)
 		if response.status != http.StatusOK && response.status != http.StatusNotFound {
-			s.t.Errorf("seed %d: a query of %s was not answered within %v after the last fault", s.seed, id, time.Since(settledAt))
+			s.t.Errorf("seed %d: a query of %s was not answered within %v after the last fault", s.seed, id, time.Since(startedAt))
 		}
 	}
 }
--- a/internal/controller/fault_user_effects_test.go
+++ b/internal/controller/fault_user_effects_test.go
@@ -59,7 +59,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
-	for _, id := range s.ids {
+	for _, id := range s.submittedIDs {
 		if !s.cancelled[id] {
 			out = append(out, id)
 		}
@@ -140,8 +140,8 @@
 	s.mu.Lock()
 	kind := s.rng.IntN(4)
 	known := ""
-	if len(s.ids) > 0 {
-		known = s.ids[s.rng.IntN(len(s.ids))]
+	if len(s.submittedIDs) > 0 {
+		known = s.submittedIDs[s.rng.IntN(len(s.submittedIDs))]
 	}
 	s.mu.Unlock()
 	node := (number - 1) % len(s.nodes)
@@ -243,9 +243,9 @@
 // submitAsync assigns an ID to a job and submits it in the background.
 func (s *scheduleRun) submitAsync(job *submission) (id string) {
 	s.mu.Lock()
-	id = fmt.Sprintf("wk-%d", len(s.ids)+1)
+	id = fmt.Sprintf("wk-%d", len(s.submittedIDs)+1)
 	job.ID = id
-	s.ids = append(s.ids, id)
+	s.submittedIDs = append(s.submittedIDs, id)
 	s.submissions[id] = job
 	s.mu.Unlock()
 	go s.trySubmit(job)
--- a/internal/controller/gang_fault_combinations_test.go
+++ b/internal/controller/gang_fault_combinations_test.go
@@ -3,9 +3,9 @@
 // gangCombinations are the combinations for gangs and for lowered limits of the key-value store.
 var gangCombinations = []faultCombination{
 	{
-		name: "a gang assigned to a partition that has lost its room",
-		jobs: 10,
-		seed: 1004,
+		name:        "a gang assigned to a partition that has lost its room",
+		initialJobs: 10,
+		seed:        1004,
 		faults: []fault{
 			{at: 1.8, kind: machinesIsolated, target: 2, duration: 15.7},
 			{at: 24.8, kind: copyHeartbeatsLate, duration: 41.5, share: 0.3},
@@ -18,9 +18,9 @@
 		},
 	},
 	{
-		name: "gangs reserve room one after the other beside small jobs",
-		jobs: 10,
-		seed: 155,
+		name:        "gangs reserve room one after the other beside small jobs",
+		initialJobs: 10,
+		seed:        155,
 		faults: []fault{
 			{at: 0.6, kind: storeDown, duration: 50},
 			{at: 1.7, kind: storeSlow, target: 0, duration: 24.9, share: 0.3},
@@ -34,8 +34,8 @@
 		},
 	},
 	{
-		name: "limits are lowered during a failover",
-		jobs: 10,
+		name:        "limits are lowered during a failover",
+		initialJobs: 10,
 		faults: []fault{
 			{at: 0, kind: submitGangs, target: 4},
 			{at: 5, kind: killController, target: 0, duration: 6},
@@ -46,8 +46,8 @@
 		},
 	},
 	{
-		name: "limits are lowered while gangs are stopped",
-		jobs: 10,
+		name:        "limits are lowered while gangs are stopped",
+		initialJobs: 10,
 		faults: []fault{
 			{at: 0, kind: submitGangs, target: 4},
 			{at: 12, kind: noCapacity, duration: 30},
@@ -57,8 +57,8 @@
 		},
 	},
 	{
-		name: "machines terminate without notice during a rolling restart",
-		jobs: 10,
+		name:        "machines terminate without notice during a rolling restart",
+		initialJobs: 10,
 		faults: []fault{
 			{at: 0, kind: submitGangs, target: 4},
 			{at: 5, kind: killController, target: 0, duration: 2},
@@ -71,8 +71,8 @@
 		},
 	},
 	{
-		name: "cloud outage while gangs wait for a replacement task",
-		jobs: 8,
+		name:        "cloud outage while gangs wait for a replacement task",
+		initialJobs: 8,
 		faults: []fault{
 			{at: 0, kind: submitGangs, target: 4},
 			{at: 2, kind: cloudDown, duration: 40},
@@ -82,8 +82,8 @@
 		},
 	},
 	{
-		name: "gang members on machines that hang, receive nothing, send nothing or fail tasks",
-		jobs: 8,
+		name:        "gang members on machines that hang, receive nothing, send nothing or fail tasks",
+		initialJobs: 8,
 		faults: []fault{
 			{at: 0, kind: submitGangs, target: 5},
 			{at: 4, kind: machinesHang, target: 2, duration: 8},
@@ -94,8 +94,8 @@
 		},
 	},
 	{
-		name: "leader is killed between reserving, binding and starting",
-		jobs: 8,
+		name:        "leader is killed between reserving, binding and starting",
+		initialJobs: 8,
 		faults: []fault{
 			{at: 5, kind: submitGangs, target: 3},
 			{at: 5.15, kind: killController, target: leaderNode, duration: 0.3},
@@ -106,8 +106,8 @@
 		},
 	},
 	{
-		name: "late and duplicate heartbeats of an earlier attempt",
-		jobs: 8,
+		name:        "late and duplicate heartbeats of an earlier attempt",
+		initialJobs: 8,
 		faults: []fault{
 			{at: 0, kind: submitGangs, target: 5},
 			{at: 0, kind: copyHeartbeats, duration: 70, share: 0.6},
@@ -121,8 +121,8 @@
 		},
 	},
 	{
-		name: "late stop and start commands of gangs",
-		jobs: 8,
+		name:        "late stop and start commands of gangs",
+		initialJobs: 8,
 		faults: []fault{
 			{at: 0, kind: submitGangs, target: 5},
 			{at: 0, kind: lateCommands, target: allNodes, duration: 60, share: 0.6},
@@ -133,8 +133,8 @@
 		},
 	},
 	{
-		name: "gangs cancelled as they complete",
-		jobs: 6,
+		name:        "gangs cancelled as they complete",
+		initialJobs: 6,
 		faults: []fault{
 			{at: 0, kind: submitGangs, target: 6},
 			{at: 0, kind: raceCompletion, duration: 80, share: 0.6},
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -39,8 +39,8 @@
 	*cluster
 	rng          *rand.Rand
 	endFunctions []func() // end the active faults, oldest first
-	jobs         int
-	accepted     []string
+	jobCount     int      // number of submitted jobs
+	acceptedIDs  []string // IDs of the accepted jobs
 	jobsToCancel []string // accepted jobs that are still to be cancelled
 }
 
@@ -98,12 +98,12 @@
 // submitJob submits a random job. Services and a third of the other jobs are cancelled later, unless
 // no controller responded.
 func (r *randomFaultRun) submitJob() {
-	r.jobs++
-	job := r.drawJob(fmt.Sprintf("wk-%d", r.jobs))
+	r.jobCount++
+	job := r.drawJob(fmt.Sprintf("wk-%d", r.jobCount))
 	if !r.trySubmit(job) {
 		return // it may have been stored nevertheless; the rule checker covers it
 	}
-	r.accepted = append(r.accepted, job.ID)
+	r.acceptedIDs = append(r.acceptedIDs, job.ID)
 	if r.rng.IntN(3) == 0 || job.Kind == wire.KindService {
 		r.jobsToCancel = append(r.jobsToCancel, job.ID)
 	}
@@ -157,15 +157,15 @@
 	for _, id := range r.jobsToCancel {
 		r.cancelJob(id)
 	}
-	settledAt := time.Now()
-	for _, id := range r.accepted {
+	startedAt := time.Now()
+	for _, id := range r.acceptedIDs {
 		r.jobState(id)
-		if d := time.Since(settledAt); d > maxRecoveryTime {
+		if d := time.Since(startedAt); d > maxRecoveryTime {
 			r.t.Errorf("a query of %s was answered %v after the last fault, want at most %v", id, d, maxRecoveryTime)
 		}
 	}
 	time.Sleep(r.nodes[0].maxStaleness())
-	for _, id := range r.accepted {
+	for _, id := range r.acceptedIDs {
 		r.await(id+" is finished", 8*time.Minute, func() bool {
 			state := r.jobState(id)
 			return state == wire.StateDone || state == wire.StateCancelled
