--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -5,7 +5,9 @@
 	"testing"
 )
 
-func BenchmarkLeadStep(b *testing.B) {
+// BenchmarkLeaderPass measures one scheduling pass of the leader over full fleets of several
+// sizes.
+func BenchmarkLeaderPass(b *testing.B) {
 	for _, n := range []int{50, 500, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := newFullFleetController(b, n)
@@ -17,7 +19,9 @@
 	}
 }
 
-func BenchmarkStepPart(b *testing.B) {
+// BenchmarkSchedulePartitions measures one scheduling pass of an owner over the partitions of full
+// fleets of several sizes.
+func BenchmarkSchedulePartitions(b *testing.B) {
 	for _, n := range []int{50, 500, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := newFullFleetController(b, n)
--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -15,18 +15,20 @@
 	"eiderhitch/internal/wire"
 )
 
-// How long users wait for an answer, and before they try the next controller.
 const (
-	queryTimeout  = 2 * time.Second
+	// queryTimeout limits how long a user waits for the response to a query.
+	queryTimeout = 2 * time.Second
+	// changeTimeout limits how long a user waits for the response to a submission or cancellation.
 	changeTimeout = 5 * time.Second
-	retryPause    = time.Second
+	// retryDelay is how long a user waits before trying the next controller.
+	retryDelay = time.Second
 )
 
-// emptyBody is the body of requests that need none.
+// emptyBody is the body of requests that carry no data.
 var emptyBody = []byte("null")
 
-// submission is a job as users submit it. The fields are in the order of the protocol's
-// names.
+// submission is a job as users submit it. The fields are sorted by their names in the protocol. Times
+// are in seconds, and sizes in GB.
 type submission struct {
 	GPUs         float64  `json:"cards"`
 	CPUs         float64  `json:"cpus"`
@@ -48,17 +50,18 @@
 	Zone         string   `json:"shore,omitempty"`
 	Spread       bool     `json:"spread"`
 	SaveS        float64  `json:"stowS"`
-	// omitted is a field, by the protocol's name, that the body lacks; "": none.
+	// omittedField is the protocol's name of a field to leave out of the body; empty: none.
 	omittedField string
 }
 
-// newSubmission fills in what most jobs of the tests have in common.
+// newSubmission returns a copy of s with the fields set that are the same for most jobs of the
+// tests.
 func newSubmission(s submission) *submission {
 	s.Class, s.Image, s.RAM, s.ImageGB = "x", "img", 1, 1
 	return &s
 }
 
-// body is the submission as it is sent.
+// encode returns the body of the request that submits the job.
 func (s *submission) encode(t testing.TB) []byte {
 	t.Helper()
 	raw, err := json.Marshal(s)
@@ -79,28 +82,33 @@
 	return raw
 }
 
-// request is what a user asks of a controller.
+// jobRequest is a user's request about one job.
 type jobRequest struct {
-	operation trace.Operation
-	job       string
-	submitted *submission // of a submission
-	spec      *wire.Job   // what the rule checker takes the submission for; nil: nothing
+	operation  trace.Operation
+	job        string
+	submission *submission // only for submissions
+	spec       *wire.Job   // job that the rule checker is told of; nil for invalid and repeated submissions
 }
 
-func queryRequest(job string) jobRequest  { return jobRequest{operation: trace.Query, job: job} }
+// queryRequest returns a request for the state of a job.
+func queryRequest(job string) jobRequest { return jobRequest{operation: trace.Query, job: job} }
+
+// cancelRequest returns a request to cancel a job.
 func cancelRequest(job string) jobRequest { return jobRequest{operation: trace.Cancel, job: job} }
 
+// submitRequest returns a request to submit a job. The rule checker takes spec as the submitted job;
+// nil if the submission is invalid or repeated.
 func submitRequest(s *submission, spec *wire.Job) jobRequest {
-	return jobRequest{operation: trace.Submit, job: s.ID, submitted: s, spec: spec}
+	return jobRequest{operation: trace.Submit, job: s.ID, submission: s, spec: spec}
 }
 
-// http is the HTTP request to a controller's address.
-func (r jobRequest) http(ctx context.Context, t testing.TB, addr string) *http.Request {
+// newHTTPRequest returns the HTTP request for the controller at addr.
+func (r jobRequest) newHTTPRequest(ctx context.Context, t testing.TB, addr string) *http.Request {
 	t.Helper()
 	method, path, body := http.MethodPost, "/v1/jobs", emptyBody
 	switch r.operation {
 	case trace.Submit:
-		body = r.submitted.encode(t)
+		body = r.submission.encode(t)
 	case trace.Query:
 		method, path = http.MethodGet, "/v1/jobs/"+r.job
 	case trace.Cancel:
@@ -113,7 +121,7 @@
 	return req
 }
 
-// timeout is for how long a user waits for the answer.
+// timeout returns how long a user waits for the response.
 func (r jobRequest) timeout() time.Duration {
 	if r.operation == trace.Query {
 		return queryTimeout
@@ -121,134 +129,139 @@
 	return changeTimeout
 }
 
-// response is what a user was answered.
+// jobResponse is the response that a user received to a request.
 type jobResponse struct {
-	status int    // 0: nothing
-	state  string // of the job; "": the answer shows none
+	status int    // HTTP status; 0: no response was received
+	state  string // state of the job; empty: the response has none
 }
 
-// isFinal tells whether another controller would answer the same.
+// isFinal reports whether there is no point in retrying the request at another controller.
 func (r jobResponse) isFinal() bool {
 	return r.status != 0 && r.status < http.StatusInternalServerError && r.status != http.StatusTooManyRequests
 }
 
-// readResponse reads an answer.
+// readResponse reads and closes the body of a response.
 func readResponse(resp *http.Response) jobResponse {
 	defer resp.Body.Close()
 	var job wire.JobState
 	if raw, err := io.ReadAll(resp.Body); err == nil {
-		_ = json.Unmarshal(raw, &job) // an error's text shows no job
+		_ = json.Unmarshal(raw, &job) // the body of an error response has no state
 	}
 	return jobResponse{resp.StatusCode, job.State}
 }
 
-// ask makes one call to a node and records the answer for the rule checker.
+// sendRequest sends a request once, to one node, and records the response for the rule checker. Until
+// queryAllUntil, a change that succeeds is followed by a query to each controller.
 func (c *cluster) sendRequest(node int, r jobRequest) jobResponse {
 	ctx, cancel := context.WithTimeout(c.ctx, r.timeout())
 	defer cancel()
 	event := trace.Response{RequestedAt: time.Now(), Operation: r.operation, Job: r.job, Spec: r.spec}
-	var answer jobResponse
-	if resp, err := c.clientTransport.RoundTrip(r.http(ctx, c.t, c.nodes[node].cfg.APIAddr)); err == nil {
-		answer = readResponse(resp)
+	var response jobResponse
+	if resp, err := c.clientTransport.RoundTrip(r.newHTTPRequest(ctx, c.t, c.nodes[node].cfg.APIAddr)); err == nil {
+		response = readResponse(resp)
 	}
-	event.At, event.Status, event.State = time.Now(), answer.status, answer.state
+	event.At, event.Status, event.State = time.Now(), response.status, response.state
 	c.env.Trace.Record(event)
-	if until := c.queryAllUntil.Load(); until != nil && time.Now().Before(*until) && r.operation != trace.Query && answer.status/100 == 2 {
+	if queryUntil := c.queryAllUntil.Load(); queryUntil != nil && time.Now().Before(*queryUntil) && r.operation != trace.Query && response.status/100 == 2 {
 		for i := range c.nodes {
 			go c.sendRequest(i, queryRequest(r.job))
 		}
 	}
-	return answer
+	return response
 }
 
-// call tries the nodes in turn until one gives a final answer.
-func (c *cluster) sendWithRetries(r jobRequest, within time.Duration) jobResponse {
-	until := time.Now().Add(within)
+// sendWithRetries tries the nodes in turn until one gives a final response. It returns the zero value
+// if none does before the timeout.
+func (c *cluster) sendWithRetries(r jobRequest, timeout time.Duration) jobResponse {
+	deadline := time.Now().Add(timeout)
 	node := int(network.Draw(uint64(r.operation), r.job) * float64(len(c.nodes)))
-	for time.Now().Before(until) {
+	for time.Now().Before(deadline) {
 		node = (node + 1) % len(c.nodes)
-		if answer := c.sendRequest(node, r); answer.isFinal() {
-			return answer
+		if response := c.sendRequest(node, r); response.isFinal() {
+			return response
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryDelay)
 	}
 	return jobResponse{}
 }
 
-// submit submits a job, which must be accepted.
+// submit submits a job. The test fails if it is not accepted.
 func (c *cluster) submit(s *submission) {
 	c.t.Helper()
 	if !c.trySubmit(s) {
-		c.t.Fatalf("%+v is not accepted", *s)
+		c.t.Fatalf("submission %+v was not accepted", *s)
 	}
 }
 
-// trySubmit submits a job; false: no controller answered.
+// trySubmit submits a job and reports whether it was accepted. The test fails if the submission was
+// refused; it does not fail if no controller responded.
 func (c *cluster) trySubmit(s *submission) bool {
 	c.t.Helper()
 	spec, err := wire.ParseJob(s.encode(c.t))
 	if err != nil {
-		c.t.Errorf("%+v is malformed: %v", *s, err)
+		c.t.Errorf("submission %+v is malformed: %v", *s, err)
 		return false
 	}
 	c.env.Upload(spec)
-	answer := c.sendWithRetries(submitRequest(s, spec), 20*time.Second)
-	switch answer.status {
+	response := c.sendWithRetries(submitRequest(s, spec), 20*time.Second)
+	switch response.status {
 	case http.StatusCreated, http.StatusOK:
 		return true
 	case 0:
 		return false
 	}
-	c.t.Errorf("submission of %s: status %d, want 200 or 201", s.ID, answer.status)
+	c.t.Errorf("submission of %s: status %d, want 200 or 201", s.ID, response.status)
 	return false
 }
 
-// state is the state of a job that must be known.
+// jobState returns the state of a job. The test fails if no controller knows the job.
 func (c *cluster) jobState(job string) string {
 	c.t.Helper()
-	answer := c.sendWithRetries(queryRequest(job), 40*time.Second)
-	if answer.status != http.StatusOK {
-		c.t.Fatalf("query of %s: status %d, want 200", job, answer.status)
+	response := c.sendWithRetries(queryRequest(job), 40*time.Second)
+	if response.status != http.StatusOK {
+		c.t.Fatalf("query of %s: status %d, want 200", job, response.status)
 	}
-	return answer.state
+	return response.state
 }
 
-// cancelJob cancels a job, which must be confirmed.
+// cancelJob cancels a job. The test fails if the cancellation is not confirmed.
 func (c *cluster) cancelJob(job string) {
 	c.t.Helper()
 	if !c.tryCancelJob(job) {
-		c.t.Fatalf("%s can't be cancelled", job)
+		c.t.Fatalf("no controller responded to the cancellation of %s", job)
 	}
 }
 
-// tryCancelJob cancels a job; false: no controller answered.
+// tryCancelJob cancels a job and reports whether a controller confirmed it. The test fails if the
+// cancellation was refused; it does not fail if no controller responded.
 func (c *cluster) tryCancelJob(job string) bool {
 	c.t.Helper()
-	answer := c.sendWithRetries(cancelRequest(job), 20*time.Second)
-	if answer.status != 0 && answer.status != http.StatusOK {
-		c.t.Fatalf("cancellation of %s: status %d, want 200", job, answer.status)
+	response := c.sendWithRetries(cancelRequest(job), 20*time.Second)
+	if response.status != 0 && response.status != http.StatusOK {
+		c.t.Fatalf("cancellation of %s: status %d, want 200", job, response.status)
 	}
-	return answer.status != 0
+	return response.status != 0
 }
 
-// await waits until something holds.
-func (c *cluster) await(what string, limit time.Duration, holds func() bool) {
+// await polls once a second until the condition holds. The test fails if that takes longer than the
+// timeout.
+func (c *cluster) await(description string, timeout time.Duration, condition func() bool) {
 	c.t.Helper()
-	for until := time.Now().Add(limit); time.Now().Before(until); time.Sleep(time.Second) {
-		if holds() {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(time.Second) {
+		if condition() {
 			return
 		}
 	}
-	c.t.Fatalf("%s: not within %v", what, limit)
+	c.t.Fatalf("timed out after %[2]v waiting for: %[1]s", description, timeout)
 }
 
-// awaitDone waits until a job is done.
-func (c *cluster) awaitDone(job string, limit time.Duration) {
+// awaitDone waits until a job is in the state done.
+func (c *cluster) awaitDone(job string, timeout time.Duration) {
 	c.t.Helper()
-	c.await(job+" is done", limit, func() bool { return c.jobState(job) == wire.StateDone })
+	c.await(job+" is done", timeout, func() bool { return c.jobState(job) == wire.StateDone })
 }
 
-// submitServices submits the services wk-1, wk-2 and so on.
+// submitServices submits services wk-1, wk-2 and so on, each with the given number of tasks.
 func (c *cluster) submitServices(count, tasks int) {
 	c.t.Helper()
 	for i := range count {
@@ -256,14 +269,15 @@
 	}
 }
 
-// startServices submits services and waits until they run.
+// startServices submits services like submitServices and waits until all their tasks run.
 func (c *cluster) startServices(count, tasks int) {
 	c.t.Helper()
 	c.submitServices(count, tasks)
-	c.await("the services run", time.Minute, func() bool { return c.areServicesRunning(count, tasks) })
+	c.await("all tasks of the services run", time.Minute, func() bool { return c.areServicesRunning(count, tasks) })
 }
 
-// areServicesRunning tells whether the first so many jobs run with so many tasks each.
+// areServicesRunning reports whether each of the jobs wk-1 to wk-COUNT runs with exactly the given
+// number of tasks.
 func (c *cluster) areServicesRunning(count, tasks int) bool {
 	for i := range count {
 		if c.env.Running(fmt.Sprintf("wk-%d", i+1)) != tasks {
@@ -273,7 +287,7 @@
 	return true
 }
 
-// submitZonalServices submits services of one replica for a zone.
+// submitZonalServices submits count services of one task for a zone. The first one is wk-FIRST.
 func (c *cluster) submitZonalServices(first, count int, zone string) {
 	c.t.Helper()
 	for i := range count {
--- a/internal/controller/fault_effects_test.go
+++ b/internal/controller/fault_effects_test.go
@@ -9,23 +9,23 @@
 	"eiderhitch/internal/simulation/network"
 )
 
-// faultEffect has a fault begin, and returns what ends it.
+// faultEffect makes a fault begin and returns the function that ends it.
 type faultEffect func(s *scheduleRun, f fault) (end func())
 
-// faultEffects are the effects of all faults.
+// faultEffects holds the effect of each kind of fault.
 var faultEffects = map[faultKind]faultEffect{
-	storeDown:          (*scheduleRun).takeStoreDown,
-	storeRefuses:       requestFault(isStoreRequest, network.Refuse),
-	storeSilent:        requestFault(isStoreRequest, network.Drop),
-	storeSlow:          shareFault(isStoreRequest, network.Delay),
-	lateWrites:         shareFault(isTransactionRequest, network.ExecuteLate),
-	lostResponses:      shareFault(isTransactionRequest, network.DropResponse),
-	lateCommands:       shareFault(isAgentRequest, network.ExecuteLate),
-	agentsSilent:       (*scheduleRun).blockAgents,
-	noPeers:            (*scheduleRun).blockPeers,
-	agentsAndUsersOnly: (*scheduleRun).blockStoreAndPeers,
-	killController:     (*scheduleRun).restartControllers,
-	isolateZone:        (*scheduleRun).isolateZone,
+	storeDown:                (*scheduleRun).takeStoreDown,
+	storeRefuses:             requestFault(isStoreRequest, network.Refuse),
+	storeUnresponsive:        requestFault(isStoreRequest, network.Drop),
+	storeSlow:                partialRequestFault(isStoreRequest, network.Delay),
+	lateTransactions:         partialRequestFault(isTransactionRequest, network.ExecuteLate),
+	lostResponses:            partialRequestFault(isTransactionRequest, network.DropResponse),
+	lateCommands:             partialRequestFault(isAgentRequest, network.ExecuteLate),
+	agentsUnreachable:        (*scheduleRun).blockAgents,
+	peersUnreachable:         (*scheduleRun).blockPeers,
+	storeAndPeersUnreachable: (*scheduleRun).blockStoreAndPeers,
+	killController:           (*scheduleRun).restartControllers,
+	isolateZone:              (*scheduleRun).isolateZone,
 
 	machinesNotReceiving: machineFault((*agent.Agent).SetNotReceiving),
 	machinesNotSending:   machineFault((*agent.Agent).SetNotSending),
@@ -45,76 +45,80 @@
 	cancelAsMachinesHang: (*scheduleRun).cancelAsMachinesHang,
 	raceCompletion:       (*scheduleRun).raceCompletion,
 	queryAllControllers:  (*scheduleRun).queryAllControllers,
-	oddRequests:          (*scheduleRun).sendOddRequests,
+	unusualRequests:      (*scheduleRun).sendUnusualRequests,
 	submitJobs:           (*scheduleRun).submitJobs,
 	submitGangs:          (*scheduleRun).submitGangs,
 	submitUrgentArray:    (*scheduleRun).submitUrgentArray,
 	submitOneTaskJobs:    (*scheduleRun).submitOneTaskJobs,
 	lowerLimits:          (*scheduleRun).lowerLimits,
 
-	finalizeUpgrade:  (*scheduleRun).finalizeUpgrade,
-	abortUpgrade:     (*scheduleRun).abortUpgrade,
-	finalizeAndAbort: (*scheduleRun).finalizeAndAbort,
-	startUnaware:     (*scheduleRun).startUnaware,
-	startBaseLevel:   (*scheduleRun).startBaseLevel,
+	finalizeUpgrade:    (*scheduleRun).finalizeUpgrade,
+	abortUpgrade:       (*scheduleRun).abortUpgrade,
+	finalizeAndAbort:   (*scheduleRun).finalizeAndAbort,
+	startWithoutLevels: (*scheduleRun).startWithoutLevels,
+	startWithBaseLevel: (*scheduleRun).startWithBaseLevel,
 }
 
-// doNothing ends a fault that ends by itself.
+// doNothing is the end function of faults that end by themselves.
 func doNothing() {}
 
-// inject has a fault begin and returns what ends it.
+// inject makes a fault begin and returns the function that ends it.
 func (s *scheduleRun) inject(f fault) (end func()) {
 	effect := faultEffects[f.kind]
 	if effect == nil {
-		s.t.Fatalf("unknown fault %q", f.kind)
+		s.t.Fatalf("fault kind %q has no effect", f.kind)
 	}
 	return effect(s, f)
 }
 
-// isStoreRequest, isTransactionRequest and isAgentRequest tell where a request goes.
-func isStoreRequest(r *http.Request) bool       { return r.URL.Host == simulation.StoreAddr }
+// isStoreRequest reports whether a request goes to the key-value store.
+func isStoreRequest(r *http.Request) bool { return r.URL.Host == simulation.StoreAddr }
+
+// isTransactionRequest reports whether a request is a transaction of the key-value store.
 func isTransactionRequest(r *http.Request) bool { return isStoreRequest(r) && r.URL.Path == "/txn" }
-func isAgentRequest(r *http.Request) bool       { return strings.HasPrefix(r.URL.Host, "10.1.") }
 
-// policyForMatching is a policy that has a fault happen to all requests of a kind.
-func policyForMatching(matches func(*http.Request) bool, happens network.Fault) network.Policy {
+// isAgentRequest reports whether a request goes to an agent: machines have addresses in 10.1.
+func isAgentRequest(r *http.Request) bool { return strings.HasPrefix(r.URL.Host, "10.1.") }
+
+// policyForMatching returns a policy that applies a network fault to all requests that match.
+func policyForMatching(matches func(*http.Request) bool, networkFault network.Fault) network.Policy {
 	return func(r *http.Request) network.Fault {
 		if matches(r) {
-			return happens
+			return networkFault
 		}
 		return network.Deliver
 	}
 }
 
-// requestFault is an effect on all requests of a kind that the target makes.
-func requestFault(matches func(*http.Request) bool, happens network.Fault) faultEffect {
+// requestFault returns an effect that applies a network fault to all matching requests of the target.
+func requestFault(matches func(*http.Request) bool, networkFault network.Fault) faultEffect {
 	return func(s *scheduleRun, f fault) func() {
-		return s.addPolicy(f.target, s.policyFor(1, matches, happens))
+		return s.addPolicy(f.target, s.policyForShare(1, matches, networkFault))
 	}
 }
 
-// shareFault is requestFault for a share of the requests.
-func shareFault(matches func(*http.Request) bool, happens network.Fault) faultEffect {
+// partialRequestFault is like requestFault, but affects only the fault's share of the requests.
+func partialRequestFault(matches func(*http.Request) bool, networkFault network.Fault) faultEffect {
 	return func(s *scheduleRun, f fault) func() {
-		return s.addPolicy(f.target, s.policyFor(f.share, matches, happens))
+		return s.addPolicy(f.target, s.policyForShare(f.share, matches, networkFault))
 	}
 }
 
-// policyFor has a fault happen to a share of the requests that match.
-func (s *scheduleRun) policyFor(share float64, matches func(*http.Request) bool, happens network.Fault) network.Policy {
+// policyForShare returns a policy that applies a network fault to a share of the matching requests.
+func (s *scheduleRun) policyForShare(share float64, matches func(*http.Request) bool, networkFault network.Fault) network.Policy {
 	return func(r *http.Request) network.Fault {
 		if matches(r) && network.Draw(s.seed, r.URL.String()) < share {
-			return happens
+			return networkFault
 		}
 		return network.Deliver
 	}
 }
 
-// addPolicy adds a policy for controllers, which removes it again.
+// addPolicy adds a policy to the target controllers and returns the function that removes it.
 func (s *scheduleRun) addPolicy(target int, policy network.Policy) (remove func()) {
-	nodes := s.nodesOf(target)
-	s.lastPolicy++
-	id := s.lastPolicy
+	nodes := s.targetNodes(target)
+	s.lastPolicyID++
+	id := s.lastPolicyID
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, i := range nodes {
@@ -129,36 +133,38 @@
 	}
 }
 
-// nodesOf are the controllers that a fault is about.
-func (s *scheduleRun) nodesOf(target int) []int {
+// targetNodes returns the indices of a fault's target controllers. If the target is the leader and
+// there is none, it returns the first controller.
+func (s *scheduleRun) targetNodes(target int) []int {
 	var out []int
 	for i, n := range s.nodes {
-		leads := target == leaderNode && n.isLeader(s.ctx)
-		if target == allNodes || target == i || leads {
+		isTargetLeader := target == leaderNode && n.isLeader(s.ctx)
+		if target == allNodes || target == i || isTargetLeader {
 			out = append(out, i)
 		}
 	}
 	if len(out) == 0 {
-		out = append(out, 0) // nobody leads just now
+		out = append(out, 0) // there is no leader at the moment
 	}
 	return out
 }
 
+// takeStoreDown makes the key-value store unavailable to everyone.
 func (s *scheduleRun) takeStoreDown(fault) func() {
 	s.env.Store.SetDown(true)
 	return func() { s.env.Store.SetDown(false) }
 }
 
-// lowerLimits are those that the settings announced, see runSchedule.
+// lowerLimits makes the store apply the lower limits that runSchedule announced in the settings.
 func (s *scheduleRun) lowerLimits(fault) func() {
 	s.env.Store.SetLimits(loweredValueBytes, loweredTxnChanges)
 	return doNothing
 }
 
-// blockAgents has a controller and the agents not reach each other.
+// blockAgents cuts the connections between the target controllers and the agents in both directions.
 func (s *scheduleRun) blockAgents(f fault) func() {
-	remove := s.addPolicy(f.target, s.policyFor(1, isAgentRequest, network.Drop))
-	nodes := s.nodesOf(f.target)
+	remove := s.addPolicy(f.target, s.policyForShare(1, isAgentRequest, network.Drop))
+	nodes := s.targetNodes(f.target)
 	for _, i := range nodes {
 		s.nodes[i].agentsBlocked.Store(true)
 	}
@@ -170,8 +176,9 @@
 	}
 }
 
+// blockPeers cuts the connections between the target controllers and their peers.
 func (s *scheduleRun) blockPeers(f fault) func() {
-	nodes := s.nodesOf(f.target)
+	nodes := s.targetNodes(f.target)
 	for _, i := range nodes {
 		s.nodes[i].peersBlocked.Store(true)
 	}
@@ -182,22 +189,24 @@
 	}
 }
 
-// blockStoreAndPeers leaves a controller its agents and users.
+// blockStoreAndPeers cuts the connections of the target controllers to the store and their peers.
+// Agents and users still reach them.
 func (s *scheduleRun) blockStoreAndPeers(f fault) func() {
 	var ends []func()
-	for _, i := range s.nodesOf(f.target) {
-		remove := s.addPolicy(i, s.policyFor(1, isStoreRequest, network.Drop))
+	for _, i := range s.targetNodes(f.target) {
+		remove := s.addPolicy(i, s.policyForShare(1, isStoreRequest, network.Drop))
 		s.nodes[i].peersBlocked.Store(true)
 		ends = append(ends, func() {
 			remove()
 			s.nodes[i].peersBlocked.Store(false)
 		})
 	}
-	return inOrder(ends)
+	return callInOrder(ends)
 }
 
+// restartControllers kills the target controllers. The end of the fault starts them again.
 func (s *scheduleRun) restartControllers(f fault) func() {
-	nodes := s.nodesOf(f.target)
+	nodes := s.targetNodes(f.target)
 	for _, i := range nodes {
 		s.kill(i)
 	}
@@ -208,8 +217,8 @@
 	}
 }
 
-// inOrder calls functions one after the other.
-func inOrder(functions []func()) func() {
+// callInOrder returns a function that calls the given functions one after the other.
+func callInOrder(functions []func()) func() {
 	return func() {
 		for _, f := range functions {
 			f()
@@ -217,31 +226,32 @@
 	}
 }
 
-// isolateZone cuts the machines of zone b and the last controller off from all others.
+// isolateZone isolates the machines of zone b, together with the last controller, from everything
+// else.
 func (s *scheduleRun) isolateZone(fault) func() {
 	const zone = "b"
 	node := len(s.nodes) - 1
-	inside := map[string]bool{s.nodes[node].cfg.APIAddr: true}
+	addrsInZone := map[string]bool{s.nodes[node].cfg.APIAddr: true}
 	for _, a := range s.env.Cloud.Agents() {
 		if a.Zone() == zone {
-			inside[a.Addr()] = true
+			addrsInZone[a.Addr()] = true
 		}
 	}
-	crosses := func(fromInside bool) func(*http.Request) bool {
-		return func(r *http.Request) bool { return inside[r.URL.Host] != fromInside }
+	crossesBoundary := func(fromInside bool) func(*http.Request) bool {
+		return func(r *http.Request) bool { return addrsInZone[r.URL.Host] != fromInside }
 	}
 	var ends []func()
 	for _, a := range s.env.Cloud.Agents() {
-		a.Transport().SetPolicy(s.policyFor(1, crosses(inside[a.Addr()]), network.Drop))
+		a.Transport().SetPolicy(s.policyForShare(1, crossesBoundary(addrsInZone[a.Addr()]), network.Drop))
 		ends = append(ends, func() { a.Transport().SetPolicy(nil) })
 	}
 	for i := range s.nodes {
-		ends = append(ends, s.addPolicy(i, s.policyFor(1, crosses(i == node), network.Drop)))
+		ends = append(ends, s.addPolicy(i, s.policyForShare(1, crossesBoundary(i == node), network.Drop)))
 	}
 	s.nodes[node].peersBlocked.Store(true)
 	s.nodes[node].usersBlocked.Store(true)
 	return func() {
-		inOrder(ends)()
+		callInOrder(ends)()
 		s.nodes[node].peersBlocked.Store(false)
 		s.nodes[node].usersBlocked.Store(false)
 	}
--- a/internal/controller/fault_generator_test.go
+++ b/internal/controller/fault_generator_test.go
@@ -8,31 +8,33 @@
 	"testing"
 )
 
-// combinations is how many generated schedules are played; a long search plays more.
-var combinations = flag.Int("combinations", 24, "generated schedules of faults to play")
+// generatedScheduleCount is the number of generated schedules that the test runs. The default is
+// small; a long search for faults sets a larger one.
+var generatedScheduleCount = flag.Int("combinations", 24, "number of generated fault schedules to run")
 
-// firstSeed is where they begin.
+// firstSeed is the seed of the first generated schedule; the others follow consecutively.
 var firstSeed = flag.Uint64("first-seed", 1, "seed of the first generated schedule")
 
-// generatorSeed draws schedules, apart from what users do in them.
+// generatorSeed is the second part of the seed for drawing schedules. It differs from scheduleSeed, so
+// that schedules and the actions of users in them are drawn independently.
 const generatorSeed = 3
 
-// generatedFaults are the faults that a schedule is drawn from, with their usual durations;
-// those that are there twice come more often.
-var generatedFaults = []fault{
+// faultTemplates are the faults that schedules are drawn from, with the durations that are scaled
+// randomly. Faults that are listed twice are drawn more often.
+var faultTemplates = []fault{
 	{kind: cloudDown, duration: 40},
 	{kind: noCapacity, duration: 60},
 	{kind: storeDown, duration: 45},
 	{kind: storeRefuses, duration: 20},
-	{kind: storeSilent, duration: 15},
+	{kind: storeUnresponsive, duration: 15},
 	{kind: storeSlow, duration: 30, share: 0.3},
-	{kind: lateWrites, target: allNodes, duration: 40, share: 0.3},
+	{kind: lateTransactions, target: allNodes, duration: 40, share: 0.3},
 	{kind: lostResponses, target: allNodes, duration: 40, share: 0.3},
 	{kind: lateCommands, target: allNodes, duration: 30, share: 0.3},
-	{kind: agentsSilent, duration: 20},
-	{kind: noPeers, duration: 30},
-	{kind: noPeers, target: allNodes, duration: 30},
-	{kind: agentsAndUsersOnly, duration: 40},
+	{kind: agentsUnreachable, duration: 20},
+	{kind: peersUnreachable, duration: 30},
+	{kind: peersUnreachable, target: allNodes, duration: 30},
+	{kind: storeAndPeersUnreachable, duration: 40},
 	{kind: killController, duration: 0.3},
 	{kind: killController, duration: 6},
 	{kind: killController, target: allNodes, duration: 0.5},
@@ -51,7 +53,7 @@
 	{kind: cancelAsMachinesHang, target: 3, duration: 7},
 	{kind: raceCompletion, duration: 40, share: 0.4},
 	{kind: queryAllControllers, duration: 40},
-	{kind: oddRequests, duration: 30},
+	{kind: unusualRequests, duration: 30},
 	{kind: copyHeartbeats, duration: 40, share: 0.3},
 	{kind: copyHeartbeatsLate, duration: 40, share: 0.3},
 	{kind: submitJobs, target: 6},
@@ -62,11 +64,11 @@
 	{kind: lowerLimits},
 }
 
-// Generated schedules of faults: a seed that breaks a rule prints its schedule, so that
-// it can become a row of TestFaultCombinations.
+// No rule may be broken under randomly generated schedules of faults. A failing seed prints its
+// schedule, which can then be added to TestFaultCombinations.
 func TestGeneratedFaultSchedules(t *testing.T) {
 	t.Parallel()
-	for seed := *firstSeed; seed < *firstSeed+uint64(*combinations); seed++ {
+	for seed := *firstSeed; seed < *firstSeed+uint64(*generatedScheduleCount); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			faults := generateSchedule(seed)
@@ -77,7 +79,7 @@
 	}
 }
 
-// logScheduleOnFailure prints a schedule if its test fails.
+// logScheduleOnFailure logs a schedule when the test ends, if it has failed.
 func logScheduleOnFailure(t *testing.T, seed uint64, faults []fault) {
 	t.Helper()
 	t.Cleanup(func() {
@@ -87,15 +89,15 @@
 	})
 }
 
-// generateSchedule is the schedule of faults that follows from a seed.
+// generateSchedule draws a schedule of 7 to 12 faults. The same seed gives the same schedule.
 func generateSchedule(seed uint64) []fault {
 	rng := rand.New(rand.NewPCG(seed, generatorSeed))
 	var faults []fault
 	for range 7 + rng.IntN(6) {
-		f := generatedFaults[rng.IntN(len(generatedFaults))]
+		f := faultTemplates[rng.IntN(len(faultTemplates))]
 		f.at = float64(rng.IntN(600)) / 10
 		f.duration *= 0.4 + 0.8*rng.Float64()
-		if f.hitsOneController() && f.target != allNodes {
+		if f.targetsOneController() && f.target != allNodes {
 			f.target = drawController(rng)
 		}
 		faults = append(faults, f)
@@ -104,19 +106,19 @@
 	return faults
 }
 
-// hitsOneController tells whether a fault's target is a controller.
-func (f fault) hitsOneController() bool {
+// targetsOneController reports whether a fault has one controller as its target.
+func (f fault) targetsOneController() bool {
 	switch f.kind {
-	case storeRefuses, storeSilent, storeSlow, agentsSilent, noPeers, agentsAndUsersOnly, killController:
+	case storeRefuses, storeUnresponsive, storeSlow, agentsUnreachable, peersUnreachable, storeAndPeersUnreachable, killController:
 		return true
 	}
 	return false
 }
 
-// drawController is the leader or one of three controllers.
+// drawController draws leaderNode or the index of one of three controllers.
 func drawController(rng *rand.Rand) int { return rng.IntN(4) + leaderNode }
 
-// sortByTime puts faults in the order in which they begin.
+// sortByTime sorts faults by the time at which they begin.
 func sortByTime(faults []fault) {
 	slices.SortStableFunc(faults, func(x, y fault) int { return compareTimes(x.at, y.at) })
 }
--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -12,82 +12,87 @@
 	"eiderhitch/internal/wire"
 )
 
-// scheduleRun is a cluster at work, to which the faults of a schedule happen.
+// scheduleRun runs a schedule of faults against a cluster that executes jobs.
 type scheduleRun struct {
 	*cluster
-	seed       uint64
-	rng        *rand.Rand
-	policies   []map[int]network.Policy // by controller, of the faults that last
-	lastPolicy int
-	// scarce: there are too few machines for all jobs.
-	scarce          bool
-	savedHeartbeats map[string][]byte // by machine
-
-	// These are shared by users; cluster.mu guards them.
-	ids            []string // of the jobs that were submitted, accepted or not
-	submissions    map[string]*submission
-	completionSeen map[string]bool
-	cancelled      map[string]bool // somebody asked for it
+	seed         uint64
+	rng          *rand.Rand
+	policies     []map[int]network.Policy // policies of the active faults by ID, for each controller; guarded by cluster.mu
+	lastPolicyID int
+	// insufficientCapacity says that the cloud has too few machines to run all jobs at a time.
+	insufficientCapacity bool
+	savedHeartbeats      map[string][]byte // encoded heartbeats by machine
+
+	// The goroutines of users share the following fields and rng. cluster.mu guards them.
+	submittedIDs       []string // IDs of all submitted jobs in order, accepted or not
+	submissions        map[string]*submission
+	handledCompletions map[string]bool // jobs for which raceCompletion has sent its requests
+	cancelled          map[string]bool // jobs that a user has asked to cancel
 }
 
-// The limits that the key-value store has once they have been lowered.
+// The limits of the key-value store after lowerLimits.
 const (
 	loweredValueBytes = 1 << 10
 	loweredTxnChanges = 8
 )
 
 const (
-	// scheduleSeed draws what users do, apart from what generates a schedule.
+	// scheduleSeed is the second part of the seed for the actions of users. It differs from
+	// generatorSeed, so that they are drawn independently of the schedule.
 	scheduleSeed = 11
-	// minRequestDelay and requestDelayJitter are by how much late requests are late.
+	// minRequestDelay is the minimum delay of late requests, and requestDelayJitter the largest
+	// random delay in addition.
 	minRequestDelay    = 2 * time.Second
 	requestDelayJitter = 10 * time.Second
-	// maxRecovery is in what time all controllers answer again once all faults are over.
-	maxRecovery = 75 * time.Second
+	// maxRecoveryTime is how long after the last fault users may have to wait for a response.
+	maxRecoveryTime = 75 * time.Second
 )
 
-// capacities are how many machines the cloud has, by seed: enough, and too few.
-var capacities = []int{20, 8, 5}
+// cloudCapacities are the numbers of machines that the cloud has, chosen by the seed. Only the first
+// one is enough for all jobs.
+var cloudCapacities = []int{20, 8, 5}
 
-// runFaults has the faults of a schedule happen to a cluster at work, and waits until all
-// that was accepted is done, runs or is cancelled. Whatever happens is checked from outside.
+// runFaults runs a schedule of faults against a new cluster that executes random jobs. It then waits
+// until all accepted jobs are done or cancelled, or run completely as services. The rule checker
+// verifies the recorded events.
 func runFaults(t *testing.T, seed uint64, jobs int, faults []fault) {
 	runCluster(t, func(c *cluster) { c.runSchedule(seed, jobs, faults) })
 }
 
-// runSchedule is runFaults in a cluster that has been set up.
+// runSchedule is like runFaults, but runs the schedule against c.
 func (c *cluster) runSchedule(seed uint64, jobs int, faults []fault) {
 	s := newScheduleRun(c, seed)
 	if slices.ContainsFunc(faults, func(f fault) bool { return f.kind == lowerLimits }) {
 		c.announceLimits(loweredValueBytes, loweredTxnChanges)
 	}
-	size := int(seed % uint64(len(capacities)))
-	s.scarce = size > 0
-	c.env.Cloud.SetCapacity(capacities[size])
+	capacityIndex := int(seed % uint64(len(cloudCapacities)))
+	s.insufficientCapacity = capacityIndex > 0
+	c.env.Cloud.SetCapacity(cloudCapacities[capacityIndex])
 	for range jobs {
 		s.submitRandomJob()
 		time.Sleep(time.Millisecond)
 	}
-	c.await("work runs", time.Minute, func() bool { return c.env.Starts() > jobs })
+	c.await("the first tasks run", time.Minute, func() bool { return c.env.Starts() > jobs })
 	s.injectAll(faults)
 	c.env.SetSettled()
-	s.settle()
+	s.awaitSettled()
 }
 
-// newScheduleRun has the requests of all controllers pass the faults that last.
+// newScheduleRun returns a run whose active faults apply to the requests of all controllers.
 func newScheduleRun(c *cluster, seed uint64) *scheduleRun {
 	s := &scheduleRun{cluster: c, seed: seed, rng: rand.New(rand.NewPCG(seed, scheduleSeed)), submissions: map[string]*submission{},
-		completionSeen: map[string]bool{}, cancelled: map[string]bool{}, savedHeartbeats: map[string][]byte{}}
+		handledCompletions: map[string]bool{}, cancelled: map[string]bool{}, savedHeartbeats: map[string][]byte{}}
 	for i, n := range c.nodes {
 		s.policies = append(s.policies, map[int]network.Policy{})
 		n.transport.SetDelay(minRequestDelay, requestDelayJitter)
-		n.transport.SetPolicy(func(r *http.Request) network.Fault { return s.decide(i, r) })
+		n.transport.SetPolicy(func(r *http.Request) network.Fault { return s.chooseFault(i, r) })
 	}
 	return s
 }
 
-// decide is what the faults that last do to a controller's request; the oldest goes first.
-func (s *scheduleRun) decide(node int, r *http.Request) network.Fault {
+// chooseFault returns the network fault for a controller's request: that of the oldest active policy
+// which doesn't deliver the request.
+func (s *scheduleRun) chooseFault(node int, r *http.Request) network.Fault {
 	s.mu.Lock()
 	var policies []network.Policy
 	for _, id := range slices.Sorted(maps.Keys(s.policies[node])) {
@@ -95,51 +100,52 @@
 	}
 	s.mu.Unlock()
 	for _, policy := range policies {
-		if happens := policy(r); happens != network.Deliver {
-			return happens
+		if networkFault := policy(r); networkFault != network.Deliver {
+			return networkFault
 		}
 	}
 	return network.Deliver
 }
 
-// lastingFault is a fault that has begun.
-type lastingFault struct {
-	endsAt float64
+// activeFault is a fault that has begun and not yet ended.
+type activeFault struct {
+	endsAt float64 // seconds since the start of the schedule
 	end    func()
 }
 
-// compareTimes orders times of a schedule, to the millisecond.
+// compareTimes compares times of a schedule with a resolution of a millisecond.
 func compareTimes(x, y float64) int { return int(1000 * (x - y)) }
 
-// injectAll has faults begin and end at their times.
+// injectAll starts and ends the faults of a schedule at their times. It returns after the last end.
 func (s *scheduleRun) injectAll(faults []fault) {
-	begun := time.Now()
+	startedAt := time.Now()
 	sleepUntil := func(at float64) {
-		time.Sleep(time.Until(begun.Add(time.Duration(at * float64(time.Second)))))
+		time.Sleep(time.Until(startedAt.Add(time.Duration(at * float64(time.Second)))))
 	}
-	var lasting []lastingFault
+	var active []activeFault
 	for _, f := range faults {
-		lasting = endUntil(f.at, lasting, sleepUntil)
+		active = endFaultsUntil(f.at, active, sleepUntil)
 		sleepUntil(f.at)
-		lasting = append(lasting, lastingFault{f.at + f.duration, s.inject(f)})
+		active = append(active, activeFault{f.at + f.duration, s.inject(f)})
 	}
 	const forever = 1e9
-	endUntil(forever, lasting, sleepUntil)
+	endFaultsUntil(forever, active, sleepUntil)
 }
 
-// endUntil ends faults, each at its time, up to a time, and returns those that still last.
-func endUntil(at float64, lasting []lastingFault, sleepUntil func(float64)) []lastingFault {
-	slices.SortStableFunc(lasting, func(x, y lastingFault) int { return compareTimes(x.endsAt, y.endsAt) })
-	for len(lasting) > 0 && lasting[0].endsAt <= at {
-		sleepUntil(lasting[0].endsAt)
-		lasting[0].end()
-		lasting = lasting[1:]
+// endFaultsUntil ends the faults whose end is not after the given time, each at its own time. It
+// returns the faults that are still active.
+func endFaultsUntil(at float64, active []activeFault, sleepUntil func(float64)) []activeFault {
+	slices.SortStableFunc(active, func(x, y activeFault) int { return compareTimes(x.endsAt, y.endsAt) })
+	for len(active) > 0 && active[0].endsAt <= at {
+		sleepUntil(active[0].endsAt)
+		active[0].end()
+		active = active[1:]
 	}
-	return lasting
+	return active
 }
 
-// announceLimits has the controllers start anew with settings that name lower limits to
-// come.
+// announceLimits restarts the controllers with settings that announce lower limits of the key-value
+// store.
 func (c *cluster) announceLimits(valueBytes, txnChanges int) {
 	for i := range c.nodes {
 		c.kill(i)
@@ -150,53 +156,53 @@
 	}
 }
 
-// settle waits until all is as it should be once the faults are over.
-func (s *scheduleRun) settle() {
+// awaitSettled waits until all jobs are finished or run as services after the last fault.
+func (s *scheduleRun) awaitSettled() {
 	s.t.Helper()
 	s.queryAllUntil.Store(nil)
 	time.Sleep(5 * time.Second)
 	s.mu.Lock()
-	ids := slices.Clone(s.ids)
+	ids := slices.Clone(s.submittedIDs)
 	s.mu.Unlock()
-	s.checkAnswered(ids)
-	if s.scarce { // services would keep all machines from the rest for good
+	s.checkQueriesAnswered(ids)
+	if s.insufficientCapacity { // otherwise services could occupy all machines, and the other jobs would never run
 		time.Sleep(2 * time.Minute)
 		s.cancelServices(ids)
 	}
 	for _, id := range ids {
-		s.await(id+" is finished, or runs as a service", 8*time.Minute, func() bool { return s.isSettled(id) })
+		s.await(id+" is finished, or runs completely as a service", 8*time.Minute, func() bool { return s.isSettled(id) })
 	}
-	time.Sleep(s.nodes[0].maxStaleness() + 15*time.Second) // what was cancelled must be gone
+	time.Sleep(s.nodes[0].maxStaleness() + 15*time.Second) // by then the tasks of cancelled jobs must have ended
 }
 
-// checkAnswered checks that queries of all jobs are answered.
-func (s *scheduleRun) checkAnswered(ids []string) {
+// checkQueriesAnswered checks that queries of all jobs are answered within maxRecoveryTime.
+func (s *scheduleRun) checkQueriesAnswered(ids []string) {
 	s.t.Helper()
-	settledAt := time.Now()
+	startedAt := time.Now()
 	for _, id := range ids {
-		answer := s.sendWithRetries(queryRequest(id), maxRecovery)
-		if answer.status != http.StatusOK && answer.status != http.StatusNotFound {
-			s.t.Errorf("seed %d: %s is not answered for %v after the faults", s.seed, id, time.Since(settledAt))
+		response := s.sendWithRetries(queryRequest(id), maxRecoveryTime)
+		if response.status != http.StatusOK && response.status != http.StatusNotFound {
+			s.t.Errorf("seed %d: a query of %s was not answered within %v after the last fault", s.seed, id, time.Since(startedAt))
 		}
 	}
 }
 
-// cancelServices cancels the services that nobody has cancelled.
+// cancelServices cancels the services that no user has cancelled.
 func (s *scheduleRun) cancelServices(ids []string) {
 	for _, id := range ids {
-		if s.submitted(id).Kind == wire.KindService && !s.wasCancelled(id) {
-			s.persistentlyCancel(id)
+		if s.submissionOf(id).Kind == wire.KindService && !s.wasCancelled(id) {
+			s.cancelWithRetries(id)
 		}
 	}
 }
 
-// isSettled tells whether a job is finished or was never accepted, or is a service that runs
-// whole.
+// isSettled reports whether a job is finished, is unknown because it was never accepted, or is a
+// service all of whose tasks run.
 func (s *scheduleRun) isSettled(id string) bool {
-	answer := s.sendWithRetries(queryRequest(id), maxRecovery)
-	if answer.status == http.StatusNotFound || answer.state == wire.StateDone || answer.state == wire.StateCancelled {
+	response := s.sendWithRetries(queryRequest(id), maxRecoveryTime)
+	if response.status == http.StatusNotFound || response.state == wire.StateDone || response.state == wire.StateCancelled {
 		return true
 	}
-	job := s.submitted(id)
+	job := s.submissionOf(id)
 	return job.Kind == wire.KindService && s.env.Running(id) == job.Tasks
 }
--- a/internal/controller/fault_user_effects_test.go
+++ b/internal/controller/fault_user_effects_test.go
@@ -9,17 +9,17 @@
 	"eiderhitch/internal/wire"
 )
 
-// How often users do what they do while a fault lasts.
+// The intervals at which users act while a fault is active.
 const (
 	completionCheckInterval = 20 * time.Millisecond
-	oddRequestInterval      = 700 * time.Millisecond
+	unusualRequestInterval  = 700 * time.Millisecond
 	oneTaskJobInterval      = 250 * time.Millisecond
 )
 
-// lasting is for how long a fault lasts.
-func (f fault) lasting() time.Duration { return time.Duration(f.duration * float64(time.Second)) }
+// activeTime returns how long a fault is active.
+func (f fault) activeTime() time.Duration { return time.Duration(f.duration * float64(time.Second)) }
 
-// cancelSomeJobs cancels jobs that are drawn.
+// cancelSomeJobs cancels as many random jobs as the target says.
 func (s *scheduleRun) cancelSomeJobs(f fault) func() {
 	ids := s.uncancelledJobs()
 	s.mu.Lock()
@@ -29,36 +29,37 @@
 	return doNothing
 }
 
-// cancelAsMachinesHang cancels the oldest jobs while machines hang.
+// cancelAsMachinesHang makes the busiest machines hang and cancels the oldest jobs meanwhile.
 func (s *scheduleRun) cancelAsMachinesHang(f fault) func() {
-	const hanging = 8
+	const hangingMachines = 8
 	ids := s.uncancelledJobs()
-	end := s.setOnBusiest(hanging, (*agent.Agent).SetHanging)
+	end := s.setOnBusiestMachines(hangingMachines, (*agent.Agent).SetHanging)
 	s.cancelAll(ids[:min(f.target, len(ids))])
 	return end
 }
 
-// cancelAll cancels jobs in the background.
+// cancelAll cancels jobs, each in a goroutine of its own.
 func (s *scheduleRun) cancelAll(ids []string) {
 	for _, id := range ids {
-		go s.persistentlyCancel(id)
+		go s.cancelWithRetries(id)
 	}
 }
 
-// persistentlyCancel cancels a job until there is a final answer.
-func (s *scheduleRun) persistentlyCancel(id string) {
+// cancelWithRetries requests the cancellation of a job until there is a final response, for at most
+// five minutes.
+func (s *scheduleRun) cancelWithRetries(id string) {
 	s.mu.Lock()
 	s.cancelled[id] = true
 	s.mu.Unlock()
 	s.sendWithRetries(cancelRequest(id), 5*time.Minute)
 }
 
-// uncancelledJobs are the jobs that nobody has cancelled, oldest first.
+// uncancelledJobs returns the jobs that no user has asked to cancel, oldest first.
 func (s *scheduleRun) uncancelledJobs() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
-	for _, id := range s.ids {
+	for _, id := range s.submittedIDs {
 		if !s.cancelled[id] {
 			out = append(out, id)
 		}
@@ -66,32 +67,32 @@
 	return out
 }
 
-// wasCancelled tells whether somebody asked to cancel a job.
+// wasCancelled reports whether a user has asked to cancel a job.
 func (s *scheduleRun) wasCancelled(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cancelled[id]
 }
 
-// submitted is what was submitted of a job.
-func (s *scheduleRun) submitted(id string) *submission {
+// submissionOf returns the submission of a job, or nil if there was none.
+func (s *scheduleRun) submissionOf(id string) *submission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.submissions[id]
 }
 
-// queryAllControllers has users ask all controllers as soon as one has answered.
+// queryAllControllers makes users query all controllers after each successful change.
 func (s *scheduleRun) queryAllControllers(f fault) func() {
-	until := time.Now().Add(f.lasting())
-	s.queryAllUntil.Store(&until)
+	queryUntil := time.Now().Add(f.activeTime())
+	s.queryAllUntil.Store(&queryUntil)
 	return doNothing
 }
 
-// raceCompletion has queries, a repeated submission and, for a share of jobs, a cancellation
-// come with the end of the last task.
+// raceCompletion sends requests about each job just as its last task ends: queries to all controllers,
+// a repeated submission and, for a share of the jobs, a cancellation.
 func (s *scheduleRun) raceCompletion(f fault) func() {
 	go func() {
-		for until := time.Now().Add(f.lasting()); time.Now().Before(until); time.Sleep(completionCheckInterval) {
+		for deadline := time.Now().Add(f.activeTime()); time.Now().Before(deadline); time.Sleep(completionCheckInterval) {
 			for _, id := range s.uncancelledJobs() {
 				s.raceCompletionOf(id, f.share)
 			}
@@ -100,13 +101,13 @@
 	return doNothing
 }
 
-// raceCompletionOf does so for one job, if its last task has just ended.
+// raceCompletionOf sends these requests for one job, if its last task has just ended.
 func (s *scheduleRun) raceCompletionOf(id string, share float64) {
-	job := s.submitted(id)
+	job := s.submissionOf(id)
 	s.mu.Lock()
-	justEnded := !s.completionSeen[id] && s.env.Completed(id) >= job.Tasks
+	justEnded := !s.handledCompletions[id] && s.env.Completed(id) >= job.Tasks
 	if justEnded {
-		s.completionSeen[id] = true
+		s.handledCompletions[id] = true
 	}
 	cancelled := s.rng.Float64() < share
 	s.mu.Unlock()
@@ -118,60 +119,61 @@
 	}
 	go s.sendRequest(0, submitRequest(job, nil))
 	if cancelled {
-		go s.persistentlyCancel(id)
+		go s.cancelWithRetries(id)
 	}
 }
 
-// sendOddRequests sends requests that are repeated, late or wrong.
-func (s *scheduleRun) sendOddRequests(f fault) func() {
+// sendUnusualRequests repeats submissions, queries unknown jobs and submits invalid jobs at random.
+func (s *scheduleRun) sendUnusualRequests(f fault) func() {
 	go func() {
 		number := 0
-		for until := time.Now().Add(f.lasting()); time.Now().Before(until); time.Sleep(oddRequestInterval) {
+		for deadline := time.Now().Add(f.activeTime()); time.Now().Before(deadline); time.Sleep(unusualRequestInterval) {
 			number++
-			s.sendOddRequest(number)
+			s.sendUnusualRequest(number)
 		}
 	}()
 	return doNothing
 }
 
-// sendOddRequest sends one of a drawn kind.
-func (s *scheduleRun) sendOddRequest(number int) {
+// sendUnusualRequest sends one request of a random kind. The number distinguishes its job from others.
+func (s *scheduleRun) sendUnusualRequest(number int) {
 	s.mu.Lock()
 	kind := s.rng.IntN(4)
 	known := ""
-	if len(s.ids) > 0 {
-		known = s.ids[s.rng.IntN(len(s.ids))]
+	if len(s.submittedIDs) > 0 {
+		known = s.submittedIDs[s.rng.IntN(len(s.submittedIDs))]
 	}
 	s.mu.Unlock()
 	node := (number - 1) % len(s.nodes)
-	wrong := newSubmission(submission{ID: fmt.Sprintf("wk-9%05d", number), Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 1, CPUs: 1, EstimateS: 1})
+	invalid := newSubmission(submission{ID: fmt.Sprintf("wk-9%05d", number), Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 1, CPUs: 1, EstimateS: 1})
 	switch kind {
 	case 0:
 		if known != "" {
-			s.sendRequest(node, submitRequest(s.submitted(known), nil))
+			s.sendRequest(node, submitRequest(s.submissionOf(known), nil))
 		}
 	case 1:
 		s.sendRequest(node, queryRequest(fmt.Sprintf("wk-8%05d", number)))
 	case 2:
-		wrong.CPUs = 64
-		s.expectRefused(node, wrong, http.StatusUnprocessableEntity)
+		invalid.CPUs = 64
+		s.checkRefused(node, invalid, http.StatusUnprocessableEntity)
 	case 3:
-		wrong.omittedField = "reckonS"
-		s.expectRefused(node, wrong, http.StatusBadRequest)
+		invalid.omittedField = "reckonS"
+		s.checkRefused(node, invalid, http.StatusBadRequest)
 	}
 }
 
-// expectRefused submits a wrong job twice, which must be refused with a status if there is
-// an answer.
-func (s *scheduleRun) expectRefused(node int, wrong *submission, want int) {
+// checkRefused submits an invalid job twice. Each response, if there is one, must have the wanted
+// status; a controller may also be unavailable.
+func (s *scheduleRun) checkRefused(node int, invalid *submission, want int) {
 	for range 2 {
-		answer := s.sendRequest(node, submitRequest(wrong, nil))
-		if answer.status != want && answer.status != http.StatusServiceUnavailable && answer.status != 0 {
-			s.t.Errorf("seed %d: odd request %+v: status %d, want %d", s.seed, *wrong, answer.status, want)
+		response := s.sendRequest(node, submitRequest(invalid, nil))
+		if response.status != want && response.status != http.StatusServiceUnavailable && response.status != 0 {
+			s.t.Errorf("seed %d: submission of the invalid job %+v: status %d, want %d", s.seed, *invalid, response.status, want)
 		}
 	}
 }
 
+// submitJobs submits as many random jobs as the target says.
 func (s *scheduleRun) submitJobs(f fault) func() {
 	for range f.target {
 		s.submitRandomJob()
@@ -179,7 +181,7 @@
 	return doNothing
 }
 
-// submitGangs submits gangs of several sizes, all at once and of one priority.
+// submitGangs submits gangs of several sizes at once, all of the same priority.
 func (s *scheduleRun) submitGangs(f fault) func() {
 	for n := range f.target {
 		gang := gangSubmission("", "blue", "normal", 3+n%3, 8)
@@ -195,24 +197,24 @@
 	return doNothing
 }
 
-// submitOneTaskJobs submits small jobs at a steady rate, and cancels a quarter of them.
+// submitOneTaskJobs submits one-task jobs at a steady rate and cancels a quarter of them.
 func (s *scheduleRun) submitOneTaskJobs(f fault) func() {
 	const cancelledShare = 0.25
 	go func() {
-		for until := time.Now().Add(f.lasting()); time.Now().Before(until); time.Sleep(oneTaskJobInterval) {
+		for deadline := time.Now().Add(f.activeTime()); time.Now().Before(deadline); time.Sleep(oneTaskJobInterval) {
 			id := s.submitAsync(newSubmission(submission{Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 1, CPUs: 1, EstimateS: 2}))
 			s.mu.Lock()
 			cancelled := s.rng.Float64() < cancelledShare
 			s.mu.Unlock()
 			if cancelled {
-				go s.persistentlyCancel(id)
+				go s.cancelWithRetries(id)
 			}
 		}
 	}()
 	return doNothing
 }
 
-// submitRandomJob submits a job of a drawn kind.
+// submitRandomJob submits a job of a random kind in the background.
 func (s *scheduleRun) submitRandomJob() {
 	s.mu.Lock()
 	kind := s.rng.IntN(8)
@@ -238,12 +240,12 @@
 	s.submitAsync(job)
 }
 
-// submitAsync gives a job an ID and submits it in the background.
+// submitAsync assigns an ID to a job and submits it in the background.
 func (s *scheduleRun) submitAsync(job *submission) (id string) {
 	s.mu.Lock()
-	id = fmt.Sprintf("wk-%d", len(s.ids)+1)
+	id = fmt.Sprintf("wk-%d", len(s.submittedIDs)+1)
 	job.ID = id
-	s.ids = append(s.ids, id)
+	s.submittedIDs = append(s.submittedIDs, id)
 	s.submissions[id] = job
 	s.mu.Unlock()
 	go s.trySubmit(job)
--- a/internal/controller/processes_test.go
+++ b/internal/controller/processes_test.go
@@ -23,23 +23,25 @@
 	"eiderhitch/internal/wire"
 )
 
-// oldVersion is a commit of the repository's history whose build shares a cluster with the
-// present one. Real processes on real time: run by hand, see docs/design.md.
-var oldVersion = flag.String("old-version", "", "commit whose processes share a cluster with today's")
+// oldVersion is a commit of this repository whose build runs in a cluster with the current one. The
+// tests with an old version run real processes in real time. They are started by hand; see
+// docs/design.md.
+var oldVersion = flag.String("old-version", "", "commit whose build runs in a cluster with the current one")
 
-// processes is a cluster of real processes on loopback, in a simulated environment.
-type processes struct {
+// processCluster is a cluster of three real controller processes on the loopback interface, in a
+// simulated environment and on real time.
+type processCluster struct {
 	*cluster
-	dir       string
-	running   []*exec.Cmd
-	used      []time.Duration // processor time of those that have ended, by controller
+	dir       string          // holds the settings files
+	commands  []*exec.Cmd     // running processes by controller; nil: none
+	cpuTime   []time.Duration // CPU time of the ended processes, by controller
 	mu        sync.Mutex
-	listeners map[string]net.Listener
-	logs      *os.File
+	listeners map[string]net.Listener // by address; guarded by mu
+	logFile   *os.File
 }
 
-// settingsFile is a controller's settings as the platform hands them over.
-const settingsFile = `node_name = %q
+// settingsTemplate is the format of the settings file that the platform passes to a controller.
+const settingsTemplate = `node_name = %q
 location = "a"
 api_addr = %q
 mesh_addr = %q
@@ -95,27 +97,29 @@
 max_sockets = 600
 `
 
-// listen is an address on loopback with a listener that waits for its handler.
-func (p *processes) listen() string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// newListenAddr opens a listener on the loopback interface and returns its address. Connections wait
+// until a handler serves the listener.
+func (p *processCluster) newListenAddr() string {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.listeners[l.Addr().String()] = l
-	return l.Addr().String()
+	p.listeners[listener.Addr().String()] = listener
+	return listener.Addr().String()
 }
 
-// free is an address on loopback that a process may take.
-func (p *processes) free() string {
-	addr := p.listen()
+// unusedAddr returns an address on the loopback interface on which a process can listen.
+func (p *processCluster) unusedAddr() string {
+	addr := p.newListenAddr()
 	_ = p.listeners[addr].Close()
 	return addr
 }
 
-// build makes the program of a commit, or of the sources as they are.
-func build(t *testing.T, commit, out string) {
+// buildController builds the program of a commit, or of the working tree if commit is empty, and
+// writes it to out.
+func buildController(t *testing.T, commit, out string) {
 	t.Helper()
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -142,38 +146,39 @@
 	}
 }
 
-// newProcesses sets the environment up; no controller runs yet.
-func newProcesses(t *testing.T) *processes {
+// newProcessCluster sets up the environment and the settings files. It starts no controller. The
+// controllers log to one file in the directory for temporary files.
+func newProcessCluster(t *testing.T) *processCluster {
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	dir := t.TempDir()
-	p := &processes{cluster: &cluster{t: t, ctx: ctx}, dir: dir, listeners: map[string]net.Listener{}, running: make([]*exec.Cmd, 3), used: make([]time.Duration, 3)}
+	p := &processCluster{cluster: &cluster{t: t, ctx: ctx}, dir: dir, listeners: map[string]net.Listener{}, commands: make([]*exec.Cmd, 3), cpuTime: make([]time.Duration, 3)}
 	logs, err := os.Create(filepath.Join(os.TempDir(), "eiderhitch-processes.log"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.logs = logs
+	p.logFile = logs
 	names := []string{"n0", "n1", "n2"}
-	addrs, mesh := make([]string, 3), make([]string, 3)
+	addrs, peerAddrs := make([]string, 3), make([]string, 3)
 	members := make([]agent.Controller, 3)
 	for i, name := range names {
-		addrs[i], mesh[i] = p.free(), p.free()
+		addrs[i], peerAddrs[i] = p.unusedAddr(), p.unusedAddr()
 		members[i] = agent.Controller{Name: name, Addr: addrs[i]}
 	}
 	p.env = simulation.New(ctx, members, testMachineTypes)
 	p.clientTransport = p.env.Network.NewTransport()
-	p.env.Cloud.MachineAddr = func(int) string { return p.listen() }
+	p.env.Cloud.MachineAddr = func(int) string { return p.newListenAddr() }
 	p.env.Network.Listen = func(addr string, h http.Handler) {
 		p.mu.Lock()
-		l := p.listeners[addr]
+		listener := p.listeners[addr]
 		p.mu.Unlock()
-		if l != nil {
-			go func() { _ = http.Serve(l, h) }()
+		if listener != nil {
+			go func() { _ = http.Serve(listener, h) }()
 		}
 	}
-	state, cloud := p.listen(), p.listen()
-	p.env.Network.Listen(state, p.env.Store)
-	p.env.Network.Listen(cloud, p.env.Cloud)
+	storeAddr, cloudAddr := p.newListenAddr(), p.newListenAddr()
+	p.env.Network.Listen(storeAddr, p.env.Store)
+	p.env.Network.Listen(cloudAddr, p.env.Cloud)
 	p.env.SetQuota("red", 24)
 	for i, name := range names {
 		target, _ := url.Parse("http://" + addrs[i])
@@ -184,109 +189,110 @@
 		var siblings strings.Builder
 		for k, other := range names {
 			if k != i {
-				fmt.Fprintf(&siblings, "\n[[siblings]]\nnode_name = %q\nlocation = \"a\"\npeer_addr = %q\n", other, mesh[k])
+				fmt.Fprintf(&siblings, "\n[[siblings]]\nnode_name = %q\nlocation = \"a\"\npeer_addr = %q\n", other, peerAddrs[k])
 			}
 		}
-		text := fmt.Sprintf(settingsFile, name, addrs[i], mesh[i], siblings.String(), cloud, state)
+		text := fmt.Sprintf(settingsTemplate, name, addrs[i], peerAddrs[i], siblings.String(), cloudAddr, storeAddr)
 		if err := os.WriteFile(filepath.Join(dir, name+".toml"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	t.Cleanup(func() {
-		for i := range p.running {
-			p.end(i)
+		for i := range p.commands {
+			p.killProcess(i)
 		}
 	})
 	return p
 }
 
-// settings is the file that the platform hands to a controller.
-func (p *processes) settings(i int) string {
+// settingsPath returns the path of a controller's settings file.
+func (p *processCluster) settingsPath(i int) string {
 	return filepath.Join(p.dir, p.nodes[i].cfg.Name+".toml")
 }
 
-// run starts a controller's process.
-func (p *processes) run(i int, program string, more ...string) {
+// startProcess kills a controller's process, if one runs, and starts program in its place.
+func (p *processCluster) startProcess(i int, program string, arguments ...string) {
 	p.t.Helper()
-	p.end(i)
-	cmd := exec.Command(program, append(more, "--config", p.settings(i))...)
+	p.killProcess(i)
+	cmd := exec.Command(program, append(arguments, "--config", p.settingsPath(i))...)
 	cmd.Env = append(os.Environ(), "LOG_LEVEL=debug")
-	cmd.Stderr = p.logs
+	cmd.Stderr = p.logFile
 	if err := cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	p.running[i] = cmd
+	p.commands[i] = cmd
 }
 
-// end kills a controller's process.
-func (p *processes) end(i int) {
-	if cmd := p.running[i]; cmd != nil {
+// killProcess kills a controller's process, if one runs, and adds its CPU time to cpuTime.
+func (p *processCluster) killProcess(i int) {
+	if cmd := p.commands[i]; cmd != nil {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
-		p.used[i] += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-		p.running[i] = nil
+		p.cpuTime[i] += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+		p.commands[i] = nil
 	}
 }
 
-// Processes of an old and of today's version share a cluster: killed and brought back in
-// turn while there is work, one of them coming back old; then all are new, the state
-// service lowers its limits, and gangs come. No rule is broken, and all gets done.
+// Processes of an old and the current version run in one cluster. They are replaced in turn while
+// there is work, one of them by the old version again. Once all run the current version, the
+// key-value store lowers its limits and gangs are submitted. No rule may be broken, and all jobs must
+// be done or run as services.
 func TestOldProcessesBesideNew(t *testing.T) {
 	if *oldVersion == "" {
-		t.Skip("-old-version COMMIT plays it")
+		t.Skip("needs -old-version COMMIT")
 	}
 	bin := t.TempDir()
-	older, today := filepath.Join(bin, "old"), filepath.Join(bin, "today")
-	build(t, *oldVersion, older)
-	build(t, "", today)
-	p := newProcesses(t)
+	oldBinary, newBinary := filepath.Join(bin, "old"), filepath.Join(bin, "new")
+	buildController(t, *oldVersion, oldBinary)
+	buildController(t, "", newBinary)
+	p := newProcessCluster(t)
 	for i := range p.nodes {
-		p.run(i, older)
+		p.startProcess(i, oldBinary)
 	}
 	jobs := 0
-	next := func() string {
+	nextID := func() string {
 		jobs++
 		return fmt.Sprintf("wk-%d", jobs)
 	}
-	work := func() {
+	submitWork := func() {
 		for _, team := range []string{"red", "blue"} {
-			p.submit(newSubmission(submission{ID: next(), Kind: wire.KindArray, Team: team, Priority: "normal", Tasks: 30, CPUs: 1, EstimateS: 3}))
+			p.submit(newSubmission(submission{ID: nextID(), Kind: wire.KindArray, Team: team, Priority: "normal", Tasks: 30, CPUs: 1, EstimateS: 3}))
 		}
-		p.submit(newSubmission(submission{ID: next(), Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 2}))
+		p.submit(newSubmission(submission{ID: nextID(), Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 2}))
 	}
-	work()
-	p.await("work runs", time.Minute, func() bool { return p.env.Starts() > 10 })
+	submitWork()
+	p.await("the first tasks run", time.Minute, func() bool { return p.env.Starts() > 10 })
 	for _, step := range []struct {
 		node    int
 		program string
-	}{{0, today}, {1, today}, {1, older}, {2, today}, {0, today}, {1, today}} {
-		work()
-		p.end(step.node)
+	}{{0, newBinary}, {1, newBinary}, {1, oldBinary}, {2, newBinary}, {0, newBinary}, {1, newBinary}} {
+		submitWork()
+		p.killProcess(step.node)
 		time.Sleep(time.Second)
-		p.run(step.node, step.program)
+		p.startProcess(step.node, step.program)
 		time.Sleep(9 * time.Second)
 	}
 	p.env.Store.SetLimits(2<<10, 10)
 	for range 3 {
-		b := gangSubmission(next(), "blue", "normal", 6, 8)
-		b.SingleZone = true
-		p.submit(b)
+		gang := gangSubmission(nextID(), "blue", "normal", 6, 8)
+		gang.SingleZone = true
+		p.submit(gang)
 	}
-	p.end(0)
+	p.killProcess(0)
 	time.Sleep(500 * time.Millisecond)
-	p.run(0, today)
+	p.startProcess(0, newBinary)
 	p.env.SetSettled()
 	for n := range jobs {
 		id := fmt.Sprintf("wk-%d", n+1)
-		p.await(id+" is over", 3*time.Minute, func() bool {
+		p.await(id+" is done, or runs completely as a service", 3*time.Minute, func() bool {
 			s := p.jobState(id)
 			return s == wire.StateDone || p.env.Running(id) == 2
 		})
 	}
-	for _, breach := range p.env.Violations() {
-		t.Error(breach)
+	for _, violation := range p.env.Violations() {
+		t.Error(violation)
 	}
 	if n := p.env.Store.Stats().OverLimits; n > 0 {
-		t.Errorf("%d transactions were beyond the limits, want none", n)
+		t.Errorf("%d transactions exceeded the limits of the key-value store, want none", n)
 	}
 }
