--- a/cmd/eiderhitch/run.go
+++ b/cmd/eiderhitch/run.go
@@ -29,13 +29,13 @@
 	if err != nil {
 		return err
 	}
-	platform, err := config.Load(c.Config)
+	platform, err := config.LoadPlatformSettings(c.Config)
 	if err != nil {
 		return err
 	}
-	operator := config.DefaultOperator()
+	operator := config.DefaultOperatorSettings()
 	if c.Settings != "" {
-		if operator, err = config.LoadOperator(c.Settings, platform); err != nil {
+		if operator, err = config.LoadOperatorSettings(c.Settings, platform); err != nil {
 			return err
 		}
 	}
@@ -79,8 +79,8 @@
 }
 
 // limitRuntime has the Go runtime keep to the platform's limits.
-func limitRuntime(platform *config.Platform, log *slog.Logger) {
-	memory := platform.Memory()
+func limitRuntime(platform *config.PlatformSettings, log *slog.Logger) {
+	memory := platform.MemoryBudget()
 	debug.SetGCPercent(memory.GCPercent)
 	debug.SetMemoryLimit(memory.LimitBytes)
 	// More threads than there are cores in the share only wake each other up.
@@ -88,5 +88,5 @@
 		runtime.GOMAXPROCS(n)
 	}
 	log.Info("limits", "node", platform.Name, "memory_limit_mb", memory.LimitBytes>>20, "garbage_percent", memory.GCPercent,
-		"connections", platform.Connections(), "direct_commands", platform.DirectCommands(), "procs", runtime.GOMAXPROCS(0))
+		"connections", platform.MaxConnections(), "direct_commands", platform.MaxDirectCommands(), "procs", runtime.GOMAXPROCS(0))
 }
--- a/cmd/eiderhitch/upgrade.go
+++ b/cmd/eiderhitch/upgrade.go
@@ -72,7 +72,7 @@
 
 // operator returns an operator of the cluster that the settings describe.
 func (c *clusterFlags) operator(retryUntil time.Time) (*rollout.OperatorClient, error) {
-	platform, err := config.Load(c.Config)
+	platform, err := config.LoadPlatformSettings(c.Config)
 	if err != nil {
 		return nil, err
 	}
@@ -80,8 +80,8 @@
 	transport := &http.Transport{DisableCompression: true}
 	return &rollout.OperatorClient{
 		Store:          store.NewClient(platform.External.Store, transport),
-		Members:        platform.Nodes(),
-		PartitionCount: platform.Settings.Count,
+		Members:        platform.ControllerNames(),
+		PartitionCount: platform.Settings.ControllerCount,
 		MaxTxnChanges:  platform.Settings.Store.TxnOps,
 		RetryDeadline:  retryUntil,
 	}, nil
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -171,7 +171,7 @@
 // Config holds the settings of an Autoscaler. They do not change after New.
 type Config struct {
 	config.CloudSettings
-	Operator *config.Operator
+	Operator *config.OperatorSettings
 	// TombstoneKeyPrefix is the prefix of the keys of tombstones. MachineTypesKey is the key
 	// of the stored machine types.
 	TombstoneKeyPrefix, MachineTypesKey string
--- a/internal/autoscaler/drain.go
+++ b/internal/autoscaler/drain.go
@@ -46,7 +46,7 @@
 // is longer for a cheaper spot instance. The total cost is then at most twice that of a decision
 // with knowledge of future demand.
 func (a *Autoscaler) idleTimeout(machineType *wire.MachineType, spot bool) time.Duration {
-	seconds := machineType.BootS * a.Operator.IdleBoots
+	seconds := machineType.BootS * a.Operator.IdleTimeoutFactor
 	if spot && machineType.SpotPrice > 0 {
 		seconds *= max(machineType.Price/machineType.SpotPrice, 1)
 	}
--- a/internal/autoscaler/fake_cluster_test.go
+++ b/internal/autoscaler/fake_cluster_test.go
@@ -117,7 +117,7 @@
 func (c *fakeCluster) newAutoscaler(t *testing.T) *Autoscaler {
 	t.Helper()
 	a := New(Config{
-		CloudSettings: config.CloudSettings{RPS: 6, ListLagS: 3}, Operator: config.DefaultOperator(),
+		CloudSettings: config.CloudSettings{RPS: 6, ListLagS: 3}, Operator: config.DefaultOperatorSettings(),
 		TombstoneKeyPrefix: "e/gone/", MachineTypesKey: "e/types", MaxValueBytes: 8 << 10, MaxTransactionChanges: 32, LoanPartition: loanPartition,
 		HeartbeatTimeout: time.Second, MaxUnreachableWorkDuration: time.Minute, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	}, Services{Cloud: &c.cloud, Machines: c, Cluster: c, Writer: c, Loop: c})
--- a/internal/autoscaler/launch.go
+++ b/internal/autoscaler/launch.go
@@ -126,7 +126,7 @@
 	var offers []planning.PricedOffer
 	for _, spot := range []bool{false, true} {
 		offer := planning.Offer{Type: machineType.Name, Zone: zone, Spot: spot}
-		if spot && !a.Operator.Spot || a.Loop.Now().Before(a.term.backoffUntil[offer]) {
+		if spot && !a.Operator.AllowSpot || a.Loop.Now().Before(a.term.backoffUntil[offer]) {
 			continue
 		}
 		price := machineType.Price
--- a/internal/autoscaler/lost_machines.go
+++ b/internal/autoscaler/lost_machines.go
@@ -24,7 +24,7 @@
 // bootTimeout returns the time within which a machine of a type must come up. After that it is
 // terminated.
 func (a *Autoscaler) bootTimeout(machineType *wire.MachineType) time.Duration {
-	return config.Seconds(a.Operator.BootPatience*machineType.BootS + bootMarginS)
+	return config.Seconds(a.Operator.BootTimeoutFactor*machineType.BootS + bootMarginS)
 }
 
 // TerminateLostMachines terminates machines that are overdue, unreachable or cordoned. It must
--- a/internal/autoscaler/scale.go
+++ b/internal/autoscaler/scale.go
@@ -128,7 +128,7 @@
 	slices.Sort(classes)
 	for _, class := range classes {
 		demand := byClass[class]
-		demand.Count = planning.Headroom(demand.Count, a.Operator.HeadroomOf(class))
+		demand.Count = planning.Headroom(demand.Count, a.Operator.HeadroomForClass(class))
 		headroom.demands = append(headroom.demands, *demand)
 	}
 	return headroom
--- a/internal/autoscaler/scale_test.go
+++ b/internal/autoscaler/scale_test.go
@@ -64,7 +64,7 @@
 		c := newFakeCluster()
 		c.types["large"] = &wire.MachineType{Name: "large", CPUs: 16, RAMGB: 64, Price: 1.2, SpotPrice: 0.3, Zones: []string{"b", "a"}}
 		a := c.newAutoscaler(t)
-		a.Operator.Spot = spot
+		a.Operator.AllowSpot = spot
 		var got []string
 		for _, offer := range a.availableOffers() {
 			got = append(got, fmt.Sprint(offer.Offer, offer.Price))
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -31,7 +31,7 @@
 		{last, last + "\n[settings.state.next]\nrps = 0.0", `settings.state.next.rps: 0 can't be worked with`},
 		{last, last + "\n[settings.state.next]\ntxn_ops = 3", `settings.state.next.txn_ops: 3 changes a transaction are too few, 4 are needed`},
 	} {
-		if _, err := Parse([]byte(strings.Replace(good, x.from, x.to, 1))); err == nil || err.Error() != x.text {
+		if _, err := ParsePlatformSettings([]byte(strings.Replace(good, x.from, x.to, 1))); err == nil || err.Error() != x.text {
 			t.Errorf("%s:\n%v, not\n%s", x.to, err, x.text)
 		}
 	}
@@ -53,15 +53,15 @@
 		"(eiderhitch (class x headroom))":                            "1:22: a setting such as (headroom 1) is expected",
 		"(eiderhitch (class x (headroom 1)) (class x (headroom 1)))": `1:36: class "x" is set twice`,
 	} {
-		if _, err := ParseOperator(src, p); err == nil || err.Error() != text {
+		if _, err := ParseOperatorSettings(src, p); err == nil || err.Error() != text {
 			t.Errorf("%.60s:\n%v, not\n%s", src, err, text)
 		}
 	}
 }
 
 func TestWarningsKeepTheirText(t *testing.T) {
-	p := &Platform{}
-	p.Settings.Count, p.Settings.Limits.MemMB, p.Settings.Limits.MaxSockets, p.Settings.Limits.CPUShare = 3, 12, 30, 0.002
+	p := &PlatformSettings{}
+	p.Settings.ControllerCount, p.Settings.Limits.MemMB, p.Settings.Limits.MaxSockets, p.Settings.Limits.CPUShare = 3, 12, 30, 0.002
 	want := `settings.limits.mem_mb: 12 is little for 22 connections, 22 would do
 settings.limits.max_sockets: 30 leave hardly any for workers and users, 40 are the least
 settings.limits.cpu_share: 0.002 is little, 0.01 are needed for a few dozen machines`
@@ -72,7 +72,7 @@
 	if got := strings.Join(p.Warnings(), "\n"); got != "settings.limits.cpu_share: not given, taken as unknown" {
 		t.Error(got)
 	}
-	if m := p.Memory(); m != (Memory{LimitBytes: 90177536, GCPercent: 300, NeededBytes: 36472604}) {
+	if m := p.MemoryBudget(); m != (MemoryBudget{LimitBytes: 90177536, GCPercent: 300, NeededBytes: 36472604}) {
 		t.Errorf("%+v", m)
 	}
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -8,11 +8,11 @@
 	// ConnectionBytes is what an open connection holds: its stacks, its two buffers and
 	// what net/http notes of it.
 	ConnectionBytes = 24 << 10
-	// LiveBytes is what the garbage collector finds in use apart from connections, with the
+	// LiveHeapBytes is what the garbage collector finds in use apart from connections, with the
 	// records of some hundred machines and a thousand unfinished jobs.
-	LiveBytes = 10 << 20
-	// UncountedBytes is what the runtime does not count: the C library and its threads.
-	UncountedBytes = 4 << 20
+	LiveHeapBytes = 10 << 20
+	// NonGoBytes is what the runtime does not count: the C library and its threads.
+	NonGoBytes = 4 << 20
 )
 
 const megabyte = 1 << 20
@@ -43,21 +43,21 @@
 	minSocketsPerController = 8
 )
 
-// Connections returns how many connections of users and workers are served at a time: three
+// MaxConnections returns how many connections of users and workers are served at a time: three
 // quarters of the sockets. A controller that is left alone has all workers, each with a
 // connection.
-func (p *Platform) Connections() int {
+func (p *PlatformSettings) MaxConnections() int {
 	return max(p.Settings.Limits.MaxSockets*3/4, minConnections)
 }
 
-// DirectCommands returns how many direct commands may be open at a time, each with a socket:
+// MaxDirectCommands returns how many direct commands may be open at a time, each with a socket:
 // an eighth of the sockets.
-func (p *Platform) DirectCommands() int {
+func (p *PlatformSettings) MaxDirectCommands() int {
 	return max(p.Settings.Limits.MaxSockets/8, minDirectCommands)
 }
 
-// Memory is how the memory that the platform allows is used.
-type Memory struct {
+// MemoryBudget is how the memory that the platform allows is used.
+type MemoryBudget struct {
 	// LimitBytes is the runtime's memory limit: near it garbage is collected more often.
 	LimitBytes int64
 	// GCPercent is the garbage that is kept, as a percentage of what is in use: what is left
@@ -68,27 +68,27 @@
 	NeededBytes int64
 }
 
-// Memory derives the use of memory from the settings.
-func (p *Platform) Memory() Memory {
+// MemoryBudget derives the use of memory from the settings.
+func (p *PlatformSettings) MemoryBudget() MemoryBudget {
 	total := p.Settings.Limits.MemMB * megabyte
-	sockets := float64(p.Connections()+p.DirectCommands()) * ConnectionBytes
-	limit := max(total*memoryShare-UncountedBytes, minLimitBytes)
-	garbage := 100 * ((limit-sockets)/LiveBytes - 1)
-	return Memory{
+	sockets := float64(p.MaxConnections()+p.MaxDirectCommands()) * ConnectionBytes
+	limit := max(total*memoryShare-NonGoBytes, minLimitBytes)
+	garbage := 100 * ((limit-sockets)/LiveHeapBytes - 1)
+	return MemoryBudget{
 		LimitBytes:  int64(limit),
 		GCPercent:   int(min(max(garbage, minGCPercent), maxGCPercent)),
-		NeededBytes: int64((sockets + LiveBytes*(1+minGCPercent/100.0) + UncountedBytes) / memoryShare),
+		NeededBytes: int64((sockets + LiveHeapBytes*(1+minGCPercent/100.0) + NonGoBytes) / memoryShare),
 	}
 }
 
 // Warnings returns what of the platform's limits is too small, or not known, in words.
-func (p *Platform) Warnings() []string {
+func (p *PlatformSettings) Warnings() []string {
 	var out []string
 	limits := &p.Settings.Limits
-	if needed := p.Memory().NeededBytes; float64(needed) > limits.MemMB*megabyte {
-		out = append(out, fmt.Sprintf("settings.limits.mem_mb: %v is little for %d connections, %d would do", limits.MemMB, p.Connections(), 1+needed/megabyte))
+	if needed := p.MemoryBudget().NeededBytes; float64(needed) > limits.MemMB*megabyte {
+		out = append(out, fmt.Sprintf("settings.limits.mem_mb: %v is little for %d connections, %d would do", limits.MemMB, p.MaxConnections(), 1+needed/megabyte))
 	}
-	if least := minSockets + minSocketsPerController*p.Settings.Count; limits.MaxSockets < least {
+	if least := minSockets + minSocketsPerController*p.Settings.ControllerCount; limits.MaxSockets < least {
 		out = append(out, fmt.Sprintf("settings.limits.max_sockets: %d leave hardly any for workers and users, %d are the least", limits.MaxSockets, least))
 	}
 	switch {
--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -13,17 +13,17 @@
 func TestMemoryFits(t *testing.T) {
 	warned, silent := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		p := &Platform{}
+		p := &PlatformSettings{}
 		l := &p.Settings.Limits
 		l.MemMB = rapid.Float64Range(1, 1000).Draw(t, "mem_mb")
 		l.MaxSockets = rapid.IntRange(1, 5000).Draw(t, "max_sockets")
-		l.CPUShare, p.Settings.Count = 1, 1
-		m := p.Memory()
+		l.CPUShare, p.Settings.ControllerCount = 1, 1
+		m := p.MemoryBudget()
 		all := int64(l.MemMB * (1 << 20))
 		if m.GCPercent < minGCPercent || m.GCPercent > maxGCPercent || m.LimitBytes <= 0 {
 			t.Fatalf("%+v", m)
 		}
-		if l.MemMB > 8 && m.LimitBytes+UncountedBytes > all {
+		if l.MemMB > 8 && m.LimitBytes+NonGoBytes > all {
 			t.Fatalf("%+v is more than %d", m, all)
 		}
 		if strings.Contains(strings.Join(p.Warnings(), "\n"), "mem_mb") {
@@ -35,8 +35,8 @@
 			return
 		}
 		silent++
-		sockets := int64(p.Connections()+p.DirectCommands()) * ConnectionBytes
-		if held := sockets + LiveBytes*int64(100+m.GCPercent)/100; held > m.LimitBytes+1 {
+		sockets := int64(p.MaxConnections()+p.MaxDirectCommands()) * ConnectionBytes
+		if held := sockets + LiveHeapBytes*int64(100+m.GCPercent)/100; held > m.LimitBytes+1 {
 			t.Fatalf("%d sockets and the records hold %d of %d bytes", l.MaxSockets, held, m.LimitBytes)
 		}
 	})
@@ -56,8 +56,8 @@
 		{0.002, 12, 600, []string{"mem_mb", "cpu_share"}},
 		{0.1, 100, 12, []string{"max_sockets"}},
 	} {
-		p := &Platform{}
-		p.Settings.Count = 3
+		p := &PlatformSettings{}
+		p.Settings.ControllerCount = 3
 		p.Settings.Limits.CPUShare, p.Settings.Limits.MemMB, p.Settings.Limits.MaxSockets = x.share, x.mem, x.sockets
 		got := p.Warnings()
 		if len(got) != len(x.said) {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -6,68 +6,68 @@
 	"time"
 )
 
-// Operator is what operators may set beyond the platform's file.
-type Operator struct {
-	// IdleBoots is how many of its boot times an unused machine is kept.
-	IdleBoots float64
+// OperatorSettings is what operators may set beyond the platform's file.
+type OperatorSettings struct {
+	// IdleTimeoutFactor is how many of its boot times an unused machine is kept.
+	IdleTimeoutFactor float64
 	// Headroom is the room kept for services to come, in square roots of their number.
 	Headroom float64
 	// ClassHeadroom overrides Headroom for a class of jobs.
 	ClassHeadroom map[string]float64
-	// EvictAfter is how long array tasks look for free room before they preempt others.
-	EvictAfter time.Duration
-	// BootPatience is after how many of its boot times a machine that is not up is returned.
-	BootPatience float64
+	// PreemptionDelay is how long array tasks look for free room before they preempt others.
+	PreemptionDelay time.Duration
+	// BootTimeoutFactor is after how many of its boot times a machine that is not up is returned.
+	BootTimeoutFactor float64
 	// LeaseTTL is how long leased keys, of partitions and the leader, outlive their holder.
 	LeaseTTL time.Duration
 	// Spot allows spot instances for the jobs that may use them.
-	Spot bool
-	// FeatureLevels has this controller register which feature levels it reads, and take
+	AllowSpot bool
+	// EnableFeatureLevels has this controller register which feature levels it reads, and take
 	// part in raising the level in force (docs/upgrades.md).
-	FeatureLevels bool
-	// HighestLevel has this controller work as a version that reads no higher level; 0: as
+	EnableFeatureLevels bool
+	// MaxFeatureLevel has this controller work as a version that reads no higher level; 0: as
 	// high as it can.
-	HighestLevel int
+	MaxFeatureLevel int
 	// FinalizeAfter is the time without a restart of any controller after which an active
 	// level becomes final; 0: only when an operator says so.
-	FinalizeAfter time.Duration
+	FinalizeDelay time.Duration
 	// RewriteShare is the share of the key-value store's changes a second that may go into
 	// storing records in another encoding.
 	RewriteShare float64
 }
 
-// DefaultOperator returns the settings that hold without a file.
-func DefaultOperator() *Operator {
-	return &Operator{
-		IdleBoots:     0.4,
-		Headroom:      1,
-		ClassHeadroom: map[string]float64{},
-		EvictAfter:    3 * time.Second,
-		BootPatience:  2.5,
+// DefaultOperatorSettings returns the settings that hold without a file.
+func DefaultOperatorSettings() *OperatorSettings {
+	return &OperatorSettings{
+		IdleTimeoutFactor: 0.4,
+		Headroom:          1,
+		ClassHeadroom:     map[string]float64{},
+		PreemptionDelay:   3 * time.Second,
+		BootTimeoutFactor: 2.5,
 		// The least that a process short of processor time renews safely.
-		LeaseTTL: 4 * time.Second,
-		Spot:     true,
+		LeaseTTL:  4 * time.Second,
+		AllowSpot: true,
 		// What users notice nothing of: their writes go first, and are few.
 		RewriteShare: 0.1,
 	}
 }
 
-// LoadOperator reads the operators' settings file at path and validates it against the
+// LoadOperatorSettings reads the operators' settings file at path and validates it against the
 // platform's settings.
-func LoadOperator(path string, platform *Platform) (*Operator, error) {
+func LoadOperatorSettings(path string, platform *PlatformSettings) (*OperatorSettings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	operator, err := ParseOperator(string(raw), platform)
+	operator, err := ParseOperatorSettings(string(raw), platform)
 	if err != nil {
 		return nil, fmt.Errorf("%s:%w", path, err)
 	}
 	return operator, nil
 }
 
-// HeadroomOf returns the headroom for a class of jobs.
-func (o *Operator) HeadroomOf(class string) float64 {
+// HeadroomForClass returns the headroom for a class of jobs.
+func (o *OperatorSettings) HeadroomForClass(class string) float64 {
 	if headroom, ok := o.ClassHeadroom[class]; ok {
 		return headroom
 	}
--- a/internal/config/operator_parse.go
+++ b/internal/config/operator_parse.go
@@ -25,12 +25,12 @@
 // rootName is the first word of the one list that a file has.
 const rootName = "eiderhitch"
 
-// ParseOperator decodes settings such as
+// ParseOperatorSettings decodes settings such as
 //
 //	(eiderhitch (headroom 1.5) (evict-after 5s) (class "feed" (headroom 2)))
 //
 // and validates them against the platform's. Every error is a SyntaxError.
-func ParseOperator(src string, platform *Platform) (*Operator, error) {
+func ParseOperatorSettings(src string, platform *PlatformSettings) (*OperatorSettings, error) {
 	exprs, err := ParseExprs(src)
 	if err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 	if err := checkRoot(exprs); err != nil {
 		return nil, err
 	}
-	operator := DefaultOperator()
+	operator := DefaultOperatorSettings()
 	seen := map[string]bool{}
 	for _, e := range exprs[0].List[1:] {
 		if err := operator.parseSetting(e, platform, seen); err != nil {
@@ -61,7 +61,7 @@
 }
 
 // parseSetting takes over one setting. Those of a class may repeat, others are in seen then.
-func (o *Operator) parseSetting(e Expr, platform *Platform, seen map[string]bool) error {
+func (o *OperatorSettings) parseSetting(e Expr, platform *PlatformSettings, seen map[string]bool) error {
 	name, err := settingName(e)
 	if err != nil {
 		return err
@@ -75,23 +75,23 @@
 	seen[name] = true
 	switch name {
 	case "idle-boots":
-		return parseNumber(e, &o.IdleBoots, 0, maxIdleBoots)
+		return parseNumber(e, &o.IdleTimeoutFactor, 0, maxIdleBoots)
 	case "headroom":
 		return parseNumber(e, &o.Headroom, 0, maxHeadroom)
 	case "boot-patience":
-		return parseNumber(e, &o.BootPatience, minBootPatience, maxBootPatience)
+		return parseNumber(e, &o.BootTimeoutFactor, minBootPatience, maxBootPatience)
 	case "evict-after":
-		return parseDuration(e, &o.EvictAfter, 0, maxEvictAfter)
+		return parseDuration(e, &o.PreemptionDelay, 0, maxEvictAfter)
 	case "right-ttl":
 		return o.parseLeaseTTL(e, &platform.Settings.Workers)
 	case "spot":
-		return parseYesNo(e, &o.Spot)
+		return parseYesNo(e, &o.AllowSpot)
 	case "feature-levels":
-		return parseYesNo(e, &o.FeatureLevels)
+		return parseYesNo(e, &o.EnableFeatureLevels)
 	case "finalize-after":
-		return parseDuration(e, &o.FinalizeAfter, minFinalizeAfter, maxFinalizeAfter)
+		return parseDuration(e, &o.FinalizeDelay, minFinalizeAfter, maxFinalizeAfter)
 	case "highest-level":
-		return parseInteger(e, &o.HighestLevel, minHighestLevel, maxHighestLevel)
+		return parseInteger(e, &o.MaxFeatureLevel, minHighestLevel, maxHighestLevel)
 	case "rewrite-share":
 		return parseNumber(e, &o.RewriteShare, minRewriteShare, maxRewriteShare)
 	default:
@@ -101,11 +101,11 @@
 
 // parseLeaseTTL takes over how long leased keys outlive their holder: not longer than an
 // owner may go on without the key-value store.
-func (o *Operator) parseLeaseTTL(e Expr, workers *WorkerSettings) error {
+func (o *OperatorSettings) parseLeaseTTL(e Expr, workers *WorkerSettings) error {
 	if err := parseDuration(e, &o.LeaseTTL, minLeaseTTL, maxLeaseTTL); err != nil {
 		return err
 	}
-	if staleness := MaxStaleness(workers.CancelS, workers.LeaseS); o.LeaseTTL > staleness {
+	if staleness := MaxStaleness(workers.CancelDeadlineS, workers.LeaseDurationS); o.LeaseTTL > staleness {
 		return syntaxErrorf(e.Position, "right-ttl %v is longer than the %v that an owner may go on without the state service",
 			o.LeaseTTL, staleness.Round(time.Millisecond))
 	}
@@ -113,7 +113,7 @@
 }
 
 // parseClass takes over the settings of a class of jobs.
-func (o *Operator) parseClass(e Expr) error {
+func (o *OperatorSettings) parseClass(e Expr) error {
 	if len(e.List) != 3 || e.List[1].IsList {
 		return syntaxErrorf(e.Position, `(class "name" (headroom n)) is expected`)
 	}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-func platform(t testing.TB) *Platform {
-	p, err := Parse([]byte(good))
+func platform(t testing.TB) *PlatformSettings {
+	p, err := ParsePlatformSettings([]byte(good))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,20 +20,20 @@
 
 func TestOperatorSettings(t *testing.T) {
 	p := platform(t)
-	o, err := ParseOperator("; ours\n(eiderhitch (headroom 1.5) (evict-after 5s) (spot no) (right-ttl 6s)\n (class \"feed\" (headroom 2)) (idle-boots 1) (boot-patience 3)\n (feature-levels yes) (highest-level 1) (finalize-after 10m) (rewrite-share 0.2))", p)
+	o, err := ParseOperatorSettings("; ours\n(eiderhitch (headroom 1.5) (evict-after 5s) (spot no) (right-ttl 6s)\n (class \"feed\" (headroom 2)) (idle-boots 1) (boot-patience 3)\n (feature-levels yes) (highest-level 1) (finalize-after 10m) (rewrite-share 0.2))", p)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Operator{IdleBoots: 1, Headroom: 1.5, ClassHeadroom: map[string]float64{"feed": 2}, EvictAfter: 5 * time.Second, BootPatience: 3, LeaseTTL: 6 * time.Second,
-		FeatureLevels: true, HighestLevel: 1, FinalizeAfter: 10 * time.Minute, RewriteShare: 0.2}
+	want := &OperatorSettings{IdleTimeoutFactor: 1, Headroom: 1.5, ClassHeadroom: map[string]float64{"feed": 2}, PreemptionDelay: 5 * time.Second, BootTimeoutFactor: 3, LeaseTTL: 6 * time.Second,
+		EnableFeatureLevels: true, MaxFeatureLevel: 1, FinalizeDelay: 10 * time.Minute, RewriteShare: 0.2}
 	if d := cmp.Diff(want, o); d != "" {
 		t.Error(d)
 	}
-	if o.HeadroomOf("feed") != 2 || o.HeadroomOf("other") != 1.5 {
+	if o.HeadroomForClass("feed") != 2 || o.HeadroomForClass("other") != 1.5 {
 		t.Error("headroom by class")
 	}
-	o, err = ParseOperator("(eiderhitch)", p)
-	if err != nil || cmp.Diff(DefaultOperator(), o) != "" {
+	o, err = ParseOperatorSettings("(eiderhitch)", p)
+	if err != nil || cmp.Diff(DefaultOperatorSettings(), o) != "" {
 		t.Errorf("an empty list is not the defaults: %v", err)
 	}
 }
@@ -67,7 +67,7 @@
 		"(eiderhitch (rewrite-share -0.1))":    "1:28: rewrite-share must be a number",
 		"(eiderhitch (class \"x))":             "1:20: this string is not closed",
 	} {
-		_, err := ParseOperator(src, p)
+		_, err := ParseOperatorSettings(src, p)
 		if err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%q: %v, not %q", src, err, want)
 		}
@@ -79,7 +79,7 @@
 	f.Add("(eiderhitch (headroom 1.5) ; x\n (class \"a\\\"b\" (headroom 2)))")
 	f.Add(strings.Repeat("(", 1000))
 	f.Fuzz(func(t *testing.T, src string) {
-		_, err := ParseOperator(src, p)
+		_, err := ParseOperatorSettings(src, p)
 		var s *SyntaxError
 		if err != nil && (!errors.As(err, &s) || s.Position.Line < 1 || s.Position.Column < 1) {
 			t.Errorf("%q: error without a place: %v", src, err)
@@ -91,7 +91,7 @@
 	p := platform(t)
 	rapid.Check(t, func(t *rapid.T) {
 		src := rapid.StringOfN(rapid.SampledFrom([]rune("(eidrhtc 1)\";\\\nspot nyé")), 0, 40, -1).Draw(t, "src")
-		_, err := ParseOperator("(eiderhitch "+src, p)
+		_, err := ParseOperatorSettings("(eiderhitch "+src, p)
 		var s *SyntaxError
 		if err != nil && !errors.As(err, &s) {
 			t.Fatalf("%q: %v", src, err)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -17,15 +17,15 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Platform is the platform's settings file.
-type Platform struct {
-	Name     string    `toml:"node_name"`
-	Zone     string    `toml:"location"`
-	APIAddr  string    `toml:"api_addr"`  // listens for users and workers
-	PeerAddr string    `toml:"mesh_addr"` // listens for peers
-	Peers    []Peer    `toml:"siblings"`
-	External Endpoints `toml:"external"`
-	Settings Settings  `toml:"settings"`
+// PlatformSettings is the platform's settings file.
+type PlatformSettings struct {
+	Name     string          `toml:"node_name"`
+	Zone     string          `toml:"location"`
+	APIAddr  string          `toml:"api_addr"`  // listens for users and workers
+	PeerAddr string          `toml:"mesh_addr"` // listens for peers
+	Peers    []Peer          `toml:"siblings"`
+	External Endpoints       `toml:"external"`
+	Settings ClusterSettings `toml:"settings"`
 }
 
 // Peer is another controller of the same cluster.
@@ -41,33 +41,33 @@
 	Store string `toml:"state"`
 }
 
-// Settings are those that all controllers have in common.
-type Settings struct {
-	Count      int            `toml:"count"` // number of controllers
-	Zones      []string       `toml:"zones"`
-	SkewMS     float64        `toml:"skew_ms"` // bound of the differences between times of day
-	Teams      []Team         `toml:"teams"`
-	Objectives []Objective    `toml:"objectives"`
-	Workers    WorkerSettings `toml:"workers"`
-	Store      StoreLimits    `toml:"state"`
-	Cloud      CloudSettings  `toml:"cloud"`
-	Limits     ResourceLimits `toml:"limits"`
+// ClusterSettings are those that all controllers have in common.
+type ClusterSettings struct {
+	ControllerCount int            `toml:"count"` // number of controllers
+	Zones           []string       `toml:"zones"`
+	MaxClockSkewMS  float64        `toml:"skew_ms"` // bound of the differences between times of day
+	Teams           []Team         `toml:"teams"`
+	Objectives      []Objective    `toml:"objectives"`
+	Workers         WorkerSettings `toml:"workers"`
+	Store           StoreLimits    `toml:"state"`
+	Cloud           CloudSettings  `toml:"cloud"`
+	Limits          ResourceLimits `toml:"limits"`
 }
 
-// Team has a quota: a guarantee (CPUs, GPUs) and a limit (CPUsMax, GPUsMax); 0 means none.
+// Team has a quota: a guarantee (CPUs, GPUs) and a limit (MaxCPUs, MaxGPUs); 0 means none.
 type Team struct {
-	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"`
-	GPUsMax float64 `toml:"gpus_max"`
+	Name           string  `toml:"name"`
+	GuaranteedCPUs float64 `toml:"cpus"`
+	MaxCPUs        float64 `toml:"cpus_max"`
+	GuaranteedGPUs float64 `toml:"gpus"`
+	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
 // Objective is a service-level objective of a class of jobs.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
+	TargetS float64 `toml:"within_s"`
 	Share   float64 `toml:"share"`
 	Times   float64 `toml:"times"`
 }
@@ -77,14 +77,14 @@
 
 // WorkerSettings are the times that workers keep to.
 type WorkerSettings struct {
-	ReportS float64 `toml:"report_s"` // interval of heartbeats
-	LeaseS  float64 `toml:"lease_s"`  // after the last answered heartbeat a worker kills its tasks
-	CancelS float64 `toml:"cancel_s"` // within it a cancelled job's tasks must be gone
-	// GangWaitS is how long a gang's task waits for the others; 0: not given.
-	GangWaitS float64 `toml:"gang_wait_s"`
-	// GangPeerS is within what time all tasks of a gang must be told to stop, or notice,
+	HeartbeatIntervalS float64 `toml:"report_s"` // interval of heartbeats
+	LeaseDurationS     float64 `toml:"lease_s"`  // after the last answered heartbeat a worker kills its tasks
+	CancelDeadlineS    float64 `toml:"cancel_s"` // within it a cancelled job's tasks must be gone
+	// GangWaitTimeoutS is how long a gang's task waits for the others; 0: not given.
+	GangWaitTimeoutS float64 `toml:"gang_wait_s"`
+	// GangPeerTimeoutS is within what time all tasks of a gang must be told to stop, or notice,
 	// that one of them is gone; 0: not given.
-	GangPeerS float64 `toml:"gang_peer_s"`
+	GangPeerTimeoutS float64 `toml:"gang_peer_s"`
 }
 
 // StoreLimits are the key-value store's limits, for all controllers together. What Parse
@@ -119,23 +119,23 @@
 	MaxSockets int     `toml:"max_sockets"`
 }
 
-// Load reads and validates the settings file at path.
-func Load(path string) (*Platform, error) {
+// LoadPlatformSettings reads and validates the settings file at path.
+func LoadPlatformSettings(path string) (*PlatformSettings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	platform, err := Parse(raw)
+	platform, err := ParsePlatformSettings(raw)
 	if err != nil {
 		return nil, fmt.Errorf("settings %s: %w", path, err)
 	}
 	return platform, nil
 }
 
-// Parse decodes and validates settings; fields it does not know are ignored. An error about a
+// ParsePlatformSettings decodes and validates settings; fields it does not know are ignored. An error about a
 // setting's value is a SettingError.
-func Parse(raw []byte) (*Platform, error) {
-	platform := &Platform{}
+func ParsePlatformSettings(raw []byte) (*PlatformSettings, error) {
+	platform := &PlatformSettings{}
 	if err := toml.NewDecoder(bytes.NewReader(raw)).Decode(platform); err != nil {
 		return nil, decodeError(err)
 	}
@@ -158,8 +158,8 @@
 	return fmt.Errorf("line %d column %d: %w", line, column, err)
 }
 
-// Nodes returns the names of all controllers, sorted.
-func (p *Platform) Nodes() []string {
+// ControllerNames returns the names of all controllers, sorted.
+func (p *PlatformSettings) ControllerNames() []string {
 	names := []string{p.Name}
 	for _, peer := range p.Peers {
 		names = append(names, peer.Name)
@@ -168,13 +168,13 @@
 	return names
 }
 
-// ObjectiveSeconds returns, by class, in how many seconds jobs should be done whatever their
+// CompletionObjectiveSeconds returns, by class, in how many seconds jobs should be done whatever their
 // deadlines. Classes without such an objective are missing.
-func (p *Platform) ObjectiveSeconds() map[string]float64 {
+func (p *PlatformSettings) CompletionObjectiveSeconds() map[string]float64 {
 	within := map[string]float64{}
 	for _, objective := range p.Settings.Objectives {
 		if objective.Kind == objectiveFinished {
-			within[objective.Class] = max(within[objective.Class], objective.WithinS)
+			within[objective.Class] = max(within[objective.Class], objective.TargetS)
 		}
 	}
 	return within
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -46,7 +46,7 @@
 `
 
 func TestSettingsNameTheBadField(t *testing.T) {
-	if _, err := Parse([]byte(good)); err != nil {
+	if _, err := ParsePlatformSettings([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
 	for _, x := range []struct{ from, to, field string }{
@@ -70,7 +70,7 @@
 		{`mem_mb = 100.0`, "mem_mb = 100.0\ncpu_share = nan", "settings.limits.cpu_share"},
 		{`mem_mb = 100.0`, "mem_mb = 100.0\ncpu_share = \"half\"", "cpu_share"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, x.from, x.to, 1)))
+		_, err := ParsePlatformSettings([]byte(strings.Replace(good, x.from, x.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), x.field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", x.to, err)
 		}
@@ -102,8 +102,8 @@
 // The key-value store's next limits hold from the start where they are lower,
 // and one that can't be worked with is refused by its name.
 func TestNextLimits(t *testing.T) {
-	with := func(next string) (*Platform, error) {
-		return Parse([]byte(strings.Replace(good, "[settings.cloud]", "[settings.state.next]\n"+next+"\n[settings.cloud]", 1)))
+	with := func(next string) (*PlatformSettings, error) {
+		return ParsePlatformSettings([]byte(strings.Replace(good, "[settings.cloud]", "[settings.state.next]\n"+next+"\n[settings.cloud]", 1)))
 	}
 	p, err := with("write_rps = 42.0\nvalue_kb = 2.0\ntxn_ops = 10")
 	if err != nil {
@@ -123,6 +123,6 @@
 func TestParseNeverPanics(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		at := rapid.IntRange(0, len(good)-1).Draw(t, "at")
-		_, _ = Parse([]byte(good[:at] + fmt.Sprint(rapid.String().Draw(t, "junk")) + good[at:]))
+		_, _ = ParsePlatformSettings([]byte(good[:at] + fmt.Sprint(rapid.String().Draw(t, "junk")) + good[at:]))
 	})
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -38,7 +38,7 @@
 
 // validate returns the first setting that can't be worked with. It lowers the key-value
 // store's limits to the next ones before it looks at them.
-func (p *Platform) validate() error {
+func (p *PlatformSettings) validate() error {
 	for _, validate := range []func() error{
 		p.validateAddresses, p.validatePeers, p.Settings.Store.lowerToNext, p.validateCluster, p.validatePositive,
 		p.Settings.Limits.validate, p.Settings.Store.validate, p.Settings.Workers.validate, p.validateTeams,
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func (p *Platform) validateAddresses() error {
+func (p *PlatformSettings) validateAddresses() error {
 	if p.Name == "" {
 		return &SettingError{Setting: "node_name", Err: errEmpty}
 	}
@@ -75,7 +75,7 @@
 	return nil
 }
 
-func (p *Platform) validatePeers() error {
+func (p *PlatformSettings) validatePeers() error {
 	known := map[string]bool{p.Name: true}
 	for i, peer := range p.Peers {
 		setting := fmt.Sprintf("siblings[%d]", i)
@@ -98,9 +98,9 @@
 	return nil
 }
 
-func (p *Platform) validateCluster() error {
-	if controllers := len(p.Peers) + 1; p.Settings.Count != controllers {
-		return refuse("settings.count", "%d, but node and siblings make %d", p.Settings.Count, controllers)
+func (p *PlatformSettings) validateCluster() error {
+	if controllers := len(p.Peers) + 1; p.Settings.ControllerCount != controllers {
+		return refuse("settings.count", "%d, but node and siblings make %d", p.Settings.ControllerCount, controllers)
 	}
 	if len(p.Settings.Zones) == 0 {
 		return &SettingError{Setting: "settings.zones", Err: errEmpty}
@@ -109,15 +109,15 @@
 }
 
 // validatePositive returns an error if a setting that must be above 0, and finite, is not.
-func (p *Platform) validatePositive() error {
+func (p *PlatformSettings) validatePositive() error {
 	s := &p.Settings
 	for _, setting := range []struct {
 		name  string
 		value float64
 	}{
-		{"settings.workers.report_s", s.Workers.ReportS},
-		{"settings.workers.lease_s", s.Workers.LeaseS},
-		{"settings.workers.cancel_s", s.Workers.CancelS},
+		{"settings.workers.report_s", s.Workers.HeartbeatIntervalS},
+		{"settings.workers.lease_s", s.Workers.LeaseDurationS},
+		{"settings.workers.cancel_s", s.Workers.CancelDeadlineS},
 		{"settings.state.rps", s.Store.RPS},
 		{"settings.state.write_rps", s.Store.WriteRPS},
 		{"settings.state.value_kb", s.Store.ValueKB},
@@ -181,16 +181,16 @@
 }
 
 func (w *WorkerSettings) validate() error {
-	if w.GangWaitS < 0 || w.GangPeerS < 0 {
+	if w.GangWaitTimeoutS < 0 || w.GangPeerTimeoutS < 0 {
 		return &SettingError{Setting: "settings.workers.gang_wait_s, gang_peer_s", Err: errNegative}
 	}
-	if MaxStaleness(w.CancelS, w.LeaseS) <= 0 {
-		return refuse("settings.workers.cancel_s", "%v leaves no time beyond lease_s %v", w.CancelS, w.LeaseS)
+	if MaxStaleness(w.CancelDeadlineS, w.LeaseDurationS) <= 0 {
+		return refuse("settings.workers.cancel_s", "%v leaves no time beyond lease_s %v", w.CancelDeadlineS, w.LeaseDurationS)
 	}
 	return nil
 }
 
-func (p *Platform) validateTeams() error {
+func (p *PlatformSettings) validateTeams() error {
 	known := map[string]bool{}
 	for i := range p.Settings.Teams {
 		team := &p.Settings.Teams[i]
@@ -206,10 +206,10 @@
 }
 
 func (t *Team) validateQuota(setting string) error {
-	if t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
+	if t.GuaranteedCPUs < 0 || t.MaxCPUs < 0 || t.GuaranteedGPUs < 0 || t.MaxGPUs < 0 {
 		return refuse(setting, "amounts must not be negative")
 	}
-	if t.CPUsMax > 0 && t.CPUs > t.CPUsMax || t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
+	if t.MaxCPUs > 0 && t.GuaranteedCPUs > t.MaxCPUs || t.MaxGPUs > 0 && t.GuaranteedGPUs > t.MaxGPUs {
 		return refuse(setting, "guarantee of %q exceeds its limit", t.Name)
 	}
 	return nil
--- a/internal/controller/cancellation_gap_test.go
+++ b/internal/controller/cancellation_gap_test.go
@@ -51,7 +51,7 @@
 	c.startCancellationGapJobs(x.clockDrift)
 	// Only the last controller can still use the store and confirm cancellations.
 	for _, n := range c.nodes[:2] {
-		n.transport.SetPolicy(policyForMatching(isStoreRequest, network.Refuse))
+		n.transport.SetFaultPolicy(policyForMatching(isStoreRequest, network.Refuse))
 	}
 	c.setPeersBlocked(x.peersBlocked)
 	if x.failoverBeforeOutage {
@@ -62,19 +62,19 @@
 			c.t.Fatalf("cancellation of %s: %+v, want status 200", id, response)
 		}
 	}
-	c.env.Store.SetDown(true)
+	c.env.Store.SetUnavailable(true)
 	time.Sleep(50 * time.Second) // cancel_s is 35
 	for _, id := range cancellationGapJobs {
-		if n := c.env.Running(id); n > 0 {
+		if n := c.env.CountRunningTasks(id); n > 0 {
 			c.t.Errorf("%d tasks of the cancelled job %s still run, want none", n, id)
 		}
 	}
 	for _, n := range c.nodes {
-		n.transport.SetPolicy(nil)
+		n.transport.SetFaultPolicy(nil)
 	}
 	c.setPeersBlocked(false)
-	c.env.Store.SetDown(false)
-	c.env.SetSettled()
+	c.env.Store.SetUnavailable(false)
+	c.env.MarkFaultsEnded()
 	c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 4, CPUs: 1, EstimateS: 2}))
 	c.awaitDone("wk-9", time.Minute)
 }
@@ -89,11 +89,11 @@
 	savingJob.CheckpointS, savingJob.SaveS = 5, 60
 	c.submit(savingJob)
 	c.await("all tasks of the first three jobs run", 2*time.Minute, func() bool {
-		return c.env.Running("wk-1") == 4 && c.env.Running("wk-2") == 10 && c.env.Running("wk-3") == 6
+		return c.env.CountRunningTasks("wk-1") == 4 && c.env.CountRunningTasks("wk-2") == 10 && c.env.CountRunningTasks("wk-3") == 6
 	})
 	time.Sleep(10 * time.Second)
 	for _, a := range c.env.Cloud.Agents() {
-		a.SetDrift(clockDrift)
+		a.SetClockDrift(clockDrift)
 	}
 	fetchingJob := newSubmission(submission{ID: "wk-4", Kind: wire.KindArray, Team: "blue", Priority: "urgent", Tasks: 6, CPUs: 1, EstimateS: 300})
 	fetchingJob.ImageGB, fetchingJob.Image = 12, "other"
--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -174,7 +174,7 @@
 // if none does before the timeout.
 func (c *cluster) sendWithRetries(r jobRequest, timeout time.Duration) jobResponse {
 	deadline := time.Now().Add(timeout)
-	node := int(network.Draw(uint64(r.operation), r.job) * float64(len(c.nodes)))
+	node := int(network.SeededFloat64(uint64(r.operation), r.job) * float64(len(c.nodes)))
 	for time.Now().Before(deadline) {
 		node = (node + 1) % len(c.nodes)
 		if response := c.sendRequest(node, r); response.isFinal() {
@@ -202,7 +202,7 @@
 		c.t.Errorf("submission %+v is malformed: %v", *s, err)
 		return false
 	}
-	c.env.Upload(spec)
+	c.env.UploadJobSpec(spec)
 	response := c.sendWithRetries(submitRequest(s, spec), 20*time.Second)
 	switch response.status {
 	case http.StatusCreated, http.StatusOK:
@@ -280,7 +280,7 @@
 // number of tasks.
 func (c *cluster) areServicesRunning(count, tasks int) bool {
 	for i := range count {
-		if c.env.Running(fmt.Sprintf("wk-%d", i+1)) != tasks {
+		if c.env.CountRunningTasks(fmt.Sprintf("wk-%d", i+1)) != tasks {
 			return false
 		}
 	}
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -13,7 +13,7 @@
 		c.t.Error(violation)
 	}
 	c.checkStoredRecords()
-	if n := c.env.Store.Stats().OverLimits; n > 0 {
+	if n := c.env.Store.Stats().RejectedTxns; n > 0 {
 		c.t.Errorf("%d transactions exceeded the limits of the key-value store, want none", n)
 	}
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -56,9 +56,9 @@
 // next process: the test may change them at any time, since a process does not read them once it has
 // started.
 type node struct {
-	cfg            *config.Platform
+	cfg            *config.PlatformSettings
 	transport      *network.Transport
-	operatorConfig *config.Operator // nil: the defaults apply
+	operatorConfig *config.OperatorSettings // nil: the defaults apply
 	version        softwareVersion
 	// process is the running process; nil: none. Other nodes and clients read it concurrently.
 	process atomic.Pointer[process]
@@ -99,7 +99,7 @@
 // maxStaleness returns how long the node's controller may answer heartbeats after the start of its
 // last read of the key-value store.
 func (n *node) maxStaleness() time.Duration {
-	return config.MaxStaleness(n.cfg.Settings.Workers.CancelS, n.cfg.Settings.Workers.LeaseS)
+	return config.MaxStaleness(n.cfg.Settings.Workers.CancelDeadlineS, n.cfg.Settings.Workers.LeaseDurationS)
 }
 
 // testMachineTypes are the machine types that the simulated cloud offers.
@@ -170,8 +170,8 @@
 }
 
 // newTestPlatform returns the platform's settings for the member with index self.
-func newTestPlatform(env *simulation.Environment, members []agent.Controller, self int) *config.Platform {
-	cfg := &config.Platform{Name: members[self].Name, Zone: "a", APIAddr: members[self].Addr}
+func newTestPlatform(env *simulation.Environment, members []agent.Controller, self int) *config.PlatformSettings {
+	cfg := &config.PlatformSettings{Name: members[self].Name, Zone: "a", APIAddr: members[self].Addr}
 	for i, other := range members {
 		if i != self {
 			cfg.Peers = append(cfg.Peers, config.Peer{Name: other.Name, Addr: other.Addr})
@@ -179,10 +179,10 @@
 	}
 	cfg.External.Store, cfg.External.Cloud = simulation.StoreAddr, simulation.CloudAddr
 	s := &cfg.Settings
-	s.Count, s.Zones = len(members), []string{"a", "b"}
-	s.Teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 24}, {Name: "blue"}}
-	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = env.HeartbeatInterval.Seconds(), env.LeaseTTL.Seconds(), env.CancelWithin.Seconds()
-	s.Workers.GangWaitS, s.Workers.GangPeerS = env.GangWait.Seconds(), env.GangPeerTimeout.Seconds()
+	s.ControllerCount, s.Zones = len(members), []string{"a", "b"}
+	s.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 8, MaxCPUs: 24}, {Name: "blue"}}
+	s.Workers.HeartbeatIntervalS, s.Workers.LeaseDurationS, s.Workers.CancelDeadlineS = env.HeartbeatInterval.Seconds(), env.LeaseTTL.Seconds(), env.CancellationTimeout.Seconds()
+	s.Workers.GangWaitTimeoutS, s.Workers.GangPeerTimeoutS = env.GangWaitTimeout.Seconds(), env.GangPeerTimeout.Seconds()
 	s.Store.RPS, s.Store.WriteRPS, s.Store.ValueKB, s.Store.TxnOps = 250, 60, 8, 32
 	s.Cloud.RPS, s.Cloud.ListLagS = 6, 3
 	return cfg
@@ -212,7 +212,7 @@
 	return dependencies{
 		store: n.storeTransport(), cloud: n.transport, workers: n.transport,
 		jitter: func(maxDelay time.Duration) time.Duration {
-			return time.Duration(network.Draw(uint64(i), n.cfg.Name) * float64(maxDelay))
+			return time.Duration(network.SeededFloat64(uint64(i), n.cfg.Name) * float64(maxDelay))
 		},
 		sendFrame: func(to string, frame []byte) { c.sendFrame(n, to, frame) },
 	}
@@ -269,9 +269,9 @@
 
 // setPolicies sets the network policy for the requests of all controllers; nil: all requests are
 // delivered.
-func (c *cluster) setPolicies(policy network.Policy) {
+func (c *cluster) setPolicies(policy network.FaultPolicy) {
 	for _, n := range c.nodes {
-		n.transport.SetPolicy(policy)
+		n.transport.SetFaultPolicy(policy)
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -73,7 +73,7 @@
 
 // newController creates the components of a controller and connects them. Canceling ctx ends
 // the calls to other systems.
-func newController(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger, deps dependencies) *controller {
+func newController(ctx context.Context, cfg *config.PlatformSettings, op *config.OperatorSettings, log *slog.Logger, deps dependencies) *controller {
 	if deps.jitter == nil {
 		deps.jitter = rand.N[time.Duration]
 	}
@@ -83,7 +83,7 @@
 		partitionOwner: &partitionOwner{
 			clusterState: state,
 			workerClient: workerclient.NewClient(deps.workers),
-			directSlots:  workerclient.NewSlots[*machine](cfg.DirectCommands()),
+			directSlots:  workerclient.NewSlots[*machine](cfg.MaxDirectCommands()),
 		},
 		leader:    &leader{clusterState: state},
 		sendFrame: deps.sendFrame,
@@ -103,7 +103,7 @@
 	s := &c.cfg.Settings
 	return replica.NewReader(ctx, replica.Config{
 		KeyPrefix:         keyPrefix,
-		ControllerCount:   s.Count,
+		ControllerCount:   s.ControllerCount,
 		RequestsPerSecond: s.Store.RPS,
 		Jitter:            jitter,
 		OnLoaded:          func() { c.archiveFinishedJobs(c.replica) },
@@ -118,10 +118,10 @@
 	return election.New(ctx, election.Config{
 		Node:                   c.cfg.Name,
 		ProcessID:              c.processID,
-		Nodes:                  c.cfg.Nodes(),
+		Nodes:                  c.cfg.ControllerNames(),
 		TTL:                    c.operator.LeaseTTL,
 		StartedAt:              c.startedAt,
-		HeartbeatInterval:      config.Seconds(s.Workers.ReportS),
+		HeartbeatInterval:      config.Seconds(s.Workers.HeartbeatIntervalS),
 		MaxUnreachableWorkTime: c.maxStaleness + c.leaseExpiry,
 		Log:                    c.log,
 	}, election.Dependencies{
@@ -131,5 +131,5 @@
 		Writer:   c,
 		Loop:     priorityLoop{c.eventLoop, priorityStore},
 		Listener: c,
-	}, leaseKeys(c.rollout.leaseKeys, s.Count))
+	}, leaseKeys(c.rollout.leaseKeys, s.ControllerCount))
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -29,12 +29,12 @@
 // given number of controllers. It owns the first partition.
 func newTestControllerInCluster(t *testing.T, controllers int) *controller {
 	t.Helper()
-	cfg := &config.Platform{Name: "n0"}
-	cfg.Settings.Count = controllers
-	cfg.Settings.Workers.ReportS, cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS = 1, 10, 35
+	cfg := &config.PlatformSettings{Name: "n0"}
+	cfg.Settings.ControllerCount = controllers
+	cfg.Settings.Workers.HeartbeatIntervalS, cfg.Settings.Workers.LeaseDurationS, cfg.Settings.Workers.CancelDeadlineS = 1, 10, 35
 	cfg.Settings.Store.RPS, cfg.Settings.Store.WriteRPS, cfg.Settings.Store.ValueKB, cfg.Settings.Store.TxnOps = 100, 40, 8, 32
 	cfg.Settings.Cloud.RPS = 1
-	c := newController(t.Context(), cfg, config.DefaultOperator(), slog.New(slog.NewTextHandler(io.Discard, nil)), dependencies{store: &grantingStore{}})
+	c := newController(t.Context(), cfg, config.DefaultOperatorSettings(), slog.New(slog.NewTextHandler(io.Discard, nil)), dependencies{store: &grantingStore{}})
 	c.replica.Load(nil, 0, &wire.WatchResponse{})
 	c.replica.AdvanceReadTime(c.now)
 	c.machineTypes = map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAMGB: 8}}
@@ -351,7 +351,7 @@
 // one of them was running.
 func TestCancelledBeforeItsBindingIsKnown(t *testing.T) {
 	c := newTestController(t)
-	c.cfg.Settings.Teams = []config.Team{{Name: "t", CPUsMax: 100}}
+	c.cfg.Settings.Teams = []config.Team{{Name: "t", MaxCPUs: 100}}
 	team := c.getOrAddTeam("t")
 	spec := &wire.Job{ID: "wk-1", Team: "t", Service: true, TaskCount: 1, CPUs: 2, Image: "img"}
 	checkUsed := func(when string, want int64) {
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -18,7 +18,7 @@
 func TestFailoverOfEachController(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 40, CPUs: 2, EstimateS: 8}))
-		c.await("the array runs", time.Minute, func() bool { return c.env.Running("wk-1") > 4 })
+		c.await("the array runs", time.Minute, func() bool { return c.env.CountRunningTasks("wk-1") > 4 })
 		for i := range 3 {
 			c.kill(i)
 			time.Sleep(9 * time.Second)
@@ -38,14 +38,14 @@
 		c.awaitDone("wk-2", time.Minute)
 		c.killAll()
 		time.Sleep(3 * time.Second)
-		c.env.Cloud.SetDown(true) // the stored machine types must suffice
+		c.env.Cloud.SetUnavailable(true) // the stored machine types must suffice
 		c.startAll()
 		time.Sleep(5 * time.Second)
 		if s := c.jobState("wk-2"); s != wire.StateDone {
 			t.Errorf("state of a done job after the restart is %q, want %q", s, wire.StateDone)
 		}
 		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 1, CPUs: 1, EstimateS: 1}))
-		c.env.Cloud.SetDown(false)
+		c.env.Cloud.SetUnavailable(false)
 		c.awaitDone("wk-1", 3*time.Minute)
 		c.awaitDone("wk-3", time.Minute)
 	})
@@ -56,15 +56,15 @@
 func TestCancelWhileOwnerCannotReachStore(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submitServices(6, 2)
-		c.await("the services run", time.Minute, func() bool { return c.env.Starts() >= 12 })
-		c.nodes[1].transport.SetPolicy(policyForMatching(isStoreRequest, network.Refuse))
+		c.await("the services run", time.Minute, func() bool { return c.env.CountStartedTasks() >= 12 })
+		c.nodes[1].transport.SetFaultPolicy(policyForMatching(isStoreRequest, network.Refuse))
 		time.Sleep(500 * time.Millisecond)
 		for i := range 6 {
 			c.cancelJob(fmt.Sprintf("wk-%d", i+1))
 		}
 		time.Sleep(40 * time.Second)
 		for i := range 6 {
-			if n := c.env.Running(fmt.Sprintf("wk-%d", i+1)); n != 0 {
+			if n := c.env.CountRunningTasks(fmt.Sprintf("wk-%d", i+1)); n != 0 {
 				t.Errorf("%d tasks of cancelled service %d run, want none", n, i+1)
 			}
 		}
@@ -76,7 +76,7 @@
 func TestFailoverKeepsBusyMachines(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submitServices(4, 2)
-		c.await("the services run", time.Minute, func() bool { return c.env.Starts() == 8 })
+		c.await("the services run", time.Minute, func() bool { return c.env.CountStartedTasks() == 8 })
 		time.Sleep(time.Minute) // longer than any boot timeout
 		for i := range 3 {
 			c.kill(i)
@@ -84,7 +84,7 @@
 			c.start(i)
 			time.Sleep(8 * time.Second)
 		}
-		if n := c.env.Starts(); n != 8 {
+		if n := c.env.CountStartedTasks(); n != 8 {
 			t.Errorf("%d starts of 8 replicas, want 8", n)
 		}
 	})
@@ -134,7 +134,7 @@
 		c.startServices(6, 2)
 		agents := c.env.Cloud.Agents()
 		c.nodes[1].peersBlocked.Store(true)
-		c.nodes[1].transport.SetPolicy(policyForMatching(isStoreRequest, network.Drop))
+		c.nodes[1].transport.SetFaultPolicy(policyForMatching(isStoreRequest, network.Drop))
 		time.Sleep(time.Second)
 		for i := range 3 {
 			c.cancelJob(fmt.Sprintf("wk-%d", i+1))
@@ -151,16 +151,16 @@
 			}
 		}
 		for i := range 3 {
-			if n := c.env.Running(fmt.Sprintf("wk-%d", i+1)); n != 0 {
+			if n := c.env.CountRunningTasks(fmt.Sprintf("wk-%d", i+1)); n != 0 {
 				t.Errorf("%d tasks of cancelled service %d run, want none", n, i+1)
 			}
-			if n := c.env.Running(fmt.Sprintf("wk-%d", i+4)); n != 2 {
+			if n := c.env.CountRunningTasks(fmt.Sprintf("wk-%d", i+4)); n != 2 {
 				t.Errorf("%d replicas of service %d run, want 2", n, i+4)
 			}
 		}
 		c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 12, CPUs: 2, EstimateS: 2}))
 		c.awaitDone("wk-9", time.Minute)
-		c.nodes[1].transport.SetPolicy(nil)
+		c.nodes[1].transport.SetFaultPolicy(nil)
 		c.nodes[1].peersBlocked.Store(false)
 	})
 }
@@ -184,7 +184,7 @@
 		}
 		c.submit(newSubmission(submission{ID: "wk-8", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 2}))
 		c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 12, CPUs: 2, EstimateS: 2}))
-		c.await("the service runs", 30*time.Second, func() bool { return c.env.Running("wk-8") == 2 })
+		c.await("the service runs", 30*time.Second, func() bool { return c.env.CountRunningTasks("wk-8") == 2 })
 		c.awaitDone("wk-9", time.Minute)
 		for i, n := range c.nodes {
 			if !n.controller().IsReady() {
@@ -319,7 +319,7 @@
 	runCluster(t, func(c *cluster) {
 		c.startServices(6, 2)
 		time.Sleep(10 * time.Second)
-		c.env.Cloud.SetDown(true)
+		c.env.Cloud.SetUnavailable(true)
 		for _, w := range c.env.Cloud.Agents() {
 			w.Terminate()
 		}
@@ -334,7 +334,7 @@
 				t.Errorf("state of a service whose machines died is %s, want %s", s, wire.StateQueued)
 			}
 		}
-		c.env.Cloud.SetDown(false)
+		c.env.Cloud.SetUnavailable(false)
 		c.await("the services run", time.Minute, func() bool { return c.areServicesRunning(6, 2) })
 	})
 }
--- a/internal/controller/fault_effects_test.go
+++ b/internal/controller/fault_effects_test.go
@@ -27,11 +27,11 @@
 	killController:           (*scheduleRun).restartControllers,
 	isolateZone:              (*scheduleRun).isolateZone,
 
-	machinesNotReceiving: machineFault((*agent.Agent).SetNotReceiving),
-	machinesNotSending:   machineFault((*agent.Agent).SetNotSending),
+	machinesNotReceiving: machineFault((*agent.Agent).SetInboundBlocked),
+	machinesNotSending:   machineFault((*agent.Agent).SetOutboundBlocked),
 	machinesHang:         machineFault((*agent.Agent).SetHanging),
 	machinesIsolated:     machineFault((*agent.Agent).SetIsolated),
-	tasksFail:            machineFault((*agent.Agent).SetFailing),
+	tasksFail:            machineFault((*agent.Agent).SetTasksFailing),
 	terminateMachines:    machineEvent((*agent.Agent).Terminate),
 	restartMachines:      machineEvent((*agent.Agent).Restart),
 	copyHeartbeats:       (*scheduleRun).copyHeartbeats,
@@ -81,7 +81,7 @@
 func isAgentRequest(r *http.Request) bool { return strings.HasPrefix(r.URL.Host, "10.1.") }
 
 // policyForMatching returns a policy that applies a network fault to all requests that match.
-func policyForMatching(matches func(*http.Request) bool, networkFault network.Fault) network.Policy {
+func policyForMatching(matches func(*http.Request) bool, networkFault network.Fault) network.FaultPolicy {
 	return func(r *http.Request) network.Fault {
 		if matches(r) {
 			return networkFault
@@ -105,9 +105,9 @@
 }
 
 // policyForShare returns a policy that applies a network fault to a share of the matching requests.
-func (s *scheduleRun) policyForShare(share float64, matches func(*http.Request) bool, networkFault network.Fault) network.Policy {
+func (s *scheduleRun) policyForShare(share float64, matches func(*http.Request) bool, networkFault network.Fault) network.FaultPolicy {
 	return func(r *http.Request) network.Fault {
-		if matches(r) && network.Draw(s.seed, r.URL.String()) < share {
+		if matches(r) && network.SeededFloat64(s.seed, r.URL.String()) < share {
 			return networkFault
 		}
 		return network.Deliver
@@ -115,7 +115,7 @@
 }
 
 // addPolicy adds a policy to the target controllers and returns the function that removes it.
-func (s *scheduleRun) addPolicy(target int, policy network.Policy) (remove func()) {
+func (s *scheduleRun) addPolicy(target int, policy network.FaultPolicy) (remove func()) {
 	nodes := s.targetNodes(target)
 	s.lastPolicyID++
 	id := s.lastPolicyID
@@ -151,13 +151,13 @@
 
 // takeStoreDown makes the key-value store unavailable to everyone.
 func (s *scheduleRun) takeStoreDown(fault) func() {
-	s.env.Store.SetDown(true)
-	return func() { s.env.Store.SetDown(false) }
+	s.env.Store.SetUnavailable(true)
+	return func() { s.env.Store.SetUnavailable(false) }
 }
 
 // lowerLimits makes the store apply the lower limits that runSchedule announced in the settings.
 func (s *scheduleRun) lowerLimits(fault) func() {
-	s.env.Store.SetLimits(loweredValueBytes, loweredTxnChanges)
+	s.env.Store.SetTxnLimits(loweredValueBytes, loweredTxnChanges)
 	return doNothing
 }
 
@@ -242,8 +242,8 @@
 	}
 	var ends []func()
 	for _, a := range s.env.Cloud.Agents() {
-		a.Transport().SetPolicy(s.policyForShare(1, crossesBoundary(addrsInZone[a.Addr()]), network.Drop))
-		ends = append(ends, func() { a.Transport().SetPolicy(nil) })
+		a.Transport().SetFaultPolicy(s.policyForShare(1, crossesBoundary(addrsInZone[a.Addr()]), network.Drop))
+		ends = append(ends, func() { a.Transport().SetFaultPolicy(nil) })
 	}
 	for i := range s.nodes {
 		ends = append(ends, s.addPolicy(i, s.policyForShare(1, crossesBoundary(i == node), network.Drop)))
--- a/internal/controller/fault_machine_effects_test.go
+++ b/internal/controller/fault_machine_effects_test.go
@@ -53,8 +53,8 @@
 
 // takeCloudDown makes the cloud unavailable.
 func (s *scheduleRun) takeCloudDown(fault) func() {
-	s.env.Cloud.SetDown(true)
-	return func() { s.env.Cloud.SetDown(false) }
+	s.env.Cloud.SetUnavailable(true)
+	return func() { s.env.Cloud.SetUnavailable(false) }
 }
 
 // freezeCapacity limits the cloud to the number of machines that exist now.
@@ -80,10 +80,10 @@
 func (s *scheduleRun) duplicateHeartbeats(share float64, minDelay time.Duration) func() {
 	agents := s.env.Cloud.Agents()
 	for _, a := range agents {
-		a.OnHeartbeat(func(raw []byte) {
-			isDuplicated := network.Draw(s.seed, a.Name()) < share
-			node := int(network.Draw(s.seed+1, a.Name()) * float64(len(s.nodes)))
-			delay := minDelay + time.Duration(network.Draw(s.seed+2, a.Name())*float64(maxCopyDelay))
+		a.SetHeartbeatHook(func(raw []byte) {
+			isDuplicated := network.SeededFloat64(s.seed, a.Name()) < share
+			node := int(network.SeededFloat64(s.seed+1, a.Name()) * float64(len(s.nodes)))
+			delay := minDelay + time.Duration(network.SeededFloat64(s.seed+2, a.Name())*float64(maxCopyDelay))
 			if isDuplicated {
 				time.AfterFunc(delay, func() { s.resendHeartbeat(raw, node) })
 			}
@@ -91,7 +91,7 @@
 	}
 	return func() {
 		for _, a := range agents {
-			a.OnHeartbeat(nil)
+			a.SetHeartbeatHook(nil)
 		}
 	}
 }
--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -17,7 +17,7 @@
 	*cluster
 	seed         uint64
 	rng          *rand.Rand
-	policies     []map[int]network.Policy // policies of the active faults by ID, for each controller; guarded by cluster.mu
+	policies     []map[int]network.FaultPolicy // policies of the active faults by ID, for each controller; guarded by cluster.mu
 	lastPolicyID int
 	// insufficientCapacity says that the cloud has too few machines to run all jobs at a time.
 	insufficientCapacity bool
@@ -72,9 +72,9 @@
 		s.submitRandomJob()
 		time.Sleep(time.Millisecond)
 	}
-	c.await("the first tasks run", time.Minute, func() bool { return c.env.Starts() > jobs })
+	c.await("the first tasks run", time.Minute, func() bool { return c.env.CountStartedTasks() > jobs })
 	s.injectAll(faults)
-	c.env.SetSettled()
+	c.env.MarkFaultsEnded()
 	s.awaitSettled()
 }
 
@@ -83,9 +83,9 @@
 	s := &scheduleRun{cluster: c, seed: seed, rng: rand.New(rand.NewPCG(seed, scheduleSeed)), submissions: map[string]*submission{},
 		handledCompletions: map[string]bool{}, cancelled: map[string]bool{}, savedHeartbeats: map[string][]byte{}}
 	for i, n := range c.nodes {
-		s.policies = append(s.policies, map[int]network.Policy{})
+		s.policies = append(s.policies, map[int]network.FaultPolicy{})
 		n.transport.SetDelay(minRequestDelay, requestDelayJitter)
-		n.transport.SetPolicy(func(r *http.Request) network.Fault { return s.chooseFault(i, r) })
+		n.transport.SetFaultPolicy(func(r *http.Request) network.Fault { return s.chooseFault(i, r) })
 	}
 	return s
 }
@@ -94,7 +94,7 @@
 // which doesn't deliver the request.
 func (s *scheduleRun) chooseFault(node int, r *http.Request) network.Fault {
 	s.mu.Lock()
-	var policies []network.Policy
+	var policies []network.FaultPolicy
 	for _, id := range slices.Sorted(maps.Keys(s.policies[node])) {
 		policies = append(policies, s.policies[node][id])
 	}
@@ -204,5 +204,5 @@
 		return true
 	}
 	job := s.submissionOf(id)
-	return job.Kind == wire.KindService && s.env.Running(id) == job.Tasks
+	return job.Kind == wire.KindService && s.env.CountRunningTasks(id) == job.Tasks
 }
--- a/internal/controller/fault_user_effects_test.go
+++ b/internal/controller/fault_user_effects_test.go
@@ -105,7 +105,7 @@
 func (s *scheduleRun) raceCompletionOf(id string, share float64) {
 	job := s.submissionOf(id)
 	s.mu.Lock()
-	justEnded := !s.handledCompletions[id] && s.env.Completed(id) >= job.Tasks
+	justEnded := !s.handledCompletions[id] && s.env.CountCompletedTasks(id) >= job.Tasks
 	if justEnded {
 		s.handledCompletions[id] = true
 	}
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -22,7 +22,7 @@
 // configureLargeFleet sets a node's timing and limits to those of a large deployment.
 func configureLargeFleet(n *node) {
 	s := &n.cfg.Settings
-	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 10, 50, 110
+	s.Workers.HeartbeatIntervalS, s.Workers.LeaseDurationS, s.Workers.CancelDeadlineS = 10, 50, 110
 	s.Store.RPS, s.Store.WriteRPS = 1000, 300
 	s.Cloud.RPS = 12
 	s.Limits.MaxSockets = 8000
@@ -44,15 +44,15 @@
 // runLargeFleet runs the phases of TestLargeFleet with the given number of machines.
 func (c *cluster) runLargeFleet(machines int) {
 	env := c.env
-	env.HeartbeatInterval, env.LeaseTTL, env.CancelWithin = 10*time.Second, 50*time.Second, 110*time.Second
+	env.HeartbeatInterval, env.LeaseTTL, env.CancellationTimeout = 10*time.Second, 50*time.Second, 110*time.Second
 	env.Cloud.SetCapacity(machines)
 	// Each task occupies a small machine completely.
 	array := newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: machines, CPUs: 4, EstimateS: 200})
 	array.MachineTypes = []string{"small"}
 	c.submit(array)
-	c.await("nine tenths of the array's tasks run or are complete", 15*time.Minute, func() bool { return env.Running("wk-1")+env.Completed("wk-1") >= machines*9/10 })
+	c.await("nine tenths of the array's tasks run or are complete", 15*time.Minute, func() bool { return env.CountRunningTasks("wk-1")+env.CountCompletedTasks("wk-1") >= machines*9/10 })
 	c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 20, CPUs: 2}))
-	c.await("all tasks of the service run", 2*time.Minute, func() bool { return env.Running("wk-2") == 20 })
+	c.await("all tasks of the service run", 2*time.Minute, func() bool { return env.CountRunningTasks("wk-2") == 20 })
 	leader := c.leaderIndex()
 	c.kill(leader)
 	time.Sleep(15 * time.Second)
@@ -65,9 +65,9 @@
 	for _, a := range env.Cloud.Agents() {
 		a.SetIsolated(false)
 	}
-	env.SetSettled()
+	env.MarkFaultsEnded()
 	c.await("the array is done", 40*time.Minute, func() bool { return c.jobState("wk-1") == wire.StateDone })
-	c.await("all tasks of the service run again", 2*time.Minute, func() bool { return env.Running("wk-2") == 20 })
+	c.await("all tasks of the service run again", 2*time.Minute, func() bool { return env.CountRunningTasks("wk-2") == 20 })
 	if answer := c.sendRequest(0, queryRequest("wk-1")); answer.status != http.StatusOK {
 		c.t.Errorf("query of the array: status %d, want 200", answer.status)
 	}
--- a/internal/controller/full_fleet_test.go
+++ b/internal/controller/full_fleet_test.go
@@ -61,18 +61,18 @@
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(cancel)
-	cfg := &config.Platform{Name: "n0", Zone: "a", APIAddr: "10.0.0.1:80"}
+	cfg := &config.PlatformSettings{Name: "n0", Zone: "a", APIAddr: "10.0.0.1:80"}
 	for i := 1; i < fullFleetControllers; i++ {
 		cfg.Peers = append(cfg.Peers, config.Peer{Name: fmt.Sprintf("n%d", i), Addr: "10.0.0.2:80"})
 	}
 	cfg.External.Store, cfg.External.Cloud = "state:1", "cloud:1"
 	s := &cfg.Settings
-	s.Count, s.Zones = fullFleetControllers, []string{"a", "b"}
-	s.Teams = []config.Team{{Name: "red", CPUs: 800}, {Name: "blue"}}
-	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 4, 24, 54
+	s.ControllerCount, s.Zones = fullFleetControllers, []string{"a", "b"}
+	s.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 800}, {Name: "blue"}}
+	s.Workers.HeartbeatIntervalS, s.Workers.LeaseDurationS, s.Workers.CancelDeadlineS = 4, 24, 54
 	s.Store.RPS, s.Store.WriteRPS, s.Store.ValueKB, s.Store.TxnOps = 150, 60, 8, 32
 	s.Cloud.RPS, s.Cloud.ListLagS = 6, 3
-	c := newController(ctx, cfg, config.DefaultOperator(), newTestLogger(io.Discard), dependencies{store: unresponsiveTransport{}, cloud: unresponsiveTransport{}, workers: unresponsiveTransport{}, sendFrame: func(string, []byte) {}})
+	c := newController(ctx, cfg, config.DefaultOperatorSettings(), newTestLogger(io.Discard), dependencies{store: unresponsiveTransport{}, cloud: unresponsiveTransport{}, workers: unresponsiveTransport{}, sendFrame: func(string, []byte) {}})
 	c.replica.Load(nil, 0, &wire.WatchResponse{})
 	c.replica.AdvanceReadTime(c.now)
 	c.startedAt = c.now.Add(-time.Hour)
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -125,7 +125,7 @@
 		j.incompleteSince = time.Time{}
 	case j.incompleteSince.IsZero():
 		j.incompleteSince = c.now
-	case c.now.Sub(j.incompleteSince) > config.Seconds(c.cfg.Settings.Workers.GangWaitS):
+	case c.now.Sub(j.incompleteSince) > config.Seconds(c.cfg.Settings.Workers.GangWaitTimeoutS):
 		j.incompleteSince = time.Time{}
 		j.failedAttempt = max(j.failedAttempt, attempt)
 		c.log.Info("gang can't be completed; binding it again", "job", j.id, "attempt", attempt)
--- a/internal/controller/gang_ends_test.go
+++ b/internal/controller/gang_ends_test.go
@@ -33,7 +33,7 @@
 		time.Sleep(4 * time.Second)
 		c.setPolicies(dropOneResponse("e/group/wk-99/"))
 		c.agentWithJob("wk-99").Restart()
-		c.await("all tasks of the gang run", time.Minute, func() bool { return c.env.Running("wk-99") == 4 })
+		c.await("all tasks of the gang run", time.Minute, func() bool { return c.env.CountRunningTasks("wk-99") == 4 })
 		for i := range c.nodes {
 			c.checkPartitions(i)
 		}
@@ -44,7 +44,7 @@
 
 // dropOneResponse returns a policy that drops the response to the first transaction that writes a
 // key with the prefix.
-func dropOneResponse(prefix string) network.Policy {
+func dropOneResponse(prefix string) network.FaultPolicy {
 	var lost atomic.Bool
 	return func(r *http.Request) network.Fault {
 		if isTransactionRequest(r) && strings.Contains(requestBody(r), `"write":"`+prefix) && lost.CompareAndSwap(false, true) {
@@ -78,12 +78,12 @@
 		gang := gangSubmission("wk-1", "red", "urgent", 4, runTime.Seconds())
 		gang.MachineTypes = []string{"small"}
 		c.submit(gang)
-		c.await("the gang runs", time.Minute, func() bool { return c.env.Running("wk-1") == 4 })
+		c.await("the gang runs", time.Minute, func() bool { return c.env.CountRunningTasks("wk-1") == 4 })
 		started := time.Now()
 		// Two machines, with room for all that the team's quota allows once the gang is done.
 		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 1, CPUs: 6, MachineTypes: []string{"large"}}))
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "red", Priority: "normal", Tasks: 60, CPUs: 1, EstimateS: 300, MachineTypes: []string{"large"}}))
-		c.await("the array runs as many tasks as the quota leaves", runTime/2, func() bool { return c.env.Running("wk-2") == 16 })
+		c.await("the array runs as many tasks as the quota leaves", runTime/2, func() bool { return c.env.CountRunningTasks("wk-2") == 16 })
 		time.Sleep(runTime - time.Since(started) - hangsBefore)
 		hanging := c.agentWithJob("wk-1")
 		hanging.SetHanging(true)
@@ -93,7 +93,7 @@
 		}
 		time.Sleep(4 * time.Second)
 		hanging.SetHanging(false)
-		c.await("the array runs as many tasks as the quota allows", time.Minute, func() bool { return c.env.Running("wk-2") == 24 })
+		c.await("the array runs as many tasks as the quota allows", time.Minute, func() bool { return c.env.CountRunningTasks("wk-2") == 24 })
 		c.await("no binding of the gang is left", time.Minute, func() bool { return c.countBindings("wk-1") == 0 })
 	})
 }
--- a/internal/controller/gang_phases_test.go
+++ b/internal/controller/gang_phases_test.go
@@ -38,18 +38,18 @@
 func (c *cluster) awaitGangState(state string, count int) {
 	c.t.Helper()
 	for until := time.Now().Add(time.Minute); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
-		if c.env.TaskStates("wk-9")[state] >= count {
+		if c.env.CountTasksByState("wk-9")[state] >= count {
 			return
 		}
 	}
-	c.t.Fatalf("tasks by state: %v, want %d %s", c.env.TaskStates("wk-9"), count, state)
+	c.t.Fatalf("tasks by state: %v, want %d %s", c.env.CountTasksByState("wk-9"), count, state)
 }
 
 var gangPhases = []gangPhase{
 	{"fetching", func(c *cluster) { c.awaitGangState(wire.StateFetchingImage, gangTasks) }},
 	{"gathering", func(c *cluster) {
 		c.awaitGangState(wire.StateFetchingImage, gangTasks)
-		c.agentWithJob("wk-9").SetImageDelay(4 * time.Second)
+		c.agentWithJob("wk-9").SetImageFetchDelay(4 * time.Second)
 		c.awaitGangState(wire.StateAwaitingGang, 1)
 	}},
 	{"running", func(c *cluster) {
@@ -65,9 +65,9 @@
 	{"ended", func(c *cluster) { // with the end not stored yet, because the store is down
 		c.awaitGangState(wire.StateRunning, gangTasks)
 		time.Sleep(18 * time.Second)
-		c.env.Store.SetDown(true)
+		c.env.Store.SetUnavailable(true)
 		c.awaitGangState(wire.StateExited, gangTasks)
-		time.AfterFunc(2*time.Second, func() { c.env.Store.SetDown(false) })
+		time.AfterFunc(2*time.Second, func() { c.env.Store.SetUnavailable(false) })
 	}},
 }
 
@@ -148,12 +148,12 @@
 	event.trigger(c)
 	time.Sleep(40 * time.Second)
 	c.env.Cloud.SetCapacity(20)
-	c.env.SetSettled()
+	c.env.MarkFaultsEnded()
 	c.await("the gang is done or cancelled", 3*time.Minute, func() bool {
 		s := c.jobState("wk-9")
 		return s == wire.StateDone || s == wire.StateCancelled
 	})
-	if n := c.env.Completed("wk-9"); n != 0 && n != gangTasks {
+	if n := c.env.CountCompletedTasks("wk-9"); n != 0 && n != gangTasks {
 		c.t.Errorf("%d of %d tasks are done, want none or all", n, gangTasks)
 	}
 }
@@ -175,7 +175,7 @@
 	{"no machine sends heartbeats for a while", func(c *cluster, _ *agent.Agent) func() {
 		set := func(notSending bool) {
 			for _, a := range c.env.Cloud.Agents() {
-				a.SetNotSending(notSending)
+				a.SetOutboundBlocked(notSending)
 			}
 		}
 		set(true)
@@ -212,13 +212,13 @@
 	c.cordonMachine(a)
 	if x.savesProgress {
 		time.Sleep(6 * time.Second) // enough to receive the stop and to save, and less than a lease
-		if n := c.env.Running("wk-9"); n > 0 {
+		if n := c.env.CountRunningTasks("wk-9"); n > 0 {
 			c.t.Errorf("%d tasks of the gang still run after 6 s, want none", n)
 		}
 		end()
 	}
-	c.await("no task of the gang runs", 40*time.Second, func() bool { return c.env.Running("wk-9") == 0 })
-	if checkpoint := c.env.Checkpoint("wk-9"); (checkpoint >= 20*time.Second) != x.savesProgress {
+	c.await("no task of the gang runs", 40*time.Second, func() bool { return c.env.CountRunningTasks("wk-9") == 0 })
+	if checkpoint := c.env.SavedProgress("wk-9"); (checkpoint >= 20*time.Second) != x.savesProgress {
 		c.t.Errorf("%v of progress are saved; at least 20 s saved: want %v", checkpoint, x.savesProgress)
 	}
 	if !x.savesProgress {
@@ -234,12 +234,12 @@
 func TestCancelledGangCountsTowardQuotaUntilTasksEnd(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(gangSubmission("wk-9", "red", "normal", 12, 200)) // 24 of 24 CPUs
-		c.await("the first gang runs", time.Minute, func() bool { return c.env.Running("wk-9") == 12 })
+		c.await("the first gang runs", time.Minute, func() bool { return c.env.CountRunningTasks("wk-9") == 12 })
 		c.agentWithJob("wk-9").SetIsolated(true)
 		cancelled := time.Now()
 		c.cancelJob("wk-9")
 		c.submit(gangSubmission("wk-10", "red", "normal", 12, 10))
-		c.await("the second gang runs", time.Minute, func() bool { return c.env.Running("wk-10") == 12 })
+		c.await("the second gang runs", time.Minute, func() bool { return c.env.CountRunningTasks("wk-10") == 12 })
 		if after := time.Since(cancelled); after < 5*time.Second {
 			t.Errorf("the second gang began %v after the cancellation of the first, one of whose machines was unreachable; want at least 5 s", after)
 		}
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -147,33 +147,33 @@
 		if len(partitions) < 2 {
 			t.Fatal("all machines are in one partition")
 		}
-		c.env.SetSettled()
+		c.env.MarkFaultsEnded()
 		gang := gangSubmission("wk-4", "blue", "normal", 9, 20)
 		gang.CPUs, gang.MachineTypes = 2, []string{"large"}
 		c.submit(gang)
-		c.await("the gang runs", time.Minute, func() bool { return c.env.Running("wk-4") == 9 })
+		c.await("the gang runs", time.Minute, func() bool { return c.env.CountRunningTasks("wk-4") == 9 })
 		check(c)
 	})
 }
 
 // countRunningServices returns how many of the three services run.
 func (c *cluster) countRunningServices() int {
-	return c.env.Running("wk-1") + c.env.Running("wk-2") + c.env.Running("wk-3")
+	return c.env.CountRunningTasks("wk-1") + c.env.CountRunningTasks("wk-2") + c.env.CountRunningTasks("wk-3")
 }
 
 // A gang must not wait forever when the room for it is spread over partitions. Machines are
 // loaned together with their services, which keep running, and are returned with them.
 func TestGangBorrowsMachinesWithServices(t *testing.T) {
 	runGangBesideServices(t, func(c *cluster) {
-		starts := c.env.Starts()
+		starts := c.env.CountStartedTasks()
 		c.awaitDone("wk-4", time.Minute)
 		c.await("the machines are returned", time.Minute, func() bool { return len(c.env.Store.Keys(loanPrefix)) == 0 })
 		time.Sleep(15 * time.Second)
-		if c.countRunningServices() != 3 || c.env.Starts() != starts {
-			t.Errorf("%d of 3 services run and %d tasks were started after the gang, want 3 and 0", c.countRunningServices(), c.env.Starts()-starts)
+		if c.countRunningServices() != 3 || c.env.CountStartedTasks() != starts {
+			t.Errorf("%d of 3 services run and %d tasks were started after the gang, want 3 and 0", c.countRunningServices(), c.env.CountStartedTasks()-starts)
 		}
 		c.cancelJob("wk-1")
-		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
+		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.env.CountRunningTasks("wk-1") == 0 })
 	})
 }
 
@@ -182,13 +182,13 @@
 func TestServicesOnLoanedMachines(t *testing.T) {
 	runGangBesideServices(t, func(c *cluster) {
 		c.cancelJob("wk-1")
-		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
+		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.env.CountRunningTasks("wk-1") == 0 })
 		c.await("its record is deleted", 30*time.Second, func() bool { return len(c.env.Store.Keys(groupKey("wk-1", 0))) == 0 })
 		leader := c.leaderIndex()
 		c.kill(leader)
 		time.Sleep(9 * time.Second)
 		c.start(leader)
-		if n := c.env.Running("wk-2") + c.env.Running("wk-3"); n != 2 {
+		if n := c.env.CountRunningTasks("wk-2") + c.env.CountRunningTasks("wk-3"); n != 2 {
 			c.t.Errorf("%d of 2 services run after a change of leader, want both", n)
 		}
 		for _, w := range c.env.Cloud.Agents() {
@@ -196,7 +196,7 @@
 				w.Terminate()
 			}
 		}
-		c.await("a lost service runs again", 2*time.Minute, func() bool { return c.env.Running("wk-2") == 1 })
+		c.await("a lost service runs again", 2*time.Minute, func() bool { return c.env.CountRunningTasks("wk-2") == 1 })
 		c.awaitDone("wk-4", 3*time.Minute)
 		c.await("no machine stays on loan", 2*time.Minute, func() bool { return len(c.env.Store.Keys(loanPrefix)) == 0 })
 	})
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -33,7 +33,7 @@
 // these limits in their settings.
 func (c *cluster) setStoreLimits(valueKB float64, txnChanges int) {
 	c.killAll()
-	c.env.Store.SetLimits(int(valueKB*1024), txnChanges)
+	c.env.Store.SetTxnLimits(int(valueKB*1024), txnChanges)
 	time.Sleep(500 * time.Millisecond)
 	for i, n := range c.nodes {
 		n.cfg.Settings.Store.ValueKB, n.cfg.Settings.Store.TxnOps = valueKB, txnChanges
@@ -54,7 +54,7 @@
 func (c *cluster) checkStartsAfterBindings(tasks int) {
 	c.t.Helper()
 	for until := time.Now().Add(4 * time.Minute); time.Now().Before(until); time.Sleep(2 * time.Millisecond) {
-		started := c.env.Trace.Accepted("wk-9")
+		started := c.env.Trace.CountAcceptedStarts("wk-9")
 		if started == 0 {
 			continue
 		}
@@ -88,7 +88,7 @@
 				c.submit(largeGangSubmission(x.tasks, x.cpus))
 				c.checkStartsAfterBindings(x.tasks)
 				c.awaitDone("wk-9", 2*time.Minute)
-				if n := c.env.Completed("wk-9"); n != x.tasks {
+				if n := c.env.CountCompletedTasks("wk-9"); n != x.tasks {
 					t.Errorf("%d tasks are done, want %d", n, x.tasks)
 				}
 			})
@@ -128,7 +128,7 @@
 			t.Run(phase.name+" in part, "+x.name, func(t *testing.T) {
 				runCluster(t, func(c *cluster) {
 					c.setStoreLimits(2, 10)
-					c.env.Store.SetRate(12) // keeps the gang incomplete for a while
+					c.env.Store.SetChangeRateLimit(12) // keeps the gang incomplete for a while
 					c.submit(largeGangSubmission(partialGangTasks, 0.25))
 					c.awaitBindings(phase.holds)
 					x.check(c)
@@ -143,7 +143,7 @@
 	return func(c *cluster) {
 		c.t.Helper()
 		happen(c)
-		c.env.SetSettled()
+		c.env.MarkFaultsEnded()
 		c.awaitDone("wk-9", 3*time.Minute)
 	}
 }
@@ -164,10 +164,10 @@
 func (c *cluster) checkPartialGangCancelled() {
 	c.t.Helper()
 	c.cancelJob("wk-9")
-	started := c.env.Trace.Accepted("wk-9") // all tasks may have been bound in the meantime
+	started := c.env.Trace.CountAcceptedStarts("wk-9") // all tasks may have been bound in the meantime
 	c.await("its task group records are deleted", time.Minute, func() bool { return len(c.env.Store.Keys(groupPrefix)) == 0 })
-	if n := c.env.Trace.Accepted("wk-9"); started == 0 && n > 0 || c.env.Running("wk-9") > 0 {
-		c.t.Errorf("%d tasks were started after the cancellation was confirmed and %d run, want none", n-started, c.env.Running("wk-9"))
+	if n := c.env.Trace.CountAcceptedStarts("wk-9"); started == 0 && n > 0 || c.env.CountRunningTasks("wk-9") > 0 {
+		c.t.Errorf("%d tasks were started after the cancellation was confirmed and %d run, want none", n-started, c.env.CountRunningTasks("wk-9"))
 	}
 	c.submit(largeGangSubmission(partialGangTasks, 0.25)) // stays cancelled; its cells are free
 	other := largeGangSubmission(partialGangTasks, 0.25)
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -99,16 +99,16 @@
 	c.submit(gang)
 	c.await("the gang is bound", time.Minute, func() bool { return c.attemptCounts("wk-99")[1] == 4 })
 	if x.whileRunning {
-		c.await("the gang runs", time.Minute, func() bool { return c.env.Running("wk-99") == 4 })
+		c.await("the gang runs", time.Minute, func() bool { return c.env.CountRunningTasks("wk-99") == 4 })
 		time.Sleep(6 * time.Second)
 	} else {
 		time.Sleep(3 * time.Second)
 	}
 	x.failMachine(c.agentWithJob("wk-99"))
 	c.await("the gang runs in the expected attempt", time.Minute, func() bool {
-		return c.env.Running("wk-99") == 4 && c.attemptCounts("wk-99")[x.wantAttempt] == 4
+		return c.env.CountRunningTasks("wk-99") == 4 && c.attemptCounts("wk-99")[x.wantAttempt] == 4
 	})
-	c.env.SetSettled()
+	c.env.MarkFaultsEnded()
 	c.awaitDone("wk-99", 2*time.Minute)
 }
 
@@ -117,16 +117,16 @@
 func TestPreemptedGangSavesItsProgress(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(gangSubmission("wk-1", "blue", "low", 4, 60))
-		c.await("the gang runs", time.Minute, func() bool { return c.env.Running("wk-1") == 4 })
+		c.await("the gang runs", time.Minute, func() bool { return c.env.CountRunningTasks("wk-1") == 4 })
 		time.Sleep(25 * time.Second)
 		c.env.Cloud.SetCapacity(0)
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "blue", Priority: "urgent", Tasks: 40, CPUs: 2, EstimateS: 5}))
-		c.await("no task of the gang runs", 20*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
-		if p := c.env.Checkpoint("wk-1"); p < 20*time.Second {
+		c.await("no task of the gang runs", 20*time.Second, func() bool { return c.env.CountRunningTasks("wk-1") == 0 })
+		if p := c.env.SavedProgress("wk-1"); p < 20*time.Second {
 			t.Errorf("%v of progress are saved, want at least 20 s", p)
 		}
 		c.awaitDone("wk-1", 3*time.Minute)
-		if n := c.env.Completed("wk-1"); n != 4 {
+		if n := c.env.CountCompletedTasks("wk-1"); n != 4 {
 			t.Errorf("%d tasks are done, want 4", n)
 		}
 	})
@@ -145,7 +145,7 @@
 		isolated.SetIsolated(true) // the task goes on fetching
 		time.Sleep(25 * time.Second)
 		isolated.SetIsolated(false)
-		c.env.SetSettled()
+		c.env.MarkFaultsEnded()
 		c.awaitDone("wk-9", 2*time.Minute)
 	})
 }
@@ -189,7 +189,7 @@
 	c.t.Helper()
 	c.cancelJob("wk-9")
 	time.Sleep(4 * time.Second)
-	if n := c.env.Running("wk-9"); n > 0 {
+	if n := c.env.CountRunningTasks("wk-9"); n > 0 {
 		c.t.Errorf("%d tasks of the cancelled gang run, want none", n)
 	}
 }
@@ -221,7 +221,7 @@
 		for until := time.Now().Add(100 * time.Second); time.Now().Before(until); time.Sleep(time.Second) {
 			for i := range 3 {
 				id := fmt.Sprintf("wk-10%d", i)
-				if c.env.Running(id) == 6 || c.env.Completed(id) == 6 {
+				if c.env.CountRunningTasks(id) == 6 || c.env.CountCompletedTasks(id) == 6 {
 					begun[i] = true
 				}
 			}
@@ -281,9 +281,9 @@
 		c.submit(gangSubmission("wk-7", "blue", "normal", 3, 200))
 		c.cancelJob("wk-7")
 		c.submit(gangSubmission("wk-6", "red", "normal", 10, 200))
-		c.await("the gang runs", time.Minute, func() bool { return c.env.Running("wk-6") == 10 })
+		c.await("the gang runs", time.Minute, func() bool { return c.env.CountRunningTasks("wk-6") == 10 })
 		for _, n := range c.nodes { // under these settings the gang could never run
-			n.cfg.Settings.Teams = []config.Team{{Name: "blue"}, {Name: "red", CPUs: 2, CPUsMax: 4}}
+			n.cfg.Settings.Teams = []config.Team{{Name: "blue"}, {Name: "red", GuaranteedCPUs: 2, MaxCPUs: 4}}
 		}
 		c.restartAll()
 		if answer := c.sendWithRetries(submitRequest(gangSubmission("wk-6", "red", "normal", 10, 200), nil), 20*time.Second); answer.status != http.StatusOK || answer.state != wire.StateRunning {
@@ -296,6 +296,6 @@
 			t.Errorf("query of an unknown job: status %d, want 404", answer.status)
 		}
 		c.cancelJob("wk-6")
-		c.await("no task of the cancelled gang runs", 30*time.Second, func() bool { return c.env.Running("wk-6") == 0 })
+		c.await("no task of the cancelled gang runs", 30*time.Second, func() bool { return c.env.CountRunningTasks("wk-6") == 0 })
 	})
 }
--- a/internal/controller/job_lifecycle_test.go
+++ b/internal/controller/job_lifecycle_test.go
@@ -17,11 +17,11 @@
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 30, CPUs: 2, EstimateS: 5}))
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
 		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.KindGang, Team: "blue", Priority: "normal", Tasks: 4, CPUs: 2, EstimateS: 5}))
-		c.await("the service runs", 40*time.Second, func() bool { return c.env.Running("wk-2") == 3 })
+		c.await("the service runs", 40*time.Second, func() bool { return c.env.CountRunningTasks("wk-2") == 3 })
 		c.awaitDone("wk-1", 2*time.Minute)
 		c.awaitDone("wk-3", 2*time.Minute)
 		c.cancelJob("wk-2")
-		c.await("the service has stopped", 10*time.Second, func() bool { return c.env.Running("wk-2") == 0 })
+		c.await("the service has stopped", 10*time.Second, func() bool { return c.env.CountRunningTasks("wk-2") == 0 })
 		c.await("the task groups' records are deleted", time.Minute, func() bool { return len(c.env.Store.Keys(groupPrefix)) == 0 })
 		c.await("all machines are terminated", time.Minute, func() bool { return len(c.env.Cloud.Agents()) == 0 })
 		if s := c.jobState("wk-2"); s != wire.StateCancelled {
@@ -56,7 +56,7 @@
 			x.change(s)
 			spec, err := wire.ParseJob(s.encode(t))
 			if err == nil && x.status == http.StatusCreated {
-				c.env.Upload(spec)
+				c.env.UploadJobSpec(spec)
 			}
 			if answer := c.sendWithRetries(submitRequest(s, spec), 10*time.Second); answer.status != x.status {
 				t.Errorf("submission, %s: status %d, want %d", x.name, answer.status, x.status)
--- a/internal/controller/late_requests_test.go
+++ b/internal/controller/late_requests_test.go
@@ -16,12 +16,12 @@
 func TestLateTransactions(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 40, CPUs: 2, EstimateS: 6}))
-		c.await("the array runs", time.Minute, func() bool { return c.env.Running("wk-1") > 4 })
+		c.await("the array runs", time.Minute, func() bool { return c.env.CountRunningTasks("wk-1") > 4 })
 		rng := rand.New(rand.NewPCG(1, 2))
 		var mu sync.Mutex
 		for _, n := range c.nodes {
 			n.transport.SetDelay(3*time.Second, 0)
-			n.transport.SetPolicy(func(r *http.Request) network.Fault {
+			n.transport.SetFaultPolicy(func(r *http.Request) network.Fault {
 				mu.Lock()
 				defer mu.Unlock()
 				if r.URL.Path == "/txn" && rng.IntN(4) == 0 {
@@ -37,7 +37,7 @@
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "red", Priority: "normal", Tasks: 10, CPUs: 2, EstimateS: 3}))
 		time.Sleep(20 * time.Second)
 		for _, n := range c.nodes {
-			n.transport.SetPolicy(nil)
+			n.transport.SetFaultPolicy(nil)
 		}
 		c.awaitDone("wk-1", 3*time.Minute)
 		c.awaitDone("wk-2", 3*time.Minute)
@@ -50,7 +50,7 @@
 	runCluster(t, func(c *cluster) {
 		for _, n := range c.nodes {
 			n.transport.SetDelay(30*time.Second, 0)
-			n.transport.SetPolicy(func(r *http.Request) network.Fault {
+			n.transport.SetFaultPolicy(func(r *http.Request) network.Fault {
 				if r.URL.Path == "/do" {
 					return network.ExecuteLate
 				}
@@ -59,11 +59,11 @@
 		}
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 30, CPUs: 2, EstimateS: 3}))
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindService, Team: "blue", Priority: "production", Tasks: 2, CPUs: 4}))
-		c.await("the service runs", time.Minute, func() bool { return c.env.Running("wk-2") == 2 })
+		c.await("the service runs", time.Minute, func() bool { return c.env.CountRunningTasks("wk-2") == 2 })
 		c.cancelJob("wk-2")
 		c.awaitDone("wk-1", 3*time.Minute)
 		time.Sleep(time.Minute)
-		if n := c.env.Running("wk-2"); n != 0 {
+		if n := c.env.CountRunningTasks("wk-2"); n != 0 {
 			t.Errorf("%d cancelled tasks run, want none", n)
 		}
 	})
@@ -79,7 +79,7 @@
 		var mu sync.Mutex
 		for _, n := range c.nodes {
 			n.transport.SetDelay(40*time.Second, 0)
-			n.transport.SetPolicy(func(r *http.Request) network.Fault {
+			n.transport.SetFaultPolicy(func(r *http.Request) network.Fault {
 				mu.Lock()
 				defer mu.Unlock()
 				if r.URL.Path == "/txn" && rng.IntN(5) == 0 {
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -95,10 +95,10 @@
 		c.env.Cloud.SetCapacity(6)
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "low", Tasks: 400, CPUs: 1, EstimateS: 4}))
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "red", Priority: "normal", Tasks: 60, CPUs: 2, EstimateS: 4}))
-		c.await("more than 20 tasks of the job are done", time.Minute, func() bool { return c.env.Completed("wk-1") > 20 })
+		c.await("more than 20 tasks of the job are done", time.Minute, func() bool { return c.env.CountCompletedTasks("wk-1") > 20 })
 		c.killAll()
-		large := c.env.Store.CountLargerThan(1 << 10)
-		c.env.Store.SetLimits(1<<10, 10)
+		large := c.env.Store.CountValuesLargerThan(1 << 10)
+		c.env.Store.SetTxnLimits(1<<10, 10)
 		for i, n := range c.nodes {
 			n.cfg.Settings.Store.ValueKB, n.cfg.Settings.Store.TxnOps = 1, 10
 			c.start(i)
@@ -110,7 +110,7 @@
 		c.awaitDone("wk-3", 2*time.Minute)
 		c.cancelJob("wk-2")
 		c.awaitDone("wk-1", 20*time.Minute)
-		if n := c.env.Store.CountLargerThan(1 << 10); n > 0 {
+		if n := c.env.Store.CountValuesLargerThan(1 << 10); n > 0 {
 			t.Errorf("%d records still exceed the value limit, want none", n)
 		}
 	})
@@ -127,9 +127,9 @@
 			return b
 		}
 		c.submit(newJob("wk-1"))
-		c.await("the job runs", time.Minute, func() bool { return c.env.Running("wk-1") > 0 })
+		c.await("the job runs", time.Minute, func() bool { return c.env.CountRunningTasks("wk-1") > 0 })
 		c.killAll()
-		c.env.Store.SetLimits(1<<10, 10)
+		c.env.Store.SetTxnLimits(1<<10, 10)
 		for i, n := range c.nodes {
 			n.cfg.Settings.Store.ValueKB, n.cfg.Settings.Store.TxnOps = 1, 10
 			c.start(i)
@@ -141,6 +141,6 @@
 			t.Errorf("repeated submission of an accepted job: status %d, want 200", answer.status)
 		}
 		c.cancelJob("wk-1")
-		c.await("no task of the cancelled job runs", 30*time.Second, func() bool { return c.env.Running("wk-1") == 0 })
+		c.await("no task of the cancelled job runs", 30*time.Second, func() bool { return c.env.CountRunningTasks("wk-1") == 0 })
 	})
 }
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -49,19 +49,19 @@
 
 // heartbeatTimeout returns how long a machine may be silent before it is pinged.
 func (c *clusterState) heartbeatTimeout() time.Duration {
-	return config.Seconds(maxHeartbeatIntervalFactor*c.cfg.Settings.Workers.ReportS) + maxHeartbeatTransit
+	return config.Seconds(maxHeartbeatIntervalFactor*c.cfg.Settings.Workers.HeartbeatIntervalS) + maxHeartbeatTransit
 }
 
 // unreachableTimeout returns how long a machine may be silent before it counts as unreachable,
 // unless unanswered direct commands show that earlier.
 func (c *clusterState) unreachableTimeout() time.Duration {
 	w := &c.cfg.Settings.Workers
-	return max(unreachableIntervals*config.Seconds(w.ReportS), config.Seconds(unreachableLeaseFraction*w.LeaseS), minUnreachableTimeout)
+	return max(unreachableIntervals*config.Seconds(w.HeartbeatIntervalS), config.Seconds(unreachableLeaseFraction*w.LeaseDurationS), minUnreachableTimeout)
 }
 
 // usableTimeout returns how long after its last heartbeat a machine may be given tasks.
 func (c *clusterState) usableTimeout() time.Duration {
-	return max(usableIntervals*config.Seconds(c.cfg.Settings.Workers.ReportS), minUsableTimeout)
+	return max(usableIntervals*config.Seconds(c.cfg.Settings.Workers.HeartbeatIntervalS), minUsableTimeout)
 }
 
 // seemsNotReceiving reports whether the machine lost its lease although its heartbeats were
--- a/internal/controller/liveness_test.go
+++ b/internal/controller/liveness_test.go
@@ -18,7 +18,7 @@
 		{10, 50, 13 * time.Second, 30 * time.Second, 20 * time.Second},
 	} {
 		c := newTestController(t)
-		c.cfg.Settings.Workers.ReportS, c.cfg.Settings.Workers.LeaseS = x.intervalS, x.leaseS
+		c.cfg.Settings.Workers.HeartbeatIntervalS, c.cfg.Settings.Workers.LeaseDurationS = x.intervalS, x.leaseS
 		if got := c.heartbeatTimeout(); got != x.overdue {
 			t.Errorf("interval %v s, lease %v s: heartbeat timeout %v, want %v", x.intervalS, x.leaseS, got, x.overdue)
 		}
--- a/internal/controller/loan_leader.go
+++ b/internal/controller/loan_leader.go
@@ -113,7 +113,7 @@
 	}
 	// An owner that does not release the machine in time may have more urgent tasks there by
 	// now.
-	releaseTimeout := c.leaseExpiry + 2*config.Seconds(c.cfg.Settings.Workers.ReportS) + loanReleaseGrace
+	releaseTimeout := c.leaseExpiry + 2*config.Seconds(c.cfg.Settings.Workers.HeartbeatIntervalS) + loanReleaseGrace
 	return c.now.Sub(loan.firstSeenAt) < releaseTimeout
 }
 
--- a/internal/controller/loans_test.go
+++ b/internal/controller/loans_test.go
@@ -41,7 +41,7 @@
 	c.t.Helper()
 	c.env.Cloud.SetCapacity(8)
 	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "low", Tasks: 60, CPUs: 2, EstimateS: 10}))
-	c.await("machines are up", time.Minute, func() bool { return c.env.Running("wk-1") >= 10 })
+	c.await("machines are up", time.Minute, func() bool { return c.env.CountRunningTasks("wk-1") >= 10 })
 	service := newSubmission(submission{ID: "wk-2", Kind: wire.KindService, Team: "blue", Priority: "production", Tasks: 6, CPUs: 3})
 	service.MachineTypes = []string{"small"}
 	c.submit(service)
@@ -50,7 +50,7 @@
 		c.await("machines are on loan", 2*time.Minute, onLoan)
 		injectFault(c)
 	}
-	c.await("all replicas of the service run", 3*time.Minute, func() bool { return c.env.Running("wk-2") == 6 })
+	c.await("all replicas of the service run", 3*time.Minute, func() bool { return c.env.CountRunningTasks("wk-2") == 6 })
 	c.cancelJob("wk-2")
 	c.await("no machine stays on loan", time.Minute, func() bool { return !onLoan() })
 	c.awaitDone("wk-1", 10*time.Minute)
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -17,13 +17,13 @@
 func TestFaultyMachinesDoNotBlockWork(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
-		c.await("the service runs", time.Minute, func() bool { return c.env.Running("wk-1") == 3 })
+		c.await("the service runs", time.Minute, func() bool { return c.env.CountRunningTasks("wk-1") == 3 })
 		c.env.Cloud.Agents()[0].SetIsolated(true)
 		time.Sleep(40 * time.Second)
-		if n := c.env.Running("wk-1"); n != 3 {
+		if n := c.env.CountRunningTasks("wk-1"); n != 3 {
 			t.Errorf("%d replicas after a machine was isolated, want 3", n)
 		}
-		c.env.Cloud.Agents()[0].SetFailing(true)
+		c.env.Cloud.Agents()[0].SetTasksFailing(true)
 		for i := range 4 {
 			c.submit(newSubmission(submission{ID: fmt.Sprintf("wk-%d", i+2), Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 8, CPUs: 1, EstimateS: 2}))
 		}
@@ -57,9 +57,9 @@
 		// There is more work than room, and no machine can be launched or terminated.
 		c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "low", Tasks: 600, CPUs: 1, EstimateS: 6}))
 		time.Sleep(15 * time.Second)
-		c.env.Cloud.SetDown(true)
+		c.env.Cloud.SetUnavailable(true)
 		w := c.env.Cloud.Agents()[0]
-		w.SetNotReceiving(true)
+		w.SetInboundBlocked(true)
 		time.Sleep(25 * time.Second)
 		if !c.areServicesRunning(4, 2) {
 			t.Error("replicas are missing long after the lease expired")
@@ -70,10 +70,10 @@
 				t.Fatalf("%d tasks are bound to a machine that receives nothing, want none", n)
 			}
 		}
-		w.SetNotReceiving(false)
+		w.SetInboundBlocked(false)
 		c.submit(newSubmission(submission{ID: "wk-8", Kind: wire.KindArray, Team: "blue", Priority: "low", Tasks: 600, CPUs: 1, EstimateS: 6}))
 		c.await("the machine is used again", 20*time.Second, func() bool { return c.countTasksBoundTo(w.Name()) > 0 })
-		c.env.Cloud.SetDown(false)
+		c.env.Cloud.SetUnavailable(false)
 		c.awaitDone("wk-9", 10*time.Minute)
 	})
 }
@@ -124,7 +124,7 @@
 	}
 	heartbeat := dead.LastHeartbeat()
 	dead.Terminate()
-	c.env.Cloud.SetDown(true) // so that only the lease can prove the machine's end
+	c.env.Cloud.SetUnavailable(true) // so that only the lease can prove the machine's end
 	if failover {
 		c.restartOneByOne()
 	}
@@ -231,10 +231,10 @@
 				busy = append(busy, w)
 			}
 		}
-		c.env.Store.SetDown(true)
+		c.env.Store.SetUnavailable(true)
 		time.Sleep(90 * time.Second)
-		c.env.Store.SetDown(false)
-		c.env.SetSettled()
+		c.env.Store.SetUnavailable(false)
+		c.env.MarkFaultsEnded()
 		for range 40 {
 			time.Sleep(250 * time.Millisecond)
 			for _, w := range busy {
@@ -261,7 +261,7 @@
 				w = x
 			}
 		}
-		w.SetNotSending(true)
+		w.SetOutboundBlocked(true)
 		began := time.Now()
 		missing := time.Duration(0)
 		for time.Since(began) < 20*time.Second {
--- a/internal/controller/outage_log_test.go
+++ b/internal/controller/outage_log_test.go
@@ -18,8 +18,8 @@
 		setDown func(c *cluster, down bool)
 		nodes   int // number of controllers that log the outage
 	}{
-		{"the key-value store", `of="key-value store"`, func(c *cluster, down bool) { c.env.Store.SetDown(down) }, defaultControllerCount},
-		{"the cloud", "of=cloud", func(c *cluster, down bool) { c.env.Cloud.SetDown(down) }, 1},
+		{"the key-value store", `of="key-value store"`, func(c *cluster, down bool) { c.env.Store.SetUnavailable(down) }, defaultControllerCount},
+		{"the cloud", "of=cloud", func(c *cluster, down bool) { c.env.Cloud.SetUnavailable(down) }, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			runCluster(t, func(c *cluster) { c.checkOutageLines(x.of, x.nodes, func(down bool) { x.setDown(c, down) }) })
@@ -34,7 +34,7 @@
 	c.alwaysKeepLogs = true
 	c.restartAll()
 	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 1}))
-	c.await("the service runs", time.Minute, func() bool { return c.env.Running("wk-1") == 2 })
+	c.await("the service runs", time.Minute, func() bool { return c.env.CountRunningTasks("wk-1") == 2 })
 	before := c.infoLines("outage")
 	if len(before) > 0 {
 		c.t.Errorf("lines about an outage before there was one: %q, want none", before)
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -69,7 +69,7 @@
 		c.t.Errorf("holders of leased keys changed from %v to %v", owners, now)
 	}
 	c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 6, CPUs: 2, EstimateS: 5}))
-	c.await("the array starts", 40*time.Second, func() bool { return c.env.Running("wk-9")+c.env.Completed("wk-9") > 0 })
+	c.await("the array starts", 40*time.Second, func() bool { return c.env.CountRunningTasks("wk-9")+c.env.CountCompletedTasks("wk-9") > 0 })
 	if !c.areServicesRunning(4, 2) {
 		c.t.Error("replicas are missing, want all to run")
 	}
--- a/internal/controller/owner_liveness.go
+++ b/internal/controller/owner_liveness.go
@@ -67,7 +67,7 @@
 	if c.heartbeatsResumedAt.After(since) {
 		since = c.heartbeatsResumedAt // no heartbeat was accepted before that
 	}
-	return c.now.Sub(since) > 2*config.Seconds(c.cfg.Settings.Workers.ReportS)+ownerViewSettleTime
+	return c.now.Sub(since) > 2*config.Seconds(c.cfg.Settings.Workers.HeartbeatIntervalS)+ownerViewSettleTime
 }
 
 // allOwnersResponsive reports whether the owners of all partitions are responsive.
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -159,10 +159,10 @@
 			equivalenceClass: group.job.equivalenceClass,
 			zone:             group.zone,
 			claim:            group.claim(),
-			noPreemption:     array && waited < c.operator.EvictAfter,
+			noPreemption:     array && waited < c.operator.PreemptionDelay,
 		},
 		score:             c.scorer(p, group),
-		prefersFreedCells: array && waited < evictionDelayFactor*c.operator.EvictAfter,
+		prefersFreedCells: array && waited < evictionDelayFactor*c.operator.PreemptionDelay,
 	}
 }
 
@@ -238,7 +238,7 @@
 // expectedFreedCells estimates how many cells become free within evict-after, the time that a
 // pending task waits before it may preempt.
 func (s *placement) expectedFreedCells() int {
-	return s.partition.estimateFreedCells(s.owner.now, s.owner.operator.EvictAfter)
+	return s.partition.estimateFreedCells(s.owner.now, s.owner.operator.PreemptionDelay)
 }
 
 // currentClass returns the group's placement class at this point of the pass. While cells become
--- a/internal/controller/processes_test.go
+++ b/internal/controller/processes_test.go
@@ -185,7 +185,7 @@
 		proxy := httputil.NewSingleHostReverseProxy(target)
 		proxy.ErrorHandler = func(w http.ResponseWriter, _ *http.Request, _ error) { w.WriteHeader(http.StatusBadGateway) }
 		p.env.Network.Serve(addrs[i], proxy)
-		p.nodes = append(p.nodes, &node{cfg: &config.Platform{Name: name, APIAddr: addrs[i]}})
+		p.nodes = append(p.nodes, &node{cfg: &config.PlatformSettings{Name: name, APIAddr: addrs[i]}})
 		var siblings strings.Builder
 		for k, other := range names {
 			if k != i {
@@ -261,7 +261,7 @@
 		p.submit(newSubmission(submission{ID: nextID(), Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 2}))
 	}
 	submitWork()
-	p.await("the first tasks run", time.Minute, func() bool { return p.env.Starts() > 10 })
+	p.await("the first tasks run", time.Minute, func() bool { return p.env.CountStartedTasks() > 10 })
 	for _, step := range []struct {
 		node    int
 		program string
@@ -272,7 +272,7 @@
 		p.startProcess(step.node, step.program)
 		time.Sleep(9 * time.Second)
 	}
-	p.env.Store.SetLimits(2<<10, 10)
+	p.env.Store.SetTxnLimits(2<<10, 10)
 	for range 3 {
 		gang := gangSubmission(nextID(), "blue", "normal", 6, 8)
 		gang.SingleZone = true
@@ -281,18 +281,18 @@
 	p.killProcess(0)
 	time.Sleep(500 * time.Millisecond)
 	p.startProcess(0, newBinary)
-	p.env.SetSettled()
+	p.env.MarkFaultsEnded()
 	for n := range jobs {
 		id := fmt.Sprintf("wk-%d", n+1)
 		p.await(id+" is done, or runs completely as a service", 3*time.Minute, func() bool {
 			s := p.jobState(id)
-			return s == wire.StateDone || p.env.Running(id) == 2
+			return s == wire.StateDone || p.env.CountRunningTasks(id) == 2
 		})
 	}
 	for _, violation := range p.env.Violations() {
 		t.Error(violation)
 	}
-	if n := p.env.Store.Stats().OverLimits; n > 0 {
+	if n := p.env.Store.Stats().RejectedTxns; n > 0 {
 		t.Errorf("%d transactions exceeded the limits of the key-value store, want none", n)
 	}
 }
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -16,11 +16,11 @@
 	runCluster(t, func(c *cluster) {
 		c.env.Cloud.SetCapacity(3)
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "red", Priority: "low", Tasks: 40, CPUs: 2, EstimateS: 6}))
-		c.await("the array runs", time.Minute, func() bool { return c.env.Running("wk-1") > 2 })
+		c.await("the array runs", time.Minute, func() bool { return c.env.CountRunningTasks("wk-1") > 2 })
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "blue", Priority: "low", Tasks: 40, CPUs: 2, EstimateS: 6}))
 		time.Sleep(30 * time.Second)
 		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.KindService, Team: "blue", Priority: "production", Tasks: 2, CPUs: 4}))
-		c.await("the service runs after preemption", 20*time.Second, func() bool { return c.env.Running("wk-3") == 2 })
+		c.await("the service runs after preemption", 20*time.Second, func() bool { return c.env.CountRunningTasks("wk-3") == 2 })
 		c.awaitDone("wk-1", 10*time.Minute)
 		c.awaitDone("wk-2", 10*time.Minute)
 	})
@@ -31,12 +31,12 @@
 func TestQuotaGoesToHigherPriority(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "red", Priority: "low", Tasks: 60, CPUs: 2, EstimateS: 30}))
-		c.await("the array fills the limit", time.Minute, func() bool { return c.env.Running("wk-1") == 12 })
+		c.await("the array fills the limit", time.Minute, func() bool { return c.env.CountRunningTasks("wk-1") == 12 })
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindService, Team: "red", Priority: "urgent", Tasks: 2, CPUs: 4}))
-		c.await("the service runs", 10*time.Second, func() bool { return c.env.Running("wk-2") == 2 })
-		c.await("the array uses the rest of the limit", 20*time.Second, func() bool { return c.env.Running("wk-1") == 8 })
+		c.await("the service runs", 10*time.Second, func() bool { return c.env.CountRunningTasks("wk-2") == 2 })
+		c.await("the array uses the rest of the limit", 20*time.Second, func() bool { return c.env.CountRunningTasks("wk-1") == 8 })
 		c.cancelJob("wk-2")
-		c.await("the array uses the whole limit again", 20*time.Second, func() bool { return c.env.Running("wk-1") == 12 })
+		c.await("the array uses the whole limit again", 20*time.Second, func() bool { return c.env.CountRunningTasks("wk-1") == 12 })
 		c.awaitDone("wk-1", 10*time.Minute)
 	})
 }
@@ -60,15 +60,15 @@
 			}
 		}
 		submitSmallArrays(4 * time.Minute)
-		if c.env.Completed("wk-1") == 0 && c.env.Running("wk-1") == 0 {
+		if c.env.CountCompletedTasks("wk-1") == 0 && c.env.CountRunningTasks("wk-1") == 0 {
 			t.Error("the largest job has not started after four minutes")
 		}
 		submitSmallArrays(6 * time.Minute)
 		all := 0
 		for i := range n {
-			all += c.env.Completed(fmt.Sprintf("wk-%d", i+1))
+			all += c.env.CountCompletedTasks(fmt.Sprintf("wk-%d", i+1))
 		}
-		if done := c.env.Completed("wk-1"); done*12 < all {
+		if done := c.env.CountCompletedTasks("wk-1"); done*12 < all {
 			t.Errorf("the largest job has %d of the %d tasks completed in ten minutes, want at least one in 12", done, all)
 		}
 	})
@@ -105,9 +105,9 @@
 func TestUnplaceableJobStopsNothing(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "red", Priority: "low", Tasks: 40, CPUs: 2, EstimateS: 60}))
-		c.await("the limit is used up", time.Minute, func() bool { return c.env.Running("wk-1") == 12 })
+		c.await("the limit is used up", time.Minute, func() bool { return c.env.CountRunningTasks("wk-1") == 12 })
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "red", Priority: "low", Tasks: 40, CPUs: 2, EstimateS: 60}))
-		c.env.Cloud.SetDown(true)
+		c.env.Cloud.SetUnavailable(true)
 		for _, w := range c.env.Cloud.Agents() {
 			if w.Zone() == "b" {
 				t.Fatal("there is a machine in zone b, want none")
@@ -116,12 +116,12 @@
 		b := newSubmission(submission{ID: "wk-3", Kind: wire.KindArray, Team: "red", Priority: "normal", Tasks: 8, CPUs: 2, EstimateS: 5})
 		b.Zone = "b"
 		c.submit(b)
-		before := c.env.Starts()
+		before := c.env.CountStartedTasks()
 		time.Sleep(20 * time.Second)
-		if n := c.env.Starts() - before; n > 0 || c.env.Running("wk-1") != 12 {
-			t.Errorf("%d tasks were started and %d run, want 0 and 12", n, c.env.Running("wk-1"))
+		if n := c.env.CountStartedTasks() - before; n > 0 || c.env.CountRunningTasks("wk-1") != 12 {
+			t.Errorf("%d tasks were started and %d run, want 0 and 12", n, c.env.CountRunningTasks("wk-1"))
 		}
-		c.env.Cloud.SetDown(false)
+		c.env.Cloud.SetUnavailable(false)
 		c.awaitDone("wk-3", 3*time.Minute)
 	})
 }
--- a/internal/controller/quota_usage.go
+++ b/internal/controller/quota_usage.go
@@ -33,8 +33,8 @@
 	for i := range c.cfg.Settings.Teams {
 		team := &c.cfg.Settings.Teams[i]
 		quotas[c.getOrAddTeam(team.Name)] = planning.Quota{
-			Guarantee: scheduling.NewResources(team.CPUs, team.GPUs, 0),
-			Limit:     scheduling.NewResources(team.CPUsMax, team.GPUsMax, 0),
+			Guarantee: scheduling.NewResources(team.GuaranteedCPUs, team.GuaranteedGPUs, 0),
+			Limit:     scheduling.NewResources(team.MaxCPUs, team.MaxGPUs, 0),
 		}
 	}
 	return quotas
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -71,8 +71,8 @@
 		r.kill(i)
 		r.addActiveFault(func() { r.start(i) })
 	case 5:
-		r.env.Store.SetDown(true)
-		r.addActiveFault(func() { r.env.Store.SetDown(false) })
+		r.env.Store.SetUnavailable(true)
+		r.addActiveFault(func() { r.env.Store.SetUnavailable(false) })
 	case 6:
 		r.failRequests()
 	case 7:
@@ -132,8 +132,8 @@
 	n := r.nodes[r.rng.IntN(3)]
 	host := []string{simulation.StoreAddr, "10.1", simulation.CloudAddr}[r.rng.IntN(3)]
 	networkFault := []network.Fault{network.Refuse, network.Drop, network.ExecuteLate}[r.rng.IntN(3)]
-	n.transport.SetPolicy(policyForMatching(func(req *http.Request) bool { return strings.HasPrefix(req.URL.Host, host) }, networkFault))
-	r.addActiveFault(func() { n.transport.SetPolicy(nil) })
+	n.transport.SetFaultPolicy(policyForMatching(func(req *http.Request) bool { return strings.HasPrefix(req.URL.Host, host) }, networkFault))
+	r.addActiveFault(func() { n.transport.SetFaultPolicy(nil) })
 }
 
 // failMachine terminates or isolates a random machine.
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -49,12 +49,12 @@
 
 // newRolloutState returns the state of a cluster for which no rollout state is stored. The limits
 // of the levels and of the rewrite rate are taken from the settings.
-func newRolloutState(cfg *config.Platform, op *config.Operator) rolloutState {
+func newRolloutState(cfg *config.PlatformSettings, op *config.OperatorSettings) rolloutState {
 	s := &cfg.Settings
-	perSecond := s.Store.WriteRPS * op.RewriteShare / float64(s.Count)
+	perSecond := s.Store.WriteRPS * op.RewriteShare / float64(s.ControllerCount)
 	supported := rollout.SupportedLevels
-	if op.HighestLevel > 0 {
-		supported.High = min(supported.High, rollout.Level(op.HighestLevel))
+	if op.MaxFeatureLevel > 0 {
+		supported.High = min(supported.High, rollout.Level(op.MaxFeatureLevel))
 	}
 	return rolloutState{
 		supportedLevels:  supported,
@@ -199,7 +199,7 @@
 	s := &c.rollout
 	return rollout.ClusterView{
 		Now:               c.now,
-		Members:           c.cfg.Nodes(),
+		Members:           c.cfg.ControllerNames(),
 		Registrations:     s.registrations,
 		IsLeader:          c.isLeader(),
 		IsUpToDate:        c.replica.Cursor() >= s.revision,
@@ -207,7 +207,7 @@
 		UnreadableRecords: len(s.unreadableGroups),
 		PartitionCount:    c.loanPartition(),
 		MaxTxnChanges:     c.cfg.Settings.Store.TxnOps,
-		FinalizeAfter:     c.operator.FinalizeAfter,
+		FinalizeAfter:     c.operator.FinalizeDelay,
 	}
 }
 
@@ -216,7 +216,7 @@
 // process may serve, and the result of its previous step is known.
 func (c *controller) advanceRollout() {
 	s := &c.rollout
-	enabled := s.revision != 0 || c.operator.FeatureLevels
+	enabled := s.revision != 0 || c.operator.EnableFeatureLevels
 	if !enabled || s.stepInFlight || s.refusal != nil || !c.isFresh(c.operator.LeaseTTL) {
 		return
 	}
--- a/internal/controller/rollout_cluster_test.go
+++ b/internal/controller/rollout_cluster_test.go
@@ -13,9 +13,9 @@
 
 // operatorSettings returns the operator's settings of a node. A version without levels has the
 // defaults.
-func (n *node) operatorSettings() *config.Operator {
+func (n *node) operatorSettings() *config.OperatorSettings {
 	if n.operatorConfig == nil || n.version.predatesLevels {
-		return config.DefaultOperator()
+		return config.DefaultOperatorSettings()
 	}
 	return n.operatorConfig
 }
@@ -31,8 +31,8 @@
 // runUpgradeCluster is runCluster for a cluster whose controllers take part in staged upgrades.
 func runUpgradeCluster(t *testing.T, f func(c *cluster)) {
 	runClusterWithSetup(t, func(n *node) {
-		n.operatorConfig = config.DefaultOperator()
-		n.operatorConfig.FeatureLevels = true
+		n.operatorConfig = config.DefaultOperatorSettings()
+		n.operatorConfig.EnableFeatureLevels = true
 	}, func(c *cluster) {
 		c.upgradesEnabled = true
 		f(c)
@@ -69,7 +69,7 @@
 // upgradeOperator returns an operator who controls the cluster's upgrade.
 func (c *cluster) upgradeOperator() *rollout.OperatorClient {
 	cfg := c.nodes[0].cfg
-	return &rollout.OperatorClient{Store: c.storeClient(), Members: cfg.Nodes(), PartitionCount: cfg.Settings.Count, MaxTxnChanges: cfg.Settings.Store.TxnOps}
+	return &rollout.OperatorClient{Store: c.storeClient(), Members: cfg.ControllerNames(), PartitionCount: cfg.Settings.ControllerCount, MaxTxnChanges: cfg.Settings.Store.TxnOps}
 }
 
 // requestUpgrade stores an operator's request as the eiderhitch upgrade command does. It retries
--- a/internal/controller/rollout_processes_test.go
+++ b/internal/controller/rollout_processes_test.go
@@ -182,7 +182,7 @@
 	u.beginPhase("old")
 	u.submitters.Add(1)
 	go u.submitSteadily(round)
-	u.await("the first tasks run", time.Minute, func() bool { return u.env.Starts() > 10 })
+	u.await("the first tasks run", time.Minute, func() bool { return u.env.CountStartedTasks() > 10 })
 	u.beginPhase("rolling upgrade")
 	lastStartedAt := u.upgradeAll()
 	u.awaitPhase(1, rollout.PhaseActive, time.Minute)
@@ -263,11 +263,11 @@
 	u.t.Helper()
 	close(u.stopSubmitting)
 	u.submitters.Wait()
-	u.env.SetSettled()
+	u.env.MarkFaultsEnded()
 	for _, id := range u.acceptedIDs {
 		u.await(id+" is finished, or runs as a service", 2*time.Minute, func() bool {
 			s := u.jobState(id)
-			return s == wire.StateDone || s == wire.StateCancelled || u.env.Running(id) == 1
+			return s == wire.StateDone || s == wire.StateCancelled || u.env.CountRunningTasks(id) == 1
 		})
 	}
 	for _, violation := range u.env.Violations() {
--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -27,7 +27,7 @@
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 60, CPUs: 2, EstimateS: 20}))
 		c.awaitLevel(1, rollout.PhaseActive, 30*time.Second)
-		c.await("the service runs", 40*time.Second, func() bool { return c.env.Running("wk-1") == 3 })
+		c.await("the service runs", 40*time.Second, func() bool { return c.env.CountRunningTasks("wk-1") == 3 })
 		c.requestUpgrade(rollout.RequestFinalize)
 		c.awaitLevel(2, rollout.PhaseStable, 10*time.Second)
 		c.await("records are rewritten", time.Minute, func() bool { f := c.countByEncoding(); return f[record.PlainJSON] == 0 && f[record.Checksummed] > 0 })
@@ -42,7 +42,7 @@
 			t.Error("the level is not held after the revert")
 		}
 		c.awaitDone("wk-2", 5*time.Minute)
-		if n := c.env.Running("wk-1"); n != 3 {
+		if n := c.env.CountRunningTasks("wk-1"); n != 3 {
 			t.Errorf("%d replicas of the service run, want 3", n)
 		}
 	})
@@ -54,7 +54,7 @@
 	c.t.Helper()
 	c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
 	c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 12, CPUs: 1, EstimateS: 300}))
-	c.await("the service and the array run", time.Minute, func() bool { return c.env.Running("wk-1") == 3 && c.env.Running("wk-2") == 12 })
+	c.await("the service and the array run", time.Minute, func() bool { return c.env.CountRunningTasks("wk-1") == 3 && c.env.CountRunningTasks("wk-2") == 12 })
 	c.awaitLevel(1, rollout.PhaseActive, 30*time.Second)
 	c.requestUpgrade(rollout.RequestFinalize)
 	c.awaitLevel(2, rollout.PhaseStable, 30*time.Second)
@@ -81,7 +81,7 @@
 		c.restartWithVersion(0, baseLevelVersion)
 		time.Sleep(5 * time.Second)
 		var calls atomic.Int64
-		c.nodes[0].transport.SetPolicy(func(r *http.Request) network.Fault {
+		c.nodes[0].transport.SetFaultPolicy(func(r *http.Request) network.Fault {
 			if isStoreRequest(r) {
 				calls.Add(1)
 			}
@@ -100,7 +100,7 @@
 		if n := calls.Load(); n > 4*watched {
 			t.Errorf("%d calls to the key-value store in %d s, want at most %d", n, watched, 4*watched)
 		}
-		if n := c.env.Running("wk-1"); n != 3 {
+		if n := c.env.CountRunningTasks("wk-1"); n != 3 {
 			t.Errorf("%d replicas run, want 3", n)
 		}
 		c.restartWithVersion(0, currentVersion)
@@ -124,11 +124,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.env.Upload(spec)
+		c.env.UploadJobSpec(spec)
 		if answer := c.sendRequest(0, submitRequest(body, spec)); answer.status != http.StatusCreated {
 			t.Errorf("submission answered with status %d, want 201", answer.status)
 		}
-		c.await("the job that it accepted is done", time.Minute, func() bool { return c.env.Completed("wk-3") == 4 })
+		c.await("the job that it accepted is done", time.Minute, func() bool { return c.env.CountCompletedTasks("wk-3") == 4 })
 		c.kill(1)
 		c.kill(2)
 		for range 25 {
@@ -140,7 +140,7 @@
 		c.start(1)
 		c.start(2)
 		c.restartWithVersion(0, currentVersion)
-		c.await("the service runs again", 40*time.Second, func() bool { return c.env.Running("wk-1") == 3 })
+		c.await("the service runs again", 40*time.Second, func() bool { return c.env.CountRunningTasks("wk-1") == 3 })
 		c.awaitDone("wk-3", 40*time.Second)
 	})
 }
@@ -168,7 +168,7 @@
 func TestTasksOfCorruptRecordKeepRunning(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.startWorkAndFinalize()
-		starts := c.env.Trace.Accepted("wk-2")
+		starts := c.env.Trace.CountAcceptedStarts("wk-2")
 		var undo []func()
 		for key := range c.env.Store.Values(groupPrefix + "wk-2/") {
 			undo = append(undo, c.corruptRecord(key))
@@ -178,8 +178,8 @@
 			c.start(i)
 		}
 		time.Sleep(30 * time.Second)
-		if n := c.env.Running("wk-2"); n != 12 || c.env.Trace.Accepted("wk-2") != starts {
-			t.Errorf("%d of 12 tasks run, %d were started after the corruption; want 12 and 0", n, c.env.Trace.Accepted("wk-2")-starts)
+		if n := c.env.CountRunningTasks("wk-2"); n != 12 || c.env.Trace.CountAcceptedStarts("wk-2") != starts {
+			t.Errorf("%d of 12 tasks run, %d were started after the corruption; want 12 and 0", n, c.env.Trace.CountAcceptedStarts("wk-2")-starts)
 		}
 		for i := range c.nodes {
 			if answer := c.sendRequest(i, queryRequest("wk-2")); answer.status != http.StatusServiceUnavailable {
@@ -199,7 +199,7 @@
 		}
 		c.await("the job is known again", 20*time.Second, func() bool { return c.jobState("wk-2") == wire.StateRunning })
 		c.cancelJob("wk-2")
-		c.await("the cancelled job has stopped", 40*time.Second, func() bool { return c.env.Running("wk-2") == 0 })
+		c.await("the cancelled job has stopped", 40*time.Second, func() bool { return c.env.CountRunningTasks("wk-2") == 0 })
 	})
 }
 
@@ -239,7 +239,7 @@
 		key := groupKey("wk-99", 0)
 		remaining := (&record.TaskGroup{Partition: 1, Tasks: []record.Binding{{Task: 1}}}).Encode(record.Checksummed).ValueForKey(key)
 		// The record is stored in the transaction that closes the keys.
-		c.env.Store.BeforeTxn(func(t *wire.Txn) {
+		c.env.Store.SetTxnHook(func(t *wire.Txn) {
 			for _, change := range t.Changes {
 				if s, err := rollout.DecodeState(change.Value); change.Put == rollout.StateKey && err == nil && s.Phase == rollout.PhaseClosed && s.Epoch == 1 {
 					t.Changes = append(t.Changes, wire.Change{Put: key, Value: remaining})
@@ -252,7 +252,7 @@
 			t.Fatal(err)
 		}
 		c.awaitLevel(1, rollout.PhaseStable, 20*time.Second)
-		c.await("the service runs", 20*time.Second, func() bool { return c.env.Running("wk-1") == 3 })
+		c.await("the service runs", 20*time.Second, func() bool { return c.env.CountRunningTasks("wk-1") == 3 })
 	})
 }
 
@@ -260,8 +260,8 @@
 // time given in the settings.
 func TestAutomaticFinalize(t *testing.T) {
 	runClusterWithSetup(t, func(n *node) {
-		n.operatorConfig = config.DefaultOperator()
-		n.operatorConfig.FeatureLevels, n.operatorConfig.FinalizeAfter = true, 30*time.Second
+		n.operatorConfig = config.DefaultOperatorSettings()
+		n.operatorConfig.EnableFeatureLevels, n.operatorConfig.FinalizeDelay = true, 30*time.Second
 	}, func(c *cluster) {
 		c.upgradesEnabled = true
 		c.awaitLevel(1, rollout.PhaseActive, 10*time.Second)
@@ -304,14 +304,14 @@
 func TestControllerRegistersAgainAfterLeaseExpiry(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.awaitLevel(1, rollout.PhaseActive, 10*time.Second)
-		c.nodes[1].transport.SetPolicy(func(r *http.Request) network.Fault {
+		c.nodes[1].transport.SetFaultPolicy(func(r *http.Request) network.Fault {
 			if isStoreRequest(r) {
 				return network.Refuse
 			}
 			return network.Deliver
 		})
 		c.await("the registration of n1 expires", 30*time.Second, func() bool { return len(c.env.Store.Keys(rollout.RegistrationKey("n1"))) == 0 })
-		c.nodes[1].transport.SetPolicy(nil)
+		c.nodes[1].transport.SetFaultPolicy(nil)
 		c.await("the controller is registered again", 20*time.Second, func() bool { return len(c.env.Store.Keys(rollout.RegistrationKey("n1"))) == 1 })
 	})
 }
@@ -362,9 +362,9 @@
 		c.awaitLevel(1, rollout.PhaseActive, 10*time.Second)
 		checkVersions(map[string]peer.Version{"n0n1": peer.ChecksummedFrame, "n1n0": peer.ChecksummedFrame, "n2n1": peer.ChecksummedFrame})
 		// n1 is killed without access to the key-value store, so its registration outlives it.
-		c.nodes[1].transport.SetPolicy(func(*http.Request) network.Fault { return network.Refuse })
+		c.nodes[1].transport.SetFaultPolicy(func(*http.Request) network.Fault { return network.Refuse })
 		c.kill(1)
-		c.nodes[1].transport.SetPolicy(nil)
+		c.nodes[1].transport.SetFaultPolicy(nil)
 		c.restartWithVersion(1, versionWithoutLevels)
 		if len(c.env.Store.Keys(rollout.RegistrationKey("n1"))) != 1 {
 			t.Error("the registration of n1 ended with its process")
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -17,7 +17,7 @@
 
 // Run runs a controller until ctx ends. It returns once all goroutines that it started have
 // ended.
-func Run(ctx context.Context, cfg *config.Platform, op *config.Operator, log *slog.Logger) error {
+func Run(ctx context.Context, cfg *config.PlatformSettings, op *config.OperatorSettings, log *slog.Logger) error {
 	listeners, err := listen(cfg)
 	if err != nil {
 		return err
@@ -33,7 +33,7 @@
 	c := newController(ctx, cfg, op, log, dependencies{
 		store: transports.store, cloud: transports.cloud, workers: transports.workers, sendFrame: senders.offer,
 	})
-	c.log.Info("controller starts", "process_id", c.processID, "partitions", cfg.Settings.Count, "max_staleness", c.maxStaleness)
+	c.log.Info("controller starts", "process_id", c.processID, "partitions", cfg.Settings.ControllerCount, "max_staleness", c.maxStaleness)
 	background.Go(func() { peer.Serve(ctx, listeners.peers, c.log, c.enqueuePeerStatus) })
 	senders.start(ctx, &background)
 	c.start(ctx, &background)
@@ -45,7 +45,7 @@
 type listeners struct{ api, peers net.Listener }
 
 // listen opens the listeners at the addresses of the settings.
-func listen(cfg *config.Platform) (*listeners, error) {
+func listen(cfg *config.PlatformSettings) (*listeners, error) {
 	apiListener, err := net.Listen("tcp", cfg.APIAddr)
 	if err != nil {
 		return nil, fmt.Errorf("api_addr: %w", err)
@@ -77,11 +77,11 @@
 type transports struct{ store, cloud, workers *http.Transport }
 
 // newTransports returns the connection pools for the platform's limits.
-func newTransports(cfg *config.Platform) *transports {
+func newTransports(cfg *config.PlatformSettings) *transports {
 	return &transports{
 		store:   newTransport(storeConnections, storeConnections, serviceIdleTimeout),
 		cloud:   newTransport(cloudConnections, cloudConnections, serviceIdleTimeout),
-		workers: newTransport(workerConnections, cfg.DirectCommands(), workerIdleTimeout),
+		workers: newTransport(workerConnections, cfg.MaxDirectCommands(), workerIdleTimeout),
 	}
 }
 
@@ -134,7 +134,7 @@
 
 // serveAPI serves the HTTP API for users and workers until ctx ends.
 func (c *controller) serveAPI(ctx context.Context, listener net.Listener) error {
-	connections := c.cfg.Connections()
+	connections := c.cfg.MaxConnections()
 	limits := api.Limits{MaxConnections: connections, MaxUserRequests: max(connections/2, minAPIRequests)}
 	err := api.Serve(ctx, listener, c, c.log, limits)
 	if ctx.Err() != nil {
@@ -153,7 +153,7 @@
 	wg.Go(func() { c.stateWriter.Run(ctx) })
 	wg.Go(func() { c.reader.Follow(ctx) })
 	wg.Go(func() { c.autoscaler.Run(ctx) })
-	if c.operator.FeatureLevels {
+	if c.operator.EnableFeatureLevels {
 		wg.Go(func() { c.runRegistrar(ctx) })
 	}
 	wg.Go(func() { c.runEventLoop(ctx) })
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -24,8 +24,8 @@
 	*machineRegistry
 	*cellRegistry
 
-	cfg       *config.Platform
-	operator  *config.Operator
+	cfg       *config.PlatformSettings
+	operator  *config.OperatorSettings
 	log       *slog.Logger
 	metrics   *metrics
 	processID string
@@ -64,7 +64,7 @@
 }
 
 // newClusterState returns the state of a controller before it has read any record.
-func newClusterState(ctx context.Context, cfg *config.Platform, operator *config.Operator, log *slog.Logger, deps dependencies) *clusterState {
+func newClusterState(ctx context.Context, cfg *config.PlatformSettings, operator *config.OperatorSettings, log *slog.Logger, deps dependencies) *clusterState {
 	settings := &cfg.Settings
 	loop, jobs, machines := newEventLoop(ctx), newCatalog(), newMachineRegistry()
 	client := store.NewClient(cfg.External.Store, deps.store)
@@ -80,14 +80,14 @@
 		metrics:      newMetrics(),
 		processID:    newProcessID(),
 		startedAt:    loop.now,
-		maxStaleness: config.MaxStaleness(settings.Workers.CancelS, settings.Workers.LeaseS),
-		leaseExpiry:  config.LeaseExpiry(settings.Workers.CancelS, settings.Workers.LeaseS),
+		maxStaleness: config.MaxStaleness(settings.Workers.CancelDeadlineS, settings.Workers.LeaseDurationS),
+		leaseExpiry:  config.LeaseExpiry(settings.Workers.CancelDeadlineS, settings.Workers.LeaseDurationS),
 
 		stateClient: client,
-		stateWriter: store.NewWriter(client, settings.Store.TxnOps, settings.Store.WriteRPS, settings.Count, deps.jitter),
+		stateWriter: store.NewWriter(client, settings.Store.TxnOps, settings.Store.WriteRPS, settings.ControllerCount, deps.jitter),
 		peers:       peer.NewRegistry(peerNames(cfg.Peers)),
 
-		objectiveSeconds: cfg.ObjectiveSeconds(),
+		objectiveSeconds: cfg.CompletionObjectiveSeconds(),
 		maxGroupTasks:    maxBindingsPerGroup(settings.Store.ValueKB),
 		rollout:          newRolloutState(cfg, operator),
 		schedulingPass:   1,
@@ -96,10 +96,10 @@
 	for _, t := range settings.Teams {
 		c.getOrAddTeam(t.Name)
 	}
-	for n := range settings.Count {
+	for n := range settings.ControllerCount {
 		c.partitions = append(c.partitions, &partition{index: n, key: c.rollout.leaseKeys.Partition(n)})
 	}
-	c.partitions = append(c.partitions, &partition{index: settings.Count, key: c.leaderKey()})
+	c.partitions = append(c.partitions, &partition{index: settings.ControllerCount, key: c.leaderKey()})
 	return c
 }
 
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -64,7 +64,7 @@
 		b := newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 2, CPUs: 1, EstimateS: 30})
 		b.SingleZone = true
 		c.submit(b)
-		c.await("the job runs", time.Minute, func() bool { return c.env.Running("wk-9") == 2 })
+		c.await("the job runs", time.Minute, func() bool { return c.env.CountRunningTasks("wk-9") == 2 })
 		zones := map[string]bool{}
 		for _, n := range c.nodes {
 			n.controller().call(c.ctx, priorityStore, func() {
@@ -73,14 +73,14 @@
 				}
 			})
 		}
-		c.env.Cloud.SetDown(true)
+		c.env.Cloud.SetUnavailable(true)
 		for _, w := range c.env.Cloud.Agents() {
 			if zones[w.Zone()] {
 				w.Terminate()
 			}
 		}
-		c.env.SetSettled()
+		c.env.MarkFaultsEnded()
 		c.awaitDone("wk-9", 3*time.Minute)
-		c.env.Cloud.SetDown(false)
+		c.env.Cloud.SetUnavailable(false)
 	})
 }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -71,7 +71,7 @@
 
 func (c *fakeCluster) frontend() *Frontend {
 	return New(Config{JobKey: func(id string) string { return "e/job/" + id }, LeaseTTL: time.Second, MaxValueBytes: 8 << 10,
-		Quotas: Quotas{{Name: "red", CPUsMax: 8}}, Log: slog.New(slog.DiscardHandler)}, c, c, c)
+		Quotas: Quotas{{Name: "red", MaxCPUs: 8}}, Log: slog.New(slog.DiscardHandler)}, c, c, c)
 }
 
 func runningJob(id string) *Job {
@@ -153,7 +153,7 @@
 }
 
 func TestUnsatisfiableReason(t *testing.T) {
-	quotas := Quotas{{Name: "red", CPUsMax: 8, GPUsMax: 1}, {Name: "blue"}}
+	quotas := Quotas{{Name: "red", MaxCPUs: 8, MaxGPUs: 1}, {Name: "blue"}}
 	types := map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, GPUs: 1, RAMGB: 8, Zones: []string{"a"}}}
 	for _, test := range []struct {
 		name string
--- a/internal/frontend/quotas.go
+++ b/internal/frontend/quotas.go
@@ -24,7 +24,7 @@
 	if spec.IsAllOrNothing() {
 		concurrentTasks = float64(spec.TaskCount)
 	}
-	if exceeds(spec.CPUs*concurrentTasks, team.CPUsMax) || exceeds(spec.GPUs*concurrentTasks, team.GPUsMax) {
+	if exceeds(spec.CPUs*concurrentTasks, team.MaxCPUs) || exceeds(spec.GPUs*concurrentTasks, team.MaxGPUs) {
 		return "more than the team's limit"
 	}
 	if !fitsAnyType(spec, types) {
--- a/internal/simulation/agent/agent.go
+++ b/internal/simulation/agent/agent.go
@@ -108,7 +108,7 @@
 		return
 	}
 	a.booted, a.renewedAt = true, time.Now()
-	a.fleet.recorder.Record(trace.MachineUp{At: time.Now(), Machine: a.instance.Name, Type: a.instance.Type, Zone: a.instance.Zone, Spot: a.instance.Spot,
+	a.fleet.recorder.Record(trace.MachineBooted{At: time.Now(), Machine: a.instance.Name, Type: a.instance.Type, Zone: a.instance.Zone, Spot: a.instance.Spot,
 		Capacity: scheduling.NewResources(a.machineType.CPUs, a.machineType.GPUs, a.machineType.RAMGB)})
 }
 
@@ -125,7 +125,7 @@
 
 // awaitHeartbeat waits until the next heartbeat is due; false: the simulation is over.
 func (a *Agent) awaitHeartbeat(lastSent time.Time) bool {
-	jitter := seconds(network.Draw(heartbeatSeed, a.instance.Name) * heartbeatJitter)
+	jitter := seconds(network.SeededFloat64(heartbeatSeed, a.instance.Name) * heartbeatJitter)
 	select {
 	case <-a.changed:
 		if wait := minHeartbeatPause - time.Since(lastSent); wait > 0 {
--- a/internal/simulation/agent/commands.go
+++ b/internal/simulation/agent/commands.go
@@ -32,7 +32,7 @@
 		}
 		return
 	}
-	spec := a.fleet.Spec(trace.JobOf(command.Task))
+	spec := a.fleet.JobSpec(trace.JobID(command.Task))
 	if spec == nil {
 		a.refuse(command, trace.UnknownJob)
 		return
@@ -43,7 +43,7 @@
 }
 
 // refuse notes a start that can't be carried out.
-func (a *Agent) refuse(command *wire.Command, reason trace.Refusal) {
+func (a *Agent) refuse(command *wire.Command, reason trace.RefusalReason) {
 	a.fleet.recorder.Record(trace.StartRefused{At: time.Now(), Task: command.Task, Machine: a.instance.Name, Reason: reason})
 }
 
--- a/internal/simulation/agent/faults.go
+++ b/internal/simulation/agent/faults.go
@@ -37,28 +37,28 @@
 	a.setFaults(func(f *faults) { f.isolated = isolated })
 }
 
-// SetFailing has every task fail.
-func (a *Agent) SetFailing(failing bool) {
+// SetTasksFailing has every task fail.
+func (a *Agent) SetTasksFailing(failing bool) {
 	a.setFaults(func(f *faults) { f.failing = failing })
 }
 
-// SetNotReceiving has the machine's heartbeats arrive while nothing reaches it.
-func (a *Agent) SetNotReceiving(notReceiving bool) {
+// SetInboundBlocked has the machine's heartbeats arrive while nothing reaches it.
+func (a *Agent) SetInboundBlocked(notReceiving bool) {
 	a.setFaults(func(f *faults) { f.notReceiving = notReceiving })
 }
 
-// SetNotSending has the machine reach no controller while direct commands reach it.
-func (a *Agent) SetNotSending(notSending bool) {
+// SetOutboundBlocked has the machine reach no controller while direct commands reach it.
+func (a *Agent) SetOutboundBlocked(notSending bool) {
 	a.setFaults(func(f *faults) { f.notSending = notSending })
 }
 
-// SetDrift makes the machine's lease longer by a fraction, as a slow clock does.
-func (a *Agent) SetDrift(drift float64) {
+// SetClockDrift makes the machine's lease longer by a fraction, as a slow clock does.
+func (a *Agent) SetClockDrift(drift float64) {
 	a.setFaults(func(f *faults) { f.drift = drift })
 }
 
-// SetImageDelay has the machine take longer for images.
-func (a *Agent) SetImageDelay(delay time.Duration) {
+// SetImageFetchDelay has the machine take longer for images.
+func (a *Agent) SetImageFetchDelay(delay time.Duration) {
 	a.setFaults(func(f *faults) { f.imageDelay = delay })
 }
 
--- a/internal/simulation/agent/fleet.go
+++ b/internal/simulation/agent/fleet.go
@@ -17,13 +17,13 @@
 type Settings struct {
 	HeartbeatInterval time.Duration
 	LeaseTTL          time.Duration
-	GangWait          time.Duration // for which a gang's tasks wait for each other
+	GangWaitTimeout   time.Duration // for which a gang's tasks wait for each other
 	GangPeerTimeout   time.Duration // in which they notice that one is gone
 }
 
 // DefaultSettings are the intervals that simulated clusters have.
 func DefaultSettings() Settings {
-	return Settings{HeartbeatInterval: time.Second, LeaseTTL: 10 * time.Second, GangWait: 12 * time.Second, GangPeerTimeout: 4 * time.Second}
+	return Settings{HeartbeatInterval: time.Second, LeaseTTL: 10 * time.Second, GangWaitTimeout: 12 * time.Second, GangPeerTimeout: 4 * time.Second}
 }
 
 // Controller is a controller as agents know it.
@@ -55,29 +55,29 @@
 		gangs: map[gangAttempt]*gang{}, checkpoints: map[string]time.Duration{}}
 }
 
-// Upload gives the agents a job's description, as users do before they submit it.
-func (f *Fleet) Upload(spec *wire.Job) {
+// UploadJobSpec gives the agents a job's description, as users do before they submit it.
+func (f *Fleet) UploadJobSpec(spec *wire.Job) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.specs[spec.ID] = spec
 }
 
-// Spec is the uploaded description of a job; nil: there is none.
-func (f *Fleet) Spec(job string) *wire.Job {
+// JobSpec is the uploaded description of a job; nil: there is none.
+func (f *Fleet) JobSpec(job string) *wire.Job {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.specs[job]
 }
 
-// Starts counts the tasks that have started.
-func (f *Fleet) Starts() int {
+// CountStartedTasks counts the tasks that have started.
+func (f *Fleet) CountStartedTasks() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts
 }
 
-// Running counts a job's tasks that are on machines.
-func (f *Fleet) Running(job string) int {
+// CountRunningTasks counts a job's tasks that are on machines.
+func (f *Fleet) CountRunningTasks(job string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
@@ -89,15 +89,15 @@
 	return count
 }
 
-// Completed counts a job's tasks whose results are kept.
-func (f *Fleet) Completed(job string) int {
+// CountCompletedTasks counts a job's tasks whose results are kept.
+func (f *Fleet) CountCompletedTasks(job string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.completed[job])
 }
 
-// Checkpoint is how much progress of a gang is saved.
-func (f *Fleet) Checkpoint(job string) time.Duration {
+// SavedProgress is how much progress of a gang is saved.
+func (f *Fleet) SavedProgress(job string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.checkpoints[job]
@@ -131,7 +131,7 @@
 
 // taskCompletedLocked is taskCompleted with the lock held.
 func (f *Fleet) taskCompletedLocked(task string) {
-	job := trace.JobOf(task)
+	job := trace.JobID(task)
 	if f.completed[job] == nil {
 		f.completed[job] = map[string]bool{}
 	}
--- a/internal/simulation/agent/gang.go
+++ b/internal/simulation/agent/gang.go
@@ -30,7 +30,7 @@
 
 // gangOf is the attempt that a task belongs to; called with the lock held.
 func (f *Fleet) gangOf(t *task) *gang {
-	key := gangAttempt{trace.JobOf(t.name), t.attempt}
+	key := gangAttempt{trace.JobID(t.name), t.attempt}
 	g := f.gangs[key]
 	if g == nil {
 		g = &gang{waiting: map[string]bool{}, stopping: map[string]bool{}, hangingSince: map[string]time.Time{}}
@@ -113,7 +113,7 @@
 	f.breakIfHanging(g)
 	switch {
 	case t.state == wire.StateAwaitingGang && g.startedAt.IsZero():
-		if now.Sub(t.since) >= f.GangWait {
+		if now.Sub(t.since) >= f.GangWaitTimeout {
 			return wire.StateExited, wire.ReasonIncompleteGang
 		}
 		return wire.StateAwaitingGang, ""
@@ -126,7 +126,7 @@
 		return t.state, ""
 	case !g.stoppedAt.IsZero():
 		return f.nextStoppingState(g, t, now)
-	case now.Sub(g.startedAt)+f.checkpoints[trace.JobOf(t.name)] >= seconds(t.spec.EstimateS):
+	case now.Sub(g.startedAt)+f.checkpoints[trace.JobID(t.name)] >= seconds(t.spec.EstimateS):
 		f.completeGang(g)
 		return wire.StateExited, wire.ReasonDone
 	}
@@ -142,7 +142,7 @@
 	case all && stopping >= seconds(t.spec.CheckpointSaveS):
 		if !g.saved {
 			g.saved = true
-			f.checkpoints[trace.JobOf(t.name)] += g.stoppedAt.Sub(g.startedAt)
+			f.checkpoints[trace.JobID(t.name)] += g.stoppedAt.Sub(g.startedAt)
 		}
 		return wire.StateExited, wire.ReasonStopped
 	case !all && stopping > f.GangPeerTimeout:
--- a/internal/simulation/agent/heartbeat.go
+++ b/internal/simulation/agent/heartbeat.go
@@ -22,8 +22,8 @@
 	retryPause = time.Second
 )
 
-// OnHeartbeat has f handed each heartbeat as it is sent; nil: nobody.
-func (a *Agent) OnHeartbeat(f func([]byte)) {
+// SetHeartbeatHook has f handed each heartbeat as it is sent; nil: nobody.
+func (a *Agent) SetHeartbeatHook(f func([]byte)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.onHeartbeat = f
--- a/internal/simulation/cloud/cloud.go
+++ b/internal/simulation/cloud/cloud.go
@@ -49,8 +49,8 @@
 	return &Cloud{fleet: fleet, types: types, launched: map[string][]string{}, capacity: defaultCapacity}
 }
 
-// SetDown begins or ends an outage.
-func (c *Cloud) SetDown(down bool) {
+// SetUnavailable begins or ends an outage.
+func (c *Cloud) SetUnavailable(down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down = down
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -34,18 +34,18 @@
 	Store   *kv.Store
 	Cloud   *cloud.Cloud
 	Trace   *trace.Recorder
-	// CancelWithin is in what time a cancelled job's tasks must be gone.
-	CancelWithin time.Duration
+	// CancellationTimeout is in what time a cancelled job's tasks must be gone.
+	CancellationTimeout time.Duration
 
-	mu        sync.Mutex
-	quotas    map[string]scheduling.Resources
-	settledAt time.Time
+	mu            sync.Mutex
+	quotas        map[string]scheduling.Resources
+	faultsEndedAt time.Time
 }
 
 // New returns an environment for some controllers, whose machines are of some types. It
 // ends with ctx.
 func New(ctx context.Context, controllers []agent.Controller, types []wire.MachineType) *Environment {
-	e := &Environment{Network: network.New(ctx), Store: kv.NewStore(), Trace: &trace.Recorder{}, CancelWithin: defaultCancelWithin, quotas: map[string]scheduling.Resources{}}
+	e := &Environment{Network: network.New(ctx), Store: kv.NewStore(), Trace: &trace.Recorder{}, CancellationTimeout: defaultCancelWithin, quotas: map[string]scheduling.Resources{}}
 	e.Fleet = agent.NewFleet(ctx, e.Network, e.Trace, controllers)
 	e.Cloud = cloud.New(e.Fleet, types)
 	e.Network.Serve(StoreAddr, e.Store)
@@ -60,24 +60,24 @@
 	e.quotas[team] = scheduling.NewResources(cpus, 0, 0)
 }
 
-// SetSettled says that all faults are over from now on.
-func (e *Environment) SetSettled() {
+// MarkFaultsEnded says that all faults are over from now on.
+func (e *Environment) MarkFaultsEnded() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.settledAt = time.Now()
+	e.faultsEndedAt = time.Now()
 }
 
 // Violations are the rules broken so far, by what was seen from outside.
 func (e *Environment) Violations() []rules.Violation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	events := append(e.Trace.Events(), trace.Ended{At: time.Now()})
-	return rules.Check(events, rules.Expectations{CancelWithin: e.CancelWithin, Quotas: e.quotas, SettledAt: e.settledAt})
+	events := append(e.Trace.Events(), trace.RecordingEnded{At: time.Now()})
+	return rules.Check(events, rules.Expectations{CancellationTimeout: e.CancellationTimeout, Quotas: e.quotas, FaultsEndedAt: e.faultsEndedAt})
 }
 
-// TaskStates counts a job's tasks on their machines by state.
-func (e *Environment) TaskStates(job string) map[string]int {
-	tasks := e.Spec(job).TaskCount
+// CountTasksByState counts a job's tasks on their machines by state.
+func (e *Environment) CountTasksByState(job string) map[string]int {
+	tasks := e.JobSpec(job).TaskCount
 	out := map[string]int{}
 	for _, a := range e.Cloud.Agents() {
 		for number := range tasks {
--- a/internal/simulation/kv/store.go
+++ b/internal/simulation/kv/store.go
@@ -14,7 +14,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// The limits that a store has unless SetLimits says otherwise.
+// The limits that a store has unless SetTxnLimits says otherwise.
 const (
 	defaultMaxChanges    = 32
 	defaultMaxValueBytes = 8 << 10
@@ -27,13 +27,13 @@
 
 // Stats are counts of transactions.
 type Stats struct {
-	// OverLimits are those that were refused for good: too many changes, too large a value.
-	OverLimits int
+	// RejectedTxns are those that were refused for good: too many changes, too large a value.
+	RejectedTxns int
 	// Throttled are those that were too much at the time, Admitted the others. Both count
 	// only if there is a limit of changes a second.
-	Throttled, Admitted int
-	// MostChanges is the most changes that one had.
-	MostChanges int
+	ThrottledTxns, AdmittedTxns int
+	// MaxChangesPerTxn is the most changes that one had.
+	MaxChangesPerTxn int
 }
 
 // Store is a key-value store. It may be used from several goroutines.
@@ -68,8 +68,8 @@
 		maxChanges: defaultMaxChanges, maxValueBytes: defaultMaxValueBytes}
 }
 
-// SetDown begins or ends an outage; afterwards every lease has its full time.
-func (s *Store) SetDown(down bool) {
+// SetUnavailable begins or ends an outage; afterwards every lease has its full time.
+func (s *Store) SetUnavailable(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down && !down {
@@ -80,16 +80,16 @@
 	s.down = down
 }
 
-// SetLimits sets how large a value and how many the changes of a transaction may be.
-func (s *Store) SetLimits(maxValueBytes, maxChanges int) {
+// SetTxnLimits sets how large a value and how many the changes of a transaction may be.
+func (s *Store) SetTxnLimits(maxValueBytes, maxChanges int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.maxValueBytes, s.maxChanges = maxValueBytes, maxChanges
 }
 
-// SetRate limits the changes a second of all callers together, with bursts of one second's
+// SetChangeRateLimit limits the changes a second of all callers together, with bursts of one second's
 // worth; 0: no limit.
-func (s *Store) SetRate(changes float64) {
+func (s *Store) SetChangeRateLimit(changes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rate = changes
@@ -102,16 +102,16 @@
 	return s.stats
 }
 
-// BeforeTxn has a function change each transaction before it is carried out, as if another
+// SetTxnHook has a function change each transaction before it is carried out, as if another
 // caller's change came at that very moment; nil: none does.
-func (s *Store) BeforeTxn(f func(*wire.Txn)) {
+func (s *Store) SetTxnHook(f func(*wire.Txn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.beforeTxn = f
 }
 
-// CountLargerThan counts the values beyond a size in bytes.
-func (s *Store) CountLargerThan(size int) int {
+// CountValuesLargerThan counts the values beyond a size in bytes.
+func (s *Store) CountValuesLargerThan(size int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	count := 0
--- a/internal/simulation/kv/store_test.go
+++ b/internal/simulation/kv/store_test.go
@@ -78,7 +78,7 @@
 // Transactions beyond the limits are refused for good and counted; those within are not.
 func TestLimits(t *testing.T) {
 	s := NewStore()
-	s.SetLimits(10, 2)
+	s.SetTxnLimits(10, 2)
 	for _, x := range []struct {
 		name    string
 		changes []wire.Change
@@ -93,7 +93,7 @@
 			t.Errorf("%s: status %d, want %d", x.name, status, x.status)
 		}
 	}
-	if got := s.Stats(); got.OverLimits != 2 || got.MostChanges != 2 {
+	if got := s.Stats(); got.RejectedTxns != 2 || got.MaxChangesPerTxn != 2 {
 		t.Errorf("%+v, want 2 over the limits and 2 changes at most", got)
 	}
 }
@@ -102,7 +102,7 @@
 func TestRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewStore()
-		s.SetRate(2)
+		s.SetChangeRateLimit(2)
 		statuses := func() (out []int) {
 			for range 3 {
 				status, _ := transact(t, s, nil, putOf("a", 3))
@@ -137,9 +137,9 @@
 		if !there() {
 			t.Error("the key is gone before its lease has expired")
 		}
-		s.SetDown(true)
+		s.SetUnavailable(true)
 		time.Sleep(5 * ttl)
-		s.SetDown(false)
+		s.SetUnavailable(false)
 		time.Sleep(ttl)
 		if !there() {
 			t.Error("the key is gone though its lease has its full time after an outage")
--- a/internal/simulation/kv/txn.go
+++ b/internal/simulation/kv/txn.go
@@ -19,11 +19,11 @@
 		s.beforeTxn(&txn)
 	}
 	if !s.isWithinLimits(&txn, len(body)) {
-		s.stats.OverLimits++
+		s.stats.RejectedTxns++
 		reply(w, http.StatusBadRequest, struct{}{})
 		return
 	}
-	s.stats.MostChanges = max(s.stats.MostChanges, len(txn.Changes))
+	s.stats.MaxChangesPerTxn = max(s.stats.MaxChangesPerTxn, len(txn.Changes))
 	if !s.admit(len(txn.Changes)) {
 		reply(w, http.StatusTooManyRequests, struct{}{})
 		return
@@ -62,11 +62,11 @@
 	s.budget = min(s.rate, s.budget+now.Sub(s.budgetAt).Seconds()*s.rate)
 	s.budgetAt = now
 	if s.budget < float64(changes) {
-		s.stats.Throttled++
+		s.stats.ThrottledTxns++
 		return false
 	}
 	s.budget -= float64(changes)
-	s.stats.Admitted++
+	s.stats.AdmittedTxns++
 	return true
 }
 
--- a/internal/simulation/network/network.go
+++ b/internal/simulation/network/network.go
@@ -68,7 +68,7 @@
 	n.mu.Lock()
 	latency := n.latency
 	n.mu.Unlock()
-	drawn := Draw(transport+latency.Seed*latencySeedStride, request)
+	drawn := SeededFloat64(transport+latency.Seed*latencySeedStride, request)
 	return minLatency + time.Duration(drawn*float64(latency.Jitter))
 }
 
@@ -106,10 +106,10 @@
 	return recorder.Result()
 }
 
-// Draw is a number from 0 to below 1 that follows from a seed, the present time and what
+// SeededFloat64 is a number from 0 to below 1 that follows from a seed, the present time and what
 // it is for. Requests that are made at one time by several goroutines come in no order,
 // so numbers drawn one after the other would go to other requests in each run.
-func Draw(seed uint64, purpose string) float64 {
+func SeededFloat64(seed uint64, purpose string) float64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, seed, time.Now().UnixNano(), purpose) // a hash takes all writes
 	return rand.New(rand.NewPCG(seed, h.Sum64())).Float64()
--- a/internal/simulation/network/transport.go
+++ b/internal/simulation/network/transport.go
@@ -22,8 +22,8 @@
 	Delay                     // it is executed and answered after a delay
 )
 
-// Policy decides what happens to a request. It may be called from several goroutines.
-type Policy func(*http.Request) Fault
+// FaultPolicy decides what happens to a request. It may be called from several goroutines.
+type FaultPolicy func(*http.Request) Fault
 
 const (
 	// defaultDelay is by how much requests are late unless SetDelay says otherwise.
@@ -41,7 +41,7 @@
 	seed    uint64
 
 	mu     sync.Mutex
-	policy Policy
+	policy FaultPolicy
 	delay  time.Duration
 	jitter time.Duration
 }
@@ -53,8 +53,8 @@
 	t.delay, t.jitter = delay, jitter
 }
 
-// SetPolicy sets what decides about each request; nil: all are delivered.
-func (t *Transport) SetPolicy(policy Policy) {
+// SetFaultPolicy sets what decides about each request; nil: all are delivered.
+func (t *Transport) SetFaultPolicy(policy FaultPolicy) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.policy = policy
@@ -66,7 +66,7 @@
 	policy, delay, jitter := t.policy, t.delay, t.jitter
 	t.mu.Unlock()
 	if jitter > 0 {
-		delay += time.Duration(Draw(t.seed, "late"+r.URL.String()) * float64(jitter))
+		delay += time.Duration(SeededFloat64(t.seed, "late"+r.URL.String()) * float64(jitter))
 	}
 	if policy == nil {
 		return Deliver, delay
--- a/internal/simulation/network/transport_test.go
+++ b/internal/simulation/network/transport_test.go
@@ -55,7 +55,7 @@
 	network.Serve(testAddr, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { executed.Store(true) }))
 	transport := network.NewTransport()
 	transport.SetDelay(testDelay, 0)
-	transport.SetPolicy(func(*http.Request) Fault { return fault })
+	transport.SetFaultPolicy(func(*http.Request) Fault { return fault })
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+testAddr, http.NoBody)
--- a/internal/simulation/rules/attempts.go
+++ b/internal/simulation/rules/attempts.go
@@ -9,7 +9,7 @@
 	}
 	for _, t := range c.sortedTasks() {
 		if t.job == started.job && t.attempt < started.attempt {
-			c.violate(TwoAttempts, "%s is started as attempt %d while %s is there as attempt %d", started.name, started.attempt, t.name, t.attempt)
+			c.violate(OverlappingAttempts, "%s is started as attempt %d while %s is there as attempt %d", started.name, started.attempt, t.name, t.attempt)
 			return
 		}
 	}
--- a/internal/simulation/rules/availability.go
+++ b/internal/simulation/rules/availability.go
@@ -29,9 +29,9 @@
 		return
 	}
 	unanswered := e.At.Sub(j.unansweredSince)
-	afterFaults := !c.SettledAt.IsZero() && e.At.Sub(later(j.unansweredSince, c.SettledAt)) > maxUnansweredSettled
+	afterFaults := !c.FaultsEndedAt.IsZero() && e.At.Sub(later(j.unansweredSince, c.FaultsEndedAt)) > maxUnansweredSettled
 	if afterFaults || unanswered > maxUnanswered && c.mostAreAnswered(j.unansweredSince) {
-		c.violate(Forgotten, "%s is not answered for %v", j.id, unanswered)
+		c.violate(AcceptedJobLost, "%s is not answered for %v", j.id, unanswered)
 		j.unansweredSince = time.Time{}
 	}
 }
--- a/internal/simulation/rules/cancellation.go
+++ b/internal/simulation/rules/cancellation.go
@@ -8,7 +8,7 @@
 	if t.job.finalState != wire.StateCancelled {
 		return
 	}
-	if d := c.now.Sub(t.job.finalAt); d > c.CancelWithin {
-		c.violate(RanCancelled, "%s is there %v after its user was told", t.name, d)
+	if d := c.now.Sub(t.job.finalAt); d > c.CancellationTimeout {
+		c.violate(RanAfterCancellation, "%s is there %v after its user was told", t.name, d)
 	}
 }
--- a/internal/simulation/rules/check.go
+++ b/internal/simulation/rules/check.go
@@ -17,24 +17,24 @@
 
 // The rules.
 const (
-	ValidTrace      Rule = "trace"         // the trace itself makes sense
-	InUse           Rule = "in_use"        // no task is started where another attempt of it is
-	UnknownJob      Rule = "unknown_job"   // no task is started of a job that nobody uploaded
-	RanTwice        Rule = "ran_twice"     // a task is on one machine at a time
-	TwoAttempts     Rule = "two_attempts"  // no task starts beside an earlier attempt of its gang
-	WrongPlace      Rule = "wrong_place"   // tasks are where their job allows
-	Quota           Rule = "quota"         // a team keeps to its limit
-	RanCancelled    Rule = "ran_cancelled" // tasks of a cancelled job are soon gone
-	Invented        Rule = "invented"      // only submitted jobs are known
-	Forgotten       Rule = "forgotten"     // accepted jobs stay known
-	WentBack        Rule = "went_back"     // a final state is final
-	NotDone         Rule = "not_done"      // a job is done when all its tasks are
-	NothingRan      Rule = "nothing_ran"   // something runs at all
-	WaitsNeedlessly Rule = "waits"         // no job waits for long beside room for it
+	InvalidTrace         Rule = "trace"         // the trace itself makes sense
+	StartedWhileInUse    Rule = "in_use"        // no task is started where another attempt of it is
+	UnknownJob           Rule = "unknown_job"   // no task is started of a job that nobody uploaded
+	RanOnTwoMachines     Rule = "ran_twice"     // a task is on one machine at a time
+	OverlappingAttempts  Rule = "two_attempts"  // no task starts beside an earlier attempt of its gang
+	WrongPlacement       Rule = "wrong_place"   // tasks are where their job allows
+	QuotaExceeded        Rule = "quota"         // a team keeps to its limit
+	RanAfterCancellation Rule = "ran_cancelled" // tasks of a cancelled job are soon gone
+	UnsubmittedJob       Rule = "invented"      // only submitted jobs are known
+	AcceptedJobLost      Rule = "forgotten"     // accepted jobs stay known
+	FinalStateChanged    Rule = "went_back"     // a final state is final
+	DoneTooEarly         Rule = "not_done"      // a job is done when all its tasks are
+	NoTaskStarted        Rule = "nothing_ran"   // something runs at all
+	WaitsDespiteCapacity Rule = "waits"         // no job waits for long beside room for it
 )
 
 // refusalRules are the rules that starts break which machines refuse.
-var refusalRules = map[trace.Refusal]Rule{trace.TaskInUse: InUse, trace.UnknownJob: UnknownJob}
+var refusalRules = map[trace.RefusalReason]Rule{trace.TaskInUse: StartedWhileInUse, trace.UnknownJob: UnknownJob}
 
 // Violation is a rule that a trace breaks, and how.
 type Violation struct {
@@ -47,10 +47,10 @@
 
 // Expectations are what a trace is checked against.
 type Expectations struct {
-	CancelWithin time.Duration // in which a cancelled job's tasks must be gone
-	Quotas       map[string]scheduling.Resources
-	// SettledAt is when all faults were over; zero: they never were.
-	SettledAt time.Time
+	CancellationTimeout time.Duration // in which a cancelled job's tasks must be gone
+	Quotas              map[string]scheduling.Resources
+	// FaultsEndedAt is when all faults were over; zero: they never were.
+	FaultsEndedAt time.Time
 }
 
 // checker goes through a trace.
@@ -88,7 +88,7 @@
 // apply brings the model up to date with an event and checks the rules that it may break.
 func (c *checker) apply(e trace.Event) {
 	switch e := e.(type) {
-	case trace.MachineUp:
+	case trace.MachineBooted:
 		c.machines[e.Machine] = &machine{name: e.Machine, typ: e.Type, zone: e.Zone, spot: e.Spot, capacity: e.Capacity}
 	case trace.MachineTerminated:
 		c.terminateMachine(e)
@@ -101,7 +101,7 @@
 			c.removeTask(t)
 		}
 	case trace.TaskCompleted:
-		c.job(trace.JobOf(e.Task)).completed[e.Task] = true // a kept result may be reported twice
+		c.job(trace.JobID(e.Task)).completed[e.Task] = true // a kept result may be reported twice
 	case trace.StartRefused:
 		c.violate(refusalRules[e.Reason], "%s on %s", e.Task, e.Machine)
 	case trace.Response:
@@ -113,15 +113,15 @@
 func (c *checker) acceptTask(e trace.TaskAccepted) {
 	m := c.machines[e.Machine]
 	if m == nil {
-		c.violate(ValidTrace, "%s on machine %s, which is not up", e.Task, e.Machine)
+		c.violate(InvalidTrace, "%s on machine %s, which is not up", e.Task, e.Machine)
 		return
 	}
 	t := c.tasks[e.Task]
 	if t == nil {
-		t = &task{name: e.Task, job: c.job(trace.JobOf(e.Task))}
+		t = &task{name: e.Task, job: c.job(trace.JobID(e.Task))}
 		c.tasks[e.Task] = t
 	} else if t.machine != m {
-		c.violate(RanTwice, "%s is started on %s while it is on %s", e.Task, m.name, t.machine.name)
+		c.violate(RanOnTwoMachines, "%s is started on %s while it is on %s", e.Task, m.name, t.machine.name)
 	}
 	t.machine, t.attempt = m, e.Attempt
 	c.checkAttempts(t)
@@ -133,7 +133,7 @@
 	c.starts++
 	t := c.tasks[e.Task]
 	if t == nil || t.job.spec == nil {
-		c.violate(ValidTrace, "%s runs without a job or a machine", e.Task)
+		c.violate(InvalidTrace, "%s runs without a job or a machine", e.Task)
 		return
 	}
 	t.startedOn = t.machine
@@ -174,7 +174,7 @@
 	}
 	for _, j := range c.jobs {
 		if !j.acceptedAt.IsZero() {
-			c.violate(NothingRan, "no task was started")
+			c.violate(NoTaskStarted, "no task was started")
 			return
 		}
 	}
--- a/internal/simulation/rules/check_test.go
+++ b/internal/simulation/rules/check_test.go
@@ -65,13 +65,13 @@
 // zone b.
 func testMachines() []trace.Event {
 	machine := func(name, typ, zone string, spot bool) trace.Event {
-		return trace.MachineUp{At: at(0), Machine: name, Type: typ, Zone: zone, Spot: spot, Capacity: scheduling.NewResources(4, 0, 64)}
+		return trace.MachineBooted{At: at(0), Machine: name, Type: typ, Zone: zone, Spot: spot, Capacity: scheduling.NewResources(4, 0, 64)}
 	}
 	return []trace.Event{machine("m1", "small", "a", false), machine("m2", "small", "b", true), machine("m3", "large", "a", false)}
 }
 
 // ended is the end of all traces that need one.
-var ended = trace.Ended{At: at(400)}
+var ended = trace.RecordingEnded{At: at(400)}
 
 // ruleCase is a trace that breaks no rule, and events that break one, or none.
 type ruleCase struct {
@@ -85,12 +85,12 @@
 // check checks a case's trace with and without what is added to it.
 func (x *ruleCase) check(t *testing.T) {
 	t.Helper()
-	expected := Expectations{CancelWithin: 35 * time.Second, Quotas: map[string]scheduling.Resources{"red": scheduling.NewResources(4, 0, 0)}}
+	expected := Expectations{CancellationTimeout: 35 * time.Second, Quotas: map[string]scheduling.Resources{"red": scheduling.NewResources(4, 0, 0)}}
 	if x.settledAt > 0 {
-		expected.SettledAt = at(x.settledAt)
+		expected.FaultsEndedAt = at(x.settledAt)
 	}
 	events := slices.Concat([]trace.Event{submit(testJob("wk-1"))}, testMachines(), x.before)
-	if got := Check(events, expected); len(got) > 0 && x.broken != NothingRan {
+	if got := Check(events, expected); len(got) > 0 && x.broken != NoTaskStarted {
 		t.Errorf("violations before the events are added: %v, want none", got)
 	}
 	got := Check(append(events, x.added...), expected)
@@ -117,11 +117,11 @@
 	two := slices.Concat(one, run("wk-1/1", "m1", 2, 9))
 	otherJob := slices.Concat([]trace.Event{submit(testJob("wk-2"))}, run("wk-2/0", "m3", 4, 6))
 	return []ruleCase{
-		{"two places", RanTwice, 0, one, run("wk-1/0", "m3", 5, 8)},
+		{"two places", RanOnTwoMachines, 0, one, run("wk-1/0", "m3", 5, 8)},
 		{"one after the other", "", 0, one, run("wk-1/0", "m3", 9.5, 12)},
-		{"limit", Quota, 0, two, otherJob},
+		{"limit", QuotaExceeded, 0, two, otherJob},
 		{"at the limit, then below", "", 0, slices.Concat(run("wk-1/0", "m1", 2, 3), run("wk-1/1", "m1", 2, 9)), otherJob},
-		{"spot machine", WrongPlace, 0, one, run("wk-1/1", "m2", 3, 5)},
+		{"spot machine", WrongPlacement, 0, one, run("wk-1/1", "m2", 3, 5)},
 	}
 }
 
@@ -132,9 +132,9 @@
 	}
 	neverStopped := run("wk-1/1", "m1", 4, 500)[:2]
 	return []ruleCase{
-		{"cancelled and there", RanCancelled, 0, one, cancelledThen(run("wk-1/1", "m1", 4, 50)...)},
-		{"cancelled and starts", RanCancelled, 0, one, cancelledThen(run("wk-1/1", "m1", 40, 41)...)},
-		{"cancelled and never gone", RanCancelled, 0, one, cancelledThen(append(neverStopped, ended)...)},
+		{"cancelled and there", RanAfterCancellation, 0, one, cancelledThen(run("wk-1/1", "m1", 4, 50)...)},
+		{"cancelled and starts", RanAfterCancellation, 0, one, cancelledThen(run("wk-1/1", "m1", 40, 41)...)},
+		{"cancelled and never gone", RanAfterCancellation, 0, one, cancelledThen(append(neverStopped, ended)...)},
 		{"cancelled and gone in time", "", 0, one, cancelledThen(run("wk-1/1", "m1", 4, 30)...)},
 	}
 }
@@ -149,9 +149,9 @@
 	submitOther := submit(testJob("wk-2"))
 	submitOther.At, submitOther.RequestedAt = at(2.5), at(2)
 	return []ruleCase{
-		{"unanswered", Forgotten, 0, slices.Concat(one, []trace.Event{submitOther}, othersAnswered), unanswered},
+		{"unanswered", AcceptedJobLost, 0, slices.Concat(one, []trace.Event{submitOther}, othersAnswered), unanswered},
 		{"all unanswered", "", 0, one, unanswered},
-		{"all unanswered after the faults", Forgotten, 15, one, unanswered},
+		{"all unanswered after the faults", AcceptedJobLost, 15, one, unanswered},
 	}
 }
 
@@ -165,18 +165,18 @@
 	refused.Spec = testJob("wk-1")
 	only := func(e trace.Event) []trace.Event { return []trace.Event{e} }
 	return []ruleCase{
-		{"accepted, then unknown", Forgotten, 0, one, only(query(4, "wk-1", http.StatusNotFound, ""))},
-		{"accepted, then refused", Forgotten, 0, one, only(refused)},
-		{"never submitted", Invented, 0, one, only(query(4, "wk-7", http.StatusOK, wire.StateQueued))},
+		{"accepted, then unknown", AcceptedJobLost, 0, one, only(query(4, "wk-1", http.StatusNotFound, ""))},
+		{"accepted, then refused", AcceptedJobLost, 0, one, only(refused)},
+		{"never submitted", UnsubmittedJob, 0, one, only(query(4, "wk-7", http.StatusOK, wire.StateQueued))},
 		{"asked before it was submitted", "", 0, one, only(query(0, "wk-1", http.StatusNotFound, ""))},
-		{"done too early", NotDone, 0, oneCompleted, only(done)},
-		{"a result twice", NotDone, 0, oneCompleted, []trace.Event{completed(9.5, "wk-1/0"), done}},
+		{"done too early", DoneTooEarly, 0, oneCompleted, only(done)},
+		{"a result twice", DoneTooEarly, 0, oneCompleted, []trace.Event{completed(9.5, "wk-1/0"), done}},
 		{"done", "", 0, bothCompleted, only(done)},
-		{"cancelled, then running", WentBack, 0, cancelled, only(query(4, "wk-1", http.StatusOK, wire.StateRunning))},
+		{"cancelled, then running", FinalStateChanged, 0, cancelled, only(query(4, "wk-1", http.StatusOK, wire.StateRunning))},
 		{"asked before the cancellation was told", "", 0, cancelled, only(query(3.1, "wk-1", http.StatusOK, wire.StateRunning))},
-		{"done and cancelled", WentBack, 0, append(slices.Clone(bothCompleted), done), only(cancel(10, "wk-1"))},
-		{"cancelled by nobody", WentBack, 0, one, only(query(4, "wk-1", http.StatusOK, wire.StateCancelled))},
-		{"nothing", NothingRan, 0, nil, only(ended)},
+		{"done and cancelled", FinalStateChanged, 0, append(slices.Clone(bothCompleted), done), only(cancel(10, "wk-1"))},
+		{"cancelled by nobody", FinalStateChanged, 0, one, only(query(4, "wk-1", http.StatusOK, wire.StateCancelled))},
+		{"nothing", NoTaskStarted, 0, nil, only(ended)},
 	}
 }
 
@@ -185,7 +185,7 @@
 	running := func(seconds float64) trace.Event { return query(seconds, "wk-1", http.StatusOK, wire.StateRunning) }
 	cancelled := []trace.Event{cancel(25, "wk-1"), query(50, "wk-1", http.StatusOK, wire.StateCancelled), ended}
 	return []ruleCase{
-		{"waits beside room", WaitsNeedlessly, 20, one, []trace.Event{running(30), running(50), running(200), ended}},
+		{"waits beside room", WaitsDespiteCapacity, 20, one, []trace.Event{running(30), running(50), running(200), ended}},
 		{"waits, cancelled", "", 20, one, cancelled},
 	}
 }
@@ -204,7 +204,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			events := slices.Concat([]trace.Event{submit(gang)}, testMachines(), run("wk-1/0", "m1", 2, 9), runAttempt(2, "wk-1/1", "m3", x.started, x.started+2))
-			checkOnly(t, events, TwoAttempts, x.broken)
+			checkOnly(t, events, OverlappingAttempts, x.broken)
 		})
 	}
 }
@@ -233,7 +233,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			spec := testJob("wk-1")
 			x.change(spec)
-			checkOnly(t, slices.Concat([]trace.Event{submit(spec)}, testMachines(), x.tasks), WrongPlace, x.broken)
+			checkOnly(t, slices.Concat([]trace.Event{submit(spec)}, testMachines(), x.tasks), WrongPlacement, x.broken)
 		})
 	}
 }
@@ -241,7 +241,7 @@
 // checkOnly checks that a trace breaks one rule once, or none.
 func checkOnly(t *testing.T, events []trace.Event, rule Rule, broken bool) {
 	t.Helper()
-	got := Check(events, Expectations{CancelWithin: time.Minute})
+	got := Check(events, Expectations{CancellationTimeout: time.Minute})
 	if !broken && len(got) > 0 {
 		t.Errorf("violations: %v, want none", got)
 	}
--- a/internal/simulation/rules/placement.go
+++ b/internal/simulation/rules/placement.go
@@ -23,7 +23,7 @@
 // checkMachine checks that a started task is on a machine that its job allows.
 func (c *checker) checkMachine(t *task) {
 	if !allows(t.job.spec, t.machine) {
-		c.violate(WrongPlace, "%s on %s (%s in %s)", t.name, t.machine.name, t.machine.typ, t.machine.zone)
+		c.violate(WrongPlacement, "%s on %s (%s in %s)", t.name, t.machine.name, t.machine.typ, t.machine.zone)
 	}
 }
 
@@ -37,6 +37,6 @@
 	}
 	spec := started.job.spec
 	if spec.SingleZone && len(zones) > 1 || spec.SpreadsZones && zones[started.machine.zone] > maxPerZone(spec) {
-		c.violate(WrongPlace, "%s among %v", started.name, zones)
+		c.violate(WrongPlacement, "%s among %v", started.name, zones)
 	}
 }
--- a/internal/simulation/rules/quota.go
+++ b/internal/simulation/rules/quota.go
@@ -21,6 +21,6 @@
 		}
 	}
 	if c.exceedsQuota(team, used) {
-		c.violate(Quota, "%s uses %v of %v", team, used, c.Quotas[team])
+		c.violate(QuotaExceeded, "%s uses %v of %v", team, used, c.Quotas[team])
 	}
 }
--- a/internal/simulation/rules/responses.go
+++ b/internal/simulation/rules/responses.go
@@ -22,11 +22,11 @@
 		}
 	case http.StatusNotFound:
 		if knownBefore {
-			c.violate(Forgotten, "%s is not known any more", e.Job)
+			c.violate(AcceptedJobLost, "%s is not known any more", e.Job)
 		}
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		if knownBefore && e.Operation == trace.Submit {
-			c.violate(Forgotten, "%s is refused with %d when it is submitted again", e.Job, e.Status)
+			c.violate(AcceptedJobLost, "%s is refused with %d when it is submitted again", e.Job, e.Status)
 		}
 	}
 }
@@ -34,7 +34,7 @@
 // checkSubmitted checks that a job that a response knows was submitted before it.
 func (c *checker) checkSubmitted(j *job, e trace.Response) bool {
 	if j.submittedAt.IsZero() || j.submittedAt.After(e.At) {
-		c.violate(Invented, "%s, which nobody submitted, is %s", j.id, e.State)
+		c.violate(UnsubmittedJob, "%s, which nobody submitted, is %s", j.id, e.State)
 		return false
 	}
 	if j.acceptedAt.IsZero() {
@@ -47,13 +47,13 @@
 func (c *checker) checkState(j *job, e trace.Response) {
 	wasFinal := j.finalState != ""
 	if wasFinal && e.State != j.finalState && e.RequestedAt.After(j.finalAt) {
-		c.violate(WentBack, "%s is %s after it was %s", j.id, e.State, j.finalState)
+		c.violate(FinalStateChanged, "%s is %s after it was %s", j.id, e.State, j.finalState)
 	}
 	if e.State != wire.StateDone && e.State != wire.StateCancelled {
 		return
 	}
 	if wasFinal && e.State != j.finalState {
-		c.violate(WentBack, "%s is both %s and %s", j.id, j.finalState, e.State)
+		c.violate(FinalStateChanged, "%s is both %s and %s", j.id, j.finalState, e.State)
 	}
 	if !wasFinal {
 		j.finalState, j.finalAt = e.State, e.At
@@ -64,9 +64,9 @@
 // checkFinal checks that a final state has its cause.
 func (c *checker) checkFinal(j *job, state string, at time.Time) {
 	if state == wire.StateCancelled && (j.cancelRequestedAt.IsZero() || j.cancelRequestedAt.After(at)) {
-		c.violate(WentBack, "%s is cancelled, and its user did not ask for it", j.id)
+		c.violate(FinalStateChanged, "%s is cancelled, and its user did not ask for it", j.id)
 	}
 	if state == wire.StateDone && j.spec != nil && len(j.completed) < j.spec.TaskCount {
-		c.violate(NotDone, "%s has %d of %d tasks done", j.id, len(j.completed), j.spec.TaskCount)
+		c.violate(DoneTooEarly, "%s has %d of %d tasks done", j.id, len(j.completed), j.spec.TaskCount)
 	}
 }
--- a/internal/simulation/rules/waiting.go
+++ b/internal/simulation/rules/waiting.go
@@ -16,7 +16,7 @@
 // checkWaiting finds jobs that wait beside machines with room for them once all faults are
 // over.
 func (c *checker) checkWaiting() {
-	if c.SettledAt.IsZero() || c.now.Before(c.SettledAt) || c.now.Sub(c.waitCheckedAt) < waitCheckInterval {
+	if c.FaultsEndedAt.IsZero() || c.now.Before(c.FaultsEndedAt) || c.now.Sub(c.waitCheckedAt) < waitCheckInterval {
 		return
 	}
 	c.waitCheckedAt = c.now
@@ -38,7 +38,7 @@
 			continue
 		}
 		if waited := c.now.Sub(j.waitingSince); waited > maxWait {
-			c.violate(WaitsNeedlessly, "%s (%d of %d tasks there, %d done) beside room for %v", j.id, placed[j], j.spec.TaskCount, len(j.completed), waited)
+			c.violate(WaitsDespiteCapacity, "%s (%d of %d tasks there, %d done) beside room for %v", j.id, placed[j], j.spec.TaskCount, len(j.completed), waited)
 			j.waitingSince = time.Time{}
 		}
 	}
--- a/internal/simulation/trace/trace.go
+++ b/internal/simulation/trace/trace.go
@@ -18,8 +18,8 @@
 	Time() time.Time
 }
 
-// MachineUp is a machine that has booted.
-type MachineUp struct {
+// MachineBooted is a machine that has booted.
+type MachineBooted struct {
 	At                  time.Time
 	Machine, Type, Zone string
 	Spot                bool
@@ -57,20 +57,20 @@
 	Task string
 }
 
-// Refusal is why a machine can't carry out a start.
-type Refusal int
+// RefusalReason is why a machine can't carry out a start.
+type RefusalReason int
 
 // The refusals.
 const (
-	TaskInUse  Refusal = iota // another attempt of the task is on the machine
-	UnknownJob                // nobody uploaded its job's description
+	TaskInUse  RefusalReason = iota // another attempt of the task is on the machine
+	UnknownJob                      // nobody uploaded its job's description
 )
 
 // StartRefused is a start that no controller should have asked for.
 type StartRefused struct {
 	At            time.Time
 	Task, Machine string
-	Reason        Refusal
+	Reason        RefusalReason
 }
 
 // Operation is what a user asks of a controller.
@@ -94,11 +94,11 @@
 	State       string    // of the job
 }
 
-// Ended closes a trace: nothing more was seen.
-type Ended struct{ At time.Time }
+// RecordingEnded closes a trace: nothing more was seen.
+type RecordingEnded struct{ At time.Time }
 
 // Time is when the machine had booted.
-func (e MachineUp) Time() time.Time { return e.At }
+func (e MachineBooted) Time() time.Time { return e.At }
 
 // Time is when the machine was gone.
 func (e MachineTerminated) Time() time.Time { return e.At }
@@ -122,10 +122,10 @@
 func (e Response) Time() time.Time { return e.At }
 
 // Time is the end of the trace.
-func (e Ended) Time() time.Time { return e.At }
+func (e RecordingEnded) Time() time.Time { return e.At }
 
-// JobOf is the ID of the job that a task belongs to.
-func JobOf(task string) string {
+// JobID is the ID of the job that a task belongs to.
+func JobID(task string) string {
 	id, _, _ := strings.Cut(task, "/")
 	return id
 }
@@ -150,13 +150,13 @@
 	return slices.Clone(r.events)
 }
 
-// Accepted counts the starts of a job's tasks that machines have accepted so far.
-func (r *Recorder) Accepted(job string) int {
+// CountAcceptedStarts counts the starts of a job's tasks that machines have accepted so far.
+func (r *Recorder) CountAcceptedStarts(job string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	count := 0
 	for _, e := range r.events {
-		if accepted, ok := e.(TaskAccepted); ok && JobOf(accepted.Task) == job {
+		if accepted, ok := e.(TaskAccepted); ok && JobID(accepted.Task) == job {
 			count++
 		}
 	}
--- a/internal/store/writer_test.go
+++ b/internal/store/writer_test.go
@@ -20,12 +20,12 @@
 
 // withWriter runs f with a writer of at most 32 changes per transaction and a client, both connected
 // to the simulated store. Requests of both are subject to the fault policy, which may be nil.
-func withWriter(t *testing.T, policy network.Policy, f func(t *testing.T, env *simulation.Environment, writer *store.Writer, client *store.Client)) {
+func withWriter(t *testing.T, policy network.FaultPolicy, f func(t *testing.T, env *simulation.Environment, writer *store.Writer, client *store.Client)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		env := simulation.New(ctx, nil, nil)
 		net := env.Network.NewTransport()
-		net.SetPolicy(policy)
+		net.SetFaultPolicy(policy)
 		client := store.NewClient("state:1", net)
 		writer := store.NewWriter(client, 32, 60, 3, halfJitter)
 		done := make(chan struct{})
@@ -70,7 +70,7 @@
 				t.Errorf("write %d: unexpected result %v", i, got[i])
 			}
 		}
-		if env.Store.Stats().OverLimits > 0 {
+		if env.Store.Stats().RejectedTxns > 0 {
 			t.Error("a transaction exceeded the limits of the store")
 		}
 	})
@@ -122,7 +122,7 @@
 		if err != nil || len(items) != 1 || items[0].Revision != 1 {
 			t.Fatalf("want one item at revision 1, got %v, error %v", items, err)
 		}
-		env.Store.SetDown(true)
+		env.Store.SetUnavailable(true)
 		start := time.Now()
 		write = &store.Write{Interactive: true, OnDone: func(_ uint64, err error) { results <- err }}
 		write.Conditions, write.Changes = put("k2", 0)
@@ -157,7 +157,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		env := simulation.New(ctx, nil, nil)
-		env.Store.SetRate(60)
+		env.Store.SetChangeRateLimit(60)
 		var wg sync.WaitGroup
 		var stored [3]atomic.Int64
 		for i, changesPerSecond := range []int{200, 10, 10} {
@@ -173,8 +173,8 @@
 		if a+b+c < 60*60*3/4 || b < 500 || c < 500 {
 			t.Errorf("%d, %d and %d changes stored in a minute, want at least 2700 in total and 500 of each of the last two", a, b, c)
 		}
-		if env.Store.Stats().Throttled*5 > env.Store.Stats().Admitted {
-			t.Errorf("%d transactions throttled, %d admitted; want at most a fifth as many throttled", env.Store.Stats().Throttled, env.Store.Stats().Admitted)
+		if env.Store.Stats().ThrottledTxns*5 > env.Store.Stats().AdmittedTxns {
+			t.Errorf("%d transactions throttled, %d admitted; want at most a fifth as many throttled", env.Store.Stats().ThrottledTxns, env.Store.Stats().AdmittedTxns)
 		}
 	})
 }
@@ -191,8 +191,8 @@
 			writer.Submit(write)
 		}
 		wg.Wait()
-		if env.Store.Stats().MostChanges == 0 || env.Store.Stats().MostChanges > 8 {
-			t.Errorf("%d conflict-prone changes in one transaction, want 1 to 8", env.Store.Stats().MostChanges)
+		if env.Store.Stats().MaxChangesPerTxn == 0 || env.Store.Stats().MaxChangesPerTxn > 8 {
+			t.Errorf("%d conflict-prone changes in one transaction, want 1 to 8", env.Store.Stats().MaxChangesPerTxn)
 		}
 	})
 }
@@ -200,7 +200,7 @@
 // Medium-priority writes don't wait for normal ones that were submitted before them.
 func TestMediumPriorityWritesGoFirst(t *testing.T) {
 	withWriter(t, nil, func(t *testing.T, env *simulation.Environment, writer *store.Writer, _ *store.Client) {
-		env.Store.SetRate(60)
+		env.Store.SetChangeRateLimit(60)
 		var mu sync.Mutex
 		var order []bool
 		var wg sync.WaitGroup
@@ -233,7 +233,7 @@
 // other writes.
 func TestCancelledWritesFailNoTransaction(t *testing.T) {
 	withWriter(t, nil, func(t *testing.T, env *simulation.Environment, writer *store.Writer, client *store.Client) {
-		env.Store.SetRate(60)
+		env.Store.SetChangeRateLimit(60)
 		var wg sync.WaitGroup
 		var stored, cancelled atomic.Int64
 		var cancelledWrites []*store.Write
--- a/internal/tools/docs/settings_test.go
+++ b/internal/tools/docs/settings_test.go
@@ -9,9 +9,9 @@
 )
 
 // exampleSettings are the platform's settings that newcomers are given to try.
-func exampleSettings(t *testing.T) *config.Platform {
+func exampleSettings(t *testing.T) *config.PlatformSettings {
 	t.Helper()
-	platform, err := config.Load(filepath.Join(root, "deploy", "example.toml"))
+	platform, err := config.LoadPlatformSettings(filepath.Join(root, "deploy", "example.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,7 +23,7 @@
 	if warnings := platform.Warnings(); len(warnings) > 0 {
 		t.Errorf("deploy/example.toml: %q", warnings)
 	}
-	if _, err := config.LoadOperator(filepath.Join(root, "deploy", "upgrades.sexp"), platform); err != nil {
+	if _, err := config.LoadOperatorSettings(filepath.Join(root, "deploy", "upgrades.sexp"), platform); err != nil {
 		t.Error(err)
 	}
 }
@@ -38,7 +38,7 @@
 			continue
 		}
 		example, _, _ = strings.Cut(example, "\n\n")
-		if _, err := config.ParseOperator("(eiderhitch\n"+example, platform); err != nil {
+		if _, err := config.ParseOperatorSettings("(eiderhitch\n"+example, platform); err != nil {
 			t.Errorf("%s: %v", page, err)
 		}
 	}
