--- a/internal/simulation/agent/agent.go
+++ b/internal/simulation/agent/agent.go
@@ -13,21 +13,23 @@
 )
 
 const (
-	// minHeartbeatPause is the least time between a heartbeat and one that reports a change.
+	// minHeartbeatPause is the minimum time between a heartbeat and the next one that reports
+	// a change.
 	minHeartbeatPause = 500 * time.Millisecond
-	// heartbeatJitter is by how much of a second the pauses between heartbeats differ.
+	// heartbeatJitter is the maximum random addition to the heartbeat interval, in seconds.
 	heartbeatJitter = 0.01
-	// heartbeatSeed draws them.
+	// heartbeatSeed is the seed of the heartbeat jitter.
 	heartbeatSeed = 8
 )
 
-// Agent runs the tasks of one machine.
+// Agent simulates one machine and the agent that runs its tasks. It is safe for concurrent
+// use.
 type Agent struct {
 	fleet       *Fleet
 	instance    wire.Instance
 	machineType wire.MachineType
-	transport   *network.Transport // by which it reaches the controllers
-	changed     chan struct{}      // it has something to report at once
+	transport   *network.Transport // carries requests to the controllers
+	changed     chan struct{}      // signals that a heartbeat is due before the next interval
 
 	mu          sync.Mutex
 	incarnation uint64
@@ -37,17 +39,18 @@
 	tasks       map[string]*task
 	booted      bool
 	terminated  bool
-	controller  int // index of the controller that it reports to, or more
+	controller  int // index of the controller to send heartbeats to, modulo the number of controllers
 	faults      faults
-	// onHeartbeat, if set, is handed each heartbeat as it is sent.
+	// onHeartbeat, if not nil, is called with the encoded form of each heartbeat.
 	onHeartbeat   func([]byte)
 	lastHeartbeat []byte
-	// terminatesAt is when the cloud takes the machine, as its heartbeats say; zero: no
-	// notice.
+	// terminatesAt is when the cloud will terminate the machine, as announced in heartbeats.
+	// Zero means that there is no notice.
 	terminatesAt time.Time
 }
 
-// Launch starts an agent on a machine that boots now.
+// Launch launches a machine with an agent. The machine takes the time to boot that its type
+// states.
 func (f *Fleet) Launch(instance wire.Instance, machineType wire.MachineType) *Agent {
 	a := &Agent{fleet: f, instance: instance, machineType: machineType, transport: f.network.NewTransport(), changed: make(chan struct{}, 1),
 		incarnation: 1, tasks: map[string]*task{}}
@@ -56,26 +59,27 @@
 	return a
 }
 
-// Name of the machine.
+// Name returns the machine's name.
 func (a *Agent) Name() string { return a.instance.Name }
 
-// Zone of the machine.
+// Zone returns the machine's zone.
 func (a *Agent) Zone() string { return a.instance.Zone }
 
-// Addr is where it takes direct commands.
+// Addr returns the address at which the machine receives direct commands.
 func (a *Agent) Addr() string { return a.instance.Addr }
 
-// Transport is how the machine reaches the controllers.
+// Transport returns the transport that carries the machine's requests to the controllers.
 func (a *Agent) Transport() *network.Transport { return a.transport }
 
-// IsUp tells whether the machine has booted and is there.
+// IsUp reports whether the machine has booted and isn't terminated.
 func (a *Agent) IsUp() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.booted && !a.terminated
 }
 
-// TaskState is the state of a task's newest attempt on the machine; "": it is not there.
+// TaskState returns the state of the task on the machine, or "" if the machine doesn't have
+// the task.
 func (a *Agent) TaskState(name string) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -85,7 +89,8 @@
 	return ""
 }
 
-// run boots the machine and sends heartbeats until it is terminated.
+// run boots the machine and sends heartbeats until the machine is terminated or the fleet's
+// context is done.
 func (a *Agent) run() {
 	select {
 	case <-time.After(seconds(a.machineType.BootS)):
@@ -100,7 +105,7 @@
 	}
 }
 
-// boot has the machine come up, unless it was terminated meanwhile.
+// boot completes the machine's boot, unless it was terminated in the meantime.
 func (a *Agent) boot() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -112,7 +117,8 @@
 		Capacity: scheduling.NewResources(a.machineType.CPUs, a.machineType.GPUs, a.machineType.RAMGB)})
 }
 
-// advanceIfAlive moves the tasks on to now; false: there is no machine any more.
+// advanceIfAlive brings the tasks up to the current time. It returns false if the machine was
+// terminated or the fleet's context is done.
 func (a *Agent) advanceIfAlive() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -123,7 +129,8 @@
 	return a.fleet.ctx.Err() == nil
 }
 
-// awaitHeartbeat waits until the next heartbeat is due; false: the simulation is over.
+// awaitHeartbeat waits until the next heartbeat is due. It returns false if the fleet's context
+// is done first.
 func (a *Agent) awaitHeartbeat(lastSent time.Time) bool {
 	jitter := seconds(network.SeededFloat64(heartbeatSeed, a.instance.Name) * heartbeatJitter)
 	select {
@@ -138,7 +145,7 @@
 	return true
 }
 
-// reportSoon has a heartbeat sent without waiting for the next interval.
+// reportSoon requests a heartbeat before the next interval ends.
 func (a *Agent) reportSoon() {
 	select {
 	case a.changed <- struct{}{}:
@@ -146,8 +153,8 @@
 	}
 }
 
-// sortedTasks are the tasks by name: what happens at one time happens in the same order in
-// every run; called with the lock held.
+// sortedTasks returns the tasks ordered by name, so that events at the same time happen in the
+// same order in every run. The caller holds a.mu.
 func (a *Agent) sortedTasks() []*task {
 	names := slices.Sorted(maps.Keys(a.tasks))
 	out := make([]*task, len(names))
--- a/internal/simulation/agent/commands.go
+++ b/internal/simulation/agent/commands.go
@@ -10,7 +10,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// execute carries out commands; called with the lock held.
+// execute executes a controller's commands in order. The caller holds a.mu.
 func (a *Agent) execute(commands []wire.Command) {
 	for i := range commands {
 		switch command := &commands[i]; command.Op {
@@ -24,7 +24,9 @@
 	}
 }
 
-// executeStart begins to fetch a task's image.
+// executeStart accepts a task and starts fetching its image. It does nothing if the attempt
+// is already on the machine. It refuses the start if another attempt of the task is on the
+// machine or the job is unknown.
 func (a *Agent) executeStart(command *wire.Command) {
 	if t := a.tasks[command.Task]; t != nil {
 		if t.attempt != command.Attempt {
@@ -42,12 +44,14 @@
 	a.reportSoon()
 }
 
-// refuse notes a start that can't be carried out.
+// refuse records a start command that can't be executed.
 func (a *Agent) refuse(command *wire.Command, reason trace.RefusalReason) {
 	a.fleet.recorder.Record(trace.StartRefused{At: time.Now(), Task: command.Task, Machine: a.instance.Name, Reason: reason})
 }
 
-// executeStop stops a task, with time to save its progress if it can.
+// executeStop stops a task. The task first saves a checkpoint if it supports checkpoints and
+// the command's grace period is long enough. A command without a grace period stops the task
+// at once, even while it saves a checkpoint.
 func (a *Agent) executeStop(command *wire.Command) {
 	t := a.tasks[command.Task]
 	if t == nil || t.attempt != command.Attempt || t.state == wire.StateExited {
@@ -66,7 +70,7 @@
 	}
 }
 
-// executeForget removes what is left of a task that has exited.
+// executeForget removes the record of an exited task.
 func (a *Agent) executeForget(command *wire.Command) {
 	if t := a.tasks[command.Task]; t != nil && t.attempt == command.Attempt && t.state == wire.StateExited {
 		delete(a.tasks, command.Task)
@@ -74,7 +78,8 @@
 	}
 }
 
-// ServeHTTP answers direct commands.
+// ServeHTTP handles direct commands from controllers. A machine that can't be reached never
+// answers, so the caller's request times out. A machine that hangs answers once it resumes.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	a.mu.Lock()
@@ -103,8 +108,8 @@
 	a.reply(w, http.StatusOK)
 }
 
-// reply answers with the state of the machine.
+// reply sends the machine's state, in the form of a heartbeat. The caller holds a.mu.
 func (a *Agent) reply(w http.ResponseWriter, status int) {
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(a.heartbeat()) // the caller has gone
+	_ = json.NewEncoder(w).Encode(a.heartbeat()) // fails only if the caller has closed the connection
 }
--- a/internal/simulation/agent/faults.go
+++ b/internal/simulation/agent/faults.go
@@ -6,63 +6,68 @@
 	"eiderhitch/internal/simulation/trace"
 )
 
-// faults are the faults that a machine has now.
+// faults holds the currently injected faults of a machine. The zero value has no faults.
 type faults struct {
-	isolated     bool // nothing reaches it and nothing comes from it
-	failing      bool // every task fails
-	notReceiving bool // it sends heartbeats, but neither answers nor commands reach it
-	notSending   bool // it reaches no controller, while direct commands reach it
-	// resumed is closed when a machine that hangs goes on; nil: it doesn't hang. What comes
-	// meanwhile is executed then, if its lease still runs.
+	isolated     bool // the machine neither sends nor receives anything
+	failing      bool // tasks exit with an error when they would complete; gang tasks do as soon as they run
+	notReceiving bool // heartbeats arrive, but responses and direct commands are lost
+	notSending   bool // heartbeats are lost, but direct commands arrive
+	// resumed is closed when a hanging machine resumes. It is nil if the machine doesn't hang.
+	// Commands that arrive in the meantime are executed when the machine resumes, provided
+	// that its lease is still valid.
 	resumed    chan struct{}
 	hangsSince time.Time
-	// drift is how much longer than nominal its lease is, by its clock and others'.
+	// drift is the fraction by which the machine's lease lasts longer than its nominal TTL,
+	// because its clock is slower than the controllers' clocks.
 	drift float64
-	// imageDelay is by how much the fetch of an image takes longer than usual.
+	// imageDelay is the additional time that each image fetch takes.
 	imageDelay time.Duration
 }
 
-// isHanging tells whether the machine stands still.
+// isHanging reports whether the machine hangs: it executes nothing and sends no heartbeats.
 func (f *faults) isHanging() bool { return f.resumed != nil }
 
-// setFaults changes the machine's faults.
+// setFaults calls change with the machine's faults, holding a.mu.
 func (a *Agent) setFaults(change func(*faults)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	change(&a.faults)
 }
 
-// SetIsolated cuts the machine off, or joins it again.
+// SetIsolated cuts the machine off from the network or reconnects it.
 func (a *Agent) SetIsolated(isolated bool) {
 	a.setFaults(func(f *faults) { f.isolated = isolated })
 }
 
-// SetTasksFailing has every task fail.
+// SetTasksFailing sets whether the machine's tasks fail.
 func (a *Agent) SetTasksFailing(failing bool) {
 	a.setFaults(func(f *faults) { f.failing = failing })
 }
 
-// SetInboundBlocked has the machine's heartbeats arrive while nothing reaches it.
+// SetInboundBlocked sets whether the machine receives neither responses nor direct commands.
+// Its heartbeats still arrive.
 func (a *Agent) SetInboundBlocked(notReceiving bool) {
 	a.setFaults(func(f *faults) { f.notReceiving = notReceiving })
 }
 
-// SetOutboundBlocked has the machine reach no controller while direct commands reach it.
+// SetOutboundBlocked sets whether the machine's heartbeats are lost. It still receives direct
+// commands.
 func (a *Agent) SetOutboundBlocked(notSending bool) {
 	a.setFaults(func(f *faults) { f.notSending = notSending })
 }
 
-// SetClockDrift makes the machine's lease longer by a fraction, as a slow clock does.
+// SetClockDrift makes the machine's lease last longer by the given fraction of its TTL, as a
+// slow clock does.
 func (a *Agent) SetClockDrift(drift float64) {
 	a.setFaults(func(f *faults) { f.drift = drift })
 }
 
-// SetImageFetchDelay has the machine take longer for images.
+// SetImageFetchDelay sets the additional time that each image fetch takes.
 func (a *Agent) SetImageFetchDelay(delay time.Duration) {
 	a.setFaults(func(f *faults) { f.imageDelay = delay })
 }
 
-// SetHanging has the machine stand still, or go on.
+// SetHanging makes the machine hang or resume. Tasks make no progress while it hangs.
 func (a *Agent) SetHanging(hanging bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -76,14 +81,14 @@
 		a.faults.resumed = nil
 		a.fleet.setTasksHanging(a.tasks, false)
 		for _, t := range a.tasks {
-			t.since = t.since.Add(time.Since(a.faults.hangsSince)) // they stood still as well
+			t.since = t.since.Add(time.Since(a.faults.hangsSince)) // the task made no progress while the machine hung
 		}
 		a.advance()
 	}
 }
 
-// awaitResumed waits for a machine that hangs to go on; false: the simulation is over.
-// Called with the lock held, which it lets go meanwhile.
+// awaitResumed waits until the machine doesn't hang. It returns false if the fleet's context
+// is done first. The caller holds a.mu, which is released during the wait.
 func (a *Agent) awaitResumed() bool {
 	for a.faults.isHanging() {
 		resumed := a.faults.resumed
@@ -100,7 +105,7 @@
 	return true
 }
 
-// Terminate ends the machine without a word.
+// Terminate terminates the machine at once, without notice to the controllers.
 func (a *Agent) Terminate() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -108,14 +113,15 @@
 		return
 	}
 	if a.booted {
-		a.advance() // perhaps its lease was over already
+		a.advance() // the lease may already have expired, and its tasks stopped then
 	}
 	a.terminated = true
 	a.dropTasks(time.Now())
 	a.fleet.recorder.Record(trace.MachineTerminated{At: time.Now(), Machine: a.instance.Name})
 }
 
-// TerminateAfter has the cloud take the machine after a while, which its heartbeats tell.
+// TerminateAfter schedules the machine's termination by the cloud. Until then its heartbeats
+// carry a termination notice.
 func (a *Agent) TerminateAfter(notice time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -124,8 +130,7 @@
 	a.reportSoon()
 }
 
-// Restart ends the machine with all its tasks and has it back at once, in a new
-// incarnation.
+// Restart stops all tasks and restarts the machine immediately, with a new incarnation.
 func (a *Agent) Restart() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -133,7 +138,8 @@
 	a.beginIncarnation()
 }
 
-// beginIncarnation has the agent start anew; called with the lock held.
+// beginIncarnation starts a new incarnation of the agent, with a new lease and a sequence that
+// begins again. The caller holds a.mu.
 func (a *Agent) beginIncarnation() {
 	a.incarnation++
 	a.sequence, a.renewedAt = 0, time.Now()
--- a/internal/simulation/agent/fleet.go
+++ b/internal/simulation/agent/fleet.go
@@ -1,5 +1,6 @@
-// Package agent simulates the agents that run tasks on machines, written from the protocol,
-// with the faults that machines have. They run on whatever clock the test runs on.
+// Package agent simulates the agents that run tasks on machines, including machine faults.
+// It follows the protocol's specification rather than the controllers' code. Agents use the
+// time package, so they also run on the fake clock of testing/synctest.
 package agent
 
 import (
@@ -13,24 +14,25 @@
 	"eiderhitch/internal/wire"
 )
 
-// Settings are the protocol's intervals.
+// Settings holds the intervals and timeouts of the agent protocol.
 type Settings struct {
 	HeartbeatInterval time.Duration
-	LeaseTTL          time.Duration
-	GangWaitTimeout   time.Duration // for which a gang's tasks wait for each other
-	GangPeerTimeout   time.Duration // in which they notice that one is gone
+	LeaseTTL          time.Duration // an agent drops its tasks when its lease isn't renewed for this long
+	GangWaitTimeout   time.Duration // how long a task waits for the other tasks of its gang
+	GangPeerTimeout   time.Duration // within which a gang's tasks detect the loss of one of them
 }
 
-// DefaultSettings are the intervals that simulated clusters have.
+// DefaultSettings returns the settings of simulated clusters.
 func DefaultSettings() Settings {
 	return Settings{HeartbeatInterval: time.Second, LeaseTTL: 10 * time.Second, GangWaitTimeout: 12 * time.Second, GangPeerTimeout: 4 * time.Second}
 }
 
-// Controller is a controller as agents know it.
+// Controller identifies a controller to the agents.
 type Controller struct{ Name, Addr string }
 
-// Fleet is what all agents share: how they reach the controllers, the descriptions of jobs,
-// and the gangs, whose tasks find each other.
+// Fleet holds the state that all agents share: the network to the controllers, the job
+// specifications, and the gangs, whose tasks run on several machines. It is safe for
+// concurrent use.
 type Fleet struct {
 	Settings
 
@@ -41,42 +43,45 @@
 
 	mu          sync.Mutex
 	specs       map[string]*wire.Job
-	running     map[string]*Agent          // by task
-	completed   map[string]map[string]bool // tasks by job
+	running     map[string]*Agent          // by task name
+	completed   map[string]map[string]bool // set of task names by job ID
 	starts      int
 	gangs       map[gangAttempt]*gang
-	checkpoints map[string]time.Duration // progress of gangs, by job
+	checkpoints map[string]time.Duration // saved progress of gangs, by job ID
 }
 
-// NewFleet returns a fleet without agents. They end with ctx.
+// NewFleet returns a fleet without agents. Its agents stop when ctx is done.
 func NewFleet(ctx context.Context, net *network.Network, recorder *trace.Recorder, controllers []Controller) *Fleet {
 	return &Fleet{Settings: DefaultSettings(), ctx: ctx, network: net, recorder: recorder, controllers: controllers,
 		specs: map[string]*wire.Job{}, running: map[string]*Agent{}, completed: map[string]map[string]bool{},
 		gangs: map[gangAttempt]*gang{}, checkpoints: map[string]time.Duration{}}
 }
 
-// UploadJobSpec gives the agents a job's description, as users do before they submit it.
+// UploadJobSpec makes a job's specification available to the agents. Users do this before
+// they submit the job.
 func (f *Fleet) UploadJobSpec(spec *wire.Job) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.specs[spec.ID] = spec
 }
 
-// JobSpec is the uploaded description of a job; nil: there is none.
+// JobSpec returns the uploaded specification of a job, or nil if there is none.
 func (f *Fleet) JobSpec(job string) *wire.Job {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.specs[job]
 }
 
-// CountStartedTasks counts the tasks that have started.
+// CountStartedTasks returns how many tasks have started so far. A task that was restarted
+// counts once for each start.
 func (f *Fleet) CountStartedTasks() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts
 }
 
-// CountRunningTasks counts a job's tasks that are on machines.
+// CountRunningTasks returns how many of a job's tasks have started and are still on their
+// machines.
 func (f *Fleet) CountRunningTasks(job string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,21 +94,21 @@
 	return count
 }
 
-// CountCompletedTasks counts a job's tasks whose results are kept.
+// CountCompletedTasks returns how many of a job's tasks have a saved result.
 func (f *Fleet) CountCompletedTasks(job string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.completed[job])
 }
 
-// SavedProgress is how much progress of a gang is saved.
+// SavedProgress returns how much of a gang's running time is saved in checkpoints.
 func (f *Fleet) SavedProgress(job string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.checkpoints[job]
 }
 
-// taskStarted notes that a task runs on an agent's machine from now.
+// taskStarted records that a task has started on an agent's machine.
 func (f *Fleet) taskStarted(a *Agent, t *task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,7 +117,7 @@
 	f.recorder.Record(trace.TaskStarted{At: time.Now(), Task: t.name, Machine: a.instance.Name})
 }
 
-// taskStopped notes that a task has left an agent's machine.
+// taskStopped records that a task stopped running on an agent's machine.
 func (f *Fleet) taskStopped(a *Agent, t *task, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -122,14 +127,14 @@
 	}
 }
 
-// taskCompleted notes that a task's result is kept.
+// taskCompleted records that a task's result was saved.
 func (f *Fleet) taskCompleted(task string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.taskCompletedLocked(task)
 }
 
-// taskCompletedLocked is taskCompleted with the lock held.
+// taskCompletedLocked is taskCompleted for callers that hold f.mu.
 func (f *Fleet) taskCompletedLocked(task string) {
 	job := trace.JobID(task)
 	if f.completed[job] == nil {
@@ -139,5 +144,5 @@
 	f.recorder.Record(trace.TaskCompleted{At: time.Now(), Task: task})
 }
 
-// seconds is a number of seconds of the protocol as a duration.
+// seconds converts a number of seconds, as the protocol has them, to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/simulation/agent/gang.go
+++ b/internal/simulation/agent/gang.go
@@ -7,28 +7,29 @@
 	"eiderhitch/internal/wire"
 )
 
-// gangAttempt is the number by which an attempt's tasks find each other.
+// gangAttempt identifies an attempt of a gang. Only tasks of the same attempt join each
+// other.
 type gangAttempt struct {
 	job     string
 	attempt uint64
 }
 
-// gang is one attempt of a gang's tasks.
+// gang is the state of one attempt of a gang.
 type gang struct {
-	waiting      map[string]bool // tasks that have their image
-	stopping     map[string]bool // tasks that were stopped with time to save
-	startedAt    time.Time
-	stoppedAt    time.Time            // the first stop
-	brokenAt     time.Time            // a task is gone that had started, or was stopped without grace
-	hangingSince map[string]time.Time // by task whose machine hangs
-	saved        bool
-	done         bool
+	waiting      map[string]bool      // tasks that have fetched their image, by name
+	stopping     map[string]bool      // tasks that were stopped with a grace period to save a checkpoint, by name
+	startedAt    time.Time            // when the last task joined; zero until then
+	stoppedAt    time.Time            // when the first of these tasks was stopped; zero until then
+	brokenAt     time.Time            // when a started task was lost or stopped without a checkpoint; zero until then
+	hangingSince map[string]time.Time // since when the machines of tasks hang, by task name
+	saved        bool                 // the checkpoint of the stopped gang is saved
+	done         bool                 // all tasks have completed
 }
 
-// isOver tells whether nothing can befall the gang any more.
+// isOver reports whether the gang's outcome is final: completed, saved or broken.
 func (g *gang) isOver() bool { return g.done || g.saved || !g.brokenAt.IsZero() }
 
-// gangOf is the attempt that a task belongs to; called with the lock held.
+// gangOf returns the gang attempt that a task belongs to. The caller holds f.mu.
 func (f *Fleet) gangOf(t *task) *gang {
 	key := gangAttempt{trace.JobID(t.name), t.attempt}
 	g := f.gangs[key]
@@ -39,7 +40,7 @@
 	return g
 }
 
-// joinGang has a task wait for the others; with the last one they start.
+// joinGang adds a task to its gang. The gang starts when its last task joins.
 func (f *Fleet) joinGang(t *task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -50,7 +51,8 @@
 	}
 }
 
-// leaveGang notes that a task of a gang is not on its machine any more.
+// leaveGang removes a task that is no longer on its machine. This breaks a gang that has
+// started and isn't over.
 func (f *Fleet) leaveGang(t *task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,7 +64,7 @@
 	}
 }
 
-// setTasksHanging notes that a machine with tasks hangs, or goes on.
+// setTasksHanging records that the machine with these tasks hangs or has resumed.
 func (f *Fleet) setTasksHanging(tasks map[string]*task, hanging bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,7 +80,9 @@
 	}
 }
 
-// breakIfHanging has a gang that runs find out that the machine of one of its tasks hangs.
+// breakIfHanging breaks a running gang if the machine of one of its tasks has been hanging
+// for half of GangPeerTimeout. The other half passes before the remaining tasks exit. The
+// caller holds f.mu.
 func (f *Fleet) breakIfHanging(g *gang) {
 	if g.startedAt.IsZero() || g.isOver() {
 		return
@@ -90,7 +94,8 @@
 	}
 }
 
-// stopGangTask is an orderly stop of one task; false if it exits at once.
+// stopGangTask begins to stop a task of a gang with a checkpoint. It returns false if the gang
+// has not started or is broken: then there is nothing to save, and the task exits at once.
 func (f *Fleet) stopGangTask(t *task) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,7 +110,8 @@
 	return true
 }
 
-// nextGangState is what becomes of a gang's task now: a state, or an exit and its reason.
+// nextGangState returns the state that a task of a gang is to be in now and, if the task
+// exits, the reason.
 func (f *Fleet) nextGangState(t *task) (state, reason string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,8 +139,10 @@
 	return wire.StateRunning, ""
 }
 
-// nextStoppingState is nextGangState of a gang of which a task was stopped: once all are,
-// its progress is saved, and if that takes too long they exit without.
+// nextStoppingState is nextGangState for a gang that is being stopped. Once all tasks were
+// stopped and had the time to save a checkpoint, the gang's progress is saved. If some tasks
+// are not stopped within GangPeerTimeout, the others exit without saving. The caller holds
+// f.mu.
 func (f *Fleet) nextStoppingState(g *gang, t *task, now time.Time) (state, reason string) {
 	stopping := now.Sub(g.stoppedAt)
 	all := len(g.stopping) == t.spec.TaskCount
@@ -151,10 +159,10 @@
 	return t.state, ""
 }
 
-// completeGang keeps the results of all tasks of a gang.
+// completeGang saves the results of all tasks of a gang. The caller holds f.mu.
 func (f *Fleet) completeGang(g *gang) {
 	g.done = true
-	for name := range g.waiting { // all of them are
+	for name := range g.waiting { // no task leaves this set once the gang has started
 		f.taskCompletedLocked(name)
 	}
 }
--- a/internal/simulation/agent/heartbeat.go
+++ b/internal/simulation/agent/heartbeat.go
@@ -14,29 +14,33 @@
 )
 
 const (
-	// HeartbeatPath is where controllers take heartbeats.
+	// HeartbeatPath is the path at which controllers accept heartbeats.
 	HeartbeatPath = "/v1/report"
-	// heartbeatTimeout is for how long an agent waits for an answer.
+	// heartbeatTimeout is how long an agent waits for the response to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// retryPause is how long it waits before it tries another controller.
+	// retryPause is how long an agent waits before it sends to another controller after a
+	// failed heartbeat.
 	retryPause = time.Second
 )
 
-// SetHeartbeatHook has f handed each heartbeat as it is sent; nil: nobody.
+// SetHeartbeatHook sets a function that gets the encoded form of each heartbeat before it is
+// sent. Nil removes the hook.
 func (a *Agent) SetHeartbeatHook(f func([]byte)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.onHeartbeat = f
 }
 
-// LastHeartbeat is the newest heartbeat as it was sent, for copies that come late.
+// LastHeartbeat returns the encoded form of the latest heartbeat. Tests resend it to simulate
+// duplicates that arrive late.
 func (a *Agent) LastHeartbeat() []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.lastHeartbeat
 }
 
-// heartbeat is the state of the machine now; called with the lock held.
+// heartbeat returns a heartbeat with the current state of the machine and the next sequence
+// number. The caller holds a.mu.
 func (a *Agent) heartbeat() wire.Heartbeat {
 	a.advance()
 	a.sequence++
@@ -53,36 +57,36 @@
 	return h
 }
 
-// outgoing is a heartbeat on its way.
+// outgoing is a heartbeat that is about to be sent.
 type outgoing struct {
 	wire.Heartbeat
-	raw    []byte
+	raw    []byte // the encoded heartbeat
 	to     Controller
 	sentAt time.Time
-	copyTo func([]byte)
+	copyTo func([]byte) // the heartbeat hook; may be nil
 }
 
-// prepareHeartbeat is the next heartbeat; nil: the machine can't send one.
+// prepareHeartbeat returns the next heartbeat, or nil if the machine can't send one.
 func (a *Agent) prepareHeartbeat() *outgoing {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.faults.isolated || a.terminated || a.faults.isHanging() {
 		return nil
 	}
-	if a.faults.notSending { // it tries the controllers in turn
+	if a.faults.notSending { // it still tries the controllers in turn
 		a.controller++
 		return nil
 	}
 	out := &outgoing{Heartbeat: a.heartbeat(), sentAt: time.Now(), to: a.fleet.controllers[a.controllerIndex()], copyTo: a.onHeartbeat}
-	out.raw, _ = json.Marshal(out.Heartbeat) // it is made of strings and numbers
+	out.raw, _ = json.Marshal(out.Heartbeat) // can't fail: it contains only strings, numbers and booleans
 	a.lastHeartbeat = out.raw
 	return out
 }
 
-// controllerIndex is the index of the controller that the agent reports to.
+// controllerIndex returns the index of the controller that the agent sends heartbeats to.
 func (a *Agent) controllerIndex() int { return a.controller % len(a.fleet.controllers) }
 
-// sendHeartbeat sends a heartbeat and does what the answer says.
+// sendHeartbeat sends a heartbeat and handles the response.
 func (a *Agent) sendHeartbeat() {
 	out := a.prepareHeartbeat()
 	if out == nil {
@@ -95,7 +99,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+out.to.Addr+HeartbeatPath, bytes.NewReader(out.raw))
 	if err != nil {
-		panic(err) // the controller's address is no address
+		panic(err) // the controller's address is invalid
 	}
 	resp, err := a.transport.RoundTrip(req)
 	a.mu.Lock()
@@ -110,7 +114,7 @@
 	a.handleResponse(out, resp)
 }
 
-// handleResponse does what a controller's answer says; called with the lock held.
+// handleResponse handles a controller's response to a heartbeat. The caller holds a.mu.
 func (a *Agent) handleResponse(out *outgoing, resp *http.Response) {
 	body, err := io.ReadAll(resp.Body)
 	switch {
@@ -125,7 +129,9 @@
 	}
 }
 
-// handleAccepted renews the lease and executes the commands of an answer.
+// handleAccepted renews the lease and executes the commands in a response. It ignores a
+// response to an earlier incarnation and one with an outdated fencing token. The lease is
+// renewed from the time when the heartbeat was sent. The caller holds a.mu.
 func (a *Agent) handleAccepted(out *outgoing, body []byte) {
 	var answer wire.HeartbeatResponse
 	if json.Unmarshal(body, &answer) != nil || answer.FencingToken < a.token || out.Incarnation != a.incarnation {
@@ -138,7 +144,8 @@
 	a.execute(answer.Commands)
 }
 
-// raiseToken notes a newer fencing token.
+// raiseToken stores a fencing token if it is higher than the current one. The caller holds
+// a.mu.
 func (a *Agent) raiseToken(token uint64) {
 	if token > a.token {
 		a.token = token
@@ -146,7 +153,8 @@
 	}
 }
 
-// handleRedirect turns to the controller that an answer names.
+// handleRedirect switches to the controller that a redirect names. If it names no other
+// known controller, the agent tries the next one. The caller holds a.mu.
 func (a *Agent) handleRedirect(body []byte) {
 	var redirect wire.Redirect
 	if json.Unmarshal(body, &redirect) == nil {
@@ -160,8 +168,8 @@
 	a.tryNextController()
 }
 
-// tryNextController turns to the next controller after a pause; called with the lock held,
-// which it lets go meanwhile.
+// tryNextController switches to the next controller after a delay. The caller holds a.mu,
+// which is released during the delay.
 func (a *Agent) tryNextController() {
 	a.controller++
 	a.mu.Unlock()
--- a/internal/simulation/agent/task.go
+++ b/internal/simulation/agent/task.go
@@ -6,20 +6,21 @@
 	"eiderhitch/internal/wire"
 )
 
-// task is an attempt of a task on a machine.
+// task is one attempt of a task on a machine.
 type task struct {
 	name    string
 	attempt uint64
 	state   string
-	reason  string    // of an exit
-	since   time.Time // of the present state
+	reason  string    // why the task exited; empty until then
+	since   time.Time // when the task entered its state
 	spec    *wire.Job
 }
 
-// holds tells whether the task has been in its present state for that many seconds.
+// holds reports whether the task has been in its state for at least s seconds.
 func (t *task) holds(now time.Time, s float64) bool { return now.Sub(t.since) >= seconds(s) }
 
-// advance moves the tasks and the lease on to now; called with the lock held.
+// advance brings the lease and the tasks up to the current time. If the lease has expired,
+// the tasks stop at the time of expiry and a new incarnation begins. The caller holds a.mu.
 func (a *Agent) advance() {
 	now := time.Now()
 	ttl := time.Duration(float64(a.fleet.LeaseTTL) * (1 + a.faults.drift))
@@ -42,7 +43,8 @@
 	}
 }
 
-// startTask has a task run, or wait for its gang, whose image has been fetched.
+// startTask starts a task whose image has been fetched. A task of a gang waits for the rest of
+// the gang. The caller holds a.mu.
 func (a *Agent) startTask(t *task, now time.Time) {
 	t.state, t.since = wire.StateRunning, now
 	a.fleet.taskStarted(a, t)
@@ -53,7 +55,8 @@
 	a.reportSoon()
 }
 
-// advanceTask moves on a task that is not of a gang.
+// advanceTask brings a task that isn't part of a gang up to the current time. The caller holds
+// a.mu.
 func (a *Agent) advanceTask(t *task, now time.Time) {
 	switch {
 	case t.state == wire.StateRunning && !t.spec.Service && t.holds(now, t.spec.EstimateS):
@@ -67,7 +70,7 @@
 	}
 }
 
-// advanceGangTask moves on a task of a gang.
+// advanceGangTask brings a task of a gang up to the current time. The caller holds a.mu.
 func (a *Agent) advanceGangTask(t *task) {
 	if t.state == wire.StateFetchingImage || t.state == wire.StateExited {
 		return
@@ -85,7 +88,7 @@
 	}
 }
 
-// exitTask ends a task for a reason; called with the lock held.
+// exitTask moves a task to the exited state. The caller holds a.mu.
 func (a *Agent) exitTask(t *task, reason string) {
 	now := time.Now()
 	a.fleet.taskStopped(a, t, now)
@@ -99,7 +102,8 @@
 	a.reportSoon()
 }
 
-// dropTasks ends all tasks without a trace on the machine; called with the lock held.
+// dropTasks removes all tasks from the machine. Later heartbeats don't mention them. The
+// caller holds a.mu.
 func (a *Agent) dropTasks(at time.Time) {
 	for _, t := range a.sortedTasks() {
 		if t.state == wire.StateExited {
--- a/internal/simulation/cloud/cloud.go
+++ b/internal/simulation/cloud/cloud.go
@@ -1,5 +1,5 @@
-// Package cloud simulates the cloud, written from its protocol: it launches machines, each
-// with an agent, lists them and terminates them.
+// Package cloud simulates the cloud provider's API. It launches machines, each with a simulated
+// agent, lists them and terminates them.
 package cloud
 
 import (
@@ -16,48 +16,50 @@
 )
 
 const (
-	// defaultCapacity is how many machines there may be at a time.
+	// defaultCapacity is the maximum number of machines at a time unless SetCapacity changes
+	// it.
 	defaultCapacity = 20
-	// instanceRunning is the state of a machine that has booted.
+	// instanceRunning is the listed state of a machine that has booted.
 	instanceRunning = "running"
 )
 
-// Cloud launches machines in a fleet.
+// Cloud launches the machines of a fleet. It is safe for concurrent use.
 type Cloud struct {
-	// MachineAddr, if set, is the address of the machine with a number.
+	// MachineAddr, if not nil, returns the address of the machine with a number. Numbers begin
+	// at 1.
 	MachineAddr func(number int) string
 
 	fleet *agent.Fleet
 	types []wire.MachineType
 
 	mu        sync.Mutex
-	instances []*instance         // by number; nil: terminated
-	launched  map[string][]string // names of machines by request, which may be repeated
+	instances []*instance         // by number - 1; nil if terminated
+	launched  map[string][]string // names of machines by the idempotency key of their launch request
 	down      bool
 	capacity  int
 }
 
-// instance is a machine that was launched.
+// instance is a launched machine.
 type instance struct {
 	wire.Instance
 	launchedAt time.Time
 	agent      *agent.Agent
 }
 
-// New returns a cloud that has machines of some types.
+// New returns a cloud that offers the given machine types.
 func New(fleet *agent.Fleet, types []wire.MachineType) *Cloud {
 	return &Cloud{fleet: fleet, types: types, launched: map[string][]string{}, capacity: defaultCapacity}
 }
 
-// SetUnavailable begins or ends an outage.
+// SetUnavailable begins or ends an outage of the cloud's API. Machines keep running during an
+// outage.
 func (c *Cloud) SetUnavailable(down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down = down
 }
 
-// SetCapacity sets how many machines there may be at a time, and tells how many
-// there might have been before.
+// SetCapacity sets the maximum number of machines at a time and returns the previous one.
 func (c *Cloud) SetCapacity(capacity int) (before int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +68,7 @@
 	return before
 }
 
-// Agents are those of the machines that are there now.
+// Agents returns the agents of all machines that aren't released, in the order of launch.
 func (c *Cloud) Agents() []*agent.Agent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,7 +81,7 @@
 	return out
 }
 
-// ServeHTTP answers as the protocol says.
+// ServeHTTP handles a request of the cloud's protocol.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +108,9 @@
 	}
 }
 
-// serveLaunch launches as many of the machines that are asked for as there may be.
+// serveLaunch handles a launch request. It launches fewer machines than requested if the
+// capacity doesn't suffice. A repeated request gets the machines of the first one. The caller
+// holds c.mu.
 func (c *Cloud) serveLaunch(w http.ResponseWriter, body []byte) {
 	var request wire.LaunchRequest
 	if json.Unmarshal(body, &request) != nil {
@@ -130,7 +134,7 @@
 	reply(w, http.StatusOK, wire.MachineNames{Names: names})
 }
 
-// launch launches one machine and returns its name.
+// launch launches one machine and returns its name. The caller holds c.mu.
 func (c *Cloud) launch(request *wire.LaunchRequest) string {
 	number := len(c.instances) + 1
 	i := &instance{launchedAt: time.Now(), Instance: wire.Instance{Name: fmt.Sprintf("host-%06d", number), Addr: c.machineAddr(number),
@@ -144,7 +148,7 @@
 	return i.Name
 }
 
-// machineAddr is the address of the machine with a number.
+// machineAddr returns the address of the machine with a number.
 func (c *Cloud) machineAddr(number int) string {
 	if c.MachineAddr != nil {
 		return c.MachineAddr(number)
@@ -153,7 +157,7 @@
 	return fmt.Sprintf("10.1.%d.%d:9000", number/perSubnet, number%perSubnet)
 }
 
-// countInstances counts the machines that are there.
+// countInstances returns how many machines aren't released. The caller holds c.mu.
 func (c *Cloud) countInstances() int {
 	count := 0
 	for _, i := range c.instances {
@@ -164,7 +168,7 @@
 	return count
 }
 
-// serveTerminate terminates the machines that are named.
+// serveTerminate handles a request that releases machines. The caller holds c.mu.
 func (c *Cloud) serveTerminate(w http.ResponseWriter, body []byte) {
 	var request wire.MachineNames
 	if json.Unmarshal(body, &request) != nil {
@@ -180,7 +184,7 @@
 	reply(w, http.StatusOK, struct{}{})
 }
 
-// list is the list of machines whose names come after one.
+// list returns the machines whose names sort after the given one. The caller holds c.mu.
 func (c *Cloud) list(after string) wire.InstanceList {
 	out := wire.InstanceList{Instances: []wire.Instance{}}
 	for _, i := range c.instances {
@@ -197,7 +201,8 @@
 	return out
 }
 
+// reply writes a JSON response.
 func reply(w http.ResponseWriter, status int, body any) {
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the caller has gone
+	_ = json.NewEncoder(w).Encode(body) // fails only if the caller has closed the connection
 }
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -1,5 +1,6 @@
-// Package simulation puts together what surrounds the controllers of a cluster: a network,
-// a key-value store, a cloud and its machines, and a trace of what is seen from outside.
+// Package simulation combines the simulated environment of a cluster's controllers: a network,
+// a key-value store, a cloud with its machines, and a trace of the events that are visible
+// from outside the controllers.
 package simulation
 
 import (
@@ -18,23 +19,24 @@
 	"eiderhitch/internal/wire"
 )
 
-// Where the services are.
+// The addresses of the simulated services.
 const (
 	StoreAddr = "state:1"
 	CloudAddr = "cloud:1"
 )
 
-// defaultCancelWithin is in what time a cancelled job's tasks must be gone.
+// defaultCancelWithin is the default of Environment.CancellationTimeout.
 const defaultCancelWithin = 35 * time.Second
 
-// Environment is what surrounds the controllers of a cluster.
+// Environment is the simulated environment of a cluster's controllers.
 type Environment struct {
 	*agent.Fleet
 	Network *network.Network
 	Store   *kv.Store
 	Cloud   *cloud.Cloud
 	Trace   *trace.Recorder
-	// CancellationTimeout is in what time a cancelled job's tasks must be gone.
+	// CancellationTimeout is how long a cancelled job's tasks may stay on their machines after
+	// the user learned of the cancellation.
 	CancellationTimeout time.Duration
 
 	mu            sync.Mutex
@@ -42,8 +44,8 @@
 	faultsEndedAt time.Time
 }
 
-// New returns an environment for some controllers, whose machines are of some types. It
-// ends with ctx.
+// New returns an environment for the given controllers, whose cloud offers the given machine
+// types. The simulation stops when ctx is done.
 func New(ctx context.Context, controllers []agent.Controller, types []wire.MachineType) *Environment {
 	e := &Environment{Network: network.New(ctx), Store: kv.NewStore(), Trace: &trace.Recorder{}, CancellationTimeout: defaultCancelWithin, quotas: map[string]scheduling.Resources{}}
 	e.Fleet = agent.NewFleet(ctx, e.Network, e.Trace, controllers)
@@ -53,21 +55,22 @@
 	return e
 }
 
-// SetQuota sets the limit of CPUs that a team is checked against.
+// SetQuota sets the CPU quota of a team that Violations checks.
 func (e *Environment) SetQuota(team string, cpus float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.quotas[team] = scheduling.NewResources(cpus, 0, 0)
 }
 
-// MarkFaultsEnded says that all faults are over from now on.
+// MarkFaultsEnded records that there are no faults from now on. Stricter rules for availability
+// and waiting jobs apply afterwards.
 func (e *Environment) MarkFaultsEnded() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faultsEndedAt = time.Now()
 }
 
-// Violations are the rules broken so far, by what was seen from outside.
+// Violations checks the trace up to now and returns the rules that it violates.
 func (e *Environment) Violations() []rules.Violation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -75,7 +78,8 @@
 	return rules.Check(events, rules.Expectations{CancellationTimeout: e.CancellationTimeout, Quotas: e.quotas, FaultsEndedAt: e.faultsEndedAt})
 }
 
-// CountTasksByState counts a job's tasks on their machines by state.
+// CountTasksByState returns how many tasks of a job are in each state on the machines that are
+// up. The job's specification must have been uploaded.
 func (e *Environment) CountTasksByState(job string) map[string]int {
 	tasks := e.JobSpec(job).TaskCount
 	out := map[string]int{}
--- a/internal/simulation/kv/http.go
+++ b/internal/simulation/kv/http.go
@@ -10,7 +10,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// The paths of the protocol.
+// The URL paths of the protocol.
 const (
 	listPath   = "/kv"
 	itemsPath  = "/kv/"
@@ -20,7 +20,7 @@
 	leasesPath = "/leases/"
 )
 
-// ServeHTTP answers as the protocol says.
+// ServeHTTP handles a request of the store's protocol.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == watchPath {
 		s.serveWatch(w, r)
@@ -54,7 +54,7 @@
 	}
 }
 
-// serveItem answers with one key; called with the lock held.
+// serveItem handles a request for one key. The caller holds s.mu.
 func (s *Store) serveItem(w http.ResponseWriter, key string) {
 	e, ok := s.entries[key]
 	if !ok {
@@ -64,10 +64,10 @@
 	reply(w, http.StatusOK, wire.Item{Key: key, Value: e.value, Revision: e.revision})
 }
 
-// serveList answers with a page of keys; called with the lock held.
+// serveList handles a request for a page of keys. The caller holds s.mu.
 func (s *Store) serveList(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	most, _ := strconv.Atoi(query.Get("most")) // an empty page, if it is missing
+	most, _ := strconv.Atoi(query.Get("most")) // 0 if it is missing or malformed: the page is empty
 	keys := s.keysAfter(query.Get("starts"), query.Get("since"))
 	page := wire.ItemPage{Revision: s.revision, HasMore: len(keys) > most}
 	for _, key := range keys[:min(len(keys), most)] {
@@ -77,7 +77,8 @@
 	reply(w, http.StatusOK, page)
 }
 
+// reply writes a JSON response.
 func reply(w http.ResponseWriter, status int, body any) {
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the caller has gone
+	_ = json.NewEncoder(w).Encode(body) // fails only if the caller has closed the connection
 }
--- a/internal/simulation/kv/lease.go
+++ b/internal/simulation/kv/lease.go
@@ -12,15 +12,17 @@
 	"eiderhitch/internal/wire"
 )
 
-// lease ends with its keys unless it is renewed in time.
+// lease is a lease of the store. When it expires, its keys are deleted.
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
 }
 
+// renew makes the lease valid for its full TTL from now on.
 func (l *lease) renew() { l.expires = time.Now().Add(l.ttl) }
 
-// expireLeases ends overdue leases, in a fixed order; called with the lock held.
+// expireLeases ends expired leases in the order of their IDs, so that runs are reproducible.
+// Leases don't expire during an outage. The caller holds s.mu.
 func (s *Store) expireLeases() {
 	if s.down {
 		return
@@ -33,7 +35,7 @@
 	}
 }
 
-// endLease removes a lease and its keys, all at one revision; called with the lock held.
+// endLease deletes a lease and its keys, all at one revision. The caller holds s.mu.
 func (s *Store) endLease(id uint64) {
 	delete(s.leases, id)
 	var keys []string
@@ -53,7 +55,7 @@
 	s.notifyWatches()
 }
 
-// serveGrant grants a lease; called with the lock held.
+// serveGrant handles a request for a new lease. The caller holds s.mu.
 func (s *Store) serveGrant(w http.ResponseWriter, body []byte) {
 	var request wire.LeaseRequest
 	if json.Unmarshal(body, &request) != nil {
@@ -67,10 +69,10 @@
 	reply(w, http.StatusOK, wire.LeaseResponse{Lease: s.lastLease})
 }
 
-// serveLease renews a lease or ends it; called with the lock held.
+// serveLease handles a request that renews or ends a lease. The caller holds s.mu.
 func (s *Store) serveLease(w http.ResponseWriter, r *http.Request) {
 	text, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, leasesPath), "/")
-	id, _ := strconv.ParseUint(text, 10, 64) // 0 is no lease
+	id, _ := strconv.ParseUint(text, 10, 64) // a malformed ID gives 0, which no lease has
 	l := s.leases[id]
 	switch {
 	case l == nil:
--- a/internal/simulation/kv/store.go
+++ b/internal/simulation/kv/store.go
@@ -1,6 +1,6 @@
-// Package kv is a small in-process key-value store for tests, written from the protocol:
-// transactions on conditions, leases, watches, and the limits of a real one. It runs on
-// whatever clock the test runs on.
+// Package kv is a small in-process key-value store for tests. It implements the protocol of
+// the real store: conditional transactions, leases, watches, and limits. It uses the time
+// package, so it also runs on the fake clock of testing/synctest.
 package kv
 
 import (
@@ -14,29 +14,31 @@
 	"eiderhitch/internal/wire"
 )
 
-// The limits that a store has unless SetTxnLimits says otherwise.
+// The limits of a store. SetTxnLimits changes the first two.
 const (
 	defaultMaxChanges    = 32
 	defaultMaxValueBytes = 8 << 10
-	// conditionsPerChange is how many conditions a transaction may have for each change
-	// that it may have.
+	// conditionsPerChange is the ratio of the maximum number of conditions of a transaction to
+	// its maximum number of changes.
 	conditionsPerChange = 4
-	// maxBodyBytes is how large a transaction may be as it is sent.
+	// maxBodyBytes is the maximum size of a transaction's request body.
 	maxBodyBytes = 64 << 10
 )
 
-// Stats are counts of transactions.
+// Stats holds statistics of transactions.
 type Stats struct {
-	// RejectedTxns are those that were refused for good: too many changes, too large a value.
+	// RejectedTxns counts transactions that exceeded a size limit: the number of changes or
+	// conditions, the size of a value or of the request. Retrying them is pointless.
 	RejectedTxns int
-	// Throttled are those that were too much at the time, Admitted the others. Both count
-	// only if there is a limit of changes a second.
+	// ThrottledTxns counts transactions that exceeded the rate limit for changes, and
+	// AdmittedTxns counts those that didn't. Both stay 0 while there is no rate limit.
 	ThrottledTxns, AdmittedTxns int
-	// MaxChangesPerTxn is the most changes that one had.
+	// MaxChangesPerTxn is the highest number of changes in a transaction within the size
+	// limits.
 	MaxChangesPerTxn int
 }
 
-// Store is a key-value store. It may be used from several goroutines.
+// Store is a key-value store. It is safe for concurrent use.
 type Store struct {
 	mu            sync.Mutex
 	revision      uint64
@@ -44,22 +46,22 @@
 	history       []wire.Event
 	leases        map[uint64]*lease
 	lastLease     uint64
-	changed       chan struct{} // closed at the next change
+	changed       chan struct{} // closed and replaced at each transaction or lease expiry
 	down          bool
 	maxChanges    int
 	maxValueBytes int
 	beforeTxn     func(*wire.Txn)
 	stats         Stats
-	rate          float64 // changes a second that are admitted; 0: no limit
-	budget        float64 // changes that may be made now
+	rate          float64 // admitted changes per second; 0 means no limit
+	budget        float64 // changes admitted at budgetAt
 	budgetAt      time.Time
 }
 
-// entry is the value of a key.
+// entry is the stored value of a key.
 type entry struct {
 	value    json.RawMessage
-	revision uint64
-	lease    uint64 // 0: none
+	revision uint64 // of the latest change
+	lease    uint64 // ID of the key's lease; 0 means none
 }
 
 // NewStore returns an empty store.
@@ -68,7 +70,7 @@
 		maxChanges: defaultMaxChanges, maxValueBytes: defaultMaxValueBytes}
 }
 
-// SetUnavailable begins or ends an outage; afterwards every lease has its full time.
+// SetUnavailable begins or ends an outage. At the end of an outage, all leases are renewed.
 func (s *Store) SetUnavailable(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,37 +82,39 @@
 	s.down = down
 }
 
-// SetTxnLimits sets how large a value and how many the changes of a transaction may be.
+// SetTxnLimits sets the maximum size of a value and the maximum number of changes of a
+// transaction.
 func (s *Store) SetTxnLimits(maxValueBytes, maxChanges int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.maxValueBytes, s.maxChanges = maxValueBytes, maxChanges
 }
 
-// SetChangeRateLimit limits the changes a second of all callers together, with bursts of one second's
-// worth; 0: no limit.
+// SetChangeRateLimit limits the changes per second of all callers together. A burst may have the
+// changes of one second. 0 means no limit.
 func (s *Store) SetChangeRateLimit(changes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rate = changes
 }
 
-// Stats are the counts so far.
+// Stats returns the statistics so far.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// SetTxnHook has a function change each transaction before it is carried out, as if another
-// caller's change came at that very moment; nil: none does.
+// SetTxnHook sets a function that may modify each transaction before it is executed. Tests use
+// it to simulate a concurrent change by another caller. Nil removes the hook. The hook is
+// called with the store's lock held and must not call its methods.
 func (s *Store) SetTxnHook(f func(*wire.Txn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.beforeTxn = f
 }
 
-// CountValuesLargerThan counts the values beyond a size in bytes.
+// CountValuesLargerThan returns how many stored values are larger than size bytes.
 func (s *Store) CountValuesLargerThan(size int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +127,7 @@
 	return count
 }
 
-// Values are the stored values below prefix, by key.
+// Values returns the stored values whose keys begin with prefix, by key.
 func (s *Store) Values(prefix string) map[string]json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,14 +140,15 @@
 	return out
 }
 
-// Keys lists the stored keys below prefix, in order.
+// Keys returns the stored keys that begin with prefix, in lexical order.
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.keysAfter(prefix, "")
 }
 
-// keysAfter lists the keys below prefix that come after one; called with the lock held.
+// keysAfter returns the keys that begin with prefix and sort after the key after, in lexical
+// order. The caller holds s.mu.
 func (s *Store) keysAfter(prefix, after string) []string {
 	var out []string
 	for key := range s.entries {
@@ -155,20 +160,20 @@
 	return out
 }
 
-// History is every change so far.
+// History returns all changes so far, in the order in which they were made.
 func (s *Store) History() []wire.Event {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.history)
 }
 
-// put stores a value at the present revision; called with the lock held.
+// put stores a value at the current revision. The caller holds s.mu.
 func (s *Store) put(key string, value json.RawMessage, lease uint64) {
 	s.entries[key] = entry{value, s.revision, lease}
 	s.history = append(s.history, wire.Event{Put: key, Value: value, Revision: s.revision})
 }
 
-// delete removes a key at the present revision; called with the lock held.
+// delete deletes a key at the current revision, if it exists. The caller holds s.mu.
 func (s *Store) delete(key string) {
 	if _, ok := s.entries[key]; !ok {
 		return
@@ -177,7 +182,7 @@
 	s.history = append(s.history, wire.Event{Delete: key, Revision: s.revision})
 }
 
-// notifyWatches wakes all watches; called with the lock held.
+// notifyWatches makes all waiting watch requests check for changes. The caller holds s.mu.
 func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/simulation/kv/store_test.go
+++ b/internal/simulation/kv/store_test.go
@@ -14,7 +14,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// newRequest is a request with a JSON body.
+// newRequest returns a request with a JSON body.
 func newRequest(t *testing.T, method, path string, body any) *http.Request {
 	t.Helper()
 	raw, err := json.Marshal(body)
@@ -24,58 +24,58 @@
 	return httptest.NewRequestWithContext(t.Context(), method, path, bytes.NewReader(raw))
 }
 
-// call makes a request and decodes the answer, if it is wanted.
+// call sends a request to the store and decodes the response into answer unless it is nil.
 func call(t *testing.T, s *Store, r *http.Request, answer any) (status int) {
 	t.Helper()
 	recorder := httptest.NewRecorder()
 	s.ServeHTTP(recorder, r)
 	if answer != nil {
 		if err := json.Unmarshal(recorder.Body.Bytes(), answer); err != nil {
-			t.Fatalf("%s %s: %v", r.Method, r.URL, err)
+			t.Fatalf("%s %s: invalid response body: %v", r.Method, r.URL, err)
 		}
 	}
 	return recorder.Code
 }
 
-// transact makes changes on conditions.
+// transact sends a transaction to the store.
 func transact(t *testing.T, s *Store, conditions []wire.Condition, changes ...wire.Change) (status int, answer wire.TxnResponse) {
 	t.Helper()
 	status = call(t, s, newRequest(t, http.MethodPost, txnPath, wire.Txn{Conditions: conditions, Changes: changes}), &answer)
 	return status, answer
 }
 
-// putOf is a change that stores a value of a size.
+// putOf returns a change that stores a value of size bytes.
 func putOf(key string, size int) wire.Change {
 	return wire.Change{Put: key, Value: json.RawMessage(`"` + strings.Repeat("x", size-2) + `"`)}
 }
 
-// grant is a lease of a number of seconds.
+// grant requests a lease and returns its ID.
 func grant(t *testing.T, s *Store, ttl time.Duration) uint64 {
 	t.Helper()
 	var answer wire.LeaseResponse
 	if status := call(t, s, newRequest(t, http.MethodPost, grantPath, wire.LeaseRequest{TTLMS: ttl.Milliseconds()}), &answer); status != http.StatusOK {
-		t.Fatalf("lease: status %d, want 200", status)
+		t.Fatalf("request for a lease: status %d, want 200", status)
 	}
 	return answer.Lease
 }
 
-// A transaction is carried out whole if each key has the revision that it expects, and
-// names the keys that have not.
+// A transaction makes all its changes if all conditions hold. Otherwise it makes none, and the
+// response names the keys whose conditions failed.
 func TestConditions(t *testing.T) {
 	s := NewStore()
 	if status, answer := transact(t, s, []wire.Condition{{Key: "a"}}, putOf("a", 3), putOf("b", 3)); status != http.StatusOK || answer.Revision != 1 {
-		t.Fatalf("status %d, revision %d; want 200 and 1", status, answer.Revision)
+		t.Fatalf("first transaction: status %d, revision %d; want 200 and 1", status, answer.Revision)
 	}
 	status, answer := transact(t, s, []wire.Condition{{Key: "a"}, {Key: "b", Revision: 1}}, putOf("c", 3))
 	if status != http.StatusConflict || !slices.Equal(answer.FailedKeys, []string{"a"}) {
-		t.Errorf("status %d, failed %v; want 409 and a", status, answer.FailedKeys)
+		t.Errorf("second transaction: status %d, failed keys %v; want 409 and a", status, answer.FailedKeys)
 	}
 	if keys := s.Keys(""); !slices.Equal(keys, []string{"a", "b"}) {
-		t.Errorf("keys %v, want a and b", keys)
+		t.Errorf("stored keys %v, want a and b", keys)
 	}
 }
 
-// Transactions beyond the limits are refused for good and counted; those within are not.
+// Transactions that exceed a size limit are rejected with status 400 and counted.
 func TestLimits(t *testing.T) {
 	s := NewStore()
 	s.SetTxnLimits(10, 2)
@@ -94,11 +94,11 @@
 		}
 	}
 	if got := s.Stats(); got.RejectedTxns != 2 || got.MaxChangesPerTxn != 2 {
-		t.Errorf("%+v, want 2 over the limits and 2 changes at most", got)
+		t.Errorf("statistics %+v, want 2 rejected transactions and at most 2 changes per transaction", got)
 	}
 }
 
-// The rate of changes is limited, with bursts of one second's worth.
+// The rate limit admits bursts of one second's changes, also after a long idle period.
 func TestRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewStore()
@@ -113,15 +113,15 @@
 		want := []int{http.StatusOK, http.StatusOK, http.StatusTooManyRequests}
 		for range 2 {
 			if got := statuses(); !slices.Equal(got, want) {
-				t.Errorf("statuses %v, want %v", got, want)
+				t.Errorf("statuses of a burst %v, want %v", got, want)
 			}
-			time.Sleep(time.Minute) // a longer pause allows no larger burst
+			time.Sleep(time.Minute) // an idle period of more than a second doesn't allow a larger burst
 		}
 	})
 }
 
-// A lease that isn't renewed ends with its keys, and no sooner; an outage gives every lease
-// its full time again.
+// A lease that isn't renewed expires after its TTL, and its keys are deleted then, not earlier.
+// The end of an outage renews all leases.
 func TestLeases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewStore()
@@ -135,26 +135,27 @@
 		}
 		time.Sleep(ttl)
 		if !there() {
-			t.Error("the key is gone before its lease has expired")
+			t.Error("the key was deleted before its lease expired")
 		}
 		s.SetUnavailable(true)
 		time.Sleep(5 * ttl)
 		s.SetUnavailable(false)
 		time.Sleep(ttl)
 		if !there() {
-			t.Error("the key is gone though its lease has its full time after an outage")
+			t.Error("the key was deleted although its lease was renewed at the end of the outage")
 		}
 		time.Sleep(time.Second)
 		if there() {
-			t.Error("the key outlives its lease")
+			t.Error("the key still exists after its lease expired")
 		}
 		if status, _ := transact(t, s, nil, change); status != http.StatusBadRequest {
-			t.Errorf("a key of an expired lease is stored: status %d, want 400", status)
+			t.Errorf("transaction with an expired lease: status %d, want 400", status)
 		}
 	})
 }
 
-// A watch answers with the next change below its prefix, also with the end of a lease.
+// A waiting watch request gets the next change of a key with its prefix, also when a lease
+// expires, and no changes of other keys.
 func TestWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewStore()
@@ -165,10 +166,10 @@
 		var answer wire.WatchResponse
 		call(t, s, newRequest(t, http.MethodGet, watchPath+"?starts=w/&since=1&waitMs=30000", nil), &answer)
 		if len(answer.Events) != 1 || answer.Events[0].Delete != "w/a" {
-			t.Errorf("changes %+v, want the deletion of w/a", answer.Events)
+			t.Errorf("watch returned %+v, want the deletion of w/a", answer.Events)
 		}
 		if after := time.Since(begun).Truncate(time.Second); after != 4*time.Second {
-			t.Errorf("answered after %v, want the lease's 4 s", after)
+			t.Errorf("watch returned after %v, want 4s, the TTL of the lease", after)
 		}
 	})
 }
--- a/internal/simulation/kv/txn.go
+++ b/internal/simulation/kv/txn.go
@@ -8,7 +8,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// serveTxn carries out a transaction; called with the lock held.
+// serveTxn handles a transaction. The caller holds s.mu.
 func (s *Store) serveTxn(w http.ResponseWriter, body []byte) {
 	var txn wire.Txn
 	if err := json.Unmarshal(body, &txn); err != nil {
@@ -40,7 +40,8 @@
 	reply(w, http.StatusOK, wire.TxnResponse{Revision: s.revision})
 }
 
-// isWithinLimits tells whether a transaction of some bytes keeps to the limits.
+// isWithinLimits reports whether a transaction, whose request body has the given number of
+// bytes, is within the size limits.
 func (s *Store) isWithinLimits(txn *wire.Txn, bytes int) bool {
 	if len(txn.Changes) > s.maxChanges || len(txn.Conditions) > conditionsPerChange*s.maxChanges || bytes > maxBodyBytes {
 		return false
@@ -53,7 +54,8 @@
 	return true
 }
 
-// admit tells whether the limit of changes a second allows some more, and counts them.
+// admit reports whether the rate limit allows this number of changes now. It updates the rate
+// limit's budget and the statistics. The caller holds s.mu.
 func (s *Store) admit(changes int) bool {
 	if s.rate <= 0 {
 		return true
@@ -70,7 +72,7 @@
 	return true
 }
 
-// hasLeases tells whether the leases that a transaction's keys are to have exist.
+// hasLeases reports whether all leases that a transaction refers to exist.
 func (s *Store) hasLeases(txn *wire.Txn) bool {
 	for _, change := range txn.Changes {
 		if change.Lease != 0 && s.leases[change.Lease] == nil {
@@ -80,7 +82,8 @@
 	return true
 }
 
-// failedConditions are the keys whose revisions are not those that a transaction expects.
+// failedConditions returns the keys whose current revision differs from the one that a
+// condition of the transaction expects.
 func (s *Store) failedConditions(txn *wire.Txn) []string {
 	var failed []string
 	for _, condition := range txn.Conditions {
@@ -91,7 +94,7 @@
 	return failed
 }
 
-// apply makes a transaction's changes, all at one revision.
+// apply makes a transaction's changes, all at one revision. The caller holds s.mu.
 func (s *Store) apply(txn *wire.Txn) {
 	if len(txn.Changes) > 0 {
 		s.revision++
--- a/internal/simulation/kv/watch.go
+++ b/internal/simulation/kv/watch.go
@@ -9,27 +9,28 @@
 	"eiderhitch/internal/wire"
 )
 
-// expiryInterval is how often a watch looks for leases that have expired.
+// expiryInterval is how often a waiting watch request checks for expired leases.
 const expiryInterval = 200 * time.Millisecond
 
-// watchRequest asks for the changes below a prefix after a revision.
+// watchRequest is a request for the changes of keys with a prefix after a revision.
 type watchRequest struct {
 	prefix   string
 	after    uint64
-	wait     time.Duration
+	wait     time.Duration // 0 means that the request doesn't wait for changes
 	deadline time.Time
 }
 
+// parseWatch parses the query of a watch request.
 func parseWatch(r *http.Request) watchRequest {
 	query := r.URL.Query()
-	after, _ := strconv.ParseUint(query.Get("since"), 10, 64) // from the start, if it is missing
-	waitMS, _ := strconv.Atoi(query.Get("waitMs"))            // no wait, if it is missing
+	after, _ := strconv.ParseUint(query.Get("since"), 10, 64) // 0 if it is missing: all changes
+	waitMS, _ := strconv.Atoi(query.Get("waitMs"))            // 0 if it is missing: no wait
 	wait := time.Duration(waitMS) * time.Millisecond
 	return watchRequest{prefix: query.Get("starts"), after: after, wait: wait, deadline: time.Now().Add(wait)}
 }
 
-// serveWatch answers as soon as there are changes, or the wait is over. During an outage it
-// answers one that doesn't wait; the others hang.
+// serveWatch responds as soon as there are changes or the request's wait time is over. During
+// an outage it rejects requests without a wait time and doesn't respond to others.
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	request := parseWatch(r)
 	for {
@@ -58,7 +59,7 @@
 	}
 }
 
-// changesFor are the changes that a watch asks for; called with the lock held.
+// changesFor returns the changes that match a watch request. The caller holds s.mu.
 func (s *Store) changesFor(request watchRequest) wire.WatchResponse {
 	response := wire.WatchResponse{Revision: s.revision, Events: []wire.Event{}}
 	for _, e := range s.history {
--- a/internal/simulation/network/network.go
+++ b/internal/simulation/network/network.go
@@ -1,5 +1,5 @@
-// Package network is an in-process network for tests: it carries HTTP requests to
-// handlers, each caller through a transport of its own that faults can happen to.
+// Package network is an in-process network for tests. It delivers HTTP requests to handlers.
+// Each caller has its own transport, into which tests inject faults.
 package network
 
 import (
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// Network is a set of handlers by address.
+// Network is a set of handlers by address. It is safe for concurrent use.
 type Network struct {
-	// Listen, if set, is called with each handler and its address, to serve it outside of
-	// this process as well.
+	// Listen, if not nil, is called by Serve with each handler and its address, so that the
+	// handler can be served to other processes too. It must be set before the first Serve.
 	Listen func(addr string, h http.Handler)
 
 	ctx        context.Context
@@ -28,25 +28,26 @@
 	latency    Latency
 }
 
-// Latency is how long requests take that no fault happens to.
+// Latency describes how long requests without a fault take.
 type Latency struct {
-	// Seed draws each request's time: another seed has messages meet in another order.
+	// Seed is the seed of the random latencies. A different seed leads to a different order
+	// of messages.
 	Seed uint64
-	// Jitter is by how much the times differ.
+	// Jitter is the maximum random addition to the minimum latency.
 	Jitter time.Duration
 }
 
-// defaultLatencyJitter keeps any two requests from taking the same time: what happens at
-// different times has an order, which is the same in every run.
+// defaultLatencyJitter makes it very unlikely that two requests take the same time. Events at
+// different times have a defined order, which is the same in every run.
 const defaultLatencyJitter = 500 * time.Microsecond
 
-// New returns a network without handlers. Requests that faults keep back are given up when
-// ctx ends.
+// New returns a network without handlers. Requests that a fault delays beyond their caller's
+// timeout are abandoned when ctx is done.
 func New(ctx context.Context) *Network {
 	return &Network{ctx: ctx, handlers: map[string]http.Handler{}, latency: Latency{Jitter: defaultLatencyJitter}}
 }
 
-// Serve puts a handler at an address; nil takes it away.
+// Serve sets the handler of an address. A nil handler removes it.
 func (n *Network) Serve(addr string, h http.Handler) {
 	if n.Listen != nil && h != nil {
 		n.Listen(addr, h)
@@ -56,14 +57,14 @@
 	n.handlers[addr] = h
 }
 
-// SetLatency sets how long requests take from now on.
+// SetLatency sets the latency of later requests.
 func (n *Network) SetLatency(latency Latency) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.latency = latency
 }
 
-// drawLatency is how long a request of a transport takes.
+// drawLatency returns the random latency of a request. The transport is given by its seed.
 func (n *Network) drawLatency(transport uint64, request string) time.Duration {
 	n.mu.Lock()
 	latency := n.latency
@@ -72,10 +73,12 @@
 	return minLatency + time.Duration(drawn*float64(latency.Jitter))
 }
 
-// latencySeedStride keeps the seeds of a network's transports apart from those of another.
+// latencySeedStride separates the transport seeds of different latency seeds. It exceeds the
+// number of transports of a network.
 const latencySeedStride = 1 << 20
 
-// NewTransport returns a transport for one caller, so that it alone can be cut off.
+// NewTransport returns a transport for one caller. Faults of a transport affect only that
+// caller.
 func (n *Network) NewTransport() *Transport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,14 +86,15 @@
 	return &Transport{network: n, seed: n.transports + 1, delay: defaultDelay}
 }
 
-// handler is what serves an address; nil: nothing does.
+// handler returns the handler of an address, or nil if there is none.
 func (n *Network) handler(addr string) http.Handler {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.handlers[addr]
 }
 
-// execute has a request served; nil: nothing serves its address, or ctx ended first.
+// execute calls the handler of a request's address. It returns nil if there is no handler or
+// ctx is done when the handler returns.
 func (n *Network) execute(ctx context.Context, r *http.Request, body []byte) *http.Response {
 	handler := n.handler(r.URL.Host)
 	if handler == nil {
@@ -106,11 +110,12 @@
 	return recorder.Result()
 }
 
-// SeededFloat64 is a number from 0 to below 1 that follows from a seed, the present time and what
-// it is for. Requests that are made at one time by several goroutines come in no order,
-// so numbers drawn one after the other would go to other requests in each run.
+// SeededFloat64 returns a pseudo-random number in [0, 1) that depends only on the seed, the
+// current time and the purpose. A shared sequence of random numbers would not be reproducible:
+// concurrent requests of several goroutines arrive in no defined order and would get different
+// numbers in each run.
 func SeededFloat64(seed uint64, purpose string) float64 {
 	h := fnv.New64a()
-	_, _ = fmt.Fprint(h, seed, time.Now().UnixNano(), purpose) // a hash takes all writes
+	_, _ = fmt.Fprint(h, seed, time.Now().UnixNano(), purpose) // writes to a hash never fail
 	return rand.New(rand.NewPCG(seed, h.Sum64())).Float64()
 }
--- a/internal/simulation/network/transport.go
+++ b/internal/simulation/network/transport.go
@@ -9,33 +9,35 @@
 	"time"
 )
 
-// Fault is what happens to a request on its way.
+// Fault is a way in which the network treats a request.
 type Fault int
 
-// The faults.
+// The faults. Deliver, the zero value, is the absence of a fault.
 const (
-	Deliver      Fault = iota // none
+	Deliver      Fault = iota // the request is delivered and answered with the network's latency
 	Refuse                    // the connection is refused at once
-	Drop                      // the request is lost: it is neither executed nor answered
-	ExecuteLate               // it is executed after a delay; the caller has given up by then
-	DropResponse              // it is executed at once, and the response is lost
-	Delay                     // it is executed and answered after a delay
+	Drop                      // the request is lost: it is neither executed nor answered, so the caller times out
+	ExecuteLate               // the request is executed after a delay and its response is lost, so the caller times out
+	DropResponse              // the request is executed at once and its response is lost, so the caller times out
+	Delay                     // the request is executed and answered after a delay
 )
 
-// FaultPolicy decides what happens to a request. It may be called from several goroutines.
+// FaultPolicy selects the fault of a request. It must be safe for concurrent use.
 type FaultPolicy func(*http.Request) Fault
 
 const (
-	// defaultDelay is by how much requests are late unless SetDelay says otherwise.
+	// defaultDelay is the delay of ExecuteLate and Delay unless SetDelay changes it.
 	defaultDelay = 5 * time.Second
-	// minLatency is the least time that a request takes.
+	// minLatency is the minimum latency of a request without a fault.
 	minLatency = 2 * time.Millisecond
 )
 
-// ErrConnectionRefused is returned for an address that nothing serves.
+// ErrConnectionRefused is returned for requests with the fault Refuse and for addresses without
+// a handler.
 var ErrConnectionRefused = errors.New("network: connection refused")
 
-// Transport carries one caller's requests. It implements http.RoundTripper.
+// Transport carries one caller's requests. It implements http.RoundTripper and is safe for
+// concurrent use.
 type Transport struct {
 	network *Network
 	seed    uint64
@@ -46,21 +48,22 @@
 	jitter time.Duration
 }
 
-// SetDelay sets by how much requests are late, and how much more they may be.
+// SetDelay sets the delay of ExecuteLate and Delay, and the maximum random addition to it.
 func (t *Transport) SetDelay(delay, jitter time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.delay, t.jitter = delay, jitter
 }
 
-// SetFaultPolicy sets what decides about each request; nil: all are delivered.
+// SetFaultPolicy sets the policy that selects the fault of each request. With a nil policy all
+// requests are delivered.
 func (t *Transport) SetFaultPolicy(policy FaultPolicy) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.policy = policy
 }
 
-// decide is what happens to a request, and the delay if it has one.
+// decide returns the fault of a request, and the delay to use if the fault has one.
 func (t *Transport) decide(r *http.Request) (Fault, time.Duration) {
 	t.mu.Lock()
 	policy, delay, jitter := t.policy, t.delay, t.jitter
@@ -74,7 +77,7 @@
 	return policy(r), delay
 }
 
-// RoundTrip delivers a request, unless a fault happens to it.
+// RoundTrip delivers a request or applies the fault that the policy selects for it.
 func (t *Transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	body, err := readBody(r)
 	if err != nil {
@@ -98,7 +101,7 @@
 	return t.deliverAfter(t.network.drawLatency(t.seed, r.Method+r.URL.String()+string(body)), r, body)
 }
 
-// readBody takes over a request's body, as a transport has to.
+// readBody reads and closes a request's body, as the contract of http.RoundTripper demands.
 func readBody(r *http.Request) ([]byte, error) {
 	if r.Body == nil {
 		return nil, nil
@@ -107,13 +110,14 @@
 	return io.ReadAll(r.Body)
 }
 
-// waitForCaller waits until the caller gives its request up.
+// waitForCaller waits until the request's context is done and returns the context's error.
 func waitForCaller(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
 
-// executeAfter has a request executed after a delay, whatever its caller does.
+// executeAfter executes a request after a delay, even if its caller has given up by then. It
+// does nothing if the network's context is done first.
 func (t *Transport) executeAfter(delay time.Duration, r *http.Request, body []byte) {
 	select {
 	case <-time.After(delay):
@@ -122,7 +126,8 @@
 	}
 }
 
-// deliverAfter has a request executed after a while, and returns the response.
+// deliverAfter executes a request after its latency and returns the response. It returns the
+// context's error if the caller gives up first.
 func (t *Transport) deliverAfter(latency time.Duration, r *http.Request, body []byte) (*http.Response, error) {
 	select {
 	case <-time.After(latency):
@@ -132,7 +137,8 @@
 	return t.deliver(r.Context(), r, body)
 }
 
-// deliver has a request executed and returns the response, or what became of the caller.
+// deliver executes a request and returns the response. It returns the context's error if the
+// caller gives up first, and ErrConnectionRefused if no handler serves the address.
 func (t *Transport) deliver(ctx context.Context, r *http.Request, body []byte) (*http.Response, error) {
 	response := make(chan *http.Response, 1)
 	go func() { response <- t.network.execute(ctx, r, body) }()
--- a/internal/simulation/network/transport_test.go
+++ b/internal/simulation/network/transport_test.go
@@ -13,20 +13,20 @@
 const (
 	testAddr  = "service:1"
 	testDelay = 3 * time.Second
-	// callerTimeout is for how long callers wait: for less than the delay.
+	// callerTimeout is how long callers wait for a response. It is shorter than testDelay.
 	callerTimeout = 2 * time.Second
 )
 
-// faultOutcome is what becomes of a request.
+// faultOutcome is the observed effect of a fault on a request.
 type faultOutcome struct {
-	answered  bool          // the caller gets a response
-	after     time.Duration // when the caller knows, to the second
-	executed  bool          // by that time
-	inTheEnd  bool          // it is executed at some time
+	answered  bool          // the caller received a response
+	after     time.Duration // how long RoundTrip took, truncated to seconds
+	executed  bool          // the handler had run when RoundTrip returned
+	inTheEnd  bool          // the handler had run a minute later
 	wantError error
 }
 
-// Each fault does to a request what its name says.
+// Each fault has its documented effect on the caller and on the execution of the request.
 func TestFaults(t *testing.T) {
 	for _, x := range []struct {
 		name    string
@@ -69,7 +69,7 @@
 		resp.Body.Close()
 	}
 	if !errors.Is(err, want.wantError) {
-		t.Errorf("error %v, want %v", err, want.wantError)
+		t.Errorf("RoundTrip error: %v, want %v", err, want.wantError)
 	}
 	time.Sleep(time.Minute)
 	got.inTheEnd = executed.Load()
@@ -78,7 +78,7 @@
 	}
 }
 
-// An address that nothing serves, or nothing serves any more, refuses connections.
+// An address whose handler was removed refuses connections.
 func TestUnservedAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := New(t.Context())
@@ -89,7 +89,7 @@
 			t.Fatal(err)
 		}
 		if _, err := network.NewTransport().RoundTrip(req); !errors.Is(err, ErrConnectionRefused) {
-			t.Errorf("error %v, want %v", err, ErrConnectionRefused)
+			t.Errorf("RoundTrip error: %v, want %v", err, ErrConnectionRefused)
 		}
 	})
 }
--- a/internal/simulation/rules/availability.go
+++ b/internal/simulation/rules/availability.go
@@ -7,14 +7,17 @@
 	"eiderhitch/internal/simulation/trace"
 )
 
-// How long queries of an accepted job may get no answer.
+// The maximum time for which all queries of an accepted job may remain unanswered.
 const (
-	maxUnanswered = 90 * time.Second // while most others get theirs
-	// maxUnansweredSettled holds once all faults are over, whatever becomes of others.
+	// maxUnanswered applies at all times, provided that most other queries are answered.
+	maxUnanswered = 90 * time.Second
+	// maxUnansweredSettled applies after all faults have ended, even if no other query is
+	// answered.
 	maxUnansweredSettled = 75 * time.Second
 )
 
-// checkAnswered checks for how long a job's queries have got no answer.
+// checkAnswered checks that an accepted job's queries don't remain unanswered for too long. A
+// response with status 200 or 404 counts as an answer.
 func (c *checker) checkAnswered(e trace.Response) {
 	j := c.job(e.Job)
 	if e.Status == http.StatusOK || e.Status == http.StatusNotFound {
@@ -31,13 +34,13 @@
 	unanswered := e.At.Sub(j.unansweredSince)
 	afterFaults := !c.FaultsEndedAt.IsZero() && e.At.Sub(later(j.unansweredSince, c.FaultsEndedAt)) > maxUnansweredSettled
 	if afterFaults || unanswered > maxUnanswered && c.mostAreAnswered(j.unansweredSince) {
-		c.violate(AcceptedJobLost, "%s is not answered for %v", j.id, unanswered)
+		c.violate(AcceptedJobLost, "queries of %s have been unanswered for %v", j.id, unanswered)
 		j.unansweredSince = time.Time{}
 	}
 }
 
-// mostAreAnswered tells whether there were more answers since a time than there are jobs
-// whose queries get none.
+// mostAreAnswered reports whether more queries were answered since a time than there are jobs
+// whose queries are unanswered now.
 func (c *checker) mostAreAnswered(since time.Time) bool {
 	answers, unanswered := 0, 0
 	for _, at := range c.answeredAt {
@@ -53,7 +56,7 @@
 	return answers > unanswered
 }
 
-// later is the later of two times.
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/internal/simulation/rules/cancellation.go
+++ b/internal/simulation/rules/cancellation.go
@@ -2,13 +2,13 @@
 
 import "eiderhitch/internal/wire"
 
-// checkCancelled checks that a task, which is on its machine up to now, is not there for
-// long after its user learned that the job is cancelled.
+// checkCancelled checks that a task on a machine doesn't stay there for longer than
+// CancellationTimeout after a user learned that its job is cancelled.
 func (c *checker) checkCancelled(t *task) {
 	if t.job.finalState != wire.StateCancelled {
 		return
 	}
 	if d := c.now.Sub(t.job.finalAt); d > c.CancellationTimeout {
-		c.violate(RanAfterCancellation, "%s is there %v after its user was told", t.name, d)
+		c.violate(RanAfterCancellation, "%s is on its machine %v after its user was told of the cancellation", t.name, d)
 	}
 }
--- a/internal/simulation/rules/check.go
+++ b/internal/simulation/rules/check.go
@@ -1,6 +1,6 @@
-// Package rules checks a trace against the rules of the protocol and what users ask of
-// every deployment. It knows nothing of the controllers' state. Each file holds one rule,
-// or a few that are about one thing.
+// Package rules checks a trace against the rules of the protocol and the guarantees that every
+// deployment gives its users. It uses only the trace and not the controllers' state. Each file
+// has one rule or a few related ones.
 package rules
 
 import (
@@ -12,61 +12,66 @@
 	"eiderhitch/internal/simulation/trace"
 )
 
-// Rule is a rule's name.
+// Rule is the name of a rule. It names the violation of the rule.
 type Rule string
 
-// The rules.
+// The rules, each with what it demands.
 const (
-	InvalidTrace         Rule = "trace"         // the trace itself makes sense
-	StartedWhileInUse    Rule = "in_use"        // no task is started where another attempt of it is
-	UnknownJob           Rule = "unknown_job"   // no task is started of a job that nobody uploaded
-	RanOnTwoMachines     Rule = "ran_twice"     // a task is on one machine at a time
-	OverlappingAttempts  Rule = "two_attempts"  // no task starts beside an earlier attempt of its gang
-	WrongPlacement       Rule = "wrong_place"   // tasks are where their job allows
-	QuotaExceeded        Rule = "quota"         // a team keeps to its limit
-	RanAfterCancellation Rule = "ran_cancelled" // tasks of a cancelled job are soon gone
-	UnsubmittedJob       Rule = "invented"      // only submitted jobs are known
-	AcceptedJobLost      Rule = "forgotten"     // accepted jobs stay known
-	FinalStateChanged    Rule = "went_back"     // a final state is final
-	DoneTooEarly         Rule = "not_done"      // a job is done when all its tasks are
-	NoTaskStarted        Rule = "nothing_ran"   // something runs at all
-	WaitsDespiteCapacity Rule = "waits"         // no job waits for long beside room for it
+	InvalidTrace         Rule = "trace"         // the events of the trace are consistent
+	StartedWhileInUse    Rule = "in_use"        // a task isn't started on a machine that has another attempt of it
+	UnknownJob           Rule = "unknown_job"   // a task isn't started if its job's specification wasn't uploaded
+	RanOnTwoMachines     Rule = "ran_twice"     // a task is on at most one machine at a time
+	OverlappingAttempts  Rule = "two_attempts"  // a gang's task isn't started while an earlier attempt is on machines
+	WrongPlacement       Rule = "wrong_place"   // tasks run only on machines and in zones that their job allows
+	QuotaExceeded        Rule = "quota"         // a team doesn't exceed its quota
+	RanAfterCancellation Rule = "ran_cancelled" // tasks of a cancelled job stop within CancellationTimeout
+	UnsubmittedJob       Rule = "invented"      // only submitted jobs are reported as known
+	AcceptedJobLost      Rule = "forgotten"     // accepted jobs stay known, and their queries are answered
+	FinalStateChanged    Rule = "went_back"     // a final state doesn't change, and jobs are cancelled only on request
+	DoneTooEarly         Rule = "not_done"      // a job is done only when all its tasks have completed
+	NoTaskStarted        Rule = "nothing_ran"   // at least one task starts if a job was accepted
+	WaitsDespiteCapacity Rule = "waits"         // a job doesn't wait for more than maxWait while there is room for it
 )
 
-// refusalRules are the rules that starts break which machines refuse.
+// refusalRules maps the reason for refusing a start command to the rule that the command
+// violates.
 var refusalRules = map[trace.RefusalReason]Rule{trace.TaskInUse: StartedWhileInUse, trace.UnknownJob: UnknownJob}
 
-// Violation is a rule that a trace breaks, and how.
+// Violation describes how a trace violates a rule.
 type Violation struct {
 	Rule   Rule
 	Detail string
 }
 
-// String is the rule's name and the detail.
+// String returns the rule's name and the detail.
 func (v Violation) String() string { return string(v.Rule) + ": " + v.Detail }
 
-// Expectations are what a trace is checked against.
+// Expectations holds the parameters of the rules.
 type Expectations struct {
-	CancellationTimeout time.Duration // in which a cancelled job's tasks must be gone
-	Quotas              map[string]scheduling.Resources
-	// FaultsEndedAt is when all faults were over; zero: they never were.
+	// CancellationTimeout is how long a cancelled job's tasks may stay on their machines after
+	// the user learned of the cancellation.
+	CancellationTimeout time.Duration
+	// Quotas are the quotas of teams. A team that isn't in it has no limit.
+	Quotas map[string]scheduling.Resources
+	// FaultsEndedAt is when all faults had ended. Zero means that they haven't.
 	FaultsEndedAt time.Time
 }
 
-// checker goes through a trace.
+// checker checks a trace. Its fields model the cluster at the time of the current event.
 type checker struct {
 	Expectations
 	violations    []Violation
 	jobs          map[string]*job
-	tasks         map[string]*task // on machines
+	tasks         map[string]*task // tasks on machines, by name
 	machines      map[string]*machine
-	answeredAt    []time.Time // of queries
+	answeredAt    []time.Time // times of the answers to queries
 	starts        int
 	now           time.Time
 	waitCheckedAt time.Time
 }
 
-// Check lists the rules that a trace breaks.
+// Check returns the violations in a trace, in the order in which they were found. The events may
+// be in any order.
 func Check(events []trace.Event, expected Expectations) []Violation {
 	c := &checker{Expectations: expected, jobs: map[string]*job{}, tasks: map[string]*task{}, machines: map[string]*machine{}}
 	events = slices.Clone(events)
@@ -85,7 +90,7 @@
 	return c.violations
 }
 
-// apply brings the model up to date with an event and checks the rules that it may break.
+// apply updates the model with an event and checks the rules that the event may violate.
 func (c *checker) apply(e trace.Event) {
 	switch e := e.(type) {
 	case trace.MachineBooted:
@@ -101,7 +106,7 @@
 			c.removeTask(t)
 		}
 	case trace.TaskCompleted:
-		c.job(trace.JobID(e.Task)).completed[e.Task] = true // a kept result may be reported twice
+		c.job(trace.JobID(e.Task)).completed[e.Task] = true // a saved result may be reported more than once
 	case trace.StartRefused:
 		c.violate(refusalRules[e.Reason], "%s on %s", e.Task, e.Machine)
 	case trace.Response:
@@ -109,11 +114,11 @@
 	}
 }
 
-// acceptTask puts a task on a machine.
+// acceptTask adds a task to its machine.
 func (c *checker) acceptTask(e trace.TaskAccepted) {
 	m := c.machines[e.Machine]
 	if m == nil {
-		c.violate(InvalidTrace, "%s on machine %s, which is not up", e.Task, e.Machine)
+		c.violate(InvalidTrace, "%s accepted by machine %s, which is not up", e.Task, e.Machine)
 		return
 	}
 	t := c.tasks[e.Task]
@@ -128,12 +133,12 @@
 	m.used = m.used.Plus(t.job.need())
 }
 
-// startTask has an accepted task run.
+// startTask marks an accepted task as started and checks the rules for running tasks.
 func (c *checker) startTask(e trace.TaskStarted) {
 	c.starts++
 	t := c.tasks[e.Task]
 	if t == nil || t.job.spec == nil {
-		c.violate(InvalidTrace, "%s runs without a job or a machine", e.Task)
+		c.violate(InvalidTrace, "%s started without a specification of its job or without a machine", e.Task)
 		return
 	}
 	t.startedOn = t.machine
@@ -143,7 +148,7 @@
 	c.checkZones(t)
 }
 
-// terminateMachine takes a machine away, with its tasks.
+// terminateMachine removes a machine and its tasks.
 func (c *checker) terminateMachine(e trace.MachineTerminated) {
 	for _, t := range c.sortedTasks() {
 		if t.machine.name == e.Machine {
@@ -153,7 +158,7 @@
 	delete(c.machines, e.Machine)
 }
 
-// removeTask takes a task off its machine.
+// removeTask removes a task from its machine.
 func (c *checker) removeTask(t *task) {
 	if t.startedOn != nil {
 		c.checkCancelled(t)
@@ -162,7 +167,7 @@
 	delete(c.tasks, t.name)
 }
 
-// checkEnd checks what must hold at the end of the trace.
+// checkEnd checks the rules that apply at the end of the trace.
 func (c *checker) checkEnd() {
 	for _, t := range c.sortedTasks() {
 		if t.startedOn != nil {
@@ -180,6 +185,7 @@
 	}
 }
 
+// violate records a violation.
 func (c *checker) violate(rule Rule, format string, args ...any) {
 	c.violations = append(c.violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
--- a/internal/simulation/rules/check_test.go
+++ b/internal/simulation/rules/check_test.go
@@ -11,39 +11,44 @@
 	"eiderhitch/internal/wire"
 )
 
+// epoch is when the traces begin.
 var epoch = time.Unix(1_000_000, 0)
 
-// at is a number of seconds after the trace has begun.
+// at returns the time that is the given number of seconds after epoch.
 func at(seconds float64) time.Time {
 	return epoch.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// respond is a request about a job that is answered half a second later.
+// respond returns the response to a request about a job that is made at the given second. The
+// response arrives half a second later.
 func respond(seconds float64, id string, operation trace.Operation, status int, state string) trace.Response {
 	return trace.Response{At: at(seconds + 0.5), RequestedAt: at(seconds), Operation: operation, Job: id, Status: status, State: state}
 }
 
+// query returns the response to a query of a job's state.
 func query(seconds float64, id string, status int, state string) trace.Response {
 	return respond(seconds, id, trace.Query, status, state)
 }
 
+// cancel returns the successful response to a cancellation.
 func cancel(seconds float64, id string) trace.Response {
 	return respond(seconds, id, trace.Cancel, http.StatusOK, wire.StateCancelled)
 }
 
-// submit is a submission that is accepted in the first second.
+// submit returns the successful response to a submission that is made at second 1.
 func submit(spec *wire.Job) trace.Response {
 	e := respond(1, spec.ID, trace.Submit, http.StatusCreated, wire.StateQueued)
 	e.Spec = spec
 	return e
 }
 
-// completed is a task whose result is kept.
+// completed returns the event that a task's result was saved.
 func completed(seconds float64, task string) trace.Event {
 	return trace.TaskCompleted{At: at(seconds), Task: task}
 }
 
-// runAttempt has an attempt of a task on a machine from one time to another.
+// runAttempt returns the events of a task attempt that runs on a machine from one second to
+// another.
 func runAttempt(attempt uint64, task, machine string, from, to float64) []trace.Event {
 	return []trace.Event{
 		trace.TaskAccepted{At: at(from), Task: task, Machine: machine, Attempt: attempt},
@@ -52,17 +57,18 @@
 	}
 }
 
+// run is runAttempt for attempt 0.
 func run(task, machine string, from, to float64) []trace.Event {
 	return runAttempt(0, task, machine, from, to)
 }
 
-// testJob is a job of two tasks, of which two fill a machine.
+// testJob returns a job with two tasks, which together use all CPUs of a machine.
 func testJob(id string) *wire.Job {
 	return &wire.Job{ID: id, Team: "red", TaskCount: 2, CPUs: 2, RAMGB: 1}
 }
 
-// testMachines are two on-demand machines in zone a, m1 and m3, and the spot machine m2 in
-// zone b.
+// testMachines returns the boot events of m1 and m3, two on-demand machines in zone a, and of
+// the spot machine m2 in zone b.
 func testMachines() []trace.Event {
 	machine := func(name, typ, zone string, spot bool) trace.Event {
 		return trace.MachineBooted{At: at(0), Machine: name, Type: typ, Zone: zone, Spot: spot, Capacity: scheduling.NewResources(4, 0, 64)}
@@ -70,19 +76,20 @@
 	return []trace.Event{machine("m1", "small", "a", false), machine("m2", "small", "b", true), machine("m3", "large", "a", false)}
 }
 
-// ended is the end of all traces that need one.
+// ended is the last event of the traces that need one.
 var ended = trace.RecordingEnded{At: at(400)}
 
-// ruleCase is a trace that breaks no rule, and events that break one, or none.
+// ruleCase is a trace without violations and events that, once added, violate at most one
+// rule.
 type ruleCase struct {
 	name      string
-	broken    Rule    // "": none
-	settledAt float64 // when all faults are over; 0: never
+	broken    Rule    // the rule that the added events violate; "" means none
+	settledAt float64 // when all faults have ended, in seconds; 0 means never
 	before    []trace.Event
 	added     []trace.Event
 }
 
-// check checks a case's trace with and without what is added to it.
+// check checks the trace of a case without and with the added events.
 func (x *ruleCase) check(t *testing.T) {
 	t.Helper()
 	expected := Expectations{CancellationTimeout: 35 * time.Second, Quotas: map[string]scheduling.Resources{"red": scheduling.NewResources(4, 0, 0)}}
@@ -91,7 +98,7 @@
 	}
 	events := slices.Concat([]trace.Event{submit(testJob("wk-1"))}, testMachines(), x.before)
 	if got := Check(events, expected); len(got) > 0 && x.broken != NoTaskStarted {
-		t.Errorf("violations before the events are added: %v, want none", got)
+		t.Errorf("violations without the added events: %v, want none", got)
 	}
 	got := Check(append(events, x.added...), expected)
 	if x.broken == "" && len(got) > 0 {
@@ -102,8 +109,8 @@
 	}
 }
 
-// Each rule has a trace that breaks it and is found; the same trace without what breaks it
-// is clean.
+// Each rule reports a trace that violates it, and doesn't report the same trace without the
+// events that violate it.
 func TestEachRuleIsChecked(t *testing.T) {
 	for _, group := range [][]ruleCase{placementCases(), cancellationCases(), availabilityCases(), responseCases(), waitingCases()} {
 		for _, x := range group {
@@ -190,13 +197,14 @@
 	}
 }
 
-// An attempt of a gang doesn't begin while a task of the one before is on its machine.
+// Starting a task of a gang while a task of the previous attempt is on its machine is a
+// violation.
 func TestGangAttempts(t *testing.T) {
 	gang := testJob("wk-1")
 	gang.Gang = true
 	for _, x := range []struct {
 		name    string
-		started float64 // task 1 as attempt 2
+		started float64 // when task 1 starts as attempt 2, in seconds
 		broken  bool
 	}{
 		{"beside the first attempt", 5, true},
@@ -209,7 +217,7 @@
 	}
 }
 
-// Where tasks may be depends on their job.
+// The placement constraints of a job determine the machines and zones of its tasks.
 func TestPlacementByJob(t *testing.T) {
 	large := func(j *wire.Job) { j.MachineTypes = []string{"large"} }
 	zoneA := func(j *wire.Job) { j.AllowsSpot, j.Zone = true, "a" }
@@ -238,7 +246,8 @@
 	}
 }
 
-// checkOnly checks that a trace breaks one rule once, or none.
+// checkOnly checks that a trace has exactly one violation, of the given rule, if broken is set,
+// and none otherwise.
 func checkOnly(t *testing.T, events []trace.Event, rule Rule, broken bool) {
 	t.Helper()
 	got := Check(events, Expectations{CancellationTimeout: time.Minute})
@@ -246,6 +255,6 @@
 		t.Errorf("violations: %v, want none", got)
 	}
 	if broken && (len(got) != 1 || got[0].Rule != rule) {
-		t.Errorf("violations: %v, want one of %s", got, rule)
+		t.Errorf("violations: %v, want exactly one, of rule %s", got, rule)
 	}
 }
--- a/internal/simulation/rules/model.go
+++ b/internal/simulation/rules/model.go
@@ -10,30 +10,30 @@
 	"eiderhitch/internal/wire"
 )
 
-// job is what a trace shows of a job.
+// job is the state of a job as far as the trace shows it.
 type job struct {
 	id                string
-	spec              *wire.Job // nil: no submission shows it
-	submittedAt       time.Time // first request; zero: none in the whole trace
-	cancelRequestedAt time.Time // first request; zero: none in the whole trace
-	acceptedAt        time.Time // first response that knows it
-	finalState        string    // as first shown to a user; "": not yet
-	finalAt           time.Time
-	completed         map[string]bool // tasks whose results are kept
-	unansweredSince   time.Time       // its queries get no answer; zero: they do
-	waitingSince      time.Time       // beside room for it; zero: it is not
+	spec              *wire.Job       // nil if the trace has no valid submission
+	submittedAt       time.Time       // earliest submission request; zero if the whole trace has none
+	cancelRequestedAt time.Time       // earliest cancellation request; zero if the whole trace has none
+	acceptedAt        time.Time       // first response that reports the job as known; zero until then
+	finalState        string          // as first reported to a user; "" until then
+	finalAt           time.Time       // when finalState was reported
+	completed         map[string]bool // names of the tasks with a saved result
+	unansweredSince   time.Time       // first of the current series of failed queries; zero if the last one was answered
+	waitingSince      time.Time       // since when the job has waited despite room; zero if it doesn't
 }
 
-// task is a task that takes its place on a machine.
+// task is a task that a machine has accepted and that hasn't stopped since.
 type task struct {
 	name      string
 	job       *job
 	attempt   uint64
 	machine   *machine
-	startedOn *machine // nil: it has not started
+	startedOn *machine // machine on which the task has started; nil until then
 }
 
-// machine is a machine that is up.
+// machine is a machine that has booted and isn't terminated.
 type machine struct {
 	name, typ, zone string
 	spot            bool
@@ -41,7 +41,8 @@
 	used            scheduling.Resources
 }
 
-// need is what one task of a job takes.
+// need returns the resources of one task of the job. They are zero if the job's specification
+// is unknown.
 func (j *job) need() scheduling.Resources {
 	if j.spec == nil {
 		return scheduling.Resources{}
@@ -49,7 +50,8 @@
 	return scheduling.NewResources(j.spec.CPUs, j.spec.GPUs, j.spec.RAMGB)
 }
 
-// job is the job of an ID, which may be one that nobody submitted.
+// job returns the job with an ID and creates it if necessary. The job may not have been
+// submitted.
 func (c *checker) job(id string) *job {
 	if c.jobs[id] == nil {
 		c.jobs[id] = &job{id: id, completed: map[string]bool{}}
@@ -57,10 +59,10 @@
 	return c.jobs[id]
 }
 
-// sortedTasks are the tasks on machines, by name.
+// sortedTasks returns the tasks on machines, ordered by name.
 func (c *checker) sortedTasks() []*task { return sortedValues(c.tasks) }
 
-// sortedValues are a map's values in the order of its keys.
+// sortedValues returns a map's values in the order of its keys.
 func sortedValues[V any](m map[string]V) []V {
 	out := make([]V, 0, len(m))
 	for _, key := range slices.Sorted(maps.Keys(m)) {
@@ -69,7 +71,8 @@
 	return out
 }
 
-// noteRequest notes what was submitted, and when users first asked for what.
+// noteRequest records a job's specification and the times of the earliest submission and
+// cancellation requests.
 func (c *checker) noteRequest(e trace.Response) {
 	j := c.job(e.Job)
 	switch e.Operation {
@@ -83,7 +86,7 @@
 	}
 }
 
-// earlier is the earlier of two times, of which the first may be none.
+// earlier returns the earlier of two times. A zero a counts as unset, so the result is b.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
--- a/internal/simulation/rules/placement.go
+++ b/internal/simulation/rules/placement.go
@@ -6,7 +6,8 @@
 	"eiderhitch/internal/wire"
 )
 
-// allows tells whether a job may be on a machine at all.
+// allows reports whether a machine meets the constraints of a job on spot machines, zone and
+// machine type.
 func allows(spec *wire.Job, m *machine) bool {
 	if m.spot && !spec.AllowsSpot {
 		return false
@@ -17,17 +18,19 @@
 	return len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, m.typ)
 }
 
-// maxPerZone is how many tasks of a job that is spread may be in one zone.
+// maxPerZone returns how many tasks of a job that spreads across zones may be in one zone: half
+// of them, rounded up.
 func maxPerZone(spec *wire.Job) int { return (spec.TaskCount + 1) / 2 }
 
-// checkMachine checks that a started task is on a machine that its job allows.
+// checkMachine checks that a started task is on a machine that meets its job's constraints.
 func (c *checker) checkMachine(t *task) {
 	if !allows(t.job.spec, t.machine) {
-		c.violate(WrongPlacement, "%s on %s (%s in %s)", t.name, t.machine.name, t.machine.typ, t.machine.zone)
+		c.violate(WrongPlacement, "%s started on %s (type %s in zone %s), which its job does not allow", t.name, t.machine.name, t.machine.typ, t.machine.zone)
 	}
 }
 
-// checkZones checks that a started task is in a zone that fits its job's others.
+// checkZones checks the constraints on the zones of all started tasks of a job: a single zone,
+// or spread across zones.
 func (c *checker) checkZones(started *task) {
 	zones := map[string]int{}
 	for _, t := range c.tasks {
@@ -37,6 +40,6 @@
 	}
 	spec := started.job.spec
 	if spec.SingleZone && len(zones) > 1 || spec.SpreadsZones && zones[started.machine.zone] > maxPerZone(spec) {
-		c.violate(WrongPlacement, "%s among %v", started.name, zones)
+		c.violate(WrongPlacement, "%s started; tasks by zone are now %v", started.name, zones)
 	}
 }
--- a/internal/simulation/rules/quota.go
+++ b/internal/simulation/rules/quota.go
@@ -2,7 +2,8 @@
 
 import "eiderhitch/internal/scheduling"
 
-// exceedsQuota tells whether a use is more than a team may have.
+// exceedsQuota reports whether the resources used exceed a team's quota. A quota of 0 for CPUs
+// or GPUs means no limit.
 func (c *checker) exceedsQuota(team string, used scheduling.Resources) bool {
 	quota, limited := c.Quotas[team]
 	if !limited {
@@ -11,7 +12,7 @@
 	return quota.CPU > 0 && used.CPU > quota.CPU || quota.GPU > 0 && used.GPU > quota.GPU
 }
 
-// checkQuota checks that a started task's team keeps to its limit.
+// checkQuota checks that the team of a started task doesn't exceed its quota.
 func (c *checker) checkQuota(started *task) {
 	team := started.job.spec.Team
 	var used scheduling.Resources
@@ -21,6 +22,6 @@
 		}
 	}
 	if c.exceedsQuota(team, used) {
-		c.violate(QuotaExceeded, "%s uses %v of %v", team, used, c.Quotas[team])
+		c.violate(QuotaExceeded, "team %s uses %v, quota %v", team, used, c.Quotas[team])
 	}
 }
--- a/internal/simulation/rules/responses.go
+++ b/internal/simulation/rules/responses.go
@@ -8,7 +8,8 @@
 	"eiderhitch/internal/wire"
 )
 
-// checkResponse checks a response against all that users were told before they asked.
+// checkResponse checks a response against the responses that users received before they made
+// the request.
 func (c *checker) checkResponse(e trace.Response) {
 	if e.Operation == trace.Query {
 		c.checkAnswered(e)
@@ -22,19 +23,20 @@
 		}
 	case http.StatusNotFound:
 		if knownBefore {
-			c.violate(AcceptedJobLost, "%s is not known any more", e.Job)
+			c.violate(AcceptedJobLost, "%s was accepted but is now unknown", e.Job)
 		}
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		if knownBefore && e.Operation == trace.Submit {
-			c.violate(AcceptedJobLost, "%s is refused with %d when it is submitted again", e.Job, e.Status)
+			c.violate(AcceptedJobLost, "%s was accepted but is refused with status %d when it is submitted again", e.Job, e.Status)
 		}
 	}
 }
 
-// checkSubmitted checks that a job that a response knows was submitted before it.
+// checkSubmitted checks that a job which a response reports as known was submitted before. It
+// returns whether it was, and records the job as accepted.
 func (c *checker) checkSubmitted(j *job, e trace.Response) bool {
 	if j.submittedAt.IsZero() || j.submittedAt.After(e.At) {
-		c.violate(UnsubmittedJob, "%s, which nobody submitted, is %s", j.id, e.State)
+		c.violate(UnsubmittedJob, "%s was not submitted but has state %s", j.id, e.State)
 		return false
 	}
 	if j.acceptedAt.IsZero() {
@@ -43,17 +45,18 @@
 	return true
 }
 
-// checkState checks that a job's state follows from what its users know of it.
+// checkState checks that a job's state doesn't contradict earlier responses, and records the
+// first final state.
 func (c *checker) checkState(j *job, e trace.Response) {
 	wasFinal := j.finalState != ""
 	if wasFinal && e.State != j.finalState && e.RequestedAt.After(j.finalAt) {
-		c.violate(FinalStateChanged, "%s is %s after it was %s", j.id, e.State, j.finalState)
+		c.violate(FinalStateChanged, "%s has state %s after it had the final state %s", j.id, e.State, j.finalState)
 	}
 	if e.State != wire.StateDone && e.State != wire.StateCancelled {
 		return
 	}
 	if wasFinal && e.State != j.finalState {
-		c.violate(FinalStateChanged, "%s is both %s and %s", j.id, j.finalState, e.State)
+		c.violate(FinalStateChanged, "%s has two final states, %s and %s", j.id, j.finalState, e.State)
 	}
 	if !wasFinal {
 		j.finalState, j.finalAt = e.State, e.At
@@ -61,12 +64,13 @@
 	c.checkFinal(j, e.State, e.At)
 }
 
-// checkFinal checks that a final state has its cause.
+// checkFinal checks the precondition of a final state: the user requested the cancellation, or
+// all tasks have completed.
 func (c *checker) checkFinal(j *job, state string, at time.Time) {
 	if state == wire.StateCancelled && (j.cancelRequestedAt.IsZero() || j.cancelRequestedAt.After(at)) {
-		c.violate(FinalStateChanged, "%s is cancelled, and its user did not ask for it", j.id)
+		c.violate(FinalStateChanged, "%s is cancelled, but its user did not request it", j.id)
 	}
 	if state == wire.StateDone && j.spec != nil && len(j.completed) < j.spec.TaskCount {
-		c.violate(DoneTooEarly, "%s has %d of %d tasks done", j.id, len(j.completed), j.spec.TaskCount)
+		c.violate(DoneTooEarly, "%s is done with %d of %d tasks completed", j.id, len(j.completed), j.spec.TaskCount)
 	}
 }
--- a/internal/simulation/rules/waiting.go
+++ b/internal/simulation/rules/waiting.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// maxWait is how long a job may wait beside room for it.
+	// maxWait is how long a job may wait for tasks while there is room for them.
 	maxWait = 90 * time.Second
-	// waitCheckInterval is how often waiting jobs are looked for.
+	// waitCheckInterval is the minimum time between two checks for waiting jobs.
 	waitCheckInterval = time.Second
 )
 
-// checkWaiting finds jobs that wait beside machines with room for them once all faults are
-// over.
+// checkWaiting checks that no job waits for longer than maxWait while machines have room for
+// its missing tasks. It applies only after all faults have ended.
 func (c *checker) checkWaiting() {
 	if c.FaultsEndedAt.IsZero() || c.now.Before(c.FaultsEndedAt) || c.now.Sub(c.waitCheckedAt) < waitCheckInterval {
 		return
@@ -38,18 +38,21 @@
 			continue
 		}
 		if waited := c.now.Sub(j.waitingSince); waited > maxWait {
-			c.violate(WaitsDespiteCapacity, "%s (%d of %d tasks there, %d done) beside room for %v", j.id, placed[j], j.spec.TaskCount, len(j.completed), waited)
+			c.violate(WaitsDespiteCapacity, "%s (%d of %d tasks on machines, %d completed) waits although there has been room for %v", j.id, placed[j], j.spec.TaskCount, len(j.completed), waited)
 			j.waitingSince = time.Time{}
 		}
 	}
 }
 
-// isWanted tells whether a job was accepted and is neither over nor cancelled.
+// isWanted reports whether the job was accepted, has no final state, and no user asked to
+// cancel it.
 func (j *job) isWanted() bool {
 	return j.spec != nil && !j.acceptedAt.IsZero() && j.finalState == "" && j.cancelRequestedAt.IsZero()
 }
 
-// hasRoom tells whether tasks of a job are missing for which there is room.
+// hasRoom reports whether tasks of the job are missing and the machines and the team's quota
+// have room for them. A job that starts all tasks or none needs room for all missing tasks
+// until the first one is placed; for other jobs, room for one task is enough.
 func (c *checker) hasRoom(j *job, placed int, used scheduling.Resources) bool {
 	missing := j.spec.TaskCount - placed - len(j.completed)
 	if missing <= 0 {
@@ -64,9 +67,11 @@
 	return c.countRoom(j, missing) >= missing
 }
 
-// countRoom counts for how many tasks of a job, up to a number, there is room.
+// countRoom returns for how many missing tasks of the job the machines have room, given its
+// placement constraints. Each zone or machine counts at most missing tasks, so the sum may be
+// higher.
 func (c *checker) countRoom(j *job, missing int) int {
-	placed := map[string]int{} // by zone
+	placed := map[string]int{} // number of tasks by zone
 	for _, t := range c.tasks {
 		if t.job == j {
 			placed[t.machine.zone]++
@@ -85,8 +90,9 @@
 	return total
 }
 
-// roomByZone counts for how many more tasks of a job its allowed machines have room; all
-// zones are counted as one, "", if they are the same to the job.
+// roomByZone returns for how many more tasks of the job the allowed machines of each zone have
+// room, counting at most most tasks for each machine. If the job has no constraints on zones,
+// all machines count for the zone "".
 func (c *checker) roomByZone(j *job, placed map[string]int, most int) map[string]int {
 	room := map[string]int{}
 	for _, m := range c.machines {
--- a/internal/simulation/trace/trace.go
+++ b/internal/simulation/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace records what can be seen of a simulated cluster from outside its
-// controllers: by users, by machines and by the cloud.
+// Package trace records the externally observable events of a simulated cluster: those that
+// users, machines and the cloud see. It doesn't record controller state.
 package trace
 
 import (
@@ -12,13 +12,13 @@
 	"eiderhitch/internal/wire"
 )
 
-// Event is something that was seen at a time.
+// Event is an observation with the time at which it was made.
 type Event interface {
-	// Time is when it was seen.
+	// Time returns when the event was observed.
 	Time() time.Time
 }
 
-// MachineBooted is a machine that has booted.
+// MachineBooted records that a machine has finished booting.
 type MachineBooted struct {
 	At                  time.Time
 	Machine, Type, Zone string
@@ -26,131 +26,134 @@
 	Capacity            scheduling.Resources
 }
 
-// MachineTerminated is a machine that is gone with all that was on it.
+// MachineTerminated records that a machine was terminated, along with all its tasks.
 type MachineTerminated struct {
 	At      time.Time
 	Machine string
 }
 
-// TaskAccepted is a task whose start a machine has accepted: it takes its place there.
+// TaskAccepted records that a machine accepted the start of a task. The task uses the
+// machine's resources from then on.
 type TaskAccepted struct {
 	At            time.Time
 	Task, Machine string
 	Attempt       uint64
 }
 
-// TaskStarted is an accepted task that has its image.
+// TaskStarted records that an accepted task has fetched its image and started.
 type TaskStarted struct {
 	At            time.Time
 	Task, Machine string
 }
 
-// TaskStopped is a task that has left its machine.
+// TaskStopped records that a task no longer runs on its machine.
 type TaskStopped struct {
 	At            time.Time
 	Task, Machine string
 }
 
-// TaskCompleted is a task whose result is kept.
+// TaskCompleted records that the result of a task was saved.
 type TaskCompleted struct {
 	At   time.Time
 	Task string
 }
 
-// RefusalReason is why a machine can't carry out a start.
+// RefusalReason is the reason why a machine can't execute a start command.
 type RefusalReason int
 
-// The refusals.
+// The reasons for refusing a start command.
 const (
-	TaskInUse  RefusalReason = iota // another attempt of the task is on the machine
-	UnknownJob                      // nobody uploaded its job's description
+	TaskInUse  RefusalReason = iota // the machine has another attempt of the task
+	UnknownJob                      // no user uploaded the job's specification
 )
 
-// StartRefused is a start that no controller should have asked for.
+// StartRefused records a start command that a machine refused. Correct controllers never send
+// such a command.
 type StartRefused struct {
 	At            time.Time
 	Task, Machine string
 	Reason        RefusalReason
 }
 
-// Operation is what a user asks of a controller.
+// Operation is the kind of a user's request to a controller.
 type Operation int
 
-// The users' operations.
+// The operations that users request.
 const (
 	Submit Operation = iota
 	Query
 	Cancel
 )
 
-// Response is a user's request with its response, or with none.
+// Response records a user's request and the response to it, if there was one.
 type Response struct {
 	At          time.Time
 	RequestedAt time.Time
 	Operation   Operation
 	Job         string
-	Spec        *wire.Job // of a submission; nil: none, or a malformed one
-	Status      int       // 0: no response
-	State       string    // of the job
+	Spec        *wire.Job // the submitted job; nil for other operations and malformed submissions
+	Status      int       // HTTP status; 0 means no response
+	State       string    // job state in the response
 }
 
-// RecordingEnded closes a trace: nothing more was seen.
+// RecordingEnded records the end of the trace. No event follows it.
 type RecordingEnded struct{ At time.Time }
 
-// Time is when the machine had booted.
+// Time returns when the machine finished booting.
 func (e MachineBooted) Time() time.Time { return e.At }
 
-// Time is when the machine was gone.
+// Time returns when the machine was terminated.
 func (e MachineTerminated) Time() time.Time { return e.At }
 
-// Time is when the start was accepted.
+// Time returns when the machine accepted the start.
 func (e TaskAccepted) Time() time.Time { return e.At }
 
-// Time is when the task started.
+// Time returns when the task started.
 func (e TaskStarted) Time() time.Time { return e.At }
 
-// Time is when the task left.
+// Time returns when the task stopped running on its machine.
 func (e TaskStopped) Time() time.Time { return e.At }
 
-// Time is when the result was kept.
+// Time returns when the result was saved.
 func (e TaskCompleted) Time() time.Time { return e.At }
 
-// Time is when the start was refused.
+// Time returns when the machine refused the start.
 func (e StartRefused) Time() time.Time { return e.At }
 
-// Time is when the response came, or the user gave up.
+// Time returns when the response arrived or the user's request timed out.
 func (e Response) Time() time.Time { return e.At }
 
-// Time is the end of the trace.
+// Time returns when the trace ended.
 func (e RecordingEnded) Time() time.Time { return e.At }
 
-// JobID is the ID of the job that a task belongs to.
+// JobID returns the ID of the job that a task belongs to.
 func JobID(task string) string {
 	id, _, _ := strings.Cut(task, "/")
 	return id
 }
 
-// Recorder collects events. It may be used from several goroutines.
+// Recorder collects events. The zero value is an empty recorder. It is safe for concurrent
+// use.
 type Recorder struct {
 	mu     sync.Mutex
 	events []Event
 }
 
-// Record adds an event.
+// Record appends an event.
 func (r *Recorder) Record(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events = append(r.events, e)
 }
 
-// Events are the events so far, in the order in which they were recorded.
+// Events returns a copy of the events recorded so far, in the order of the Record calls.
 func (r *Recorder) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.events)
 }
 
-// CountAcceptedStarts counts the starts of a job's tasks that machines have accepted so far.
+// CountAcceptedStarts returns how many starts of a job's tasks machines have accepted so far.
 func (r *Recorder) CountAcceptedStarts(job string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
