--- a/internal/simulation/agent/agent.go
+++ b/internal/simulation/agent/agent.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// minHeartbeatPause is the minimum time between a heartbeat and the next one that reports
+	// minHeartbeatInterval is the minimum time between a heartbeat and the next one that reports
 	// a change.
-	minHeartbeatPause = 500 * time.Millisecond
+	minHeartbeatInterval = 500 * time.Millisecond
 	// heartbeatJitter is the maximum random addition to the heartbeat interval, in seconds.
 	heartbeatJitter = 0.01
 	// heartbeatSeed is the seed of the heartbeat jitter.
@@ -25,24 +25,24 @@
 // Agent simulates one machine and the agent that runs its tasks. It is safe for concurrent
 // use.
 type Agent struct {
-	fleet       *Fleet
-	instance    wire.Instance
-	machineType wire.MachineType
-	transport   *network.Transport // carries requests to the controllers
-	changed     chan struct{}      // signals that a heartbeat is due before the next interval
-
-	mu          sync.Mutex
-	incarnation uint64
-	sequence    uint64
-	token       uint64
-	renewedAt   time.Time
-	tasks       map[string]*task
-	booted      bool
-	terminated  bool
-	controller  int // index of the controller to send heartbeats to, modulo the number of controllers
-	faults      faults
-	// onHeartbeat, if not nil, is called with the encoded form of each heartbeat.
-	onHeartbeat   func([]byte)
+	fleet           *Fleet
+	instance        wire.Instance
+	machineType     wire.MachineType
+	transport       *network.Transport // carries requests to the controllers
+	reportRequested chan struct{}      // signals that a heartbeat is due before the next interval
+
+	mu             sync.Mutex
+	incarnation    uint64
+	sequence       uint64
+	fencingToken   uint64
+	leaseRenewedAt time.Time
+	tasks          map[string]*task
+	booted         bool
+	terminated     bool
+	nextController int // index of the controller to send heartbeats to, modulo the number of controllers
+	faults         faults
+	// heartbeatHook, if not nil, is called with the encoded form of each heartbeat.
+	heartbeatHook func([]byte)
 	lastHeartbeat []byte
 	// terminatesAt is when the cloud will terminate the machine, as announced in heartbeats.
 	// Zero means that there is no notice.
@@ -52,7 +52,7 @@
 // Launch launches a machine with an agent. The machine takes the time to boot that its type
 // states.
 func (f *Fleet) Launch(instance wire.Instance, machineType wire.MachineType) *Agent {
-	a := &Agent{fleet: f, instance: instance, machineType: machineType, transport: f.network.NewTransport(), changed: make(chan struct{}, 1),
+	a := &Agent{fleet: f, instance: instance, machineType: machineType, transport: f.network.NewTransport(), reportRequested: make(chan struct{}, 1),
 		incarnation: 1, tasks: map[string]*task{}}
 	f.network.Serve(instance.Addr, a)
 	go a.run()
@@ -112,7 +112,7 @@
 	if a.terminated {
 		return
 	}
-	a.booted, a.renewedAt = true, time.Now()
+	a.booted, a.leaseRenewedAt = true, time.Now()
 	a.fleet.recorder.Record(trace.MachineBooted{At: time.Now(), Machine: a.instance.Name, Type: a.instance.Type, Zone: a.instance.Zone, Spot: a.instance.Spot,
 		Capacity: scheduling.NewResources(a.machineType.CPUs, a.machineType.GPUs, a.machineType.RAMGB)})
 }
@@ -129,13 +129,13 @@
 	return a.fleet.ctx.Err() == nil
 }
 
-// awaitHeartbeat waits until the next heartbeat is due. It returns false if the fleet's context
-// is done first.
+// awaitHeartbeat waits until the next heartbeat is due. It returns false if the fleet's
+// context is done first.
 func (a *Agent) awaitHeartbeat(lastSent time.Time) bool {
 	jitter := seconds(network.SeededFloat64(heartbeatSeed, a.instance.Name) * heartbeatJitter)
 	select {
-	case <-a.changed:
-		if wait := minHeartbeatPause - time.Since(lastSent); wait > 0 {
+	case <-a.reportRequested:
+		if wait := minHeartbeatInterval - time.Since(lastSent); wait > 0 {
 			time.Sleep(wait)
 		}
 	case <-time.After(a.fleet.HeartbeatInterval + jitter):
@@ -145,10 +145,10 @@
 	return true
 }
 
-// reportSoon requests a heartbeat before the next interval ends.
-func (a *Agent) reportSoon() {
+// requestReport requests a heartbeat before the next interval ends.
+func (a *Agent) requestReport() {
 	select {
-	case a.changed <- struct{}{}:
+	case a.reportRequested <- struct{}{}:
 	default:
 	}
 }
--- a/internal/simulation/agent/commands.go
+++ b/internal/simulation/agent/commands.go
@@ -30,22 +30,22 @@
 func (a *Agent) executeStart(command *wire.Command) {
 	if t := a.tasks[command.Task]; t != nil {
 		if t.attempt != command.Attempt {
-			a.refuse(command, trace.TaskInUse)
+			a.recordRefusal(command, trace.TaskInUse)
 		}
 		return
 	}
 	spec := a.fleet.JobSpec(trace.JobID(command.Task))
 	if spec == nil {
-		a.refuse(command, trace.UnknownJob)
+		a.recordRefusal(command, trace.UnknownJob)
 		return
 	}
-	a.tasks[command.Task] = &task{name: command.Task, attempt: command.Attempt, state: wire.StateFetchingImage, since: time.Now(), spec: spec}
+	a.tasks[command.Task] = &task{name: command.Task, attempt: command.Attempt, state: wire.StateFetchingImage, stateSince: time.Now(), spec: spec}
 	a.fleet.recorder.Record(trace.TaskAccepted{At: time.Now(), Task: command.Task, Machine: a.instance.Name, Attempt: command.Attempt})
-	a.reportSoon()
+	a.requestReport()
 }
 
-// refuse records a start command that can't be executed.
-func (a *Agent) refuse(command *wire.Command, reason trace.RefusalReason) {
+// recordRefusal records a start command that can't be executed.
+func (a *Agent) recordRefusal(command *wire.Command, reason trace.RefusalReason) {
 	a.fleet.recorder.Record(trace.StartRefused{At: time.Now(), Task: command.Task, Machine: a.instance.Name, Reason: reason})
 }
 
@@ -62,9 +62,9 @@
 		grace = *command.GraceS
 	}
 	switch {
-	case t.state == wire.StateRunning && t.spec.CheckpointIntervalS > 0 && grace >= t.spec.CheckpointSaveS && (!t.spec.Gang || a.fleet.stopGangTask(t)):
-		t.state, t.since = wire.StateSavingCheckpoint, time.Now()
-		a.reportSoon()
+	case t.state == wire.StateRunning && t.spec.CheckpointIntervalS > 0 && grace >= t.spec.CheckpointSaveS && (!t.spec.Gang || a.fleet.beginGangStop(t)):
+		t.state, t.stateSince = wire.StateSavingCheckpoint, time.Now()
+		a.requestReport()
 	case t.state != wire.StateSavingCheckpoint || grace == 0:
 		a.exitTask(t, wire.ReasonStopped)
 	}
@@ -74,7 +74,7 @@
 func (a *Agent) executeForget(command *wire.Command) {
 	if t := a.tasks[command.Task]; t != nil && t.attempt == command.Attempt && t.state == wire.StateExited {
 		delete(a.tasks, command.Task)
-		a.reportSoon()
+		a.requestReport()
 	}
 }
 
@@ -84,7 +84,7 @@
 	body, err := io.ReadAll(r.Body)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.terminated || a.faults.isolated || a.faults.notReceiving || !a.booted {
+	if a.terminated || a.faults.isolated || a.faults.inboundBlocked || !a.booted {
 		a.mu.Unlock()
 		<-r.Context().Done()
 		a.mu.Lock()
@@ -99,11 +99,11 @@
 		return
 	}
 	a.advance()
-	if request.FencingToken < a.token || request.Incarnation != a.incarnation {
+	if request.FencingToken < a.fencingToken || request.Incarnation != a.incarnation {
 		a.reply(w, http.StatusConflict)
 		return
 	}
-	a.raiseToken(request.FencingToken)
+	a.raiseFencingToken(request.FencingToken)
 	a.execute(request.Commands)
 	a.reply(w, http.StatusOK)
 }
--- a/internal/simulation/agent/faults.go
+++ b/internal/simulation/agent/faults.go
@@ -8,27 +8,27 @@
 
 // faults holds the currently injected faults of a machine. The zero value has no faults.
 type faults struct {
-	isolated     bool // the machine neither sends nor receives anything
-	failing      bool // tasks exit with an error when they would complete; gang tasks do as soon as they run
-	notReceiving bool // heartbeats arrive, but responses and direct commands are lost
-	notSending   bool // heartbeats are lost, but direct commands arrive
+	isolated        bool // the machine neither sends nor receives anything
+	tasksFailing    bool // tasks exit with an error when they would complete; gang tasks do as soon as they run
+	inboundBlocked  bool // heartbeats arrive, but responses and direct commands are lost
+	outboundBlocked bool // heartbeats are lost, but direct commands arrive
 	// resumed is closed when a hanging machine resumes. It is nil if the machine doesn't hang.
 	// Commands that arrive in the meantime are executed when the machine resumes, provided
 	// that its lease is still valid.
-	resumed    chan struct{}
-	hangsSince time.Time
-	// drift is the fraction by which the machine's lease lasts longer than its nominal TTL,
-	// because its clock is slower than the controllers' clocks.
-	drift float64
-	// imageDelay is the additional time that each image fetch takes.
-	imageDelay time.Duration
+	resumed      chan struct{}
+	hangingSince time.Time
+	// clockDrift is the fraction by which the machine's lease lasts longer than its nominal
+	// TTL, because its clock is slower than the controllers' clocks.
+	clockDrift float64
+	// imageFetchDelay is the additional time that each image fetch takes.
+	imageFetchDelay time.Duration
 }
 
 // isHanging reports whether the machine hangs: it executes nothing and sends no heartbeats.
 func (f *faults) isHanging() bool { return f.resumed != nil }
 
-// setFaults calls change with the machine's faults, holding a.mu.
-func (a *Agent) setFaults(change func(*faults)) {
+// updateFaults calls change with the machine's faults, holding a.mu.
+func (a *Agent) updateFaults(change func(*faults)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	change(&a.faults)
@@ -36,35 +36,35 @@
 
 // SetIsolated cuts the machine off from the network or reconnects it.
 func (a *Agent) SetIsolated(isolated bool) {
-	a.setFaults(func(f *faults) { f.isolated = isolated })
+	a.updateFaults(func(f *faults) { f.isolated = isolated })
 }
 
 // SetTasksFailing sets whether the machine's tasks fail.
 func (a *Agent) SetTasksFailing(failing bool) {
-	a.setFaults(func(f *faults) { f.failing = failing })
+	a.updateFaults(func(f *faults) { f.tasksFailing = failing })
 }
 
 // SetInboundBlocked sets whether the machine receives neither responses nor direct commands.
 // Its heartbeats still arrive.
-func (a *Agent) SetInboundBlocked(notReceiving bool) {
-	a.setFaults(func(f *faults) { f.notReceiving = notReceiving })
+func (a *Agent) SetInboundBlocked(blocked bool) {
+	a.updateFaults(func(f *faults) { f.inboundBlocked = blocked })
 }
 
 // SetOutboundBlocked sets whether the machine's heartbeats are lost. It still receives direct
 // commands.
-func (a *Agent) SetOutboundBlocked(notSending bool) {
-	a.setFaults(func(f *faults) { f.notSending = notSending })
+func (a *Agent) SetOutboundBlocked(blocked bool) {
+	a.updateFaults(func(f *faults) { f.outboundBlocked = blocked })
 }
 
 // SetClockDrift makes the machine's lease last longer by the given fraction of its TTL, as a
 // slow clock does.
-func (a *Agent) SetClockDrift(drift float64) {
-	a.setFaults(func(f *faults) { f.drift = drift })
+func (a *Agent) SetClockDrift(fraction float64) {
+	a.updateFaults(func(f *faults) { f.clockDrift = fraction })
 }
 
 // SetImageFetchDelay sets the additional time that each image fetch takes.
 func (a *Agent) SetImageFetchDelay(delay time.Duration) {
-	a.setFaults(func(f *faults) { f.imageDelay = delay })
+	a.updateFaults(func(f *faults) { f.imageFetchDelay = delay })
 }
 
 // SetHanging makes the machine hang or resume. Tasks make no progress while it hangs.
@@ -74,14 +74,14 @@
 	switch {
 	case hanging && !a.faults.isHanging():
 		a.advance()
-		a.faults.resumed, a.faults.hangsSince = make(chan struct{}), time.Now()
+		a.faults.resumed, a.faults.hangingSince = make(chan struct{}), time.Now()
 		a.fleet.setTasksHanging(a.tasks, true)
 	case !hanging && a.faults.isHanging():
 		close(a.faults.resumed)
 		a.faults.resumed = nil
 		a.fleet.setTasksHanging(a.tasks, false)
 		for _, t := range a.tasks {
-			t.since = t.since.Add(time.Since(a.faults.hangsSince)) // the task made no progress while the machine hung
+			t.stateSince = t.stateSince.Add(time.Since(a.faults.hangingSince)) // the task made no progress while the machine hung
 		}
 		a.advance()
 	}
@@ -127,7 +127,7 @@
 	defer a.mu.Unlock()
 	a.terminatesAt = time.Now().Add(notice)
 	time.AfterFunc(notice, a.Terminate)
-	a.reportSoon()
+	a.requestReport()
 }
 
 // Restart stops all tasks and restarts the machine immediately, with a new incarnation.
@@ -142,6 +142,6 @@
 // begins again. The caller holds a.mu.
 func (a *Agent) beginIncarnation() {
 	a.incarnation++
-	a.sequence, a.renewedAt = 0, time.Now()
-	a.reportSoon()
+	a.sequence, a.leaseRenewedAt = 0, time.Now()
+	a.requestReport()
 }
--- a/internal/simulation/agent/fleet.go
+++ b/internal/simulation/agent/fleet.go
@@ -41,20 +41,20 @@
 	recorder    *trace.Recorder
 	controllers []Controller
 
-	mu          sync.Mutex
-	specs       map[string]*wire.Job
-	running     map[string]*Agent          // by task name
-	completed   map[string]map[string]bool // set of task names by job ID
-	starts      int
-	gangs       map[gangAttempt]*gang
-	checkpoints map[string]time.Duration // saved progress of gangs, by job ID
+	mu             sync.Mutex
+	jobSpecs       map[string]*wire.Job
+	agentsByTask   map[string]*Agent          // by task name
+	completedTasks map[string]map[string]bool // set of task names by job ID
+	startedTasks   int
+	gangs          map[gangAttempt]*gang
+	savedProgress  map[string]time.Duration // saved progress of gangs, by job ID
 }
 
 // NewFleet returns a fleet without agents. Its agents stop when ctx is done.
 func NewFleet(ctx context.Context, net *network.Network, recorder *trace.Recorder, controllers []Controller) *Fleet {
 	return &Fleet{Settings: DefaultSettings(), ctx: ctx, network: net, recorder: recorder, controllers: controllers,
-		specs: map[string]*wire.Job{}, running: map[string]*Agent{}, completed: map[string]map[string]bool{},
-		gangs: map[gangAttempt]*gang{}, checkpoints: map[string]time.Duration{}}
+		jobSpecs: map[string]*wire.Job{}, agentsByTask: map[string]*Agent{}, completedTasks: map[string]map[string]bool{},
+		gangs: map[gangAttempt]*gang{}, savedProgress: map[string]time.Duration{}}
 }
 
 // UploadJobSpec makes a job's specification available to the agents. Users do this before
@@ -62,14 +62,14 @@
 func (f *Fleet) UploadJobSpec(spec *wire.Job) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.specs[spec.ID] = spec
+	f.jobSpecs[spec.ID] = spec
 }
 
 // JobSpec returns the uploaded specification of a job, or nil if there is none.
 func (f *Fleet) JobSpec(job string) *wire.Job {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.specs[job]
+	return f.jobSpecs[job]
 }
 
 // CountStartedTasks returns how many tasks have started so far. A task that was restarted
@@ -77,7 +77,7 @@
 func (f *Fleet) CountStartedTasks() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.starts
+	return f.startedTasks
 }
 
 // CountRunningTasks returns how many of a job's tasks have started and are still on their
@@ -86,7 +86,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
-	for task := range f.running {
+	for task := range f.agentsByTask {
 		if strings.HasPrefix(task, job+"/") {
 			count++
 		}
@@ -98,22 +98,22 @@
 func (f *Fleet) CountCompletedTasks(job string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.completed[job])
+	return len(f.completedTasks[job])
 }
 
 // SavedProgress returns how much of a gang's running time is saved in checkpoints.
 func (f *Fleet) SavedProgress(job string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.checkpoints[job]
+	return f.savedProgress[job]
 }
 
 // taskStarted records that a task has started on an agent's machine.
 func (f *Fleet) taskStarted(a *Agent, t *task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.starts++
-	f.running[t.name] = a
+	f.startedTasks++
+	f.agentsByTask[t.name] = a
 	f.recorder.Record(trace.TaskStarted{At: time.Now(), Task: t.name, Machine: a.instance.Name})
 }
 
@@ -122,8 +122,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.recorder.Record(trace.TaskStopped{At: at, Task: t.name, Machine: a.instance.Name})
-	if f.running[t.name] == a {
-		delete(f.running, t.name)
+	if f.agentsByTask[t.name] == a {
+		delete(f.agentsByTask, t.name)
 	}
 }
 
@@ -137,10 +137,10 @@
 // taskCompletedLocked is taskCompleted for callers that hold f.mu.
 func (f *Fleet) taskCompletedLocked(task string) {
 	job := trace.JobID(task)
-	if f.completed[job] == nil {
-		f.completed[job] = map[string]bool{}
+	if f.completedTasks[job] == nil {
+		f.completedTasks[job] = map[string]bool{}
 	}
-	f.completed[job][task] = true
+	f.completedTasks[job][task] = true
 	f.recorder.Record(trace.TaskCompleted{At: time.Now(), Task: task})
 }
 
--- a/internal/simulation/agent/gang.go
+++ b/internal/simulation/agent/gang.go
@@ -16,25 +16,25 @@
 
 // gang is the state of one attempt of a gang.
 type gang struct {
-	waiting      map[string]bool      // tasks that have fetched their image, by name
-	stopping     map[string]bool      // tasks that were stopped with a grace period to save a checkpoint, by name
-	startedAt    time.Time            // when the last task joined; zero until then
-	stoppedAt    time.Time            // when the first of these tasks was stopped; zero until then
-	brokenAt     time.Time            // when a started task was lost or stopped without a checkpoint; zero until then
-	hangingSince map[string]time.Time // since when the machines of tasks hang, by task name
-	saved        bool                 // the checkpoint of the stopped gang is saved
-	done         bool                 // all tasks have completed
+	joinedTasks     map[string]bool      // tasks that have fetched their image, by name
+	stoppingTasks   map[string]bool      // tasks that were stopped with a grace period to save a checkpoint, by name
+	startedAt       time.Time            // when the last task joined; zero until then
+	stopRequestedAt time.Time            // when the first of these tasks was stopped; zero until then
+	brokenAt        time.Time            // when a started task was lost or stopped without a checkpoint; zero until then
+	hangingSince    map[string]time.Time // since when the machines of tasks hang, by task name
+	saved           bool                 // the checkpoint of the stopped gang is saved
+	completed       bool                 // all tasks have completed
 }
 
-// isOver reports whether the gang's outcome is final: completed, saved or broken.
-func (g *gang) isOver() bool { return g.done || g.saved || !g.brokenAt.IsZero() }
+// isFinal reports whether the gang's outcome is final: completed, saved or broken.
+func (g *gang) isFinal() bool { return g.completed || g.saved || !g.brokenAt.IsZero() }
 
-// gangOf returns the gang attempt that a task belongs to. The caller holds f.mu.
-func (f *Fleet) gangOf(t *task) *gang {
+// gangForTask returns the gang attempt that a task belongs to. The caller holds f.mu.
+func (f *Fleet) gangForTask(t *task) *gang {
 	key := gangAttempt{trace.JobID(t.name), t.attempt}
 	g := f.gangs[key]
 	if g == nil {
-		g = &gang{waiting: map[string]bool{}, stopping: map[string]bool{}, hangingSince: map[string]time.Time{}}
+		g = &gang{joinedTasks: map[string]bool{}, stoppingTasks: map[string]bool{}, hangingSince: map[string]time.Time{}}
 		f.gangs[key] = g
 	}
 	return g
@@ -44,9 +44,9 @@
 func (f *Fleet) joinGang(t *task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	g := f.gangOf(t)
-	g.waiting[t.name] = true
-	if g.startedAt.IsZero() && len(g.waiting) == t.spec.TaskCount {
+	g := f.gangForTask(t)
+	g.joinedTasks[t.name] = true
+	if g.startedAt.IsZero() && len(g.joinedTasks) == t.spec.TaskCount {
 		g.startedAt = time.Now()
 	}
 }
@@ -56,10 +56,10 @@
 func (f *Fleet) leaveGang(t *task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	g := f.gangOf(t)
+	g := f.gangForTask(t)
 	if g.startedAt.IsZero() {
-		delete(g.waiting, t.name)
-	} else if !g.isOver() {
+		delete(g.joinedTasks, t.name)
+	} else if !g.isFinal() {
 		g.brokenAt = time.Now()
 	}
 }
@@ -73,9 +73,9 @@
 			continue
 		}
 		if hanging {
-			f.gangOf(t).hangingSince[t.name] = time.Now()
+			f.gangForTask(t).hangingSince[t.name] = time.Now()
 		} else {
-			delete(f.gangOf(t).hangingSince, t.name)
+			delete(f.gangForTask(t).hangingSince, t.name)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 // for half of GangPeerTimeout. The other half passes before the remaining tasks exit. The
 // caller holds f.mu.
 func (f *Fleet) breakIfHanging(g *gang) {
-	if g.startedAt.IsZero() || g.isOver() {
+	if g.startedAt.IsZero() || g.isFinal() {
 		return
 	}
 	for _, since := range g.hangingSince {
@@ -94,19 +94,19 @@
 	}
 }
 
-// stopGangTask begins to stop a task of a gang with a checkpoint. It returns false if the gang
+// beginGangStop begins to stop a task of a gang with a checkpoint. It returns false if the gang
 // has not started or is broken: then there is nothing to save, and the task exits at once.
-func (f *Fleet) stopGangTask(t *task) bool {
+func (f *Fleet) beginGangStop(t *task) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	g := f.gangOf(t)
+	g := f.gangForTask(t)
 	if g.startedAt.IsZero() || !g.brokenAt.IsZero() {
 		return false
 	}
-	if g.stoppedAt.IsZero() {
-		g.stoppedAt = time.Now()
+	if g.stopRequestedAt.IsZero() {
+		g.stopRequestedAt = time.Now()
 	}
-	g.stopping[t.name] = true
+	g.stoppingTasks[t.name] = true
 	return true
 }
 
@@ -115,24 +115,24 @@
 func (f *Fleet) nextGangState(t *task) (state, reason string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	g, now := f.gangOf(t), time.Now()
+	g, now := f.gangForTask(t), time.Now()
 	f.breakIfHanging(g)
 	switch {
 	case t.state == wire.StateAwaitingGang && g.startedAt.IsZero():
-		if now.Sub(t.since) >= f.GangWaitTimeout {
+		if now.Sub(t.stateSince) >= f.GangWaitTimeout {
 			return wire.StateExited, wire.ReasonIncompleteGang
 		}
 		return wire.StateAwaitingGang, ""
-	case g.done:
+	case g.completed:
 		return wire.StateExited, wire.ReasonDone
 	case !g.brokenAt.IsZero():
 		if now.Sub(g.brokenAt) >= f.GangPeerTimeout/2 {
 			return wire.StateExited, wire.ReasonPeersGone
 		}
 		return t.state, ""
-	case !g.stoppedAt.IsZero():
+	case !g.stopRequestedAt.IsZero():
 		return f.nextStoppingState(g, t, now)
-	case now.Sub(g.startedAt)+f.checkpoints[trace.JobID(t.name)] >= seconds(t.spec.EstimateS):
+	case now.Sub(g.startedAt)+f.savedProgress[trace.JobID(t.name)] >= seconds(t.spec.EstimateS):
 		f.completeGang(g)
 		return wire.StateExited, wire.ReasonDone
 	}
@@ -144,16 +144,16 @@
 // are not stopped within GangPeerTimeout, the others exit without saving. The caller holds
 // f.mu.
 func (f *Fleet) nextStoppingState(g *gang, t *task, now time.Time) (state, reason string) {
-	stopping := now.Sub(g.stoppedAt)
-	all := len(g.stopping) == t.spec.TaskCount
+	elapsed := now.Sub(g.stopRequestedAt)
+	allStopping := len(g.stoppingTasks) == t.spec.TaskCount
 	switch {
-	case all && stopping >= seconds(t.spec.CheckpointSaveS):
+	case allStopping && elapsed >= seconds(t.spec.CheckpointSaveS):
 		if !g.saved {
 			g.saved = true
-			f.checkpoints[trace.JobID(t.name)] += g.stoppedAt.Sub(g.startedAt)
+			f.savedProgress[trace.JobID(t.name)] += g.stopRequestedAt.Sub(g.startedAt)
 		}
 		return wire.StateExited, wire.ReasonStopped
-	case !all && stopping > f.GangPeerTimeout:
+	case !allStopping && elapsed > f.GangPeerTimeout:
 		return wire.StateExited, wire.ReasonPeersGone
 	}
 	return t.state, ""
@@ -161,8 +161,8 @@
 
 // completeGang saves the results of all tasks of a gang. The caller holds f.mu.
 func (f *Fleet) completeGang(g *gang) {
-	g.done = true
-	for name := range g.waiting { // no task leaves this set once the gang has started
+	g.completed = true
+	for name := range g.joinedTasks { // no task leaves this set once the gang has started
 		f.taskCompletedLocked(name)
 	}
 }
--- a/internal/simulation/agent/heartbeat.go
+++ b/internal/simulation/agent/heartbeat.go
@@ -18,17 +18,17 @@
 	HeartbeatPath = "/v1/report"
 	// heartbeatTimeout is how long an agent waits for the response to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// retryPause is how long an agent waits before it sends to another controller after a
+	// retryDelay is how long an agent waits before it sends to another controller after a
 	// failed heartbeat.
-	retryPause = time.Second
+	retryDelay = time.Second
 )
 
 // SetHeartbeatHook sets a function that gets the encoded form of each heartbeat before it is
 // sent. Nil removes the hook.
-func (a *Agent) SetHeartbeatHook(f func([]byte)) {
+func (a *Agent) SetHeartbeatHook(heartbeatHook func([]byte)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.onHeartbeat = f
+	a.heartbeatHook = heartbeatHook
 }
 
 // LastHeartbeat returns the encoded form of the latest heartbeat. Tests resend it to simulate
@@ -45,46 +45,46 @@
 	a.advance()
 	a.sequence++
 	h := wire.Heartbeat{Machine: a.instance.Name, Addr: a.instance.Addr, Type: a.instance.Type, Zone: a.instance.Zone, Spot: a.instance.Spot,
-		Incarnation: a.incarnation, Sequence: a.sequence, FencingToken: a.token, Tasks: []wire.TaskStatus{}}
+		Incarnation: a.incarnation, Sequence: a.sequence, FencingToken: a.fencingToken, Tasks: []wire.TaskStatus{}}
 	if !a.terminatesAt.IsZero() {
 		left := max(0, time.Until(a.terminatesAt).Seconds())
 		h.TerminationNoticeS = &left
 	}
 	for _, t := range a.tasks {
-		h.Tasks = append(h.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Reason: t.reason})
+		h.Tasks = append(h.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Reason: t.exitReason})
 	}
 	slices.SortFunc(h.Tasks, func(x, y wire.TaskStatus) int { return strings.Compare(x.Task, y.Task) })
 	return h
 }
 
-// outgoing is a heartbeat that is about to be sent.
-type outgoing struct {
+// outgoingHeartbeat is a heartbeat that is about to be sent.
+type outgoingHeartbeat struct {
 	wire.Heartbeat
-	raw    []byte // the encoded heartbeat
-	to     Controller
-	sentAt time.Time
-	copyTo func([]byte) // the heartbeat hook; may be nil
+	raw        []byte // the encoded heartbeat
+	controller Controller
+	sentAt     time.Time
+	hook       func([]byte) // the heartbeat hook; may be nil
 }
 
 // prepareHeartbeat returns the next heartbeat, or nil if the machine can't send one.
-func (a *Agent) prepareHeartbeat() *outgoing {
+func (a *Agent) prepareHeartbeat() *outgoingHeartbeat {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.faults.isolated || a.terminated || a.faults.isHanging() {
 		return nil
 	}
-	if a.faults.notSending { // it still tries the controllers in turn
-		a.controller++
+	if a.faults.outboundBlocked { // it still tries the controllers in turn
+		a.nextController++
 		return nil
 	}
-	out := &outgoing{Heartbeat: a.heartbeat(), sentAt: time.Now(), to: a.fleet.controllers[a.controllerIndex()], copyTo: a.onHeartbeat}
+	out := &outgoingHeartbeat{Heartbeat: a.heartbeat(), sentAt: time.Now(), controller: a.fleet.controllers[a.controllerIndex()], hook: a.heartbeatHook}
 	out.raw, _ = json.Marshal(out.Heartbeat) // can't fail: it contains only strings, numbers and booleans
 	a.lastHeartbeat = out.raw
 	return out
 }
 
 // controllerIndex returns the index of the controller that the agent sends heartbeats to.
-func (a *Agent) controllerIndex() int { return a.controller % len(a.fleet.controllers) }
+func (a *Agent) controllerIndex() int { return a.nextController % len(a.fleet.controllers) }
 
 // sendHeartbeat sends a heartbeat and handles the response.
 func (a *Agent) sendHeartbeat() {
@@ -92,12 +92,12 @@
 	if out == nil {
 		return
 	}
-	if out.copyTo != nil {
-		out.copyTo(out.raw)
+	if out.hook != nil {
+		out.hook(out.raw)
 	}
 	ctx, cancel := context.WithTimeout(a.fleet.ctx, heartbeatTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+out.to.Addr+HeartbeatPath, bytes.NewReader(out.raw))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+out.controller.Addr+HeartbeatPath, bytes.NewReader(out.raw))
 	if err != nil {
 		panic(err) // the controller's address is invalid
 	}
@@ -107,7 +107,7 @@
 	if !a.awaitResumed() || a.terminated || a.faults.isolated || ctx.Err() != nil {
 		return
 	}
-	if err != nil || a.faults.notReceiving {
+	if err != nil || a.faults.inboundBlocked {
 		a.tryNextController()
 		return
 	}
@@ -115,7 +115,7 @@
 }
 
 // handleResponse handles a controller's response to a heartbeat. The caller holds a.mu.
-func (a *Agent) handleResponse(out *outgoing, resp *http.Response) {
+func (a *Agent) handleResponse(out *outgoingHeartbeat, resp *http.Response) {
 	body, err := io.ReadAll(resp.Body)
 	switch {
 	case err != nil:
@@ -132,24 +132,24 @@
 // handleAccepted renews the lease and executes the commands in a response. It ignores a
 // response to an earlier incarnation and one with an outdated fencing token. The lease is
 // renewed from the time when the heartbeat was sent. The caller holds a.mu.
-func (a *Agent) handleAccepted(out *outgoing, body []byte) {
-	var answer wire.HeartbeatResponse
-	if json.Unmarshal(body, &answer) != nil || answer.FencingToken < a.token || out.Incarnation != a.incarnation {
+func (a *Agent) handleAccepted(out *outgoingHeartbeat, body []byte) {
+	var response wire.HeartbeatResponse
+	if json.Unmarshal(body, &response) != nil || response.FencingToken < a.fencingToken || out.Incarnation != a.incarnation {
 		return
 	}
-	a.raiseToken(answer.FencingToken)
-	if out.sentAt.After(a.renewedAt) {
-		a.renewedAt = out.sentAt
+	a.raiseFencingToken(response.FencingToken)
+	if out.sentAt.After(a.leaseRenewedAt) {
+		a.leaseRenewedAt = out.sentAt
 	}
-	a.execute(answer.Commands)
+	a.execute(response.Commands)
 }
 
-// raiseToken stores a fencing token if it is higher than the current one. The caller holds
-// a.mu.
-func (a *Agent) raiseToken(token uint64) {
-	if token > a.token {
-		a.token = token
-		a.reportSoon()
+// raiseFencingToken stores a fencing token if it is higher than the current one. The caller
+// holds a.mu.
+func (a *Agent) raiseFencingToken(token uint64) {
+	if token > a.fencingToken {
+		a.fencingToken = token
+		a.requestReport()
 	}
 }
 
@@ -160,8 +160,8 @@
 	if json.Unmarshal(body, &redirect) == nil {
 		index := slices.IndexFunc(a.fleet.controllers, func(c Controller) bool { return c.Name == redirect.Node })
 		if index >= 0 && index != a.controllerIndex() {
-			a.controller = index
-			a.reportSoon()
+			a.nextController = index
+			a.requestReport()
 			return
 		}
 	}
@@ -171,9 +171,9 @@
 // tryNextController switches to the next controller after a delay. The caller holds a.mu,
 // which is released during the delay.
 func (a *Agent) tryNextController() {
-	a.controller++
+	a.nextController++
 	a.mu.Unlock()
-	time.Sleep(retryPause)
+	time.Sleep(retryDelay)
 	a.mu.Lock()
-	a.reportSoon()
+	a.requestReport()
 }
--- a/internal/simulation/agent/task.go
+++ b/internal/simulation/agent/task.go
@@ -8,31 +8,31 @@
 
 // task is one attempt of a task on a machine.
 type task struct {
-	name    string
-	attempt uint64
-	state   string
-	reason  string    // why the task exited; empty until then
-	since   time.Time // when the task entered its state
-	spec    *wire.Job
+	name       string
+	attempt    uint64
+	state      string
+	exitReason string    // why the task exited; empty until then
+	stateSince time.Time // when the task entered its state
+	spec       *wire.Job
 }
 
-// holds reports whether the task has been in its state for at least s seconds.
-func (t *task) holds(now time.Time, s float64) bool { return now.Sub(t.since) >= seconds(s) }
+// hasLasted reports whether the task has been in its state for at least s seconds.
+func (t *task) hasLasted(now time.Time, s float64) bool { return now.Sub(t.stateSince) >= seconds(s) }
 
 // advance brings the lease and the tasks up to the current time. If the lease has expired,
 // the tasks stop at the time of expiry and a new incarnation begins. The caller holds a.mu.
 func (a *Agent) advance() {
 	now := time.Now()
-	ttl := time.Duration(float64(a.fleet.LeaseTTL) * (1 + a.faults.drift))
-	if now.Sub(a.renewedAt) > ttl {
-		a.dropTasks(a.renewedAt.Add(ttl))
+	ttl := time.Duration(float64(a.fleet.LeaseTTL) * (1 + a.faults.clockDrift))
+	if now.Sub(a.leaseRenewedAt) > ttl {
+		a.dropTasks(a.leaseRenewedAt.Add(ttl))
 		a.beginIncarnation()
 	}
 	if a.faults.isHanging() {
 		return
 	}
 	for _, t := range a.sortedTasks() {
-		if t.state == wire.StateFetchingImage && now.Sub(t.since) >= seconds(t.spec.ImageGB)+a.faults.imageDelay {
+		if t.state == wire.StateFetchingImage && now.Sub(t.stateSince) >= seconds(t.spec.ImageGB)+a.faults.imageFetchDelay {
 			a.startTask(t, now)
 		}
 		if t.spec.Gang {
@@ -46,26 +46,26 @@
 // startTask starts a task whose image has been fetched. A task of a gang waits for the rest of
 // the gang. The caller holds a.mu.
 func (a *Agent) startTask(t *task, now time.Time) {
-	t.state, t.since = wire.StateRunning, now
+	t.state, t.stateSince = wire.StateRunning, now
 	a.fleet.taskStarted(a, t)
 	if t.spec.Gang {
 		t.state = wire.StateAwaitingGang
 		a.fleet.joinGang(t)
 	}
-	a.reportSoon()
+	a.requestReport()
 }
 
 // advanceTask brings a task that isn't part of a gang up to the current time. The caller holds
 // a.mu.
 func (a *Agent) advanceTask(t *task, now time.Time) {
 	switch {
-	case t.state == wire.StateRunning && !t.spec.Service && t.holds(now, t.spec.EstimateS):
+	case t.state == wire.StateRunning && !t.spec.Service && t.hasLasted(now, t.spec.EstimateS):
 		reason := wire.ReasonDone
-		if a.faults.failing {
+		if a.faults.tasksFailing {
 			reason = wire.ReasonError
 		}
 		a.exitTask(t, reason)
-	case t.state == wire.StateSavingCheckpoint && t.holds(now, t.spec.CheckpointSaveS):
+	case t.state == wire.StateSavingCheckpoint && t.hasLasted(now, t.spec.CheckpointSaveS):
 		a.exitTask(t, wire.ReasonStopped)
 	}
 }
@@ -76,7 +76,7 @@
 		return
 	}
 	state, reason := a.fleet.nextGangState(t)
-	if state == wire.StateRunning && a.faults.failing {
+	if state == wire.StateRunning && a.faults.tasksFailing {
 		state, reason = wire.StateExited, wire.ReasonError
 	}
 	switch {
@@ -84,7 +84,7 @@
 		a.exitTask(t, reason)
 	case state != t.state && t.state == wire.StateAwaitingGang:
 		t.state = state
-		a.reportSoon()
+		a.requestReport()
 	}
 }
 
@@ -95,11 +95,11 @@
 	if t.spec.Gang {
 		a.fleet.leaveGang(t)
 	}
-	t.state, t.reason, t.since = wire.StateExited, reason, now
+	t.state, t.exitReason, t.stateSince = wire.StateExited, reason, now
 	if reason == wire.ReasonDone {
 		a.fleet.taskCompleted(t.name)
 	}
-	a.reportSoon()
+	a.requestReport()
 }
 
 // dropTasks removes all tasks from the machine. Later heartbeats don't mention them. The
--- a/internal/simulation/cloud/cloud.go
+++ b/internal/simulation/cloud/cloud.go
@@ -32,11 +32,11 @@
 	fleet *agent.Fleet
 	types []wire.MachineType
 
-	mu        sync.Mutex
-	instances []*instance         // by number - 1; nil if terminated
-	launched  map[string][]string // names of machines by the idempotency key of their launch request
-	down      bool
-	capacity  int
+	mu            sync.Mutex
+	instances     []*instance         // by number - 1; nil if terminated
+	launchedByKey map[string][]string // names of machines by the idempotency key of their launch request
+	unavailable   bool
+	capacity      int
 }
 
 // instance is a launched machine.
@@ -48,24 +48,24 @@
 
 // New returns a cloud that offers the given machine types.
 func New(fleet *agent.Fleet, types []wire.MachineType) *Cloud {
-	return &Cloud{fleet: fleet, types: types, launched: map[string][]string{}, capacity: defaultCapacity}
+	return &Cloud{fleet: fleet, types: types, launchedByKey: map[string][]string{}, capacity: defaultCapacity}
 }
 
 // SetUnavailable begins or ends an outage of the cloud's API. Machines keep running during an
 // outage.
-func (c *Cloud) SetUnavailable(down bool) {
+func (c *Cloud) SetUnavailable(unavailable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.down = down
+	c.unavailable = unavailable
 }
 
 // SetCapacity sets the maximum number of machines at a time and returns the previous one.
-func (c *Cloud) SetCapacity(capacity int) (before int) {
+func (c *Cloud) SetCapacity(capacity int) (previous int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before = c.capacity
+	previous = c.capacity
 	c.capacity = capacity
-	return before
+	return previous
 }
 
 // Agents returns the agents of all machines that aren't released, in the order of launch.
@@ -85,7 +85,7 @@
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.down {
+	if c.unavailable {
 		reply(w, http.StatusServiceUnavailable, map[string]string{"error": "trouble"})
 		return
 	}
@@ -117,7 +117,7 @@
 		reply(w, http.StatusBadRequest, struct{}{})
 		return
 	}
-	if names, repeated := c.launched[request.IdempotencyKey]; repeated {
+	if names, repeated := c.launchedByKey[request.IdempotencyKey]; repeated {
 		reply(w, http.StatusOK, wire.MachineNames{Names: names})
 		return
 	}
@@ -130,7 +130,7 @@
 	for range count {
 		names = append(names, c.launch(&request))
 	}
-	c.launched[request.IdempotencyKey] = names
+	c.launchedByKey[request.IdempotencyKey] = names
 	reply(w, http.StatusOK, wire.MachineNames{Names: names})
 }
 
@@ -140,8 +140,8 @@
 	i := &instance{launchedAt: time.Now(), Instance: wire.Instance{Name: fmt.Sprintf("host-%06d", number), Addr: c.machineAddr(number),
 		Type: request.Type, Zone: request.Zone, Spot: request.Spot, State: wire.InstanceStarting}}
 	var machineType wire.MachineType
-	if at := slices.IndexFunc(c.types, func(t wire.MachineType) bool { return t.Name == request.Type }); at >= 0 {
-		machineType = c.types[at]
+	if index := slices.IndexFunc(c.types, func(t wire.MachineType) bool { return t.Name == request.Type }); index >= 0 {
+		machineType = c.types[index]
 	}
 	i.agent = c.fleet.Launch(i.Instance, machineType)
 	c.instances = append(c.instances, i)
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -25,8 +25,8 @@
 	CloudAddr = "cloud:1"
 )
 
-// defaultCancelWithin is the default of Environment.CancellationTimeout.
-const defaultCancelWithin = 35 * time.Second
+// defaultCancellationTimeout is the default of Environment.CancellationTimeout.
+const defaultCancellationTimeout = 35 * time.Second
 
 // Environment is the simulated environment of a cluster's controllers.
 type Environment struct {
@@ -47,7 +47,7 @@
 // New returns an environment for the given controllers, whose cloud offers the given machine
 // types. The simulation stops when ctx is done.
 func New(ctx context.Context, controllers []agent.Controller, types []wire.MachineType) *Environment {
-	e := &Environment{Network: network.New(ctx), Store: kv.NewStore(), Trace: &trace.Recorder{}, CancellationTimeout: defaultCancelWithin, quotas: map[string]scheduling.Resources{}}
+	e := &Environment{Network: network.New(ctx), Store: kv.NewStore(), Trace: &trace.Recorder{}, CancellationTimeout: defaultCancellationTimeout, quotas: map[string]scheduling.Resources{}}
 	e.Fleet = agent.NewFleet(ctx, e.Network, e.Trace, controllers)
 	e.Cloud = cloud.New(e.Fleet, types)
 	e.Network.Serve(StoreAddr, e.Store)
--- a/internal/simulation/kv/http.go
+++ b/internal/simulation/kv/http.go
@@ -29,7 +29,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
-	if s.down {
+	if s.unavailable {
 		reply(w, http.StatusServiceUnavailable, struct{}{})
 		return
 	}
@@ -67,10 +67,10 @@
 // serveList handles a request for a page of keys. The caller holds s.mu.
 func (s *Store) serveList(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	most, _ := strconv.Atoi(query.Get("most")) // 0 if it is missing or malformed: the page is empty
+	limit, _ := strconv.Atoi(query.Get("most")) // 0 if it is missing or malformed: the page is empty
 	keys := s.keysAfter(query.Get("starts"), query.Get("since"))
-	page := wire.ItemPage{Revision: s.revision, HasMore: len(keys) > most}
-	for _, key := range keys[:min(len(keys), most)] {
+	page := wire.ItemPage{Revision: s.revision, HasMore: len(keys) > limit}
+	for _, key := range keys[:min(len(keys), limit)] {
 		e := s.entries[key]
 		page.Items = append(page.Items, wire.Item{Key: key, Value: e.value, Revision: e.revision})
 	}
--- a/internal/simulation/kv/lease.go
+++ b/internal/simulation/kv/lease.go
@@ -14,22 +14,22 @@
 
 // lease is a lease of the store. When it expires, its keys are deleted.
 type lease struct {
-	ttl     time.Duration
-	expires time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // renew makes the lease valid for its full TTL from now on.
-func (l *lease) renew() { l.expires = time.Now().Add(l.ttl) }
+func (l *lease) renew() { l.expiresAt = time.Now().Add(l.ttl) }
 
 // expireLeases ends expired leases in the order of their IDs, so that runs are reproducible.
 // Leases don't expire during an outage. The caller holds s.mu.
 func (s *Store) expireLeases() {
-	if s.down {
+	if s.unavailable {
 		return
 	}
 	now := time.Now()
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
-		if now.After(s.leases[id].expires) {
+		if now.After(s.leases[id].expiresAt) {
 			s.endLease(id)
 		}
 	}
--- a/internal/simulation/kv/store.go
+++ b/internal/simulation/kv/store.go
@@ -40,21 +40,21 @@
 
 // Store is a key-value store. It is safe for concurrent use.
 type Store struct {
-	mu            sync.Mutex
-	revision      uint64
-	entries       map[string]entry
-	history       []wire.Event
-	leases        map[uint64]*lease
-	lastLease     uint64
-	changed       chan struct{} // closed and replaced at each transaction or lease expiry
-	down          bool
-	maxChanges    int
-	maxValueBytes int
-	beforeTxn     func(*wire.Txn)
-	stats         Stats
-	rate          float64 // admitted changes per second; 0 means no limit
-	budget        float64 // changes admitted at budgetAt
-	budgetAt      time.Time
+	mu                    sync.Mutex
+	revision              uint64
+	entries               map[string]entry
+	history               []wire.Event
+	leases                map[uint64]*lease
+	lastLease             uint64
+	changed               chan struct{} // closed and replaced at each transaction or lease expiry
+	unavailable           bool
+	maxChanges            int
+	maxValueBytes         int
+	txnHook               func(*wire.Txn)
+	stats                 Stats
+	changeRateLimit       float64 // admitted changes per second; 0 means no limit
+	changeBudget          float64 // changes admitted at changeBudgetUpdatedAt
+	changeBudgetUpdatedAt time.Time
 }
 
 // entry is the stored value of a key.
@@ -71,15 +71,15 @@
 }
 
 // SetUnavailable begins or ends an outage. At the end of an outage, all leases are renewed.
-func (s *Store) SetUnavailable(down bool) {
+func (s *Store) SetUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down && !down {
+	if s.unavailable && !unavailable {
 		for _, l := range s.leases {
 			l.renew()
 		}
 	}
-	s.down = down
+	s.unavailable = unavailable
 }
 
 // SetTxnLimits sets the maximum size of a value and the maximum number of changes of a
@@ -90,12 +90,12 @@
 	s.maxValueBytes, s.maxChanges = maxValueBytes, maxChanges
 }
 
-// SetChangeRateLimit limits the changes per second of all callers together. A burst may have the
-// changes of one second. 0 means no limit.
-func (s *Store) SetChangeRateLimit(changes float64) {
+// SetChangeRateLimit limits the changes per second of all callers together. A burst may have
+// the changes of one second. 0 means no limit.
+func (s *Store) SetChangeRateLimit(changesPerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rate = changes
+	s.changeRateLimit = changesPerSecond
 }
 
 // Stats returns the statistics so far.
@@ -108,10 +108,10 @@
 // SetTxnHook sets a function that may modify each transaction before it is executed. Tests use
 // it to simulate a concurrent change by another caller. Nil removes the hook. The hook is
 // called with the store's lock held and must not call its methods.
-func (s *Store) SetTxnHook(f func(*wire.Txn)) {
+func (s *Store) SetTxnHook(hook func(*wire.Txn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.beforeTxn = f
+	s.txnHook = hook
 }
 
 // CountValuesLargerThan returns how many stored values are larger than size bytes.
--- a/internal/simulation/kv/store_test.go
+++ b/internal/simulation/kv/store_test.go
@@ -44,13 +44,13 @@
 	return status, answer
 }
 
-// putOf returns a change that stores a value of size bytes.
-func putOf(key string, size int) wire.Change {
+// putChange returns a change that stores a value of size bytes.
+func putChange(key string, size int) wire.Change {
 	return wire.Change{Put: key, Value: json.RawMessage(`"` + strings.Repeat("x", size-2) + `"`)}
 }
 
-// grant requests a lease and returns its ID.
-func grant(t *testing.T, s *Store, ttl time.Duration) uint64 {
+// grantLease requests a lease and returns its ID.
+func grantLease(t *testing.T, s *Store, ttl time.Duration) uint64 {
 	t.Helper()
 	var answer wire.LeaseResponse
 	if status := call(t, s, newRequest(t, http.MethodPost, grantPath, wire.LeaseRequest{TTLMS: ttl.Milliseconds()}), &answer); status != http.StatusOK {
@@ -61,12 +61,12 @@
 
 // A transaction makes all its changes if all conditions hold. Otherwise it makes none, and the
 // response names the keys whose conditions failed.
-func TestConditions(t *testing.T) {
+func TestTxnConditions(t *testing.T) {
 	s := NewStore()
-	if status, answer := transact(t, s, []wire.Condition{{Key: "a"}}, putOf("a", 3), putOf("b", 3)); status != http.StatusOK || answer.Revision != 1 {
+	if status, answer := transact(t, s, []wire.Condition{{Key: "a"}}, putChange("a", 3), putChange("b", 3)); status != http.StatusOK || answer.Revision != 1 {
 		t.Fatalf("first transaction: status %d, revision %d; want 200 and 1", status, answer.Revision)
 	}
-	status, answer := transact(t, s, []wire.Condition{{Key: "a"}, {Key: "b", Revision: 1}}, putOf("c", 3))
+	status, answer := transact(t, s, []wire.Condition{{Key: "a"}, {Key: "b", Revision: 1}}, putChange("c", 3))
 	if status != http.StatusConflict || !slices.Equal(answer.FailedKeys, []string{"a"}) {
 		t.Errorf("second transaction: status %d, failed keys %v; want 409 and a", status, answer.FailedKeys)
 	}
@@ -76,7 +76,7 @@
 }
 
 // Transactions that exceed a size limit are rejected with status 400 and counted.
-func TestLimits(t *testing.T) {
+func TestTxnLimits(t *testing.T) {
 	s := NewStore()
 	s.SetTxnLimits(10, 2)
 	for _, x := range []struct {
@@ -84,10 +84,10 @@
 		changes []wire.Change
 		status  int
 	}{
-		{"largest value", []wire.Change{putOf("a", 10)}, http.StatusOK},
-		{"too large a value", []wire.Change{putOf("a", 11)}, http.StatusBadRequest},
-		{"most changes", []wire.Change{putOf("a", 3), putOf("b", 3)}, http.StatusOK},
-		{"too many changes", []wire.Change{putOf("a", 3), putOf("b", 3), putOf("c", 3)}, http.StatusBadRequest},
+		{"largest value", []wire.Change{putChange("a", 10)}, http.StatusOK},
+		{"too large a value", []wire.Change{putChange("a", 11)}, http.StatusBadRequest},
+		{"most changes", []wire.Change{putChange("a", 3), putChange("b", 3)}, http.StatusOK},
+		{"too many changes", []wire.Change{putChange("a", 3), putChange("b", 3), putChange("c", 3)}, http.StatusBadRequest},
 	} {
 		if status, _ := transact(t, s, nil, x.changes...); status != x.status {
 			t.Errorf("%s: status %d, want %d", x.name, status, x.status)
@@ -99,13 +99,13 @@
 }
 
 // The rate limit admits bursts of one second's changes, also after a long idle period.
-func TestRate(t *testing.T) {
+func TestChangeRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewStore()
 		s.SetChangeRateLimit(2)
 		statuses := func() (out []int) {
 			for range 3 {
-				status, _ := transact(t, s, nil, putOf("a", 3))
+				status, _ := transact(t, s, nil, putChange("a", 3))
 				out = append(out, status)
 			}
 			return out
@@ -122,12 +122,12 @@
 
 // A lease that isn't renewed expires after its TTL, and its keys are deleted then, not earlier.
 // The end of an outage renews all leases.
-func TestLeases(t *testing.T) {
+func TestLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewStore()
 		const ttl = 10 * time.Second
-		lease := grant(t, s, ttl)
-		change := putOf("a", 3)
+		lease := grantLease(t, s, ttl)
+		change := putChange("a", 3)
 		change.Lease = lease
 		transact(t, s, nil, change)
 		there := func() bool {
@@ -156,12 +156,12 @@
 
 // A waiting watch request gets the next change of a key with its prefix, also when a lease
 // expires, and no changes of other keys.
-func TestWatch(t *testing.T) {
+func TestWatchReportsLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewStore()
-		change := putOf("w/a", 3)
-		change.Lease = grant(t, s, 4*time.Second)
-		transact(t, s, nil, change, putOf("x/b", 3))
+		change := putChange("w/a", 3)
+		change.Lease = grantLease(t, s, 4*time.Second)
+		transact(t, s, nil, change, putChange("x/b", 3))
 		begun := time.Now()
 		var answer wire.WatchResponse
 		call(t, s, newRequest(t, http.MethodGet, watchPath+"?starts=w/&since=1&waitMs=30000", nil), &answer)
--- a/internal/simulation/kv/txn.go
+++ b/internal/simulation/kv/txn.go
@@ -15,8 +15,8 @@
 		reply(w, http.StatusBadRequest, struct{}{})
 		return
 	}
-	if s.beforeTxn != nil {
-		s.beforeTxn(&txn)
+	if s.txnHook != nil {
+		s.txnHook(&txn)
 	}
 	if !s.isWithinLimits(&txn, len(body)) {
 		s.stats.RejectedTxns++
@@ -57,17 +57,17 @@
 // admit reports whether the rate limit allows this number of changes now. It updates the rate
 // limit's budget and the statistics. The caller holds s.mu.
 func (s *Store) admit(changes int) bool {
-	if s.rate <= 0 {
+	if s.changeRateLimit <= 0 {
 		return true
 	}
 	now := time.Now()
-	s.budget = min(s.rate, s.budget+now.Sub(s.budgetAt).Seconds()*s.rate)
-	s.budgetAt = now
-	if s.budget < float64(changes) {
+	s.changeBudget = min(s.changeRateLimit, s.changeBudget+now.Sub(s.changeBudgetUpdatedAt).Seconds()*s.changeRateLimit)
+	s.changeBudgetUpdatedAt = now
+	if s.changeBudget < float64(changes) {
 		s.stats.ThrottledTxns++
 		return false
 	}
-	s.budget -= float64(changes)
+	s.changeBudget -= float64(changes)
 	s.stats.AdmittedTxns++
 	return true
 }
--- a/internal/simulation/kv/watch.go
+++ b/internal/simulation/kv/watch.go
@@ -36,7 +36,7 @@
 	for {
 		s.mu.Lock()
 		s.expireLeases()
-		down, changed := s.down, s.changed
+		down, changed := s.unavailable, s.changed
 		var response wire.WatchResponse
 		if !down {
 			response = s.changesFor(request)
--- a/internal/simulation/network/network.go
+++ b/internal/simulation/network/network.go
@@ -21,11 +21,11 @@
 	// handler can be served to other processes too. It must be set before the first Serve.
 	Listen func(addr string, h http.Handler)
 
-	ctx        context.Context
-	mu         sync.Mutex
-	handlers   map[string]http.Handler
-	transports uint64
-	latency    Latency
+	ctx            context.Context
+	mu             sync.Mutex
+	handlers       map[string]http.Handler
+	transportCount uint64
+	latency        Latency
 }
 
 // Latency describes how long requests without a fault take.
@@ -64,12 +64,13 @@
 	n.latency = latency
 }
 
-// drawLatency returns the random latency of a request. The transport is given by its seed.
-func (n *Network) drawLatency(transport uint64, request string) time.Duration {
+// requestLatency returns the random latency of a request that a transport with the given seed
+// carries.
+func (n *Network) requestLatency(transportSeed uint64, request string) time.Duration {
 	n.mu.Lock()
 	latency := n.latency
 	n.mu.Unlock()
-	drawn := SeededFloat64(transport+latency.Seed*latencySeedStride, request)
+	drawn := SeededFloat64(transportSeed+latency.Seed*latencySeedStride, request)
 	return minLatency + time.Duration(drawn*float64(latency.Jitter))
 }
 
@@ -82,8 +83,8 @@
 func (n *Network) NewTransport() *Transport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.transports++
-	return &Transport{network: n, seed: n.transports + 1, delay: defaultDelay}
+	n.transportCount++
+	return &Transport{network: n, seed: n.transportCount + 1, delay: defaultDelay}
 }
 
 // handler returns the handler of an address, or nil if there is none.
--- a/internal/simulation/network/transport.go
+++ b/internal/simulation/network/transport.go
@@ -63,8 +63,8 @@
 	t.policy = policy
 }
 
-// decide returns the fault of a request, and the delay to use if the fault has one.
-func (t *Transport) decide(r *http.Request) (Fault, time.Duration) {
+// selectFault returns the fault of a request, and the delay to use if the fault has one.
+func (t *Transport) selectFault(r *http.Request) (Fault, time.Duration) {
 	t.mu.Lock()
 	policy, delay, jitter := t.policy, t.delay, t.jitter
 	t.mu.Unlock()
@@ -83,22 +83,22 @@
 	if err != nil {
 		return nil, err
 	}
-	fault, delay := t.decide(r)
+	fault, delay := t.selectFault(r)
 	switch fault {
 	case Refuse:
 		return nil, ErrConnectionRefused
 	case Drop:
-		return waitForCaller(r)
+		return waitForCancellation(r)
 	case ExecuteLate:
 		go t.executeAfter(delay, r, body)
-		return waitForCaller(r)
+		return waitForCancellation(r)
 	case DropResponse:
 		go t.network.execute(t.network.ctx, r, body)
-		return waitForCaller(r)
+		return waitForCancellation(r)
 	case Delay:
 		return t.deliverAfter(delay, r, body)
 	}
-	return t.deliverAfter(t.network.drawLatency(t.seed, r.Method+r.URL.String()+string(body)), r, body)
+	return t.deliverAfter(t.network.requestLatency(t.seed, r.Method+r.URL.String()+string(body)), r, body)
 }
 
 // readBody reads and closes a request's body, as the contract of http.RoundTripper demands.
@@ -110,8 +110,8 @@
 	return io.ReadAll(r.Body)
 }
 
-// waitForCaller waits until the request's context is done and returns the context's error.
-func waitForCaller(r *http.Request) (*http.Response, error) {
+// waitForCancellation waits until the request's context is done and returns the context's error.
+func waitForCancellation(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
--- a/internal/simulation/network/transport_test.go
+++ b/internal/simulation/network/transport_test.go
@@ -19,15 +19,15 @@
 
 // faultOutcome is the observed effect of a fault on a request.
 type faultOutcome struct {
-	answered  bool          // the caller received a response
-	after     time.Duration // how long RoundTrip took, truncated to seconds
-	executed  bool          // the handler had run when RoundTrip returned
-	inTheEnd  bool          // the handler had run a minute later
-	wantError error
+	answered           bool          // the caller received a response
+	elapsed            time.Duration // how long RoundTrip took, truncated to seconds
+	executedOnReturn   bool          // the handler had run when RoundTrip returned
+	executedEventually bool          // the handler had run a minute later
+	wantError          error
 }
 
 // Each fault has its documented effect on the caller and on the execution of the request.
-func TestFaults(t *testing.T) {
+func TestTransportFaults(t *testing.T) {
 	for _, x := range []struct {
 		name    string
 		fault   Fault
@@ -62,9 +62,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	resp, err := transport.RoundTrip(req)
-	got := faultOutcome{answered: resp != nil, after: time.Since(begun).Truncate(time.Second), executed: executed.Load(), wantError: want.wantError}
+	got := faultOutcome{answered: resp != nil, elapsed: time.Since(startedAt).Truncate(time.Second), executedOnReturn: executed.Load(), wantError: want.wantError}
 	if resp != nil {
 		resp.Body.Close()
 	}
@@ -72,14 +72,14 @@
 		t.Errorf("RoundTrip error: %v, want %v", err, want.wantError)
 	}
 	time.Sleep(time.Minute)
-	got.inTheEnd = executed.Load()
+	got.executedEventually = executed.Load()
 	if got != want {
 		t.Errorf("outcome %+v, want %+v", got, want)
 	}
 }
 
 // An address whose handler was removed refuses connections.
-func TestUnservedAddress(t *testing.T) {
+func TestRemovedHandlerRefusesConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := New(t.Context())
 		network.Serve(testAddr, http.NotFoundHandler())
--- a/internal/simulation/rules/attempts.go
+++ b/internal/simulation/rules/attempts.go
@@ -10,7 +10,7 @@
 	}
 	for _, t := range c.sortedTasks() {
 		if t.job == started.job && t.attempt < started.attempt {
-			c.violate(OverlappingAttempts, "%s is started as attempt %d while %s is on its machine as attempt %d", started.name, started.attempt, t.name, t.attempt)
+			c.addViolation(OverlappingAttempts, "%s is started as attempt %d while %s is on its machine as attempt %d", started.name, started.attempt, t.name, t.attempt)
 			return
 		}
 	}
--- a/internal/simulation/rules/availability.go
+++ b/internal/simulation/rules/availability.go
@@ -11,9 +11,9 @@
 const (
 	// maxUnanswered applies at all times, provided that most other queries are answered.
 	maxUnanswered = 90 * time.Second
-	// maxUnansweredSettled applies after all faults have ended, even if no other query is
+	// maxUnansweredAfterFaults applies after all faults have ended, even if no other query is
 	// answered.
-	maxUnansweredSettled = 75 * time.Second
+	maxUnansweredAfterFaults = 75 * time.Second
 )
 
 // checkAnswered checks that an accepted job's queries don't remain unanswered for too long. A
@@ -22,7 +22,7 @@
 	j := c.job(e.Job)
 	if e.Status == http.StatusOK || e.Status == http.StatusNotFound {
 		j.unansweredSince = time.Time{}
-		c.answeredAt = append(c.answeredAt, e.At)
+		c.queriesAnsweredAt = append(c.queriesAnsweredAt, e.At)
 		return
 	}
 	if j.unansweredSince.IsZero() {
@@ -32,18 +32,18 @@
 		return
 	}
 	unanswered := e.At.Sub(j.unansweredSince)
-	afterFaults := !c.FaultsEndedAt.IsZero() && e.At.Sub(later(j.unansweredSince, c.FaultsEndedAt)) > maxUnansweredSettled
-	if afterFaults || unanswered > maxUnanswered && c.mostAreAnswered(j.unansweredSince) {
-		c.violate(AcceptedJobLost, "queries of %s have been unanswered for %v", j.id, unanswered)
+	afterFaults := !c.FaultsEndedAt.IsZero() && e.At.Sub(laterTime(j.unansweredSince, c.FaultsEndedAt)) > maxUnansweredAfterFaults
+	if afterFaults || unanswered > maxUnanswered && c.areMostQueriesAnswered(j.unansweredSince) {
+		c.addViolation(AcceptedJobLost, "queries of %s have been unanswered for %v", j.id, unanswered)
 		j.unansweredSince = time.Time{}
 	}
 }
 
-// mostAreAnswered reports whether more queries were answered since a time than there are jobs
-// whose queries are unanswered now.
-func (c *checker) mostAreAnswered(since time.Time) bool {
+// areMostQueriesAnswered reports whether more queries were answered since a time than there are
+// jobs whose queries are unanswered now.
+func (c *checker) areMostQueriesAnswered(since time.Time) bool {
 	answers, unanswered := 0, 0
-	for _, at := range c.answeredAt {
+	for _, at := range c.queriesAnsweredAt {
 		if at.After(since) {
 			answers++
 		}
@@ -56,8 +56,8 @@
 	return answers > unanswered
 }
 
-// later returns the later of two times.
-func later(a, b time.Time) time.Time {
+// laterTime returns the later of two times.
+func laterTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/simulation/rules/cancellation.go
+++ b/internal/simulation/rules/cancellation.go
@@ -9,6 +9,6 @@
 		return
 	}
 	if d := c.now.Sub(t.job.finalAt); d > c.CancellationTimeout {
-		c.violate(RanAfterCancellation, "%s is on its machine %v after its user was told of the cancellation", t.name, d)
+		c.addViolation(RanAfterCancellation, "%s is on its machine %v after its user was told of the cancellation", t.name, d)
 	}
 }
--- a/internal/simulation/rules/check.go
+++ b/internal/simulation/rules/check.go
@@ -12,7 +12,7 @@
 	"eiderhitch/internal/simulation/trace"
 )
 
-// Rule is the name of a rule. It names the violation of the rule.
+// Rule identifies a rule by the violation that it detects.
 type Rule string
 
 // The rules, each with what it demands.
@@ -60,14 +60,14 @@
 // checker checks a trace. Its fields model the cluster at the time of the current event.
 type checker struct {
 	Expectations
-	violations    []Violation
-	jobs          map[string]*job
-	tasks         map[string]*task // tasks on machines, by name
-	machines      map[string]*machine
-	answeredAt    []time.Time // times of the answers to queries
-	starts        int
-	now           time.Time
-	waitCheckedAt time.Time
+	violations        []Violation
+	jobs              map[string]*job
+	tasks             map[string]*task // tasks on machines, by name
+	machines          map[string]*machine
+	queriesAnsweredAt []time.Time // times of the answers to queries
+	startedTasks      int
+	now               time.Time
+	waitCheckedAt     time.Time
 }
 
 // Check returns the violations in a trace, in the order in which they were found. The events may
@@ -78,7 +78,7 @@
 	slices.SortStableFunc(events, func(a, b trace.Event) int { return a.Time().Compare(b.Time()) })
 	for _, e := range events {
 		if response, ok := e.(trace.Response); ok {
-			c.noteRequest(response)
+			c.recordRequest(response)
 		}
 	}
 	for _, e := range events {
@@ -94,7 +94,7 @@
 func (c *checker) apply(e trace.Event) {
 	switch e := e.(type) {
 	case trace.MachineBooted:
-		c.machines[e.Machine] = &machine{name: e.Machine, typ: e.Type, zone: e.Zone, spot: e.Spot, capacity: e.Capacity}
+		c.machines[e.Machine] = &machine{name: e.Machine, machineType: e.Type, zone: e.Zone, spot: e.Spot, capacity: e.Capacity}
 	case trace.MachineTerminated:
 		c.terminateMachine(e)
 	case trace.TaskAccepted:
@@ -108,7 +108,7 @@
 	case trace.TaskCompleted:
 		c.job(trace.JobID(e.Task)).completed[e.Task] = true // a saved result may be reported more than once
 	case trace.StartRefused:
-		c.violate(refusalRules[e.Reason], "%s on %s", e.Task, e.Machine)
+		c.addViolation(refusalRules[e.Reason], "%s on %s", e.Task, e.Machine)
 	case trace.Response:
 		c.checkResponse(e)
 	}
@@ -118,7 +118,7 @@
 func (c *checker) acceptTask(e trace.TaskAccepted) {
 	m := c.machines[e.Machine]
 	if m == nil {
-		c.violate(InvalidTrace, "%s accepted by machine %s, which is not up", e.Task, e.Machine)
+		c.addViolation(InvalidTrace, "%s accepted by machine %s, which is not up", e.Task, e.Machine)
 		return
 	}
 	t := c.tasks[e.Task]
@@ -126,19 +126,19 @@
 		t = &task{name: e.Task, job: c.job(trace.JobID(e.Task))}
 		c.tasks[e.Task] = t
 	} else if t.machine != m {
-		c.violate(RanOnTwoMachines, "%s is started on %s while it is on %s", e.Task, m.name, t.machine.name)
+		c.addViolation(RanOnTwoMachines, "%s is started on %s while it is on %s", e.Task, m.name, t.machine.name)
 	}
 	t.machine, t.attempt = m, e.Attempt
 	c.checkAttempts(t)
-	m.used = m.used.Plus(t.job.need())
+	m.used = m.used.Plus(t.job.taskResources())
 }
 
 // startTask marks an accepted task as started and checks the rules for running tasks.
 func (c *checker) startTask(e trace.TaskStarted) {
-	c.starts++
+	c.startedTasks++
 	t := c.tasks[e.Task]
 	if t == nil || t.job.spec == nil {
-		c.violate(InvalidTrace, "%s started without a specification of its job or without a machine", e.Task)
+		c.addViolation(InvalidTrace, "%s started without a specification of its job or without a machine", e.Task)
 		return
 	}
 	t.startedOn = t.machine
@@ -163,7 +163,7 @@
 	if t.startedOn != nil {
 		c.checkCancelled(t)
 	}
-	t.machine.used = t.machine.used.Minus(t.job.need())
+	t.machine.used = t.machine.used.Minus(t.job.taskResources())
 	delete(c.tasks, t.name)
 }
 
@@ -174,18 +174,18 @@
 			c.checkCancelled(t)
 		}
 	}
-	if c.starts > 0 {
+	if c.startedTasks > 0 {
 		return
 	}
 	for _, j := range c.jobs {
 		if !j.acceptedAt.IsZero() {
-			c.violate(NoTaskStarted, "no task was started")
+			c.addViolation(NoTaskStarted, "no task was started")
 			return
 		}
 	}
 }
 
-// violate records a violation.
-func (c *checker) violate(rule Rule, format string, args ...any) {
+// addViolation records a violation.
+func (c *checker) addViolation(rule Rule, format string, args ...any) {
 	c.violations = append(c.violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
--- a/internal/simulation/rules/check_test.go
+++ b/internal/simulation/rules/check_test.go
@@ -14,15 +14,15 @@
 // epoch is when the traces begin.
 var epoch = time.Unix(1_000_000, 0)
 
-// at returns the time that is the given number of seconds after epoch.
-func at(seconds float64) time.Time {
+// timeAt returns the time that is the given number of seconds after epoch.
+func timeAt(seconds float64) time.Time {
 	return epoch.Add(time.Duration(seconds * float64(time.Second)))
 }
 
 // respond returns the response to a request about a job that is made at the given second. The
 // response arrives half a second later.
 func respond(seconds float64, id string, operation trace.Operation, status int, state string) trace.Response {
-	return trace.Response{At: at(seconds + 0.5), RequestedAt: at(seconds), Operation: operation, Job: id, Status: status, State: state}
+	return trace.Response{At: timeAt(seconds + 0.5), RequestedAt: timeAt(seconds), Operation: operation, Job: id, Status: status, State: state}
 }
 
 // query returns the response to a query of a job's state.
@@ -44,16 +44,16 @@
 
 // completed returns the event that a task's result was saved.
 func completed(seconds float64, task string) trace.Event {
-	return trace.TaskCompleted{At: at(seconds), Task: task}
+	return trace.TaskCompleted{At: timeAt(seconds), Task: task}
 }
 
 // runAttempt returns the events of a task attempt that runs on a machine from one second to
 // another.
 func runAttempt(attempt uint64, task, machine string, from, to float64) []trace.Event {
 	return []trace.Event{
-		trace.TaskAccepted{At: at(from), Task: task, Machine: machine, Attempt: attempt},
-		trace.TaskStarted{At: at(from), Task: task, Machine: machine},
-		trace.TaskStopped{At: at(to), Task: task, Machine: machine},
+		trace.TaskAccepted{At: timeAt(from), Task: task, Machine: machine, Attempt: attempt},
+		trace.TaskStarted{At: timeAt(from), Task: task, Machine: machine},
+		trace.TaskStopped{At: timeAt(to), Task: task, Machine: machine},
 	}
 }
 
@@ -71,41 +71,41 @@
 // the spot machine m2 in zone b.
 func testMachines() []trace.Event {
 	machine := func(name, typ, zone string, spot bool) trace.Event {
-		return trace.MachineBooted{At: at(0), Machine: name, Type: typ, Zone: zone, Spot: spot, Capacity: scheduling.NewResources(4, 0, 64)}
+		return trace.MachineBooted{At: timeAt(0), Machine: name, Type: typ, Zone: zone, Spot: spot, Capacity: scheduling.NewResources(4, 0, 64)}
 	}
 	return []trace.Event{machine("m1", "small", "a", false), machine("m2", "small", "b", true), machine("m3", "large", "a", false)}
 }
 
 // ended is the last event of the traces that need one.
-var ended = trace.RecordingEnded{At: at(400)}
+var ended = trace.RecordingEnded{At: timeAt(400)}
 
 // ruleCase is a trace without violations and events that, once added, violate at most one
 // rule.
 type ruleCase struct {
-	name      string
-	broken    Rule    // the rule that the added events violate; "" means none
-	settledAt float64 // when all faults have ended, in seconds; 0 means never
-	before    []trace.Event
-	added     []trace.Event
+	name          string
+	violated      Rule    // the rule that the added events violate; "" means none
+	faultsEndedAt float64 // when all faults have ended, in seconds; 0 means never
+	before        []trace.Event
+	added         []trace.Event
 }
 
 // check checks the trace of a case without and with the added events.
 func (x *ruleCase) check(t *testing.T) {
 	t.Helper()
 	expected := Expectations{CancellationTimeout: 35 * time.Second, Quotas: map[string]scheduling.Resources{"red": scheduling.NewResources(4, 0, 0)}}
-	if x.settledAt > 0 {
-		expected.FaultsEndedAt = at(x.settledAt)
+	if x.faultsEndedAt > 0 {
+		expected.FaultsEndedAt = timeAt(x.faultsEndedAt)
 	}
 	events := slices.Concat([]trace.Event{submit(testJob("wk-1"))}, testMachines(), x.before)
-	if got := Check(events, expected); len(got) > 0 && x.broken != NoTaskStarted {
+	if got := Check(events, expected); len(got) > 0 && x.violated != NoTaskStarted {
 		t.Errorf("violations without the added events: %v, want none", got)
 	}
 	got := Check(append(events, x.added...), expected)
-	if x.broken == "" && len(got) > 0 {
+	if x.violated == "" && len(got) > 0 {
 		t.Errorf("violations: %v, want none", got)
 	}
-	if x.broken != "" && (len(got) == 0 || got[0].Rule != x.broken) {
-		t.Errorf("violations: %v, want %s first", got, x.broken)
+	if x.violated != "" && (len(got) == 0 || got[0].Rule != x.violated) {
+		t.Errorf("violations: %v, want %s first", got, x.violated)
 	}
 }
 
@@ -124,10 +124,10 @@
 	two := slices.Concat(one, run("wk-1/1", "m1", 2, 9))
 	otherJob := slices.Concat([]trace.Event{submit(testJob("wk-2"))}, run("wk-2/0", "m3", 4, 6))
 	return []ruleCase{
-		{"two places", RanOnTwoMachines, 0, one, run("wk-1/0", "m3", 5, 8)},
-		{"one after the other", "", 0, one, run("wk-1/0", "m3", 9.5, 12)},
+		{"on two machines at a time", RanOnTwoMachines, 0, one, run("wk-1/0", "m3", 5, 8)},
+		{"on two machines one after the other", "", 0, one, run("wk-1/0", "m3", 9.5, 12)},
 		{"limit", QuotaExceeded, 0, two, otherJob},
-		{"at the limit, then below", "", 0, slices.Concat(run("wk-1/0", "m1", 2, 3), run("wk-1/1", "m1", 2, 9)), otherJob},
+		{"team within its quota after a task stopped", "", 0, slices.Concat(run("wk-1/0", "m1", 2, 3), run("wk-1/1", "m1", 2, 9)), otherJob},
 		{"spot machine", WrongPlacement, 0, one, run("wk-1/1", "m2", 3, 5)},
 	}
 }
@@ -139,10 +139,10 @@
 	}
 	neverStopped := run("wk-1/1", "m1", 4, 500)[:2]
 	return []ruleCase{
-		{"cancelled and there", RanAfterCancellation, 0, one, cancelledThen(run("wk-1/1", "m1", 4, 50)...)},
-		{"cancelled and starts", RanAfterCancellation, 0, one, cancelledThen(run("wk-1/1", "m1", 40, 41)...)},
-		{"cancelled and never gone", RanAfterCancellation, 0, one, cancelledThen(append(neverStopped, ended)...)},
-		{"cancelled and gone in time", "", 0, one, cancelledThen(run("wk-1/1", "m1", 4, 30)...)},
+		{"cancelled and still on its machine", RanAfterCancellation, 0, one, cancelledThen(run("wk-1/1", "m1", 4, 50)...)},
+		{"cancelled and started late", RanAfterCancellation, 0, one, cancelledThen(run("wk-1/1", "m1", 40, 41)...)},
+		{"cancelled and never stopped", RanAfterCancellation, 0, one, cancelledThen(append(neverStopped, ended)...)},
+		{"cancelled and stopped in time", "", 0, one, cancelledThen(run("wk-1/1", "m1", 4, 30)...)},
 	}
 }
 
@@ -154,7 +154,7 @@
 		othersAnswered = append(othersAnswered, query(s, "wk-2", http.StatusOK, wire.StateRunning))
 	}
 	submitOther := submit(testJob("wk-2"))
-	submitOther.At, submitOther.RequestedAt = at(2.5), at(2)
+	submitOther.At, submitOther.RequestedAt = timeAt(2.5), timeAt(2)
 	return []ruleCase{
 		{"unanswered", AcceptedJobLost, 0, slices.Concat(one, []trace.Event{submitOther}, othersAnswered), unanswered},
 		{"all unanswered", "", 0, one, unanswered},
@@ -175,14 +175,14 @@
 		{"accepted, then unknown", AcceptedJobLost, 0, one, only(query(4, "wk-1", http.StatusNotFound, ""))},
 		{"accepted, then refused", AcceptedJobLost, 0, one, only(refused)},
 		{"never submitted", UnsubmittedJob, 0, one, only(query(4, "wk-7", http.StatusOK, wire.StateQueued))},
-		{"asked before it was submitted", "", 0, one, only(query(0, "wk-1", http.StatusNotFound, ""))},
+		{"queried before it was submitted", "", 0, one, only(query(0, "wk-1", http.StatusNotFound, ""))},
 		{"done too early", DoneTooEarly, 0, oneCompleted, only(done)},
-		{"a result twice", DoneTooEarly, 0, oneCompleted, []trace.Event{completed(9.5, "wk-1/0"), done}},
+		{"same result reported twice", DoneTooEarly, 0, oneCompleted, []trace.Event{completed(9.5, "wk-1/0"), done}},
 		{"done", "", 0, bothCompleted, only(done)},
 		{"cancelled, then running", FinalStateChanged, 0, cancelled, only(query(4, "wk-1", http.StatusOK, wire.StateRunning))},
-		{"asked before the cancellation was told", "", 0, cancelled, only(query(3.1, "wk-1", http.StatusOK, wire.StateRunning))},
+		{"queried before the cancellation was answered", "", 0, cancelled, only(query(3.1, "wk-1", http.StatusOK, wire.StateRunning))},
 		{"done and cancelled", FinalStateChanged, 0, append(slices.Clone(bothCompleted), done), only(cancel(10, "wk-1"))},
-		{"cancelled by nobody", FinalStateChanged, 0, one, only(query(4, "wk-1", http.StatusOK, wire.StateCancelled))},
+		{"cancelled without a request", FinalStateChanged, 0, one, only(query(4, "wk-1", http.StatusOK, wire.StateCancelled))},
 		{"nothing", NoTaskStarted, 0, nil, only(ended)},
 	}
 }
@@ -192,14 +192,14 @@
 	running := func(seconds float64) trace.Event { return query(seconds, "wk-1", http.StatusOK, wire.StateRunning) }
 	cancelled := []trace.Event{cancel(25, "wk-1"), query(50, "wk-1", http.StatusOK, wire.StateCancelled), ended}
 	return []ruleCase{
-		{"waits beside room", WaitsDespiteCapacity, 20, one, []trace.Event{running(30), running(50), running(200), ended}},
-		{"waits, cancelled", "", 20, one, cancelled},
+		{"waits despite room", WaitsDespiteCapacity, 20, one, []trace.Event{running(30), running(50), running(200), ended}},
+		{"waits after cancellation", "", 20, one, cancelled},
 	}
 }
 
 // Starting a task of a gang while a task of the previous attempt is on its machine is a
 // violation.
-func TestGangAttempts(t *testing.T) {
+func TestOverlappingGangAttempts(t *testing.T) {
 	gang := testJob("wk-1")
 	gang.Gang = true
 	for _, x := range []struct {
@@ -207,18 +207,18 @@
 		started float64 // when task 1 starts as attempt 2, in seconds
 		broken  bool
 	}{
-		{"beside the first attempt", 5, true},
-		{"after it", 10, false},
+		{"during the first attempt", 5, true},
+		{"after the first attempt", 10, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			events := slices.Concat([]trace.Event{submit(gang)}, testMachines(), run("wk-1/0", "m1", 2, 9), runAttempt(2, "wk-1/1", "m3", x.started, x.started+2))
-			checkOnly(t, events, OverlappingAttempts, x.broken)
+			checkSingleRule(t, events, OverlappingAttempts, x.broken)
 		})
 	}
 }
 
 // The placement constraints of a job determine the machines and zones of its tasks.
-func TestPlacementByJob(t *testing.T) {
+func TestPlacementConstraints(t *testing.T) {
 	large := func(j *wire.Job) { j.MachineTypes = []string{"large"} }
 	zoneA := func(j *wire.Job) { j.AllowsSpot, j.Zone = true, "a" }
 	single := func(j *wire.Job) { j.AllowsSpot, j.SingleZone = true, true }
@@ -231,30 +231,30 @@
 		broken bool
 	}{
 		{"type", large, run("wk-1/0", "m1", 2, 3), true},
-		{"type allowed", large, run("wk-1/0", "m3", 2, 3), false},
+		{"allowed type", large, run("wk-1/0", "m3", 2, 3), false},
 		{"zone", zoneA, run("wk-1/0", "m2", 2, 3), true},
-		{"same place", single, slices.Concat(first, second), true},
-		{"same place, later", single, slices.Concat(run("wk-1/0", "m1", 2, 3), run("wk-1/1", "m2", 4, 9)), false},
+		{"two zones, single zone required", single, slices.Concat(first, second), true},
+		{"two zones one after the other", single, slices.Concat(run("wk-1/0", "m1", 2, 3), run("wk-1/1", "m2", 4, 9)), false},
 		{"spread", spread, slices.Concat(first, run("wk-1/1", "m3", 3, 9)), true},
-		{"spread out", spread, slices.Concat(first, second), false},
+		{"spread across two zones", spread, slices.Concat(first, second), false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			spec := testJob("wk-1")
 			x.change(spec)
-			checkOnly(t, slices.Concat([]trace.Event{submit(spec)}, testMachines(), x.tasks), WrongPlacement, x.broken)
+			checkSingleRule(t, slices.Concat([]trace.Event{submit(spec)}, testMachines(), x.tasks), WrongPlacement, x.broken)
 		})
 	}
 }
 
-// checkOnly checks that a trace has exactly one violation, of the given rule, if broken is set,
-// and none otherwise.
-func checkOnly(t *testing.T, events []trace.Event, rule Rule, broken bool) {
+// checkSingleRule checks that a trace has exactly one violation, of the given rule, if violated
+// is set, and none otherwise.
+func checkSingleRule(t *testing.T, events []trace.Event, rule Rule, violated bool) {
 	t.Helper()
 	got := Check(events, Expectations{CancellationTimeout: time.Minute})
-	if !broken && len(got) > 0 {
+	if !violated && len(got) > 0 {
 		t.Errorf("violations: %v, want none", got)
 	}
-	if broken && (len(got) != 1 || got[0].Rule != rule) {
+	if violated && (len(got) != 1 || got[0].Rule != rule) {
 		t.Errorf("violations: %v, want exactly one, of rule %s", got, rule)
 	}
 }
--- a/internal/simulation/rules/model.go
+++ b/internal/simulation/rules/model.go
@@ -35,15 +35,15 @@
 
 // machine is a machine that has booted and isn't terminated.
 type machine struct {
-	name, typ, zone string
-	spot            bool
-	capacity        scheduling.Resources
-	used            scheduling.Resources
+	name, machineType, zone string
+	spot                    bool
+	capacity                scheduling.Resources
+	used                    scheduling.Resources
 }
 
-// need returns the resources of one task of the job. They are zero if the job's specification
-// is unknown.
-func (j *job) need() scheduling.Resources {
+// taskResources returns the resources of one task of the job. They are zero if the job's
+// specification is unknown.
+func (j *job) taskResources() scheduling.Resources {
 	if j.spec == nil {
 		return scheduling.Resources{}
 	}
@@ -71,23 +71,23 @@
 	return out
 }
 
-// noteRequest records a job's specification and the times of the earliest submission and
+// recordRequest records a job's specification and the times of the earliest submission and
 // cancellation requests.
-func (c *checker) noteRequest(e trace.Response) {
+func (c *checker) recordRequest(e trace.Response) {
 	j := c.job(e.Job)
 	switch e.Operation {
 	case trace.Submit:
-		j.submittedAt = earlier(j.submittedAt, e.RequestedAt)
+		j.submittedAt = earlierTime(j.submittedAt, e.RequestedAt)
 	case trace.Cancel:
-		j.cancelRequestedAt = earlier(j.cancelRequestedAt, e.RequestedAt)
+		j.cancelRequestedAt = earlierTime(j.cancelRequestedAt, e.RequestedAt)
 	}
 	if e.Spec != nil {
 		j.spec = e.Spec
 	}
 }
 
-// earlier returns the earlier of two times. A zero a counts as unset, so the result is b.
-func earlier(a, b time.Time) time.Time {
+// earlierTime returns the earlier of two times. A zero a counts as unset, so the result is b.
+func earlierTime(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
 	}
--- a/internal/simulation/rules/placement.go
+++ b/internal/simulation/rules/placement.go
@@ -6,16 +6,16 @@
 	"eiderhitch/internal/wire"
 )
 
-// allows reports whether a machine meets the constraints of a job on spot machines, zone and
-// machine type.
-func allows(spec *wire.Job, m *machine) bool {
+// allowsMachine reports whether a machine meets the constraints of a job on spot machines, zone
+// and machine type.
+func allowsMachine(spec *wire.Job, m *machine) bool {
 	if m.spot && !spec.AllowsSpot {
 		return false
 	}
 	if spec.Zone != "" && spec.Zone != m.zone {
 		return false
 	}
-	return len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, m.typ)
+	return len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, m.machineType)
 }
 
 // maxPerZone returns how many tasks of a job that spreads across zones may be in one zone: half
@@ -24,8 +24,8 @@
 
 // checkMachine checks that a started task is on a machine that meets its job's constraints.
 func (c *checker) checkMachine(t *task) {
-	if !allows(t.job.spec, t.machine) {
-		c.violate(WrongPlacement, "%s started on %s (type %s in zone %s), which its job does not allow", t.name, t.machine.name, t.machine.typ, t.machine.zone)
+	if !allowsMachine(t.job.spec, t.machine) {
+		c.addViolation(WrongPlacement, "%s started on %s (type %s in zone %s), which its job does not allow", t.name, t.machine.name, t.machine.machineType, t.machine.zone)
 	}
 }
 
@@ -40,6 +40,6 @@
 	}
 	spec := started.job.spec
 	if spec.SingleZone && len(zones) > 1 || spec.SpreadsZones && zones[started.machine.zone] > maxPerZone(spec) {
-		c.violate(WrongPlacement, "%s started; tasks by zone are now %v", started.name, zones)
+		c.addViolation(WrongPlacement, "%s started; tasks by zone are now %v", started.name, zones)
 	}
 }
--- a/internal/simulation/rules/quota.go
+++ b/internal/simulation/rules/quota.go
@@ -18,10 +18,10 @@
 	var used scheduling.Resources
 	for _, t := range c.tasks {
 		if t.startedOn != nil && t.job.spec.Team == team {
-			used = used.Plus(t.job.need())
+			used = used.Plus(t.job.taskResources())
 		}
 	}
 	if c.exceedsQuota(team, used) {
-		c.violate(QuotaExceeded, "team %s uses %v, quota %v", team, used, c.Quotas[team])
+		c.addViolation(QuotaExceeded, "team %s uses %v, quota %v", team, used, c.Quotas[team])
 	}
 }
--- a/internal/simulation/rules/responses.go
+++ b/internal/simulation/rules/responses.go
@@ -23,11 +23,11 @@
 		}
 	case http.StatusNotFound:
 		if knownBefore {
-			c.violate(AcceptedJobLost, "%s was accepted but is now unknown", e.Job)
+			c.addViolation(AcceptedJobLost, "%s was accepted but is now unknown", e.Job)
 		}
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		if knownBefore && e.Operation == trace.Submit {
-			c.violate(AcceptedJobLost, "%s was accepted but is refused with status %d when it is submitted again", e.Job, e.Status)
+			c.addViolation(AcceptedJobLost, "%s was accepted but is refused with status %d when it is submitted again", e.Job, e.Status)
 		}
 	}
 }
@@ -36,7 +36,7 @@
 // returns whether it was, and records the job as accepted.
 func (c *checker) checkSubmitted(j *job, e trace.Response) bool {
 	if j.submittedAt.IsZero() || j.submittedAt.After(e.At) {
-		c.violate(UnsubmittedJob, "%s was not submitted but has state %s", j.id, e.State)
+		c.addViolation(UnsubmittedJob, "%s was not submitted but has state %s", j.id, e.State)
 		return false
 	}
 	if j.acceptedAt.IsZero() {
@@ -50,13 +50,13 @@
 func (c *checker) checkState(j *job, e trace.Response) {
 	wasFinal := j.finalState != ""
 	if wasFinal && e.State != j.finalState && e.RequestedAt.After(j.finalAt) {
-		c.violate(FinalStateChanged, "%s has state %s after it had the final state %s", j.id, e.State, j.finalState)
+		c.addViolation(FinalStateChanged, "%s has state %s after it had the final state %s", j.id, e.State, j.finalState)
 	}
 	if e.State != wire.StateDone && e.State != wire.StateCancelled {
 		return
 	}
 	if wasFinal && e.State != j.finalState {
-		c.violate(FinalStateChanged, "%s has two final states, %s and %s", j.id, j.finalState, e.State)
+		c.addViolation(FinalStateChanged, "%s has two final states, %s and %s", j.id, j.finalState, e.State)
 	}
 	if !wasFinal {
 		j.finalState, j.finalAt = e.State, e.At
@@ -68,9 +68,9 @@
 // all tasks have completed.
 func (c *checker) checkFinal(j *job, state string, at time.Time) {
 	if state == wire.StateCancelled && (j.cancelRequestedAt.IsZero() || j.cancelRequestedAt.After(at)) {
-		c.violate(FinalStateChanged, "%s is cancelled, but its user did not request it", j.id)
+		c.addViolation(FinalStateChanged, "%s is cancelled, but its user did not request it", j.id)
 	}
 	if state == wire.StateDone && j.spec != nil && len(j.completed) < j.spec.TaskCount {
-		c.violate(DoneTooEarly, "%s is done with %d of %d tasks completed", j.id, len(j.completed), j.spec.TaskCount)
+		c.addViolation(DoneTooEarly, "%s is done with %d of %d tasks completed", j.id, len(j.completed), j.spec.TaskCount)
 	}
 }
--- a/internal/simulation/rules/waiting.go
+++ b/internal/simulation/rules/waiting.go
@@ -25,11 +25,11 @@
 	for _, t := range c.tasks {
 		placed[t.job]++
 		if t.job.spec != nil {
-			used[t.job.spec.Team] = used[t.job.spec.Team].Plus(t.job.need())
+			used[t.job.spec.Team] = used[t.job.spec.Team].Plus(t.job.taskResources())
 		}
 	}
 	for _, j := range sortedValues(c.jobs) {
-		if !j.isWanted() || !c.hasRoom(j, placed[j], used[j.spec.Team]) {
+		if !j.isPending() || !c.hasRoom(j, placed[j], used[j.spec.Team]) {
 			j.waitingSince = time.Time{}
 			continue
 		}
@@ -38,15 +38,15 @@
 			continue
 		}
 		if waited := c.now.Sub(j.waitingSince); waited > maxWait {
-			c.violate(WaitsDespiteCapacity, "%s (%d of %d tasks on machines, %d completed) waits although there has been room for %v", j.id, placed[j], j.spec.TaskCount, len(j.completed), waited)
+			c.addViolation(WaitsDespiteCapacity, "%s (%d of %d tasks on machines, %d completed) waits although there has been room for %v", j.id, placed[j], j.spec.TaskCount, len(j.completed), waited)
 			j.waitingSince = time.Time{}
 		}
 	}
 }
 
-// isWanted reports whether the job was accepted, has no final state, and no user asked to
+// isPending reports whether the job was accepted, has no final state, and no user asked to
 // cancel it.
-func (j *job) isWanted() bool {
+func (j *job) isPending() bool {
 	return j.spec != nil && !j.acceptedAt.IsZero() && j.finalState == "" && j.cancelRequestedAt.IsZero()
 }
 
@@ -61,15 +61,15 @@
 	if !j.spec.IsAllOrNothing() || placed > 0 {
 		missing = 1
 	}
-	if c.exceedsQuota(j.spec.Team, used.Plus(j.need().Times(missing))) {
+	if c.exceedsQuota(j.spec.Team, used.Plus(j.taskResources().Times(missing))) {
 		return false
 	}
 	return c.countRoom(j, missing) >= missing
 }
 
 // countRoom returns for how many missing tasks of the job the machines have room, given its
-// placement constraints. Each zone or machine counts at most missing tasks, so the sum may be
-// higher.
+// placement constraints. It counts at most missing tasks for each machine, so the result may
+// exceed missing.
 func (c *checker) countRoom(j *job, missing int) int {
 	placed := map[string]int{} // number of tasks by zone
 	for _, t := range c.tasks {
@@ -91,12 +91,12 @@
 }
 
 // roomByZone returns for how many more tasks of the job the allowed machines of each zone have
-// room, counting at most most tasks for each machine. If the job has no constraints on zones,
+// room, counting at most limit tasks for each machine. If the job has no constraints on zones,
 // all machines count for the zone "".
-func (c *checker) roomByZone(j *job, placed map[string]int, most int) map[string]int {
+func (c *checker) roomByZone(j *job, placed map[string]int, limit int) map[string]int {
 	room := map[string]int{}
 	for _, m := range c.machines {
-		if !allows(j.spec, m) {
+		if !allowsMachine(j.spec, m) {
 			continue
 		}
 		if j.spec.SingleZone && len(placed) > 0 && placed[m.zone] == 0 {
@@ -106,7 +106,7 @@
 		if j.spec.SingleZone || j.spec.SpreadsZones {
 			zone = m.zone
 		}
-		room[zone] += m.capacity.Minus(m.used).CountFitting(j.need(), most)
+		room[zone] += m.capacity.Minus(m.used).CountFitting(j.taskResources(), limit)
 	}
 	return room
 }
