--- a/internal/simulation/agent/gang.go
+++ b/internal/simulation/agent/gang.go
@@ -7,62 +7,64 @@
 	"eiderhitch/internal/wire"
 )
 
-// gangAttempt is the number by which an attempt's tasks find each other.
+// gangAttempt identifies an attempt of a gang. Only tasks of the same attempt join each
+// other.
 type gangAttempt struct {
 	job     string
 	attempt uint64
 }
 
-// gang is one attempt of a gang's tasks.
+// gang is the state of one attempt of a gang.
 type gang struct {
-	waiting      map[string]bool // tasks that have their image
-	stopping     map[string]bool // tasks that were stopped with time to save
-	startedAt    time.Time
-	stoppedAt    time.Time            // the first stop
-	brokenAt     time.Time            // a task is gone that had started, or was stopped without grace
-	hangingSince map[string]time.Time // by task whose machine hangs
-	saved        bool
-	done         bool
+	joinedTasks     map[string]bool      // tasks that have fetched their image, by name
+	stoppingTasks   map[string]bool      // tasks that were stopped with a grace period to save a checkpoint, by name
+	startedAt       time.Time            // when the last task joined; zero until then
+	stopRequestedAt time.Time            // when the first of these tasks was stopped; zero until then
+	brokenAt        time.Time            // when a started task was lost or stopped without a checkpoint; zero until then
+	hangingSince    map[string]time.Time // since when the machines of tasks hang, by task name
+	saved           bool                 // the checkpoint of the stopped gang is saved
+	completed       bool                 // all tasks have completed
 }
 
-// isOver tells whether nothing can befall the gang any more.
-func (g *gang) isOver() bool { return g.done || g.saved || !g.brokenAt.IsZero() }
+// isFinal reports whether the gang's outcome is final: completed, saved or broken.
+func (g *gang) isFinal() bool { return g.completed || g.saved || !g.brokenAt.IsZero() }
 
-// gangOf is the attempt that a task belongs to; called with the lock held.
-func (f *Fleet) gangOf(t *task) *gang {
+// gangForTask returns the gang attempt that a task belongs to. The caller holds f.mu.
+func (f *Fleet) gangForTask(t *task) *gang {
 	key := gangAttempt{trace.JobID(t.name), t.attempt}
 	g := f.gangs[key]
 	if g == nil {
-		g = &gang{waiting: map[string]bool{}, stopping: map[string]bool{}, hangingSince: map[string]time.Time{}}
+		g = &gang{joinedTasks: map[string]bool{}, stoppingTasks: map[string]bool{}, hangingSince: map[string]time.Time{}}
 		f.gangs[key] = g
 	}
 	return g
 }
 
-// joinGang has a task wait for the others; with the last one they start.
+// joinGang adds a task to its gang. The gang starts when its last task joins.
 func (f *Fleet) joinGang(t *task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	g := f.gangOf(t)
-	g.waiting[t.name] = true
-	if g.startedAt.IsZero() && len(g.waiting) == t.spec.TaskCount {
+	g := f.gangForTask(t)
+	g.joinedTasks[t.name] = true
+	if g.startedAt.IsZero() && len(g.joinedTasks) == t.spec.TaskCount {
 		g.startedAt = time.Now()
 	}
 }
 
-// leaveGang notes that a task of a gang is not on its machine any more.
+// leaveGang removes a task that is no longer on its machine. This breaks a gang that has
+// started and isn't over.
 func (f *Fleet) leaveGang(t *task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	g := f.gangOf(t)
+	g := f.gangForTask(t)
 	if g.startedAt.IsZero() {
-		delete(g.waiting, t.name)
-	} else if !g.isOver() {
+		delete(g.joinedTasks, t.name)
+	} else if !g.isFinal() {
 		g.brokenAt = time.Now()
 	}
 }
 
-// setTasksHanging notes that a machine with tasks hangs, or goes on.
+// setTasksHanging records that the machine with these tasks hangs or has resumed.
 func (f *Fleet) setTasksHanging(tasks map[string]*task, hanging bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -71,16 +73,18 @@
 			continue
 		}
 		if hanging {
-			f.gangOf(t).hangingSince[t.name] = time.Now()
+			f.gangForTask(t).hangingSince[t.name] = time.Now()
 		} else {
-			delete(f.gangOf(t).hangingSince, t.name)
+			delete(f.gangForTask(t).hangingSince, t.name)
 		}
 	}
 }
 
-// breakIfHanging has a gang that runs find out that the machine of one of its tasks hangs.
+// breakIfHanging breaks a running gang if the machine of one of its tasks has been hanging
+// for half of GangPeerTimeout. The other half passes before the remaining tasks exit. The
+// caller holds f.mu.
 func (f *Fleet) breakIfHanging(g *gang) {
-	if g.startedAt.IsZero() || g.isOver() {
+	if g.startedAt.IsZero() || g.isFinal() {
 		return
 	}
 	for _, since := range g.hangingSince {
@@ -90,71 +94,75 @@
 	}
 }
 
-// stopGangTask is an orderly stop of one task; false if it exits at once.
-func (f *Fleet) stopGangTask(t *task) bool {
+// beginGangStop begins to stop a task of a gang with a checkpoint. It returns false if the gang
+// has not started or is broken: then there is nothing to save, and the task exits at once.
+func (f *Fleet) beginGangStop(t *task) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	g := f.gangOf(t)
+	g := f.gangForTask(t)
 	if g.startedAt.IsZero() || !g.brokenAt.IsZero() {
 		return false
 	}
-	if g.stoppedAt.IsZero() {
-		g.stoppedAt = time.Now()
+	if g.stopRequestedAt.IsZero() {
+		g.stopRequestedAt = time.Now()
 	}
-	g.stopping[t.name] = true
+	g.stoppingTasks[t.name] = true
 	return true
 }
 
-// nextGangState is what becomes of a gang's task now: a state, or an exit and its reason.
+// nextGangState returns the state that a task of a gang is to be in now and, if the task
+// exits, the reason.
 func (f *Fleet) nextGangState(t *task) (state, reason string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	g, now := f.gangOf(t), time.Now()
+	g, now := f.gangForTask(t), time.Now()
 	f.breakIfHanging(g)
 	switch {
 	case t.state == wire.StateAwaitingGang && g.startedAt.IsZero():
-		if now.Sub(t.since) >= f.GangWaitTimeout {
+		if now.Sub(t.stateSince) >= f.GangWaitTimeout {
 			return wire.StateExited, wire.ReasonIncompleteGang
 		}
 		return wire.StateAwaitingGang, ""
-	case g.done:
+	case g.completed:
 		return wire.StateExited, wire.ReasonDone
 	case !g.brokenAt.IsZero():
 		if now.Sub(g.brokenAt) >= f.GangPeerTimeout/2 {
 			return wire.StateExited, wire.ReasonPeersGone
 		}
 		return t.state, ""
-	case !g.stoppedAt.IsZero():
+	case !g.stopRequestedAt.IsZero():
 		return f.nextStoppingState(g, t, now)
-	case now.Sub(g.startedAt)+f.checkpoints[trace.JobID(t.name)] >= seconds(t.spec.EstimateS):
+	case now.Sub(g.startedAt)+f.savedProgress[trace.JobID(t.name)] >= seconds(t.spec.EstimateS):
 		f.completeGang(g)
 		return wire.StateExited, wire.ReasonDone
 	}
 	return wire.StateRunning, ""
 }
 
-// nextStoppingState is nextGangState of a gang of which a task was stopped: once all are,
-// its progress is saved, and if that takes too long they exit without.
+// nextStoppingState is nextGangState for a gang that is being stopped. Once all tasks were
+// stopped and had the time to save a checkpoint, the gang's progress is saved. If some tasks
+// are not stopped within GangPeerTimeout, the others exit without saving. The caller holds
+// f.mu.
 func (f *Fleet) nextStoppingState(g *gang, t *task, now time.Time) (state, reason string) {
-	stopping := now.Sub(g.stoppedAt)
-	all := len(g.stopping) == t.spec.TaskCount
+	elapsed := now.Sub(g.stopRequestedAt)
+	allStopping := len(g.stoppingTasks) == t.spec.TaskCount
 	switch {
-	case all && stopping >= seconds(t.spec.CheckpointSaveS):
+	case allStopping && elapsed >= seconds(t.spec.CheckpointSaveS):
 		if !g.saved {
 			g.saved = true
-			f.checkpoints[trace.JobID(t.name)] += g.stoppedAt.Sub(g.startedAt)
+			f.savedProgress[trace.JobID(t.name)] += g.stopRequestedAt.Sub(g.startedAt)
 		}
 		return wire.StateExited, wire.ReasonStopped
-	case !all && stopping > f.GangPeerTimeout:
+	case !allStopping && elapsed > f.GangPeerTimeout:
 		return wire.StateExited, wire.ReasonPeersGone
 	}
 	return t.state, ""
 }
 
-// completeGang keeps the results of all tasks of a gang.
+// completeGang saves the results of all tasks of a gang. The caller holds f.mu.
 func (f *Fleet) completeGang(g *gang) {
-	g.done = true
-	for name := range g.waiting { // all of them are
+	g.completed = true
+	for name := range g.joinedTasks { // no task leaves this set once the gang has started
 		f.taskCompletedLocked(name)
 	}
 }
--- a/internal/simulation/rules/waiting.go
+++ b/internal/simulation/rules/waiting.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// maxWait is how long a job may wait beside room for it.
+	// maxWait is how long a job may wait for tasks while there is room for them.
 	maxWait = 90 * time.Second
-	// waitCheckInterval is how often waiting jobs are looked for.
+	// waitCheckInterval is the minimum time between two checks for waiting jobs.
 	waitCheckInterval = time.Second
 )
 
-// checkWaiting finds jobs that wait beside machines with room for them once all faults are
-// over.
+// checkWaiting checks that no job waits for longer than maxWait while machines have room for
+// its missing tasks. It applies only after all faults have ended.
 func (c *checker) checkWaiting() {
 	if c.FaultsEndedAt.IsZero() || c.now.Before(c.FaultsEndedAt) || c.now.Sub(c.waitCheckedAt) < waitCheckInterval {
 		return
@@ -25,11 +25,11 @@
 	for _, t := range c.tasks {
 		placed[t.job]++
 		if t.job.spec != nil {
-			used[t.job.spec.Team] = used[t.job.spec.Team].Plus(t.job.need())
+			used[t.job.spec.Team] = used[t.job.spec.Team].Plus(t.job.taskResources())
 		}
 	}
 	for _, j := range sortedValues(c.jobs) {
-		if !j.isWanted() || !c.hasRoom(j, placed[j], used[j.spec.Team]) {
+		if !j.isPending() || !c.hasRoom(j, placed[j], used[j.spec.Team]) {
 			j.waitingSince = time.Time{}
 			continue
 		}
@@ -38,18 +38,21 @@
 			continue
 		}
 		if waited := c.now.Sub(j.waitingSince); waited > maxWait {
-			c.violate(WaitsDespiteCapacity, "%s (%d of %d tasks there, %d done) beside room for %v", j.id, placed[j], j.spec.TaskCount, len(j.completed), waited)
+			c.addViolation(WaitsDespiteCapacity, "%s (%d of %d tasks on machines, %d completed) waits although there has been room for %v", j.id, placed[j], j.spec.TaskCount, len(j.completed), waited)
 			j.waitingSince = time.Time{}
 		}
 	}
 }
 
-// isWanted tells whether a job was accepted and is neither over nor cancelled.
-func (j *job) isWanted() bool {
+// isPending reports whether the job was accepted, has no final state, and no user asked to
+// cancel it.
+func (j *job) isPending() bool {
 	return j.spec != nil && !j.acceptedAt.IsZero() && j.finalState == "" && j.cancelRequestedAt.IsZero()
 }
 
-// hasRoom tells whether tasks of a job are missing for which there is room.
+// hasRoom reports whether tasks of the job are missing and the machines and the team's quota
+// have room for them. A job that starts all tasks or none needs room for all missing tasks
+// until the first one is placed; for other jobs, room for one task is enough.
 func (c *checker) hasRoom(j *job, placed int, used scheduling.Resources) bool {
 	missing := j.spec.TaskCount - placed - len(j.completed)
 	if missing <= 0 {
@@ -58,15 +61,17 @@
 	if !j.spec.IsAllOrNothing() || placed > 0 {
 		missing = 1
 	}
-	if c.exceedsQuota(j.spec.Team, used.Plus(j.need().Times(missing))) {
+	if c.exceedsQuota(j.spec.Team, used.Plus(j.taskResources().Times(missing))) {
 		return false
 	}
 	return c.countRoom(j, missing) >= missing
 }
 
-// countRoom counts for how many tasks of a job, up to a number, there is room.
+// countRoom returns for how many missing tasks of the job the machines have room, given its
+// placement constraints. It counts at most missing tasks for each machine, so the result may
+// exceed missing.
 func (c *checker) countRoom(j *job, missing int) int {
-	placed := map[string]int{} // by zone
+	placed := map[string]int{} // number of tasks by zone
 	for _, t := range c.tasks {
 		if t.job == j {
 			placed[t.machine.zone]++
@@ -85,12 +90,13 @@
 	return total
 }
 
-// roomByZone counts for how many more tasks of a job its allowed machines have room; all
-// zones are counted as one, "", if they are the same to the job.
-func (c *checker) roomByZone(j *job, placed map[string]int, most int) map[string]int {
+// roomByZone returns for how many more tasks of the job the allowed machines of each zone have
+// room, counting at most limit tasks for each machine. If the job has no constraints on zones,
+// all machines count for the zone "".
+func (c *checker) roomByZone(j *job, placed map[string]int, limit int) map[string]int {
 	room := map[string]int{}
 	for _, m := range c.machines {
-		if !allows(j.spec, m) {
+		if !allowsMachine(j.spec, m) {
 			continue
 		}
 		if j.spec.SingleZone && len(placed) > 0 && placed[m.zone] == 0 {
@@ -100,7 +106,7 @@
 		if j.spec.SingleZone || j.spec.SpreadsZones {
 			zone = m.zone
 		}
-		room[zone] += m.capacity.Minus(m.used).CountFitting(j.need(), most)
+		room[zone] += m.capacity.Minus(m.used).CountFitting(j.taskResources(), limit)
 	}
 	return room
 }
