--- a/cmd/eiderhitch/golden_test.go
+++ b/cmd/eiderhitch/golden_test.go
@@ -16,9 +16,10 @@
 	"eiderhitch/internal/rollout"
 )
 
-var updateGolden = flag.Bool("update", false, "write what is printed now to the golden files")
+var updateGolden = flag.Bool("update", false, "write the current output to the golden files")
 
-// checkGolden compares what was printed with a file of testdata.
+// checkGolden compares the output of a command with a golden file in testdata. With -update it
+// writes the file first.
 func checkGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -32,11 +33,12 @@
 		t.Fatal(err)
 	}
 	if d := cmp.Diff(string(want), got); d != "" {
-		t.Errorf("%s: %s", name, d)
+		t.Errorf("%s differs (-want +got):\n%s", name, d)
 	}
 }
 
-// The status as a table and as JSON, which scripts of operators read.
+// Operators' scripts read the status as a table and as JSON, so its form must not change by
+// accident.
 func TestStatusKeepsItsForm(t *testing.T) {
 	status := &rollout.Status{State: rollout.State{Level: 1, Phase: rollout.PhaseActive, OnHold: true, Request: rollout.RequestFinalize, PhaseStartedAt: 1_700_000_000_000},
 		ActiveLevel: 2, WriteLevel: 1, Revision: 7, RecordsByEncoding: map[string]int{"form 2": 1, "form 1": 12},
@@ -60,7 +62,8 @@
 	}
 }
 
-// Commands, flags and exit statuses are what operators' scripts rely on.
+// Operators' scripts depend on the commands, flags and exit statuses, so they must not change
+// by accident.
 func TestCommandLineKeepsItsForm(t *testing.T) {
 	t.Setenv("COLUMNS", "80")
 	for _, args := range []string{"run", "upgrade", "upgrade status", "upgrade finalize", "upgrade abort"} {
@@ -71,15 +74,15 @@
 			t.Fatal(err)
 		}
 		func() {
-			defer func() { _ = recover() }() // kong ends after --help
+			defer func() { _ = recover() }() // kong exits after --help, which panics here
 			_, _ = parser.Parse(append(strings.Fields(args), "--help"))
 		}()
 		checkGolden(t, "help-"+strings.ReplaceAll(args, " ", "-")+".txt", out.String())
 	}
 	if got := fmt.Sprint(exitFailed, exitRefused, exitStateChanged, exitNotCompleted); got != "1 2 3 4" {
-		t.Errorf("exit statuses %s", got)
+		t.Errorf("exit statuses are %s, want 1 2 3 4", got)
 	}
 	if e := fmt.Errorf("x: %w", &exitError{exitStateChanged, rollout.ErrStateChanged}); exitStatusOf(e) != exitStateChanged || !errors.Is(e, rollout.ErrStateChanged) || exitStatusOf(rollout.ErrStateChanged) != exitFailed {
-		t.Errorf("%v leads to %d", e, exitStatusOf(e))
+		t.Errorf("error %v has exit status %d, or the exit status of an error without one is not exitFailed", e, exitStatusOf(e))
 	}
 }
--- a/cmd/eiderhitch/main.go
+++ b/cmd/eiderhitch/main.go
@@ -1,5 +1,5 @@
-// Command eiderhitch is a controller of the eiderhitch cluster scheduler, and the
-// operators' commands for a cluster of them.
+// Command eiderhitch runs a controller of the eiderhitch cluster scheduler. Its upgrade
+// commands are for the operators of a cluster.
 package main
 
 import (
@@ -11,29 +11,29 @@
 	"github.com/alecthomas/kong"
 )
 
-// version is the program's version.
+// version is the program's release version.
 const version = "0.1.0"
 
-// cli is the command line.
+// cli is the command line that kong parses.
 type cli struct {
 	Run     runCommand       `cmd:"" default:"withargs" help:"Run a controller."`
 	Upgrade upgradeCommand   `cmd:"" help:"Show and steer a staged upgrade (docs/upgrading.md)."`
 	Version kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// exitFailed is the exit status of whatever failed and has none of its own.
+// exitFailed is the exit status of all failures that have no exit status of their own.
 const exitFailed = 1
 
-// exitError is an error with the exit status that it leads to.
+// exitError is an error that ends the program with a specific exit status.
 type exitError struct {
 	exitStatus int
 	err        error
 }
 
-// Error returns the error in one line.
+// Error returns the message of the wrapped error.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap returns the error without the exit status.
+// Unwrap returns the wrapped error, which has no exit status.
 func (e *exitError) Unwrap() error { return e.err }
 
 func main() {
@@ -46,7 +46,7 @@
 	}
 }
 
-// exitStatusOf returns the exit status that an error leads to.
+// exitStatusOf returns the exit status for an error.
 func exitStatusOf(err error) int {
 	if e, ok := errors.AsType[*exitError](err); ok {
 		return e.exitStatus
@@ -54,10 +54,10 @@
 	return exitFailed
 }
 
-// revisionLength is how much of a commit's name is shown.
+// revisionLength is the number of characters of the commit hash that are shown.
 const revisionLength = 12
 
-// build returns the version and, as far as it is known, the commit.
+// buildVersion returns the version and, if known, the commit hash.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/eiderhitch/print.go
+++ b/cmd/eiderhitch/print.go
@@ -12,7 +12,7 @@
 	"eiderhitch/internal/rollout"
 )
 
-// print prints a status in the form that the flags ask for.
+// print prints a status as JSON or as tables, depending on the flags.
 func (c *clusterFlags) print(out io.Writer, status *rollout.Status) error {
 	if !c.JSON {
 		return printStatus(out, status)
@@ -22,17 +22,17 @@
 	return encoder.Encode(status)
 }
 
-// printStatus prints a status as tables for people.
+// printStatus prints a status as human-readable tables.
 func printStatus(out io.Writer, s *rollout.Status) error {
 	const columnGap = 2
-	w := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0) // Flush returns its first error
+	w := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0) // Flush returns the first write error
 	printState(w, s)
 	printControllers(w, s)
 	printBlockers(w, s.Blockers)
 	return w.Flush()
 }
 
-// printState prints the levels and the records.
+// printState prints the levels, the state of the upgrade and the number of records by encoding.
 func printState(w io.Writer, s *rollout.Status) {
 	fmt.Fprintf(w, "level\t%d (%s)\n", s.State.Level, s.State.Phase)
 	fmt.Fprintf(w, "active\t%d\n", s.ActiveLevel)
@@ -51,7 +51,7 @@
 	}
 }
 
-// printControllers prints which controllers are registered and which are missing.
+// printControllers prints the registered and the missing controllers.
 func printControllers(w io.Writer, s *rollout.Status) {
 	fmt.Fprintf(w, "\ncontroller\treads\tbuild\tsince\n")
 	for _, c := range s.Controllers {
@@ -62,7 +62,7 @@
 	}
 }
 
-// printBlockers prints why the next step can't be taken, if it can't.
+// printBlockers prints what prevents the next step of the upgrade, if anything does.
 func printBlockers(w io.Writer, blockers []rollout.Blocker) {
 	if len(blockers) == 0 {
 		return
--- a/cmd/eiderhitch/run.go
+++ b/cmd/eiderhitch/run.go
@@ -16,14 +16,14 @@
 	"eiderhitch/internal/controller"
 )
 
-// runCommand runs a controller.
+// runCommand is the command that runs a controller.
 type runCommand struct {
 	Config   string `help:"The platform's settings file (TOML)." placeholder:"FILE" required:"" type:"path"`
 	Settings string `help:"The operators' own settings (S-expressions); defaults without." placeholder:"FILE" type:"path"`
 	Check    bool   `help:"Check the settings and exit."`
 }
 
-// Run serves until the process is told to end.
+// Run runs the controller until the process receives an interrupt or termination signal.
 func (c *runCommand) Run() error {
 	level, err := logLevel()
 	if err != nil {
@@ -54,7 +54,7 @@
 	return controller.Run(ctx, platform, operator, log)
 }
 
-// printValidationResult says that the settings are valid, with what they are warned of.
+// printValidationResult prints the warnings about valid settings and that they are valid.
 func printValidationResult(warnings []string) {
 	for _, warning := range warnings {
 		fmt.Println("warning:", warning)
@@ -62,10 +62,10 @@
 	fmt.Println("settings are valid")
 }
 
-// logLevelVariable is the environment variable that sets the log level.
+// logLevelVariable is the name of the environment variable that sets the log level.
 const logLevelVariable = "LOG_LEVEL"
 
-// logLevel returns the level that the environment asks for; info by default.
+// logLevel returns the log level that the environment sets, or info if it sets none.
 func logLevel() (slog.Level, error) {
 	level := slog.LevelInfo
 	name := os.Getenv(logLevelVariable)
@@ -78,12 +78,13 @@
 	return level, nil
 }
 
-// applyRuntimeLimits has the Go runtime keep to the platform's limits.
+// applyRuntimeLimits configures the Go runtime for the platform's memory and CPU limits, and
+// logs them.
 func applyRuntimeLimits(platform *config.PlatformSettings, log *slog.Logger) {
 	memory := platform.MemoryBudget()
 	debug.SetGCPercent(memory.GCPercent)
 	debug.SetMemoryLimit(memory.LimitBytes)
-	// More threads than there are cores in the share only wake each other up.
+	// More threads than cores in the CPU share only cause additional wakeups.
 	if n := int(math.Ceil(platform.Settings.Limits.CPUShare)); n > 0 && n < runtime.GOMAXPROCS(0) {
 		runtime.GOMAXPROCS(n)
 	}
--- a/cmd/eiderhitch/upgrade_faults_test.go
+++ b/cmd/eiderhitch/upgrade_faults_test.go
@@ -17,42 +17,44 @@
 	"eiderhitch/internal/wire"
 )
 
-// What happens: `upgrade finalize` ends with status 1 on a busy machine, though the cluster
-// carries the request out; a script can't tell whether it was stored.
-// Why: one read that the key-value store answers with 429 or 503, or not within 1.5 s, ended the
-// command, before the request was stored as well as after; so did a request that was refused.
-// Shown by: the standard error that TestUpgradeOfRealProcesses now prints, and the rows below,
-// which have one fault befall each of the command's calls in turn.
-
-// storeFault is what befalls a call of the key-value store.
+// The tests of this file guard against an upgrade command that fails because of a transient
+// fault of the key-value store. On a busy machine, `upgrade finalize` ended with status 1 although
+// the cluster carried the request out, and a script could not tell whether the request was stored.
+// One read that the store answered with 429 or 503, or not within 1.5 s, ended the command, both
+// before and after the request was stored; so did a rejected write of the request. The tests
+// inject one fault into each call of the command in turn. TestUpgradeOfRealProcesses prints the
+// standard error of the commands.
+
+// storeFault is a fault of a call to the key-value store.
 type storeFault string
 
 const (
 	faultThrottled    storeFault = "throttled"   // 429
 	faultUnavailable  storeFault = "refused"     // 503
-	faultNoResponse   storeFault = "silent"      // neither executed nor answered
-	faultLostResponse storeFault = "lost answer" // executed and not answered
+	faultNoResponse   storeFault = "silent"      // the call is neither executed nor answered
+	faultLostResponse storeFault = "lost answer" // the call is executed but not answered
 )
 
 var storeFaults = []storeFault{faultThrottled, faultUnavailable, faultNoResponse, faultLostResponse}
 
-// faultyStore has a fault befall some of the calls of a key-value store.
+// faultyStore is an HTTP handler that injects a fault into some calls to a key-value store.
 type faultyStore struct {
 	inner http.Handler
 	fault storeFault
-	// first and last are the calls that the fault befalls, counted from 1.
+	// firstCall and lastCall are the numbers of the first and last call with the fault. Calls
+	// are numbered from 1.
 	firstCall, lastCall int
 
 	mu        sync.Mutex
-	enabled   bool // before that nothing befalls calls, nor are they counted
+	enabled   bool // while false, calls are neither counted nor disturbed
 	callCount int
-	// stored counts the transactions that were carried out.
+	// storedCount is the number of transactions that were executed.
 	storedCount int
-	// onStored is called after each.
+	// onStored, if not nil, is called after each executed transaction.
 	onStored func()
 }
 
-// ServeHTTP serves a call, unless the fault befalls it.
+// ServeHTTP executes and answers a call, or injects the fault.
 func (f *faultyStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	if f.enabled {
@@ -71,12 +73,12 @@
 		f.execute(httptest.NewRecorder(), r)
 		<-r.Context().Done()
 	default:
-		_, _ = io.Copy(io.Discard, r.Body) // only then is the end of the connection noticed
+		_, _ = io.Copy(io.Discard, r.Body) // the server notices a closed connection only after the body is read
 		<-r.Context().Done()
 	}
 }
 
-// execute carries a call out.
+// execute executes a call and writes the response.
 func (f *faultyStore) execute(w http.ResponseWriter, r *http.Request) {
 	recorder := httptest.NewRecorder()
 	f.inner.ServeHTTP(recorder, r)
@@ -93,7 +95,7 @@
 	_, _ = w.Write(recorder.Body.Bytes())
 }
 
-// putState has somebody else store a state, whatever befalls other calls.
+// putState stores a state as another client would, without the fault.
 func (f *faultyStore) putState(t *testing.T, state rollout.State) {
 	t.Helper()
 	body, err := json.Marshal(wire.Txn{Conditions: []wire.Condition{}, Changes: []wire.Change{{Put: rollout.StateKey, Value: state.Encode()}}})
@@ -103,21 +105,22 @@
 	recorder := httptest.NewRecorder()
 	f.inner.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/txn", bytes.NewReader(body)))
 	if recorder.Code != http.StatusOK {
-		t.Errorf("the state is not stored: status %d", recorder.Code)
+		t.Errorf("storing the state returns status %d, want 200", recorder.Code)
 	}
 }
 
-// The calls of a request, in their order.
+// The numbers of the calls that a request makes, and how many calls there are.
 const (
-	callReadState       = 1 // reads the state
+	callReadState       = 1
 	callReadControllers = 2
-	callStoreRequest    = 3 // stores the request
+	callStoreRequest    = 3
 	callReadStatus      = 4 // reads the state, the controllers and the records
-	callsOfRequest      = 6
-	callsOfStatus       = 3
+	callsPerRequest     = 6
+	callsPerStatus      = 3
 )
 
-// requestCase is a request, in which state it is made and what the leader makes of it.
+// requestCase is a request, the state in which it is made and the state after the leader has
+// carried it out.
 type requestCase struct {
 	request            rollout.Request
 	initial, completed rollout.State
@@ -130,8 +133,9 @@
 	{rollout.RequestFinalize, rollout.State{Level: 1, Phase: rollout.PhaseStable, OnHold: true, PhaseStartedAt: 1}, rollout.State{Level: 1, Phase: rollout.PhaseStable, PhaseStartedAt: 2}},
 }
 
-// newFaultyStore is a store in a state, with a leader that carries requests out if leads.
-func newFaultyStore(t *testing.T, x requestCase, f *faultyStore, leads bool) *simulatedStore {
+// newFaultyStore returns a store behind f in the initial state of x. If hasLeader, requests are
+// carried out as soon as they are stored.
+func newFaultyStore(t *testing.T, x requestCase, f *faultyStore, hasLeader bool) *simulatedStore {
 	t.Helper()
 	s := newSimulatedStoreWithHandler(t, func(inner http.Handler) http.Handler {
 		f.inner = inner
@@ -139,7 +143,7 @@
 	})
 	s.register("n0", "n1")
 	s.put(rollout.StateKey, x.initial.Encode())
-	if leads {
+	if hasLeader {
 		f.onStored = func() { f.putState(t, x.completed) }
 	}
 	f.mu.Lock()
@@ -148,12 +152,12 @@
 	return s
 }
 
-// One fault at any of the calls of a request: it is carried out, stored once.
+// A request must be stored exactly once and carried out when any single call of it fails.
 func TestRequestSurvivesOneFault(t *testing.T) {
 	t.Parallel()
 	for i, x := range requestCases {
 		for _, fault := range storeFaults {
-			for call := 1; call <= callsOfRequest; call++ {
+			for call := 1; call <= callsPerRequest; call++ {
 				t.Run(fmt.Sprint(i, " ", x.request, " ", fault, " at call ", call), func(t *testing.T) {
 					t.Parallel()
 					f := &faultyStore{fault: fault, firstCall: call, lastCall: call}
@@ -161,11 +165,11 @@
 					flags := s.flags(false)
 					var out bytes.Buffer
 					if err := flags.sendRequest(&out, x.request, 15*time.Second); err != nil {
-						t.Errorf("status %d: %v, want none", exitStatusOf(err), err)
+						t.Errorf("exit status %d with error %v, want none", exitStatusOf(err), err)
 					}
 					want := fmt.Sprintf("%d (%s)", x.completed.Level, x.completed.Phase)
 					if f.storedCount != 1 || !strings.Contains(out.String(), want) {
-						t.Errorf("stored %d times, want once; printed, without %q:\n%s", f.storedCount, want, out.String())
+						t.Errorf("request stored %d times, want once, and %q in the output:\n%s", f.storedCount, want, out.String())
 					}
 				})
 			}
@@ -173,11 +177,11 @@
 	}
 }
 
-// One fault at any of the calls of a status: it is shown.
+// The status must be shown when any single call of the command fails.
 func TestStatusSurvivesOneFault(t *testing.T) {
 	t.Parallel()
 	for _, fault := range storeFaults {
-		for call := 1; call <= callsOfStatus; call++ {
+		for call := 1; call <= callsPerStatus; call++ {
 			t.Run(fmt.Sprint(fault, " at call ", call), func(t *testing.T) {
 				t.Parallel()
 				s := newFaultyStore(t, requestCases[0], &faultyStore{fault: fault, firstCall: call, lastCall: call}, true)
@@ -185,23 +189,24 @@
 				flags.Wait = 15 * time.Second
 				var out bytes.Buffer
 				if err := flags.showStatus(&out); err != nil || !strings.Contains(out.String(), "1 (active)") {
-					t.Errorf("%v\n%s", err, out.String())
+					t.Errorf("error %v, want none and the active level in the output:\n%s", err, out.String())
 				}
 			})
 		}
 	}
 }
 
-// The store fails for good from one of the calls on: the command ends in time, and its status
-// and its one line tell whether nothing was changed, the request is stored, or that is unknown.
+// If the store fails permanently from one of the calls on, the command must end in time. Its
+// exit status and one-line error must say whether nothing was changed, the request is stored or
+// that is unknown.
 func TestRequestDuringAnOutage(t *testing.T) {
 	t.Parallel()
-	const wait, forGood = 3 * time.Second, 1 << 20
+	const wait, noLastCall = 3 * time.Second, 1 << 20
 	for _, x := range []struct {
-		fault  storeFault
-		call   int
-		status int
-		says   string
+		fault    storeFault
+		call     int
+		status   int
+		wantText string
 	}{
 		{faultThrottled, callReadState, exitFailed, "nothing was changed"},
 		{faultUnavailable, callReadControllers, exitFailed, "nothing was changed"},
@@ -216,40 +221,40 @@
 	} {
 		t.Run(fmt.Sprint(x.fault, " from call ", x.call), func(t *testing.T) {
 			t.Parallel()
-			f := &faultyStore{fault: x.fault, firstCall: x.call, lastCall: forGood}
+			f := &faultyStore{fault: x.fault, firstCall: x.call, lastCall: noLastCall}
 			s := newFaultyStore(t, requestCases[0], f, false)
 			flags := s.flags(false)
-			begun := time.Now()
+			start := time.Now()
 			err := flags.sendRequest(io.Discard, rollout.RequestFinalize, wait)
-			if err == nil || exitStatusOf(err) != x.status || !strings.Contains(err.Error(), x.says) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v, want status %d and %q in one line", err, x.status, x.says)
+			if err == nil || exitStatusOf(err) != x.status || !strings.Contains(err.Error(), x.wantText) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("error %v, want exit status %d and %q in one line", err, x.status, x.wantText)
 			}
-			if took := time.Since(begun); took > wait+commandTimeout {
-				t.Errorf("it ends after %v", took)
+			if took := time.Since(start); took > wait+commandTimeout {
+				t.Errorf("the command ends after %v, too late", took)
 			}
 			if f.storedCount > 1 {
-				t.Errorf("stored %d times", f.storedCount)
+				t.Errorf("request stored %d times, want at most once", f.storedCount)
 			}
 		})
 	}
 }
 
-// Somebody else's request comes while the answer to ours is lost: theirs stays, and ours says
-// that it is not known what became of it.
+// If another request is stored while the response to this one is lost, the command must not
+// overwrite the newer request and must report that its own outcome is unknown.
 func TestRequestDoesNotOverwriteANewerOne(t *testing.T) {
 	t.Parallel()
 	x := requestCases[0]
 	f := &faultyStore{fault: faultLostResponse, firstCall: callStoreRequest, lastCall: callStoreRequest}
 	s := newFaultyStore(t, x, f, false)
-	theirs := x.initial
-	theirs.Request = rollout.RequestAbort
-	f.onStored = func() { f.putState(t, theirs) }
+	newer := x.initial
+	newer.Request = rollout.RequestAbort
+	f.onStored = func() { f.putState(t, newer) }
 	flags := s.flags(false)
 	err := flags.sendRequest(io.Discard, rollout.RequestFinalize, 5*time.Second)
-	if _, unsettled := errors.AsType[*rollout.OutcomeUnknownError](err); !unsettled || exitStatusOf(err) != exitOutcomeUnknown {
-		t.Errorf("status %d: %v, want %d", exitStatusOf(err), err, exitOutcomeUnknown)
+	if _, isUnknown := errors.AsType[*rollout.OutcomeUnknownError](err); !isUnknown || exitStatusOf(err) != exitOutcomeUnknown {
+		t.Errorf("exit status %d with error %v, want status %d", exitStatusOf(err), err, exitOutcomeUnknown)
 	}
-	if now := s.store.Values(rollout.StateKey)[rollout.StateKey]; !bytes.Equal(now, theirs.Encode()) || f.storedCount != 1 {
-		t.Errorf("stored %d times, and the state is %s; want theirs", f.storedCount, now)
+	if now := s.store.Values(rollout.StateKey)[rollout.StateKey]; !bytes.Equal(now, newer.Encode()) || f.storedCount != 1 {
+		t.Errorf("request stored %d times, want once, and the state is %s, want the newer request's", f.storedCount, now)
 	}
 }
--- a/cmd/eiderhitch/upgrade_test.go
+++ b/cmd/eiderhitch/upgrade_test.go
@@ -51,12 +51,13 @@
 max_sockets = 100
 `
 
-// simulatedStore is a simulated key-value store on loopback with a settings file that names it.
+// simulatedStore is a simulated key-value store on the loopback interface, and a settings file
+// with its address.
 type simulatedStore struct {
-	t      *testing.T
-	store  *kv.Store
-	client *store.Client
-	file   string
+	t            *testing.T
+	store        *kv.Store
+	client       *store.Client
+	settingsFile string
 }
 
 func newSimulatedStore(t *testing.T) *simulatedStore {
@@ -64,7 +65,8 @@
 	return newSimulatedStoreWithHandler(t, func(store http.Handler) http.Handler { return store })
 }
 
-// newSimulatedStoreWithHandler is newSimulatedStore behind what handles its calls first.
+// newSimulatedStoreWithHandler is like newSimulatedStore, but serves the handler that wrap
+// returns for the store.
 func newSimulatedStoreWithHandler(t *testing.T, wrap func(store http.Handler) http.Handler) *simulatedStore {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -75,8 +77,8 @@
 	server := &http.Server{Handler: wrap(state)}
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() { _ = server.Close() })
-	s := &simulatedStore{t: t, store: state, client: store.NewClient(l.Addr().String(), http.DefaultTransport), file: filepath.Join(t.TempDir(), "n0.toml")}
-	if err := os.WriteFile(s.file, fmt.Appendf(nil, settingsTemplate, l.Addr().String()), 0o600); err != nil {
+	s := &simulatedStore{t: t, store: state, client: store.NewClient(l.Addr().String(), http.DefaultTransport), settingsFile: filepath.Join(t.TempDir(), "n0.toml")}
+	if err := os.WriteFile(s.settingsFile, fmt.Appendf(nil, settingsTemplate, l.Addr().String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return s
@@ -96,9 +98,9 @@
 	}
 }
 
-// flags are a command's flags.
+// flags returns the flags of an upgrade command for this store.
 func (s *simulatedStore) flags(asJSON bool) clusterFlags {
-	return clusterFlags{Config: s.file, JSON: asJSON}
+	return clusterFlags{Config: s.settingsFile, JSON: asJSON}
 }
 
 func TestShowStatus(t *testing.T) {
@@ -115,7 +117,7 @@
 	}
 	for _, want := range []string{"level              1 (stable)", "records, form 1    1", "records, form 2    1", "records, unreadable  1", "n1", "not registered", "n1 is not registered"} {
 		if !strings.Contains(strings.Join(strings.Fields(out.String()), " "), strings.Join(strings.Fields(want), " ")) {
-			t.Errorf("%q is not in\n%s", want, out.String())
+			t.Errorf("the output lacks %q:\n%s", want, out.String())
 		}
 	}
 	flags = s.flags(true)
@@ -125,45 +127,45 @@
 	}
 	var status rollout.Status
 	if err := json.Unmarshal(out.Bytes(), &status); err != nil || status.State != rollout.InitialState || len(status.Blockers) != 1 || status.MissingControllers[0] != "n1" {
-		t.Errorf("%v: %+v", err, status)
+		t.Errorf("error %v, status %+v; want the initial state, with n1 missing as the only blocker", err, status)
 	}
 }
 
-// What can't be carried out is refused with a status and one line of its own, and changes
-// nothing.
+// A request that can't be carried out must fail with the exit status and a one-line error for
+// its reason. A refused request must not change the stored state.
 func TestRefusedAndPendingRequests(t *testing.T) {
 	s := newSimulatedStore(t)
 	s.register("n0")
 	active := rollout.State{Level: 1, Phase: rollout.PhaseActive}
 	for _, x := range []struct {
-		name    string
-		state   rollout.State
-		request rollout.Request
-		status  int
-		says    string
+		name     string
+		state    rollout.State
+		request  rollout.Request
+		status   int
+		wantText string
 	}{
 		{"a controller is missing", active, rollout.RequestFinalize, exitRefused, "n1 is not registered"},
 		{"no level is active", rollout.InitialState, rollout.RequestFinalize, exitRefused, "no level is active"},
-		{"nothing to go back to", rollout.State{Level: 1, Phase: rollout.PhaseStable, OnHold: true}, rollout.RequestAbort, exitRefused, "none before it"},
-		{"a step is being completed", rollout.State{Level: 2, Phase: rollout.PhaseClosed, Epoch: 1}, rollout.RequestAbort, exitRefused, "try again"},
-		{"going back already", rollout.State{Level: 2, Phase: rollout.PhaseReverting, Epoch: 1}, rollout.RequestAbort, exitRefused, "already"},
-		{"nobody leads", active, rollout.RequestAbort, exitNotCompleted, "not carried out yet"},
+		{"no earlier level", rollout.State{Level: 1, Phase: rollout.PhaseStable, OnHold: true}, rollout.RequestAbort, exitRefused, "none before it"},
+		{"a step is in progress", rollout.State{Level: 2, Phase: rollout.PhaseClosed, Epoch: 1}, rollout.RequestAbort, exitRefused, "try again"},
+		{"already reverting", rollout.State{Level: 2, Phase: rollout.PhaseReverting, Epoch: 1}, rollout.RequestAbort, exitRefused, "already"},
+		{"no leader", active, rollout.RequestAbort, exitNotCompleted, "not carried out yet"},
 	} {
 		s.put(rollout.StateKey, x.state.Encode())
 		flags := s.flags(false)
 		err := flags.sendRequest(&bytes.Buffer{}, x.request, 10*time.Millisecond)
-		if err == nil || exitStatusOf(err) != x.status || !strings.Contains(err.Error(), x.says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", x.name, err)
+		if err == nil || exitStatusOf(err) != x.status || !strings.Contains(err.Error(), x.wantText) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: error %v has the wrong exit status or text", x.name, err)
 		}
 		var now rollout.State
 		_ = json.Unmarshal(s.store.Values(rollout.StateKey)[rollout.StateKey], &now)
 		if x.status == exitRefused && now != x.state {
-			t.Errorf("%s: %+v became %+v", x.name, x.state, now)
+			t.Errorf("%s: the refused request changed the state from %+v to %+v", x.name, x.state, now)
 		}
 	}
 }
 
-// A leader that carries a request out is waited for.
+// A request must wait until the leader has carried it out and then print the new state.
 func TestRequestWaitsForCompletion(t *testing.T) {
 	s := newSimulatedStore(t)
 	s.register("n0", "n1")
@@ -175,51 +177,52 @@
 	var out bytes.Buffer
 	flags := s.flags(false)
 	if err := flags.sendRequest(&out, rollout.RequestFinalize, 10*time.Second); err != nil || !strings.Contains(out.String(), "2 (stable)") {
-		t.Errorf("%v\n%s", err, out.String())
+		t.Errorf("error %v, want none and the completed state in the output:\n%s", err, out.String())
 	}
 }
 
-// Bad input ends with a status that is not 0 and one line that says what is wrong.
+// Invalid input must end with a nonzero exit status and a one-line error that says what is
+// wrong.
 func TestInvalidInputIsReportedInOneLine(t *testing.T) {
 	s := newSimulatedStore(t)
 	s.put(rollout.StateKey, []byte(`{"level":1,"phase":"dissolved"}`))
 	flags := s.flags(false)
 	if err := flags.showStatus(&bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), "dissolved") {
-		t.Errorf("an unknown state: %v", err)
+		t.Errorf("unknown phase in the stored state: error %v, want one that names it", err)
 	}
 	missing := clusterFlags{Config: filepath.Join(t.TempDir(), "none.toml")}
 	if err := missing.showStatus(&bytes.Buffer{}); err == nil || exitStatusOf(err) != exitFailed || !strings.Contains(err.Error(), "none.toml") {
-		t.Errorf("no settings file: %v", err)
+		t.Errorf("missing settings file: error %v, want one that names the file", err)
 	}
-	nobody := filepath.Join(t.TempDir(), "n0.toml")
-	if err := os.WriteFile(nobody, fmt.Appendf(nil, settingsTemplate, "127.0.0.1:1"), 0o600); err != nil {
+	unreachableFile := filepath.Join(t.TempDir(), "n0.toml")
+	if err := os.WriteFile(unreachableFile, fmt.Appendf(nil, settingsTemplate, "127.0.0.1:1"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	away := clusterFlags{Config: nobody}
-	if err := away.showStatus(&bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), "external.state") || strings.Contains(err.Error(), "\n") {
-		t.Errorf("no key-value store: %v", err)
+	unreachable := clusterFlags{Config: unreachableFile}
+	if err := unreachable.showStatus(&bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), "external.state") || strings.Contains(err.Error(), "\n") {
+		t.Errorf("unreachable key-value store: error %v, want one line that names external.state", err)
 	}
 }
 
-// The platform starts a controller with its settings file alone.
+// The platform starts a controller with only --config, without naming the run command.
 func TestRunIsTheDefaultCommand(t *testing.T) {
 	s := newSimulatedStore(t)
-	for _, args := range [][]string{{"--config", s.file}, {"run", "--config", s.file}, {"--check", "--config", s.file}} {
+	for _, args := range [][]string{{"--config", s.settingsFile}, {"run", "--config", s.settingsFile}, {"--check", "--config", s.settingsFile}} {
 		var c cli
 		parser, err := kong.New(&c, kong.Vars{"version": "x"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, err := parser.Parse(args)
-		if err != nil || ctx.Command() != "run" || c.Run.Config != s.file {
-			t.Errorf("%v: %v, command %q", args, err, ctx.Command())
+		if err != nil || ctx.Command() != "run" || c.Run.Config != s.settingsFile {
+			t.Errorf("%v: error %v, command %q, want run with the settings file", args, err, ctx.Command())
 		}
 	}
-	for _, args := range [][]string{{"upgrade"}, {"upgrade", "finalise", "--config", s.file}, {"--confg", s.file}, {}} {
+	for _, args := range [][]string{{"upgrade"}, {"upgrade", "finalise", "--config", s.settingsFile}, {"--confg", s.settingsFile}, {}} {
 		var c cli
 		parser, _ := kong.New(&c, kong.Vars{"version": "x"})
 		if _, err := parser.Parse(args); err == nil {
-			t.Errorf("%v is taken", args)
+			t.Errorf("invalid arguments %v are accepted", args)
 		}
 	}
 }
--- a/deploy/upgrades.sexp
+++ b/deploy/upgrades.sexp
@@ -1,4 +1,4 @@
-; Switches staged upgrades on (docs/upgrading.md): start each controller with
+; Enables staged upgrades (docs/upgrading.md). Start each controller with
 ;     target/eiderhitch --settings deploy/upgrades.sexp --config FILE
 (eiderhitch
   (feature-levels yes))
--- a/test.sh
+++ b/test.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# The project's whole check: formatting, linters, the deployed build, the tests.
-# Tests that are listed in KNOWN-RED.txt are not run, and are named.
+# Runs all checks of the project: formatting, linters, the build as it is deployed and tests.
+# Tests listed in KNOWN-RED.txt are skipped and printed.
 set -euo pipefail
 cd "$(dirname "$0")"
-# Fails with the output of a check that prints its findings and exits with 0.
+# Runs a check that prints its findings but exits with status 0. Fails if it prints anything.
 prints_nothing() {
   local findings
   findings=$("$@")
@@ -17,14 +17,14 @@
 go tool staticcheck ./...
 go tool revive -config revive.toml ./cmd/... ./internal/...
 go tool go-errorlint -errorf ./...
-# Functions that nothing calls, and those of the service that only tests call.
+# Report functions that are never called, and functions of the service that only tests call.
 prints_nothing go tool deadcode -test ./...
 prints_nothing go tool deadcode ./cmd/...
 go build -ldflags=-linkmode=external -o target/eiderhitch ./cmd/eiderhitch
 known_red=$(go run ./internal/tools/knownred)
 go test -race -skip "$known_red" ./...
-# The race detector would take several times as long for the large fleet.
+# The large fleet is tested without the race detector, which would take several times as long.
 go test ./internal/controller -run "^TestLargeFleet$" -skip "$known_red" -fleet 4000
 if [ -n "$known_red" ]; then
-  printf 'passed, but for the tests that are known to fail:\n%s\n' "$(cat KNOWN-RED.txt)"
+  printf 'passed, except for the tests that are known to fail and were not run:\n%s\n' "$(cat KNOWN-RED.txt)"
 fi
