--- a/cmd/eiderhitch/upgrade_faults_test.go
+++ b/cmd/eiderhitch/upgrade_faults_test.go
@@ -46,7 +46,7 @@
 	firstCall, lastCall int
 
 	mu        sync.Mutex
-	enabled   bool // while false, calls are neither counted nor disturbed
+	enabled   bool // while false, calls are not counted and have no fault
 	callCount int
 	// storedCount is the number of transactions that were executed.
 	storedCount int
@@ -60,10 +60,10 @@
 	if f.enabled {
 		f.callCount++
 	}
-	hit := f.callCount >= f.firstCall && f.callCount <= f.lastCall
+	isFaulty := f.callCount >= f.firstCall && f.callCount <= f.lastCall
 	f.mu.Unlock()
 	switch {
-	case !hit:
+	case !isFaulty:
 		f.execute(w, r)
 	case f.fault == faultThrottled:
 		w.WriteHeader(http.StatusTooManyRequests)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -62,9 +62,8 @@
 	// LimitBytes is the memory limit of the Go runtime, which collects garbage more often when
 	// memory use comes close to it.
 	LimitBytes int64
-	// GCPercent is the runtime's GC percentage. The garbage that it allows fits into the
-	// memory that is left of LimitBytes when all connections are open, unless memory is
-	// scarcer than NeededBytes.
+	// GCPercent is the runtime's GC percentage. If the platform allows at least NeededBytes, the
+	// garbage that it permits fits into LimitBytes even when all connections are open.
 	GCPercent int
 	// NeededBytes is the lowest memory limit of the process with which all connections can be
 	// open without the garbage collector running all the time.
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -100,8 +100,8 @@
 	})
 }
 
-// The key-value store's next limits apply from the start where they are lower, and the error
-// for one that is too low names it.
+// The key-value store's next limits apply from the start where they are lower. An invalid next
+// limit is rejected with an error that names it.
 func TestNextStoreLimits(t *testing.T) {
 	parseWithNext := func(next string) (*PlatformSettings, error) {
 		return ParsePlatformSettings([]byte(strings.Replace(validSettings, "[settings.cloud]", "[settings.state.next]\n"+next+"\n[settings.cloud]", 1)))
