--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -53,8 +53,9 @@
 	return jobs
 }
 
-// assignmentPass is one round of assigning waiting tasks to partitions. What a job is
-// assigned is subtracted from the summaries and quotas, so that later jobs get what is left.
+// assignmentPass is one pass of assigning waiting tasks to partitions. The room and quota that
+// a job's tasks take are subtracted from the summaries and quotas, so that later jobs get what
+// is left.
 type assignmentPass struct {
 	*leader
 	summaries []*planning.MachineSummary
@@ -111,7 +112,7 @@
 // have room for, and records the demand of the rest.
 func (a *assignmentPass) assignTasks(j *job, assigned, remaining int) {
 	quota := &a.teamQuotas[j.team]
-	forced := a.jobOrder(j).ForcedTaskCount(j.countUnplacedTasks())
+	forced := a.jobTiming(j).ForcedTaskCount(j.countUnplacedTasks())
 	if forced > 0 {
 		remaining = min(remaining, forced)
 	}
@@ -130,8 +131,8 @@
 	a.recordDemand(j, unassigned)
 	if j.spec.IsAllOrNothing() && quota.Usage == usedBefore && (a.now.Sub(j.acceptedAt) < quotaHoldTimeout || a.isPlaceable(j)) {
 		// An all-or-nothing job that waits reserves its team's quota ahead of the jobs after
-		// it. If no machine can run it, the reservation ends after quotaHoldTimeout, since no
-		// suitable machine may ever come.
+		// it. If no machine can run it, the reservation ends after quotaHoldTimeout, since a
+		// suitable machine may never become available.
 		quota.Usage = usedBefore.Plus(j.taskSize.Times(remaining))
 	}
 }
--- a/internal/controller/assignment_writes.go
+++ b/internal/controller/assignment_writes.go
@@ -54,9 +54,9 @@
 }
 
 // assignRemainingGangTasks assigns the tasks of a gang that did not fit into the previous
-// transactions, to the partition of the gang's first group. The number of assigned tasks
-// alone tells which ones are assigned, so there is one transaction at a time. A new leader
-// continues where the last one stopped.
+// transactions, to the partition of the gang's first group. Tasks are assigned in the order
+// of their numbers, and the next one follows from how many are assigned, so only one
+// transaction is in flight at a time. A new leader continues where the last one stopped.
 func (c *leader) assignRemainingGangTasks(j *job, assigned int) {
 	first := j.firstGroup()
 	var groups []record.TaskGroup
@@ -67,9 +67,9 @@
 	c.writeAssignment(j, c.groupsFittingTransaction(groups))
 }
 
-// writeAssignment stores the groups of one assignment, all of them or none. The number of
-// assigned tasks alone tells which ones are assigned, so a gap that a failed write leaves
-// would make a later assignment assign tasks twice.
+// writeAssignment stores the groups of one assignment, all of them or none. The next task to
+// assign follows from how many are assigned, so if a failed write left a gap, a later
+// assignment would assign tasks twice.
 func (c *leader) writeAssignment(j *job, groups []record.TaskGroup) {
 	if len(groups) == 0 {
 		return
@@ -98,7 +98,7 @@
 	c.log.Debug("tasks assigned", "job", j.id, "tasks", tasks, "records", len(groups))
 }
 
-// emptyGroups returns the groups whose tasks are all done, by their numbers. They are reused,
+// emptyGroups returns the groups whose tasks are all done, sorted by number. They are reused,
 // so that a large array leaves few groups behind. No group is deleted while its job is
 // unfinished: an assignment that is applied minutes late must not find the group's key absent
 // again.
--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -13,14 +13,13 @@
 const (
 	minEndBatchingDelay = time.Second
 	maxEndBatchingDelay = 2500 * time.Millisecond
-	// endDelayPerBacklog is by how much the delay grows, as a multiple of the write queue's
-	// backlog.
+	// endDelayPerBacklog is the multiple of the write queue's backlog that is added to the delay.
 	endDelayPerBacklog = 2
 )
 
 // endBatchingDelay returns how long the ended attempts of a task group wait for others, so that
-// one write stores them together. Writes are limited, and the longer the backlog of writes is,
-// the more each should store. The cells of ended attempts are free in the meantime.
+// one write stores them together. The rate of writes is limited, and the longer the backlog of
+// writes is, the more each should store. The cells of ended attempts are free in the meantime.
 func (c *clusterState) endBatchingDelay() time.Duration {
 	return min(minEndBatchingDelay+endDelayPerBacklog*c.stateWriter.BacklogDuration(), maxEndBatchingDelay)
 }
@@ -208,7 +207,8 @@
 	if len(update.bindings) == 0 || group.job.finalState != record.StateUnfinished {
 		return false
 	}
-	// Ends without new bindings wait a little for further ends, because writes are limited.
+	// Ends without new bindings wait briefly for further ends, because the rate of writes is
+	// limited.
 	delay := c.endBatchingDelay()
 	if update.doneTasks == group.doneTasks {
 		// No user or controller waits for the ends of lost tasks. They are stored with the tasks'
--- a/internal/controller/bindings_write.go
+++ b/internal/controller/bindings_write.go
@@ -112,7 +112,7 @@
 	return finished+update.doneTasks-group.doneTasks == job.spec.TaskCount
 }
 
-// handleResult handles the result of the write.
+// handleResult is called with the result of the write; a nil err means that it was executed.
 func (w *updateWrite) handleResult(err error) {
 	group, job := w.group, w.group.job
 	group.writeInFlight, group.pendingWrite = false, nil
--- a/internal/controller/cells.go
+++ b/internal/controller/cells.go
@@ -50,9 +50,10 @@
 	c.trackFetch(bound.machine, group.job.spec.Image)
 }
 
-// cancelReservations cancels the preemptions that a group's tasks wait for. With all set it also
-// releases the cells that are reserved for them, for which a write of a binding may be in flight.
-func (c *cellRegistry) cancelReservations(group *taskGroup, all bool) {
+// cancelReservations cancels the preemptions that a group's tasks wait for. If includeReserved is
+// set, it also releases the cells that are already reserved for the tasks; a write that binds the
+// tasks to these cells may be in flight.
+func (c *cellRegistry) cancelReservations(group *taskGroup, includeReserved bool) {
 	p := c.partitions[group.partition]
 	if p.token == 0 {
 		return
@@ -60,7 +61,7 @@
 	for i := range group.bindings {
 		task := group.task(group.bindings[i].task)
 		p.cancelPreemption(task)
-		if _, ok := p.reservations[task]; ok && all {
+		if _, ok := p.reservations[task]; ok && includeReserved {
 			delete(p.reservations, task)
 			c.freeCell(p, task)
 		}
@@ -101,8 +102,8 @@
 	}
 }
 
-// dropStaleEnds removes the ends of bindings that a group no longer has, because they are stored.
-// A write that was executed but whose response was lost leaves such ends behind.
+// dropStaleEnds removes the ends of bindings that a group no longer has: these ends are already
+// stored. A write that was executed but whose response was lost leaves such ends behind.
 func (c *cellRegistry) dropStaleEnds(group *taskGroup, former []binding) {
 	if len(c.unstoredEnds) == 0 {
 		return
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -20,7 +20,7 @@
 }
 
 // mustLeaveMachine reports whether a task has to leave its machine because its cell is preempted,
-// its group is throttled, the machine is being lent to a job that may preempt the task, the
+// its group is throttled, the machine is being loaned to a job that may preempt the task, the
 // machine is cordoned, or the machine is about to be terminated and the task can save its
 // progress.
 func (c *clusterState) mustLeaveMachine(group *taskGroup, task scheduling.TaskID, m *machine, p *partition) bool {
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -6,8 +6,9 @@
 	"eiderhitch/internal/planning"
 )
 
-// slackS returns the time in seconds until a job's deadline, or until its service-level
-// objective if it can't meet the deadline. It is infinite for a job without a deadline.
+// slackS returns the time in seconds until a job's deadline. If the job can't meet the deadline
+// any more, it is the time until its service-level objective, if that is later. It is infinite
+// for a job without a deadline.
 func (c *clusterState) slackS(j *job) float64 {
 	if j.spec.NoDeadline {
 		return math.Inf(1)
@@ -23,14 +24,14 @@
 // demand returns the demand for count tasks of a job that found no room. zone is the zone in
 // which they must be placed, or "" for any.
 func (c *clusterState) demand(j *job, zone string, count int) planning.Demand {
-	spec, order := j.spec, c.jobOrder(j)
+	spec, timing := j.spec, c.jobTiming(j)
 	return planning.Demand{
 		Class:             spec.Class,
 		TaskSize:          j.taskSize,
 		Count:             count,
 		AllOrNothing:      spec.IsAllOrNothing(),
 		EstimateS:         spec.EstimateS,
-		CompletionWindowS: order.CompletionWindowS(),
+		CompletionWindowS: timing.CompletionWindowS(),
 		SlackS:            c.slackS(j),
 		AllowsOffer: func(offer planning.Offer) bool {
 			return allowsMachine(spec, zone, offer.Type, offer.Zone, offer.Spot)
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -18,7 +18,7 @@
 	unansweredBackoff = 3 * time.Second
 )
 
-// directRequest is a request with direct commands that is in flight.
+// directRequest is a request in flight that carries direct commands, or a ping.
 type directRequest struct {
 	machine   *machine
 	partition *partition
--- a/internal/controller/fleet_usage.go
+++ b/internal/controller/fleet_usage.go
@@ -6,10 +6,10 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// milliCPUs is the number of units of scheduling.Resources.CPU in one CPU.
-const milliCPUs = 1000
+// milliCPUsPerCPU is the number of units of scheduling.Resources.CPU that one CPU has.
+const milliCPUsPerCPU = 1000
 
-// logUsage logs at intervals of usageLogInterval how much of the machines is in use.
+// logUsage logs every usageLogInterval how many CPUs the machines have and how many are free.
 func (c *leader) logUsage(summaries []*planning.MachineSummary) {
 	if c.now.Sub(c.leadership.usageLoggedAt) < usageLogInterval {
 		return
@@ -25,8 +25,8 @@
 	waiting, unplaced := c.countWaitingTasks()
 	booting, draining := c.autoscaler.MachineCounts()
 	c.log.Info("fleet", "up", len(summaries), "booting", booting,
-		"cpus", size.CPU/milliCPUs, "free_cpus", free.CPU/milliCPUs,
-		"spot_cpus", spot.CPU/milliCPUs, "spot_free_cpus", spotFree.CPU/milliCPUs,
+		"cpus", size.CPU/milliCPUsPerCPU, "free_cpus", free.CPU/milliCPUsPerCPU,
+		"spot_cpus", spot.CPU/milliCPUsPerCPU, "spot_free_cpus", spotFree.CPU/milliCPUsPerCPU,
 		"draining", draining, "tasks_waiting", waiting, "tasks_unplaced", unplaced)
 }
 
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -7,8 +7,8 @@
 	"eiderhitch/internal/record"
 )
 
-// This file has the decisions of a partition's owner about gangs. See gang_attempt.go for what a
-// gang is.
+// This file has the decisions of a partition's owner about gangs. See gang_attempt.go for the
+// rules of gangs and their attempts.
 
 // isMemberMissing reports whether a member of a gang's current attempt has ended or is lost.
 func (c *cellRegistry) isMemberMissing(group *taskGroup, bound *binding, attempt uint64) bool {
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -16,7 +16,8 @@
 // seconds. Arrays take every cell as it becomes free, and a gang of the same priority must
 // not stop them. The leader therefore keeps a few machines in its own partition, using the
 // same loans as jobs that span partitions: enough room for gangs as large as the largest
-// recent one of each class. Only gangs are assigned there.
+// recent one of each class. Other jobs are assigned there only as reserveAllows and
+// outranksReserve permit.
 
 // gangReserveJobID is the job ID in loans that are for the gang reserve.
 const gangReserveJobID = ""
@@ -31,8 +32,8 @@
 	// reserveMinHold is the minimum time for which a machine that has arrived stays in the
 	// reserve.
 	reserveMinHold = 10 * time.Second
-	// reserveOpensAfter is how long other jobs wait before they may use the reserve, too. No
-	// job should wait much longer while a machine has room for it.
+	// reserveOpensAfter is how long other jobs wait before they may use the reserve. No job
+	// should wait much longer while a machine has room for it.
 	reserveOpensAfter = time.Minute
 	// reserveMaxUnused is how long room of the reserve may stay unused before other jobs may
 	// use it. It is a third of the 90 s that a job may wait while a machine has room for it,
@@ -41,12 +42,13 @@
 	// have yet to arrive.
 	reserveMaxUnused = 30 * time.Second
 	loanMaxUnused    = time.Minute
-	// reserveMaxShare is the largest share of all machines that the reserve may have.
-	// reserveMinMachines are always allowed, since in a small fleet a gang may need two.
+	// reserveMaxShare is the share of the usable machines that may be on loan, including loans
+	// for single jobs, before no more are borrowed for the reserve. reserveMinMachines may
+	// always be on loan, since in a small fleet a gang may need two.
 	reserveMaxShare    = 0.15
 	reserveMinMachines = 2
-	// reserveRetentionFactor is how many times the target room is kept before machines are
-	// handed back. With a lower factor, machines would move back and forth.
+	// reserveRetentionFactor is the multiple of the target room that is kept when machines are
+	// returned. With a lower factor, machines would move back and forth.
 	reserveRetentionFactor = 2
 )
 
@@ -54,10 +56,10 @@
 type gangReserve struct {
 	// classes holds the classes of recent gangs, by name.
 	classes map[string]*gangClass
-	// shortfall is the demand that neither free room in the reserve nor machines on their way
-	// to it cover. Machines are launched for it if no others become free.
+	// shortfall is the demand that neither free room in the reserve nor the machines being
+	// loaned to it cover. Machines are launched for it if no others become free.
 	shortfall []planning.Demand
-	// retainedMachines holds the machines of the reserve that are not handed back.
+	// retainedMachines holds the machines of the reserve that must not be returned.
 	retainedMachines map[scheduling.MachineIndex]bool
 }
 
@@ -77,8 +79,9 @@
 }
 
 // canUseReserve reports whether a job may be placed on the machines of the leader's own
-// partition. Gangs and jobs that have machines on loan may, other jobs only after a long
-// wait.
+// partition. Gangs and jobs that have machines on loan may. Other jobs may if they have waited
+// for reserveOpensAfter since they were accepted or last assigned tasks, and the leader's term
+// has lasted that long.
 func (c *leader) canUseReserve(j *job) bool {
 	since := j.acceptedAt
 	if j.assignedAt.After(since) {
@@ -95,8 +98,8 @@
 	return summary.Partition != c.loanPartition() || c.canUseReserve(j) || c.isLongUnused(summary)
 }
 
-// isLongUnused reports whether no task has been bound for a long time to a machine of the
-// leader's own partition.
+// isLongUnused reports whether no task has been bound to a machine of the leader's own
+// partition for reserveMaxUnused or, if it is on loan for a single job, for loanMaxUnused.
 func (c *leader) isLongUnused(summary *planning.MachineSummary) bool {
 	m := c.machineByIndex[summary.Index]
 	limit := reserveMaxUnused
@@ -146,7 +149,8 @@
 	reserve.selectRetainedMachines(c.reserveMachines(summaries))
 }
 
-// recordGang counts a gang for its class, and updates the class if the gang is its largest.
+// recordGang counts a gang for its class. If no larger gang of the class is recorded, this one
+// becomes the class's description.
 func (reserve *gangReserve) recordGang(gang *job, now time.Time) {
 	class := reserve.classes[gang.spec.Class]
 	if class == nil {
@@ -175,7 +179,7 @@
 }
 
 // selectRetainedMachines retains machines with room for the next gangs of each class. The
-// others may be handed back.
+// others may be returned.
 func (reserve *gangReserve) selectRetainedMachines(machines []*planning.MachineSummary) {
 	reserve.retainedMachines = map[scheduling.MachineIndex]bool{}
 	for _, class := range reserve.sortedClasses() {
@@ -204,7 +208,7 @@
 	return classes
 }
 
-// shouldRetain reports whether a machine of the reserve must not be handed back yet.
+// shouldRetain reports whether a machine of the reserve must not be returned yet.
 func (c *leader) shouldRetain(m *machine) bool {
 	return len(m.bindings) > 0 || c.leadership.gangReserve.retainedMachines[m.index] || c.now.Sub(m.partitionChangedAt) < reserveMinHold
 }
--- a/internal/controller/gang_reserve_fill.go
+++ b/internal/controller/gang_reserve_fill.go
@@ -9,8 +9,8 @@
 	"eiderhitch/internal/record"
 )
 
-// fillReserve borrows machines for the gang reserve while it has too little room. It takes
-// machines that are empty or will be soon.
+// fillReserve borrows machines for the gang reserve if it has too little room. It chooses
+// machines that are empty or are expected to become empty soon.
 func (c *leader) fillReserve(summaries []*planning.MachineSummary) {
 	reserve := &c.leadership.gangReserve
 	reserve.shortfall = nil
@@ -18,37 +18,37 @@
 		return
 	}
 	fill := reserveFill{
-		leader:    c,
-		reserve:   reserve,
-		summaries: planning.CloneSummaries(summaries),
-		limit:     max(reserveMinMachines, int(reserveMaxShare*float64(len(summaries)))) - len(c.loans),
+		leader:            c,
+		reserve:           reserve,
+		summaries:         planning.CloneSummaries(summaries),
+		remainingMachines: max(reserveMinMachines, int(reserveMaxShare*float64(len(summaries)))) - len(c.loans),
 	}
 	for _, class := range reserve.sortedClasses() {
 		fill.addClass(class)
 	}
-	if len(fill.chosen) == 0 {
+	if len(fill.chosenMachines) == 0 {
 		return
 	}
-	chosen := fill.chosen[:min(len(fill.chosen), c.cfg.Settings.Store.TxnOps/2)]
+	chosen := fill.chosenMachines[:min(len(fill.chosenMachines), c.cfg.Settings.Store.TxnOps/2)]
 	c.log.Debug("machines borrowed for the gang reserve", "machines", len(chosen))
 	c.borrowMachines(chosen, record.MachineLoan{Job: gangReserveJobID})
 }
 
-// reserveFill is the state of one fillReserve.
+// reserveFill is the state of one call of fillReserve.
 type reserveFill struct {
 	*leader
 	reserve *gangReserve
 	// summaries are copies of the machine summaries, from which the room for earlier classes
 	// has been subtracted.
 	summaries []*planning.MachineSummary
-	// limit is how many more machines may be borrowed.
-	limit int
-	// chosen are the machines to borrow.
-	chosen []*planning.MachineSummary
+	// remainingMachines is how many more machines may be borrowed.
+	remainingMachines int
+	// chosenMachines are the machines to borrow.
+	chosenMachines []*planning.MachineSummary
 }
 
 // addClass selects machines for the next gangs of a class. It adds to the reserve's shortfall
-// what neither free room in the reserve nor machines on their way to it cover.
+// what neither free room in the reserve nor the machines being loaned to it cover.
 func (f *reserveFill) addClass(class *gangClass) {
 	zone := f.reserveZone(f.summaries, class)
 	lacking := class.targetTasks() - f.allocateFreeRoom(class, zone)
@@ -64,9 +64,9 @@
 	if firstBusy < 0 {
 		firstBusy = len(candidates)
 	}
-	// Empty machines are borrowed even if other machines on their way will be empty later:
-	// otherwise arrays would fill the empty ones, and gangs would wait most of a minute for
-	// the others.
+	// Empty machines are borrowed even if the machines being loaned will be empty later:
+	// otherwise arrays would fill the empty machines, and gangs would wait most of a minute
+	// for the others.
 	selected := f.selectMachines(candidates[:firstBusy], class, lacking-empty)
 	room := 0
 	for _, summary := range selected {
@@ -77,14 +77,14 @@
 
 // selectMachines selects machines with room for a number of tasks of a class.
 func (f *reserveFill) selectMachines(candidates []*planning.MachineSummary, class *gangClass, tasks int) []*planning.MachineSummary {
-	selected, _ := planning.SelectMachines(candidates, tasks, f.limit, func(summary *planning.MachineSummary, tasks int) int {
+	selected, _ := planning.SelectMachines(candidates, tasks, f.remainingMachines, func(summary *planning.MachineSummary, tasks int) int {
 		return summary.Size.CountFitting(class.taskSize, tasks)
 	})
 	for _, summary := range selected {
 		summary.InUse = true
 	}
-	f.limit -= len(selected)
-	f.chosen = append(f.chosen, selected...)
+	f.remainingMachines -= len(selected)
+	f.chosenMachines = append(f.chosenMachines, selected...)
 	return selected
 }
 
@@ -103,8 +103,8 @@
 	return found
 }
 
-// reserveCandidates returns the machines without services that may be borrowed for the
-// reserve, those with the fewest tasks first, and the largest first among equals.
+// reserveCandidates returns the machines that may be borrowed for the reserve and run no task
+// of a service or gang, those with the fewest tasks first, and the largest first among equals.
 func (f *reserveFill) reserveCandidates(class *gangClass, zone string) []*planning.MachineSummary {
 	candidates := slices.DeleteFunc(f.loanableMachines(f.summaries, class.spec, zone), func(summary *planning.MachineSummary) bool {
 		return summary.RunsService
@@ -115,8 +115,8 @@
 	return candidates
 }
 
-// incomingReserveRoom returns for how many tasks of a class there will be room on machines
-// that are on their way to the reserve: on those that are empty, and on those that still run
+// incomingReserveRoom returns for how many tasks of a class there will be room on the machines
+// that are being loaned to the reserve: on those that are empty, and on those that still run
 // tasks.
 func (r *machineRegistry) incomingReserveRoom(class *gangClass, zone string) (empty, busy int) {
 	for loan, m := range r.loansFor(gangReserveJobID, class.spec, zone) {
--- a/internal/controller/job_assignment.go
+++ b/internal/controller/job_assignment.go
@@ -8,7 +8,7 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// assignmentRequest asks for tasks of a job to be assigned.
+// assignmentRequest describes which tasks of a job to assign, and how.
 type assignmentRequest struct {
 	// previouslyAssignedTasks is how many tasks of the job are assigned already.
 	// remainingTasks is how many are to be assigned.
@@ -90,7 +90,7 @@
 // the job instead, in which case there is nothing to store.
 func (s *jobAssignment) assignToZones() (borrowed bool) {
 	zones := s.pass.candidateZones(s.job, s.pass.summaries)
-	rounds := len(zones)
+	zoneCount := len(zones)
 	if s.pass.outranksReserve(s.job) {
 		// A job that outranks gangs may use the gang reserve, but only if there is no other
 		// room.
@@ -101,7 +101,7 @@
 		if count <= 0 {
 			continue
 		}
-		request := s.planningRequest(zone, count, i >= rounds)
+		request := s.planningRequest(zone, count, i >= zoneCount)
 		if s.job.spec.IsAllOrNothing() {
 			if s.assignToOnePartition(request, zone) {
 				return true
@@ -137,7 +137,7 @@
 // assignToOnePartition assigns the tasks of an all-or-nothing job to one partition, so that
 // their cells are reserved together. The partition's owner preempts other tasks if there is
 // too little free room. If no partition has room, machines are borrowed for the job; borrowed
-// reports whether they are on their way.
+// reports whether such a loan is under way.
 func (s *jobAssignment) assignToOnePartition(request *planning.Assignment, zone string) (borrowed bool) {
 	partition, ok := request.ChoosePartition(s.pass.summaries, len(s.pass.partitions))
 	if !ok {
@@ -174,8 +174,9 @@
 	}
 }
 
-// truncateToTransaction drops groups that don't fit into one transaction. The rest of a gang
-// is assigned later (assignRemainingGangTasks), so a gang still counts as a whole.
+// truncateToTransaction drops the groups that don't fit into one transaction. The rest of a
+// gang is assigned later (assignRemainingGangTasks), so the gang still counts as a whole. The
+// dropped tasks of other jobs count as not assigned.
 func (s *jobAssignment) truncateToTransaction() {
 	if s.job.spec.Gang {
 		s.groups = s.pass.groupsFittingTransaction(s.groups)
--- a/internal/controller/job_completion.go
+++ b/internal/controller/job_completion.go
@@ -12,13 +12,13 @@
 	// maxFinishWrites is the maximum number of writes per pass that store final states of
 	// jobs or delete their groups.
 	maxFinishWrites = 8
-	// maxCleanupBacklog is the delay of stored writes above which the groups of final jobs
-	// are not deleted. Deleting them can wait while the key-value store is busy.
+	// maxCleanupBacklog is the backlog of the write queue from which on the groups of final
+	// jobs are not deleted. Deleting them can wait while the key-value store is busy.
 	maxCleanupBacklog = time.Second
 )
 
-// finishJobs stores the final state of jobs whose tasks are all done, and deletes the groups
-// of jobs that are final.
+// finishJobs archives finished jobs, stores the final state of jobs whose tasks are all done,
+// and deletes the groups of jobs that are final.
 func (c *leader) finishJobs() {
 	c.archiveFinishedJobs(c.replica)
 	budget := maxFinishWrites
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -25,7 +25,8 @@
 	active bool
 	// startedAt is when this controller became the leader.
 	startedAt time.Time
-	// writesInFlight counts the decisions whose outcome is not known yet, see submitDecision.
+	// writesInFlight is the number of decisions whose result is not known yet, see
+	// submitDecision.
 	writesInFlight int
 	usageLoggedAt  time.Time
 	// owners holds the liveness of each partition's owner, by partition index, see
@@ -39,7 +40,7 @@
 func (c *leader) becomeLeader(revision uint64) {
 	c.leadership = leadership{epoch: revision, token: revision, startedAt: c.now}
 	c.autoscaler.StartTerm()
-	// Late writes of a former leader fail on its fencing token. What it did store has to be
+	// Late writes of a former leader fail on its fencing token. Its earlier writes have to be
 	// read before anything is assigned.
 	c.reader.AfterSuccessfulRead(func() {
 		if c.leadership.epoch == revision {
@@ -61,7 +62,7 @@
 	defer c.metrics.addBusyTime(activityPlanning, time.Now())
 	c.finishJobs()
 	c.updateOwnerLiveness()
-	summaries := c.machineSummaries() // comes first, since it records which machines are up
+	summaries := c.machineSummaries() // comes first, since it reports to the autoscaler which machines are up
 	c.autoscaler.DetectIsolatedZones()
 	// Lost machines are terminated at once, without waiting for pending writes: their tasks
 	// can't be placed again before the machines are proven to be gone.
--- a/internal/controller/loan_leader.go
+++ b/internal/controller/loan_leader.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	// loanHeartbeatGrace is how much longer than any other machine one that was just loaned
-	// may go without a heartbeat: its worker has to find the new owner first.
+	// loanHeartbeatGrace is the extra time that a machine may go without a heartbeat when it
+	// has just been loaned: its worker has to find the new owner first.
 	loanHeartbeatGrace = 5 * time.Second
-	// loanReleaseGrace is how long an owner has to release a machine in addition to two
-	// heartbeat intervals and a lease. It covers the time to stop the machine's tasks and to
-	// store that they ended.
+	// loanReleaseGrace is the time that an owner has to release a machine, in addition to two
+	// heartbeat intervals and the expiry of a lease. It covers the time to stop the machine's
+	// tasks and to store that they ended.
 	loanReleaseGrace = 10 * time.Second
 )
 
 // borrowForJob borrows machines of other partitions for an all-or-nothing job. It reports
-// whether enough machines are on their way.
+// whether loans of enough machines are under way.
 func (c *leader) borrowForJob(summaries []*planning.MachineSummary, j *job, request loanRequest) bool {
 	expected := c.expectedRoom(summaries, j, request)
 	if expected >= request.tasks {
 		return true
 	}
-	chosen := c.machinesToClear(summaries, j, request, expected)
-	if len(chosen) == 0 {
-		chosen = c.machinesWithRoomBesideServices(summaries, j, request)
+	machines := c.machinesToClear(summaries, j, request, expected)
+	if len(machines) == 0 {
+		machines = c.machinesSharedWithServices(summaries, j, request)
 	}
-	if len(chosen) == 0 {
+	if len(machines) == 0 {
 		return false
 	}
 	// One transaction can borrow only so many machines. The next passes borrow the others.
-	chosen = chosen[:min(len(chosen), c.cfg.Settings.Store.TxnOps)]
-	c.log.Info("machines borrowed for a job", "job", j.id, "machines", len(chosen))
+	machines = machines[:min(len(machines), c.cfg.Settings.Store.TxnOps)]
+	c.log.Info("machines borrowed for a job", "job", j.id, "machines", len(machines))
 	loan := record.MachineLoan{Job: j.id, Priority: request.claim.Priority, Guaranteed: request.claim.Guaranteed, Team: j.spec.Team}
-	c.borrowMachines(chosen, loan, wire.Condition{Key: jobKey(j.id), Revision: j.revision})
+	c.borrowMachines(machines, loan, wire.Condition{Key: jobKey(j.id), Revision: j.revision})
 	return true
 }
 
@@ -80,11 +80,12 @@
 	}
 }
 
-// canReturnLoan reports whether a machine of the leader's partition can be handed back. A
-// task with a reserved cell may be bound at any moment: if the machine were handed back
-// meanwhile, it would belong to its former owner but the binding to the leader's partition,
-// and neither could end the task. Services that came with the machine, or were placed on it
-// since, go back with it.
+// canReturnLoan reports whether a machine of the leader's partition can be returned to its
+// former owner. A task with a reserved cell may be bound at any moment: if the machine were
+// returned meanwhile, it would belong to its former owner but the binding to the leader's
+// partition, and neither could end the task. A machine that is on loan for a job is returned
+// together with its services, whether they came with it or were placed on it since. A machine
+// of the gang reserve is returned only if nothing is bound to it.
 func (c *leader) canReturnLoan(loan *machineLoan, m *machine, p *partition) bool {
 	if len(m.bindings) > 0 && (loan.Job == gangReserveJobID || !c.runsOnlyServices(m, p)) {
 		return false
@@ -92,7 +93,7 @@
 	return !p.hasReservationOn(m)
 }
 
-// isLoanNeeded reports whether a loan is still of use: its job or the gang reserve needs the
+// isLoanNeeded reports whether a loan is still needed: its job or the gang reserve needs the
 // machine, and the machine has arrived or can still arrive in time.
 func (c *leader) isLoanNeeded(loan *machineLoan, m *machine, p *partition) bool {
 	if loan.Job == gangReserveJobID {
@@ -106,8 +107,8 @@
 		return false
 	}
 	if loan.Acknowledged {
-		// A machine that has sent no heartbeat since it arrived has probably failed on the
-		// way. It is handed back to its former owner, which finds out what became of it.
+		// A machine that has sent no heartbeat since it arrived has probably failed during
+		// the change of owners. It is returned to its former owner, which determines its state.
 		since := p.machineOwnedSince(m)
 		return m.heartbeatAt.After(since) || c.now.Sub(since) < c.unreachableTimeout()+loanHeartbeatGrace
 	}
--- a/internal/controller/loan_owner.go
+++ b/internal/controller/loan_owner.go
@@ -6,8 +6,8 @@
 	"eiderhitch/internal/wire"
 )
 
-// acknowledgeLoans hands over the loaned machines of a partition that this controller owns, once
-// nothing is bound or about to be bound there except services that move along.
+// acknowledgeLoans acknowledges the loans of machines whose hash partition is p, once nothing is
+// bound or about to be bound to a machine except services that move along with it.
 func (c *partitionOwner) acknowledgeLoans(p *partition) {
 	for _, name := range c.loanedMachines() {
 		loan, m := c.loans[name], c.getOrAddMachine(name)
--- a/internal/controller/loan_selection.go
+++ b/internal/controller/loan_selection.go
@@ -52,9 +52,9 @@
 // While there is enough work of its own priority, an all-or-nothing job would never find room
 // for all of its tasks, since other jobs take each cell that becomes free. Once the job has
 // waited for reserveMachinesAfter, machines are therefore reserved for it even if they run
-// tasks that it can't preempt, provided that none of their tasks is a service's, and nothing
-// new is placed on them until those tasks have ended. (The paper that package scheduling
-// follows allows for such "reservation during waiting".)
+// tasks that it can't preempt, provided that none of their tasks belongs to a service or
+// gang. Nothing new is placed on them until those tasks have ended. (The paper that package
+// scheduling follows allows for such "reservation during waiting".)
 func (c *leader) machinesToClear(summaries []*planning.MachineSummary, j *job, request loanRequest, expected int) []*planning.MachineSummary {
 	mayReserve := c.now.Sub(j.acceptedAt) > reserveMachinesAfter
 	cannotPreempt := func(usage planning.TaskUsage) bool { return !request.claim.CanPreempt(usage.Claim) }
@@ -74,12 +74,12 @@
 	return chosen
 }
 
-// machinesWithRoomBesideServices returns machines that together have room for a job beside
-// the services that stay on them. It returns none if there are too few. The machines are in
-// several partitions, since otherwise the job would have been assigned to one of them. When
-// machines with services were never borrowed, such a job waited forever although there was
-// room for it.
-func (c *leader) machinesWithRoomBesideServices(summaries []*planning.MachineSummary, j *job, request loanRequest) []*planning.MachineSummary {
+// machinesSharedWithServices returns machines that together have enough free room for a job,
+// so that the services on them can stay. It returns none if there are too few. The machines
+// are in several partitions, since otherwise the job would have been assigned to one of them.
+// When machines with services were never borrowed, such a job waited forever although there
+// was room for it.
+func (c *leader) machinesSharedWithServices(summaries []*planning.MachineSummary, j *job, request loanRequest) []*planning.MachineSummary {
 	if c.now.Sub(j.acceptedAt) < borrowServiceMachinesAfter {
 		return nil
 	}
@@ -127,8 +127,9 @@
 	return scheduling.NewResources(t.CPUs, t.GPUs, t.RAMGB)
 }
 
-// expectedRoom returns for how many tasks of a job there is room in the leader's partition,
-// or will be once the machines that are borrowed for the job have arrived.
+// expectedRoom returns for how many tasks of a job there is room in the leader's partition, on
+// the machines that the job may use, or will be once the machines that are borrowed for the
+// job have arrived.
 func (r *machineRegistry) expectedRoom(summaries []*planning.MachineSummary, j *job, request loanRequest) int {
 	room := 0
 	listed := map[scheduling.MachineIndex]bool{}
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -6,8 +6,8 @@
 	"eiderhitch/internal/scheduling"
 )
 
-// machineRecords gives package reconcile the stored records that concern one machine, to compare
-// with its heartbeats. It implements reconcile.Records.
+// machineRecords provides the stored records that concern one machine, which package reconcile
+// compares with the machine's heartbeats. It implements reconcile.Records.
 type machineRecords struct {
 	*clusterState
 	machine   *machine
@@ -96,7 +96,8 @@
 	return r.lastGangMustStop
 }
 
-// StopGraceS returns how many seconds a bound task gets to save its progress when it is stopped.
+// StopGraceS returns how many seconds a bound task gets to save its progress when it is stopped;
+// see clusterState.stopGraceS.
 func (r *machineRecords) StopGraceS(task scheduling.TaskID) float64 {
 	return r.stopGraceS(r.groups[task.Group].job)
 }
--- a/internal/controller/machine_summaries.go
+++ b/internal/controller/machine_summaries.go
@@ -14,7 +14,7 @@
 const maxOwnerStatusAge = 90 * time.Second
 
 // machineSummaries returns the usable machines that their owners report, with the tasks that
-// are bound to them. It also tells the autoscaler which machines are up.
+// are bound to them. It also reports to the autoscaler which machines are up.
 func (c *leader) machineSummaries() []*planning.MachineSummary {
 	var summaries []*planning.MachineSummary
 	for _, p := range c.partitions {
@@ -40,10 +40,11 @@
 	return summaries
 }
 
-// appendPeerSummaries appends the machines of a partition that a peer owns. An owner that
-// can't be heard but keeps its partition's lease is still working: a broken connection
-// between controllers doesn't show that the owner has failed. Its machines are therefore used
-// as they were last reported, with the bindings that the records show.
+// appendPeerSummaries appends the machines of a partition that a peer owns. An owner whose
+// statuses don't arrive but that keeps its partition's lease is still working: a broken
+// connection between controllers doesn't show that the owner has failed. For up to
+// maxOwnerStatusAge its machines are therefore used as they were last reported, with the
+// bindings that the records show.
 func (c *leader) appendPeerSummaries(summaries []*planning.MachineSummary, p *partition) []*planning.MachineSummary {
 	owner := c.peers.Peer(c.ownerOf(p.key))
 	if owner == nil || owner.Status == nil || c.now.Sub(owner.LastStatusAt) > maxOwnerStatusAge {
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -69,8 +69,8 @@
 }
 
 // tasksToMove returns for how many tasks another zone must have room if the job of a group is
-// to move there. ok is false if the job must stay, because one of its tasks is bound or some
-// of its groups have already moved in this pass and the others follow them.
+// to move there. ok is false if the job can't move now: one of its tasks is bound, one of its
+// groups has a write in flight, or its groups are in different zones.
 func tasksToMove(group *taskGroup) (tasks int, ok bool) {
 	tasks = 1
 	for _, other := range group.job.groups {
@@ -96,7 +96,8 @@
 	return room
 }
 
-// zoneWithMostRoom returns the zone with the most room; among equals, the first by name.
+// zoneWithMostRoom returns the zone with the most room; among equals, the first by name. If no
+// zone has room, it may return current.
 func zoneWithMostRoom(room map[string]int, current string) string {
 	best := current
 	for zone, count := range room {
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -40,7 +40,7 @@
 	groups   []*taskGroup
 	// otherPartitionsGroups are task groups of other partitions with tasks that ended on a
 	// machine of this partition, for example on a machine that was on loan and came back when the
-	// borrowing job ended. No other controller learns of these ends: unless this owner stores
+	// borrowing job ended. No other controller observes these ends: unless this owner stores
 	// them, the group's owner waits for them forever.
 	otherPartitionsGroups map[*taskGroup]bool
 
@@ -138,8 +138,8 @@
 	return int(int64(p.freedInPreviousWindow) * int64(d) / int64(freedCellsWindow))
 }
 
-// mixingFactor is an arbitrary odd 32-bit multiplier without a bit pattern. It propagates a
-// change of any input bit to the higher bits.
+// mixingFactor is an arbitrary odd 32-bit multiplier without a regular bit pattern. It
+// propagates a change of any input bit to the higher bits.
 const mixingFactor = 0x2c1b3c6d
 
 // addGroup adds a task group to the partition's list.
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -20,8 +20,8 @@
 	directSlots  *workerclient.Slots[*machine]
 }
 
-// evictionDelayFactor is how many times evict-after an array's task at the head of the queue
-// waits for a free cell before it may preempt others.
+// evictionDelayFactor is the multiple of evict-after that an array's task at the head of the
+// queue waits for a free cell before it may preempt others.
 const evictionDelayFactor = 2
 
 // schedulePartitions runs a scheduling pass over all partitions that this controller owns.
@@ -66,7 +66,7 @@
 // the order in which they may reserve cells. Most groups need nothing, because all their tasks
 // run.
 func (c *partitionOwner) groupsToSchedule(p *partition) []*taskGroup {
-	compareUrgency := c.urgencyComparator()
+	byUrgency := c.urgencyComparator()
 	var groups []*taskGroup
 	for _, group := range p.groups {
 		if c.needsScheduling(group) {
@@ -78,7 +78,7 @@
 		return cmp.Or(
 			cmp.Compare(secondClaim.Priority, firstClaim.Priority),
 			compareBool(secondClaim.Guaranteed, firstClaim.Guaranteed),
-			compareUrgency(first.job, second.job),
+			byUrgency(first.job, second.job),
 			cmp.Compare(first.number, second.number))
 	})
 	return groups
@@ -126,8 +126,8 @@
 	}
 }
 
-// placementClass is what decides where a task may be placed: if one task of a class finds no
-// room, no other task of that class does.
+// placementClass holds the properties that determine where a task may be placed: if one task of
+// a class finds no room, no other task of that class does.
 type placementClass struct {
 	equivalenceClass, zone string
 	claim                  scheduling.Claim
@@ -170,8 +170,8 @@
 // that has never started, are placed all together; other tasks are placed one by one.
 func (c *partitionOwner) placeGroup(p *partition, group *taskGroup) {
 	pending, started := c.unplacedTasks(p, group)
-	bindable := max(0, group.bindLimit()-(len(group.bindings)-len(pending)))
-	pending = pending[:min(len(pending), bindable)]
+	bindableCount := max(0, group.bindLimit()-(len(group.bindings)-len(pending)))
+	pending = pending[:min(len(pending), bindableCount)]
 	if len(pending) == 0 {
 		return
 	}
@@ -242,8 +242,8 @@
 }
 
 // currentClass returns the group's placement class at this point of the pass. While cells become
-// free continually, the tasks at the head of the queue soon get one; only the tasks behind them
-// preempt, until all have waited long enough.
+// free continually, the tasks at the head of the queue soon get one, so only the tasks behind
+// them preempt. After evictionDelayFactor times evict-after, all tasks of the group may.
 func (s *placement) currentClass() placementClass {
 	class := s.class
 	if s.prefersFreedCells && !class.noPreemption {
@@ -291,8 +291,8 @@
 	p.exhaustedClasses[class] = true
 }
 
-// stopVictims sends the machines on which a Preempting group waits for victims their commands at
-// once, so that the victims are stopped.
+// stopVictims sends commands at once to the machines on which a Preempting group waits for
+// victims, so that the victims are stopped.
 func (c *partitionOwner) stopVictims(j *job, request *scheduling.AffinityGroup) {
 	c.metrics.count(countPreemptedTasks, request.VictimCount())
 	c.log.Debug("group preempts", "job", j.id, "tasks", len(request.Tasks))
@@ -301,8 +301,9 @@
 	}
 }
 
-// unplacedTasks returns a group's tasks that are neither bound nor have a cell reserved or being
-// preempted for them. started reports whether a task of the group has been bound before.
+// unplacedTasks returns a group's tasks that are not placed (see isPlaced) and for which no cell
+// is reserved or being preempted. started reports whether a task of the group has been bound
+// before.
 func (c *partitionOwner) unplacedTasks(p *partition, group *taskGroup) (unplaced []scheduling.TaskID, started bool) {
 	for i := range group.bindings {
 		bound := &group.bindings[i]
@@ -320,8 +321,8 @@
 
 // isPlaced reports whether a task is bound and not known to be lost. Except in a gang, a lost
 // task is placed again before its end is stored, so that one write stores the end and the next
-// binding. As two separate writes they made replicas wait twice for the key-value store after a
-// hundred or more machines had died.
+// binding. With two separate writes, replicas of services waited twice for the key-value store
+// after a hundred or more machines had failed.
 func (c *partitionOwner) isPlaced(group *taskGroup, bound *binding) bool {
 	return bound.machine != nil && (group.job.spec.Gang || !c.isLost(group, bound))
 }
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -7,7 +7,7 @@
 )
 
 // reconcile compares a machine's newest heartbeat with the tasks that are bound to it, and
-// records the ends of attempts that it proves.
+// records the ends of attempts that the heartbeat proves.
 func (c *partitionOwner) reconcile(m *machine, p *partition) {
 	// A start command that got no response may still arrive until the machine has received a
 	// higher token.
--- a/internal/controller/scoring.go
+++ b/internal/controller/scoring.go
@@ -18,10 +18,11 @@
 	// spotScore prefers spot machines, which leaves the more expensive on-demand machines to the
 	// tasks that need them.
 	spotScore = -500
-	// serviceScore prefers machines that run a service, since these are not returned anyway.
+	// serviceScore prefers machines that run a service or gang, since these are not terminated
+	// in any case.
 	serviceScore = -150
 	// Each free CPU adds 1 to the score: dense packing leaves whole machines empty, which can
-	// then be returned. Free CPUs beyond maxScoredMilliCPUs add nothing.
+	// then be terminated. Free CPUs beyond maxScoredMilliCPUs add nothing.
 	maxScoredMilliCPUs     = 100_000
 	milliCPUsPerScorePoint = 1000
 )
--- a/internal/controller/throttle.go
+++ b/internal/controller/throttle.go
@@ -14,13 +14,13 @@
 
 // throttleTeam makes room for a job within its team's limit. It stops tasks of the team's
 // jobs of lower priority, and throttles tasks of lower or equal priority that are assigned
-// but don't run yet. Otherwise the assigned tasks of an array could keep the limit from a
-// service for minutes.
+// but don't run yet. Otherwise the assigned tasks of an array could use up the limit for
+// minutes while a service waits.
 func (c *leader) throttleTeam(j *job, shortfall scheduling.Resources) {
 	groups, released := c.groupsToThrottle(j)
-	urgent := c.urgencyComparator()
+	byUrgency := c.urgencyComparator()
 	slices.SortFunc(groups, func(first, second *taskGroup) int {
-		return cmp.Or(urgent(second.job, first.job), cmp.Compare(second.number, first.number))
+		return cmp.Or(byUrgency(second.job, first.job), cmp.Compare(second.number, first.number))
 	})
 	uses := make([]planning.GroupQuotaUsage, len(groups))
 	for i, group := range groups {
@@ -30,7 +30,7 @@
 			RunningTasks:       group.boundTaskCount(),
 			AllowedTasks:       group.bindLimit(),
 			TaskSize:           group.job.taskSize,
-			WaitingTasksExempt: equal && (urgent(j, group.job) >= 0 || c.now.Sub(group.throttleChangedAt) < c.throttleInterval()),
+			WaitingTasksExempt: equal && (byUrgency(j, group.job) >= 0 || c.now.Sub(group.throttleChangedAt) < c.throttleInterval()),
 		}
 	}
 	for i, mayRun := range planning.Throttle(uses, j.spec.Priority, shortfall.Minus(released)) {
@@ -63,9 +63,8 @@
 const minThrottleInterval = 2 * time.Second
 
 // throttleInterval returns the minimum time between two changes of a group's throttle that
-// are not made for a more urgent job. In a team at its limit a task ends, and so makes room
-// for another one, many times a second; a change for each would use up the key-value store's
-// rate limit.
+// are not made for a more urgent job. In a team at its limit, tasks end many times a second
+// and make room for others; a change for each would use up the key-value store's rate limit.
 func (c *clusterState) throttleInterval() time.Duration { return minThrottleInterval + c.reuseDelay() }
 
 // unthrottle lets throttled tasks of a job run again, as far as the quota permits.
@@ -82,7 +81,7 @@
 	}
 }
 
-// setThrottle stores how many of a group's tasks may run.
+// setThrottle stores that at most the given number of a group's tasks may run.
 func (c *leader) setThrottle(group *taskGroup, tasks int) {
 	changed := *group
 	changed.throttle = tasks + 1 // 0 means no throttle
--- a/internal/controller/unplaced_tasks.go
+++ b/internal/controller/unplaced_tasks.go
@@ -15,7 +15,7 @@
 	// groupMoveDelay is how long a partition has to place the tasks it was assigned before
 	// the leader moves them to another one.
 	groupMoveDelay = time.Second
-	// maxBacklogDelay is the longest delay of stored writes that reuseDelay takes into account.
+	// maxBacklogDelay limits how much of the write queue's backlog reuseDelay takes into account.
 	maxBacklogDelay = 5 * time.Second
 	// leaderPassDelay is the approximate time until the leader assigns the next task.
 	leaderPassDelay = time.Second
@@ -42,13 +42,13 @@
 	unplaced = map[*taskGroup]int{}
 	// Free room only shrinks in this loop, so if one group of a class finds none, neither
 	// will the later ones.
-	fullClasses := map[unplacedClass]bool{}
+	exhaustedClasses := map[unplacedClass]bool{}
 	var unplacedGroups []*taskGroup
 	for _, group := range c.groupsToPlace(byUrgency) {
 		count, class := group.bindLimit()-group.boundTaskCount(), group.unplacedClass()
-		if !fullClasses[class] {
+		if !exhaustedClasses[class] {
 			count = c.placeInPartition(summaries, group, count)
-			fullClasses[class] = count > 0
+			exhaustedClasses[class] = count > 0
 		}
 		if count > 0 {
 			unplacedGroups = append(unplacedGroups, group)
@@ -99,14 +99,14 @@
 // It returns the demand of those for which there is no room there either.
 func (c *leader) moveUnplacedGroups(summaries []*planning.MachineSummary, unplacedGroups []*taskGroup, unplaced map[*taskGroup]int) []planning.Demand {
 	var demands []planning.Demand
-	withoutRoom := map[unplacedClass]bool{}
+	exhaustedClasses := map[unplacedClass]bool{}
 	for _, group := range unplacedGroups {
 		count, class := unplaced[group], group.unplacedClass()
-		if !group.writeInFlight && c.now.Sub(group.partitionAssignedAt) > groupMoveDelay && (group.job.spec.IsAllOrNothing() || !withoutRoom[class]) {
+		if !group.writeInFlight && c.now.Sub(group.partitionAssignedAt) > groupMoveDelay && (group.job.spec.IsAllOrNothing() || !exhaustedClasses[class]) {
 			if c.moveUnplacedTasks(summaries, group, count) {
 				continue
 			}
-			withoutRoom[class] = true
+			exhaustedClasses[class] = true
 		}
 		if !c.moveToOtherZone(summaries, group) {
 			demands = append(demands, c.demand(group.job, group.zone, count))
