--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -22,20 +22,20 @@
 // urgent jobs first. It returns the demand of the tasks that found no room.
 func (c *leader) assignWaitingTasks(summaries []*planning.MachineSummary) []planning.Demand {
 	byUrgency := c.urgencyComparator()
-	demands, unplaced := c.placeAssignedTasks(summaries, byUrgency)
-	waiting := c.jobsToAssign(byUrgency)
+	demands, unplacedTasks := c.placeAssignedTasks(summaries, byUrgency)
+	waitingJobs := c.jobsToAssign(byUrgency)
 	pass := assignmentPass{
 		leader:               c,
 		summaries:            summaries,
 		teamQuotas:           c.quotas(),
 		demands:              demands,
-		tasksAhead:           c.maxTasksAhead(unplaced),
+		tasksAhead:           c.maxTasksAhead(unplacedTasks),
 		exhaustedClasses:     map[string]bool{},
 		replicaDemandIndexes: map[string]int{},
 		quotaLimitedTeams:    map[scheduling.TeamIndex]bool{},
 		placeableClasses:     map[string]bool{},
 	}
-	for _, job := range waiting {
+	for _, job := range waitingJobs {
 		pass.assignJob(job)
 	}
 	return pass.demands
@@ -127,8 +127,8 @@
 	}
 	usedBefore := quota.Usage
 	a.throttleForQuota(j, remaining)
-	unassigned := a.assignWithinQuota(j, assignmentRequest{previouslyAssignedTasks: assigned, remainingTasks: remaining, force: forced > 0})
-	a.recordDemand(j, unassigned)
+	unassignedDemand := a.assignWithinQuota(j, assignmentRequest{previouslyAssignedTasks: assigned, remainingTasks: remaining, force: forced > 0})
+	a.recordDemand(j, unassignedDemand)
 	if j.spec.IsAllOrNothing() && quota.Usage == usedBefore && (a.now.Sub(j.acceptedAt) < quotaHoldTimeout || a.isPlaceable(j)) {
 		// An all-or-nothing job that waits reserves its team's quota ahead of the jobs after
 		// it. If no machine can run it, the reservation ends after quotaHoldTimeout, since a
@@ -162,14 +162,14 @@
 }
 
 // recordDemand records the tasks of a job for which there was no room.
-func (a *assignmentPass) recordDemand(j *job, unassigned planning.Demand) {
-	if unassigned.Count <= 0 {
+func (a *assignmentPass) recordDemand(j *job, unassignedDemand planning.Demand) {
+	if unassignedDemand.Count <= 0 {
 		return
 	}
 	if j.spec.IsAllOrNothing() && j.spec.TaskCount == 1 && !a.hasLoanFor(j) {
-		a.replicaDemandIndexes[j.equivalenceClass], unassigned.GroupCount = len(a.demands), 1
+		a.replicaDemandIndexes[j.equivalenceClass], unassignedDemand.GroupCount = len(a.demands), 1
 	}
-	a.demands = append(a.demands, unassigned)
+	a.demands = append(a.demands, unassignedDemand)
 	a.exhaustedClasses[j.equivalenceClass] = true
 }
 
--- a/internal/controller/assignment_writes.go
+++ b/internal/controller/assignment_writes.go
@@ -75,16 +75,16 @@
 		return
 	}
 	write := &store.Write{HighPriority: j.spec.Gang, MediumPriority: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
-	reusable := j.emptyGroups()
-	var reused []*taskGroup
+	reusableGroups := j.emptyGroups()
+	var reusedGroups []*taskGroup
 	tasks := 0
 	for _, group := range groups {
 		tasks += len(group.Tasks)
 		var key string
 		var revision uint64
-		if len(reusable) > 0 {
-			empty := reusable[0]
-			reused, reusable = append(reused, empty), reusable[1:]
+		if len(reusableGroups) > 0 {
+			empty := reusableGroups[0]
+			reusedGroups, reusableGroups = append(reusedGroups, empty), reusableGroups[1:]
 			key, revision, group.DoneTasks = empty.key, empty.revision, empty.doneTasks
 		} else {
 			key = groupKey(j.id, j.newGroupNumber())
@@ -93,7 +93,7 @@
 		write.Changes = append(write.Changes, wire.Change{Put: key, Value: group.Encode(c.writeEncoding()).ValueForKey(key)})
 	}
 	j.assignedAt = c.now
-	c.submitDecision(write, reused...)
+	c.submitDecision(write, reusedGroups...)
 	c.metrics.count(countAssignedGroups, len(groups))
 	c.log.Debug("tasks assigned", "job", j.id, "tasks", tasks, "records", len(groups))
 }
--- a/internal/controller/gang_reserve_fill.go
+++ b/internal/controller/gang_reserve_fill.go
@@ -29,9 +29,9 @@
 	if len(fill.chosenMachines) == 0 {
 		return
 	}
-	chosen := fill.chosenMachines[:min(len(fill.chosenMachines), c.cfg.Settings.Store.TxnOps/2)]
-	c.log.Debug("machines borrowed for the gang reserve", "machines", len(chosen))
-	c.borrowMachines(chosen, record.MachineLoan{Job: gangReserveJobID})
+	machines := fill.chosenMachines[:min(len(fill.chosenMachines), c.cfg.Settings.Store.TxnOps/2)]
+	c.log.Debug("machines borrowed for the gang reserve", "machines", len(machines))
+	c.borrowMachines(machines, record.MachineLoan{Job: gangReserveJobID})
 }
 
 // reserveFill is the state of one call of fillReserve.
@@ -51,12 +51,12 @@
 // what neither free room in the reserve nor the machines being loaned to it cover.
 func (f *reserveFill) addClass(class *gangClass) {
 	zone := f.reserveZone(f.summaries, class)
-	lacking := class.targetTasks() - f.allocateFreeRoom(class, zone)
-	empty, busy := f.incomingReserveRoom(class, zone)
-	if lacking-empty <= 0 {
+	lackingTasks := class.targetTasks() - f.allocateFreeRoom(class, zone)
+	emptyRoom, busyRoom := f.incomingReserveRoom(class, zone)
+	if lackingTasks-emptyRoom <= 0 {
 		return
 	}
-	if count := lacking - empty - busy; count > 0 {
+	if count := lackingTasks - emptyRoom - busyRoom; count > 0 {
 		f.reserve.shortfall = append(f.reserve.shortfall, class.demand(zone, count))
 	}
 	candidates := f.reserveCandidates(class, zone)
@@ -67,12 +67,12 @@
 	// Empty machines are borrowed even if the machines being loaned will be empty later:
 	// otherwise arrays would fill the empty machines, and gangs would wait most of a minute
 	// for the others.
-	selected := f.selectMachines(candidates[:firstBusy], class, lacking-empty)
+	selected := f.selectMachines(candidates[:firstBusy], class, lackingTasks-emptyRoom)
 	room := 0
 	for _, summary := range selected {
 		room += summary.Size.CountFitting(class.taskSize, class.spec.TaskCount)
 	}
-	f.selectMachines(candidates[firstBusy:], class, lacking-empty-busy-room)
+	f.selectMachines(candidates[firstBusy:], class, lackingTasks-emptyRoom-busyRoom-room)
 }
 
 // selectMachines selects machines with room for a number of tasks of a class.
@@ -118,19 +118,19 @@
 // incomingReserveRoom returns for how many tasks of a class there will be room on the machines
 // that are being loaned to the reserve: on those that are empty, and on those that still run
 // tasks.
-func (r *machineRegistry) incomingReserveRoom(class *gangClass, zone string) (empty, busy int) {
+func (r *machineRegistry) incomingReserveRoom(class *gangClass, zone string) (emptyRoom, busyRoom int) {
 	for loan, m := range r.loansFor(gangReserveJobID, class.spec, zone) {
 		if loan.Acknowledged {
 			continue
 		}
 		count := r.machineSize(m).CountFitting(class.taskSize, class.spec.TaskCount)
 		if len(m.bindings) == 0 {
-			empty += count
+			emptyRoom += count
 		} else {
-			busy += count
+			busyRoom += count
 		}
 	}
-	return empty, busy
+	return emptyRoom, busyRoom
 }
 
 // demand returns the demand for count tasks of the next gangs of a class.
--- a/internal/controller/job_zones.go
+++ b/internal/controller/job_zones.go
@@ -37,17 +37,17 @@
 	if zone := c.requiredZone(j); zone != "" {
 		return []string{zone}
 	}
-	free := map[string]int{}
+	room := map[string]int{}
 	for _, summary := range summaries {
 		if allowsMachine(j.spec, "", summary.Type, summary.Zone, summary.Spot) {
-			free[summary.Zone] += summary.FreeResources.CountFitting(j.taskSize, j.spec.TaskCount)
+			room[summary.Zone] += summary.FreeResources.CountFitting(j.taskSize, j.spec.TaskCount)
 		}
 	}
 	var zones []string
-	for zone := range free {
+	for zone := range room {
 		zones = append(zones, zone)
 	}
-	slices.SortFunc(zones, func(x, y string) int { return cmp.Or(cmp.Compare(free[y], free[x]), cmp.Compare(x, y)) })
+	slices.SortFunc(zones, func(x, y string) int { return cmp.Or(cmp.Compare(room[y], room[x]), cmp.Compare(x, y)) })
 	if j.spec.SingleZone && len(zones) > 1 {
 		return zones[:1]
 	}
@@ -55,19 +55,19 @@
 }
 
 // remainingSpreadTasks returns how many more tasks of a job that spreads over zones may be
-// assigned to a zone: each zone may have half of the job's tasks, rounded up. unstored has
+// assigned to a zone: each zone may have half of the job's tasks, rounded up. unstoredGroups has
 // the job's groups that are not stored yet.
-func (c *clusterState) remainingSpreadTasks(j *job, zone string, unstored []record.TaskGroup) int {
-	room := (j.spec.TaskCount + 1) / 2
+func (c *clusterState) remainingSpreadTasks(j *job, zone string, unstoredGroups []record.TaskGroup) int {
+	remainingTasks := (j.spec.TaskCount + 1) / 2
 	for _, group := range j.groups {
 		if group.zone == zone {
-			room -= len(group.bindings)
+			remainingTasks -= len(group.bindings)
 		}
 	}
-	for i := range unstored {
-		if unstored[i].Zone == zone {
-			room -= len(unstored[i].Tasks)
+	for i := range unstoredGroups {
+		if unstoredGroups[i].Zone == zone {
+			remainingTasks -= len(unstoredGroups[i].Tasks)
 		}
 	}
-	return room
+	return remainingTasks
 }
--- a/internal/controller/loan_leader.go
+++ b/internal/controller/loan_leader.go
@@ -45,10 +45,10 @@
 
 // borrowMachines starts loans of machines to the leader's partition. The write fails if a
 // partition that the machines are in has changed owners meanwhile.
-func (c *leader) borrowMachines(chosen []*planning.MachineSummary, loan record.MachineLoan, conditions ...wire.Condition) {
+func (c *leader) borrowMachines(machines []*planning.MachineSummary, loan record.MachineLoan, conditions ...wire.Condition) {
 	write := &store.Write{HighPriority: true, Conditions: append([]wire.Condition{c.leaderCondition()}, conditions...)}
 	guardedPartitions := map[int]bool{} // partitions whose owner is already a condition of the write
-	for _, summary := range chosen {
+	for _, summary := range machines {
 		summary.InUse, summary.FreeResources = true, scheduling.Resources{}
 		key := loanKey(c.machineByIndex[summary.Index].name)
 		write.Conditions = append(write.Conditions, wire.Condition{Key: key})
@@ -122,15 +122,15 @@
 // tasks that wait in that partition or, if no task of the job is bound, tasks that wait
 // anywhere.
 func (c *clusterState) jobNeedsLoan(j *job, partition int) bool {
-	waits, bound := len(j.groups) == 0, 0
+	waits, boundTasks := len(j.groups) == 0, 0
 	for _, group := range j.groups {
 		waits = waits || group.boundTaskCount() < len(group.bindings)
-		bound += group.boundTaskCount()
+		boundTasks += group.boundTaskCount()
 		if group.partition == partition && group.boundTaskCount() < len(group.bindings) {
 			return true
 		}
 	}
-	return waits && bound == 0
+	return waits && boundTasks == 0
 }
 
 // returnLoan ends a loan by deleting its record.
--- a/internal/controller/loan_selection.go
+++ b/internal/controller/loan_selection.go
@@ -67,11 +67,11 @@
 	slices.SortFunc(candidates, func(x, y *planning.MachineSummary) int {
 		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(sizeFor(y, request.tasks), sizeFor(x, request.tasks)), cmp.Compare(x.Index, y.Index))
 	})
-	chosen, lacking := planning.SelectMachines(candidates, request.tasks-expected, len(candidates), sizeFor)
-	if lacking > 0 {
+	machines, lackingTasks := planning.SelectMachines(candidates, request.tasks-expected, len(candidates), sizeFor)
+	if lackingTasks > 0 {
 		return nil
 	}
-	return chosen
+	return machines
 }
 
 // machinesSharedWithServices returns machines that together have enough free room for a job,
@@ -98,11 +98,11 @@
 	slices.SortFunc(candidates, func(x, y *planning.MachineSummary) int {
 		return cmp.Or(cmp.Compare(freeFor(y, request.tasks), freeFor(x, request.tasks)), cmp.Compare(x.Index, y.Index))
 	})
-	chosen, lacking := planning.SelectMachines(candidates, request.tasks-expected, len(candidates), freeFor)
-	if lacking > 0 {
+	machines, lackingTasks := planning.SelectMachines(candidates, request.tasks-expected, len(candidates), freeFor)
+	if lackingTasks > 0 {
 		return nil
 	}
-	return chosen
+	return machines
 }
 
 // loansFor iterates over the loans for a job, or for the gang reserve, whose machines may run
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -150,7 +150,7 @@
 // they preempt others: cells become free continually, and the work of a preempted task is lost.
 func (c *partitionOwner) newPlacement(p *partition, group *taskGroup) placement {
 	waited := c.now.Sub(group.partitionAssignedAt)
-	array := !group.job.spec.IsAllOrNothing()
+	isArray := !group.job.spec.IsAllOrNothing()
 	return placement{
 		owner:     c,
 		partition: p,
@@ -159,10 +159,10 @@
 			equivalenceClass: group.job.equivalenceClass,
 			zone:             group.zone,
 			claim:            group.claim(),
-			noPreemption:     array && waited < c.operator.PreemptionDelay,
+			noPreemption:     isArray && waited < c.operator.PreemptionDelay,
 		},
 		score:             c.scorer(p, group),
-		prefersFreedCells: array && waited < evictionDelayFactor*c.operator.PreemptionDelay,
+		prefersFreedCells: isArray && waited < evictionDelayFactor*c.operator.PreemptionDelay,
 	}
 }
 
--- a/internal/controller/quota_usage.go
+++ b/internal/controller/quota_usage.go
@@ -47,8 +47,8 @@
 		return
 	}
 	assigned, _ := j.countAssignedTasks()
-	unknown := min(j.spec.TaskCount-assigned, len(j.unreadableKeys)*maxGroupBindings)
-	quota.Charge(j.taskSize.Times(unknown), false)
+	unknownTasks := min(j.spec.TaskCount-assigned, len(j.unreadableKeys)*maxGroupBindings)
+	quota.Charge(j.taskSize.Times(unknownTasks), false)
 }
 
 // chargeUnassignedMembers charges the tasks of a partially assigned gang that are not
--- a/internal/controller/throttle.go
+++ b/internal/controller/throttle.go
@@ -17,7 +17,7 @@
 // but don't run yet. Otherwise the assigned tasks of an array could use up the limit for
 // minutes while a service waits.
 func (c *leader) throttleTeam(j *job, shortfall scheduling.Resources) {
-	groups, released := c.groupsToThrottle(j)
+	groups, releasedResources := c.groupsToThrottle(j)
 	byUrgency := c.urgencyComparator()
 	slices.SortFunc(groups, func(first, second *taskGroup) int {
 		return cmp.Or(byUrgency(second.job, first.job), cmp.Compare(second.number, first.number))
@@ -33,7 +33,7 @@
 			WaitingTasksExempt: equal && (byUrgency(j, group.job) >= 0 || c.now.Sub(group.throttleChangedAt) < c.throttleInterval()),
 		}
 	}
-	for i, mayRun := range planning.Throttle(uses, j.spec.Priority, shortfall.Minus(released)) {
+	for i, mayRun := range planning.Throttle(uses, j.spec.Priority, shortfall.Minus(releasedResources)) {
 		if mayRun >= 0 {
 			c.setThrottle(groups[i], mayRun)
 		}
@@ -42,20 +42,20 @@
 
 // groupsToThrottle returns the groups of the team's other jobs that may be throttled for a
 // job, and the resources that throttled groups are about to release.
-func (c *machineRegistry) groupsToThrottle(j *job) (groups []*taskGroup, released scheduling.Resources) {
+func (c *machineRegistry) groupsToThrottle(j *job) (groups []*taskGroup, releasedResources scheduling.Resources) {
 	for group := range c.allGroups() {
 		other := group.job
 		if other == j || other.spec == nil || other.team != j.team || other.finalState != record.StateUnfinished || other.spec.IsAllOrNothing() || other.spec.Priority > j.spec.Priority {
 			continue
 		}
 		if group.throttle != 0 {
-			released = released.Plus(other.taskSize.Times(max(0, group.boundTaskCount()-group.bindLimit())))
+			releasedResources = releasedResources.Plus(other.taskSize.Times(max(0, group.boundTaskCount()-group.bindLimit())))
 		}
 		if !group.writeInFlight {
 			groups = append(groups, group)
 		}
 	}
-	return groups, released
+	return groups, releasedResources
 }
 
 // minThrottleInterval is the minimum time between two changes of a group's throttle while the
@@ -73,10 +73,10 @@
 		if group.throttle == 0 || group.writeInFlight || group.bindLimit() == len(group.bindings) || c.now.Sub(group.throttleChangedAt) < c.throttleInterval() {
 			continue
 		}
-		counted := group.quotaTaskCount(c.replica.Cursor())
-		if more := quota.RemainingTasks(j.taskSize, len(group.bindings)-counted); more > 0 {
-			quota.Usage = quota.Usage.Plus(j.taskSize.Times(more))
-			c.setThrottle(group, counted+more)
+		countedTasks := group.quotaTaskCount(c.replica.Cursor())
+		if additionalTasks := quota.RemainingTasks(j.taskSize, len(group.bindings)-countedTasks); additionalTasks > 0 {
+			quota.Usage = quota.Usage.Plus(j.taskSize.Times(additionalTasks))
+			c.setThrottle(group, countedTasks+additionalTasks)
 		}
 	}
 }
--- a/internal/controller/unplaced_tasks.go
+++ b/internal/controller/unplaced_tasks.go
@@ -38,8 +38,8 @@
 // placed yet, in the partitions that they are assigned to. Groups that find no room there are
 // moved to partitions that have room. It returns the demand of the tasks that find no room in
 // any partition, and how many tasks of each group find none in its own.
-func (c *leader) placeAssignedTasks(summaries []*planning.MachineSummary, byUrgency func(x, y *job) int) (demands []planning.Demand, unplaced map[*taskGroup]int) {
-	unplaced = map[*taskGroup]int{}
+func (c *leader) placeAssignedTasks(summaries []*planning.MachineSummary, byUrgency func(x, y *job) int) (demands []planning.Demand, unplacedTasks map[*taskGroup]int) {
+	unplacedTasks = map[*taskGroup]int{}
 	// Free room only shrinks in this loop, so if one group of a class finds none, neither
 	// will the later ones.
 	exhaustedClasses := map[unplacedClass]bool{}
@@ -52,10 +52,10 @@
 		}
 		if count > 0 {
 			unplacedGroups = append(unplacedGroups, group)
-			unplaced[group] = count
+			unplacedTasks[group] = count
 		}
 	}
-	return c.moveUnplacedGroups(summaries, unplacedGroups, unplaced), unplaced
+	return c.moveUnplacedGroups(summaries, unplacedGroups, unplacedTasks), unplacedTasks
 }
 
 // groupsToPlace returns the groups that have tasks that may run and are not placed, the most
@@ -97,11 +97,11 @@
 
 // moveUnplacedGroups moves groups that found no room in their partitions to other partitions.
 // It returns the demand of those for which there is no room there either.
-func (c *leader) moveUnplacedGroups(summaries []*planning.MachineSummary, unplacedGroups []*taskGroup, unplaced map[*taskGroup]int) []planning.Demand {
+func (c *leader) moveUnplacedGroups(summaries []*planning.MachineSummary, unplacedGroups []*taskGroup, unplacedTasks map[*taskGroup]int) []planning.Demand {
 	var demands []planning.Demand
 	exhaustedClasses := map[unplacedClass]bool{}
 	for _, group := range unplacedGroups {
-		count, class := unplaced[group], group.unplacedClass()
+		count, class := unplacedTasks[group], group.unplacedClass()
 		if !group.writeInFlight && c.now.Sub(group.partitionAssignedAt) > groupMoveDelay && (group.job.spec.IsAllOrNothing() || !exhaustedClasses[class]) {
 			if c.moveUnplacedTasks(summaries, group, count) {
 				continue
@@ -125,7 +125,7 @@
 // maxTasksAhead returns for each partition how many tasks it may be assigned beyond its free
 // room. They let the partition's owner reuse the cell of an ending task without waiting for
 // the leader. Tasks that already wait in the partition without room count against the number.
-func (c *clusterState) maxTasksAhead(unplaced map[*taskGroup]int) []int {
+func (c *clusterState) maxTasksAhead(unplacedTasks map[*taskGroup]int) []int {
 	ahead := make([]float64, len(c.partitions))
 	reuseDelayS := c.reuseDelay().Seconds()
 	for group := range c.allGroups() {
@@ -137,7 +137,7 @@
 	for i := range tasks {
 		tasks[i] = int(math.Ceil(ahead[i]))
 	}
-	for group, count := range unplaced {
+	for group, count := range unplacedTasks {
 		if group.partition >= 0 && group.partition < len(tasks) {
 			tasks[group.partition] -= count
 		}
