--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -118,7 +118,7 @@
 	}
 	m.commandState.inFlight, m.commandState.carriesStart = false, false
 	// A controller with too little processor time may not have handled the response yet. Without
-	// this check, hundreds of machines that are pinged after a failover would all seem dead.
+	// this check, hundreds of machines that are pinged after a failover would all seem unreachable.
 	if !c.hasLaggedSince(request.sentAt) {
 		m.commandState.unanswered++
 	}
--- a/internal/controller/job_completion.go
+++ b/internal/controller/job_completion.go
@@ -12,8 +12,8 @@
 	// maxFinishWrites is the maximum number of writes per pass that store final states of
 	// jobs or delete their groups.
 	maxFinishWrites = 8
-	// maxCleanupBacklog is the backlog of the write queue from which on the groups of final
-	// jobs are not deleted. Deleting them can wait while the key-value store is busy.
+	// maxCleanupBacklog is the backlog of the write queue below which the groups of final jobs
+	// are deleted. Deleting them can wait while the key-value store is busy.
 	maxCleanupBacklog = time.Second
 )
 
--- a/internal/controller/machine_summaries.go
+++ b/internal/controller/machine_summaries.go
@@ -64,8 +64,9 @@
 	return summaries
 }
 
-// appendSummary appends a machine, unless it is being terminated, is moving to the leader's
-// partition, or can't be used by its owner.
+// appendSummary reports a machine to the autoscaler and appends it to the summaries, unless its
+// type is unknown or it is being terminated. A machine that is moving to the leader's partition,
+// or that its owner can't use, is only reported.
 func (c *leader) appendSummary(summaries []*planning.MachineSummary, m *machine, flags uint8) []*planning.MachineSummary {
 	machineType := c.machineTypes[m.machineType]
 	if machineType == nil || m.terminated || c.autoscaler.IsTerminating(m.name) {
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -96,8 +96,8 @@
 	return room
 }
 
-// zoneWithMostRoom returns the zone with the most room; among equals, the first by name. If no
-// zone has room, it may return current.
+// zoneWithMostRoom returns the zone with the most room; among equals, the first by name. If room
+// is empty, it returns current.
 func zoneWithMostRoom(room map[string]int, current string) string {
 	best := current
 	for zone, count := range room {
--- a/internal/controller/scoring.go
+++ b/internal/controller/scoring.go
@@ -18,8 +18,8 @@
 	// spotScore prefers spot machines, which leaves the more expensive on-demand machines to the
 	// tasks that need them.
 	spotScore = -500
-	// serviceScore prefers machines that run a service or gang, since these are not terminated
-	// in any case.
+	// serviceScore prefers machines that run a service or gang, since these are needed anyway
+	// until it ends.
 	serviceScore = -150
 	// Each free CPU adds 1 to the score: dense packing leaves whole machines empty, which can
 	// then be terminated. Free CPUs beyond maxScoredMilliCPUs add nothing.
