--- a/internal/controller/assignment_writes.go
+++ b/internal/controller/assignment_writes.go
@@ -54,9 +54,9 @@
 }
 
 // assignRemainingGangTasks assigns the tasks of a gang that did not fit into the previous
-// transactions, to the partition of the gang's first group. The number of assigned tasks
-// alone tells which ones are assigned, so there is one transaction at a time. A new leader
-// continues where the last one stopped.
+// transactions, to the partition of the gang's first group. Tasks are assigned in the order
+// of their numbers, and the next one follows from how many are assigned, so only one
+// transaction is in flight at a time. A new leader continues where the last one stopped.
 func (c *leader) assignRemainingGangTasks(j *job, assigned int) {
 	first := j.firstGroup()
 	var groups []record.TaskGroup
@@ -67,24 +67,24 @@
 	c.writeAssignment(j, c.groupsFittingTransaction(groups))
 }
 
-// writeAssignment stores the groups of one assignment, all of them or none. The number of
-// assigned tasks alone tells which ones are assigned, so a gap that a failed write leaves
-// would make a later assignment assign tasks twice.
+// writeAssignment stores the groups of one assignment, all of them or none. The next task to
+// assign follows from how many are assigned, so if a failed write left a gap, a later
+// assignment would assign tasks twice.
 func (c *leader) writeAssignment(j *job, groups []record.TaskGroup) {
 	if len(groups) == 0 {
 		return
 	}
 	write := &store.Write{HighPriority: j.spec.Gang, MediumPriority: true, Conditions: []wire.Condition{c.leaderCondition(), {Key: jobKey(j.id), Revision: j.revision}}}
-	reusable := j.emptyGroups()
-	var reused []*taskGroup
+	reusableGroups := j.emptyGroups()
+	var reusedGroups []*taskGroup
 	tasks := 0
 	for _, group := range groups {
 		tasks += len(group.Tasks)
 		var key string
 		var revision uint64
-		if len(reusable) > 0 {
-			empty := reusable[0]
-			reused, reusable = append(reused, empty), reusable[1:]
+		if len(reusableGroups) > 0 {
+			empty := reusableGroups[0]
+			reusedGroups, reusableGroups = append(reusedGroups, empty), reusableGroups[1:]
 			key, revision, group.DoneTasks = empty.key, empty.revision, empty.doneTasks
 		} else {
 			key = groupKey(j.id, j.newGroupNumber())
@@ -93,12 +93,12 @@
 		write.Changes = append(write.Changes, wire.Change{Put: key, Value: group.Encode(c.writeEncoding()).ValueForKey(key)})
 	}
 	j.assignedAt = c.now
-	c.submitDecision(write, reused...)
+	c.submitDecision(write, reusedGroups...)
 	c.metrics.count(countAssignedGroups, len(groups))
 	c.log.Debug("tasks assigned", "job", j.id, "tasks", tasks, "records", len(groups))
 }
 
-// emptyGroups returns the groups whose tasks are all done, by their numbers. They are reused,
+// emptyGroups returns the groups whose tasks are all done, sorted by number. They are reused,
 // so that a large array leaves few groups behind. No group is deleted while its job is
 // unfinished: an assignment that is applied minutes late must not find the group's key absent
 // again.
