--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -156,8 +156,8 @@
 type Writer interface {
 	// SubmitWrite queues a write and later runs done with its result on the event loop.
 	SubmitWrite(write *store.Write, done func(err error))
-	// Backlog returns the estimated time until all submitted writes are stored.
-	Backlog() time.Duration
+	// BacklogDuration returns the estimated time until all submitted writes are stored.
+	BacklogDuration() time.Duration
 }
 
 // EventLoop runs functions on the goroutine that owns the Autoscaler.
@@ -190,8 +190,8 @@
 	Log                        *slog.Logger
 }
 
-// Services holds the components that an Autoscaler depends on.
-type Services struct {
+// Dependencies holds the components that an Autoscaler depends on.
+type Dependencies struct {
 	Cloud    Cloud
 	Machines Machines
 	Cluster  Cluster
@@ -202,7 +202,7 @@
 // Autoscaler launches and terminates machines. Use New to create one.
 type Autoscaler struct {
 	Config
-	Services
+	Dependencies
 	// queuedCalls holds the calls to the cloud that Run has not started yet.
 	queuedCalls chan cloudCall
 	// term holds the state of the current leadership term. It is zero on a follower.
@@ -259,8 +259,8 @@
 
 // New returns an Autoscaler that is not in a leadership term. Run must be called for its calls
 // to the cloud to be made.
-func New(config Config, services Services) *Autoscaler {
-	return &Autoscaler{Config: config, Services: services, queuedCalls: make(chan cloudCall, callQueueLength),
+func New(config Config, dependencies Dependencies) *Autoscaler {
+	return &Autoscaler{Config: config, Dependencies: dependencies, queuedCalls: make(chan cloudCall, callQueueLength),
 		terminating: map[string]bool{}, outage: outage.NewMonitor(config.Log, "cloud", outageThreshold)}
 }
 
--- a/internal/autoscaler/drain_test.go
+++ b/internal/autoscaler/drain_test.go
@@ -158,8 +158,8 @@
 	c := newFakeCluster()
 	c.tombstones["e/gone/x"] = Tombstone{Key: "e/gone/x", FirstSeenAt: c.now.Add(-hour)}
 	c.writer.Submit(&store.Write{Changes: make([]wire.Change, 200)})
-	if c.Backlog() <= time.Second {
-		t.Fatalf("backlog of %v, want more than a second", c.Backlog())
+	if c.BacklogDuration() <= time.Second {
+		t.Fatalf("backlog of %v, want more than a second", c.BacklogDuration())
 	}
 	c.newAutoscaler(t).deleteTombstones()
 	if len(c.writes) != 0 {
--- a/internal/autoscaler/fake_cluster_test.go
+++ b/internal/autoscaler/fake_cluster_test.go
@@ -120,7 +120,7 @@
 		CloudSettings: config.CloudSettings{RPS: 6, ListLagS: 3}, Operator: config.DefaultOperatorSettings(),
 		TombstoneKeyPrefix: "e/gone/", MachineTypesKey: "e/types", MaxValueBytes: 8 << 10, MaxTransactionChanges: 32, LoanPartition: loanPartition,
 		HeartbeatTimeout: time.Second, MaxUnreachableWorkDuration: time.Minute, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-	}, Services{Cloud: &c.cloud, Machines: c, Cluster: c, Writer: c, Loop: c})
+	}, Dependencies{Cloud: &c.cloud, Machines: c, Cluster: c, Writer: c, Loop: c})
 	if c.leadership.Epoch != 0 {
 		a.StartTerm()
 	}
@@ -209,7 +209,7 @@
 func (c *fakeCluster) HasUnreadableRecords() bool                   { return c.hasUnreadableRecords }
 func (c *fakeCluster) Now() time.Time                               { return c.now }
 func (c *fakeCluster) Enqueue(f func())                             { f() }
-func (c *fakeCluster) Backlog() time.Duration                       { return c.writer.BacklogDuration() }
+func (c *fakeCluster) BacklogDuration() time.Duration               { return c.writer.BacklogDuration() }
 
 func (c *fakeCluster) SetTypes(types []wire.MachineType) {
 	c.types = map[string]*wire.MachineType{}
--- a/internal/autoscaler/tombstones.go
+++ b/internal/autoscaler/tombstones.go
@@ -102,7 +102,7 @@
 // of a hundred tombstones was submitted again at each tick until the first transaction was
 // stored, it used up all changes that the key-value store allows.
 func (a *Autoscaler) deleteTombstones() {
-	if a.term.tombstoneDeletionInFlight || a.Writer.Backlog() > maxCleanupBacklog {
+	if a.term.tombstoneDeletionInFlight || a.Writer.BacklogDuration() > maxCleanupBacklog {
 		return
 	}
 	changes := a.obsoleteTombstoneDeletions(a.MaxTransactionChanges / tombstoneChangesDivisor)
--- a/internal/autoscaler/tombstones_test.go
+++ b/internal/autoscaler/tombstones_test.go
@@ -24,12 +24,12 @@
 	}
 	c.now = c.now.Add(hour)
 	a.deleteTombstones()
-	queued := c.Backlog()
+	queued := c.BacklogDuration()
 	for range 20 {
 		a.deleteTombstones()
 	}
-	if queued == 0 || c.Backlog() != queued {
-		t.Errorf("backlog of %v after one call, %v after many; want the same, and not 0", queued, c.Backlog())
+	if queued == 0 || c.BacklogDuration() != queued {
+		t.Errorf("backlog of %v after one call, %v after many; want the same, and not 0", queued, c.BacklogDuration())
 	}
 	if len(c.writes) != 1 || len(c.writes[0].Changes) != 3 || !slices.Equal(c.writes[0].Conditions, []wire.Condition{leaderCondition}) {
 		t.Errorf("writes %+v, want one that deletes 3 tombstones under the leader's token", c.writes)
@@ -95,7 +95,7 @@
 		names = append(names, m.Name)
 	}
 	a.storeTombstones(names)
-	if n := c.Backlog(); n > time.Second/10 {
+	if n := c.BacklogDuration(); n > time.Second/10 {
 		t.Errorf("backlog of %v, want at most 100 ms", n)
 	}
 	if len(c.writes) != 1 || len(c.writes[0].Changes) != 1 {
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -22,7 +22,7 @@
 		MaxValueBytes: c.maxValueBytes(), MaxTransactionChanges: c.cfg.Settings.Store.TxnOps,
 		LoanPartition: c.loanPartition(), HeartbeatTimeout: c.heartbeatTimeout(),
 		MaxUnreachableWorkDuration: c.maxStaleness + c.leaseExpiry, Log: c.log,
-	}, autoscaler.Services{
+	}, autoscaler.Dependencies{
 		Cloud: client, Machines: machineView{c}, Cluster: leadershipView{c}, Writer: writeQueue{c.clusterState},
 		Loop: priorityLoop{c.eventLoop, priorityWorkers},
 	})
@@ -62,7 +62,7 @@
 			Machine:                m.autoscalerMachine(),
 			Reachable:              flags&peer.FlagReachable != 0,
 			Unreachable:            flags&peer.FlagUnreachable != 0,
-			AwaitingFirstHeartbeat: flags&peer.FlagNoHeartbeatYet != 0,
+			AwaitingFirstHeartbeat: flags&peer.FlagAwaitingFirstHeartbeat != 0,
 			Cordoned:               flags&peer.FlagCordoned != 0,
 			CordonedAt:             m.cordonedAt,
 		})
@@ -156,8 +156,8 @@
 // writeQueue implements autoscaler.Writer.
 type writeQueue struct{ *clusterState }
 
-// Backlog returns approximately how long it takes until all submitted writes are stored.
-func (q writeQueue) Backlog() time.Duration { return q.stateWriter.BacklogDuration() }
+// BacklogDuration returns approximately how long it takes until all submitted writes are stored.
+func (q writeQueue) BacklogDuration() time.Duration { return q.stateWriter.BacklogDuration() }
 
 // workload returns the workload that determines how many machines are needed. summaries are the
 // machines that are up; waiting is the demand for which there is no capacity.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -116,14 +116,14 @@
 func (c *controller) newElector(ctx context.Context) *election.Elector {
 	s := &c.cfg.Settings
 	return election.New(ctx, election.Config{
-		Node:                   c.cfg.Name,
-		ProcessID:              c.processID,
-		Nodes:                  c.cfg.ControllerNames(),
-		TTL:                    c.operator.LeaseTTL,
-		StartedAt:              c.startedAt,
-		HeartbeatInterval:      config.Seconds(s.Workers.HeartbeatIntervalS),
-		MaxUnreachableWorkTime: c.maxStaleness + c.leaseExpiry,
-		Log:                    c.log,
+		Node:                       c.cfg.Name,
+		ProcessID:                  c.processID,
+		Nodes:                      c.cfg.ControllerNames(),
+		TTL:                        c.operator.LeaseTTL,
+		StartedAt:                  c.startedAt,
+		HeartbeatInterval:          config.Seconds(s.Workers.HeartbeatIntervalS),
+		MaxUnreachableWorkDuration: c.maxStaleness + c.leaseExpiry,
+		Log:                        c.log,
 	}, election.Dependencies{
 		Store:    c.stateClient,
 		Replica:  c.replica,
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -256,12 +256,12 @@
 	return p != nil && p.HasRecentStatus(peer.Timeout, v.now) && p.Status.CanTakePartitions
 }
 
-// AliveSince returns the time since which status reports from a peer have arrived without a
+// ReachableSince returns the time since which status reports from a peer have arrived without a
 // gap.
-func (v peerView) ReachableSince(node string) time.Time { return v.peers.Peer(node).AliveSince }
+func (v peerView) ReachableSince(node string) time.Time { return v.peers.Peer(node).ReachableSince }
 
-// Silent reports whether there are peers and none of them has been heard from for d.
-func (v peerView) AreAllSilent(d time.Duration) bool { return v.peers.IsIsolated(d, v.now) }
+// IsIsolated reports whether there are peers and none of them has been heard from for d.
+func (v peerView) IsIsolated(d time.Duration) bool { return v.peers.IsIsolated(d, v.now) }
 
 // HaveWorkerContact reports whether any peer receives heartbeats from a machine, and whether all
 // peers have sent a recent status.
--- a/internal/controller/peer_status.go
+++ b/internal/controller/peer_status.go
@@ -51,7 +51,7 @@
 		flags |= peer.FlagUnreachable
 	}
 	if !m.heartbeatAt.After(p.machineOwnedSince(m)) {
-		flags |= peer.FlagNoHeartbeatYet
+		flags |= peer.FlagAwaitingFirstHeartbeat
 	}
 	return flags
 }
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -46,9 +46,9 @@
 	// ReachableSince returns the time since which the named controller has been reachable
 	// without a gap.
 	ReachableSince(node string) time.Time
-	// AreAllSilent reports whether there are other controllers and none of them has been
+	// IsIsolated reports whether there are other controllers and none of them has been
 	// heard from for d.
-	AreAllSilent(d time.Duration) bool
+	IsIsolated(d time.Duration) bool
 	// HaveWorkerContact reports whether any other controller has contact with a worker, and
 	// whether the status of all other controllers is known and recent.
 	HaveWorkerContact() (haveContact, allKnown bool)
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -89,11 +89,11 @@
 	StartedAt time.Time
 	// HeartbeatInterval is the time between two heartbeats of a worker.
 	HeartbeatInterval time.Duration
-	// MaxUnreachableWorkTime is the longest time for which a machine goes on working while
+	// MaxUnreachableWorkDuration is the longest time for which a machine goes on working while
 	// no controller reaches it. After this time the lease of every worker has expired,
 	// whichever controller renewed it last.
-	MaxUnreachableWorkTime time.Duration
-	Log                    *slog.Logger
+	MaxUnreachableWorkDuration time.Duration
+	Log                        *slog.Logger
 }
 
 // Dependencies are the components that an Elector uses.
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -134,7 +134,7 @@
 func newTestController(ctx context.Context, s *fakeStore, node, id string) *testController {
 	p := &testController{store: s, revisions: map[string]uint64{}, heldTokens: map[string]uint64{}}
 	config := Config{Node: node, ProcessID: id, Nodes: []string{"n0", "n1"}, TTL: testTTL, StartedAt: time.Now(),
-		HeartbeatInterval: time.Second, MaxUnreachableWorkTime: 30 * time.Second, Log: slog.New(slog.DiscardHandler)}
+		HeartbeatInterval: time.Second, MaxUnreachableWorkDuration: 30 * time.Second, Log: slog.New(slog.DiscardHandler)}
 	p.elector = New(ctx, config, Dependencies{Store: s, Replica: p, Reader: p, Writer: p, Loop: p, Listener: p}, []string{leaderKey, partition0Key})
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -232,7 +232,7 @@
 
 func (f fakePeers) IsEligible(string) bool          { return f.areEligible }
 func (fakePeers) ReachableSince(string) time.Time   { return time.Time{} }
-func (f fakePeers) AreAllSilent(time.Duration) bool { return f.areSilent }
+func (f fakePeers) IsIsolated(time.Duration) bool   { return f.areSilent }
 func (f fakePeers) HaveWorkerContact() (bool, bool) { return f.haveContact, f.allKnown }
 
 // runWithTwoControllers runs f on fake time with two controllers that campaign for the same keys.
--- a/internal/election/stepdown.go
+++ b/internal/election/stepdown.go
@@ -24,7 +24,7 @@
 	// peerSilenceTimeout is how long a leader must have heard from no peer before it considers
 	// itself isolated.
 	peerSilenceTimeout = 6 * time.Second
-	// stepDownRepeatFactor is the number of MaxUnreachableWorkTime periods that pass before a
+	// stepDownRepeatFactor is the number of MaxUnreachableWorkDuration periods that pass before a
 	// controller that still receives no heartbeats steps down again.
 	stepDownRepeatFactor = 2
 )
@@ -91,14 +91,14 @@
 // controller receives heartbeats. If the keys were then passed on again and again, no owner would
 // wait long enough for the workers' leases to expire. Therefore, while no heartbeat arrives and no
 // peer is known to have contact, a controller steps down only once in stepDownRepeatFactor times
-// MaxUnreachableWorkTime.
+// MaxUnreachableWorkDuration.
 func (e *Elector) canPeersHaveContact(workers WorkerContact, peers Peers) bool {
 	peersHaveContact, allKnown := peers.HaveWorkerContact()
 	if peersHaveContact {
 		return true
 	}
 	return !allKnown && (e.steppedDownAt.IsZero() || workers.LastHeartbeatAt().After(e.steppedDownAt) ||
-		e.Loop.Now().Sub(e.steppedDownAt) > stepDownRepeatFactor*e.MaxUnreachableWorkTime)
+		e.Loop.Now().Sub(e.steppedDownAt) > stepDownRepeatFactor*e.MaxUnreachableWorkDuration)
 }
 
 // StepDownIfIsolated resigns the leadership, held since leaderSince, when neither workers nor
@@ -107,7 +107,7 @@
 // any benefit.
 func (e *Elector) StepDownIfIsolated(leaderKey string, leaderSince time.Time, partitionKeys []string, workers WorkerContact, peers Peers) {
 	now := e.Loop.Now()
-	if e.Token(leaderKey) == 0 || now.Sub(leaderSince) < minLeaderTenure || !peers.AreAllSilent(peerSilenceTimeout) || workers.CountReportingMachines() > 0 {
+	if e.Token(leaderKey) == 0 || now.Sub(leaderSince) < minLeaderTenure || !peers.IsIsolated(peerSilenceTimeout) || workers.CountReportingMachines() > 0 {
 		return
 	}
 	for _, key := range partitionKeys {
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -10,7 +10,7 @@
 // plain frames that earlier versions wrote are kept in the tests of package controller.
 func TestChecksummedFrameBytes(t *testing.T) {
 	status := &Status{Node: "n0", ProcessID: "00ff", ReplicaIsCurrent: true, CanTakePartitions: true, Partitions: []uint64{0, 300},
-		Machines: []Machine{{Name: "host-1", Addr: "10.1.0.2:9000", Type: "g8", Zone: "a", Incarnation: 2, Flags: FlagReachable | FlagSpot | FlagNoHeartbeatYet},
+		Machines: []Machine{{Name: "host-1", Addr: "10.1.0.2:9000", Type: "g8", Zone: "a", Incarnation: 2, Flags: FlagReachable | FlagSpot | FlagAwaitingFirstHeartbeat},
 			{Name: "host-2", Addr: "10.1.0.3:9000", Type: "g8", Zone: "b", Incarnation: 1, Flags: FlagTerminationNotice | FlagCordoned | FlagUnreachable}},
 		DrainingMachines: []string{"host-1", "host-2"}}
 	const want = "454803010000005cda58ce9f0f38b39593028771623db5b1026e300430306666030200ac02020006686f73742d31000d31302e312e302e323a39303030000267380001610231" +
--- a/internal/peer/registry.go
+++ b/internal/peer/registry.go
@@ -15,9 +15,9 @@
 	Status *Status
 	// LastStatusAt is the time at which Status arrived, or the zero time before the first one.
 	LastStatusAt time.Time
-	// AliveSince is the start of the current period in which statuses arrived without a gap longer
+	// ReachableSince is the start of the current period in which statuses arrived without a gap longer
 	// than Timeout.
-	AliveSince time.Time
+	ReachableSince time.Time
 	// previousProcessID is the id of the process that the peer ran before its current one. Frames
 	// of that process may still arrive.
 	previousProcessID string
@@ -71,7 +71,7 @@
 		p.previousProcessID = p.Status.ProcessID
 	}
 	if now.Sub(p.LastStatusAt) > Timeout {
-		p.AliveSince = now
+		p.ReachableSince = now
 	}
 	p.Status, p.LastStatusAt = status, now
 	return true
--- a/internal/peer/registry_test.go
+++ b/internal/peer/registry_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// AliveSince must survive a gap of exactly Timeout between two statuses and restart after a longer
+// ReachableSince must survive a gap of exactly Timeout between two statuses and restart after a longer
 // one; IsIsolated must depend on the time since the last status.
 func TestRegistryDetectsStatusGaps(t *testing.T) {
 	r, start := NewRegistry([]string{"n1"}), time.Unix(1000, 0)
@@ -36,13 +36,13 @@
 	}
 	r.Update(&Status{Node: "n1"}, start)
 	r.Update(&Status{Node: "n1"}, start.Add(Timeout))
-	if p := r.Peer("n1"); !p.AliveSince.Equal(start) || !p.HasRecentStatus(time.Second, start.Add(Timeout)) {
-		t.Errorf("peer alive since %v, want %v, or its status is not recent", p.AliveSince, start)
+	if p := r.Peer("n1"); !p.ReachableSince.Equal(start) || !p.HasRecentStatus(time.Second, start.Add(Timeout)) {
+		t.Errorf("peer alive since %v, want %v, or its status is not recent", p.ReachableSince, start)
 	}
 	late := start.Add(2*Timeout + time.Millisecond)
 	r.Update(&Status{Node: "n1"}, late)
-	if p := r.Peer("n1"); !p.AliveSince.Equal(late) {
-		t.Errorf("after a gap: peer alive since %v, want %v", p.AliveSince, late)
+	if p := r.Peer("n1"); !p.ReachableSince.Equal(late) {
+		t.Errorf("after a gap: peer alive since %v, want %v", p.ReachableSince, late)
 	}
 	if r.IsIsolated(time.Second, late) || !r.IsIsolated(time.Second, late.Add(time.Second)) {
 		t.Error("IsIsolated must be false until a second after the last status, and true from then on")
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -47,9 +47,9 @@
 	FlagUnreachable
 	// FlagSpot is set if the machine is a spot instance.
 	FlagSpot
-	// FlagNoHeartbeatYet is set if no heartbeat of the machine has arrived since its owner took over
+	// FlagAwaitingFirstHeartbeat is set if no heartbeat of the machine has arrived since its owner took over
 	// its partition.
-	FlagNoHeartbeatYet
+	FlagAwaitingFirstHeartbeat
 )
 
 // Flags of a status. The numbers are sent to other versions of the program.
