--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -207,13 +207,13 @@
 	queuedCalls chan cloudCall
 	// term holds the state of the current leadership term. It is zero on a follower.
 	term termState
-	// announcedDraining is the set of machines that the leader last announced as draining. The
-	// leader may be this controller.
-	announcedDraining map[string]bool
-	// terminating is the set of machines from the decision to terminate them until their
+	// announcedDrainingMachines is the set of machines that the leader last announced as
+	// draining. The leader may be this controller.
+	announcedDrainingMachines map[string]bool
+	// terminatingMachines is the set of machines from the decision to terminate them until their
 	// tombstone is stored or the termination is cancelled. queuedTerminations lists those of
 	// them that no call to the cloud includes yet.
-	terminating         map[string]bool
+	terminatingMachines map[string]bool
 	queuedTerminations  []string
 	terminationInFlight bool
 	// outage logs outages of the cloud's API.
@@ -229,8 +229,8 @@
 	instances map[string]*instance
 	// idleSince records when a machine was first seen idle after it was last in use.
 	idleSince map[string]time.Time
-	// draining is the set of machines that this leader is draining.
-	draining map[string]bool
+	// drainingMachines is the set of machines that this leader is draining.
+	drainingMachines map[string]bool
 	// freeHistory records how much CPU was free recently, beyond the headroom.
 	freeHistory planning.FreeCPUHistory
 
@@ -261,19 +261,19 @@
 // to the cloud to be made.
 func New(config Config, dependencies Dependencies) *Autoscaler {
 	return &Autoscaler{Config: config, Dependencies: dependencies, queuedCalls: make(chan cloudCall, callQueueLength),
-		terminating: map[string]bool{}, outage: outage.NewMonitor(config.Log, "cloud", outageThreshold)}
+		terminatingMachines: map[string]bool{}, outage: outage.NewMonitor(config.Log, "cloud", outageThreshold)}
 }
 
 // StartTerm begins a leadership term with empty state.
 func (a *Autoscaler) StartTerm() {
 	a.term = termState{
-		instances:       map[string]*instance{},
-		idleSince:       map[string]time.Time{},
-		draining:        map[string]bool{},
-		pendingLaunches: map[planning.Offer]int{},
-		backoffUntil:    map[planning.Offer]time.Time{},
-		backoffDelays:   map[planning.Offer]time.Duration{},
-		isolatedSince:   map[string]time.Time{},
+		instances:        map[string]*instance{},
+		idleSince:        map[string]time.Time{},
+		drainingMachines: map[string]bool{},
+		pendingLaunches:  map[planning.Offer]int{},
+		backoffUntil:     map[planning.Offer]time.Time{},
+		backoffDelays:    map[planning.Offer]time.Duration{},
+		isolatedSince:    map[string]time.Time{},
 	}
 }
 
--- a/internal/autoscaler/drain.go
+++ b/internal/autoscaler/drain.go
@@ -17,16 +17,16 @@
 
 // IsDraining reports whether a machine is draining according to the leader's last announcement.
 // The owner of its partition places no tasks on it.
-func (a *Autoscaler) IsDraining(name string) bool { return a.announcedDraining[name] }
+func (a *Autoscaler) IsDraining(name string) bool { return a.announcedDrainingMachines[name] }
 
 // IsDrainingAsLeader reports whether this controller is the leader and is draining a machine.
-func (a *Autoscaler) IsDrainingAsLeader(name string) bool { return a.term.draining[name] }
+func (a *Autoscaler) IsDrainingAsLeader(name string) bool { return a.term.drainingMachines[name] }
 
 // DrainingMachines returns the names of the machines that this controller is draining, in no
 // particular order. It returns none on a follower.
 func (a *Autoscaler) DrainingMachines() []string {
 	var names []string
-	for name := range a.term.draining {
+	for name := range a.term.drainingMachines {
 		names = append(names, name)
 	}
 	return names
@@ -35,9 +35,9 @@
 // ObserveDraining records the machines that the leader announces as draining. They replace
 // those announced before.
 func (a *Autoscaler) ObserveDraining(names []string) {
-	a.announcedDraining = map[string]bool{}
+	a.announcedDrainingMachines = map[string]bool{}
 	for _, name := range names {
-		a.announcedDraining[name] = true
+		a.announcedDrainingMachines[name] = true
 	}
 }
 
@@ -62,9 +62,9 @@
 // machine gets no more tasks and is terminated once it is idle. In a shortage, no machine is
 // drained, and those that are draining are used again.
 func (a *Autoscaler) drainSurplus(summaries []*planning.MachineSummary, headroom *serviceHeadroom, shortage bool) {
-	a.announcedDraining = a.term.draining
+	a.announcedDrainingMachines = a.term.drainingMachines
 	if shortage {
-		clear(a.term.draining)
+		clear(a.term.drainingMachines)
 		a.term.freeHistory.Reset()
 		return
 	}
@@ -75,13 +75,13 @@
 		return // the surplus has not been observed for the whole window
 	}
 	candidate := planning.LeastUsedMachine(summaries, minSurplus, headroom.minPriority, func(summary *planning.MachineSummary) bool {
-		return summary.Partition != a.LoanPartition && !a.term.draining[a.machineName(summary)]
+		return summary.Partition != a.LoanPartition && !a.term.drainingMachines[a.machineName(summary)]
 	})
 	if candidate == nil {
 		return
 	}
 	name := a.machineName(candidate)
-	a.term.draining[name] = true
+	a.term.drainingMachines[name] = true
 	a.term.freeHistory.Subtract(candidate.Size.CPU - candidate.UsedResources().CPU)
 	a.Log.Info("draining machine", "machine", name, "spare_cpus", minSurplus/milliCPUsPerCPU)
 }
@@ -102,7 +102,7 @@
 func (a *Autoscaler) surplusMilliCPUs(summaries []*planning.MachineSummary, headroom *serviceHeadroom) int64 {
 	surplus := int64(0)
 	for _, summary := range summaries {
-		if !a.term.draining[a.machineName(summary)] {
+		if !a.term.drainingMachines[a.machineName(summary)] {
 			surplus += summary.Size.CPU - summary.UsedResources().CPU
 		}
 	}
@@ -137,5 +137,5 @@
 		a.term.idleSince[m.Name] = a.Loop.Now()
 		return false
 	}
-	return a.announcedDraining[m.Name] || a.Loop.Now().Sub(idleSince) > a.idleTimeout(a.Machines.Types()[m.Type], m.Spot)
+	return a.announcedDrainingMachines[m.Name] || a.Loop.Now().Sub(idleSince) > a.idleTimeout(a.Machines.Types()[m.Type], m.Spot)
 }
--- a/internal/autoscaler/drain_test.go
+++ b/internal/autoscaler/drain_test.go
@@ -129,11 +129,11 @@
 	c.addMachines(1)
 	a := c.newAutoscaler(t)
 	a.ObserveMachine(c.machines[0].Machine)
-	a.term.draining["host-000000"], a.term.idleSince["host-000000"] = true, c.now
+	a.term.drainingMachines["host-000000"], a.term.idleSince["host-000000"] = true, c.now
 	a.terminate([]string{"host-000000"})
 	c.runQueuedCalls(a)
-	if len(a.term.draining)+len(a.term.idleSince)+len(a.term.instances) != 0 {
-		t.Errorf("after the termination: draining %v, idle %v, instances %v; want none", a.term.draining, a.term.idleSince, a.term.instances)
+	if len(a.term.drainingMachines)+len(a.term.idleSince)+len(a.term.instances) != 0 {
+		t.Errorf("after the termination: draining %v, idle %v, instances %v; want none", a.term.drainingMachines, a.term.idleSince, a.term.instances)
 	}
 }
 
@@ -144,7 +144,7 @@
 	c.addMachines(2)
 	c.machines[0].Terminated = true
 	a := c.newAutoscaler(t)
-	a.terminating["host-000001"] = true
+	a.terminatingMachines["host-000001"] = true
 	for _, state := range []string{"", wire.InstanceFailed} {
 		a.applyInstanceList([]wire.Instance{{Name: "host-000000", Type: "small", State: state}, {Name: "host-000001", Type: "small", State: state}})
 	}
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -106,7 +106,7 @@
 	for i := range list {
 		item := &list[i]
 		listed[item.Name] = true
-		if m, known := a.Machines.Lookup(item.Name); known && m.Terminated || a.terminating[item.Name] {
+		if m, known := a.Machines.Lookup(item.Name); known && m.Terminated || a.terminatingMachines[item.Name] {
 			continue
 		}
 		if item.State == wire.InstanceFailed {
--- a/internal/autoscaler/isolated_zones.go
+++ b/internal/autoscaler/isolated_zones.go
@@ -1,7 +1,7 @@
 package autoscaler
 
 const (
-	// minIsolatedMachines is the number of machines of a zone that must be unreachable before
+	// minIsolatedMachines is the number of machines of a zone that must not be reachable before
 	// the zone can seem isolated. A few machines may fail at the same time for other reasons.
 	minIsolatedMachines = 5
 )
@@ -30,8 +30,8 @@
 	return zones
 }
 
-// DetectIsolatedZones finds zones that seem isolated: most of their machines are unreachable
-// while most machines of some other zone are reachable.
+// DetectIsolatedZones finds zones that seem isolated: most of their machines are not reachable
+// while at least half of the machines of some other zone are.
 //
 // Tasks in an isolated zone keep running as long as the controllers in the zone may answer
 // heartbeats, and after that until the leases of their workers expire. Terminating the machines
--- a/internal/autoscaler/launch_test.go
+++ b/internal/autoscaler/launch_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// The results of calls that were queued in an earlier term are dropped. The new term learns of
-// these machines from the instance list.
+// The results of calls that were queued in an earlier term are dropped. The new
+// leader finds the launched machines in the instance list.
 func TestResultsOfFormerTermAreDropped(t *testing.T) {
 	c := newFakeCluster()
 	a := c.newAutoscaler(t)
--- a/internal/autoscaler/lost_machines.go
+++ b/internal/autoscaler/lost_machines.go
@@ -47,7 +47,7 @@
 	failedBoots := map[planning.Offer]int{}
 	for _, name := range overdue {
 		inst := a.term.instances[name]
-		if !inst.hasReported && !a.terminating[name] {
+		if !inst.hasReported && !a.terminatingMachines[name] {
 			failedBoots[planning.Offer{Type: inst.machineType, Zone: inst.zone, Spot: inst.spot}]++
 		}
 	}
@@ -94,7 +94,8 @@
 
 // TerminateUnreachableMachines terminates the unreachable machines of this controller's own
 // partitions if it receives no statuses from the leader. The leader may then not know that these
-// machines are unreachable, and their tasks would be replaced only after the lease has expired.
+// machines are unreachable, and their tasks would be replaced only after the leases of their
+// workers have expired.
 func (a *Autoscaler) TerminateUnreachableMachines() {
 	if a.Cluster.Leadership().Active || a.Loop.Now().Sub(a.Cluster.LeaderLastHeardAt()) < leaderTimeout {
 		return
--- a/internal/autoscaler/machine_types.go
+++ b/internal/autoscaler/machine_types.go
@@ -13,9 +13,9 @@
 	// machineTypesInterval is the time after which the leader reads the machine types again.
 	// Prices change slowly.
 	machineTypesInterval = time.Minute
-	// machineTypesRetry is the time between two reads while no machine types are known. No
+	// machineTypesRetryInterval is the time between two reads while no machine types are known. No
 	// job can be accepted without them.
-	machineTypesRetry = 2 * time.Second
+	machineTypesRetryInterval = 2 * time.Second
 )
 
 // MarkMachineTypesStored records that the machine types are in the key-value store, so that
@@ -25,12 +25,12 @@
 // syncMachineTypes reads the machine types from the cloud when they are due. A follower reads
 // them only while it knows none.
 func (a *Autoscaler) syncMachineTypes() {
-	unknown := len(a.Machines.Types()) == 0
+	typesUnknown := len(a.Machines.Types()) == 0
 	age := a.Loop.Now().Sub(a.term.machineTypesRequestedAt)
-	if age <= machineTypesInterval && !(unknown && age > machineTypesRetry) {
+	if age <= machineTypesInterval && !(typesUnknown && age > machineTypesRetryInterval) {
 		return
 	}
-	if !a.Cluster.Leadership().CanAct && !(unknown && a.Cluster.HasLoadedRecords()) {
+	if !a.Cluster.Leadership().CanAct && !(typesUnknown && a.Cluster.HasLoadedRecords()) {
 		return
 	}
 	a.term.machineTypesRequestedAt = a.Loop.Now()
--- a/internal/autoscaler/machines_test.go
+++ b/internal/autoscaler/machines_test.go
@@ -10,7 +10,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// isolateZone moves all machines to a zone and makes them unreachable, and adds a reachable
+// isolateZone moves all machines to a zone and makes them not reachable, and adds a reachable
 // machine in another zone.
 func (c *fakeCluster) isolateZone(zone, reachableZone string) {
 	for _, m := range c.machines {
@@ -20,7 +20,7 @@
 	c.machines[len(c.machines)-1].Zone = reachableZone
 }
 
-// A zone seems isolated if most of its machines are unreachable while another zone is reachable.
+// A zone seems isolated if most of its machines are not reachable while those of another zone are.
 func TestIsolatedZones(t *testing.T) {
 	for _, test := range []struct {
 		name     string
--- a/internal/autoscaler/scale.go
+++ b/internal/autoscaler/scale.go
@@ -137,7 +137,7 @@
 // MachineCounts returns how many machines are booting and how many are draining. Machines whose
 // launch is pending count as booting.
 func (a *Autoscaler) MachineCounts() (booting, draining int) {
-	return len(a.bootingMachines()), len(a.term.draining)
+	return len(a.bootingMachines()), len(a.term.drainingMachines)
 }
 
 // bootingMachines returns summaries of the machines that have been launched or requested and
@@ -147,7 +147,7 @@
 	types := a.Machines.Types()
 	for name, inst := range a.term.instances {
 		machineType := types[inst.machineType]
-		if inst.hasReported || machineType == nil || a.terminating[name] {
+		if inst.hasReported || machineType == nil || a.terminatingMachines[name] {
 			continue
 		}
 		if a.Loop.Now().Sub(inst.launchedAt) > config.Seconds(expectedBootFactor*machineType.BootS) {
--- a/internal/autoscaler/scale_test.go
+++ b/internal/autoscaler/scale_test.go
@@ -86,7 +86,7 @@
 	c.addMachines(1)
 	a := c.newAutoscaler(t)
 	a.ObserveMachine(c.machines[0].Machine)
-	a.term.draining["host-000000"] = true
+	a.term.drainingMachines["host-000000"] = true
 	a.terminate([]string{"host-000000"})
 	c.demote()
 	c.partitionCondition = partitionCondition
--- a/internal/autoscaler/termination.go
+++ b/internal/autoscaler/termination.go
@@ -8,7 +8,7 @@
 
 // IsTerminating reports whether a machine is being terminated. No tasks may be placed on such a
 // machine.
-func (a *Autoscaler) IsTerminating(name string) bool { return a.terminating[name] }
+func (a *Autoscaler) IsTerminating(name string) bool { return a.terminatingMachines[name] }
 
 // terminate queues machines for termination. Once the cloud has confirmed it, the machines and
 // their tasks no longer exist, and tombstones are stored so that the owners of their partitions
@@ -19,8 +19,8 @@
 // forty dead machines was terminated only after twenty seconds.
 func (a *Autoscaler) terminate(names []string) {
 	for _, name := range names {
-		if !a.terminating[name] {
-			a.terminating[name] = true
+		if !a.terminatingMachines[name] {
+			a.terminatingMachines[name] = true
 			a.queuedTerminations = append(a.queuedTerminations, name)
 		}
 	}
@@ -56,6 +56,6 @@
 // the reason for it persists.
 func (a *Autoscaler) cancelTermination(names []string) {
 	for _, name := range names {
-		delete(a.terminating, name)
+		delete(a.terminatingMachines, name)
 	}
 }
--- a/internal/autoscaler/tombstones.go
+++ b/internal/autoscaler/tombstones.go
@@ -69,10 +69,10 @@
 	inst, m := a.term.instances[name], a.Machines.GetOrAdd(name)
 	delete(a.term.instances, name)
 	delete(a.term.idleSince, name)
-	delete(a.term.draining, name)
+	delete(a.term.drainingMachines, name)
 	if inst != nil && !inst.hasReported && !m.HasBoundTasks {
 		a.Machines.MarkTerminated(name) // it has never come up, so no other controller refers to it
-		delete(a.terminating, name)
+		delete(a.terminatingMachines, name)
 		return wire.Condition{}, false
 	}
 	leadership := a.Cluster.Leadership()
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,4 +1,4 @@
-// Package cloud provides a client of the API of the cloud that rents out the machines.
+// Package cloud provides a client of the API of the cloud that provides the machines.
 package cloud
 
 import (
@@ -43,24 +43,24 @@
 	rateShare = 0.8
 )
 
-// noCapacityText is the error text in the cloud's response if it has no machine to rent out.
+// noCapacityText is the error text in the cloud's response if it has no machine to launch.
 const noCapacityText = "no capacity"
 
 // Client calls the API of the cloud. Calls wait as long as needed to stay within the cloud's rate
 // limit. The methods of Client may be called concurrently.
 type Client struct {
-	base  string
-	http  *http.Client
-	limit *rate.Limiter
+	baseURL    string
+	httpClient *http.Client
+	limiter    *rate.Limiter
 }
 
 // NewClient returns a Client that sends its requests through transport to the cloud at addr
 // (host:port). The cloud allows rps requests per second.
 func NewClient(addr string, rps float64, transport http.RoundTripper) *Client {
 	return &Client{
-		base:  "http://" + addr,
-		http:  &http.Client{Transport: transport},
-		limit: rate.NewLimiter(rate.Limit(rps*rateShare), max(1, int(rps))),
+		baseURL:    "http://" + addr,
+		httpClient: &http.Client{Transport: transport},
+		limiter:    rate.NewLimiter(rate.Limit(rps*rateShare), max(1, int(rps))),
 	}
 }
 
@@ -74,10 +74,10 @@
 // call waits for the rate limit, sends a request and decodes the response into out, unless out is
 // nil.
 func (c *Client) call(ctx context.Context, r request, out any) error {
-	if err := c.limit.Wait(ctx); err != nil {
+	if err := c.limiter.Wait(ctx); err != nil {
 		return err
 	}
-	response, err := httpjson.Do(ctx, c.http, httpjson.Request{Method: r.method, URL: c.base + r.path, Body: r.body,
+	response, err := httpjson.Do(ctx, c.httpClient, httpjson.Request{Method: r.method, URL: c.baseURL + r.path, Body: r.body,
 		Timeout: callTimeout, MaxResponseBytes: maxResponseBytes})
 	if err == nil {
 		err = responseError(response)
@@ -120,8 +120,8 @@
 	return response.Types, nil
 }
 
-// Launch rents machines and returns their names. It is idempotent: repeating a request that has
-// succeeded rents no further machines.
+// Launch launches machines and returns their names. It is idempotent: repeating a request that has
+// succeeded launches no further machines.
 func (c *Client) Launch(ctx context.Context, launch wire.LaunchRequest) ([]string, error) {
 	var response wire.MachineNames
 	if err := c.call(ctx, request{http.MethodPost, "/rentals", launch}, &response); err != nil {
@@ -130,13 +130,13 @@
 	return response.Names, nil
 }
 
-// Terminate returns at most MaxTerminateNames machines to the cloud. If it returns no error, the
-// machines and everything that ran on them are gone. Unknown names are ignored.
+// Terminate terminates at most MaxTerminateNames machines. If it returns no error, the
+// machines and everything that ran on them no longer exist. Unknown names are ignored.
 func (c *Client) Terminate(ctx context.Context, names []string) error {
 	return c.call(ctx, request{http.MethodPost, "/rentals/release", wire.MachineNames{Names: names}}, nil)
 }
 
-// List reads the whole list of rented machines, page by page. The list lags behind the actual state
+// List reads the whole instance list, page by page. The list lags behind the actual state
 // and may even be older than the one that was read before.
 func (c *Client) List(ctx context.Context) ([]wire.Instance, error) {
 	var all []wire.Instance
--- a/internal/election/acquire.go
+++ b/internal/election/acquire.go
@@ -87,7 +87,7 @@
 }
 
 // keepAlive renews the lease of a key until the key is lost. A controller with a slow event
-// loop keeps its keys, since another controller would hardly be faster and a failover costs
+// loop keeps its keys, since another controller would hardly be faster and a failover takes
 // time on both. If the event loop has not run for a whole TTL, the controller can't serve, and
 // the lease is left to expire. To detect that, each renewal enqueues a check on the event loop.
 func (e *Elector) keepAlive(ctx context.Context, leased *leasedKey, key string, lease uint64) {
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -10,20 +10,20 @@
 	// controller other than the preferred owner acquires it.
 	nonPreferredAcquireDelay = 300 * time.Millisecond
 	// preferredOwnerHeadStart replaces nonPreferredAcquireDelay while the preferred owner can
-	// acquire the key itself, or may not have been heard from only because it has just
-	// started.
+	// acquire the key itself, or may be able to: shortly after this process's start, a status
+	// of that controller may not have arrived yet.
 	preferredOwnerHeadStart = 2 * time.Second
 	// leaderStagger is the difference between the delays of two successive controllers in the
 	// list of nodes, so that they do not all campaign for the leadership at once.
 	leaderStagger = 100 * time.Millisecond
-	// minPartitionTenure is the minimum time for which a partition stays with an owner, and
-	// minPeerReachableTime is how long the preferred owner must have been reachable without a
-	// gap, before the partition is handed over to it. They keep partitions from moving back
-	// and forth between owners.
+	// A partition is handed over to its preferred owner only after its current owner has held
+	// it for minPartitionTenure and the preferred owner has been reachable without a gap for
+	// minPeerReachableTime. Both keep partitions from moving back and forth between owners.
 	minPartitionTenure   = 5 * time.Second
 	minPeerReachableTime = 4 * time.Second
-	// startupGracePeriod is the time after this process's start during which all other
-	// controllers are assumed to be alive although nothing has been heard from them yet.
+	// startupGracePeriod is the time after this process's start during which the preferred
+	// owner of a partition is assumed to be able to acquire it, even if no status of that
+	// controller has arrived yet.
 	startupGracePeriod = 2 * time.Second
 )
 
@@ -46,8 +46,8 @@
 	// ReachableSince returns the time since which the named controller has been reachable
 	// without a gap.
 	ReachableSince(node string) time.Time
-	// IsIsolated reports whether there are other controllers and none of them has been
-	// heard from for d.
+	// IsIsolated reports whether there are other controllers and none of them has sent a
+	// status for d.
 	IsIsolated(d time.Duration) bool
 	// HaveWorkerContact reports whether any other controller has contact with a worker, and
 	// whether the status of all other controllers is known and recent.
@@ -86,10 +86,10 @@
 }
 
 // handOver resigns a partition whose preferred owner is another controller, if that controller
-// has been reachable for a while and all machines with bound tasks have been heard from. A
+// has been reachable for a while and all machines with bound tasks have sent a heartbeat. A
 // change of owner restarts the wait for workers' leases to expire: a partition whose machines
 // had all died moved back and forth between its preferred owner, which received no heartbeats,
-// and another controller, and its tasks were never proven gone.
+// and another controller, and its tasks were never proven to have ended.
 func (e *Elector) handOver(p *Partition, peers Peers) {
 	now, preferred := e.Loop.Now(), e.preferredOwner(p.Index)
 	if preferred == e.Node || !peers.IsEligible(preferred) || now.Sub(p.OwnedSince) <= minPartitionTenure {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -38,8 +38,8 @@
 	Txn(ctx context.Context, txn *wire.Txn) (*wire.TxnResponse, error)
 }
 
-// Replica is the local copy of the store. The Elector learns of each value put into it
-// through ObserveHolder.
+// Replica is the local copy of the store. Its owner calls ObserveHolder and ObserveVacancy
+// for each change of a leased key.
 type Replica interface {
 	Revision(key string) uint64
 	Put(key string, value json.RawMessage, revision uint64)
@@ -89,9 +89,9 @@
 	StartedAt time.Time
 	// HeartbeatInterval is the time between two heartbeats of a worker.
 	HeartbeatInterval time.Duration
-	// MaxUnreachableWorkDuration is the longest time for which a machine goes on working while
-	// no controller reaches it. After this time the lease of every worker has expired,
-	// whichever controller renewed it last.
+	// MaxUnreachableWorkDuration is the maximum time for which tasks keep running on machines
+	// that no controller can reach. After it the leases of all their workers have expired, no
+	// matter which controller renewed them last.
 	MaxUnreachableWorkDuration time.Duration
 	Log                        *slog.Logger
 }
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -228,11 +228,11 @@
 }
 
 // fakePeers gives the same answers about every peer.
-type fakePeers struct{ areEligible, areSilent, haveContact, allKnown bool }
+type fakePeers struct{ areEligible, isIsolated, haveContact, allKnown bool }
 
 func (f fakePeers) IsEligible(string) bool          { return f.areEligible }
 func (fakePeers) ReachableSince(string) time.Time   { return time.Time{} }
-func (f fakePeers) IsIsolated(time.Duration) bool   { return f.areSilent }
+func (f fakePeers) IsIsolated(time.Duration) bool   { return f.isIsolated }
 func (f fakePeers) HaveWorkerContact() (bool, bool) { return f.haveContact, f.allKnown }
 
 // runWithTwoControllers runs f on fake time with two controllers that campaign for the same keys.
@@ -408,9 +408,9 @@
 		peers     fakePeers
 		want      bool
 	}{
-		{"isolated", true, 0, fakePeers{areSilent: true}, true},
-		{"it owns all partitions", false, 0, fakePeers{areSilent: true}, false},
-		{"workers report", true, 1, fakePeers{areSilent: true}, false},
+		{"isolated", true, 0, fakePeers{isIsolated: true}, true},
+		{"it owns all partitions", false, 0, fakePeers{isIsolated: true}, false},
+		{"workers report", true, 1, fakePeers{isIsolated: true}, false},
 		{"peers are reachable", true, 0, fakePeers{}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/election/stepdown.go
+++ b/internal/election/stepdown.go
@@ -9,21 +9,21 @@
 	// intervals, to reach this controller: 4 s for a request without a response, and then the
 	// time to try the next controller.
 	heartbeatSlack = 6 * time.Second
-	// fleetSilenceIntervals is the number of heartbeat intervals, divided by the number of
-	// machines, within which at least one of many machines must be heard from. If n machines
-	// report independently of each other, the probability that none does in 20/n intervals is
-	// e to the power of -20.
-	fleetSilenceIntervals = 20
-	// minFleetSilenceSlack is the time that heartbeats may need, however many machines report.
-	minFleetSilenceSlack = 2 * time.Second
+	// fleetHeartbeatIntervals is the number of heartbeat intervals, divided by the number of
+	// machines, within which at least one of many machines must send a heartbeat. If n
+	// machines report independently of each other, the probability that none does in 20/n
+	// intervals is e to the power of -20.
+	fleetHeartbeatIntervals = 20
+	// minFleetHeartbeatSlack is the time that heartbeats may need, however many machines report.
+	minFleetHeartbeatSlack = 2 * time.Second
 	// minExpectedMachines is the number of machines that must be expected to report before
-	// their silence counts as evidence against this controller's network.
+	// a lack of heartbeats counts as evidence against this controller's network.
 	minExpectedMachines = 2
 	// minLeaderTenure is how long a new leader is given before it may step down as isolated.
 	minLeaderTenure = 8 * time.Second
-	// peerSilenceTimeout is how long a leader must have heard from no peer before it considers
+	// peerIsolationTimeout is how long no peer must have sent a status before a leader considers
 	// itself isolated.
-	peerSilenceTimeout = 6 * time.Second
+	peerIsolationTimeout = 6 * time.Second
 	// stepDownRepeatFactor is the number of MaxUnreachableWorkDuration periods that pass before a
 	// controller that still receives no heartbeats steps down again.
 	stepDownRepeatFactor = 2
@@ -72,15 +72,16 @@
 	e.ResignAll()
 }
 
-// heartbeatWindow returns how long this controller may go without a heartbeat. If many machines
-// fall silent at once, a short time is enough evidence; for few machines it takes longer. The
+// heartbeatWindow returns how long this controller may go without a heartbeat. If the
+// heartbeats of many machines stop at once, a short time is enough evidence; for few machines it
+// takes longer. The
 // window must be short, since workers' leases keep running out meanwhile and workers need a few
 // more seconds to find the next owner.
 func (e *Elector) heartbeatWindow(workers WorkerContact) time.Duration {
 	interval := e.HeartbeatInterval
 	window := 2*interval + heartbeatSlack
 	if n := workers.CountReportingMachines(); n > 0 {
-		fleetWindow := max(fleetSilenceIntervals*interval/time.Duration(n), interval/2+minFleetSilenceSlack)
+		fleetWindow := max(fleetHeartbeatIntervals*interval/time.Duration(n), interval/2+minFleetHeartbeatSlack)
 		window = min(window, fleetWindow)
 	}
 	return window
@@ -102,12 +103,12 @@
 }
 
 // StepDownIfIsolated resigns the leadership, held since leaderSince, when neither workers nor
-// other partition owners reach this controller. Silence of the peers alone is not enough: if
-// connections between all controllers were refused, the leadership would move around without
-// any benefit.
+// other partition owners reach this controller. Unreachable peers alone are not a sufficient
+// reason: if connections between all controllers were refused, the leadership would keep
+// changing without any benefit.
 func (e *Elector) StepDownIfIsolated(leaderKey string, leaderSince time.Time, partitionKeys []string, workers WorkerContact, peers Peers) {
 	now := e.Loop.Now()
-	if e.Token(leaderKey) == 0 || now.Sub(leaderSince) < minLeaderTenure || !peers.IsIsolated(peerSilenceTimeout) || workers.CountReportingMachines() > 0 {
+	if e.Token(leaderKey) == 0 || now.Sub(leaderSince) < minLeaderTenure || !peers.IsIsolated(peerIsolationTimeout) || workers.CountReportingMachines() > 0 {
 		return
 	}
 	for _, key := range partitionKeys {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,5 +1,5 @@
 // Package frontend serves the requests of users: it accepts jobs, returns their states and
-// cancels them, and tells the load balancer whether to send requests to this controller.
+// cancels them, and reports to the load balancer whether to send requests to this controller.
 //
 // The only state of a Frontend is its readiness. It takes responses from the Cluster, on the
 // event loop, and makes each change with one write of the job's record. Responses are
@@ -26,7 +26,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// Job holds the cluster's knowledge of an accepted job.
+// Job describes an accepted job as this controller knows it.
 type Job struct {
 	// State is the job's state as users receive it.
 	State wire.JobState
@@ -57,9 +57,9 @@
 	// MachineTypes returns the machine types that the cloud offers, by name. It is empty until
 	// they are known.
 	MachineTypes() map[string]*wire.MachineType
-	// PeerFreshness reports whether this controller receives messages from any peer (heard),
-	// and whether one of those peers can read the key-value store (fresh).
-	PeerFreshness() (heard, fresh bool)
+	// PeerFreshness reports whether this controller receives statuses from any peer, and
+	// whether any of those peers can read the key-value store.
+	PeerFreshness() (anyPeerReachable, anyPeerFresh bool)
 	// AfterRead calls f on the event loop with the result of a read of the key-value store
 	// that begins after this call.
 	AfterRead(f func(err error))
@@ -136,7 +136,8 @@
 	reasonNoSuchJob        = "no such job"
 )
 
-// busyResponse asks the user to retry once the event loop has processed its queue.
+// busyResponse returns a response that asks the user to retry once the event loop has processed
+// its queue.
 func (f *Frontend) busyResponse() api.Response {
 	response := UnavailableResponse("busy")
 	response.RetryAfterS = f.loop.RetryAfterS()
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -22,7 +22,7 @@
 	jobs                        map[string]*Job
 	unreadable                  map[string]bool
 	types                       map[string]*wire.MachineType
-	peersHeard, peerFresh       bool
+	peerReachable, peerFresh    bool
 	// readErr is the result of all reads. If onRead is not nil, each read calls it to apply
 	// changes.
 	readErr error
@@ -43,7 +43,7 @@
 func (c *fakeCluster) Job(id string) *Job                         { return c.jobs[id] }
 func (c *fakeCluster) HasUnreadableRecord(id string) bool         { return c.unreadable[id] }
 func (c *fakeCluster) MachineTypes() map[string]*wire.MachineType { return c.types }
-func (c *fakeCluster) PeerFreshness() (heard, fresh bool)         { return c.peersHeard, c.peerFresh }
+func (c *fakeCluster) PeerFreshness() (reachable, fresh bool)     { return c.peerReachable, c.peerFresh }
 func (c *fakeCluster) Now() time.Time                             { return time.Now() }
 func (c *fakeCluster) RetryAfterS() int                           { return 7 }
 func (c *fakeCluster) CountSubmission(int, time.Duration)         {}
@@ -185,9 +185,9 @@
 	}{
 		{"fresh", func(*fakeCluster) {}, true},
 		{"starting", func(c *fakeCluster) { c.notLoaded = true }, false},
-		{"only this controller can't reach the store", func(c *fakeCluster) { c.stale, c.peersHeard, c.peerFresh = true, true, true }, false},
-		{"no controller can reach the store", func(c *fakeCluster) { c.stale, c.peersHeard = true, true }, true},
-		{"store unreachable, no peer heard", func(c *fakeCluster) { c.stale = true }, false},
+		{"only this controller can't reach the store", func(c *fakeCluster) { c.stale, c.peerReachable, c.peerFresh = true, true, true }, false},
+		{"no controller can reach the store", func(c *fakeCluster) { c.stale, c.peerReachable = true, true }, true},
+		{"store unreachable, no peer reachable", func(c *fakeCluster) { c.stale = true }, false},
 		{"must not serve", func(c *fakeCluster) { c.servingErr = errors.New("level 3 is active") }, false},
 	} {
 		c := newFakeCluster()
--- a/internal/frontend/readiness.go
+++ b/internal/frontend/readiness.go
@@ -28,8 +28,8 @@
 }
 
 // canServeUsers reports whether users should be sent to this controller. A controller that can't
-// reach the key-value store is not ready if a peer can reach it or if no peer is heard. If the
-// peers that are heard can't reach it either, the controller is ready: taking all controllers
+// reach the key-value store is not ready if a peer can reach it or if no peer is reachable. If the
+// reachable peers can't reach it either, the controller is ready: taking all controllers
 // out of the load balancer and back would only prolong the outage for users.
 func (f *Frontend) canServeUsers() bool {
 	if f.cluster.ServingError() != nil {
@@ -38,6 +38,6 @@
 	if f.cluster.HasLoadedRecords() && len(f.cluster.MachineTypes()) > 0 && f.cluster.IsFreshWithin(f.config.LeaseTTL+readinessGracePeriod) {
 		return true
 	}
-	heard, fresh := f.cluster.PeerFreshness()
-	return heard && !fresh
+	anyPeerReachable, anyPeerFresh := f.cluster.PeerFreshness()
+	return anyPeerReachable && !anyPeerFresh
 }
--- a/internal/outage/outage_test.go
+++ b/internal/outage/outage_test.go
@@ -39,9 +39,9 @@
 			if len(lines) != len(test.wantLines) {
 				t.Fatalf("got %d log lines, want %d:\n%s", len(lines), len(test.wantLines), out)
 			}
-			for i, wantLines := range test.wantLines {
-				if !strings.Contains(lines[i], wantLines) || !strings.Contains(lines[i], "of=store") {
-					t.Errorf("log line %d is %q, want it to contain %q and of=store", i, lines[i], wantLines)
+			for i, wantText := range test.wantLines {
+				if !strings.Contains(lines[i], wantText) || !strings.Contains(lines[i], "of=store") {
+					t.Errorf("log line %d is %q, want it to contain %q and of=store", i, lines[i], wantText)
 				}
 			}
 		})
--- a/internal/peer/registry.go
+++ b/internal/peer/registry.go
@@ -15,8 +15,8 @@
 	Status *Status
 	// LastStatusAt is the time at which Status arrived, or the zero time before the first one.
 	LastStatusAt time.Time
-	// ReachableSince is the start of the current period in which statuses arrived without a gap longer
-	// than Timeout.
+	// ReachableSince is the start of the current period in which statuses have arrived without a gap
+	// longer than Timeout.
 	ReachableSince time.Time
 	// previousProcessID is the id of the process that the peer ran before its current one. Frames
 	// of that process may still arrive.
@@ -57,8 +57,8 @@
 }
 
 // Update records a status that arrived at now. It reports whether the status was accepted: it is
-// ignored if its sender is not a controller of the cluster, or is a process that its successor has
-// already replaced.
+// ignored if its sender is not a controller of the cluster, or is a process that a newer process of
+// the controller has already replaced.
 func (r *Registry) Update(status *Status, now time.Time) bool {
 	p := r.peers[status.Node]
 	if p == nil {
@@ -77,8 +77,8 @@
 	return true
 }
 
-// IsIsolated reports whether there are peers and none of them sent a status within the window before
-// now.
+// IsIsolated reports whether there are peers and none of them has sent a status within the window
+// before now.
 func (r *Registry) IsIsolated(window time.Duration, now time.Time) bool {
 	for _, p := range r.peers {
 		if now.Sub(p.LastStatusAt) < window {
--- a/internal/peer/registry_test.go
+++ b/internal/peer/registry_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// ReachableSince must survive a gap of exactly Timeout between two statuses and restart after a longer
-// one; IsIsolated must depend on the time since the last status.
+// ReachableSince must not change after a gap of exactly Timeout between two statuses and must restart
+// after a longer one; IsIsolated must depend on the time since the last status.
 func TestRegistryDetectsStatusGaps(t *testing.T) {
 	r, start := NewRegistry([]string{"n1"}), time.Unix(1000, 0)
 	if !r.IsIsolated(time.Second, start) {
@@ -37,12 +37,12 @@
 	r.Update(&Status{Node: "n1"}, start)
 	r.Update(&Status{Node: "n1"}, start.Add(Timeout))
 	if p := r.Peer("n1"); !p.ReachableSince.Equal(start) || !p.HasRecentStatus(time.Second, start.Add(Timeout)) {
-		t.Errorf("peer alive since %v, want %v, or its status is not recent", p.ReachableSince, start)
+		t.Errorf("peer reachable since %v, want %v, or its status is not recent", p.ReachableSince, start)
 	}
 	late := start.Add(2*Timeout + time.Millisecond)
 	r.Update(&Status{Node: "n1"}, late)
 	if p := r.Peer("n1"); !p.ReachableSince.Equal(late) {
-		t.Errorf("after a gap: peer alive since %v, want %v", p.ReachableSince, late)
+		t.Errorf("after a gap: peer reachable since %v, want %v", p.ReachableSince, late)
 	}
 	if r.IsIsolated(time.Second, late) || !r.IsIsolated(time.Second, late.Add(time.Second)) {
 		t.Error("IsIsolated must be false until a second after the last status, and true from then on")
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -22,7 +22,7 @@
 	Partitions        []uint64 // indexes of the partitions that the controller owns
 	Machines          []Machine
 	// DrainingMachines names the machines that accept no new tasks because the leader is about to
-	// return them to the cloud.
+	// terminate them.
 	DrainingMachines []string
 }
 
--- a/internal/planning/headroom.go
+++ b/internal/planning/headroom.go
@@ -9,7 +9,7 @@
 	return int(math.Ceil(factor * math.Sqrt(float64(services))))
 }
 
-// FreeCPUHistory records how many CPUs were free in the recent past, in thousandths. The tasks
+// FreeCPUHistory records how much CPU was free in the recent past, in thousandths of a CPU. The tasks
 // of arrays spread over all machines, so that machines rarely become idle. If more CPUs than a
 // machine has were free throughout a window, a machine without services can be drained. The
 // zero value is an empty history.
@@ -19,8 +19,8 @@
 
 // freeSample is the number of free CPUs at one time.
 type freeSample struct {
-	atS            float64 // time in seconds
-	cpuThousandths int64
+	atS       float64 // time in seconds
+	milliCPUs int64
 }
 
 // minCoveredTenths is the number of tenths of a window that the samples must cover. It is less
@@ -34,36 +34,36 @@
 // Add records how many thousandths of a CPU are free at a time, and returns the least number in
 // the window that ends at that time. It reports whether the samples cover the window. Times
 // are in seconds.
-func (h *FreeCPUHistory) Add(atS float64, freeThousandths int64, windowS float64) (leastThousandths int64, covered bool) {
-	h.samples = append(h.samples, freeSample{atS, freeThousandths})
+func (h *FreeCPUHistory) Add(atS float64, freeMilliCPUs int64, windowS float64) (leastMilliCPUs int64, covered bool) {
+	h.samples = append(h.samples, freeSample{atS, freeMilliCPUs})
 	for atS-h.samples[0].atS > windowS {
 		h.samples = h.samples[1:]
 	}
-	leastThousandths = freeThousandths
+	leastMilliCPUs = freeMilliCPUs
 	for _, sample := range h.samples {
-		leastThousandths = min(leastThousandths, sample.cpuThousandths)
+		leastMilliCPUs = min(leastMilliCPUs, sample.milliCPUs)
 	}
-	return leastThousandths, atS-h.samples[0].atS >= windowS*minCoveredTenths/10
+	return leastMilliCPUs, atS-h.samples[0].atS >= windowS*minCoveredTenths/10
 }
 
-// Subtract lowers all samples by a number of thousandths. It is called when a machine with that
-// many free CPUs is drained.
-func (h *FreeCPUHistory) Subtract(thousandths int64) {
+// Subtract lowers all samples by a number of thousandths of a CPU. It is called when a machine with
+// that much free CPU is drained.
+func (h *FreeCPUHistory) Subtract(milliCPUs int64) {
 	for i := range h.samples {
-		h.samples[i].cpuThousandths -= thousandths
+		h.samples[i].milliCPUs -= milliCPUs
 	}
 }
 
 // LeastUsedMachine returns the on-demand machine with the smallest share of its CPUs in use,
-// among those whose size is at most maxCPUThousandths, that run no task of the given or a higher
+// among those whose size is at most maxMilliCPUs, that run no task of the given or a higher
 // priority, and that pass the filter. It returns nil if there is none.
 func LeastUsedMachine(
-	machines []*MachineSummary, maxCPUThousandths int64, priority int, allowed MachineFilter,
+	machines []*MachineSummary, maxMilliCPUs int64, priority int, allowed MachineFilter,
 ) *MachineSummary {
 	var best *MachineSummary
 	bestUsed := int64(0)
 	for _, machine := range machines {
-		if machine.Spot || machine.Size.CPU > maxCPUThousandths || !allowed(machine) || machine.runsTaskOfPriority(priority) {
+		if machine.Spot || machine.Size.CPU > maxMilliCPUs || !allowed(machine) || machine.runsTaskOfPriority(priority) {
 			continue
 		}
 		// The shares are compared without division: used/size < bestUsed/bestSize.
--- a/internal/planning/job_order_test.go
+++ b/internal/planning/job_order_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-func drawJobOrder(t *rapid.T, name string) *JobTiming {
+func drawJobTiming(t *rapid.T, name string) *JobTiming {
 	return &JobTiming{
 		DeadlineS:     rapid.Float64Range(1, 500).Draw(t, name+" deadline"),
 		EstimateS:     rapid.Float64Range(1, 200).Draw(t, name+" estimate"),
@@ -21,7 +21,7 @@
 // in any 20 consecutive seconds, and at most half of them.
 func TestUnstartedAndOverdueJobsGoFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		old, young := drawJobOrder(t, "old"), drawJobOrder(t, "young")
+		old, young := drawJobTiming(t, "old"), drawJobTiming(t, "young")
 		young.Started = true
 		old.Started, old.OverdueTimeSlice, old.AgeS = true, true, overdueFactor*old.DeadlineS+startWithinS+1
 		if old.Urgency().Compare(young.Urgency()) >= 0 {
--- a/internal/reconcile/differences.go
+++ b/internal/reconcile/differences.go
@@ -79,8 +79,8 @@
 			differences = append(differences, Difference{Kind: TaskToStop, TaskName: status.Task, Attempt: status.Attempt, GraceS: grace})
 		}
 	}
-	// No task is started based on outdated records: once any controller has told a user that a
-	// job is cancelled, no task of the job may start.
+	// No task is started based on outdated records: once any controller has confirmed to a user
+	// that a job is cancelled, no task of the job may start.
 	if len(shown) == records.BindingCount() || !machine.StartsAllowed {
 		return differences
 	}
--- a/internal/reconcile/fake_test.go
+++ b/internal/reconcile/fake_test.go
@@ -38,11 +38,11 @@
 }
 
 func (r *records) binding(i int) reconcile.Binding {
-	since := r.bound[i].incarnation
-	if since == 0 {
-		since = currentIncarnation
+	incarnation := r.bound[i].incarnation
+	if incarnation == 0 {
+		incarnation = currentIncarnation
 	}
-	return reconcile.Binding{Task: scheduling.TaskID{Group: 7, Number: int32(i)}, Attempt: r.bound[i].attempt, Incarnation: since}
+	return reconcile.Binding{Task: scheduling.TaskID{Group: 7, Number: int32(i)}, Attempt: r.bound[i].attempt, Incarnation: incarnation}
 }
 
 func (r *records) Lookup(task string) reconcile.TaskRecord {
--- a/internal/record/final_job.go
+++ b/internal/record/final_job.go
@@ -21,7 +21,7 @@
 
 // encodeFinalJob returns the encoded record of a job in a final state that may still have tasks
 // on machines. The record keeps the job's description because those tasks count towards the
-// team's quota until they are gone, and a controller that starts later must be able to count
+// team's quota until they have ended, and a controller that starts later must be able to count
 // them. If the record is larger than maxBytes, the fields that are needed only to place tasks
 // are omitted.
 func encodeFinalJob(state FinalState, spec *wire.Job, acceptedAt time.Time, maxBytes int) json.RawMessage {
--- a/internal/record/final_state.go
+++ b/internal/record/final_state.go
@@ -1,7 +1,7 @@
 package record
 
-// FinalState tells how a job ended; the zero value means that it has not ended. A job in a final
-// state never changes its state again.
+// FinalState is the state in which a job ended. The zero value means that the job has not ended. A
+// job in a final state never changes its state again.
 type FinalState uint8
 
 // The stored final states. The numbers are part of the stored form.
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -24,7 +24,7 @@
 
 func (m valueMap) PutValue(key string, value json.RawMessage, _ uint64) { m[key] = string(value) }
 func (m valueMap) DeleteValue(key string)                               { delete(m, key) }
-func (x valueMap) ChangesApplied(time.Time)                             {}
+func (m valueMap) ChangesApplied(time.Time)                             {}
 
 // fakeStore is an in-memory key-value store that keeps its whole history.
 type fakeStore struct {
--- a/internal/rollout/level.go
+++ b/internal/rollout/level.go
@@ -41,7 +41,7 @@
 	Level Level
 	Name  string
 	// ActiveEffect describes what starts when the level becomes active. Controllers that
-	// do not support the level continue to run alongside.
+	// do not support the level continue to run.
 	ActiveEffect string
 	// FinalEffect describes what starts when the level becomes final. From then on,
 	// controllers that do not support the level can't hold leased keys.
--- a/internal/rollout/txn_test.go
+++ b/internal/rollout/txn_test.go
@@ -69,9 +69,9 @@
 	withRegistrations := []string{StateKey, "leader", RegistrationKey("n0"), RegistrationKey("n1")}
 	stateAndLeader := []string{StateKey, "leader"}
 	for _, x := range []struct {
-		step           Step
-		simulatedStore State
-		conditionKeys  []string // keys that the step is conditional on
+		step          Step
+		state         State
+		conditionKeys []string // keys that the step is conditional on
 	}{
 		{StepActivate, InitialState, withRegistrations},
 		{StepFinalize, State{Level: 1, Phase: PhaseActive, Request: RequestFinalize}, withRegistrations},
@@ -83,20 +83,20 @@
 	} {
 		for _, changed := range append([]string{""}, x.conditionKeys...) {
 			simulatedStore, c := newStore()
-			view, revisions := storeCluster(t, c, x.simulatedStore)
-			step, next := Decide(x.simulatedStore, view)
+			view, revisions := storeCluster(t, c, x.state)
+			step, next := Decide(x.state, view)
 			if step != x.step {
-				t.Fatalf("%+v: Decide returns step %q, want %q", x.simulatedStore, step, x.step)
+				t.Fatalf("%+v: Decide returns step %q, want %q", x.state, step, x.step)
 			}
 			switch changed {
 			case "":
 			case "leader":
-				put(t, c, x.simulatedStore.LeaseKeys().Leader(), "taken")
+				put(t, c, x.state.LeaseKeys().Leader(), "taken")
 			default:
 				put(t, c, changed, "changed")
 			}
 			valuesBefore := simulatedStore.Values("e/")
-			_, err := c.Txn(t.Context(), NewStepTxn(x.simulatedStore, step, next, view, revisions))
+			_, err := c.Txn(t.Context(), NewStepTxn(x.state, step, next, view, revisions))
 			if changed == "" {
 				if err != nil {
 					t.Errorf("transaction of step %s: %v, want no error", x.step, err)
--- a/internal/scheduling/schedule.go
+++ b/internal/scheduling/schedule.go
@@ -174,7 +174,7 @@
 	taken := Resources{}
 	for _, victim := range chosen.victims {
 		if victim.State != CellUsed {
-			continue // it was Reserved and became Free when its group was cancelled
+			continue // it was Reserved and became Free when its reservation was cancelled
 		}
 		victim.reserve(r.group)
 		taken = taken.Plus(victim.Size)
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -20,7 +20,7 @@
 }
 
 // LaunchRequest asks the cloud for Count machines. IdempotencyKey identifies the request, so that a
-// repeated request rents no further machines.
+// repeated request launches no further machines.
 type LaunchRequest struct {
 	IdempotencyKey string `json:"charter"` // must not be reused for another request
 	Type           string `json:"hull"`
@@ -34,7 +34,7 @@
 	Names []string `json:"perches"`
 }
 
-// Instance is one machine in the cloud's list of rented machines.
+// Instance is one machine in the cloud's instance list.
 type Instance struct {
 	Name  string  `json:"nameId"`
 	Addr  string  `json:"addr"`
@@ -45,7 +45,7 @@
 	AgeS  float64 `json:"heldS"` // seconds since the machine was requested
 }
 
-// InstanceList is one page of the cloud's list of rented machines. HasMore is set if another page
+// InstanceList is one page of the cloud's instance list, which holds all launched machines. HasMore is set if another page
 // follows.
 type InstanceList struct {
 	Instances []Instance `json:"perches"`
--- a/internal/wire/enums.go
+++ b/internal/wire/enums.go
@@ -25,11 +25,11 @@
 	ReasonOtherAttempt = "in_use"  // the machine has another attempt of the same task
 	ReasonUnknownTask  = "no_such" // the job or task was never submitted
 
-	ReasonPeersGone      = "mates_gone" // another task of the gang is gone
+	ReasonPeersGone      = "mates_gone" // another task of the gang is no longer running
 	ReasonIncompleteGang = "incomplete" // not all tasks of the gang were started in time
 )
 
-// Operation is the operation that a command tells a worker to perform.
+// Operation is what a command requests of a worker.
 type Operation string
 
 // Operations of commands.
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -60,7 +60,7 @@
 	Commands     []Command `json:"calls"`
 }
 
-// Redirect tells a worker to send its heartbeats to the controller Node, or to any other controller if
+// Redirect directs a worker to send its heartbeats to the controller Node, or to any other controller if
 // Node is "".
 type Redirect struct {
 	Node string `json:"harbour,omitempty"`
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -26,11 +26,11 @@
 )
 
 // Client sends commands to workers. Its methods may be called concurrently.
-type Client struct{ http *http.Client }
+type Client struct{ httpClient *http.Client }
 
 // NewClient returns a Client that sends its requests through transport.
 func NewClient(transport http.RoundTripper) *Client {
-	return &Client{http: &http.Client{Transport: transport}}
+	return &Client{httpClient: &http.Client{Transport: transport}}
 }
 
 // Send sends commands to the worker at addr (host:port). It returns the worker's heartbeat and
@@ -50,7 +50,7 @@
 	if commands.Commands == nil {
 		commands.Commands = []wire.Command{}
 	}
-	response, err := httpjson.Do(ctx, c.http, httpjson.Request{Method: http.MethodPost, URL: "http://" + addr + "/do", Body: commands,
+	response, err := httpjson.Do(ctx, c.httpClient, httpjson.Request{Method: http.MethodPost, URL: "http://" + addr + "/do", Body: commands,
 		Timeout: Timeout, MaxResponseBytes: maxResponseBytes})
 	if err != nil {
 		return nil, false, err
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -25,7 +25,7 @@
 
 // A command must be sent as exactly this request. A response must give a heartbeat and whether the
 // commands were executed, or an error.
-func TestCommandsAndAnswers(t *testing.T) {
+func TestCommandsAndResponses(t *testing.T) {
 	for _, x := range []struct {
 		status   int
 		body     string
@@ -39,12 +39,12 @@
 		{200, `{}`, false, "worker w:1: report: machine or session is missing"},
 	} {
 		rt := &fakeTransport{status: x.status, body: x.body}
-		report, executed, err := workerclient.NewClient(rt).Send(t.Context(), "w:1", &wire.CommandRequest{FencingToken: 41, Incarnation: 1})
+		heartbeat, executed, err := workerclient.NewClient(rt).Send(t.Context(), "w:1", &wire.CommandRequest{FencingToken: 41, Incarnation: 1})
 		if want := `POST http://w:1/do {"baton":41,"watch":1,"calls":[]}`; rt.lastRequest != want {
 			t.Errorf("sent %s, want %s", rt.lastRequest, want)
 		}
-		if (err == nil) != (x.text == "") || err != nil && err.Error() != x.text || executed != x.executed || (report == nil) != (err != nil) {
-			t.Errorf("response %d %s: unexpected result: heartbeat %+v, executed %v, error %v", x.status, x.body, report, executed, err)
+		if (err == nil) != (x.text == "") || err != nil && err.Error() != x.text || executed != x.executed || (heartbeat == nil) != (err != nil) {
+			t.Errorf("response %d %s: unexpected result: heartbeat %+v, executed %v, error %v", x.status, x.body, heartbeat, executed, err)
 		}
 	}
 }
--- a/internal/workerclient/slots.go
+++ b/internal/workerclient/slots.go
@@ -1,13 +1,13 @@
 package workerclient
 
-// Purpose tells what a slot for a direct command is used for.
+// Purpose is what a slot for a direct command is used for.
 type Purpose int
 
 const (
 	// PurposeCommands means that commands are to be sent. Commands may use all slots.
 	PurposeCommands Purpose = iota
-	// PurposePing means that the machine is only asked whether it responds; the request also tells
-	// it the fencing token. Pings may use half of the slots, so that the rest is left for commands.
+	// PurposePing means that a ping is to be sent, which checks whether the machine responds. It
+	// also carries the fencing token. Pings may use half of the slots, so that the rest is left for commands.
 	PurposePing
 )
 
