--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -76,7 +76,7 @@
 	// taken over the partition.
 	AwaitingFirstHeartbeat bool
 	// Cordoned is true if no new tasks are placed on the machine because tasks of several
-	// jobs have failed there. CordonedAt is when that began.
+	// jobs have failed there. CordonedAt is the time at which that began.
 	Cordoned   bool
 	CordonedAt time.Time
 }
@@ -107,7 +107,7 @@
 type Leadership struct {
 	// Epoch is unique to the term. It is 0 while this controller is not the leader.
 	Epoch uint64
-	// StartedAt is when the term began.
+	// StartedAt is the time at which the term began.
 	StartedAt time.Time
 	// Active is true once everything that was stored before the term has been read. CanAct
 	// is true if, in addition, the replica is fresh enough to base decisions on.
@@ -121,7 +121,7 @@
 	Key string
 	// MachineNames lists the terminated machines.
 	MachineNames []string
-	// FirstSeenAt is when this controller first read the tombstone.
+	// FirstSeenAt is the time at which this controller first read the tombstone.
 	FirstSeenAt time.Time
 }
 
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,4 +1,4 @@
-// Package cloud provides a client of the API of the cloud that provides the machines.
+// Package cloud is a client of the API of the cloud, which launches and terminates machines.
 package cloud
 
 import (
--- a/internal/election/acquire.go
+++ b/internal/election/acquire.go
@@ -10,9 +10,10 @@
 )
 
 const (
-	// resignBackoff is how long this process does not acquire a key after resigning it.
+	// resignBackoff is the time for which this process does not acquire a key after resigning it.
 	resignBackoff = 2 * time.Second
-	// acquireRetryDelay is how long a key is not tried again after a failed attempt.
+	// acquireRetryDelay is the time after a failed attempt to acquire a key for which no other
+	// attempt is made.
 	acquireRetryDelay = 200 * time.Millisecond
 	// renewalsPerTTL is the number of renewals of a lease within its TTL. It is above 1 so
 	// that single renewals may fail.
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// nonPreferredAcquireDelay is how long a partition's key must be vacant before a
+	// nonPreferredAcquireDelay is the time for which a partition's key must be vacant before a
 	// controller other than the preferred owner acquires it.
 	nonPreferredAcquireDelay = 300 * time.Millisecond
 	// preferredOwnerHeadStart replaces nonPreferredAcquireDelay while the preferred owner can
@@ -39,7 +39,7 @@
 	HasHeardAllMachines func() bool
 }
 
-// Peers provides what is known of the other controllers.
+// Peers describes the other controllers, as far as this controller knows their state.
 type Peers interface {
 	// IsEligible reports whether the named controller could take over keys.
 	IsEligible(node string) bool
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -290,8 +290,8 @@
 	})
 }
 
-// A partition owned by another controller is handed over to its preferred owner once that can
-// take it over, and is not acquired again at once by the controller that resigned it.
+// A controller hands a partition over to its preferred owner once the preferred owner can take it
+// over, and does not acquire it again at once.
 func TestHandOverToPreferredOwner(t *testing.T) {
 	runWithTwoControllers(t, func(_ context.Context, _ *fakeStore, first, second *testController) {
 		second.campaignFor(startupGracePeriod+preferredOwnerHeadStart, fakePeers{})
@@ -312,15 +312,15 @@
 // RaiseToken results in a higher token, even if the response to its transaction is lost.
 func TestRaiseToken(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		lost bool
+		name         string
+		responseLost bool
 	}{{"response received", false}, {"response lost", true}} {
 		t.Run(test.name, func(t *testing.T) {
 			runWithTwoControllers(t, func(_ context.Context, s *fakeStore, first, _ *testController) {
 				first.campaignFor(time.Second, fakePeers{})
 				oldToken := first.heldToken(partition0Key)
 				s.mu.Lock()
-				s.dropResponses = test.lost
+				s.dropResponses = test.responseLost
 				s.mu.Unlock()
 				first.Enqueue(func() {
 					if !first.elector.RaiseToken(partition0Key) || first.elector.RaiseToken(partition0Key) {
@@ -402,11 +402,11 @@
 // A leader that neither workers nor peers reach steps down if there are other partition owners.
 func TestStepDownIfIsolated(t *testing.T) {
 	for _, test := range []struct {
-		name      string
-		other     bool
-		reporting int
-		peers     fakePeers
-		want      bool
+		name       string
+		otherOwner bool
+		reporting  int
+		peers      fakePeers
+		want       bool
 	}{
 		{"isolated", true, 0, fakePeers{isIsolated: true}, true},
 		{"it owns all partitions", false, 0, fakePeers{isIsolated: true}, false},
@@ -416,7 +416,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			runWithTwoControllers(t, func(_ context.Context, _ *fakeStore, first, _ *testController) {
 				first.campaignFor(time.Second, fakePeers{})
-				if test.other {
+				if test.otherOwner {
 					first.Enqueue(func() { first.elector.ObserveHolder("e/part/1", record.LeaseHolder{Node: "n1", ProcessID: "b"}, 900) })
 				}
 				since := time.Now().Add(-minLeaderTenure)
--- a/internal/election/stepdown.go
+++ b/internal/election/stepdown.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// stepDownBackoff is how long a controller acquires no key after stepping down.
+	// stepDownBackoff is the time for which a controller acquires no key after stepping down.
 	stepDownBackoff = 15 * time.Second
 	// heartbeatSlack is the time that a worker may need, in addition to two heartbeat
 	// intervals, to reach this controller: 4 s for a request without a response, and then the
@@ -19,10 +19,11 @@
 	// minExpectedMachines is the number of machines that must be expected to report before
 	// a lack of heartbeats counts as evidence against this controller's network.
 	minExpectedMachines = 2
-	// minLeaderTenure is how long a new leader is given before it may step down as isolated.
+	// minLeaderTenure is the minimum time between becoming the leader and stepping down as
+	// isolated.
 	minLeaderTenure = 8 * time.Second
-	// peerIsolationTimeout is how long no peer must have sent a status before a leader considers
-	// itself isolated.
+	// peerIsolationTimeout is the time without a status from any peer after which a leader
+	// considers itself isolated.
 	peerIsolationTimeout = 6 * time.Second
 	// stepDownRepeatFactor is the number of MaxUnreachableWorkDuration periods that pass before a
 	// controller that still receives no heartbeats steps down again.
@@ -41,7 +42,7 @@
 	HasNewPartition bool
 }
 
-// WorkerContact provides what is known of the workers' heartbeats to this controller.
+// WorkerContact describes the heartbeats that this controller receives from workers.
 type WorkerContact interface {
 	// CountReportingMachines returns the number of machines of its partitions that have sent
 	// a heartbeat recently.
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -20,7 +20,7 @@
 	notLoaded, stale, queueFull bool
 	servingErr                  error
 	jobs                        map[string]*Job
-	unreadable                  map[string]bool
+	unreadableJobs              map[string]bool
 	types                       map[string]*wire.MachineType
 	peerReachable, peerFresh    bool
 	// readErr is the result of all reads. If onRead is not nil, each read calls it to apply
@@ -33,7 +33,7 @@
 }
 
 func newFakeCluster() *fakeCluster {
-	return &fakeCluster{jobs: map[string]*Job{}, unreadable: map[string]bool{},
+	return &fakeCluster{jobs: map[string]*Job{}, unreadableJobs: map[string]bool{},
 		types: map[string]*wire.MachineType{"small": {Name: "small", CPUs: 4, RAMGB: 8, Zones: []string{"a"}}}}
 }
 
@@ -41,7 +41,7 @@
 func (c *fakeCluster) IsFreshWithin(time.Duration) bool           { return !c.stale }
 func (c *fakeCluster) ServingError() error                        { return c.servingErr }
 func (c *fakeCluster) Job(id string) *Job                         { return c.jobs[id] }
-func (c *fakeCluster) HasUnreadableRecord(id string) bool         { return c.unreadable[id] }
+func (c *fakeCluster) HasUnreadableRecord(id string) bool         { return c.unreadableJobs[id] }
 func (c *fakeCluster) MachineTypes() map[string]*wire.MachineType { return c.types }
 func (c *fakeCluster) PeerFreshness() (reachable, fresh bool)     { return c.peerReachable, c.peerFresh }
 func (c *fakeCluster) Now() time.Time                             { return time.Now() }
@@ -108,9 +108,9 @@
 			c.stale, c.readErr, c.jobs["wk-1"] = true, store.ErrNotExecuted, finalJob("wk-1", wire.StateDone)
 		}, ok, ok, ok},
 		{"write has no known outcome", func(c *fakeCluster) { c.writeErr, c.jobs["wk-1"] = store.ErrOutcomeUnknown, runningJob("wk-1") }, ok, ok, unavailable},
-		{"record can't be decoded", func(c *fakeCluster) { c.jobs["wk-1"], c.unreadable["wk-1"] = runningJob("wk-1"), true }, unavailable, unavailable, unavailable},
+		{"record can't be decoded", func(c *fakeCluster) { c.jobs["wk-1"], c.unreadableJobs["wk-1"] = runningJob("wk-1"), true }, unavailable, unavailable, unavailable},
 		{"record of a done job can't be decoded", func(c *fakeCluster) {
-			c.jobs["wk-1"], c.unreadable["wk-1"] = finalJob("wk-1", wire.StateDone), true
+			c.jobs["wk-1"], c.unreadableJobs["wk-1"] = finalJob("wk-1", wire.StateDone), true
 		}, ok, ok, ok},
 		{"unsatisfiable job", func(c *fakeCluster) { c.types["small"].CPUs = 1 }, unprocessable, notFound, notFound},
 		{"unsatisfiable job that was accepted before", func(c *fakeCluster) {
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -14,11 +14,11 @@
 	log *slog.Logger
 	// dependency is the name of the monitored service in log lines.
 	dependency string
-	// gracePeriod is how long the dependency must fail before that counts as an outage.
+	// gracePeriod is the time for which the dependency must fail before that counts as an outage.
 	gracePeriod time.Duration
 
 	failingSince time.Time // time of the first failure since the last success; zero if none
-	reported     bool      // whether the beginning of the current outage has been logged
+	beginLogged  bool      // whether the beginning of the current outage has been logged
 }
 
 // NewMonitor returns a monitor of a dependency. An outage begins once the dependency has
@@ -33,8 +33,8 @@
 	if m.failingSince.IsZero() {
 		m.failingSince = now
 	}
-	if !m.reported && now.Sub(m.failingSince) >= m.gracePeriod {
-		m.reported = true
+	if !m.beginLogged && now.Sub(m.failingSince) >= m.gracePeriod {
+		m.beginLogged = true
 		m.log.Info("outage began", "of", m.dependency, "since", m.failingSince)
 	}
 }
@@ -42,7 +42,7 @@
 // ReportSuccess records a success of the dependency at now, and logs the end of an outage if
 // its beginning was logged.
 func (m *Monitor) ReportSuccess(now time.Time) {
-	if m.reported {
+	if m.beginLogged {
 		m.log.Info("outage ended", "of", m.dependency, "lasted", now.Sub(m.failingSince).Round(time.Millisecond))
 	}
 	m.Reset()
@@ -50,4 +50,4 @@
 
 // Reset returns the monitor to its initial state without logging anything. It is for times at
 // which the process does not use the dependency.
-func (m *Monitor) Reset() { m.failingSince, m.reported = time.Time{}, false }
+func (m *Monitor) Reset() { m.failingSince, m.beginLogged = time.Time{}, false }
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -13,7 +13,7 @@
 const (
 	dialTimeout  = time.Second
 	writeTimeout = 2 * time.Second
-	// readTimeout is how long a connection may stay without a frame before it is closed.
+	// readTimeout is the time without a frame after which a connection is closed.
 	readTimeout = 5 * time.Second
 	// maxConnections is the maximum number of connections from peers that are open at a time.
 	// Further ones are closed at once.
--- a/internal/peer/registry.go
+++ b/internal/peer/registry.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Timeout is how long after its last status a peer is still considered available. It is five times
-// the interval at which controllers send their status, so that a few frames may be late or lost.
+// Timeout is the time after its last status for which a peer still counts as reachable. It is five
+// times the interval at which controllers send their status, so that a few frames may be late or
+// lost.
 const Timeout = 2500 * time.Millisecond
 
 // Peer is what this controller knows about another controller. Only the Registry modifies it.
--- a/internal/planning/assignment.go
+++ b/internal/planning/assignment.go
@@ -33,16 +33,16 @@
 func (a *Assignment) SplitAmongPartitions(machines []*MachineSummary, tasksAhead []int) []int {
 	s := arraySplit{
 		Assignment: a, machines: machines, tasksAhead: tasksAhead,
-		assigned: make([]int, len(tasksAhead)), remaining: a.Count,
+		assignedTasks: make([]int, len(tasksAhead)), remainingTasks: a.Count,
 	}
 	s.assignFreeCapacity()
 	s.assignAhead()
 	s.assignByPreemption()
-	if a.Force && s.remaining == a.Count {
+	if a.Force && s.remainingTasks == a.Count {
 		s.assignForced()
 	}
 	s.enlargeSmallShares()
-	return s.assigned
+	return s.assignedTasks
 }
 
 // arraySplit holds the state of one call of SplitAmongPartitions.
@@ -50,20 +50,20 @@
 	*Assignment
 	machines   []*MachineSummary
 	tasksAhead []int
-	// assigned is the number of tasks that each partition is assigned so far.
-	assigned []int
-	// remaining is the number of tasks that are not assigned yet.
-	remaining int
+	// assignedTasks is the number of tasks that each partition is assigned so far.
+	assignedTasks []int
+	// remainingTasks is the number of tasks that are not assigned yet.
+	remainingTasks int
 }
 
 func (s *arraySplit) assign(partition, count int) {
-	s.assigned[partition] += count
-	s.remaining -= count
+	s.assignedTasks[partition] += count
+	s.remainingTasks -= count
 }
 
 // assignFreeCapacity assigns the tasks that fit into free resources.
 func (s *arraySplit) assignFreeCapacity() {
-	for machine, count := range PlaceWithoutPreemption(s.machines, s.AllowsMachine, s.TaskSize, s.remaining) {
+	for machine, count := range PlaceWithoutPreemption(s.machines, s.AllowsMachine, s.TaskSize, s.remainingTasks) {
 		s.assign(machine.Partition, count)
 	}
 }
@@ -74,7 +74,7 @@
 		return
 	}
 	for partition := range s.tasksAhead {
-		count := min(s.remaining, s.tasksAhead[partition])
+		count := min(s.remainingTasks, s.tasksAhead[partition])
 		if count <= 0 || !s.allowsPartition(s.machines, partition) {
 			continue
 		}
@@ -85,7 +85,7 @@
 
 // assignByPreemption assigns tasks to partitions whose owners can preempt other tasks for them.
 func (s *arraySplit) assignByPreemption() {
-	for s.remaining > 0 {
+	for s.remainingTasks > 0 {
 		machine := PlaceByPreemption(s.machines, s.AllowsMachine, s.TaskSize, s.Claim)
 		if machine == nil {
 			return
@@ -103,8 +103,8 @@
 		}
 	}
 	if found {
-		s.tasksAhead[best] -= s.remaining
-		s.assign(best, s.remaining)
+		s.tasksAhead[best] -= s.remainingTasks
+		s.assign(best, s.remainingTasks)
 	}
 }
 
@@ -115,8 +115,8 @@
 	if s.QuotaLimited {
 		return
 	}
-	for partition, count := range s.assigned {
-		more := min(MinTasksPerPartition-count, s.remaining)
+	for partition, count := range s.assignedTasks {
+		more := min(MinTasksPerPartition-count, s.remainingTasks)
 		if count > 0 && more > 0 {
 			s.tasksAhead[partition] -= more
 			s.assign(partition, more)
--- a/internal/planning/scaling.go
+++ b/internal/planning/scaling.go
@@ -81,34 +81,34 @@
 		return
 	}
 	p.Shortage = true
-	timely, late := p.splitAllowedOffers(&demand)
-	if len(timely) > 0 {
-		p.planLaunches(&demand, timely, tasks)
+	timelyOffers, lateOffers := p.splitAllowedOffers(&demand)
+	if len(timelyOffers) > 0 {
+		p.planLaunches(&demand, timelyOffers, tasks)
 		return
 	}
 	// The tasks must run eventually, but they aren't urgent: if there are machines for them, they
 	// wait until these have capacity.
 	if !slices.ContainsFunc(p.Machines, demand.allowsMachine) {
-		p.planLaunches(&demand, late, divideRoundingUp(tasks, lateTasksDivisor))
+		p.planLaunches(&demand, lateOffers, divideRoundingUp(tasks, lateTasksDivisor))
 	}
 }
 
-// splitAllowedOffers returns the offers that a demand allows. late holds on-demand offers whose
-// machines would be up too late for an array to meet its deadline, so that they aren't worth
-// their price. timely holds the others, including all spot offers, which are cheap enough to be
+// splitAllowedOffers returns the offers that a demand allows. lateOffers holds on-demand offers
+// whose machines would be up too late for an array to meet its deadline, so that they aren't worth
+// their price. timelyOffers holds the others, including all spot offers, which are cheap enough to be
 // worth their price at any time.
-func (p *ScalingPlan) splitAllowedOffers(demand *Demand) (timely, late []PricedOffer) {
+func (p *ScalingPlan) splitAllowedOffers(demand *Demand) (timelyOffers, lateOffers []PricedOffer) {
 	for _, offer := range p.Offers {
 		if !demand.AllowsOffer(offer.Offer) {
 			continue
 		}
 		if !demand.AllOrNothing && !offer.Spot && demand.SlackS < offer.BootS+demand.EstimateS {
-			late = append(late, offer)
+			lateOffers = append(lateOffers, offer)
 		} else {
-			timely = append(timely, offer)
+			timelyOffers = append(timelyOffers, offer)
 		}
 	}
-	return timely, late
+	return timelyOffers, lateOffers
 }
 
 // planLaunches plans machines for a number of tasks. For groups that arrive one by one, such as
--- a/internal/planning/selection.go
+++ b/internal/planning/selection.go
@@ -20,7 +20,7 @@
 // SelectMachines selects machines in their order, at most limit of them, until they can hold a
 // number of tasks. It also returns the number of tasks that the selected machines can't hold,
 // which is zero or less if they can hold all.
-func SelectMachines(machines []*MachineSummary, tasks, limit int, capacity CapacityFunc) (selected []*MachineSummary, lacking int) {
+func SelectMachines(machines []*MachineSummary, tasks, limit int, capacity CapacityFunc) (selected []*MachineSummary, remainingTasks int) {
 	for _, machine := range machines {
 		if tasks <= 0 || len(selected) >= limit {
 			break
--- a/internal/planning/throttle.go
+++ b/internal/planning/throttle.go
@@ -20,43 +20,43 @@
 
 // Throttle reduces the usage of a team's limit by the shortfall of a job with the given priority,
 // as far as possible. It first throttles assigned tasks that don't run yet, then stops running
-// tasks of lower priority. uses holds the team's groups, the least urgent first. For each of
+// tasks of lower priority. usages holds the team's groups, the least urgent first. For each of
 // them, the result holds how many tasks may run from now on, or -1 if that doesn't change.
-func Throttle(uses []GroupQuotaUsage, priority int, shortfall scheduling.Resources) []int {
-	t := throttler{uses: uses, allowed: make([]int, len(uses)), shortfall: shortfall}
-	for i := range t.allowed {
-		t.allowed[i] = limitUnchanged
+func Throttle(usages []GroupQuotaUsage, priority int, shortfall scheduling.Resources) []int {
+	t := throttler{usages: usages, allowedTasks: make([]int, len(usages)), shortfall: shortfall}
+	for i := range t.allowedTasks {
+		t.allowedTasks[i] = limitUnchanged
 	}
-	for i, use := range uses {
+	for i, use := range usages {
 		if !use.WaitingTasksExempt {
 			t.reduce(i, use.RunningTasks)
 		}
 	}
-	for i, use := range uses {
+	for i, use := range usages {
 		if use.Priority < priority {
 			t.reduce(i, 0)
 		}
 	}
-	return t.allowed
+	return t.allowedTasks
 }
 
-// throttler holds the state of one call of Throttle. allowed is the result so far, and shortfall
-// the part of the shortfall that is left.
+// throttler holds the state of one call of Throttle. allowedTasks is the result so far, and
+// shortfall the part of the shortfall that is left.
 type throttler struct {
-	uses      []GroupQuotaUsage
-	allowed   []int
-	shortfall scheduling.Resources
+	usages       []GroupQuotaUsage
+	allowedTasks []int
+	shortfall    scheduling.Resources
 }
 
 // reduce lowers the allowed tasks of a group until the shortfall is covered, but not below least.
 func (t *throttler) reduce(i, least int) {
-	allowed := t.allowed[i]
+	allowed := t.allowedTasks[i]
 	if allowed == limitUnchanged {
-		allowed = t.uses[i].AllowedTasks
+		allowed = t.usages[i].AllowedTasks
 	}
 	for allowed > least && (t.shortfall.CPU > 0 || t.shortfall.GPU > 0) {
 		allowed--
-		t.shortfall = t.shortfall.Minus(t.uses[i].TaskSize)
-		t.allowed[i] = allowed
+		t.shortfall = t.shortfall.Minus(t.usages[i].TaskSize)
+		t.allowedTasks[i] = allowed
 	}
 }
--- a/internal/reconcile/observations.go
+++ b/internal/reconcile/observations.go
@@ -6,7 +6,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// ObservationKind is what is known of a bound attempt.
+// ObservationKind classifies what is known of a bound attempt.
 type ObservationKind int
 
 const (
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -190,7 +190,7 @@
 	switch s.Phase {
 	case PhaseStable:
 		if s.OnHold {
-			blockers = append(blockers, Blocker{Kind: BlockerOperatorHold, Detail: "an operator went back; finalize ends the hold"})
+			blockers = append(blockers, Blocker{Kind: BlockerOperatorHold, Detail: "an operator has aborted; finalize ends the hold"})
 		}
 		blockers = append(blockers, view.controllerBlockers(s.Level+1)...)
 	case PhaseActive:
--- a/internal/rollout/registrar.go
+++ b/internal/rollout/registrar.go
@@ -24,7 +24,7 @@
 type Registrar struct {
 	Store        RegistrarStore
 	Registration Registration
-	// TTL is how long the registration remains after the process has ended.
+	// TTL is the time for which the registration remains after the process has ended.
 	TTL time.Duration
 	Log *slog.Logger
 }
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -20,21 +20,21 @@
 )
 
 // commit is the process of storing a batch of writes. A write whose outcome is known is resolved
-// and removed from pending.
+// and removed from pendingWrites.
 type commit struct {
-	writer  *Writer
-	pending []*Write
-	backoff time.Duration // pause after the next attempt without an outcome, before jitter
+	writer        *Writer
+	pendingWrites []*Write
+	backoff       time.Duration // pause after the next attempt without an outcome, before jitter
 }
 
 // commit attempts writes until the outcome of each is known. An attempt without a response is
 // repeated with the same conditions. If the first attempt was or will be applied, the conditions
 // make one of the two fail, so that nothing is applied twice.
 func (w *Writer) commit(ctx context.Context, writes []*Write) {
-	c := &commit{writer: w, pending: writes, backoff: minBackoff}
+	c := &commit{writer: w, pendingWrites: writes, backoff: minBackoff}
 	for {
 		c.dropCancelledAndExpired(time.Now())
-		if len(c.pending) == 0 {
+		if len(c.pendingWrites) == 0 {
 			return
 		}
 		c.attempt(ctx)
@@ -58,10 +58,10 @@
 
 // attempt sends the pending writes in one transaction and processes its result.
 func (c *commit) attempt(ctx context.Context) {
-	txn := buildTransaction(c.pending)
+	txn := buildTransaction(c.pendingWrites)
 	// Immediate writes don't wait for the local rate limit. They are few, and after an outage
 	// other writes can keep the limiter busy for seconds.
-	if err := c.writer.limiter.wait(ctx, len(txn.Changes), c.pending[0].isImmediate()); err != nil {
+	if err := c.writer.limiter.wait(ctx, len(txn.Changes), c.pendingWrites[0].isImmediate()); err != nil {
 		c.resolveAll(0, errWriterStopped)
 		return
 	}
@@ -102,7 +102,7 @@
 // resolveConflicts resolves the writes that have a condition on one of the failed keys. The others
 // stay pending for another attempt.
 func (c *commit) resolveConflicts(failed []string, err error) {
-	before := len(c.pending)
+	before := len(c.pendingWrites)
 	c.resolveWhere(func(write *Write) error {
 		for _, condition := range write.Conditions {
 			if slices.Contains(failed, condition.Key) {
@@ -111,7 +111,7 @@
 		}
 		return nil
 	})
-	if len(c.pending) == before { // no write has a failed key, so a retry would fail in the same way
+	if len(c.pendingWrites) == before { // no write has a failed key, so a retry would fail in the same way
 		c.resolveAll(0, err)
 	}
 }
@@ -119,12 +119,12 @@
 // resolveInvalid determines which write makes a transaction invalid by committing each write
 // separately.
 func (c *commit) resolveInvalid(ctx context.Context, err error) {
-	if len(c.pending) == 1 {
+	if len(c.pendingWrites) == 1 {
 		c.resolveAll(0, err)
 		return
 	}
-	writes := c.pending
-	c.pending = nil
+	writes := c.pendingWrites
+	c.pendingWrites = nil
 	for _, write := range writes {
 		c.writer.commit(ctx, []*Write{write})
 	}
@@ -157,7 +157,7 @@
 
 // resolveWhere resolves the pending writes for which errorOf returns an error, with that error.
 func (c *commit) resolveWhere(errorOf func(*Write) error) {
-	c.pending = slices.DeleteFunc(c.pending, func(write *Write) bool {
+	c.pendingWrites = slices.DeleteFunc(c.pendingWrites, func(write *Write) bool {
 		err := errorOf(write)
 		if err != nil {
 			c.writer.resolve(write, 0, err)
@@ -168,8 +168,8 @@
 
 // resolveAll resolves all pending writes with the same outcome.
 func (c *commit) resolveAll(revision uint64, err error) {
-	for _, write := range c.pending {
+	for _, write := range c.pendingWrites {
 		c.writer.resolve(write, revision, err)
 	}
-	c.pending = nil
+	c.pendingWrites = nil
 }
--- a/internal/store/rate_controller.go
+++ b/internal/store/rate_controller.go
@@ -32,7 +32,8 @@
 	batchSeconds = 0.3
 	// minBatchChanges is the number of changes that a transaction may have at any rate.
 	minBatchChanges = 4
-	// maxDebtSeconds is about the longest time by which immediate writes can delay the others.
+	// maxDebtSeconds is approximately the longest time by which immediate writes can delay the
+	// others.
 	maxDebtSeconds = 0.3
 )
 
