--- a/internal/autoscaler/fake_cluster_test.go
+++ b/internal/autoscaler/fake_cluster_test.go
@@ -65,7 +65,7 @@
 	cloud                fakeCloud
 	now                  time.Time
 	machines             []*ReportedMachine // by machine index
-	markedTerminated     []string           // the arguments of MarkTerminated
+	terminated           []string           // the arguments of MarkTerminated
 	unreachableWithTasks []string
 	types                map[string]*wire.MachineType
 
@@ -196,10 +196,8 @@
 	}
 }
 
-func (c *fakeCluster) UnreachableMachinesWithTasks() []string { return c.unreachableWithTasks }
-func (c *fakeCluster) MarkTerminated(name string) {
-	c.markedTerminated = append(c.markedTerminated, name)
-}
+func (c *fakeCluster) UnreachableMachinesWithTasks() []string       { return c.unreachableWithTasks }
+func (c *fakeCluster) MarkTerminated(name string)                   { c.terminated = append(c.terminated, name) }
 func (c *fakeCluster) Types() map[string]*wire.MachineType          { return c.types }
 func (c *fakeCluster) HasLoadedRecords() bool                       { return !c.loadingRecords }
 func (c *fakeCluster) Leadership() Leadership                       { return c.leadership }
--- a/internal/autoscaler/tombstones_test.go
+++ b/internal/autoscaler/tombstones_test.go
@@ -172,7 +172,7 @@
 	if len(c.writes) != 0 || a.IsTerminating("host-000000") {
 		t.Errorf("%d writes, machine is being terminated: %v; want neither", len(c.writes), a.IsTerminating("host-000000"))
 	}
-	if got := len(c.markedTerminated) == 1; got != neverUp {
+	if got := len(c.terminated) == 1; got != neverUp {
 		t.Errorf("machine is marked as terminated: %v, want %v", got, neverUp)
 	}
 }
