--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -76,7 +76,7 @@
 	// taken over the partition.
 	AwaitingFirstHeartbeat bool
 	// Cordoned is true if no new tasks are placed on the machine because tasks of several
-	// jobs have failed there. CordonedAt is when that began.
+	// jobs have failed there. CordonedAt is the time at which that began.
 	Cordoned   bool
 	CordonedAt time.Time
 }
@@ -107,7 +107,7 @@
 type Leadership struct {
 	// Epoch is unique to the term. It is 0 while this controller is not the leader.
 	Epoch uint64
-	// StartedAt is when the term began.
+	// StartedAt is the time at which the term began.
 	StartedAt time.Time
 	// Active is true once everything that was stored before the term has been read. CanAct
 	// is true if, in addition, the replica is fresh enough to base decisions on.
@@ -121,7 +121,7 @@
 	Key string
 	// MachineNames lists the terminated machines.
 	MachineNames []string
-	// FirstSeenAt is when this controller first read the tombstone.
+	// FirstSeenAt is the time at which this controller first read the tombstone.
 	FirstSeenAt time.Time
 }
 
@@ -156,8 +156,8 @@
 type Writer interface {
 	// SubmitWrite queues a write and later runs done with its result on the event loop.
 	SubmitWrite(write *store.Write, done func(err error))
-	// Backlog returns the estimated time until all submitted writes are stored.
-	Backlog() time.Duration
+	// BacklogDuration returns the estimated time until all submitted writes are stored.
+	BacklogDuration() time.Duration
 }
 
 // EventLoop runs functions on the goroutine that owns the Autoscaler.
@@ -190,8 +190,8 @@
 	Log                        *slog.Logger
 }
 
-// Services holds the components that an Autoscaler depends on.
-type Services struct {
+// Dependencies holds the components that an Autoscaler depends on.
+type Dependencies struct {
 	Cloud    Cloud
 	Machines Machines
 	Cluster  Cluster
@@ -202,18 +202,18 @@
 // Autoscaler launches and terminates machines. Use New to create one.
 type Autoscaler struct {
 	Config
-	Services
+	Dependencies
 	// queuedCalls holds the calls to the cloud that Run has not started yet.
 	queuedCalls chan cloudCall
 	// term holds the state of the current leadership term. It is zero on a follower.
 	term termState
-	// announcedDraining is the set of machines that the leader last announced as draining. The
-	// leader may be this controller.
-	announcedDraining map[string]bool
-	// terminating is the set of machines from the decision to terminate them until their
+	// announcedDrainingMachines is the set of machines that the leader last announced as
+	// draining. The leader may be this controller.
+	announcedDrainingMachines map[string]bool
+	// terminatingMachines is the set of machines from the decision to terminate them until their
 	// tombstone is stored or the termination is cancelled. queuedTerminations lists those of
 	// them that no call to the cloud includes yet.
-	terminating         map[string]bool
+	terminatingMachines map[string]bool
 	queuedTerminations  []string
 	terminationInFlight bool
 	// outage logs outages of the cloud's API.
@@ -229,8 +229,8 @@
 	instances map[string]*instance
 	// idleSince records when a machine was first seen idle after it was last in use.
 	idleSince map[string]time.Time
-	// draining is the set of machines that this leader is draining.
-	draining map[string]bool
+	// drainingMachines is the set of machines that this leader is draining.
+	drainingMachines map[string]bool
 	// freeHistory records how much CPU was free recently, beyond the headroom.
 	freeHistory planning.FreeCPUHistory
 
@@ -259,21 +259,21 @@
 
 // New returns an Autoscaler that is not in a leadership term. Run must be called for its calls
 // to the cloud to be made.
-func New(config Config, services Services) *Autoscaler {
-	return &Autoscaler{Config: config, Services: services, queuedCalls: make(chan cloudCall, callQueueLength),
-		terminating: map[string]bool{}, outage: outage.NewMonitor(config.Log, "cloud", outageThreshold)}
+func New(config Config, dependencies Dependencies) *Autoscaler {
+	return &Autoscaler{Config: config, Dependencies: dependencies, queuedCalls: make(chan cloudCall, callQueueLength),
+		terminatingMachines: map[string]bool{}, outage: outage.NewMonitor(config.Log, "cloud", outageThreshold)}
 }
 
 // StartTerm begins a leadership term with empty state.
 func (a *Autoscaler) StartTerm() {
 	a.term = termState{
-		instances:       map[string]*instance{},
-		idleSince:       map[string]time.Time{},
-		draining:        map[string]bool{},
-		pendingLaunches: map[planning.Offer]int{},
-		backoffUntil:    map[planning.Offer]time.Time{},
-		backoffDelays:   map[planning.Offer]time.Duration{},
-		isolatedSince:   map[string]time.Time{},
+		instances:        map[string]*instance{},
+		idleSince:        map[string]time.Time{},
+		drainingMachines: map[string]bool{},
+		pendingLaunches:  map[planning.Offer]int{},
+		backoffUntil:     map[planning.Offer]time.Time{},
+		backoffDelays:    map[planning.Offer]time.Duration{},
+		isolatedSince:    map[string]time.Time{},
 	}
 }
 
--- a/internal/election/acquire.go
+++ b/internal/election/acquire.go
@@ -10,9 +10,10 @@
 )
 
 const (
-	// resignBackoff is how long this process does not acquire a key after resigning it.
+	// resignBackoff is the time for which this process does not acquire a key after resigning it.
 	resignBackoff = 2 * time.Second
-	// acquireRetryDelay is how long a key is not tried again after a failed attempt.
+	// acquireRetryDelay is the time after a failed attempt to acquire a key for which no other
+	// attempt is made.
 	acquireRetryDelay = 200 * time.Millisecond
 	// renewalsPerTTL is the number of renewals of a lease within its TTL. It is above 1 so
 	// that single renewals may fail.
@@ -87,7 +88,7 @@
 }
 
 // keepAlive renews the lease of a key until the key is lost. A controller with a slow event
-// loop keeps its keys, since another controller would hardly be faster and a failover costs
+// loop keeps its keys, since another controller would hardly be faster and a failover takes
 // time on both. If the event loop has not run for a whole TTL, the controller can't serve, and
 // the lease is left to expire. To detect that, each renewal enqueues a check on the event loop.
 func (e *Elector) keepAlive(ctx context.Context, leased *leasedKey, key string, lease uint64) {
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -134,7 +134,7 @@
 func newTestController(ctx context.Context, s *fakeStore, node, id string) *testController {
 	p := &testController{store: s, revisions: map[string]uint64{}, heldTokens: map[string]uint64{}}
 	config := Config{Node: node, ProcessID: id, Nodes: []string{"n0", "n1"}, TTL: testTTL, StartedAt: time.Now(),
-		HeartbeatInterval: time.Second, MaxUnreachableWorkTime: 30 * time.Second, Log: slog.New(slog.DiscardHandler)}
+		HeartbeatInterval: time.Second, MaxUnreachableWorkDuration: 30 * time.Second, Log: slog.New(slog.DiscardHandler)}
 	p.elector = New(ctx, config, Dependencies{Store: s, Replica: p, Reader: p, Writer: p, Loop: p, Listener: p}, []string{leaderKey, partition0Key})
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -228,11 +228,11 @@
 }
 
 // fakePeers gives the same answers about every peer.
-type fakePeers struct{ areEligible, areSilent, haveContact, allKnown bool }
+type fakePeers struct{ areEligible, isIsolated, haveContact, allKnown bool }
 
 func (f fakePeers) IsEligible(string) bool          { return f.areEligible }
 func (fakePeers) ReachableSince(string) time.Time   { return time.Time{} }
-func (f fakePeers) AreAllSilent(time.Duration) bool { return f.areSilent }
+func (f fakePeers) IsIsolated(time.Duration) bool   { return f.isIsolated }
 func (f fakePeers) HaveWorkerContact() (bool, bool) { return f.haveContact, f.allKnown }
 
 // runWithTwoControllers runs f on fake time with two controllers that campaign for the same keys.
@@ -290,8 +290,8 @@
 	})
 }
 
-// A partition owned by another controller is handed over to its preferred owner once that can
-// take it over, and is not acquired again at once by the controller that resigned it.
+// A controller hands a partition over to its preferred owner once the preferred owner can take it
+// over, and does not acquire it again at once.
 func TestHandOverToPreferredOwner(t *testing.T) {
 	runWithTwoControllers(t, func(_ context.Context, _ *fakeStore, first, second *testController) {
 		second.campaignFor(startupGracePeriod+preferredOwnerHeadStart, fakePeers{})
@@ -312,15 +312,15 @@
 // RaiseToken results in a higher token, even if the response to its transaction is lost.
 func TestRaiseToken(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		lost bool
+		name         string
+		responseLost bool
 	}{{"response received", false}, {"response lost", true}} {
 		t.Run(test.name, func(t *testing.T) {
 			runWithTwoControllers(t, func(_ context.Context, s *fakeStore, first, _ *testController) {
 				first.campaignFor(time.Second, fakePeers{})
 				oldToken := first.heldToken(partition0Key)
 				s.mu.Lock()
-				s.dropResponses = test.lost
+				s.dropResponses = test.responseLost
 				s.mu.Unlock()
 				first.Enqueue(func() {
 					if !first.elector.RaiseToken(partition0Key) || first.elector.RaiseToken(partition0Key) {
@@ -402,21 +402,21 @@
 // A leader that neither workers nor peers reach steps down if there are other partition owners.
 func TestStepDownIfIsolated(t *testing.T) {
 	for _, test := range []struct {
-		name      string
-		other     bool
-		reporting int
-		peers     fakePeers
-		want      bool
+		name       string
+		otherOwner bool
+		reporting  int
+		peers      fakePeers
+		want       bool
 	}{
-		{"isolated", true, 0, fakePeers{areSilent: true}, true},
-		{"it owns all partitions", false, 0, fakePeers{areSilent: true}, false},
-		{"workers report", true, 1, fakePeers{areSilent: true}, false},
+		{"isolated", true, 0, fakePeers{isIsolated: true}, true},
+		{"it owns all partitions", false, 0, fakePeers{isIsolated: true}, false},
+		{"workers report", true, 1, fakePeers{isIsolated: true}, false},
 		{"peers are reachable", true, 0, fakePeers{}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			runWithTwoControllers(t, func(_ context.Context, _ *fakeStore, first, _ *testController) {
 				first.campaignFor(time.Second, fakePeers{})
-				if test.other {
+				if test.otherOwner {
 					first.Enqueue(func() { first.elector.ObserveHolder("e/part/1", record.LeaseHolder{Node: "n1", ProcessID: "b"}, 900) })
 				}
 				since := time.Now().Add(-minLeaderTenure)
--- a/internal/peer/registry.go
+++ b/internal/peer/registry.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Timeout is how long after its last status a peer is still considered available. It is five times
-// the interval at which controllers send their status, so that a few frames may be late or lost.
+// Timeout is the time after its last status for which a peer still counts as reachable. It is five
+// times the interval at which controllers send their status, so that a few frames may be late or
+// lost.
 const Timeout = 2500 * time.Millisecond
 
 // Peer is what this controller knows about another controller. Only the Registry modifies it.
@@ -15,9 +16,9 @@
 	Status *Status
 	// LastStatusAt is the time at which Status arrived, or the zero time before the first one.
 	LastStatusAt time.Time
-	// AliveSince is the start of the current period in which statuses arrived without a gap longer
-	// than Timeout.
-	AliveSince time.Time
+	// ReachableSince is the start of the current period in which statuses have arrived without a gap
+	// longer than Timeout.
+	ReachableSince time.Time
 	// previousProcessID is the id of the process that the peer ran before its current one. Frames
 	// of that process may still arrive.
 	previousProcessID string
@@ -57,8 +58,8 @@
 }
 
 // Update records a status that arrived at now. It reports whether the status was accepted: it is
-// ignored if its sender is not a controller of the cluster, or is a process that its successor has
-// already replaced.
+// ignored if its sender is not a controller of the cluster, or is a process that a newer process of
+// the controller has already replaced.
 func (r *Registry) Update(status *Status, now time.Time) bool {
 	p := r.peers[status.Node]
 	if p == nil {
@@ -71,14 +72,14 @@
 		p.previousProcessID = p.Status.ProcessID
 	}
 	if now.Sub(p.LastStatusAt) > Timeout {
-		p.AliveSince = now
+		p.ReachableSince = now
 	}
 	p.Status, p.LastStatusAt = status, now
 	return true
 }
 
-// IsIsolated reports whether there are peers and none of them sent a status within the window before
-// now.
+// IsIsolated reports whether there are peers and none of them has sent a status within the window
+// before now.
 func (r *Registry) IsIsolated(window time.Duration, now time.Time) bool {
 	for _, p := range r.peers {
 		if now.Sub(p.LastStatusAt) < window {
