--- a/internal/controller/allocations_test.go
+++ b/internal/controller/allocations_test.go
@@ -145,7 +145,7 @@
 		c.awaitDone("wk-1", 10*time.Minute)
 		var all store.Stats
 		for _, n := range c.nodes {
-			s := n.controller().stateClient.TakeStats()
+			s := n.controller().storeClient.TakeStats()
 			all.Changes, all.Txns = all.Changes+s.Changes, all.Txns+s.Txns
 		}
 		if all.Changes > tasks/4 || all.Txns > tasks/4 {
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -111,7 +111,7 @@
 // have room for, and records the demand of the rest.
 func (a *assignmentPass) assignTasks(j *job, assigned, remaining int) {
 	quota := &a.teamQuotas[j.team]
-	forced := a.jobOrder(j).ForcedTaskCount(j.countUnplacedTasks())
+	forced := a.jobTiming(j).ForcedTaskCount(j.countUnplacedTasks())
 	if forced > 0 {
 		remaining = min(remaining, forced)
 	}
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -108,7 +108,7 @@
 // controller is not the leader.
 func (v leadershipView) Leadership() autoscaler.Leadership {
 	own := &v.leadership
-	return autoscaler.Leadership{Epoch: own.epoch, StartedAt: own.startedAt, Active: own.active, CanAct: v.isLeader(), FencingCondition: v.leaderCondition()}
+	return autoscaler.Leadership{Epoch: own.epoch, StartedAt: own.startedAt, Active: own.takeoverComplete, CanAct: v.isLeader(), FencingCondition: v.leaderCondition()}
 }
 
 // LeaderLastHeardAt returns the time of the leader's last status. It is zero if there was none or
@@ -146,7 +146,7 @@
 func (v leadershipView) Tombstones() iter.Seq[autoscaler.Tombstone] {
 	return func(yield func(autoscaler.Tombstone) bool) {
 		for key, t := range v.tombstones {
-			if !yield(autoscaler.Tombstone{Key: key, MachineNames: t.names, FirstSeenAt: t.at}) {
+			if !yield(autoscaler.Tombstone{Key: key, MachineNames: t.names, FirstSeenAt: t.firstSeenAt}) {
 				return
 			}
 		}
@@ -157,7 +157,7 @@
 type writeQueue struct{ *clusterState }
 
 // Backlog returns approximately how long it takes until all submitted writes are stored.
-func (q writeQueue) Backlog() time.Duration { return q.stateWriter.BacklogDuration() }
+func (q writeQueue) Backlog() time.Duration { return q.storeWriter.BacklogDuration() }
 
 // workload returns the workload that determines how many machines are needed. summaries are the
 // machines that are up; waiting is the demand for which there is no capacity.
--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -22,7 +22,7 @@
 // one write stores them together. Writes are limited, and the longer the backlog of writes is,
 // the more each should store. The cells of ended attempts are free in the meantime.
 func (c *clusterState) endBatchingDelay() time.Duration {
-	return min(minEndBatchingDelay+endDelayPerBacklog*c.stateWriter.BacklogDuration(), maxEndBatchingDelay)
+	return min(minEndBatchingDelay+endDelayPerBacklog*c.storeWriter.BacklogDuration(), maxEndBatchingDelay)
 }
 
 // minBindingBatchingDelay and maxBindingBatchingDelay are the bounds of bindingBatchingDelay.
@@ -36,7 +36,7 @@
 // while tasks of the group remain unplaced. Cells become free one by one, many times a second,
 // and one write for each would use up the key-value store's write limit.
 func (c *partitionOwner) bindingBatchingDelay() time.Duration {
-	return min(minBindingBatchingDelay+c.stateWriter.BacklogDuration(), maxBindingBatchingDelay)
+	return min(minBindingBatchingDelay+c.storeWriter.BacklogDuration(), maxBindingBatchingDelay)
 }
 
 // invalidWriteBackoff is how long a task group is not written after the key-value store has
@@ -78,7 +78,7 @@
 	// Thousands of tasks that are lost at the same time cause more writes than the queue holds. A
 	// refused write releases its reservations and forces a read of the records, while an update
 	// that waits loses nothing.
-	if c.stateWriter.IsNearlyFull(group.job.spec.IsAllOrNothing()) {
+	if c.storeWriter.IsNearlyFull(group.job.spec.IsAllOrNothing()) {
 		return
 	}
 	group.clearPendingTimes()
@@ -213,7 +213,7 @@
 	if update.doneTasks == group.doneTasks {
 		// No user or controller waits for the ends of lost tasks. They are stored with the tasks'
 		// next bindings, or once the backlog of more urgent writes is gone.
-		delay = max(delay, c.stateWriter.BacklogDuration())
+		delay = max(delay, c.storeWriter.BacklogDuration())
 	}
 	return c.pendingDuration(&group.endsPendingSince) < delay
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -54,7 +54,7 @@
 			done(err)
 		})
 	}
-	if !c.stateWriter.Submit(write) {
+	if !c.storeWriter.Submit(write) {
 		c.log.Error("write queue is full")
 		write.OnDone(0, store.ErrNotExecuted)
 	}
@@ -108,7 +108,7 @@
 		Jitter:            jitter,
 		OnLoaded:          func() { c.archiveFinishedJobs(c.replica) },
 		Log:               c.log,
-	}, c.replica, c.stateClient, priorityLoop{c.eventLoop, priorityStore})
+	}, c.replica, c.storeClient, priorityLoop{c.eventLoop, priorityStore})
 }
 
 // newElector returns the elector that acquires and renews the leases of the partitions and of
@@ -125,7 +125,7 @@
 		MaxUnreachableWorkTime: c.maxStaleness + c.leaseExpiry,
 		Log:                    c.log,
 	}, election.Dependencies{
-		Store:    c.stateClient,
+		Store:    c.storeClient,
 		Replica:  c.replica,
 		Reader:   c.reader,
 		Writer:   c,
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -23,7 +23,7 @@
 // demand returns the demand for count tasks of a job that found no room. zone is the zone in
 // which they must be placed, or "" for any.
 func (c *clusterState) demand(j *job, zone string, count int) planning.Demand {
-	spec, order := j.spec, c.jobOrder(j)
+	spec, order := j.spec, c.jobTiming(j)
 	return planning.Demand{
 		Class:             spec.Class,
 		TaskSize:          j.taskSize,
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -34,7 +34,7 @@
 
 // isEligible reports whether this controller should hold leased keys.
 func (c *clusterState) isEligible() bool {
-	return c.isFresh(c.operator.LeaseTTL) && !c.election.IsBackingOff() && c.rollout.refusal == nil
+	return c.isFresh(c.operator.LeaseTTL) && !c.election.IsBackingOff() && c.rollout.servingError == nil
 }
 
 // campaign acquires vacant keys and hands partitions over to their preferred owners.
@@ -45,7 +45,7 @@
 	hashPartitions := c.partitions[:c.loanPartition()]
 	candidates := make([]election.Partition, len(hashPartitions))
 	for i, p := range hashPartitions {
-		candidates[i] = election.Partition{Index: p.index, Key: p.key, IsOwned: p.token != 0, OwnedSince: p.ownedSince, HasHeardAllMachines: p.hasHeardAllMachines}
+		candidates[i] = election.Partition{Index: p.index, Key: p.key, IsOwned: p.token != 0, OwnedSince: p.ownedSince, HasHeardAllMachines: p.hasHeartbeatsFromAllMachines}
 	}
 	c.election.Campaign(candidates, c.leaderKey(), peerView{c})
 }
@@ -151,7 +151,7 @@
 	for group := range c.allGroups() {
 		c.adoptBindings(group)
 	}
-	c.learnMachinesFromPeers()
+	c.addMachinesFromPeers()
 	// The machines known from earlier or from peers are told the new token at once, so that
 	// they send their heartbeats to this controller.
 	for _, m := range p.machines {
@@ -163,8 +163,8 @@
 	c.requestSchedulingPass()
 }
 
-// learnMachinesFromPeers adds the machines that peers report.
-func (c *clusterState) learnMachinesFromPeers() {
+// addMachinesFromPeers adds the machines that peers report.
+func (c *clusterState) addMachinesFromPeers() {
 	for _, other := range c.peers.All() {
 		if other.Status == nil {
 			continue
@@ -187,9 +187,9 @@
 	}
 }
 
-// hasHeardAllMachines reports whether every machine of the partition with bound tasks has sent
+// hasHeartbeatsFromAllMachines reports whether every machine of the partition with bound tasks has sent
 // a heartbeat since the partition was taken over.
-func (p *partition) hasHeardAllMachines() bool {
+func (p *partition) hasHeartbeatsFromAllMachines() bool {
 	for _, m := range p.machines {
 		if len(m.bindings) > 0 && !m.heartbeatAt.After(p.ownedSince) {
 			return false
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -46,7 +46,7 @@
 func (v clusterView) IsFreshWithin(limit time.Duration) bool { return v.isFresh(limit) }
 
 // Refusal returns the reason why this controller must not serve, or nil if it may.
-func (v clusterView) ServingError() error { return v.rollout.refusal }
+func (v clusterView) ServingError() error { return v.rollout.servingError }
 
 // MachineTypes returns the machine types that the cloud offers, by name. It is empty while they
 // are unknown.
--- a/internal/controller/group_records.go
+++ b/internal/controller/group_records.go
@@ -7,8 +7,8 @@
 	"eiderhitch/internal/record"
 )
 
-// storedValue holds the metadata of a stored value.
-type storedValue struct {
+// storedMetadata holds the metadata of a stored value.
+type storedMetadata struct {
 	revision uint64
 	size     int
 	encoding record.Encoding
@@ -20,11 +20,11 @@
 	if err != nil {
 		return err
 	}
-	return a.putGroup(key, v, storedValue{revision: revision, size: len(raw), encoding: encoding})
+	return a.putGroup(key, v, storedMetadata{revision: revision, size: len(raw), encoding: encoding})
 }
 
 // putGroup applies the record of a task group.
-func (a recordApplier) putGroup(key string, v *record.TaskGroup, stored storedValue) error {
+func (a recordApplier) putGroup(key string, v *record.TaskGroup, stored storedMetadata) error {
 	id, number, ok := parseGroupKey(key)
 	if !ok {
 		a.log.Error("stored key is malformed; it is left alone", "key", key)
@@ -44,7 +44,7 @@
 	a.rollout.groupsByEncoding[stored.encoding]++
 	former := group.bindings
 	a.unlinkBindings(group)
-	a.moveToPartition(group, v.Partition)
+	a.moveGroupToPartition(group, v.Partition)
 	group.setContent(v, stored)
 	a.putBindings(group, v.Tasks)
 	a.dropStaleEnds(group, former)
@@ -71,7 +71,7 @@
 }
 
 // setContent sets the fields of the group that don't concern single tasks from its record.
-func (group *taskGroup) setContent(v *record.TaskGroup, stored storedValue) {
+func (group *taskGroup) setContent(v *record.TaskGroup, stored storedMetadata) {
 	group.revision, group.storedSize, group.encoding = stored.revision, stored.size, stored.encoding
 	group.partition, group.zone, group.guaranteed = v.Partition, v.Zone, v.Guaranteed
 	group.doneTasks, group.throttle = v.DoneTasks, v.Throttle
@@ -102,7 +102,7 @@
 	}
 	m.bindings.add(group.task(task.Task), group)
 	m.mergeIdentity(task.Addr, task.Incarnation)
-	a.addToPartition(m) // a terminated machine may have been removed from the list
+	a.addMachineToPartition(m) // a terminated machine may have been removed from the list
 	return m
 }
 
@@ -128,7 +128,7 @@
 	former := group.bindings
 	group.bindings = nil
 	a.dropStaleEnds(group, former)
-	a.moveToPartition(group, noPartition)
+	a.moveGroupToPartition(group, noPartition)
 	a.removeGroup(group)
 }
 
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -30,7 +30,7 @@
 	if !c.replica.IsLoaded() {
 		return api.Response{Status: http.StatusServiceUnavailable, Reason: "starting"}
 	}
-	if refusal, refused := c.refusalResponse(); refused {
+	if refusal, refused := c.servingErrorResponse(); refused {
 		return refusal
 	}
 	m := c.getOrAddMachine(heartbeat.Machine)
@@ -99,13 +99,13 @@
 	case workerRequest:
 		c.recordWorkerRequest(m, p)
 	case directCommandResponse:
-		m.leaseLostWhileHeard, m.commandState.unanswered = false, 0
+		m.leaseLostDespiteResponses, m.commandState.unanswered = false, 0
 	}
 	c.updateTerminationNotice(m, heartbeat.TerminationNoticeS)
 	if p.takeoverComplete && !m.terminated {
 		c.reconcile(m, p)
 	}
-	if source == workerRequest && (m.leaseLostWhileHeard || !p.isOwnToken(m.token)) {
+	if source == workerRequest && (m.leaseLostDespiteResponses || !p.isOwnToken(m.token)) {
 		c.ping(m, p) // an answer proves that the machine receives requests and shows the current token
 	}
 	if needsPass {
@@ -139,7 +139,7 @@
 	c.log.Info("machine begins a new incarnation", "machine", m.name, "incarnation", incarnation)
 	m.cachedImages, m.fetchStartedAt = map[string]bool{}, map[string]time.Time{}
 	m.commandState.unansweredStartToken, m.responseCarriesStart = 0, false
-	m.leaseLostWhileHeard = !m.leaseRenewedAt.IsZero()
+	m.leaseLostDespiteResponses = !m.leaseRenewedAt.IsZero()
 }
 
 // affectsScheduling reports whether a heartbeat requires a scheduling pass. Most heartbeats
--- a/internal/controller/job_completion.go
+++ b/internal/controller/job_completion.go
@@ -22,7 +22,7 @@
 func (c *leader) finishJobs() {
 	c.archiveFinishedJobs(c.replica)
 	budget := maxFinishWrites
-	canDelete := c.stateWriter.BacklogDuration() < maxCleanupBacklog
+	canDelete := c.storeWriter.BacklogDuration() < maxCleanupBacklog
 	for _, job := range c.activeJobs {
 		if budget == 0 {
 			return
--- a/internal/controller/job_order.go
+++ b/internal/controller/job_order.go
@@ -6,8 +6,8 @@
 	"eiderhitch/internal/planning"
 )
 
-// jobOrder returns the properties by which a job is ordered among others.
-func (c *clusterState) jobOrder(j *job) *planning.JobTiming {
+// jobTiming returns the properties by which a job is ordered among others.
+func (c *clusterState) jobTiming(j *job) *planning.JobTiming {
 	_, finished := j.countAssignedTasks()
 	return &planning.JobTiming{
 		AllOrNothing:     j.spec.IsAllOrNothing(),
@@ -33,7 +33,7 @@
 	urgency := func(j *job) planning.Urgency {
 		u, ok := cached[j]
 		if !ok {
-			u = c.jobOrder(j).Urgency()
+			u = c.jobTiming(j).Urgency()
 			cached[j] = u
 		}
 		return u
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -96,7 +96,7 @@
 	p := c.partitions[before]
 	p.removeMachines(func(other *machine) bool { return other == m })
 	m.partition, m.partitionChangedAt = now, c.now
-	c.addToPartition(m)
+	c.addMachineToPartition(m)
 	if p.token != 0 {
 		for _, x := range m.bindings { // services that move along with the machine
 			c.freeCell(p, x.task)
@@ -115,7 +115,7 @@
 // change partitions with its tasks: their ends are proven and stored later, as after any
 // failover.
 func (c *clusterState) runsOnlyServices(m *machine, p *partition) bool {
-	if !c.isUsable(m, p) || m.token != p.token || m.commandState.inFlight || m.startMayArrive(p) {
+	if !c.isUsable(m, p) || m.token != p.token || m.commandState.inFlight || m.hasStartInFlight(p) {
 		return false
 	}
 	for _, x := range m.bindings {
--- a/internal/controller/loans_test.go
+++ b/internal/controller/loans_test.go
@@ -80,7 +80,7 @@
 	c.schedulePartition(p)
 	c.now = c.now.Add(maxEndBatchingDelay + time.Second) // ends are batched before they are stored
 	c.schedulePartition(p)
-	if !group.writeInFlight || c.stateWriter.BacklogDuration() == 0 {
+	if !group.writeInFlight || c.storeWriter.BacklogDuration() == 0 {
 		t.Error("the end of the task is not stored")
 	}
 	// The cell must also be freed if the owner of the group has stored the end.
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -53,15 +53,15 @@
 	// lastMessageAt is the time of the last new message from the machine: a heartbeat or the
 	// answer to a direct command.
 	lastMessageAt time.Time
-	// leaseLostWhileHeard is set when the machine lost its lease although its heartbeats were
+	// leaseLostDespiteResponses is set when the machine lost its lease although its heartbeats were
 	// answered, and is cleared by its next answer to a direct command. Such a machine may be
 	// able to send but not to receive.
-	leaseLostWhileHeard bool
-	commandState        directCommandState
+	leaseLostDespiteResponses bool
+	commandState              directCommandState
 
-	// schedulable and runsService cache the results of partitionOwner.isSchedulable and
+	// isSchedulable and runsService cache the results of partitionOwner.isSchedulable and
 	// clusterState.runsService for the scheduling pass whose number is stored beside them.
-	schedulable, runsService         bool
+	isSchedulable, runsService       bool
 	schedulablePass, runsServicePass uint64
 }
 
@@ -80,10 +80,10 @@
 	unanswered int
 }
 
-// startMayArrive reports whether a start command that was sent to the machine may still arrive:
+// hasStartInFlight reports whether a start command that was sent to the machine may still arrive:
 // in a heartbeat response, in a direct command in flight, or in a direct command that went
 // unanswered under the owner's current token.
-func (m *machine) startMayArrive(p *partition) bool {
+func (m *machine) hasStartInFlight(p *partition) bool {
 	return m.commandState.unansweredStartToken == p.token || m.commandState.carriesStart || m.responseCarriesStart
 }
 
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -25,7 +25,7 @@
 	view := reconcile.MachineState{
 		Incarnation:    m.incarnation,
 		TokenConfirmed: m.token == p.token,
-		StartInFlight:  m.startMayArrive(p),
+		StartInFlight:  m.hasStartInFlight(p),
 		StartsAllowed:  c.isFresh(c.operator.LeaseTTL),
 		Tasks:          m.tasks,
 	}
--- a/internal/controller/machine_registry.go
+++ b/internal/controller/machine_registry.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// moveToPartition moves a task group to the list of another partition, or removes it from its
+// moveGroupToPartition moves a task group to the list of another partition, or removes it from its
 // list if to is noPartition.
-func (c *machineRegistry) moveToPartition(group *taskGroup, to int) {
+func (c *machineRegistry) moveGroupToPartition(group *taskGroup, to int) {
 	if group.listPosition > 0 {
 		if group.partition == to {
 			return
@@ -79,7 +79,7 @@
 	m.partition = c.partitionOfMachine(m)
 	c.machines[name] = m
 	c.machineByIndex = append(c.machineByIndex, m)
-	c.addToPartition(m)
+	c.addMachineToPartition(m)
 	return m
 }
 
@@ -103,8 +103,8 @@
 	return m.hashPartition
 }
 
-// addToPartition adds a machine to the list of its partition unless it is already there.
-func (c *machineRegistry) addToPartition(m *machine) {
+// addMachineToPartition adds a machine to the list of its partition unless it is already there.
+func (c *machineRegistry) addMachineToPartition(m *machine) {
 	if !m.inPartitionList {
 		m.inPartitionList = true
 		p := c.partitions[m.partition]
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -200,8 +200,8 @@
 
 // tombstone is the stored marker of terminated machines.
 type tombstone struct {
-	names []string
-	at    time.Time // when this controller learned of it
+	names       []string
+	firstSeenAt time.Time // when this controller learned of it
 }
 
 // tombstoneNames returns the machines that a tombstone names. Older versions stored the value
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -30,8 +30,8 @@
 	// stored value. If none is stored, they are rollout.Initial and 0.
 	state    rollout.State
 	revision uint64
-	// refusal is the reason why this process must not serve, or nil if it may.
-	refusal error
+	// servingError is the reason why this process must not serve, or nil if it may.
+	servingError error
 	// leaseKeys are the keys under which leases are currently acquired.
 	leaseKeys rollout.LeaseKeys
 	// registrations holds the registered controllers by name.
@@ -136,7 +136,7 @@
 	if refusal == nil && !state.Admits(c.rollout.supportedLevels) {
 		refusal = &unsupportedLevelError{level: state.Level, supported: c.rollout.supportedLevels}
 	}
-	c.setRefusal(refusal)
+	c.setServingError(refusal)
 	if keys := state.LeaseKeys(); keys != c.rollout.leaseKeys {
 		c.switchLeaseKeys(keys)
 	}
@@ -155,11 +155,11 @@
 	return fmt.Sprintf("feature level %d is in force, this version reads %s", e.level, e.supported)
 }
 
-// setRefusal sets the reason why this process must not serve, or nil if it may. A process that
+// setServingError sets the reason why this process must not serve, or nil if it may. A process that
 // must not serve gives up all its leases.
-func (c *controller) setRefusal(refusal error) {
-	before := c.rollout.refusal
-	c.rollout.refusal = refusal
+func (c *controller) setServingError(refusal error) {
+	before := c.rollout.servingError
+	c.rollout.servingError = refusal
 	switch {
 	case refusal != nil:
 		if before == nil || before.Error() != refusal.Error() {
@@ -217,7 +217,7 @@
 func (c *controller) advanceRollout() {
 	s := &c.rollout
 	enabled := s.revision != 0 || c.operator.EnableFeatureLevels
-	if !enabled || s.stepInFlight || s.refusal != nil || !c.isFresh(c.operator.LeaseTTL) {
+	if !enabled || s.stepInFlight || s.servingError != nil || !c.isFresh(c.operator.LeaseTTL) {
 		return
 	}
 	view := c.rolloutView()
@@ -243,7 +243,7 @@
 // one currently written. The rate is limited, and nothing is rewritten while the write backlog is
 // above maxRewriteBacklog, so that users' writes and other work are not delayed.
 func (c *partitionOwner) rewriteGroups(p *partition) {
-	if c.rollout.countGroupsToRewrite() == 0 || c.stateWriter.BacklogDuration() > maxRewriteBacklog {
+	if c.rollout.countGroupsToRewrite() == 0 || c.storeWriter.BacklogDuration() > maxRewriteBacklog {
 		return
 	}
 	encoding := c.writeEncoding()
@@ -290,19 +290,19 @@
 	}
 }
 
-// refusalResponse returns the response of a controller that must not serve, and whether it must
+// servingErrorResponse returns the response of a controller that must not serve, and whether it must
 // not.
-func (c *clusterState) refusalResponse() (api.Response, bool) {
-	if c.rollout.refusal == nil {
+func (c *clusterState) servingErrorResponse() (api.Response, bool) {
+	if c.rollout.servingError == nil {
 		return api.Response{}, false
 	}
-	return frontend.UnavailableResponse(c.rollout.refusal.Error()), true
+	return frontend.UnavailableResponse(c.rollout.servingError.Error()), true
 }
 
 // runRegistrar keeps the range of levels that this controller reads registered until ctx ends.
 func (c *controller) runRegistrar(ctx context.Context) {
 	registration := rollout.Registration{Node: c.cfg.Name, ProcessID: c.processID, Build: Build, LevelRange: c.rollout.supportedLevels}
-	r := &rollout.Registrar{Store: c.stateClient, Registration: registration, TTL: registrationTTLFactor * c.operator.LeaseTTL, Log: c.log}
+	r := &rollout.Registrar{Store: c.storeClient, Registration: registration, TTL: registrationTTLFactor * c.operator.LeaseTTL, Log: c.log}
 	if err := r.Run(ctx); err != nil && !errors.Is(err, ctx.Err()) {
 		c.log.Error("registration ended", "err", err)
 	}
--- a/internal/controller/scoring.go
+++ b/internal/controller/scoring.go
@@ -104,10 +104,10 @@
 func (c *partitionOwner) isSchedulable(m *machine, p *partition) bool {
 	if m.schedulablePass != c.schedulingPass {
 		m.schedulablePass = c.schedulingPass
-		m.schedulable = c.isUsable(m, p) && m.terminationAt.IsZero() && !m.cordoned && !c.now.Before(m.placementBackoffUntil) &&
+		m.isSchedulable = c.isUsable(m, p) && m.terminationAt.IsZero() && !m.cordoned && !c.now.Before(m.placementBackoffUntil) &&
 			!c.autoscaler.IsTerminating(m.name) && !c.isReservedByLeader(m, p)
 	}
-	return m.schedulable
+	return m.isSchedulable
 }
 
 // isReservedByLeader reports whether the leader keeps a machine free because it is draining or on
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -150,7 +150,7 @@
 // start starts the controller's goroutines, which run until ctx ends. ctx must be the context
 // that was passed to newController.
 func (c *controller) start(ctx context.Context, wg *sync.WaitGroup) {
-	wg.Go(func() { c.stateWriter.Run(ctx) })
+	wg.Go(func() { c.storeWriter.Run(ctx) })
 	wg.Go(func() { c.reader.Follow(ctx) })
 	wg.Go(func() { c.autoscaler.Run(ctx) })
 	if c.operator.EnableFeatureLevels {
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -36,8 +36,8 @@
 	maxStaleness time.Duration
 	leaseExpiry  time.Duration
 
-	stateClient *store.Client
-	stateWriter *store.Writer
+	storeClient *store.Client
+	storeWriter *store.Writer
 	replica     *replica.Replica
 	reader      *replica.Reader
 	storeOutage *outage.Monitor
@@ -83,8 +83,8 @@
 		maxStaleness: config.MaxStaleness(settings.Workers.CancelDeadlineS, settings.Workers.LeaseDurationS),
 		leaseExpiry:  config.LeaseExpiry(settings.Workers.CancelDeadlineS, settings.Workers.LeaseDurationS),
 
-		stateClient: client,
-		stateWriter: store.NewWriter(client, settings.Store.TxnOps, settings.Store.WriteRPS, settings.ControllerCount, deps.jitter),
+		storeClient: client,
+		storeWriter: store.NewWriter(client, settings.Store.TxnOps, settings.Store.WriteRPS, settings.ControllerCount, deps.jitter),
 		peers:       peer.NewRegistry(peerNames(cfg.Peers)),
 
 		objectiveSeconds: cfg.CompletionObjectiveSeconds(),
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -151,6 +151,6 @@
 	}
 	due.metrics = c.now.Add(metricsInterval)
 	c.archiveFinishedJobs(c.replica)
-	c.metrics.logAndReset(c.log, len(c.jobs)+len(c.finalStates), len(c.machines), c.stateClient.TakeStats())
+	c.metrics.logAndReset(c.log, len(c.jobs)+len(c.finalStates), len(c.machines), c.storeClient.TakeStats())
 	c.logRollout(c.log)
 }
--- a/internal/controller/unplaced_tasks.go
+++ b/internal/controller/unplaced_tasks.go
@@ -119,7 +119,7 @@
 // yet: the approximate time to store the end of the old task, to assign the new one, and to
 // store its binding.
 func (c *clusterState) reuseDelay() time.Duration {
-	return c.endBatchingDelay() + 2*min(c.stateWriter.BacklogDuration(), maxBacklogDelay) + leaderPassDelay
+	return c.endBatchingDelay() + 2*min(c.storeWriter.BacklogDuration(), maxBacklogDelay) + leaderPassDelay
 }
 
 // maxTasksAhead returns for each partition how many tasks it may be assigned beyond its free
