--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -36,7 +36,7 @@
 // machineView implements autoscaler.Machines.
 type machineView struct{ *controller }
 
-// Machine returns the machine with a name. If it is unknown, it is added first.
+// GetOrAdd returns the machine with a name. If it is unknown, it is added first.
 func (v machineView) GetOrAdd(name string) autoscaler.Machine {
 	return v.getOrAddMachine(name).autoscalerMachine()
 }
@@ -69,8 +69,8 @@
 	})
 }
 
-// UnreachableMachinesWithTasks returns the names of the unreachable machines in this controller's partitions
-// that have tasks bound to them. It returns none while the replica is not fresh.
+// UnreachableMachinesWithTasks returns the names of the unreachable machines in this controller's
+// partitions that have tasks bound to them. It returns none while the replica is not fresh.
 func (v machineView) UnreachableMachinesWithTasks() []string {
 	if !v.isFresh(v.operator.LeaseTTL) {
 		return nil
@@ -101,7 +101,7 @@
 // leadershipView implements autoscaler.Cluster.
 type leadershipView struct{ *controller }
 
-// Loaded reports whether all records have been read since the process started.
+// HasLoadedRecords reports whether all records have been read since the process started.
 func (v leadershipView) HasLoadedRecords() bool { return v.replica.IsLoaded() }
 
 // Leadership returns this controller's current term as the leader. Its epoch is 0 if this
@@ -120,15 +120,15 @@
 	return time.Time{}
 }
 
-// PartitionFencingCondition returns a condition that makes a write fail once another controller owns the
-// partition.
+// PartitionFencingCondition returns a condition that makes a write fail once another controller
+// owns the partition. Its revision is 0 if this controller does not own it.
 func (v leadershipView) PartitionFencingCondition(partition int) wire.Condition {
 	p := v.partitions[partition]
 	return wire.Condition{Key: p.key, Revision: p.token}
 }
 
-// AreAllOwnersResponsive reports whether the leader currently receives the status of every partition's
-// owner.
+// AreAllOwnersResponsive reports whether the leader currently receives the status of every
+// partition's owner.
 func (v leadershipView) AreAllOwnersResponsive() bool { return v.allOwnersResponsive() }
 
 // HasCompleteView reports whether the leader has received the status of a partition's owner for
--- a/internal/controller/cordons.go
+++ b/internal/controller/cordons.go
@@ -15,11 +15,11 @@
 	// heartbeats show what it is running.
 	refusedStartBackoff = time.Second
 
-	// failedMachinesThreshold is the number of machines on which a job's tasks have failed from
-	// which the job itself is suspected.
+	// failedMachinesThreshold is the number of machines on which a job's tasks must have failed
+	// before the job itself is suspected.
 	failedMachinesThreshold = 3
-	// From failedMachinesThreshold on, a job's tasks are not placed for minFailedJobBackoff.
-	// Each further machine doubles the delay, at most maxFailedJobDoublings times and up to
+	// When a job has failed on failedMachinesThreshold machines, none of its tasks is placed for
+	// minFailedJobBackoff. Each further machine doubles the delay, at most maxFailedJobDoublings times and up to
 	// maxFailedJobBackoff.
 	minFailedJobBackoff   = time.Second
 	maxFailedJobBackoff   = 30 * time.Second
@@ -30,8 +30,8 @@
 	cordonThreshold = 2
 	// jobAvoidanceTime is how long a job's tasks are not placed on a machine that failed one of
 	// them. The time is limited because the machine may be the only one that fits and may have
-	// been faulty only temporarily: without a limit, the job waited forever next to an empty
-	// machine.
+	// been faulty only temporarily: without a limit, a job waited forever while that machine
+	// was empty.
 	jobAvoidanceTime = time.Minute
 )
 
--- a/internal/controller/event_queue.go
+++ b/internal/controller/event_queue.go
@@ -11,8 +11,8 @@
 type priority int
 
 const (
-	// priorityStore is the priority of responses and changes from the key-value store. They
-	// tell this controller that it has lost a lease and which of its writes are stored.
+	// priorityStore is the priority of responses and changes from the key-value store. They show
+	// whether this controller has lost a lease and which of its writes are stored.
 	priorityStore priority = iota
 	// priorityWorkers is the priority of heartbeats, responses to direct commands, responses
 	// of the cloud, and status frames of peers. If a heartbeat is answered too late, the
@@ -32,7 +32,7 @@
 // one to be queued behind it. It is well below the time after which users give up.
 const maxUserWait = 500 * time.Millisecond
 
-// maxRetryAfter is the longest delay that a rejected user is told to wait before retrying.
+// maxRetryAfter is the longest delay after which a rejected user is asked to retry.
 const maxRetryAfter = 30 * time.Second
 
 // eventQueue holds the events that wait for the event loop, in one queue for each priority. Its
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// takeOverPartition prepares a newly acquired partition. The replica is read once more so that
-// it has everything that former owners stored; then activatePartition rebuilds the cells from
-// it.
+// takeOverPartition prepares a newly acquired partition. The key-value store is read once more so
+// that the replica has everything that former owners stored; then activatePartition rebuilds the
+// cells from it.
 func (c *controller) takeOverPartition(p *partition, token uint64) {
 	p.firstToken, p.ownedSince, p.takeoverComplete = token, c.now, false
 	p.recentTokens = nil
@@ -152,8 +152,8 @@
 		c.adoptBindings(group)
 	}
 	c.addMachinesFromPeers()
-	// The machines known from earlier or from peers are told the new token at once, so that
-	// they send their heartbeats to this controller.
+	// The machines known from earlier or from peers are pinged at once with the new token, so
+	// that they send their heartbeats to this controller.
 	for _, m := range p.machines {
 		if !m.terminated {
 			m.commandState.backoffUntil = time.Time{}
@@ -187,8 +187,8 @@
 	}
 }
 
-// hasHeartbeatsFromAllMachines reports whether every machine of the partition with bound tasks has sent
-// a heartbeat since the partition was taken over.
+// hasHeartbeatsFromAllMachines reports whether every machine of the partition with bound tasks has
+// sent a heartbeat since the partition was taken over.
 func (p *partition) hasHeartbeatsFromAllMachines() bool {
 	for _, m := range p.machines {
 		if len(m.bindings) > 0 && !m.heartbeatAt.After(p.ownedSince) {
@@ -198,11 +198,10 @@
 	return true
 }
 
-// workerContact implements the view of package election on how well workers reach this
-// controller.
+// workerContact implements election.WorkerContact.
 type workerContact struct{ *controller }
 
-// Reporting returns how many machines of the owned partitions have sent a heartbeat within
+// CountReportingMachines returns how many machines of the owned partitions have sent a heartbeat within
 // recentHeartbeatWindow.
 func (w workerContact) CountReportingMachines() int {
 	n := 0
@@ -219,53 +218,55 @@
 	return n
 }
 
-// Heard summarizes the heartbeats that the owned partitions' machines sent within the given
-// time.
+// SummarizeHeartbeats summarizes the heartbeats that the owned partitions' machines sent within
+// the given time.
 func (w workerContact) SummarizeHeartbeats(within time.Duration) election.HeartbeatSummary {
-	var heard election.HeartbeatSummary
+	var summary election.HeartbeatSummary
 	for _, p := range w.partitions {
 		if p.token == 0 {
 			continue
 		}
-		heard.HasNewPartition = heard.HasNewPartition || w.now.Sub(p.ownedSince) < within
+		summary.HasNewPartition = summary.HasNewPartition || w.now.Sub(p.ownedSince) < within
 		for _, m := range p.machines {
 			if m.terminated {
 				continue
 			}
 			if len(m.bindings) > 0 || !m.heartbeatAt.IsZero() && w.now.Sub(m.heartbeatAt) < recentHeartbeatWindow {
-				heard.ExpectedMachines++
+				summary.ExpectedMachines++
 			}
-			heard.HasHeartbeat = heard.HasHeartbeat || m.heartbeatAt.After(p.ownedSince) && w.now.Sub(m.heartbeatAt) < within
+			summary.HasHeartbeat = summary.HasHeartbeat || m.heartbeatAt.After(p.ownedSince) && w.now.Sub(m.heartbeatAt) < within
 		}
 	}
-	return heard
+	return summary
 }
 
-// LastHeartbeat returns the time of the last heartbeat from any worker.
+// LastHeartbeatAt returns the time of the last heartbeat from any worker.
 func (w workerContact) LastHeartbeatAt() time.Time { return w.lastHeartbeatAt }
 
 // ResumedAt returns the time at which this process last resumed after a pause.
 func (w workerContact) ResumedAt() time.Time { return w.resumedFromPauseAt }
 
-// peerView implements the view of package election on the other controllers.
+// peerView implements election.Peers.
 type peerView struct{ *controller }
 
-// Eligible reports whether a peer would take keys over.
+// IsEligible reports whether a peer's status is recent and says that the peer can take partitions
+// over.
 func (v peerView) IsEligible(node string) bool {
 	p := v.peers.Peer(node)
 	return p != nil && p.HasRecentStatus(peer.Timeout, v.now) && p.Status.CanTakePartitions
 }
 
-// AliveSince returns the time since which status reports from a peer have arrived without a
+// ReachableSince returns the time since which status reports from a peer have arrived without a
 // gap.
 func (v peerView) ReachableSince(node string) time.Time { return v.peers.Peer(node).AliveSince }
 
-// Silent reports whether there are peers and none of them has been heard from for d.
+// AreAllSilent reports whether there are peers and none of them has sent a status for d.
 func (v peerView) AreAllSilent(d time.Duration) bool { return v.peers.IsIsolated(d, v.now) }
 
-// HaveWorkerContact reports whether any peer receives heartbeats from a machine, and whether all
-// peers have sent a recent status.
-func (v peerView) HaveWorkerContact() (hear, allKnown bool) {
+// HaveWorkerContact reports whether any peer with a recent status receives heartbeats from a
+// machine, and whether the statuses of all peers are recent. If haveContact is true, allKnown
+// covers only the peers that were examined before the first one with contact.
+func (v peerView) HaveWorkerContact() (haveContact, allKnown bool) {
 	allKnown = len(v.cfg.Peers) > 0
 	for _, p := range v.peers.All() {
 		if p.Status == nil || v.now.Sub(p.LastStatusAt) > peerStatusTimeout {
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -39,13 +39,13 @@
 // clusterView implements frontend.Cluster. Its methods must be called on the event loop.
 type clusterView struct{ *controller }
 
-// Loaded reports whether all records have been read since the process started.
+// HasLoadedRecords reports whether all records have been read since the process started.
 func (v clusterView) HasLoadedRecords() bool { return v.replica.IsLoaded() }
 
 // IsFreshWithin reports whether the last successful read began less than limit ago.
 func (v clusterView) IsFreshWithin(limit time.Duration) bool { return v.isFresh(limit) }
 
-// Refusal returns the reason why this controller must not serve, or nil if it may.
+// ServingError returns the reason why this controller must not serve, or nil if it may.
 func (v clusterView) ServingError() error { return v.rollout.servingError }
 
 // MachineTypes returns the machine types that the cloud offers, by name. It is empty while they
@@ -64,22 +64,22 @@
 	return &frontend.Job{State: j.jobState(), IsFinal: j.finalState != record.StateUnfinished, Revision: j.revision, Spec: j.spec, AcceptedAt: j.acceptedAt}
 }
 
-// Unreadable reports whether any stored record of a job can't be decoded.
+// HasUnreadableRecord reports whether any stored record of a job can't be decoded.
 func (v clusterView) HasUnreadableRecord(id string) bool {
 	j := v.jobs[id]
 	return j != nil && j.hasUnreadableRecords()
 }
 
-// PeerFreshness reports whether any peer has sent its status within peer.Timeout, and whether any of
-// those peers reports that its replica of the key-value store is fresh.
-func (v clusterView) PeerFreshness() (heard, fresh bool) {
+// PeerFreshness reports whether any peer has sent its status within peer.Timeout (hasContact), and
+// whether any of those peers reports that its replica of the key-value store is fresh.
+func (v clusterView) PeerFreshness() (hasContact, fresh bool) {
 	for _, p := range v.peers.All() {
 		if p.HasRecentStatus(peer.Timeout, v.now) {
-			heard = true
+			hasContact = true
 			fresh = fresh || p.Status.ReplicaIsCurrent
 		}
 	}
-	return heard, fresh
+	return hasContact, fresh
 }
 
 // Heartbeat handles a worker's heartbeat on the event loop and returns the response. If the event
--- a/internal/controller/group_size.go
+++ b/internal/controller/group_size.go
@@ -7,8 +7,8 @@
 // maxGroupBindings is the maximum number of tasks in a group.
 const maxGroupBindings = 128
 
-// The typical size of a group's stored value, used to limit the number of its tasks: the bytes
-// for each binding, and for everything else.
+// The typical size of a group's stored value, used to limit the number of its tasks: bindingBytes
+// for each binding, and groupOverheadBytes for everything else.
 const (
 	bindingBytes       = 72
 	groupOverheadBytes = 128
@@ -49,11 +49,11 @@
 
 // splitThrottle divides the throttle of a group between two pieces. Together they may run no
 // more tasks than before, and each keeps its bound tasks.
-func splitThrottle(throttle int, stay, leave []binding) (first, second int) {
-	boundFirst, boundSecond := countBoundBindings(stay), countBoundBindings(leave)
+func splitThrottle(throttle int, firstBindings, secondBindings []binding) (first, second int) {
+	boundFirst, boundSecond := countBoundBindings(firstBindings), countBoundBindings(secondBindings)
 	free := max(0, throttle-1-boundFirst-boundSecond)
-	freeFirst := min(free, len(stay)-boundFirst)
-	freeSecond := min(free-freeFirst, len(leave)-boundSecond)
+	freeFirst := min(free, len(firstBindings)-boundFirst)
+	freeSecond := min(free-freeFirst, len(secondBindings)-boundSecond)
 	return 1 + boundFirst + freeFirst, 1 + boundSecond + freeSecond
 }
 
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -21,8 +21,9 @@
 	directCommandResponse
 )
 
-// handleHeartbeat applies a worker's heartbeat and returns the response, with commands for the
-// worker if it carries news.
+// handleHeartbeat applies a worker's heartbeat and returns the response. It carries commands only
+// if the heartbeat is newer than all earlier ones, the machine is not terminated and the takeover
+// of its partition is complete.
 func (c *controller) handleHeartbeat(heartbeat *wire.Heartbeat) api.Response {
 	c.metrics.count(countHeartbeats, 1)
 	c.lastHeartbeatAt = c.now
@@ -106,7 +107,7 @@
 		c.reconcile(m, p)
 	}
 	if source == workerRequest && (m.leaseLostDespiteResponses || !p.isOwnToken(m.token)) {
-		c.ping(m, p) // an answer proves that the machine receives requests and shows the current token
+		c.ping(m, p) // an answer proves that the machine receives requests and has seen the current token
 	}
 	if needsPass {
 		c.requestSchedulingPass()
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -23,7 +23,7 @@
 	inActiveJobs bool // the job is listed in catalog.activeJobs
 	// unreadableKeys holds the keys of the job's records that can't be decoded.
 	unreadableKeys     map[string]bool
-	equivalenceClass   string // see equivalenceClass
+	equivalenceClass   string // see function equivalenceClass
 	nextGroupNumber    int
 	assignedAt         time.Time
 	finalWriteInFlight bool            // a write of the final state is in flight
@@ -32,8 +32,8 @@
 
 	// The following fields are for gangs. startedAttempt is the last attempt with a running
 	// task, failedAttempt the last one that can't be completed, and stoppedAttempt the last one
-	// that was sent a stop. gangCompleted is set once a task of the gang is done, which
-	// completes all of them.
+	// whose tasks were sent stop commands. gangCompleted is set once a task of the gang is done,
+	// which completes all of them.
 	startedAttempt, failedAttempt, stoppedAttempt uint64
 	gangCompleted                                 bool
 	// incompleteSince is the time since which only some tasks of a gang's attempt have been
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -7,6 +7,8 @@
 	"eiderhitch/internal/workerclient"
 )
 
+// A machine is called silent while none of its heartbeats arrive, whether or not it answers direct
+// commands.
 const (
 	// maxHeartbeatIntervalFactor is the longest time between two heartbeats, in heartbeat
 	// intervals. Workers vary their interval by a quarter.
@@ -14,9 +16,9 @@
 	// maxHeartbeatTransit bounds the time that a heartbeat takes to arrive.
 	maxHeartbeatTransit = 500 * time.Millisecond
 
-	// A machine counts as unreachable once it has been silent for unreachableIntervals
-	// heartbeat intervals, for unreachableLeaseFraction of its lease and for
-	// minUnreachableTimeout. The minimum is well above the time in which a worker finds the
+	// A machine counts as unreachable once it has been silent for the longest of these times:
+	// unreachableIntervals heartbeat intervals, unreachableLeaseFraction of its lease, and
+	// minUnreachableTimeout. The last one is well above the time in which a worker finds the
 	// successor of its controller: 4 s until a response times out, and 1 s until it tries the
 	// next controller.
 	unreachableIntervals     = 3
@@ -95,17 +97,17 @@
 }
 
 // isUsable reports whether the owner of the partition may place tasks on the machine. The
-// machine must have shown a token of this owner. A heartbeat with an earlier token may be a
+// machine's heartbeat must carry a token of this owner. A heartbeat with an earlier token may be a
 // late copy, after a failover even one of a machine that died long ago, and a new owner has no
 // earlier heartbeat to compare it with.
 func (c *clusterState) isUsable(m *machine, p *partition) bool {
-	heard := m.heartbeatAt.After(p.machineOwnedSince(m)) && m.incarnation > 0 && p.isOwnToken(m.token)
-	return heard && !m.terminated && !m.isNotReceiving(p) && c.now.Sub(m.heartbeatAt) < c.usableTimeout()
+	hasCurrentHeartbeat := m.heartbeatAt.After(p.machineOwnedSince(m)) && m.incarnation > 0 && p.isOwnToken(m.token)
+	return hasCurrentHeartbeat && !m.terminated && !m.isNotReceiving(p) && c.now.Sub(m.heartbeatAt) < c.usableTimeout()
 }
 
-// isLeaseExpired reports whether the machine's lease has certainly expired: neither this
-// controller nor a former owner has sent it a response that could have renewed the lease for
-// the whole duration of a lease.
+// isLeaseExpired reports whether the machine's lease has certainly expired: for at least
+// leaseExpiry, neither this controller nor a former owner has sent it a response that could have
+// renewed the lease.
 func (c *clusterState) isLeaseExpired(m *machine, p *partition) bool {
 	renewed := p.machineOwnedSince(m).Add(p.formerOwnerMaxStaleness)
 	if m.leaseRenewedAt.After(renewed) {
@@ -185,8 +187,8 @@
 }
 
 // isSilentBeyondLease reports whether the machine has sent no heartbeat for so long that its
-// lease has expired, while heartbeats of other machines arrive. Such a machine takes no tasks
-// even if it answers direct commands.
+// lease has expired, while heartbeats of other machines arrive. No tasks are placed on such a
+// machine even if it answers direct commands.
 func (c *clusterState) isSilentBeyondLease(m *machine, p *partition) bool {
 	silent := c.now.Sub(c.silentSince(m, p)) > c.leaseExpiry+c.unreachableTimeout()
 	return silent && c.now.Sub(c.resumedFromPauseAt) > c.unreachableTimeout() && c.now.Sub(c.lastHeartbeatAt) < c.heartbeatTimeout()
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -13,10 +13,10 @@
 // A service or gang that no single partition can hold is assigned by the leader to machines
 // that it borrows from other partitions. The leader writes a loan record for each machine,
 // conditional on the revision of the partition's key. The partition's owner then places nothing
-// on the machine, stops the tasks that the job may preempt and acknowledges the loan once no
-// task is bound there, or only services that may move along. From then on the machine belongs
-// to the leader's own partition, whose key and fencing token are the leader's and which is
-// scheduled like any other partition. A new token of the leader, higher than any that the
+// on the machine, stops the tasks that the job may preempt, and acknowledges the loan once no
+// task is bound there except services that may change partitions with the machine. From then on
+// the machine belongs to the leader's own partition, whose key and fencing token are the leader's
+// and which is scheduled like any other partition. A new token of the leader, higher than any that the
 // former owner has used, fences the former owner's commands. When the machine is returned, a
 // new token of the owner fences the leader's commands in the same way.
 //
@@ -98,7 +98,7 @@
 	m.partition, m.partitionChangedAt = now, c.now
 	c.addMachineToPartition(m)
 	if p.token != 0 {
-		for _, x := range m.bindings { // services that move along with the machine
+		for _, x := range m.bindings { // services that change partitions with the machine
 			c.freeCell(p, x.task)
 		}
 		p.cells.RemoveMachine(m.index)
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -15,7 +15,7 @@
 	index                         scheduling.MachineIndex
 	// hashPartition is the partition that the machine's name hashes to. partition is the one it
 	// currently belongs to; it differs from hashPartition while the machine is on loan.
-	// inPartitionList reports whether the machine is in the machines list of that partition.
+	// inPartitionList is set while the machine is in the list of machines of that partition.
 	hashPartition   int
 	partition       int
 	inPartitionList bool
@@ -27,14 +27,14 @@
 	bindings           machineBindings // according to the stored records
 	terminated         bool
 
-	// The fields below come from the machine's heartbeats and are maintained by the owner of
-	// its partition.
+	// The fields below come from the machine's heartbeats, or are maintained by the owner of its
+	// partition. Until the first heartbeat, incarnation may come from records or peers.
 
-	incarnation, sequence uint64 // from the latest heartbeat
+	incarnation, sequence uint64 // of the latest heartbeat
 	token                 uint64 // highest fencing token that the machine's agent has seen
 	heartbeatAt           time.Time
-	// leaseRenewedAt is the time of the last response that may have renewed the machine's
-	// lease.
+	// leaseRenewedAt is the latest time from which a response may have renewed the machine's
+	// lease; see handleHeartbeat.
 	leaseRenewedAt        time.Time
 	terminationAt         time.Time // announced termination by the cloud; zero without a notice
 	tasks                 []wire.TaskStatus
@@ -53,14 +53,15 @@
 	// lastMessageAt is the time of the last new message from the machine: a heartbeat or the
 	// answer to a direct command.
 	lastMessageAt time.Time
-	// leaseLostDespiteResponses is set when the machine lost its lease although its heartbeats were
-	// answered, and is cleared by its next answer to a direct command. Such a machine may be
-	// able to send but not to receive.
+	// leaseLostDespiteResponses is set when the machine lost its lease although its heartbeats
+	// were answered, and is cleared by its next answer to a direct command. Such a machine may
+	// be able to send but not to receive.
 	leaseLostDespiteResponses bool
 	commandState              directCommandState
 
 	// isSchedulable and runsService cache the results of partitionOwner.isSchedulable and
-	// clusterState.runsService for the scheduling pass whose number is stored beside them.
+	// clusterState.runsService. schedulablePass and runsServicePass are the numbers of the
+	// scheduling passes in which they were computed.
 	isSchedulable, runsService       bool
 	schedulablePass, runsServicePass uint64
 }
@@ -80,9 +81,9 @@
 	unanswered int
 }
 
-// hasStartInFlight reports whether a start command that was sent to the machine may still arrive:
-// in a heartbeat response, in a direct command in flight, or in a direct command that went
-// unanswered under the owner's current token.
+// hasStartInFlight reports whether a start command that was sent to the machine may still
+// arrive: in a heartbeat response, in a direct command in flight, or in a direct command that
+// was sent under the owner's current token and not answered.
 func (m *machine) hasStartInFlight(p *partition) bool {
 	return m.commandState.unansweredStartToken == p.token || m.commandState.carriesStart || m.responseCarriesStart
 }
@@ -106,8 +107,8 @@
 	*s = slices.DeleteFunc(*s, func(x machineBinding) bool { return x.task == task })
 }
 
-// mergeIdentity takes over an address and an agent incarnation learned from records or peers.
-// Everything else is learned only from the machine's own heartbeats.
+// mergeIdentity takes over an address and an agent incarnation from records or peers: the
+// address if none is known, the incarnation if it is newer.
 func (m *machine) mergeIdentity(addr string, incarnation uint64) {
 	if m.addr == "" {
 		m.addr = addr
--- a/internal/controller/machine_registry.go
+++ b/internal/controller/machine_registry.go
@@ -32,9 +32,9 @@
 }
 
 // allGroups iterates over the task groups of all partitions.
-func (c *machineRegistry) allGroups() iter.Seq[*taskGroup] {
+func (r *machineRegistry) allGroups() iter.Seq[*taskGroup] {
 	return func(yield func(*taskGroup) bool) {
-		for _, p := range c.partitions {
+		for _, p := range r.partitions {
 			for _, group := range p.groups {
 				if !yield(group) {
 					return
@@ -44,17 +44,17 @@
 	}
 }
 
-// moveGroupToPartition moves a task group to the list of another partition, or removes it from its
-// list if to is noPartition.
-func (c *machineRegistry) moveGroupToPartition(group *taskGroup, to int) {
+// moveGroupToPartition moves a task group to the list of another partition, or removes it from
+// its list if to is noPartition.
+func (r *machineRegistry) moveGroupToPartition(group *taskGroup, to int) {
 	if group.listPosition > 0 {
 		if group.partition == to {
 			return
 		}
-		c.partitions[group.partition].removeGroup(group)
+		r.partitions[group.partition].removeGroup(group)
 	}
 	if to != noPartition {
-		c.partitions[to].addGroup(group)
+		r.partitions[to].addGroup(group)
 	}
 }
 
@@ -62,32 +62,32 @@
 const noPartition = -1
 
 // getOrAddMachine returns the machine with the given name and adds it if it is unknown.
-func (c *machineRegistry) getOrAddMachine(name string) *machine {
-	m := c.machines[name]
+func (r *machineRegistry) getOrAddMachine(name string) *machine {
+	m := r.machines[name]
 	if m != nil {
 		return m
 	}
 	m = &machine{
 		name:           name,
-		index:          scheduling.MachineIndex(len(c.machineByIndex)),
-		hashPartition:  hashPartitionIndex(name, c.loanPartition()),
-		terminated:     c.terminatedMachines[name],
+		index:          scheduling.MachineIndex(len(r.machineByIndex)),
+		hashPartition:  hashPartitionIndex(name, r.loanPartition()),
+		terminated:     r.terminatedMachines[name],
 		cachedImages:   map[string]bool{},
 		fetchStartedAt: map[string]time.Time{},
 		failedJobs:     map[string]time.Time{},
 	}
-	m.partition = c.partitionOfMachine(m)
-	c.machines[name] = m
-	c.machineByIndex = append(c.machineByIndex, m)
-	c.addMachineToPartition(m)
+	m.partition = r.partitionOfMachine(m)
+	r.machines[name] = m
+	r.machineByIndex = append(r.machineByIndex, m)
+	r.addMachineToPartition(m)
 	return m
 }
 
 // setMachineSize sets the machine's size in the cells of its partition, if this controller owns
 // the partition, the machine has sent a heartbeat and its type is known.
-func (c *machineRegistry) setMachineSize(m *machine) {
-	p := c.partitions[m.partition]
-	machineType := c.machineTypes[m.machineType]
+func (r *machineRegistry) setMachineSize(m *machine) {
+	p := r.partitions[m.partition]
+	machineType := r.machineTypes[m.machineType]
 	if p.token == 0 || machineType == nil || m.terminated || m.heartbeatAt.IsZero() {
 		return
 	}
@@ -96,18 +96,18 @@
 
 // partitionOfMachine returns the index of the partition that the machine belongs to according
 // to the stored records.
-func (c *machineRegistry) partitionOfMachine(m *machine) int {
-	if loan := c.loans[m.name]; loan != nil && loan.Acknowledged {
-		return c.loanPartition()
+func (r *machineRegistry) partitionOfMachine(m *machine) int {
+	if loan := r.loans[m.name]; loan != nil && loan.Acknowledged {
+		return r.loanPartition()
 	}
 	return m.hashPartition
 }
 
 // addMachineToPartition adds a machine to the list of its partition unless it is already there.
-func (c *machineRegistry) addMachineToPartition(m *machine) {
+func (r *machineRegistry) addMachineToPartition(m *machine) {
 	if !m.inPartitionList {
 		m.inPartitionList = true
-		p := c.partitions[m.partition]
+		p := r.partitions[m.partition]
 		p.machines = append(p.machines, m)
 	}
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -127,7 +127,7 @@
 	_ = m.latencies[l].RecordValue(clamped.Microseconds()) // fails only for values out of range
 }
 
-// Submission counts a submission by the HTTP status of its response and records its latency.
+// CountSubmission counts a submission by the HTTP status of its response and records its latency.
 func (m *metrics) CountSubmission(status int, took time.Duration) {
 	m.observeLatency(latencySubmit, took)
 	switch {
@@ -140,7 +140,7 @@
 	}
 }
 
-// Poll counts a query of a job's state.
+// CountPoll counts a query of a job's state.
 func (m *metrics) CountPoll() { m.count(countPolls, 1) }
 
 // addBusyTime adds the time since startedAt to the time spent on an activity.
--- a/internal/controller/peer_status.go
+++ b/internal/controller/peer_status.go
@@ -22,9 +22,9 @@
 	return status
 }
 
-// isReportedToPeers reports whether the status includes a machine of an owned partition. It does
-// if the machine has sent a heartbeat to this owner or has tasks bound to it, unless it is
-// terminated or has been silent for longer than silentMachineRetention.
+// isReportedToPeers reports whether the status includes a machine of an owned partition: one that
+// has sent a heartbeat to this owner or has tasks bound to it, and whose incarnation is known,
+// unless it is terminated or has been silent for longer than silentMachineRetention.
 func (c *clusterState) isReportedToPeers(m *machine, p *partition) bool {
 	if m.terminated || m.incarnation == 0 || c.now.Sub(c.silentSince(m, p)) > silentMachineRetention {
 		return false
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -201,7 +201,7 @@
 // tombstone is the stored marker of terminated machines.
 type tombstone struct {
 	names       []string
-	firstSeenAt time.Time // when this controller learned of it
+	firstSeenAt time.Time // when this process first read it
 }
 
 // tombstoneNames returns the machines that a tombstone names. Older versions stored the value
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -27,7 +27,7 @@
 	// supportedLevels is the range of levels that this process reads.
 	supportedLevels rollout.LevelRange
 	// state is the last stored state that could be decoded, and revision is the revision of the
-	// stored value. If none is stored, they are rollout.Initial and 0.
+	// stored value. If none is stored, they are rollout.InitialState and 0.
 	state    rollout.State
 	revision uint64
 	// servingError is the reason why this process must not serve, or nil if it may.
@@ -132,11 +132,11 @@
 func (c *controller) setRolloutState(state rollout.State, revision uint64, decodeErr error) {
 	before := c.rollout.state
 	c.rollout.state, c.rollout.revision = state, revision
-	refusal := decodeErr
-	if refusal == nil && !state.Admits(c.rollout.supportedLevels) {
-		refusal = &unsupportedLevelError{level: state.Level, supported: c.rollout.supportedLevels}
+	servingError := decodeErr
+	if servingError == nil && !state.Admits(c.rollout.supportedLevels) {
+		servingError = &unsupportedLevelError{level: state.Level, supported: c.rollout.supportedLevels}
 	}
-	c.setServingError(refusal)
+	c.setServingError(servingError)
 	if keys := state.LeaseKeys(); keys != c.rollout.leaseKeys {
 		c.switchLeaseKeys(keys)
 	}
@@ -155,15 +155,15 @@
 	return fmt.Sprintf("feature level %d is in force, this version reads %s", e.level, e.supported)
 }
 
-// setServingError sets the reason why this process must not serve, or nil if it may. A process that
-// must not serve gives up all its leases.
-func (c *controller) setServingError(refusal error) {
+// setServingError sets the reason why this process must not serve, or nil if it may. A process
+// that must not serve gives up all its leases.
+func (c *controller) setServingError(servingError error) {
 	before := c.rollout.servingError
-	c.rollout.servingError = refusal
+	c.rollout.servingError = servingError
 	switch {
-	case refusal != nil:
-		if before == nil || before.Error() != refusal.Error() {
-			c.log.Error("this controller must not serve", "why", refusal)
+	case servingError != nil:
+		if before == nil || before.Error() != servingError.Error() {
+			c.log.Error("this controller must not serve", "why", servingError)
 		}
 		c.election.ResignAll()
 	case before != nil:
@@ -290,8 +290,8 @@
 	}
 }
 
-// servingErrorResponse returns the response of a controller that must not serve, and whether it must
-// not.
+// servingErrorResponse returns the response to requests while this controller must not serve, and
+// true. It returns false if this controller may serve.
 func (c *clusterState) servingErrorResponse() (api.Response, bool) {
 	if c.rollout.servingError == nil {
 		return api.Response{}, false
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -58,7 +58,8 @@
 	lastHeartbeatAt time.Time // from any worker
 	// acceptsHeartbeats is set while the replica is fresh enough to answer heartbeats
 	// (maxStaleness). heartbeatsResumedAt is the time at which they were last accepted again
-	// after an outage; before it no machine could be heard.
+	// after an outage; before it, no heartbeat could be received. It is zero if there was no
+	// outage since the first heartbeat.
 	acceptsHeartbeats   bool
 	heartbeatsResumedAt time.Time
 }
--- a/internal/controller/task_group.go
+++ b/internal/controller/task_group.go
@@ -40,10 +40,10 @@
 	writeInFlight        bool
 	pendingWrite         *store.Write    // the owner's write that is queued or in flight
 	hasUnstoredEnds      bool            // attempts have ended whose ends are not stored yet
-	endsPendingSince     time.Time       // since when ended attempts have been waiting to be stored
-	bindingsPendingSince time.Time       // since when new bindings have been waiting to be stored
-	partitionAssignedAt  time.Time       // when the group was assigned to its partition or zone
-	throttleChangedAt    time.Time       // when the leader last changed the throttle
+	endsPendingSince     time.Time       // time since which ended attempts have been waiting to be stored
+	bindingsPendingSince time.Time       // time since which new bindings have been waiting to be stored
+	partitionAssignedAt  time.Time       // time at which the group was assigned to its partition or zone
+	throttleChangedAt    time.Time       // time at which the leader last changed the throttle
 	storedSize           int             // size of the stored value in bytes
 	encoding             record.Encoding // encoding of the stored value
 	retryWriteAt         time.Time       // no write before this time, because the last one was rejected as invalid
@@ -94,8 +94,8 @@
 // larger of the number that are bound and the number that may be. For a final job only bound
 // tasks count, once the replica has all changes up to the job's end (cursor is the revision up
 // to which it has them). A cancellation by this controller may be known before a binding that
-// was stored just before it: when such a task did not count in the meantime, it ran beside the
-// tasks that its quota was given to.
+// was stored just before it: when such a task was not counted in the meantime, it ran at the same
+// time as the tasks that had been given its share of the quota.
 func (group *taskGroup) quotaTaskCount(cursor uint64) int {
 	if group.job.finalState != record.StateUnfinished && group.job.revision <= cursor {
 		return group.boundTaskCount()
@@ -122,16 +122,17 @@
 	return false
 }
 
-// split divides the group into the tasks that stay and those that leave. The tasks that leave a
-// throttled group are allowed to run, and take their share of its throttle along: two groups
-// with the full throttle each would count toward the quota, and run, more tasks than it allows.
-func (group *taskGroup) split(staying, leaving []binding) (left, moved taskGroup) {
-	left, moved = *group, *group
-	left.bindings, moved.bindings = staying, leaving
+// split divides the group into the tasks that stay and those that leave. If the group is throttled
+// and some tasks stay, the leaving tasks are allowed to run without a throttle, and the throttle
+// of the others is lowered by their number: two groups with the full throttle each would run, and
+// count toward the quota, more tasks than it allows.
+func (group *taskGroup) split(staying, leaving []binding) (remaining, moved taskGroup) {
+	remaining, moved = *group, *group
+	remaining.bindings, moved.bindings = staying, leaving
 	if group.throttle != 0 && len(staying) > 0 {
-		left.throttle, moved.throttle = group.throttle-len(leaving), 0
+		remaining.throttle, moved.throttle = group.throttle-len(leaving), 0
 	}
-	return left, moved
+	return remaining, moved
 }
 
 // claim returns the priority, quota guarantee and team with which the group's tasks compete for
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -91,7 +91,8 @@
 }
 
 // updateAcceptsHeartbeats updates whether this controller answers heartbeats. When it does so
-// again after an interruption, the time is recorded: until then no machine could be heard.
+// again after an interruption, the time is recorded, because no heartbeat could be received until
+// then.
 func (c *controller) updateAcceptsHeartbeats() {
 	accepts := c.isFresh(c.maxStaleness)
 	if accepts == c.acceptsHeartbeats {
