--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -108,7 +108,7 @@
 // controller is not the leader.
 func (v leadershipView) Leadership() autoscaler.Leadership {
 	own := &v.leadership
-	return autoscaler.Leadership{Epoch: own.epoch, StartedAt: own.startedAt, Active: own.takeoverComplete, CanAct: v.isLeader(), FencingCondition: v.leaderCondition()}
+	return autoscaler.Leadership{Epoch: own.epoch, StartedAt: own.startedAt, Active: own.isActive, CanAct: v.isLeader(), FencingCondition: v.leaderCondition()}
 }
 
 // LeaderLastHeardAt returns the time of the leader's last status. It is zero if there was none or
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -128,7 +128,7 @@
 func TestThrottlesRiseInSteps(t *testing.T) {
 	c := newTestController(t)
 	c.becomeLeader(5)
-	c.leadership.takeoverComplete = true
+	c.leadership.isActive = true
 	c.replica.Put(jobKey("wk-1"), marshalJSON(t, record.Job{Spec: &wire.Job{ID: "wk-1", TaskCount: 9, CPUs: 1, Team: "t", NoDeadline: true}}), 6)
 	g := record.TaskGroup{Throttle: 1}
 	for i := range int32(9) {
--- a/internal/controller/full_fleet_test.go
+++ b/internal/controller/full_fleet_test.go
@@ -109,7 +109,7 @@
 	f.takeOverPartition(p, ownPartitionToken)
 	p.takeoverComplete, p.ownedSince = true, f.now.Add(-time.Hour)
 	f.becomeLeader(f.revision)
-	f.leadership.takeoverComplete, f.leadership.startedAt = true, f.now.Add(-time.Hour)
+	f.leadership.isActive, f.leadership.startedAt = true, f.now.Add(-time.Hour)
 }
 
 // addMachines adds machines that have just sent a heartbeat, each to its hash partition.
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -190,7 +190,7 @@
 		t.Fatal("the gang's records are already in one partition")
 	}
 	c.becomeLeader(1)
-	c.leadership.takeoverComplete = true
+	c.leadership.isActive = true
 	c.runLeaderPass()
 	if c.leadership.writesInFlight != 1 {
 		t.Errorf("%d transactions move records to the first record's partition, want 1", c.leadership.writesInFlight)
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -21,8 +21,8 @@
 	epoch uint64
 	// token is the fencing token: the current revision of the leader's key.
 	token uint64
-	// takeoverComplete is set once everything that a former leader stored has been read.
-	takeoverComplete bool
+	// isActive is set once everything that a former leader stored has been read.
+	isActive bool
 	// startedAt is when this controller became the leader.
 	startedAt time.Time
 	// writesInFlight counts the decisions whose outcome is not known yet, see submitDecision.
@@ -43,16 +43,14 @@
 	// read before anything is assigned.
 	c.reader.AfterSuccessfulRead(func() {
 		if c.leadership.epoch == revision {
-			c.leadership.takeoverComplete = true
+			c.leadership.isActive = true
 		}
 	})
 }
 
 // isLeader reports whether this controller may act as the leader now: its term is active and
 // its replica is fresh.
-func (c *leader) isLeader() bool {
-	return c.leadership.takeoverComplete && c.isFresh(c.operator.LeaseTTL)
-}
+func (c *leader) isLeader() bool { return c.leadership.isActive && c.isFresh(c.operator.LeaseTTL) }
 
 // runLeaderPass runs one planning pass of the leader, which assigns tasks to partitions and
 // launches and terminates machines. It does nothing if this controller isn't the leader.
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -69,7 +69,7 @@
 // seemsNotReceiving reports whether the machine lost its lease although its heartbeats were
 // answered, or does not answer direct commands.
 func (m *machine) seemsNotReceiving() bool {
-	return m.leaseLostDespiteResponses || m.commandState.unanswered >= unansweredLimit
+	return m.leaseLostInContact || m.commandState.unanswered >= unansweredLimit
 }
 
 // isNotReceiving reports whether the machine receives no messages, even if it sends some. No
@@ -211,7 +211,7 @@
 				notReceiving++
 			}
 			overdue := c.now.Sub(c.silentSince(m, p)) > c.heartbeatTimeout()
-			if m.leaseLostDespiteResponses || m.commandState.unanswered > 0 || overdue {
+			if m.leaseLostInContact || m.commandState.unanswered > 0 || overdue {
 				c.ping(m, p)
 			}
 		}
--- a/internal/controller/liveness_test.go
+++ b/internal/controller/liveness_test.go
@@ -59,7 +59,7 @@
 		{"one command unanswered", func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 1 }, true},
 		{"two commands unanswered", func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, false},
 		{"two commands unanswered, as for most machines", func(_ *controller, m *machine, p *partition) { m.commandState.unanswered, p.mostNotReceiving = 2, true }, true},
-		{"lost its lease although its heartbeats were answered", func(_ *controller, m *machine, _ *partition) { m.leaseLostDespiteResponses = true }, false},
+		{"lost its lease although its heartbeats were answered", func(_ *controller, m *machine, _ *partition) { m.leaseLostInContact = true }, false},
 	} {
 		c := newTestController(t)
 		m, p := newHeardMachine(c)
@@ -93,12 +93,10 @@
 	{"pings unanswered, overdue", 1800 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, true},
 	{"pings unanswered right after a failover", 3700 * time.Millisecond, unansweredSinceFailover, false},
 	{"pings unanswered a while after a failover", 3800 * time.Millisecond, unansweredSinceFailover, true},
-	{"sends without receiving", 0, func(_ *controller, m *machine, _ *partition) { m.leaseLostDespiteResponses = true }, true},
-	{"sends without receiving, as most machines do", 0, func(_ *controller, m *machine, p *partition) {
-		m.leaseLostDespiteResponses, p.mostNotReceiving = true, true
-	}, false},
+	{"sends without receiving", 0, func(_ *controller, m *machine, _ *partition) { m.leaseLostInContact = true }, true},
+	{"sends without receiving, as most machines do", 0, func(_ *controller, m *machine, p *partition) { m.leaseLostInContact, p.mostNotReceiving = true, true }, false},
 	{"sends without receiving, right after a failover", 0, func(c *controller, m *machine, p *partition) {
-		m.leaseLostDespiteResponses, p.ownedSince = true, c.now.Add(-time.Second)
+		m.leaseLostInContact, p.ownedSince = true, c.now.Add(-time.Second)
 	}, false},
 	{"answers pings beyond its lease, others are heard", beyondLease, answersPings, true},
 	{"answers pings beyond its lease, no machine is heard", beyondLease, func(c *controller, m *machine, p *partition) {
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -53,11 +53,11 @@
 	// lastMessageAt is the time of the last new message from the machine: a heartbeat or the
 	// answer to a direct command.
 	lastMessageAt time.Time
-	// leaseLostDespiteResponses is set when the machine lost its lease although its heartbeats
-	// were answered, and is cleared by its next answer to a direct command. Such a machine may
-	// be able to send but not to receive.
-	leaseLostDespiteResponses bool
-	commandState              directCommandState
+	// leaseLostInContact is set when the machine lost its lease although its heartbeats were
+	// answered, and is cleared by its next answer to a direct command. Such a machine may be
+	// able to send but not to receive.
+	leaseLostInContact bool
+	commandState       directCommandState
 
 	// isSchedulable and runsService cache the results of partitionOwner.isSchedulable and
 	// clusterState.runsService. schedulablePass and runsServicePass are the numbers of the
