--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -89,7 +89,7 @@
 	return names
 }
 
-// MarkTerminated marks a machine that never existed as terminated. No tombstone is stored.
+// MarkTerminated marks a machine that has never come up as terminated. No tombstone is stored.
 func (v machineView) MarkTerminated(name string) { v.getOrAddMachine(name).terminated = true }
 
 // Types returns the machine types by name. It is empty while they are unknown.
--- a/internal/controller/cordons.go
+++ b/internal/controller/cordons.go
@@ -18,9 +18,9 @@
 	// failedMachinesThreshold is the number of machines on which a job's tasks must have failed
 	// before the job itself is suspected.
 	failedMachinesThreshold = 3
-	// When a job has failed on failedMachinesThreshold machines, none of its tasks is placed for
-	// minFailedJobBackoff. Each further machine doubles the delay, at most maxFailedJobDoublings times and up to
-	// maxFailedJobBackoff.
+	// When tasks of a job have failed on failedMachinesThreshold machines, none of its tasks is
+	// placed for minFailedJobBackoff. Each further machine doubles the delay, at most
+	// maxFailedJobDoublings times and up to maxFailedJobBackoff.
 	minFailedJobBackoff   = time.Second
 	maxFailedJobBackoff   = 30 * time.Second
 	maxFailedJobDoublings = 5
--- a/internal/controller/event_queue.go
+++ b/internal/controller/event_queue.go
@@ -20,7 +20,6 @@
 	priorityWorkers
 	// priorityUsers is the priority of user requests, which can be rejected and retried.
 	priorityUsers
-	// numPriorities is the number of priorities.
 	numPriorities
 )
 
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -16,17 +16,17 @@
 	// maxHeartbeatTransit bounds the time that a heartbeat takes to arrive.
 	maxHeartbeatTransit = 500 * time.Millisecond
 
-	// A machine counts as unreachable once it has been silent for the longest of these times:
-	// unreachableIntervals heartbeat intervals, unreachableLeaseFraction of its lease, and
-	// minUnreachableTimeout. The last one is well above the time in which a worker finds the
-	// successor of its controller: 4 s until a response times out, and 1 s until it tries the
-	// next controller.
+	// A machine counts as unreachable once it has neither sent a heartbeat nor answered a direct
+	// command for the longest of these times: unreachableIntervals heartbeat intervals,
+	// unreachableLeaseFraction of its lease, and minUnreachableTimeout. The last one is well above
+	// the time in which a worker finds the successor of its controller: 4 s until a response
+	// times out, and 1 s until it tries the next controller.
 	unreachableIntervals     = 3
 	unreachableLeaseFraction = 0.6
 	minUnreachableTimeout    = 7 * time.Second
 
 	// No task is placed on a machine that has been silent for usableIntervals heartbeat
-	// intervals and for minUsableTimeout. Two intervals tolerate the loss of one heartbeat.
+	// intervals or for minUsableTimeout, whichever is longer. Two intervals tolerate the loss of one heartbeat.
 	usableIntervals  = 2
 	minUsableTimeout = 3 * time.Second
 
@@ -54,8 +54,9 @@
 	return config.Seconds(maxHeartbeatIntervalFactor*c.cfg.Settings.Workers.HeartbeatIntervalS) + maxHeartbeatTransit
 }
 
-// unreachableTimeout returns how long a machine may be silent before it counts as unreachable,
-// unless unanswered direct commands show that earlier.
+// unreachableTimeout returns how long a machine may neither send heartbeats nor answer direct
+// commands before it counts as unreachable. Unanswered direct commands shorten this time; see
+// seemsUnreachable.
 func (c *clusterState) unreachableTimeout() time.Duration {
 	w := &c.cfg.Settings.Workers
 	return max(unreachableIntervals*config.Seconds(w.HeartbeatIntervalS), config.Seconds(unreachableLeaseFraction*w.LeaseDurationS), minUnreachableTimeout)
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -25,7 +25,7 @@
 	partitionChangedAt time.Time
 	lastBoundAt        time.Time
 	bindings           machineBindings // according to the stored records
-	terminated         bool
+	terminated         bool            // a stored tombstone names the machine, or it has never come up
 
 	// The fields below come from the machine's heartbeats, or are maintained by the owner of its
 	// partition. Until the first heartbeat, incarnation may come from records or peers.
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -31,7 +31,7 @@
 	countStoredGroups                          // task groups written by their owner
 	countRewrittenGroups                       // of these, task groups written only to change their encoding
 	countUndecodableValues                     // stored values that could not be decoded
-	numCounters                                // number of counters
+	numCounters
 )
 
 // counterNames holds the log attributes of the counters.
@@ -52,7 +52,7 @@
 	latencySubmit                // from the arrival of a job's submission to its response
 	latencyCommit                // from the submission of a write to its result
 	latencyBind                  // from a job's acceptance to a task's first binding
-	numLatencies                 // number of latencies
+	numLatencies
 )
 
 // latencyNames holds the prefixes of the latencies' log attributes.
@@ -72,7 +72,7 @@
 	activityPlanning                   // planning as the leader
 	activityScheduling                 // scheduling passes of the partitions
 	activityStatus                     // probing machines and sending the status to peers
-	numActivities                      // number of activities
+	numActivities
 )
 
 // activityNames holds the prefixes of the activities' log attributes.
--- a/internal/controller/process_usage.go
+++ b/internal/controller/process_usage.go
@@ -27,7 +27,7 @@
 	sampleMapped
 	sampleReleased
 	sampleGoroutines
-	numSamples // number of samples
+	numSamples
 )
 
 // sampleNames holds the names of the samples in package runtime/metrics.
