--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -201,8 +201,8 @@
 // workerContact implements election.WorkerContact.
 type workerContact struct{ *controller }
 
-// CountReportingMachines returns how many machines of the owned partitions have sent a heartbeat within
-// recentHeartbeatWindow.
+// CountReportingMachines returns how many machines of the owned partitions have sent a heartbeat
+// within recentHeartbeatWindow.
 func (w workerContact) CountReportingMachines() int {
 	n := 0
 	for _, p := range w.partitions {
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -21,9 +21,9 @@
 	directCommandResponse
 )
 
-// handleHeartbeat applies a worker's heartbeat and returns the response. It carries commands only
-// if the heartbeat is newer than all earlier ones, the machine is not terminated and the takeover
-// of its partition is complete.
+// handleHeartbeat applies a worker's heartbeat and returns the response. The response carries
+// commands only if the heartbeat is newer than all earlier ones, the machine is not terminated and
+// the takeover of its partition is complete.
 func (c *controller) handleHeartbeat(heartbeat *wire.Heartbeat) api.Response {
 	c.metrics.count(countHeartbeats, 1)
 	c.lastHeartbeatAt = c.now
