--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -36,7 +36,7 @@
 // machineView implements autoscaler.Machines.
 type machineView struct{ *controller }
 
-// Machine returns the machine with a name. If it is unknown, it is added first.
+// GetOrAdd returns the machine with a name. If it is unknown, it is added first.
 func (v machineView) GetOrAdd(name string) autoscaler.Machine {
 	return v.getOrAddMachine(name).autoscalerMachine()
 }
@@ -69,8 +69,8 @@
 	})
 }
 
-// UnreachableMachinesWithTasks returns the names of the unreachable machines in this controller's partitions
-// that have tasks bound to them. It returns none while the replica is not fresh.
+// UnreachableMachinesWithTasks returns the names of the unreachable machines in this controller's
+// partitions that have tasks bound to them. It returns none while the replica is not fresh.
 func (v machineView) UnreachableMachinesWithTasks() []string {
 	if !v.isFresh(v.operator.LeaseTTL) {
 		return nil
@@ -89,7 +89,7 @@
 	return names
 }
 
-// MarkTerminated marks a machine that never existed as terminated. No tombstone is stored.
+// MarkTerminated marks a machine that has never come up as terminated. No tombstone is stored.
 func (v machineView) MarkTerminated(name string) { v.getOrAddMachine(name).terminated = true }
 
 // Types returns the machine types by name. It is empty while they are unknown.
@@ -101,14 +101,14 @@
 // leadershipView implements autoscaler.Cluster.
 type leadershipView struct{ *controller }
 
-// Loaded reports whether all records have been read since the process started.
+// HasLoadedRecords reports whether all records have been read since the process started.
 func (v leadershipView) HasLoadedRecords() bool { return v.replica.IsLoaded() }
 
 // Leadership returns this controller's current term as the leader. Its epoch is 0 if this
 // controller is not the leader.
 func (v leadershipView) Leadership() autoscaler.Leadership {
 	own := &v.leadership
-	return autoscaler.Leadership{Epoch: own.epoch, StartedAt: own.startedAt, Active: own.active, CanAct: v.isLeader(), FencingCondition: v.leaderCondition()}
+	return autoscaler.Leadership{Epoch: own.epoch, StartedAt: own.startedAt, Active: own.isActive, CanAct: v.isLeader(), FencingCondition: v.leaderCondition()}
 }
 
 // LeaderLastHeardAt returns the time of the leader's last status. It is zero if there was none or
@@ -120,15 +120,15 @@
 	return time.Time{}
 }
 
-// PartitionFencingCondition returns a condition that makes a write fail once another controller owns the
-// partition.
+// PartitionFencingCondition returns a condition that makes a write fail once another controller
+// owns the partition. Its revision is 0 if this controller does not own it.
 func (v leadershipView) PartitionFencingCondition(partition int) wire.Condition {
 	p := v.partitions[partition]
 	return wire.Condition{Key: p.key, Revision: p.token}
 }
 
-// AreAllOwnersResponsive reports whether the leader currently receives the status of every partition's
-// owner.
+// AreAllOwnersResponsive reports whether the leader currently receives the status of every
+// partition's owner.
 func (v leadershipView) AreAllOwnersResponsive() bool { return v.allOwnersResponsive() }
 
 // HasCompleteView reports whether the leader has received the status of a partition's owner for
@@ -146,7 +146,7 @@
 func (v leadershipView) Tombstones() iter.Seq[autoscaler.Tombstone] {
 	return func(yield func(autoscaler.Tombstone) bool) {
 		for key, t := range v.tombstones {
-			if !yield(autoscaler.Tombstone{Key: key, MachineNames: t.names, FirstSeenAt: t.at}) {
+			if !yield(autoscaler.Tombstone{Key: key, MachineNames: t.names, FirstSeenAt: t.firstSeenAt}) {
 				return
 			}
 		}
@@ -157,7 +157,7 @@
 type writeQueue struct{ *clusterState }
 
 // BacklogDuration returns approximately how long it takes until all submitted writes are stored.
-func (q writeQueue) BacklogDuration() time.Duration { return q.stateWriter.BacklogDuration() }
+func (q writeQueue) BacklogDuration() time.Duration { return q.storeWriter.BacklogDuration() }
 
 // workload returns the workload that determines how many machines are needed. summaries are the
 // machines that are up; waiting is the demand for which there is no capacity.
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -34,7 +34,7 @@
 
 // isEligible reports whether this controller should hold leased keys.
 func (c *clusterState) isEligible() bool {
-	return c.isFresh(c.operator.LeaseTTL) && !c.election.IsBackingOff() && c.rollout.refusal == nil
+	return c.isFresh(c.operator.LeaseTTL) && !c.election.IsBackingOff() && c.rollout.servingError == nil
 }
 
 // campaign acquires vacant keys and hands partitions over to their preferred owners.
@@ -45,7 +45,7 @@
 	hashPartitions := c.partitions[:c.loanPartition()]
 	candidates := make([]election.Partition, len(hashPartitions))
 	for i, p := range hashPartitions {
-		candidates[i] = election.Partition{Index: p.index, Key: p.key, IsOwned: p.token != 0, OwnedSince: p.ownedSince, HasHeardAllMachines: p.hasHeardAllMachines}
+		candidates[i] = election.Partition{Index: p.index, Key: p.key, IsOwned: p.token != 0, OwnedSince: p.ownedSince, HasHeardAllMachines: p.hasHeartbeatsFromAllMachines}
 	}
 	c.election.Campaign(candidates, c.leaderKey(), peerView{c})
 }
@@ -120,9 +120,9 @@
 	}
 }
 
-// takeOverPartition prepares a newly acquired partition. The replica is read once more so that
-// it has everything that former owners stored; then activatePartition rebuilds the cells from
-// it.
+// takeOverPartition prepares a newly acquired partition. The key-value store is read once more so
+// that the replica has everything that former owners stored; then activatePartition rebuilds the
+// cells from it.
 func (c *controller) takeOverPartition(p *partition, token uint64) {
 	p.firstToken, p.ownedSince, p.takeoverComplete = token, c.now, false
 	p.recentTokens = nil
@@ -151,9 +151,9 @@
 	for group := range c.allGroups() {
 		c.adoptBindings(group)
 	}
-	c.learnMachinesFromPeers()
-	// The machines known from earlier or from peers are told the new token at once, so that
-	// they send their heartbeats to this controller.
+	c.addMachinesFromPeers()
+	// The machines known from earlier or from peers are pinged at once with the new token, so
+	// that they send their heartbeats to this controller.
 	for _, m := range p.machines {
 		if !m.terminated {
 			m.commandState.backoffUntil = time.Time{}
@@ -163,8 +163,8 @@
 	c.requestSchedulingPass()
 }
 
-// learnMachinesFromPeers adds the machines that peers report.
-func (c *clusterState) learnMachinesFromPeers() {
+// addMachinesFromPeers adds the machines that peers report.
+func (c *clusterState) addMachinesFromPeers() {
 	for _, other := range c.peers.All() {
 		if other.Status == nil {
 			continue
@@ -187,9 +187,9 @@
 	}
 }
 
-// hasHeardAllMachines reports whether every machine of the partition with bound tasks has sent
-// a heartbeat since the partition was taken over.
-func (p *partition) hasHeardAllMachines() bool {
+// hasHeartbeatsFromAllMachines reports whether every machine of the partition with bound tasks has
+// sent a heartbeat since the partition was taken over.
+func (p *partition) hasHeartbeatsFromAllMachines() bool {
 	for _, m := range p.machines {
 		if len(m.bindings) > 0 && !m.heartbeatAt.After(p.ownedSince) {
 			return false
@@ -198,12 +198,11 @@
 	return true
 }
 
-// workerContact implements the view of package election on how well workers reach this
-// controller.
+// workerContact implements election.WorkerContact.
 type workerContact struct{ *controller }
 
-// Reporting returns how many machines of the owned partitions have sent a heartbeat within
-// recentHeartbeatWindow.
+// CountReportingMachines returns how many machines of the owned partitions have sent a heartbeat
+// within recentHeartbeatWindow.
 func (w workerContact) CountReportingMachines() int {
 	n := 0
 	for _, p := range w.partitions {
@@ -219,38 +218,39 @@
 	return n
 }
 
-// Heard summarizes the heartbeats that the owned partitions' machines sent within the given
-// time.
+// SummarizeHeartbeats summarizes the heartbeats that the owned partitions' machines sent within
+// the given time.
 func (w workerContact) SummarizeHeartbeats(within time.Duration) election.HeartbeatSummary {
-	var heard election.HeartbeatSummary
+	var summary election.HeartbeatSummary
 	for _, p := range w.partitions {
 		if p.token == 0 {
 			continue
 		}
-		heard.HasNewPartition = heard.HasNewPartition || w.now.Sub(p.ownedSince) < within
+		summary.HasNewPartition = summary.HasNewPartition || w.now.Sub(p.ownedSince) < within
 		for _, m := range p.machines {
 			if m.terminated {
 				continue
 			}
 			if len(m.bindings) > 0 || !m.heartbeatAt.IsZero() && w.now.Sub(m.heartbeatAt) < recentHeartbeatWindow {
-				heard.ExpectedMachines++
+				summary.ExpectedMachines++
 			}
-			heard.HasHeartbeat = heard.HasHeartbeat || m.heartbeatAt.After(p.ownedSince) && w.now.Sub(m.heartbeatAt) < within
+			summary.HasHeartbeat = summary.HasHeartbeat || m.heartbeatAt.After(p.ownedSince) && w.now.Sub(m.heartbeatAt) < within
 		}
 	}
-	return heard
+	return summary
 }
 
-// LastHeartbeat returns the time of the last heartbeat from any worker.
+// LastHeartbeatAt returns the time of the last heartbeat from any worker.
 func (w workerContact) LastHeartbeatAt() time.Time { return w.lastHeartbeatAt }
 
 // ResumedAt returns the time at which this process last resumed after a pause.
 func (w workerContact) ResumedAt() time.Time { return w.resumedFromPauseAt }
 
-// peerView implements the view of package election on the other controllers.
+// peerView implements election.Peers.
 type peerView struct{ *controller }
 
-// Eligible reports whether a peer would take keys over.
+// IsEligible reports whether a peer's status is recent and says that the peer can take partitions
+// over.
 func (v peerView) IsEligible(node string) bool {
 	p := v.peers.Peer(node)
 	return p != nil && p.HasRecentStatus(peer.Timeout, v.now) && p.Status.CanTakePartitions
@@ -260,12 +260,13 @@
 // gap.
 func (v peerView) ReachableSince(node string) time.Time { return v.peers.Peer(node).ReachableSince }
 
-// IsIsolated reports whether there are peers and none of them has been heard from for d.
+// IsIsolated reports whether there are peers and none of them has sent a status for d.
 func (v peerView) IsIsolated(d time.Duration) bool { return v.peers.IsIsolated(d, v.now) }
 
-// HaveWorkerContact reports whether any peer receives heartbeats from a machine, and whether all
-// peers have sent a recent status.
-func (v peerView) HaveWorkerContact() (hear, allKnown bool) {
+// HaveWorkerContact reports whether any peer with a recent status receives heartbeats from a
+// machine, and whether the statuses of all peers are recent. If haveContact is true, allKnown
+// covers only the peers that were examined before the first one with contact.
+func (v peerView) HaveWorkerContact() (haveContact, allKnown bool) {
 	allKnown = len(v.cfg.Peers) > 0
 	for _, p := range v.peers.All() {
 		if p.Status == nil || v.now.Sub(p.LastStatusAt) > peerStatusTimeout {
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -21,8 +21,9 @@
 	directCommandResponse
 )
 
-// handleHeartbeat applies a worker's heartbeat and returns the response, with commands for the
-// worker if it carries news.
+// handleHeartbeat applies a worker's heartbeat and returns the response. The response carries
+// commands only if the heartbeat is newer than all earlier ones, the machine is not terminated and
+// the takeover of its partition is complete.
 func (c *controller) handleHeartbeat(heartbeat *wire.Heartbeat) api.Response {
 	c.metrics.count(countHeartbeats, 1)
 	c.lastHeartbeatAt = c.now
@@ -30,7 +31,7 @@
 	if !c.replica.IsLoaded() {
 		return api.Response{Status: http.StatusServiceUnavailable, Reason: "starting"}
 	}
-	if refusal, refused := c.refusalResponse(); refused {
+	if refusal, refused := c.servingErrorResponse(); refused {
 		return refusal
 	}
 	m := c.getOrAddMachine(heartbeat.Machine)
@@ -99,14 +100,14 @@
 	case workerRequest:
 		c.recordWorkerRequest(m, p)
 	case directCommandResponse:
-		m.leaseLostWhileHeard, m.commandState.unanswered = false, 0
+		m.leaseLostInContact, m.commandState.unanswered = false, 0
 	}
 	c.updateTerminationNotice(m, heartbeat.TerminationNoticeS)
 	if p.takeoverComplete && !m.terminated {
 		c.reconcile(m, p)
 	}
-	if source == workerRequest && (m.leaseLostWhileHeard || !p.isOwnToken(m.token)) {
-		c.ping(m, p) // an answer proves that the machine receives requests and shows the current token
+	if source == workerRequest && (m.leaseLostInContact || !p.isOwnToken(m.token)) {
+		c.ping(m, p) // an answer proves that the machine receives requests and has seen the current token
 	}
 	if needsPass {
 		c.requestSchedulingPass()
@@ -139,7 +140,7 @@
 	c.log.Info("machine begins a new incarnation", "machine", m.name, "incarnation", incarnation)
 	m.cachedImages, m.fetchStartedAt = map[string]bool{}, map[string]time.Time{}
 	m.commandState.unansweredStartToken, m.responseCarriesStart = 0, false
-	m.leaseLostWhileHeard = !m.leaseRenewedAt.IsZero()
+	m.leaseLostInContact = !m.leaseRenewedAt.IsZero()
 }
 
 // affectsScheduling reports whether a heartbeat requires a scheduling pass. Most heartbeats
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -27,11 +27,11 @@
 	// supportedLevels is the range of levels that this process reads.
 	supportedLevels rollout.LevelRange
 	// state is the last stored state that could be decoded, and revision is the revision of the
-	// stored value. If none is stored, they are rollout.Initial and 0.
+	// stored value. If none is stored, they are rollout.InitialState and 0.
 	state    rollout.State
 	revision uint64
-	// refusal is the reason why this process must not serve, or nil if it may.
-	refusal error
+	// servingError is the reason why this process must not serve, or nil if it may.
+	servingError error
 	// leaseKeys are the keys under which leases are currently acquired.
 	leaseKeys rollout.LeaseKeys
 	// registrations holds the registered controllers by name.
@@ -132,11 +132,11 @@
 func (c *controller) setRolloutState(state rollout.State, revision uint64, decodeErr error) {
 	before := c.rollout.state
 	c.rollout.state, c.rollout.revision = state, revision
-	refusal := decodeErr
-	if refusal == nil && !state.Admits(c.rollout.supportedLevels) {
-		refusal = &unsupportedLevelError{level: state.Level, supported: c.rollout.supportedLevels}
+	servingError := decodeErr
+	if servingError == nil && !state.Admits(c.rollout.supportedLevels) {
+		servingError = &unsupportedLevelError{level: state.Level, supported: c.rollout.supportedLevels}
 	}
-	c.setRefusal(refusal)
+	c.setServingError(servingError)
 	if keys := state.LeaseKeys(); keys != c.rollout.leaseKeys {
 		c.switchLeaseKeys(keys)
 	}
@@ -155,15 +155,15 @@
 	return fmt.Sprintf("feature level %d is in force, this version reads %s", e.level, e.supported)
 }
 
-// setRefusal sets the reason why this process must not serve, or nil if it may. A process that
-// must not serve gives up all its leases.
-func (c *controller) setRefusal(refusal error) {
-	before := c.rollout.refusal
-	c.rollout.refusal = refusal
+// setServingError sets the reason why this process must not serve, or nil if it may. A process
+// that must not serve gives up all its leases.
+func (c *controller) setServingError(servingError error) {
+	before := c.rollout.servingError
+	c.rollout.servingError = servingError
 	switch {
-	case refusal != nil:
-		if before == nil || before.Error() != refusal.Error() {
-			c.log.Error("this controller must not serve", "why", refusal)
+	case servingError != nil:
+		if before == nil || before.Error() != servingError.Error() {
+			c.log.Error("this controller must not serve", "why", servingError)
 		}
 		c.election.ResignAll()
 	case before != nil:
@@ -217,7 +217,7 @@
 func (c *controller) advanceRollout() {
 	s := &c.rollout
 	enabled := s.revision != 0 || c.operator.EnableFeatureLevels
-	if !enabled || s.stepInFlight || s.refusal != nil || !c.isFresh(c.operator.LeaseTTL) {
+	if !enabled || s.stepInFlight || s.servingError != nil || !c.isFresh(c.operator.LeaseTTL) {
 		return
 	}
 	view := c.rolloutView()
@@ -243,7 +243,7 @@
 // one currently written. The rate is limited, and nothing is rewritten while the write backlog is
 // above maxRewriteBacklog, so that users' writes and other work are not delayed.
 func (c *partitionOwner) rewriteGroups(p *partition) {
-	if c.rollout.countGroupsToRewrite() == 0 || c.stateWriter.BacklogDuration() > maxRewriteBacklog {
+	if c.rollout.countGroupsToRewrite() == 0 || c.storeWriter.BacklogDuration() > maxRewriteBacklog {
 		return
 	}
 	encoding := c.writeEncoding()
@@ -290,19 +290,19 @@
 	}
 }
 
-// refusalResponse returns the response of a controller that must not serve, and whether it must
-// not.
-func (c *clusterState) refusalResponse() (api.Response, bool) {
-	if c.rollout.refusal == nil {
+// servingErrorResponse returns the response to requests while this controller must not serve, and
+// true. It returns false if this controller may serve.
+func (c *clusterState) servingErrorResponse() (api.Response, bool) {
+	if c.rollout.servingError == nil {
 		return api.Response{}, false
 	}
-	return frontend.UnavailableResponse(c.rollout.refusal.Error()), true
+	return frontend.UnavailableResponse(c.rollout.servingError.Error()), true
 }
 
 // runRegistrar keeps the range of levels that this controller reads registered until ctx ends.
 func (c *controller) runRegistrar(ctx context.Context) {
 	registration := rollout.Registration{Node: c.cfg.Name, ProcessID: c.processID, Build: Build, LevelRange: c.rollout.supportedLevels}
-	r := &rollout.Registrar{Store: c.stateClient, Registration: registration, TTL: registrationTTLFactor * c.operator.LeaseTTL, Log: c.log}
+	r := &rollout.Registrar{Store: c.storeClient, Registration: registration, TTL: registrationTTLFactor * c.operator.LeaseTTL, Log: c.log}
 	if err := r.Run(ctx); err != nil && !errors.Is(err, ctx.Err()) {
 		c.log.Error("registration ended", "err", err)
 	}
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -36,8 +36,8 @@
 	maxStaleness time.Duration
 	leaseExpiry  time.Duration
 
-	stateClient *store.Client
-	stateWriter *store.Writer
+	storeClient *store.Client
+	storeWriter *store.Writer
 	replica     *replica.Replica
 	reader      *replica.Reader
 	storeOutage *outage.Monitor
@@ -58,7 +58,8 @@
 	lastHeartbeatAt time.Time // from any worker
 	// acceptsHeartbeats is set while the replica is fresh enough to answer heartbeats
 	// (maxStaleness). heartbeatsResumedAt is the time at which they were last accepted again
-	// after an outage; before it no machine could be heard.
+	// after an outage; before it, no heartbeat could be received. It is zero if there was no
+	// outage since the first heartbeat.
 	acceptsHeartbeats   bool
 	heartbeatsResumedAt time.Time
 }
@@ -83,8 +84,8 @@
 		maxStaleness: config.MaxStaleness(settings.Workers.CancelDeadlineS, settings.Workers.LeaseDurationS),
 		leaseExpiry:  config.LeaseExpiry(settings.Workers.CancelDeadlineS, settings.Workers.LeaseDurationS),
 
-		stateClient: client,
-		stateWriter: store.NewWriter(client, settings.Store.TxnOps, settings.Store.WriteRPS, settings.ControllerCount, deps.jitter),
+		storeClient: client,
+		storeWriter: store.NewWriter(client, settings.Store.TxnOps, settings.Store.WriteRPS, settings.ControllerCount, deps.jitter),
 		peers:       peer.NewRegistry(peerNames(cfg.Peers)),
 
 		objectiveSeconds: cfg.CompletionObjectiveSeconds(),
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -91,7 +91,8 @@
 }
 
 // updateAcceptsHeartbeats updates whether this controller answers heartbeats. When it does so
-// again after an interruption, the time is recorded: until then no machine could be heard.
+// again after an interruption, the time is recorded, because no heartbeat could be received until
+// then.
 func (c *controller) updateAcceptsHeartbeats() {
 	accepts := c.isFresh(c.maxStaleness)
 	if accepts == c.acceptsHeartbeats {
@@ -151,6 +152,6 @@
 	}
 	due.metrics = c.now.Add(metricsInterval)
 	c.archiveFinishedJobs(c.replica)
-	c.metrics.logAndReset(c.log, len(c.jobs)+len(c.finalStates), len(c.machines), c.stateClient.TakeStats())
+	c.metrics.logAndReset(c.log, len(c.jobs)+len(c.finalStates), len(c.machines), c.storeClient.TakeStats())
 	c.logRollout(c.log)
 }
