--- a/internal/controller/gang_phases_test.go
+++ b/internal/controller/gang_phases_test.go
@@ -313,9 +313,9 @@
 	}
 }
 
-// runningGang returns a controller with a gang of four tasks bound to one machine, stored in the
+// newControllerWithGang returns a controller with a gang of four tasks bound to one machine, stored in the
 // given number of task groups.
-func runningGang(t *testing.T, groupCount int) (*controller, *partition, []*taskGroup) {
+func newControllerWithGang(t *testing.T, groupCount int) (*controller, *partition, []*taskGroup) {
 	t.Helper()
 	ctl := newTestController(t)
 	p := ctl.partitions[0]
@@ -335,9 +335,9 @@
 	return ctl, p, groups
 }
 
-// sendGangHeartbeat applies the machine's next heartbeat. exitReasons has the exit reasons of the
+// applyGangHeartbeat applies the machine's next heartbeat. exitReasons has the exit reasons of the
 // tasks that have exited; all others run.
-func sendGangHeartbeat(ctl *controller, p *partition, exitReasons map[int]string) {
+func applyGangHeartbeat(ctl *controller, p *partition, exitReasons map[int]string) {
 	heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, FencingToken: 1}
 	for taskNumber := range 4 {
 		if reason, ok := exitReasons[taskNumber]; ok {
@@ -371,14 +371,14 @@
 // as done. A controller that takes over after part of the records were stored as done completes
 // the rest.
 func TestDoneGangAfterFailover(t *testing.T) {
-	c, p, groups := runningGang(t, 1)
-	sendGangHeartbeat(c, p, map[int]string{0: wire.ReasonPeersGone, 1: wire.ReasonPeersGone, 2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
+	c, p, groups := newControllerWithGang(t, 1)
+	applyGangHeartbeat(c, p, map[int]string{0: wire.ReasonPeersGone, 1: wire.ReasonPeersGone, 2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
 	if update := c.planUpdate(p, groups[0]); update.doneTasks != 0 || len(update.bindings) != 4 {
 		t.Errorf("no task is done: the update has %d tasks done and %d bindings, want 0 and 4", update.doneTasks, len(update.bindings))
 	}
-	c, p, groups = runningGang(t, 2)
+	c, p, groups = newControllerWithGang(t, 2)
 	c.replica.Put(groups[0].key, marshalJSON(t, record.TaskGroup{DoneTasks: 2, Tasks: []record.Binding{}}), 9) // written by the former owner
-	sendGangHeartbeat(c, p, map[int]string{2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
+	applyGangHeartbeat(c, p, map[int]string{2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
 	if update := c.planUpdate(p, groups[1]); update.doneTasks != 2 || !c.completesJob(groups[1], &update) {
 		t.Errorf("half of the gang is stored as done: the update has %d of the other tasks done, want 2 and the job completed", update.doneTasks)
 	}
@@ -388,8 +388,8 @@
 // and exactly the tasks in wantLeft stay bound.
 func checkDoneGang(t *testing.T, exitReasons map[int]string, wantLeft []int32) {
 	t.Helper()
-	ctl, p, groups := runningGang(t, 1)
-	sendGangHeartbeat(ctl, p, exitReasons)
+	ctl, p, groups := newControllerWithGang(t, 1)
+	applyGangHeartbeat(ctl, p, exitReasons)
 	update := ctl.planUpdate(p, groups[0])
 	var left []int32
 	for _, bound := range update.bindings {
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -42,7 +42,7 @@
 
 // Room that is reserved for gangs, or on loan for a job, opens to other jobs once it has been
 // unused for long, even if those jobs were assigned tasks in the meantime.
-func TestUnusedReserveOpensToOtherJobs(t *testing.T) {
+func TestUnusedReserveIsAvailableToOtherJobs(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		job    string // the job that the machine is on loan for
@@ -128,10 +128,10 @@
 	}
 }
 
-// runGangBesideServices starts a service on each of three machines and then a gang that fits
+// runGangWithServices starts a service on each of three machines and then a gang that fits
 // only beside the services, on machines of several partitions. It calls check once the gang
 // runs.
-func runGangBesideServices(t *testing.T, check func(c *cluster)) {
+func runGangWithServices(t *testing.T, check func(c *cluster)) {
 	runCluster(t, func(c *cluster) {
 		c.env.Cloud.SetCapacity(3)
 		for n := range 3 {
@@ -164,7 +164,7 @@
 // A gang must not wait forever when the room for it is spread over partitions. Machines are
 // loaned together with their services, which keep running, and are returned with them.
 func TestGangBorrowsMachinesWithServices(t *testing.T) {
-	runGangBesideServices(t, func(c *cluster) {
+	runGangWithServices(t, func(c *cluster) {
 		starts := c.env.CountStartedTasks()
 		c.awaitDone("wk-4", time.Minute)
 		c.await("the machines are returned", time.Minute, func() bool { return len(c.env.Store.Keys(loanPrefix)) == 0 })
@@ -180,7 +180,7 @@
 // Services on loaned machines are cancelled, lost and proven gone like any others, and their
 // records are deleted, even if the leader changes meanwhile.
 func TestServicesOnLoanedMachines(t *testing.T) {
-	runGangBesideServices(t, func(c *cluster) {
+	runGangWithServices(t, func(c *cluster) {
 		c.cancelJob("wk-1")
 		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.env.CountRunningTasks("wk-1") == 0 })
 		c.await("its record is deleted", 30*time.Second, func() bool { return len(c.env.Store.Keys(groupKey("wk-1", 0))) == 0 })
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -139,10 +139,10 @@
 }
 
 // checkDoneAfter returns a check that calls happen and then expects the gang to complete.
-func checkDoneAfter(happen func(*cluster)) func(*cluster) {
+func checkDoneAfter(event func(*cluster)) func(*cluster) {
 	return func(c *cluster) {
 		c.t.Helper()
-		happen(c)
+		event(c)
 		c.env.MarkFaultsEnded()
 		c.awaitDone("wk-9", 3*time.Minute)
 	}
--- a/internal/controller/liveness_test.go
+++ b/internal/controller/liveness_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// newHeardMachine returns a machine of the test controller that has just sent a heartbeat, and
+// newReachableMachine returns a machine of the test controller that has just sent a heartbeat, and
 // its partition.
-func newHeardMachine(c *controller) (*machine, *partition) {
+func newReachableMachine(c *controller) (*machine, *partition) {
 	p := c.partitions[0]
 	p.firstToken = p.token
 	m := c.getOrAddMachine("host-1")
@@ -62,7 +62,7 @@
 		{"lost its lease although its heartbeats were answered", func(_ *controller, m *machine, _ *partition) { m.leaseLostWhileHeard = true }, false},
 	} {
 		c := newTestController(t)
-		m, p := newHeardMachine(c)
+		m, p := newReachableMachine(c)
 		x.change(c, m, p)
 		if got := c.isUsable(m, p); got != x.want {
 			t.Errorf("%s: usable %v, want %v", x.name, got, x.want)
@@ -91,37 +91,37 @@
 	{"pings unanswered, heartbeats arrive", 1700 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, true},
 	{"pings unanswered by most machines, heartbeats arrive", 1700 * time.Millisecond, func(_ *controller, m *machine, p *partition) { m.commandState.unanswered, p.mostNotReceiving = 2, true }, false},
 	{"pings unanswered, overdue", 1800 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, true},
-	{"pings unanswered right after a failover", 3700 * time.Millisecond, unansweredSinceFailover, false},
-	{"pings unanswered a while after a failover", 3800 * time.Millisecond, unansweredSinceFailover, true},
+	{"pings unanswered right after a failover", 3700 * time.Millisecond, setUnansweredSinceFailover, false},
+	{"pings unanswered a while after a failover", 3800 * time.Millisecond, setUnansweredSinceFailover, true},
 	{"sends without receiving", 0, func(_ *controller, m *machine, _ *partition) { m.leaseLostWhileHeard = true }, true},
 	{"sends without receiving, as most machines do", 0, func(_ *controller, m *machine, p *partition) { m.leaseLostWhileHeard, p.mostNotReceiving = true, true }, false},
 	{"sends without receiving, right after a failover", 0, func(c *controller, m *machine, p *partition) {
 		m.leaseLostWhileHeard, p.ownedSince = true, c.now.Add(-time.Second)
 	}, false},
-	{"answers pings beyond its lease, others are heard", beyondLease, answersPings, true},
+	{"answers pings beyond its lease, others are heard", beyondLease, setAnswersPings, true},
 	{"answers pings beyond its lease, no machine is heard", beyondLease, func(c *controller, m *machine, p *partition) {
-		answersPings(c, m, p)
+		setAnswersPings(c, m, p)
 		c.lastHeartbeatAt = m.heartbeatAt
 	}, false},
 	{"answers pings beyond its lease, this process was suspended", beyondLease, func(c *controller, m *machine, p *partition) {
-		answersPings(c, m, p)
+		setAnswersPings(c, m, p)
 		c.resumedFromPauseAt = c.now
 	}, false},
 }
 
-func unansweredSinceFailover(_ *controller, m *machine, p *partition) {
+func setUnansweredSinceFailover(_ *controller, m *machine, p *partition) {
 	p.ownedSince, m.heartbeatAt, m.commandState.unanswered = m.heartbeatAt, time.Time{}, 2
 	m.lastMessageAt = time.Time{}
 }
 
-func answersPings(c *controller, m *machine, _ *partition) {
+func setAnswersPings(c *controller, m *machine, _ *partition) {
 	m.lastMessageAt, c.lastHeartbeatAt = c.now, c.now
 }
 
 func TestMachineSeemsUnreachable(t *testing.T) {
 	for _, x := range unreachableTests {
 		c := newTestController(t)
-		m, p := newHeardMachine(c)
+		m, p := newReachableMachine(c)
 		c.now = c.now.Add(x.after)
 		if x.change != nil {
 			x.change(c, m, p)
--- a/internal/controller/outage_log_test.go
+++ b/internal/controller/outage_log_test.go
@@ -29,7 +29,7 @@
 
 // checkOutageLines runs a cluster through an outage and checks that the given number of nodes log
 // its beginning and its end.
-func (c *cluster) checkOutageLines(of string, nodes int, setDown func(down bool)) {
+func (c *cluster) checkOutageLines(attr string, nodes int, setDown func(down bool)) {
 	c.t.Helper()
 	c.alwaysKeepLogs = true
 	c.restartAll()
@@ -43,8 +43,8 @@
 	time.Sleep(25 * time.Second)
 	setDown(false)
 	time.Sleep(10 * time.Second)
-	c.checkInfoLines(`msg="outage began"`, of, nodes)
-	c.checkInfoLines(`msg="outage ended"`, of, nodes)
+	c.checkInfoLines(`msg="outage began"`, attr, nodes)
+	c.checkInfoLines(`msg="outage ended"`, attr, nodes)
 }
 
 // checkInfoLines checks that the controllers have logged the wanted number of info lines that
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -33,8 +33,8 @@
 	return func() { cancel(); wg.Wait() }
 }
 
-// leaseOwners returns the name of the node that holds each leased key.
-func (c *cluster) leaseOwners() map[string]string {
+// leaseHolderNodes returns the name of the node that holds each leased key.
+func (c *cluster) leaseHolderNodes() map[string]string {
 	out := map[string]string{}
 	ctl := c.nodes[0].controller()
 	ctl.call(c.ctx, priorityStore, func() {
@@ -62,10 +62,10 @@
 	c.t.Helper()
 	c.startServices(4, 2)
 	time.Sleep(10 * time.Second)
-	owners, used := c.leaseOwners(), c.usedMachines()
+	owners, used := c.leaseHolderNodes(), c.usedMachines()
 	stop := c.blockEventLoops(busy, 300*time.Millisecond)
 	time.Sleep(time.Minute)
-	if now := c.leaseOwners(); !maps.Equal(owners, now) {
+	if now := c.leaseHolderNodes(); !maps.Equal(owners, now) {
 		c.t.Errorf("holders of leased keys changed from %v to %v", owners, now)
 	}
 	c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 6, CPUs: 2, EstimateS: 5}))
@@ -101,11 +101,11 @@
 		const blocked = 2
 		c.startServices(4, 2)
 		time.Sleep(10 * time.Second)
-		before := c.leaseOwners()
+		before := c.leaseHolderNodes()
 		c.nodes[blocked].controller().enqueue(priorityStore, func() { time.Sleep(time.Minute) })
 		time.Sleep(3*c.nodes[0].controller().operator.LeaseTTL + time.Second)
 		name := c.nodes[blocked].cfg.Name
-		for key, node := range c.leaseOwners() {
+		for key, node := range c.leaseHolderNodes() {
 			if before[key] == name && node == name {
 				t.Errorf("%s is still held by the blocked controller %s", key, name)
 			}
