--- a/internal/controller/allocations_test.go
+++ b/internal/controller/allocations_test.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// heartbeatOperation handles a heartbeat of a machine whose tasks are all running.
+// heartbeatOperation returns an operation that handles a heartbeat of a machine whose tasks are all
+// running.
 func heartbeatOperation(_ *testing.T, c *controller) func() {
 	heartbeat := c.heartbeatOf(c.ownMachineWithTasks())
 	return func() {
@@ -70,7 +71,7 @@
 	}
 }
 
-// decodeOperation decodes a heartbeat.
+// decodeOperation returns an operation that decodes a heartbeat.
 func decodeOperation(t *testing.T, c *controller) func() {
 	raw := record.JSON(c.heartbeatOf(c.ownMachineWithTasks()))
 	return func() {
@@ -80,7 +81,8 @@
 	}
 }
 
-// idlePassOperation runs scheduling passes in which no task can be placed.
+// idlePassOperation returns an operation that runs a scheduling pass in which no task is due for
+// placement.
 func idlePassOperation(_ *testing.T, c *controller) func() {
 	for _, job := range c.activeJobs { // no job is due for placement
 		if job.spec.Class == "clean" {
@@ -90,7 +92,8 @@
 	return c.schedulePartitions
 }
 
-// replicaOperation applies a record that another controller has written again.
+// replicaOperation returns an operation that applies a new revision of a record that another
+// controller has written.
 func replicaOperation(_ *testing.T, c *controller) func() {
 	var group *taskGroup
 	for g := range c.allGroups() {
@@ -105,7 +108,7 @@
 	}
 }
 
-// queryOperation looks up the state of an archived job.
+// queryOperation returns an operation that looks up the state of an archived job.
 func queryOperation(t *testing.T, c *controller) func() {
 	c.finalStates["wk-1"] = record.StateDone
 	return func() {
@@ -184,10 +187,10 @@
 					group = first
 				}
 			}
-			raw, stamp := c.encodeGroup(group, group.doneTasks, group.bindings).ValueForKey(group.key), group.revision+1<<32
+			raw, revision := c.encodeGroup(group, group.doneTasks, group.bindings).ValueForKey(group.key), group.revision+1<<32
 			for b.Loop() {
-				stamp++
-				c.replica.Put(group.key, raw, stamp)
+				revision++
+				c.replica.Put(group.key, raw, revision)
 			}
 		})
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -85,9 +85,9 @@
 }
 
 // A record may be deleted, or lose tasks to another record, while some of its tasks hold
-// reservations that are not stored yet. The reservations are released and no cell stays taken.
-// A machine that is lost afterwards must not look up the deleted record, which used to crash
-// the controller.
+// reservations that are not stored yet. The reservations are released and no cell stays
+// allocated. The later loss of the machine must not cause a lookup of the deleted record, which
+// used to crash the controller.
 func TestReservationsEndWithTheirRecord(t *testing.T) {
 	for _, change := range []string{"deleted", "moved"} {
 		t.Run(change, func(t *testing.T) {
@@ -137,7 +137,7 @@
 	key := groupKey("wk-1", 0)
 	c.replica.Put(key, marshalJSON(t, g), 7)
 	group := c.groupByKey[key]
-	changes, stamp := 0, uint64(8)
+	changes, revision := 0, uint64(8)
 	for free := 1; free <= 60; free++ { // a task of the team ends every 100 ms
 		lim := planning.Quota{Limit: scheduling.NewResources(float64(min(free, 9)), 0, 0)}
 		lim.Usage = group.job.taskSize.Times(group.quotaTaskCount(c.replica.Cursor()))
@@ -145,13 +145,13 @@
 		c.unthrottle(group.job, &lim)
 		if group.throttleChangedAt != before { // the change is stored at once
 			changes++
-			stamp++
+			revision++
 			g.Throttle = min(free, 9) + 1
 			if g.Throttle > 9 {
 				g.Throttle = 0
 			}
 			group.writeInFlight = false
-			c.replica.Put(key, marshalJSON(t, g), stamp)
+			c.replica.Put(key, marshalJSON(t, g), revision)
 		}
 		c.now = c.now.Add(100 * time.Millisecond)
 	}
@@ -161,8 +161,8 @@
 }
 
 // A record moves to another partition while a write of it is in flight and its tasks hold
-// reservations. No cell stays taken: one that no record knows of would be lost until the
-// partition changes hands.
+// reservations. No cell stays allocated: a cell that no record refers to would be unusable until
+// the partition gets another owner.
 func TestReservationsOfMovedRecord(t *testing.T) {
 	c := newTestController(t)
 	p := c.partitions[0]
@@ -197,7 +197,7 @@
 }
 
 // Machines that died together share a tombstone. It names all of them, the encoding of older
-// versions is understood, and deleting it forgets all of them.
+// versions is understood, and its deletion removes all of them.
 func TestSharedTombstone(t *testing.T) {
 	c := newTestController(t)
 	var names []string
@@ -218,10 +218,10 @@
 	}
 }
 
-// A controller steps down when no agent reaches it. If many machines fall silent together, a
-// few seconds rule out coincidence; with few machines it takes longer. The machines' leases
-// keep running, so enough time must be left for them to find the successor. A process that was
-// paused must first read what waits in its sockets.
+// A controller steps down when no agent reaches it. If many machines stop sending heartbeats at
+// the same time, a few seconds rule out coincidence; with few machines it takes longer. The
+// machines' leases keep running, so enough time must be left for them to find the successor. A
+// process that was paused must first read the messages that are queued in its sockets.
 func TestStepsDownWhenNoAgentReachesIt(t *testing.T) {
 	for _, x := range []struct {
 		name      string
@@ -290,8 +290,8 @@
 	}
 }
 
-// Finished jobs are remembered forever, by little more than their IDs. Queries return the same
-// final state as before, and the memory per finished job stays within its budget.
+// Finished jobs are kept in memory forever, with little more than their IDs. Queries return the
+// same final state as before, and the memory per finished job stays within its budget.
 func TestFinishedJobMemory(t *testing.T) {
 	const jobs, maxBytesPerJob = 20_000, 100
 	c := newTestController(t)
@@ -305,11 +305,11 @@
 	before := heapBytes()
 	for i := range jobs {
 		spec.ID = fmt.Sprintf("wk-%08d", i)
-		stamp := uint64(2*i + 10)
+		revision := uint64(2*i + 10)
 		if i%2 == 0 { // the job ran while this controller did; the others are read after a start
-			c.replica.Put(jobKey(spec.ID), marshalJSON(t, record.Job{Spec: spec}), stamp)
+			c.replica.Put(jobKey(spec.ID), marshalJSON(t, record.Job{Spec: spec}), revision)
 		}
-		c.replica.Put(jobKey(spec.ID), marshalJSON(t, record.Job{FinalState: record.StateCancelled + record.FinalState(i/2%2)}), stamp+1)
+		c.replica.Put(jobKey(spec.ID), marshalJSON(t, record.Job{FinalState: record.StateCancelled + record.FinalState(i/2%2)}), revision+1)
 		if i%500 != 499 {
 			continue
 		}
@@ -319,7 +319,7 @@
 		if len(c.finalStates) > n {
 			t.Fatalf("%d jobs were archived before the replica had all of their changes, want none", len(c.finalStates)-n)
 		}
-		c.replica.Apply(&wire.WatchResponse{Revision: stamp + 1})
+		c.replica.Apply(&wire.WatchResponse{Revision: revision + 1})
 		c.archiveFinishedJobs(c.replica)
 	}
 	if n := int(heapBytes()-before) / jobs; n > maxBytesPerJob {
@@ -345,10 +345,10 @@
 	}
 }
 
-// A cancellation by this controller is known before a binding that was stored just before it.
+// A controller may process its own cancellation before a binding that was stored just before it.
 // Until the replica has all changes up to the cancellation, the tasks count toward the team's
-// quota as if the job were unfinished: the leader once gave their share of the quota away while
-// one of them was running.
+// quota as if the job were unfinished: the leader once gave their share of the quota to other
+// jobs while one of them was running.
 func TestCancelledBeforeItsBindingIsKnown(t *testing.T) {
 	c := newTestController(t)
 	c.cfg.Settings.Teams = []config.Team{{Name: "t", MaxCPUs: 100}}
--- a/internal/controller/cordons_test.go
+++ b/internal/controller/cordons_test.go
@@ -8,8 +8,8 @@
 	"eiderhitch/internal/wire"
 )
 
-// The backoff of a job grows with each further machine on which its tasks fail, and each
-// machine that failed a task backs off for a fixed time.
+// The backoff of a job grows with each further machine on which its tasks fail. No task is placed
+// on a machine for a fixed time after a task failed there.
 func TestFailedJobBackoffGrowsWithFailedMachines(t *testing.T) {
 	c := newTestController(t)
 	j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", TaskCount: 20}}
@@ -30,8 +30,8 @@
 	}
 }
 
-// A machine that refuses a start backs off until its next heartbeats are in. Neither the
-// machine nor the job is charged with a failure.
+// No task is placed on a machine for a second after it refused a start, until its heartbeats show
+// what it is running. No failure is recorded for the machine or the job.
 func TestRefusedStartIsNotAFailure(t *testing.T) {
 	for _, reason := range []string{wire.ReasonNoCapacity, wire.ReasonOtherAttempt, wire.ReasonUnknownTask} {
 		c := newTestController(t)
--- a/internal/controller/direct_commands_test.go
+++ b/internal/controller/direct_commands_test.go
@@ -80,27 +80,27 @@
 	}
 }
 
-// Checks the state of a machine after unanswered requests: whether a start may still arrive, and
+// After unanswered requests, a machine's state records whether a start may still arrive and
 // whether requests to the machine are suspended for a while.
 func TestUnansweredDirectCommands(t *testing.T) {
 	for _, x := range []struct {
 		name         string
 		carriesStart bool
 		lagged       bool // the controller's event loop lagged while the request was in flight
-		times        int
+		requests     int
 		unanswered   int
 		startToken   uint64
 		backoff      time.Duration
 	}{
-		{name: "a stop", times: 1, unanswered: 1},
-		{name: "a start", carriesStart: true, times: 1, unanswered: 1, startToken: 1},
-		{name: "twice", times: 2, unanswered: 2, backoff: 3 * time.Second},
-		{name: "the answer may have come and not been handled", carriesStart: true, lagged: true, times: 3, startToken: 1},
+		{name: "a stop", requests: 1, unanswered: 1},
+		{name: "a start", carriesStart: true, requests: 1, unanswered: 1, startToken: 1},
+		{name: "two stops", requests: 2, unanswered: 2, backoff: 3 * time.Second},
+		{name: "the answer may have arrived without being processed", carriesStart: true, lagged: true, requests: 3, startToken: 1},
 	} {
 		c := newTestController(t)
 		p := c.partitions[0]
 		m := c.getOrAddMachine("host-1")
-		for range x.times {
+		for range x.requests {
 			m.commandState.inFlight, m.commandState.carriesStart = true, x.carriesStart
 			request := directRequest{machine: m, partition: p, token: p.token, sentAt: c.now}
 			c.now = c.now.Add(time.Second)
@@ -119,8 +119,8 @@
 	}
 }
 
-// A machine's former address may belong to another machine. The answer of that one must not be
-// applied to the machine that was addressed.
+// A machine's former address may belong to another machine. An answer from the other machine must
+// not be applied to the machine that the request was meant for.
 func TestAnswerFromAnotherMachine(t *testing.T) {
 	for name, applied := range map[string]bool{"host-1": true, "host-2": false} {
 		c := newTestController(t)
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -51,8 +51,9 @@
 	})
 }
 
-// An owner that is refused only by the key-value store can't learn of a cancellation. The tasks
-// must nevertheless end in time (see config.MaxStaleness).
+// An owner whose connections to the key-value store are refused, but not those to peers and
+// agents, can't read a cancellation. The tasks must nevertheless end in time (see
+// config.MaxStaleness).
 func TestCancelWhileOwnerCannotReachStore(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submitServices(6, 2)
@@ -126,9 +127,9 @@
 	return len(partitions)
 }
 
-// A controller that is cut off from the key-value store and its peers, but not from its agents,
-// can't learn of a cancellation. It must stop answering heartbeats in time, and the other
-// controllers take over its work.
+// A controller that is isolated from the key-value store and its peers, but not from its agents,
+// can't read a cancellation. It must stop answering heartbeats in time, and the other controllers
+// take over its work.
 func TestOwnerIsolatedFromStoreAndPeers(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.startServices(6, 2)
@@ -166,7 +167,7 @@
 }
 
 // Refused connections between controllers don't show that a controller has failed. No leased
-// key changes hands, and submitted jobs are assigned and run.
+// key passes to another node, and submitted jobs are assigned and run.
 func TestRefusedPeerConnectionsMoveNoLease(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.startServices(4, 2)
@@ -176,11 +177,11 @@
 		time.Sleep(15 * time.Second)
 		// A machine dies whose owner the leader can't reach. The machine is terminated, and its
 		// replicas run elsewhere, before its lease alone would prove its end.
-		lost := c.busyMachineOfFollower()
-		lost.Terminate()
+		lostAgent := c.busyMachineOfFollower()
+		lostAgent.Terminate()
 		time.Sleep(9 * time.Second)
-		if slices.Contains(c.env.Cloud.Agents(), lost) {
-			t.Errorf("the dead machine %s has not been terminated", lost.Name())
+		if slices.Contains(c.env.Cloud.Agents(), lostAgent) {
+			t.Errorf("the dead machine %s has not been terminated", lostAgent.Name())
 		}
 		c.submit(newSubmission(submission{ID: "wk-8", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 2, CPUs: 2}))
 		c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 12, CPUs: 2, EstimateS: 2}))
@@ -313,8 +314,8 @@
 }
 
 // If all machines have died and the cloud provides no others, no agent reaches any controller.
-// The leased keys must not change hands because of that: each change would restart the wait for
-// the leases, and the end of the tasks would never be proven.
+// The leased keys must not pass to other nodes because of that: each change would restart the
+// wait for the agents' leases, and the end of the tasks would never be proven.
 func TestLeasesAreKeptWithoutAgents(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.startServices(6, 2)
--- a/internal/controller/full_fleet_test.go
+++ b/internal/controller/full_fleet_test.go
@@ -41,7 +41,7 @@
 
 // newFullFleetController returns the leader of a fleet of the given size, which also owns
 // partition 0 of five. Half of the machines run services and half run tasks of one array. All
-// machines are full, and more arrays of several classes wait.
+// machines are full, and more arrays, of two teams and two task sizes, wait for room.
 func newFullFleetController(tb testing.TB, machines int) *controller {
 	tb.Helper()
 	f := &fullFleet{controller: newIsolatedController(tb), revision: 10}
@@ -86,7 +86,7 @@
 	f.replica.Put(key, record.JSON(value), f.revision)
 }
 
-// addPeers makes each controller the owner of the partition with its number.
+// addPeers makes each controller the owner of the partition with its index.
 func (f *fullFleet) addPeers() {
 	for i := range fullFleetControllers {
 		node := fmt.Sprintf("n%d", i)
--- a/internal/controller/gang_ends_test.go
+++ b/internal/controller/gang_ends_test.go
@@ -69,8 +69,8 @@
 }
 
 // A gang's tasks complete together, so the first task shown as done completes the job. The owner
-// dropped the bindings of all its tasks at that point, although a task whose machine hangs stays
-// there until the machine resumes. Its room and its share of the quota went to other tasks of the
+// dropped the bindings of all its tasks at that point, although a task on a machine that hangs
+// stays there until the machine resumes. Its room and its share of the quota went to other tasks of the
 // team, which then exceeded its quota. Seen with seed 138.
 func TestDoneGangCountsTowardQuotaUntilTasksEnd(t *testing.T) {
 	runCluster(t, func(c *cluster) {
@@ -85,21 +85,21 @@
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "red", Priority: "normal", Tasks: 60, CPUs: 1, EstimateS: 300, MachineTypes: []string{"large"}}))
 		c.await("the array runs as many tasks as the quota leaves", runTime/2, func() bool { return c.env.CountRunningTasks("wk-2") == 16 })
 		time.Sleep(runTime - time.Since(started) - hangsBefore)
-		hanging := c.agentWithJob("wk-1")
-		hanging.SetHanging(true)
+		hangingAgent := c.agentWithJob("wk-1")
+		hangingAgent.SetHanging(true)
 		c.await("the gang is done", 10*time.Second, func() bool { return c.jobState("wk-1") == wire.StateDone })
-		if n := countTasksOn(hanging, "wk-1", 4); n == 0 {
+		if n := countTasksOn(hangingAgent, "wk-1", 4); n == 0 {
 			t.Error("the machine that hangs has no task of the gang, want at least one")
 		}
 		time.Sleep(4 * time.Second)
-		hanging.SetHanging(false)
+		hangingAgent.SetHanging(false)
 		c.await("the array runs as many tasks as the quota allows", time.Minute, func() bool { return c.env.CountRunningTasks("wk-2") == 24 })
 		c.await("no binding of the gang is left", time.Minute, func() bool { return c.countBindings("wk-1") == 0 })
 	})
 }
 
-// countBindings returns how many tasks of a job the first running controller knows that are not
-// done.
+// countBindings returns the number of a job's tasks that are not done, according to the first
+// running controller.
 func (c *cluster) countBindings(id string) int {
 	count := 0
 	for _, attempts := range c.attemptCounts(id) {
--- a/internal/controller/gang_phases_test.go
+++ b/internal/controller/gang_phases_test.go
@@ -13,11 +13,11 @@
 	"eiderhitch/internal/wire"
 )
 
-// These tests cover the requirements of the protocol on gangs. docs/design.md lists the
-// requirements with their tests.
+// These tests cover the protocol's requirements on gangs. docs/design.md lists the requirements
+// with their tests.
 
-// gangPhase is a phase in the life of a gang. awaitPhase brings a gang that was just submitted
-// into it.
+// gangPhase is a phase in the life of a gang. awaitPhase waits until a gang that was just
+// submitted is in the phase, and causes the phase where needed.
 type gangPhase struct {
 	name       string
 	awaitPhase func(*cluster)
@@ -34,7 +34,7 @@
 	return gang
 }
 
-// awaitGangState waits until at least that many tasks of the gang are in a state.
+// awaitGangState waits until at least count tasks of the gang are in a state.
 func (c *cluster) awaitGangState(state string, count int) {
 	c.t.Helper()
 	for until := time.Now().Add(time.Minute); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
@@ -274,7 +274,7 @@
 	for _, x := range []struct {
 		name   string
 		state  string
-		why    string
+		reason string
 		lost   bool
 		broken bool
 	}{
@@ -283,7 +283,7 @@
 		{"one is lost while they save", wire.StateSavingCheckpoint, "", true, true},
 		{"one reports an incomplete gang", wire.StateExited, wire.ReasonIncompleteGang, false, true},
 		{"one has failed", wire.StateExited, wire.ReasonError, false, true},
-		{"one reports that members are gone", wire.StateExited, wire.ReasonPeersGone, false, true},
+		{"one reports that its peers have ended", wire.StateExited, wire.ReasonPeersGone, false, true},
 	} {
 		c := newTestController(t)
 		p := c.partitions[0]
@@ -295,10 +295,10 @@
 			tasks[1] = record.Binding{Task: 1, Attempt: 1}
 		}
 		c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Tasks: tasks}), 3)
-		heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, FencingToken: 1, Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: x.state, Reason: x.why}}}
+		heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, FencingToken: 1, Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: x.state, Reason: x.reason}}}
 		if !x.lost {
 			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: "wk-1/1", Attempt: 1, State: wire.StateRunning})
-			if x.state == wire.StateAwaitingGang || x.why == wire.ReasonIncompleteGang {
+			if x.state == wire.StateAwaitingGang || x.reason == wire.ReasonIncompleteGang {
 				heartbeat.Tasks[1].State = wire.StateAwaitingGang
 			}
 		}
@@ -313,8 +313,8 @@
 	}
 }
 
-// newControllerWithGang returns a controller with a gang of four tasks bound to one machine, stored in the
-// given number of task groups.
+// newControllerWithGang returns a controller with a gang of four tasks bound to one machine. The
+// gang is stored in the given number of task groups.
 func newControllerWithGang(t *testing.T, groupCount int) (*controller, *partition, []*taskGroup) {
 	t.Helper()
 	ctl := newTestController(t)
@@ -336,7 +336,7 @@
 }
 
 // applyGangHeartbeat applies the machine's next heartbeat. exitReasons has the exit reasons of the
-// tasks that have exited; all others run.
+// tasks that have exited, by task number; all others run.
 func applyGangHeartbeat(ctl *controller, p *partition, exitReasons map[int]string) {
 	heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, FencingToken: 1}
 	for taskNumber := range 4 {
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -40,14 +40,14 @@
 	}
 }
 
-// Room that is reserved for gangs, or on loan for a job, opens to other jobs once it has been
-// unused for long, even if those jobs were assigned tasks in the meantime.
+// Room that is reserved for gangs, or on loan for a job, becomes available to other jobs once it
+// has been unused for long, even if those jobs were assigned tasks in the meantime.
 func TestUnusedReserveIsAvailableToOtherJobs(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		job    string // the job that the machine is on loan for
-		unused time.Duration
-		open   bool
+		name      string
+		job       string // the job that the machine is on loan for
+		unused    time.Duration
+		available bool
 	}{
 		{"reserve used recently", gangReserveJobID, reserveMaxUnused - time.Second, false},
 		{"reserve unused for long", gangReserveJobID, reserveMaxUnused + time.Second, true},
@@ -61,19 +61,19 @@
 			c.leadership.startedAt, m.partitionChangedAt, m.lastBoundAt = c.now.Add(-time.Hour), c.now.Add(-time.Hour), c.now.Add(-test.unused)
 			summary := &planning.MachineSummary{Index: m.index, Partition: c.loanPartition(), Type: "small", Zone: "a", Size: scheduling.NewResources(4, 0, 8), FreeResources: scheduling.NewResources(4, 0, 8)}
 			array := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", TaskCount: 9}, acceptedAt: c.now.Add(-time.Hour), assignedAt: c.now}
-			if got := c.reserveAllows(array, summary); got != test.open {
-				t.Errorf("the machine is open to arrays: %v, want %v", got, test.open)
+			if got := c.reserveAllows(array, summary); got != test.available {
+				t.Errorf("the machine is available to arrays: %v, want %v", got, test.available)
 			}
 			if gang := (&job{id: "wk-3", spec: &wire.Job{ID: "wk-3", Gang: true}}); !c.reserveAllows(gang, summary) {
-				t.Error("the machine is not open to gangs")
+				t.Error("the machine is not available to gangs")
 			}
 			// A gang that is assigned to the leader's partition but lacks room must not hold
 			// room there that other jobs may use.
 			c.replica.Put(jobKey("wk-3"), marshalJSON(t, record.Job{AcceptedAtMS: c.now.UnixMilli(), Spec: &wire.Job{ID: "wk-3", Team: "t", Gang: true, TaskCount: 4, CPUs: 2}}), 2)
 			c.replica.Put(groupKey("wk-3", 0), marshalJSON(t, record.TaskGroup{Partition: c.loanPartition(), Tasks: []record.Binding{{Task: 0}, {Task: 1}, {Task: 2}, {Task: 3}}}), 3)
 			c.placeAssignedTasks([]*planning.MachineSummary{summary}, c.urgencyComparator())
-			if held := summary.FreeResources.CPU < 4000; held == test.open {
-				t.Errorf("a gang without room for all of its tasks holds room: %v, want %v", held, !test.open)
+			if held := summary.FreeResources.CPU < 4000; held == test.available {
+				t.Errorf("a gang without room for all of its tasks holds room: %v, want %v", held, !test.available)
 			}
 		})
 	}
@@ -128,9 +128,8 @@
 	}
 }
 
-// runGangWithServices starts a service on each of three machines and then a gang that fits
-// only beside the services, on machines of several partitions. It calls check once the gang
-// runs.
+// runGangWithServices starts a service on each of three machines of several partitions, and then
+// a gang that needs the room left on all three. It calls check once the gang runs.
 func runGangWithServices(t *testing.T, check func(c *cluster)) {
 	runCluster(t, func(c *cluster) {
 		c.env.Cloud.SetCapacity(3)
@@ -173,16 +172,16 @@
 			t.Errorf("%d of 3 services run and %d tasks were started after the gang, want 3 and 0", c.countRunningServices(), c.env.CountStartedTasks()-starts)
 		}
 		c.cancelJob("wk-1")
-		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.env.CountRunningTasks("wk-1") == 0 })
+		c.await("the cancelled service has stopped", 30*time.Second, func() bool { return c.env.CountRunningTasks("wk-1") == 0 })
 	})
 }
 
-// Services on loaned machines are cancelled, lost and proven gone like any others, and their
-// records are deleted, even if the leader changes meanwhile.
+// Services on loaned machines are cancelled, and restarted after the loss of a machine, like any
+// others, and their records are deleted, even if the leader changes meanwhile.
 func TestServicesOnLoanedMachines(t *testing.T) {
 	runGangWithServices(t, func(c *cluster) {
 		c.cancelJob("wk-1")
-		c.await("a cancelled service is gone", 30*time.Second, func() bool { return c.env.CountRunningTasks("wk-1") == 0 })
+		c.await("the cancelled service has stopped", 30*time.Second, func() bool { return c.env.CountRunningTasks("wk-1") == 0 })
 		c.await("its record is deleted", 30*time.Second, func() bool { return len(c.env.Store.Keys(groupKey("wk-1", 0))) == 0 })
 		leader := c.leaderIndex()
 		c.kill(leader)
--- a/internal/controller/gang_size_test.go
+++ b/internal/controller/gang_size_test.go
@@ -103,13 +103,13 @@
 // While a gang is only partly assigned or bound, a controller that takes over completes it or
 // releases its cells, a cancellation leaves nothing behind, and lower limits split the records.
 func TestPartiallyBoundGang(t *testing.T) {
-	inPart := func(count int) bool { return count > 0 && count < partialGangTasks }
+	isPartial := func(count int) bool { return count > 0 && count < partialGangTasks }
 	for _, phase := range []struct {
 		name  string
 		holds func(bound, assigned int) bool
 	}{
-		{"assigned", func(_, assigned int) bool { return inPart(assigned) }},
-		{"bound", func(bound, _ int) bool { return inPart(bound) }},
+		{"assigned", func(_, assigned int) bool { return isPartial(assigned) }},
+		{"bound", func(bound, _ int) bool { return isPartial(bound) }},
 	} {
 		for _, x := range []struct {
 			name  string
@@ -148,8 +148,8 @@
 	}
 }
 
-// awaitBindings waits until holds is true of the numbers of bound and assigned tasks of the gang.
-// That may be only for the time between two transactions.
+// awaitBindings waits until holds returns true for the numbers of bound and assigned tasks of the
+// gang, which may be the case only between two transactions.
 func (c *cluster) awaitBindings(holds func(bound, assigned int) bool) {
 	c.t.Helper()
 	for until := time.Now().Add(2 * time.Minute); time.Now().Before(until); time.Sleep(time.Millisecond) {
@@ -177,8 +177,8 @@
 }
 
 // A gang that waits in a partition without room moves to another partition with room for all of
-// it, or to machines of several partitions that are lent for it. A leader may end after the first
-// transaction of a move: the next leader moves the remaining records to where the first one is.
+// it, or to machines of several partitions that are loaned for it. A leader may end after the first
+// transaction of a move: the next leader moves the remaining records to the partition of the first.
 func TestGangMovesTogether(t *testing.T) {
 	c := newTestControllerInCluster(t, 3)
 	spec := &wire.Job{ID: "wk-1", Team: "t", Gang: true, TaskCount: 4, CPUs: 2, Priority: 1, SingleZone: true}
@@ -213,14 +213,14 @@
 		return summary
 	}
 	if c.moveGang([]*planning.MachineSummary{host(0, 0, 4), host(1, 1, 2), host(2, 1, 2)}, job) {
-		t.Error("the gang moves, or machines are lent, although there is no room for all of it")
+		t.Error("the gang moves, or machines are loaned, although there is no room for all of it")
 	}
 	if !c.moveGang([]*planning.MachineSummary{host(0, 0, 4), host(1, 0, 4), host(2, 1, 0)}, job) || c.leadership.writesInFlight != 1 {
 		t.Error("the gang does not move to the partition with room")
 	}
 	c.leadership.writesInFlight = 0
 	if !c.moveGang([]*planning.MachineSummary{host(0, 0, 4), host(1, 1, 4), host(2, 1, 0)}, job) || c.leadership.writesInFlight != 1 {
-		t.Error("no machines of two partitions are lent for the gang")
+		t.Error("no machines of two partitions are loaned for the gang")
 	}
 }
 
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -18,7 +18,7 @@
 	return gang
 }
 
-// attemptCounts returns how many tasks of a job have each attempt number, as known to the first
+// attemptCounts returns the number of a job's tasks by attempt number, according to the first
 // running controller.
 func (c *cluster) attemptCounts(id string) map[uint64]int {
 	counts := map[uint64]int{}
@@ -86,7 +86,7 @@
 // checkLostMember has a gang lose a machine and checks in which attempt it runs afterwards.
 func (c *cluster) checkLostMember(x lostMemberCase) {
 	c.t.Helper()
-	// Leave room in all partitions besides the gang and the gang reserve. If the gang's own
+	// Leave room in all partitions in addition to that for the gang and the gang reserve. If the gang's own
 	// partition had no room left, the gang would begin a new attempt in another partition, which
 	// is correct.
 	const services, remaining = 18, 2
@@ -141,10 +141,10 @@
 		gang.ImageGB, gang.Image, gang.MachineTypes = 3, "gang", []string{"small"}
 		c.submit(gang)
 		c.await("the gang is bound", time.Minute, func() bool { return c.attemptCounts("wk-9")[1] == 4 })
-		isolated := c.agentWithJob("wk-9")
-		isolated.SetIsolated(true) // the task goes on fetching
+		isolatedAgent := c.agentWithJob("wk-9")
+		isolatedAgent.SetIsolated(true) // the task goes on fetching
 		time.Sleep(25 * time.Second)
-		isolated.SetIsolated(false)
+		isolatedAgent.SetIsolated(false)
 		c.env.MarkFaultsEnded()
 		c.awaitDone("wk-9", 2*time.Minute)
 	})
@@ -235,7 +235,7 @@
 	})
 }
 
-// A gang that can never run is refused, also when it is submitted again, even though each of its
+// A gang that can never run is rejected, also when it is submitted again, even though each of its
 // tasks alone could run.
 func TestInfeasibleGangsAreRejected(t *testing.T) {
 	runCluster(t, func(c *cluster) {
--- a/internal/controller/job_lifecycle_test.go
+++ b/internal/controller/job_lifecycle_test.go
@@ -11,7 +11,7 @@
 )
 
 // Arrays and gangs run to completion, a service runs until it is cancelled, and afterwards no
-// record and no machine is left.
+// task group record and no machine is left.
 func TestArraysServicesAndGangsRun(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 30, CPUs: 2, EstimateS: 5}))
@@ -92,8 +92,8 @@
 }
 
 // A stored record that can't be decoded must not affect other jobs, nor lead to tasks being assigned
-// twice, also after all controllers were restarted. Queries for its own job must be told to retry,
-// since the job's state is unknown.
+// twice, also after all controllers were restarted. Queries for its own job must get no final
+// response, since the job's state is unknown.
 func TestUndecodableRecord(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		time.Sleep(3 * time.Second)
--- a/internal/controller/keys_test.go
+++ b/internal/controller/keys_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// Each record key is recognized by its prefix, and keys of other packages are of no kind of
-// this package.
+// Each record key is recognized by its prefix. Keys of other packages have the kind otherKind.
 func TestParseKey(t *testing.T) {
 	for _, x := range []struct {
 		key  string
--- a/internal/controller/legacy_store_view_test.go
+++ b/internal/controller/legacy_store_view_test.go
@@ -13,11 +13,12 @@
 )
 
 // legacyStoreView is a transport that shows the key-value store as a version without levels
-// reads it: such a version ignores the keys of levels and can't decode a task group that is
-// not a JSON object.
+// reads it: such a version ignores rollout keys and can't decode a task group that is not a
+// JSON object.
 type legacyStoreView struct{ inner http.RoundTripper }
 
-// RoundTrip removes from a response what a version without levels would not read.
+// RoundTrip removes rollout keys from the response to a read and makes values undecodable that a
+// version without levels can't decode.
 func (v legacyStoreView) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := v.inner.RoundTrip(r)
 	if err != nil || resp.StatusCode != http.StatusOK || r.Method != http.MethodGet {
@@ -57,6 +58,7 @@
 	return resp, nil
 }
 
+// isRolloutKey reports whether a key holds the rollout state or a controller's registration.
 func isRolloutKey(key string) bool {
 	return key == rollout.StateKey || strings.HasPrefix(key, rollout.RegistrationPrefix)
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -116,7 +116,7 @@
 	})
 }
 
-// A job whose description exceeds the value limit is refused permanently. A job that was accepted
+// A job whose description exceeds the value limit is rejected permanently. A job that was accepted
 // under a higher limit can still be queried, submitted again and cancelled.
 func TestJobSpecsLargerThanValueLimit(t *testing.T) {
 	runCluster(t, func(c *cluster) {
--- a/internal/controller/liveness_test.go
+++ b/internal/controller/liveness_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// newReachableMachine returns a machine of the test controller that has just sent a heartbeat, and
-// its partition.
+// newReachableMachine returns a machine of the test controller that has just sent a heartbeat,
+// and its partition.
 func newReachableMachine(c *controller) (*machine, *partition) {
 	p := c.partitions[0]
 	p.firstToken = p.token
@@ -42,17 +42,19 @@
 	return m, p
 }
 
+// A machine is usable if its owner has recently received a heartbeat with one of its own tokens,
+// and if the machine neither is terminated nor seems not to receive messages.
 func TestUsableMachine(t *testing.T) {
 	for _, x := range []struct {
 		name   string
 		change func(c *controller, m *machine, p *partition)
 		want   bool
 	}{
-		{"heard just now", func(*controller, *machine, *partition) {}, true},
-		{"heard a while ago", func(c *controller, _ *machine, _ *partition) { c.now = c.now.Add(2900 * time.Millisecond) }, true},
-		{"not heard any more", func(c *controller, _ *machine, _ *partition) { c.now = c.now.Add(3 * time.Second) }, false},
-		{"heard before the failover", func(c *controller, _ *machine, p *partition) { p.ownedSince = c.now }, false},
-		{"heard before it moved to the partition", func(c *controller, m *machine, _ *partition) { m.partitionChangedAt = c.now }, false},
+		{"heartbeat just received", func(*controller, *machine, *partition) {}, true},
+		{"last heartbeat 2.9 s ago", func(c *controller, _ *machine, _ *partition) { c.now = c.now.Add(2900 * time.Millisecond) }, true},
+		{"last heartbeat 3 s ago", func(c *controller, _ *machine, _ *partition) { c.now = c.now.Add(3 * time.Second) }, false},
+		{"last heartbeat before the failover", func(c *controller, _ *machine, p *partition) { p.ownedSince = c.now }, false},
+		{"last heartbeat before it moved to the partition", func(c *controller, m *machine, _ *partition) { m.partitionChangedAt = c.now }, false},
 		{"a late copy with a former owner's token", func(_ *controller, _ *machine, p *partition) { p.firstToken++ }, false},
 		{"known only from records", func(_ *controller, m *machine, _ *partition) { m.incarnation = 0 }, false},
 		{"terminated", func(_ *controller, m *machine, _ *partition) { m.terminated = true }, false},
@@ -79,14 +81,15 @@
 	want   bool
 }
 
-// beyondLease is a time after which the lease of a silent machine has certainly expired.
+// beyondLease is a time after which the lease of a machine that sends no heartbeats has certainly
+// expired.
 const beyondLease = time.Minute
 
 var unreachableTests = []unreachableTest{
-	{"silent for less than the timeout", 6900 * time.Millisecond, nil, false},
-	{"silent for longer than the timeout", 7100 * time.Millisecond, nil, true},
-	{"silent, answers a ping", 7100 * time.Millisecond, func(c *controller, m *machine, _ *partition) { m.lastMessageAt = c.now }, false},
-	{"silent during an outage", 7100 * time.Millisecond, func(c *controller, _ *machine, _ *partition) { c.heartbeatsResumedAt = c.now }, false},
+	{"no heartbeat for less than the timeout", 6900 * time.Millisecond, nil, false},
+	{"no heartbeat for longer than the timeout", 7100 * time.Millisecond, nil, true},
+	{"no heartbeat, answers a ping", 7100 * time.Millisecond, func(c *controller, m *machine, _ *partition) { m.lastMessageAt = c.now }, false},
+	{"no heartbeat during an outage", 7100 * time.Millisecond, func(c *controller, _ *machine, _ *partition) { c.heartbeatsResumedAt = c.now }, false},
 	{"one ping unanswered", 1800 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 1 }, false},
 	{"pings unanswered, heartbeats arrive", 1700 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, true},
 	{"pings unanswered by most machines, heartbeats arrive", 1700 * time.Millisecond, func(_ *controller, m *machine, p *partition) { m.commandState.unanswered, p.mostNotReceiving = 2, true }, false},
@@ -98,8 +101,8 @@
 	{"sends without receiving, right after a failover", 0, func(c *controller, m *machine, p *partition) {
 		m.leaseLostWhileHeard, p.ownedSince = true, c.now.Add(-time.Second)
 	}, false},
-	{"answers pings beyond its lease, others are heard", beyondLease, setAnswersPings, true},
-	{"answers pings beyond its lease, no machine is heard", beyondLease, func(c *controller, m *machine, p *partition) {
+	{"answers pings beyond its lease, other machines send heartbeats", beyondLease, setAnswersPings, true},
+	{"answers pings beyond its lease, no machine sends heartbeats", beyondLease, func(c *controller, m *machine, p *partition) {
 		setAnswersPings(c, m, p)
 		c.lastHeartbeatAt = m.heartbeatAt
 	}, false},
@@ -109,15 +112,22 @@
 	}, false},
 }
 
+// setUnansweredSinceFailover changes a machine to one that has sent no heartbeat and left two
+// requests unanswered since its partition's owner changed.
 func setUnansweredSinceFailover(_ *controller, m *machine, p *partition) {
 	p.ownedSince, m.heartbeatAt, m.commandState.unanswered = m.heartbeatAt, time.Time{}, 2
 	m.lastMessageAt = time.Time{}
 }
 
+// setAnswersPings changes a machine to one that has just answered a ping, while a heartbeat of
+// another machine has just arrived.
 func setAnswersPings(c *controller, m *machine, _ *partition) {
 	m.lastMessageAt, c.lastHeartbeatAt = c.now, c.now
 }
 
+// A machine seems unreachable after a timeout without messages, earlier if it seems not to receive
+// any, and also if it answers pings but sends no heartbeat until its lease has expired. It does
+// not if the cause may lie with the controller or affects most machines.
 func TestMachineSeemsUnreachable(t *testing.T) {
 	for _, x := range unreachableTests {
 		c := newTestController(t)
--- a/internal/controller/loans_test.go
+++ b/internal/controller/loans_test.go
@@ -37,6 +37,8 @@
 	}
 }
 
+// checkServiceAcrossPartitions runs a service that needs machines of several partitions and
+// checks that all of its replicas run and that the machines are returned after its cancellation.
 func (c *cluster) checkServiceAcrossPartitions(injectFault func(*cluster)) {
 	c.t.Helper()
 	c.env.Cloud.SetCapacity(8)
@@ -58,8 +60,8 @@
 
 // A task whose group is assigned to another partition ends on a machine of this controller's
 // partition, as after the machine's return from a loan. Its cell must be freed, and this
-// controller must store the end, since no other controller learns of it. Otherwise the job
-// waits forever.
+// controller must store the end, since no other controller receives the machine's heartbeats.
+// Otherwise the job waits forever.
 func TestTaskEndOfAnotherPartitionsGroup(t *testing.T) {
 	c := newTestController(t)
 	c.partitions = append([]*partition{c.partitions[0], {index: 1, key: rollout.InitialState.LeaseKeys().Partition(1)}}, &partition{index: 2, key: rollout.InitialState.LeaseKeys().Leader()})
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -13,7 +13,7 @@
 	"eiderhitch/internal/workerclient"
 )
 
-// A machine that is isolated or fails all of its tasks does not hold up work for long.
+// A machine that is isolated or fails all of its tasks does not delay work for long.
 func TestFaultyMachinesDoNotBlockWork(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submit(newSubmission(submission{ID: "wk-1", Kind: wire.KindService, Team: "blue", Priority: "urgent", Tasks: 3, CPUs: 2}))
@@ -48,8 +48,8 @@
 	return -1
 }
 
-// A machine whose heartbeats arrive, but which receives neither responses nor commands, looks
-// alive. Its tasks must run elsewhere soon after its lease has expired, and it must get no new
+// A machine whose heartbeats arrive, but which receives neither responses nor commands, seems
+// reachable. Its tasks must run elsewhere soon after its lease has expired, and it must get no new
 // ones: it would accept them and lose them again and again.
 func TestMachineNotReceiving(t *testing.T) {
 	runCluster(t, func(c *cluster) {
@@ -114,16 +114,18 @@
 	}
 }
 
+// checkLateCopies terminates a machine, sends copies of its last heartbeat to all controllers, and
+// checks that its replicas run elsewhere.
 func (c *cluster) checkLateCopies(failover bool) {
 	c.t.Helper()
 	c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "low", Tasks: 30, CPUs: 1, EstimateS: 90})) // low-priority tasks that the services can preempt
 	c.startServices(4, 2)
-	dead := c.env.Cloud.Agents()[0]
-	if c.countTasksBoundTo(dead.Name()) == 0 {
+	deadAgent := c.env.Cloud.Agents()[0]
+	if c.countTasksBoundTo(deadAgent.Name()) == 0 {
 		c.t.Fatal("no task is bound to the first machine")
 	}
-	heartbeat := dead.LastHeartbeat()
-	dead.Terminate()
+	heartbeat := deadAgent.LastHeartbeat()
+	deadAgent.Terminate()
 	c.env.Cloud.SetUnavailable(true) // so that only the lease can prove the machine's end
 	if failover {
 		c.restartOneByOne()
@@ -137,8 +139,8 @@
 	// The wait is a whole lease, plus after a failover the time for which a former owner may
 	// have answered heartbeats.
 	c.await("the replicas run elsewhere", c.nodes[0].maxStaleness(), func() bool { return c.areServicesRunning(4, 2) })
-	if n := c.countTasksBoundTo(dead.Name()); n > 0 {
-		c.t.Errorf("%d tasks are bound to the dead machine %s, want none", n, dead.Name())
+	if n := c.countTasksBoundTo(deadAgent.Name()); n > 0 {
+		c.t.Errorf("%d tasks are bound to the dead machine %s, want none", n, deadAgent.Name())
 	}
 }
 
@@ -158,8 +160,8 @@
 		c.submitZonalServices(9, 8, "a")
 		c.await("the services run", time.Minute, func() bool { return c.areServicesRunning(16, 1) })
 		time.Sleep(10 * time.Second)
-		dead := c.busyMachine()
-		dead.Terminate()
+		deadAgent := c.busyMachine()
+		deadAgent.Terminate()
 		c.killAll()
 		time.Sleep(2 * time.Second)
 		c.startAll()
@@ -167,8 +169,8 @@
 		for until := time.Now().Add(limit); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
 			c.checkNoZoneIsolated()
 		}
-		if slices.Contains(c.env.Cloud.Agents(), dead) {
-			t.Errorf("the dead machine %s is not terminated within %v", dead.Name(), limit)
+		if slices.Contains(c.env.Cloud.Agents(), deadAgent) {
+			t.Errorf("the dead machine %s is not terminated within %v", deadAgent.Name(), limit)
 		}
 		c.await("the services run", 20*time.Second, func() bool { return c.areServicesRunning(16, 1) })
 	})
@@ -221,14 +223,14 @@
 }
 
 // After an outage that lasts longer than heartbeats may be answered, no machine is considered
-// silent, because this controller accepted no heartbeats during the outage.
+// unreachable, because the controllers accepted no heartbeats during the outage.
 func TestMachinesAreKeptAfterALongOutage(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.startServices(4, 2)
-		var busy []*agent.Agent
+		var busyAgents []*agent.Agent
 		for _, w := range c.env.Cloud.Agents() {
 			if c.countTasksBoundTo(w.Name()) > 0 {
-				busy = append(busy, w)
+				busyAgents = append(busyAgents, w)
 			}
 		}
 		c.env.Store.SetUnavailable(true)
@@ -237,7 +239,7 @@
 		c.env.MarkFaultsEnded()
 		for range 40 {
 			time.Sleep(250 * time.Millisecond)
-			for _, w := range busy {
+			for _, w := range busyAgents {
 				if !slices.Contains(c.env.Cloud.Agents(), w) {
 					t.Fatalf("healthy machine %s was terminated", w.Name())
 				}
@@ -263,15 +265,15 @@
 		}
 		w.SetOutboundBlocked(true)
 		began := time.Now()
-		missing := time.Duration(0)
+		missingDuration := time.Duration(0)
 		for time.Since(began) < 20*time.Second {
 			time.Sleep(100 * time.Millisecond)
 			if !c.areServicesRunning(5, 2) {
-				missing += 100 * time.Millisecond
+				missingDuration += 100 * time.Millisecond
 			}
 		}
-		if missing == 0 || missing > 2*time.Second {
-			t.Errorf("replicas were missing for %v, want more than 0 and at most 2 s", missing)
+		if missingDuration == 0 || missingDuration > 2*time.Second {
+			t.Errorf("replicas were missing for %v, want more than 0 and at most 2 s", missingDuration)
 		}
 		c.await("the machine is replaced", 40*time.Second, func() bool { return !slices.Contains(c.env.Cloud.Agents(), w) })
 	})
--- a/internal/controller/outage_log_test.go
+++ b/internal/controller/outage_log_test.go
@@ -14,7 +14,7 @@
 func TestOutagesAreLogged(t *testing.T) {
 	for _, x := range []struct {
 		name    string
-		of      string // log attribute that names the dependency
+		attr    string // log attribute that names the dependency
 		setDown func(c *cluster, down bool)
 		nodes   int // number of controllers that log the outage
 	}{
@@ -22,13 +22,13 @@
 		{"the cloud", "of=cloud", func(c *cluster, down bool) { c.env.Cloud.SetUnavailable(down) }, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			runCluster(t, func(c *cluster) { c.checkOutageLines(x.of, x.nodes, func(down bool) { x.setDown(c, down) }) })
+			runCluster(t, func(c *cluster) { c.checkOutageLines(x.attr, x.nodes, func(down bool) { x.setDown(c, down) }) })
 		})
 	}
 }
 
 // checkOutageLines runs a cluster through an outage and checks that the given number of nodes log
-// its beginning and its end.
+// its beginning and its end, in lines that contain attr.
 func (c *cluster) checkOutageLines(attr string, nodes int, setDown func(down bool)) {
 	c.t.Helper()
 	c.alwaysKeepLogs = true
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -15,18 +15,18 @@
 )
 
 // blockEventLoops simulates a lack of processor time: it repeatedly blocks each controller's event
-// loop for the duration busy, with pauses of the duration free in between, until stop is called.
-// The controllers are blocked at different times.
-func (c *cluster) blockEventLoops(busy, free time.Duration) (stop func()) {
+// loop for blockDuration, with pauses of pauseDuration in between, until stop is called. The
+// controllers are blocked at different times.
+func (c *cluster) blockEventLoops(blockDuration, pauseDuration time.Duration) (stop func()) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	var wg sync.WaitGroup
 	for i, n := range c.nodes {
 		ctl := n.controller()
 		wg.Go(func() {
-			time.Sleep(time.Duration(i) * (busy + free) / time.Duration(len(c.nodes)))
+			time.Sleep(time.Duration(i) * (blockDuration + pauseDuration) / time.Duration(len(c.nodes)))
 			for ctx.Err() == nil {
-				ctl.enqueue(priorityStore, func() { time.Sleep(busy) })
-				time.Sleep(busy + free)
+				ctl.enqueue(priorityStore, func() { time.Sleep(blockDuration) })
+				time.Sleep(blockDuration + pauseDuration)
 			}
 		})
 	}
@@ -46,24 +46,24 @@
 }
 
 // If all controllers are short of processor time, their leases must not move, since the next
-// holder would be just as slow. Machines whose heartbeats and responses merely wait to be processed
-// must not be terminated as dead, and submissions must be accepted after some retries.
+// holder would be just as slow. Machines whose heartbeats and responses only wait to be processed
+// must not be terminated as unreachable, and submissions must be accepted after some retries.
 func TestSlowControllersKeepLeasesAndServe(t *testing.T) {
-	for _, busy := range []time.Duration{700 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
-		t.Run(busy.String(), func(t *testing.T) {
-			runCluster(t, func(c *cluster) { c.checkSlowControllers(busy) })
+	for _, blockDuration := range []time.Duration{700 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
+		t.Run(blockDuration.String(), func(t *testing.T) {
+			runCluster(t, func(c *cluster) { c.checkSlowControllers(blockDuration) })
 		})
 	}
 }
 
-// checkSlowControllers checks a cluster whose event loops are repeatedly blocked for the duration
-// busy.
-func (c *cluster) checkSlowControllers(busy time.Duration) {
+// checkSlowControllers checks a cluster whose event loops are repeatedly blocked for
+// blockDuration.
+func (c *cluster) checkSlowControllers(blockDuration time.Duration) {
 	c.t.Helper()
 	c.startServices(4, 2)
 	time.Sleep(10 * time.Second)
-	owners, used := c.leaseHolderNodes(), c.usedMachines()
-	stop := c.blockEventLoops(busy, 300*time.Millisecond)
+	owners, usedAgents := c.leaseHolderNodes(), c.usedMachines()
+	stop := c.blockEventLoops(blockDuration, 300*time.Millisecond)
 	time.Sleep(time.Minute)
 	if now := c.leaseHolderNodes(); !maps.Equal(owners, now) {
 		c.t.Errorf("holders of leased keys changed from %v to %v", owners, now)
@@ -74,9 +74,9 @@
 		c.t.Error("replicas are missing, want all to run")
 	}
 	remaining := c.env.Cloud.Agents()
-	for _, a := range used {
+	for _, a := range usedAgents {
 		if !slices.Contains(remaining, a) {
-			c.t.Errorf("machine %s was terminated although it is alive", a.Name())
+			c.t.Errorf("machine %s was terminated although it is running", a.Name())
 		}
 	}
 	stop()
@@ -98,13 +98,13 @@
 // the event loop would keep them for as long as the process lives.
 func TestBlockedControllerLosesItsLeases(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		const blocked = 2
+		const blockedNode = 2
 		c.startServices(4, 2)
 		time.Sleep(10 * time.Second)
 		before := c.leaseHolderNodes()
-		c.nodes[blocked].controller().enqueue(priorityStore, func() { time.Sleep(time.Minute) })
+		c.nodes[blockedNode].controller().enqueue(priorityStore, func() { time.Sleep(time.Minute) })
 		time.Sleep(3*c.nodes[0].controller().operator.LeaseTTL + time.Second)
-		name := c.nodes[blocked].cfg.Name
+		name := c.nodes[blockedNode].cfg.Name
 		for key, node := range c.leaseHolderNodes() {
 			if before[key] == name && node == name {
 				t.Errorf("%s is still held by the blocked controller %s", key, name)
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -75,7 +75,8 @@
 }
 
 // When tasks of a throttled group move to a partition with room, they take their share of the
-// throttle along: no more tasks may run in total than before, and no moved task is held back.
+// throttle along: the total number of tasks that may run stays the same, and all moved tasks may
+// run.
 func TestSplitThrottledGroup(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "tasks")
--- a/internal/controller/rollout_cluster_test.go
+++ b/internal/controller/rollout_cluster_test.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// storedRolloutState returns the stored rollout state, or rollout.Initial if none is stored.
+// storedRolloutState returns the stored rollout state, or rollout.InitialState if none is stored.
 func (c *cluster) storedRolloutState() rollout.State {
 	raw, ok := c.env.Store.Values(rollout.StateKey)[rollout.StateKey]
 	if !ok {
@@ -52,7 +52,7 @@
 	return state
 }
 
-// awaitLevel waits until the stored state has a level and a phase.
+// awaitLevel waits until the stored rollout state has the given level and phase.
 func (c *cluster) awaitLevel(level rollout.Level, phase rollout.Phase, limit time.Duration) {
 	c.t.Helper()
 	c.await("level "+string(phase), limit, func() bool {
@@ -66,7 +66,7 @@
 	return store.NewClient(c.nodes[0].cfg.External.Store, c.clientTransport)
 }
 
-// upgradeOperator returns an operator who controls the cluster's upgrade.
+// upgradeOperator returns a client with which an operator controls the cluster's upgrade.
 func (c *cluster) upgradeOperator() *rollout.OperatorClient {
 	cfg := c.nodes[0].cfg
 	return &rollout.OperatorClient{Store: c.storeClient(), Members: cfg.ControllerNames(), PartitionCount: cfg.Settings.ControllerCount, MaxTxnChanges: cfg.Settings.Store.TxnOps}
@@ -86,7 +86,7 @@
 	})
 }
 
-// countByEncoding counts the stored groups by encoding.
+// countByEncoding returns the number of stored task groups by encoding.
 func (c *cluster) countByEncoding() map[record.Encoding]int {
 	out := map[record.Encoding]int{}
 	for _, raw := range c.env.Store.Values(groupPrefix) {
@@ -95,7 +95,7 @@
 	return out
 }
 
-// restartWithVersion ends a node's process and starts one of the given version in its place.
+// restartWithVersion kills a node's process and starts one of the given version in its place.
 func (c *cluster) restartWithVersion(i int, version softwareVersion) {
 	c.kill(i)
 	c.nodes[i].version = version
@@ -106,11 +106,11 @@
 // softwareVersion is a version of the controller, described by its support for feature levels.
 type softwareVersion struct {
 	supportedLevels rollout.LevelRange
-	predatesLevels  bool // the version does not know levels and writes records of the base level
+	predatesLevels  bool // the version does not support levels and writes records of the base level
 }
 
 // The versions that take part in the tests of upgrades. versionWithoutLevels runs the current code
-// behind legacyStoreView, which hides from it what such a version does not know.
+// behind legacyStoreView, which hides from it what such a version does not read.
 var (
 	currentVersion       = softwareVersion{supportedLevels: rollout.SupportedLevels}
 	baseLevelVersion     = softwareVersion{supportedLevels: rollout.LevelRange{Low: rollout.BaseLevel, High: rollout.BaseLevel}}
@@ -125,7 +125,7 @@
 	return v.supportedLevels
 }
 
-// recordProcess records the range of levels that a process reads for levelHistoryChecker.
+// recordProcess records, for levelHistoryChecker, the range of levels that a process reads.
 func (c *cluster) recordProcess(p *process) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -39,7 +39,7 @@
 			t.Errorf("records by encoding after the revert: %v, want none with a checksum", f)
 		}
 		if !c.storedRolloutState().OnHold {
-			t.Error("the level is not held after the revert")
+			t.Error("the level is not on hold after the revert")
 		}
 		c.awaitDone("wk-2", 5*time.Minute)
 		if n := c.env.CountRunningTasks("wk-1"); n != 3 {
@@ -72,9 +72,9 @@
 	return false
 }
 
-// A controller that knows levels but does not read the one in force must not be ready, must not
+// A controller that supports levels but does not read the one in force must not be ready, must not
 // hold a lease, must reject users, and must not call the key-value store more than necessary.
-// Replaced by the current version it must serve again.
+// Once it is replaced by the current version, the node must serve again.
 func TestControllerBelowCurrentLevelDoesNotServe(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.startWorkAndFinalize()
@@ -87,8 +87,8 @@
 			}
 			return network.Deliver
 		})
-		const watched = 20
-		for range watched {
+		const observedSeconds = 20
+		for range observedSeconds {
 			time.Sleep(time.Second)
 			if c.nodes[0].controller().IsReady() || c.holdsLease(0) {
 				t.Fatal("the controller is ready or holds a leased key, want neither")
@@ -97,8 +97,8 @@
 				t.Fatalf("query answered with status %d, want 503", answer.status)
 			}
 		}
-		if n := calls.Load(); n > 4*watched {
-			t.Errorf("%d calls to the key-value store in %d s, want at most %d", n, watched, 4*watched)
+		if n := calls.Load(); n > 4*observedSeconds {
+			t.Errorf("%d calls to the key-value store in %d s, want at most %d", n, observedSeconds, 4*observedSeconds)
 		}
 		if n := c.env.CountRunningTasks("wk-1"); n != 3 {
 			t.Errorf("%d replicas run, want 3", n)
@@ -163,8 +163,8 @@
 }
 
 // A corrupt record must be detected, also by controllers that have never read the intact record. Its
-// tasks must keep running, must not be started elsewhere, and must count toward their team's quota;
-// queries must be told to retry. Once the record is restored, the job must be known again.
+// tasks must keep running, must not be started elsewhere, and must count toward their team's quota.
+// Queries must get status 503. Once the record is restored, queries must be served again.
 func TestTasksOfCorruptRecordKeepRunning(t *testing.T) {
 	runUpgradeCluster(t, func(c *cluster) {
 		c.startWorkAndFinalize()
@@ -361,7 +361,7 @@
 		}
 		c.awaitLevel(1, rollout.PhaseActive, 10*time.Second)
 		checkVersions(map[string]peer.Version{"n0n1": peer.ChecksummedFrame, "n1n0": peer.ChecksummedFrame, "n2n1": peer.ChecksummedFrame})
-		// n1 is killed without access to the key-value store, so its registration outlives it.
+		// n1 is killed without access to the key-value store, so its registration stays stored.
 		c.nodes[1].transport.SetFaultPolicy(func(*http.Request) network.Fault { return network.Refuse })
 		c.kill(1)
 		c.nodes[1].transport.SetFaultPolicy(nil)
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -54,8 +54,8 @@
 )
 
 // earlierVersions are the versions that operators may upgrade from: the one in production,
-// which does not support gangs of the protocol, and the first one that does. Their records and
-// frames were written by their own code.
+// which does not support the protocol's gangs, and the first one that does. Their fixtures were
+// written by their own code.
 var earlierVersions = []string{"production", "0da4f63"}
 
 // readFixture returns a record or frame that an earlier version wrote.
@@ -69,7 +69,7 @@
 }
 
 // newStoredValue returns an empty value of the type that the fixture is decoded into, or nil if
-// the fixture is not a record.
+// the fixture is not a record. The part of the name before the first "-" is the kind.
 func newStoredValue(name string) any {
 	switch kind, _, _ := strings.Cut(strings.TrimSuffix(name, ".json"), "-"); kind {
 	case "job":
@@ -234,6 +234,8 @@
 	}
 }
 
+// checkFrameFixture checks that the status frame of an earlier version decodes to the expected
+// status and encodes to the same bytes again.
 func checkFrameFixture(t *testing.T, version string) {
 	t.Helper()
 	raw := readFixture(t, version, "status.bin")
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -9,7 +9,7 @@
 	"eiderhitch/internal/wire"
 )
 
-// A zone that is cut off keeps working for as long as its controllers may answer heartbeats,
+// An isolated zone keeps working for as long as its controllers may answer heartbeats,
 // and then until its machines' leases expire. Its machines must not be terminated in that
 // time: that would stop all tasks in the zone, and other zones may have no room for them.
 func TestIsolatedZoneIsNotTerminated(t *testing.T) {
@@ -26,16 +26,18 @@
 	}
 }
 
+// checkIsolatedZone isolates a zone for almost the duration of a lease and checks that none of
+// its machines is terminated.
 func (c *cluster) checkIsolatedZone(leaderFails bool) {
 	c.t.Helper()
 	c.submitZonalServices(1, 14, "b")
 	c.submitZonalServices(15, 14, "a")
 	c.await("the services run", time.Minute, func() bool { return c.areServicesRunning(28, 1) })
 	time.Sleep(15 * time.Second)
-	var isolated []*agent.Agent
+	var isolatedAgents []*agent.Agent
 	for _, a := range c.env.Cloud.Agents() {
 		if a.Zone() == "b" {
-			isolated = append(isolated, a)
+			isolatedAgents = append(isolatedAgents, a)
 			a.SetIsolated(true)
 		}
 	}
@@ -45,7 +47,7 @@
 		c.start(leader)
 	}
 	time.Sleep(9500 * time.Millisecond) // a lease is 10 s
-	for _, a := range isolated {
+	for _, a := range isolatedAgents {
 		if !slices.Contains(c.env.Cloud.Agents(), a) {
 			c.t.Errorf("machine %s was terminated, although it is only isolated", a.Name())
 		}
@@ -55,7 +57,7 @@
 }
 
 // A single-zone job whose zone has lost all of its machines moves to a zone with room once
-// all of its tasks are proven gone. Otherwise it would wait forever for the first zone.
+// all of its tasks are proven to have ended. Otherwise it would wait forever for the first zone.
 func TestSingleZoneJobLeavesLostZone(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.submitZonalServices(1, 3, "a")
