--- a/internal/controller/gang_ends_test.go
+++ b/internal/controller/gang_ends_test.go
@@ -15,10 +15,11 @@
 )
 
 // A gang lost a machine before it ran, and the write that stored the lost tasks was executed
-// while its response was lost, so the owner still had the ends of attempt 1. Replacement tasks
-// have the same attempt number, so their bindings on other machines counted as ended too. The
-// owner stored an end that was not proven and never released the cells' reservations, and the
-// tasks were bound and ended again every second without ever running. Seen with seed 304.
+// while its response was lost, so the owner still regarded the tasks of attempt 1 as ended.
+// Replacement tasks have the same attempt number, so their bindings on other machines counted as
+// ended too. The owner stored an end that was not proven and never released the cells'
+// reservations, and the tasks were bound and ended again every second without ever running. Seen
+// with seed 304.
 func TestGangMembersAreReplacedAfterLostWriteResponse(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		const services, remaining = 18, 2
@@ -70,8 +71,8 @@
 
 // A gang's tasks complete together, so the first task shown as done completes the job. The owner
 // dropped the bindings of all its tasks at that point, although a task on a machine that hangs
-// stays there until the machine resumes. Its room and its share of the quota went to other tasks of the
-// team, which then exceeded its quota. Seen with seed 138.
+// stays there until the machine resumes. Its room and its share of the quota went to other tasks
+// of the team, which then exceeded its quota. Seen with seed 138.
 func TestDoneGangCountsTowardQuotaUntilTasksEnd(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		const runTime, hangsBefore = 40 * time.Second, 1300 * time.Millisecond
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -86,9 +86,9 @@
 // checkLostMember has a gang lose a machine and checks in which attempt it runs afterwards.
 func (c *cluster) checkLostMember(x lostMemberCase) {
 	c.t.Helper()
-	// Leave room in all partitions in addition to that for the gang and the gang reserve. If the gang's own
-	// partition had no room left, the gang would begin a new attempt in another partition, which
-	// is correct.
+	// Leave room in all partitions in addition to that for the gang and the gang reserve. If the
+	// gang's own partition had no room left, the gang would begin a new attempt in another
+	// partition, which is correct.
 	const services, remaining = 18, 2
 	c.startServices(services, 2)
 	for i := range services - remaining {
@@ -252,8 +252,9 @@
 	})
 }
 
-// Malformed gangs are rejected as such. A known gang is never rejected, even if the current
-// settings would not accept it, and a cancelled gang stays cancelled.
+// Malformed gangs are rejected with status 400, and gangs that can never run with status 422. An
+// accepted gang is never rejected when it is submitted again, even if the current settings would
+// not accept it, and a cancelled gang stays cancelled.
 func TestGangAPIResponses(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		time.Sleep(5 * time.Second)
