--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -139,10 +139,10 @@
 	group := c.groupByKey[key]
 	changes, revision := 0, uint64(8)
 	for free := 1; free <= 60; free++ { // a task of the team ends every 100 ms
-		lim := planning.Quota{Limit: scheduling.NewResources(float64(min(free, 9)), 0, 0)}
-		lim.Usage = group.job.taskSize.Times(group.quotaTaskCount(c.replica.Cursor()))
+		quota := planning.Quota{Limit: scheduling.NewResources(float64(min(free, 9)), 0, 0)}
+		quota.Usage = group.job.taskSize.Times(group.quotaTaskCount(c.replica.Cursor()))
 		before := group.throttleChangedAt
-		c.unthrottle(group.job, &lim)
+		c.unthrottle(group.job, &quota)
 		if group.throttleChangedAt != before { // the change is stored at once
 			changes++
 			revision++
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -217,17 +217,17 @@
 			gang.SingleZone = i == 0
 			c.submit(gang)
 		}
-		begun := map[int]bool{}
+		begunGangs := map[int]bool{}
 		for until := time.Now().Add(100 * time.Second); time.Now().Before(until); time.Sleep(time.Second) {
 			for i := range 3 {
 				id := fmt.Sprintf("wk-10%d", i)
 				if c.env.CountRunningTasks(id) == 6 || c.env.CountCompletedTasks(id) == 6 {
-					begun[i] = true
+					begunGangs[i] = true
 				}
 			}
 		}
-		if len(begun) < 3 {
-			t.Errorf("gangs that began within 100 s: %v, want all three", begun)
+		if len(begunGangs) < 3 {
+			t.Errorf("gangs that began within 100 s: %v, want all three", begunGangs)
 		}
 		for i := range 3 {
 			c.awaitDone(fmt.Sprintf("wk-10%d", i), 5*time.Minute)
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -97,13 +97,13 @@
 		c.submit(newSubmission(submission{ID: "wk-2", Kind: wire.KindArray, Team: "red", Priority: "normal", Tasks: 60, CPUs: 2, EstimateS: 4}))
 		c.await("more than 20 tasks of the job are done", time.Minute, func() bool { return c.env.CountCompletedTasks("wk-1") > 20 })
 		c.killAll()
-		large := c.env.Store.CountValuesLargerThan(1 << 10)
+		largeValues := c.env.Store.CountValuesLargerThan(1 << 10)
 		c.env.Store.SetTxnLimits(1<<10, 10)
 		for i, n := range c.nodes {
 			n.cfg.Settings.Store.ValueKB, n.cfg.Settings.Store.TxnOps = 1, 10
 			c.start(i)
 		}
-		if large == 0 {
+		if largeValues == 0 {
 			t.Error("no record exceeds the lower limit, want at least one")
 		}
 		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 50, CPUs: 1, EstimateS: 2}))
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -153,9 +153,9 @@
 			t.Errorf("of %d users, %d were rejected at once and %d served; want at least 100 and 4", users, counts.rejected, counts.served)
 		}
 		time.Sleep(time.Second)
-		limit, done := context.WithTimeout(c.ctx, userQueryTimeout)
-		defer done()
-		if answer := ctl.Poll(limit, "wk-1"); answer.Status != http.StatusOK {
+		queryCtx, cancelQuery := context.WithTimeout(c.ctx, userQueryTimeout)
+		defer cancelQuery()
+		if answer := ctl.Poll(queryCtx, "wk-1"); answer.Status != http.StatusOK {
 			t.Errorf("status %d after the overload, want 200", answer.Status)
 		}
 	})
@@ -172,10 +172,10 @@
 
 // query queries a job and counts the response.
 func (u *userResponseCounts) query(ctx context.Context, ctl *controller, id string) {
-	limit, done := context.WithTimeout(ctx, userQueryTimeout)
-	defer done()
+	queryCtx, cancelQuery := context.WithTimeout(ctx, userQueryTimeout)
+	defer cancelQuery()
 	begun := time.Now()
-	answer := ctl.Poll(limit, id)
+	answer := ctl.Poll(queryCtx, id)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	switch {
@@ -190,26 +190,26 @@
 
 // Events must run in the order of their priorities, whatever the order in which they were queued.
 func TestEventQueueOrdersByPriority(t *testing.T) {
-	in := newEventQueue()
+	queue := newEventQueue()
 	var got []priority
 	for _, p := range []priority{priorityUsers, priorityWorkers, priorityStore, priorityUsers, priorityStore, priorityWorkers} {
 		f := func() { got = append(got, p) }
 		if p == priorityUsers {
-			in.putUserRequest(f)
+			queue.putUserRequest(f)
 		} else {
-			in.put(t.Context(), p, f)
+			queue.put(t.Context(), p, f)
 		}
 	}
-	if !in.hasEventsAbove(priorityUsers) {
+	if !queue.hasEventsAbove(priorityUsers) {
 		t.Error("hasEventsAbove(priorityUsers) is false, want true: events of higher priorities are queued")
 	}
-	for f := in.tryTake(); f != nil; f = in.tryTake() {
+	for f := queue.tryTake(); f != nil; f = queue.tryTake() {
 		f()
 	}
 	if !slices.Equal(got, []priority{priorityStore, priorityStore, priorityWorkers, priorityWorkers, priorityUsers, priorityUsers}) {
 		t.Errorf("events ran in the order %v, want the highest priority first", got)
 	}
-	if in.hasEventsAbove(numPriorities) {
+	if queue.hasEventsAbove(numPriorities) {
 		t.Error("events are queued after all were taken, want none")
 	}
 }
--- a/internal/controller/rollout_test.go
+++ b/internal/controller/rollout_test.go
@@ -30,13 +30,16 @@
 		c.await("the service runs", 40*time.Second, func() bool { return c.env.CountRunningTasks("wk-1") == 3 })
 		c.requestUpgrade(rollout.RequestFinalize)
 		c.awaitLevel(2, rollout.PhaseStable, 10*time.Second)
-		c.await("records are rewritten", time.Minute, func() bool { f := c.countByEncoding(); return f[record.PlainJSON] == 0 && f[record.Checksummed] > 0 })
+		c.await("records are rewritten", time.Minute, func() bool {
+			counts := c.countByEncoding()
+			return counts[record.PlainJSON] == 0 && counts[record.Checksummed] > 0
+		})
 		c.submit(newSubmission(submission{ID: "wk-3", Kind: wire.KindGang, Team: "blue", Priority: "normal", Tasks: 4, CPUs: 2, EstimateS: 5}))
 		c.awaitDone("wk-3", 2*time.Minute)
 		c.requestUpgrade(rollout.RequestAbort)
 		c.awaitLevel(1, rollout.PhaseStable, time.Minute)
-		if f := c.countByEncoding(); f[record.Checksummed] > 0 {
-			t.Errorf("records by encoding after the revert: %v, want none with a checksum", f)
+		if counts := c.countByEncoding(); counts[record.Checksummed] > 0 {
+			t.Errorf("records by encoding after the revert: %v, want none with a checksum", counts)
 		}
 		if !c.storedRolloutState().OnHold {
 			t.Error("the level is not on hold after the revert")
@@ -148,18 +151,18 @@
 // corruptRecord changes one byte of a stored value. It returns a function that restores the value.
 func (c *cluster) corruptRecord(key string) func() {
 	c.t.Helper()
-	good := c.env.Store.Values(key)[key]
-	bad := bytes.Clone(good)
-	at := len(bad) / 2
-	bad[at] = map[bool]byte{true: 'B', false: 'A'}[bad[at] == 'A']
+	intactValue := c.env.Store.Values(key)[key]
+	corruptValue := bytes.Clone(intactValue)
+	at := len(corruptValue) / 2
+	corruptValue[at] = map[bool]byte{true: 'B', false: 'A'}[corruptValue[at] == 'A']
 	c.keysWrittenByTest[key] = true
 	put := func(raw []byte) {
 		if _, err := c.storeClient().Txn(c.ctx, &wire.Txn{Changes: []wire.Change{{Put: key, Value: raw}}}); err != nil {
 			c.t.Fatal(err)
 		}
 	}
-	put(bad)
-	return func() { put(good) }
+	put(corruptValue)
+	return func() { put(intactValue) }
 }
 
 // A corrupt record must be detected, also by controllers that have never read the intact record. Its
