--- a/internal/controller/gang_phases_test.go
+++ b/internal/controller/gang_phases_test.go
@@ -13,11 +13,11 @@
 	"eiderhitch/internal/wire"
 )
 
-// These tests cover the requirements of the protocol on gangs. docs/design.md lists the
-// requirements with their tests.
+// These tests cover the protocol's requirements on gangs. docs/design.md lists the requirements
+// with their tests.
 
-// gangPhase is a phase in the life of a gang. awaitPhase brings a gang that was just submitted
-// into it.
+// gangPhase is a phase in the life of a gang. awaitPhase waits until a gang that was just
+// submitted is in the phase, and causes the phase where needed.
 type gangPhase struct {
 	name       string
 	awaitPhase func(*cluster)
@@ -34,7 +34,7 @@
 	return gang
 }
 
-// awaitGangState waits until at least that many tasks of the gang are in a state.
+// awaitGangState waits until at least count tasks of the gang are in a state.
 func (c *cluster) awaitGangState(state string, count int) {
 	c.t.Helper()
 	for until := time.Now().Add(time.Minute); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
@@ -274,7 +274,7 @@
 	for _, x := range []struct {
 		name   string
 		state  string
-		why    string
+		reason string
 		lost   bool
 		broken bool
 	}{
@@ -283,7 +283,7 @@
 		{"one is lost while they save", wire.StateSavingCheckpoint, "", true, true},
 		{"one reports an incomplete gang", wire.StateExited, wire.ReasonIncompleteGang, false, true},
 		{"one has failed", wire.StateExited, wire.ReasonError, false, true},
-		{"one reports that members are gone", wire.StateExited, wire.ReasonPeersGone, false, true},
+		{"one reports that its peers have ended", wire.StateExited, wire.ReasonPeersGone, false, true},
 	} {
 		c := newTestController(t)
 		p := c.partitions[0]
@@ -295,10 +295,10 @@
 			tasks[1] = record.Binding{Task: 1, Attempt: 1}
 		}
 		c.replica.Put(groupKey("wk-1", 0), marshalJSON(t, record.TaskGroup{Tasks: tasks}), 3)
-		heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, FencingToken: 1, Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: x.state, Reason: x.why}}}
+		heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, FencingToken: 1, Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: x.state, Reason: x.reason}}}
 		if !x.lost {
 			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: "wk-1/1", Attempt: 1, State: wire.StateRunning})
-			if x.state == wire.StateAwaitingGang || x.why == wire.ReasonIncompleteGang {
+			if x.state == wire.StateAwaitingGang || x.reason == wire.ReasonIncompleteGang {
 				heartbeat.Tasks[1].State = wire.StateAwaitingGang
 			}
 		}
@@ -313,9 +313,9 @@
 	}
 }
 
-// runningGang returns a controller with a gang of four tasks bound to one machine, stored in the
-// given number of task groups.
-func runningGang(t *testing.T, groupCount int) (*controller, *partition, []*taskGroup) {
+// newControllerWithGang returns a controller with a gang of four tasks bound to one machine. The
+// gang is stored in the given number of task groups.
+func newControllerWithGang(t *testing.T, groupCount int) (*controller, *partition, []*taskGroup) {
 	t.Helper()
 	ctl := newTestController(t)
 	p := ctl.partitions[0]
@@ -335,9 +335,9 @@
 	return ctl, p, groups
 }
 
-// sendGangHeartbeat applies the machine's next heartbeat. exitReasons has the exit reasons of the
-// tasks that have exited; all others run.
-func sendGangHeartbeat(ctl *controller, p *partition, exitReasons map[int]string) {
+// applyGangHeartbeat applies the machine's next heartbeat. exitReasons has the exit reasons of the
+// tasks that have exited, by task number; all others run.
+func applyGangHeartbeat(ctl *controller, p *partition, exitReasons map[int]string) {
 	heartbeat := &wire.Heartbeat{Machine: "host-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 2, FencingToken: 1}
 	for taskNumber := range 4 {
 		if reason, ok := exitReasons[taskNumber]; ok {
@@ -371,14 +371,14 @@
 // as done. A controller that takes over after part of the records were stored as done completes
 // the rest.
 func TestDoneGangAfterFailover(t *testing.T) {
-	c, p, groups := runningGang(t, 1)
-	sendGangHeartbeat(c, p, map[int]string{0: wire.ReasonPeersGone, 1: wire.ReasonPeersGone, 2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
+	c, p, groups := newControllerWithGang(t, 1)
+	applyGangHeartbeat(c, p, map[int]string{0: wire.ReasonPeersGone, 1: wire.ReasonPeersGone, 2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
 	if update := c.planUpdate(p, groups[0]); update.doneTasks != 0 || len(update.bindings) != 4 {
 		t.Errorf("no task is done: the update has %d tasks done and %d bindings, want 0 and 4", update.doneTasks, len(update.bindings))
 	}
-	c, p, groups = runningGang(t, 2)
+	c, p, groups = newControllerWithGang(t, 2)
 	c.replica.Put(groups[0].key, marshalJSON(t, record.TaskGroup{DoneTasks: 2, Tasks: []record.Binding{}}), 9) // written by the former owner
-	sendGangHeartbeat(c, p, map[int]string{2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
+	applyGangHeartbeat(c, p, map[int]string{2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
 	if update := c.planUpdate(p, groups[1]); update.doneTasks != 2 || !c.completesJob(groups[1], &update) {
 		t.Errorf("half of the gang is stored as done: the update has %d of the other tasks done, want 2 and the job completed", update.doneTasks)
 	}
@@ -388,8 +388,8 @@
 // and exactly the tasks in wantLeft stay bound.
 func checkDoneGang(t *testing.T, exitReasons map[int]string, wantLeft []int32) {
 	t.Helper()
-	ctl, p, groups := runningGang(t, 1)
-	sendGangHeartbeat(ctl, p, exitReasons)
+	ctl, p, groups := newControllerWithGang(t, 1)
+	applyGangHeartbeat(ctl, p, exitReasons)
 	update := ctl.planUpdate(p, groups[0])
 	var left []int32
 	for _, bound := range update.bindings {
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -18,7 +18,7 @@
 	return gang
 }
 
-// attemptCounts returns how many tasks of a job have each attempt number, as known to the first
+// attemptCounts returns the number of a job's tasks by attempt number, according to the first
 // running controller.
 func (c *cluster) attemptCounts(id string) map[uint64]int {
 	counts := map[uint64]int{}
@@ -86,9 +86,9 @@
 // checkLostMember has a gang lose a machine and checks in which attempt it runs afterwards.
 func (c *cluster) checkLostMember(x lostMemberCase) {
 	c.t.Helper()
-	// Leave room in all partitions besides the gang and the gang reserve. If the gang's own
-	// partition had no room left, the gang would begin a new attempt in another partition, which
-	// is correct.
+	// Leave room in all partitions in addition to that for the gang and the gang reserve. If the
+	// gang's own partition had no room left, the gang would begin a new attempt in another
+	// partition, which is correct.
 	const services, remaining = 18, 2
 	c.startServices(services, 2)
 	for i := range services - remaining {
@@ -141,10 +141,10 @@
 		gang.ImageGB, gang.Image, gang.MachineTypes = 3, "gang", []string{"small"}
 		c.submit(gang)
 		c.await("the gang is bound", time.Minute, func() bool { return c.attemptCounts("wk-9")[1] == 4 })
-		isolated := c.agentWithJob("wk-9")
-		isolated.SetIsolated(true) // the task goes on fetching
+		isolatedAgent := c.agentWithJob("wk-9")
+		isolatedAgent.SetIsolated(true) // the task goes on fetching
 		time.Sleep(25 * time.Second)
-		isolated.SetIsolated(false)
+		isolatedAgent.SetIsolated(false)
 		c.env.MarkFaultsEnded()
 		c.awaitDone("wk-9", 2*time.Minute)
 	})
@@ -217,17 +217,17 @@
 			gang.SingleZone = i == 0
 			c.submit(gang)
 		}
-		begun := map[int]bool{}
+		begunGangs := map[int]bool{}
 		for until := time.Now().Add(100 * time.Second); time.Now().Before(until); time.Sleep(time.Second) {
 			for i := range 3 {
 				id := fmt.Sprintf("wk-10%d", i)
 				if c.env.CountRunningTasks(id) == 6 || c.env.CountCompletedTasks(id) == 6 {
-					begun[i] = true
+					begunGangs[i] = true
 				}
 			}
 		}
-		if len(begun) < 3 {
-			t.Errorf("gangs that began within 100 s: %v, want all three", begun)
+		if len(begunGangs) < 3 {
+			t.Errorf("gangs that began within 100 s: %v, want all three", begunGangs)
 		}
 		for i := range 3 {
 			c.awaitDone(fmt.Sprintf("wk-10%d", i), 5*time.Minute)
@@ -235,7 +235,7 @@
 	})
 }
 
-// A gang that can never run is refused, also when it is submitted again, even though each of its
+// A gang that can never run is rejected, also when it is submitted again, even though each of its
 // tasks alone could run.
 func TestInfeasibleGangsAreRejected(t *testing.T) {
 	runCluster(t, func(c *cluster) {
@@ -252,8 +252,9 @@
 	})
 }
 
-// Malformed gangs are rejected as such. A known gang is never rejected, even if the current
-// settings would not accept it, and a cancelled gang stays cancelled.
+// Malformed gangs are rejected with status 400, and gangs that can never run with status 422. An
+// accepted gang is never rejected when it is submitted again, even if the current settings would
+// not accept it, and a cancelled gang stays cancelled.
 func TestGangAPIResponses(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		time.Sleep(5 * time.Second)
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -15,26 +15,26 @@
 )
 
 // blockEventLoops simulates a lack of processor time: it repeatedly blocks each controller's event
-// loop for the duration busy, with pauses of the duration free in between, until stop is called.
-// The controllers are blocked at different times.
-func (c *cluster) blockEventLoops(busy, free time.Duration) (stop func()) {
+// loop for blockDuration, with pauses of pauseDuration in between, until stop is called. The
+// controllers are blocked at different times.
+func (c *cluster) blockEventLoops(blockDuration, pauseDuration time.Duration) (stop func()) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	var wg sync.WaitGroup
 	for i, n := range c.nodes {
 		ctl := n.controller()
 		wg.Go(func() {
-			time.Sleep(time.Duration(i) * (busy + free) / time.Duration(len(c.nodes)))
+			time.Sleep(time.Duration(i) * (blockDuration + pauseDuration) / time.Duration(len(c.nodes)))
 			for ctx.Err() == nil {
-				ctl.enqueue(priorityStore, func() { time.Sleep(busy) })
-				time.Sleep(busy + free)
+				ctl.enqueue(priorityStore, func() { time.Sleep(blockDuration) })
+				time.Sleep(blockDuration + pauseDuration)
 			}
 		})
 	}
 	return func() { cancel(); wg.Wait() }
 }
 
-// leaseOwners returns the name of the node that holds each leased key.
-func (c *cluster) leaseOwners() map[string]string {
+// leaseHolderNodes returns the name of the node that holds each leased key.
+func (c *cluster) leaseHolderNodes() map[string]string {
 	out := map[string]string{}
 	ctl := c.nodes[0].controller()
 	ctl.call(c.ctx, priorityStore, func() {
@@ -46,26 +46,26 @@
 }
 
 // If all controllers are short of processor time, their leases must not move, since the next
-// holder would be just as slow. Machines whose heartbeats and responses merely wait to be processed
-// must not be terminated as dead, and submissions must be accepted after some retries.
+// holder would be just as slow. Machines whose heartbeats and responses only wait to be processed
+// must not be terminated as unreachable, and submissions must be accepted after some retries.
 func TestSlowControllersKeepLeasesAndServe(t *testing.T) {
-	for _, busy := range []time.Duration{700 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
-		t.Run(busy.String(), func(t *testing.T) {
-			runCluster(t, func(c *cluster) { c.checkSlowControllers(busy) })
+	for _, blockDuration := range []time.Duration{700 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
+		t.Run(blockDuration.String(), func(t *testing.T) {
+			runCluster(t, func(c *cluster) { c.checkSlowControllers(blockDuration) })
 		})
 	}
 }
 
-// checkSlowControllers checks a cluster whose event loops are repeatedly blocked for the duration
-// busy.
-func (c *cluster) checkSlowControllers(busy time.Duration) {
+// checkSlowControllers checks a cluster whose event loops are repeatedly blocked for
+// blockDuration.
+func (c *cluster) checkSlowControllers(blockDuration time.Duration) {
 	c.t.Helper()
 	c.startServices(4, 2)
 	time.Sleep(10 * time.Second)
-	owners, used := c.leaseOwners(), c.usedMachines()
-	stop := c.blockEventLoops(busy, 300*time.Millisecond)
+	owners, usedAgents := c.leaseHolderNodes(), c.usedMachines()
+	stop := c.blockEventLoops(blockDuration, 300*time.Millisecond)
 	time.Sleep(time.Minute)
-	if now := c.leaseOwners(); !maps.Equal(owners, now) {
+	if now := c.leaseHolderNodes(); !maps.Equal(owners, now) {
 		c.t.Errorf("holders of leased keys changed from %v to %v", owners, now)
 	}
 	c.submit(newSubmission(submission{ID: "wk-9", Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 6, CPUs: 2, EstimateS: 5}))
@@ -74,9 +74,9 @@
 		c.t.Error("replicas are missing, want all to run")
 	}
 	remaining := c.env.Cloud.Agents()
-	for _, a := range used {
+	for _, a := range usedAgents {
 		if !slices.Contains(remaining, a) {
-			c.t.Errorf("machine %s was terminated although it is alive", a.Name())
+			c.t.Errorf("machine %s was terminated although it is running", a.Name())
 		}
 	}
 	stop()
@@ -98,14 +98,14 @@
 // the event loop would keep them for as long as the process lives.
 func TestBlockedControllerLosesItsLeases(t *testing.T) {
 	runCluster(t, func(c *cluster) {
-		const blocked = 2
+		const blockedNode = 2
 		c.startServices(4, 2)
 		time.Sleep(10 * time.Second)
-		before := c.leaseOwners()
-		c.nodes[blocked].controller().enqueue(priorityStore, func() { time.Sleep(time.Minute) })
+		before := c.leaseHolderNodes()
+		c.nodes[blockedNode].controller().enqueue(priorityStore, func() { time.Sleep(time.Minute) })
 		time.Sleep(3*c.nodes[0].controller().operator.LeaseTTL + time.Second)
-		name := c.nodes[blocked].cfg.Name
-		for key, node := range c.leaseOwners() {
+		name := c.nodes[blockedNode].cfg.Name
+		for key, node := range c.leaseHolderNodes() {
 			if before[key] == name && node == name {
 				t.Errorf("%s is still held by the blocked controller %s", key, name)
 			}
@@ -153,9 +153,9 @@
 			t.Errorf("of %d users, %d were rejected at once and %d served; want at least 100 and 4", users, counts.rejected, counts.served)
 		}
 		time.Sleep(time.Second)
-		limit, done := context.WithTimeout(c.ctx, userQueryTimeout)
-		defer done()
-		if answer := ctl.Poll(limit, "wk-1"); answer.Status != http.StatusOK {
+		queryCtx, cancelQuery := context.WithTimeout(c.ctx, userQueryTimeout)
+		defer cancelQuery()
+		if answer := ctl.Poll(queryCtx, "wk-1"); answer.Status != http.StatusOK {
 			t.Errorf("status %d after the overload, want 200", answer.Status)
 		}
 	})
@@ -172,10 +172,10 @@
 
 // query queries a job and counts the response.
 func (u *userResponseCounts) query(ctx context.Context, ctl *controller, id string) {
-	limit, done := context.WithTimeout(ctx, userQueryTimeout)
-	defer done()
+	queryCtx, cancelQuery := context.WithTimeout(ctx, userQueryTimeout)
+	defer cancelQuery()
 	begun := time.Now()
-	answer := ctl.Poll(limit, id)
+	answer := ctl.Poll(queryCtx, id)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	switch {
@@ -190,26 +190,26 @@
 
 // Events must run in the order of their priorities, whatever the order in which they were queued.
 func TestEventQueueOrdersByPriority(t *testing.T) {
-	in := newEventQueue()
+	queue := newEventQueue()
 	var got []priority
 	for _, p := range []priority{priorityUsers, priorityWorkers, priorityStore, priorityUsers, priorityStore, priorityWorkers} {
 		f := func() { got = append(got, p) }
 		if p == priorityUsers {
-			in.putUserRequest(f)
+			queue.putUserRequest(f)
 		} else {
-			in.put(t.Context(), p, f)
+			queue.put(t.Context(), p, f)
 		}
 	}
-	if !in.hasEventsAbove(priorityUsers) {
+	if !queue.hasEventsAbove(priorityUsers) {
 		t.Error("hasEventsAbove(priorityUsers) is false, want true: events of higher priorities are queued")
 	}
-	for f := in.tryTake(); f != nil; f = in.tryTake() {
+	for f := queue.tryTake(); f != nil; f = queue.tryTake() {
 		f()
 	}
 	if !slices.Equal(got, []priority{priorityStore, priorityStore, priorityWorkers, priorityWorkers, priorityUsers, priorityUsers}) {
 		t.Errorf("events ran in the order %v, want the highest priority first", got)
 	}
-	if in.hasEventsAbove(numPriorities) {
+	if queue.hasEventsAbove(numPriorities) {
 		t.Error("events are queued after all were taken, want none")
 	}
 }
