--- a/cmd/eiderhitch/upgrade_faults_test.go
+++ b/cmd/eiderhitch/upgrade_faults_test.go
@@ -122,8 +122,8 @@
 // requestCase is a request, the state in which it is made and the state after the leader has
 // carried it out.
 type requestCase struct {
-	request            rollout.Request
-	initial, completed rollout.State
+	request                      rollout.Request
+	initialState, completedState rollout.State
 }
 
 var requestCases = []requestCase{
@@ -142,9 +142,9 @@
 		return f
 	})
 	s.register("n0", "n1")
-	s.put(rollout.StateKey, x.initial.Encode())
+	s.put(rollout.StateKey, x.initialState.Encode())
 	if hasLeader {
-		f.onStored = func() { f.putState(t, x.completed) }
+		f.onStored = func() { f.putState(t, x.completedState) }
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -167,7 +167,7 @@
 					if err := flags.sendRequest(&out, x.request, 15*time.Second); err != nil {
 						t.Errorf("exit status %d with error %v, want none", exitStatusOf(err), err)
 					}
-					want := fmt.Sprintf("%d (%s)", x.completed.Level, x.completed.Phase)
+					want := fmt.Sprintf("%d (%s)", x.completedState.Level, x.completedState.Phase)
 					if f.storedCount != 1 || !strings.Contains(out.String(), want) {
 						t.Errorf("request stored %d times, want once, and %q in the output:\n%s", f.storedCount, want, out.String())
 					}
@@ -246,7 +246,7 @@
 	x := requestCases[0]
 	f := &faultyStore{fault: faultLostResponse, firstCall: callStoreRequest, lastCall: callStoreRequest}
 	s := newFaultyStore(t, x, f, false)
-	newer := x.initial
+	newer := x.initialState
 	newer.Request = rollout.RequestAbort
 	f.onStored = func() { f.putState(t, newer) }
 	flags := s.flags(false)
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -90,9 +90,9 @@
 		}
 		fast, slow := 1+clockDrift, 1-clockDrift
 		// Both the owner's and the worker's clock may run slow.
-		gone := staleness.Seconds()/slow*fast + lease/slow
-		if gone >= cancel {
-			t.Fatalf("maximum staleness %v: tasks are gone after %v s, want less than %v s", staleness, gone, cancel)
+		tasksEndAfterS := staleness.Seconds()/slow*fast + lease/slow
+		if tasksEndAfterS >= cancel {
+			t.Fatalf("maximum staleness %v: tasks are gone after %v s, want less than %v s", staleness, tasksEndAfterS, cancel)
 		}
 		if LeaseExpiry(cancel, lease) <= time.Duration(lease*fast*float64(time.Second)) {
 			t.Fatal("a lease is considered expired while the worker may still hold it")
--- a/internal/controller/fault_machine_effects_test.go
+++ b/internal/controller/fault_machine_effects_test.go
@@ -17,10 +17,10 @@
 }
 
 // machineEvent returns an effect that calls happen once for each of the busiest machines.
-func machineEvent(happen func(a *agent.Agent)) faultEffect {
+func machineEvent(apply func(a *agent.Agent)) faultEffect {
 	return func(s *scheduleRun, f fault) func() {
 		for _, a := range s.busiestMachines(f.target) {
-			happen(a)
+			apply(a)
 		}
 		return doNothing
 	}
--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -27,7 +27,7 @@
 	submittedIDs       []string // IDs of all submitted jobs in order, accepted or not
 	submissions        map[string]*submission
 	handledCompletions map[string]bool // jobs for which raceCompletion has sent its requests
-	cancelled          map[string]bool // jobs that a user has asked to cancel
+	cancelRequested    map[string]bool // jobs that a user has asked to cancel
 }
 
 // The limits of the key-value store after lowerLimits.
@@ -81,7 +81,7 @@
 // newScheduleRun returns a run whose active faults apply to the requests of all controllers.
 func newScheduleRun(c *cluster, seed uint64) *scheduleRun {
 	s := &scheduleRun{cluster: c, seed: seed, rng: rand.New(rand.NewPCG(seed, scheduleSeed)), submissions: map[string]*submission{},
-		handledCompletions: map[string]bool{}, cancelled: map[string]bool{}, savedHeartbeats: map[string][]byte{}}
+		handledCompletions: map[string]bool{}, cancelRequested: map[string]bool{}, savedHeartbeats: map[string][]byte{}}
 	for i, n := range c.nodes {
 		s.policies = append(s.policies, map[int]network.FaultPolicy{})
 		n.transport.SetDelay(minRequestDelay, requestDelayJitter)
@@ -190,7 +190,7 @@
 // cancelServices cancels the services that no user has cancelled.
 func (s *scheduleRun) cancelServices(ids []string) {
 	for _, id := range ids {
-		if s.submissionOf(id).Kind == wire.KindService && !s.wasCancelled(id) {
+		if s.submissionOf(id).Kind == wire.KindService && !s.isCancelRequested(id) {
 			s.cancelWithRetries(id)
 		}
 	}
--- a/internal/controller/fault_user_effects_test.go
+++ b/internal/controller/fault_user_effects_test.go
@@ -49,7 +49,7 @@
 // five minutes.
 func (s *scheduleRun) cancelWithRetries(id string) {
 	s.mu.Lock()
-	s.cancelled[id] = true
+	s.cancelRequested[id] = true
 	s.mu.Unlock()
 	s.sendWithRetries(cancelRequest(id), 5*time.Minute)
 }
@@ -60,18 +60,18 @@
 	defer s.mu.Unlock()
 	var out []string
 	for _, id := range s.submittedIDs {
-		if !s.cancelled[id] {
+		if !s.cancelRequested[id] {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// wasCancelled reports whether a user has asked to cancel a job.
-func (s *scheduleRun) wasCancelled(id string) bool {
+// isCancelRequested reports whether a user has asked to cancel a job.
+func (s *scheduleRun) isCancelRequested(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cancelled[id]
+	return s.cancelRequested[id]
 }
 
 // submissionOf returns the submission of a job, or nil if there was none.
@@ -139,36 +139,36 @@
 func (s *scheduleRun) sendUnusualRequest(number int) {
 	s.mu.Lock()
 	kind := s.rng.IntN(4)
-	known := ""
+	knownID := ""
 	if len(s.submittedIDs) > 0 {
-		known = s.submittedIDs[s.rng.IntN(len(s.submittedIDs))]
+		knownID = s.submittedIDs[s.rng.IntN(len(s.submittedIDs))]
 	}
 	s.mu.Unlock()
 	node := (number - 1) % len(s.nodes)
-	invalid := newSubmission(submission{ID: fmt.Sprintf("wk-9%05d", number), Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 1, CPUs: 1, EstimateS: 1})
+	invalidJob := newSubmission(submission{ID: fmt.Sprintf("wk-9%05d", number), Kind: wire.KindArray, Team: "blue", Priority: "normal", Tasks: 1, CPUs: 1, EstimateS: 1})
 	switch kind {
 	case 0:
-		if known != "" {
-			s.sendRequest(node, submitRequest(s.submissionOf(known), nil))
+		if knownID != "" {
+			s.sendRequest(node, submitRequest(s.submissionOf(knownID), nil))
 		}
 	case 1:
 		s.sendRequest(node, queryRequest(fmt.Sprintf("wk-8%05d", number)))
 	case 2:
-		invalid.CPUs = 64
-		s.checkRefused(node, invalid, http.StatusUnprocessableEntity)
+		invalidJob.CPUs = 64
+		s.checkRefused(node, invalidJob, http.StatusUnprocessableEntity)
 	case 3:
-		invalid.omittedField = "reckonS"
-		s.checkRefused(node, invalid, http.StatusBadRequest)
+		invalidJob.omittedField = "reckonS"
+		s.checkRefused(node, invalidJob, http.StatusBadRequest)
 	}
 }
 
 // checkRefused submits an invalid job twice. Each response, if there is one, must have the wanted
 // status; a controller may also be unavailable.
-func (s *scheduleRun) checkRefused(node int, invalid *submission, want int) {
+func (s *scheduleRun) checkRefused(node int, invalidJob *submission, want int) {
 	for range 2 {
-		response := s.sendRequest(node, submitRequest(invalid, nil))
+		response := s.sendRequest(node, submitRequest(invalidJob, nil))
 		if response.status != want && response.status != http.StatusServiceUnavailable && response.status != 0 {
-			s.t.Errorf("seed %d: submission of the invalid job %+v: status %d, want %d", s.seed, *invalid, response.status, want)
+			s.t.Errorf("seed %d: submission of the invalid job %+v: status %d, want %d", s.seed, *invalidJob, response.status, want)
 		}
 	}
 }
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -68,8 +68,8 @@
 	env.MarkFaultsEnded()
 	c.await("the array is done", 40*time.Minute, func() bool { return c.jobState("wk-1") == wire.StateDone })
 	c.await("all tasks of the service run again", 2*time.Minute, func() bool { return env.CountRunningTasks("wk-2") == 20 })
-	if answer := c.sendRequest(0, queryRequest("wk-1")); answer.status != http.StatusOK {
-		c.t.Errorf("query of the array: status %d, want 200", answer.status)
+	if response := c.sendRequest(0, queryRequest("wk-1")); response.status != http.StatusOK {
+		c.t.Errorf("query of the array: status %d, want 200", response.status)
 	}
 }
 
@@ -86,20 +86,20 @@
 		m.terminated = true
 		c.endAllAttempts(m, "test")
 	}
-	lost := len(c.unstoredEnds)
+	lostCount := len(c.unstoredEnds)
 	for range 3 {
 		c.schedulePartition(p)
 	}
-	if lost < 5000 || log.Len() > 0 {
-		t.Errorf("%d tasks are lost, want at least 5000; logged errors, want none: %s", lost, log.String()[:min(log.Len(), 300)])
+	if lostCount < 5000 || log.Len() > 0 {
+		t.Errorf("%d tasks are lost, want at least 5000; logged errors, want none: %s", lostCount, log.String()[:min(log.Len(), 300)])
 	}
-	waiting := 0
+	waitingCount := 0
 	for _, group := range p.groups {
 		if !group.writeInFlight && group.hasUnstoredEnds {
-			waiting++
+			waitingCount++
 		}
 	}
-	if waiting == 0 || len(c.unstoredEnds) != lost {
-		t.Errorf("%d records wait for the write queue, want at least 1; %d of %d ends of tasks are remembered, want all", waiting, len(c.unstoredEnds), lost)
+	if waitingCount == 0 || len(c.unstoredEnds) != lostCount {
+		t.Errorf("%d records wait for the write queue, want at least 1; %d of %d ends of tasks are remembered, want all", waitingCount, len(c.unstoredEnds), lostCount)
 	}
 }
--- a/internal/controller/rollout_processes_test.go
+++ b/internal/controller/rollout_processes_test.go
@@ -103,10 +103,10 @@
 
 // replaceProcess kills a controller's process and, after up to 0.6 s, starts one of the old or the
 // current version.
-func (u *upgradeRun) replaceProcess(i int, old bool) {
+func (u *upgradeRun) replaceProcess(i int, useOldVersion bool) {
 	u.killProcess(i)
 	time.Sleep(time.Duration(u.rng.IntN(600)) * time.Millisecond)
-	if old {
+	if useOldVersion {
 		u.startProcess(i, u.oldBinary, u.oldArguments...)
 	} else {
 		u.startProcess(i, u.newBinary, u.newArguments...)
--- a/internal/controller/upgrade_schedules_test.go
+++ b/internal/controller/upgrade_schedules_test.go
@@ -159,18 +159,18 @@
 // the highest level is final and stable and all records are in its encoding.
 func (c *cluster) awaitFinalLevel() {
 	c.t.Helper()
-	ready := func() bool {
+	isFinal := func() bool {
 		s := c.storedRolloutState()
 		return s.Level == rollout.SupportedLevels.High && s.Phase == rollout.PhaseStable && !s.OnHold
 	}
 	op := c.upgradeOperator()
 	c.await("the level is final", 2*time.Minute, func() bool {
-		if ready() {
+		if isFinal() {
 			return true
 		}
 		_, _ = op.Submit(c.ctx, rollout.RequestFinalize)
 		time.Sleep(2 * time.Second)
-		return ready()
+		return isFinal()
 	})
 	c.await("all records are in the encoding of the level", 2*time.Minute, func() bool { return c.countByEncoding()[record.PlainJSON] == 0 })
 }
--- a/internal/simulation/agent/faults.go
+++ b/internal/simulation/agent/faults.go
@@ -15,7 +15,7 @@
 	// resumed is closed when a hanging machine resumes. It is nil if the machine doesn't hang.
 	// Commands that arrive in the meantime are executed when the machine resumes, provided
 	// that its lease is still valid.
-	resumed      chan struct{}
+	resumeSignal chan struct{}
 	hangingSince time.Time
 	// clockDrift is the fraction by which the machine's lease lasts longer than its nominal
 	// TTL, because its clock is slower than the controllers' clocks.
@@ -25,7 +25,7 @@
 }
 
 // isHanging reports whether the machine hangs: it executes nothing and sends no heartbeats.
-func (f *faults) isHanging() bool { return f.resumed != nil }
+func (f *faults) isHanging() bool { return f.resumeSignal != nil }
 
 // updateFaults calls change with the machine's faults, holding a.mu.
 func (a *Agent) updateFaults(change func(*faults)) {
@@ -74,11 +74,11 @@
 	switch {
 	case hanging && !a.faults.isHanging():
 		a.advance()
-		a.faults.resumed, a.faults.hangingSince = make(chan struct{}), time.Now()
+		a.faults.resumeSignal, a.faults.hangingSince = make(chan struct{}), time.Now()
 		a.fleet.setTasksHanging(a.tasks, true)
 	case !hanging && a.faults.isHanging():
-		close(a.faults.resumed)
-		a.faults.resumed = nil
+		close(a.faults.resumeSignal)
+		a.faults.resumeSignal = nil
 		a.fleet.setTasksHanging(a.tasks, false)
 		for _, t := range a.tasks {
 			t.stateSince = t.stateSince.Add(time.Since(a.faults.hangingSince)) // the task made no progress while the machine hung
@@ -91,10 +91,10 @@
 // is done first. The caller holds a.mu, which is released during the wait.
 func (a *Agent) awaitResumed() bool {
 	for a.faults.isHanging() {
-		resumed := a.faults.resumed
+		resumeSignal := a.faults.resumeSignal
 		a.mu.Unlock()
 		select {
-		case <-resumed:
+		case <-resumeSignal:
 		case <-a.fleet.ctx.Done():
 		}
 		a.mu.Lock()
--- a/internal/simulation/agent/gang.go
+++ b/internal/simulation/agent/gang.go
@@ -16,18 +16,20 @@
 
 // gang is the state of one attempt of a gang.
 type gang struct {
-	joinedTasks     map[string]bool      // tasks that have fetched their image, by name
-	stoppingTasks   map[string]bool      // tasks that were stopped with a grace period to save a checkpoint, by name
-	startedAt       time.Time            // when the last task joined; zero until then
-	stopRequestedAt time.Time            // when the first of these tasks was stopped; zero until then
-	brokenAt        time.Time            // when a started task was lost or stopped without a checkpoint; zero until then
-	hangingSince    map[string]time.Time // since when the machines of tasks hang, by task name
-	saved           bool                 // the checkpoint of the stopped gang is saved
-	completed       bool                 // all tasks have completed
+	joinedTasks       map[string]bool      // tasks that have fetched their image, by name
+	stoppingTasks     map[string]bool      // tasks that were stopped with a grace period to save a checkpoint, by name
+	startedAt         time.Time            // when the last task joined; zero until then
+	stopRequestedAt   time.Time            // when the first of these tasks was stopped; zero until then
+	brokenAt          time.Time            // when a started task was lost or stopped without a checkpoint; zero until then
+	hangingSince      map[string]time.Time // since when the machines of tasks hang, by task name
+	checkpointSaved   bool                 // the checkpoint of the stopped gang is saved
+	allTasksCompleted bool                 // all tasks have completed
 }
 
 // isFinal reports whether the gang's outcome is final: completed, saved or broken.
-func (g *gang) isFinal() bool { return g.completed || g.saved || !g.brokenAt.IsZero() }
+func (g *gang) isFinal() bool {
+	return g.allTasksCompleted || g.checkpointSaved || !g.brokenAt.IsZero()
+}
 
 // gangForTask returns the gang attempt that a task belongs to. The caller holds f.mu.
 func (f *Fleet) gangForTask(t *task) *gang {
@@ -123,7 +125,7 @@
 			return wire.StateExited, wire.ReasonIncompleteGang
 		}
 		return wire.StateAwaitingGang, ""
-	case g.completed:
+	case g.allTasksCompleted:
 		return wire.StateExited, wire.ReasonDone
 	case !g.brokenAt.IsZero():
 		if now.Sub(g.brokenAt) >= f.GangPeerTimeout/2 {
@@ -148,8 +150,8 @@
 	allStopping := len(g.stoppingTasks) == t.spec.TaskCount
 	switch {
 	case allStopping && elapsed >= seconds(t.spec.CheckpointSaveS):
-		if !g.saved {
-			g.saved = true
+		if !g.checkpointSaved {
+			g.checkpointSaved = true
 			f.savedProgress[trace.JobID(t.name)] += g.stopRequestedAt.Sub(g.startedAt)
 		}
 		return wire.StateExited, wire.ReasonStopped
@@ -161,7 +163,7 @@
 
 // completeGang saves the results of all tasks of a gang. The caller holds f.mu.
 func (f *Fleet) completeGang(g *gang) {
-	g.completed = true
+	g.allTasksCompleted = true
 	for name := range g.joinedTasks { // no task leaves this set once the gang has started
 		f.taskCompletedLocked(name)
 	}
--- a/internal/simulation/cloud/cloud.go
+++ b/internal/simulation/cloud/cloud.go
@@ -185,10 +185,10 @@
 }
 
 // list returns the machines whose names sort after the given one. The caller holds c.mu.
-func (c *Cloud) list(after string) wire.InstanceList {
+func (c *Cloud) list(afterName string) wire.InstanceList {
 	out := wire.InstanceList{Instances: []wire.Instance{}}
 	for _, i := range c.instances {
-		if i == nil || i.Name <= after {
+		if i == nil || i.Name <= afterName {
 			continue
 		}
 		listed := i.Instance
--- a/internal/simulation/kv/store.go
+++ b/internal/simulation/kv/store.go
@@ -46,7 +46,7 @@
 	history               []wire.Event
 	leases                map[uint64]*lease
 	lastLease             uint64
-	changed               chan struct{} // closed and replaced at each transaction or lease expiry
+	changeSignal          chan struct{} // closed and replaced at each transaction or lease expiry
 	unavailable           bool
 	maxChanges            int
 	maxValueBytes         int
@@ -66,7 +66,7 @@
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{entries: map[string]entry{}, leases: map[uint64]*lease{}, changed: make(chan struct{}),
+	return &Store{entries: map[string]entry{}, leases: map[uint64]*lease{}, changeSignal: make(chan struct{}),
 		maxChanges: defaultMaxChanges, maxValueBytes: defaultMaxValueBytes}
 }
 
@@ -149,10 +149,10 @@
 
 // keysAfter returns the keys that begin with prefix and sort after the key after, in lexical
 // order. The caller holds s.mu.
-func (s *Store) keysAfter(prefix, after string) []string {
+func (s *Store) keysAfter(prefix, afterKey string) []string {
 	var out []string
 	for key := range s.entries {
-		if strings.HasPrefix(key, prefix) && key > after {
+		if strings.HasPrefix(key, prefix) && key > afterKey {
 			out = append(out, key)
 		}
 	}
@@ -184,6 +184,6 @@
 
 // notifyWatches makes all waiting watch requests check for changes. The caller holds s.mu.
 func (s *Store) notifyWatches() {
-	close(s.changed)
-	s.changed = make(chan struct{})
+	close(s.changeSignal)
+	s.changeSignal = make(chan struct{})
 }
--- a/internal/simulation/kv/store_test.go
+++ b/internal/simulation/kv/store_test.go
@@ -25,12 +25,12 @@
 }
 
 // call sends a request to the store and decodes the response into answer unless it is nil.
-func call(t *testing.T, s *Store, r *http.Request, answer any) (status int) {
+func call(t *testing.T, s *Store, r *http.Request, response any) (status int) {
 	t.Helper()
 	recorder := httptest.NewRecorder()
 	s.ServeHTTP(recorder, r)
-	if answer != nil {
-		if err := json.Unmarshal(recorder.Body.Bytes(), answer); err != nil {
+	if response != nil {
+		if err := json.Unmarshal(recorder.Body.Bytes(), response); err != nil {
 			t.Fatalf("%s %s: invalid response body: %v", r.Method, r.URL, err)
 		}
 	}
@@ -38,10 +38,10 @@
 }
 
 // transact sends a transaction to the store.
-func transact(t *testing.T, s *Store, conditions []wire.Condition, changes ...wire.Change) (status int, answer wire.TxnResponse) {
+func transact(t *testing.T, s *Store, conditions []wire.Condition, changes ...wire.Change) (status int, response wire.TxnResponse) {
 	t.Helper()
-	status = call(t, s, newRequest(t, http.MethodPost, txnPath, wire.Txn{Conditions: conditions, Changes: changes}), &answer)
-	return status, answer
+	status = call(t, s, newRequest(t, http.MethodPost, txnPath, wire.Txn{Conditions: conditions, Changes: changes}), &response)
+	return status, response
 }
 
 // putChange returns a change that stores a value of size bytes.
@@ -52,23 +52,23 @@
 // grantLease requests a lease and returns its ID.
 func grantLease(t *testing.T, s *Store, ttl time.Duration) uint64 {
 	t.Helper()
-	var answer wire.LeaseResponse
-	if status := call(t, s, newRequest(t, http.MethodPost, grantPath, wire.LeaseRequest{TTLMS: ttl.Milliseconds()}), &answer); status != http.StatusOK {
+	var response wire.LeaseResponse
+	if status := call(t, s, newRequest(t, http.MethodPost, grantPath, wire.LeaseRequest{TTLMS: ttl.Milliseconds()}), &response); status != http.StatusOK {
 		t.Fatalf("request for a lease: status %d, want 200", status)
 	}
-	return answer.Lease
+	return response.Lease
 }
 
 // A transaction makes all its changes if all conditions hold. Otherwise it makes none, and the
 // response names the keys whose conditions failed.
 func TestTxnConditions(t *testing.T) {
 	s := NewStore()
-	if status, answer := transact(t, s, []wire.Condition{{Key: "a"}}, putChange("a", 3), putChange("b", 3)); status != http.StatusOK || answer.Revision != 1 {
-		t.Fatalf("first transaction: status %d, revision %d; want 200 and 1", status, answer.Revision)
+	if status, response := transact(t, s, []wire.Condition{{Key: "a"}}, putChange("a", 3), putChange("b", 3)); status != http.StatusOK || response.Revision != 1 {
+		t.Fatalf("first transaction: status %d, revision %d; want 200 and 1", status, response.Revision)
 	}
-	status, answer := transact(t, s, []wire.Condition{{Key: "a"}, {Key: "b", Revision: 1}}, putChange("c", 3))
-	if status != http.StatusConflict || !slices.Equal(answer.FailedKeys, []string{"a"}) {
-		t.Errorf("second transaction: status %d, failed keys %v; want 409 and a", status, answer.FailedKeys)
+	status, response := transact(t, s, []wire.Condition{{Key: "a"}, {Key: "b", Revision: 1}}, putChange("c", 3))
+	if status != http.StatusConflict || !slices.Equal(response.FailedKeys, []string{"a"}) {
+		t.Errorf("second transaction: status %d, failed keys %v; want 409 and a", status, response.FailedKeys)
 	}
 	if keys := s.Keys(""); !slices.Equal(keys, []string{"a", "b"}) {
 		t.Errorf("stored keys %v, want a and b", keys)
@@ -130,22 +130,22 @@
 		change := putChange("a", 3)
 		change.Lease = lease
 		transact(t, s, nil, change)
-		there := func() bool {
+		keyExists := func() bool {
 			return call(t, s, newRequest(t, http.MethodGet, itemsPath+"a", nil), nil) == http.StatusOK
 		}
 		time.Sleep(ttl)
-		if !there() {
+		if !keyExists() {
 			t.Error("the key was deleted before its lease expired")
 		}
 		s.SetUnavailable(true)
 		time.Sleep(5 * ttl)
 		s.SetUnavailable(false)
 		time.Sleep(ttl)
-		if !there() {
+		if !keyExists() {
 			t.Error("the key was deleted although its lease was renewed at the end of the outage")
 		}
 		time.Sleep(time.Second)
-		if there() {
+		if keyExists() {
 			t.Error("the key still exists after its lease expired")
 		}
 		if status, _ := transact(t, s, nil, change); status != http.StatusBadRequest {
@@ -162,14 +162,14 @@
 		change := putChange("w/a", 3)
 		change.Lease = grantLease(t, s, 4*time.Second)
 		transact(t, s, nil, change, putChange("x/b", 3))
-		begun := time.Now()
-		var answer wire.WatchResponse
-		call(t, s, newRequest(t, http.MethodGet, watchPath+"?starts=w/&since=1&waitMs=30000", nil), &answer)
-		if len(answer.Events) != 1 || answer.Events[0].Delete != "w/a" {
-			t.Errorf("watch returned %+v, want the deletion of w/a", answer.Events)
+		startedAt := time.Now()
+		var response wire.WatchResponse
+		call(t, s, newRequest(t, http.MethodGet, watchPath+"?starts=w/&since=1&waitMs=30000", nil), &response)
+		if len(response.Events) != 1 || response.Events[0].Delete != "w/a" {
+			t.Errorf("watch returned %+v, want the deletion of w/a", response.Events)
 		}
-		if after := time.Since(begun).Truncate(time.Second); after != 4*time.Second {
-			t.Errorf("watch returned after %v, want 4s, the TTL of the lease", after)
+		if elapsed := time.Since(startedAt).Truncate(time.Second); elapsed != 4*time.Second {
+			t.Errorf("watch returned after %v, want 4s, the TTL of the lease", elapsed)
 		}
 	})
 }
--- a/internal/simulation/kv/watch.go
+++ b/internal/simulation/kv/watch.go
@@ -14,19 +14,19 @@
 
 // watchRequest is a request for the changes of keys with a prefix after a revision.
 type watchRequest struct {
-	prefix   string
-	after    uint64
-	wait     time.Duration // 0 means that the request doesn't wait for changes
-	deadline time.Time
+	prefix        string
+	afterRevision uint64
+	wait          time.Duration // 0 means that the request doesn't wait for changes
+	deadline      time.Time
 }
 
 // parseWatch parses the query of a watch request.
 func parseWatch(r *http.Request) watchRequest {
 	query := r.URL.Query()
-	after, _ := strconv.ParseUint(query.Get("since"), 10, 64) // 0 if it is missing: all changes
-	waitMS, _ := strconv.Atoi(query.Get("waitMs"))            // 0 if it is missing: no wait
+	afterRevision, _ := strconv.ParseUint(query.Get("since"), 10, 64) // 0 if it is missing: all changes
+	waitMS, _ := strconv.Atoi(query.Get("waitMs"))                    // 0 if it is missing: no wait
 	wait := time.Duration(waitMS) * time.Millisecond
-	return watchRequest{prefix: query.Get("starts"), after: after, wait: wait, deadline: time.Now().Add(wait)}
+	return watchRequest{prefix: query.Get("starts"), afterRevision: afterRevision, wait: wait, deadline: time.Now().Add(wait)}
 }
 
 // serveWatch responds as soon as there are changes or the request's wait time is over. During
@@ -36,22 +36,22 @@
 	for {
 		s.mu.Lock()
 		s.expireLeases()
-		down, changed := s.unavailable, s.changed
+		unavailable, changeSignal := s.unavailable, s.changeSignal
 		var response wire.WatchResponse
-		if !down {
+		if !unavailable {
 			response = s.changesFor(request)
 		}
 		s.mu.Unlock()
-		if down && request.wait == 0 {
+		if unavailable && request.wait == 0 {
 			reply(w, http.StatusServiceUnavailable, struct{}{})
 			return
 		}
-		if !down && (len(response.Events) > 0 || !time.Now().Before(request.deadline)) {
+		if !unavailable && (len(response.Events) > 0 || !time.Now().Before(request.deadline)) {
 			reply(w, http.StatusOK, response)
 			return
 		}
 		select {
-		case <-changed:
+		case <-changeSignal:
 		case <-r.Context().Done():
 			return
 		case <-time.After(expiryInterval):
@@ -63,7 +63,7 @@
 func (s *Store) changesFor(request watchRequest) wire.WatchResponse {
 	response := wire.WatchResponse{Revision: s.revision, Events: []wire.Event{}}
 	for _, e := range s.history {
-		if e.Revision > request.after && strings.HasPrefix(e.Put+e.Delete, request.prefix) {
+		if e.Revision > request.afterRevision && strings.HasPrefix(e.Put+e.Delete, request.prefix) {
 			response.Events = append(response.Events, e)
 		}
 	}
--- a/internal/simulation/rules/check.go
+++ b/internal/simulation/rules/check.go
@@ -72,8 +72,8 @@
 
 // Check returns the violations in a trace, in the order in which they were found. The events may
 // be in any order.
-func Check(events []trace.Event, expected Expectations) []Violation {
-	c := &checker{Expectations: expected, jobs: map[string]*job{}, tasks: map[string]*task{}, machines: map[string]*machine{}}
+func Check(events []trace.Event, expectations Expectations) []Violation {
+	c := &checker{Expectations: expectations, jobs: map[string]*job{}, tasks: map[string]*task{}, machines: map[string]*machine{}}
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b trace.Event) int { return a.Time().Compare(b.Time()) })
 	for _, e := range events {
--- a/internal/simulation/rules/check_test.go
+++ b/internal/simulation/rules/check_test.go
@@ -77,7 +77,7 @@
 }
 
 // ended is the last event of the traces that need one.
-var ended = trace.RecordingEnded{At: timeAt(400)}
+var recordingEnded = trace.RecordingEnded{At: timeAt(400)}
 
 // ruleCase is a trace without violations and events that, once added, violate at most one
 // rule.
@@ -85,8 +85,8 @@
 	name          string
 	violated      Rule    // the rule that the added events violate; "" means none
 	faultsEndedAt float64 // when all faults have ended, in seconds; 0 means never
-	before        []trace.Event
-	added         []trace.Event
+	baseEvents    []trace.Event
+	addedEvents   []trace.Event
 }
 
 // check checks the trace of a case without and with the added events.
@@ -96,11 +96,11 @@
 	if x.faultsEndedAt > 0 {
 		expected.FaultsEndedAt = timeAt(x.faultsEndedAt)
 	}
-	events := slices.Concat([]trace.Event{submit(testJob("wk-1"))}, testMachines(), x.before)
+	events := slices.Concat([]trace.Event{submit(testJob("wk-1"))}, testMachines(), x.baseEvents)
 	if got := Check(events, expected); len(got) > 0 && x.violated != NoTaskStarted {
 		t.Errorf("violations without the added events: %v, want none", got)
 	}
-	got := Check(append(events, x.added...), expected)
+	got := Check(append(events, x.addedEvents...), expected)
 	if x.violated == "" && len(got) > 0 {
 		t.Errorf("violations: %v, want none", got)
 	}
@@ -141,7 +141,7 @@
 	return []ruleCase{
 		{"cancelled and still on its machine", RanAfterCancellation, 0, one, cancelledThen(run("wk-1/1", "m1", 4, 50)...)},
 		{"cancelled and started late", RanAfterCancellation, 0, one, cancelledThen(run("wk-1/1", "m1", 40, 41)...)},
-		{"cancelled and never stopped", RanAfterCancellation, 0, one, cancelledThen(append(neverStopped, ended)...)},
+		{"cancelled and never stopped", RanAfterCancellation, 0, one, cancelledThen(append(neverStopped, recordingEnded)...)},
 		{"cancelled and stopped in time", "", 0, one, cancelledThen(run("wk-1/1", "m1", 4, 30)...)},
 	}
 }
@@ -183,16 +183,16 @@
 		{"queried before the cancellation was answered", "", 0, cancelled, only(query(3.1, "wk-1", http.StatusOK, wire.StateRunning))},
 		{"done and cancelled", FinalStateChanged, 0, append(slices.Clone(bothCompleted), done), only(cancel(10, "wk-1"))},
 		{"cancelled without a request", FinalStateChanged, 0, one, only(query(4, "wk-1", http.StatusOK, wire.StateCancelled))},
-		{"nothing", NoTaskStarted, 0, nil, only(ended)},
+		{"nothing", NoTaskStarted, 0, nil, only(recordingEnded)},
 	}
 }
 
 func waitingCases() []ruleCase {
 	one := run("wk-1/0", "m1", 2, 9)
 	running := func(seconds float64) trace.Event { return query(seconds, "wk-1", http.StatusOK, wire.StateRunning) }
-	cancelled := []trace.Event{cancel(25, "wk-1"), query(50, "wk-1", http.StatusOK, wire.StateCancelled), ended}
+	cancelled := []trace.Event{cancel(25, "wk-1"), query(50, "wk-1", http.StatusOK, wire.StateCancelled), recordingEnded}
 	return []ruleCase{
-		{"waits despite room", WaitsDespiteCapacity, 20, one, []trace.Event{running(30), running(50), running(200), ended}},
+		{"waits despite room", WaitsDespiteCapacity, 20, one, []trace.Event{running(30), running(50), running(200), recordingEnded}},
 		{"waits after cancellation", "", 20, one, cancelled},
 	}
 }
--- a/internal/simulation/rules/waiting.go
+++ b/internal/simulation/rules/waiting.go
@@ -71,16 +71,16 @@
 // placement constraints. It counts at most missing tasks for each machine, so the result may
 // exceed missing.
 func (c *checker) countRoom(j *job, missing int) int {
-	placed := map[string]int{} // number of tasks by zone
+	placedByZone := map[string]int{} // number of tasks by zone
 	for _, t := range c.tasks {
 		if t.job == j {
-			placed[t.machine.zone]++
+			placedByZone[t.machine.zone]++
 		}
 	}
 	total := 0
-	for zone, room := range c.roomByZone(j, placed, missing) {
+	for zone, room := range c.roomByZone(j, placedByZone, missing) {
 		if j.spec.SpreadsZones {
-			room = min(room, maxPerZone(j.spec)-placed[zone])
+			room = min(room, maxPerZone(j.spec)-placedByZone[zone])
 		}
 		if j.spec.SingleZone && room < missing {
 			room = 0
@@ -93,13 +93,13 @@
 // roomByZone returns for how many more tasks of the job the allowed machines of each zone have
 // room, counting at most limit tasks for each machine. If the job has no constraints on zones,
 // all machines count for the zone "".
-func (c *checker) roomByZone(j *job, placed map[string]int, limit int) map[string]int {
+func (c *checker) roomByZone(j *job, placedByZone map[string]int, limit int) map[string]int {
 	room := map[string]int{}
 	for _, m := range c.machines {
 		if !allowsMachine(j.spec, m) {
 			continue
 		}
-		if j.spec.SingleZone && len(placed) > 0 && placed[m.zone] == 0 {
+		if j.spec.SingleZone && len(placedByZone) > 0 && placedByZone[m.zone] == 0 {
 			continue
 		}
 		zone := ""
--- a/internal/tools/docs/architecture_test.go
+++ b/internal/tools/docs/architecture_test.go
@@ -250,9 +250,9 @@
 	for directory, files := range sourcePackages(t) {
 		for _, file := range files {
 			for _, spec := range file.Imports {
-				imported, ours := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), module)
+				imported, isInModule := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), module)
 				position, listed := order[imported]
-				if ours && listed && position <= order[directory] {
+				if isInModule && listed && position <= order[directory] {
 					t.Errorf("%s imports %s, which is not below it in architecture.md", directory, imported)
 				}
 			}
