--- a/cmd/eiderhitch/upgrade.go
+++ b/cmd/eiderhitch/upgrade.go
@@ -109,7 +109,7 @@
 // not execute or answer. Other errors are returned unchanged.
 func withStoreHint(err error) error {
 	if errors.Is(err, store.ErrOutcomeUnknown) || errors.Is(err, store.ErrNotExecuted) {
-		return fmt.Errorf("%w; nothing was changed: see that external.state in the settings can be reached, and try again", err)
+		return fmt.Errorf("%w; nothing was changed; check that the address external.state in the settings can be reached, and try again", err)
 	}
 	return err
 }
@@ -132,7 +132,7 @@
 		return &exitError{exitStateChanged, err}
 	}
 	if _, outcomeUnknown := errors.AsType[*rollout.OutcomeUnknownError](err); outcomeUnknown {
-		return &exitError{exitOutcomeUnknown, fmt.Errorf("%w; look at the status, and ask again if it does not show the request", err)}
+		return &exitError{exitOutcomeUnknown, fmt.Errorf("%w; check the status, and repeat the request if the status does not show it", err)}
 	}
 	if err != nil {
 		return withStoreHint(err)
@@ -146,13 +146,13 @@
 	for {
 		status, err := client.Status(ctx)
 		if err != nil {
-			return &exitError{exitNotCompleted, fmt.Errorf("%s is stored, and what became of it can't be read: %w; look at the status", submitted.Request, err)}
+			return &exitError{exitNotCompleted, fmt.Errorf("%s is stored, but its progress can't be read: %w; check the status", submitted.Request, err)}
 		}
 		if rollout.IsCompleted(submitted, status.State) {
 			return c.print(out, status)
 		}
 		if !time.Now().Before(deadline) {
-			return &exitError{exitNotCompleted, fmt.Errorf("%s is asked for and not carried out yet: look at the status", submitted.Request)}
+			return &exitError{exitNotCompleted, fmt.Errorf("%s is stored but not carried out yet; check the status", submitted.Request)}
 		}
 		time.Sleep(pollInterval)
 	}
--- a/cmd/eiderhitch/upgrade_faults_test.go
+++ b/cmd/eiderhitch/upgrade_faults_test.go
@@ -230,7 +230,7 @@
 				t.Errorf("error %v, want exit status %d and %q in one line", err, x.status, x.wantText)
 			}
 			if took := time.Since(start); took > wait+commandTimeout {
-				t.Errorf("the command ends after %v, too late", took)
+				t.Errorf("the command took %v, too long", took)
 			}
 			if f.storedCount > 1 {
 				t.Errorf("request stored %d times, want at most once", f.storedCount)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -83,14 +83,14 @@
 	// LeaseDurationS is the time after the last answered heartbeat after which a worker kills
 	// its tasks.
 	LeaseDurationS float64 `toml:"lease_s"`
-	// CancelDeadlineS is the time within which all tasks of a cancelled job must be gone.
+	// CancelDeadlineS is the time within which all tasks of a cancelled job must end.
 	CancelDeadlineS float64 `toml:"cancel_s"`
 	// GangWaitTimeoutS is how long a task of a gang waits for the other tasks to start. 0
 	// means that the platform does not set it.
 	GangWaitTimeoutS float64 `toml:"gang_wait_s"`
 	// GangPeerTimeoutS is the time after the loss of a gang's task within which all its other
-	// tasks must be told to stop or notice the loss themselves. 0 means that the platform does
-	// not set it.
+	// tasks must receive a stop command or detect the loss themselves. 0 means that the platform
+	// does not set it.
 	GangPeerTimeoutS float64 `toml:"gang_peer_s"`
 }
 
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -92,7 +92,7 @@
 		// Both the owner's and the worker's clock may run slow.
 		tasksEndAfterS := staleness.Seconds()/slow*fast + lease/slow
 		if tasksEndAfterS >= cancel {
-			t.Fatalf("maximum staleness %v: tasks are gone after %v s, want less than %v s", staleness, tasksEndAfterS, cancel)
+			t.Fatalf("maximum staleness %v: tasks end after %v s, want less than %v s", staleness, tasksEndAfterS, cancel)
 		}
 		if LeaseExpiry(cancel, lease) <= time.Duration(lease*fast*float64(time.Second)) {
 			t.Fatal("a lease is considered expired while the worker may still hold it")
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -24,7 +24,7 @@
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // LeaseExpiry returns the time after which all tasks of an unreachable worker are guaranteed
-// to be gone, measured on any machine's clock from the last response that may have renewed
+// to have ended, measured on any machine's clock from the last response that may have renewed
 // the worker's lease.
 func LeaseExpiry(cancelS, leaseS float64) time.Duration {
 	return Seconds(leaseS*(1+2*clockDrift)) + leaseMargin(cancelS, leaseS)
@@ -33,8 +33,8 @@
 // MaxStaleness returns how long the owner of a partition may answer heartbeats after the
 // start of its last successful read of the key-value store. Immediately after that read,
 // another controller may have confirmed a cancellation to a user. All tasks of the job must
-// then be gone within cancelS, and the tasks of an unreachable worker are gone only after one
-// full lease.
+// then end within cancelS, and the tasks of an unreachable worker may run for one full lease
+// more.
 func MaxStaleness(cancelS, leaseS float64) time.Duration {
 	return Seconds(cancelS*(1-2*clockDrift)) - LeaseExpiry(cancelS, leaseS) - leaseMargin(cancelS, leaseS)
 }
--- a/internal/controller/cancellation_gap_test.go
+++ b/internal/controller/cancellation_gap_test.go
@@ -24,11 +24,12 @@
 // tasks save checkpoints, and an array that has just been submitted and is fetching its image.
 var cancellationGapJobs = []string{"wk-1", "wk-2", "wk-3", "wk-4"}
 
-// Cancelled tasks must end within cancel_s even if their partition's owner never learns of the
+// Cancelled tasks must end within cancel_s even if their partition's owner can't read the
 // cancellation. The key-value store first refuses the requests of two owners while the third
-// controller confirms cancellations; then the store is down for everyone for longer than cancel_s,
-// while agents keep sending heartbeats to the old owners. The cases vary the holder of the leased
-// keys, the contact between controllers and the machines' clocks.
+// controller confirms cancellations; then the store is down for all controllers for longer than
+// cancel_s, while agents keep sending heartbeats to the old owners. The cases differ in which
+// controllers hold the leased keys, whether controllers reach each other, and how fast the machines'
+// clocks run.
 func TestCancellationGap(t *testing.T) {
 	for _, x := range []cancellationGapCase{
 		{"only the store fails", false, false, 0},
@@ -104,7 +105,7 @@
 // For any valid settings, an owner whose last read began before a cancellation stops extending
 // leases early enough that the tasks end within cancel_s on the slowest clocks. The times of a
 // former owner and its successor don't add up, since each counts from a read of its own. Nor may a
-// lease be taken to have expired while it can still run on a machine with a slow clock.
+// lease be considered expired while it is still valid on a machine with a slow clock.
 func TestMaxStalenessBoundsCancellationTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leaseS := rapid.Float64Range(0.5, 600).Draw(t, "lease")
@@ -122,7 +123,7 @@
 			t.Fatalf("lease %v s, cancel_s %v: the tasks end after %v s, want less than cancel_s", leaseS, cancelS, end)
 		}
 		if end := config.LeaseExpiry(cancelS, leaseS).Seconds() * (1 - drift); end <= leaseS*(1+drift) {
-			t.Fatalf("lease %v s is taken to have expired after %v s, want a later time than it can last on a slow clock", leaseS, end)
+			t.Fatalf("lease %v s is considered expired after %v s, want a later time than it can last on a slow clock", leaseS, end)
 		}
 	})
 }
--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -87,7 +87,7 @@
 	operation  trace.Operation
 	job        string
 	submission *submission // only for submissions
-	spec       *wire.Job   // job that the rule checker is told of; nil for invalid and repeated submissions
+	spec       *wire.Job   // job to record for the rule checker; nil for invalid and repeated submissions
 }
 
 // queryRequest returns a request for the state of a job.
@@ -96,8 +96,8 @@
 // cancelRequest returns a request to cancel a job.
 func cancelRequest(job string) jobRequest { return jobRequest{operation: trace.Cancel, job: job} }
 
-// submitRequest returns a request to submit a job. The rule checker takes spec as the submitted job;
-// nil if the submission is invalid or repeated.
+// submitRequest returns a request to submit a job. spec is the job to record for the rule checker; it
+// must be nil if the submission is invalid or repeated.
 func submitRequest(s *submission, spec *wire.Job) jobRequest {
 	return jobRequest{operation: trace.Submit, job: s.ID, submission: s, spec: spec}
 }
@@ -150,8 +150,8 @@
 	return jobResponse{resp.StatusCode, job.State}
 }
 
-// sendRequest sends a request once, to one node, and records the response for the rule checker. Until
-// queryAllUntil, a change that succeeds is followed by a query to each controller.
+// sendRequest sends a request once, to one node, and records the response for the rule checker. Before
+// the time queryAllUntil, each successful change is followed by a query to each controller.
 func (c *cluster) sendRequest(node int, r jobRequest) jobResponse {
 	ctx, cancel := context.WithTimeout(c.ctx, r.timeout())
 	defer cancel()
@@ -214,7 +214,7 @@
 	return false
 }
 
-// jobState returns the state of a job. The test fails if no controller knows the job.
+// jobState returns the state of a job. The test fails unless a controller answers with status 200.
 func (c *cluster) jobState(job string) string {
 	c.t.Helper()
 	response := c.sendWithRetries(queryRequest(job), 40*time.Second)
@@ -276,8 +276,8 @@
 	c.await("all tasks of the services run", time.Minute, func() bool { return c.areServicesRunning(count, tasks) })
 }
 
-// areServicesRunning reports whether each of the jobs wk-1 to wk-COUNT runs with exactly the given
-// number of tasks.
+// areServicesRunning reports whether each of the jobs that submitServices submits has exactly the given
+// number of running tasks.
 func (c *cluster) areServicesRunning(count, tasks int) bool {
 	for i := range count {
 		if c.env.CountRunningTasks(fmt.Sprintf("wk-%d", i+1)) != tasks {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -62,8 +62,8 @@
 	version        softwareVersion
 	// process is the running process; nil: none. Other nodes and clients read it concurrently.
 	process atomic.Pointer[process]
-	// Frames are dropped while peersBlocked is set. Requests of agents or users hang until the
-	// caller gives up while agentsBlocked or usersBlocked is set.
+	// While peersBlocked is set, frames to and from the node are dropped. While agentsBlocked or
+	// usersBlocked is set, requests of agents or users hang until the caller gives up.
 	peersBlocked, agentsBlocked, usersBlocked atomic.Bool
 }
 
--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -27,7 +27,7 @@
 	submittedIDs       []string // IDs of all submitted jobs in order, accepted or not
 	submissions        map[string]*submission
 	handledCompletions map[string]bool // jobs for which raceCompletion has sent its requests
-	cancelRequested    map[string]bool // jobs that a user has asked to cancel
+	cancelRequested    map[string]bool // jobs whose cancellation users have requested
 }
 
 // The limits of the key-value store after lowerLimits.
@@ -53,8 +53,7 @@
 var cloudCapacities = []int{20, 8, 5}
 
 // runFaults runs a schedule of faults against a new cluster that executes random jobs. It then waits
-// until all accepted jobs are done or cancelled, or run completely as services. The rule checker
-// verifies the recorded events.
+// until all accepted jobs are settled (isSettled). The rule checker verifies the recorded events.
 func runFaults(t *testing.T, seed uint64, jobs int, faults []fault) {
 	runCluster(t, func(c *cluster) { c.runSchedule(seed, jobs, faults) })
 }
@@ -156,7 +155,7 @@
 	}
 }
 
-// awaitSettled waits until all jobs are finished or run as services after the last fault.
+// awaitSettled waits until all jobs are settled after the last fault.
 func (s *scheduleRun) awaitSettled() {
 	s.t.Helper()
 	s.queryAllUntil.Store(nil)
@@ -170,7 +169,7 @@
 		s.cancelServices(ids)
 	}
 	for _, id := range ids {
-		s.await(id+" is finished, or runs completely as a service", 8*time.Minute, func() bool { return s.isSettled(id) })
+		s.await(id+" is finished, or is a service all of whose tasks run", 8*time.Minute, func() bool { return s.isSettled(id) })
 	}
 	time.Sleep(s.nodes[0].maxStaleness() + 15*time.Second) // by then the tasks of cancelled jobs must have ended
 }
--- a/internal/controller/fault_test.go
+++ b/internal/controller/fault_test.go
@@ -23,7 +23,7 @@
 // be copied into a test as Go code.
 type faultKind string
 
-// The kinds of faults. Their effects are in faultEffects, in the same order.
+// The kinds of faults. faultEffects holds their effects.
 const (
 	storeDown                faultKind = "storeDown"                // the key-value store is down for all
 	storeRefuses             faultKind = "storeRefuses"             // the store refuses the requests of a controller
--- a/internal/controller/fault_user_effects_test.go
+++ b/internal/controller/fault_user_effects_test.go
@@ -54,7 +54,7 @@
 	s.sendWithRetries(cancelRequest(id), 5*time.Minute)
 }
 
-// uncancelledJobs returns the jobs that no user has asked to cancel, oldest first.
+// uncancelledJobs returns the jobs whose cancellation no user has requested, oldest first.
 func (s *scheduleRun) uncancelledJobs() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +67,7 @@
 	return out
 }
 
-// isCancelRequested reports whether a user has asked to cancel a job.
+// isCancelRequested reports whether a user has requested the cancellation of a job.
 func (s *scheduleRun) isCancelRequested(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +101,8 @@
 	return doNothing
 }
 
-// raceCompletionOf sends these requests for one job, if its last task has just ended.
+// raceCompletionOf sends the requests of raceCompletion about one job, if its last task has completed
+// and they have not been sent before.
 func (s *scheduleRun) raceCompletionOf(id string, share float64) {
 	job := s.submissionOf(id)
 	s.mu.Lock()
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -74,8 +74,8 @@
 }
 
 // When thousands of services are lost at once, their records exceed the length of the write queue.
-// The remaining records must wait until the queue has room, without errors, and no end of a task may
-// be forgotten.
+// The remaining records must wait until the queue has room, without errors, and the end of each task
+// must stay recorded until it is stored.
 func TestMassTaskLossFitsWriteQueue(t *testing.T) {
 	const machines = 4000
 	c := newFullFleetController(t, machines)
@@ -100,6 +100,6 @@
 		}
 	}
 	if waitingCount == 0 || len(c.unstoredEnds) != lostCount {
-		t.Errorf("%d records wait for the write queue, want at least 1; %d of %d ends of tasks are remembered, want all", waitingCount, len(c.unstoredEnds), lostCount)
+		t.Errorf("%d records wait for the write queue, want at least 1; %d of %d ends of tasks are still recorded, want all", waitingCount, len(c.unstoredEnds), lostCount)
 	}
 }
--- a/internal/controller/processes_test.go
+++ b/internal/controller/processes_test.go
@@ -29,7 +29,7 @@
 var oldVersion = flag.String("old-version", "", "commit whose build runs in a cluster with the current one")
 
 // processCluster is a cluster of three real controller processes on the loopback interface, in a
-// simulated environment and on real time.
+// simulated environment and in real time.
 type processCluster struct {
 	*cluster
 	dir       string          // holds the settings files
@@ -235,8 +235,8 @@
 
 // Processes of an old and the current version run in one cluster. They are replaced in turn while
 // there is work, one of them by the old version again. Once all run the current version, the
-// key-value store lowers its limits and gangs are submitted. No rule may be broken, and all jobs must
-// be done or run as services.
+// key-value store lowers its limits and gangs are submitted. No rule may be broken, and in the end all
+// jobs must be done, or be services with both tasks running.
 func TestOldProcessesBesideNew(t *testing.T) {
 	if *oldVersion == "" {
 		t.Skip("needs -old-version COMMIT")
@@ -284,7 +284,7 @@
 	p.env.MarkFaultsEnded()
 	for n := range jobs {
 		id := fmt.Sprintf("wk-%d", n+1)
-		p.await(id+" is done, or runs completely as a service", 3*time.Minute, func() bool {
+		p.await(id+" is done, or is a service both of whose tasks run", 3*time.Minute, func() bool {
 			s := p.jobState(id)
 			return s == wire.StateDone || p.env.CountRunningTasks(id) == 2
 		})
--- a/internal/controller/rollout_processes_test.go
+++ b/internal/controller/rollout_processes_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// replaceProcess kills a controller's process and, after up to 0.6 s, starts one of the old or the
-// current version.
+// replaceProcess kills a controller's process and, after up to 0.6 s, starts the old version if
+// useOldVersion is set, and the current version otherwise.
 func (u *upgradeRun) replaceProcess(i int, useOldVersion bool) {
 	u.killProcess(i)
 	time.Sleep(time.Duration(u.rng.IntN(600)) * time.Millisecond)
@@ -148,7 +148,7 @@
 // submitted steadily. On the way one of them returns to the old version; after the new level is final,
 // controllers are killed or replaced by the old version, and at the end the upgrade is rolled back. The
 // rule checker verifies from the responses to users and the events on machines that no job is lost, no
-// task runs twice and no response is older than an earlier one.
+// task runs on two machines and no response contradicts an earlier one.
 func TestUpgradeOfRealProcesses(t *testing.T) {
 	t.Parallel()
 	bin := t.TempDir()
--- a/internal/controller/upgrade_faults_test.go
+++ b/internal/controller/upgrade_faults_test.go
@@ -18,7 +18,7 @@
 	return doNothing
 }
 
-// finalizeAndAbort sends both requests at the same time.
+// finalizeAndAbort sends a finalize and an abort request at the same time, in the background.
 func (s *scheduleRun) finalizeAndAbort(fault) func() {
 	go s.tryUpgradeRequest(rollout.RequestFinalize)
 	go s.tryUpgradeRequest(rollout.RequestAbort)
@@ -35,7 +35,7 @@
 	return s.replaceTemporarily(f.target, baseLevelVersion)
 }
 
-// tryUpgradeRequest sends an operator's request once. It is no failure of the test if the request is
+// tryUpgradeRequest sends an operator's request once. The test doesn't fail if the request is
 // refused or the response is lost.
 func (s *scheduleRun) tryUpgradeRequest(request rollout.Request) {
 	_, err := s.upgradeOperator().Submit(s.ctx, request)
--- a/internal/simulation/agent/gang.go
+++ b/internal/simulation/agent/gang.go
@@ -16,20 +16,19 @@
 
 // gang is the state of one attempt of a gang.
 type gang struct {
-	joinedTasks       map[string]bool      // tasks that have fetched their image, by name
-	stoppingTasks     map[string]bool      // tasks that were stopped with a grace period to save a checkpoint, by name
-	startedAt         time.Time            // when the last task joined; zero until then
-	stopRequestedAt   time.Time            // when the first of these tasks was stopped; zero until then
-	brokenAt          time.Time            // when a started task was lost or stopped without a checkpoint; zero until then
-	hangingSince      map[string]time.Time // since when the machines of tasks hang, by task name
-	checkpointSaved   bool                 // the checkpoint of the stopped gang is saved
-	allTasksCompleted bool                 // all tasks have completed
+	joinedTasks     map[string]bool      // tasks that have fetched their image, by name
+	stoppingTasks   map[string]bool      // tasks that were stopped with a grace period to save a checkpoint, by name
+	startedAt       time.Time            // when the last task joined; zero until then
+	stopRequestedAt time.Time            // when the first of stoppingTasks was stopped; zero until then
+	brokenAt        time.Time            // when a started task was lost or stopped without a checkpoint; zero until then
+	hangingSince    map[string]time.Time // since when the machines of tasks hang, by task name
+	checkpointSaved bool                 // the checkpoint of the stopped gang is saved
+	allCompleted    bool                 // all tasks have completed
 }
 
-// isFinal reports whether the gang's outcome is final: completed, saved or broken.
-func (g *gang) isFinal() bool {
-	return g.allTasksCompleted || g.checkpointSaved || !g.brokenAt.IsZero()
-}
+// isFinal reports whether the gang's outcome is final: its tasks have completed, its checkpoint
+// is saved, or it is broken.
+func (g *gang) isFinal() bool { return g.allCompleted || g.checkpointSaved || !g.brokenAt.IsZero() }
 
 // gangForTask returns the gang attempt that a task belongs to. The caller holds f.mu.
 func (f *Fleet) gangForTask(t *task) *gang {
@@ -54,7 +53,7 @@
 }
 
 // leaveGang removes a task that is no longer on its machine. This breaks a gang that has
-// started and isn't over.
+// started, unless its outcome is final.
 func (f *Fleet) leaveGang(t *task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,7 +124,7 @@
 			return wire.StateExited, wire.ReasonIncompleteGang
 		}
 		return wire.StateAwaitingGang, ""
-	case g.allTasksCompleted:
+	case g.allCompleted:
 		return wire.StateExited, wire.ReasonDone
 	case !g.brokenAt.IsZero():
 		if now.Sub(g.brokenAt) >= f.GangPeerTimeout/2 {
@@ -163,7 +162,7 @@
 
 // completeGang saves the results of all tasks of a gang. The caller holds f.mu.
 func (f *Fleet) completeGang(g *gang) {
-	g.allTasksCompleted = true
+	g.allCompleted = true
 	for name := range g.joinedTasks { // no task leaves this set once the gang has started
 		f.taskCompletedLocked(name)
 	}
--- a/internal/simulation/cloud/cloud.go
+++ b/internal/simulation/cloud/cloud.go
@@ -184,7 +184,7 @@
 	reply(w, http.StatusOK, struct{}{})
 }
 
-// list returns the machines whose names sort after the given one. The caller holds c.mu.
+// list returns the machines whose names sort after afterName. The caller holds c.mu.
 func (c *Cloud) list(afterName string) wire.InstanceList {
 	out := wire.InstanceList{Instances: []wire.Instance{}}
 	for _, i := range c.instances {
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -1,4 +1,4 @@
-// Package simulation combines the simulated environment of a cluster's controllers: a network,
+// Package simulation provides the simulated environment of a cluster's controllers: a network,
 // a key-value store, a cloud with its machines, and a trace of the events that are visible
 // from outside the controllers.
 package simulation
@@ -36,7 +36,7 @@
 	Cloud   *cloud.Cloud
 	Trace   *trace.Recorder
 	// CancellationTimeout is how long a cancelled job's tasks may stay on their machines after
-	// the user learned of the cancellation.
+	// a response first reported the cancellation to a user.
 	CancellationTimeout time.Duration
 
 	mu            sync.Mutex
--- a/internal/simulation/kv/store.go
+++ b/internal/simulation/kv/store.go
@@ -107,7 +107,7 @@
 
 // SetTxnHook sets a function that may modify each transaction before it is executed. Tests use
 // it to simulate a concurrent change by another caller. Nil removes the hook. The hook is
-// called with the store's lock held and must not call its methods.
+// called with the store's lock held and must not call the store's methods.
 func (s *Store) SetTxnHook(hook func(*wire.Txn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulation/rules/check.go
+++ b/internal/simulation/rules/check.go
@@ -15,7 +15,7 @@
 // Rule identifies a rule by the violation that it detects.
 type Rule string
 
-// The rules, each with what it demands.
+// The rules, each with its requirement.
 const (
 	InvalidTrace         Rule = "trace"         // the events of the trace are consistent
 	StartedWhileInUse    Rule = "in_use"        // a task isn't started on a machine that has another attempt of it
@@ -49,11 +49,12 @@
 // Expectations holds the parameters of the rules.
 type Expectations struct {
 	// CancellationTimeout is how long a cancelled job's tasks may stay on their machines after
-	// the user learned of the cancellation.
+	// a response first reported the cancellation to a user.
 	CancellationTimeout time.Duration
-	// Quotas are the quotas of teams. A team that isn't in it has no limit.
+	// Quotas holds the quotas of teams. A team without an entry has no limit.
 	Quotas map[string]scheduling.Resources
-	// FaultsEndedAt is when all faults had ended. Zero means that they haven't.
+	// FaultsEndedAt is the time from which on there are no faults. Zero means that faults haven't
+	// ended.
 	FaultsEndedAt time.Time
 }
 
--- a/internal/simulation/rules/check_test.go
+++ b/internal/simulation/rules/check_test.go
@@ -203,16 +203,16 @@
 	gang := testJob("wk-1")
 	gang.Gang = true
 	for _, x := range []struct {
-		name    string
-		started float64 // when task 1 starts as attempt 2, in seconds
-		broken  bool
+		name     string
+		started  float64 // when task 1 starts as attempt 2, in seconds
+		violated bool
 	}{
 		{"during the first attempt", 5, true},
 		{"after the first attempt", 10, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			events := slices.Concat([]trace.Event{submit(gang)}, testMachines(), run("wk-1/0", "m1", 2, 9), runAttempt(2, "wk-1/1", "m3", x.started, x.started+2))
-			checkSingleRule(t, events, OverlappingAttempts, x.broken)
+			checkSingleRule(t, events, OverlappingAttempts, x.violated)
 		})
 	}
 }
@@ -225,10 +225,10 @@
 	spread := func(j *wire.Job) { j.AllowsSpot, j.SpreadsZones = true, true }
 	first, second := run("wk-1/0", "m1", 2, 9), run("wk-1/1", "m2", 3, 9)
 	for _, x := range []struct {
-		name   string
-		change func(*wire.Job)
-		tasks  []trace.Event
-		broken bool
+		name     string
+		change   func(*wire.Job)
+		tasks    []trace.Event
+		violated bool
 	}{
 		{"type", large, run("wk-1/0", "m1", 2, 3), true},
 		{"allowed type", large, run("wk-1/0", "m3", 2, 3), false},
@@ -241,7 +241,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			spec := testJob("wk-1")
 			x.change(spec)
-			checkSingleRule(t, slices.Concat([]trace.Event{submit(spec)}, testMachines(), x.tasks), WrongPlacement, x.broken)
+			checkSingleRule(t, slices.Concat([]trace.Event{submit(spec)}, testMachines(), x.tasks), WrongPlacement, x.violated)
 		})
 	}
 }
--- a/internal/simulation/rules/responses.go
+++ b/internal/simulation/rules/responses.go
@@ -33,7 +33,7 @@
 }
 
 // checkSubmitted checks that a job which a response reports as known was submitted before. It
-// returns whether it was, and records the job as accepted.
+// reports whether it was and, if so, records the job as accepted.
 func (c *checker) checkSubmitted(j *job, e trace.Response) bool {
 	if j.submittedAt.IsZero() || j.submittedAt.After(e.At) {
 		c.addViolation(UnsubmittedJob, "%s was not submitted but has state %s", j.id, e.State)
@@ -64,8 +64,8 @@
 	c.checkFinal(j, e.State, e.At)
 }
 
-// checkFinal checks the precondition of a final state: the user requested the cancellation, or
-// all tasks have completed.
+// checkFinal checks the precondition of a final state: a cancelled job needs a user's request,
+// and a job that is done needs a saved result of each task.
 func (c *checker) checkFinal(j *job, state string, at time.Time) {
 	if state == wire.StateCancelled && (j.cancelRequestedAt.IsZero() || j.cancelRequestedAt.After(at)) {
 		c.addViolation(FinalStateChanged, "%s is cancelled, but its user did not request it", j.id)
