--- a/cmd/eiderhitch/upgrade_faults_test.go
+++ b/cmd/eiderhitch/upgrade_faults_test.go
@@ -48,7 +48,7 @@
 	mu        sync.Mutex
 	enabled   bool // while false, calls are not counted and have no fault
 	callCount int
-	// storedCount is the number of transactions that were executed.
+	// storedCount is the number of executed transactions, each of which stores a request.
 	storedCount int
 	// onStored, if not nil, is called after each executed transaction.
 	onStored func()
@@ -114,7 +114,7 @@
 	callReadState       = 1
 	callReadControllers = 2
 	callStoreRequest    = 3
-	callReadStatus      = 4 // reads the state, the controllers and the records
+	callReadStatus      = 4 // the first of three calls, which read the state, the controllers and the records
 	callsPerRequest     = 6
 	callsPerStatus      = 3
 )
@@ -246,15 +246,15 @@
 	x := requestCases[0]
 	f := &faultyStore{fault: faultLostResponse, firstCall: callStoreRequest, lastCall: callStoreRequest}
 	s := newFaultyStore(t, x, f, false)
-	newer := x.initialState
-	newer.Request = rollout.RequestAbort
-	f.onStored = func() { f.putState(t, newer) }
+	newerState := x.initialState
+	newerState.Request = rollout.RequestAbort
+	f.onStored = func() { f.putState(t, newerState) }
 	flags := s.flags(false)
 	err := flags.sendRequest(io.Discard, rollout.RequestFinalize, 5*time.Second)
 	if _, isUnknown := errors.AsType[*rollout.OutcomeUnknownError](err); !isUnknown || exitStatusOf(err) != exitOutcomeUnknown {
 		t.Errorf("exit status %d with error %v, want status %d", exitStatusOf(err), err, exitOutcomeUnknown)
 	}
-	if now := s.store.Values(rollout.StateKey)[rollout.StateKey]; !bytes.Equal(now, newer.Encode()) || f.storedCount != 1 {
-		t.Errorf("request stored %d times, want once, and the state is %s, want the newer request's", f.storedCount, now)
+	if storedState := s.store.Values(rollout.StateKey)[rollout.StateKey]; !bytes.Equal(storedState, newerState.Encode()) || f.storedCount != 1 {
+		t.Errorf("request stored %d times, want once, and the state is %s, want the newer request's", f.storedCount, storedState)
 	}
 }
--- a/cmd/eiderhitch/upgrade_test.go
+++ b/cmd/eiderhitch/upgrade_test.go
@@ -157,10 +157,10 @@
 		if err == nil || exitStatusOf(err) != x.status || !strings.Contains(err.Error(), x.wantText) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v has the wrong exit status or text", x.name, err)
 		}
-		var now rollout.State
-		_ = json.Unmarshal(s.store.Values(rollout.StateKey)[rollout.StateKey], &now)
-		if x.status == exitRefused && now != x.state {
-			t.Errorf("%s: the refused request changed the state from %+v to %+v", x.name, x.state, now)
+		var storedState rollout.State
+		_ = json.Unmarshal(s.store.Values(rollout.StateKey)[rollout.StateKey], &storedState)
+		if x.status == exitRefused && storedState != x.state {
+			t.Errorf("%s: the refused request changed the state from %+v to %+v", x.name, x.state, storedState)
 		}
 	}
 }
@@ -190,16 +190,16 @@
 	if err := flags.showStatus(&bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), "dissolved") {
 		t.Errorf("unknown phase in the stored state: error %v, want one that names it", err)
 	}
-	missing := clusterFlags{Config: filepath.Join(t.TempDir(), "none.toml")}
-	if err := missing.showStatus(&bytes.Buffer{}); err == nil || exitStatusOf(err) != exitFailed || !strings.Contains(err.Error(), "none.toml") {
+	missingFileFlags := clusterFlags{Config: filepath.Join(t.TempDir(), "none.toml")}
+	if err := missingFileFlags.showStatus(&bytes.Buffer{}); err == nil || exitStatusOf(err) != exitFailed || !strings.Contains(err.Error(), "none.toml") {
 		t.Errorf("missing settings file: error %v, want one that names the file", err)
 	}
 	unreachableFile := filepath.Join(t.TempDir(), "n0.toml")
 	if err := os.WriteFile(unreachableFile, fmt.Appendf(nil, settingsTemplate, "127.0.0.1:1"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	unreachable := clusterFlags{Config: unreachableFile}
-	if err := unreachable.showStatus(&bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), "external.state") || strings.Contains(err.Error(), "\n") {
+	unreachableStoreFlags := clusterFlags{Config: unreachableFile}
+	if err := unreachableStoreFlags.showStatus(&bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), "external.state") || strings.Contains(err.Error(), "\n") {
 		t.Errorf("unreachable key-value store: error %v, want one line that names external.state", err)
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -19,7 +19,7 @@
 	// PreemptionDelay is how long array tasks wait for free capacity before they may preempt
 	// other tasks.
 	PreemptionDelay time.Duration
-	// BootTimeoutFactor sets the time after which a machine that has not come up is released,
+	// BootTimeoutFactor is the time after which a machine that has not come up is released,
 	// as a multiple of the boot time of its type.
 	BootTimeoutFactor float64
 	// LeaseTTL is how long the leased keys of partition owners and the leader stay in the
@@ -53,7 +53,7 @@
 		// leases reliably.
 		LeaseTTL:  4 * time.Second,
 		AllowSpot: true,
-		// Users don't notice this share: their writes have priority, and there are few.
+		// Users don't notice this share: their writes are few and have priority.
 		RewriteShare: 0.1,
 	}
 }
--- a/internal/config/operator_parse.go
+++ b/internal/config/operator_parse.go
@@ -7,19 +7,19 @@
 
 // Limits of the values of the operators' settings.
 const (
-	maxHeadroom      = 100
-	maxIdleBoots     = 100
-	minBootPatience  = 1
-	maxBootPatience  = 100
-	maxEvictAfter    = time.Hour
-	minLeaseTTL      = time.Second
-	maxLeaseTTL      = 5 * time.Minute
-	minFinalizeAfter = time.Second
-	maxFinalizeAfter = 30 * 24 * time.Hour
-	minHighestLevel  = 1
-	maxHighestLevel  = 1000
-	minRewriteShare  = 0.001
-	maxRewriteShare  = 0.5
+	maxHeadroom            = 100
+	maxIdleTimeoutFactor   = 100
+	minBootTimeoutFactor   = 1
+	maxBootTimeoutFactor   = 100
+	maxPreemptionDelay     = time.Hour
+	minLeaseTTL            = time.Second
+	maxLeaseTTL            = 5 * time.Minute
+	minFinalizeDelay       = time.Second
+	maxFinalizeDelay       = 30 * 24 * time.Hour
+	lowestMaxFeatureLevel  = 1
+	highestMaxFeatureLevel = 1000
+	minRewriteShare        = 0.001
+	maxRewriteShare        = 0.5
 )
 
 // rootName is the first word of the single top-level list of a file.
@@ -76,13 +76,13 @@
 	seen[name] = true
 	switch name {
 	case "idle-boots":
-		return parseNumber(e, &o.IdleTimeoutFactor, 0, maxIdleBoots)
+		return parseNumber(e, &o.IdleTimeoutFactor, 0, maxIdleTimeoutFactor)
 	case "headroom":
 		return parseNumber(e, &o.Headroom, 0, maxHeadroom)
 	case "boot-patience":
-		return parseNumber(e, &o.BootTimeoutFactor, minBootPatience, maxBootPatience)
+		return parseNumber(e, &o.BootTimeoutFactor, minBootTimeoutFactor, maxBootTimeoutFactor)
 	case "evict-after":
-		return parseDuration(e, &o.PreemptionDelay, 0, maxEvictAfter)
+		return parseDuration(e, &o.PreemptionDelay, 0, maxPreemptionDelay)
 	case "right-ttl":
 		return o.parseLeaseTTL(e, &platform.Settings.Workers)
 	case "spot":
@@ -90,9 +90,9 @@
 	case "feature-levels":
 		return parseYesNo(e, &o.EnableFeatureLevels)
 	case "finalize-after":
-		return parseDuration(e, &o.FinalizeDelay, minFinalizeAfter, maxFinalizeAfter)
+		return parseDuration(e, &o.FinalizeDelay, minFinalizeDelay, maxFinalizeDelay)
 	case "highest-level":
-		return parseInteger(e, &o.MaxFeatureLevel, minHighestLevel, maxHighestLevel)
+		return parseInteger(e, &o.MaxFeatureLevel, lowestMaxFeatureLevel, highestMaxFeatureLevel)
 	case "rewrite-share":
 		return parseNumber(e, &o.RewriteShare, minRewriteShare, maxRewriteShare)
 	default:
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -6,7 +6,7 @@
 const clockDrift = 0.0005
 
 const (
-	// maxLeaseMargin covers messages in transit and timers that fire late.
+	// maxLeaseMargin is the maximum safety margin for messages in transit and late timers.
 	maxLeaseMargin = 1500 * time.Millisecond
 	// leaseMarginDivisor limits the margin to a sixth of the difference between the
 	// cancellation deadline and the lease duration.
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -294,7 +294,8 @@
 	return 0
 }
 
-// sendFrame delivers a frame of a node's controller to the process on another node.
+// sendFrame delivers a frame of a node's controller to the process on another node. It drops the frame
+// if no process runs there or one of the two nodes has its peers blocked.
 func (c *cluster) sendFrame(from *node, to string, frame []byte) {
 	version := peer.Version(frame[2])
 	for _, n := range c.nodes {
--- a/internal/simulation/network/transport.go
+++ b/internal/simulation/network/transport.go
@@ -19,7 +19,7 @@
 	Drop                      // the request is lost: it is neither executed nor answered, so the caller times out
 	ExecuteLate               // the request is executed after a delay and its response is lost, so the caller times out
 	DropResponse              // the request is executed at once and its response is lost, so the caller times out
-	Delay                     // the request is executed and answered after a delay
+	Delay                     // the request is executed and answered after a delay, or not at all if the caller times out first
 )
 
 // FaultPolicy selects the fault of a request. It must be safe for concurrent use.
--- a/internal/simulation/network/transport_test.go
+++ b/internal/simulation/network/transport_test.go
@@ -48,6 +48,7 @@
 	}
 }
 
+// checkFault checks the outcome of one request with the given fault and timeout.
 func checkFault(t *testing.T, fault Fault, timeout time.Duration, want faultOutcome) {
 	t.Helper()
 	var executed atomic.Bool
--- a/internal/tools/docs/architecture_test.go
+++ b/internal/tools/docs/architecture_test.go
@@ -134,18 +134,18 @@
 // page names a package that doesn't exist.
 func TestArchitectureNamesThePackages(t *testing.T) {
 	packages := sourcePackages(t)
-	named := map[string]bool{}
+	namedPackages := map[string]bool{}
 	for _, span := range codeSpans(readPage(t, "architecture.md")) {
 		if !packagePathPattern.MatchString(span) {
 			continue
 		}
-		named[span] = true
+		namedPackages[span] = true
 		if packages[span] == nil {
 			t.Errorf("architecture.md names the package %s, which doesn't exist", span)
 		}
 	}
 	for directory := range packages {
-		if !named[directory] {
+		if !namedPackages[directory] {
 			t.Errorf("architecture.md lacks the package %s", directory)
 		}
 	}
--- a/internal/tools/docs/names_test.go
+++ b/internal/tools/docs/names_test.go
@@ -69,7 +69,7 @@
 // TestPagesNameExistingCode fails when a page names a function, type, field, test or file
 // that doesn't exist.
 func TestPagesNameExistingCode(t *testing.T) {
-	known := identifiers(t)
+	knownIdentifiers := identifiers(t)
 	checked := 0
 	for _, name := range currentPages {
 		for _, span := range codeSpans(readPage(t, name)) {
@@ -82,7 +82,7 @@
 			case mixedCapsPattern.MatchString(span) && !externalNames[span]:
 				checked++
 				last := span[strings.LastIndex(span, ".")+1:]
-				if !known[last] {
+				if !knownIdentifiers[last] {
 					t.Errorf("%s names %s, which doesn't exist", name, span)
 				}
 			}
@@ -99,13 +99,13 @@
 // TestPagesNameExistingTests fails when a page names a test that doesn't exist, also in a
 // command.
 func TestPagesNameExistingTests(t *testing.T) {
-	known := identifiers(t)
+	knownIdentifiers := identifiers(t)
 	const placeholder = "TestName"
 	checked := 0
 	for _, name := range currentPages {
 		for _, test := range testFunctionPattern.FindAllString(readPage(t, name), -1) {
 			checked++
-			if !known[test] && test != placeholder {
+			if !knownIdentifiers[test] && test != placeholder {
 				t.Errorf("%s names %s, which doesn't exist", name, test)
 			}
 		}
--- a/internal/tools/docs/operations_test.go
+++ b/internal/tools/docs/operations_test.go
@@ -100,36 +100,36 @@
 // missing in the runbook's table of log lines, or when the table has a message that the code
 // does not log.
 func TestRunbookHasEveryLogLine(t *testing.T) {
-	logged := logMessages(t)
-	listed := map[string]bool{}
+	loggedMessages := logMessages(t)
+	listedMessages := map[string]bool{}
 	text, _, _ := strings.Cut(pageSection(t, readPage(t, "operations.md"), "Log lines"), "| counter |")
 	for _, cell := range tableColumn(text, 0) {
 		for _, line := range codeSpans(cell) {
-			listed[line] = true
-			if _, ok := logged[line]; !ok {
+			listedMessages[line] = true
+			if _, ok := loggedMessages[line]; !ok {
 				t.Errorf("operations.md lists the line %q, which the code doesn't log", line)
 			}
 		}
 	}
-	for line, byDefault := range logged {
-		if byDefault && !listed[line] {
+	for line, byDefault := range loggedMessages {
+		if byDefault && !listedMessages[line] {
 			t.Errorf("operations.md lacks the line %q", line)
 		}
 	}
-	if len(logged) < 30 {
-		t.Errorf("%d logged lines were found in the code, want at least 30", len(logged))
+	if len(loggedMessages) < 30 {
+		t.Errorf("%d logged lines were found in the code, want at least 30", len(loggedMessages))
 	}
 }
 
 // TestRunbookSymptomsNameLoggedLines fails when the runbook's table of symptoms names a
 // message that the code does not log.
 func TestRunbookSymptomsNameLoggedLines(t *testing.T) {
-	logged := logMessages(t)
+	loggedMessages := logMessages(t)
 	isAttribute := func(span string) bool { return strings.Contains(span, "=") || !strings.Contains(span, " ") }
 	cells := tableColumn(pageSection(t, readPage(t, "operations.md"), "Symptoms"), 1)
 	for _, cell := range cells {
 		for _, line := range codeSpans(cell) {
-			if _, ok := logged[line]; !ok && !isAttribute(line) {
+			if _, ok := loggedMessages[line]; !ok && !isAttribute(line) {
 				t.Errorf("operations.md names the line %q, which the code doesn't log", line)
 			}
 		}
@@ -145,7 +145,7 @@
 // TestRunbookNamesLoggedAttributes fails when the runbook names an attribute that no log line
 // has.
 func TestRunbookNamesLoggedAttributes(t *testing.T) {
-	logged := loggedStrings(t)
+	loggedTexts := loggedStrings(t)
 	before, rest, _ := strings.Cut(readPage(t, "operations.md"), "\n## Log lines that have changed\n")
 	_, after, _ := strings.Cut(rest, "\n## ")
 	checked := 0
@@ -155,7 +155,7 @@
 			continue
 		}
 		checked++
-		if !logged[match[1]] {
+		if !loggedTexts[match[1]] {
 			t.Errorf("operations.md names the attribute %s, which no line has", span)
 		}
 	}
@@ -197,15 +197,15 @@
 // TestFormerLogLinesAreListed fails when a message of version 0.1, from before messages were
 // renamed, is neither logged any more nor in the runbook's table of changed log lines.
 func TestFormerLogLinesAreListed(t *testing.T) {
-	former, err := os.ReadFile(filepath.Join("testdata", "log-lines-0.1.txt"))
+	formerMessages, err := os.ReadFile(filepath.Join("testdata", "log-lines-0.1.txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	logged := logMessages(t)
-	listed := codeSpans(strings.Join(tableColumn(pageSection(t, readPage(t, "operations.md"), "Log lines that have changed"), 0), "\n"))
-	for line := range strings.Lines(string(former)) {
+	loggedMessages := logMessages(t)
+	listedMessages := codeSpans(strings.Join(tableColumn(pageSection(t, readPage(t, "operations.md"), "Log lines that have changed"), 0), "\n"))
+	for line := range strings.Lines(string(formerMessages)) {
 		line = strings.TrimSpace(line)
-		if _, ok := logged[line]; !ok && !slices.Contains(listed, line) {
+		if _, ok := loggedMessages[line]; !ok && !slices.Contains(listedMessages, line) {
 			t.Errorf("the line %q is no longer logged and is missing in the changed lines of operations.md", line)
 		}
 	}
@@ -214,18 +214,18 @@
 // TestChangedLogLinesMatchTheCode fails when the table of changed log lines has a former
 // message that is still logged, or a current message that is not logged.
 func TestChangedLogLinesMatchTheCode(t *testing.T) {
-	logged := logMessages(t)
+	loggedMessages := logMessages(t)
 	lines, _, _ := strings.Cut(pageSection(t, readPage(t, "operations.md"), "Log lines that have changed"), "| attributes before")
 	for _, cell := range tableColumn(lines, 0) {
 		for _, line := range codeSpans(cell) {
-			if _, ok := logged[line]; ok {
+			if _, ok := loggedMessages[line]; ok {
 				t.Errorf("operations.md lists the line %q as a former one, but it is still logged", line)
 			}
 		}
 	}
 	for _, cell := range tableColumn(lines, 1) {
 		for _, line := range codeSpans(cell) {
-			if _, ok := logged[line]; !ok {
+			if _, ok := loggedMessages[line]; !ok {
 				t.Errorf("operations.md lists the line %q as a current one, but the code doesn't log it", line)
 			}
 		}
