--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -174,7 +174,7 @@
 	time.Sleep(s.nodes[0].maxStaleness() + 15*time.Second) // by then the tasks of cancelled jobs must have ended
 }
 
-// checkQueriesAnswered checks that queries of all jobs are answered within maxRecoveryTime.
+// checkQueriesAnswered checks that a query of each job is answered within maxRecoveryTime.
 func (s *scheduleRun) checkQueriesAnswered(ids []string) {
 	s.t.Helper()
 	startedAt := time.Now()
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -151,7 +151,7 @@
 	r.addActiveFault(func() { a.SetIsolated(false) })
 }
 
-// awaitSettled cancels the remaining jobs to cancel and waits until all accepted jobs are finished.
+// awaitSettled cancels the jobs in jobsToCancel and waits until all accepted jobs are finished.
 func (r *randomFaultRun) awaitSettled() {
 	r.t.Helper()
 	for _, id := range r.jobsToCancel {
--- a/internal/simulation/agent/agent.go
+++ b/internal/simulation/agent/agent.go
@@ -117,8 +117,8 @@
 		Capacity: scheduling.NewResources(a.machineType.CPUs, a.machineType.GPUs, a.machineType.RAMGB)})
 }
 
-// advanceIfAlive brings the tasks up to the current time. It returns false if the machine was
-// terminated or the fleet's context is done.
+// advanceIfAlive brings the tasks up to the current time. It reports whether the machine keeps
+// running: false if it was terminated or the fleet's context is done.
 func (a *Agent) advanceIfAlive() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -129,8 +129,8 @@
 	return a.fleet.ctx.Err() == nil
 }
 
-// awaitHeartbeat waits until the next heartbeat is due. It returns false if the fleet's
-// context is done first.
+// awaitHeartbeat waits until the next heartbeat is due. It reports whether one is due: false if
+// the fleet's context is done first.
 func (a *Agent) awaitHeartbeat(lastSent time.Time) bool {
 	jitter := seconds(network.SeededFloat64(heartbeatSeed, a.instance.Name) * heartbeatJitter)
 	select {
--- a/internal/simulation/agent/faults.go
+++ b/internal/simulation/agent/faults.go
@@ -87,8 +87,9 @@
 	}
 }
 
-// awaitResumed waits until the machine doesn't hang. It returns false if the fleet's context
-// is done first. The caller holds a.mu, which is released during the wait.
+// awaitResumed waits until the machine doesn't hang. It reports whether the machine runs
+// again: false if the fleet's context is done first. The caller holds a.mu, which is released
+// during the wait.
 func (a *Agent) awaitResumed() bool {
 	for a.faults.isHanging() {
 		resumeSignal := a.faults.resumeSignal
--- a/internal/simulation/agent/gang.go
+++ b/internal/simulation/agent/gang.go
@@ -95,8 +95,9 @@
 	}
 }
 
-// beginGangStop begins to stop a task of a gang with a checkpoint. It returns false if the gang
-// has not started or is broken: then there is nothing to save, and the task exits at once.
+// beginGangStop begins to stop a task of a gang with a checkpoint and reports whether it did. It
+// doesn't if the gang has not started or is broken: then there is nothing to save, and the
+// caller makes the task exit at once.
 func (f *Fleet) beginGangStop(t *task) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/simulation/cloud/cloud.go
+++ b/internal/simulation/cloud/cloud.go
@@ -33,7 +33,7 @@
 	types []wire.MachineType
 
 	mu            sync.Mutex
-	instances     []*instance         // by number - 1; nil if terminated
+	instances     []*instance         // by number - 1; nil if released
 	launchedByKey map[string][]string // names of machines by the idempotency key of their launch request
 	unavailable   bool
 	capacity      int
--- a/internal/simulation/kv/store.go
+++ b/internal/simulation/kv/store.go
@@ -46,7 +46,7 @@
 	history               []wire.Event
 	leases                map[uint64]*lease
 	lastLease             uint64
-	changeSignal          chan struct{} // closed and replaced at each transaction or lease expiry
+	changeSignal          chan struct{} // closed and replaced after each executed transaction and each end of a lease with keys
 	unavailable           bool
 	maxChanges            int
 	maxValueBytes         int
--- a/internal/simulation/rules/check_test.go
+++ b/internal/simulation/rules/check_test.go
@@ -120,34 +120,34 @@
 }
 
 func placementCases() []ruleCase {
-	one := run("wk-1/0", "m1", 2, 9)
-	two := slices.Concat(one, run("wk-1/1", "m1", 2, 9))
+	oneRun := run("wk-1/0", "m1", 2, 9)
+	twoRuns := slices.Concat(oneRun, run("wk-1/1", "m1", 2, 9))
 	otherJob := slices.Concat([]trace.Event{submit(testJob("wk-2"))}, run("wk-2/0", "m3", 4, 6))
 	return []ruleCase{
-		{"on two machines at a time", RanOnTwoMachines, 0, one, run("wk-1/0", "m3", 5, 8)},
-		{"on two machines one after the other", "", 0, one, run("wk-1/0", "m3", 9.5, 12)},
-		{"limit", QuotaExceeded, 0, two, otherJob},
+		{"on two machines at a time", RanOnTwoMachines, 0, oneRun, run("wk-1/0", "m3", 5, 8)},
+		{"on two machines one after the other", "", 0, oneRun, run("wk-1/0", "m3", 9.5, 12)},
+		{"limit", QuotaExceeded, 0, twoRuns, otherJob},
 		{"team within its quota after a task stopped", "", 0, slices.Concat(run("wk-1/0", "m1", 2, 3), run("wk-1/1", "m1", 2, 9)), otherJob},
-		{"spot machine", WrongPlacement, 0, one, run("wk-1/1", "m2", 3, 5)},
+		{"spot machine", WrongPlacement, 0, oneRun, run("wk-1/1", "m2", 3, 5)},
 	}
 }
 
 func cancellationCases() []ruleCase {
-	one := run("wk-1/0", "m1", 2, 9)
+	oneRun := run("wk-1/0", "m1", 2, 9)
 	cancelledThen := func(events ...trace.Event) []trace.Event {
 		return append([]trace.Event{cancel(3, "wk-1")}, events...)
 	}
 	neverStopped := run("wk-1/1", "m1", 4, 500)[:2]
 	return []ruleCase{
-		{"cancelled and still on its machine", RanAfterCancellation, 0, one, cancelledThen(run("wk-1/1", "m1", 4, 50)...)},
-		{"cancelled and started late", RanAfterCancellation, 0, one, cancelledThen(run("wk-1/1", "m1", 40, 41)...)},
-		{"cancelled and never stopped", RanAfterCancellation, 0, one, cancelledThen(append(neverStopped, recordingEnded)...)},
-		{"cancelled and stopped in time", "", 0, one, cancelledThen(run("wk-1/1", "m1", 4, 30)...)},
+		{"cancelled and still on its machine", RanAfterCancellation, 0, oneRun, cancelledThen(run("wk-1/1", "m1", 4, 50)...)},
+		{"cancelled and started late", RanAfterCancellation, 0, oneRun, cancelledThen(run("wk-1/1", "m1", 40, 41)...)},
+		{"cancelled and never stopped", RanAfterCancellation, 0, oneRun, cancelledThen(append(neverStopped, recordingEnded)...)},
+		{"cancelled and stopped in time", "", 0, oneRun, cancelledThen(run("wk-1/1", "m1", 4, 30)...)},
 	}
 }
 
 func availabilityCases() []ruleCase {
-	one := run("wk-1/0", "m1", 2, 9)
+	oneRun := run("wk-1/0", "m1", 2, 9)
 	var unanswered, othersAnswered []trace.Event
 	for s := 10.0; s < 110; s += 5 {
 		unanswered = append(unanswered, query(s, "wk-1", http.StatusServiceUnavailable, ""))
@@ -156,44 +156,44 @@
 	submitOther := submit(testJob("wk-2"))
 	submitOther.At, submitOther.RequestedAt = timeAt(2.5), timeAt(2)
 	return []ruleCase{
-		{"unanswered", AcceptedJobLost, 0, slices.Concat(one, []trace.Event{submitOther}, othersAnswered), unanswered},
-		{"all unanswered", "", 0, one, unanswered},
-		{"all unanswered after the faults", AcceptedJobLost, 15, one, unanswered},
+		{"unanswered", AcceptedJobLost, 0, slices.Concat(oneRun, []trace.Event{submitOther}, othersAnswered), unanswered},
+		{"all unanswered", "", 0, oneRun, unanswered},
+		{"all unanswered after the faults", AcceptedJobLost, 15, oneRun, unanswered},
 	}
 }
 
 func responseCases() []ruleCase {
-	one := run("wk-1/0", "m1", 2, 9)
-	oneCompleted := append(slices.Clone(one), completed(9, "wk-1/0"))
+	oneRun := run("wk-1/0", "m1", 2, 9)
+	oneCompleted := append(slices.Clone(oneRun), completed(9, "wk-1/0"))
 	bothCompleted := append(slices.Clone(oneCompleted), completed(9, "wk-1/1"))
-	cancelled := append(slices.Clone(one), cancel(3, "wk-1"))
-	done := query(10, "wk-1", http.StatusOK, wire.StateDone)
-	refused := respond(4, "wk-1", trace.Submit, http.StatusUnprocessableEntity, "")
-	refused.Spec = testJob("wk-1")
-	only := func(e trace.Event) []trace.Event { return []trace.Event{e} }
+	cancelledEvents := append(slices.Clone(oneRun), cancel(3, "wk-1"))
+	doneResponse := query(10, "wk-1", http.StatusOK, wire.StateDone)
+	refusedResponse := respond(4, "wk-1", trace.Submit, http.StatusUnprocessableEntity, "")
+	refusedResponse.Spec = testJob("wk-1")
+	oneEvent := func(e trace.Event) []trace.Event { return []trace.Event{e} }
 	return []ruleCase{
-		{"accepted, then unknown", AcceptedJobLost, 0, one, only(query(4, "wk-1", http.StatusNotFound, ""))},
-		{"accepted, then refused", AcceptedJobLost, 0, one, only(refused)},
-		{"never submitted", UnsubmittedJob, 0, one, only(query(4, "wk-7", http.StatusOK, wire.StateQueued))},
-		{"queried before it was submitted", "", 0, one, only(query(0, "wk-1", http.StatusNotFound, ""))},
-		{"done too early", DoneTooEarly, 0, oneCompleted, only(done)},
-		{"same result reported twice", DoneTooEarly, 0, oneCompleted, []trace.Event{completed(9.5, "wk-1/0"), done}},
-		{"done", "", 0, bothCompleted, only(done)},
-		{"cancelled, then running", FinalStateChanged, 0, cancelled, only(query(4, "wk-1", http.StatusOK, wire.StateRunning))},
-		{"queried before the cancellation was answered", "", 0, cancelled, only(query(3.1, "wk-1", http.StatusOK, wire.StateRunning))},
-		{"done and cancelled", FinalStateChanged, 0, append(slices.Clone(bothCompleted), done), only(cancel(10, "wk-1"))},
-		{"cancelled without a request", FinalStateChanged, 0, one, only(query(4, "wk-1", http.StatusOK, wire.StateCancelled))},
-		{"nothing", NoTaskStarted, 0, nil, only(recordingEnded)},
+		{"accepted, then unknown", AcceptedJobLost, 0, oneRun, oneEvent(query(4, "wk-1", http.StatusNotFound, ""))},
+		{"accepted, then refused", AcceptedJobLost, 0, oneRun, oneEvent(refusedResponse)},
+		{"never submitted", UnsubmittedJob, 0, oneRun, oneEvent(query(4, "wk-7", http.StatusOK, wire.StateQueued))},
+		{"queried before it was submitted", "", 0, oneRun, oneEvent(query(0, "wk-1", http.StatusNotFound, ""))},
+		{"done too early", DoneTooEarly, 0, oneCompleted, oneEvent(doneResponse)},
+		{"same result reported twice", DoneTooEarly, 0, oneCompleted, []trace.Event{completed(9.5, "wk-1/0"), doneResponse}},
+		{"done", "", 0, bothCompleted, oneEvent(doneResponse)},
+		{"cancelled, then running", FinalStateChanged, 0, cancelledEvents, oneEvent(query(4, "wk-1", http.StatusOK, wire.StateRunning))},
+		{"queried before the cancellation was answered", "", 0, cancelledEvents, oneEvent(query(3.1, "wk-1", http.StatusOK, wire.StateRunning))},
+		{"done and cancelled", FinalStateChanged, 0, append(slices.Clone(bothCompleted), doneResponse), oneEvent(cancel(10, "wk-1"))},
+		{"cancelled without a request", FinalStateChanged, 0, oneRun, oneEvent(query(4, "wk-1", http.StatusOK, wire.StateCancelled))},
+		{"nothing", NoTaskStarted, 0, nil, oneEvent(recordingEnded)},
 	}
 }
 
 func waitingCases() []ruleCase {
-	one := run("wk-1/0", "m1", 2, 9)
-	running := func(seconds float64) trace.Event { return query(seconds, "wk-1", http.StatusOK, wire.StateRunning) }
-	cancelled := []trace.Event{cancel(25, "wk-1"), query(50, "wk-1", http.StatusOK, wire.StateCancelled), recordingEnded}
+	oneRun := run("wk-1/0", "m1", 2, 9)
+	runningResponse := func(seconds float64) trace.Event { return query(seconds, "wk-1", http.StatusOK, wire.StateRunning) }
+	cancelledEvents := []trace.Event{cancel(25, "wk-1"), query(50, "wk-1", http.StatusOK, wire.StateCancelled), recordingEnded}
 	return []ruleCase{
-		{"waits despite room", WaitsDespiteCapacity, 20, one, []trace.Event{running(30), running(50), running(200), recordingEnded}},
-		{"waits after cancellation", "", 20, one, cancelled},
+		{"waits despite room", WaitsDespiteCapacity, 20, oneRun, []trace.Event{runningResponse(30), runningResponse(50), runningResponse(200), recordingEnded}},
+		{"waits after cancellation", "", 20, oneRun, cancelledEvents},
 	}
 }
 
