--- a/cmd/eiderhitch/upgrade_faults_test.go
+++ b/cmd/eiderhitch/upgrade_faults_test.go
@@ -48,7 +48,7 @@
 	mu        sync.Mutex
 	enabled   bool // while false, calls are not counted and have no fault
 	callCount int
-	// storedCount is the number of transactions that were executed.
+	// storedCount is the number of executed transactions, each of which stores a request.
 	storedCount int
 	// onStored, if not nil, is called after each executed transaction.
 	onStored func()
@@ -114,7 +114,7 @@
 	callReadState       = 1
 	callReadControllers = 2
 	callStoreRequest    = 3
-	callReadStatus      = 4 // reads the state, the controllers and the records
+	callReadStatus      = 4 // the first of three calls, which read the state, the controllers and the records
 	callsPerRequest     = 6
 	callsPerStatus      = 3
 )
@@ -122,8 +122,8 @@
 // requestCase is a request, the state in which it is made and the state after the leader has
 // carried it out.
 type requestCase struct {
-	request            rollout.Request
-	initial, completed rollout.State
+	request                      rollout.Request
+	initialState, completedState rollout.State
 }
 
 var requestCases = []requestCase{
@@ -142,9 +142,9 @@
 		return f
 	})
 	s.register("n0", "n1")
-	s.put(rollout.StateKey, x.initial.Encode())
+	s.put(rollout.StateKey, x.initialState.Encode())
 	if hasLeader {
-		f.onStored = func() { f.putState(t, x.completed) }
+		f.onStored = func() { f.putState(t, x.completedState) }
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -167,7 +167,7 @@
 					if err := flags.sendRequest(&out, x.request, 15*time.Second); err != nil {
 						t.Errorf("exit status %d with error %v, want none", exitStatusOf(err), err)
 					}
-					want := fmt.Sprintf("%d (%s)", x.completed.Level, x.completed.Phase)
+					want := fmt.Sprintf("%d (%s)", x.completedState.Level, x.completedState.Phase)
 					if f.storedCount != 1 || !strings.Contains(out.String(), want) {
 						t.Errorf("request stored %d times, want once, and %q in the output:\n%s", f.storedCount, want, out.String())
 					}
@@ -230,7 +230,7 @@
 				t.Errorf("error %v, want exit status %d and %q in one line", err, x.status, x.wantText)
 			}
 			if took := time.Since(start); took > wait+commandTimeout {
-				t.Errorf("the command ends after %v, too late", took)
+				t.Errorf("the command took %v, too long", took)
 			}
 			if f.storedCount > 1 {
 				t.Errorf("request stored %d times, want at most once", f.storedCount)
@@ -246,15 +246,15 @@
 	x := requestCases[0]
 	f := &faultyStore{fault: faultLostResponse, firstCall: callStoreRequest, lastCall: callStoreRequest}
 	s := newFaultyStore(t, x, f, false)
-	newer := x.initial
-	newer.Request = rollout.RequestAbort
-	f.onStored = func() { f.putState(t, newer) }
+	newerState := x.initialState
+	newerState.Request = rollout.RequestAbort
+	f.onStored = func() { f.putState(t, newerState) }
 	flags := s.flags(false)
 	err := flags.sendRequest(io.Discard, rollout.RequestFinalize, 5*time.Second)
 	if _, isUnknown := errors.AsType[*rollout.OutcomeUnknownError](err); !isUnknown || exitStatusOf(err) != exitOutcomeUnknown {
 		t.Errorf("exit status %d with error %v, want status %d", exitStatusOf(err), err, exitOutcomeUnknown)
 	}
-	if now := s.store.Values(rollout.StateKey)[rollout.StateKey]; !bytes.Equal(now, newer.Encode()) || f.storedCount != 1 {
-		t.Errorf("request stored %d times, want once, and the state is %s, want the newer request's", f.storedCount, now)
+	if storedState := s.store.Values(rollout.StateKey)[rollout.StateKey]; !bytes.Equal(storedState, newerState.Encode()) || f.storedCount != 1 {
+		t.Errorf("request stored %d times, want once, and the state is %s, want the newer request's", f.storedCount, storedState)
 	}
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -62,8 +62,8 @@
 	version        softwareVersion
 	// process is the running process; nil: none. Other nodes and clients read it concurrently.
 	process atomic.Pointer[process]
-	// Frames are dropped while peersBlocked is set. Requests of agents or users hang until the
-	// caller gives up while agentsBlocked or usersBlocked is set.
+	// While peersBlocked is set, frames to and from the node are dropped. While agentsBlocked or
+	// usersBlocked is set, requests of agents or users hang until the caller gives up.
 	peersBlocked, agentsBlocked, usersBlocked atomic.Bool
 }
 
@@ -294,7 +294,8 @@
 	return 0
 }
 
-// sendFrame delivers a frame of a node's controller to the process on another node.
+// sendFrame delivers a frame of a node's controller to the process on another node. It drops the frame
+// if no process runs there or one of the two nodes has its peers blocked.
 func (c *cluster) sendFrame(from *node, to string, frame []byte) {
 	version := peer.Version(frame[2])
 	for _, n := range c.nodes {
--- a/internal/controller/fault_schedule_test.go
+++ b/internal/controller/fault_schedule_test.go
@@ -27,7 +27,7 @@
 	submittedIDs       []string // IDs of all submitted jobs in order, accepted or not
 	submissions        map[string]*submission
 	handledCompletions map[string]bool // jobs for which raceCompletion has sent its requests
-	cancelled          map[string]bool // jobs that a user has asked to cancel
+	cancelRequested    map[string]bool // jobs whose cancellation users have requested
 }
 
 // The limits of the key-value store after lowerLimits.
@@ -53,8 +53,7 @@
 var cloudCapacities = []int{20, 8, 5}
 
 // runFaults runs a schedule of faults against a new cluster that executes random jobs. It then waits
-// until all accepted jobs are done or cancelled, or run completely as services. The rule checker
-// verifies the recorded events.
+// until all accepted jobs are settled (isSettled). The rule checker verifies the recorded events.
 func runFaults(t *testing.T, seed uint64, jobs int, faults []fault) {
 	runCluster(t, func(c *cluster) { c.runSchedule(seed, jobs, faults) })
 }
@@ -81,7 +80,7 @@
 // newScheduleRun returns a run whose active faults apply to the requests of all controllers.
 func newScheduleRun(c *cluster, seed uint64) *scheduleRun {
 	s := &scheduleRun{cluster: c, seed: seed, rng: rand.New(rand.NewPCG(seed, scheduleSeed)), submissions: map[string]*submission{},
-		handledCompletions: map[string]bool{}, cancelled: map[string]bool{}, savedHeartbeats: map[string][]byte{}}
+		handledCompletions: map[string]bool{}, cancelRequested: map[string]bool{}, savedHeartbeats: map[string][]byte{}}
 	for i, n := range c.nodes {
 		s.policies = append(s.policies, map[int]network.FaultPolicy{})
 		n.transport.SetDelay(minRequestDelay, requestDelayJitter)
@@ -156,7 +155,7 @@
 	}
 }
 
-// awaitSettled waits until all jobs are finished or run as services after the last fault.
+// awaitSettled waits until all jobs are settled after the last fault.
 func (s *scheduleRun) awaitSettled() {
 	s.t.Helper()
 	s.queryAllUntil.Store(nil)
@@ -170,12 +169,12 @@
 		s.cancelServices(ids)
 	}
 	for _, id := range ids {
-		s.await(id+" is finished, or runs completely as a service", 8*time.Minute, func() bool { return s.isSettled(id) })
+		s.await(id+" is finished, or is a service all of whose tasks run", 8*time.Minute, func() bool { return s.isSettled(id) })
 	}
 	time.Sleep(s.nodes[0].maxStaleness() + 15*time.Second) // by then the tasks of cancelled jobs must have ended
 }
 
-// checkQueriesAnswered checks that queries of all jobs are answered within maxRecoveryTime.
+// checkQueriesAnswered checks that a query of each job is answered within maxRecoveryTime.
 func (s *scheduleRun) checkQueriesAnswered(ids []string) {
 	s.t.Helper()
 	startedAt := time.Now()
@@ -190,7 +189,7 @@
 // cancelServices cancels the services that no user has cancelled.
 func (s *scheduleRun) cancelServices(ids []string) {
 	for _, id := range ids {
-		if s.submissionOf(id).Kind == wire.KindService && !s.wasCancelled(id) {
+		if s.submissionOf(id).Kind == wire.KindService && !s.isCancelRequested(id) {
 			s.cancelWithRetries(id)
 		}
 	}
--- a/internal/simulation/cloud/cloud.go
+++ b/internal/simulation/cloud/cloud.go
@@ -33,7 +33,7 @@
 	types []wire.MachineType
 
 	mu            sync.Mutex
-	instances     []*instance         // by number - 1; nil if terminated
+	instances     []*instance         // by number - 1; nil if released
 	launchedByKey map[string][]string // names of machines by the idempotency key of their launch request
 	unavailable   bool
 	capacity      int
@@ -184,11 +184,11 @@
 	reply(w, http.StatusOK, struct{}{})
 }
 
-// list returns the machines whose names sort after the given one. The caller holds c.mu.
-func (c *Cloud) list(after string) wire.InstanceList {
+// list returns the machines whose names sort after afterName. The caller holds c.mu.
+func (c *Cloud) list(afterName string) wire.InstanceList {
 	out := wire.InstanceList{Instances: []wire.Instance{}}
 	for _, i := range c.instances {
-		if i == nil || i.Name <= after {
+		if i == nil || i.Name <= afterName {
 			continue
 		}
 		listed := i.Instance
