--- a/cmd/eiderhitch/golden_test.go
+++ b/cmd/eiderhitch/golden_test.go
@@ -40,9 +40,9 @@
 // Operators' scripts read the status as a table and as JSON, so its form must not change by
 // accident.
 func TestStatusKeepsItsForm(t *testing.T) {
-	status := &rollout.Status{State: rollout.State{Level: 1, Phase: rollout.PhaseActive, OnHold: true, Request: rollout.RequestFinalize, PhaseStartedAt: 1_700_000_000_000},
+	status := &rollout.Status{State: rollout.State{Level: 1, Phase: rollout.PhaseActive, OnHold: true, Request: rollout.RequestFinalize, PhaseStartedAtMS: 1_700_000_000_000},
 		ActiveLevel: 2, WriteLevel: 1, Revision: 7, RecordsByEncoding: map[string]int{"form 2": 1, "form 1": 12},
-		Controllers:        []rollout.Registration{{Node: "n0", ProcessID: "00ff", Build: "0.1.0 abc", LevelRange: rollout.SupportedLevels, RegisteredAt: 1_700_000_000_000}},
+		Controllers:        []rollout.Registration{{Node: "n0", ProcessID: "00ff", Build: "0.1.0 abc", LevelRange: rollout.SupportedLevels, RegisteredAtMS: 1_700_000_000_000}},
 		MissingControllers: []string{"n1"}, Blockers: []rollout.Blocker{{Kind: rollout.BlockerMissingController, Node: "n1", Detail: "is not registered"}}}
 	for _, x := range []struct {
 		golden string
--- a/cmd/eiderhitch/print.go
+++ b/cmd/eiderhitch/print.go
@@ -37,8 +37,8 @@
 	fmt.Fprintf(w, "level\t%d (%s)\n", s.State.Level, s.State.Phase)
 	fmt.Fprintf(w, "active\t%d\n", s.ActiveLevel)
 	fmt.Fprintf(w, "records written at\t%d\n", s.WriteLevel)
-	if s.State.PhaseStartedAt > 0 {
-		fmt.Fprintf(w, "since\t%s\n", formatTime(s.State.PhaseStartedAt))
+	if s.State.PhaseStartedAtMS > 0 {
+		fmt.Fprintf(w, "since\t%s\n", formatTime(s.State.PhaseStartedAtMS))
 	}
 	if s.State.OnHold {
 		fmt.Fprintf(w, "held\tyes: finalize ends that\n")
@@ -55,7 +55,7 @@
 func printControllers(w io.Writer, s *rollout.Status) {
 	fmt.Fprintf(w, "\ncontroller\treads\tbuild\tsince\n")
 	for _, c := range s.Controllers {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", c.Node, c.LevelRange, c.Build, formatTime(c.RegisteredAt))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", c.Node, c.LevelRange, c.Build, formatTime(c.RegisteredAtMS))
 	}
 	for _, name := range s.MissingControllers {
 		fmt.Fprintf(w, "%s\tnot registered\n", name)
--- a/cmd/eiderhitch/upgrade.go
+++ b/cmd/eiderhitch/upgrade.go
@@ -82,11 +82,11 @@
 	// operator's environment.
 	transport := &http.Transport{DisableCompression: true}
 	return &rollout.OperatorClient{
-		Store:          store.NewClient(platform.External.Store, transport),
-		Members:        platform.ControllerNames(),
-		PartitionCount: platform.Settings.ControllerCount,
-		MaxTxnChanges:  platform.Settings.Store.TxnOps,
-		RetryDeadline:  retryDeadline,
+		Store:                 store.NewClient(platform.External.Store, transport),
+		Members:               platform.ControllerNames(),
+		PartitionCount:        platform.Settings.ControllerCount,
+		MaxTransactionChanges: platform.Settings.Store.TxnOps,
+		RetryDeadline:         retryDeadline,
 	}, nil
 }
 
--- a/cmd/eiderhitch/upgrade_faults_test.go
+++ b/cmd/eiderhitch/upgrade_faults_test.go
@@ -127,10 +127,10 @@
 }
 
 var requestCases = []requestCase{
-	{rollout.RequestFinalize, rollout.State{Level: 1, Phase: rollout.PhaseActive, PhaseStartedAt: 1}, rollout.State{Level: 2, Phase: rollout.PhaseStable, Epoch: 1, PhaseStartedAt: 2}},
-	{rollout.RequestAbort, rollout.State{Level: 2, Phase: rollout.PhaseStable, Epoch: 1, OnHold: true, PhaseStartedAt: 1}, rollout.State{Level: 2, Phase: rollout.PhaseReverting, Epoch: 1, OnHold: true, PhaseStartedAt: 2}},
-	{rollout.RequestAbort, rollout.State{Level: 1, Phase: rollout.PhaseActive, PhaseStartedAt: 1}, rollout.State{Level: 1, Phase: rollout.PhaseStable, OnHold: true, PhaseStartedAt: 2}},
-	{rollout.RequestFinalize, rollout.State{Level: 1, Phase: rollout.PhaseStable, OnHold: true, PhaseStartedAt: 1}, rollout.State{Level: 1, Phase: rollout.PhaseStable, PhaseStartedAt: 2}},
+	{rollout.RequestFinalize, rollout.State{Level: 1, Phase: rollout.PhaseActive, PhaseStartedAtMS: 1}, rollout.State{Level: 2, Phase: rollout.PhaseStable, Epoch: 1, PhaseStartedAtMS: 2}},
+	{rollout.RequestAbort, rollout.State{Level: 2, Phase: rollout.PhaseStable, Epoch: 1, OnHold: true, PhaseStartedAtMS: 1}, rollout.State{Level: 2, Phase: rollout.PhaseReverting, Epoch: 1, OnHold: true, PhaseStartedAtMS: 2}},
+	{rollout.RequestAbort, rollout.State{Level: 1, Phase: rollout.PhaseActive, PhaseStartedAtMS: 1}, rollout.State{Level: 1, Phase: rollout.PhaseStable, OnHold: true, PhaseStartedAtMS: 2}},
+	{rollout.RequestFinalize, rollout.State{Level: 1, Phase: rollout.PhaseStable, OnHold: true, PhaseStartedAtMS: 1}, rollout.State{Level: 1, Phase: rollout.PhaseStable, PhaseStartedAtMS: 2}},
 }
 
 // newFaultyStore returns a store behind f in the initial state of x. If hasLeader, requests are
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -131,9 +131,9 @@
 	HasLoadedRecords() bool
 	// Leadership returns the leadership term of this controller.
 	Leadership() Leadership
-	// LeaderLastHeardAt returns when the leader last sent a status. It is zero if the leader
+	// LeaderLastStatusAt returns when the leader last sent a status. It is zero if the leader
 	// has never sent one or is not a peer of this controller.
-	LeaderLastHeardAt() time.Time
+	LeaderLastStatusAt() time.Time
 	// PartitionFencingCondition returns a condition that makes a write fail once another
 	// controller owns the partition. Its revision is 0 if this controller does not own it.
 	PartitionFencingCondition(partition int) wire.Condition
--- a/internal/autoscaler/fake_cluster_test.go
+++ b/internal/autoscaler/fake_cluster_test.go
@@ -71,7 +71,7 @@
 
 	loadingRecords       bool
 	leadership           Leadership
-	leaderLastHeardAt    time.Time
+	leaderLastStatusAt   time.Time
 	partitionCondition   wire.Condition
 	ownersUnresponsive   bool
 	heartbeatsResumedAt  time.Time
@@ -201,7 +201,7 @@
 func (c *fakeCluster) Types() map[string]*wire.MachineType          { return c.types }
 func (c *fakeCluster) HasLoadedRecords() bool                       { return !c.loadingRecords }
 func (c *fakeCluster) Leadership() Leadership                       { return c.leadership }
-func (c *fakeCluster) LeaderLastHeardAt() time.Time                 { return c.leaderLastHeardAt }
+func (c *fakeCluster) LeaderLastStatusAt() time.Time                { return c.leaderLastStatusAt }
 func (c *fakeCluster) PartitionFencingCondition(int) wire.Condition { return c.partitionCondition }
 func (c *fakeCluster) AreAllOwnersResponsive() bool                 { return !c.ownersUnresponsive }
 func (c *fakeCluster) HasCompleteView(int) bool                     { return !c.ownersUnresponsive }
--- a/internal/autoscaler/lost_machines.go
+++ b/internal/autoscaler/lost_machines.go
@@ -97,7 +97,7 @@
 // machines are unreachable, and their tasks would be replaced only after the leases of their
 // workers have expired.
 func (a *Autoscaler) TerminateUnreachableMachines() {
-	if a.Cluster.Leadership().Active || a.Loop.Now().Sub(a.Cluster.LeaderLastHeardAt()) < leaderTimeout {
+	if a.Cluster.Leadership().Active || a.Loop.Now().Sub(a.Cluster.LeaderLastStatusAt()) < leaderTimeout {
 		return
 	}
 	a.terminate(a.Machines.UnreachableMachinesWithTasks())
--- a/internal/autoscaler/machines_test.go
+++ b/internal/autoscaler/machines_test.go
@@ -151,8 +151,8 @@
 		setup func(c *fakeCluster)
 		want  bool
 	}{
-		{"leader responds", func(c *fakeCluster) { c.demote(); c.leaderLastHeardAt = c.now.Add(-3 * time.Second) }, false},
-		{"leader does not respond", func(c *fakeCluster) { c.demote(); c.leaderLastHeardAt = c.now.Add(-4 * time.Second) }, true},
+		{"leader responds", func(c *fakeCluster) { c.demote(); c.leaderLastStatusAt = c.now.Add(-3 * time.Second) }, false},
+		{"leader does not respond", func(c *fakeCluster) { c.demote(); c.leaderLastStatusAt = c.now.Add(-4 * time.Second) }, true},
 		{"no leader", func(c *fakeCluster) { c.demote() }, true},
 		{"the owner is the leader", func(*fakeCluster) {}, false},
 	} {
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -111,9 +111,9 @@
 	return autoscaler.Leadership{Epoch: own.epoch, StartedAt: own.startedAt, Active: own.isActive, CanAct: v.isLeader(), FencingCondition: v.leaderCondition()}
 }
 
-// LeaderLastHeardAt returns the time of the leader's last status. It is zero if there was none or
+// LeaderLastStatusAt returns the time of the leader's last status. It is zero if there was none or
 // the leader is not a peer.
-func (v leadershipView) LeaderLastHeardAt() time.Time {
+func (v leadershipView) LeaderLastStatusAt() time.Time {
 	if leader := v.peers.Peer(v.ownerOf(v.leaderKey())); leader != nil {
 		return leader.LastStatusAt
 	}
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -267,9 +267,9 @@
 	c.startAll()
 }
 
-// setPolicies sets the network policy for the requests of all controllers; nil: all requests are
+// setFaultPolicies sets the network policy for the requests of all controllers; nil: all requests are
 // delivered.
-func (c *cluster) setPolicies(policy network.FaultPolicy) {
+func (c *cluster) setFaultPolicies(policy network.FaultPolicy) {
 	for _, n := range c.nodes {
 		n.transport.SetFaultPolicy(policy)
 	}
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -45,7 +45,7 @@
 	hashPartitions := c.partitions[:c.loanPartition()]
 	candidates := make([]election.Partition, len(hashPartitions))
 	for i, p := range hashPartitions {
-		candidates[i] = election.Partition{Index: p.index, Key: p.key, IsOwned: p.token != 0, OwnedSince: p.ownedSince, HasHeardAllMachines: p.hasHeartbeatsFromAllMachines}
+		candidates[i] = election.Partition{Index: p.index, Key: p.key, IsOwned: p.token != 0, OwnedSince: p.ownedSince, HasHeartbeatsFromAllMachines: p.hasHeartbeatsFromAllMachines}
 	}
 	c.election.Campaign(candidates, c.leaderKey(), peerView{c})
 }
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -76,7 +76,7 @@
 	for _, p := range v.peers.All() {
 		if p.HasRecentStatus(peer.Timeout, v.now) {
 			hasContact = true
-			fresh = fresh || p.Status.ReplicaIsCurrent
+			fresh = fresh || p.Status.ReplicaIsFresh
 		}
 	}
 	return hasContact, fresh
--- a/internal/controller/full_fleet_test.go
+++ b/internal/controller/full_fleet_test.go
@@ -98,7 +98,7 @@
 // addOwnerStatus records a status of a peer that lists a partition as its own and stays valid
 // for an hour.
 func (c *controller) addOwnerStatus(node string, partition int) {
-	status := &peer.Status{Node: node, ReplicaIsCurrent: true, CanTakePartitions: true, Partitions: []uint64{uint64(partition)}}
+	status := &peer.Status{Node: node, ReplicaIsFresh: true, CanTakePartitions: true, Partitions: []uint64{uint64(partition)}}
 	c.peers.Update(status, c.now.Add(time.Hour))
 }
 
--- a/internal/controller/gang_attempt.go
+++ b/internal/controller/gang_attempt.go
@@ -62,7 +62,7 @@
 		j.gangCompleted = true // all tasks complete together
 	case wire.ReasonIncompleteGang, wire.ReasonError:
 		j.failedAttempt = max(j.failedAttempt, t.Attempt)
-	case wire.ReasonPeersGone:
+	case wire.ReasonGangTaskEnded:
 		j.startedAttempt = max(j.startedAttempt, t.Attempt)
 	}
 }
--- a/internal/controller/gang_ends_test.go
+++ b/internal/controller/gang_ends_test.go
@@ -31,7 +31,7 @@
 		c.submit(gang)
 		c.await("the gang is bound", time.Minute, func() bool { return c.attemptCounts("wk-99")[1] == 4 })
 		time.Sleep(4 * time.Second)
-		c.setPolicies(dropOneResponse("e/group/wk-99/"))
+		c.setFaultPolicies(dropOneResponse("e/group/wk-99/"))
 		c.agentWithJob("wk-99").Restart()
 		c.await("all tasks of the gang run", time.Minute, func() bool { return c.env.CountRunningTasks("wk-99") == 4 })
 		for i := range c.nodes {
--- a/internal/controller/gang_phases_test.go
+++ b/internal/controller/gang_phases_test.go
@@ -111,8 +111,8 @@
 		for _, n := range c.nodes {
 			n.transport.SetDelay(3*time.Second, 4*time.Second)
 		}
-		c.setPolicies(policyForMatching(isAgentRequest, network.ExecuteLate))
-		time.AfterFunc(15*time.Second, func() { c.setPolicies(nil) })
+		c.setFaultPolicies(policyForMatching(isAgentRequest, network.ExecuteLate))
+		time.AfterFunc(15*time.Second, func() { c.setFaultPolicies(nil) })
 	}},
 	{"all controllers restart", (*cluster).restartAll},
 	{"leader ends", func(c *cluster) {
@@ -169,8 +169,8 @@
 var stopInterferences = []stopInterference{
 	{"all members are reached", func(*cluster, *agent.Agent) func() { return doNothing }, true},
 	{"one member is reached by the response to its heartbeat only", func(c *cluster, a *agent.Agent) func() {
-		c.setPolicies(policyForMatching(func(r *http.Request) bool { return r.URL.Host == a.Addr() }, network.Drop))
-		return func() { c.setPolicies(nil) }
+		c.setFaultPolicies(policyForMatching(func(r *http.Request) bool { return r.URL.Host == a.Addr() }, network.Drop))
+		return func() { c.setFaultPolicies(nil) }
 	}, true},
 	{"no machine sends heartbeats for a while", func(c *cluster, _ *agent.Agent) func() {
 		set := func(notSending bool) {
@@ -253,7 +253,7 @@
 	m := c.getOrAddMachine("host-1")
 	j := &job{id: "wk-1", spec: &wire.Job{ID: "wk-1", Gang: true, TaskCount: 2}}
 	c.jobs["wk-1"] = j
-	for _, reason := range []string{wire.ReasonPeersGone, wire.ReasonIncompleteGang} {
+	for _, reason := range []string{wire.ReasonGangTaskEnded, wire.ReasonIncompleteGang} {
 		for range 5 {
 			c.handleTaskEnd(m, j, reason)
 		}
@@ -283,7 +283,7 @@
 		{"one is lost while they save", wire.StateSavingCheckpoint, "", true, true},
 		{"one reports an incomplete gang", wire.StateExited, wire.ReasonIncompleteGang, false, true},
 		{"one has failed", wire.StateExited, wire.ReasonError, false, true},
-		{"one reports that members are gone", wire.StateExited, wire.ReasonPeersGone, false, true},
+		{"one reports that members are gone", wire.StateExited, wire.ReasonGangTaskEnded, false, true},
 	} {
 		c := newTestController(t)
 		p := c.partitions[0]
@@ -359,9 +359,9 @@
 		left        []int32 // tasks that stay bound
 	}{
 		{"only one task has exited", map[int]string{2: wire.ReasonDone}, []int32{0, 1, 3}},
-		{"others exit with mates_gone", map[int]string{0: wire.ReasonPeersGone, 1: wire.ReasonDone, 3: wire.ReasonPeersGone}, []int32{2}},
+		{"others exit with mates_gone", map[int]string{0: wire.ReasonGangTaskEnded, 1: wire.ReasonDone, 3: wire.ReasonGangTaskEnded}, []int32{2}},
 		{"another exits as stopped", map[int]string{0: wire.ReasonStopped, 3: wire.ReasonDone}, []int32{1, 2}},
-		{"all have exited", map[int]string{0: wire.ReasonDone, 1: wire.ReasonDone, 2: wire.ReasonStopped, 3: wire.ReasonPeersGone}, nil},
+		{"all have exited", map[int]string{0: wire.ReasonDone, 1: wire.ReasonDone, 2: wire.ReasonStopped, 3: wire.ReasonGangTaskEnded}, nil},
 	} {
 		t.Run(x.name, func(t *testing.T) { checkDoneGang(t, x.exitReasons, x.left) })
 	}
@@ -372,13 +372,13 @@
 // the rest.
 func TestDoneGangAfterFailover(t *testing.T) {
 	c, p, groups := runningGang(t, 1)
-	sendGangHeartbeat(c, p, map[int]string{0: wire.ReasonPeersGone, 1: wire.ReasonPeersGone, 2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
+	sendGangHeartbeat(c, p, map[int]string{0: wire.ReasonGangTaskEnded, 1: wire.ReasonGangTaskEnded, 2: wire.ReasonGangTaskEnded, 3: wire.ReasonGangTaskEnded})
 	if update := c.planUpdate(p, groups[0]); update.doneTasks != 0 || len(update.bindings) != 4 {
 		t.Errorf("no task is done: the update has %d tasks done and %d bindings, want 0 and 4", update.doneTasks, len(update.bindings))
 	}
 	c, p, groups = runningGang(t, 2)
 	c.replica.Put(groups[0].key, marshalJSON(t, record.TaskGroup{DoneTasks: 2, Tasks: []record.Binding{}}), 9) // written by the former owner
-	sendGangHeartbeat(c, p, map[int]string{2: wire.ReasonPeersGone, 3: wire.ReasonPeersGone})
+	sendGangHeartbeat(c, p, map[int]string{2: wire.ReasonGangTaskEnded, 3: wire.ReasonGangTaskEnded})
 	if update := c.planUpdate(p, groups[1]); update.doneTasks != 2 || !c.completesJob(groups[1], &update) {
 		t.Errorf("half of the gang is stored as done: the update has %d of the other tasks done, want 2 and the job completed", update.doneTasks)
 	}
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -32,9 +32,9 @@
 	// reserveMinHold is the minimum time for which a machine that has arrived stays in the
 	// reserve.
 	reserveMinHold = 10 * time.Second
-	// reserveOpensAfter is how long other jobs wait before they may use the reserve. No job
+	// reserveAvailableAfter is how long other jobs wait before they may use the reserve. No job
 	// should wait much longer while a machine has room for it.
-	reserveOpensAfter = time.Minute
+	reserveAvailableAfter = time.Minute
 	// reserveMaxUnused is how long room of the reserve may stay unused before other jobs may
 	// use it. It is a third of the 90 s that a job may wait while a machine has room for it,
 	// since several gangs may collect room one after the other. loanMaxUnused is the limit
@@ -80,14 +80,14 @@
 
 // canUseReserve reports whether a job may be placed on the machines of the leader's own
 // partition. Gangs and jobs that have machines on loan may. Other jobs may if they have waited
-// for reserveOpensAfter since they were accepted or last assigned tasks, and the leader's term
+// for reserveAvailableAfter since they were accepted or last assigned tasks, and the leader's term
 // has lasted that long.
 func (c *leader) canUseReserve(j *job) bool {
 	since := j.acceptedAt
 	if j.assignedAt.After(since) {
 		since = j.assignedAt
 	}
-	return j.spec.Gang || c.hasLoanFor(j) || c.now.Sub(since) > reserveOpensAfter && c.now.Sub(c.leadership.startedAt) > reserveOpensAfter
+	return j.spec.Gang || c.hasLoanFor(j) || c.now.Sub(since) > reserveAvailableAfter && c.now.Sub(c.leadership.startedAt) > reserveAvailableAfter
 }
 
 // reserveAllows reports whether the gang reserve leaves a machine to a job. It doesn't if the
--- a/internal/controller/gang_reserve_fill.go
+++ b/internal/controller/gang_reserve_fill.go
@@ -107,7 +107,7 @@
 // of a service or gang, those with the fewest tasks first, and the largest first among equals.
 func (f *reserveFill) reserveCandidates(class *gangClass, zone string) []*planning.MachineSummary {
 	candidates := slices.DeleteFunc(f.loanableMachines(f.summaries, class.spec, zone), func(summary *planning.MachineSummary) bool {
-		return summary.RunsService
+		return summary.RunsServiceOrGang
 	})
 	slices.SortFunc(candidates, func(x, y *planning.MachineSummary) int {
 		return cmp.Or(cmp.Compare(len(x.Usages), len(y.Usages)), cmp.Compare(y.Size.CPU, x.Size.CPU), cmp.Compare(x.Index, y.Index))
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -100,13 +100,13 @@
 	case workerRequest:
 		c.recordWorkerRequest(m, p)
 	case directCommandResponse:
-		m.leaseLostInContact, m.commandState.unanswered = false, 0
+		m.hasMissedResponses, m.commandState.unanswered = false, 0
 	}
 	c.updateTerminationNotice(m, heartbeat.TerminationNoticeS)
 	if p.takeoverComplete && !m.terminated {
 		c.reconcile(m, p)
 	}
-	if source == workerRequest && (m.leaseLostInContact || !p.isOwnToken(m.token)) {
+	if source == workerRequest && (m.hasMissedResponses || !p.isOwnToken(m.token)) {
 		c.ping(m, p) // an answer proves that the machine receives requests and has seen the current token
 	}
 	if needsPass {
@@ -140,7 +140,7 @@
 	c.log.Info("machine begins a new incarnation", "machine", m.name, "incarnation", incarnation)
 	m.cachedImages, m.fetchStartedAt = map[string]bool{}, map[string]time.Time{}
 	m.commandState.unansweredStartToken, m.responseCarriesStart = 0, false
-	m.leaseLostInContact = !m.leaseRenewedAt.IsZero()
+	m.hasMissedResponses = !m.leaseRenewedAt.IsZero()
 }
 
 // affectsScheduling reports whether a heartbeat requires a scheduling pass. Most heartbeats
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -30,10 +30,10 @@
 	usableIntervals  = 2
 	minUsableTimeout = 3 * time.Second
 
-	// silentMachineRetention is how long after its last heartbeat a machine is still pinged and
+	// unresponsiveMachineRetention is how long after its last heartbeat a machine is still pinged and
 	// reported to peers. It is well above the time after which a silent machine is terminated
 	// or proven dead.
-	silentMachineRetention = 3 * time.Minute
+	unresponsiveMachineRetention = 3 * time.Minute
 	// majorityCountWindow is how long after its last heartbeat a machine is counted when the
 	// controller determines whether most machines of a partition are unreachable.
 	majorityCountWindow = 2 * time.Minute
@@ -70,7 +70,7 @@
 // seemsNotReceiving reports whether the machine lost its lease although its heartbeats were
 // answered, or does not answer direct commands.
 func (m *machine) seemsNotReceiving() bool {
-	return m.leaseLostInContact || m.commandState.unanswered >= unansweredLimit
+	return m.hasMissedResponses || m.commandState.unanswered >= unansweredLimit
 }
 
 // isNotReceiving reports whether the machine receives no messages, even if it sends some. No
@@ -81,12 +81,12 @@
 	return m.seemsNotReceiving() && !p.mostNotReceiving
 }
 
-// silentSince returns the time of the machine's last heartbeat, or the earliest time at which
+// noHeartbeatSince returns the time of the machine's last heartbeat, or the earliest time at which
 // this controller could have received one, whichever is later. A controller that does not
 // answer heartbeats (see config.MaxStaleness) receives none: if that time counted as silence,
 // all machines would become unreachable at once after a long outage, and would be terminated
 // with all their tasks.
-func (c *clusterState) silentSince(m *machine, p *partition) time.Time {
+func (c *clusterState) noHeartbeatSince(m *machine, p *partition) time.Time {
 	since := p.machineOwnedSince(m)
 	if c.heartbeatsResumedAt.After(since) {
 		since = c.heartbeatsResumedAt
@@ -161,10 +161,10 @@
 // seemsUnreachable reports whether the machine looks unreachable on its own, without regard to
 // the other machines of the partition.
 func (c *clusterState) seemsUnreachable(m *machine, p *partition) bool {
-	if c.sendsWithoutReceiving(m, p) || c.isSilentBeyondLease(m, p) {
+	if c.sendsWithoutReceiving(m, p) || c.isHeartbeatOlderThanLease(m, p) {
 		return true
 	}
-	since := c.silentSince(m, p)
+	since := c.noHeartbeatSince(m, p)
 	if m.lastMessageAt.After(since) {
 		since = m.lastMessageAt
 	}
@@ -187,12 +187,12 @@
 	return m.isNotReceiving(p) && c.now.Sub(p.machineOwnedSince(m)) > c.unreachableTimeout() && c.now.Sub(m.heartbeatAt) < c.heartbeatTimeout()
 }
 
-// isSilentBeyondLease reports whether the machine has sent no heartbeat for so long that its
+// isHeartbeatOlderThanLease reports whether the machine has sent no heartbeat for so long that its
 // lease has expired, while heartbeats of other machines arrive. No tasks are placed on such a
 // machine even if it answers direct commands.
-func (c *clusterState) isSilentBeyondLease(m *machine, p *partition) bool {
-	silent := c.now.Sub(c.silentSince(m, p)) > c.leaseExpiry+c.unreachableTimeout()
-	return silent && c.now.Sub(c.resumedFromPauseAt) > c.unreachableTimeout() && c.now.Sub(c.lastHeartbeatAt) < c.heartbeatTimeout()
+func (c *clusterState) isHeartbeatOlderThanLease(m *machine, p *partition) bool {
+	expired := c.now.Sub(c.noHeartbeatSince(m, p)) > c.leaseExpiry+c.unreachableTimeout()
+	return expired && c.now.Sub(c.resumedFromPauseAt) > c.unreachableTimeout() && c.now.Sub(c.lastHeartbeatAt) < c.heartbeatTimeout()
 }
 
 // probeMachines pings the machines whose heartbeats are overdue or that seem not to receive
@@ -204,15 +204,15 @@
 		}
 		all, notReceiving := 0, 0
 		for _, m := range p.machines {
-			if m.terminated || !c.expectsHeartbeat(m, silentMachineRetention) {
+			if m.terminated || !c.expectsHeartbeat(m, unresponsiveMachineRetention) {
 				continue
 			}
 			all++
 			if m.seemsNotReceiving() {
 				notReceiving++
 			}
-			overdue := c.now.Sub(c.silentSince(m, p)) > c.heartbeatTimeout()
-			if m.leaseLostInContact || m.commandState.unanswered > 0 || overdue {
+			overdue := c.now.Sub(c.noHeartbeatSince(m, p)) > c.heartbeatTimeout()
+			if m.hasMissedResponses || m.commandState.unanswered > 0 || overdue {
 				c.ping(m, p)
 			}
 		}
--- a/internal/controller/liveness_test.go
+++ b/internal/controller/liveness_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// newHeardMachine returns a machine of the test controller that has just sent a heartbeat, and
+// newMachineWithHeartbeat returns a machine of the test controller that has just sent a heartbeat, and
 // its partition.
-func newHeardMachine(c *controller) (*machine, *partition) {
+func newMachineWithHeartbeat(c *controller) (*machine, *partition) {
 	p := c.partitions[0]
 	p.firstToken = p.token
 	m := c.getOrAddMachine("host-1")
@@ -59,10 +59,10 @@
 		{"one command unanswered", func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 1 }, true},
 		{"two commands unanswered", func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, false},
 		{"two commands unanswered, as for most machines", func(_ *controller, m *machine, p *partition) { m.commandState.unanswered, p.mostNotReceiving = 2, true }, true},
-		{"lost its lease although its heartbeats were answered", func(_ *controller, m *machine, _ *partition) { m.leaseLostInContact = true }, false},
+		{"lost its lease although its heartbeats were answered", func(_ *controller, m *machine, _ *partition) { m.hasMissedResponses = true }, false},
 	} {
 		c := newTestController(t)
-		m, p := newHeardMachine(c)
+		m, p := newMachineWithHeartbeat(c)
 		x.change(c, m, p)
 		if got := c.isUsable(m, p); got != x.want {
 			t.Errorf("%s: usable %v, want %v", x.name, got, x.want)
@@ -93,10 +93,10 @@
 	{"pings unanswered, overdue", 1800 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, true},
 	{"pings unanswered right after a failover", 3700 * time.Millisecond, unansweredSinceFailover, false},
 	{"pings unanswered a while after a failover", 3800 * time.Millisecond, unansweredSinceFailover, true},
-	{"sends without receiving", 0, func(_ *controller, m *machine, _ *partition) { m.leaseLostInContact = true }, true},
-	{"sends without receiving, as most machines do", 0, func(_ *controller, m *machine, p *partition) { m.leaseLostInContact, p.mostNotReceiving = true, true }, false},
+	{"sends without receiving", 0, func(_ *controller, m *machine, _ *partition) { m.hasMissedResponses = true }, true},
+	{"sends without receiving, as most machines do", 0, func(_ *controller, m *machine, p *partition) { m.hasMissedResponses, p.mostNotReceiving = true, true }, false},
 	{"sends without receiving, right after a failover", 0, func(c *controller, m *machine, p *partition) {
-		m.leaseLostInContact, p.ownedSince = true, c.now.Add(-time.Second)
+		m.hasMissedResponses, p.ownedSince = true, c.now.Add(-time.Second)
 	}, false},
 	{"answers pings beyond its lease, others are heard", beyondLease, answersPings, true},
 	{"answers pings beyond its lease, no machine is heard", beyondLease, func(c *controller, m *machine, p *partition) {
@@ -121,7 +121,7 @@
 func TestMachineSeemsUnreachable(t *testing.T) {
 	for _, x := range unreachableTests {
 		c := newTestController(t)
-		m, p := newHeardMachine(c)
+		m, p := newMachineWithHeartbeat(c)
 		c.now = c.now.Add(x.after)
 		if x.change != nil {
 			x.change(c, m, p)
--- a/internal/controller/loan_selection.go
+++ b/internal/controller/loan_selection.go
@@ -59,7 +59,7 @@
 	mayReserve := c.now.Sub(j.acceptedAt) > reserveMachinesAfter
 	cannotPreempt := func(usage planning.TaskUsage) bool { return !request.claim.CanPreempt(usage.Claim) }
 	candidates := slices.DeleteFunc(c.loanableMachines(summaries, j.spec, request.zone), func(summary *planning.MachineSummary) bool {
-		return (!mayReserve || summary.RunsService) && slices.ContainsFunc(summary.Usages, cannotPreempt)
+		return (!mayReserve || summary.RunsServiceOrGang) && slices.ContainsFunc(summary.Usages, cannotPreempt)
 	})
 	sizeFor := func(summary *planning.MachineSummary, tasks int) int {
 		return summary.Size.CountFitting(j.taskSize, tasks)
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -53,17 +53,17 @@
 	// lastMessageAt is the time of the last new message from the machine: a heartbeat or the
 	// answer to a direct command.
 	lastMessageAt time.Time
-	// leaseLostInContact is set when the machine lost its lease although its heartbeats were
+	// hasMissedResponses is set when the machine lost its lease although its heartbeats were
 	// answered, and is cleared by its next answer to a direct command. Such a machine may be
 	// able to send but not to receive.
-	leaseLostInContact bool
+	hasMissedResponses bool
 	commandState       directCommandState
 
-	// isSchedulable and runsService cache the results of partitionOwner.isSchedulable and
-	// clusterState.runsService. schedulablePass and runsServicePass are the numbers of the
+	// isSchedulable and runsServiceOrGang cache the results of partitionOwner.isSchedulable and
+	// clusterState.runsServiceOrGang. schedulablePass and runsServiceOrGangPass are the numbers of the
 	// scheduling passes in which they were computed.
-	isSchedulable, runsService       bool
-	schedulablePass, runsServicePass uint64
+	isSchedulable, runsServiceOrGang       bool
+	schedulablePass, runsServiceOrGangPass uint64
 }
 
 // directCommandState tracks the direct commands sent to one machine.
--- a/internal/controller/machine_summaries.go
+++ b/internal/controller/machine_summaries.go
@@ -103,7 +103,7 @@
 		}
 		summary.FreeResources = summary.FreeResources.Minus(job.taskSize)
 		summary.Usages = append(summary.Usages, planning.TaskUsage{Claim: x.group.claim(), Size: job.taskSize})
-		summary.RunsService = summary.RunsService || job.spec.IsAllOrNothing()
+		summary.RunsServiceOrGang = summary.RunsServiceOrGang || job.spec.IsAllOrNothing()
 	}
 }
 
@@ -123,7 +123,7 @@
 func (c *clusterState) eachOwnMachine(p *partition, visit func(m *machine, flags uint8)) {
 	for _, m := range p.machines {
 		known := !m.heartbeatAt.IsZero() || len(m.bindings) > 0
-		if !m.terminated && known && c.now.Sub(c.silentSince(m, p)) < silentMachineRetention {
+		if !m.terminated && known && c.now.Sub(c.noHeartbeatSince(m, p)) < unresponsiveMachineRetention {
 			visit(m, c.machineFlags(m, p))
 		}
 	}
--- a/internal/controller/peer_status.go
+++ b/internal/controller/peer_status.go
@@ -7,7 +7,7 @@
 // buildPeerStatus returns the status that is sent to the peers: what they need to know about this
 // controller, its partitions and their machines.
 func (c *controller) buildPeerStatus() *peer.Status {
-	status := &peer.Status{Node: c.cfg.Name, ProcessID: c.processID, ReplicaIsCurrent: c.isFresh(c.operator.LeaseTTL), CanTakePartitions: c.isEligible(), DrainingMachines: c.autoscaler.DrainingMachines()}
+	status := &peer.Status{Node: c.cfg.Name, ProcessID: c.processID, ReplicaIsFresh: c.isFresh(c.operator.LeaseTTL), CanTakePartitions: c.isEligible(), DrainingMachines: c.autoscaler.DrainingMachines()}
 	for _, p := range c.partitions {
 		if p.token == 0 || !p.takeoverComplete {
 			continue
@@ -24,9 +24,9 @@
 
 // isReportedToPeers reports whether the status includes a machine of an owned partition: one that
 // has sent a heartbeat to this owner or has tasks bound to it, and whose incarnation is known,
-// unless it is terminated or has been silent for longer than silentMachineRetention.
+// unless it is terminated or has been silent for longer than unresponsiveMachineRetention.
 func (c *clusterState) isReportedToPeers(m *machine, p *partition) bool {
-	if m.terminated || m.incarnation == 0 || c.now.Sub(c.silentSince(m, p)) > silentMachineRetention {
+	if m.terminated || m.incarnation == 0 || c.now.Sub(c.noHeartbeatSince(m, p)) > unresponsiveMachineRetention {
 		return false
 	}
 	return m.heartbeatAt.After(p.ownedSince) || len(m.bindings) > 0
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -20,9 +20,9 @@
 	directSlots  *workerclient.Slots[*machine]
 }
 
-// evictionDelayFactor is the multiple of evict-after that an array's task at the head of the
+// preemptionDelayFactor is the multiple of evict-after that an array's task at the head of the
 // queue waits for a free cell before it may preempt others.
-const evictionDelayFactor = 2
+const preemptionDelayFactor = 2
 
 // schedulePartitions runs a scheduling pass over all partitions that this controller owns.
 func (c *partitionOwner) schedulePartitions() {
@@ -162,7 +162,7 @@
 			noPreemption:     isArray && waited < c.operator.PreemptionDelay,
 		},
 		score:             c.scorer(p, group),
-		prefersFreedCells: isArray && waited < evictionDelayFactor*c.operator.PreemptionDelay,
+		prefersFreedCells: isArray && waited < preemptionDelayFactor*c.operator.PreemptionDelay,
 	}
 }
 
@@ -243,7 +243,7 @@
 
 // currentClass returns the group's placement class at this point of the pass. While cells become
 // free continually, the tasks at the head of the queue soon get one, so only the tasks behind
-// them preempt. After evictionDelayFactor times evict-after, all tasks of the group may.
+// them preempt. After preemptionDelayFactor times evict-after, all tasks of the group may.
 func (s *placement) currentClass() placementClass {
 	class := s.class
 	if s.prefersFreedCells && !class.noPreemption {
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -198,16 +198,16 @@
 func (c *controller) rolloutView() rollout.ClusterView {
 	s := &c.rollout
 	return rollout.ClusterView{
-		Now:               c.now,
-		Members:           c.cfg.ControllerNames(),
-		Registrations:     s.registrations,
-		IsLeader:          c.isLeader(),
-		IsUpToDate:        c.replica.Cursor() >= s.revision,
-		NewerRecords:      s.countGroupsAboveWriteEncoding(),
-		UnreadableRecords: len(s.unreadableGroups),
-		PartitionCount:    c.loanPartition(),
-		MaxTxnChanges:     c.cfg.Settings.Store.TxnOps,
-		FinalizeAfter:     c.operator.FinalizeDelay,
+		Now:                   c.now,
+		Members:               c.cfg.ControllerNames(),
+		Registrations:         s.registrations,
+		IsLeader:              c.isLeader(),
+		IsUpToDate:            c.replica.Cursor() >= s.revision,
+		NewerRecords:          s.countGroupsAboveWriteEncoding(),
+		UnreadableRecords:     len(s.unreadableGroups),
+		PartitionCount:        c.loanPartition(),
+		MaxTransactionChanges: c.cfg.Settings.Store.TxnOps,
+		FinalizeAfter:         c.operator.FinalizeDelay,
 	}
 }
 
--- a/internal/controller/rollout_cluster_test.go
+++ b/internal/controller/rollout_cluster_test.go
@@ -69,7 +69,7 @@
 // upgradeOperator returns an operator who controls the cluster's upgrade.
 func (c *cluster) upgradeOperator() *rollout.OperatorClient {
 	cfg := c.nodes[0].cfg
-	return &rollout.OperatorClient{Store: c.storeClient(), Members: cfg.ControllerNames(), PartitionCount: cfg.Settings.ControllerCount, MaxTxnChanges: cfg.Settings.Store.TxnOps}
+	return &rollout.OperatorClient{Store: c.storeClient(), Members: cfg.ControllerNames(), PartitionCount: cfg.Settings.ControllerCount, MaxTransactionChanges: cfg.Settings.Store.TxnOps}
 }
 
 // requestUpgrade stores an operator's request as the eiderhitch upgrade command does. It retries
--- a/internal/controller/rollout_processes_test.go
+++ b/internal/controller/rollout_processes_test.go
@@ -186,7 +186,7 @@
 	u.beginPhase("rolling upgrade")
 	lastStartedAt := u.upgradeAll()
 	u.awaitPhase(1, rollout.PhaseActive, time.Minute)
-	u.t.Logf("from the start of the last controller until the level is active: %v", time.UnixMilli(u.storedRolloutState().PhaseStartedAt).Sub(lastStartedAt).Round(time.Millisecond))
+	u.t.Logf("from the start of the last controller until the level is active: %v", time.UnixMilli(u.storedRolloutState().PhaseStartedAtMS).Sub(lastStartedAt).Round(time.Millisecond))
 	u.beginPhase("finalization and rewriting")
 	u.finalizeAndRewrite()
 	u.beginPhase("after finalization")
--- a/internal/controller/scoring.go
+++ b/internal/controller/scoring.go
@@ -14,13 +14,13 @@
 	forbiddenScore = -1
 	// baseScore keeps the score of a machine that meets all criteria with negative scores from
 	// being negative, which would forbid the placement.
-	baseScore = -(cachedImageScore + spotScore + serviceScore)
+	baseScore = -(cachedImageScore + spotScore + serviceOrGangScore)
 	// spotScore prefers spot machines, which leaves the more expensive on-demand machines to the
 	// tasks that need them.
 	spotScore = -500
-	// serviceScore prefers machines that run a service or gang, since these are needed anyway
+	// serviceOrGangScore prefers machines that run a service or gang, since these are needed anyway
 	// until it ends.
-	serviceScore = -150
+	serviceOrGangScore = -150
 	// Each free CPU adds 1 to the score: dense packing leaves whole machines empty, which can
 	// then be terminated. Free CPUs beyond maxScoredMilliCPUs add nothing.
 	maxScoredMilliCPUs     = 100_000
@@ -54,8 +54,8 @@
 		if m.spot {
 			score += spotScore
 		}
-		if c.runsService(m) {
-			score += serviceScore
+		if c.runsServiceOrGang(m) {
+			score += serviceOrGangScore
 		}
 		return score + float64(min(free.CPU, maxScoredMilliCPUs))/milliCPUsPerScorePoint
 	}
@@ -122,17 +122,17 @@
 	return loan != nil || c.autoscaler.IsDraining(m.name)
 }
 
-// runsService reports whether a task of a service or gang is bound to a machine; see
+// runsServiceOrGang reports whether a task of a service or gang is bound to a machine; see
 // planning.MachineSummary. The result is cached for the scheduling pass.
-func (c *clusterState) runsService(m *machine) bool {
-	if m.runsServicePass != c.schedulingPass {
-		m.runsServicePass, m.runsService = c.schedulingPass, m.hasServiceBinding()
+func (c *clusterState) runsServiceOrGang(m *machine) bool {
+	if m.runsServiceOrGangPass != c.schedulingPass {
+		m.runsServiceOrGangPass, m.runsServiceOrGang = c.schedulingPass, m.hasServiceOrGangBinding()
 	}
-	return m.runsService
+	return m.runsServiceOrGang
 }
 
-// hasServiceBinding reports whether a task of a service or gang is bound to a machine.
-func (m *machine) hasServiceBinding() bool {
+// hasServiceOrGangBinding reports whether a task of a service or gang is bound to a machine.
+func (m *machine) hasServiceOrGangBinding() bool {
 	for _, entry := range m.bindings {
 		if spec := entry.group.job.spec; spec != nil && spec.IsAllOrNothing() {
 			return true
--- a/internal/controller/throttle.go
+++ b/internal/controller/throttle.go
@@ -42,8 +42,8 @@
 
 // groupsToThrottle returns the groups of the team's other jobs that may be throttled for a
 // job, and the resources that throttled groups are about to release.
-func (c *machineRegistry) groupsToThrottle(j *job) (groups []*taskGroup, releasedResources scheduling.Resources) {
-	for group := range c.allGroups() {
+func (r *machineRegistry) groupsToThrottle(j *job) (groups []*taskGroup, releasedResources scheduling.Resources) {
+	for group := range r.allGroups() {
 		other := group.job
 		if other == j || other.spec == nil || other.team != j.team || other.finalState != record.StateUnfinished || other.spec.IsAllOrNothing() || other.spec.Priority > j.spec.Priority {
 			continue
--- a/internal/controller/unplaced_tasks.go
+++ b/internal/controller/unplaced_tasks.go
@@ -60,9 +60,9 @@
 
 // groupsToPlace returns the groups that have tasks that may run and are not placed, the most
 // urgent first.
-func (c *machineRegistry) groupsToPlace(byUrgency func(x, y *job) int) []*taskGroup {
+func (r *machineRegistry) groupsToPlace(byUrgency func(x, y *job) int) []*taskGroup {
 	var groups []*taskGroup
-	for group := range c.allGroups() {
+	for group := range r.allGroups() {
 		if group.job.finalState == record.StateUnfinished && group.job.spec != nil && group.job.revision != 0 && group.bindLimit() > group.boundTaskCount() {
 			groups = append(groups, group)
 		}
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -241,7 +241,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &peer.Status{Node: "perch-0", ProcessID: "00ff00ff00ff00ff", ReplicaIsCurrent: true, CanTakePartitions: true, Partitions: []uint64{0, 3},
+	want := &peer.Status{Node: "perch-0", ProcessID: "00ff00ff00ff00ff", ReplicaIsFresh: true, CanTakePartitions: true, Partitions: []uint64{0, 3},
 		Machines: []peer.Machine{{Name: "host-000231", Addr: "10.1.0.232:9000", Type: "small", Zone: "a", Incarnation: 2, Flags: peer.FlagReachable | peer.FlagSpot}}, DrainingMachines: []string{"host-000232"}}
 	if d := cmp.Diff(want, s); d != "" {
 		t.Error(d)
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -34,9 +34,9 @@
 	// IsOwned is set if this process owns the partition, since OwnedSince.
 	IsOwned    bool
 	OwnedSince time.Time
-	// HasHeardAllMachines reports whether each of the partition's machines with a bound
+	// HasHeartbeatsFromAllMachines reports whether each of the partition's machines with a bound
 	// task has sent a heartbeat since OwnedSince. It is called only if IsOwned is set.
-	HasHeardAllMachines func() bool
+	HasHeartbeatsFromAllMachines func() bool
 }
 
 // Peers describes the other controllers, as far as this controller knows their state.
@@ -95,7 +95,7 @@
 	if preferred == e.Node || !peers.IsEligible(preferred) || now.Sub(p.OwnedSince) <= minPartitionTenure {
 		return
 	}
-	if now.Sub(peers.ReachableSince(preferred)) > minPeerReachableTime && p.HasHeardAllMachines() {
+	if now.Sub(peers.ReachableSince(preferred)) > minPeerReachableTime && p.HasHeartbeatsFromAllMachines() {
 		e.Log.Info("partition handed over", "partition", p.Index, "to", preferred)
 		e.Resign(p.Key)
 	}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -214,7 +214,7 @@
 		p.store.mu.Unlock()
 		p.Enqueue(func() {
 			p.elector.Campaign([]Partition{{Index: 0, Key: partition0Key, IsOwned: p.elector.Token(partition0Key) != 0, OwnedSince: time.Now().Add(-time.Minute),
-				HasHeardAllMachines: func() bool { return true }}}, leaderKey, peers)
+				HasHeartbeatsFromAllMachines: func() bool { return true }}}, leaderKey, peers)
 		})
 	}
 	synctest.Wait()
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -13,7 +13,7 @@
 // A status must be decoded as it was encoded, in each frame version.
 func TestStatusRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		status := &Status{Node: rapid.StringN(0, 20, 100).Draw(t, "node"), ProcessID: rapid.StringN(0, 20, 100).Draw(t, "process id"), ReplicaIsCurrent: rapid.Bool().Draw(t, "fresh"), CanTakePartitions: rapid.Bool().Draw(t, "eligible"),
+		status := &Status{Node: rapid.StringN(0, 20, 100).Draw(t, "node"), ProcessID: rapid.StringN(0, 20, 100).Draw(t, "process id"), ReplicaIsFresh: rapid.Bool().Draw(t, "fresh"), CanTakePartitions: rapid.Bool().Draw(t, "eligible"),
 			Partitions: rapid.SliceOf(rapid.Uint64()).Draw(t, "partitions")}
 		for range rapid.IntRange(0, 5).Draw(t, "n") {
 			status.Machines = append(status.Machines, Machine{Name: rapid.StringN(0, 20, 100).Draw(t, "name"), Addr: "10.1.0.2:9000", Type: "g8", Zone: "a",
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -9,7 +9,7 @@
 // A checksummed frame must keep exactly these bytes, since other versions of the program read it. The
 // plain frames that earlier versions wrote are kept in the tests of package controller.
 func TestChecksummedFrameBytes(t *testing.T) {
-	status := &Status{Node: "n0", ProcessID: "00ff", ReplicaIsCurrent: true, CanTakePartitions: true, Partitions: []uint64{0, 300},
+	status := &Status{Node: "n0", ProcessID: "00ff", ReplicaIsFresh: true, CanTakePartitions: true, Partitions: []uint64{0, 300},
 		Machines: []Machine{{Name: "host-1", Addr: "10.1.0.2:9000", Type: "g8", Zone: "a", Incarnation: 2, Flags: FlagReachable | FlagSpot | FlagAwaitingFirstHeartbeat},
 			{Name: "host-2", Addr: "10.1.0.3:9000", Type: "g8", Zone: "b", Incarnation: 1, Flags: FlagTerminationNotice | FlagCordoned | FlagUnreachable}},
 		DrainingMachines: []string{"host-1", "host-2"}}
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -14,8 +14,8 @@
 	// controller from its previous process, which has the same name and whose last frames may
 	// arrive late.
 	ProcessID string
-	// ReplicaIsCurrent is set if the controller's replica of the key-value store is up to date.
-	ReplicaIsCurrent bool
+	// ReplicaIsFresh is set if the controller's replica of the key-value store is up to date.
+	ReplicaIsFresh bool
 	// CanTakePartitions is set if the controller may take over partitions, because its replica is
 	// up to date and workers can reach it.
 	CanTakePartitions bool
@@ -54,7 +54,7 @@
 
 // Flags of a status. The numbers are sent to other versions of the program.
 const (
-	statusFlagReplicaIsCurrent = 1 << iota
+	statusFlagReplicaIsFresh = 1 << iota
 	statusFlagCanTakePartitions
 )
 
@@ -70,8 +70,8 @@
 	buf = codec.AppendString(buf, status.Node)
 	buf = codec.AppendString(buf, status.ProcessID)
 	var flags uint8
-	if status.ReplicaIsCurrent {
-		flags |= statusFlagReplicaIsCurrent
+	if status.ReplicaIsFresh {
+		flags |= statusFlagReplicaIsFresh
 	}
 	if status.CanTakePartitions {
 		flags |= statusFlagCanTakePartitions
@@ -131,7 +131,7 @@
 func readController(reader *codec.Reader) *Status {
 	status := &Status{Node: reader.Text(), ProcessID: reader.Text()}
 	flags := reader.Byte()
-	status.ReplicaIsCurrent, status.CanTakePartitions = flags&statusFlagReplicaIsCurrent != 0, flags&statusFlagCanTakePartitions != 0
+	status.ReplicaIsFresh, status.CanTakePartitions = flags&statusFlagReplicaIsFresh != 0, flags&statusFlagCanTakePartitions != 0
 	for range reader.Count(minElementBytes) {
 		status.Partitions = append(status.Partitions, reader.Uvarint())
 	}
--- a/internal/planning/bin_packing.go
+++ b/internal/planning/bin_packing.go
@@ -42,8 +42,8 @@
 	if a.Spot != b.Spot {
 		return a.Spot
 	}
-	if a.RunsService != b.RunsService {
-		return a.RunsService
+	if a.RunsServiceOrGang != b.RunsServiceOrGang {
+		return a.RunsServiceOrGang
 	}
 	if emptyA, emptyB := a.FreeResources == a.Size, b.FreeResources == b.Size; emptyA != emptyB {
 		return emptyB
@@ -123,8 +123,8 @@
 	if p.cost != other.cost {
 		return p.cost < other.cost
 	}
-	if p.machine.RunsService != other.machine.RunsService {
-		return p.machine.RunsService
+	if p.machine.RunsServiceOrGang != other.machine.RunsServiceOrGang {
+		return p.machine.RunsServiceOrGang
 	}
 	return p.machine.Index < other.machine.Index
 }
--- a/internal/planning/bin_packing_test.go
+++ b/internal/planning/bin_packing_test.go
@@ -44,7 +44,7 @@
 	}{
 		{"machine that is up", MachineSummary{Index: 1}, MachineSummary{Booting: true}},
 		{"spot instance", MachineSummary{Index: 1, Spot: true}, MachineSummary{}},
-		{"machine with a service", MachineSummary{Index: 1, RunsService: true}, MachineSummary{}},
+		{"machine with a service", MachineSummary{Index: 1, RunsServiceOrGang: true}, MachineSummary{}},
 		{"machine in use", MachineSummary{Index: 1, Size: size, FreeResources: part}, MachineSummary{Size: part, FreeResources: part}},
 		{"fuller machine", MachineSummary{Index: 1, Size: size, FreeResources: part}, MachineSummary{Size: size.Plus(part), FreeResources: size}},
 		{"lower index", MachineSummary{Index: 1}, MachineSummary{Index: 2}},
@@ -73,7 +73,7 @@
 		{"lower priority", []MachineSummary{{Usages: []TaskUsage{usage(1, 4)}}, {Usages: []TaskUsage{usage(0, 4)}}}, 1},
 		{"fewer victims", []MachineSummary{{Usages: []TaskUsage{usage(0, 2), usage(0, 2)}}, {Usages: []TaskUsage{usage(0, 4)}}}, 1},
 		{"two victims rather than one of higher priority", []MachineSummary{{Usages: []TaskUsage{usage(1, 4)}}, {Usages: []TaskUsage{usage(0, 2), usage(0, 2)}}}, 1},
-		{"machine with a service", []MachineSummary{{Usages: []TaskUsage{usage(0, 4)}}, {RunsService: true, Usages: []TaskUsage{usage(0, 4)}}}, 1},
+		{"machine with a service", []MachineSummary{{Usages: []TaskUsage{usage(0, 4)}}, {RunsServiceOrGang: true, Usages: []TaskUsage{usage(0, 4)}}}, 1},
 		{"lower index", []MachineSummary{{Usages: []TaskUsage{usage(0, 4)}}, {Usages: []TaskUsage{usage(0, 4)}}}, 0},
 		{"no booting machine", []MachineSummary{{Booting: true, Usages: []TaskUsage{usage(0, 4)}}, {Usages: []TaskUsage{usage(1, 4)}}}, 1},
 		{"no victim of equal priority", []MachineSummary{{Usages: []TaskUsage{usage(priority, 4)}}}, UnassignedIndex},
--- a/internal/planning/machine_summary.go
+++ b/internal/planning/machine_summary.go
@@ -25,9 +25,9 @@
 	Booting bool
 	// InUse is set when a plan places a task on the machine, so that it isn't surplus.
 	InUse bool
-	// RunsService is set if a service runs on the machine. The machine is needed as long as the
+	// RunsServiceOrGang is set if a service runs on the machine. The machine is needed as long as the
 	// service runs, so tasks that are placed there don't delay the termination of other machines.
-	RunsService bool
+	RunsServiceOrGang bool
 }
 
 // UnassignedIndex is the index of machines that don't have one yet.
--- a/internal/reconcile/observations_test.go
+++ b/internal/reconcile/observations_test.go
@@ -52,7 +52,7 @@
 	{"a task that was stopped", confirmedMachine(exitedTask("wk-1/0", 2, wire.ReasonStopped)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}},
 		[]observedTask{{reconcile.TaskExited, "wk-1/0", 2, true}}},
-	{"a gang's task that exited because another task of the gang did", confirmedMachine(exitedTask("wk-1/0", 2, wire.ReasonPeersGone)),
+	{"a gang's task that exited because another task of the gang did", confirmedMachine(exitedTask("wk-1/0", 2, wire.ReasonGangTaskEnded)),
 		records{bound: []boundTask{{name: "wk-1/0", attempt: 2}}},
 		[]observedTask{{reconcile.TaskExited, "wk-1/0", 2, true}}},
 	{"an exit proves the end even with a start in flight", machineWithStartInFlight(exitedTask("wk-1/0", 2, wire.ReasonDone)),
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -24,8 +24,8 @@
 	// UnreadableRecords is the number of records that can't be decoded. They may be of any level.
 	UnreadableRecords int
 	PartitionCount    int
-	// MaxTxnChanges is the maximum number of changes in a transaction.
-	MaxTxnChanges int
+	// MaxTransactionChanges is the maximum number of changes in a transaction.
+	MaxTransactionChanges int
 	// FinalizeAfter is the time without a controller restart after which an active level is
 	// finalized automatically. 0 means that only an operator finalizes it.
 	FinalizeAfter time.Duration
@@ -171,7 +171,7 @@
 
 // withPhase returns the state in phase p, without a request.
 func (s State) withPhase(p Phase, view ClusterView) State {
-	s.Phase, s.Request, s.PhaseStartedAt = p, NoRequest, view.Now.UnixMilli()
+	s.Phase, s.Request, s.PhaseStartedAtMS = p, NoRequest, view.Now.UnixMilli()
 	return s
 }
 
@@ -251,8 +251,8 @@
 // txnLimitBlockers returns a blocker if closing the keys takes more changes than a transaction
 // may have.
 func (v *ClusterView) txnLimitBlockers() []Blocker {
-	if n := v.PartitionCount + extraCloseChanges; n > v.MaxTxnChanges {
-		return []Blocker{{Kind: BlockerTxnLimit, Detail: fmt.Sprintf("closing the keys takes %d changes in one transaction, and %d are allowed", n, v.MaxTxnChanges)}}
+	if n := v.PartitionCount + extraCloseChanges; n > v.MaxTransactionChanges {
+		return []Blocker{{Kind: BlockerTxnLimit, Detail: fmt.Sprintf("closing the keys takes %d changes in one transaction, and %d are allowed", n, v.MaxTransactionChanges)}}
 	}
 	return nil
 }
@@ -282,9 +282,9 @@
 // timeSinceLastRestart returns the time since the phase began or a controller last registered,
 // whichever is later.
 func (v *ClusterView) timeSinceLastRestart(s State) time.Duration {
-	last := s.PhaseStartedAt
+	last := s.PhaseStartedAtMS
 	for _, c := range v.Registrations {
-		last = max(last, c.RegisteredAt)
+		last = max(last, c.RegisteredAtMS)
 	}
 	return v.Now.Sub(time.UnixMilli(last))
 }
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -48,7 +48,7 @@
 
 func (m *model) view(isLeader bool) ClusterView {
 	view := ClusterView{Now: time.UnixMilli(0), Members: []string{"0", "1"}, Registrations: map[string]StoredRegistration{}, IsLeader: isLeader, IsUpToDate: true,
-		PartitionCount: 1, MaxTxnChanges: 10}
+		PartitionCount: 1, MaxTransactionChanges: 10}
 	for i, p := range m.processes {
 		if p.registeredLevels.High > 0 {
 			view.Registrations[fmt.Sprint(i)] = StoredRegistration{Registration: Registration{LevelRange: p.registeredLevels}}
--- a/internal/rollout/operator.go
+++ b/internal/rollout/operator.go
@@ -21,10 +21,10 @@
 
 // OperatorClient executes the upgrade commands of operators.
 type OperatorClient struct {
-	Store          OperatorStore
-	Members        []string
-	PartitionCount int
-	MaxTxnChanges  int
+	Store                 OperatorStore
+	Members               []string
+	PartitionCount        int
+	MaxTransactionChanges int
 	// RetryDeadline is the time until which calls are retried that the store refused or did
 	// not answer. The zero time means that calls are not retried.
 	RetryDeadline time.Time
@@ -151,7 +151,7 @@
 // of records.
 func (o *OperatorClient) clusterView(registrations map[string]StoredRegistration) ClusterView {
 	return ClusterView{Now: time.Now(), Members: o.Members, Registrations: registrations, IsLeader: true, IsUpToDate: true,
-		PartitionCount: o.PartitionCount, MaxTxnChanges: o.MaxTxnChanges}
+		PartitionCount: o.PartitionCount, MaxTransactionChanges: o.MaxTransactionChanges}
 }
 
 // RefusedError is the error of a request that was refused. Nothing was changed.
--- a/internal/rollout/operator_retry.go
+++ b/internal/rollout/operator_retry.go
@@ -101,7 +101,7 @@
 		outcomes = []State{next}
 	}
 	for _, outcome := range outcomes {
-		outcome.PhaseStartedAt = current.PhaseStartedAt
+		outcome.PhaseStartedAtMS = current.PhaseStartedAtMS
 		if outcome == current {
 			return true
 		}
--- a/internal/rollout/registrar.go
+++ b/internal/rollout/registrar.go
@@ -71,7 +71,7 @@
 		return 0, err
 	}
 	c := r.Registration
-	c.RegisteredAt = time.Now().UnixMilli()
+	c.RegisteredAtMS = time.Now().UnixMilli()
 	_, err = r.Store.Txn(ctx, &wire.Txn{
 		Conditions: []wire.Condition{{Key: key, Revision: revision}},
 		Changes:    []wire.Change{{Put: key, Value: c.Encode(), Lease: lease}},
--- a/internal/rollout/registration.go
+++ b/internal/rollout/registration.go
@@ -19,9 +19,9 @@
 	ProcessID string `json:"b"`
 	Build     string `json:"build"`
 	LevelRange
-	// RegisteredAt is the time at which the process registered, in milliseconds since the
+	// RegisteredAtMS is the time at which the process registered, in milliseconds since the
 	// Unix epoch.
-	RegisteredAt int64 `json:"at"`
+	RegisteredAtMS int64 `json:"at"`
 }
 
 // Encode returns the stored encoding.
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -54,9 +54,9 @@
 	// requests RequestFinalize.
 	OnHold  bool    `json:"held,omitempty"`
 	Request Request `json:"wish,omitempty"`
-	// PhaseStartedAt is the time at which the phase began, in milliseconds since the Unix
+	// PhaseStartedAtMS is the time at which the phase began, in milliseconds since the Unix
 	// epoch.
-	PhaseStartedAt int64 `json:"since,omitempty"`
+	PhaseStartedAtMS int64 `json:"since,omitempty"`
 }
 
 // InitialState is the state of a cluster that has no stored state.
--- a/internal/rollout/txn_test.go
+++ b/internal/rollout/txn_test.go
@@ -51,7 +51,7 @@
 // and the revisions of that cluster.
 func storeCluster(t *testing.T, c *store.Client, s State) (ClusterView, Revisions) {
 	t.Helper()
-	view := ClusterView{Now: time.UnixMilli(0), Members: []string{"n0", "n1"}, Registrations: map[string]StoredRegistration{}, IsLeader: true, IsUpToDate: true, PartitionCount: 2, MaxTxnChanges: 10}
+	view := ClusterView{Now: time.UnixMilli(0), Members: []string{"n0", "n1"}, Registrations: map[string]StoredRegistration{}, IsLeader: true, IsUpToDate: true, PartitionCount: 2, MaxTransactionChanges: 10}
 	for _, name := range view.Members {
 		r := Registration{Node: name, LevelRange: SupportedLevels}
 		view.Registrations[name] = StoredRegistration{Registration: r, Revision: put(t, c, RegistrationKey(name), r)}
@@ -169,7 +169,7 @@
 		{active, func(v *ClusterView) { delete(v.Registrations, "n1") }, BlockerMissingController, "n1"},
 		{active, func(v *ClusterView) { v.Members = append(v.Members, "n2") }, BlockerMissingController, "n2"},
 		{active, func(v *ClusterView) { v.Members = v.Members[:1] }, BlockerUnlistedController, "n1"},
-		{active, func(v *ClusterView) { v.MaxTxnChanges = 3 }, BlockerTxnLimit, "3 are allowed"},
+		{active, func(v *ClusterView) { v.MaxTransactionChanges = 3 }, BlockerTxnLimit, "3 are allowed"},
 		{State{Level: 2, Phase: PhaseActive, Epoch: 1}, func(*ClusterView) {}, BlockerUnsupportedLevel, "n0 does not read level 3"},
 		{State{Level: 1, Phase: PhaseStable, OnHold: true}, func(*ClusterView) {}, BlockerOperatorHold, "operator"},
 		{reverting, func(v *ClusterView) { v.NewerRecords = 7 }, BlockerNewerRecords, "7 records"},
@@ -208,7 +208,7 @@
 	_, c := newStore()
 	storeCluster(t, c, State{Level: 1, Phase: PhaseActive})
 	otherState := State{Level: 1, Phase: PhaseActive, Request: RequestFinalize}
-	op := &OperatorClient{Members: []string{"n0", "n1"}, PartitionCount: 2, MaxTxnChanges: 10}
+	op := &OperatorClient{Members: []string{"n0", "n1"}, PartitionCount: 2, MaxTransactionChanges: 10}
 	op.Store = &racingStore{Client: c, beforeTxn: func() { put(t, c, StateKey, otherState) }}
 	if _, err := op.Submit(t.Context(), RequestAbort); !errors.Is(err, ErrStateChanged) {
 		t.Errorf("Submit after a concurrent change: %v, want ErrStateChanged", err)
--- a/internal/simulation/agent/gang.go
+++ b/internal/simulation/agent/gang.go
@@ -127,7 +127,7 @@
 		return wire.StateExited, wire.ReasonDone
 	case !g.brokenAt.IsZero():
 		if now.Sub(g.brokenAt) >= f.GangPeerTimeout/2 {
-			return wire.StateExited, wire.ReasonPeersGone
+			return wire.StateExited, wire.ReasonGangTaskEnded
 		}
 		return t.state, ""
 	case !g.stopRequestedAt.IsZero():
@@ -154,7 +154,7 @@
 		}
 		return wire.StateExited, wire.ReasonStopped
 	case !allStopping && elapsed > f.GangPeerTimeout:
-		return wire.StateExited, wire.ReasonPeersGone
+		return wire.StateExited, wire.ReasonGangTaskEnded
 	}
 	return t.state, ""
 }
--- a/internal/wire/enums.go
+++ b/internal/wire/enums.go
@@ -25,7 +25,7 @@
 	ReasonOtherAttempt = "in_use"  // the machine has another attempt of the same task
 	ReasonUnknownTask  = "no_such" // the job or task was never submitted
 
-	ReasonPeersGone      = "mates_gone" // another task of the gang is no longer running
+	ReasonGangTaskEnded  = "mates_gone" // another task of the gang is no longer running
 	ReasonIncompleteGang = "incomplete" // not all tasks of the gang were started in time
 )
 
