--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -267,8 +267,8 @@
 	c.startAll()
 }
 
-// setFaultPolicies sets the network policy for the requests of all controllers; nil: all requests are
-// delivered.
+// setFaultPolicies sets the fault policy for the requests of all controllers; nil: all requests
+// are delivered.
 func (c *cluster) setFaultPolicies(policy network.FaultPolicy) {
 	for _, n := range c.nodes {
 		n.transport.SetFaultPolicy(policy)
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -80,8 +80,8 @@
 
 // canUseReserve reports whether a job may be placed on the machines of the leader's own
 // partition. Gangs and jobs that have machines on loan may. Other jobs may if they have waited
-// for reserveAvailableAfter since they were accepted or last assigned tasks, and the leader's term
-// has lasted that long.
+// for reserveAvailableAfter since they were accepted or last assigned tasks, and the leader's
+// term has lasted that long.
 func (c *leader) canUseReserve(j *job) bool {
 	since := j.acceptedAt
 	if j.assignedAt.After(since) {
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -30,9 +30,9 @@
 	usableIntervals  = 2
 	minUsableTimeout = 3 * time.Second
 
-	// unresponsiveMachineRetention is how long after its last heartbeat a machine is still pinged and
-	// reported to peers. It is well above the time after which a silent machine is terminated
-	// or proven dead.
+	// unresponsiveMachineRetention is how long after its last heartbeat a machine is still
+	// pinged and reported to peers. It is well above the time after which a machine without
+	// heartbeats is terminated or proven dead.
 	unresponsiveMachineRetention = 3 * time.Minute
 	// majorityCountWindow is how long after its last heartbeat a machine is counted when the
 	// controller determines whether most machines of a partition are unreachable.
@@ -81,11 +81,11 @@
 	return m.seemsNotReceiving() && !p.mostNotReceiving
 }
 
-// noHeartbeatSince returns the time of the machine's last heartbeat, or the earliest time at which
-// this controller could have received one, whichever is later. A controller that does not
-// answer heartbeats (see config.MaxStaleness) receives none: if that time counted as silence,
-// all machines would become unreachable at once after a long outage, and would be terminated
-// with all their tasks.
+// noHeartbeatSince returns the time of the machine's last heartbeat, or the earliest time at
+// which this controller could have received one, whichever is later. A controller that does not
+// answer heartbeats (see config.MaxStaleness) receives none: if that time counted as time
+// without a heartbeat, all machines would become unreachable at once after a long outage, and
+// would be terminated with all their tasks.
 func (c *clusterState) noHeartbeatSince(m *machine, p *partition) time.Time {
 	since := p.machineOwnedSince(m)
 	if c.heartbeatsResumedAt.After(since) {
@@ -187,9 +187,9 @@
 	return m.isNotReceiving(p) && c.now.Sub(p.machineOwnedSince(m)) > c.unreachableTimeout() && c.now.Sub(m.heartbeatAt) < c.heartbeatTimeout()
 }
 
-// isHeartbeatOlderThanLease reports whether the machine has sent no heartbeat for so long that its
-// lease has expired, while heartbeats of other machines arrive. No tasks are placed on such a
-// machine even if it answers direct commands.
+// isHeartbeatOlderThanLease reports whether the machine has sent no heartbeat for so long that
+// its lease has expired, while heartbeats of other machines arrive. No tasks are placed on such
+// a machine even if it answers direct commands.
 func (c *clusterState) isHeartbeatOlderThanLease(m *machine, p *partition) bool {
 	expired := c.now.Sub(c.noHeartbeatSince(m, p)) > c.leaseExpiry+c.unreachableTimeout()
 	return expired && c.now.Sub(c.resumedFromPauseAt) > c.unreachableTimeout() && c.now.Sub(c.lastHeartbeatAt) < c.heartbeatTimeout()
--- a/internal/controller/liveness_test.go
+++ b/internal/controller/liveness_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// newMachineWithHeartbeat returns a machine of the test controller that has just sent a heartbeat, and
-// its partition.
+// newMachineWithHeartbeat returns a machine of the test controller that has just sent a
+// heartbeat, and its partition.
 func newMachineWithHeartbeat(c *controller) (*machine, *partition) {
 	p := c.partitions[0]
 	p.firstToken = p.token
@@ -48,11 +48,11 @@
 		change func(c *controller, m *machine, p *partition)
 		want   bool
 	}{
-		{"heard just now", func(*controller, *machine, *partition) {}, true},
-		{"heard a while ago", func(c *controller, _ *machine, _ *partition) { c.now = c.now.Add(2900 * time.Millisecond) }, true},
-		{"not heard any more", func(c *controller, _ *machine, _ *partition) { c.now = c.now.Add(3 * time.Second) }, false},
-		{"heard before the failover", func(c *controller, _ *machine, p *partition) { p.ownedSince = c.now }, false},
-		{"heard before it moved to the partition", func(c *controller, m *machine, _ *partition) { m.partitionChangedAt = c.now }, false},
+		{"heartbeat received just now", func(*controller, *machine, *partition) {}, true},
+		{"heartbeat received a while ago", func(c *controller, _ *machine, _ *partition) { c.now = c.now.Add(2900 * time.Millisecond) }, true},
+		{"no more heartbeats received", func(c *controller, _ *machine, _ *partition) { c.now = c.now.Add(3 * time.Second) }, false},
+		{"heartbeat received before the failover", func(c *controller, _ *machine, p *partition) { p.ownedSince = c.now }, false},
+		{"heartbeat received before it moved to the partition", func(c *controller, m *machine, _ *partition) { m.partitionChangedAt = c.now }, false},
 		{"a late copy with a former owner's token", func(_ *controller, _ *machine, p *partition) { p.firstToken++ }, false},
 		{"known only from records", func(_ *controller, m *machine, _ *partition) { m.incarnation = 0 }, false},
 		{"terminated", func(_ *controller, m *machine, _ *partition) { m.terminated = true }, false},
@@ -98,8 +98,8 @@
 	{"sends without receiving, right after a failover", 0, func(c *controller, m *machine, p *partition) {
 		m.hasMissedResponses, p.ownedSince = true, c.now.Add(-time.Second)
 	}, false},
-	{"answers pings beyond its lease, others are heard", beyondLease, answersPings, true},
-	{"answers pings beyond its lease, no machine is heard", beyondLease, func(c *controller, m *machine, p *partition) {
+	{"answers pings beyond its lease, others send heartbeats", beyondLease, answersPings, true},
+	{"answers pings beyond its lease, no machine sends heartbeats", beyondLease, func(c *controller, m *machine, p *partition) {
 		answersPings(c, m, p)
 		c.lastHeartbeatAt = m.heartbeatAt
 	}, false},
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -60,8 +60,8 @@
 	commandState       directCommandState
 
 	// isSchedulable and runsServiceOrGang cache the results of partitionOwner.isSchedulable and
-	// clusterState.runsServiceOrGang. schedulablePass and runsServiceOrGangPass are the numbers of the
-	// scheduling passes in which they were computed.
+	// clusterState.runsServiceOrGang. schedulablePass and runsServiceOrGangPass are the numbers
+	// of the scheduling passes in which they were computed.
 	isSchedulable, runsServiceOrGang       bool
 	schedulablePass, runsServiceOrGangPass uint64
 }
--- a/internal/controller/peer_status.go
+++ b/internal/controller/peer_status.go
@@ -24,7 +24,7 @@
 
 // isReportedToPeers reports whether the status includes a machine of an owned partition: one that
 // has sent a heartbeat to this owner or has tasks bound to it, and whose incarnation is known,
-// unless it is terminated or has been silent for longer than unresponsiveMachineRetention.
+// unless it is terminated or has sent no heartbeat for longer than unresponsiveMachineRetention.
 func (c *clusterState) isReportedToPeers(m *machine, p *partition) bool {
 	if m.terminated || m.incarnation == 0 || c.now.Sub(c.noHeartbeatSince(m, p)) > unresponsiveMachineRetention {
 		return false
--- a/internal/planning/machine_summary.go
+++ b/internal/planning/machine_summary.go
@@ -25,8 +25,8 @@
 	Booting bool
 	// InUse is set when a plan places a task on the machine, so that it isn't surplus.
 	InUse bool
-	// RunsServiceOrGang is set if a service runs on the machine. The machine is needed as long as the
-	// service runs, so tasks that are placed there don't delay the termination of other machines.
+	// RunsServiceOrGang is set if a service or gang runs on the machine. The machine is needed until
+	// it ends, so tasks that are placed there don't delay the termination of other machines.
 	RunsServiceOrGang bool
 }
 
