--- a/internal/controller/liveness_test.go
+++ b/internal/controller/liveness_test.go
@@ -61,7 +61,7 @@
 		{"one command unanswered", func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 1 }, true},
 		{"two commands unanswered", func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, false},
 		{"two commands unanswered, as for most machines", func(_ *controller, m *machine, p *partition) { m.commandState.unanswered, p.mostNotReceiving = 2, true }, true},
-		{"lost its lease although its heartbeats were answered", func(_ *controller, m *machine, _ *partition) { m.leaseLostInContact = true }, false},
+		{"lost its lease although its heartbeats were answered", func(_ *controller, m *machine, _ *partition) { m.hasMissedResponses = true }, false},
 	} {
 		c := newTestController(t)
 		m, p := newReachableMachine(c)
@@ -96,10 +96,10 @@
 	{"pings unanswered, overdue", 1800 * time.Millisecond, func(_ *controller, m *machine, _ *partition) { m.commandState.unanswered = 2 }, true},
 	{"pings unanswered right after a failover", 3700 * time.Millisecond, setUnansweredSinceFailover, false},
 	{"pings unanswered a while after a failover", 3800 * time.Millisecond, setUnansweredSinceFailover, true},
-	{"sends without receiving", 0, func(_ *controller, m *machine, _ *partition) { m.leaseLostInContact = true }, true},
-	{"sends without receiving, as most machines do", 0, func(_ *controller, m *machine, p *partition) { m.leaseLostInContact, p.mostNotReceiving = true, true }, false},
+	{"sends without receiving", 0, func(_ *controller, m *machine, _ *partition) { m.hasMissedResponses = true }, true},
+	{"sends without receiving, as most machines do", 0, func(_ *controller, m *machine, p *partition) { m.hasMissedResponses, p.mostNotReceiving = true, true }, false},
 	{"sends without receiving, right after a failover", 0, func(c *controller, m *machine, p *partition) {
-		m.leaseLostInContact, p.ownedSince = true, c.now.Add(-time.Second)
+		m.hasMissedResponses, p.ownedSince = true, c.now.Add(-time.Second)
 	}, false},
 	{"answers pings beyond its lease, other machines send heartbeats", beyondLease, setAnswersPings, true},
 	{"answers pings beyond its lease, no machine sends heartbeats", beyondLease, func(c *controller, m *machine, p *partition) {
