--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -150,8 +150,8 @@
 	return jobResponse{resp.StatusCode, job.State}
 }
 
-// sendRequest sends a request once, to one node, and records the response for the rule checker. Before
-// the time queryAllUntil, each successful change is followed by a query to each controller.
+// sendRequest sends a request once, to one node, and records the response for the rule checker.
+// Before the time queryAllUntil, each successful change is followed by a query to each controller.
 func (c *cluster) sendRequest(node int, r jobRequest) jobResponse {
 	ctx, cancel := context.WithTimeout(c.ctx, r.timeout())
 	defer cancel()
@@ -276,8 +276,8 @@
 	c.await("all tasks of the services run", time.Minute, func() bool { return c.areServicesRunning(count, tasks) })
 }
 
-// areServicesRunning reports whether each of the jobs that submitServices submits has exactly the given
-// number of running tasks.
+// areServicesRunning reports whether each of the jobs that submitServices submits has exactly the
+// given number of running tasks.
 func (c *cluster) areServicesRunning(count, tasks int) bool {
 	for i := range count {
 		if c.env.CountRunningTasks(fmt.Sprintf("wk-%d", i+1)) != tasks {
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// checkPartition checks that the cells of a partition are consistent, that each allocated cell belongs
-// to a task of a record, and that reservations have cells and no live binding.
+// checkPartition checks that the cells of a partition are consistent, that each allocated cell
+// belongs to a task of a record, and that reservations have cells and no live binding.
 func (c *cluster) checkPartition(i int, ctl *controller, p *partition) {
 	c.t.Helper()
 	if err := p.cells.CheckInvariants(); err != nil {
@@ -60,8 +60,8 @@
 }
 
 // hasLiveBinding reports whether a task is bound to a machine, the binding is not lost and no write
-// that could end it is in flight. Such a task must have no reservation, since that would bind it again
-// as soon as the binding ends.
+// that could end it is in flight. Such a task must have no reservation, since that would bind it
+// again as soon as the binding ends.
 func (c *controller) hasLiveBinding(group *taskGroup, task scheduling.TaskID) bool {
 	binding := group.binding(task.Number)
 	return binding != nil && binding.machine != nil && !group.writeInFlight && !c.isLost(group, binding)
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -283,8 +283,8 @@
 	}
 }
 
-// leaderIndex returns the index of the node whose controller is the leader, or 0 if there is no leader
-// at the moment.
+// leaderIndex returns the index of the node whose controller is the leader, or 0 if there is no
+// leader at the moment.
 func (c *cluster) leaderIndex() int {
 	for i, n := range c.nodes {
 		if n.isLeader(c.ctx) {
@@ -294,8 +294,8 @@
 	return 0
 }
 
-// sendFrame delivers a frame of a node's controller to the process on another node. It drops the frame
-// if no process runs there or one of the two nodes has its peers blocked.
+// sendFrame delivers a frame of a node's controller to the process on another node. It drops the
+// frame if no process runs there or one of the two nodes has its peers blocked.
 func (c *cluster) sendFrame(from *node, to string, frame []byte) {
 	version := peer.Version(frame[2])
 	for _, n := range c.nodes {
--- a/internal/controller/fault_generator_test.go
+++ b/internal/controller/fault_generator_test.go
@@ -15,8 +15,8 @@
 // firstSeed is the seed of the first generated schedule; the others follow consecutively.
 var firstSeed = flag.Uint64("first-seed", 1, "seed of the first generated schedule")
 
-// generatorSeed is the second part of the seed for drawing schedules. It differs from scheduleSeed, so
-// that schedules and the actions of users in them are drawn independently.
+// generatorSeed is the second part of the seed for drawing schedules. It differs from scheduleSeed,
+// so that schedules and the actions of users in them are drawn independently.
 const generatorSeed = 3
 
 // faultTemplates are the faults that schedules are drawn from, with the durations that are scaled
--- a/internal/controller/fault_machine_effects_test.go
+++ b/internal/controller/fault_machine_effects_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// setOnBusiestMachines calls set with true for the busiest machines, and returns a function that calls
-// it with false for the same machines.
+// setOnBusiestMachines calls set with true for the busiest machines, and returns a function that
+// calls it with false for the same machines.
 func (s *scheduleRun) setOnBusiestMachines(count int, set func(a *agent.Agent, on bool)) (unset func()) {
 	agents := s.busiestMachines(count)
 	for _, a := range agents {
--- a/internal/controller/fault_user_effects_test.go
+++ b/internal/controller/fault_user_effects_test.go
@@ -88,8 +88,8 @@
 	return doNothing
 }
 
-// raceCompletion sends requests about each job just as its last task ends: queries to all controllers,
-// a repeated submission and, for a share of the jobs, a cancellation.
+// raceCompletion sends requests about each job just as its last task ends: queries to all
+// controllers, a repeated submission and, for a share of the jobs, a cancellation.
 func (s *scheduleRun) raceCompletion(f fault) func() {
 	go func() {
 		for deadline := time.Now().Add(f.activeTime()); time.Now().Before(deadline); time.Sleep(completionCheckInterval) {
@@ -136,7 +136,8 @@
 	return doNothing
 }
 
-// sendUnusualRequest sends one request of a random kind. The number distinguishes its job from others.
+// sendUnusualRequest sends one request of a random kind. The number distinguishes its job from
+// others.
 func (s *scheduleRun) sendUnusualRequest(number int) {
 	s.mu.Lock()
 	kind := s.rng.IntN(4)
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -25,8 +25,9 @@
 	unreachableLeaseFraction = 0.6
 	minUnreachableTimeout    = 7 * time.Second
 
-	// No task is placed on a machine that has been silent for usableIntervals heartbeat
-	// intervals or for minUsableTimeout, whichever is longer. Two intervals tolerate the loss of one heartbeat.
+	// No task is placed on a machine that has been silent for usableIntervals heartbeat intervals
+	// or for minUsableTimeout, whichever is longer. Two intervals tolerate the loss of one
+	// heartbeat.
 	usableIntervals  = 2
 	minUsableTimeout = 3 * time.Second
 
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -10,15 +10,15 @@
 	"eiderhitch/internal/wire"
 )
 
-// A service or gang that no single partition can hold is assigned by the leader to machines
-// that it borrows from other partitions. The leader writes a loan record for each machine,
-// conditional on the revision of the partition's key. The partition's owner then places nothing
-// on the machine, stops the tasks that the job may preempt, and acknowledges the loan once no
-// task is bound there except services that may change partitions with the machine. From then on
-// the machine belongs to the leader's own partition, whose key and fencing token are the leader's
-// and which is scheduled like any other partition. A new token of the leader, higher than any that the
-// former owner has used, fences the former owner's commands. When the machine is returned, a
-// new token of the owner fences the leader's commands in the same way.
+// A service or gang that no single partition can hold is assigned by the leader to machines that it
+// borrows from other partitions. The leader writes a loan record for each machine, conditional on
+// the revision of the partition's key. The partition's owner then places nothing on the machine,
+// stops the tasks that the job may preempt, and acknowledges the loan once no task is bound there
+// except services that may change partitions with the machine. From then on the machine belongs to
+// the leader's own partition, whose key and fencing token are the leader's and which is scheduled
+// like any other partition. A new token of the leader, higher than any that the former owner has
+// used, fences the former owner's commands. When the machine is returned, a new token of the owner
+// fences the leader's commands in the same way.
 //
 // This file holds the loans themselves. loan_owner.go has the owner's side, loan_leader.go and
 // loan_selection.go have the leader's decisions.
--- a/internal/controller/processes_test.go
+++ b/internal/controller/processes_test.go
@@ -235,8 +235,8 @@
 
 // Processes of an old and the current version run in one cluster. They are replaced in turn while
 // there is work, one of them by the old version again. Once all run the current version, the
-// key-value store lowers its limits and gangs are submitted. No rule may be broken, and in the end all
-// jobs must be done, or be services with both tasks running.
+// key-value store lowers its limits and gangs are submitted. No rule may be broken, and in the end
+// all jobs must be done, or be services with both tasks running.
 func TestOldProcessesBesideNew(t *testing.T) {
 	if *oldVersion == "" {
 		t.Skip("needs -old-version COMMIT")
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -20,8 +20,8 @@
 // oldest ends.
 const maxRandomFaults = 3
 
-// Random faults overlap while random jobs run. No rule may be broken, and afterwards all accepted jobs
-// must finish.
+// Random faults overlap while random jobs run. No rule may be broken, and afterwards all accepted
+// jobs must finish.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/controller/rollout_processes_test.go
+++ b/internal/controller/rollout_processes_test.go
@@ -28,8 +28,8 @@
 // upgradeSeed is the seed of the first round.
 var upgradeSeed = flag.Uint64("upgrade-seed", 1, "seed of the first round of upgrades of real processes; it grows by 1 with each round")
 
-// upgradeRun is one round: a cluster of real processes that is upgraded and rolled back while jobs are
-// submitted.
+// upgradeRun is one round: a cluster of real processes that is upgraded and rolled back while jobs
+// are submitted.
 type upgradeRun struct {
 	*processCluster
 	rng                  *rand.Rand
@@ -46,8 +46,8 @@
 	submitters     sync.WaitGroup                     // waits for submitSteadily
 }
 
-// writeOperatorSettings writes an operator's settings file and returns the command-line arguments that
-// select it.
+// writeOperatorSettings writes an operator's settings file and returns the command-line arguments
+// that select it.
 func (p *processCluster) writeOperatorSettings(name, text string) []string {
 	p.t.Helper()
 	path := filepath.Join(p.dir, name)
@@ -145,10 +145,10 @@
 }
 
 // Three real controller processes are upgraded one at a time in a random order while jobs are
-// submitted steadily. On the way one of them returns to the old version; after the new level is final,
-// controllers are killed or replaced by the old version, and at the end the upgrade is rolled back. The
-// rule checker verifies from the responses to users and the events on machines that no job is lost, no
-// task runs on two machines and no response contradicts an earlier one.
+// submitted steadily. On the way one of them returns to the old version; after the new level is
+// final, controllers are killed or replaced by the old version, and at the end the upgrade is
+// rolled back. The rule checker verifies from the responses to users and the events on machines
+// that no job is lost, no task runs on two machines and no response contradicts an earlier one.
 func TestUpgradeOfRealProcesses(t *testing.T) {
 	t.Parallel()
 	bin := t.TempDir()
@@ -173,8 +173,8 @@
 	}
 }
 
-// runRound runs one round: it upgrades all controllers, makes the level final, disrupts the controllers
-// and rolls the upgrade back.
+// runRound runs one round: it upgrades all controllers, makes the level final, disrupts the
+// controllers and rolls the upgrade back.
 func (u *upgradeRun) runRound(round int) {
 	for i := range u.nodes {
 		u.startProcess(i, u.oldBinary, u.oldArguments...)
@@ -225,7 +225,8 @@
 	return lastStartedAt
 }
 
-// finalizeAndRewrite makes the level final and waits until no stored record is in the former encoding.
+// finalizeAndRewrite makes the level final and waits until no stored record is in the former
+// encoding.
 func (u *upgradeRun) finalizeAndRewrite() {
 	u.t.Helper()
 	plainRecords := u.countByEncoding()[record.PlainJSON]
--- a/internal/controller/upgrade_schedules_test.go
+++ b/internal/controller/upgrade_schedules_test.go
@@ -12,8 +12,8 @@
 )
 
 // Upgrades run under schedules of faults. No rule may be broken, and no record may be stored in an
-// encoding that the level in force at that moment does not allow. After each schedule the upgrade must
-// still be able to finish.
+// encoding that the level in force at that moment does not allow. After each schedule the upgrade
+// must still be able to finish.
 func TestUpgradesUnderFaults(t *testing.T) {
 	t.Parallel()
 	for _, x := range upgradeSchedules {
@@ -155,8 +155,8 @@
 	}},
 }
 
-// awaitFinalLevel finalizes the upgrade from any state in which a schedule has left it. It waits until
-// the highest level is final and stable and all records are in its encoding.
+// awaitFinalLevel finalizes the upgrade from any state in which a schedule has left it. It waits
+// until the highest level is final and stable and all records are in its encoding.
 func (c *cluster) awaitFinalLevel() {
 	c.t.Helper()
 	isFinal := func() bool {
@@ -182,9 +182,9 @@
 // from scheduleSeed, so that the actions of users are drawn independently.
 const upgradeGeneratorSeed = 5
 
-// Schedules are drawn from upgradeStepTemplates, the steps of upgrades, and upgradeFaultTemplates, the
-// other faults, with the durations that are scaled randomly. Entries that are listed twice are drawn
-// more often.
+// Schedules are drawn from upgradeStepTemplates, the steps of upgrades, and upgradeFaultTemplates,
+// the other faults, with the durations that are scaled randomly. Entries that are listed twice are
+// drawn more often.
 var (
 	upgradeStepTemplates = []fault{
 		{kind: finalizeUpgrade},
@@ -218,8 +218,8 @@
 	}
 )
 
-// No rule may be broken under randomly generated schedules of upgrade requests, restarts of controllers
-// with other versions, and other faults.
+// No rule may be broken under randomly generated schedules of upgrade requests, restarts of
+// controllers with other versions, and other faults.
 func TestGeneratedUpgradeSchedules(t *testing.T) {
 	t.Parallel()
 	for seed := *firstSeed; seed < *firstSeed+uint64(*generatedUpgradeScheduleCount); seed++ {
--- a/internal/election/stepdown.go
+++ b/internal/election/stepdown.go
@@ -73,10 +73,9 @@
 	e.ResignAll()
 }
 
-// heartbeatWindow returns how long this controller may go without a heartbeat. If the
-// heartbeats of many machines stop at once, a short time is enough evidence; for few machines it
-// takes longer. The
-// window must be short, since workers' leases keep running out meanwhile and workers need a few
+// heartbeatWindow returns how long this controller may go without a heartbeat. If the heartbeats of
+// many machines stop at once, a short time is enough evidence; for few machines it takes longer.
+// The window must be short, since workers' leases keep running out meanwhile and workers need a few
 // more seconds to find the next owner.
 func (e *Elector) heartbeatWindow(workers WorkerContact) time.Duration {
 	interval := e.HeartbeatInterval
--- a/internal/frontend/readiness.go
+++ b/internal/frontend/readiness.go
@@ -3,8 +3,8 @@
 import "time"
 
 // readinessGracePeriod is the time for which a controller without a successful read stays ready
-// after the lifetime of a lease has passed. Short failures must not make the load balancer move users to
-// other controllers and back, which costs users more than waiting.
+// after the lifetime of a lease has passed. Short failures must not make the load balancer move
+// users to other controllers and back, which costs users more than waiting.
 const readinessGracePeriod = 2 * time.Second
 
 // IsReady reports whether the load balancer should send users to this controller. It returns the
--- a/internal/peer/registry.go
+++ b/internal/peer/registry.go
@@ -24,8 +24,8 @@
 	previousProcessID string
 }
 
-// HasRecentStatus reports whether the peer has sent a status and the last one arrived less than maxAge
-// before now.
+// HasRecentStatus reports whether the peer has sent a status and the last one arrived less than
+// maxAge before now.
 func (p *Peer) HasRecentStatus(maxAge time.Duration, now time.Time) bool {
 	return p.Status != nil && now.Sub(p.LastStatusAt) < maxAge
 }
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -47,8 +47,8 @@
 	FlagUnreachable
 	// FlagSpot is set if the machine is a spot instance.
 	FlagSpot
-	// FlagAwaitingFirstHeartbeat is set if no heartbeat of the machine has arrived since its owner took over
-	// its partition.
+	// FlagAwaitingFirstHeartbeat is set if no heartbeat of the machine has arrived since its owner
+	// took over its partition.
 	FlagAwaitingFirstHeartbeat
 )
 
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -45,8 +45,8 @@
 	AgeS  float64 `json:"heldS"` // seconds since the machine was requested
 }
 
-// InstanceList is one page of the cloud's instance list, which holds all launched machines. HasMore is set if another page
-// follows.
+// InstanceList is one page of the cloud's instance list, which holds all launched machines. HasMore
+// is set if another page follows.
 type InstanceList struct {
 	Instances []Instance `json:"perches"`
 	HasMore   bool       `json:"truncated"`
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -72,8 +72,8 @@
 	`"cpus":8.0,"cards":1.0,"ramGb":64.0,"plumage":"img-07","imageGb":6.2,` +
 	`"hulls":["g8"],"shore":null,"samePlace":true,"spread":false,"driftwood":true,"reckonS":240.0,"moultS":30.0,"stowS":4.0,"dueS":900.0}`
 
-// A valid submission must be stored as exactly these bytes. An invalid one must be rejected with exactly
-// the listed text, which names the field as the protocol does.
+// A valid submission must be stored as exactly these bytes. An invalid one must be rejected with
+// exactly the listed text, which names the field as the protocol does.
 func TestSubmissionStoredBytesAndErrorTexts(t *testing.T) {
 	job, err := ParseJob([]byte(exampleSubmission))
 	if err != nil {
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -42,8 +42,8 @@
 	Revision uint64          `json:"stamp"`
 }
 
-// ItemPage is one page of stored keys in their order, as of a revision of the store. HasMore is set if
-// another page follows.
+// ItemPage is one page of stored keys in their order, as of a revision of the store. HasMore is set
+// if another page follows.
 type ItemPage struct {
 	Items    []Item `json:"rows"`
 	HasMore  bool   `json:"truncated"`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -31,7 +31,8 @@
 	return b
 }
 
-// A valid submission must be accepted and keep its values, also when the job is stored and read again.
+// A valid submission must be accepted and keep its values, also when the job is stored and read
+// again.
 func TestValidSubmissionsAreParsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := drawSubmission(t)
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -60,8 +60,8 @@
 	Commands     []Command `json:"calls"`
 }
 
-// Redirect directs a worker to send its heartbeats to the controller Node, or to any other controller if
-// Node is "".
+// Redirect directs a worker to send its heartbeats to the controller Node, or to any other
+// controller if Node is "".
 type Redirect struct {
 	Node string `json:"harbour,omitempty"`
 }
--- a/internal/workerclient/slots.go
+++ b/internal/workerclient/slots.go
@@ -7,7 +7,8 @@
 	// PurposeCommands means that commands are to be sent. Commands may use all slots.
 	PurposeCommands Purpose = iota
 	// PurposePing means that a ping is to be sent, which checks whether the machine responds. It
-	// also carries the fencing token. Pings may use half of the slots, so that the rest is left for commands.
+	// also carries the fencing token. Pings may use half of the slots, so that the rest is left for
+	// commands.
 	PurposePing
 )
 
